--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,6 +9,7 @@
 	"math"
 	"net"
 	"os"
+	"reflect"
 	"strings"
 	"time"
 )
@@ -193,7 +194,7 @@
 	if err := json.Unmarshal(raw, &s); err != nil {
 		var typ *json.UnmarshalTypeError
 		if errors.As(err, &typ) {
-			return nil, fmt.Errorf("field %s: expected %s, found %s", typ.Field, typ.Type, typ.Value)
+			return nil, fmt.Errorf("field %s: expected %s, found %s", typ.Field, jsonKind(typ.Type), typ.Value)
 		}
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
@@ -211,6 +212,23 @@
 	return &s, nil
 }
 
+// jsonKind names what a settings file must hold where a Go type is read.
+func jsonKind(t reflect.Type) string {
+	switch t.Kind() {
+	case reflect.Float64:
+		return "a number"
+	case reflect.Int, reflect.Int64, reflect.Uint64:
+		return "a whole number"
+	case reflect.String:
+		return "a string"
+	case reflect.Slice:
+		return "a list"
+	case reflect.Bool:
+		return "true or false"
+	}
+	return "an object"
+}
+
 func (s *Settings) check() error {
 	if s.Node == "" {
 		return errors.New("field node: missing")
@@ -237,6 +255,31 @@
 }
 
 func (s *SiteInfo) check() error {
+	if err := s.checkTeams(); err != nil {
+		return err
+	}
+	if err := s.checkAmounts(); err != nil {
+		return err
+	}
+	if err := s.State.check("settings.state"); err != nil {
+		return err
+	}
+	if err := s.State.checkNext("settings.state.next"); err != nil {
+		return err
+	}
+	if err := s.Limits.check(); err != nil {
+		return err
+	}
+	if s.Workers.LeaseS <= s.Workers.ReportS {
+		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v", s.Workers.LeaseS, s.Workers.ReportS)
+	}
+	if s.Cloud.ListLagS < 0 || s.ClockOffMs < 0 {
+		return errors.New("field settings: cloud.list_lag_s and clock_off_ms must not be negative")
+	}
+	return nil
+}
+
+func (s *SiteInfo) checkTeams() error {
 	if len(s.Teams) == 0 {
 		return errors.New("field settings.teams: no team")
 	}
@@ -254,38 +297,40 @@
 			return fmt.Errorf("%s: the guarantee is above the limit", at)
 		}
 	}
-	for _, p := range []struct {
+	return nil
+}
+
+// checkAmounts checks that what every controller needs is there and positive.
+func (s *SiteInfo) checkAmounts() error {
+	for _, amount := range []struct {
 		field string
-		v     float64
+		value float64
 	}{
-		{"workers.report_s", s.Workers.ReportS}, {"workers.lease_s", s.Workers.LeaseS},
-		{"workers.cancel_s", s.Workers.CancelS}, {"cloud.rps", s.Cloud.RPS},
-		{"limits.cores", s.Limits.Cores}, {"limits.ram_mb", s.Limits.RAMMB}, {"limits.fd_limit", float64(s.Limits.FDLimit)},
+		{"workers.report_s", s.Workers.ReportS},
+		{"workers.lease_s", s.Workers.LeaseS},
+		{"workers.cancel_s", s.Workers.CancelS},
+		{"cloud.rps", s.Cloud.RPS},
+		{"limits.cores", s.Limits.Cores},
+		{"limits.ram_mb", s.Limits.RAMMB},
+		{"limits.fd_limit", float64(s.Limits.FDLimit)},
 	} {
-		if !(p.v > 0) || math.IsInf(p.v, 0) {
-			return fmt.Errorf("field settings.%s: must be above 0, found %v", p.field, p.v)
+		if !(amount.value > 0) || math.IsInf(amount.value, 0) {
+			return fmt.Errorf("field settings.%s: must be above 0, found %v", amount.field, amount.value)
 		}
 	}
-	if err := s.State.check("settings.state"); err != nil {
-		return err
-	}
-	if err := s.State.checkNext("settings.state.next"); err != nil {
-		return err
-	}
-	if s.Limits.FDLimit < leastSockets {
-		return fmt.Errorf("field settings.limits.fd_limit: at least %d are needed, found %d", leastSockets, s.Limits.FDLimit)
-	}
-	if s.Limits.Cores < leastCores {
-		return fmt.Errorf("field settings.limits.cores: at least %v are needed to answer anybody, found %v", leastCores, s.Limits.Cores)
-	}
-	if s.Limits.RAMMB < leastRAMMB {
-		return fmt.Errorf("field settings.limits.ram_mb: at least %v are needed to start, found %v", leastRAMMB, s.Limits.RAMMB)
+	return nil
+}
+
+// check refuses a process too small to work.
+func (l Limits) check() error {
+	if l.FDLimit < leastSockets {
+		return fmt.Errorf("field settings.limits.fd_limit: at least %d are needed, found %d", leastSockets, l.FDLimit)
 	}
-	if s.Workers.LeaseS <= s.Workers.ReportS {
-		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v", s.Workers.LeaseS, s.Workers.ReportS)
+	if l.Cores < leastCores {
+		return fmt.Errorf("field settings.limits.cores: at least %v are needed to answer anybody, found %v", leastCores, l.Cores)
 	}
-	if s.Cloud.ListLagS < 0 || s.ClockOffMs < 0 {
-		return errors.New("field settings: cloud.list_lag_s and clock_off_ms must not be negative")
+	if l.RAMMB < leastRAMMB {
+		return fmt.Errorf("field settings.limits.ram_mb: at least %v are needed to start, found %v", leastRAMMB, l.RAMMB)
 	}
 	return nil
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -10,6 +10,7 @@
 	"math"
 	"os"
 	"sort"
+	"strings"
 	"time"
 
 	"go.starlark.net/starlark"
@@ -42,6 +43,9 @@
 	return fallback
 }
 
+// fileOptions lets a script use conditions and loops outside functions.
+var fileOptions = &syntax.FileOptions{TopLevelControl: true}
+
 // maxSteps bounds the work of a script.
 const maxSteps = 1_000_000
 
@@ -64,23 +68,58 @@
 		return nil, err
 	}
 	known := values.Keys()
-	if script != "" {
-		own, err := run(name, script, values)
-		if err != nil {
-			return nil, err
+	if script == "" {
+		return check(values, nil, name)
+	}
+	own, err := run(name, script, values)
+	if err != nil {
+		return nil, err
+	}
+	lines := assignments(name, script)
+	for _, k := range own.Keys() {
+		if _, ok := own[k].(starlark.Callable); ok || k[0] == '_' {
+			continue // the script's own helpers
 		}
-		for _, k := range own.Keys() {
-			if _, ok := own[k].(starlark.Callable); ok || k[0] == '_' {
-				continue // the script's own helpers
-			}
-			if _, ok := values[k]; !ok {
-				sort.Strings(known)
-				return nil, fmt.Errorf("policy %s: unknown setting %s (known: %v)", name, k, known)
-			}
-			values[k] = own[k]
+		if _, ok := values[k]; !ok {
+			sort.Strings(known)
+			return nil, fmt.Errorf("policy %s: unknown setting %s (known: %s)", place(name, lines, k), k, strings.Join(known, ", "))
 		}
+		values[k] = own[k]
+	}
+	return check(values, lines, name)
+}
+
+// assignments finds the line on which a script last sets each name.
+func assignments(name, script string) map[string]int32 {
+	lines := map[string]int32{}
+	file, err := fileOptions.Parse(name, script, 0)
+	if err != nil {
+		return lines // it has been run, so it can be parsed
+	}
+	syntax.Walk(file, func(n syntax.Node) bool {
+		switch n := n.(type) {
+		case *syntax.DefStmt:
+			return false // what a function sets is its own
+		case *syntax.AssignStmt:
+			start, _ := n.Span()
+			syntax.Walk(n.LHS, func(target syntax.Node) bool {
+				if ident, ok := target.(*syntax.Ident); ok {
+					lines[ident.Name] = start.Line
+				}
+				return true
+			})
+		}
+		return true
+	})
+	return lines
+}
+
+// place says where a script sets a name: the file, and the line if it is known.
+func place(file string, lines map[string]int32, setting string) string {
+	if line, ok := lines[setting]; ok {
+		return fmt.Sprintf("%s:%d", file, line)
 	}
-	return check(name, values)
+	return file
 }
 
 func run(name, script string, predeclared starlark.StringDict) (starlark.StringDict, error) {
@@ -90,7 +129,7 @@
 	for k, v := range predeclared {
 		env["default_"+k] = v
 	}
-	out, err := starlark.ExecFileOptions(&syntax.FileOptions{TopLevelControl: true}, thread, name, script, env)
+	out, err := starlark.ExecFileOptions(fileOptions, thread, name, script, env)
 	if err != nil {
 		var eval *starlark.EvalError
 		if errors.As(err, &eval) && len(eval.CallStack) > 0 {
@@ -101,10 +140,10 @@
 	return out, nil
 }
 
-func check(name string, v starlark.StringDict) (*Policy, error) {
+func check(v starlark.StringDict, lines map[string]int32, file string) (*Policy, error) {
 	p := &Policy{}
 	fail := func(key, want string) (*Policy, error) {
-		return nil, fmt.Errorf("policy %s: %s must be %s, found %s", name, key, want, v[key])
+		return nil, fmt.Errorf("policy %s: %s must be %s, found %s", place(file, lines, key), key, want, v[key])
 	}
 	spot, ok := v["use_spot"].(starlark.Bool)
 	if !ok {
