--- a/internal/api/badinput_test.go
+++ b/internal/api/badinput_test.go
@@ -202,3 +202,18 @@
 		}
 	}
 }
+
+// What is wrong with a submission is said in one line and without Go's type names.
+func TestInvalidSubmissionsAreExplained(t *testing.T) {
+	for submission, want := range map[string]string{
+		"[]":                                  "not a valid job: expected an object, found array",
+		"{":                                   `not a valid job: not valid JSON: unexpected end of JSON input, after \"{\"`,
+		raw("job-000412", "Shoots", `"many"`): "not a valid job: field Shoots: expected a whole number, found string",
+		raw("job-000412", "Frames", `"g8"`):   "not a valid job: field Frames: expected a list, found string",
+	} {
+		w := call(t, &stub{}, "POST", "/api/jobs", submission)
+		if w.Code != 400 || !strings.Contains(w.Body.String(), want) || strings.Contains(strings.TrimSpace(w.Body.String()), "\n") {
+			t.Errorf("%s: %d %s, want %s", submission, w.Code, w.Body, want)
+		}
+	}
+}
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -15,6 +15,8 @@
 	"time"
 
 	fast "github.com/segmentio/encoding/json"
+
+	"example.org/ivytrestle/internal/jsonerror"
 )
 
 // Phases of a job.
@@ -125,7 +127,7 @@
 func ParseSubmission(body []byte) (spec *JobSpec, id string, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return nil, "", fmt.Errorf("not a valid job: %w", err)
+		return nil, "", fmt.Errorf("not a valid job: %w", jsonerror.Describe(body, err))
 	}
 	// The decoder would take a field whose name differs in case only for the
 	// one that it resembles; by the protocol it is an unknown one. What comes
@@ -144,7 +146,7 @@
 	}
 	var in submission
 	if err := json.Unmarshal(known, &in); err != nil {
-		return nil, id, fmt.Errorf("not a valid job: %w", err)
+		return nil, id, fmt.Errorf("not a valid job: %w", jsonerror.Describe(known, err))
 	}
 	spec, err = in.spec()
 	return spec, id, err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,9 +9,10 @@
 	"math"
 	"net"
 	"os"
-	"reflect"
 	"strings"
 	"time"
+
+	"example.org/ivytrestle/internal/jsonerror"
 )
 
 // Settings is the platform's settings file.
@@ -192,18 +193,7 @@
 func Parse(raw []byte) (*Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(raw, &s); err != nil {
-		var typ *json.UnmarshalTypeError
-		if errors.As(err, &typ) {
-			return nil, fmt.Errorf("field %s: expected %s, found %s", typ.Field, jsonKind(typ.Type), typ.Value)
-		}
-		var syntax *json.SyntaxError
-		if errors.As(err, &syntax) {
-			// What is not even JSON, a NaN say, has no field; what stands
-			// before it names one.
-			at := min(int(syntax.Offset), len(raw))
-			return nil, fmt.Errorf("not valid JSON: %w, after %q", err, raw[max(0, at-40):at])
-		}
-		return nil, fmt.Errorf("not valid JSON: %w", err)
+		return nil, jsonerror.Describe(raw, err)
 	}
 	if err := s.check(); err != nil {
 		return nil, err
@@ -212,23 +202,6 @@
 	return &s, nil
 }
 
-// jsonKind names what a settings file must hold where a Go type is read.
-func jsonKind(t reflect.Type) string {
-	switch t.Kind() {
-	case reflect.Float64:
-		return "a number"
-	case reflect.Int, reflect.Int64, reflect.Uint64:
-		return "a whole number"
-	case reflect.String:
-		return "a string"
-	case reflect.Slice:
-		return "a list"
-	case reflect.Bool:
-		return "true or false"
-	}
-	return "an object"
-}
-
 func (s *Settings) check() error {
 	if s.Node == "" {
 		return errors.New("field node: missing")
--- /dev/null
+++ b/internal/loadtest/localcluster/main.go
@@ -0,0 +1,66 @@
+// Localcluster simulates, on loopback, what a controller needs around it: a state
+// service, a cloud and the machines that the cloud rents. It writes a settings file
+// for one controller, with which ivytrestle can be tried on a single computer.
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"time"
+
+	"github.com/alecthomas/kong"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/config"
+	"example.org/ivytrestle/internal/loadtest"
+)
+
+type cli struct {
+	Settings string        `arg:"" help:"The settings file to write."`
+	API      string        `default:"127.0.0.1:8080" placeholder:"HOST:PORT" help:"Where the controller will listen for users and machines."`
+	Peers    string        `default:"127.0.0.1:8081" placeholder:"HOST:PORT" help:"Where the controller will listen for other controllers."`
+	Machines int           `default:"4" help:"How many machines there are to rent."`
+	TaskTime time.Duration `default:"5s" help:"About how long each task runs."`
+}
+
+// Run starts the simulation and writes the settings. It returns only on an error.
+func (c *cli) Run() error {
+	const zone = "local"
+	settings := config.Settings{
+		Node: "local-0", Zone: zone, APIAddr: c.API, PeerListen: c.Peers,
+		Site: config.SiteInfo{
+			Teams:   []config.Team{{Name: "demo", CPUs: 16, CPUsMax: 64}},
+			Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
+			State:   config.StateLimits{RPS: 80, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
+			Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
+			Limits:  config.Limits{Cores: 1, RAMMB: 98, FDLimit: 800},
+		},
+	}
+	machineType := api.MachineType{Name: "local-16", CPUs: 16, MemoryGB: 64, CacheGB: 80, FetchGBs: 1, Price: 1, SpotPrice: 0.4,
+		BootS: 2, Zones: []string{zone}}
+	simulated, err := loadtest.NewRenting(machineType, c.Machines, loadtest.Plan{
+		API: c.API, Report: settings.Site.Workers.Report(), Run: c.TaskTime,
+	})
+	if err != nil {
+		return err
+	}
+	settings.Outside = config.Outside{Cloud: simulated.Cloud, State: simulated.State}
+	raw, err := json.MarshalIndent(settings, "", "  ")
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(c.Settings, append(raw, '\n'), 0o644); err != nil {
+		return err
+	}
+	fmt.Printf("settings of a controller written to %s; interrupt to stop the simulation\n", c.Settings)
+	select {}
+}
+
+func main() {
+	k := kong.Parse(&cli{}, kong.Name("localcluster"), kong.Description("A simulated cloud, state service and machines on this computer."))
+	if err := k.Run(); err != nil {
+		fmt.Fprintln(os.Stderr, "localcluster:", err)
+		os.Exit(1)
+	}
+}
--- a/internal/loadtest/world.go
+++ b/internal/loadtest/world.go
@@ -80,8 +80,7 @@
 func (w *World) Start(p Plan) {
 	w.plan = p
 	for i := range p.Machines {
-		m := &machine{w: w, rep: api.Report{Machine: fmt.Sprintf("i-%06d", i), Type: "m", Zone: "a", Session: 1, Tasks: []api.TaskReport{}},
-			ends: map[string]time.Time{}, changed: make(chan struct{}, 1)}
+		m := newMachine(w, fmt.Sprintf("i-%06d", i), "m", "a")
 		addr, err := serve(m)
 		if err != nil {
 			w.counts.failed.Add(1)
@@ -159,11 +158,22 @@
 	rep     api.Report
 	ends    map[string]time.Time
 	changed chan struct{}
+	// gone is set once the machine is returned.
+	gone atomic.Bool
+}
+
+func newMachine(w *World, name, typ, zone string) *machine {
+	return &machine{
+		w:       w,
+		rep:     api.Report{Machine: name, Type: typ, Zone: zone, Session: 1, Tasks: []api.TaskReport{}},
+		ends:    map[string]time.Time{},
+		changed: make(chan struct{}, 1),
+	}
 }
 
 func (m *machine) run() {
 	time.Sleep(rand.N(m.w.plan.Report))
-	for {
+	for !m.gone.Load() {
 		if err := m.connect(); err != nil {
 			m.w.counts.failed.Add(1)
 			time.Sleep(time.Second)
@@ -179,7 +189,7 @@
 	}
 	defer conn.Close()
 	r := bufio.NewReader(conn)
-	for {
+	for !m.gone.Load() {
 		m.mu.Lock()
 		m.age()
 		m.rep.Seq++
@@ -213,6 +223,7 @@
 		time.Sleep(500 * time.Millisecond)
 		m.wait(time.Duration(float64(m.w.plan.Report)*(0.75+rand.Float64()/2)) - 500*time.Millisecond)
 	}
+	return nil
 }
 
 // wait waits for the next report's time, or until something changes.
