--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -562,7 +562,7 @@
 							w.same("told in time", told.Sub(tn.told.doneAt("job-1")) < 3*time.Second, true)
 						}
 						if c.want != "running" {
-							tn.at(0).look(func(o *Controller) { w.same("jobs left", len(o.reign.jobs), 0) })
+							tn.at(0).look(func(o *Controller) { w.same("jobs left", len(o.leadership.jobs), 0) })
 						}
 					})
 				})
@@ -646,7 +646,7 @@
 					}
 					if want != "running" {
 						w.same("on machines", tn.held(), 0)
-						tn.at(0).look(func(o *Controller) { w.same("jobs left", len(o.reign.jobs), 0) })
+						tn.at(0).look(func(o *Controller) { w.same("jobs left", len(o.leadership.jobs), 0) })
 					}
 				})
 			}
@@ -843,7 +843,7 @@
 			if time.Sleep(8 * time.Millisecond); i%4 == 3 {
 				time.Sleep(968 * time.Millisecond)
 				tn.at(0).look(func(c *Controller) {
-					r := c.reign
+					r := c.leadership
 					if r == nil {
 						t.Error("the leader leads no more")
 						return
@@ -891,11 +891,11 @@
 		}
 		w.same("cancelled in time", cancelled > 100, true)
 		tn.at(0).look(func(c *Controller) {
-			if c.reign == nil {
+			if c.leadership == nil {
 				return
 			}
-			w.same("jobs left", len(c.reign.jobs), 0)
-			for _, m := range c.reign.machines {
+			w.same("jobs left", len(c.leadership.jobs), 0)
+			for _, m := range c.leadership.machines {
 				w.same("attempts left", len(m.attempts), 0)
 			}
 		})
--- a/internal/controller/around.go
+++ b/internal/controller/around.go
@@ -180,8 +180,8 @@
 	}
 	m.st.Cancels = CancelNews{}
 	n.Standing, n.seen = m.st, m.sent
-	if c.reign != nil {
-		c.reign.down.restarted(c.reign, m.node, m.st.Incarnation)
+	if c.leadership != nil {
+		c.leadership.down.restarted(c.leadership, m.node, m.st.Incarnation)
 	}
 	if m.node == c.leader {
 		// The leader vouches for what it knows of cancellations itself. Those of
@@ -222,7 +222,7 @@
 		c.shut.Store(shut)
 		c.Log.Info("state service lost here", "answersOthers", heir != "", "nodesReached", reached)
 	}
-	if r := c.reign; r != nil && heir != "" {
+	if r := c.leadership; r != nil && heir != "" {
 		c.Log.Info("leadership resigned", "term", r.term.Number, "to", heir)
 		term := r.term.Number
 		r.depose() // from here on this node acts for nobody
@@ -281,9 +281,9 @@
 	}
 	st.Cancels = c.cancels.news(m.from.Number, now)
 	if c.valid() {
-		st.Term = c.reign.term.Number
-		if c.reign.loaded {
-			st.Known = now.Sub(c.reign.knows(now))
+		st.Term = c.leadership.term.Number
+		if c.leadership.loaded {
+			st.Known = now.Sub(c.leadership.knows(now))
 		}
 	}
 	if c.around.storeOK && now.Sub(c.around.storeAt) < 2*storeEvery {
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -96,7 +96,7 @@
 	{"follower", false, false, func(w *world) *node {
 		_, a, b, _, _ := w.pair()
 		w.history(a)
-		b.look(func(c *Controller) { w.same("follows", c.reign == nil && c.leader == "n0", true) })
+		b.look(func(c *Controller) { w.same("follows", c.leadership == nil && c.leader == "n0", true) })
 		return b
 	}},
 	{"taking over", false, false, func(w *world) *node {
@@ -104,7 +104,7 @@
 		w.history(a)
 		a.crash()
 		b := w.startWith("n0", stalled{w.store}, nil)
-		b.look(func(c *Controller) { w.same("takes over", c.reign != nil && !c.reign.loaded, true) })
+		b.look(func(c *Controller) { w.same("takes over", c.leadership != nil && !c.leadership.loaded, true) })
 		return b
 	}},
 	{"without machine types", true, false, func(w *world) *node {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -15,7 +15,7 @@
 )
 
 // full is a leader whose machines are all busy, with jobs that wait.
-func full(b *testing.B, machines, jobs int) (*reign, []*api.Report) {
+func full(b *testing.B, machines, jobs int) (*leadership, []*api.Report) {
 	b.Helper()
 	pol, err := policy.Parse("", "")
 	if err != nil {
@@ -28,9 +28,9 @@
 	c := New(Config{Settings: s, Policy: pol, Store: storetest.New(), Cloud: &fakeCloud{}, Log: slog.New(slog.DiscardHandler)})
 	c.types.set([]api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Price: 1, Zones: []string{"a"}}})
 	now := time.Now()
-	r := newReign(c, election.Term{Number: 1, Mark: 1}, now.Add(time.Hour))
+	r := newLeadership(c, election.Term{Number: 1, Mark: 1}, now.Add(time.Hour))
 	r.cancel() // nothing of it runs by itself
-	r.loaded, c.reign = true, r
+	r.loaded, c.leadership = true, r
 	for i := range jobs {
 		sp := spec(fmt.Sprint("job-", i), max(100, 40*machines/jobs)) // more than fits
 		sp.Team = []string{"red", "blue"}[i%2]
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -132,11 +132,11 @@
 func (c *Controller) cancelled(id string) {
 	c.final.Add(id, api.JobState{ID: id, Phase: api.JobWithdrawn})
 	c.cancels.add(id, time.Now())
-	if c.reign != nil {
-		if j := c.reign.jobs[id]; j != nil {
-			c.reign.withdraw(j)
+	if c.leadership != nil {
+		if j := c.leadership.jobs[id]; j != nil {
+			c.leadership.withdraw(j)
 		}
-		c.reign.pipeline.cancelled(id)
+		c.leadership.pipeline.cancelled(id)
 	}
 }
 
@@ -186,7 +186,7 @@
 
 // knows is the moment before which all cancellations told to users are known
 // here.
-func (r *reign) knows(now time.Time) time.Time {
+func (r *leadership) knows(now time.Time) time.Time {
 	all := now
 	for _, n := range r.c.around.nodes {
 		if n.cancels.whole.After(r.vouched) {
@@ -203,7 +203,7 @@
 }
 
 // informed tells whether this leader may renew leases.
-func (r *reign) informed(now time.Time) bool {
+func (r *leadership) informed(now time.Time) bool {
 	if !r.loaded {
 		return now.Sub(r.began) <= min(loadWithin, max(r.c.renewFor(), leastRenew))
 	}
@@ -214,7 +214,7 @@
 // state service and all other nodes, but not its workers, would start for half a
 // minute what users have called off elsewhere. In an outage that the others see
 // as well nobody can call anything off.
-func (r *reign) mayStart(now time.Time) bool {
+func (r *leadership) mayStart(now time.Time) bool {
 	if now.Sub(r.knows(now)) <= r.c.vouchEvery()+startSlack {
 		return true
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -65,11 +65,11 @@
 	shut atomic.Bool
 
 	// The rest belongs to the owner goroutine.
-	leader string
-	reign  *reign
-	keep   keeper
-	up     relayUp
-	around around
+	leader     string
+	leadership *leadership
+	keep       keeper
+	up         relayUp
+	around     around
 	// sent is when machines were sent on to the leader, past this node.
 	sent map[string]time.Time
 	// directed is to whom machines were last told to report.
@@ -113,7 +113,7 @@
 // ticks sets the ticker for what the node is now.
 func (c *Controller) ticks(tick *time.Ticker, was time.Duration) time.Duration {
 	want := followInterval
-	if c.reign != nil {
+	if c.leadership != nil {
 		want = tickInterval
 	}
 	if want != was {
@@ -138,7 +138,7 @@
 		interval = c.ticks(tick, interval)
 		select {
 		case <-ctx.Done():
-			c.endReign()
+			c.endLeadership()
 			return
 		case m := <-c.mail:
 			m.apply(c)
@@ -146,8 +146,8 @@
 			now := time.Now()
 			c.lookAround(now)
 			c.up.tick(c, now)
-			if c.reign != nil {
-				c.reign.tick(now)
+			if c.leadership != nil {
+				c.leadership.tick(now)
 			}
 		}
 	}
@@ -169,10 +169,10 @@
 // Depose is where the election hears that a term is over.
 func (c *Controller) Depose() <-chan uint64 { return c.depose }
 
-func (c *Controller) endReign() {
-	if c.reign != nil {
-		c.reign.cancel()
-		c.reign = nil
+func (c *Controller) endLeadership() {
+	if c.leadership != nil {
+		c.leadership.cancel()
+		c.leadership = nil
 	}
 }
 
@@ -193,14 +193,14 @@
 }
 
 func (m wonMsg) apply(c *Controller) {
-	c.endReign()
-	c.reign = newReign(c, m.term, m.until)
+	c.endLeadership()
+	c.leadership = newLeadership(c, m.term, m.until)
 }
 
 type extendedMsg wonMsg
 
 func (m extendedMsg) apply(c *Controller) {
-	if r := c.reign; r != nil && r.term == m.term && m.until.After(r.until) {
+	if r := c.leadership; r != nil && r.term == m.term && m.until.After(r.until) {
 		r.until = m.until
 	}
 }
@@ -208,8 +208,8 @@
 type lostMsg struct{ term election.Term }
 
 func (m lostMsg) apply(c *Controller) {
-	if r := c.reign; r != nil && r.term == m.term {
-		c.endReign()
+	if r := c.leadership; r != nil && r.term == m.term {
+		c.endLeadership()
 	}
 	c.leader = ""
 }
@@ -228,7 +228,7 @@
 
 // valid tells whether this node may act as leader at this moment.
 func (c *Controller) valid() bool {
-	return c.reign != nil && time.Now().Before(c.reign.until)
+	return c.leadership != nil && time.Now().Before(c.leadership.until)
 }
 
 // Ready implements api.Backend.
@@ -407,9 +407,9 @@
 		c.cancelled(m.st.ID)
 		return
 	}
-	if c.reign != nil {
-		if j := c.reign.jobs[m.st.ID]; j != nil {
-			c.reign.finished(j)
+	if c.leadership != nil {
+		if j := c.leadership.jobs[m.st.ID]; j != nil {
+			c.leadership.finished(j)
 		}
 	}
 	c.final.Add(m.st.ID, m.st)
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -77,7 +77,7 @@
 }
 
 // dispatch brings waiting work to machines with free room.
-func (r *reign) dispatch(now time.Time) {
+func (r *leadership) dispatch(now time.Time) {
 	if r.c.Director == nil || r.c.Settings.Site.Workers.Report() <= directAbove || now.After(r.dispatchUntil) {
 		return
 	}
@@ -109,7 +109,7 @@
 }
 
 // anyWaits tells whether any task waits for a machine.
-func (r *reign) anyWaits() bool {
+func (r *leadership) anyWaits() bool {
 	for _, j := range r.jobs {
 		if j.flight.Untaken() > 0 && !j.finishing && !j.doomed && len(j.awaits) == 0 {
 			return true
@@ -119,7 +119,7 @@
 }
 
 // order sends starts that were just placed on a machine.
-func (r *reign) order(m *machine, orders []api.Order) {
+func (r *leadership) order(m *machine, orders []api.Order) {
 	batch := make([]*attempt, 0, len(orders))
 	for _, o := range orders {
 		a := m.attempts[attemptKey{o.Task, o.Attempt}]
@@ -142,7 +142,7 @@
 }
 
 type orderedMsg struct {
-	r     *reign
+	r     *leadership
 	m     *machine
 	batch []*attempt
 	seq   uint64
@@ -150,7 +150,7 @@
 }
 
 func (o orderedMsg) apply(c *Controller) {
-	if c.reign != o.r {
+	if c.leadership != o.r {
 		return
 	}
 	o.m.ordering = false
@@ -188,7 +188,7 @@
 
 // settleUnsure returns a machine on which a task of a job that is over might
 // still begin: nothing else keeps it from doing so in time.
-func (r *reign) settleUnsure(a *attempt) {
+func (r *leadership) settleUnsure(a *attempt) {
 	if m := a.machine; a.direct != nil && a.direct.unsure && a.seen == 0 && !m.gone && !m.returning {
 		r.leave(m, "order unanswered")
 		r.renter.giveBack(m)
--- a/internal/controller/direct_test.go
+++ b/internal/controller/direct_test.go
@@ -202,7 +202,7 @@
 		d.set(false, false)
 		victim := k
 		n.look(func(c *Controller) {
-			for _, a := range c.reign.jobs["job-3"].live {
+			for _, a := range c.leadership.jobs["job-3"].live {
 				victim = d.machines[a.machine.name]
 			}
 		})
@@ -290,7 +290,7 @@
 		b := w.start("n0")
 		w.submit(b, spec("job-2", 3))
 		time.Sleep(time.Second)
-		b.look(func(c *Controller) { w.same("unheard after a second", c.reign.unheard, 1) })
+		b.look(func(c *Controller) { w.same("unheard after a second", c.leadership.unheard, 1) })
 		w.same("goes on", len(busy[1].running()) >= 4, true)
 		time.Sleep(4 * time.Second)
 		w.same("returned", w.cloud.gone(busy[0].rep.Machine), true)
@@ -306,11 +306,11 @@
 		w.submit(b, spec("job-3", 1))
 		time.Sleep(4 * time.Second)
 		b.look(func(c *Controller) {
-			m := c.reign.machines[idle[5].rep.Machine]
+			m := c.leadership.machines[idle[5].rep.Machine]
 			rep := idle[5].rep
 			rep.Seq, rep.Session = m.seq+1, m.session
-			c.reign.greeting++
-			greetedMsg{c.reign, m, time.Now(), &rep, nil}.apply(c)
+			c.leadership.greeting++
+			greetedMsg{c.leadership, m, time.Now(), &rep, nil}.apply(c)
 			w.same("given in a greeting", len(m.attempts), 0)
 		})
 	})
@@ -337,13 +337,13 @@
 		}
 		greeted := func(k *worker) {
 			b.look(func(c *Controller) {
-				m := c.reign.machines[k.rep.Machine]
-				rep, err := d.Greet(context.Background(), m.addr, c.reign.term.Number)
+				m := c.leadership.machines[k.rep.Machine]
+				rep, err := d.Greet(context.Background(), m.addr, c.leadership.term.Number)
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.reign.greeting++
-				greetedMsg{c.reign, m, time.Now(), rep, nil}.apply(c)
+				c.leadership.greeting++
+				greetedMsg{c.leadership, m, time.Now(), rep, nil}.apply(c)
 			})
 		}
 		greeted(ks[0])
@@ -363,7 +363,7 @@
 		}
 		ks[1].rep.Session, ks[1].rep.Seq = ks[1].rep.Session+1, 0
 		greeted(ks[1])
-		b.look(func(c *Controller) { w.same("untaken again", c.reign.jobs["job-2"].flight.Untaken(), 2) })
+		b.look(func(c *Controller) { w.same("untaken again", c.leadership.jobs["job-2"].flight.Untaken(), 2) })
 		ks[1].serve(b, 6)
 		w.same("repeated", len(ks[1].running()), 2)
 	})
@@ -419,11 +419,11 @@
 		b.crash()
 		c := w.start("n0")
 		time.Sleep(500 * time.Millisecond)
-		c.look(func(c *Controller) { w.same("unheard after a second", c.reign.unheard <= fallen, true) })
+		c.look(func(c *Controller) { w.same("unheard after a second", c.leadership.unheard <= fallen, true) })
 		for range 6 {
 			round(c, ks[fallen:])
 		}
-		c.look(func(c *Controller) { w.same("unheard", c.reign.unheard, 0) })
+		c.look(func(c *Controller) { w.same("unheard", c.leadership.unheard, 0) })
 		w.same("returned", len(w.cloud.returned), fallen)
 		w.same("running again", round(c, ks[fallen:]), 4*(fleet-fallen))
 	})
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -88,14 +88,14 @@
 			m.reply <- reportReply{err: &api.NotLeaderError{Leader: node}}
 			return
 		}
-		if !c.reign.informed(now) && m.rep.Term <= c.reign.term.Number {
+		if !c.leadership.informed(now) && m.rep.Term <= c.leadership.term.Number {
 			m.reply <- reportReply{err: api.ErrUnavailable}
 			return
 		}
-		ans, err := c.reign.report(m.rep, now)
+		ans, err := c.leadership.report(m.rep, now)
 		// A report that shows a later term has ended this node's own.
-		if c.reign != nil {
-			if mc := c.reign.machines[m.rep.Machine]; mc != nil {
+		if c.leadership != nil {
+			if mc := c.leadership.machines[m.rep.Machine]; mc != nil {
 				mc.passed = m.passed
 			}
 		}
@@ -103,7 +103,7 @@
 		return
 	}
 	leader := c.leads(now)
-	if m.passed || c.reign != nil {
+	if m.passed || c.leadership != nil {
 		m.reply <- reportReply{err: &api.NotLeaderError{}}
 		return
 	}
@@ -147,9 +147,9 @@
 
 // nearer names the node that a machine should rather report to, if any.
 func (c *Controller) nearer(m reportMsg, now time.Time) string {
-	mc := c.reign.machines[m.rep.Machine]
+	mc := c.leadership.machines[m.rep.Machine]
 	if m.passed || m.rep.Zone == c.Settings.Zone || mc == nil || !mc.heard || mc.zone != m.rep.Zone ||
-		m.rep.Term != c.reign.term.Number || now.Sub(mc.sentOn) < sendOnEvery {
+		m.rep.Term != c.leadership.term.Number || now.Sub(mc.sentOn) < sendOnEvery {
 		return ""
 	}
 	for _, p := range c.Settings.Peers {
--- a/internal/controller/greet.go
+++ b/internal/controller/greet.go
@@ -25,7 +25,7 @@
 )
 
 // greetNext greets the machines that are still to be greeted.
-func (r *reign) greetNext(now time.Time) {
+func (r *leadership) greetNext(now time.Time) {
 	for len(r.toGreet) > 0 && r.greeting < r.dials {
 		m := r.toGreet[0]
 		r.toGreet = r.toGreet[1:]
@@ -38,7 +38,7 @@
 
 // greet greets a machine. One that does not answer is asked again like any
 // silent machine.
-func (r *reign) greet(m *machine, now time.Time) {
+func (r *leadership) greet(m *machine, now time.Time) {
 	r.greeting++
 	m.nextProbe = now.Add(probeEvery)
 	addr, term := m.addr, r.term.Number
@@ -51,7 +51,7 @@
 }
 
 type greetedMsg struct {
-	r     *reign
+	r     *leadership
 	m     *machine
 	asked time.Time
 	rep   *api.Report
@@ -60,7 +60,7 @@
 
 func (g greetedMsg) apply(c *Controller) {
 	r := g.r
-	if c.reign != r {
+	if c.leadership != r {
 		return
 	}
 	r.greeting--
@@ -77,7 +77,7 @@
 			c.Log.Debug("greeting", "machine", g.m.name, "err", err)
 		}
 	}
-	if c.reign == r {
+	if c.leadership == r {
 		r.greetNext(now)
 	}
 }
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -423,7 +423,7 @@
 	for _, name := range s.names {
 		if n := s.node(name); n != nil {
 			leads := false
-			n.look(func(c *Controller) { leads = c.valid() && c.reign.loaded })
+			n.look(func(c *Controller) { leads = c.valid() && c.leadership.loaded })
 			if leads {
 				return name
 			}
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -42,7 +42,7 @@
 }
 
 // hold counts the CPUs of the open machines that have each image.
-func (r *reign) countHolders(now time.Time) {
+func (r *leadership) countHolders(now time.Time) {
 	clear(r.holders)
 	for _, m := range r.machines {
 		if !m.open(now) {
@@ -55,7 +55,7 @@
 }
 
 // fetchTime is how long a machine takes to fetch a job's image, if it must.
-func (r *reign) fetchTime(j *job, m *machine) time.Duration {
+func (r *leadership) fetchTime(j *job, m *machine) time.Duration {
 	rate := r.c.types.load()[m.typ].FetchGBs
 	if rate <= 0 || m.images.has(j.spec.Image) || m.fetching[j.spec.Image] {
 		return 0
@@ -67,7 +67,7 @@
 // has the image, or because waiting for machines that have it would take longer
 // than the fetch. Room on a full fleet comes free where tasks end; fetching
 // images everywhere would hold much of it idle.
-func (r *reign) suits(j *job, m *machine, now time.Time) bool {
+func (r *leadership) suits(j *job, m *machine, now time.Time) bool {
 	fetch := r.fetchTime(j, m)
 	if fetch == 0 {
 		return true
@@ -84,7 +84,7 @@
 // passFor is for how long a job may be passed over by machines that would take
 // a time to fetch its image: twice that, but no longer than leaves time to fetch
 // it and still start within what the guarantee allows.
-func (r *reign) passFor(fetch time.Duration) time.Duration {
+func (r *leadership) passFor(fetch time.Duration) time.Duration {
 	limit := passFetches * fetch
 	switch {
 	case r.startWithin == 0:
--- a/internal/controller/keep.go
+++ b/internal/controller/keep.go
@@ -275,7 +275,7 @@
 }
 
 // readKept reads which machines other nodes keep alive, every few seconds.
-func (r *reign) readKept(now time.Time) {
+func (r *leadership) readKept(now time.Time) {
 	if now.Sub(r.keptRead) < 2*time.Second {
 		return
 	}
@@ -293,13 +293,13 @@
 }
 
 type keptMsg struct {
-	r    *reign
+	r    *leadership
 	rows []store.Entry
 }
 
 func (m keptMsg) apply(c *Controller) {
 	r := m.r
-	if c.reign != r {
+	if c.leadership != r {
 		return
 	}
 	now := time.Now()
--- a/internal/controller/reign.go
+++ b/internal/controller/leadership.go
@@ -19,9 +19,9 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// reign is everything a node knows as leader of one term. It is dropped whole
+// leadership is everything a node knows as leader of one term. It is dropped whole
 // when the term is over, so nothing of one term reaches into another.
-type reign struct {
+type leadership struct {
 	c      *Controller
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -109,13 +109,13 @@
 	returning bool
 }
 
-func newReign(c *Controller, term election.Term, until time.Time) *reign {
+func newLeadership(c *Controller, term election.Term, until time.Time) *leadership {
 	ctx, cancel := context.WithCancel(context.Background())
 	returned, err := lru.New[string, bool](4096)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
-	r := &reign{
+	r := &leadership{
 		c: c, ctx: ctx, cancel: cancel, term: term, until: until, began: time.Now(),
 		jobs: map[string]*job{}, teams: map[string]*queue.Team[*job]{},
 		machines: map[string]*machine{}, expected: map[string]*expected{}, returned: returned,
@@ -151,21 +151,21 @@
 	return r
 }
 
-func (r *reign) termGuard() store.Guard {
+func (r *leadership) termGuard() store.Guard {
 	return store.Guard{Key: election.TermKey, Mark: r.term.Mark}
 }
 
 // post sends a message unless the term has ended.
-func (r *reign) post(m message) {
+func (r *leadership) post(m message) {
 	select {
 	case r.c.mail <- m:
 	case <-r.ctx.Done():
 	}
 }
 
-// superseded ends the reign if a failed transaction shows that another term
+// superseded ends the leadership if a failed transaction shows that another term
 // has begun.
-func (r *reign) superseded(res store.Result) bool {
+func (r *leadership) superseded(res store.Result) bool {
 	if !slices.Contains(res.Failed, election.TermKey) {
 		return false
 	}
@@ -173,9 +173,9 @@
 	return true
 }
 
-func (r *reign) depose() {
-	if r.c.reign == r {
-		r.c.endReign()
+func (r *leadership) depose() {
+	if r.c.leadership == r {
+		r.c.endLeadership()
 		select {
 		case r.c.depose <- r.term.Number:
 		default:
@@ -192,7 +192,7 @@
 )
 
 // watch follows the active jobs from a revision on.
-func (r *reign) watch(from uint64) {
+func (r *leadership) watch(from uint64) {
 	for r.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(r.ctx, watchTimeout)
 		ch, err := r.c.Store.Watch(ctx, store.ActivePrefix, from, watchBlock)
@@ -222,19 +222,19 @@
 	}
 }
 
-type deposeMsg struct{ r *reign }
+type deposeMsg struct{ r *leadership }
 
 func (m deposeMsg) apply(*Controller) { m.r.depose() }
 
 // changesMsg brings what the watch saw.
 type changesMsg struct {
-	r      *reign
+	r      *leadership
 	events []store.Event
 }
 
 func (m changesMsg) apply(c *Controller) {
 	r := m.r
-	if c.reign != r {
+	if c.leadership != r {
 		return
 	}
 	for _, e := range m.events {
@@ -262,7 +262,7 @@
 	}
 }
 
-func (r *reign) addJob(key string, value []byte, mark uint64) {
+func (r *leadership) addJob(key string, value []byte, mark uint64) {
 	id := key[len(store.ActivePrefix):]
 	if _, ok := r.c.final.Get(id); ok || r.jobs[id] != nil {
 		return
@@ -275,7 +275,7 @@
 	r.addRecord(key, rec, mark)
 }
 
-func (r *reign) addRecord(key string, rec store.ActiveRecord, mark uint64) {
+func (r *leadership) addRecord(key string, rec store.ActiveRecord, mark uint64) {
 	id := rec.Spec.ID
 	team := r.teams[rec.Spec.Team]
 	if team == nil || rec.Spec.Tasks < 1 {
@@ -307,7 +307,7 @@
 // aims are the times by which a job should be complete: its deadline and the
 // multiples of it that the objectives name, or the times that they name for
 // its class.
-func (r *reign) aims(j *job) []time.Time {
+func (r *leadership) aims(j *job) []time.Time {
 	out := slices.Concat(r.deadlines(j), j.due)
 	for _, o := range r.c.Settings.Site.Objectives {
 		switch {
@@ -327,7 +327,7 @@
 
 // deadlines are the times that follow from a job's own deadline. It counts from
 // the submission, however long the job waits for others.
-func (r *reign) deadlines(j *job) []time.Time {
+func (r *leadership) deadlines(j *job) []time.Time {
 	if j.spec.DeadlineS <= 0 {
 		return nil
 	}
@@ -343,7 +343,7 @@
 
 // withdraw takes in that a job was cancelled. What runs of it is stopped by
 // the answers to its machines' reports.
-func (r *reign) withdraw(j *job) {
+func (r *leadership) withdraw(j *job) {
 	r.forget(j)
 	r.c.cancelled(j.spec.ID)
 	for _, a := range j.live {
@@ -355,7 +355,7 @@
 }
 
 // forget drops a job that is over.
-func (r *reign) forget(j *job) {
+func (r *leadership) forget(j *job) {
 	j.over = true
 	j.dirty = false
 	delete(r.jobs, j.spec.ID)
@@ -364,7 +364,7 @@
 }
 
 // taskDone takes in that a task has completed.
-func (r *reign) taskDone(j *job, task int, now time.Time) {
+func (r *leadership) taskDone(j *job, task int, now time.Time) {
 	if j.done.Test(uint(task)) {
 		return
 	}
@@ -387,7 +387,7 @@
 	}
 }
 
-func (r *reign) tick(now time.Time) {
+func (r *leadership) tick(now time.Time) {
 	if !r.loaded || !r.c.valid() {
 		return
 	}
@@ -419,7 +419,7 @@
 
 // triage looks again at which jobs can be in time, and puts the queues in that
 // order.
-func (r *reign) triage(now time.Time) {
+func (r *leadership) triage(now time.Time) {
 	cpus, free, waiting := 0.0, 0.0, 0.0
 	for _, m := range r.machines {
 		if m.open(now) {
@@ -478,7 +478,7 @@
 // service would be to give the whole fleet back. On a controller with too little
 // processor time that happens in small: what it was late by is no silence either,
 // and no answer that it waited for meanwhile is missing.
-func (r *reign) deaf(now time.Time) bool {
+func (r *leadership) deaf(now time.Time) bool {
 	gap := now.Sub(r.lastTick)
 	first := r.lastTick.IsZero()
 	r.lastTick = now
@@ -500,12 +500,12 @@
 
 // punctual tells whether this node has not been held up since it asked something.
 // If it was, an answer may wait to be read although the time for it has passed.
-func (r *reign) punctual(asked time.Time) bool {
+func (r *leadership) punctual(asked time.Time) bool {
 	return !r.heldUp.After(asked) && time.Since(r.lastTick) < lateTick
 }
 
 // scanMachines gives back the machines that are silent, bad or idle.
-func (r *reign) scanMachines(now time.Time) {
+func (r *leadership) scanMachines(now time.Time) {
 	r.silences(now)
 	for _, m := range r.machines {
 		if m.leaving && !m.returning && !m.gone && m.empty() {
@@ -520,7 +520,7 @@
 }
 
 // leave stops giving a machine tasks.
-func (r *reign) leave(m *machine, why string) {
+func (r *leadership) leave(m *machine, why string) {
 	if m.leaving {
 		return
 	}
@@ -530,7 +530,7 @@
 
 // machineGone takes in that the cloud has confirmed a machine's return.
 // Only this, or a newer report, shows that a task is off its machine.
-func (r *reign) machineGone(m *machine) {
+func (r *leadership) machineGone(m *machine) {
 	m.gone = true
 	r.returned.Add(m.name, true)
 	delete(r.machines, m.name)
@@ -546,7 +546,7 @@
 }
 
 // countHeard notes that a machine can no longer surprise this term.
-func (r *reign) countHeard(m *machine) {
+func (r *leadership) countHeard(m *machine) {
 	if m.heard || m.roster != rosterDurable {
 		return
 	}
@@ -560,7 +560,7 @@
 	}
 }
 
-func (r *reign) addMachine(name, typ, zone string, spot bool, now time.Time) *machine {
+func (r *leadership) addMachine(name, typ, zone string, spot bool, now time.Time) *machine {
 	m := &machine{name: name, foreignSum: &r.foreignCPUs, typ: typ, zone: zone, spot: spot, lastSeen: now, since: now, idle: now,
 		attempts: map[attemptKey]*attempt{}, errorJobs: map[string]int{}}
 	if mt, ok := r.c.types.load()[typ]; ok {
@@ -571,9 +571,9 @@
 	return m
 }
 
-func (r *reign) nextAttempt() uint64 {
+func (r *leadership) nextAttempt() uint64 {
 	r.attempts++
 	return r.term.Number<<32 | uint64(r.attempts)
 }
 
-func (r *reign) rentalName(n int) string { return fmt.Sprintf("r-%d-%d", r.term.Number, n) }
+func (r *leadership) rentalName(n int) string { return fmt.Sprintf("r-%d-%d", r.term.Number, n) }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -149,10 +149,10 @@
 // inUse lists the machines that may be given tasks.
 func inUse(n *node) (names []string) {
 	n.look(func(c *Controller) {
-		if c.reign == nil {
+		if c.leadership == nil {
 			return
 		}
-		for name, m := range c.reign.machines {
+		for name, m := range c.leadership.machines {
 			if m.roster == rosterDurable && !m.gone {
 				names = append(names, name)
 			}
@@ -446,7 +446,7 @@
 		}
 		reportAll(ks, a, 8)
 		done := 0
-		a.look(func(c *Controller) { done = c.reign.jobs["job-1"].doneCount })
+		a.look(func(c *Controller) { done = c.leadership.jobs["job-1"].doneCount })
 		if on := w.doneOnRecord("job-1"); len(on) != done || done < 800 {
 			w.t.Errorf("%d tasks are on record, %d done", len(on), done)
 		}
@@ -485,7 +485,7 @@
 	a := w.start("n0")
 	a.look(func(c *Controller) {
 		for _, name := range hosts {
-			c.reign.addMachine(name, "small", "a", false, time.Now())
+			c.leadership.addMachine(name, "small", "a", false, time.Now())
 		}
 	})
 	e, err := w.store.Get(context.Background(), election.TermKey)
@@ -496,12 +496,12 @@
 		Store: w.store, Log: a.Log})
 	b.publishKept(context.Background(), hosts, 1, e.Mark)
 	a.look(func(c *Controller) {
-		c.reign.keptRead = time.Time{}
-		c.reign.readKept(time.Now())
+		c.leadership.keptRead = time.Time{}
+		c.leadership.readKept(time.Now())
 	})
 	time.Sleep(100 * time.Millisecond)
 	a.look(func(c *Controller) {
-		for _, m := range c.reign.machines {
+		for _, m := range c.leadership.machines {
 			if m.kept.After(time.Now()) {
 				kept++
 			}
@@ -670,7 +670,7 @@
 		}
 		heard := func() (n int) {
 			a.look(func(c *Controller) {
-				if m := c.reign.machines["i-3"]; m != nil {
+				if m := c.leadership.machines["i-3"]; m != nil {
 					n = m.reports
 				}
 			})
@@ -700,7 +700,7 @@
 		time.Sleep(time.Second)
 		var txns []store.Txn
 		a.look(func(c *Controller) {
-			r := c.reign
+			r := c.leadership
 			rec := &r.recorder
 			for i := range 700 {
 				m := r.addMachine(fmt.Sprintf("i-%06d", i), "small", "a", false, time.Now())
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -23,7 +23,7 @@
 // that the next could not be found from. While nobody leads, whoever reads such a
 // job's record does the same with it (store.Records).
 type pipeline struct {
-	r *reign
+	r *leadership
 	// needers are the jobs that wait, by what they wait for.
 	needers map[string][]*job
 	// doomed are the jobs that are to be cancelled on record.
@@ -35,7 +35,7 @@
 	seeking bool
 }
 
-func (p *pipeline) init(r *reign) {
+func (p *pipeline) init(r *leadership) {
 	lim := r.c.Settings.Site.State
 	cancels := lim.WriteRPS * cancelShare
 	*p = pipeline{r: r, needers: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancels), max(cancelOps, min(lim.TxnOps, int(cancels))))}
@@ -252,7 +252,7 @@
 }
 
 type soughtMsg struct {
-	r     *reign
+	r     *leadership
 	id    string
 	st    api.JobState
 	found bool
@@ -260,7 +260,7 @@
 
 func (m soughtMsg) apply(c *Controller) {
 	p := &m.r.pipeline
-	if c.reign != m.r {
+	if c.leadership != m.r {
 		return
 	}
 	p.seeking = false
@@ -279,12 +279,12 @@
 
 // seekMsg asks once more about a job that was not known.
 type seekMsg struct {
-	r  *reign
+	r  *leadership
 	id string
 }
 
 func (m seekMsg) apply(c *Controller) {
-	if p := &m.r.pipeline; c.reign == m.r && len(p.needers[m.id]) > 0 && m.r.jobs[m.id] == nil {
+	if p := &m.r.pipeline; c.leadership == m.r && len(p.needers[m.id]) > 0 && m.r.jobs[m.id] == nil {
 		p.sought = append(p.sought, m.id)
 		p.seekNext()
 	}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -185,8 +185,8 @@
 		w.store.SetDown(false)
 		time.Sleep(4 * time.Second)
 		n.look(func(c *Controller) {
-			w.same("may run", len(c.reign.jobs["job-11"].awaits), 0)
-			w.same("in the queue", slices.Contains(c.reign.teams["red"].Items(), c.reign.jobs["job-11"]), true)
+			w.same("may run", len(c.leadership.jobs["job-11"].awaits), 0)
+			w.same("in the queue", slices.Contains(c.leadership.teams["red"].Items(), c.leadership.jobs["job-11"]), true)
 		})
 	})
 }
@@ -237,7 +237,7 @@
 		w.submit(n, after("job-2", "red", 100, "job-1"))
 		k.serve(n, 100)
 		n.look(func(c *Controller) {
-			r := c.reign
+			r := c.leadership
 			w.same("demand", r.renter.demand(), 1.0)
 			w.same("in the queue", len(r.teams["red"].Items()), 1)
 			w.same("overlooked", r.overlooked, 0)
@@ -254,10 +254,10 @@
 		k.serve(n, 3)
 		w.same("begun", len(k.running()), 4)
 		n.look(func(c *Controller) {
-			j := c.reign.jobs["job-2"]
+			j := c.leadership.jobs["job-2"]
 			w.same("since it could run", time.Since(j.since) < 5*time.Second, true)
 			w.same("its aim", time.Until(j.aims[0]) > 80*time.Second, true)
-			w.same("demand", c.reign.renter.demand(), 16.0)
+			w.same("demand", c.leadership.renter.demand(), 16.0)
 		})
 	})
 }
@@ -278,7 +278,7 @@
 		accepted := time.Now()
 		time.Sleep(1500 * time.Millisecond) // the queues are put in order once a second
 		n.look(func(c *Controller) {
-			r := c.reign
+			r := c.leadership
 			takes := 30*time.Second + time.Second + stageLag // estimate, a report, and the lag
 			for id, stages := range map[string]int{"job-4": 0, "job-2": 1, "job-3": 1, "job-1": 2} {
 				j := r.jobs[id]
@@ -323,7 +323,7 @@
 				n.crash()
 				n = w.start("n0")
 				time.Sleep(2 * time.Second)
-				n.look(func(c *Controller) { w.same("in the queue", len(c.reign.teams["red"].Items()), 1) })
+				n.look(func(c *Controller) { w.same("in the queue", len(c.leadership.teams["red"].Items()), 1) })
 				if _, err := n.Abort(context.Background(), "job-0"); err != nil {
 					t.Fatal(err)
 				}
@@ -338,7 +338,7 @@
 					}
 				}
 				n.look(func(c *Controller) {
-					w.same("left in memory", len(c.reign.jobs)+len(c.reign.pipeline.needers)+len(c.reign.pipeline.doomed), 0)
+					w.same("left in memory", len(c.leadership.jobs)+len(c.leadership.pipeline.needers)+len(c.leadership.pipeline.doomed), 0)
 				})
 			})
 		})
@@ -355,7 +355,7 @@
 		for i := range 20 {
 			w.submit(n, after(fmt.Sprint("job-2", i), "red", 1, "job-1"))
 		}
-		n.look(func(c *Controller) { c.reign.teams["blue"].CPUsMax = 1000 })
+		n.look(func(c *Controller) { c.leadership.teams["blue"].CPUsMax = 1000 })
 		var ks []*worker
 		for i := range 30 {
 			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
@@ -377,12 +377,12 @@
 			}
 		}
 		work(3)
-		n.look(func(c *Controller) { c.reign.jobs["job-1"].heldUntil = time.Now().Add(time.Hour) })
+		n.look(func(c *Controller) { c.leadership.jobs["job-1"].heldUntil = time.Now().Add(time.Hour) })
 		if _, err := n.Abort(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
 		work(20)
-		n.look(func(c *Controller) { w.same("ends wait", len(c.reign.recorder.finishing) > 20, true) })
+		n.look(func(c *Controller) { w.same("ends wait", len(c.leadership.recorder.finishing) > 20, true) })
 		for i := range 20 {
 			w.same("needs it", w.phase(n, fmt.Sprint("job-2", i)), api.JobWithdrawn)
 		}
@@ -425,7 +425,7 @@
 					w.same(id, w.phase(n, id), api.JobWithdrawn)
 				}
 				n.look(func(c *Controller) {
-					w.same("still to do", len(c.reign.jobs)+len(c.reign.pipeline.doomed)+len(c.reign.pipeline.needers), 0)
+					w.same("still to do", len(c.leadership.jobs)+len(c.leadership.pipeline.doomed)+len(c.leadership.pipeline.needers), 0)
 				})
 			})
 		})
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -112,13 +112,13 @@
 		m.reply <- pollReply{st: st, answered: true}
 		return
 	}
-	if c.reign != nil && c.valid() && c.reign.loaded && c.reign.jobs[m.id] != nil {
-		c.reign.confirm.add(m)
+	if c.leadership != nil && c.valid() && c.leadership.loaded && c.leadership.jobs[m.id] != nil {
+		c.leadership.confirm.add(m)
 		return
 	}
 	now := time.Now()
 	reply := pollReply{storeLost: !c.around.storeOK}
-	if c.reign == nil {
+	if c.leadership == nil {
 		reply.leader = c.leads(now)
 	}
 	for name, n := range c.around.nodes {
@@ -135,7 +135,7 @@
 // followed by another. One comparison of the two keys' versions serves all
 // polls that came before it was sent.
 type confirmer struct {
-	r       *reign
+	r       *leadership
 	waiting []*pollMsg
 	busy    bool
 	// last is when the store was last asked. It is so from time to time even if
@@ -170,7 +170,7 @@
 const confirmPause = 200 * time.Millisecond
 
 type confirmedMsg struct {
-	r     *reign
+	r     *leadership
 	batch []*pollMsg
 	sent  time.Time
 	res   store.Result
@@ -180,7 +180,7 @@
 func (m confirmedMsg) apply(c *Controller) {
 	f := &m.r.confirm
 	switch {
-	case c.reign != m.r || m.err != nil:
+	case c.leadership != m.r || m.err != nil:
 		for _, p := range m.batch {
 			p.reply <- pollReply{err: api.ErrUnavailable}
 		}
@@ -204,22 +204,22 @@
 			}
 		}
 	}
-	if c.reign == m.r {
+	if c.leadership == m.r {
 		time.AfterFunc(confirmPause, func() { m.r.post(confirmNextMsg{m.r}) })
 	}
 }
 
-type confirmNextMsg struct{ r *reign }
+type confirmNextMsg struct{ r *leadership }
 
 func (m confirmNextMsg) apply(c *Controller) {
-	if c.reign == m.r {
+	if c.leadership == m.r {
 		m.r.confirm.busy = false
 		m.r.confirm.start()
 	}
 }
 
 // answer is what the leader's memory says of a job.
-func (r *reign) answer(id string) pollReply {
+func (r *leadership) answer(id string) pollReply {
 	if st, ok := r.c.final.Get(id); ok {
 		return pollReply{st: st, answered: true}
 	}
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -18,7 +18,7 @@
 // recorder brings the leader's changes to the store: batched, one transaction
 // at a time, within a part of the write rate that leaves submissions theirs.
 type recorder struct {
-	r        *reign
+	r        *leadership
 	limiter  *rate.Limiter
 	maxOps   int
 	maxBytes int
@@ -47,7 +47,7 @@
 
 const progressInterval = 500 * time.Millisecond
 
-func (w *recorder) init(r *reign) {
+func (w *recorder) init(r *leadership) {
 	lim := r.c.Settings.Site.State
 	w.r = r
 	w.maxOps = lim.TxnOps
@@ -284,7 +284,7 @@
 }
 
 type recordedMsg struct {
-	r    *reign
+	r    *leadership
 	b    *batch
 	sent time.Time
 	res  store.Result
@@ -292,7 +292,7 @@
 }
 
 func (m recordedMsg) apply(c *Controller) {
-	if c.reign != m.r {
+	if c.leadership != m.r {
 		return
 	}
 	w := &m.r.recorder
@@ -408,7 +408,7 @@
 }
 
 // finished takes in that a job's end is on record.
-func (r *reign) finished(j *job) {
+func (r *leadership) finished(j *job) {
 	if j.over {
 		return
 	}
@@ -449,7 +449,7 @@
 }
 
 // settle reads how a job ended, by the leader's own budget.
-func (r *reign) settle(id string) {
+func (r *leadership) settle(id string) {
 	records := store.Records{Store: r.c.Store}
 	for r.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
@@ -464,7 +464,7 @@
 }
 
 type settledMsg struct {
-	r     *reign
+	r     *leadership
 	id    string
 	st    api.JobState
 	found bool
@@ -472,7 +472,7 @@
 
 func (m settledMsg) apply(c *Controller) {
 	r := m.r
-	if c.reign != r {
+	if c.leadership != r {
 		return
 	}
 	r.recorder.settling = false
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -46,7 +46,7 @@
 }
 
 // tick reads what nodes out of reach have written.
-func (d *relayDown) tick(r *reign, now time.Time) {
+func (d *relayDown) tick(r *leadership, now time.Time) {
 	if now.Before(d.next) {
 		return
 	}
@@ -77,7 +77,7 @@
 // restarted takes in under which incarnation a node is seen. One that was
 // started anew hands nothing out that it was given before: the next reports
 // decide.
-func (d *relayDown) restarted(r *reign, name, incarnation string) {
+func (d *relayDown) restarted(r *leadership, name, incarnation string) {
 	node := d.nodes[name]
 	if node == nil || incarnation == "" || node.incarnation == incarnation {
 		return
@@ -90,7 +90,7 @@
 
 // giveUp bounds how long a machine is held for a node that tells nothing any
 // more: it gets no more work, and its return settles what became of its orders.
-func (n *relayNode) giveUp(r *reign, now time.Time) {
+func (n *relayNode) giveUp(r *leadership, now time.Time) {
 	for name, p := range n.pending {
 		if now.Sub(p.since) < outcomeWithin {
 			continue
@@ -130,14 +130,14 @@
 
 // relayReadMsg brings what a node has written; nil: nothing.
 type relayReadMsg struct {
-	r    *reign
+	r    *leadership
 	node string
 	up   *peer.RelayUp
 }
 
 func (m relayReadMsg) apply(c *Controller) {
 	r := m.r
-	if c.reign != r {
+	if c.leadership != r {
 		return
 	}
 	node := r.down.nodes[m.node]
@@ -173,7 +173,7 @@
 }
 
 // relayedReport takes a relayed report in and adds its orders to the answer.
-func (r *reign) relayedReport(node *relayNode, rep *api.Report, answer *peer.RelayDown, confirmed bool, now time.Time) {
+func (r *leadership) relayedReport(node *relayNode, rep *api.Report, answer *peer.RelayDown, confirmed bool, now time.Time) {
 	mc := r.machines[rep.Machine]
 	hold := !confirmed || node.pending[rep.Machine] != nil
 	if mc != nil {
@@ -200,7 +200,7 @@
 
 // settled takes in what became of orders: handed is the report in whose answer
 // they were handed out, or 0.
-func (p *relayedOrders) settled(r *reign, handed uint64) {
+func (p *relayedOrders) settled(r *leadership, handed uint64) {
 	for _, a := range p.starts {
 		a.direct.waiting = false
 		if handed > 0 {
@@ -212,7 +212,7 @@
 }
 
 // cut takes back the latter half of a machine's orders.
-func (p *relayedOrders) cut(r *reign, o *peer.RelayOrders) {
+func (p *relayedOrders) cut(r *leadership, o *peer.RelayOrders) {
 	o.Orders = o.Orders[:len(o.Orders)/2]
 	back := &relayedOrders{}
 	p.starts = slices.DeleteFunc(p.starts, func(a *attempt) bool {
@@ -226,7 +226,7 @@
 }
 
 // writeDown writes the answer. What does not fit the record is taken back.
-func (r *reign) writeDown(name string, node *relayNode, answer *peer.RelayDown, fresh bool) {
+func (r *leadership) writeDown(name string, node *relayNode, answer *peer.RelayDown, fresh bool) {
 	size := max(relayRoom(r.c.Settings.Site.State, 1)>>node.halved, 256)
 	if fresh {
 		parts, err := relay.Pack(answer, answer.Batch, 1, size)
@@ -273,13 +273,13 @@
 }
 
 type relayWrittenMsg struct {
-	r    *reign
+	r    *leadership
 	node string
 	err  error
 }
 
 func (m relayWrittenMsg) apply(c *Controller) {
-	if c.reign != m.r {
+	if c.leadership != m.r {
 		return
 	}
 	node := m.r.down.nodes[m.node]
--- a/internal/controller/renter.go
+++ b/internal/controller/renter.go
@@ -14,10 +14,10 @@
 )
 
 // renter rents machines for what waits and gives back what is not needed. It
-// is a part of the reign and speaks to the cloud through goroutines that
+// is a part of the leadership and speaks to the cloud through goroutines that
 // answer by messages.
 type renter struct {
-	r       *reign
+	r       *leadership
 	named   int
 	renting int
 	asked   float64 // CPUs of rentals whose outcome is not known yet
@@ -43,7 +43,7 @@
 	blockedFor = 15 * time.Second
 )
 
-func (f *renter) init(r *reign) {
+func (f *renter) init(r *leadership) {
 	f.r = r
 	f.blocked = map[fleet.Kind]time.Time{}
 	f.hiring = map[string]fleet.Purchase{}
@@ -245,7 +245,7 @@
 }
 
 // hire sends a rental until its outcome is known. The name makes repeats safe.
-func (r *reign) hire(req cloud.Rental, o fleet.Offer) {
+func (r *leadership) hire(req cloud.Rental, o fleet.Offer) {
 	wait := time.Second
 	for range 6 {
 		ctx, cancel := context.WithTimeout(r.ctx, 5*time.Second)
@@ -264,7 +264,7 @@
 }
 
 type hiredMsg struct {
-	r     *reign
+	r     *leadership
 	req   cloud.Rental
 	o     fleet.Offer
 	hosts []string
@@ -272,7 +272,7 @@
 
 func (m hiredMsg) apply(c *Controller) {
 	r := m.r
-	if c.reign != r {
+	if c.leadership != r {
 		return
 	}
 	now := time.Now()
@@ -370,14 +370,14 @@
 }
 
 type returnedMsg struct {
-	r     *reign
+	r     *leadership
 	names []string
 	err   error
 }
 
 func (m returnedMsg) apply(c *Controller) {
 	r := m.r
-	if c.reign != r {
+	if c.leadership != r {
 		return
 	}
 	r.renter.sending = false
@@ -413,14 +413,14 @@
 }
 
 type listedMsg struct {
-	r     *reign
+	r     *leadership
 	hosts []cloud.Machine
 	err   error
 }
 
 func (m listedMsg) apply(c *Controller) {
 	r := m.r
-	if c.reign != r {
+	if c.leadership != r {
 		return
 	}
 	f := &r.renter
@@ -436,7 +436,7 @@
 }
 
 // listed takes in one machine of the cloud's list, which lags.
-func (r *reign) listed(h *cloud.Machine, now time.Time) {
+func (r *leadership) listed(h *cloud.Machine, now time.Time) {
 	if r.returned.Contains(h.Name) {
 		return
 	}
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -17,7 +17,7 @@
 // report takes a worker's report in and gives it its orders. Orders go in
 // answers only: an answer that comes late is dropped by the worker, while an
 // order sent by itself could be carried out minutes later.
-func (r *reign) report(rep *api.Report, now time.Time) (api.ReportAnswer, error) {
+func (r *leadership) report(rep *api.Report, now time.Time) (api.ReportAnswer, error) {
 	return r.takeIn(rep, ownReport, now)
 }
 
@@ -35,7 +35,7 @@
 	drawnReport
 )
 
-func (r *reign) takeIn(rep *api.Report, from origin, now time.Time) (api.ReportAnswer, error) {
+func (r *leadership) takeIn(rep *api.Report, from origin, now time.Time) (api.ReportAnswer, error) {
 	ans := api.ReportAnswer{Term: r.term.Number, Orders: []api.Order{}}
 	if rep.Term > r.term.Number {
 		// The machine has seen a later term than this one.
@@ -124,7 +124,7 @@
 // heed looks whether a report shows that the orders of the last answer were
 // carried out. To a machine whose reports arrive while answers do not reach it,
 // starts would otherwise be sent again and again.
-func (r *reign) heed(m *machine, now time.Time) {
+func (r *leadership) heed(m *machine, now time.Time) {
 	if len(m.asked) == 0 {
 		return
 	}
@@ -148,7 +148,7 @@
 }
 
 // notice takes in that the cloud will take the machine.
-func (r *reign) notice(m *machine, seconds float64, now time.Time) {
+func (r *leadership) notice(m *machine, seconds float64, now time.Time) {
 	left := time.Duration(seconds * float64(time.Second))
 	first := m.reclaim.IsZero()
 	m.reclaim = now.Add(left)
@@ -171,7 +171,7 @@
 }
 
 // stop marks an attempt to be stopped by the answers to its machine's reports.
-func (r *reign) stop(a *attempt, grace time.Duration, now time.Time) {
+func (r *leadership) stop(a *attempt, grace time.Duration, now time.Time) {
 	if a.stop != nil && a.stop.grace <= grace {
 		return
 	}
@@ -179,7 +179,7 @@
 }
 
 // reconcile brings the machine's attempts in line with its report.
-func (r *reign) reconcile(m *machine, rep *api.Report, from origin, orders []api.Order, now time.Time) []api.Order {
+func (r *leadership) reconcile(m *machine, rep *api.Report, from origin, orders []api.Order, now time.Time) []api.Order {
 	// Stops go before reaps: a machine that has ended more tasks than an answer
 	// holds orders would run what is cancelled on, while its lease is renewed.
 	var reaps []api.Order
@@ -227,12 +227,12 @@
 }
 
 // hasImage notes that a machine has a job's image.
-func (r *reign) hasImage(m *machine, s *api.JobSpec, now time.Time) {
+func (r *leadership) hasImage(m *machine, s *api.JobSpec, now time.Time) {
 	m.images.use(s, r.c.types.load()[m.typ].CacheGB, now)
 }
 
 // adopt takes in an attempt that this leader did not start.
-func (r *reign) adopt(m *machine, key attemptKey, t *api.TaskReport, now time.Time) *attempt {
+func (r *leadership) adopt(m *machine, key attemptKey, t *api.TaskReport, now time.Time) *attempt {
 	key.ref = strings.Clone(key.ref)
 	a := &attempt{key: key, machine: m, phase: t.Phase, sentAt: now}
 	m.attempts[key] = a
@@ -259,7 +259,7 @@
 }
 
 // update takes in what a report says of an attempt.
-func (r *reign) update(a *attempt, t *api.TaskReport, now time.Time) {
+func (r *leadership) update(a *attempt, t *api.TaskReport, now time.Time) {
 	was := a.phase
 	a.phase = t.Phase
 	if a.phase == api.TaskRunning && was != api.TaskRunning {
@@ -288,7 +288,7 @@
 }
 
 // exit takes in why an attempt ended.
-func (r *reign) exit(a *attempt, t *api.TaskReport, now time.Time) {
+func (r *leadership) exit(a *attempt, t *api.TaskReport, now time.Time) {
 	j, m := a.job, a.machine
 	if j == nil {
 		return
@@ -315,7 +315,7 @@
 
 // release gives an attempt's task back to its job, unless it is done or held
 // by another attempt.
-func (r *reign) release(a *attempt) {
+func (r *leadership) release(a *attempt) {
 	j := a.job
 	if j == nil || j.live[a.task] != a {
 		return
@@ -329,7 +329,7 @@
 }
 
 // offMachine takes in that an attempt is no longer on its machine.
-func (r *reign) offMachine(a *attempt) {
+func (r *leadership) offMachine(a *attempt) {
 	delete(a.machine.attempts, a.key)
 	if !a.exited {
 		a.exited = true
@@ -340,14 +340,14 @@
 
 // reapable tells whether an exited attempt may be dropped from the reports: a
 // completed one only once that is on record, so that a new leader finds it.
-func (r *reign) reapable(a *attempt) bool {
+func (r *leadership) reapable(a *attempt) bool {
 	j := a.job
 	return j == nil || j.over || !j.done.Test(uint(a.task)) || j.durable.Test(uint(a.task))
 }
 
 // failed takes in that a task ended with an error. Mostly the machine is at
 // fault; a job whose tasks fail on several machines and complete on none is.
-func (r *reign) failed(a *attempt, now time.Time) {
+func (r *leadership) failed(a *attempt, now time.Time) {
 	j, m := a.job, a.machine
 	j.errors[m.name]++
 	j.barred[a.task] = m.name
@@ -382,7 +382,7 @@
 }
 
 // place pulls tasks for a machine with free room.
-func (r *reign) place(m *machine, orders []api.Order, now time.Time) []api.Order {
+func (r *leadership) place(m *machine, orders []api.Order, now time.Time) []api.Order {
 	if !m.open(now) || !r.mayStart(now) {
 		return orders
 	}
@@ -416,7 +416,7 @@
 // guarantees cover comes first: no team waits for another there, so the job
 // that must begin soonest is taken. What they borrow is served by the teams in
 // turn by shares, urgent work before the rest.
-func (r *reign) pick(m *machine, now time.Time) *job {
+func (r *leadership) pick(m *machine, now time.Time) *job {
 	if m.freeCPUs() < slack && m.gpus <= m.usedGPUs {
 		return nil
 	}
@@ -460,7 +460,7 @@
 )
 
 // behindFirst is the job that goes before all others on a machine, if any.
-func (r *reign) behindFirst(m *machine, now time.Time) *job {
+func (r *leadership) behindFirst(m *machine, now time.Time) *job {
 	var best *job
 	turn := r.attempts%behindShare == 0
 	if !turn && r.overlooked == 0 {
@@ -482,7 +482,7 @@
 // first is the first job of a team's queue that this machine may serve, among
 // those whose next task is within the guarantee or among the others, and among
 // those that the machine suits or among all.
-func (r *reign) first(t *queue.Team[*job], m *machine, guaranteed, suited bool, now time.Time) *job {
+func (r *leadership) first(t *queue.Team[*job], m *machine, guaranteed, suited bool, now time.Time) *job {
 	for _, j := range t.Items() {
 		if j.flight.Untaken() > 0 && t.Guaranteed(j.spec.CPUs, j.spec.GPUs) == guaranteed &&
 			r.eligible(j, m, now) && (!(suited || j.hurries(now)) || r.suits(j, m, now)) && !r.betterElsewhere(j, m, now) {
@@ -493,7 +493,7 @@
 }
 
 // eligible tells whether the next task of a job may start on a machine.
-func (r *reign) eligible(j *job, m *machine, now time.Time) bool {
+func (r *leadership) eligible(j *job, m *machine, now time.Time) bool {
 	s := &j.spec
 	switch {
 	case j.over || j.finishing || now.Before(j.heldUntil):
@@ -524,7 +524,7 @@
 // work gathers where its image is, on cheap machines and on those in use, and
 // the others become empty and go back to the cloud. A job that has waited
 // for its grace is taken by anybody.
-func (r *reign) betterElsewhere(j *job, m *machine, now time.Time) bool {
+func (r *leadership) betterElsewhere(j *job, m *machine, now time.Time) bool {
 	if now.Sub(j.waiting) > r.grace {
 		return false
 	}
@@ -558,7 +558,7 @@
 }
 
 // findRoom looks through the fleet for room for a job.
-func (r *reign) findRoom(j *job, now time.Time) {
+func (r *leadership) findRoom(j *job, now time.Time) {
 	type place struct {
 		strain float64
 		slots  int
@@ -581,7 +581,7 @@
 
 // quickFetch tells whether an image is fetched sooner than the machine would
 // report again.
-func (r *reign) quickFetch(j *job, m *machine) bool {
+func (r *leadership) quickFetch(j *job, m *machine) bool {
 	rate := r.c.types.load()[m.typ].FetchGBs
 	return rate > 0 && j.spec.ImageGB/rate < 2*r.c.Settings.Site.Workers.ReportS
 }
@@ -594,7 +594,7 @@
 
 // strain is how badly a machine suits a job, in seconds lost: the time to
 // fetch the image, and a measure of what it costs to keep the machine.
-func (r *reign) strain(j *job, m *machine) float64 {
+func (r *leadership) strain(j *job, m *machine) float64 {
 	mt := r.c.types.load()[m.typ]
 	lost := 0.0
 	if !m.images.has(j.spec.Image) && mt.FetchGBs > 0 {
--- a/internal/controller/roster_test.go
+++ b/internal/controller/roster_test.go
@@ -70,12 +70,12 @@
 			time.Sleep(time.Second)
 		}
 		left := 0
-		a.look(func(c *Controller) { left = len(c.reign.machines) })
+		a.look(func(c *Controller) { left = len(c.leadership.machines) })
 		if names := w.roster(); left >= 60 || len(names) != left {
 			t.Errorf("%d machines are left, on the roster %v", left, names)
 		}
 		b := w.start("n0")
-		b.look(func(c *Controller) { w.same("read by the next leader", len(c.reign.machines), left) })
+		b.look(func(c *Controller) { w.same("read by the next leader", len(c.leadership.machines), left) })
 	})
 }
 
@@ -112,7 +112,7 @@
 					time.Sleep(50 * time.Millisecond)
 					names, inUse := w.roster(), []string(nil)
 					a.look(func(c *Controller) {
-						for name, m := range c.reign.machines {
+						for name, m := range c.leadership.machines {
 							if m.roster == rosterDurable {
 								inUse = append(inUse, name)
 							}
@@ -140,8 +140,8 @@
 		a := w.start("n0")
 		w.worker("i-1", "a", false).serve(a, 3)
 		a.look(func(c *Controller) {
-			rec := &c.reign.recorder
-			old := c.reign.machines["i-1"].sheet
+			rec := &c.leadership.recorder
+			old := c.leadership.machines["i-1"].sheet
 			next := rec.newSheet(old.members)
 			next.replaces, old.torn = old, true
 			rec.unwritten(&batch{sheets: []*sheet{next}, replaced: []*sheet{old}})
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -38,7 +38,7 @@
 // most of a zone is silent or deaf at once, the network is the more likely
 // cause, and a node on the other side may keep the machines alive: they are
 // given the time in which even that ends.
-func (r *reign) silences(now time.Time) {
+func (r *leadership) silences(now time.Time) {
 	w := r.c.Settings.Site.Workers
 	suspect := func(m *machine) bool {
 		if !m.heard {
@@ -98,7 +98,7 @@
 }
 
 // probe asks a silent machine, unless it was asked just now.
-func (r *reign) probe(m *machine, now time.Time) {
+func (r *leadership) probe(m *machine, now time.Time) {
 	if now.Before(m.nextProbe) || r.probing >= r.dials {
 		return
 	}
@@ -127,7 +127,7 @@
 }
 
 type probedMsg struct {
-	r     *reign
+	r     *leadership
 	m     *machine
 	asked time.Time
 	// session and seq are of the machine's last report when it was asked.
@@ -137,7 +137,7 @@
 }
 
 func (p probedMsg) apply(c *Controller) {
-	if c.reign != p.r {
+	if c.leadership != p.r {
 		return
 	}
 	p.r.probing--
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -77,7 +77,7 @@
 
 // ran takes in how long a completed run took, and quarantines a machine whose
 // runs take much longer than the same jobs' elsewhere.
-func (r *reign) ran(a *attempt, took time.Duration, now time.Time) {
+func (r *leadership) ran(a *attempt, took time.Duration, now time.Time) {
 	j, m := a.job, a.machine
 	if a.blurred {
 		return
@@ -104,7 +104,7 @@
 
 // fewSlow tells whether slow machines are the exception: where many seem slow
 // at once, something else is the matter, and quarantine would take the fleet.
-func (r *reign) fewSlow() bool {
+func (r *leadership) fewSlow() bool {
 	n := 0
 	for _, m := range r.machines {
 		if m.why == "slow" {
@@ -124,14 +124,16 @@
 }
 
 // hearable is the longest time between two reports of a machine in order.
-func (r *reign) hearable() time.Duration { return 2*r.c.Settings.Site.Workers.Report() + time.Second }
+func (r *leadership) hearable() time.Duration {
+	return 2*r.c.Settings.Site.Workers.Report() + time.Second
+}
 
 // scanOverdue restarts, once, a run past twice its estimate when its machine's
 // other tasks of the job overran as well and those on other machines did not.
 // Estimates are often too low for the whole job, and then all its tasks cross
 // the limit together: so the run must also exceed by half the longest that any
 // other member took, or it would be thrown away near its end.
-func (r *reign) scanOverdue(now time.Time) {
+func (r *leadership) scanOverdue(now time.Time) {
 	times := r.c.Policy.RestartLimit
 	if times == 0 {
 		return
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -98,13 +98,13 @@
 
 func (m statusMsg) apply(c *Controller) {
 	s := Status{Node: c.Settings.Node, Leader: c.leader}
-	if c.reign != nil {
-		s.Leading = c.reign.status(time.Now())
+	if c.leadership != nil {
+		s.Leading = c.leadership.status(time.Now())
 	}
 	m.reply <- s
 }
 
-func (r *reign) status(now time.Time) *LeaderStatus {
+func (r *leadership) status(now time.Time) *LeaderStatus {
 	s := &LeaderStatus{Term: r.term.Number, ValidS: max(0, r.until.Sub(now).Seconds()), Machines: len(r.machines),
 		Unheard: r.unheard, Booting: len(r.expected), Started: r.counts.started, Lost: r.counts.lost,
 		Done: r.counts.done, FirstStart: latency(r.counts.firstStart), Recorded: latency(r.counts.recorded)}
@@ -131,7 +131,7 @@
 }
 
 // whyWaits says why a job's next task is on no machine.
-func (r *reign) whyWaits(j *job, now time.Time) string {
+func (r *leadership) whyWaits(j *job, now time.Time) string {
 	s := &j.spec
 	switch {
 	case j.doomed || len(j.awaits) > 0:
@@ -150,7 +150,7 @@
 
 // waits counts the jobs that wait for their first start, by why, and returns the
 // one that has waited longest.
-func (r *reign) waits(now time.Time) (counts map[string]int, oldest *job) {
+func (r *leadership) waits(now time.Time) (counts map[string]int, oldest *job) {
 	counts = map[string]int{}
 	for _, j := range r.jobs {
 		if j.finishing || j.begun() || j.flight.Untaken() == 0 {
@@ -175,7 +175,7 @@
 )
 
 // logWaits tells why work waits.
-func (r *reign) logWaits(now time.Time) {
+func (r *leadership) logWaits(now time.Time) {
 	if now.Before(r.nextWaits) {
 		return
 	}
@@ -192,7 +192,7 @@
 const useInterval = 5 * time.Second
 
 // logUse tells at debug what the fleet's CPUs are doing and how much waits.
-func (r *reign) logUse(now time.Time) {
+func (r *leadership) logUse(now time.Time) {
 	if now.Before(r.nextUse) || !r.c.Log.Enabled(r.ctx, slog.LevelDebug) {
 		return
 	}
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -20,7 +20,7 @@
 }
 
 // load reads the store until it succeeds.
-func (r *reign) load() {
+func (r *leadership) load() {
 	for r.ctx.Err() == nil {
 		snap, err := r.read()
 		if err == nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-func (r *reign) read() (*snapshot, error) {
+func (r *leadership) read() (*snapshot, error) {
 	s := snapshot{asked: time.Now()}
 	var err error
 	// The active jobs come first: their revision is where the watch begins.
@@ -56,7 +56,7 @@
 	return &s, nil
 }
 
-func (r *reign) readAll(prefix string) (rows []store.Entry, ring uint64, err error) {
+func (r *leadership) readAll(prefix string) (rows []store.Entry, ring uint64, err error) {
 	from := ""
 	for {
 		ctx, cancel := context.WithTimeout(r.ctx, 3*time.Second)
@@ -77,13 +77,13 @@
 }
 
 type loadedMsg struct {
-	r *reign
+	r *leadership
 	s *snapshot
 }
 
 func (m loadedMsg) apply(c *Controller) {
 	r := m.r
-	if c.reign != r {
+	if c.leadership != r {
 		return
 	}
 	now := time.Now()
@@ -113,7 +113,7 @@
 }
 
 // addSheet takes in a sheet of the roster.
-func (r *reign) addSheet(e store.Entry, now time.Time) {
+func (r *leadership) addSheet(e store.Entry, now time.Time) {
 	var rec store.RosterRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
 		r.c.Log.Error("roster record", "key", e.Key, "err", err)
@@ -140,7 +140,7 @@
 	}
 }
 
-func (r *reign) addProgress(e store.Entry, now time.Time) {
+func (r *leadership) addProgress(e store.Entry, now time.Time) {
 	id, first, ok := store.ParseProgressKey(e.Key)
 	if !ok {
 		return
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -216,7 +216,7 @@
 		}
 		far.rep.Seq++
 		far.deliver(n, &held)
-		n.look(func(c *Controller) { w.same("restarted", len(c.reign.jobs["job-1"].restarted), 0) })
+		n.look(func(c *Controller) { w.same("restarted", len(c.leadership.jobs["job-1"].restarted), 0) })
 		round(false)
 		round(false)
 		round(false)
@@ -440,7 +440,7 @@
 
 // A leader that still holds itself for entitled hears from a machine that another
 // has begun a later term: it stops to lead, and does not end over the report.
-func TestReportOfALaterTermEndsTheReign(t *testing.T) {
+func TestReportOfALaterTermEndsTheLeadership(t *testing.T) {
 	play(t, func(w *world) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
@@ -456,7 +456,7 @@
 			m := reportMsg{rep: &rep, reply: make(chan reportReply, 1), came: time.Now()}
 			m.apply(c)
 			w.same("refused", (<-m.reply).err, &api.NotLeaderError{})
-			w.same("leads", c.reign != nil, false)
+			w.same("leads", c.leadership != nil, false)
 		})
 	})
 }
