--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -14,8 +14,8 @@
 // api.ErrNotDone and api.ErrUnsure.
 type Director interface {
 	Order(ctx context.Context, addr string, orders *api.DirectOrders) (seq uint64, err error)
-	// Greet tells a machine of a term and returns the report that shows it.
-	Greet(ctx context.Context, addr string, term uint64) (*api.Report, error)
+	// Resync tells a machine of a term and returns the report that shows it.
+	Resync(ctx context.Context, addr string, term uint64) (*api.Report, error)
 }
 
 // Starts go straight to machines with free room where reports come so seldom
--- a/internal/controller/direct_test.go
+++ b/internal/controller/direct_test.go
@@ -54,8 +54,8 @@
 	return 0, api.ErrNotDone
 }
 
-// Greet tells a machine of a term. One that is dead does not answer.
-func (d *wire) Greet(_ context.Context, addr string, term uint64) (*api.Report, error) {
+// Resync tells a machine of a term. One that is dead does not answer.
+func (d *wire) Resync(_ context.Context, addr string, term uint64) (*api.Report, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	k := d.machines[addr]
@@ -264,11 +264,11 @@
 	})
 }
 
-// A new leader greets the machines on the roster, and so hears them without
+// A new leader resyncs the machines on the roster, and so hears them without
 // waiting for their reports; one that does not answer is returned, and only
-// then its tasks begin elsewhere. Orders cannot go in a greeting's answer, so
+// then its tasks begin elsewhere. Orders cannot go in a resync's answer, so
 // none are given there.
-func TestTakeoverGreetsMachines(t *testing.T) {
+func TestTakeoverResyncsMachines(t *testing.T) {
 	play(t, func(w *world) {
 		a, d, ks := w.seldom(40)
 		w.submit(a, spec("job-1", 8))
@@ -309,19 +309,19 @@
 			m := c.leadership.machines[idle[5].rep.Machine]
 			rep := idle[5].rep
 			rep.Seq, rep.Session = m.seq+1, m.session
-			c.leadership.greeting++
-			greetedMsg{c.leadership, m, time.Now(), &rep, nil}.apply(c)
-			w.same("given in a greeting", len(m.attempts), 0)
+			c.leadership.resyncing++
+			resyncedMsg{c.leadership, m, time.Now(), &rep, nil}.apply(c)
+			w.same("given in a resync", len(m.attempts), 0)
 		})
 	})
 }
 
-// A greeting's answer may be drawn up while the answer to the machine's own
+// A resync's answer may be drawn up while the answer to the machine's own
 // report, with a start in it, is still on its way to the machine. It is the
 // newer message and does not show the task; taken for proof that the start was
 // lost, the task would begin elsewhere while it begins here. Seen when a leader
-// had 700 machines to greet and answered late.
-func TestGreetingBesideAnAnswer(t *testing.T) {
+// had 700 machines to resync and answered late.
+func TestResyncBesideAnAnswer(t *testing.T) {
 	play(t, func(w *world) {
 		a, d, ks := w.seldom(2)
 		a.crash()
@@ -335,18 +335,18 @@
 		if err != nil || len(orders) != 4 {
 			t.Fatalf("orders %v, error %v", orders, err)
 		}
-		greeted := func(k *worker) {
+		resynced := func(k *worker) {
 			b.look(func(c *Controller) {
 				m := c.leadership.machines[k.rep.Machine]
-				rep, err := d.Greet(context.Background(), m.addr, c.leadership.term.Number)
+				rep, err := d.Resync(context.Background(), m.addr, c.leadership.term.Number)
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.leadership.greeting++
-				greetedMsg{c.leadership, m, time.Now(), rep, nil}.apply(c)
+				c.leadership.resyncing++
+				resyncedMsg{c.leadership, m, time.Now(), rep, nil}.apply(c)
 			})
 		}
-		greeted(ks[0])
+		resynced(ks[0])
 		ks[1].serve(b, 3)
 		w.same("begun elsewhere", ks[1].running(), []string(nil))
 		ks[0].obey(orders)
@@ -354,7 +354,7 @@
 		w.same("begun", len(ks[0].running()), 4)
 
 		// An answer that is lost is known by the machine's next own report, or
-		// by its next session, even if a greeting shows that.
+		// by its next session, even if a resync shows that.
 		w.submit(b, spec("job-2", 2))
 		time.Sleep(6 * time.Second)
 		lost, err := ks[1].send(b)
@@ -362,7 +362,7 @@
 			t.Fatalf("orders %v, error %v", lost, err)
 		}
 		ks[1].rep.Session, ks[1].rep.Seq = ks[1].rep.Session+1, 0
-		greeted(ks[1])
+		resynced(ks[1])
 		b.look(func(c *Controller) { w.same("untaken again", c.leadership.jobs["job-2"].flight.Untaken(), 2) })
 		ks[1].serve(b, 6)
 		w.same("repeated", len(ks[1].running()), 2)
@@ -370,7 +370,7 @@
 }
 
 // A fleet as large as any: a crash, machines that die together, and a second
-// crash in the middle of the takeover. All that live are heard by greetings, none
+// crash in the middle of the takeover. All that live are heard by resyncs, none
 // of them is returned, and no task begins again while it may run.
 func TestTakeoverOfALargeFleet(t *testing.T) {
 	play(t, func(w *world) {
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -355,7 +355,7 @@
 			gone.crash()
 			a = l.add("n0", w.startWith("n0", w.store, l))
 			time.Sleep(after - time.Since(told))
-			a.look(func(c *Controller) { k.rep.Term = c.leadership.term.Number }) // it was greeted
+			a.look(func(c *Controller) { k.rep.Term = c.leadership.term.Number }) // it was resynced
 			w.same("second term", k.rep.Term > 1, true)
 			l.cut.Store(true)
 			gb.set(true)
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -828,8 +828,8 @@
 	return rep.Seq, nil
 }
 
-// Greet implements Director.
-func (s *stage) Greet(ctx context.Context, addr string, term uint64) (*api.Report, error) {
+// Resync implements Director.
+func (s *stage) Resync(ctx context.Context, addr string, term uint64) (*api.Report, error) {
 	return s.direct(ctx, addr, func(k *host) bool {
 		if term < k.rep.Term {
 			return false
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -88,11 +88,11 @@
 	// heldUp is when it last noticed that it was late.
 	heldUp  time.Time
 	probing int
-	// dials bounds each of probing, greeting and ordering.
+	// dials bounds each of probing, resyncing and ordering.
 	dials int
-	// toGreet are the machines that a new leader has yet to greet.
-	toGreet  []*machine
-	greeting int
+	// toResync are the machines that a new leader has yet to resync.
+	toResync  []*machine
+	resyncing int
 	// What other nodes keep alive was last read at keptRead, at keptMarks.
 	keptRead  time.Time
 	keptMarks map[string]uint64
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -28,7 +28,7 @@
 	// ownReport is one that the worker sent by itself. It does so only once the
 	// answer to its last one was carried out or given up.
 	ownReport origin = iota
-	// drawnReport answers a greeting. There is no answer in which orders could
+	// drawnReport answers a resync. There is no answer in which orders could
 	// go, and the orders of the last answer may still be on their way to the
 	// worker when it is drawn up: it does not show that they were not
 	// carried out.
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -103,8 +103,8 @@
 		return
 	}
 	if !m.heard && r.c.Director != nil && m.addr != "" {
-		if r.greeting < r.dials {
-			r.greet(m, now)
+		if r.resyncing < r.dials {
+			r.resync(m, now)
 		}
 		return
 	}
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -107,7 +107,7 @@
 	}
 	r.loaded, r.listening, r.vouched = true, now, m.s.asked
 	if c.Director != nil {
-		r.greetNext(now)
+		r.resyncNext(now)
 	}
 	c.Log.Info("takeover: read", "term", r.term.Number, "jobs", len(r.jobs), "machines", r.unheard)
 }
@@ -129,7 +129,7 @@
 		m.cpus, m.gpus, m.memory = one.CPUs, one.GPUs, one.MemoryGB
 		m.roster, m.sheet = rosterDurable, s
 		s.members = append(s.members, m)
-		r.toGreet = append(r.toGreet, m)
+		r.toResync = append(r.toResync, m)
 		r.unheard++
 		r.unheardCPUs += m.cpus
 		r.unheardGPUs += m.gpus
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -53,23 +53,23 @@
 
 const maxAnswer = 1 << 20
 
-// Greet tells a machine of a term, and returns the report that shows that it
+// Resync tells a machine of a term, and returns the report that shows that it
 // has heard. It carries no orders, so it may come at any time.
-func (c *Client) Greet(ctx context.Context, addr string, term uint64) (*api.Report, error) {
+func (c *Client) Resync(ctx context.Context, addr string, term uint64) (*api.Report, error) {
 	session := uint64(1) // most machines have never lost theirs
 	for range 2 {
 		rep, status, err := c.post(ctx, addr, &api.DirectOrders{Term: term, Session: session, Orders: []api.Order{}})
 		switch {
 		case err != nil:
-			return nil, fmt.Errorf("greet: %w", err)
+			return nil, fmt.Errorf("resync: %w", err)
 		case status == http.StatusOK:
 			return rep, nil
 		case status != http.StatusConflict || rep.Term > term || rep.Session == session:
-			return nil, fmt.Errorf("greet: status %d, term %d", status, rep.Term)
+			return nil, fmt.Errorf("resync: status %d, term %d", status, rep.Term)
 		}
 		session = rep.Session
 	}
-	return nil, errors.New("greet: the session changes")
+	return nil, errors.New("resync: the session changes")
 }
 
 // post sends orders, and returns the report that answers them.
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// A greeting that names the wrong session is repeated with the right one.
-func TestGreeting(t *testing.T) {
+// A resync that names the wrong session is repeated with the right one.
+func TestResync(t *testing.T) {
 	answers := []func(context.Context, string, string) (net.Conn, error){
 		machine(409, `{"Host":"i-1","Season":3,"Warrant":4}`), machine(200, `{"Host":"i-1","Season":3,"Warrant":5,"Tally":9}`),
 	}
@@ -68,12 +68,12 @@
 		answers = answers[1:]
 		return next(ctx, network, addr)
 	}
-	if rep, err := client.Greet(t.Context(), "10.0.0.1:1", 5); err != nil || rep.Seq != 9 || rep.Term != 5 {
+	if rep, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err != nil || rep.Seq != 9 || rep.Term != 5 {
 		t.Errorf("%v, %v", rep, err)
 	}
 	client.http.Transport.(*http.Transport).DialContext = machine(409, `{"Host":"i-1","Season":1,"Warrant":6}`)
-	if _, err := client.Greet(t.Context(), "10.0.0.1:1", 5); err == nil {
-		t.Error("a machine with a later term was greeted")
+	if _, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err == nil {
+		t.Error("a machine with a later term was resynced")
 	}
 }
 
