--- a/internal/controller/around.go
+++ b/internal/controller/around.go
@@ -184,7 +184,7 @@
 		c.leadership.down.restarted(c.leadership, m.node, m.st.Incarnation)
 	}
 	if m.node == c.leader {
-		// The leader vouches for what it knows of cancellations itself. Those of
+		// What the leader knows of cancellations it says itself. Those of
 		// earlier terms are in no log that must have come here: it only knows
 		// which jobs are left, and has told it to each machine that is still
 		// alive when a lease has passed.
@@ -283,7 +283,7 @@
 	if c.valid() {
 		st.Term = c.leadership.term.Number
 		if c.leadership.loaded {
-			st.Known = now.Sub(c.leadership.knows(now))
+			st.Known = now.Sub(c.leadership.cancellationsKnownAt(now))
 		}
 	}
 	if c.around.storeOK && now.Sub(c.around.storeAt) < 2*storeEvery {
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -25,7 +25,8 @@
 //     it counts only if it was whole when the store last answered: what a node
 //     told before it was started anew is not in it.
 //
-// A keeper's knowledge is no fresher than that of the leader who vouches for it.
+// A follower that extends leases knows no more than its leader did when that last
+// answered its ping.
 
 // cancelLog is the cancellations that this process knows of, in the order in
 // which it learned of them. It forgets those whose tasks must be long gone.
@@ -167,12 +168,12 @@
 	leastRenew = 2500 * time.Millisecond
 	// loadWithin is how long a new leader may renew leases before it has read
 	// the store.
-	loadWithin = 4 * time.Second
-	leastVouch = 300 * time.Millisecond
+	loadWithin       = 4 * time.Second
+	minProofInterval = 300 * time.Millisecond
 	// startSlack is how late the answer to a round of questions may be before
 	// nothing is started any more.
-	startSlack = time.Second
-	mostVouch  = 2 * time.Second
+	startSlack       = time.Second
+	maxProofInterval = 2 * time.Second
 )
 
 // renewFor is how long after a moment before which it knew all cancellations a
@@ -184,30 +185,30 @@
 	return cancel - w.Lease() - renewMargin - cancel/500
 }
 
-// knows is the moment before which all cancellations told to users are known
+// cancellationsKnownAt is the moment before which all cancellations told to users are known
 // here.
-func (r *leadership) knows(now time.Time) time.Time {
+func (r *leadership) cancellationsKnownAt(now time.Time) time.Time {
 	all := now
 	for _, n := range r.c.around.nodes {
-		if n.cancels.whole.After(r.vouched) {
-			return r.vouched // it was started, or cut off, since the store answered
+		if n.cancels.whole.After(r.cancellationsConfirmedAt) {
+			return r.cancellationsConfirmedAt // it was started, or cut off, since the store answered
 		}
 		if n.cancels.until.Before(all) {
 			all = n.cancels.until
 		}
 	}
-	if r.vouched.After(all) {
-		return r.vouched
+	if r.cancellationsConfirmedAt.After(all) {
+		return r.cancellationsConfirmedAt
 	}
 	return all
 }
 
-// informed tells whether this leader may renew leases.
-func (r *leadership) informed(now time.Time) bool {
+// mayRenewLeases tells whether this leader may renew leases.
+func (r *leadership) mayRenewLeases(now time.Time) bool {
 	if !r.loaded {
 		return now.Sub(r.began) <= min(loadWithin, max(r.c.renewFor(), leastRenew))
 	}
-	return now.Sub(r.knows(now)) <= max(r.c.renewFor(), leastRenew)
+	return now.Sub(r.cancellationsKnownAt(now)) <= max(r.c.renewFor(), leastRenew)
 }
 
 // mayStart tells whether this leader may start tasks. One that has lost the
@@ -215,7 +216,7 @@
 // minute what users have called off elsewhere. In an outage that the others see
 // as well nobody can call anything off.
 func (r *leadership) mayStart(now time.Time) bool {
-	if now.Sub(r.knows(now)) <= r.c.vouchEvery()+startSlack {
+	if now.Sub(r.cancellationsKnownAt(now)) <= r.c.proofInterval()+startSlack {
 		return true
 	}
 	for _, n := range r.c.around.nodes {
@@ -226,7 +227,7 @@
 	return false
 }
 
-// vouchEvery is how often the store is asked whether all cancellations are known.
-func (c *Controller) vouchEvery() time.Duration {
-	return min(max(c.renewFor()/8, leastVouch), mostVouch)
+// proofInterval is how often the store is asked whether all cancellations are known.
+func (c *Controller) proofInterval() time.Duration {
+	return min(max(c.renewFor()/8, minProofInterval), maxProofInterval)
 }
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -186,8 +186,8 @@
 }
 
 // A plain outage that is longer than a cancellation may take costs no task as
-// long as the leadership and a lease cover it, since the nodes vouch for each
-// other. Should one of them not answer, leases end in time.
+// long as the leadership and a lease cover it, since the nodes
+// tell each other what they know. Should one of them not answer, leases end in time.
 func TestOutageLongerThanACancellation(t *testing.T) {
 	told := func(g *gapWorld) { g.cancelAt(g.b) }
 	down, up := func(g *gapWorld) { g.store.SetDown(true) }, func(g *gapWorld) { g.store.SetDown(false) }
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -88,7 +88,7 @@
 			m.reply <- reportReply{err: &api.NotLeaderError{Leader: node}}
 			return
 		}
-		if !c.leadership.informed(now) && m.rep.Term <= c.leadership.term.Number {
+		if !c.leadership.mayRenewLeases(now) && m.rep.Term <= c.leadership.term.Number {
 			m.reply <- reportReply{err: api.ErrUnavailable}
 			return
 		}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -30,11 +30,11 @@
 	began  time.Time
 
 	loaded bool
-	// vouched is when the store was last asked that has answered that all
+	// cancellationsConfirmedAt is when the store was last asked that has answered that all
 	// cancellations were known.
-	vouched    time.Time
-	cancelMark uint64
-	attempts   uint32
+	cancellationsConfirmedAt time.Time
+	cancelMark               uint64
+	attempts                 uint32
 
 	jobs     map[string]*job
 	teams    map[string]*queue.Team[*job]
@@ -393,7 +393,7 @@
 	}
 	r.confirm.start()
 	r.recorder.flush(now)
-	if !r.informed(now) || r.deaf(now) {
+	if !r.mayRenewLeases(now) || r.deaf(now) {
 		return
 	}
 	r.dispatch(now)
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -149,7 +149,7 @@
 }
 
 func (f *confirmer) start() {
-	if f.busy || (len(f.waiting) == 0 && time.Since(f.last) < f.r.c.vouchEvery()) {
+	if f.busy || (len(f.waiting) == 0 && time.Since(f.last) < f.r.c.proofInterval()) {
 		return
 	}
 	f.last = time.Now()
@@ -185,7 +185,7 @@
 			p.reply <- pollReply{err: api.ErrUnavailable}
 		}
 	case m.res.OK:
-		m.r.vouched = m.sent
+		m.r.cancellationsConfirmedAt = m.sent
 		for _, p := range m.batch {
 			p.reply <- m.r.answer(p.id)
 		}
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -105,7 +105,7 @@
 	for _, e := range m.s.machines {
 		r.addSheet(e, now)
 	}
-	r.loaded, r.listening, r.vouched = true, now, m.s.asked
+	r.loaded, r.listening, r.cancellationsConfirmedAt = true, now, m.s.asked
 	if c.Director != nil {
 		r.resyncNext(now)
 	}
