--- a/internal/controller/around.go
+++ b/internal/controller/around.go
@@ -126,7 +126,7 @@
 }
 
 // watchPeer pings another node, and while that leads and cannot be reached
-// keeps what the keeper must know up to date.
+// keeps what the lease extender must know up to date.
 func (c *Controller) watchPeer(ctx context.Context, node string) {
 	failed := 0
 	var from CancelPosition
@@ -146,7 +146,7 @@
 			from = CancelPosition{Incarnation: st.Incarnation, Number: st.Cancels.end() - 1}
 		}
 		if failed >= unreachedAfter {
-			c.keepUp(ctx, node)
+			c.extendLeases(ctx, node)
 		}
 		pause(ctx, pingEvery)
 	}
@@ -192,7 +192,7 @@
 		if w := c.Settings.Site.Workers; m.st.Known < 0 || m.st.Term > 1 && now.Sub(n.termAt) < w.Lease()+2*w.Report() {
 			known = time.Time{}
 		}
-		c.keep.verify(m.node, m.st.Term, known)
+		c.extender.verify(m.node, m.st.Term, known)
 	}
 }
 
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -36,8 +36,8 @@
 	// last is the number of the newest entry, from 1 on.
 	last uint64
 	// since is from when on the log is whole.
-	since time.Time
-	keep  time.Duration
+	since     time.Time
+	retention time.Duration
 }
 
 type cancelEntry struct {
@@ -52,13 +52,13 @@
 )
 
 func newCancelLog(w config.Workers, now time.Time) cancelLog {
-	return cancelLog{known: map[string]bool{}, since: now, keep: config.Seconds(w.CancelS) + 2*w.Lease()}
+	return cancelLog{known: map[string]bool{}, since: now, retention: config.Seconds(w.CancelS) + 2*w.Lease()}
 }
 
 // add notes a cancellation.
 func (l *cancelLog) add(id string, now time.Time) {
 	drop := 0
-	for drop < len(l.entries) && (now.Sub(l.entries[drop].at) > l.keep || len(l.entries)-drop >= maxCancelLog) {
+	for drop < len(l.entries) && (now.Sub(l.entries[drop].at) > l.retention || len(l.entries)-drop >= maxCancelLog) {
 		l.since = l.entries[drop].at
 		delete(l.known, l.entries[drop].id)
 		drop++
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -67,7 +67,7 @@
 	// The rest belongs to the owner goroutine.
 	leader     string
 	leadership *leadership
-	keep       keeper
+	extender   leaseExtender
 	up         relayUp
 	around     around
 	// sent is when machines were sent on to the leader, past this node.
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -335,9 +335,9 @@
 
 // A leader that has just begun knows of earlier cancellations only by what is
 // left in the store: its answers to pings do not bring them. So a node that
-// keeps its machines relies on them only when each machine that is still alive
+// extends leases relies on them only when each machine that is still alive
 // must have been answered in this term.
-func TestKeeperDoesNotRelyOnALeaderThatJustBegan(t *testing.T) {
+func TestFollowerDoesNotRelyOnALeaderThatJustBegan(t *testing.T) {
 	for after := 9 * time.Second; after < gapLease; after += 100 * time.Millisecond {
 		play(t, func(w *world) {
 			l, a, b, _, gb := w.pair()
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -26,7 +26,7 @@
 	if err == nil || errors.As(err, &other) {
 		return ans, err
 	}
-	// The leader cannot be reached from here: its machines are kept alive.
+	// The leader cannot be reached from here: its machines' leases are extended.
 	r, err = c.take(ctx, reportMsg{rep: rep, unreached: r.passTo, refused: errors.Is(err, ErrRefused)})
 	return r.ans, err
 }
@@ -132,7 +132,7 @@
 		return
 	}
 	unreached := m.unreached == leader || !c.around.nodes[leader].reached(now)
-	if ans, ok := c.keepAnswer(m.rep, leader, unreached, now); ok {
+	if ans, ok := c.extendLease(m.rep, leader, unreached, now); ok {
 		c.up.note(c, m.rep, &ans, now)
 		m.reply <- reportReply{ans: ans}
 		return
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -93,9 +93,9 @@
 	// toResync are the machines that a new leader has yet to resync.
 	toResync  []*machine
 	resyncing int
-	// What other nodes keep alive was last read at keptRead, at keptMarks.
-	keptRead  time.Time
-	keptMarks map[string]uint64
+	// Whose leases other nodes extend was last read at extensionsRead, at extensionMarks.
+	extensionsRead time.Time
+	extensionMarks map[string]uint64
 }
 
 type expected struct {
@@ -121,7 +121,7 @@
 		machines: map[string]*machine{}, expected: map[string]*expected{}, returned: returned,
 	}
 	r.down.nodes = map[string]*relayNode{}
-	r.keptMarks = map[string]uint64{}
+	r.extensionMarks = map[string]uint64{}
 	r.holders = map[string]float64{}
 	r.counts = newCounters()
 	r.fetches = manyFetches
--- a/internal/controller/keep.go
+++ b/internal/controller/leaseextension.go
@@ -15,7 +15,7 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// keeper answers reports in the leader's stead while the leader cannot be
+// leaseExtender answers reports in the leader's stead while the leader cannot be
 // reached from here, so that the machines on this side of a cut, or those of a
 // leader that restarts, do not kill their tasks. It starts nothing: its
 // answers renew the lease under the leader's term, and stop the tasks of jobs
@@ -27,7 +27,7 @@
 // jobs are active: a job that is cancelled later than that is still gone from
 // the machines in time, because their leases have ended by then. A later leader treats the
 // machines as unheard until they report to it, so nothing is started twice.
-type keeper struct {
+type leaseExtender struct {
 	leader   string
 	term     uint64
 	verified time.Time
@@ -44,23 +44,23 @@
 	// justShown is how recently the store must have shown a term for machines
 	// to be told of it.
 	justShown = 5 * time.Second
-	// keptFor is how long the leader relies on what another node published.
-	keptFor = 8 * time.Second
-	// keepMargin is kept back of the time that a cancellation has, besides two
+	// extensionLife is how long the leader relies on what another node published.
+	extensionLife = 8 * time.Second
+	// extensionMargin is kept back of the time that a cancellation has, besides two
 	// reports: what is told of a cancellation may be late by one watch.
-	keepMargin = watchTimeout + time.Second
+	extensionMargin = watchTimeout + time.Second
 )
 
-// keepFor is how long after it was last verified a term may be kept up here.
-func (c *Controller) keepFor() time.Duration {
+// extensionPeriod is how long after it was last verified leases may be extended here.
+func (c *Controller) extensionPeriod() time.Duration {
 	w := c.Settings.Site.Workers
-	return config.Seconds(w.CancelS) - w.Lease() - 2*w.Report() - keepMargin
+	return config.Seconds(w.CancelS) - w.Lease() - 2*w.Report() - extensionMargin
 }
 
-// keepAnswer answers a report in the leader's stead, if this node may.
-func (c *Controller) keepAnswer(rep *api.Report, leader string, unreached bool, now time.Time) (api.ReportAnswer, bool) {
-	k := &c.keep
-	if !(k.away || unreached) || leader == "" || leader != k.leader || now.Sub(k.verified) > c.keepFor() || k.term == 0 || !k.mayTell(rep.Term, now) {
+// extendLease answers a report in the leader's stead, if this node may.
+func (c *Controller) extendLease(rep *api.Report, leader string, unreached bool, now time.Time) (api.ReportAnswer, bool) {
+	k := &c.extender
+	if !(k.away || unreached) || leader == "" || leader != k.leader || now.Sub(k.verified) > c.extensionPeriod() || k.term == 0 || !k.mayTell(rep.Term, now) {
 		return api.ReportAnswer{}, false
 	}
 	over := func(id string) bool { return k.active != nil && !k.active[id] }
@@ -76,23 +76,23 @@
 // has not heard of it learns it here, if the store has just shown it: the new
 // leader, out of its reach, takes it for unheard until its next report arrives
 // through the store.
-func (k *keeper) mayTell(term uint64, now time.Time) bool {
+func (k *leaseExtender) mayTell(term uint64, now time.Time) bool {
 	return term == k.term || (term < k.term && k.active != nil && now.Sub(k.verified) < justShown)
 }
 
 // verify takes in the leader's answer to a ping.
-func (k *keeper) verify(leader string, term uint64, at time.Time) {
-	*k = keeper{leader: leader, term: term, verified: at}
+func (k *leaseExtender) verify(leader string, term uint64, at time.Time) {
+	*k = leaseExtender{leader: leader, term: term, verified: at}
 }
 
-// keepUp is called while a node cannot be reached: if it leads, its machines
-// are kept alive from here.
-func (c *Controller) keepUp(ctx context.Context, node string) {
-	ask := askLeaderMsg{reply: make(chan keepAsk, 1)}
+// extendLeases is called while a node cannot be reached: if it leads, the leases of its machines
+// are extended from here.
+func (c *Controller) extendLeases(ctx context.Context, node string) {
+	ask := askLeaderMsg{reply: make(chan followedLeader, 1)}
 	if c.send(ctx, ask) != nil {
 		return
 	}
-	var a keepAsk
+	var a followedLeader
 	select {
 	case a = <-ask.reply:
 	case <-ctx.Done():
@@ -110,8 +110,8 @@
 }
 
 // verifyTerm reads from the store whether a leader still leads and which jobs
-// are active, and publishes which machines are kept alive here.
-func (c *Controller) verifyTerm(ctx context.Context, a keepAsk) (m verifiedMsg, err error) {
+// are active, and publishes whose leases are extended here.
+func (c *Controller) verifyTerm(ctx context.Context, a followedLeader) (m verifiedMsg, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	m = verifiedMsg{leader: a.leader, at: time.Now(), active: map[string]bool{}}
@@ -146,46 +146,46 @@
 		}
 	}
 	if len(a.hosts) > 0 {
-		c.publishKept(ctx, a.hosts, m.term, term.Mark)
+		c.publishExtensions(ctx, a.hosts, m.term, term.Mark)
 	}
 	return m, nil
 }
 
-// keptRows is how many records of kept machines a leader reads, of any version.
-const keptRows = 100
+// extensionRows is how many records of extended leases a leader reads, of any version.
+const extensionRows = 100
 
-// publishKept writes which machines are kept alive here. A list that does not fit
+// publishExtensions writes whose leases are extended here. A list that does not fit
 // one record goes on under further keys: leaders take in every record under the
 // prefix by itself, whatever follows the node's name. A record that is not renewed
 // with the others says nothing any more.
-func (c *Controller) publishKept(ctx context.Context, hosts []string, term, mark uint64) {
+func (c *Controller) publishExtensions(ctx context.Context, hosts []string, term, mark uint64) {
 	lim := c.Settings.Site.State
 	for room := min(int(lim.ValueKB*1024), store.MaxTxnBytes/2); room > 0; room /= 2 {
-		recs := keptRecords(hosts, term, room)
-		if most := max(1, keptRows/(len(c.Settings.Peers)+1)); len(recs) > most {
+		recs := extensionRecords(hosts, term, room)
+		if most := max(1, extensionRows/(len(c.Settings.Peers)+1)); len(recs) > most {
 			// No leader would read the rest. Which are left out is left to
 			// chance, by the order of the list: the same ones would be asked
 			// for, and perhaps returned.
-			c.Log.Warn("kept machines left out", "machines", len(hosts), "records", len(recs), "most", most)
+			c.Log.Warn("extended leases left out", "machines", len(hosts), "records", len(recs), "most", most)
 			recs = recs[:most]
 		}
-		err := c.writeKept(ctx, recs, mark, max(1, min(lim.TxnOps, store.MaxTxnBytes*3/4/(room+200))))
+		err := c.writeExtensions(ctx, recs, mark, max(1, min(lim.TxnOps, store.MaxTxnBytes*3/4/(room+200))))
 		if err == nil {
 			return
 		}
 		if !errors.Is(err, store.ErrMalformed) {
-			c.Log.Debug("kept machines not published", "err", err)
+			c.Log.Debug("extended leases not published", "err", err)
 			return
 		}
-		c.Log.Error("kept machines refused as too large", "bytes", room)
+		c.Log.Error("list of extended leases refused as too large", "bytes", room)
 	}
 }
 
-// writeKept writes records of kept machines, so many in a transaction.
-func (c *Controller) writeKept(ctx context.Context, recs []store.KeepRecord, mark uint64, ops int) error {
+// writeExtensions writes records of extended leases, so many in a transaction.
+func (c *Controller) writeExtensions(ctx context.Context, recs []store.LeaseExtensionRecord, mark uint64, ops int) error {
 	txn := store.Txn{Guards: []store.Guard{{Key: election.TermKey, Mark: mark}}}
 	for i, rec := range recs {
-		key := store.KeepPrefix + c.Settings.Node
+		key := store.LeaseExtensionPrefix + c.Settings.Node
 		if i > 0 {
 			key += "/" + strconv.Itoa(i+1)
 		}
@@ -202,8 +202,8 @@
 	return nil
 }
 
-// keptRecords spreads machines over records of at most so many bytes.
-func keptRecords(hosts []string, term uint64, room int) (recs []store.KeepRecord) {
+// extensionRecords spreads machines over records of at most so many bytes.
+func extensionRecords(hosts []string, term uint64, room int) (recs []store.LeaseExtensionRecord) {
 	const frame = 48 // of a record, beside the names
 	size := 0
 	for _, name := range hosts {
@@ -212,7 +212,7 @@
 			continue // such a name is on no roster either
 		}
 		if len(recs) == 0 || size+len(raw)+1 > room {
-			recs, size = append(recs, store.KeepRecord{Term: term}), frame
+			recs, size = append(recs, store.LeaseExtensionRecord{Term: term}), frame
 		}
 		last := &recs[len(recs)-1]
 		last.Hosts = append(last.Hosts, name)
@@ -221,20 +221,20 @@
 	return recs
 }
 
-// askLeaderMsg asks the owner whom it follows and whose machines it keeps.
-type askLeaderMsg struct{ reply chan keepAsk }
+// askLeaderMsg asks the owner whom it follows and whose leases it extends.
+type askLeaderMsg struct{ reply chan followedLeader }
 
-type keepAsk struct {
+type followedLeader struct {
 	leader string
 	hosts  []string
 }
 
 func (m askLeaderMsg) apply(c *Controller) {
-	a := keepAsk{leader: c.leader}
+	a := followedLeader{leader: c.leader}
 	now := time.Now()
-	for name, seen := range c.keep.hosts {
-		if now.Sub(seen) > keptFor {
-			delete(c.keep.hosts, name)
+	for name, seen := range c.extender.hosts {
+		if now.Sub(seen) > extensionLife {
+			delete(c.extender.hosts, name)
 			continue
 		}
 		a.hosts = append(a.hosts, name)
@@ -246,7 +246,7 @@
 type awayMsg struct{ leader string }
 
 func (m awayMsg) apply(c *Controller) {
-	k := &c.keep
+	k := &c.extender
 	if k.leader == m.leader && !k.away {
 		c.Log.Info("leader not reached, keeping its machines alive", "leader", m.leader, "term", k.term)
 		k.away = true
@@ -263,58 +263,58 @@
 }
 
 func (m verifiedMsg) apply(c *Controller) {
-	k := &c.keep
+	k := &c.extender
 	if m.leader != c.leader {
 		return
 	}
 	if k.leader != m.leader || k.term != m.term {
 		// Another term has begun, or this node was started anew beyond a cut.
-		*k = keeper{leader: m.leader, term: m.term, away: true}
+		*k = leaseExtender{leader: m.leader, term: m.term, away: true}
 	}
 	k.active, k.verified, k.mark = m.active, m.at, m.mark
 }
 
-// readKept reads which machines other nodes keep alive, every few seconds.
-func (r *leadership) readKept(now time.Time) {
-	if now.Sub(r.keptRead) < 2*time.Second {
+// readExtensions reads whose leases other nodes extend, every few seconds.
+func (r *leadership) readExtensions(now time.Time) {
+	if now.Sub(r.extensionsRead) < 2*time.Second {
 		return
 	}
-	r.keptRead = now
+	r.extensionsRead = now
 	go func() {
 		ctx, cancel := context.WithTimeout(r.ctx, 2*time.Second)
 		defer cancel()
-		p, err := r.c.Store.Range(ctx, store.KeepPrefix, "", keptRows)
+		p, err := r.c.Store.Range(ctx, store.LeaseExtensionPrefix, "", extensionRows)
 		if err != nil {
-			r.c.Log.Debug("kept machines not read", "err", err)
+			r.c.Log.Debug("extended leases not read", "err", err)
 			return
 		}
-		r.post(keptMsg{r, p.Rows})
+		r.post(extensionsMsg{r, p.Rows})
 	}()
 }
 
-type keptMsg struct {
+type extensionsMsg struct {
 	r    *leadership
 	rows []store.Entry
 }
 
-func (m keptMsg) apply(c *Controller) {
+func (m extensionsMsg) apply(c *Controller) {
 	r := m.r
 	if c.leadership != r {
 		return
 	}
 	now := time.Now()
 	for _, e := range m.rows {
-		if r.keptMarks[e.Key] == e.Mark {
+		if r.extensionMarks[e.Key] == e.Mark {
 			continue // not renewed since it was last read
 		}
-		r.keptMarks[e.Key] = e.Mark
-		var rec store.KeepRecord
+		r.extensionMarks[e.Key] = e.Mark
+		var rec store.LeaseExtensionRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil || rec.Term != r.term.Number {
 			continue
 		}
 		for _, name := range rec.Hosts {
 			if mc := r.machines[name]; mc != nil {
-				mc.kept = now.Add(keptFor)
+				mc.extendedUntil = now.Add(extensionLife)
 			}
 		}
 	}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -477,9 +477,9 @@
 	})
 }
 
-// keptBy has a node publish machines, and tells which of them a leader takes to
-// be kept.
-func keptBy(w *world, l limits, hosts []string) (kept int) {
+// extendedBy has a node publish machines, and tells which of them a leader takes to have
+// extended leases.
+func extendedBy(w *world, l limits, hosts []string) (kept int) {
 	w.state = l.settings()
 	w.enforce(l)
 	a := w.start("n0")
@@ -494,15 +494,15 @@
 	}
 	b := New(Config{Settings: &config.Settings{Node: "n1", Peers: []config.Peer{{Node: "n0"}, {Node: "n2"}}, Site: config.SiteInfo{State: w.state}},
 		Store: w.store, Log: a.Log})
-	b.publishKept(context.Background(), hosts, 1, e.Mark)
+	b.publishExtensions(context.Background(), hosts, 1, e.Mark)
 	a.look(func(c *Controller) {
-		c.leadership.keptRead = time.Time{}
-		c.leadership.readKept(time.Now())
+		c.leadership.extensionsRead = time.Time{}
+		c.leadership.readExtensions(time.Now())
 	})
 	time.Sleep(100 * time.Millisecond)
 	a.look(func(c *Controller) {
 		for _, m := range c.leadership.machines {
-			if m.kept.After(time.Now()) {
+			if m.extendedUntil.After(time.Now()) {
 				kept++
 			}
 		}
@@ -510,9 +510,9 @@
 	return kept
 }
 
-// A list of kept machines that does not fit one record goes on in further ones,
+// A list of extended leases that does not fit one record goes on in further ones,
 // which leaders of any version read; no more are written than they read.
-func TestKeptMachinesFitRecords(t *testing.T) {
+func TestLeaseExtensionsFitRecords(t *testing.T) {
 	names := func(n int) (hosts []string) {
 		for i := range n {
 			hosts = append(hosts, fmt.Sprintf("i-%06d", i))
@@ -522,19 +522,19 @@
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
 			play(t, func(w *world) {
-				w.same("kept", keptBy(w, l, names(300)), 300)
+				w.same("extended", extendedBy(w, l, names(300)), 300)
 				w.neverTooLarge()
 			})
 		})
 	}
 	play(t, func(w *world) {
 		// One too long for any record does not hold up the others.
-		w.same("kept", keptBy(w, limits{3, 1, 8}, append(names(40), strings.Repeat("i", 1100))), 40)
+		w.same("extended", extendedBy(w, limits{3, 1, 8}, append(names(40), strings.Repeat("i", 1100))), 40)
 		w.neverTooLarge()
 	})
 	play(t, func(w *world) {
-		keptBy(w, limits{3, 1, 8}, names(5000))
-		if n := len(w.keysUnder(store.KeepPrefix)); 3*n > 100 || n < 30 {
+		extendedBy(w, limits{3, 1, 8}, names(5000))
+		if n := len(w.keysUnder(store.LeaseExtensionPrefix)); 3*n > 100 || n < 30 {
 			w.t.Errorf("%d records of one node of three", n)
 		}
 		w.neverTooLarge()
@@ -545,8 +545,8 @@
 		a := w.start("n0")
 		w.enforce(limits{12, 1, 25})
 		e, _ := w.store.Get(context.Background(), election.TermKey)
-		a.publishKept(context.Background(), names(200), 1, e.Mark)
-		w.same("records", len(w.keysUnder(store.KeepPrefix)) > 2, true)
+		a.publishExtensions(context.Background(), names(200), 1, e.Mark)
+		w.same("records", len(w.keysUnder(store.LeaseExtensionPrefix)) > 2, true)
 		if n := len(w.store.TooLarge()); n == 0 || n > 3 {
 			w.t.Errorf("refused %d times", n)
 		}
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -249,11 +249,11 @@
 	passed bool
 	// sentOn is when the machine was last told to report to a nearer node.
 	sentOn time.Time
-	// kept is until when another node is known to keep the machine alive.
-	kept    time.Time
-	since   time.Time
-	idle    time.Time
-	reclaim time.Time
+	// extendedUntil is until when another node is known to extend its leases.
+	extendedUntil time.Time
+	since         time.Time
+	idle          time.Time
+	reclaim       time.Time
 
 	attempts map[attemptKey]*attempt
 	// foreign counts tasks whose team is not known; foreignHeld is what the
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -20,7 +20,7 @@
 )
 
 // While two zones cannot reach each other, both still reach the state service.
-// The node that keeps the leader's machines alive on its side writes their
+// The node that extends the leases of the leader's machines on its side writes their
 // reports there, batched, and hands out the orders that the leader writes back.
 // This is how it stays safe:
 //
@@ -148,9 +148,9 @@
 
 // write writes what is new.
 func (u *relayUp) write(c *Controller, now time.Time) {
-	k := &c.keep
+	k := &c.extender
 	leader := c.around.nodes[k.leader]
-	carrying := leader.lost() && k.mark != 0 && now.Sub(k.verified) < c.keepFor()
+	carrying := leader.lost() && k.mark != 0 && now.Sub(k.verified) < c.extensionPeriod()
 	for _, m := range u.machines {
 		if m.orders != nil && (now.Sub(m.since) > relayOrderLife || !carrying) {
 			m.settle(0)
@@ -310,7 +310,7 @@
 			u.machines[o.Machine] = m
 		}
 		m.orders, m.session, m.base, m.term, m.since = peer.UnpackOrders(o.Orders), o.Session, o.Base, d.Term, now
-		if d.Term != c.keep.term || o.Session != m.rep.Session {
+		if d.Term != c.extender.term || o.Session != m.rep.Session {
 			m.settle(0)
 		}
 	}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -767,7 +767,7 @@
 			}
 			l.cut.Store(false)
 			time.Sleep(3 * time.Second)
-			b.look(func(c *Controller) { w.same("still keeps them after the cut", c.keep.away, false) })
+			b.look(func(c *Controller) { w.same("still keeps them after the cut", c.extender.away, false) })
 		})
 	}
 }
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -36,7 +36,7 @@
 // that waits for it to be heard can start nothing old. One whose reports arrive
 // while it carries out no orders is deaf, and is asked in the same way. Where
 // most of a zone is silent or deaf at once, the network is the more likely
-// cause, and a node on the other side may keep the machines alive: they are
+// cause, and a node on the other side may extend the machines' leases: they are
 // given the time in which even that ends.
 func (r *leadership) silences(now time.Time) {
 	w := r.c.Settings.Site.Workers
@@ -71,7 +71,7 @@
 			// dead: nearly nobody has reported since.
 			m.heard && float64(fresh[m.zone]) < due*float64(all[m.zone])/5 && all[m.zone] >= fewMachines
 		if cut {
-			r.readKept(now)
+			r.readExtensions(now)
 		}
 		why := "silent"
 		if m.unheeded > 0 {
@@ -81,9 +81,9 @@
 		case !m.heard && now.Sub(r.listening) > w.Lease()+2*w.Report():
 			// It holds every earlier job back. A deaf one shows the old token
 			// in report after report and may even answer probes, but its
-			// lease has ended by now. One that another node keeps alive would
+			// lease has ended by now. One whose lease another node extends would
 			// have been heard through the store.
-		case now.Before(m.kept):
+		case now.Before(m.extendedUntil):
 			continue
 		case silent > w.Lease()+2*w.Report() && !cut:
 		case silent > config.Seconds(w.CancelS):
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -71,7 +71,7 @@
 	MemoryGB float64 `json:"memory_gb"`
 }
 
-type oldKeep struct {
+type oldLeaseExtension struct {
 	Term  uint64   `json:"term"`
 	Hosts []string `json:"hosts"`
 }
@@ -148,8 +148,8 @@
 			{Name: "i-000002", Addr: "10.1.0.2:9000", Type: "nod-sexton", Zone: "norrland", CPUs: 16, MemoryGB: 128}}},
 		oldRoster{[]oldMachine{{"i-000001", "10.1.0.1:9000", "nod-sexton", "norrland", true, 16, 1.5, 128}, {"i-000002", "10.1.0.2:9000", "nod-sexton", "norrland", false, 16, 0, 128}}}},
 	{"kept machines", `{"term":7,"hosts":["i-000001","i-000002"]}`,
-		store.KeepRecord{Term: 7, Hosts: []string{"i-000001", "i-000002"}},
-		oldKeep{7, []string{"i-000001", "i-000002"}}},
+		store.LeaseExtensionRecord{Term: 7, Hosts: []string{"i-000001", "i-000002"}},
+		oldLeaseExtension{7, []string{"i-000001", "i-000002"}}},
 	{"relayed part", `{"batch":12,"index":1,"of":2,"data":"Af9kYXRh"}`,
 		relay.Part{Batch: 12, Index: 1, Of: 2, Data: []byte("\x01\xffdata")},
 		oldPart{12, 1, 2, []byte("\x01\xffdata")}},
@@ -223,7 +223,7 @@
 func TestKeysOfEarlierVersions(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{store.ActivePrefix, "a/"}, {store.FinalPrefix, "f/"}, {store.ProgressPrefix, "p/"}, {store.MachinePrefix, "m/"},
-		{store.KeepPrefix, "keep/"}, {store.RelayPrefix, "relay/"}, {store.TypesKey, "types"}, {store.CancelKey, "a/!cancel"},
+		{store.LeaseExtensionPrefix, "keep/"}, {store.RelayPrefix, "relay/"}, {store.TypesKey, "types"}, {store.CancelKey, "a/!cancel"},
 		{election.LeaderKey, "leader"}, {election.TermKey, "term"}, {store.ProgressKey("job-1", 4096), "p/job-1/4096"},
 	} {
 		if c.got != c.want {
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -18,13 +18,13 @@
 // Prefixes of the service's keys. Active and final jobs are apart, so that a
 // new leader reads only what still matters.
 const (
-	ActivePrefix   = "a/"
-	FinalPrefix    = "f/"
-	ProgressPrefix = "p/"
-	MachinePrefix  = "m/"
-	KeepPrefix     = "keep/"
-	RelayPrefix    = "relay/"
-	TypesKey       = "types"
+	ActivePrefix         = "a/"
+	FinalPrefix          = "f/"
+	ProgressPrefix       = "p/"
+	MachinePrefix        = "m/"
+	LeaseExtensionPrefix = "keep/"
+	RelayPrefix          = "relay/"
+	TypesKey             = "types"
 	// CancelKey changes in every transaction that cancels a job. It lies under
 	// ActivePrefix, so a watch shows it together with the jobs cancelled.
 	CancelKey = ActivePrefix + "!cancel"
@@ -83,9 +83,9 @@
 	MemoryGB float64 `json:"memory_gb"`
 }
 
-// KeepRecord names the machines whose leases a node keeps alive for a leader
+// LeaseExtensionRecord names the machines whose leases a node extends for a leader
 // that cannot reach them.
-type KeepRecord struct {
+type LeaseExtensionRecord struct {
 	Term  uint64   `json:"term"`
 	Hosts []string `json:"hosts"`
 }
