--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -187,7 +187,7 @@
 	for {
 		for i := range 3 {
 			n := tn.at(i)
-			st, err := n.Standing(context.Background(), CancelPosition{})
+			st, err := n.PeerStatus(context.Background(), CancelPosition{})
 			if err == nil && st.Term > 0 {
 				return int(n.Settings.Node[1] - '0')
 			}
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -189,7 +189,7 @@
 // here.
 func (r *leadership) cancellationsKnownAt(now time.Time) time.Time {
 	all := now
-	for _, n := range r.c.around.nodes {
+	for _, n := range r.c.peerTable.nodes {
 		if n.cancels.whole.After(r.cancellationsConfirmedAt) {
 			return r.cancellationsConfirmedAt // it was started, or cut off, since the store answered
 		}
@@ -219,7 +219,7 @@
 	if now.Sub(r.cancellationsKnownAt(now)) <= r.c.proofInterval()+startSlack {
 		return true
 	}
-	for _, n := range r.c.around.nodes {
+	for _, n := range r.c.peerTable.nodes {
 		if n.reached(now) && n.StoreOK == 0 {
 			return true
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -29,9 +29,9 @@
 type PeerAsker interface {
 	// Job returns ErrUnavailable when the node cannot answer.
 	Job(ctx context.Context, node, id string) (api.JobState, error)
-	// Ping returns how the node stands, if it can be reached.
+	// Ping returns the node's state, if it can be reached.
 	// What it knows of cancellations beyond a position comes with it.
-	Ping(ctx context.Context, node string, from CancelPosition) (Standing, error)
+	Ping(ctx context.Context, node string, from CancelPosition) (PeerStatus, error)
 	// Report passes a machine's report on to the leader. NotLeaderError means
 	// that the node does not lead, ErrRefused that connections are refused.
 	Report(ctx context.Context, node string, rep *api.Report) (api.ReportAnswer, error)
@@ -69,7 +69,7 @@
 	leadership *leadership
 	extender   leaseExtender
 	up         relayUp
-	around     around
+	peerTable  peerTable
 	// sent is when machines were sent on to the leader, past this node.
 	sent map[string]time.Time
 	// directed is to whom machines were last told to report.
@@ -99,7 +99,7 @@
 		Config: cfg, records: store.Records{Store: cfg.UserStore},
 		mail: make(chan message, 256), depose: make(chan uint64, 4), resigns: make(chan string, 4), final: final,
 		sent: map[string]time.Time{}, directed: map[string]directed{}, up: newRelayUp(),
-		reads: map[string]*readRound{}, cancels: newCancelLog(cfg.Settings.Site.Workers, time.Now()), around: newAround(cfg.Settings.Peers, time.Now()),
+		reads: map[string]*readRound{}, cancels: newCancelLog(cfg.Settings.Site.Workers, time.Now()), peerTable: newPeerTable(cfg.Settings.Peers, time.Now()),
 	}
 }
 
@@ -144,7 +144,7 @@
 			m.apply(c)
 		case <-tick.C:
 			now := time.Now()
-			c.lookAround(now)
+			c.checkStoreAccess(now)
 			c.up.tick(c, now)
 			if c.leadership != nil {
 				c.leadership.tick(now)
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -108,13 +108,13 @@
 		return
 	}
 	if c.passes(m, leader, now) {
-		if c.around.nodes[leader].reached(now) {
+		if c.peerTable.nodes[leader].reached(now) {
 			c.up.dropOrders(m.rep.Machine)
 		}
 		m.reply <- reportReply{passTo: leader}
 		return
 	}
-	if n := c.around.nodes[leader]; n.lost() && (m.refused || n.refused) && c.mayBeReached(m.rep.Machine, now) {
+	if n := c.peerTable.nodes[leader]; n.lost() && (m.refused || n.refused) && c.mayBeReached(m.rep.Machine, now) {
 		// Only the connections between the nodes are refused, or the leader
 		// restarts: the machine may well reach it itself. By now that knows,
 		// too, not to send it back here.
@@ -122,7 +122,7 @@
 		m.reply <- reportReply{err: &api.NotLeaderError{Leader: leader}}
 		return
 	}
-	if n := c.around.nodes[leader]; m.unreached == "" && n.reached(now) && n.Term > 0 {
+	if n := c.peerTable.nodes[leader]; m.unreached == "" && n.reached(now) && n.Term > 0 {
 		settled := m.rep.Term == n.Term && now.Sub(n.termAt) > c.Settings.Site.Workers.Lease()
 		if c.cameBack(m.rep.Machine, leader, n.Term, settled, now) {
 			m.reply <- reportReply{passTo: leader}
@@ -131,7 +131,7 @@
 		m.reply <- reportReply{err: &api.NotLeaderError{Leader: leader}}
 		return
 	}
-	unreached := m.unreached == leader || !c.around.nodes[leader].reached(now)
+	unreached := m.unreached == leader || !c.peerTable.nodes[leader].reached(now)
 	if ans, ok := c.extendLease(m.rep, leader, unreached, now); ok {
 		c.up.note(c, m.rep, &ans, now)
 		m.reply <- reportReply{ans: ans}
@@ -153,7 +153,7 @@
 		return ""
 	}
 	for _, p := range c.Settings.Peers {
-		if n := c.around.nodes[p.Node]; p.Zone == m.rep.Zone && n.reached(now) && n.Leader == c.Settings.Node && n.StoreOK > 0 {
+		if n := c.peerTable.nodes[p.Node]; p.Zone == m.rep.Zone && n.reached(now) && n.Leader == c.Settings.Node && n.StoreOK > 0 {
 			mc.sentOn = now
 			return p.Node
 		}
@@ -166,7 +166,7 @@
 
 // passes tells whether a report is passed on to the leader.
 func (c *Controller) passes(m reportMsg, leader string, now time.Time) bool {
-	n := c.around.nodes[leader]
+	n := c.peerTable.nodes[leader]
 	return n != nil && m.unreached == "" && m.rep.Zone == c.Settings.Zone && n.zone != c.Settings.Zone &&
 		(n.reached(now) || n.failed == 1 || c.mayBeReached(m.rep.Machine, now))
 }
--- a/internal/controller/around.go
+++ b/internal/controller/peertable.go
@@ -10,8 +10,8 @@
 	"example.org/ivytrestle/internal/election"
 )
 
-// Standing is how a node stands, as it tells the others.
-type Standing struct {
+// PeerStatus is a node's state as it tells the others.
+type PeerStatus struct {
 	// Term is the term in which it leads at this moment, or 0.
 	Term uint64
 	// Leader is the node that it takes for the leader.
@@ -26,10 +26,10 @@
 	Known   time.Duration
 }
 
-// around is what a node knows of the others and of its own way to the state
+// peerTable is what a node knows of the others and of its own way to the state
 // service.
-type around struct {
-	nodes map[string]*neighbour
+type peerTable struct {
+	nodes map[string]*peerState
 	// storeAt is when the service last answered, storeSince since when it has
 	// done so without a break, or has not.
 	storeAt    time.Time
@@ -37,9 +37,9 @@
 	storeSince time.Time
 }
 
-// neighbour is another node as last heard of.
-type neighbour struct {
-	Standing
+// peerState is another node as last heard of.
+type peerState struct {
+	PeerStatus
 	zone    string
 	cancels cancelReader
 	// termAt is when it was first heard to lead in its term.
@@ -50,10 +50,10 @@
 	refused bool
 }
 
-func newAround(peers []config.Peer, now time.Time) around {
-	a := around{nodes: map[string]*neighbour{}, storeSince: now}
+func newPeerTable(peers []config.Peer, now time.Time) peerTable {
+	a := peerTable{nodes: map[string]*peerState{}, storeSince: now}
 	for _, p := range peers {
-		a.nodes[p.Node] = &neighbour{zone: p.Zone}
+		a.nodes[p.Node] = &peerState{zone: p.Zone}
 	}
 	return a
 }
@@ -74,20 +74,20 @@
 )
 
 // reached tells whether the node has answered just now.
-func (n *neighbour) reached(now time.Time) bool {
+func (n *peerState) reached(now time.Time) bool {
 	return n != nil && n.failed == 0 && now.Sub(n.seen) < 3*pingEvery
 }
 
 // lost tells whether the node has not answered for a while.
-func (n *neighbour) lost() bool { return n != nil && n.failed > unreachedAfter }
+func (n *peerState) lost() bool { return n != nil && n.failed > unreachedAfter }
 
 // leads names the node that leads, as far as known here.
 func (c *Controller) leads(now time.Time) string {
-	if c.leader != "" && c.leader != c.Settings.Node && c.around.storeOK {
+	if c.leader != "" && c.leader != c.Settings.Node && c.peerTable.storeOK {
 		return c.leader
 	}
 	best, term := "", uint64(0)
-	for name, n := range c.around.nodes {
+	for name, n := range c.peerTable.nodes {
 		if n.reached(now) && n.Term > term {
 			best, term = name, n.Term
 		}
@@ -116,7 +116,7 @@
 
 func (m storeMsg) apply(c *Controller) {
 	now := time.Now()
-	a := &c.around
+	a := &c.peerTable
 	if m.ok {
 		a.storeAt = now
 	}
@@ -154,7 +154,7 @@
 
 type peerMsg struct {
 	node   string
-	st     Standing
+	st     PeerStatus
 	sent   time.Time
 	failed int
 	// refused is set if the connection was refused.
@@ -163,7 +163,7 @@
 
 func (m peerMsg) apply(c *Controller) {
 	now := time.Now()
-	n := c.around.nodes[m.node]
+	n := c.peerTable.nodes[m.node]
 	if n == nil {
 		return
 	}
@@ -179,7 +179,7 @@
 		c.cancelled(id)
 	}
 	m.st.Cancels = CancelNews{}
-	n.Standing, n.seen = m.st, m.sent
+	n.PeerStatus, n.seen = m.st, m.sent
 	if c.leadership != nil {
 		c.leadership.down.restarted(c.leadership, m.node, m.st.Incarnation)
 	}
@@ -196,10 +196,10 @@
 	}
 }
 
-// lookAround draws the conclusions: a node that the state service refuses
+// checkStoreAccess draws the conclusions: a node that the state service refuses
 // while it answers others can only fail its users, and cannot lead.
-func (c *Controller) lookAround(now time.Time) {
-	a := &c.around
+func (c *Controller) checkStoreAccess(now time.Time) {
+	a := &c.peerTable
 	if a.storeOK || now.Sub(a.storeSince) < storeLostAfter {
 		if c.shut.Swap(false) {
 			c.Log.Info("state service reached again")
@@ -254,28 +254,28 @@
 	}
 }
 
-// Standing is how this node stands.
-func (c *Controller) Standing(ctx context.Context, from CancelPosition) (Standing, error) {
-	m := standingMsg{from, make(chan Standing, 1)}
+// PeerStatus is the state of this node, as the others are told.
+func (c *Controller) PeerStatus(ctx context.Context, from CancelPosition) (PeerStatus, error) {
+	m := peerStatusMsg{from, make(chan PeerStatus, 1)}
 	if err := c.send(ctx, m); err != nil {
-		return Standing{}, err
+		return PeerStatus{}, err
 	}
 	select {
 	case st := <-m.reply:
 		return st, nil
 	case <-ctx.Done():
-		return Standing{}, ctx.Err()
+		return PeerStatus{}, ctx.Err()
 	}
 }
 
-type standingMsg struct {
+type peerStatusMsg struct {
 	from  CancelPosition
-	reply chan Standing
+	reply chan PeerStatus
 }
 
-func (m standingMsg) apply(c *Controller) {
+func (m peerStatusMsg) apply(c *Controller) {
 	now := time.Now()
-	st := Standing{Leader: c.leader, Incarnation: c.up.incarnation, Known: -1}
+	st := PeerStatus{Leader: c.leader, Incarnation: c.up.incarnation, Known: -1}
 	if m.from.Incarnation != st.Incarnation {
 		m.from.Number = 0
 	}
@@ -286,8 +286,8 @@
 			st.Known = now.Sub(c.leadership.cancellationsKnownAt(now))
 		}
 	}
-	if c.around.storeOK && now.Sub(c.around.storeAt) < 2*storeEvery {
-		st.StoreOK = max(now.Sub(c.around.storeSince), time.Millisecond)
+	if c.peerTable.storeOK && now.Sub(c.peerTable.storeAt) < 2*storeEvery {
+		st.StoreOK = max(now.Sub(c.peerTable.storeSince), time.Millisecond)
 	}
 	m.reply <- st
 }
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -117,11 +117,11 @@
 		return
 	}
 	now := time.Now()
-	reply := pollReply{storeLost: !c.around.storeOK}
+	reply := pollReply{storeLost: !c.peerTable.storeOK}
 	if c.leadership == nil {
 		reply.leader = c.leads(now)
 	}
-	for name, n := range c.around.nodes {
+	for name, n := range c.peerTable.nodes {
 		if name != reply.leader && n.reached(now) && n.StoreOK > 0 {
 			reply.others = append(reply.others, name)
 		}
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -149,7 +149,7 @@
 // write writes what is new.
 func (u *relayUp) write(c *Controller, now time.Time) {
 	k := &c.extender
-	leader := c.around.nodes[k.leader]
+	leader := c.peerTable.nodes[k.leader]
 	carrying := leader.lost() && k.mark != 0 && now.Sub(k.verified) < c.extensionPeriod()
 	for _, m := range u.machines {
 		if m.orders != nil && (now.Sub(m.since) > relayOrderLife || !carrying) {
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -51,7 +51,7 @@
 		return
 	}
 	d.next = now.Add(relayEvery / 2)
-	for name, n := range r.c.around.nodes {
+	for name, n := range r.c.peerTable.nodes {
 		node := d.nodes[name]
 		if node == nil {
 			node = &relayNode{pending: map[string]*relayedOrders{}}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -688,15 +688,15 @@
 	return n.PeerJob(ctx, id)
 }
 
-func (l *links) Ping(ctx context.Context, name string, from CancelPosition) (Standing, error) {
+func (l *links) Ping(ctx context.Context, name string, from CancelPosition) (PeerStatus, error) {
 	n, err := l.to(name)
 	if err != nil {
 		if l.refuse.Load() {
 			err = ErrRefused
 		}
-		return Standing{}, err
+		return PeerStatus{}, err
 	}
-	return n.Standing(ctx, from)
+	return n.PeerStatus(ctx, from)
 }
 
 func (l *links) Report(ctx context.Context, name string, rep *api.Report) (api.ReportAnswer, error) {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -37,7 +37,7 @@
 func (h peerHandler) Ping(ctx context.Context, p *peer.Ping) (*peer.Pong, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerWait)
 	defer cancel()
-	st, err := h.c.Standing(ctx, controller.CancelPosition{Incarnation: p.GetIncarnation(), Number: p.GetCancelNumber()})
+	st, err := h.c.PeerStatus(ctx, controller.CancelPosition{Incarnation: p.GetIncarnation(), Number: p.GetCancelNumber()})
 	if err != nil {
 		return nil, err
 	}
@@ -94,19 +94,19 @@
 }
 
 // Ping implements controller.PeerAsker.
-func (p peers) Ping(ctx context.Context, node string, from controller.CancelPosition) (controller.Standing, error) {
+func (p peers) Ping(ctx context.Context, node string, from controller.CancelPosition) (controller.PeerStatus, error) {
 	cl := p[node]
 	if cl == nil {
-		return controller.Standing{}, api.ErrUnavailable
+		return controller.PeerStatus{}, api.ErrUnavailable
 	}
 	st, err := cl.Ping(ctx, &peer.Ping{Incarnation: from.Incarnation, CancelNumber: from.Number})
 	if errors.Is(err, peer.ErrRefused) {
 		err = controller.ErrRefused
 	}
 	if err != nil {
-		return controller.Standing{}, err
+		return controller.PeerStatus{}, err
 	}
-	out := controller.Standing{Term: st.Term, Leader: st.Leader, StoreOK: time.Duration(st.StoreOkMs) * time.Millisecond,
+	out := controller.PeerStatus{Term: st.Term, Leader: st.Leader, StoreOK: time.Duration(st.StoreOkMs) * time.Millisecond,
 		Incarnation: st.Incarnation, Known: -1, Cancels: controller.CancelNews{IDs: st.Cancelled, First: st.CancelFirst, More: st.CancelMore,
 			Whole: time.Duration(st.CancelWholeMs) * time.Millisecond}}
 	if st.KnownAgeMs != nil {
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -2,7 +2,7 @@
 // runtime's scheduler. It is told before each system call of package net, since
 // a call might block; those on a socket that does not block never do. On a
 // process that sleeps between short pieces of work, being told wakes a watching
-// thread, which then looks around a few times before it sleeps again: most of the
+// thread, which then polls a few times before it sleeps again: most of the
 // system calls of a controller were that thread's, and the smallest machines
 // charge for each. The figures are in docs/measurements.md.
 package netio
