--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -117,8 +117,8 @@
 				r.countHolders(now)
 				r.scanMachines(now)
 				r.scanOverdue(now)
-				r.renter.drain(now)
-				r.renter.move(now)
+				r.provisioner.drain(now)
+				r.provisioner.move(now)
 			}
 		})
 	}
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -96,7 +96,7 @@
 		}
 	}
 	slices.SortFunc(ms, func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(r.renter.cpuPrice(a), r.renter.cpuPrice(b)), cmp.Compare(a.freeCPUs(), b.freeCPUs()), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(r.provisioner.cpuPrice(a), r.provisioner.cpuPrice(b)), cmp.Compare(a.freeCPUs(), b.freeCPUs()), cmp.Compare(a.name, b.name))
 	})
 	for _, m := range ms {
 		if r.ordering >= most {
@@ -191,6 +191,6 @@
 func (r *leadership) settleUnsure(a *attempt) {
 	if m := a.machine; a.direct != nil && a.direct.unsure && a.seen == 0 && !m.gone && !m.returning {
 		r.leave(m, "order unanswered")
-		r.renter.giveBack(m)
+		r.provisioner.giveBack(m)
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -55,12 +55,12 @@
 	// that are over: whose team they count for is not known.
 	foreignCPUs float64
 
-	confirm  confirmer
-	pipeline pipeline
-	down     relayDown
-	recorder recorder
-	renter   renter
-	counts   counters
+	confirm     confirmer
+	pipeline    pipeline
+	down        relayDown
+	recorder    recorder
+	provisioner provisioner
+	counts      counters
 	// dispatchUntil is until when free machines are looked for that could be
 	// given work directly; ordering is to how many such orders are on the way.
 	dispatchUntil time.Time
@@ -129,7 +129,7 @@
 	r.confirm.r = r
 	r.recorder.init(r)
 	r.pipeline.init(r)
-	r.renter.init(r)
+	r.provisioner.init(r)
 	for _, t := range c.Settings.Site.Teams {
 		q := &queue.Team[*job]{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax,
 			Share: c.Policy.Share(t.Name, max(t.CPUs, t.GPUs, 1))}
@@ -406,7 +406,7 @@
 	r.countHolders(now)
 	r.scanMachines(now)
 	r.scanOverdue(now)
-	r.renter.tick(now)
+	r.provisioner.tick(now)
 	r.logUse(now)
 	r.logWaits(now)
 }
@@ -509,13 +509,13 @@
 	r.silences(now)
 	for _, m := range r.machines {
 		if m.leaving && !m.returning && !m.gone && m.empty() {
-			r.renter.giveBack(m)
+			r.provisioner.giveBack(m)
 		}
 	}
-	idle := r.renter.idle(now)
+	idle := r.provisioner.idle(now)
 	for _, m := range idle {
 		r.leave(m, "idle")
-		r.renter.giveBack(m)
+		r.provisioner.giveBack(m)
 	}
 }
 
--- a/internal/controller/particular.go
+++ b/internal/controller/particular.go
@@ -29,7 +29,7 @@
 
 // particulars sums up what waits, by what machines it may use. A job that awaits
 // others counts once all of them have begun: a machine boots meanwhile.
-func (f *renter) particulars(now time.Time) []*particular {
+func (f *provisioner) particulars(now time.Time) []*particular {
 	byKind := map[string]*particular{}
 	add := func(j *job, cpus float64) {
 		key := j.spec.Zone + "|" + strings.Join(j.spec.Types, ",")
@@ -79,7 +79,7 @@
 
 // rentParticular covers what is lacking for jobs that may not use every machine: by
 // machines that were to be drained, or by new ones.
-func (f *renter) rentParticular(offers []fleet.Offer, now time.Time) {
+func (f *provisioner) rentParticular(offers []fleet.Offer, now time.Time) {
 	r := f.r
 	for _, p := range f.particulars(now) {
 		lack := p.cpus
@@ -98,7 +98,7 @@
 				lack -= e.cpus
 			}
 		}
-		for _, h := range f.hiring {
+		for _, h := range f.pendingRentals {
 			if mayUse(p.spec, h.Type, h.Zone, h.Spot) {
 				lack -= float64(h.Count) * h.CPUs
 			}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -238,7 +238,7 @@
 		k.serve(n, 100)
 		n.look(func(c *Controller) {
 			r := c.leadership
-			w.same("demand", r.renter.demand(), 1.0)
+			w.same("demand", r.provisioner.demand(), 1.0)
 			w.same("in the queue", len(r.teams["red"].Items()), 1)
 			w.same("overlooked", r.overlooked, 0)
 			counts, _ := r.waits(time.Now())
@@ -257,7 +257,7 @@
 			j := c.leadership.jobs["job-2"]
 			w.same("since it could run", time.Since(j.since) < 5*time.Second, true)
 			w.same("its aim", time.Until(j.aims[0]) > 80*time.Second, true)
-			w.same("demand", c.leadership.renter.demand(), 16.0)
+			w.same("demand", c.leadership.provisioner.demand(), 16.0)
 		})
 	})
 }
--- a/internal/controller/renter.go
+++ b/internal/controller/provisioner.go
@@ -13,23 +13,23 @@
 	"example.org/ivytrestle/internal/fleet"
 )
 
-// renter rents machines for what waits and gives back what is not needed. It
+// provisioner rents machines for what waits and gives back what is not needed. It
 // is a part of the leadership and speaks to the cloud through goroutines that
 // answer by messages.
-type renter struct {
+type provisioner struct {
 	r       *leadership
 	named   int
 	renting int
 	asked   float64 // CPUs of rentals whose outcome is not known yet
-	// hiring are the rentals that are not answered yet, by name.
-	hiring   map[string]fleet.Purchase
-	blocked  map[fleet.Kind]time.Time
-	returns  []string
-	sending  bool
-	nextList time.Time
-	listing  bool
-	peak     peak
-	surplus  float64
+	// pendingRentals are the rentals that are not answered yet, by name.
+	pendingRentals map[string]fleet.Purchase
+	blocked        map[fleet.Kind]time.Time
+	returns        []string
+	sending        bool
+	nextList       time.Time
+	listing        bool
+	peak           peak
+	surplus        float64
 	// roomSince is since when there has been room to spare.
 	roomSince time.Time
 }
@@ -43,13 +43,13 @@
 	blockedFor = 15 * time.Second
 )
 
-func (f *renter) init(r *leadership) {
+func (f *provisioner) init(r *leadership) {
 	f.r = r
 	f.blocked = map[fleet.Kind]time.Time{}
-	f.hiring = map[string]fleet.Purchase{}
+	f.pendingRentals = map[string]fleet.Purchase{}
 }
 
-func (f *renter) tick(now time.Time) {
+func (f *provisioner) tick(now time.Time) {
 	f.sendReturns()
 	f.list(now)
 	f.rent(now)
@@ -57,7 +57,7 @@
 }
 
 // demand is the CPUs that the teams could use now, each within its limit.
-func (f *renter) demand() float64 {
+func (f *provisioner) demand() float64 {
 	sum := 0.0
 	for _, t := range f.r.turns {
 		want := t.UsedCPUs
@@ -72,7 +72,7 @@
 }
 
 // rent covers what is lacking.
-func (f *renter) rent(now time.Time) {
+func (f *provisioner) rent(now time.Time) {
 	r := f.r
 	used, total := 0.0, 0.0
 	for _, m := range r.machines {
@@ -99,7 +99,7 @@
 }
 
 // cover rents what is lacking of some offers.
-func (f *renter) cover(lack float64, offers []fleet.Offer) {
+func (f *provisioner) cover(lack float64, offers []fleet.Offer) {
 	if lack <= 0 || f.renting >= maxRenting {
 		return
 	}
@@ -108,8 +108,8 @@
 		f.renting++
 		f.asked += float64(p.Count) * p.CPUs
 		req := cloud.Rental{Name: f.r.rentalName(f.named), Type: p.Type, Zone: p.Zone, Spot: p.Spot, Count: p.Count}
-		f.hiring[req.Name] = p
-		go f.r.hire(req, p.Offer)
+		f.pendingRentals[req.Name] = p
+		go f.r.sendRental(req, p.Offer)
 	}
 }
 
@@ -141,7 +141,7 @@
 
 // drain empties the machines that are worth least while there is room to spare,
 // and takes them back into use when there is not.
-func (f *renter) drain(now time.Time) {
+func (f *provisioner) drain(now time.Time) {
 	spare := f.surplus
 	var draining, rest []*machine
 	for _, m := range f.r.machines {
@@ -193,7 +193,7 @@
 
 // move stops the tasks on draining machines that can go on elsewhere from
 // where they were.
-func (f *renter) move(now time.Time) {
+func (f *provisioner) move(now time.Time) {
 	room := 0.0
 	for _, m := range f.r.machines {
 		if m.open(now) {
@@ -222,7 +222,7 @@
 }
 
 // offers are the kinds of machine that were not refused lately.
-func (f *renter) offers(now time.Time) []fleet.Offer {
+func (f *provisioner) offers(now time.Time) []fleet.Offer {
 	var all []fleet.Offer
 	for _, mt := range f.r.c.types.load() {
 		for _, z := range mt.Zones {
@@ -244,15 +244,15 @@
 	return all
 }
 
-// hire sends a rental until its outcome is known. The name makes repeats safe.
-func (r *leadership) hire(req cloud.Rental, o fleet.Offer) {
+// sendRental sends a rental until its outcome is known. The name makes repeats safe.
+func (r *leadership) sendRental(req cloud.Rental, o fleet.Offer) {
 	wait := time.Second
 	for range 6 {
 		ctx, cancel := context.WithTimeout(r.ctx, 5*time.Second)
 		hosts, err := r.c.Cloud.Rent(ctx, req)
 		cancel()
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-			r.post(hiredMsg{r, req, o, hosts})
+			r.post(rentedMsg{r, req, o, hosts})
 			return
 		}
 		r.c.Log.Debug("rental", "name", req.Name, "err", err)
@@ -260,27 +260,27 @@
 		wait = min(2*wait, 8*time.Second)
 	}
 	// If it was carried out after all, the list or a report shows it.
-	r.post(hiredMsg{r: r, req: req, o: o})
+	r.post(rentedMsg{r: r, req: req, o: o})
 }
 
-type hiredMsg struct {
+type rentedMsg struct {
 	r     *leadership
 	req   cloud.Rental
 	o     fleet.Offer
 	hosts []string
 }
 
-func (m hiredMsg) apply(c *Controller) {
+func (m rentedMsg) apply(c *Controller) {
 	r := m.r
 	if c.leadership != r {
 		return
 	}
 	now := time.Now()
-	r.renter.renting--
-	delete(r.renter.hiring, m.req.Name)
-	r.renter.asked -= float64(m.req.Count) * m.o.CPUs
+	r.provisioner.renting--
+	delete(r.provisioner.pendingRentals, m.req.Name)
+	r.provisioner.asked -= float64(m.req.Count) * m.o.CPUs
 	if len(m.hosts) < m.req.Count {
-		r.renter.blocked[m.o.Kind()] = now.Add(blockedFor)
+		r.provisioner.blocked[m.o.Kind()] = now.Add(blockedFor)
 	}
 	if len(m.hosts) > 0 {
 		c.Log.Info("machines rented", "type", m.req.Type, "zone", m.req.Zone, "spot", m.req.Spot,
@@ -292,13 +292,13 @@
 		}
 	}
 	if c.valid() {
-		r.renter.rent(now) // what is still lacking is asked for at once
+		r.provisioner.rent(now) // what is still lacking is asked for at once
 	}
 }
 
 // idle picks the machines to give back: empty for long enough, the dearest
 // first, as far as what remains covers the demand.
-func (f *renter) idle(now time.Time) []*machine {
+func (f *provisioner) idle(now time.Time) []*machine {
 	var out []*machine
 	for _, m := range f.r.machines {
 		if m.leaving || m.gone || !m.heard || m.cpus == 0 || len(m.attempts) > 0 ||
@@ -322,7 +322,7 @@
 }
 
 // cheapest is the lowest price of a CPU.
-func (f *renter) cheapest() float64 {
+func (f *provisioner) cheapest() float64 {
 	best := math.Inf(1)
 	for _, mt := range f.r.c.types.load() {
 		for _, p := range []float64{mt.Price, mt.SpotPrice} {
@@ -334,7 +334,7 @@
 	return best
 }
 
-func (f *renter) cpuPrice(m *machine) float64 {
+func (f *provisioner) cpuPrice(m *machine) float64 {
 	mt, ok := f.r.c.types.load()[m.typ]
 	if !ok || mt.CPUs == 0 {
 		return 0
@@ -346,13 +346,13 @@
 }
 
 // giveBack returns a machine to the cloud.
-func (f *renter) giveBack(m *machine) {
+func (f *provisioner) giveBack(m *machine) {
 	m.returning = true
 	f.returns = append(f.returns, m.name)
 	f.sendReturns()
 }
 
-func (f *renter) sendReturns() {
+func (f *provisioner) sendReturns() {
 	if f.sending || len(f.returns) == 0 {
 		return
 	}
@@ -380,10 +380,10 @@
 	if c.leadership != r {
 		return
 	}
-	r.renter.sending = false
+	r.provisioner.sending = false
 	if m.err != nil {
 		c.Log.Debug("machines not returned", "machines", m.names, "err", m.err)
-		r.renter.returns = append(r.renter.returns, m.names...)
+		r.provisioner.returns = append(r.provisioner.returns, m.names...)
 		return
 	}
 	for _, name := range m.names {
@@ -393,12 +393,12 @@
 			r.machineGone(mc)
 		}
 	}
-	r.renter.sendReturns()
+	r.provisioner.sendReturns()
 }
 
 // list reads the cloud's list from time to time: for machines that nobody
 // expected, that never came up, or that have stopped.
-func (f *renter) list(now time.Time) {
+func (f *provisioner) list(now time.Time) {
 	if f.listing || now.Before(f.nextList) {
 		return
 	}
@@ -423,7 +423,7 @@
 	if c.leadership != r {
 		return
 	}
-	f := &r.renter
+	f := &r.provisioner
 	now := time.Now()
 	f.listing, f.nextList = false, now.Add(listInterval)
 	if m.err != nil {
@@ -443,7 +443,7 @@
 	if m := r.machines[h.Name]; m != nil {
 		if h.Phase == cloud.PhaseFailed && !m.returning && now.Sub(m.lastSeen) > 2*r.c.Settings.Site.Workers.Report() {
 			r.leave(m, "stopped")
-			r.renter.giveBack(m)
+			r.provisioner.giveBack(m)
 		}
 		return
 	}
@@ -463,6 +463,6 @@
 	if h.Phase == cloud.PhaseFailed || (now.Sub(e.since) > 4*boot+r.c.Settings.Site.Workers.Lease()) {
 		r.c.Log.Info("machine never reported", "machine", h.Name, "phase", h.Phase, "age", age.Round(time.Second))
 		e.returning = true
-		r.renter.returns = append(r.renter.returns, h.Name)
+		r.provisioner.returns = append(r.provisioner.returns, h.Name)
 	}
 }
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -603,8 +603,8 @@
 	if m.usedCPUs < slack {
 		lost += 4
 	}
-	if p := r.renter.cpuPrice(m); p > 0 {
-		lost += p/r.renter.cheapest() - 1
+	if p := r.provisioner.cpuPrice(m); p > 0 {
+		lost += p/r.provisioner.cheapest() - 1
 	}
 	if m.spot != (j.spec.CheckpointS > 0) {
 		lost += misplaced
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -93,7 +93,7 @@
 			continue
 		}
 		r.leave(m, why)
-		r.renter.giveBack(m)
+		r.provisioner.giveBack(m)
 	}
 }
 
@@ -157,7 +157,7 @@
 		// they are off the machine but its return.
 		p.r.leave(p.m, "started anew")
 		if !p.m.returning {
-			p.r.renter.giveBack(p.m)
+			p.r.provisioner.giveBack(p.m)
 		}
 		return
 	}
