--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -91,7 +91,7 @@
 			defer func() { <-slots }()
 			serve(w, r)
 		default:
-			w.Header().Set("Retry-After", strconv.Itoa(int(crowdedAfter/time.Second)))
+			w.Header().Set("Retry-After", strconv.Itoa(int(overloadRetryAfter/time.Second)))
 			s.fail(w, http.StatusTooManyRequests, errors.New("too many requests just now"))
 		}
 	}
@@ -233,8 +233,8 @@
 // retryAfter is when a user should come back to a node that could not answer.
 const retryAfter = time.Second
 
-// crowdedAfter is when one should who came at a time of too many.
-const crowdedAfter = 2 * time.Second
+// overloadRetryAfter is when one should who came at a time of too many.
+const overloadRetryAfter = 2 * time.Second
 
 func (s *server) unavailable(w http.ResponseWriter, err error) {
 	s.log.Debug("request not served", "err", err)
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -307,9 +307,9 @@
 // background does what some user does while the others go on.
 func (tn *town) background(f func()) { tn.users.Go(f) }
 
-// crowd asks about a job at all nodes in turn, with gap between two questions
+// pollAll asks about a job at all nodes in turn, with gap between two questions
 // whether or not they are answered; some repeat the submission.
-func (tn *town) crowd(s *api.JobSpec, gap, span time.Duration) {
+func (tn *town) pollAll(s *api.JobSpec, gap, span time.Duration) {
 	submitted := func() bool {
 		tn.told.mu.Lock()
 		defer tn.told.mu.Unlock()
@@ -420,7 +420,7 @@
 					}
 					time.Sleep(time.Duration(try) * c.step)
 					for _, s := range []*api.JobSpec{ends, stays, called, atOnce} {
-						tn.crowd(s, 4*time.Millisecond, 900*time.Millisecond)
+						tn.pollAll(s, 4*time.Millisecond, 900*time.Millisecond)
 					}
 					time.Sleep(100 * time.Millisecond)
 					tn.background(func() { tn.finish("job-1") })
@@ -532,7 +532,7 @@
 							time.Sleep(3 * time.Second)
 						}
 						w.store.Lose(once(c.lose))
-						tn.crowd(spec("job-1", 2), 7*time.Millisecond, 3*time.Second)
+						tn.pollAll(spec("job-1", 2), 7*time.Millisecond, 3*time.Second)
 						tn.background(func() {
 							err := c.act(tn, by)
 							if refused == 0 && err != nil {
@@ -616,7 +616,7 @@
 					} else {
 						w.store.Hold(once(c.hold))
 					}
-					tn.crowd(spec("job-1", 1), 60*time.Millisecond, 14*time.Second)
+					tn.pollAll(spec("job-1", 1), 60*time.Millisecond, 14*time.Second)
 					tn.background(func() {
 						for _, act := range c.acts {
 							act(tn)
@@ -778,7 +778,7 @@
 				})
 				for i := range jobs {
 					id := fmt.Sprint("job-", i)
-					tn.crowd(spec(id, 1), 300*time.Millisecond, alone+40*time.Second)
+					tn.pollAll(spec(id, 1), 300*time.Millisecond, alone+40*time.Second)
 					if i%2 == 0 {
 						tn.background(func() {
 							time.Sleep(time.Duration(i) * alone / 14) // the last ones in the outage
--- a/internal/daemon/crowd.go
+++ b/internal/daemon/connlimiter.go
@@ -7,11 +7,11 @@
 	"sync"
 )
 
-// crowd bounds the open connections of a server. When there are too many, the
+// connLimiter bounds the open connections of a server. When there are too many, the
 // one that has been idle for longest makes room: workers and users that are
 // still there speak every few seconds, so what sits idle for longer is nobody's
 // loss, and nobody is kept waiting in front of the door.
-type crowd struct {
+type connLimiter struct {
 	limit int
 
 	mu   sync.Mutex
@@ -21,19 +21,19 @@
 	at   map[net.Conn]*list.Element
 }
 
-func newCrowd(limit int) *crowd {
-	return &crowd{limit: limit, open: map[net.Conn]bool{}, idle: list.New(), at: map[net.Conn]*list.Element{}}
+func newConnLimiter(limit int) *connLimiter {
+	return &connLimiter{limit: limit, open: map[net.Conn]bool{}, idle: list.New(), at: map[net.Conn]*list.Element{}}
 }
 
 // watch is an http.Server's ConnState.
-func (c *crowd) watch(conn net.Conn, state http.ConnState) {
+func (c *connLimiter) watch(conn net.Conn, state http.ConnState) {
 	if out := c.note(conn, state); out != nil {
 		out.Close()
 	}
 }
 
 // note takes a change in, and returns the connection to close, if any.
-func (c *crowd) note(conn net.Conn, state http.ConnState) net.Conn {
+func (c *connLimiter) note(conn net.Conn, state http.ConnState) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e := c.at[conn]; e != nil {
--- a/internal/daemon/crowd_test.go
+++ b/internal/daemon/connlimiter_test.go
@@ -9,7 +9,7 @@
 // Idle connections, and such on which nothing was ever asked, must not keep
 // others out; busy ones stay.
 func TestIdleConnectionsMakeRoom(t *testing.T) {
-	c := newCrowd(3)
+	c := newConnLimiter(3)
 	conns := make([]net.Conn, 6)
 	for i := range conns {
 		conns[i], _ = net.Pipe()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -101,8 +101,8 @@
 	go cand.Run(ctx)
 	failed := make(chan error, 2)
 	go func() { failed <- peer.Serve(ctx, peerLn, peerHandler{c}, log) }()
-	crowd := newCrowd(connections(s.Site.Limits))
-	srv := &httpd.Server{Handler: api.Handler(c, log), ConnState: crowd.watch, Log: log}
+	limiter := newConnLimiter(connections(s.Site.Limits))
+	srv := &httpd.Server{Handler: api.Handler(c, log), ConnState: limiter.watch, Log: log}
 	go func() { failed <- srv.Serve(apiLn) }()
 	log.Info("started", "node", s.Node, "zone", s.Zone, "api", s.APIAddr, "pid", os.Getpid())
 	select {
