--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -541,7 +541,7 @@
 	for _, j := range r.jobs {
 		j.flight.Leave(m.name)
 	}
-	r.recorder.tear(m)
+	r.recorder.dropMember(m)
 	r.c.Log.Info("machine gone", "machine", m.name, "why", m.why)
 }
 
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -133,8 +133,8 @@
 	return keys
 }
 
-// oldSheet is a sheet as an earlier version writes it under larger limits.
-func (w *world) oldSheet(key string, n int) {
+// oldShard is a shard as an earlier version writes it under larger limits.
+func (w *world) oldShard(key string, n int) {
 	w.t.Helper()
 	var rec store.RosterRecord
 	for i := range n {
@@ -161,15 +161,15 @@
 	return names
 }
 
-// A sheet of the version in production may hold more machines than the service
+// A shard of the version in production may hold more machines than the service
 // takes by now in one value. When it is written again it is split, and whatever
-// is cut off between, refused, lost or late, each machine is on some sheet.
-func TestLargeSheetIsSplit(t *testing.T) {
+// is cut off between, refused, lost or late, each machine is on some shard.
+func TestLargeShardIsSplit(t *testing.T) {
 	for _, l := range []limits{{3, 1, 25}, {5, 1, 25}, {12, 2, 25}} {
 		for _, trouble := range []string{"none", "answers lost", "late", "leader crashes"} {
 			t.Run(l.String()+" "+trouble, func(t *testing.T) {
 				play(t, func(w *world) {
-					w.oldSheet(store.MachinePrefix+"0-1", 26)
+					w.oldShard(store.MachinePrefix+"0-1", 26)
 					w.state = l.settings()
 					w.enforce(l) // from now on
 					a := w.start("n0")
@@ -204,7 +204,7 @@
 							on := w.roster()
 							for _, name := range used {
 								if !slices.Contains(on, name) {
-									w.t.Fatalf("second %d: %s may be in use and is on no sheet", i, name)
+									w.t.Fatalf("second %d: %s may be in use and is on no shard", i, name)
 								}
 							}
 						}
@@ -214,7 +214,7 @@
 					reportAll(ks[1:], a, 10)
 					w.same("in use", len(inUse(a)), 25)
 					if w.store.Has(store.MachinePrefix + "0-1") {
-						w.t.Errorf("the large sheet is still there: %v", w.keysUnder(store.MachinePrefix))
+						w.t.Errorf("the large shard is still there: %v", w.keysUnder(store.MachinePrefix))
 					}
 					a.crash()
 					b := w.start("n0")
@@ -329,7 +329,7 @@
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
 				w.state = to.settings() // the smaller of both
 				w.enforce(from)
-				w.oldSheet(store.MachinePrefix+"0-1", 24)
+				w.oldShard(store.MachinePrefix+"0-1", 24)
 				a := w.start("n0")
 				var ks []*worker
 				for i := range 26 {
@@ -356,7 +356,7 @@
 				w.same("phase", w.phase(a, "job-1"), "done")
 				w.same("on the roster", len(w.roster()), 25)
 				if w.store.Has(store.MachinePrefix + "0-1") {
-					w.t.Error("the large sheet is still there")
+					w.t.Error("the large shard is still there")
 				}
 				w.neverTooLarge()
 			})
@@ -365,7 +365,7 @@
 }
 
 // Many ends at once, with names as long as they may come: batches keep to the
-// changes of a transaction, sheets to the size of their entries.
+// changes of a transaction, shards to the size of their entries.
 func TestManyChangesAtOnce(t *testing.T) {
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
@@ -395,7 +395,7 @@
 }
 
 // The service may be smaller than the settings say. What it refuses for its size
-// does not come again unchanged: batches, sheets and progress records shrink, and
+// does not come again unchanged: batches, shards and progress records shrink, and
 // work goes on.
 func TestRefusedForSize(t *testing.T) {
 	for _, real := range []limits{{2, 1, 25}, {3, 1, 25}, {12, 1, 25}} {
@@ -458,7 +458,7 @@
 
 // A machine whose entry fits no record is never given a task, since the next
 // leader would not know of it, and goes back; the others are not held up.
-func TestEntryFitsNoSheet(t *testing.T) {
+func TestEntryFitsNoShard(t *testing.T) {
 	play(t, func(w *world) {
 		l := limits{5, 1, 25}
 		w.state = l.settings()
@@ -689,7 +689,7 @@
 }
 
 // Where values may be large, the 64 KiB that a transaction has in all are what
-// bounds a batch: sheets of long entries beside each other, progress of many large
+// bounds a batch: shards of long entries beside each other, progress of many large
 // jobs, ends of many jobs with long names.
 func TestTransactionsFitInAll(t *testing.T) {
 	play(t, func(w *world) {
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -229,7 +229,7 @@
 	askedAt  time.Time
 	unheeded int
 	roster   rosterState
-	sheet    *sheet
+	shard    *shard
 	// heard is set once the machine reports with this term: from then on it
 	// carries out no earlier leader's orders.
 	heard    bool
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -29,13 +29,13 @@
 	enrolling []*machine
 	drops     []string
 	dirty     []*job
-	// torn are the sheets of the roster on which machines are gone; sheets
+	// stale are the shards of the roster on which machines are gone; shards
 	// counts those written, since none has the name of an earlier one.
-	torn      []*sheet
-	sheets    int
-	perSheet  int
-	sheetRoom int
-	nextSheet time.Time
+	stale     []*shard
+	shards    int
+	perShard  int
+	shardRoom int
+	nextShard time.Time
 	busy      bool
 	// unsettled are the jobs whose end is to be read, one at a time.
 	unsettled []string
@@ -55,10 +55,10 @@
 	// A burst of records leaves room for submissions in the service's own.
 	w.limiter = rate.NewLimiter(rate.Limit(records), max(2, min(lim.TxnOps, int(records))))
 	w.maxBytes = store.MaxTxnBytes * 3 / 4
-	w.sheetRoom = min(int(lim.ValueKB*1024), w.maxBytes)
-	w.perSheet = max(1, w.sheetRoom/2/sheetLine)
+	w.shardRoom = min(int(lim.ValueKB*1024), w.maxBytes)
+	w.perShard = max(1, w.shardRoom/2/shardEntryBytes)
 	// The bit set is written as base64; half the value's size leaves room.
-	w.perChunk = w.sheetRoom / 2 * 8
+	w.perChunk = w.shardRoom / 2 * 8
 }
 
 func (w *recorder) finish(j *job) {
@@ -86,9 +86,9 @@
 	finished []*job
 	// doomed are cancelled with a job that they need.
 	doomed []*job
-	sheets []*sheet
-	// replaced are sheets that go with this batch.
-	replaced []*sheet
+	shards []*shard
+	// replaced are shards that go with this batch.
+	replaced []*shard
 	drops    []string
 	// progressed are the jobs whose done tasks the transaction records.
 	progressed []progressed
@@ -160,7 +160,7 @@
 		if len(b.txn.Ops) > 0 && b.bytes+size > w.maxBytes {
 			break
 		}
-		b.sheet(w.newSheet(w.enrolling[:n]))
+		b.shard(w.newShard(w.enrolling[:n]))
 		w.enrolling = w.enrolling[n:]
 	}
 	for len(w.drops) > 0 && len(b.txn.Ops) < allowed {
@@ -172,7 +172,7 @@
 		w.nextProgress = now.Add(progressInterval)
 		w.addProgress(b, allowed/2)
 	}
-	w.mend(b, allowed, now)
+	w.rewriteStale(b, allowed, now)
 	w.limiter.AllowN(now, len(b.txn.Ops))
 	return b
 }
@@ -357,12 +357,12 @@
 	switch {
 	case len(b.txn.Ops) > 2:
 		w.maxOps = max(2, len(b.txn.Ops)/2)
-	case len(b.sheets) > 0 && len(b.sheets[0].members) > 1:
-		w.perSheet = max(1, len(b.sheets[0].members)/2)
-	case len(b.sheets) > 0 && b.sheets[0].replaces != nil:
-		w.keepTorn(b.sheets[0].replaces)
-	case len(b.sheets) > 0:
-		m := b.sheets[0].members[0]
+	case len(b.shards) > 0 && len(b.shards[0].members) > 1:
+		w.perShard = max(1, len(b.shards[0].members)/2)
+	case len(b.shards) > 0 && b.shards[0].replaces != nil:
+		w.keepStale(b.shards[0].replaces)
+	case len(b.shards) > 0:
+		m := b.shards[0].members[0]
 		w.enrolling = slices.DeleteFunc(w.enrolling, func(o *machine) bool { return o == m })
 		w.unfit(m)
 	case len(b.progressed) > 0:
@@ -374,7 +374,7 @@
 	}
 }
 
-// unfit gives up a machine whose entry no sheet can hold: the next leader would
+// unfit gives up a machine whose entry no shard can hold: the next leader would
 // not know of it, so it is never given a task.
 func (w *recorder) unfit(m *machine) {
 	w.r.c.Log.Error("machine's entry does not fit the roster", "machine", m.name)
--- a/internal/controller/roster_test.go
+++ b/internal/controller/roster_test.go
@@ -12,8 +12,8 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// sheetsOf reads the roster: the machines on each of its sheets.
-func (w *world) sheetsOf() (sheets [][]string) {
+// shardsOf reads the roster: the machines on each of its shards.
+func (w *world) shardsOf() (shards [][]string) {
 	w.t.Helper()
 	p, err := w.store.Range(context.Background(), store.MachinePrefix, "", 1000)
 	if err != nil {
@@ -28,23 +28,23 @@
 		for _, m := range rec.Machines {
 			names = append(names, m.Name)
 		}
-		sheets = append(sheets, names)
+		shards = append(shards, names)
 	}
-	return sheets
+	return shards
 }
 
 // roster lists the machines on the roster.
 func (w *world) roster() (names []string) {
-	for _, s := range w.sheetsOf() {
+	for _, s := range w.shardsOf() {
 		names = append(names, s...)
 	}
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// Machines that come together share a sheet, so that a fleet need not wait for
-// one write each; as machines go, what is left of the sheets shrinks with them.
-func TestMachinesShareSheets(t *testing.T) {
+// Machines that come together share a shard, so that a fleet need not wait for
+// one write each; as machines go, what is left of the shards shrinks with them.
+func TestMachinesShareShards(t *testing.T) {
 	play(t, func(w *world) {
 		a := w.start("n0")
 		var ks []*worker
@@ -57,8 +57,8 @@
 		}
 		time.Sleep(2 * time.Second)
 		w.same("on the roster", len(w.roster()), 60)
-		if n := len(w.sheetsOf()); n > 6 {
-			t.Errorf("%d sheets for 60 machines", n)
+		if n := len(w.shardsOf()); n > 6 {
+			t.Errorf("%d shards for 60 machines", n)
 		}
 		for _, k := range ks[:57] {
 			w.dead.Store(k.rep.Machine, true)
@@ -79,20 +79,20 @@
 	})
 }
 
-// Whatever becomes of the transactions that write sheets, carried out without an
+// Whatever becomes of the transactions that write shards, carried out without an
 // answer or late, a machine that may be given tasks is on the roster.
 func TestRosterHoldsEveryMachineInUse(t *testing.T) {
 	play(t, func(w *world) {
 		rnd := rand.New(rand.NewPCG(1, 2))
 		a := w.start("n0")
-		sheets := touches(store.MachinePrefix)
+		shards := touches(store.MachinePrefix)
 		var ks []*worker
 		for round := range 60 {
 			switch rnd.IntN(4) {
 			case 0:
-				w.store.Lose(sheets)
+				w.store.Lose(shards)
 			case 1:
-				w.store.Hold(sheets)
+				w.store.Hold(shards)
 			default:
 				w.store.Lose(nil)
 				w.store.Release()
@@ -133,21 +133,21 @@
 	})
 }
 
-// A sheet that may have taken another's place may be all that is left of it: it
+// A shard that may have taken another's place may be all that is left of it: it
 // goes only in the transaction that writes the next.
-func TestSheetPerhapsWritten(t *testing.T) {
+func TestShardPerhapsWritten(t *testing.T) {
 	play(t, func(w *world) {
 		a := w.start("n0")
 		w.worker("i-1", "a", false).serve(a, 3)
 		a.look(func(c *Controller) {
 			rec := &c.leadership.recorder
-			old := c.leadership.machines["i-1"].sheet
-			next := rec.newSheet(old.members)
-			next.replaces, old.torn = old, true
-			rec.unwritten(&batch{sheets: []*sheet{next}, replaced: []*sheet{old}})
+			old := c.leadership.machines["i-1"].shard
+			next := rec.newShard(old.members)
+			next.replaces, old.stale = old, true
+			rec.unwritten(&batch{shards: []*shard{next}, replaced: []*shard{old}})
 			w.same("dropped by themselves", len(rec.drops), 0)
 			b := &batch{}
-			rec.mend(b, 10, time.Now())
+			rec.rewriteStale(b, 10, time.Now())
 			w.same("put", b.txn.Ops[0].Put != "" && b.txn.Ops[0].Put != next.key, true)
 			w.same("dropped with it", []string{b.txn.Ops[1].Delete, b.txn.Ops[2].Delete}, []string{old.key, next.key})
 		})
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -103,7 +103,7 @@
 	}
 	r.pipeline.urge(waiting...)
 	for _, e := range m.s.machines {
-		r.addSheet(e, now)
+		r.addShard(e, now)
 	}
 	r.loaded, r.listening, r.cancellationsConfirmedAt = true, now, m.s.asked
 	if c.Director != nil {
@@ -112,22 +112,22 @@
 	c.Log.Info("takeover: read", "term", r.term.Number, "jobs", len(r.jobs), "machines", r.unheard)
 }
 
-// addSheet takes in a sheet of the roster.
-func (r *leadership) addSheet(e store.Entry, now time.Time) {
+// addShard takes in a shard of the roster.
+func (r *leadership) addShard(e store.Entry, now time.Time) {
 	var rec store.RosterRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
 		r.c.Log.Error("roster record", "key", e.Key, "err", err)
 		return
 	}
-	s := &sheet{key: e.Key}
+	s := &shard{key: e.Key}
 	for _, one := range rec.Machines {
 		if r.machines[one.Name] != nil {
-			continue // a sheet that was written late
+			continue // a shard that was written late
 		}
 		m := r.addMachine(one.Name, one.Type, one.Zone, one.Spot, now)
 		m.addr = one.Addr
 		m.cpus, m.gpus, m.memory = one.CPUs, one.GPUs, one.MemoryGB
-		m.roster, m.sheet = rosterDurable, s
+		m.roster, m.shard = rosterDurable, s
 		s.members = append(s.members, m)
 		r.toResync = append(r.toResync, m)
 		r.unheard++
@@ -135,8 +135,8 @@
 		r.unheardGPUs += m.gpus
 	}
 	if len(s.members) < len(rec.Machines) {
-		s.torn = true
-		r.recorder.torn = append(r.recorder.torn, s)
+		s.stale = true
+		r.recorder.stale = append(r.recorder.stale, s)
 	}
 }
 
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -143,7 +143,7 @@
 	{"progress", `{"done":"/wEAgA=="}`,
 		store.ProgressRecord{Done: []byte{0xff, 0x01, 0, 0x80}},
 		oldProgress{[]byte{0xff, 0x01, 0, 0x80}}},
-	{"sheet", `{"machines":[{"name":"i-000001","addr":"10.1.0.1:9000","type":"nod-sexton","zone":"norrland","spot":true,"cpus":16,"gpus":1.5,"memory_gb":128},{"name":"i-000002","addr":"10.1.0.2:9000","type":"nod-sexton","zone":"norrland","spot":false,"cpus":16,"gpus":0,"memory_gb":128}]}`,
+	{"shard", `{"machines":[{"name":"i-000001","addr":"10.1.0.1:9000","type":"nod-sexton","zone":"norrland","spot":true,"cpus":16,"gpus":1.5,"memory_gb":128},{"name":"i-000002","addr":"10.1.0.2:9000","type":"nod-sexton","zone":"norrland","spot":false,"cpus":16,"gpus":0,"memory_gb":128}]}`,
 		store.RosterRecord{Machines: []store.MachineRecord{{Name: "i-000001", Addr: "10.1.0.1:9000", Type: "nod-sexton", Zone: "norrland", Spot: true, CPUs: 16, GPUs: 1.5, MemoryGB: 128},
 			{Name: "i-000002", Addr: "10.1.0.2:9000", Type: "nod-sexton", Zone: "norrland", CPUs: 16, MemoryGB: 128}}},
 		oldRoster{[]oldMachine{{"i-000001", "10.1.0.1:9000", "nod-sexton", "norrland", true, 16, 1.5, 128}, {"i-000002", "10.1.0.2:9000", "nod-sexton", "norrland", false, 16, 0, 128}}}},
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -64,7 +64,7 @@
 	Done []byte `json:"done"`
 }
 
-// RosterRecord is a sheet of the roster: machines that may hold tasks. Machines
+// RosterRecord is a shard of the roster: machines that may hold tasks. Machines
 // that come together share one, or a large fleet would wait for its turn within
 // the write rate, one record each.
 type RosterRecord struct {
