--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -381,8 +381,8 @@
 var (
 	// ErrNotDone means that they were not and will not be carried out.
 	ErrNotDone = errors.New("orders not carried out")
-	// ErrUnsure means that they may have been, or may yet be.
-	ErrUnsure = errors.New("orders may have been carried out")
+	// ErrUnconfirmed means that they may have been, or may yet be.
+	ErrUnconfirmed = errors.New("orders may have been carried out")
 )
 
 // DirectOrders are orders sent straight to a machine, for one of its sessions.
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -11,7 +11,7 @@
 )
 
 // Director brings orders straight to a machine. Its errors are
-// api.ErrNotDone and api.ErrUnsure.
+// api.ErrNotDone and api.ErrUnconfirmed.
 type Director interface {
 	Order(ctx context.Context, addr string, orders *api.DirectOrders) (seq uint64, err error)
 	// Resync tells a machine of a term and returns the report that shows it.
@@ -54,8 +54,8 @@
 // directStart is a start that was sent straight to a machine.
 type directStart struct {
 	session uint64
-	// waiting is set until there is an outcome, unsure if there will be none.
-	waiting, unsure bool
+	// waiting is set until there is an outcome, unconfirmed if there will be none.
+	waiting, unconfirmed bool
 	// seq is the report from which on the attempt must be shown.
 	seq uint64
 }
@@ -63,13 +63,13 @@
 // mayCome tells whether a start may still be carried out although a report
 // does not show it.
 func (d *directStart) mayCome(rep *api.Report) bool {
-	return d != nil && rep.Session <= d.session && (d.waiting || d.unsure || rep.Seq < d.seq)
+	return d != nil && rep.Session <= d.session && (d.waiting || d.unconfirmed || rep.Seq < d.seq)
 }
 
 // empty tells whether nothing holds the machine but orders without an answer.
 func (m *machine) empty() bool {
 	for _, a := range m.attempts {
-		if a.direct == nil || !a.direct.unsure || a.seen != 0 {
+		if a.direct == nil || !a.direct.unconfirmed || a.seen != 0 {
 			return false
 		}
 	}
@@ -173,10 +173,10 @@
 				o.r.offMachine(a)
 			}
 		case o.m.session == a.direct.session:
-			a.direct.unsure = true
+			a.direct.unconfirmed = true
 			o.r.leave(o.m, "order unanswered")
 			if a.job.over {
-				o.r.settleUnsure(a)
+				o.r.settleUnconfirmed(a)
 			}
 		}
 	}
@@ -186,10 +186,10 @@
 	}
 }
 
-// settleUnsure returns a machine on which a task of a job that is over might
+// settleUnconfirmed returns a machine on which a task of a job that is over might
 // still begin: nothing else keeps it from doing so in time.
-func (r *leadership) settleUnsure(a *attempt) {
-	if m := a.machine; a.direct != nil && a.direct.unsure && a.seen == 0 && !m.gone && !m.returning {
+func (r *leadership) settleUnconfirmed(a *attempt) {
+	if m := a.machine; a.direct != nil && a.direct.unconfirmed && a.seen == 0 && !m.gone && !m.returning {
 		r.leave(m, "order unanswered")
 		r.provisioner.giveBack(m)
 	}
--- a/internal/controller/direct_test.go
+++ b/internal/controller/direct_test.go
@@ -45,7 +45,7 @@
 		d.held = append(d.held, carryOut)
 		d.mu.Unlock()
 		<-ctx.Done()
-		return 0, api.ErrUnsure
+		return 0, api.ErrUnconfirmed
 	}
 	defer d.mu.Unlock()
 	if seq := carryOut(); seq != 0 {
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -878,6 +878,6 @@
 		}
 		return rep, nil
 	case <-ctx.Done():
-		return nil, api.ErrUnsure
+		return nil, api.ErrUnconfirmed
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -347,7 +347,7 @@
 	r.forget(j)
 	r.c.cancelled(j.spec.ID)
 	for _, a := range j.live {
-		r.settleUnsure(a)
+		r.settleUnconfirmed(a)
 	}
 	for first := range j.chunks {
 		r.recorder.drop(store.ProgressKey(j.spec.ID, first))
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -177,9 +177,9 @@
 	sentSession uint64
 	sentAt      time.Time
 	runningAt   time.Time
-	// blurred is set if the machine was out of hearing during the run.
-	blurred bool
-	stop    *stopOrder
+	// unmeasured is set if the machine was out of hearing during the run.
+	unmeasured bool
+	stop       *stopOrder
 	// direct is set if the start was sent straight to the machine.
 	direct *directStart
 	exited bool
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -31,10 +31,10 @@
 	busy             bool
 	// pending are the machines whose orders have no outcome yet.
 	pending map[string]*relayedOrders
-	// halved is how often a batch was refused as too large, and unsure is set
+	// halved is how often a batch was refused as too large, and unconfirmed is set
 	// if the present one may have been written all the same.
-	halved int
-	unsure bool
+	halved      int
+	unconfirmed bool
 	// given are the machines with orders in the last batch.
 	given []string
 }
@@ -98,10 +98,10 @@
 		delete(n.pending, name)
 		for _, a := range p.starts {
 			if a.direct.waiting = false; a.seen == 0 && a.machine.attempts[a.key] == a {
-				a.direct.unsure = true
+				a.direct.unconfirmed = true
 				r.leave(a.machine, "order unanswered")
 				if a.job.over {
-					r.settleUnsure(a)
+					r.settleUnconfirmed(a)
 				}
 			}
 		}
@@ -249,7 +249,7 @@
 			r.c.Log.Error("relay", "err", err)
 			return
 		}
-		node.last, node.unsure, node.given = parts, false, nil
+		node.last, node.unconfirmed, node.given = parts, false, nil
 		for _, o := range answer.Orders {
 			node.given = append(node.given, o.Machine)
 		}
@@ -285,12 +285,12 @@
 	node := m.r.down.nodes[m.node]
 	node.busy = false
 	if !errors.Is(m.err, store.ErrMalformed) {
-		node.unsure = true
+		node.unconfirmed = true
 		return
 	}
 	c.Log.Error("relayed orders refused as too large", "node", m.node)
 	node.halved = min(node.halved+1, 8)
-	if len(node.last) == 0 || node.unsure {
+	if len(node.last) == 0 || node.unconfirmed {
 		return // it may be known to the node: its outcome, or giveUp, decides
 	}
 	// It was never written, so nothing of it was handed out: it is as if the
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -77,7 +77,7 @@
 	}
 	m.reports++
 	if now.Sub(m.lastReport) > r.hearable() {
-		m.blur()
+		m.markUnmeasured()
 	}
 	m.lastReport = now
 	m.session, m.seq, m.lastSeen = rep.Session, rep.Seq, now
@@ -531,7 +531,7 @@
 	if now.Sub(j.room.at) >= tickInterval {
 		r.findRoom(j, now)
 	}
-	return j.room.below(r.strain(j, m)-0.5) >= j.flight.Untaken()
+	return j.room.below(r.placementCost(j, m)-0.5) >= j.flight.Untaken()
 }
 
 // room is how many tasks of a job the open machines have room for, by how well
@@ -539,16 +539,16 @@
 // is found once a tick: looking through the whole fleet each time took a
 // leader of 700 machines most of its processor when a job came.
 type room struct {
-	at      time.Time
-	strains []float64
-	// slots are sums: what the machines up to each strain have room for.
+	at    time.Time
+	costs []float64
+	// slots are sums: what the machines up to each cost have room for.
 	slots []int
 }
 
-// below is the room on machines of at most a strain.
-func (o *room) below(strain float64) int {
-	n, found := slices.BinarySearch(o.strains, strain)
-	for found && n < len(o.strains) && o.strains[n] == strain {
+// below is the room on machines of at most a cost.
+func (o *room) below(cost float64) int {
+	n, found := slices.BinarySearch(o.costs, cost)
+	for found && n < len(o.costs) && o.costs[n] == cost {
 		n++
 	}
 	if n == 0 {
@@ -560,21 +560,21 @@
 // findRoom looks through the fleet for room for a job.
 func (r *leadership) findRoom(j *job, now time.Time) {
 	type place struct {
-		strain float64
-		slots  int
+		cost  float64
+		slots int
 	}
 	var places []place
 	for _, m := range r.machines {
 		if m.open(now) && m.fits(&j.spec) && (!m.spot || j.spec.Spot) {
-			places = append(places, place{r.strain(j, m), m.slots(&j.spec)})
+			places = append(places, place{r.placementCost(j, m), m.slots(&j.spec)})
 		}
 	}
-	slices.SortFunc(places, func(a, b place) int { return cmp.Compare(a.strain, b.strain) })
-	j.room = room{at: now, strains: j.room.strains[:0], slots: j.room.slots[:0]}
+	slices.SortFunc(places, func(a, b place) int { return cmp.Compare(a.cost, b.cost) })
+	j.room = room{at: now, costs: j.room.costs[:0], slots: j.room.slots[:0]}
 	sum := 0
 	for _, p := range places {
 		sum += p.slots
-		j.room.strains = append(j.room.strains, p.strain)
+		j.room.costs = append(j.room.costs, p.cost)
 		j.room.slots = append(j.room.slots, sum)
 	}
 }
@@ -592,9 +592,9 @@
 // while the fleet had room had lost tasks to machines taken.
 const misplaced = 8
 
-// strain is how badly a machine suits a job, in seconds lost: the time to
+// placementCost is how badly a machine suits a job, in seconds lost: the time to
 // fetch the image, and a measure of what it costs to keep the machine.
-func (r *leadership) strain(j *job, m *machine) float64 {
+func (r *leadership) placementCost(j *job, m *machine) float64 {
 	mt := r.c.types.load()[m.typ]
 	lost := 0.0
 	if !m.images.has(j.spec.Image) && mt.FetchGBs > 0 {
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -79,7 +79,7 @@
 // runs take much longer than the same jobs' elsewhere.
 func (r *leadership) ran(a *attempt, took time.Duration, now time.Time) {
 	j, m := a.job, a.machine
-	if a.blurred {
+	if a.unmeasured {
 		return
 	}
 	j.longest = max(j.longest, took)
@@ -114,12 +114,12 @@
 	return n < max(1, len(r.machines)/10)
 }
 
-// blur marks the runs on a machine whose reports were held up: when they ended
+// markUnmeasured marks the runs on a machine whose reports were held up: when they ended
 // is not known. Taken for long, such runs had half of a zone's machines
 // quarantined after a cut.
-func (m *machine) blur() {
+func (m *machine) markUnmeasured() {
 	for _, a := range m.attempts {
-		a.blurred = true
+		a.unmeasured = true
 	}
 }
 
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -92,12 +92,12 @@
 		if !connected {
 			return nil, 0, fmt.Errorf("%w: %w", api.ErrNotDone, err)
 		}
-		return nil, 0, fmt.Errorf("%w: %w", api.ErrUnsure, err)
+		return nil, 0, fmt.Errorf("%w: %w", api.ErrUnconfirmed, err)
 	}
 	defer resp.Body.Close()
 	var rep api.Report
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&rep); err != nil && resp.StatusCode == http.StatusOK {
-		return nil, 0, fmt.Errorf("%w: %w", api.ErrUnsure, err)
+		return nil, 0, fmt.Errorf("%w: %w", api.ErrUnconfirmed, err)
 	}
 	return &rep, resp.StatusCode, nil
 }
@@ -114,5 +114,5 @@
 	case status == http.StatusConflict || status == http.StatusBadRequest:
 		return 0, fmt.Errorf("%w: status %d", api.ErrNotDone, status)
 	}
-	return 0, fmt.Errorf("%w: status %d", api.ErrUnsure, status)
+	return 0, fmt.Errorf("%w: status %d", api.ErrUnconfirmed, status)
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -44,9 +44,9 @@
 		"refused":          {machine(409, `{}`), api.ErrNotDone},
 		"malformed":        {machine(400, `{}`), api.ErrNotDone},
 		"no connection":    {refused, api.ErrNotDone},
-		"no answer":        {machine(0, ""), api.ErrUnsure},
-		"another status":   {machine(500, ""), api.ErrUnsure},
-		"senseless answer": {machine(200, `{"Host"`), api.ErrUnsure},
+		"no answer":        {machine(0, ""), api.ErrUnconfirmed},
+		"another status":   {machine(500, ""), api.ErrUnconfirmed},
+		"senseless answer": {machine(200, `{"Host"`), api.ErrUnconfirmed},
 	} {
 		client := NewClient()
 		client.http.Transport.(*http.Transport).DialContext = c.dial
