--- a/internal/controller/particular.go
+++ b/internal/controller/constrained.go
@@ -14,8 +14,8 @@
 // Otherwise, when only cheap machines were left of a fleet, a job that must not use
 // them waited for ever beside free room.
 
-// particular is the demand of the jobs that may use the same machines only.
-type particular struct {
+// constrainedDemand is the demand of the jobs that may use the same machines only.
+type constrainedDemand struct {
 	spec *api.JobSpec
 	cpus float64
 }
@@ -27,10 +27,10 @@
 	return typeAllowed(s, typ) && (s.Zone == "" || s.Zone == zone) && (!spot || s.Spot)
 }
 
-// particulars sums up what waits, by what machines it may use. A job that awaits
+// constrainedDemands sums up what waits, by what machines it may use. A job that awaits
 // others counts once all of them have begun: a machine boots meanwhile.
-func (f *provisioner) particulars(now time.Time) []*particular {
-	byKind := map[string]*particular{}
+func (f *provisioner) constrainedDemands(now time.Time) []*constrainedDemand {
+	byKind := map[string]*constrainedDemand{}
 	add := func(j *job, cpus float64) {
 		key := j.spec.Zone + "|" + strings.Join(j.spec.Types, ",")
 		if j.spec.Spot {
@@ -38,7 +38,7 @@
 		}
 		p := byKind[key]
 		if p == nil {
-			p = &particular{spec: &j.spec}
+			p = &constrainedDemand{spec: &j.spec}
 			byKind[key] = p
 		}
 		p.cpus += cpus
@@ -59,11 +59,11 @@
 			add(j, min(float64(j.spec.Tasks)*j.spec.CPUs, j.team.CPUsMax))
 		}
 	}
-	var out []*particular
+	var out []*constrainedDemand
 	for _, p := range byKind {
 		out = append(out, p)
 	}
-	slices.SortFunc(out, func(a, b *particular) int { return strings.Compare(a.spec.ID, b.spec.ID) })
+	slices.SortFunc(out, func(a, b *constrainedDemand) int { return strings.Compare(a.spec.ID, b.spec.ID) })
 	return out
 }
 
@@ -77,11 +77,11 @@
 	return true
 }
 
-// rentParticular covers what is lacking for jobs that may not use every machine: by
+// rentConstrained covers what is lacking for jobs that may not use every machine: by
 // machines that were to be drained, or by new ones.
-func (f *provisioner) rentParticular(offers []fleet.Offer, now time.Time) {
+func (f *provisioner) rentConstrained(offers []fleet.Offer, now time.Time) {
 	r := f.r
-	for _, p := range f.particulars(now) {
+	for _, p := range f.constrainedDemands(now) {
 		lack := p.cpus
 		var drained []*machine
 		for _, m := range r.machines {
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -95,7 +95,7 @@
 	}
 	offers := f.offers(now)
 	f.cover(want-total-booting, offers)
-	f.rentParticular(offers, now)
+	f.rentConstrained(offers, now)
 }
 
 // cover rents what is lacking of some offers.
