--- a/internal/controller/told_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -12,23 +12,23 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// told is what users were told of every job, by every node. Questions and answers
+// answerChecker checks what users were told of every job, by every node. Questions and answers
 // are numbered in the order in which they were sent and came, so that it also holds
 // within one instant of the fake clock. The first answers that no user may get fail
 // the test.
-type told struct {
+type answerChecker struct {
 	fail func(string)
 
 	mu       sync.Mutex
 	count    int
 	faults   int
 	answered int
-	jobs     map[string]*jobHistory
+	jobs     map[string]*answerLog
 }
 
-// jobHistory is what is known of one job beside the nodes: what its user has asked
+// answerLog is what is known of one job beside the nodes: what its user has asked
 // for, what its tasks have done, and what was told.
-type jobHistory struct {
+type answerLog struct {
 	tasks                int
 	done                 map[string]bool
 	doneAt               time.Time
@@ -38,20 +38,20 @@
 	known, over int
 	end         string
 	endAt       time.Time
-	// told counts the answers by phase; lines are the last ones.
-	told  map[string]int
-	lines []string
+	// byPhase counts the answers by phase; lines are the last ones.
+	byPhase map[string]int
+	lines   []string
 }
 
-func newTold(t *testing.T) *told {
-	return &told{fail: func(s string) { t.Error(s) }, jobs: map[string]*jobHistory{}}
+func newAnswerChecker(t *testing.T) *answerChecker {
+	return &answerChecker{fail: func(s string) { t.Error(s) }, jobs: map[string]*answerLog{}}
 }
 
-// of is the history of a job; the caller holds the lock.
-func (h *told) of(id string) *jobHistory {
+// of is the answer log of a job; the caller holds the lock.
+func (h *answerChecker) of(id string) *answerLog {
 	j := h.jobs[id]
 	if j == nil {
-		j = &jobHistory{done: map[string]bool{}, told: map[string]int{}}
+		j = &answerLog{done: map[string]bool{}, byPhase: map[string]int{}}
 		h.jobs[id] = j
 	}
 	return j
@@ -59,7 +59,7 @@
 
 // question numbers a question. Its change is what the user wants, known before any
 // answer can follow from it.
-func (h *told) question(id string, change func(*jobHistory)) int {
+func (h *answerChecker) question(id string, change func(*answerLog)) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if change != nil {
@@ -70,7 +70,7 @@
 }
 
 // completed notes that a task has ended by itself on its machine.
-func (h *told) completed(task string) {
+func (h *answerChecker) completed(task string) {
 	id, _, _ := strings.Cut(task, "/")
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,7 +92,7 @@
 
 // answer takes an answer in that has come now. An error other than ErrUnknownJob
 // is none.
-func (h *told) answer(id string, a reply) {
+func (h *answerChecker) answer(id string, a reply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.count++
@@ -106,7 +106,7 @@
 	if unknown {
 		what = "unknown"
 	}
-	j.told[what]++
+	j.byPhase[what]++
 	j.lines = append(j.lines, fmt.Sprintf("%s #%d-#%d %s at %s: %s", time.Now().Format("05.000"), a.asked, h.count, a.verb, a.node, what))
 	if len(j.lines) > 12 {
 		j.lines = j.lines[1:]
@@ -128,7 +128,7 @@
 }
 
 // fault says which rule an answer breaks, if any.
-func (j *jobHistory) fault(id string, a reply, unknown bool) string {
+func (j *answerLog) fault(id string, a reply, unknown bool) string {
 	later := func(than int) bool { return than != 0 && a.asked > than }
 	switch {
 	case unknown && later(j.known):
@@ -157,7 +157,7 @@
 
 // What users do, with the time that each waits for an answer.
 
-func (h *told) ask(n *node, id string) (api.JobState, error) {
+func (h *answerChecker) ask(n *node, id string) (api.JobState, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
 	a := reply{asked: h.question(id, nil), verb: "question", node: n.Settings.Node}
@@ -166,18 +166,18 @@
 	return a.st, a.err
 }
 
-func (h *told) submit(n *node, s *api.JobSpec) (created bool, err error) {
+func (h *answerChecker) submit(n *node, s *api.JobSpec) (created bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
 	a := reply{verb: "submission", node: n.Settings.Node}
-	a.asked = h.question(s.ID, func(j *jobHistory) { j.submitted, j.tasks = true, s.Tasks })
+	a.asked = h.question(s.ID, func(j *answerLog) { j.submitted, j.tasks = true, s.Tasks })
 	a.st, a.created, a.err = n.Submit(ctx, s)
 	h.answer(s.ID, a)
 	return a.created, a.err
 }
 
 // resubmitInvalid repeats a submission with a field missing.
-func (h *told) resubmitInvalid(n *node, id string) {
+func (h *answerChecker) resubmitInvalid(n *node, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
 	a := reply{asked: h.question(id, nil), verb: "invalid repeat", node: n.Settings.Node}
@@ -185,11 +185,11 @@
 	h.answer(id, a)
 }
 
-func (h *told) cancel(n *node, id string) (api.JobState, error) {
+func (h *answerChecker) cancel(n *node, id string) (api.JobState, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	a := reply{verb: "cancel", node: n.Settings.Node}
-	a.asked = h.question(id, func(j *jobHistory) { j.cancelled = true })
+	a.asked = h.question(id, func(j *answerLog) { j.cancelled = true })
 	a.st, a.err = n.Abort(ctx, id)
 	h.answer(id, a)
 	return a.st, a.err
@@ -207,14 +207,14 @@
 }
 
 // answers counts the answers of all users.
-func (h *told) answers() int {
+func (h *answerChecker) answers() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.answered
 }
 
 // end is how a job was told to have ended, and when.
-func (h *told) end(id string) (string, time.Time) {
+func (h *answerChecker) end(id string) (string, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	j := h.of(id)
@@ -222,14 +222,14 @@
 }
 
 // doneAt is when the last of a job's tasks ended.
-func (h *told) doneAt(id string) time.Time {
+func (h *answerChecker) doneAt(id string) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.of(id).doneAt
 }
 
 // The rules that every meeting is held to must themselves be seen to fail.
-func TestToldRules(t *testing.T) {
+func TestAnswerCheckerRules(t *testing.T) {
 	at := func(phase string) api.JobState { return api.JobState{ID: "job-1", Phase: phase} }
 	const unknown = "unknown"
 	type step struct {
@@ -259,8 +259,8 @@
 		{"accepted twice", true, false, 0, []step{{0, "q", "pending"}, {0, "created", "pending"}}, "once more"},
 	} {
 		var got []string
-		h := &told{fail: func(s string) { got = append(got, s) }, jobs: map[string]*jobHistory{}}
-		h.question("job-1", func(j *jobHistory) { j.submitted, j.cancelled, j.tasks = c.submitted, c.withdraw, 2 })
+		h := &answerChecker{fail: func(s string) { got = append(got, s) }, jobs: map[string]*answerLog{}}
+		h.question("job-1", func(j *answerLog) { j.submitted, j.cancelled, j.tasks = c.submitted, c.withdraw, 2 })
 		for i := range c.completed {
 			h.completed(fmt.Sprint("job-1/", i))
 		}
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -110,11 +110,11 @@
 // town is three nodes with their machines and users, who note all they are told.
 type town struct {
 	*world
-	told  *told
-	links *links
-	ways  []*way
-	tally *tally
-	hosts []*townHost
+	checker *answerChecker
+	links   *links
+	ways    []*way
+	tally   *tally
+	hosts   []*townHost
 	// takes is how long tasks run, by job; others run until ended.
 	takes sync.Map
 	users sync.WaitGroup
@@ -130,7 +130,7 @@
 func newTown(w *world, hosts int) *town {
 	w.zones = map[string]string{"n0": "a", "n1": "a", "n2": "a"}
 	w.teams[0].CPUsMax = 1000
-	tn := &town{world: w, told: newTold(w.t), links: &links{}, nodes: make([]*node, 3),
+	tn := &town{world: w, checker: newAnswerChecker(w.t), links: &links{}, nodes: make([]*node, 3),
 		tally: &tally{requests: map[int64]int{}, writes: map[int64]int{}, watches: map[int64]int{}}}
 	for i := range 3 {
 		y := &way{there: time.Duration(2+3*i) * time.Millisecond, back: time.Duration(1+2*i) * time.Millisecond, tally: tn.tally}
@@ -205,7 +205,7 @@
 		}
 		for _, ref := range h.running() {
 			id, _, _ := strings.Cut(ref, "/")
-			if end, at := tn.told.end(id); end == api.JobWithdrawn && now.Sub(at) > 30*time.Second {
+			if end, at := tn.checker.end(id); end == api.JobWithdrawn && now.Sub(at) > 30*time.Second {
 				tn.stays(ref)
 			}
 		}
@@ -284,7 +284,7 @@
 			continue
 		}
 		t.Phase, t.Cause = api.TaskExited, api.CauseDone
-		tn.told.completed(t.Task)
+		tn.checker.completed(t.Task)
 		any = true
 	}
 	return any
@@ -311,9 +311,9 @@
 // whether or not they are answered; some repeat the submission.
 func (tn *town) pollAll(s *api.JobSpec, gap, span time.Duration) {
 	submitted := func() bool {
-		tn.told.mu.Lock()
-		defer tn.told.mu.Unlock()
-		return tn.told.of(s.ID).submitted
+		tn.checker.mu.Lock()
+		defer tn.checker.mu.Unlock()
+		return tn.checker.of(s.ID).submitted
 	}
 	tn.background(func() {
 		for i := 0; time.Duration(i)*gap < span; i++ {
@@ -321,11 +321,11 @@
 			tn.background(func() {
 				switch {
 				case i%5 == 4 && submitted():
-					tn.told.submit(n, s)
+					tn.checker.submit(n, s)
 				case i%17 == 3:
-					tn.told.resubmitInvalid(n, s.ID)
+					tn.checker.resubmitInvalid(n, s.ID)
 				default:
-					tn.told.ask(n, s.ID)
+					tn.checker.ask(n, s.ID)
 				}
 			})
 			time.Sleep(gap)
@@ -334,14 +334,14 @@
 }
 
 func (tn *town) accept(i int, s *api.JobSpec) {
-	if err := insist(func() error { _, err := tn.told.submit(tn.at(i), s); return err }); err != nil {
+	if err := insist(func() error { _, err := tn.checker.submit(tn.at(i), s); return err }); err != nil {
 		tn.t.Errorf("submission of %s: %v", s.ID, err)
 	}
 }
 
 func (tn *town) cancel(i int, id string) string {
 	var st api.JobState
-	if err := insist(func() (err error) { st, err = tn.told.cancel(tn.at(i), id); return err }); err != nil {
+	if err := insist(func() (err error) { st, err = tn.checker.cancel(tn.at(i), id); return err }); err != nil {
 		tn.t.Errorf("cancellation of %s: %v", id, err)
 	}
 	return st.Phase
@@ -351,7 +351,7 @@
 func (tn *town) finally(want map[string]string) {
 	for id, phase := range want {
 		for i := range 3 {
-			st, err := tn.told.ask(tn.at(i), id)
+			st, err := tn.checker.ask(tn.at(i), id)
 			if got := st.Phase; err != nil || got != phase {
 				tn.t.Errorf("%s at node %d in the end: %q, %v, want %s", id, i, got, err, phase)
 			}
@@ -428,7 +428,7 @@
 					tn.background(func() { tn.cancel(try, "job-3") })
 					tn.background(func() { tn.accept(try, atOnce); tn.cancel(try+1, "job-4") })
 					time.Sleep(12 * time.Second)
-					w.same("enough was told", tn.told.answers() > 200, true)
+					w.same("enough was told", tn.checker.answers() > 200, true)
 					tn.finally(map[string]string{"job-1": "done", "job-2": "running", "job-3": "withdrawn", "job-4": "withdrawn"})
 					tn.gone()
 					w.same("a job nobody submitted", w.phase(tn.at(try), "job-9"), api.ErrUnknownJob.Error())
@@ -509,11 +509,11 @@
 		held   int
 	}{
 		{"acceptance", store.ActivePrefix + "job-1", accepts("job-1"), []int{0, 1}, func(tn *town, by int) error {
-			_, err := tn.told.submit(tn.at(by), spec("job-1", 2))
+			_, err := tn.checker.submit(tn.at(by), spec("job-1", 2))
 			return err
 		}, "running", 2, 2},
 		{"cancellation", store.FinalPrefix + "job-1", cancels("job-1"), []int{0, 2}, func(tn *town, by int) error {
-			_, err := tn.told.cancel(tn.at(by), "job-1")
+			_, err := tn.checker.cancel(tn.at(by), "job-1")
 			return err
 		}, "withdrawn", 2, 0},
 		{"end", store.FinalPrefix + "job-1", ends("job-1"), []int{0}, func(tn *town, _ int) error {
@@ -558,8 +558,8 @@
 						w.same("starts", tn.starts(), c.starts)
 						w.same("on machines", tn.held(), c.held)
 						if c.want == "done" && refused == 0 {
-							_, told := tn.told.end("job-1")
-							w.same("told in time", told.Sub(tn.told.doneAt("job-1")) < 3*time.Second, true)
+							_, endedAt := tn.checker.end("job-1")
+							w.same("told in time", endedAt.Sub(tn.checker.doneAt("job-1")) < 3*time.Second, true)
 						}
 						if c.want != "running" {
 							tn.at(0).look(func(o *Controller) { w.same("jobs left", len(o.leadership.jobs), 0) })
@@ -592,7 +592,7 @@
 		{"acceptance, cancelled since", accepts("job-1"), false, false, false, []func(*town){accept, cancel}, "withdrawn"},
 		{"acceptance, ended since", accepts("job-1"), false, false, false, []func(*town){accept, func(*town) { time.Sleep(2 * time.Second) }, end}, "done"},
 		{"cancellation, repeated", cancels("job-1"), false, true, false, []func(*town){cancel}, "withdrawn"},
-		{"cancellation, given up, ended since", cancels("job-1"), true, true, false, []func(*town){func(tn *town) { tn.told.cancel(tn.at(0), "job-1") }, func(tn *town) {
+		{"cancellation, given up, ended since", cancels("job-1"), true, true, false, []func(*town){func(tn *town) { tn.checker.cancel(tn.at(0), "job-1") }, func(tn *town) {
 			if len(tn.hosts[0].running())+len(tn.hosts[1].running()) > 0 {
 				end(tn)
 			}
@@ -636,7 +636,7 @@
 					w.store.SetBlind(false)
 					time.Sleep(3 * time.Second)
 					want := c.want
-					if end, _ := tn.told.end("job-1"); want == "" {
+					if end, _ := tn.checker.end("job-1"); want == "" {
 						want = end
 					}
 					seen[want]++
@@ -672,7 +672,7 @@
 		ends []string
 	}{
 		{"cancellation", func(tn *town, at int, s *api.JobSpec) { tn.cancel(at, s.ID) }, []string{"done", "withdrawn"}},
-		{"question", func(tn *town, at int, s *api.JobSpec) { tn.told.ask(tn.at(at), s.ID) }, []string{"done"}},
+		{"question", func(tn *town, at int, s *api.JobSpec) { tn.checker.ask(tn.at(at), s.ID) }, []string{"done"}},
 		{"submission", func(tn *town, at int, s *api.JobSpec) { tn.accept(at, s) }, []string{"done"}},
 	} {
 		for by := range 2 {
@@ -702,7 +702,7 @@
 								time.Sleep(time.Duration(i*tries+try) * step) // over 360 ms
 								c.act(tn, by, s)
 								for k := range 12 {
-									tn.background(func() { tn.told.ask(tn.at(k), s.ID) })
+									tn.background(func() { tn.checker.ask(tn.at(k), s.ID) })
 									time.Sleep(time.Duration(k) * time.Millisecond)
 								}
 								tn.accept(by+1, s)
@@ -711,7 +711,7 @@
 						time.Sleep(3080 * time.Millisecond)
 						want := map[string]string{}
 						for i, s := range specs {
-							st, err := tn.told.ask(tn.at(i), s.ID)
+							st, err := tn.checker.ask(tn.at(i), s.ID)
 							if err != nil || !st.Final() {
 								t.Errorf("%s, 3 s after its end: %v, %v", s.ID, st, err)
 							}
@@ -790,7 +790,7 @@
 				for i := range jobs {
 					id := fmt.Sprint("job-", i)
 					for k := range 3 {
-						if _, err := tn.told.ask(tn.at(k), id); err != nil {
+						if _, err := tn.checker.ask(tn.at(k), id); err != nil {
 							t.Errorf("%s at node %d, 8 s after the outage: %v", id, k, err)
 						}
 					}
@@ -807,7 +807,7 @@
 func (tn *town) follow(i int, id string, every time.Duration) {
 	tn.background(func() {
 		for ; !tn.over.Load(); i++ {
-			if st, err := tn.told.ask(tn.at(i), id); err == nil && st.Final() {
+			if st, err := tn.checker.ask(tn.at(i), id); err == nil && st.Final() {
 				return
 			}
 			time.Sleep(every)
@@ -835,7 +835,7 @@
 					time.Sleep(time.Duration(i*37%4000) * time.Millisecond)
 					tn.cancel(i/4, s.ID)
 					for k := range 6 {
-						tn.background(func() { tn.told.ask(tn.at(k), s.ID) })
+						tn.background(func() { tn.checker.ask(tn.at(k), s.ID) })
 					}
 				}
 			})
@@ -857,10 +857,10 @@
 		late, cancelled := 0, 0
 		for i := range jobs {
 			id := fmt.Sprint("job-", i)
-			end, at := tn.told.end(id)
+			end, at := tn.checker.end(id)
 			if want[id] = end; end == api.JobWithdrawn {
 				cancelled++
-			} else if at.Sub(tn.told.doneAt(id)) > 3*time.Second+700*time.Millisecond {
+			} else if at.Sub(tn.checker.doneAt(id)) > 3*time.Second+700*time.Millisecond {
 				late++
 			}
 			w.same("an end", end != "", true)
@@ -966,7 +966,7 @@
 				w.store.Lose(nil)
 				for i := range jobs {
 					if id := fmt.Sprint("job-", i); i%10 == 3 {
-						want[id], _ = tn.told.end(id)
+						want[id], _ = tn.checker.end(id)
 					}
 				}
 				tn.finally(want)
--- a/internal/controller/apart_test.go
+++ b/internal/controller/apart_test.go
@@ -238,15 +238,15 @@
 		_, a, b, _, _ := w.pair()
 		k := w.worker("i-1", "", false)
 		k.serve(a, 3)
-		told := func() bool {
+		redirected := func() bool {
 			var other *api.NotLeaderError
 			_, err := k.send(b)
 			return errors.As(err, &other) && other.Leader == "n0"
 		}
-		w.same("told who leads, though it must know", told(), false)
+		w.same("told who leads, though it must know", redirected(), false)
 		k.rep.Machine, k.rep.Term = "i-2", 0
-		w.same("told who leads", told(), true)
-		w.same("told at once again", told(), true)
+		w.same("told who leads", redirected(), true)
+		w.same("told at once again", redirected(), true)
 		time.Sleep(5 * time.Second)
 		w.submit(a, spec("job-1", 4))
 		k.serve(b, 20)
@@ -255,7 +255,7 @@
 		k.serve(b, 3)
 		w.same("done", w.phase(a, "job-1"), "done")
 		time.Sleep(time.Minute)
-		w.same("told again", told(), true)
+		w.same("told again", redirected(), true)
 		w.same("given up", w.cloud.gone("i-2"), false)
 	})
 }
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -63,8 +63,8 @@
 	return store.Page{}, store.ErrUnknown
 }
 
-// history makes job-1 done, job-2 cancelled and job-3 wait.
-func (w *world) history(n *node) {
+// seedJobs makes job-1 done, job-2 cancelled and job-3 wait.
+func (w *world) seedJobs(n *node) {
 	w.t.Helper()
 	k := w.worker("i-1", "a", false)
 	w.submit(n, spec("job-1", 1))
@@ -77,7 +77,7 @@
 	}
 	w.submit(n, spec("job-3", 1))
 	time.Sleep(time.Second)
-	w.same("history", []string{w.phase(n, "job-1"), w.phase(n, "job-2"), w.phase(n, "job-3")}, []string{"done", "withdrawn", "pending"})
+	w.same("jobs", []string{w.phase(n, "job-1"), w.phase(n, "job-2"), w.phase(n, "job-3")}, []string{"done", "withdrawn", "pending"})
 }
 
 // places are how a node can stand when a request comes.
@@ -90,18 +90,18 @@
 }{
 	{"leader", false, false, func(w *world) *node {
 		n := w.start("n0")
-		w.history(n)
+		w.seedJobs(n)
 		return n
 	}},
 	{"follower", false, false, func(w *world) *node {
 		_, a, b, _, _ := w.pair()
-		w.history(a)
+		w.seedJobs(a)
 		b.look(func(c *Controller) { w.same("follows", c.leadership == nil && c.leader == "n0", true) })
 		return b
 	}},
 	{"taking over", false, false, func(w *world) *node {
 		a := w.start("n0")
-		w.history(a)
+		w.seedJobs(a)
 		a.crash()
 		b := w.startWith("n0", stalled{w.store}, nil)
 		b.look(func(c *Controller) { w.same("takes over", c.leadership != nil && !c.leadership.loaded, true) })
@@ -109,13 +109,13 @@
 	}},
 	{"without machine types", true, false, func(w *world) *node {
 		n := w.start("n0")
-		w.history(n)
+		w.seedJobs(n)
 		n.types.p.Store(nil)
 		return n
 	}},
 	{"outage", false, true, func(w *world) *node {
 		n := w.start("n0")
-		w.history(n)
+		w.seedJobs(n)
 		w.store.SetDown(true)
 		return n
 	}},
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -21,8 +21,8 @@
 	ga, gb *gate
 	k      *worker
 	began  time.Time
-	// told is when a user was told that job-1 is cancelled.
-	told time.Time
+	// confirmed is when a user was told that job-1 is cancelled.
+	confirmed time.Time
 	// heard is when the last answered report was sent.
 	heard time.Time
 	// lost is when job-2 was lost with the lease, without being cancelled.
@@ -55,7 +55,7 @@
 			g.check()
 			time.Sleep(50 * time.Millisecond)
 		}
-		w.same("cancellation told", g.told.IsZero(), false)
+		w.same("cancellation told", g.confirmed.IsZero(), false)
 		if !g.lost.IsZero() {
 			lost = g.lost.Sub(g.began)
 		}
@@ -91,12 +91,12 @@
 
 func (g *gapWorld) check() {
 	g.expire()
-	if g.told.IsZero() || time.Since(g.told) <= 30*time.Second {
+	if g.confirmed.IsZero() || time.Since(g.confirmed) <= 30*time.Second {
 		return
 	}
 	for _, task := range g.k.running() {
 		if strings.HasPrefix(task, "job-1/") {
-			g.t.Fatalf("%s runs %v after its cancellation was told", task, time.Since(g.told))
+			g.t.Fatalf("%s runs %v after its cancellation was told", task, time.Since(g.confirmed))
 		}
 	}
 }
@@ -107,7 +107,7 @@
 		g.t.Fatal(err)
 	}
 	g.same("cancelled", st.Phase, api.JobWithdrawn)
-	g.told = time.Now()
+	g.confirmed = time.Now()
 }
 
 // The store refuses the leader alone, another node confirms a cancellation, and
@@ -152,7 +152,7 @@
 			5000: func(g *gapWorld) { g.l.cut.Store(false) }}, true},
 		{"told by a node that only read it", map[int]func(*gapWorld){1000: refuse, 2000: elsewhere, 2550: func(g *gapWorld) {
 			g.same("asked", g.phase(g.b, "job-1"), api.JobWithdrawn)
-			g.told = time.Now()
+			g.confirmed = time.Now()
 		}, 2600: down}, true},
 		{"told to a repeated submission", map[int]func(*gapWorld){1000: refuse, 2000: elsewhere, 2550: func(g *gapWorld) {
 			st, _, err := g.b.Submit(context.Background(), spec("job-1", 2))
@@ -160,7 +160,7 @@
 				g.t.Fatal(err)
 			}
 			g.same("repeated", st.Phase, api.JobWithdrawn)
-			g.told = time.Now()
+			g.confirmed = time.Now()
 		}, 2600: down}, true},
 		{"told by the leader itself, whose watch is dead", map[int]func(*gapWorld){1000: func(g *gapWorld) {
 			g.store.SetBlind(true)
@@ -189,12 +189,12 @@
 // long as the leadership and a lease cover it, since the nodes
 // tell each other what they know. Should one of them not answer, leases end in time.
 func TestOutageLongerThanACancellation(t *testing.T) {
-	told := func(g *gapWorld) { g.cancelAt(g.b) }
+	confirmed := func(g *gapWorld) { g.cancelAt(g.b) }
 	down, up := func(g *gapWorld) { g.store.SetDown(true) }, func(g *gapWorld) { g.store.SetDown(false) }
-	if lost := gap(t, 60, map[int]func(*gapWorld){500: told, 3000: down, 35_500: up}); lost != 0 {
+	if lost := gap(t, 60, map[int]func(*gapWorld){500: confirmed, 3000: down, 35_500: up}); lost != 0 {
 		t.Errorf("lost after %v", lost)
 	}
-	lost := gap(t, 60, map[int]func(*gapWorld){500: told, 3000: down, 4000: func(g *gapWorld) { g.b.crash(); g.l.cut.Store(true) }, 35_500: up})
+	lost := gap(t, 60, map[int]func(*gapWorld){500: confirmed, 3000: down, 4000: func(g *gapWorld) { g.b.crash(); g.l.cut.Store(true) }, 35_500: up})
 	if lost < 20*time.Second || lost > 34*time.Second {
 		t.Errorf("a node missing: lost after %v", lost)
 	}
@@ -351,10 +351,10 @@
 			if _, err := gone.Abort(context.Background(), "job-1"); err != nil {
 				t.Fatal(err)
 			}
-			told := time.Now()
+			confirmed := time.Now()
 			gone.crash()
 			a = l.add("n0", w.startWith("n0", w.store, l))
-			time.Sleep(after - time.Since(told))
+			time.Sleep(after - time.Since(confirmed))
 			a.look(func(c *Controller) { k.rep.Term = c.leadership.term.Number }) // it was resynced
 			w.same("second term", k.rep.Term > 1, true)
 			l.cut.Store(true)
@@ -367,8 +367,8 @@
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			if end := heard.Add(gapLease); len(k.running()) > 0 && end.After(told.Add(30*time.Second)) {
-				t.Errorf("cut after %v: a cancelled task may run for %v", after, end.Sub(told))
+			if end := heard.Add(gapLease); len(k.running()) > 0 && end.After(confirmed.Add(30*time.Second)) {
+				t.Errorf("cut after %v: a cancelled task may run for %v", after, end.Sub(confirmed))
 			}
 		})
 	}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -32,7 +32,7 @@
 
 var diamondJobs = []string{"job-1", "job-2", "job-3", "job-4", "job-5"}
 
-// follow tells the history every second what a job is called at both nodes.
+// follow tells the checker every second what a job is called at both nodes.
 func (s *stage) follow(ids ...string) {
 	for _, id := range ids {
 		go func() {
--- a/internal/controller/history_test.go
+++ b/internal/controller/runchecker_test.go
@@ -15,13 +15,13 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// history is what the machines of a test really ran, seen from outside. It fails
+// runChecker follows what the machines of a test really run, from outside. It fails
 // the test where a rule of the protocol is broken, whoever is to blame.
-type history struct {
+type runChecker struct {
 	w      *world
 	t0     time.Time
 	mu     sync.Mutex
-	jobs   map[string]*past
+	jobs   map[string]*observedJob
 	runs   map[run]bool
 	hosts  map[string]*host
 	broken int
@@ -37,8 +37,8 @@
 
 func (r run) job() string { return r.task[:strings.LastIndexByte(r.task, '/')] }
 
-// past is what users and machines know of a job.
-type past struct {
+// observedJob is what users and machines know of a job.
+type observedJob struct {
 	spec *api.JobSpec
 	// takes is how long its tasks run.
 	takes time.Duration
@@ -60,7 +60,7 @@
 // its team is under its limit.
 const mostWait = 90 * time.Second
 
-func (h *history) fail(format string, args ...any) {
+func (h *runChecker) fail(format string, args ...any) {
 	h.w.t.Helper()
 	if h.broken++; h.broken <= 5 {
 		h.w.t.Errorf("%7.2fs: %s", time.Since(h.t0).Seconds(), fmt.Sprintf(format, args...))
@@ -68,7 +68,7 @@
 }
 
 // purge drops what was on machines that the cloud has taken back.
-func (h *history) purge() {
+func (h *runChecker) purge() {
 	for r := range h.runs {
 		if h.w.cloud.gone(r.machine) {
 			delete(h.runs, r)
@@ -77,7 +77,7 @@
 }
 
 // start takes in that a task is on a machine from now on.
-func (h *history) start(k *host, task string, attempt uint64) {
+func (h *runChecker) start(k *host, task string, attempt uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.purge()
@@ -132,7 +132,7 @@
 }
 
 // end takes in that a task is off a machine.
-func (h *history) end(k *host, task string, attempt uint64, cause string) {
+func (h *runChecker) end(k *host, task string, attempt uint64, cause string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := run{k.rep.Machine, task, attempt}
@@ -143,7 +143,7 @@
 }
 
 // completed tells whether the result of a task is kept.
-func (h *history) completed(task string) bool {
+func (h *runChecker) completed(task string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.jobs[run{task: task}.job()]
@@ -151,7 +151,7 @@
 }
 
 // before lists a job and all that it needs, directly or through others.
-func (h *history) before(id string) []string {
+func (h *runChecker) before(id string) []string {
 	ids := []string{id}
 	for i := 0; i < len(ids); i++ {
 		p := h.jobs[ids[i]]
@@ -169,7 +169,7 @@
 
 // withdrawnBefore is when the first user was told that a job is cancelled that
 // another needs.
-func (h *history) withdrawnBefore(id string) (at time.Time) {
+func (h *runChecker) withdrawnBefore(id string) (at time.Time) {
 	for _, a := range h.before(id)[1:] {
 		if p := h.jobs[a]; p != nil && !p.withdrawn.IsZero() && !p.asked.IsZero() && (at.IsZero() || p.withdrawn.Before(at)) {
 			at = p.withdrawn
@@ -178,10 +178,10 @@
 	return at
 }
 
-func (h *history) cancelTime() time.Duration { return 30 * time.Second }
+func (h *runChecker) cancelTime() time.Duration { return 30 * time.Second }
 
 // look looks at what is on the machines; it is called at every tick.
-func (h *history) look() {
+func (h *runChecker) look() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.purge()
@@ -196,7 +196,7 @@
 }
 
 // waiting fails the test if a job waits for too long beside free room.
-func (h *history) waiting(since time.Duration) {
+func (h *runChecker) waiting(since time.Duration) {
 	used, onHost, taken := map[string]float64{}, map[string]float64{}, map[string]int{}
 	for r := range h.runs {
 		s := h.jobs[r.job()].spec
@@ -229,16 +229,16 @@
 	}
 }
 
-// told takes in what a user was told of a job.
-func (h *history) told(id, phase string) {
+// observed takes in what a user was told of a job.
+func (h *runChecker) observed(id, phase string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tell(id, phase)
 }
 
-// answered is told for a question asked at some time. If another user was told of
+// answered is observed for a question asked at some time. If another user was told of
 // the job's end since, or at that instant, the answer may be older.
-func (h *history) answered(id, phase string, asked time.Time) {
+func (h *runChecker) answered(id, phase string, asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if p := h.jobs[id]; p.withdrawn.Before(asked) && p.finished.Before(asked) {
@@ -246,8 +246,8 @@
 	}
 }
 
-// tell is told with the lock held.
-func (h *history) tell(id, phase string) {
+// tell is observed with the lock held.
+func (h *runChecker) tell(id, phase string) {
 	p := h.jobs[id]
 	if at := h.withdrawnBefore(id); phase != api.JobWithdrawn && !at.IsZero() && time.Since(at) > h.cancelTime() {
 		h.fail("%s is orphaned: called %s %v after the cancellation of a job that it needs", id, phase, time.Since(at))
@@ -270,7 +270,7 @@
 }
 
 // onMachines lists the tasks of a job that are on machines.
-func (h *history) onMachines(job string) (tasks []string) {
+func (h *runChecker) onMachines(job string) (tasks []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.purge()
@@ -284,7 +284,7 @@
 }
 
 // begunTwice lists the tasks that have begun more than once.
-func (h *history) begunTwice() (tasks []string) {
+func (h *runChecker) begunTwice() (tasks []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.jobs {
@@ -299,7 +299,7 @@
 }
 
 // begunWhenDone lists the tasks that began again after they had completed.
-func (h *history) begunWhenDone() []string {
+func (h *runChecker) begunWhenDone() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.again
@@ -329,7 +329,7 @@
 // stage is a deployment whose machines and controllers act by themselves.
 type stage struct {
 	*world
-	h   *history
+	h   *runChecker
 	ctx context.Context
 
 	smu   sync.Mutex
@@ -372,7 +372,7 @@
 	s := &stage{world: w, ctx: ctx, links: &links{}, names: []string{"n0", "n1"}, up: map[string]*node{}, gates: map[string]*slowGate{}}
 	w.reportS = reportS
 	w.director = s
-	s.h = &history{w: w, t0: time.Now(), jobs: map[string]*past{}, runs: map[run]bool{}, hosts: map[string]*host{}}
+	s.h = &runChecker{w: w, t0: time.Now(), jobs: map[string]*observedJob{}, runs: map[run]bool{}, hosts: map[string]*host{}}
 	go s.live()
 	s.begin("n0")
 	s.begin("n1")
@@ -479,7 +479,7 @@
 func (s *stage) order(takes time.Duration, spec *api.JobSpec) {
 	s.t.Helper()
 	s.h.mu.Lock()
-	s.h.jobs[spec.ID] = &past{spec: spec, takes: takes, begun: map[string]int{}, done: map[string]int{}}
+	s.h.jobs[spec.ID] = &observedJob{spec: spec, takes: takes, begun: map[string]int{}, done: map[string]int{}}
 	s.h.mu.Unlock()
 	s.users("submit "+spec.ID, spec.Tasks, func(ctx context.Context, n *node) error {
 		_, _, err := n.Submit(ctx, spec)
@@ -497,7 +497,7 @@
 		go s.users("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
 			st, err := n.Abort(ctx, id)
 			if err == nil {
-				s.h.told(id, st.Phase)
+				s.h.observed(id, st.Phase)
 			}
 			return err
 		})
@@ -521,7 +521,7 @@
 			if n := s.node(s.names[0]); n != nil {
 				last = s.phase(n, id)
 				if last == api.JobDone || last == api.JobWithdrawn {
-					s.h.told(id, last)
+					s.h.observed(id, last)
 					break
 				}
 			}
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -73,11 +73,11 @@
 // not know, and tells what it means in one line. It notes the fields seen.
 func tell(t *testing.T, all map[string]map[protowire.Number]shapeField, message string, raw []byte, seen map[string]bool) string {
 	t.Helper()
-	type told struct {
+	type decoded struct {
 		num  protowire.Number
 		text string
 	}
-	var out []told
+	var out []decoded
 	for len(raw) > 0 {
 		num, wire, n := protowire.ConsumeTag(raw)
 		if n < 0 {
@@ -120,7 +120,7 @@
 			t.Fatalf("%s.%d: %v", message, num, protowire.ParseError(n))
 		}
 		if raw = raw[n:]; known {
-			out = append(out, told{num, f.name + "=" + value})
+			out = append(out, decoded{num, f.name + "=" + value})
 		}
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].num < out[j].num })
@@ -141,8 +141,8 @@
 // goldens are messages as the earlier version sent or stored them, what they mean
 // to it, and what to this one.
 var goldens = []struct {
-	name, raw, told string
-	message         proto.Message
+	name, raw, decoded string
+	message            proto.Message
 }{
 	{"question about a job", "080512070a056a6f622d31",
 		`seq=5 job={id=job-1}`,
@@ -193,8 +193,8 @@
 			t.Fatal(err)
 		}
 		name := string(g.message.ProtoReflect().Descriptor().Name())
-		if got := tell(t, all, name, raw, seen); got != g.told {
-			t.Errorf("%s was read as %s, not %s: the copy is wrong", g.name, got, g.told)
+		if got := tell(t, all, name, raw, seen); got != g.decoded {
+			t.Errorf("%s was read as %s, not %s: the copy is wrong", g.name, got, g.decoded)
 		}
 		got := g.message.ProtoReflect().New().Interface()
 		if err := proto.Unmarshal(raw, got); err != nil || !proto.Equal(got, g.message) {
@@ -204,8 +204,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := tell(t, all, name, now, map[string]bool{}); got != g.told {
-			t.Errorf("%s sent now is read by the earlier version as %s, meant %s", g.name, got, g.told)
+		if got := tell(t, all, name, now, map[string]bool{}); got != g.decoded {
+			t.Errorf("%s sent now is read by the earlier version as %s, meant %s", g.name, got, g.decoded)
 		}
 	}
 	for message, fields := range all {
@@ -304,7 +304,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if text := tell(t, parseShapes(t), "RelayUp", message, map[string]bool{}); text != goldens[len(goldens)-2].told {
+	if text := tell(t, parseShapes(t), "RelayUp", message, map[string]bool{}); text != goldens[len(goldens)-2].decoded {
 		t.Errorf("the earlier version reads %s", text)
 	}
 }
