--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -94,9 +94,9 @@
 	return y.gate.Watch(ctx, prefix, from, block)
 }
 
-// townHost is a scripted machine that reports by itself, whose tasks end after their
+// userHost is a scripted machine that reports by itself, whose tasks end after their
 // time and with its lease.
-type townHost struct {
+type userHost struct {
 	*worker
 	began map[string]time.Time
 	// sent is when its last report was sent, leased when the last answered one was.
@@ -107,14 +107,14 @@
 	starts atomic.Int64
 }
 
-// town is three nodes with their machines and users, who note all they are told.
-type town struct {
-	*world
+// userCluster is three nodes with their machines and users, who note all they are told.
+type userCluster struct {
+	*cluster
 	checker *answerChecker
 	links   *links
 	ways    []*way
 	tally   *tally
-	hosts   []*townHost
+	hosts   []*userHost
 	// takes is how long tasks run, by job; others run until ended.
 	takes sync.Map
 	users sync.WaitGroup
@@ -127,10 +127,10 @@
 	over   atomic.Bool
 }
 
-func newTown(w *world, hosts int) *town {
+func newUserCluster(w *cluster, hosts int) *userCluster {
 	w.zones = map[string]string{"n0": "a", "n1": "a", "n2": "a"}
 	w.teams[0].CPUsMax = 1000
-	tn := &town{world: w, checker: newAnswerChecker(w.t), links: &links{}, nodes: make([]*node, 3),
+	tn := &userCluster{cluster: w, checker: newAnswerChecker(w.t), links: &links{}, nodes: make([]*node, 3),
 		tally: &tally{requests: map[int64]int{}, writes: map[int64]int{}, watches: map[int64]int{}}}
 	for i := range 3 {
 		y := &way{there: time.Duration(2+3*i) * time.Millisecond, back: time.Duration(1+2*i) * time.Millisecond, tally: tn.tally}
@@ -139,7 +139,7 @@
 		tn.begin(i)
 	}
 	for i := range hosts {
-		h := &townHost{worker: w.worker(fmt.Sprintf("i-%d", i+1), "a", false), began: map[string]time.Time{}, leased: time.Now(), changed: make(chan struct{}, 1)}
+		h := &userHost{worker: w.worker(fmt.Sprintf("i-%d", i+1), "a", false), began: map[string]time.Time{}, leased: time.Now(), changed: make(chan struct{}, 1)}
 		tn.hosts = append(tn.hosts, h)
 		tn.users.Go(func() { tn.live(h) })
 	}
@@ -148,7 +148,7 @@
 }
 
 // begin starts a node, or starts it anew after a crash.
-func (tn *town) begin(i int) {
+func (tn *userCluster) begin(i int) {
 	name := fmt.Sprint("n", i)
 	n := tn.links.add(name, tn.startWith(name, tn.ways[i], tn.links))
 	tn.mu.Lock()
@@ -157,7 +157,7 @@
 }
 
 // crash ends a node; users and machines no longer come to it.
-func (tn *town) crash(i int) {
+func (tn *userCluster) crash(i int) {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
 	tn.nodes[i].crash()
@@ -166,7 +166,7 @@
 }
 
 // at is a node as it is at present, or the next if that is down.
-func (tn *town) at(i int) *node {
+func (tn *userCluster) at(i int) *node {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
 	for tn.nodes[i%3] == nil {
@@ -176,14 +176,14 @@
 }
 
 // all are the nodes that are up.
-func (tn *town) all() []*node {
+func (tn *userCluster) all() []*node {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(tn.nodes), func(n *node) bool { return n == nil })
 }
 
 // leader waits until a node leads, and is its number.
-func (tn *town) leader() int {
+func (tn *userCluster) leader() int {
 	for {
 		for i := range 3 {
 			n := tn.at(i)
@@ -197,7 +197,7 @@
 }
 
 // live has a machine report once a second and at every change.
-func (tn *town) live(h *townHost) {
+func (tn *userCluster) live(h *userHost) {
 	for changed := false; !tn.over.Load(); {
 		now := time.Now()
 		if h.lapse(now); h.end(tn, now, "") || changed || now.Sub(h.sent) >= time.Second {
@@ -218,7 +218,7 @@
 	}
 }
 
-func (tn *town) stays(ref string) {
+func (tn *userCluster) stays(ref string) {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
 	if !slices.Contains(tn.stayed, ref) {
@@ -227,14 +227,14 @@
 }
 
 // gone sees that no task of a cancelled job has stayed for longer than it may.
-func (tn *town) gone() {
+func (tn *userCluster) gone() {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
 	tn.same("on machines too long after a confirmed cancellation", tn.stayed, []string(nil))
 }
 
 // tell sends a report to whichever node answers it.
-func (h *townHost) tell(tn *town) {
+func (h *userHost) tell(tn *userCluster) {
 	h.sent = time.Now()
 	sent := h.sent
 	for _, n := range tn.all() {
@@ -261,7 +261,7 @@
 }
 
 // lapse ends the machine's lease if no report was answered in time.
-func (h *townHost) lapse(now time.Time) {
+func (h *userHost) lapse(now time.Time) {
 	if now.Sub(h.leased) <= 10*time.Second {
 		return
 	}
@@ -273,7 +273,7 @@
 }
 
 // end completes the tasks whose time is over, and those of the job named.
-func (h *townHost) end(tn *town, now time.Time, named string) (any bool) {
+func (h *userHost) end(tn *userCluster, now time.Time, named string) (any bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range h.rep.Tasks {
@@ -291,7 +291,7 @@
 }
 
 // finish ends the tasks of a job now, wherever they run.
-func (tn *town) finish(id string) {
+func (tn *userCluster) finish(id string) {
 	n := 0
 	for _, h := range tn.hosts {
 		if h.end(tn, time.Now(), id) {
@@ -305,11 +305,11 @@
 }
 
 // background does what some user does while the others go on.
-func (tn *town) background(f func()) { tn.users.Go(f) }
+func (tn *userCluster) background(f func()) { tn.users.Go(f) }
 
 // pollAll asks about a job at all nodes in turn, with gap between two questions
 // whether or not they are answered; some repeat the submission.
-func (tn *town) pollAll(s *api.JobSpec, gap, span time.Duration) {
+func (tn *userCluster) pollAll(s *api.JobSpec, gap, span time.Duration) {
 	submitted := func() bool {
 		tn.checker.mu.Lock()
 		defer tn.checker.mu.Unlock()
@@ -333,13 +333,13 @@
 	})
 }
 
-func (tn *town) accept(i int, s *api.JobSpec) {
+func (tn *userCluster) accept(i int, s *api.JobSpec) {
 	if err := insist(func() error { _, err := tn.checker.submit(tn.at(i), s); return err }); err != nil {
 		tn.t.Errorf("submission of %s: %v", s.ID, err)
 	}
 }
 
-func (tn *town) cancel(i int, id string) string {
+func (tn *userCluster) cancel(i int, id string) string {
 	var st api.JobState
 	if err := insist(func() (err error) { st, err = tn.checker.cancel(tn.at(i), id); return err }); err != nil {
 		tn.t.Errorf("cancellation of %s: %v", id, err)
@@ -348,7 +348,7 @@
 }
 
 // finally waits for the users and sees that all nodes tell the same of a job.
-func (tn *town) finally(want map[string]string) {
+func (tn *userCluster) finally(want map[string]string) {
 	for id, phase := range want {
 		for i := range 3 {
 			st, err := tn.checker.ask(tn.at(i), id)
@@ -360,7 +360,7 @@
 }
 
 // close ends machines, users and nodes, with what these have on the way.
-func (tn *town) close() {
+func (tn *userCluster) close() {
 	tn.over.Store(true)
 	tn.users.Wait()
 	tn.store.Lose(nil)
@@ -378,34 +378,34 @@
 	for _, c := range []struct {
 		name string
 		// before comes well before the moment, trouble at the moment.
-		before, trouble func(tn *town)
+		before, trouble func(tn *userCluster)
 		// step is how much later the users act in each try.
 		step time.Duration
 	}{
 		{name: "calm", step: 13 * time.Millisecond},
-		{name: "blind", step: 100 * time.Millisecond, trouble: func(tn *town) {
+		{name: "blind", step: 100 * time.Millisecond, trouble: func(tn *userCluster) {
 			tn.store.SetBlind(true)
 			time.Sleep(1500 * time.Millisecond)
 			tn.store.SetBlind(false)
 		}},
-		{name: "newly elected", step: 60 * time.Millisecond, trouble: func(tn *town) {
+		{name: "newly elected", step: 60 * time.Millisecond, trouble: func(tn *userCluster) {
 			tn.crash(0)
 			tn.begin(0)
 		}},
-		{name: "another one", step: 700 * time.Millisecond, trouble: func(tn *town) {
+		{name: "another one", step: 700 * time.Millisecond, trouble: func(tn *userCluster) {
 			tn.ways[0].set(true)
 			time.Sleep(9 * time.Second)
 			tn.ways[0].set(false)
 		}},
-		{name: "former leader", step: 60 * time.Millisecond, before: func(tn *town) {
+		{name: "former leader", step: 60 * time.Millisecond, before: func(tn *userCluster) {
 			tn.ways[0].set(true)
 			time.Sleep(9 * time.Second)
-		}, trouble: func(tn *town) { tn.ways[0].set(false) }},
+		}, trouble: func(tn *userCluster) { tn.ways[0].set(false) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for try := range 10 {
-				play(t, func(w *world) {
-					tn := newTown(w, 2)
+				simulate(t, func(w *cluster) {
+					tn := newUserCluster(w, 2)
 					defer tn.close()
 					ends, stays, called, atOnce := spec("job-1", 2), spec("job-2", 1), spec("job-3", 2), spec("job-4", 1)
 					tn.accept(0, ends)
@@ -467,7 +467,7 @@
 }
 
 // written is the version of a record, 0 if there is none.
-func (tn *town) written(key string) uint64 {
+func (tn *userCluster) written(key string) uint64 {
 	e, err := tn.store.Get(context.Background(), key)
 	if err != nil {
 		tn.t.Error(err)
@@ -476,7 +476,7 @@
 }
 
 // starts is how many starts the machines were ordered.
-func (tn *town) starts() (n int64) {
+func (tn *userCluster) starts() (n int64) {
 	for _, h := range tn.hosts {
 		n += h.starts.Load()
 	}
@@ -484,7 +484,7 @@
 }
 
 // held is how many tasks are on machines, in whatever state.
-func (tn *town) held() (n int) {
+func (tn *userCluster) held() (n int) {
 	for _, h := range tn.hosts {
 		h.mu.Lock()
 		n += len(h.rep.Tasks)
@@ -502,21 +502,21 @@
 		lose      func(store.Txn) bool
 		// by are the nodes that may write it; n0 leads.
 		by   []int
-		act  func(tn *town, by int) error
+		act  func(tn *userCluster, by int) error
 		want string
 		// starts and held are of the machines in the end.
 		starts int64
 		held   int
 	}{
-		{"acceptance", store.ActivePrefix + "job-1", accepts("job-1"), []int{0, 1}, func(tn *town, by int) error {
+		{"acceptance", store.ActivePrefix + "job-1", accepts("job-1"), []int{0, 1}, func(tn *userCluster, by int) error {
 			_, err := tn.checker.submit(tn.at(by), spec("job-1", 2))
 			return err
 		}, "running", 2, 2},
-		{"cancellation", store.FinalPrefix + "job-1", cancels("job-1"), []int{0, 2}, func(tn *town, by int) error {
+		{"cancellation", store.FinalPrefix + "job-1", cancels("job-1"), []int{0, 2}, func(tn *userCluster, by int) error {
 			_, err := tn.checker.cancel(tn.at(by), "job-1")
 			return err
 		}, "withdrawn", 2, 0},
-		{"end", store.FinalPrefix + "job-1", ends("job-1"), []int{0}, func(tn *town, _ int) error {
+		{"end", store.FinalPrefix + "job-1", ends("job-1"), []int{0}, func(tn *userCluster, _ int) error {
 			tn.finish("job-1")
 			return nil
 		}, "done", 2, 0},
@@ -524,8 +524,8 @@
 		for _, by := range c.by {
 			for _, refused := range []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
 				t.Run(fmt.Sprint(c.name, " by n", by, ", then refused for ", refused), func(t *testing.T) {
-					play(t, func(w *world) {
-						tn := newTown(w, 2)
+					simulate(t, func(w *cluster) {
+						tn := newUserCluster(w, 2)
 						defer tn.close()
 						if c.name != "acceptance" {
 							tn.accept(1, spec("job-1", 2))
@@ -576,36 +576,36 @@
 // ended.
 func TestLateTransactions(t *testing.T) {
 	// Each act follows the one before by half a second.
-	accept := func(tn *town) { tn.accept(0, spec("job-1", 1)) }
-	cancel := func(tn *town) { tn.cancel(0, "job-1") }
-	end := func(tn *town) { tn.finish("job-1") }
+	accept := func(tn *userCluster) { tn.accept(0, spec("job-1", 1)) }
+	cancel := func(tn *userCluster) { tn.cancel(0, "job-1") }
+	end := func(tn *userCluster) { tn.finish("job-1") }
 	for _, c := range []struct {
 		name    string
 		hold    func(store.Txn) bool
 		every   bool // held back until the release, not only the first
 		running bool // to begin with
 		blind   bool // the watches show nothing meanwhile
-		acts    []func(tn *town)
+		acts    []func(tn *userCluster)
 		want    string // "": either end
 	}{
-		{"acceptance, repeated", accepts("job-1"), false, false, false, []func(*town){accept}, "running"},
-		{"acceptance, cancelled since", accepts("job-1"), false, false, false, []func(*town){accept, cancel}, "withdrawn"},
-		{"acceptance, ended since", accepts("job-1"), false, false, false, []func(*town){accept, func(*town) { time.Sleep(2 * time.Second) }, end}, "done"},
-		{"cancellation, repeated", cancels("job-1"), false, true, false, []func(*town){cancel}, "withdrawn"},
-		{"cancellation, given up, ended since", cancels("job-1"), true, true, false, []func(*town){func(tn *town) { tn.checker.cancel(tn.at(0), "job-1") }, func(tn *town) {
+		{"acceptance, repeated", accepts("job-1"), false, false, false, []func(*userCluster){accept}, "running"},
+		{"acceptance, cancelled since", accepts("job-1"), false, false, false, []func(*userCluster){accept, cancel}, "withdrawn"},
+		{"acceptance, ended since", accepts("job-1"), false, false, false, []func(*userCluster){accept, func(*userCluster) { time.Sleep(2 * time.Second) }, end}, "done"},
+		{"cancellation, repeated", cancels("job-1"), false, true, false, []func(*userCluster){cancel}, "withdrawn"},
+		{"cancellation, given up, ended since", cancels("job-1"), true, true, false, []func(*userCluster){func(tn *userCluster) { tn.checker.cancel(tn.at(0), "job-1") }, func(tn *userCluster) {
 			if len(tn.hosts[0].running())+len(tn.hosts[1].running()) > 0 {
 				end(tn)
 			}
 		}}, ""},
-		{"end, repeated", ends("job-1"), false, true, false, []func(*town){end}, "done"},
-		{"end, cancelled since", ends("job-1"), false, true, false, []func(*town){end, cancel}, ""},
-		{"end, cancelled since at another node", ends("job-1"), false, true, true, []func(*town){end, func(tn *town) { tn.cancel(1, "job-1") }}, ""},
+		{"end, repeated", ends("job-1"), false, true, false, []func(*userCluster){end}, "done"},
+		{"end, cancelled since", ends("job-1"), false, true, false, []func(*userCluster){end, cancel}, ""},
+		{"end, cancelled since at another node", ends("job-1"), false, true, true, []func(*userCluster){end, func(tn *userCluster) { tn.cancel(1, "job-1") }}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			late, seen := 0, map[string]int{}
 			for release := 100 * time.Millisecond; release < 9*time.Second; release += 420 * time.Millisecond {
-				play(t, func(w *world) {
-					tn := newTown(w, 2)
+				simulate(t, func(w *cluster) {
+					tn := newUserCluster(w, 2)
 					defer tn.close()
 					if c.running {
 						tn.accept(0, spec("job-1", 1))
@@ -667,20 +667,20 @@
 	const jobs, tries, step = 8, 15, 3 * time.Millisecond
 	for _, c := range []struct {
 		name string
-		act  func(tn *town, at int, s *api.JobSpec)
+		act  func(tn *userCluster, at int, s *api.JobSpec)
 		// ends are those that must be seen in the sweep.
 		ends []string
 	}{
-		{"cancellation", func(tn *town, at int, s *api.JobSpec) { tn.cancel(at, s.ID) }, []string{"done", "withdrawn"}},
-		{"question", func(tn *town, at int, s *api.JobSpec) { tn.checker.ask(tn.at(at), s.ID) }, []string{"done"}},
-		{"submission", func(tn *town, at int, s *api.JobSpec) { tn.accept(at, s) }, []string{"done"}},
+		{"cancellation", func(tn *userCluster, at int, s *api.JobSpec) { tn.cancel(at, s.ID) }, []string{"done", "withdrawn"}},
+		{"question", func(tn *userCluster, at int, s *api.JobSpec) { tn.checker.ask(tn.at(at), s.ID) }, []string{"done"}},
+		{"submission", func(tn *userCluster, at int, s *api.JobSpec) { tn.accept(at, s) }, []string{"done"}},
 	} {
 		for by := range 2 {
 			t.Run(fmt.Sprint(c.name, " at n", by), func(t *testing.T) {
 				seen := map[string]int{}
 				for try := range tries {
-					play(t, func(w *world) {
-						tn := newTown(w, jobs/4)
+					simulate(t, func(w *cluster) {
+						tn := newUserCluster(w, jobs/4)
 						defer tn.close()
 						var specs []*api.JobSpec
 						for i := range jobs {
@@ -739,20 +739,20 @@
 // cancellation has, while users cancel and ask at all nodes: what was told holds,
 // and once the store is back all is answered.
 func TestAnswersAroundAnOutage(t *testing.T) {
-	aloneThenOut(t, func(tn *town, want map[string]string) { tn.finally(want) })
+	aloneThenOut(t, func(tn *userCluster, want map[string]string) { tn.finally(want) })
 }
 
 // Nor does a task run on for longer than a cancellation has: the leader hears of what
 // was cancelled through the others while it alone was refused.
 func TestCancelledTasksAroundAnOutage(t *testing.T) {
-	aloneThenOut(t, func(tn *town, _ map[string]string) { tn.gone() })
+	aloneThenOut(t, func(tn *userCluster, _ map[string]string) { tn.gone() })
 }
 
-func aloneThenOut(t *testing.T, judge func(tn *town, want map[string]string)) {
+func aloneThenOut(t *testing.T, judge func(tn *userCluster, want map[string]string)) {
 	for _, alone := range []time.Duration{0, 300 * time.Millisecond, time.Second, 3 * time.Second, 6 * time.Second, 8 * time.Second, 11 * time.Second, 15 * time.Second} {
 		t.Run(fmt.Sprint("alone for ", alone), func(t *testing.T) {
-			play(t, func(w *world) {
-				tn := newTown(w, 6)
+			simulate(t, func(w *cluster) {
+				tn := newUserCluster(w, 6)
 				defer tn.close()
 				time.Sleep(10 * time.Second) // all nodes know each other
 				const jobs = 20
@@ -804,7 +804,7 @@
 }
 
 // follow has a job's user ask until told of its end, each time at another node.
-func (tn *town) follow(i int, id string, every time.Duration) {
+func (tn *userCluster) follow(i int, id string, every time.Duration) {
 	tn.background(func() {
 		for ; !tn.over.Load(); i++ {
 			if st, err := tn.checker.ask(tn.at(i), id); err == nil && st.Final() {
@@ -818,8 +818,8 @@
 // Small jobs come four a second for minutes, a quarter of them cancelled. What that
 // costs must not grow: the writes and watches of a second, and the jobs in memory.
 func TestManySmallJobs(t *testing.T) {
-	play(t, func(w *world) {
-		tn := newTown(w, 10)
+	simulate(t, func(w *cluster) {
+		tn := newUserCluster(w, 10)
 		defer tn.close()
 		const jobs = 720
 		want := map[string]string{}
@@ -913,8 +913,8 @@
 func TestAcceptedJobsAreDoneAcrossLeaders(t *testing.T) {
 	for shift := time.Duration(0); shift < 4*time.Second; shift += 700 * time.Millisecond {
 		t.Run(fmt.Sprint(shift), func(t *testing.T) {
-			play(t, func(w *world) {
-				tn := newTown(w, 5)
+			simulate(t, func(w *cluster) {
+				tn := newUserCluster(w, 5)
 				defer tn.close()
 				time.Sleep(10 * time.Second)
 				// Every fifth transaction's answer is lost.
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -25,7 +25,7 @@
 
 // job is the body of a submission, changed. A field that is changed to "@..." is
 // written as what follows.
-func (w *world) job(id string, change map[string]any) string {
+func (w *cluster) job(id string, change map[string]any) string {
 	m := map[string]any{"NameId": id, "Jobclass": "c", "Owner": "red", "Shape": "array", "Precedence": "low", "Shoots": 5,
 		"Cores": 1.0, "Cards": 0.0, "MemoryGb": 1.0, "Rootstock": "img", "PullGb": 1.0, "Frames": nil, "Bed": nil,
 		"SamePlace": false, "Scatter": false, "Windfall": true, "ExpectS": 30.0, "GraftS": 0.0, "PressS": 0.0, "DueS": nil}
@@ -44,7 +44,7 @@
 
 // stored is what the store holds of jobs, with the marks, so that nothing that
 // is written again goes unseen.
-func (w *world) stored() map[string]uint64 {
+func (w *cluster) stored() map[string]uint64 {
 	marks := map[string]uint64{}
 	for _, prefix := range []string{store.ActivePrefix, store.FinalPrefix, store.ProgressPrefix} {
 		p, _ := w.store.Range(context.Background(), prefix, "", 1<<20) // in an outage as well
@@ -64,7 +64,7 @@
 }
 
 // seedJobs makes job-1 done, job-2 cancelled and job-3 wait.
-func (w *world) seedJobs(n *node) {
+func (w *cluster) seedJobs(n *node) {
 	w.t.Helper()
 	k := w.worker("i-1", "a", false)
 	w.submit(n, spec("job-1", 1))
@@ -86,20 +86,20 @@
 	// untyped is set if the node does not know the machine types, down in
 	// an outage of the state service.
 	untyped, down bool
-	make          func(w *world) *node
+	make          func(w *cluster) *node
 }{
-	{"leader", false, false, func(w *world) *node {
+	{"leader", false, false, func(w *cluster) *node {
 		n := w.start("n0")
 		w.seedJobs(n)
 		return n
 	}},
-	{"follower", false, false, func(w *world) *node {
+	{"follower", false, false, func(w *cluster) *node {
 		_, a, b, _, _ := w.pair()
 		w.seedJobs(a)
 		b.look(func(c *Controller) { w.same("follows", c.leadership == nil && c.leader == "n0", true) })
 		return b
 	}},
-	{"taking over", false, false, func(w *world) *node {
+	{"taking over", false, false, func(w *cluster) *node {
 		a := w.start("n0")
 		w.seedJobs(a)
 		a.crash()
@@ -107,13 +107,13 @@
 		b.look(func(c *Controller) { w.same("takes over", c.leadership != nil && !c.leadership.loaded, true) })
 		return b
 	}},
-	{"without machine types", true, false, func(w *world) *node {
+	{"without machine types", true, false, func(w *cluster) *node {
 		n := w.start("n0")
 		w.seedJobs(n)
 		n.types.p.Store(nil)
 		return n
 	}},
-	{"outage", false, true, func(w *world) *node {
+	{"outage", false, true, func(w *cluster) *node {
 		n := w.start("n0")
 		w.seedJobs(n)
 		w.store.SetDown(true)
@@ -122,7 +122,7 @@
 }
 
 // manyTypes adds machine types of which each has something that the others lack.
-func (w *world) manyTypes() {
+func (w *cluster) manyTypes() {
 	w.cloud.types = append(w.cloud.types,
 		api.MachineType{Name: "wide", CPUs: 8, MemoryGB: 16, Price: 2, SpotPrice: 1, BootS: 20, Zones: []string{"a"}},
 		api.MachineType{Name: "cards", CPUs: 2, GPUs: 2, MemoryGB: 8, Price: 4, SpotPrice: 2, BootS: 20, Zones: []string{"b"}},
@@ -139,7 +139,7 @@
 func TestBadSubmissions(t *testing.T) {
 	for _, place := range places {
 		t.Run(place.name, func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.manyTypes()
 				n := place.make(w)
 				before := w.stored()
@@ -253,7 +253,7 @@
 func TestBadCancels(t *testing.T) {
 	for _, place := range places {
 		t.Run(place.name, func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				n := place.make(w)
 				before := w.stored()
 				for _, c := range []struct {
@@ -298,7 +298,7 @@
 
 // Amounts that JSON cannot hold fit nothing.
 func TestSubmitOfNoNumbers(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.manyTypes()
 		n := w.start("n0")
 		for _, v := range []float64{math.NaN(), math.Inf(1)} {
@@ -337,7 +337,7 @@
 		{"spread", change{"Scatter": true}, 6, 3, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.manyTypes()
 				n := w.start("n0")
 				workers := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "b", false), w.worker("i-3", "b", false)}
--- a/internal/controller/direct_test.go
+++ b/internal/controller/direct_test.go
@@ -102,8 +102,8 @@
 	return done
 }
 
-// seldom is a world whose machines report every 5 s, with n of them.
-func (w *world) seldom(n int) (*node, *wire, []*worker) {
+// seldom is a cluster whose machines report every 5 s, with n of them.
+func (w *cluster) seldom(n int) (*node, *wire, []*worker) {
 	d := &wire{machines: map[string]*worker{}}
 	w.director, w.reportS = d, 5
 	a := w.start("n0")
@@ -120,7 +120,7 @@
 // Work is begun at once where reports are seldom. A report that was on its way
 // as the order was carried out, and so does not show it, changes nothing.
 func TestStartsGoStraightToMachines(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n, d, ks := w.seldom(2)
 		stale := ks[0].rep // on its way while the order is carried out
 		stale.Seq++
@@ -152,7 +152,7 @@
 // session has ended or it is returned; reports that do not show it prove
 // nothing.
 func TestUnansweredOrderKeepsItsTask(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n, d, ks := w.seldom(2)
 		busy := spec("job-1", 4)
 		busy.Zone = "a"
@@ -220,7 +220,7 @@
 // return keeps the task from beginning too late.
 func TestUnansweredOrderOfACancelledJob(t *testing.T) {
 	for _, cancelFirst := range []bool{false, true} {
-		play(t, func(w *world) {
+		simulate(t, func(w *cluster) {
 			n, d, ks := w.seldom(1)
 			w.submit(n, spec("job-0", 1)) // keeps the machine in use
 			time.Sleep(time.Second)
@@ -246,7 +246,7 @@
 // Under a new leader an earlier one's order is refused by every machine that
 // the new one has heard, so it needs no memory of it.
 func TestUnansweredOrderOfAnEarlierLeader(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a, d, ks := w.seldom(2)
 		d.set(false, true)
 		w.submit(a, spec("job-1", 1))
@@ -269,7 +269,7 @@
 // then its tasks begin elsewhere. Orders cannot go in a resync's answer, so
 // none are given there.
 func TestTakeoverResyncsMachines(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a, d, ks := w.seldom(40)
 		w.submit(a, spec("job-1", 8))
 		time.Sleep(2 * time.Second)
@@ -322,7 +322,7 @@
 // lost, the task would begin elsewhere while it begins here. Seen when a leader
 // had 700 machines to resync and answered late.
 func TestResyncBesideAnAnswer(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a, d, ks := w.seldom(2)
 		a.crash()
 		d.set(true, false) // only answers bring starts
@@ -373,7 +373,7 @@
 // crash in the middle of the takeover. All that live are heard by resyncs, none
 // of them is returned, and no task begins again while it may run.
 func TestTakeoverOfALargeFleet(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		const fleet, fallen = 1100, 100
 		w.teams[0].CPUs, w.teams[0].CPUsMax = 5000, 5000
 		d := &wire{machines: map[string]*worker{}}
@@ -434,7 +434,7 @@
 // first machines that it misses for dead. Those that reach it through another
 // node get their starts in answers.
 func TestLeaderWithoutAWayToItsMachines(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		const fleet = 50
 		w.teams[0].CPUs, w.teams[0].CPUsMax = 500, 500
 		d := &wire{machines: map[string]*worker{}}
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -12,10 +12,10 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// gapWorld is a leader a and a follower b, and a machine with two tasks of job-1
+// gapCluster is a leader a and a follower b, and a machine with two tasks of job-1
 // and one of job-2 that keeps its lease like a worker.
-type gapWorld struct {
-	*world
+type gapCluster struct {
+	*cluster
 	l      *links
 	a, b   *node
 	ga, gb *gate
@@ -31,13 +31,13 @@
 
 const gapLease = 10 * time.Second
 
-// gap plays a script of what happens when, in milliseconds, for some seconds. The
+// gap runs a script of what happens when, in milliseconds, for some seconds. The
 // machine reports once a second to whoever answers. Whatever happens, job-1 is
 // gone in the time that its cancellation has.
-func gap(t *testing.T, seconds int, script map[int]func(g *gapWorld)) (lost time.Duration) {
+func gap(t *testing.T, seconds int, script map[int]func(g *gapCluster)) (lost time.Duration) {
 	t.Helper()
-	play(t, func(w *world) {
-		g := &gapWorld{world: w}
+	simulate(t, func(w *cluster) {
+		g := &gapCluster{cluster: w}
 		g.l, g.a, g.b, g.ga, g.gb = w.pair()
 		g.k = w.worker("i-1", "", false)
 		w.submit(g.a, spec("job-1", 2))
@@ -64,7 +64,7 @@
 }
 
 // round is one report, and the end of the lease if none was answered.
-func (g *gapWorld) round() {
+func (g *gapCluster) round() {
 	for _, n := range []*node{g.a, g.b} {
 		sent := time.Now()
 		if orders, err := g.k.send(n); err == nil {
@@ -76,7 +76,7 @@
 	g.expire()
 }
 
-func (g *gapWorld) expire() {
+func (g *gapCluster) expire() {
 	if time.Since(g.heard) <= gapLease {
 		return
 	}
@@ -89,7 +89,7 @@
 	g.k.rep.Session++
 }
 
-func (g *gapWorld) check() {
+func (g *gapCluster) check() {
 	g.expire()
 	if g.confirmed.IsZero() || time.Since(g.confirmed) <= 30*time.Second {
 		return
@@ -101,7 +101,7 @@
 	}
 }
 
-func (g *gapWorld) cancelAt(n *node) {
+func (g *gapCluster) cancelAt(n *node) {
 	st, err := n.Abort(context.Background(), "job-1")
 	if err != nil {
 		g.t.Fatal(err)
@@ -116,45 +116,45 @@
 // from the other node, and all else goes on; or, without proof that it knows all
 // of them, it renews no lease so late that a cancelled task could live too long.
 func TestCancellationsToldWhileTheLeaderIsRefused(t *testing.T) {
-	refuse := func(g *gapWorld) { g.ga.set(true) }
-	down := func(g *gapWorld) { g.store.SetDown(true) }
-	cancel := func(g *gapWorld) { g.cancelAt(g.b) }
-	apart := func(g *gapWorld) { g.l.cut.Store(true) }
+	refuse := func(g *gapCluster) { g.ga.set(true) }
+	down := func(g *gapCluster) { g.store.SetDown(true) }
+	cancel := func(g *gapCluster) { g.cancelAt(g.b) }
+	apart := func(g *gapCluster) { g.l.cut.Store(true) }
 	// Cancelled by a node that has ended since, without a word.
-	elsewhere := func(g *gapWorld) {
+	elsewhere := func(g *gapCluster) {
 		other := g.startWith("n9", g.store, nil)
 		if _, err := other.Abort(context.Background(), "job-1"); err != nil {
 			g.t.Fatal(err)
 		}
 		other.crash()
 	}
-	restart := func(g *gapWorld) {
+	restart := func(g *gapCluster) {
 		g.b.crash()
 		g.b = g.l.add("n1", g.startWith("n1", g.gb, g.l))
 	}
 	for _, c := range []struct {
 		name   string
-		script map[int]func(g *gapWorld)
+		script map[int]func(g *gapCluster)
 		// kept says that all that was not cancelled lives as long as the
 		// leadership and a lease.
 		kept bool
 	}{
-		{"refused, cancelled, down", map[int]func(*gapWorld){1000: refuse, 2000: cancel, 3000: down}, true},
-		{"cancelled at the moment of the refusal", map[int]func(*gapWorld){1000: refuse, 1050: cancel, 1100: down}, true},
-		{"cancelled just before the refusal", map[int]func(*gapWorld){1000: cancel, 1050: refuse, 1100: down}, true},
-		{"nobody refused", map[int]func(*gapWorld){1000: cancel, 3000: down}, true},
-		{"the confirming node ends at once", map[int]func(*gapWorld){1000: refuse, 2000: cancel, 2050: restart, 3000: down}, false},
-		{"it ends in the outage", map[int]func(*gapWorld){1000: refuse, 2000: cancel, 2050: down, 2100: restart}, false},
-		{"it never comes back", map[int]func(*gapWorld){1000: refuse, 2000: cancel, 2050: func(g *gapWorld) { g.b.crash(); apart(g) }, 3000: down}, false},
-		{"the nodes apart too", map[int]func(*gapWorld){1000: refuse, 1050: apart, 2000: cancel, 3000: down}, false},
-		{"apart first", map[int]func(*gapWorld){1000: apart, 1050: cancel, 1100: refuse, 1150: down}, false},
-		{"apart for a while", map[int]func(*gapWorld){1000: refuse, 1050: apart, 2000: cancel, 3000: down,
-			5000: func(g *gapWorld) { g.l.cut.Store(false) }}, true},
-		{"told by a node that only read it", map[int]func(*gapWorld){1000: refuse, 2000: elsewhere, 2550: func(g *gapWorld) {
+		{"refused, cancelled, down", map[int]func(*gapCluster){1000: refuse, 2000: cancel, 3000: down}, true},
+		{"cancelled at the moment of the refusal", map[int]func(*gapCluster){1000: refuse, 1050: cancel, 1100: down}, true},
+		{"cancelled just before the refusal", map[int]func(*gapCluster){1000: cancel, 1050: refuse, 1100: down}, true},
+		{"nobody refused", map[int]func(*gapCluster){1000: cancel, 3000: down}, true},
+		{"the confirming node ends at once", map[int]func(*gapCluster){1000: refuse, 2000: cancel, 2050: restart, 3000: down}, false},
+		{"it ends in the outage", map[int]func(*gapCluster){1000: refuse, 2000: cancel, 2050: down, 2100: restart}, false},
+		{"it never comes back", map[int]func(*gapCluster){1000: refuse, 2000: cancel, 2050: func(g *gapCluster) { g.b.crash(); apart(g) }, 3000: down}, false},
+		{"the nodes apart too", map[int]func(*gapCluster){1000: refuse, 1050: apart, 2000: cancel, 3000: down}, false},
+		{"apart first", map[int]func(*gapCluster){1000: apart, 1050: cancel, 1100: refuse, 1150: down}, false},
+		{"apart for a while", map[int]func(*gapCluster){1000: refuse, 1050: apart, 2000: cancel, 3000: down,
+			5000: func(g *gapCluster) { g.l.cut.Store(false) }}, true},
+		{"told by a node that only read it", map[int]func(*gapCluster){1000: refuse, 2000: elsewhere, 2550: func(g *gapCluster) {
 			g.same("asked", g.phase(g.b, "job-1"), api.JobWithdrawn)
 			g.confirmed = time.Now()
 		}, 2600: down}, true},
-		{"told to a repeated submission", map[int]func(*gapWorld){1000: refuse, 2000: elsewhere, 2550: func(g *gapWorld) {
+		{"told to a repeated submission", map[int]func(*gapCluster){1000: refuse, 2000: elsewhere, 2550: func(g *gapCluster) {
 			st, _, err := g.b.Submit(context.Background(), spec("job-1", 2))
 			if err != nil {
 				g.t.Fatal(err)
@@ -162,14 +162,14 @@
 			g.same("repeated", st.Phase, api.JobWithdrawn)
 			g.confirmed = time.Now()
 		}, 2600: down}, true},
-		{"told by the leader itself, whose watch is dead", map[int]func(*gapWorld){1000: func(g *gapWorld) {
+		{"told by the leader itself, whose watch is dead", map[int]func(*gapCluster){1000: func(g *gapCluster) {
 			g.store.SetBlind(true)
 			g.cancelAt(g.a)
 		}, 1050: down}, true},
-		{"a second leader, refused in turn", map[int]func(*gapWorld){1000: refuse, 14_000: func(g *gapWorld) {
+		{"a second leader, refused in turn", map[int]func(*gapCluster){1000: refuse, 14_000: func(g *gapCluster) {
 			g.same("the other leads", g.b.valid(), true)
 			g.ga.set(false)
-		}, 24_000: func(g *gapWorld) { g.gb.set(true) }, 25_000: func(g *gapWorld) { g.cancelAt(g.a) }, 25_050: down}, true},
+		}, 24_000: func(g *gapCluster) { g.gb.set(true) }, 25_000: func(g *gapCluster) { g.cancelAt(g.a) }, 25_050: down}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			lost := gap(t, 80, c.script)
@@ -180,8 +180,8 @@
 	}
 	// Whatever the moments, within the leader's rounds of questions.
 	for ms := 50; ms <= 2400; ms += 150 {
-		gap(t, 45, map[int]func(*gapWorld){1000: refuse, 1000 + ms/50*50: cancel, 1050 + ms/50*50: down})
-		gap(t, 45, map[int]func(*gapWorld){1000: refuse, 1000 + ms/50*50: cancel, 1050 + ms/50*50: restart, 1100 + ms/50*50: down})
+		gap(t, 45, map[int]func(*gapCluster){1000: refuse, 1000 + ms/50*50: cancel, 1050 + ms/50*50: down})
+		gap(t, 45, map[int]func(*gapCluster){1000: refuse, 1000 + ms/50*50: cancel, 1050 + ms/50*50: restart, 1100 + ms/50*50: down})
 	}
 }
 
@@ -189,12 +189,12 @@
 // long as the leadership and a lease cover it, since the nodes
 // tell each other what they know. Should one of them not answer, leases end in time.
 func TestOutageLongerThanACancellation(t *testing.T) {
-	confirmed := func(g *gapWorld) { g.cancelAt(g.b) }
-	down, up := func(g *gapWorld) { g.store.SetDown(true) }, func(g *gapWorld) { g.store.SetDown(false) }
-	if lost := gap(t, 60, map[int]func(*gapWorld){500: confirmed, 3000: down, 35_500: up}); lost != 0 {
+	confirmed := func(g *gapCluster) { g.cancelAt(g.b) }
+	down, up := func(g *gapCluster) { g.store.SetDown(true) }, func(g *gapCluster) { g.store.SetDown(false) }
+	if lost := gap(t, 60, map[int]func(*gapCluster){500: confirmed, 3000: down, 35_500: up}); lost != 0 {
 		t.Errorf("lost after %v", lost)
 	}
-	lost := gap(t, 60, map[int]func(*gapWorld){500: confirmed, 3000: down, 4000: func(g *gapWorld) { g.b.crash(); g.l.cut.Store(true) }, 35_500: up})
+	lost := gap(t, 60, map[int]func(*gapCluster){500: confirmed, 3000: down, 4000: func(g *gapCluster) { g.b.crash(); g.l.cut.Store(true) }, 35_500: up})
 	if lost < 20*time.Second || lost > 34*time.Second {
 		t.Errorf("a node missing: lost after %v", lost)
 	}
@@ -206,7 +206,7 @@
 func TestLeaderThatHearsOfNoCancellationStartsNothing(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		for ms := 0; ms < 3000; ms += 300 {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				l, a, b, ga, _ := w.pair()
 				k := w.worker("i-1", "", false)
 				w.submit(a, spec("job-1", 6))
@@ -238,7 +238,7 @@
 // but machines are served while the store answers.
 func TestServiceWithoutRoomForProof(t *testing.T) {
 	for _, cancel := range []float64{0.5, 9, 10, 10.6, 12, 20.5} {
-		play(t, func(w *world) {
+		simulate(t, func(w *cluster) {
 			w.cancelS = cancel
 			_, a, b, _, _ := w.pair()
 			k := w.worker("i-1", "", false)
@@ -339,7 +339,7 @@
 // must have been answered in this term.
 func TestFollowerDoesNotRelyOnALeaderThatJustBegan(t *testing.T) {
 	for after := 9 * time.Second; after < gapLease; after += 100 * time.Millisecond {
-		play(t, func(w *world) {
+		simulate(t, func(w *cluster) {
 			l, a, b, _, gb := w.pair()
 			k := w.worker("i-1", "", false)
 			w.submit(a, spec("job-1", 2))
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -79,8 +79,8 @@
 	return slices.Contains(f.returned, name)
 }
 
-// world is a deployment of scripted peers on a fake clock.
-type world struct {
+// cluster is a simulated deployment of scripted peers on a fake clock.
+type cluster struct {
 	t     *testing.T
 	store *storetest.Fake
 	cloud *fakeCloud
@@ -103,7 +103,7 @@
 }
 
 // Probe implements Prober.
-func (w *world) Probe(ctx context.Context, addr string) (*api.Report, error) {
+func (w *cluster) Probe(ctx context.Context, addr string) (*api.Report, error) {
 	if _, tardy := w.tardy.Load(addr); tardy {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -124,8 +124,8 @@
 	return &rep, nil
 }
 
-func newWorld(t *testing.T) *world {
-	return &world{t: t, store: storetest.New(),
+func newCluster(t *testing.T) *cluster {
+	return &cluster{t: t, store: storetest.New(),
 		cloud: &fakeCloud{types: []api.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.4,
 			BootS: 20, Zones: []string{"a", "b"}}}, made: map[string][]string{}},
 		teams: []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}, {Name: "blue", CPUs: 8, CPUsMax: 8}}}
@@ -222,11 +222,11 @@
 	<-m.done
 }
 
-func (w *world) start(name string) *node {
+func (w *cluster) start(name string) *node {
 	return w.startWith(name, w.store, nil)
 }
 
-func (w *world) startWith(name string, st store.Service, peers PeerAsker) *node {
+func (w *cluster) startWith(name string, st store.Service, peers PeerAsker) *node {
 	w.t.Helper()
 	pol, err := policy.Parse("", "")
 	if err != nil {
@@ -258,10 +258,10 @@
 	return &node{c, cancel}
 }
 
-// run plays a test on the fake clock, and ends what it started.
-func play(t *testing.T, f func(w *world)) {
+// simulate runs a test on the fake clock, and ends what it started.
+func simulate(t *testing.T, f func(w *cluster)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { f(newWorld(t)) })
+	synctest.Test(t, func(t *testing.T) { f(newCluster(t)) })
 }
 
 func spec(id string, tasks int) *api.JobSpec {
@@ -269,7 +269,7 @@
 		CPUs: 1, MemoryGB: 1, Image: "img", EstimateS: 30, Spot: true}
 }
 
-func (w *world) submit(n *node, s *api.JobSpec) {
+func (w *cluster) submit(n *node, s *api.JobSpec) {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -280,7 +280,7 @@
 }
 
 // phase is what a node tells a user of a job.
-func (w *world) phase(n *node, id string) string {
+func (w *cluster) phase(n *node, id string) string {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
@@ -293,12 +293,12 @@
 
 // worker is a scripted machine.
 type worker struct {
-	w   *world
+	w   *cluster
 	mu  sync.Mutex
 	rep api.Report
 }
 
-func (w *world) worker(name, zone string, spot bool) *worker {
+func (w *cluster) worker(name, zone string, spot bool) *worker {
 	k := &worker{w: w, rep: api.Report{Machine: name, Addr: name, Type: "small", Zone: zone, Spot: spot, Session: 1}}
 	w.machines.Store(name, k)
 	return k
@@ -390,7 +390,7 @@
 	return out
 }
 
-func (w *world) same(what string, got, want any) {
+func (w *cluster) same(what string, got, want any) {
 	w.t.Helper()
 	g, _ := json.Marshal(got)
 	e, _ := json.Marshal(want)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -30,10 +30,10 @@
 }
 
 // enforce has the service refuse what is beyond the limits.
-func (w *world) enforce(l limits) { w.store.SetLimits(l.valueKB<<10, l.ops) }
+func (w *cluster) enforce(l limits) { w.store.SetLimits(l.valueKB<<10, l.ops) }
 
 // neverTooLarge is checked at the end: nothing was refused for its size.
-func (w *world) neverTooLarge() {
+func (w *cluster) neverTooLarge() {
 	w.t.Helper()
 	if refused := w.store.TooLarge(); len(refused) > 0 {
 		w.t.Errorf("refused %d times for size: %v", len(refused), refused[:min(5, len(refused))])
@@ -77,7 +77,7 @@
 func TestSmallLimits(t *testing.T) {
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
 				w.state = l.settings()
 				w.enforce(l)
@@ -121,7 +121,7 @@
 }
 
 // keysUnder lists the keys with a prefix.
-func (w *world) keysUnder(prefix string) (keys []string) {
+func (w *cluster) keysUnder(prefix string) (keys []string) {
 	w.t.Helper()
 	p, err := w.store.Range(context.Background(), prefix, "", 1000)
 	if err != nil {
@@ -134,7 +134,7 @@
 }
 
 // oldShard is a shard as an earlier version writes it under larger limits.
-func (w *world) oldShard(key string, n int) {
+func (w *cluster) oldShard(key string, n int) {
 	w.t.Helper()
 	var rec store.RosterRecord
 	for i := range n {
@@ -168,7 +168,7 @@
 	for _, l := range []limits{{3, 1, 25}, {5, 1, 25}, {12, 2, 25}} {
 		for _, trouble := range []string{"none", "answers lost", "late", "leader crashes"} {
 			t.Run(l.String()+" "+trouble, func(t *testing.T) {
-				play(t, func(w *world) {
+				simulate(t, func(w *cluster) {
 					w.oldShard(store.MachinePrefix+"0-1", 26)
 					w.state = l.settings()
 					w.enforce(l) // from now on
@@ -228,7 +228,7 @@
 }
 
 // doneOnRecord are the done tasks of a job as the next leader reads them.
-func (w *world) doneOnRecord(id string) map[int]bool {
+func (w *cluster) doneOnRecord(id string) map[int]bool {
 	w.t.Helper()
 	done := map[int]bool{}
 	p, err := w.store.Range(context.Background(), store.ProgressPrefix+id+"/", "", 1000)
@@ -256,7 +256,7 @@
 func TestLongProgressRecord(t *testing.T) {
 	for _, trouble := range []string{"none", "answers lost", "leader crashes"} {
 		t.Run(trouble, func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				const tasks, before = 30000, 14000 // new records hold 4096
 				w.store.SetLimits(8<<10, 12)
 				s := spec("job-1", tasks)
@@ -325,7 +325,7 @@
 	from, to := limits{20, 16, 25}, limits{5, 1, 6}
 	for _, when := range []string{"while jobs run", "during a takeover"} {
 		t.Run(when, func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
 				w.state = to.settings() // the smaller of both
 				w.enforce(from)
@@ -369,7 +369,7 @@
 func TestManyChangesAtOnce(t *testing.T) {
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
 				w.state = l.settings()
 				w.enforce(l)
@@ -400,7 +400,7 @@
 func TestRefusedForSize(t *testing.T) {
 	for _, real := range []limits{{2, 1, 25}, {3, 1, 25}, {12, 1, 25}} {
 		t.Run(real.String(), func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
 				w.state = limits{20, 16, 100}.settings()
 				w.enforce(real)
@@ -431,7 +431,7 @@
 
 // A progress record that is refused for its size comes again with fewer tasks.
 func TestProgressRefusedForSize(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.state = limits{20, 16, 100}.settings()
 		w.store.SetLimits(1<<10, 20)
 		a := w.start("n0")
@@ -459,7 +459,7 @@
 // A machine whose entry fits no record is never given a task, since the next
 // leader would not know of it, and goes back; the others are not held up.
 func TestEntryFitsNoShard(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		l := limits{5, 1, 25}
 		w.state = l.settings()
 		w.enforce(l)
@@ -479,7 +479,7 @@
 
 // extendedBy has a node publish machines, and tells which of them a leader takes to have
 // extended leases.
-func extendedBy(w *world, l limits, hosts []string) (kept int) {
+func extendedBy(w *cluster, l limits, hosts []string) (kept int) {
 	w.state = l.settings()
 	w.enforce(l)
 	a := w.start("n0")
@@ -521,25 +521,25 @@
 	}
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.same("extended", extendedBy(w, l, names(300)), 300)
 				w.neverTooLarge()
 			})
 		})
 	}
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		// One too long for any record does not hold up the others.
 		w.same("extended", extendedBy(w, limits{3, 1, 8}, append(names(40), strings.Repeat("i", 1100))), 40)
 		w.neverTooLarge()
 	})
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		extendedBy(w, limits{3, 1, 8}, names(5000))
 		if n := len(w.keysUnder(store.LeaseExtensionPrefix)); 3*n > 100 || n < 30 {
 			w.t.Errorf("%d records of one node of three", n)
 		}
 		w.neverTooLarge()
 	})
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		// The service turns out smaller than the settings say.
 		w.state = limits{12, 8, 25}.settings()
 		a := w.start("n0")
@@ -560,7 +560,7 @@
 		types  int
 		stored bool
 	}{{3, true}, {40, false}} {
-		play(t, func(w *world) {
+		simulate(t, func(w *cluster) {
 			l := limits{3, 1, 8}
 			w.state = l.settings()
 			w.enforce(l)
@@ -580,7 +580,7 @@
 func TestSmallLimitsBeyondTheCut(t *testing.T) {
 	for _, l := range append([]limits{{2, 1, 8}, {3, 1, 2}}, small...) {
 		t.Run(l.String(), func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 16, 16
 				w.state = l.settings()
 				w.enforce(l)
@@ -624,7 +624,7 @@
 // What is relayed and refused for its size comes again in smaller parts: work goes
 // on beyond the cut although the service is smaller than the settings say.
 func TestRelayRefusedForSize(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.teams[0].CPUs, w.teams[0].CPUsMax = 16, 16
 		w.state = limits{20, 16, 100}.settings()
 		_, a, b, _, near, far := w.beyondTheCut()
@@ -659,7 +659,7 @@
 // A report that fits no batch does not keep those of other machines from being
 // relayed.
 func TestReportTooLargeToRelay(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		l := limits{3, 1, 25}
 		w.state = l.settings()
 		w.enforce(l)
@@ -692,7 +692,7 @@
 // bounds a batch: shards of long entries beside each other, progress of many large
 // jobs, ends of many jobs with long names.
 func TestTransactionsFitInAll(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		l := limits{400, 128, 2000}
 		w.state = l.settings()
 		w.enforce(l)
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -22,18 +22,18 @@
 // leaderChanges are the ways in which the leadership passes on: the leader is
 // refused by the store and the other node follows, or it ends and is back within
 // a second, or later.
-var leaderChanges = map[string]func(s *stage){
-	"handover": (*stage).handOver,
-	"at once":  func(s *stage) { s.restart(0) },
-	"second":   func(s *stage) { s.restart(time.Second) },
-	"late":     func(s *stage) { s.restart(6 * time.Second) },
+var leaderChanges = map[string]func(s *checkedCluster){
+	"handover": (*checkedCluster).handOver,
+	"at once":  func(s *checkedCluster) { s.restart(0) },
+	"second":   func(s *checkedCluster) { s.restart(time.Second) },
+	"late":     func(s *checkedCluster) { s.restart(6 * time.Second) },
 }
 
-// plays are the two ways in which starts reach machines.
-var plays = map[string]func(*testing.T, int, func(*stage)){"answers": playStage, "direct": playSeldom}
+// simulations are the two ways in which starts reach machines.
+var simulations = map[string]func(*testing.T, int, func(*checkedCluster)){"answers": simulateChecked, "direct": simulateSeldom}
 
 // eachChange sweeps the moment of a leader change, of each kind.
-func eachChange(t *testing.T, from, to, step time.Duration, f func(t *testing.T, off time.Duration, change func(*stage))) {
+func eachChange(t *testing.T, from, to, step time.Duration, f func(t *testing.T, off time.Duration, change func(*checkedCluster))) {
 	for kind, change := range leaderChanges {
 		for off := from; off < to; off += step {
 			t.Run(fmt.Sprint(kind, " ", off), func(t *testing.T) { f(t, off, change) })
@@ -46,10 +46,10 @@
 // off them: neither a machine that the new leader has not heard nor one that holds
 // tasks of a job that is over may be left out of the teams' use.
 func TestLimitsWhileMachinesAreCutAndTheLeaderChanges(t *testing.T) {
-	for way, play := range plays {
+	for way, simulate := range simulations {
 		t.Run(way, func(t *testing.T) {
-			eachChange(t, 0, 5*time.Second, 700*time.Millisecond, func(t *testing.T, off time.Duration, change func(*stage)) {
-				play(t, 9, func(s *stage) {
+			eachChange(t, 0, 5*time.Second, 700*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+				simulate(t, 9, func(s *checkedCluster) {
 					for _, j := range []*api.JobSpec{job1("job-1", "red", 8), job1("job-2", "red", 8), job1("job-3", "blue", 4), job1("job-4", "blue", 4)} {
 						s.order(4*time.Minute, j)
 						time.Sleep(2 * time.Second)
@@ -85,10 +85,10 @@
 // Jobs are cancelled in the seconds in which one controller's work changes hands:
 // at the one that ends, at the one that begins, and before anybody leads.
 func TestCancelledWhileWorkChangesHands(t *testing.T) {
-	for way, play := range plays {
+	for way, simulate := range simulations {
 		t.Run(way, func(t *testing.T) {
-			eachChange(t, -2*time.Second, 4*time.Second, 270*time.Millisecond, func(t *testing.T, off time.Duration, change func(*stage)) {
-				play(t, 5, func(s *stage) {
+			eachChange(t, -2*time.Second, 4*time.Second, 270*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+				simulate(t, 5, func(s *checkedCluster) {
 					for i := range 8 {
 						s.order(5*time.Minute, job1(fmt.Sprint("job-", i), []string{"red", "blue"}[i%2], 2))
 					}
@@ -125,10 +125,10 @@
 // roster is durable: the next leader would not know that it may hold tasks, and
 // would begin them elsewhere.
 func TestNoStartBeforeTheRosterIsDurable(t *testing.T) {
-	for way, play := range plays {
+	for way, simulate := range simulations {
 		for off := 500 * time.Millisecond; off <= 5*time.Second; off += 500 * time.Millisecond {
 			t.Run(fmt.Sprint(way, " ", off), func(t *testing.T) {
-				play(t, 2, func(s *stage) {
+				simulate(t, 2, func(s *checkedCluster) {
 					s.order(2*time.Minute, job1("job-1", "red", 14))
 					time.Sleep(3 * time.Second)
 					s.store.Hold(touches(store.MachinePrefix))
@@ -187,8 +187,8 @@
 // as a new leader begins, and after it has acted. They are no news: no task is
 // taken for gone, or for being there, on their account, and no machine for alive.
 func TestOldReportsArriveAfterNewerOnes(t *testing.T) {
-	eachChange(t, -time.Second, 5*time.Second, 500*time.Millisecond, func(t *testing.T, off time.Duration, change func(*stage)) {
-		playStage(t, 5, func(s *stage) {
+	eachChange(t, -time.Second, 5*time.Second, 500*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+		simulateChecked(t, 5, func(s *checkedCluster) {
 			gone := s.hosts[4]
 			gone.trouble(func(k *host) { k.cut = true }) // dies, and is returned
 			s.order(25*time.Second, job1("job-1", "red", 4))
@@ -243,8 +243,8 @@
 // nothing runs again.
 func TestTasksEndFarApartAcrossAChange(t *testing.T) {
 	for _, lag := range []bool{false, true} {
-		eachChange(t, 0, 5*time.Second, 500*time.Millisecond, func(t *testing.T, off time.Duration, change func(*stage)) {
-			playStage(t, 4, func(s *stage) {
+		eachChange(t, 0, 5*time.Second, 500*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+			simulateChecked(t, 4, func(s *checkedCluster) {
 				for i := range 6 {
 					j := job1(fmt.Sprint("job-", i), []string{"red", "blue"}[i%2], 2+i%2)
 					s.order(4*time.Second+time.Duration(i)*700*time.Millisecond, j)
@@ -271,21 +271,21 @@
 // longer than a lease, and leaders change ten times in two minutes, also inside
 // an outage. Each script begins at several offsets from the work.
 func TestControllersComeAndGo(t *testing.T) {
-	scripts := map[string]func(s *stage){
-		"over and back": func(s *stage) {
+	scripts := map[string]func(s *checkedCluster){
+		"over and back": func(s *checkedCluster) {
 			for range 4 {
 				s.handOver()
 				time.Sleep(12 * time.Second)
 			}
 		},
-		"all end, one returns at once": func(s *stage) {
+		"all end, one returns at once": func(s *checkedCluster) {
 			s.crash("n0")
 			s.crash("n1")
 			s.begin("n1")
 			time.Sleep(35 * time.Second)
 			s.begin("n0")
 		},
-		"all end, the leader returns within a second": func(s *stage) {
+		"all end, the leader returns within a second": func(s *checkedCluster) {
 			last := s.leader()
 			s.crash("n0")
 			s.crash("n1")
@@ -294,14 +294,14 @@
 			time.Sleep(10 * time.Second)
 			s.begin(map[string]string{"n0": "n1", "n1": "n0"}[last])
 		},
-		"all away for longer than a lease": func(s *stage) {
+		"all away for longer than a lease": func(s *checkedCluster) {
 			s.crash("n0")
 			s.crash("n1")
 			time.Sleep(14 * time.Second)
 			s.begin("n1")
 			s.begin("n0")
 		},
-		"ten times": func(s *stage) {
+		"ten times": func(s *checkedCluster) {
 			for i := range 10 {
 				if i%3 == 2 {
 					s.handOver()
@@ -311,7 +311,7 @@
 				time.Sleep(11 * time.Second)
 			}
 		},
-		"ten times, inside an outage": func(s *stage) {
+		"ten times, inside an outage": func(s *checkedCluster) {
 			for i := range 10 {
 				if i == 3 || i == 7 {
 					s.store.SetDown(true)
@@ -328,7 +328,7 @@
 	for name, script := range scripts {
 		for off := time.Duration(0); off < 3*time.Second; off += 400 * time.Millisecond {
 			t.Run(fmt.Sprint(name, " ", off), func(t *testing.T) {
-				playStage(t, 7, func(s *stage) {
+				simulateChecked(t, 7, func(s *checkedCluster) {
 					s.order(3*time.Second, job1("job-0", "blue", 30))
 					s.order(90*time.Second, job1("job-1", "red", 10))
 					s.order(15*time.Second, job1("job-2", "red", 20))
@@ -348,8 +348,8 @@
 
 // A leader ends while machines with long tasks can't be reached, don't hear the
 // next leader's answer (deaf), reach no controller while direct commands reach
-// them (mute), or hear answers and commands late, in any order (slow). Their tasks begin elsewhere only when they are off these machines,
-// and do begin once the troubles are over.
+// them (mute), or hear answers and commands late, in any order (slow). Their tasks begin
+// elsewhere only when they are off these machines, and do begin once the troubles are over.
 func TestLeaderEndsWhileMachinesAreOutOfReach(t *testing.T) {
 	troubles := map[string]func(*host){
 		"cut":  func(k *host) { k.cut = true },
@@ -359,9 +359,9 @@
 	}
 	for name, trouble := range troubles {
 		for _, long := range []time.Duration{6 * time.Second, 25 * time.Second} {
-			eachChange(t, -2*time.Second, 3*time.Second, time.Second, func(t *testing.T, off time.Duration, change func(*stage)) {
+			eachChange(t, -2*time.Second, 3*time.Second, time.Second, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
 				t.Run(fmt.Sprint(name, " ", long), func(t *testing.T) {
-					playStage(t, 7, func(s *stage) {
+					simulateChecked(t, 7, func(s *checkedCluster) {
 						s.order(70*time.Second, job1("job-1", "red", 12))
 						s.order(2*time.Minute, job1("job-2", "blue", 8))
 						time.Sleep(4 * time.Second)
@@ -411,7 +411,7 @@
 		for _, change := range []bool{false, true} {
 			for off := time.Duration(0); off < 4*time.Second; off += 400 * time.Millisecond {
 				t.Run(fmt.Sprint(name, " ", change, " ", off), func(t *testing.T) {
-					playSeldom(t, 5, func(s *stage) {
+					simulateSeldom(t, 5, func(s *checkedCluster) {
 						wide := job1("job-0", "red", 3) // keeps three machines in use
 						wide.CPUs = 3
 						s.order(3*time.Minute, wide)
@@ -447,10 +447,10 @@
 // leader: their other tasks at that moment say where the next may start, also
 // those on machines that are not heard.
 func TestJobsBoundToAZoneLoseMachines(t *testing.T) {
-	eachChange(t, 0, 4*time.Second, time.Second, func(t *testing.T, off time.Duration, change func(*stage)) {
+	eachChange(t, 0, 4*time.Second, time.Second, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
 		for lost := range 3 {
 			t.Run(fmt.Sprint(lost, " lost"), func(t *testing.T) {
-				playStage(t, 8, func(s *stage) {
+				simulateChecked(t, 8, func(s *checkedCluster) {
 					one, zone, apart := job1("job-1", "red", 7), job1("job-2", "red", 3), job1("job-3", "blue", 8)
 					one.OneZone, zone.Zone, apart.Spread = true, "b", true
 					for _, j := range []*api.JobSpec{one, zone, apart} {
@@ -487,11 +487,11 @@
 func TestNothingWaitsAfterTroubles(t *testing.T) {
 	for seed := range 24 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			with := playStage
+			with := simulateChecked
 			if seed%3 == 2 {
-				with = playSeldom
+				with = simulateSeldom
 			}
-			with(t, 8, func(s *stage) {
+			with(t, 8, func(s *checkedCluster) {
 				rnd := rand.New(rand.NewPCG(uint64(seed), 1))
 				for i := range 30 {
 					j := job1(fmt.Sprint("job-", i), []string{"red", "blue"}[i%2], 1+rnd.IntN(6))
@@ -549,10 +549,10 @@
 // tasks with its session. Its answers show that: its tasks begin elsewhere while it
 // is still mute, and are not called running for as long as that lasts.
 func TestMuteMachineLosesItsTasks(t *testing.T) {
-	for way, play := range plays {
+	for way, simulate := range simulations {
 		for off := time.Duration(0); off < 3*time.Second; off += 300 * time.Millisecond {
 			t.Run(fmt.Sprint(way, " ", off), func(t *testing.T) {
-				play(t, 3, func(s *stage) {
+				simulate(t, 3, func(s *checkedCluster) {
 					s.order(3*time.Minute, job1("job-1", "red", 4))
 					time.Sleep(5*time.Second + off)
 					for _, k := range s.holders("job-1") {
@@ -577,7 +577,7 @@
 	for _, delay := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 3900 * time.Millisecond} {
 		for _, change := range []bool{false, true} {
 			t.Run(fmt.Sprint(delay, " ", change), func(t *testing.T) {
-				playStage(t, 4, func(s *stage) {
+				simulateChecked(t, 4, func(s *checkedCluster) {
 					for _, k := range s.hosts {
 						k.trouble(func(k *host) { k.linkDelay = delay })
 					}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -22,7 +22,7 @@
 
 // diamond is a pipeline of two teams: 1, then 2 and 3, then 4, then 5, which awaits
 // 1 as well.
-func (s *stage) diamond(takes time.Duration) {
+func (s *checkedCluster) diamond(takes time.Duration) {
 	s.order(takes, job1("job-1", "red", 4))
 	s.order(takes, after("job-2", "red", 3, "job-1"))
 	s.order(takes*2, after("job-3", "blue", 2, "job-1"))
@@ -33,7 +33,7 @@
 var diamondJobs = []string{"job-1", "job-2", "job-3", "job-4", "job-5"}
 
 // follow tells the checker every second what a job is called at both nodes.
-func (s *stage) follow(ids ...string) {
+func (s *checkedCluster) follow(ids ...string) {
 	for _, id := range ids {
 		go func() {
 			for s.ctx.Err() == nil {
@@ -55,15 +55,15 @@
 // before all that its job needs is done on record, also while records are late or
 // their answers are lost.
 func TestPipelineRunsInOrder(t *testing.T) {
-	troubles := map[string]func(s *stage){
-		"none":         func(*stage) {},
-		"ends late":    func(s *stage) { s.store.Hold(touches(store.FinalPrefix)) },
-		"answers lost": func(s *stage) { s.store.Lose(touches(store.FinalPrefix)) },
+	troubles := map[string]func(s *checkedCluster){
+		"none":         func(*checkedCluster) {},
+		"ends late":    func(s *checkedCluster) { s.store.Hold(touches(store.FinalPrefix)) },
+		"answers lost": func(s *checkedCluster) { s.store.Lose(touches(store.FinalPrefix)) },
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
-			eachChange(t, 0, 16*time.Second, 1700*time.Millisecond, func(t *testing.T, off time.Duration, change func(*stage)) {
-				playStage(t, 4, func(s *stage) {
+			eachChange(t, 0, 16*time.Second, 1700*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+				simulateChecked(t, 4, func(s *checkedCluster) {
 					s.diamond(3 * time.Second)
 					s.follow(diamondJobs...)
 					time.Sleep(off)
@@ -90,8 +90,8 @@
 func TestCancellationTakesWhatFollows(t *testing.T) {
 	for _, victim := range []string{"job-1", "job-2", "job-4"} {
 		t.Run(victim, func(t *testing.T) {
-			eachChange(t, -600*time.Millisecond, 1200*time.Millisecond, 150*time.Millisecond, func(t *testing.T, off time.Duration, change func(*stage)) {
-				playStage(t, 4, func(s *stage) {
+			eachChange(t, -600*time.Millisecond, 1200*time.Millisecond, 150*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+				simulateChecked(t, 4, func(s *checkedCluster) {
 					s.diamond(8 * time.Second)
 					s.order(2*time.Second, job1("job-9", "blue", 2)) // needs nothing
 					s.follow(append(diamondJobs, "job-6", "job-7")...)
@@ -133,7 +133,7 @@
 // outage and not for a job that is known; what is cancelled takes the new job with
 // it, which is accepted all the same; what is done is waited for no more.
 func TestSubmissionsThatAwait(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -194,7 +194,7 @@
 // A cancellation that comes too late, and is answered with done, lets the jobs after
 // it go on.
 func TestCancellationAnsweredWithDone(t *testing.T) {
-	playStage(t, 2, func(s *stage) {
+	simulateChecked(t, 2, func(s *checkedCluster) {
 		s.order(2*time.Second, job1("job-1", "red", 1))
 		s.order(2*time.Second, after("job-2", "red", 1, "job-1"))
 		for s.phase(s.node("n0"), "job-1") != api.JobDone {
@@ -209,7 +209,7 @@
 // While nobody leads, whoever reads a job that needs a cancelled one cancels it: its
 // user must be told so in time.
 func TestOrphansWhileNobodyLeads(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		leader, b := w.start("n0"), w.start("n1")
 		w.submit(leader, spec("job-1", 1))
 		w.submit(leader, after("job-2", "red", 1, "job-1"))
@@ -230,7 +230,7 @@
 // A job that waits holds nothing of its team's guarantee or limit, rents nothing and
 // is no reason to go before others; its time counts from when it could run.
 func TestWaitingHoldsNothing(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -265,7 +265,7 @@
 // A pipeline's deadline and priority reach all its stages, those of other branches
 // and teams too, as the latest time to begin that leaves time for what follows.
 func TestUrgencyFlowsBackward(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.director = nil
 		n := w.start("n0")
 		for _, s := range []*api.JobSpec{spec("job-1", 1), after("job-2", "red", 1, "job-1"), after("job-3", "blue", 1, "job-1"), spec("job-8", 1)} {
@@ -309,7 +309,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				n := w.start("n0")
 				const jobs = 200
 				w.submit(n, spec("job-0", 1))
@@ -348,7 +348,7 @@
 // With small transactions and more ends of jobs than the write rate has room for,
 // what is cancelled with a job that it needs must still be so in time.
 func TestCancellationsPassOnUnderLoad(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.state = config.StateLimits{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
@@ -395,14 +395,14 @@
 	derived := func(txn store.Txn) bool {
 		return touches(store.FinalPrefix)(txn) && !touches(store.CancelKey)(txn)
 	}
-	for name, trouble := range map[string]func(w *world){
-		"answers lost": func(w *world) { w.store.Lose(derived) },
-		"never":        func(w *world) { w.store.Hold(derived) },
-		"late":         func(w *world) { w.store.Hold(derived); time.AfterFunc(5*time.Second, func() { w.store.Release() }) },
-		"outage":       func(w *world) { time.AfterFunc(100*time.Millisecond, func() { w.store.SetDown(true) }) },
+	for name, trouble := range map[string]func(w *cluster){
+		"answers lost": func(w *cluster) { w.store.Lose(derived) },
+		"never":        func(w *cluster) { w.store.Hold(derived) },
+		"late":         func(w *cluster) { w.store.Hold(derived); time.AfterFunc(5*time.Second, func() { w.store.Release() }) },
+		"outage":       func(w *cluster) { time.AfterFunc(100*time.Millisecond, func() { w.store.SetDown(true) }) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				n := w.start("n0")
 				for _, s := range []*api.JobSpec{spec("job-1", 1), after("job-2", "red", 1, "job-1"), after("job-3", "blue", 1, "job-2"), after("job-4", "red", 1, "job-1")} {
 					w.submit(n, s)
@@ -436,7 +436,7 @@
 // it, though there is free room enough; for a job that awaits another, once that has
 // begun.
 func TestMachinesForJobsThatMayNotUseThose(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		cheap := w.worker("i-1", "a", true)
 		cheap.serve(n, 4)
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -43,7 +43,7 @@
 // A machine whose orders have no outcome yet, or whose node has not confirmed
 // the last batch, gets nothing more this way.
 func TestRelayHoldsMachinesWithoutOutcome(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		_, a, _, _, _, far := w.beyondTheCut()
 		busy := spec("job-0", 4)
 		busy.Zone = "a"
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestJobRunsAndStaysDone(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 6))
@@ -54,7 +54,7 @@
 // A job whose end is not on record must not be told as done: the next leader
 // would say something older.
 func TestDoneIsDurableBeforeItIsTold(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -75,7 +75,7 @@
 // A transaction of an earlier leader that is carried out late must fail, or it
 // would change what the next leader has read.
 func TestLateTransactionOfAnEarlierLeaderFails(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		w.store.Hold(touches(store.MachinePrefix))
 		k := w.worker("i-1", "a", false)
@@ -94,7 +94,7 @@
 
 // A machine that has not been heard in this term may hold any earlier task.
 func TestTakeoverWaitsForUnheardMachines(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		k1, k2, k3 := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
 		w.submit(a, spec("job-1", 8))
@@ -128,7 +128,7 @@
 // Until a machine has this term as its token it may still carry out an answer
 // of the earlier leader, so one report in the new term is not enough.
 func TestMachineIsHeardOnlyWithThisTerm(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(a, 2)
@@ -158,7 +158,7 @@
 
 // Silence frees nothing: only the cloud's 200 to returning the machine does.
 func TestSilentMachineIsFreedByItsReturnOnly(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k1, k2 := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -183,7 +183,7 @@
 
 // A report that was overtaken must not free the tasks started after it.
 func TestOlderReportIsDropped(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k1, k2 := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		k1.serve(n, 2)
@@ -207,7 +207,7 @@
 // An answer that was lost after a start: the next report shows that the start
 // was not carried out, and the task is started under a new attempt.
 func TestLostStartIsRepeatedAsANewAttempt(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -225,7 +225,7 @@
 }
 
 func TestAttemptsAreNeverReusedAcrossTerms(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		seen := map[uint64]bool{}
 		k := w.worker("i-1", "a", false)
 		for range 3 {
@@ -250,7 +250,7 @@
 // A cancellation and the end of a job race: whichever transaction comes first
 // decides, and nobody is told otherwise.
 func TestCancelAgainstDone(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -283,7 +283,7 @@
 // Any node cancels by its own transaction. The leader must not tell a user an
 // older state because its watch lags, and must stop the tasks.
 func TestCancelAtAnotherNode(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a, b := w.start("n0"), w.start("n1")
 		k := w.worker("i-1", "a", false)
 		w.submit(a, spec("job-1", 2))
@@ -307,7 +307,7 @@
 // Past its validity a leader acts for nobody; once a renewal is answered, the
 // lease was never over and it goes on with the same term.
 func TestLeaderStopsWhenItsLeaseMayBeOver(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -331,7 +331,7 @@
 
 // A restarted leader need not wait for its own lease to end.
 func TestRestartedLeaderTakesANewTermAtOnce(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		b := w.start("n1")
 		k := w.worker("i-1", "a", false)
@@ -349,7 +349,7 @@
 }
 
 func TestTeamLimitHolds(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.teams = []config.Team{{Name: "red", CPUs: 2, CPUsMax: 6}}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 20))
@@ -364,7 +364,7 @@
 }
 
 func TestPlacement(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		place := func(change func(*api.JobSpec)) [3]int {
 			s := spec("job-1", 5)
@@ -381,7 +381,7 @@
 			}
 			// The next job finds fresh machines and a fresh store.
 			n.crash()
-			w.store = newWorld(t).store
+			w.store = newCluster(t).store
 			n = w.start("n0")
 			return got
 		}
@@ -396,7 +396,7 @@
 // A machine that fails the tasks of several jobs is at fault and is returned;
 // a job that fails on several machines is itself at fault, and they are kept.
 func TestFaultyMachineAndFaultyJob(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -408,7 +408,7 @@
 		k.serve(n, 3)
 		w.same("faulty machine returned", w.cloud.gone("i-1"), true)
 	})
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false), w.worker("i-4", "a", false)}
 		w.submit(n, spec("job-1", 3))
@@ -444,7 +444,7 @@
 // The answer to a rental may be lost: the repeat must use the same name, or
 // the machines would be rented twice. A later term's names are different.
 func TestRentalIsRepeatedUnderItsName(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.cloud.capacity, w.cloud.loseRent = 1, true
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 3))
@@ -473,7 +473,7 @@
 // A machine that the cloud takes back saves what can be saved, and its tasks
 // go on elsewhere.
 func TestReclaimedMachine(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k1, k2 := w.worker("i-1", "a", true), w.worker("i-2", "a", false)
 		s := spec("job-1", 2)
@@ -499,7 +499,7 @@
 // While the store is out of reach a submission is refused, not kept waiting;
 // a submission whose answer was lost counts as accepted once.
 func TestSubmissionWithTheStoreInTrouble(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		w.store.SetDown(true)
 		ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
@@ -519,7 +519,7 @@
 }
 
 func TestJobsThatCanNeverRun(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		for name, change := range map[string]func(*api.JobSpec){
 			"unknown team":   func(s *api.JobSpec) { s.Team = "green" },
@@ -543,7 +543,7 @@
 // job. When the old leader is let in again, the first thing it sees is that
 // the job's record is gone: it must not take that for a cancellation.
 func TestLeaderShutOutOfTheStore(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		g := &gate{Fake: w.store}
 		a := w.startWith("n0", g, nil)
 		b := w.start("n1")
@@ -577,7 +577,7 @@
 // the roster: one that is dead would hold all earlier jobs back for as long as
 // it is waited for. One that is alive is waited for.
 func TestTakeoverAsksUnheardMachines(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		ks := make([]*worker, 5)
 		for i := range ks {
@@ -615,7 +615,7 @@
 // restarting them would throw their work away. Only the member that is slower
 // than the others loses its run, once.
 func TestOverdueRuns(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		fast, slow := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		s := spec("job-1", 12)
@@ -644,7 +644,7 @@
 		w.same("restarts", restarts, 4)
 		w.same("phase", w.phase(n, "job-1"), "done")
 	})
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false)}
 		s := spec("job-1", 8)
@@ -723,7 +723,7 @@
 // their tasks, and it starts nothing.
 func TestFollowerKeepsMachinesAlive(t *testing.T) {
 	for _, storeToo := range []bool{false, true} {
-		play(t, func(w *world) {
+		simulate(t, func(w *cluster) {
 			l := &links{}
 			g := &gate{Fake: w.store}
 			a := l.add("n0", w.startWith("n0", w.store, l))
@@ -794,7 +794,7 @@
 // A watch whose connection has died must not hide a cancellation for longer
 // than its tasks may stay.
 func TestDeadWatchIsGivenUp(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.startWith("n0", &deaf{Fake: w.store}, nil)
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 2))
@@ -807,7 +807,7 @@
 // holds room for tasks that cannot begin: with more work than room, the tasks
 // of a second image wait for the first.
 func TestImagesAreFetchedOneByOneWhenRoomIsShort(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 3)
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -18,7 +18,7 @@
 // runChecker follows what the machines of a test really run, from outside. It fails
 // the test where a rule of the protocol is broken, whoever is to blame.
 type runChecker struct {
-	w      *world
+	w      *cluster
 	t0     time.Time
 	mu     sync.Mutex
 	jobs   map[string]*observedJob
@@ -308,7 +308,7 @@
 // host is a machine that behaves as the protocol's worker does, by itself.
 type host struct {
 	*worker
-	s *stage
+	s *checkedCluster
 	// heard is when the last answered report was sent, sent and next when the
 	// last one was and the next one is.
 	heard, sent, next time.Time
@@ -326,9 +326,9 @@
 	reports []api.Report
 }
 
-// stage is a deployment whose machines and controllers act by themselves.
-type stage struct {
-	*world
+// checkedCluster is a deployment whose machines and controllers act by themselves.
+type checkedCluster struct {
+	*cluster
 	h   *runChecker
 	ctx context.Context
 
@@ -349,27 +349,27 @@
 	return page, err
 }
 
-// playStage plays a meeting with two controllers; the first leads.
-func playStage(t *testing.T, machines int, f func(s *stage)) {
+// simulateChecked runs a test with two controllers; the first leads.
+func simulateChecked(t *testing.T, machines int, f func(s *checkedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		newStage(t, machines, 0, f)
+		newCheckedCluster(t, machines, 0, f)
 	})
 }
 
-// playSeldom is playStage with machines that report every 5 s, and so get their
+// simulateSeldom is simulateChecked with machines that report every 5 s, and so get their
 // starts by direct orders.
-func playSeldom(t *testing.T, machines int, f func(s *stage)) {
+func simulateSeldom(t *testing.T, machines int, f func(s *checkedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		newStage(t, machines, 5, f)
+		newCheckedCluster(t, machines, 5, f)
 	})
 }
 
-func newStage(t *testing.T, machines int, reportS float64, f func(s *stage)) {
-	w := newWorld(t)
+func newCheckedCluster(t *testing.T, machines int, reportS float64, f func(s *checkedCluster)) {
+	w := newCluster(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &stage{world: w, ctx: ctx, links: &links{}, names: []string{"n0", "n1"}, up: map[string]*node{}, gates: map[string]*slowGate{}}
+	s := &checkedCluster{cluster: w, ctx: ctx, links: &links{}, names: []string{"n0", "n1"}, up: map[string]*node{}, gates: map[string]*slowGate{}}
 	w.reportS = reportS
 	w.director = s
 	s.h = &runChecker{w: w, t0: time.Now(), jobs: map[string]*observedJob{}, runs: map[run]bool{}, hosts: map[string]*host{}}
@@ -389,7 +389,7 @@
 }
 
 // begin starts a controller, crash ends one.
-func (s *stage) begin(name string) {
+func (s *checkedCluster) begin(name string) {
 	s.smu.Lock()
 	if s.gates[name] == nil {
 		s.gates[name] = &slowGate{gate: &gate{Fake: s.store}}
@@ -402,7 +402,7 @@
 	s.up[name] = n
 }
 
-func (s *stage) crash(name string) {
+func (s *checkedCluster) crash(name string) {
 	s.smu.Lock()
 	defer s.smu.Unlock()
 	if n := s.up[name]; n != nil {
@@ -412,14 +412,14 @@
 	}
 }
 
-func (s *stage) node(name string) *node {
+func (s *checkedCluster) node(name string) *node {
 	s.smu.Lock()
 	defer s.smu.Unlock()
 	return s.up[name]
 }
 
 // leader is the node that leads, or "".
-func (s *stage) leader() string {
+func (s *checkedCluster) leader() string {
 	for _, name := range s.names {
 		if n := s.node(name); n != nil {
 			leads := false
@@ -434,7 +434,7 @@
 
 // handOver makes the leadership pass to the other controller: the store refuses
 // the leader alone for a while.
-func (s *stage) handOver() {
+func (s *checkedCluster) handOver() {
 	if name := s.leader(); name != "" {
 		s.gates[name].set(true)
 		go func() {
@@ -445,7 +445,7 @@
 }
 
 // restart ends the leader, which is back after a while.
-func (s *stage) restart(after time.Duration) {
+func (s *checkedCluster) restart(after time.Duration) {
 	if name := s.leader(); name != "" {
 		s.crash(name)
 		time.Sleep(after)
@@ -455,7 +455,7 @@
 
 // users repeats a request at the controllers, one after the other, until it is
 // answered; first says which comes first.
-func (s *stage) users(what string, first int, ask func(ctx context.Context, n *node) error) {
+func (s *checkedCluster) users(what string, first int, ask func(ctx context.Context, n *node) error) {
 	s.t.Helper()
 	err := errors.New("no controller")
 	for try := first; try < first+60; try++ {
@@ -476,7 +476,7 @@
 }
 
 // order submits a job whose tasks run for some time.
-func (s *stage) order(takes time.Duration, spec *api.JobSpec) {
+func (s *checkedCluster) order(takes time.Duration, spec *api.JobSpec) {
 	s.t.Helper()
 	s.h.mu.Lock()
 	s.h.jobs[spec.ID] = &observedJob{spec: spec, takes: takes, begun: map[string]int{}, done: map[string]int{}}
@@ -488,7 +488,7 @@
 }
 
 // cancel cancels jobs, as users do at the same time.
-func (s *stage) cancel(ids ...string) {
+func (s *checkedCluster) cancel(ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
 		s.h.mu.Lock()
@@ -505,7 +505,7 @@
 }
 
 // settle says that all troubles are over, and waits until all jobs are.
-func (s *stage) settle(within time.Duration) {
+func (s *checkedCluster) settle(within time.Duration) {
 	s.t.Helper()
 	s.h.mu.Lock()
 	s.h.calm = true
@@ -535,7 +535,7 @@
 }
 
 // add is a machine that is up from now on.
-func (s *stage) add(name, zone string, spot bool) *host {
+func (s *checkedCluster) add(name, zone string, spot bool) *host {
 	k := &host{worker: s.worker(name, zone, spot), s: s, left: map[run]time.Duration{}, heard: time.Now(), next: time.Now()}
 	s.h.mu.Lock()
 	s.h.hosts[name] = k
@@ -548,7 +548,7 @@
 
 // live is what the machines do. One clock drives them all: the race detector
 // cannot follow a bubble with very many timers.
-func (s *stage) live() {
+func (s *checkedCluster) live() {
 	for s.ctx.Err() == nil {
 		s.h.mu.Lock()
 		hosts := slices.Clone(s.hosts)
@@ -763,7 +763,7 @@
 }
 
 // trouble changes what goes wrong with a machine. What it does to probes is up
-// to the world.
+// to the cluster.
 func (k *host) trouble(f func(*host)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -797,7 +797,7 @@
 }
 
 // holders are the machines on which a job's tasks are.
-func (s *stage) holders(job string) (ks []*host) {
+func (s *checkedCluster) holders(job string) (ks []*host) {
 	for _, k := range s.hosts {
 		s.h.mu.Lock()
 		s.h.purge()
@@ -812,7 +812,7 @@
 }
 
 // Order implements Director: the way of orders straight to machines.
-func (s *stage) Order(ctx context.Context, addr string, o *api.DirectOrders) (uint64, error) {
+func (s *checkedCluster) Order(ctx context.Context, addr string, o *api.DirectOrders) (uint64, error) {
 	rep, err := s.direct(ctx, addr, func(k *host) bool {
 		if o.Term < k.rep.Term || o.Session != k.rep.Session {
 			return false
@@ -829,7 +829,7 @@
 }
 
 // Resync implements Director.
-func (s *stage) Resync(ctx context.Context, addr string, term uint64) (*api.Report, error) {
+func (s *checkedCluster) Resync(ctx context.Context, addr string, term uint64) (*api.Report, error) {
 	return s.direct(ctx, addr, func(k *host) bool {
 		if term < k.rep.Term {
 			return false
@@ -842,7 +842,7 @@
 
 // direct brings something to a machine; a hung or slow one does it late, even if
 // its sender has given up by then.
-func (s *stage) direct(ctx context.Context, addr string, do func(*host) bool) (*api.Report, error) {
+func (s *checkedCluster) direct(ctx context.Context, addr string, do func(*host) bool) (*api.Report, error) {
 	s.h.mu.Lock()
 	k := s.h.hosts[addr]
 	s.h.mu.Unlock()
--- a/internal/controller/settle_test.go
+++ b/internal/controller/settle_test.go
@@ -39,7 +39,7 @@
 // all were looked at side by side none ever was, and machines with tasks long done
 // were kept for the rest of the day.
 func TestManyEndsWithLostAnswersAreSettled(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		st := &thrifty{Fake: w.store, reads: rate.NewLimiter(20, 20)}
 		n := w.startWith("n0", st, nil)
 		var ks []*worker
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -17,7 +17,7 @@
 // condemns nobody.
 func TestDeafMachineIsReturned(t *testing.T) {
 	for _, answersProbes := range []bool{false, true} {
-		play(t, func(w *world) {
+		simulate(t, func(w *cluster) {
 			n := w.start("n0")
 			deaf, well := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 			deaf.serve(n, 2)
@@ -46,7 +46,7 @@
 			w.same("runs elsewhere", len(well.running()), 1)
 		})
 	}
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -66,7 +66,7 @@
 // A machine whose lease ends although it is answered does not hear the answers,
 // even if there was nothing to order.
 func TestSessionsThatEndShowADeafMachine(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -90,7 +90,7 @@
 // charged against every team.
 func TestTakeoverDoesNotWaitForADeafMachine(t *testing.T) {
 	for _, answersProbes := range []bool{false, true} {
-		play(t, func(w *world) {
+		simulate(t, func(w *cluster) {
 			a := w.start("n0")
 			deaf, well := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 			deaf.serve(a, 2)
@@ -119,7 +119,7 @@
 // A copy of an old report, however late, changes nothing in this term: no sign
 // of life, no attempt, no orders.
 func TestLateCopyIsNoSignOfLife(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -145,7 +145,7 @@
 // After a takeover a copy may come before the machine's own report, or from a
 // machine that an earlier leader has returned, which this one cannot know.
 func TestLateCopyAfterATakeover(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		gone, k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
 		fresh := gone.rep // its very first report, with no token
@@ -186,7 +186,7 @@
 // While reports are held up by a cut, runs seem long that have ended: neither
 // are they restarted, nor are their machines taken for slow.
 func TestRunsBeyondACutAreNotSlow(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		near, far := w.worker("i-1", "a", false), w.worker("i-2", "b", false)
 		s := spec("job-1", 40)
@@ -228,7 +228,7 @@
 // that can be in time, and those that are hopeless to those that are not. Each
 // must begin all the same, and go on.
 func TestLargestJobBeginsUnderLastingOverload(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -267,7 +267,7 @@
 // Where many machines seem slow at once, it is not the machines: only a few
 // are quarantined.
 func TestFewMachinesAreTakenForSlow(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		var ks []*worker
 		for i := range 12 {
 			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
@@ -296,7 +296,7 @@
 // own election: what its earlier incarnation sent and is carried out late must
 // not end or share the new one's term, nor change a job accepted meanwhile.
 func TestLateRequestsOfAnEarlierIncarnation(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.store.Hold(touches("leader"))
 		a := w.start("n0")
 		w.same("takeover on its way", w.store.Held(), 1)
@@ -338,7 +338,7 @@
 	})
 	// The late takeover may also come first: the new incarnation finds its own
 	// name, and must take a term of its own.
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.store.Lose(touches("leader"))
 		a := w.start("n0")
 		a.crash()
@@ -355,7 +355,7 @@
 // job is cancelled, the machine is returned in the time that a cancellation
 // has, although its reports go on.
 func TestCancelledJobOnADeafMachine(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		deaf := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 2))
@@ -379,7 +379,7 @@
 // Once troubles are over every job is answered for within seconds, at every
 // node: no job may be left out because of what went on before.
 func TestAllPollsAreAnsweredAfterTroubles(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		l, a, b, ga, gb := w.pair()
 		for i := range 12 {
 			w.submit([]*node{a, b}[i%2], spec(fmt.Sprint("job-", i), 1))
@@ -416,7 +416,7 @@
 // its tasks would be thought to run, and probes would find it alive. It is
 // returned, and only then do its tasks begin elsewhere.
 func TestMachineStartedAnew(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		k.serve(a, 3)
@@ -441,7 +441,7 @@
 // A leader that still holds itself for entitled hears from a machine that another
 // has begun a later term: it stops to lead, and does not end over the report.
 func TestReportOfALaterTermEndsTheLeadership(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -20,10 +20,10 @@
 
 // The outside of the controller runs in a process of its own, so that a profile
 // shows the controller alone: this test binary, started once more.
-const worldEnv = "IVYTRESTLE_LOADTEST_WORLD"
+const environmentVar = "IVYTRESTLE_LOADTEST_ENVIRONMENT"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(worldEnv) != "" {
+	if os.Getenv(environmentVar) != "" {
 		if err := outside(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -33,7 +33,7 @@
 	os.Exit(m.Run())
 }
 
-// outside plays the world: each line of its input is a plan to start or asks for
+// outside simulates the environment: each line of its input is a plan to start or asks for
 // the counts, until its input ends.
 func outside() error {
 	w, err := loadtest.New(api.MachineType{Name: "m", CPUs: 32, MemoryGB: 128, CacheGB: 80, FetchGBs: 1, Price: 1, SpotPrice: 0.4,
@@ -84,7 +84,7 @@
 		b.Fatal(err)
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), worldEnv+"=1")
+	cmd.Env = append(os.Environ(), environmentVar+"=1")
 	cmd.Stderr = os.Stderr
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
--- a/internal/loadtest/world.go
+++ b/internal/loadtest/environment.go
@@ -25,7 +25,7 @@
 	"example.org/ivytrestle/internal/store/storetest"
 )
 
-// Plan is what the world does.
+// Plan is what the environment does.
 type Plan struct {
 	// API is the controller's address for users and machines.
 	API      string
@@ -41,13 +41,13 @@
 	Polls float64
 }
 
-// Counts is what the world has seen.
+// Counts is what the environment has seen.
 type Counts struct {
 	Reports, Started, Done, Jobs, Polls, Failed int64
 }
 
-// World is the outside of a controller.
-type World struct {
+// Environment is the outside of a controller.
+type Environment struct {
 	State, Cloud string
 
 	plan   Plan
@@ -57,8 +57,8 @@
 }
 
 // New starts the state service and the cloud on loopback.
-func New(typ api.MachineType) (*World, error) {
-	w := &World{}
+func New(typ api.MachineType) (*Environment, error) {
+	w := &Environment{}
 	var err error
 	if w.State, err = serve(stateHandler(storetest.New())); err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 }
 
 // Start lets machines and users loose on a controller.
-func (w *World) Start(p Plan) {
+func (w *Environment) Start(p Plan) {
 	w.plan = p
 	for i := range p.Machines {
 		m := &machine{w: w, rep: api.Report{Machine: fmt.Sprintf("i-%06d", i), Type: "m", Zone: "a", Session: 1, Tasks: []api.TaskReport{}},
@@ -97,12 +97,12 @@
 }
 
 // Counts is what has happened so far.
-func (w *World) Counts() Counts {
+func (w *Environment) Counts() Counts {
 	c := &w.counts
 	return Counts{c.reports.Load(), c.started.Load(), c.done.Load(), c.jobs.Load(), c.polls.Load(), c.failed.Load()}
 }
 
-func (w *World) submit() {
+func (w *Environment) submit() {
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("job-%06d", i)
 		body, err := json.Marshal(map[string]any{"NameId": id, "Jobclass": "c", "Owner": "red", "Shape": "array", "Precedence": "standard",
@@ -128,7 +128,7 @@
 	}
 }
 
-func (w *World) poll() {
+func (w *Environment) poll() {
 	c := &http.Client{Transport: &http.Transport{}}
 	for {
 		time.Sleep(time.Duration(float64(16*time.Second) / max(w.plan.Polls, 0.1) * (0.5 + rand.Float64())))
@@ -154,7 +154,7 @@
 
 // machine reports, and runs what it is told to.
 type machine struct {
-	w       *World
+	w       *Environment
 	mu      sync.Mutex
 	rep     api.Report
 	ends    map[string]time.Time
