--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -25,7 +25,8 @@
 //     it counts only if it was whole when the store last answered: what a node
 //     told before it was started anew is not in it.
 //
-// A keeper's knowledge is no fresher than that of the leader who vouches for it.
+// A follower that extends leases knows no more than its leader did when that last
+// answered its ping.
 
 // cancelLog is the cancellations that this process knows of, in the order in
 // which it learned of them. It forgets those whose tasks must be long gone.
@@ -35,8 +36,8 @@
 	// last is the number of the newest entry, from 1 on.
 	last uint64
 	// since is from when on the log is whole.
-	since time.Time
-	keep  time.Duration
+	since     time.Time
+	retention time.Duration
 }
 
 type cancelEntry struct {
@@ -51,13 +52,13 @@
 )
 
 func newCancelLog(w config.Workers, now time.Time) cancelLog {
-	return cancelLog{known: map[string]bool{}, since: now, keep: config.Seconds(w.CancelS) + 2*w.Lease()}
+	return cancelLog{known: map[string]bool{}, since: now, retention: config.Seconds(w.CancelS) + 2*w.Lease()}
 }
 
 // add notes a cancellation.
 func (l *cancelLog) add(id string, now time.Time) {
 	drop := 0
-	for drop < len(l.entries) && (now.Sub(l.entries[drop].at) > l.keep || len(l.entries)-drop >= maxCancelLog) {
+	for drop < len(l.entries) && (now.Sub(l.entries[drop].at) > l.retention || len(l.entries)-drop >= maxCancelLog) {
 		l.since = l.entries[drop].at
 		delete(l.known, l.entries[drop].id)
 		drop++
@@ -132,11 +133,11 @@
 func (c *Controller) cancelled(id string) {
 	c.final.Add(id, api.JobState{ID: id, Phase: api.JobWithdrawn})
 	c.cancels.add(id, time.Now())
-	if c.reign != nil {
-		if j := c.reign.jobs[id]; j != nil {
-			c.reign.withdraw(j)
+	if c.leadership != nil {
+		if j := c.leadership.jobs[id]; j != nil {
+			c.leadership.withdraw(j)
 		}
-		c.reign.pipeline.cancelled(id)
+		c.leadership.pipeline.cancelled(id)
 	}
 }
 
@@ -167,12 +168,12 @@
 	leastRenew = 2500 * time.Millisecond
 	// loadWithin is how long a new leader may renew leases before it has read
 	// the store.
-	loadWithin = 4 * time.Second
-	leastVouch = 300 * time.Millisecond
+	loadWithin       = 4 * time.Second
+	minProofInterval = 300 * time.Millisecond
 	// startSlack is how late the answer to a round of questions may be before
 	// nothing is started any more.
-	startSlack = time.Second
-	mostVouch  = 2 * time.Second
+	startSlack       = time.Second
+	maxProofInterval = 2 * time.Second
 )
 
 // renewFor is how long after a moment before which it knew all cancellations a
@@ -184,41 +185,41 @@
 	return cancel - w.Lease() - renewMargin - cancel/500
 }
 
-// knows is the moment before which all cancellations told to users are known
+// cancellationsKnownAt is the moment before which all cancellations told to users are known
 // here.
-func (r *reign) knows(now time.Time) time.Time {
+func (r *leadership) cancellationsKnownAt(now time.Time) time.Time {
 	all := now
-	for _, n := range r.c.around.nodes {
-		if n.cancels.whole.After(r.vouched) {
-			return r.vouched // it was started, or cut off, since the store answered
+	for _, n := range r.c.peerTable.nodes {
+		if n.cancels.whole.After(r.cancellationsConfirmedAt) {
+			return r.cancellationsConfirmedAt // it was started, or cut off, since the store answered
 		}
 		if n.cancels.until.Before(all) {
 			all = n.cancels.until
 		}
 	}
-	if r.vouched.After(all) {
-		return r.vouched
+	if r.cancellationsConfirmedAt.After(all) {
+		return r.cancellationsConfirmedAt
 	}
 	return all
 }
 
-// informed tells whether this leader may renew leases.
-func (r *reign) informed(now time.Time) bool {
+// mayRenewLeases tells whether this leader may renew leases.
+func (r *leadership) mayRenewLeases(now time.Time) bool {
 	if !r.loaded {
 		return now.Sub(r.began) <= min(loadWithin, max(r.c.renewFor(), leastRenew))
 	}
-	return now.Sub(r.knows(now)) <= max(r.c.renewFor(), leastRenew)
+	return now.Sub(r.cancellationsKnownAt(now)) <= max(r.c.renewFor(), leastRenew)
 }
 
 // mayStart tells whether this leader may start tasks. One that has lost the
 // state service and all other nodes, but not its workers, would start for half a
 // minute what users have called off elsewhere. In an outage that the others see
 // as well nobody can call anything off.
-func (r *reign) mayStart(now time.Time) bool {
-	if now.Sub(r.knows(now)) <= r.c.vouchEvery()+startSlack {
+func (r *leadership) mayStart(now time.Time) bool {
+	if now.Sub(r.cancellationsKnownAt(now)) <= r.c.proofInterval()+startSlack {
 		return true
 	}
-	for _, n := range r.c.around.nodes {
+	for _, n := range r.c.peerTable.nodes {
 		if n.reached(now) && n.StoreOK == 0 {
 			return true
 		}
@@ -226,7 +227,7 @@
 	return false
 }
 
-// vouchEvery is how often the store is asked whether all cancellations are known.
-func (c *Controller) vouchEvery() time.Duration {
-	return min(max(c.renewFor()/8, leastVouch), mostVouch)
+// proofInterval is how often the store is asked whether all cancellations are known.
+func (c *Controller) proofInterval() time.Duration {
+	return min(max(c.renewFor()/8, minProofInterval), maxProofInterval)
 }
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -112,16 +112,16 @@
 		m.reply <- pollReply{st: st, answered: true}
 		return
 	}
-	if c.reign != nil && c.valid() && c.reign.loaded && c.reign.jobs[m.id] != nil {
-		c.reign.confirm.add(m)
+	if c.leadership != nil && c.valid() && c.leadership.loaded && c.leadership.jobs[m.id] != nil {
+		c.leadership.confirm.add(m)
 		return
 	}
 	now := time.Now()
-	reply := pollReply{storeLost: !c.around.storeOK}
-	if c.reign == nil {
+	reply := pollReply{storeLost: !c.peerTable.storeOK}
+	if c.leadership == nil {
 		reply.leader = c.leads(now)
 	}
-	for name, n := range c.around.nodes {
+	for name, n := range c.peerTable.nodes {
 		if name != reply.leader && n.reached(now) && n.StoreOK > 0 {
 			reply.others = append(reply.others, name)
 		}
@@ -135,7 +135,7 @@
 // followed by another. One comparison of the two keys' versions serves all
 // polls that came before it was sent.
 type confirmer struct {
-	r       *reign
+	r       *leadership
 	waiting []*pollMsg
 	busy    bool
 	// last is when the store was last asked. It is so from time to time even if
@@ -149,7 +149,7 @@
 }
 
 func (f *confirmer) start() {
-	if f.busy || (len(f.waiting) == 0 && time.Since(f.last) < f.r.c.vouchEvery()) {
+	if f.busy || (len(f.waiting) == 0 && time.Since(f.last) < f.r.c.proofInterval()) {
 		return
 	}
 	f.last = time.Now()
@@ -170,7 +170,7 @@
 const confirmPause = 200 * time.Millisecond
 
 type confirmedMsg struct {
-	r     *reign
+	r     *leadership
 	batch []*pollMsg
 	sent  time.Time
 	res   store.Result
@@ -180,12 +180,12 @@
 func (m confirmedMsg) apply(c *Controller) {
 	f := &m.r.confirm
 	switch {
-	case c.reign != m.r || m.err != nil:
+	case c.leadership != m.r || m.err != nil:
 		for _, p := range m.batch {
 			p.reply <- pollReply{err: api.ErrUnavailable}
 		}
 	case m.res.OK:
-		m.r.vouched = m.sent
+		m.r.cancellationsConfirmedAt = m.sent
 		for _, p := range m.batch {
 			p.reply <- m.r.answer(p.id)
 		}
@@ -204,22 +204,22 @@
 			}
 		}
 	}
-	if c.reign == m.r {
+	if c.leadership == m.r {
 		time.AfterFunc(confirmPause, func() { m.r.post(confirmNextMsg{m.r}) })
 	}
 }
 
-type confirmNextMsg struct{ r *reign }
+type confirmNextMsg struct{ r *leadership }
 
 func (m confirmNextMsg) apply(c *Controller) {
-	if c.reign == m.r {
+	if c.leadership == m.r {
 		m.r.confirm.busy = false
 		m.r.confirm.start()
 	}
 }
 
 // answer is what the leader's memory says of a job.
-func (r *reign) answer(id string) pollReply {
+func (r *leadership) answer(id string) pollReply {
 	if st, ok := r.c.final.Get(id); ok {
 		return pollReply{st: st, answered: true}
 	}
--- a/internal/loadtest/rental.go
+++ b/internal/loadtest/rental.go
@@ -15,7 +15,7 @@
 
 // rentalCloud is a cloud of one machine type that rents simulated machines.
 type rentalCloud struct {
-	world *World
+	world *Environment
 	typ   api.MachineType
 	most  int
 
@@ -35,8 +35,8 @@
 
 // NewRenting starts the state service and a cloud that rents up to most machines of
 // a type on loopback. The machines report to the plan's controller.
-func NewRenting(typ api.MachineType, most int, plan Plan) (*World, error) {
-	w := &World{plan: plan}
+func NewRenting(typ api.MachineType, most int, plan Plan) (*Environment, error) {
+	w := &Environment{plan: plan}
 	var err error
 	if w.State, err = serve(stateHandler(storetest.New())); err != nil {
 		return nil, err
