--- /dev/null
+++ b/internal/cancellation/log.go
@@ -0,0 +1,97 @@
+// Package cancellation keeps the log of cancellations that each node has: what it
+// knows of them, in the order in which it learned of them, and how far others have
+// read it. It knows neither nodes nor the store; its owner adds entries and carries
+// news between nodes. Nothing in it is safe for concurrent use.
+package cancellation
+
+import (
+	"strings"
+	"time"
+
+	"example.org/ivytrestle/internal/config"
+)
+
+// Log is the cancellations that this process knows of, in the order in which it
+// learned of them. It forgets those whose tasks must be long gone.
+type Log struct {
+	entries []entry
+	known   map[string]bool
+	// last is the number of the newest entry, from 1 on.
+	last uint64
+	// since is from when on the log is whole.
+	since     time.Time
+	retention time.Duration
+}
+
+type entry struct {
+	id string
+	at time.Time
+}
+
+const (
+	// maxEntries bounds a log, and maxNews what one answer carries of it.
+	maxEntries = 4096
+	maxNews    = 400
+)
+
+// NewLog makes the log of a process that begins now. Entries are retained until no
+// worker can have a task of theirs any more.
+func NewLog(w config.Workers, now time.Time) *Log {
+	return &Log{known: map[string]bool{}, since: now, retention: config.Seconds(w.CancelS) + 2*w.Lease()}
+}
+
+// Add notes a cancellation. One that is known already changes nothing.
+func (l *Log) Add(id string, now time.Time) {
+	drop := 0
+	for drop < len(l.entries) && (now.Sub(l.entries[drop].at) > l.retention || len(l.entries)-drop >= maxEntries) {
+		l.since = l.entries[drop].at
+		delete(l.known, l.entries[drop].id)
+		drop++
+	}
+	l.entries = l.entries[drop:]
+	if l.known[id] {
+		return
+	}
+	id = strings.Clone(id)
+	l.known[id] = true
+	l.last++
+	l.entries = append(l.entries, entry{id, now})
+}
+
+// Position is how far a node has read another one's log.
+type Position struct {
+	// Incarnation names the process whose log it is.
+	Incarnation string
+	// Number is that of the last entry read.
+	Number uint64
+}
+
+// News is what a node's log holds beyond a position.
+type News struct {
+	IDs []string
+	// First is the number of the first of them, or would be.
+	First uint64
+	// More is set if there are more than this.
+	More bool
+	// Whole is for how long the log has been whole.
+	Whole time.Duration
+}
+
+// Last is the number of the last entry that the news hold, or of the one before
+// them if they hold none.
+func (n *News) Last() uint64 { return n.First + uint64(len(n.IDs)) - 1 }
+
+// After is what an asker lacks that has read the log up to a number.
+func (l *Log) After(number uint64, now time.Time) News {
+	oldest := l.last + 1 - uint64(len(l.entries))
+	from := min(max(number+1, oldest), l.last+1)
+	entries := l.entries[from-oldest:]
+	n := News{First: from, Whole: now.Sub(l.since)}
+	if len(entries) > maxNews {
+		entries, n.More = entries[:maxNews], true
+	}
+	for _, e := range entries {
+		n.IDs = append(n.IDs, e.id)
+	}
+	return n
+}
--- /dev/null
+++ b/internal/cancellation/log_test.go
@@ -0,0 +1,81 @@
+package cancellation
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"example.org/ivytrestle/internal/config"
+)
+
+// readLog reads a log as another node does.
+func readLog(l *Log, p *Reader, incarnation string, now time.Time) []string {
+	from := p.pos.Number
+	if p.pos.Incarnation != incarnation {
+		from = 0
+	}
+	n := l.After(from, now)
+	p.Take(incarnation, &n, now, now)
+	return n.IDs
+}
+
+// A log is read in order and once; what it has dropped, or lost with its
+// process, counts as not known.
+func TestLog(t *testing.T) {
+	w := config.Workers{LeaseS: 10, CancelS: 30}
+	start := time.Unix(1_000_000, 0)
+	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
+	l := NewLog(w, start)
+	var p Reader
+	if ids := readLog(l, &p, "x", at(1)); len(ids) != 0 || !p.whole.Equal(start) || !p.until.Equal(at(1)) {
+		t.Fatalf("empty: %v %+v", ids, p)
+	}
+	l.Add("job-1", at(2))
+	l.Add("job-2", at(2))
+	l.Add("job-1", at(3))
+	if ids := readLog(l, &p, "x", at(4)); !slices.Equal(ids, []string{"job-1", "job-2"}) || !p.whole.Equal(start) || !p.until.Equal(at(4)) {
+		t.Fatalf("two: %v %+v", ids, p)
+	}
+	if ids := readLog(l, &p, "x", at(5)); len(ids) != 0 || !p.whole.Equal(start) {
+		t.Fatalf("again: %v %+v", ids, p)
+	}
+	// Far too many at once: they come in parts, and the last of them counts.
+	for i := range maxNews + 1 {
+		l.Add(fmt.Sprint("many-", i), at(6))
+	}
+	if ids := readLog(l, &p, "x", at(7)); len(ids) != maxNews || !p.until.Equal(at(5)) {
+		t.Fatalf("part: %d %+v", len(ids), p)
+	}
+	if ids := readLog(l, &p, "x", at(8)); len(ids) != 1 || !p.until.Equal(at(8)) || !p.whole.Equal(start) {
+		t.Fatalf("rest: %v %+v", ids, p)
+	}
+	// More than it can hold while nobody asked: from then on it is not whole.
+	for i := range maxEntries + 5 {
+		l.Add(fmt.Sprint("more-", i), at(9))
+	}
+	if len(l.entries) > maxEntries || len(l.known) != len(l.entries) {
+		t.Fatalf("holds %d and %d", len(l.entries), len(l.known))
+	}
+	readLog(l, &p, "x", at(10))
+	if p.whole.Before(at(9)) {
+		t.Fatalf("whole from %v on though entries were dropped", p.whole)
+	}
+	// Old ones are forgotten, and the reader that has them is not troubled.
+	var q Reader
+	l = NewLog(w, start)
+	l.Add("job-1", at(1))
+	readLog(l, &q, "x", at(2))
+	l.Add("job-2", at(200))
+	if ids := readLog(l, &q, "x", at(201)); len(l.entries) != 1 || !slices.Equal(ids, []string{"job-2"}) || !q.whole.Equal(start) {
+		t.Fatalf("old: %v %+v", ids, q)
+	}
+	// Another process has another log, though the numbers fit.
+	l = NewLog(w, at(300))
+	l.Add("job-7", at(301))
+	l.Add("job-8", at(301))
+	l.Add("job-9", at(301))
+	if ids := readLog(l, &q, "y", at(302)); len(ids) != 3 || q.whole.Before(at(300)) {
+		t.Fatalf("restarted: %v %+v", ids, q)
+	}
+}
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cancellation"
 	"example.org/ivytrestle/internal/store"
 )
 
@@ -187,7 +188,7 @@
 	for {
 		for i := range 3 {
 			n := tn.at(i)
-			st, err := n.PeerStatus(context.Background(), CancelPosition{})
+			st, err := n.PeerStatus(context.Background(), cancellation.Position{})
 			if err == nil && st.Term > 0 {
 				return int(n.Settings.Node[1] - '0')
 			}
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"strings"
 	"time"
 
 	"example.org/ivytrestle/internal/api"
@@ -28,111 +27,10 @@
 // A follower that extends leases knows no more than its leader did when that last
 // answered its ping.
 
-// cancelLog is the cancellations that this process knows of, in the order in
-// which it learned of them. It forgets those whose tasks must be long gone.
-type cancelLog struct {
-	entries []cancelEntry
-	known   map[string]bool
-	// last is the number of the newest entry, from 1 on.
-	last uint64
-	// since is from when on the log is whole.
-	since     time.Time
-	retention time.Duration
-}
-
-type cancelEntry struct {
-	id string
-	at time.Time
-}
-
-const (
-	// maxCancelLog bounds a log, and maxCancelNews what one answer carries of it.
-	maxCancelLog  = 4096
-	maxCancelNews = 400
-)
-
-func newCancelLog(w config.Workers, now time.Time) cancelLog {
-	return cancelLog{known: map[string]bool{}, since: now, retention: config.Seconds(w.CancelS) + 2*w.Lease()}
-}
-
-// add notes a cancellation.
-func (l *cancelLog) add(id string, now time.Time) {
-	drop := 0
-	for drop < len(l.entries) && (now.Sub(l.entries[drop].at) > l.retention || len(l.entries)-drop >= maxCancelLog) {
-		l.since = l.entries[drop].at
-		delete(l.known, l.entries[drop].id)
-		drop++
-	}
-	l.entries = l.entries[drop:]
-	if l.known[id] {
-		return
-	}
-	id = strings.Clone(id)
-	l.known[id] = true
-	l.last++
-	l.entries = append(l.entries, cancelEntry{id, now})
-}
-
-// CancelPosition is how far a node has read another one's log.
-type CancelPosition struct {
-	Incarnation string
-	Number      uint64
-}
-
-// CancelNews is what a node's log holds beyond a position.
-type CancelNews struct {
-	IDs []string
-	// First is the number of the first of them, or would be.
-	First uint64
-	// More is set if there are more than this.
-	More bool
-	// Whole is for how long the log has been whole.
-	Whole time.Duration
-}
-
-func (n *CancelNews) end() uint64 { return n.First + uint64(len(n.IDs)) }
-
-// news is what an asker at a position lacks.
-func (l *cancelLog) news(number uint64, now time.Time) CancelNews {
-	oldest := l.last + 1 - uint64(len(l.entries))
-	from := min(max(number+1, oldest), l.last+1)
-	entries := l.entries[from-oldest:]
-	n := CancelNews{First: from, Whole: now.Sub(l.since)}
-	if len(entries) > maxCancelNews {
-		entries, n.More = entries[:maxCancelNews], true
-	}
-	for _, e := range entries {
-		n.IDs = append(n.IDs, e.id)
-	}
-	return n
-}
-
-// cancelReader is how far a node has read another one's log.
-type cancelReader struct {
-	pos CancelPosition
-	// whole is from when on all cancellations of the other's log are known,
-	// and until when: when the last question was sent that was answered in full.
-	whole, until time.Time
-}
-
-// take takes in an answer to a question sent at a time.
-func (p *cancelReader) take(incarnation string, n *CancelNews, sent, now time.Time) {
-	if incarnation == "" {
-		return // one that keeps no log
-	}
-	if p.pos.Incarnation != incarnation || n.First != p.pos.Number+1 {
-		*p = cancelReader{whole: now.Add(-n.Whole)}
-	}
-	p.pos = CancelPosition{Incarnation: incarnation, Number: n.end() - 1}
-	if !n.More {
-		p.until = sent
-	}
-}
-
 // cancelled takes in that a job is cancelled on record.
 func (c *Controller) cancelled(id string) {
 	c.final.Add(id, api.JobState{ID: id, Phase: api.JobWithdrawn})
-	c.cancels.add(id, time.Now())
+	c.cancels.Add(id, time.Now())
 	if c.leadership != nil {
 		if j := c.leadership.jobs[id]; j != nil {
 			c.leadership.withdraw(j)
@@ -190,11 +88,11 @@
 func (r *leadership) cancellationsKnownAt(now time.Time) time.Time {
 	all := now
 	for _, n := range r.c.peerTable.nodes {
-		if n.cancels.whole.After(r.cancellationsConfirmedAt) {
+		if n.cancels.WholeSince().After(r.cancellationsConfirmedAt) {
 			return r.cancellationsConfirmedAt // it was started, or cut off, since the store answered
 		}
-		if n.cancels.until.Before(all) {
-			all = n.cancels.until
+		if n.cancels.KnownUntil().Before(all) {
+			all = n.cancels.KnownUntil()
 		}
 	}
 	if r.cancellationsConfirmedAt.After(all) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -14,6 +14,7 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cancellation"
 	"example.org/ivytrestle/internal/cloud"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
@@ -31,7 +32,7 @@
 	Job(ctx context.Context, node, id string) (api.JobState, error)
 	// Ping returns the node's state, if it can be reached.
 	// What it knows of cancellations beyond a position comes with it.
-	Ping(ctx context.Context, node string, from CancelPosition) (PeerStatus, error)
+	Ping(ctx context.Context, node string, from cancellation.Position) (PeerStatus, error)
 	// Report passes a machine's report on to the leader. NotLeaderError means
 	// that the node does not lead, ErrRefused that connections are refused.
 	Report(ctx context.Context, node string, rep *api.Report) (api.ReportAnswer, error)
@@ -75,7 +76,7 @@
 	// directed is to whom machines were last told to report.
 	directed map[string]directed
 	final    *lru.Cache[string, api.JobState]
-	cancels  cancelLog
+	cancels  *cancellation.Log
 	// reads are the reads of the store that users wait for, by job.
 	reads map[string]*readRound
 }
@@ -99,7 +100,7 @@
 		Config: cfg, records: store.Records{Store: cfg.UserStore},
 		mail: make(chan message, 256), depose: make(chan uint64, 4), resigns: make(chan string, 4), final: final,
 		sent: map[string]time.Time{}, directed: map[string]directed{}, up: newRelayUp(),
-		reads: map[string]*readRound{}, cancels: newCancelLog(cfg.Settings.Site.Workers, time.Now()), peerTable: newPeerTable(cfg.Settings.Peers, time.Now()),
+		reads: map[string]*readRound{}, cancels: cancellation.NewLog(cfg.Settings.Site.Workers, time.Now()), peerTable: newPeerTable(cfg.Settings.Peers, time.Now()),
 	}
 }
 
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -2,14 +2,11 @@
 
 import (
 	"context"
-	"fmt"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/config"
 )
 
 // gapCluster is a leader a and a follower b, and a machine with two tasks of job-1
@@ -262,77 +259,6 @@
 	}
 }
 
-// readLog reads a log as another node does.
-func readLog(l *cancelLog, p *cancelReader, incarnation string, now time.Time) []string {
-	from := p.pos.Number
-	if p.pos.Incarnation != incarnation {
-		from = 0
-	}
-	n := l.news(from, now)
-	p.take(incarnation, &n, now, now)
-	return n.IDs
-}
-
-// A log is read in order and once; what it has dropped, or lost with its
-// process, counts as not known.
-func TestCancelLog(t *testing.T) {
-	w := config.Workers{LeaseS: 10, CancelS: 30}
-	start := time.Unix(1_000_000, 0)
-	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-	l := newCancelLog(w, start)
-	var p cancelReader
-	if ids := readLog(&l, &p, "x", at(1)); len(ids) != 0 || !p.whole.Equal(start) || !p.until.Equal(at(1)) {
-		t.Fatalf("empty: %v %+v", ids, p)
-	}
-	l.add("job-1", at(2))
-	l.add("job-2", at(2))
-	l.add("job-1", at(3))
-	if ids := readLog(&l, &p, "x", at(4)); !slices.Equal(ids, []string{"job-1", "job-2"}) || !p.whole.Equal(start) || !p.until.Equal(at(4)) {
-		t.Fatalf("two: %v %+v", ids, p)
-	}
-	if ids := readLog(&l, &p, "x", at(5)); len(ids) != 0 || !p.whole.Equal(start) {
-		t.Fatalf("again: %v %+v", ids, p)
-	}
-	// Far too many at once: they come in parts, and the last of them counts.
-	for i := range maxCancelNews + 1 {
-		l.add(fmt.Sprint("many-", i), at(6))
-	}
-	if ids := readLog(&l, &p, "x", at(7)); len(ids) != maxCancelNews || !p.until.Equal(at(5)) {
-		t.Fatalf("part: %d %+v", len(ids), p)
-	}
-	if ids := readLog(&l, &p, "x", at(8)); len(ids) != 1 || !p.until.Equal(at(8)) || !p.whole.Equal(start) {
-		t.Fatalf("rest: %v %+v", ids, p)
-	}
-	// More than it can hold while nobody asked: from then on it is not whole.
-	for i := range maxCancelLog + 5 {
-		l.add(fmt.Sprint("more-", i), at(9))
-	}
-	if len(l.entries) > maxCancelLog || len(l.known) != len(l.entries) {
-		t.Fatalf("holds %d and %d", len(l.entries), len(l.known))
-	}
-	readLog(&l, &p, "x", at(10))
-	if p.whole.Before(at(9)) {
-		t.Fatalf("whole from %v on though entries were dropped", p.whole)
-	}
-	// Old ones are forgotten, and the reader that has them is not troubled.
-	var q cancelReader
-	l = newCancelLog(w, start)
-	l.add("job-1", at(1))
-	readLog(&l, &q, "x", at(2))
-	l.add("job-2", at(200))
-	if ids := readLog(&l, &q, "x", at(201)); len(l.entries) != 1 || !slices.Equal(ids, []string{"job-2"}) || !q.whole.Equal(start) {
-		t.Fatalf("old: %v %+v", ids, q)
-	}
-	// Another process has another log, though the numbers fit.
-	l = newCancelLog(w, at(300))
-	l.add("job-7", at(301))
-	l.add("job-8", at(301))
-	l.add("job-9", at(301))
-	if ids := readLog(&l, &q, "y", at(302)); len(ids) != 3 || q.whole.Before(at(300)) {
-		t.Fatalf("restarted: %v %+v", ids, q)
-	}
-}
-
 // A leader that has just begun knows of earlier cancellations only by what is
 // left in the store: its answers to pings do not bring them. So a node that
 // extends leases relies on them only when each machine that is still alive
--- a/internal/controller/peertable.go
+++ b/internal/controller/peertable.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cancellation"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
 )
@@ -22,7 +23,7 @@
 	Incarnation string
 	// Cancels is what it knows of cancellations, and Known how long ago it knew
 	// all of them as a leader; negative: it does not know.
-	Cancels CancelNews
+	Cancels cancellation.News
 	Known   time.Duration
 }
 
@@ -41,7 +42,7 @@
 type peerState struct {
 	PeerStatus
 	zone    string
-	cancels cancelReader
+	cancels cancellation.Reader
 	// termAt is when it was first heard to lead in its term.
 	termAt time.Time
 	seen   time.Time
@@ -129,7 +130,7 @@
 // keeps what the lease extender must know up to date.
 func (c *Controller) watchPeer(ctx context.Context, node string) {
 	failed := 0
-	var from CancelPosition
+	var from cancellation.Position
 	for ctx.Err() == nil {
 		sent := time.Now()
 		pctx, cancel := context.WithTimeout(ctx, pingTimeout)
@@ -143,7 +144,7 @@
 			return
 		}
 		if err == nil {
-			from = CancelPosition{Incarnation: st.Incarnation, Number: st.Cancels.end() - 1}
+			from = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancels.Last()}
 		}
 		if failed >= unreachedAfter {
 			c.extendLeases(ctx, node)
@@ -174,11 +175,11 @@
 	if m.st.Term != n.Term {
 		n.termAt = now
 	}
-	n.cancels.take(m.st.Incarnation, &m.st.Cancels, m.sent, now)
+	n.cancels.Take(m.st.Incarnation, &m.st.Cancels, m.sent, now)
 	for _, id := range m.st.Cancels.IDs {
 		c.cancelled(id)
 	}
-	m.st.Cancels = CancelNews{}
+	m.st.Cancels = cancellation.News{}
 	n.PeerStatus, n.seen = m.st, m.sent
 	if c.leadership != nil {
 		c.leadership.down.restarted(c.leadership, m.node, m.st.Incarnation)
@@ -255,7 +256,7 @@
 }
 
 // PeerStatus is the state of this node, as the others are told.
-func (c *Controller) PeerStatus(ctx context.Context, from CancelPosition) (PeerStatus, error) {
+func (c *Controller) PeerStatus(ctx context.Context, from cancellation.Position) (PeerStatus, error) {
 	m := peerStatusMsg{from, make(chan PeerStatus, 1)}
 	if err := c.send(ctx, m); err != nil {
 		return PeerStatus{}, err
@@ -269,7 +270,7 @@
 }
 
 type peerStatusMsg struct {
-	from  CancelPosition
+	from  cancellation.Position
 	reply chan PeerStatus
 }
 
@@ -279,7 +280,7 @@
 	if m.from.Incarnation != st.Incarnation {
 		m.from.Number = 0
 	}
-	st.Cancels = c.cancels.news(m.from.Number, now)
+	st.Cancels = c.cancels.After(m.from.Number, now)
 	if c.valid() {
 		st.Term = c.leadership.term.Number
 		if c.leadership.loaded {
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cancellation"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/store"
 	"example.org/ivytrestle/internal/store/storetest"
@@ -688,7 +689,7 @@
 	return n.PeerJob(ctx, id)
 }
 
-func (l *links) Ping(ctx context.Context, name string, from CancelPosition) (PeerStatus, error) {
+func (l *links) Ping(ctx context.Context, name string, from cancellation.Position) (PeerStatus, error) {
 	n, err := l.to(name)
 	if err != nil {
 		if l.refuse.Load() {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -8,6 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cancellation"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/controller"
 	"example.org/ivytrestle/internal/peer"
@@ -37,7 +38,7 @@
 func (h peerHandler) Ping(ctx context.Context, p *peer.Ping) (*peer.Pong, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerWait)
 	defer cancel()
-	st, err := h.c.PeerStatus(ctx, controller.CancelPosition{Incarnation: p.GetIncarnation(), Number: p.GetCancelNumber()})
+	st, err := h.c.PeerStatus(ctx, cancellation.Position{Incarnation: p.GetIncarnation(), Number: p.GetCancelNumber()})
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +95,7 @@
 }
 
 // Ping implements controller.PeerAsker.
-func (p peers) Ping(ctx context.Context, node string, from controller.CancelPosition) (controller.PeerStatus, error) {
+func (p peers) Ping(ctx context.Context, node string, from cancellation.Position) (controller.PeerStatus, error) {
 	cl := p[node]
 	if cl == nil {
 		return controller.PeerStatus{}, api.ErrUnavailable
@@ -107,7 +108,7 @@
 		return controller.PeerStatus{}, err
 	}
 	out := controller.PeerStatus{Term: st.Term, Leader: st.Leader, StoreOK: time.Duration(st.StoreOkMs) * time.Millisecond,
-		Incarnation: st.Incarnation, Known: -1, Cancels: controller.CancelNews{IDs: st.Cancelled, First: st.CancelFirst, More: st.CancelMore,
+		Incarnation: st.Incarnation, Known: -1, Cancels: cancellation.News{IDs: st.Cancelled, First: st.CancelFirst, More: st.CancelMore,
 			Whole: time.Duration(st.CancelWholeMs) * time.Millisecond}}
 	if st.KnownAgeMs != nil {
 		out.Known = time.Duration(*st.KnownAgeMs) * time.Millisecond
