--- a/internal/loadtest/rental.go
+++ b/internal/loadtest/rental.go
@@ -15,9 +15,9 @@
 
 // rentalCloud is a cloud of one machine type that rents simulated machines.
 type rentalCloud struct {
-	world *Environment
-	typ   api.MachineType
-	most  int
+	environment *Environment
+	typ         api.MachineType
+	most        int
 
 	mu       sync.Mutex
 	machines map[string]rentedMachine
@@ -27,6 +27,12 @@
 	rentals map[string][]string
 }
 
+// Phases of a machine in the cloud's list.
+const (
+	phaseStarting = "starting"
+	phaseRunning  = "running"
+)
+
 type rentedMachine struct {
 	*machine
 	spot   bool
@@ -41,7 +47,7 @@
 	if w.State, err = serve(stateHandler(storetest.New())); err != nil {
 		return nil, err
 	}
-	cloud := &rentalCloud{world: w, typ: typ, most: most, machines: map[string]rentedMachine{}, rentals: map[string][]string{}}
+	cloud := &rentalCloud{environment: w, typ: typ, most: most, machines: map[string]rentedMachine{}, rentals: map[string][]string{}}
 	w.Cloud, err = serve(cloud.handler())
 	return w, err
 }
@@ -64,9 +70,10 @@
 
 func (c *rentalCloud) rent(w http.ResponseWriter, r *http.Request) {
 	var request struct {
-		Hire, Bed string
-		Windfall  bool
-		Count     int
+		Name  string `json:"Hire"`
+		Zone  string `json:"Bed"`
+		Spot  bool   `json:"Windfall"`
+		Count int    `json:"Count"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
@@ -74,17 +81,17 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	names, repeated := c.rentals[request.Hire]
+	names, repeated := c.rentals[request.Name]
 	if !repeated {
 		for range min(request.Count, c.most-len(c.machines)) {
-			names = append(names, c.boot(request.Bed, request.Windfall))
+			names = append(names, c.boot(request.Zone, request.Spot))
 		}
 	}
 	if len(names) == 0 {
 		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 		return
 	}
-	c.rentals[request.Hire] = names
+	c.rentals[request.Name] = names
 	writeJSON(w, http.StatusOK, map[string]any{"Hosts": names})
 }
 
@@ -92,14 +99,14 @@
 func (c *rentalCloud) boot(zone string, spot bool) string {
 	c.created++
 	name := fmt.Sprintf("i-%06d", c.created)
-	m := newMachine(c.world, name, c.typ.Name, zone)
+	m := newMachine(c.environment, name, c.typ.Name, zone)
 	m.rep.Spot = spot
 	c.machines[name] = rentedMachine{machine: m, spot: spot, rented: time.Now()}
 	go func() {
 		time.Sleep(time.Duration(c.typ.BootS * float64(time.Second)))
 		addr, err := serve(m)
 		if err != nil {
-			c.world.counts.failed.Add(1)
+			c.environment.counts.failed.Add(1)
 			return
 		}
 		m.mu.Lock()
@@ -111,14 +118,16 @@
 }
 
 func (c *rentalCloud) giveBack(w http.ResponseWriter, r *http.Request) {
-	var request struct{ Hosts []string }
+	var request struct {
+		Machines []string `json:"Hosts"`
+	}
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, name := range request.Hosts {
+	for _, name := range request.Machines {
 		if m, ok := c.machines[name]; ok {
 			m.gone.Store(true)
 			delete(c.machines, name)
@@ -127,15 +136,21 @@
 	writeJSON(w, http.StatusOK, map[string]any{})
 }
 
+// listedMachine is an entry of the cloud's list.
+type listedMachine struct {
+	Name  string  `json:"NameId"`
+	Addr  string  `json:"Addr"`
+	Type  string  `json:"Frame"`
+	Zone  string  `json:"Bed"`
+	Spot  bool    `json:"Windfall"`
+	Phase string  `json:"Phase"`
+	AgeS  float64 `json:"AgeS"`
+}
+
+// list answers with all machines in one part, whatever the caller asks for at most.
 func (c *rentalCloud) list(w http.ResponseWriter, r *http.Request) {
-	type listed struct {
-		NameId, Addr, Frame, Bed string
-		Windfall                 bool
-		Phase                    string
-		AgeS                     float64
-	}
 	from := r.URL.Query().Get("From")
-	hosts := []listed{}
+	hosts := []listedMachine{}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, m := range c.machines {
@@ -143,14 +158,16 @@
 			continue
 		}
 		m.mu.Lock()
-		host := listed{NameId: name, Addr: m.rep.Addr, Frame: c.typ.Name, Bed: m.rep.Zone, Windfall: m.spot, Phase: "starting",
-			AgeS: time.Since(m.rented).Seconds()}
+		host := listedMachine{
+			Name: name, Addr: m.rep.Addr, Type: c.typ.Name, Zone: m.rep.Zone, Spot: m.spot,
+			Phase: phaseStarting, AgeS: time.Since(m.rented).Seconds(),
+		}
 		m.mu.Unlock()
 		if host.Addr != "" {
-			host.Phase = "running"
+			host.Phase = phaseRunning
 		}
 		hosts = append(hosts, host)
 	}
-	slices.SortFunc(hosts, func(a, b listed) int { return strings.Compare(a.NameId, b.NameId) })
+	slices.SortFunc(hosts, func(a, b listedMachine) int { return strings.Compare(a.Name, b.Name) })
 	writeJSON(w, http.StatusOK, map[string]any{"Hosts": hosts, "Truncated": false})
 }
