--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -111,7 +111,7 @@
 // anyWaits tells whether any task waits for a machine.
 func (r *reign) anyWaits() bool {
 	for _, j := range r.jobs {
-		if j.flight.Untaken() > 0 && !j.finishing && !j.doomed && len(j.awaits) == 0 {
+		if j.flight.Untaken() > 0 && !j.finishing && !j.cancelPending && len(j.awaits) == 0 {
 			return true
 		}
 	}
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -22,9 +22,9 @@
 	// when the last job that it needs was done.
 	since time.Time
 	// awaits are the jobs that are to be done before it starts; while there are
-	// any, or while it is doomed to be cancelled with one, it is in no queue.
-	awaits map[string]bool
-	doomed bool
+	// any, or while its cancellation with one of them is pending, it is in no queue.
+	awaits        map[string]bool
+	cancelPending bool
 	// due is when it should be complete for those that need it.
 	due []time.Time
 	// aims are when the job should be complete, by the aims of its class;
--- a/internal/controller/particular.go
+++ b/internal/controller/particular.go
@@ -55,7 +55,7 @@
 		}
 	}
 	for _, j := range f.r.jobs {
-		if len(j.awaits) > 0 && !j.doomed && restricted(&j.spec) && f.r.pipeline.soon(j) {
+		if len(j.awaits) > 0 && !j.cancelPending && restricted(&j.spec) && f.r.pipeline.allBegun(j) {
 			add(j, min(float64(j.spec.Tasks)*j.spec.CPUs, j.team.CPUsMax))
 		}
 	}
@@ -67,8 +67,8 @@
 	return out
 }
 
-// soon tells whether all that a job waits for has begun.
-func (p *pipeline) soon(j *job) bool {
+// allBegun tells whether all that a job waits for has begun.
+func (p *pipeline) allBegun(j *job) bool {
 	for id := range j.awaits {
 		if o := p.r.jobs[id]; o == nil || !o.begun() {
 			return false
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -24,50 +24,50 @@
 // job's record does the same with it (store.Records).
 type pipeline struct {
 	r *reign
-	// needers are the jobs that wait, by what they wait for.
-	needers map[string][]*job
-	// doomed are the jobs that are to be cancelled on record.
-	doomed  []*job
-	limiter *rate.Limiter
-	// sought are awaited jobs that are not active: how they ended is to be read,
+	// dependents are the jobs that wait, by what they wait for.
+	dependents map[string][]*job
+	// pendingCancels are the jobs that are to be cancelled on record.
+	pendingCancels []*job
+	limiter        *rate.Limiter
+	// lookups are awaited jobs that are not active: how they ended is to be read,
 	// one at a time.
-	sought  []string
-	seeking bool
+	lookups   []string
+	lookingUp bool
 }
 
 func (p *pipeline) init(r *reign) {
 	lim := r.c.Settings.Site.State
 	cancels := lim.WriteRPS * cancelShare
-	*p = pipeline{r: r, needers: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancels), max(cancelOps, min(lim.TxnOps, int(cancels))))}
+	*p = pipeline{r: r, dependents: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancels), max(cancelOps, min(lim.TxnOps, int(cancels))))}
 }
 
 // awaitJobs has a job wait for those that it needs.
 func (p *pipeline) awaitJobs(j *job) {
 	j.awaits = map[string]bool{}
-	doomed := false
+	pending := false
 	for _, id := range j.spec.Awaits {
 		if st, ok := p.r.c.final.Get(id); ok {
-			doomed = doomed || st.Phase == api.JobWithdrawn
+			pending = pending || st.Phase == api.JobWithdrawn
 			continue
 		}
 		o := p.r.jobs[id]
 		if o == nil {
-			if len(p.needers[id]) == 0 {
-				p.sought = append(p.sought, id)
+			if len(p.dependents[id]) == 0 {
+				p.lookups = append(p.lookups, id)
 			}
-		} else if o.doomed {
-			doomed = true
+		} else if o.cancelPending {
+			pending = true
 		}
 		j.awaits[id] = true
-		p.needers[id] = append(p.needers[id], j)
+		p.dependents[id] = append(p.dependents[id], j)
 	}
 	switch {
-	case doomed:
-		p.doom(j)
+	case pending:
+		p.cancelWithDependents(j)
 	case len(j.awaits) == 0:
 		p.ready(j, j.accepted)
 	}
-	p.seekNext()
+	p.lookupNext()
 }
 
 // ready takes in that all that a job needs is done, and since when it could run.
@@ -82,10 +82,10 @@
 
 // done takes in that a job is done on record.
 func (p *pipeline) done(id string, now time.Time) {
-	needers := p.needers[id]
-	delete(p.needers, id)
-	for _, j := range needers {
-		if delete(j.awaits, id); len(j.awaits) == 0 && !j.doomed && !j.over {
+	dependents := p.dependents[id]
+	delete(p.dependents, id)
+	for _, j := range dependents {
+		if delete(j.awaits, id); len(j.awaits) == 0 && !j.cancelPending && !j.over {
 			p.ready(j, now)
 		}
 	}
@@ -93,38 +93,39 @@
 
 // cancelled takes in that a job is cancelled, and with it all that need it.
 func (p *pipeline) cancelled(id string) {
-	needers := p.needers[id]
-	delete(p.needers, id)
-	for _, j := range needers {
-		p.doom(j)
+	dependents := p.dependents[id]
+	delete(p.dependents, id)
+	for _, j := range dependents {
+		p.cancelWithDependents(j)
 	}
 }
 
-// doom has a job that waits cancelled on record, and all that need it.
-func (p *pipeline) doom(j *job) {
+// cancelWithDependents has a job that waits cancelled on record, and all that need it.
+func (p *pipeline) cancelWithDependents(j *job) {
 	for todo := []*job{j}; len(todo) > 0; {
 		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		if j.doomed || j.over {
+		if j.cancelPending || j.over {
 			continue
 		}
-		j.doomed = true
-		p.doomed = append(p.doomed, j)
-		todo = append(todo, p.needers[j.spec.ID]...)
+		j.cancelPending = true
+		p.pendingCancels = append(p.pendingCancels, j)
+		todo = append(todo, p.dependents[j.spec.ID]...)
 	}
 }
 
 // forget takes a job that is over out of the index of what it waited for.
 func (p *pipeline) forget(j *job) {
 	for id := range j.awaits {
-		left := slices.DeleteFunc(p.needers[id], func(o *job) bool { return o == j })
-		if p.needers[id] = left; len(left) == 0 {
-			delete(p.needers, id)
+		left := slices.DeleteFunc(p.dependents[id], func(o *job) bool { return o == j })
+		if p.dependents[id] = left; len(left) == 0 {
+			delete(p.dependents, id)
 		}
 	}
 	j.awaits = nil
 }
 
-// cancelShare is the part of the write rate that doomed jobs have for themselves:
+// cancelShare is the part of the write rate that derived cancellations have to
+// themselves:
 // with small transactions the ends of other jobs would take every turn, and their
 // users wait. Users' own cancellations leave it to them.
 const cancelShare = 0.4
@@ -133,17 +134,17 @@
 // change: nothing of these jobs runs, and this leader knows.
 const cancelOps = 2
 
-// add cancels doomed jobs in a batch of their own, if the write rate allows.
+// add writes pending cancellations in a batch of their own, if the write rate allows.
 func (p *pipeline) add(b *batch, now time.Time) {
-	p.doomed = slices.DeleteFunc(p.doomed, func(j *job) bool { return j.over })
+	p.pendingCancels = slices.DeleteFunc(p.pendingCancels, func(j *job) bool { return j.over })
 	w := &p.r.recorder
 	allowed := min(w.maxOps, int(p.limiter.TokensAt(now)))
-	if len(p.doomed) == 0 || allowed < cancelOps {
+	if len(p.pendingCancels) == 0 || allowed < cancelOps {
 		return
 	}
 	n := 0
-	for n < len(p.doomed) && len(b.txn.Ops)+cancelOps <= allowed && b.bytes < w.maxBytes {
-		j := p.doomed[n]
+	for n < len(p.pendingCancels) && len(b.txn.Ops)+cancelOps <= allowed && b.bytes < w.maxBytes {
+		j := p.pendingCancels[n]
 		active := store.ActivePrefix + j.spec.ID
 		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: active, Mark: j.mark})
 		b.put(store.FinalPrefix+j.spec.ID, store.FinalRecord{Phase: api.JobWithdrawn, Tasks: j.spec.Tasks})
@@ -151,16 +152,16 @@
 		j.ending = true
 		n++
 	}
-	b.doomed = slices.Clone(p.doomed[:n])
-	p.doomed = p.doomed[n:]
+	b.derivedCancels = slices.Clone(p.pendingCancels[:n])
+	p.pendingCancels = p.pendingCancels[n:]
 	p.limiter.AllowN(now, len(b.txn.Ops))
 }
 
-// urge passes the deadlines and priorities of jobs on to all that they need: those
+// propagateDeadlines passes the deadlines and priorities of jobs on to all that they need: those
 // are ordered by the latest time to begin that lets what follows be in time. A job
 // was accepted after all that it needs, so going back in the order of acceptance
 // each is looked at once, after all that need it; and only where anything changes.
-func (p *pipeline) urge(jobs ...*job) {
+func (p *pipeline) propagateDeadlines(jobs ...*job) {
 	byMark := func(a, b *job) int { return cmp.Compare(a.mark, b.mark) }
 	todo := slices.Clone(jobs)
 	slices.SortFunc(todo, byMark)
@@ -169,7 +170,7 @@
 		todo = todo[:len(todo)-1]
 		for _, id := range j.spec.Awaits {
 			o := p.r.jobs[id]
-			if o == nil || o.finishing || !p.press(j, o) || len(o.spec.Awaits) == 0 {
+			if o == nil || o.finishing || !p.propagateDeadline(j, o) || len(o.spec.Awaits) == 0 {
 				continue
 			}
 			if at, found := slices.BinarySearchFunc(todo, o, byMark); !found {
@@ -179,9 +180,9 @@
 	}
 }
 
-// press has a job be done in time for one that needs it, and tells whether that
+// propagateDeadline has a job be done in time for one that needs it, and tells whether that
 // changed anything.
-func (p *pipeline) press(j, o *job) (changed bool) {
+func (p *pipeline) propagateDeadline(j, o *job) (changed bool) {
 	if j.rank < o.rank {
 		o.rank, changed = j.rank, true
 	}
@@ -189,7 +190,7 @@
 	if len(due) == 0 {
 		return changed
 	}
-	takes := p.takes(j)
+	takes := p.stageDuration(j)
 	if len(o.due) > 0 && !due[0].Add(-takes).Before(o.due[0]) {
 		return changed
 	}
@@ -212,9 +213,9 @@
 	return own
 }
 
-// takes is how long a stage is expected to take from the end of the one before
+// stageDuration is how long a stage is expected to take from the end of the one before
 // it: until that is on record, the machine has been told and has the image.
-func (p *pipeline) takes(j *job) time.Duration {
+func (p *pipeline) stageDuration(j *job) time.Duration {
 	fetch := 0.0
 	for _, t := range p.r.c.types.load() {
 		if t.FetchGBs > 0 {
@@ -228,14 +229,14 @@
 // follow are handed out.
 const stageLag = time.Second
 
-// seekNext reads how an awaited job ended that is not active.
-func (p *pipeline) seekNext() {
-	if p.seeking || len(p.sought) == 0 {
+// lookupNext reads how an awaited job ended that is not active.
+func (p *pipeline) lookupNext() {
+	if p.lookingUp || len(p.lookups) == 0 {
 		return
 	}
-	p.seeking = true
-	r, id := p.r, p.sought[0]
-	p.sought = p.sought[1:]
+	p.lookingUp = true
+	r, id := p.r, p.lookups[0]
+	p.lookups = p.lookups[1:]
 	go func() {
 		records := store.Records{Store: r.c.Store}
 		for r.ctx.Err() == nil {
@@ -243,7 +244,7 @@
 			st, found, err := records.Final(ctx, id)
 			cancel()
 			if err == nil {
-				r.post(soughtMsg{r, id, st, found})
+				r.post(endLookedUpMsg{r, id, st, found})
 				return
 			}
 			pause(r.ctx, 300*time.Millisecond)
@@ -251,42 +252,42 @@
 	}()
 }
 
-type soughtMsg struct {
+type endLookedUpMsg struct {
 	r     *reign
 	id    string
 	st    api.JobState
 	found bool
 }
 
-func (m soughtMsg) apply(c *Controller) {
+func (m endLookedUpMsg) apply(c *Controller) {
 	p := &m.r.pipeline
 	if c.reign != m.r {
 		return
 	}
-	p.seeking = false
+	p.lookingUp = false
 	switch {
 	case m.found:
 		finalMsg{m.st}.apply(c)
 		if m.st.Phase == api.JobDone {
 			p.done(m.id, time.Now())
 		}
-	case m.r.jobs[m.id] == nil && len(p.needers[m.id]) > 0:
+	case m.r.jobs[m.id] == nil && len(p.dependents[m.id]) > 0:
 		// Active, and not known here yet: the watch will tell.
-		time.AfterFunc(time.Second, func() { m.r.post(seekMsg{m.r, m.id}) })
+		time.AfterFunc(time.Second, func() { m.r.post(lookupAgainMsg{m.r, m.id}) })
 	}
-	p.seekNext()
+	p.lookupNext()
 }
 
-// seekMsg asks once more about a job that was not known.
-type seekMsg struct {
+// lookupAgainMsg asks once more about a job that was not known.
+type lookupAgainMsg struct {
 	r  *reign
 	id string
 }
 
-func (m seekMsg) apply(c *Controller) {
-	if p := &m.r.pipeline; c.reign == m.r && len(p.needers[m.id]) > 0 && m.r.jobs[m.id] == nil {
-		p.sought = append(p.sought, m.id)
-		p.seekNext()
+func (m lookupAgainMsg) apply(c *Controller) {
+	if p := &m.r.pipeline; c.reign == m.r && len(p.dependents[m.id]) > 0 && m.r.jobs[m.id] == nil {
+		p.lookups = append(p.lookups, m.id)
+		p.lookupNext()
 	}
 }
 
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -338,7 +338,7 @@
 					}
 				}
 				n.look(func(c *Controller) {
-					w.same("left in memory", len(c.reign.jobs)+len(c.reign.pipeline.needers)+len(c.reign.pipeline.doomed), 0)
+					w.same("left in memory", len(c.reign.jobs)+len(c.reign.pipeline.dependents)+len(c.reign.pipeline.pendingCancels), 0)
 				})
 			})
 		})
@@ -425,7 +425,7 @@
 					w.same(id, w.phase(n, id), api.JobWithdrawn)
 				}
 				n.look(func(c *Controller) {
-					w.same("still to do", len(c.reign.jobs)+len(c.reign.pipeline.doomed)+len(c.reign.pipeline.needers), 0)
+					w.same("still to do", len(c.reign.jobs)+len(c.reign.pipeline.pendingCancels)+len(c.reign.pipeline.dependents), 0)
 				})
 			})
 		})
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -84,9 +84,9 @@
 	txn      store.Txn
 	bytes    int
 	finished []*job
-	// doomed are cancelled with a job that they need.
-	doomed []*job
-	sheets []*sheet
+	// derivedCancels are cancelled with a job that they need.
+	derivedCancels []*job
+	sheets         []*sheet
 	// replaced are sheets that go with this batch.
 	replaced []*sheet
 	drops    []string
@@ -321,7 +321,7 @@
 				changed = append(changed, j)
 			}
 		}
-		for _, j := range m.b.doomed {
+		for _, j := range m.b.derivedCancels {
 			if slices.Contains(m.res.Failed, store.ActivePrefix+j.spec.ID) {
 				changed = append(changed, j)
 			}
@@ -341,7 +341,7 @@
 // again puts a batch back that was not carried out, or may not have been.
 func (w *recorder) again(b *batch) {
 	w.finishing = append(slices.Clone(b.finished), w.finishing...)
-	w.r.pipeline.doomed = append(slices.Clone(b.doomed), w.r.pipeline.doomed...)
+	w.r.pipeline.pendingCancels = append(slices.Clone(b.derivedCancels), w.r.pipeline.pendingCancels...)
 	w.unwritten(b)
 	w.drops = append(slices.Clone(b.drops), w.drops...)
 	for _, p := range b.progressed {
@@ -387,7 +387,7 @@
 	for _, j := range b.finished {
 		r.finished(j)
 	}
-	for _, j := range b.doomed {
+	for _, j := range b.derivedCancels {
 		r.c.cancelled(j.spec.ID)
 	}
 	w.written(b)
@@ -430,7 +430,7 @@
 func (w *recorder) verify(jobs []*job) {
 	for _, j := range jobs {
 		w.finishing = slices.DeleteFunc(w.finishing, func(o *job) bool { return o == j })
-		w.r.pipeline.doomed = slices.DeleteFunc(w.r.pipeline.doomed, func(o *job) bool { return o == j })
+		w.r.pipeline.pendingCancels = slices.DeleteFunc(w.r.pipeline.pendingCancels, func(o *job) bool { return o == j })
 		w.unsettled = append(w.unsettled, j.spec.ID)
 	}
 	w.settleNext()
@@ -486,8 +486,8 @@
 		r.finished(j)
 	case m.found && m.st.Phase == api.JobWithdrawn:
 		r.withdraw(j)
-	case j.doomed:
-		r.pipeline.doomed = append(r.pipeline.doomed, j)
+	case j.cancelPending:
+		r.pipeline.pendingCancels = append(r.pipeline.pendingCancels, j)
 	default:
 		r.recorder.finishing = append(r.recorder.finishing, j)
 	}
--- a/internal/controller/reign.go
+++ b/internal/controller/reign.go
@@ -254,7 +254,7 @@
 			// was ended by another leader, of which the election has not yet
 			// told: how it ended is not known here.
 			id := e.Delete[len(store.ActivePrefix):]
-			if j := r.jobs[id]; j != nil && !j.finishing && !j.doomed && e.Mark > j.mark {
+			if j := r.jobs[id]; j != nil && !j.finishing && !j.cancelPending && e.Mark > j.mark {
 				r.depose()
 				return
 			}
@@ -298,7 +298,7 @@
 		r.dispatchUntil = time.Now().Add(dispatchFor)
 	case r.loaded:
 		r.pipeline.awaitJobs(j)
-		r.pipeline.urge(j)
+		r.pipeline.propagateDeadlines(j)
 	default: // once all are read
 	}
 	r.c.Log.Debug("job", "job", id, "class", j.spec.Class, "team", j.spec.Team, "tasks", j.spec.Tasks)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -134,7 +134,7 @@
 func (r *reign) whyWaits(j *job, now time.Time) string {
 	s := &j.spec
 	switch {
-	case j.doomed || len(j.awaits) > 0:
+	case j.cancelPending || len(j.awaits) > 0:
 		return "awaits others"
 	case now.Before(j.heldUntil):
 		return "fails everywhere"
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -101,7 +101,7 @@
 			waiting = append(waiting, j)
 		}
 	}
-	r.pipeline.urge(waiting...)
+	r.pipeline.propagateDeadlines(waiting...)
 	for _, e := range m.s.machines {
 		r.addSheet(e, now)
 	}
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -208,11 +208,11 @@
 	if e.Mark == 0 {
 		return r.Final(ctx, id)
 	}
-	doomed, err := r.doomed(ctx, e)
+	pending, err := r.cancelPending(ctx, e)
 	if err != nil {
 		return api.JobState{}, false, err
 	}
-	if doomed {
+	if pending {
 		// While nobody leads, nobody else does this.
 		return r.Cancel(ctx, id)
 	}
@@ -251,11 +251,11 @@
 			}
 		}
 		if e.Mark != 0 {
-			doomed, err := r.doomed(ctx, e)
+			pending, err := r.cancelPending(ctx, e)
 			if err != nil {
 				return false, err
 			}
-			withdrawn = withdrawn || doomed
+			withdrawn = withdrawn || pending
 			continue
 		}
 		st, found, err := r.Final(ctx, id)
@@ -293,9 +293,9 @@
 // that another needs. A leader does so without bound, from its memory.
 const mostSearched = 64
 
-// doomed tells whether an active job needs one, directly or through others, that is
+// cancelPending tells whether an active job needs one, directly or through others, that is
 // cancelled.
-func (r *Records) doomed(ctx context.Context, e Entry) (bool, error) {
+func (r *Records) cancelPending(ctx context.Context, e Entry) (bool, error) {
 	seen := map[string]bool{}
 	for todo := awaitsOf(e); len(todo) > 0 && len(seen) < mostSearched; {
 		id := todo[0]
