--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -291,6 +291,8 @@
 	Running int    `json:"running"`
 	// Awaits are the jobs that an unfinished job waits for.
 	Awaits []string `json:"Awaits,omitempty"`
+	// Ended is when the job was done, if that is known. Users are not told.
+	Ended time.Time `json:"-"`
 }
 
 // Final tells whether the job is over.
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -11,6 +11,7 @@
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/flight"
 	"example.org/ivytrestle/internal/queue"
+	"example.org/ivytrestle/internal/store"
 )
 
 // job is an active job in the leader's memory.
@@ -25,6 +26,12 @@
 	// any, or while its cancellation with one of them is pending, it is in no queue.
 	awaits        map[string]bool
 	cancelPending bool
+	// awaitsList tells which records list what it awaits, if its own does not;
+	// awaitsRead is set once they are read.
+	awaitsList *store.AwaitsList
+	awaitsRead bool
+	// lastEnd is when the last of the awaited jobs that are done was done.
+	lastEnd time.Time
 	// due is when it should be complete for those that need it.
 	due []time.Time
 	// aims are when the job should be complete, by the aims of its class;
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -2,7 +2,7 @@
 
 import (
 	"cmp"
-	"context"
+	"maps"
 	"slices"
 	"time"
 
@@ -30,7 +30,7 @@
 	pendingCancels []*job
 	limiter        *rate.Limiter
 	// lookups are awaited jobs that are not active: how they ended is to be read,
-	// one at a time.
+	// of all of them at a time.
 	lookups   []string
 	lookingUp bool
 }
@@ -44,10 +44,21 @@
 // awaitJobs has a job wait for those that it needs.
 func (p *pipeline) awaitJobs(j *job) {
 	j.awaits = map[string]bool{}
+	if j.awaitsList != nil && !j.awaitsRead {
+		// Not all is known that it awaits, so nothing of it may start.
+		j.awaits[store.AwaitsElsewhere] = true
+		p.r.awaitsLists.read(j)
+		return
+	}
 	pending := false
 	for _, id := range j.spec.Awaits {
-		if st, ok := p.r.c.final.Get(id); ok {
-			pending = pending || st.Phase == api.JobWithdrawn
+		st, over := p.r.c.final.Get(id)
+		if over && st.Phase == api.JobWithdrawn {
+			pending = true
+			continue
+		}
+		if over && !st.Ended.IsZero() {
+			j.awaitedEnded(st.Ended)
 			continue
 		}
 		o := p.r.jobs[id]
@@ -65,28 +76,41 @@
 	case pending:
 		p.cancelWithDependents(j)
 	case len(j.awaits) == 0:
-		p.ready(j, j.accepted)
+		p.ready(j)
 	}
 	p.lookupNext()
 }
 
-// ready takes in that all that a job needs is done, and since when it could run.
-func (p *pipeline) ready(j *job, since time.Time) {
+// awaitedEnded takes in when a job was done that this one needs.
+func (j *job) awaitedEnded(at time.Time) {
+	if at.After(j.lastEnd) {
+		j.lastEnd = at
+	}
+}
+
+// ready takes in that all that a job needs is done. Its times count from when the
+// last of it was, also if another leader saw that; or from its acceptance, if it
+// was submitted later.
+func (p *pipeline) ready(j *job) {
 	now := time.Now()
-	j.awaits, j.since, j.waiting = nil, since, now
+	j.awaits, j.since, j.waiting = nil, j.accepted, now
+	if j.lastEnd.After(j.since) {
+		j.since = j.lastEnd
+	}
 	j.aims = p.r.aims(j)
 	j.look(now)
 	j.team.Add(j)
 	p.r.dispatchUntil = now.Add(dispatchFor)
 }
 
-// done takes in that a job is done on record.
-func (p *pipeline) done(id string, now time.Time) {
+// done takes in that a job is done on record, and since when.
+func (p *pipeline) done(id string, at time.Time) {
 	dependents := p.dependents[id]
 	delete(p.dependents, id)
 	for _, j := range dependents {
+		j.awaitedEnded(at)
 		if delete(j.awaits, id); len(j.awaits) == 0 && !j.cancelPending && !j.over {
-			p.ready(j, now)
+			p.ready(j)
 		}
 	}
 }
@@ -229,73 +253,97 @@
 // follow are handed out.
 const stageLag = time.Second
 
-// lookupNext reads how an awaited job ended that is not active.
+// lookupNext reads how awaited jobs ended that are not active.
 func (p *pipeline) lookupNext() {
 	if p.lookingUp || len(p.lookups) == 0 {
 		return
 	}
 	p.lookingUp = true
-	r, id := p.r, p.lookups[0]
-	p.lookups = p.lookups[1:]
+	r, ids := p.r, p.lookups
+	p.lookups = nil
 	go func() {
 		records := store.Records{Store: r.c.Store}
-		for r.ctx.Err() == nil {
-			ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
-			st, found, err := records.Final(ctx, id)
-			cancel()
+		ends := map[string]store.FinalRecord{}
+		for unread := ids; r.ctx.Err() == nil; pause(r.ctx, 300*time.Millisecond) {
+			found, err := records.Ends(r.ctx, unread)
+			maps.Copy(ends, found)
 			if err == nil {
-				r.post(endLookedUpMsg{r, id, st, found})
+				r.post(endsLookedUpMsg{r, ids, ends})
 				return
 			}
-			pause(r.ctx, 300*time.Millisecond)
+			unread = slices.DeleteFunc(slices.Clone(unread), func(id string) bool { _, ok := ends[id]; return ok })
 		}
 	}()
 }
 
-type endLookedUpMsg struct {
-	r     *reign
-	id    string
-	st    api.JobState
-	found bool
+// endsLookedUpMsg brings how jobs ended that were looked up; those that are still
+// active are not among the ends.
+type endsLookedUpMsg struct {
+	r    *reign
+	ids  []string
+	ends map[string]store.FinalRecord
 }
 
-func (m endLookedUpMsg) apply(c *Controller) {
+func (m endsLookedUpMsg) apply(c *Controller) {
 	p := &m.r.pipeline
 	if c.reign != m.r {
 		return
 	}
 	p.lookingUp = false
-	switch {
-	case m.found:
-		finalMsg{m.st}.apply(c)
-		if m.st.Phase == api.JobDone {
-			p.done(m.id, time.Now())
+	var unknown []string
+	for _, id := range m.ids {
+		end, found := m.ends[id]
+		switch {
+		case found:
+			p.ended(id, end)
+		case m.r.jobs[id] == nil && len(p.dependents[id]) > 0:
+			unknown = append(unknown, id)
 		}
-	case m.r.jobs[m.id] == nil && len(p.dependents[m.id]) > 0:
+	}
+	if len(unknown) > 0 {
 		// Active, and not known here yet: the watch will tell.
-		time.AfterFunc(time.Second, func() { m.r.post(lookupAgainMsg{m.r, m.id}) })
+		time.AfterFunc(time.Second, func() { m.r.post(lookupAgainMsg{m.r, unknown}) })
 	}
 	p.lookupNext()
 }
 
-// lookupAgainMsg asks once more about a job that was not known.
+// ended takes in the final record of a job.
+func (p *pipeline) ended(id string, end store.FinalRecord) {
+	finalMsg{end.FinalState(id)}.apply(p.r.c)
+	if end.Phase != api.JobDone {
+		return
+	}
+	at := end.Ended
+	if at.IsZero() {
+		at = time.Now() // written by a version that did not tell
+	}
+	p.done(id, at)
+}
+
+// lookupAgainMsg asks once more about jobs that were not known.
 type lookupAgainMsg struct {
-	r  *reign
-	id string
+	r   *reign
+	ids []string
 }
 
 func (m lookupAgainMsg) apply(c *Controller) {
-	if p := &m.r.pipeline; c.reign == m.r && len(p.dependents[m.id]) > 0 && m.r.jobs[m.id] == nil {
-		p.lookups = append(p.lookups, m.id)
-		p.lookupNext()
+	if c.reign != m.r {
+		return
 	}
+	p := &m.r.pipeline
+	for _, id := range m.ids {
+		if len(p.dependents[id]) > 0 && m.r.jobs[id] == nil {
+			p.lookups = append(p.lookups, id)
+		}
+	}
+	p.lookupNext()
 }
 
 // waitsFor lists what a job waits for, for its user.
 func (j *job) waitsFor() []string {
 	var ids []string
 	for _, id := range j.spec.Awaits {
-		if j.awaits[id] && len(ids) < mostShown {
+		if j.awaits[id] && id != store.AwaitsElsewhere && len(ids) < mostShown {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -143,7 +143,7 @@
 		w.finishing = w.finishing[1:]
 		active := store.ActivePrefix + j.spec.ID
 		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: active, Mark: j.mark})
-		b.put(store.FinalPrefix+j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks})
+		b.put(store.FinalPrefix+j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now.UTC()})
 		b.delete(active)
 		b.finished = append(b.finished, j)
 		// From now on others may read of its end before this node knows of it.
@@ -413,13 +413,15 @@
 		return
 	}
 	r.forget(j)
-	r.c.final.Add(j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks}.FinalState(j.spec.ID))
-	r.pipeline.done(j.spec.ID, time.Now())
+	now := time.Now()
+	r.c.final.Add(j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}.FinalState(j.spec.ID))
+	r.pipeline.done(j.spec.ID, now)
 	for first, written := range j.chunks {
 		if written {
 			r.recorder.drop(store.ProgressKey(j.spec.ID, first))
 		}
 	}
+	r.awaitsLists.drop(j)
 	r.c.Log.Debug("job done", "job", j.spec.ID, "class", j.spec.Class, "tasks", j.spec.Tasks,
 		"lost", j.lost, "firstStart", j.after(j.firstStart), "lastStart", j.after(j.lastStart), "estimate", j.spec.EstimateS, "longest", j.longest.Round(time.Second/10),
 		"late", math.Round(time.Since(j.aims[0]).Seconds()))
--- a/internal/controller/reign.go
+++ b/internal/controller/reign.go
@@ -57,10 +57,12 @@
 
 	confirm  confirmer
 	pipeline pipeline
-	down     relayDown
-	recorder recorder
-	renter   renter
-	counts   counters
+	// awaitsLists are the records that list awaited jobs.
+	awaitsLists awaitsLists
+	down        relayDown
+	recorder    recorder
+	renter      renter
+	counts      counters
 	// dispatchUntil is until when free machines are looked for that could be
 	// given work directly; ordering is to how many such orders are on the way.
 	dispatchUntil time.Time
@@ -129,6 +131,7 @@
 	r.confirm.r = r
 	r.recorder.init(r)
 	r.pipeline.init(r)
+	r.awaitsLists.r = r
 	r.renter.init(r)
 	for _, t := range c.Settings.Site.Teams {
 		q := &queue.Team[*job]{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax,
@@ -284,7 +287,7 @@
 	}
 	n := uint(rec.Spec.Tasks)
 	j := &job{
-		spec: rec.Spec, mark: mark, accepted: rec.Accepted, since: rec.Accepted, waiting: time.Now(), rank: api.PriorityRank(rec.Spec.Priority), preference: r.c.Policy.Preferences[rec.Spec.Class], team: team,
+		spec: rec.Spec, awaitsList: rec.Awaits, mark: mark, accepted: rec.Accepted, since: rec.Accepted, waiting: time.Now(), rank: api.PriorityRank(rec.Spec.Priority), preference: r.c.Policy.Preferences[rec.Spec.Class], team: team,
 		flight: flight.New(rec.Spec.Tasks), live: map[int]*attempt{},
 		done: bitset.New(n), durable: bitset.New(n), chunks: map[int]bool{},
 		runs: jobRuns{by: map[string]*runs{}}, zones: map[string]int{}, restarted: map[int]bool{}, barred: map[int]string{}, errors: map[string]int{},
@@ -352,6 +355,7 @@
 	for first := range j.chunks {
 		r.recorder.drop(store.ProgressKey(j.spec.ID, first))
 	}
+	r.awaitsLists.drop(j)
 }
 
 // forget drops a job that is over.
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -106,6 +106,7 @@
 		r.addSheet(e, now)
 	}
 	r.loaded, r.listening, r.vouched = true, now, m.s.asked
+	go r.awaitsLists.sweep()
 	if c.Director != nil {
 		r.greetNext(now)
 	}
--- /dev/null
+++ b/internal/store/awaits.go
@@ -0,0 +1,535 @@
+package store
+
+import (
+	"bytes"
+	"context"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+)
+
+// AwaitsPrefix is the prefix of the records that list the awaited jobs of those
+// whose active record has no room for them.
+const AwaitsPrefix = "awaits/"
+
+// AwaitsElsewhere stands for the awaited jobs in an active record that has no room
+// for them. It is no job's name, so a reader that does not know of lists waits for
+// it and never starts the job.
+const AwaitsElsewhere = "job-"
+
+// AwaitsList tells which records list a job's awaited jobs. Its digest makes the
+// keys depend on the names: two submissions of one job that name others never
+// write the same keys, and a repeated submission finds what the first has written.
+type AwaitsList struct {
+	Digest  string `json:"digest"`
+	Records int    `json:"records"`
+}
+
+// AwaitsRecord is a part of a list of awaited jobs.
+type AwaitsRecord struct {
+	Jobs []string `json:"jobs"`
+}
+
+// digestBytes is how much of a hash a list's keys hold.
+const digestBytes = 16
+
+// longestAwaitsList has the longest form that a list can have.
+var longestAwaitsList = &AwaitsList{Digest: strings.Repeat("0", 2*digestBytes), Records: api.MaxBody}
+
+// listedElsewhere is the record with a list in place of the names.
+func (rec ActiveRecord) listedElsewhere(list *AwaitsList) ActiveRecord {
+	rec.Spec.Awaits, rec.Awaits = []string{AwaitsElsewhere}, list
+	return rec
+}
+
+func (l *AwaitsList) prefix(id string) string { return AwaitsPrefix + id + "/" + l.Digest + "/" }
+
+// Keys are the keys of the records of a job's list, in order.
+func (l *AwaitsList) Keys(id string) []string {
+	keys := make([]string, l.Records)
+	for i := range keys {
+		keys[i] = fmt.Sprintf("%s%05d", l.prefix(id), i)
+	}
+	return keys
+}
+
+// ParseAwaitsKey tells whose list a record belongs to.
+func ParseAwaitsKey(key string) (id, digest string, ok bool) {
+	parts := strings.Split(strings.TrimPrefix(key, AwaitsPrefix), "/")
+	if len(parts) != 3 {
+		return "", "", false
+	}
+	return parts[0], parts[1], true
+}
+
+// splitAwaits divides awaited jobs into records for values of so many KiB.
+func splitAwaits(ids []string, valueKB float64) (*AwaitsList, []AwaitsRecord) {
+	room := MaxTxnBytes / 2
+	if valueKB > 0 {
+		room = min(room, int(valueKB*1024))
+	}
+	room -= len(`{"jobs":[]}`)
+	var parts []AwaitsRecord
+	left := 0
+	for _, id := range ids {
+		size := len(id) + len(`"",`)
+		if len(parts) == 0 || size > left {
+			parts, left = append(parts, AwaitsRecord{}), room
+		}
+		last := &parts[len(parts)-1]
+		last.Jobs = append(last.Jobs, id)
+		left -= size
+	}
+	hash := sha256.New()
+	for _, part := range parts {
+		fmt.Fprintln(hash, strings.Join(part.Jobs, " "))
+	}
+	return &AwaitsList{Digest: hex.EncodeToString(hash.Sum(nil)[:digestBytes]), Records: len(parts)}, parts
+}
+
+// listOps bounds the changes of a transaction that writes a list: a node's write
+// budget lets no more through at once, however small its part.
+const listOps = leastBurst
+
+// writeAwaits writes the records of a job's list that are not written yet. The job
+// is accepted only afterwards; what is left of a submission that is never repeated
+// is found by the next leader. It returns false if the job is known meanwhile.
+func (r *Records) writeAwaits(ctx context.Context, id string, list *AwaitsList, parts []AwaitsRecord) (bool, error) {
+	written := map[string]bool{}
+	rows, err := r.readRange(ctx, list.prefix(id))
+	if err != nil {
+		return false, err
+	}
+	for _, e := range rows {
+		written[e.Key] = true
+	}
+	most := listOps
+	if r.Limits.TxnOps > 0 {
+		most = min(most, r.Limits.TxnOps)
+	}
+	// Once the job is known no record is written any more, however late.
+	unknown := []Guard{{ActivePrefix + id, 0}, {FinalPrefix + id, 0}}
+	txn, size := Txn{Guards: unknown}, 0
+	for i, key := range list.Keys(id) {
+		if !written[key] {
+			txn.Ops = append(txn.Ops, Op{Put: key, Value: parts[i]})
+			size += partBytes(parts[i])
+		}
+		last := i == len(parts)-1
+		if len(txn.Ops) == 0 || !last && len(txn.Ops) < most && size+partBytes(parts[i+1]) <= MaxTxnBytes*3/4 {
+			continue
+		}
+		res, err := r.txn(ctx, txn)
+		if err != nil || !res.OK {
+			return false, err
+		}
+		txn, size = Txn{Guards: unknown}, 0
+	}
+	return true, nil
+}
+
+// partBytes is about how much of a transaction a part of a list takes.
+func partBytes(part AwaitsRecord) int {
+	size := 200
+	for _, id := range part.Jobs {
+		size += len(id) + len(`"",`)
+	}
+	return size
+}
+
+// readRange reads all keys with a prefix.
+func (r *Records) readRange(ctx context.Context, prefix string) ([]Entry, error) {
+	var rows []Entry
+	for from := ""; ; {
+		p, err := r.page(ctx, prefix, from)
+		if err != nil {
+			return nil, err
+		}
+		rows = append(rows, p.Rows...)
+		if !p.More || len(p.Rows) == 0 {
+			return rows, nil
+		}
+		from = p.Rows[len(p.Rows)-1].Key
+	}
+}
+
+// EachKey tells of all keys with a prefix.
+func (r *Records) EachKey(ctx context.Context, prefix string, tell func(key string)) error {
+	for from := ""; ; {
+		p, err := r.page(ctx, prefix, from)
+		if err != nil {
+			return err
+		}
+		for _, e := range p.Rows {
+			from = e.Key
+			tell(from)
+		}
+		if !p.More || len(p.Rows) == 0 {
+			return nil
+		}
+	}
+}
+
+// pageRows is how many keys a range is asked for at a time.
+const pageRows = 1000
+
+func (r *Records) page(ctx context.Context, prefix, from string) (Page, error) {
+	ctx, cancel := context.WithTimeout(ctx, 2*tryTimeout)
+	defer cancel()
+	return r.Store.Range(ctx, prefix, from, pageRows)
+}
+
+// ReadAwaits reads the list of a job's awaited jobs. It never returns a part of it.
+func (r *Records) ReadAwaits(ctx context.Context, id string, list *AwaitsList) ([]string, error) {
+	rows, err := r.readRange(ctx, list.prefix(id))
+	if err != nil {
+		return nil, err
+	}
+	keys := list.Keys(id)
+	if len(rows) != len(keys) {
+		return nil, fmt.Errorf("%w: %d of %d records list what %s awaits", ErrUnknown, len(rows), len(keys), id)
+	}
+	var ids []string
+	for i, e := range rows {
+		var part AwaitsRecord
+		if err := json.Unmarshal(e.Value, &part); err != nil || e.Key != keys[i] {
+			return nil, fmt.Errorf("%w: record %s: %w", ErrUnknown, e.Key, err)
+		}
+		ids = append(ids, part.Jobs...)
+	}
+	return ids, nil
+}
+
+// errNeverAccepted means that a job names one that nobody has accepted.
+var errNeverAccepted = errors.New("state service: never accepted")
+
+// NeverAcceptedError names a job that another one awaits and nobody has accepted.
+type NeverAcceptedError struct{ ID string }
+
+func (e *NeverAcceptedError) Error() string { return "awaits " + e.ID + ", which was never accepted" }
+
+// Is makes it an errNeverAccepted.
+func (e *NeverAcceptedError) Is(target error) bool { return target == errNeverAccepted }
+
+// mostSingleReads is how many jobs are read one by one; more are looked for in
+// ranges, which take few requests however many jobs there are.
+const mostSingleReads = 24
+
+// awaitedSearch follows what jobs await, directly or through others.
+type awaitedSearch struct {
+	r     *Records
+	reads int
+	// active is what all active jobs await, once it is read.
+	active map[string]awaited
+	// ended are the jobs found that are not active.
+	ended []string
+}
+
+// awaited is what an active job awaits: names, or a list of them.
+type awaited struct {
+	ids  []string
+	list *AwaitsList
+}
+
+// run looks at jobs and at all that they await and that is active.
+func (s *awaitedSearch) run(ctx context.Context, ids []string) error {
+	if len(ids) > mostSingleReads {
+		s.reads = mostSingleReads
+	}
+	seen := make(map[string]bool, len(ids))
+	for todo := slices.Clone(ids); len(todo) > 0; {
+		id := todo[len(todo)-1]
+		if todo = todo[:len(todo)-1]; seen[id] {
+			continue
+		}
+		seen[id] = true
+		next, isActive, err := s.job(ctx, id)
+		if err != nil {
+			return err
+		}
+		if !isActive {
+			s.ended = append(s.ended, id)
+		}
+		todo = append(todo, next...)
+	}
+	return nil
+}
+
+// job reads what a job awaits, and whether it is active.
+func (s *awaitedSearch) job(ctx context.Context, id string) (ids []string, isActive bool, err error) {
+	var a awaited
+	if s.active == nil && s.reads < mostSingleReads {
+		s.reads++
+		e, err := s.r.get(ctx, ActivePrefix+id)
+		if err != nil || e.Mark == 0 {
+			return nil, false, err
+		}
+		a = awaitsOf(e)
+	} else {
+		if s.active == nil {
+			if s.active, err = s.r.allActive(ctx); err != nil {
+				return nil, false, err
+			}
+		}
+		var ok bool
+		if a, ok = s.active[id]; !ok {
+			return nil, false, nil
+		}
+	}
+	if a.list != nil {
+		a.ids, err = s.r.ReadAwaits(ctx, id, a.list)
+	}
+	return a.ids, true, err
+}
+
+// awaited looks whether jobs were accepted and whether one of them is cancelled, or
+// is to be with one that it needs itself.
+func (r *Records) awaited(ctx context.Context, ids []string) (withdrawn bool, err error) {
+	s := awaitedSearch{r: r}
+	if err := s.run(ctx, ids); err != nil {
+		return false, err
+	}
+	ends, err := r.Ends(ctx, s.ended)
+	if err != nil {
+		return false, err
+	}
+	for _, id := range s.ended {
+		end, found := ends[id]
+		if !found && slices.Contains(ids, id) {
+			return false, &NeverAcceptedError{id}
+		}
+		withdrawn = withdrawn || end.Phase == api.JobWithdrawn
+	}
+	return withdrawn, nil
+}
+
+// cancelPending tells whether an active job needs one, directly or through others,
+// that is cancelled.
+func (r *Records) cancelPending(ctx context.Context, e Entry) (bool, error) {
+	a := awaitsOf(e)
+	if a.list != nil {
+		var err error
+		if a.ids, err = r.ReadAwaits(ctx, strings.TrimPrefix(e.Key, ActivePrefix), a.list); err != nil {
+			return false, err
+		}
+	}
+	s := awaitedSearch{r: r}
+	if err := s.run(ctx, a.ids); err != nil {
+		return false, err
+	}
+	ends, err := r.Ends(ctx, s.ended)
+	for _, end := range ends {
+		if end.Phase == api.JobWithdrawn {
+			return true, err
+		}
+	}
+	return false, err
+}
+
+// awaitsOf is what an active job needs.
+func awaitsOf(e Entry) awaited {
+	if !bytes.Contains(e.Value, []byte(`"Awaits"`)) {
+		return awaited{} // most need none
+	}
+	var rec ActiveRecord
+	if json.Unmarshal(e.Value, &rec) != nil {
+		return awaited{}
+	}
+	return awaited{rec.Spec.Awaits, rec.Awaits}
+}
+
+// mostScans bounds the ranges over all active jobs that are held in memory at the
+// same time.
+const mostScans = 2
+
+// allActive reads what all active jobs await.
+func (r *Records) allActive(ctx context.Context) (map[string]awaited, error) {
+	if r.scans != nil {
+		select {
+		case r.scans <- struct{}{}:
+			defer func() { <-r.scans }()
+		case <-ctx.Done():
+			return nil, fmt.Errorf("%w: too many at a time", ErrRefused)
+		}
+	}
+	all := map[string]awaited{}
+	for from := ""; ; {
+		p, err := r.page(ctx, ActivePrefix, from)
+		if err != nil {
+			return nil, err
+		}
+		for _, e := range p.Rows {
+			all[strings.Clone(strings.TrimPrefix(e.Key, ActivePrefix))] = awaitsOf(e)
+			from = e.Key
+		}
+		if !p.More || len(p.Rows) == 0 {
+			return all, nil
+		}
+	}
+}
+
+// Ends reads how jobs ended that are not active. What never ended is left out. What
+// was read before a failure is returned with it.
+func (r *Records) Ends(ctx context.Context, ids []string) (map[string]FinalRecord, error) {
+	ends := make(map[string]FinalRecord, len(ids))
+	var unread []string
+	for _, id := range ids {
+		if end, ok := r.rememberedEnd(id); ok {
+			ends[id] = end
+		} else {
+			unread = append(unread, id)
+		}
+	}
+	if len(unread) > mostSingleReads {
+		return ends, r.rangeEnds(ctx, unread, ends)
+	}
+	for _, id := range unread {
+		end, found, err := r.end(ctx, id)
+		if err != nil {
+			return ends, err
+		}
+		if found {
+			ends[id] = end
+			r.rememberEnd(id, end)
+		}
+	}
+	return ends, nil
+}
+
+// rememberEnd notes how a job ended. That never changes, so what one try has read
+// the next need not.
+func (r *Records) rememberEnd(id string, end FinalRecord) {
+	if r.ends != nil {
+		r.ends.Add(strings.Clone(id), end)
+	}
+}
+
+func (r *Records) rememberedEnd(id string) (FinalRecord, bool) {
+	if r.ends == nil {
+		return FinalRecord{}, false
+	}
+	return r.ends.Get(id)
+}
+
+// rangeEnds reads how jobs ended, in ranges that each begin at one of them:
+// it takes at most a request for each job, and one for each page of final records.
+func (r *Records) rangeEnds(ctx context.Context, ids []string, ends map[string]FinalRecord) error {
+	ids = slices.Clone(ids)
+	slices.Sort(ids)
+	for len(ids) > 0 {
+		p, err := r.page(ctx, FinalPrefix, FinalPrefix+justBefore(ids[0]))
+		if err != nil {
+			return err
+		}
+		for _, e := range p.Rows {
+			id := strings.TrimPrefix(e.Key, FinalPrefix)
+			for len(ids) > 0 && ids[0] < id {
+				ids = ids[1:] // never ended
+			}
+			if len(ids) == 0 || ids[0] != id {
+				continue
+			}
+			var f FinalRecord
+			if err := json.Unmarshal(e.Value, &f); err != nil {
+				return fmt.Errorf("record %s: %w", e.Key, err)
+			}
+			ends[id] = f
+			r.rememberEnd(id, f)
+			ids = ids[1:]
+		}
+		if !p.More || len(p.Rows) == 0 {
+			return nil
+		}
+	}
+	return nil
+}
+
+// justBefore is a string that comes before a job's name and after all other names
+// that do.
+func justBefore(id string) string {
+	last := len(id) - 1
+	return id[:last] + string(id[last]-1) + "~"
+}
+
+// acceptance is what is needed to accept a job.
+type acceptance struct {
+	spec *api.JobSpec
+	// record becomes the job's active record; list and parts are set if its
+	// awaited jobs are listed elsewhere.
+	record ActiveRecord
+	list   *AwaitsList
+	parts  []AwaitsRecord
+}
+
+func (r *Records) newAcceptance(spec *api.JobSpec, now time.Time) *acceptance {
+	a := &acceptance{spec: spec, record: ActiveRecord{Spec: *spec, Accepted: now.UTC()}}
+	if len(spec.Awaits) > 0 && !a.record.fits(r.Limits.ValueKB) {
+		a.list, a.parts = splitAwaits(spec.Awaits, r.Limits.ValueKB)
+		a.record = a.record.listedElsewhere(a.list)
+	}
+	return a
+}
+
+// accept tries once to make a job's record.
+func (r *Records) accept(ctx context.Context, a *acceptance) (st api.JobState, created bool, err error) {
+	id := a.spec.ID
+	if a.list != nil {
+		// What is known already must not have a list written.
+		if st, found, err := r.lookup(ctx, id); err != nil || found {
+			return st, false, err
+		}
+	}
+	txn := Txn{
+		Guards: []Guard{{ActivePrefix + id, 0}, {FinalPrefix + id, 0}},
+		Ops:    []Op{{Put: ActivePrefix + id, Value: a.record}},
+	}
+	first := api.JobState{ID: id, Phase: api.JobPending}
+	withdrawn, err := r.awaited(ctx, a.spec.Awaits)
+	if errors.Is(err, errNeverAccepted) {
+		// What is known already keeps its state whatever it names.
+		if st, found, lerr := r.lookup(ctx, id); lerr != nil || found {
+			return st, false, lerr
+		}
+	}
+	if err != nil {
+		return st, false, err
+	}
+	// One that is cancelled from now on finds the job among those that need it,
+	// whoever leads then.
+	if withdrawn {
+		final := FinalRecord{Phase: api.JobWithdrawn, Tasks: a.spec.Tasks}
+		txn.Ops = []Op{{Put: FinalPrefix + id, Value: final}}
+		first = final.FinalState(id)
+	} else if a.list != nil {
+		if ok, err := r.writeAwaits(ctx, id, a.list, a.parts); err != nil {
+			return st, false, err
+		} else if !ok {
+			return r.changed(ctx, id)
+		}
+	}
+	res, err := r.txn(ctx, txn)
+	if err != nil {
+		return st, false, err
+	}
+	if res.OK {
+		return first, true, nil
+	}
+	return r.changed(ctx, id)
+}
+
+// changed looks up a job that turned out to be known; perhaps by a transaction of
+// this very submission, whose answer was lost.
+func (r *Records) changed(ctx context.Context, id string) (api.JobState, bool, error) {
+	st, found, err := r.lookup(ctx, id)
+	if err == nil && !found {
+		err = fmt.Errorf("%w: job %s changed meanwhile", ErrUnknown, id)
+	}
+	return st, false, err
+}
--- /dev/null
+++ b/internal/store/awaits_test.go
@@ -0,0 +1,340 @@
+package store_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/config"
+	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/store/storetest"
+)
+
+// countedStore counts the requests that reach the state service, and refuses those
+// beyond a number.
+type countedStore struct {
+	*storetest.Fake
+	requests, writes int
+	// most is how many requests are answered; 0: all.
+	most int
+}
+
+func (c *countedStore) count() error {
+	if c.requests++; c.most > 0 && c.requests > c.most {
+		return store.ErrRefused
+	}
+	return nil
+}
+
+func (c *countedStore) Get(ctx context.Context, key string) (store.Entry, error) {
+	if err := c.count(); err != nil {
+		return store.Entry{}, err
+	}
+	return c.Fake.Get(ctx, key)
+}
+
+func (c *countedStore) Range(ctx context.Context, prefix, from string, most int) (store.Page, error) {
+	if err := c.count(); err != nil {
+		return store.Page{}, err
+	}
+	return c.Fake.Range(ctx, prefix, from, most)
+}
+
+func (c *countedStore) Txn(ctx context.Context, txn store.Txn) (store.Result, error) {
+	if err := c.count(); err != nil {
+		return store.Result{}, err
+	}
+	c.writes += len(txn.Ops)
+	return c.Fake.Txn(ctx, txn)
+}
+
+func newCountedStore() *countedStore { return &countedStore{Fake: storetest.New()} }
+
+// putJob writes a job's record as some node would: an active one, or a final one.
+func putJob(t *testing.T, s store.Service, id, phase string, awaits ...string) {
+	t.Helper()
+	op := store.Op{Put: store.FinalPrefix + id, Value: store.FinalRecord{Phase: phase, Tasks: 1}}
+	if phase == api.JobPending {
+		op = store.Op{Put: store.ActivePrefix + id, Value: store.ActiveRecord{Spec: api.JobSpec{ID: id, Tasks: 1, Awaits: awaits}}}
+	}
+	if _, err := s.Txn(t.Context(), store.Txn{Ops: []store.Op{op}}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// keysUnder are the keys with a prefix.
+func keysUnder(t *testing.T, s store.Service, prefix string) (keys []string) {
+	t.Helper()
+	records := store.Records{Store: s}
+	if err := records.EachKey(t.Context(), prefix, func(key string) { keys = append(keys, key) }); err != nil {
+		t.Fatal(err)
+	}
+	return keys
+}
+
+// fullBody are as many names as a submission has room for, all of jobs that are done.
+func fullBody(t *testing.T, s store.Service) (ids []string) {
+	t.Helper()
+	for size := 400; size+len(`"job-1000",`) <= api.MaxBody; size += len(`"job-1000",`) {
+		ids = append(ids, fmt.Sprint("job-", 1000+len(ids)))
+		putJob(t, s, ids[len(ids)-1], api.JobDone)
+	}
+	return ids
+}
+
+var smallLimits = []config.StateLimits{
+	{ValueKB: 1, TxnOps: 3}, {ValueKB: 2, TxnOps: 3}, {ValueKB: 2, TxnOps: 12}, {ValueKB: 16, TxnOps: 20}, {ValueKB: 128, TxnOps: 20},
+}
+
+// A job may name as many others as its submission has room for, however small the
+// values of the state service are; no value and no transaction is too large.
+func TestMoreAwaitedJobsThanARecordHolds(t *testing.T) {
+	for _, lim := range smallLimits {
+		t.Run(fmt.Sprintf("%v KiB, %d changes", lim.ValueKB, lim.TxnOps), func(t *testing.T) {
+			st := newCountedStore()
+			ids := fullBody(t, st)
+			st.SetLimits(int(lim.ValueKB*1024), lim.TxnOps)
+			records := store.NewRecords(st, lim)
+			spec := &api.JobSpec{ID: "job-1", Tasks: 1, Awaits: ids}
+			if !store.Fits(spec, lim.ValueKB) {
+				t.Fatal("does not fit")
+			}
+			st.requests = 0
+			accept := func(what, phase string, created bool) {
+				t.Helper()
+				got, isNew, err := records.Accept(t.Context(), spec, time.Unix(1, 0))
+				if err != nil || got.Phase != phase || isNew != created {
+					t.Errorf("%s: %+v, %v, %v", what, got, isNew, err)
+				}
+			}
+			accept("first", api.JobPending, true)
+			if parts := len(keysUnder(t, st, store.AwaitsPrefix)); st.requests > 20+parts {
+				t.Errorf("%d jobs in %d records: %d requests", len(ids), parts, st.requests)
+			}
+			a := activeRecord(t, st, "job-1")
+			if got, err := records.ReadAwaits(t.Context(), "job-1", a.Awaits); err != nil || !slices.Equal(got, ids) {
+				t.Errorf("%d of %d names, %v", len(got), len(ids), err)
+			}
+			if !slices.Equal(a.Spec.Awaits, []string{store.AwaitsElsewhere}) {
+				t.Errorf("a version that knows of no lists reads %d names", len(a.Spec.Awaits))
+			}
+			st.writes = 0
+			accept("repeated", api.JobPending, false)
+			spec.Awaits = append(slices.Clone(ids), "job-999999")
+			accept("repeated, naming what was never accepted", api.JobPending, false)
+			spec.ID = "job-2"
+			if _, _, err := records.Accept(t.Context(), spec, time.Unix(1, 0)); !errors.As(err, new(*store.NeverAcceptedError)) {
+				t.Errorf("never accepted: %v", err)
+			}
+			if st.writes > 0 {
+				t.Errorf("%d changes for repeats and refusals", st.writes)
+			}
+			putJob(t, st, "job-999999", api.JobWithdrawn)
+			accept("one of them is cancelled", api.JobWithdrawn, true)
+			if keys := keysUnder(t, st, store.AwaitsPrefix+"job-2/"); len(keys) > 0 {
+				t.Errorf("left of a job that is over: %v", keys)
+			}
+			if refused := st.TooLarge(); len(refused) > 0 {
+				t.Errorf("refused: %v", refused)
+			}
+		})
+	}
+}
+
+// activeRecord reads a job's active record.
+func activeRecord(t *testing.T, s store.Service, id string) (rec store.ActiveRecord) {
+	t.Helper()
+	e, err := s.Get(t.Context(), store.ActivePrefix+id)
+	if err != nil || e.Mark == 0 {
+		t.Fatalf("%s is not active: %v", id, err)
+	}
+	return decode(t, e.Key, e.Value, rec).(store.ActiveRecord)
+}
+
+// Whichever transaction of a long list is not carried out, or only late, or its
+// answer is lost, a job that is active has its whole list, and a repeated
+// submission writes only what is missing.
+func TestLongListCutAnywhere(t *testing.T) {
+	lim := config.StateLimits{ValueKB: 1, TxnOps: 3}
+	for cut := range 6 {
+		for trouble, set := range map[string]func(*storetest.Fake, func(store.Txn) bool){"held": (*storetest.Fake).Hold, "lost": (*storetest.Fake).Lose} {
+			t.Run(fmt.Sprint(trouble, " ", cut), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					st := newCountedStore()
+					var ids []string
+					for i := range 1000 { // 13 records
+						ids = append(ids, fmt.Sprint("job-", 1000+i))
+						putJob(t, st, ids[i], api.JobDone)
+					}
+					spec := &api.JobSpec{ID: "job-1", Tasks: 1, Awaits: ids}
+					records := store.NewRecords(st, lim)
+					n := 0
+					set(st.Fake, func(store.Txn) bool { n++; return n > cut })
+					ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
+					_, _, err := records.Accept(ctx, spec, time.Unix(1, 0))
+					cancel()
+					if st.Has(store.ActivePrefix + "job-1") {
+						whole(t, &records, ids)
+					} else if err == nil {
+						t.Error("accepted without a record")
+					}
+					set(st.Fake, nil)
+					other := store.NewRecords(st, lim) // at another node
+					ctx, cancel = context.WithTimeout(t.Context(), 5*time.Second)
+					defer cancel()
+					if _, _, err := other.Accept(ctx, spec, time.Unix(2, 0)); err != nil {
+						t.Fatal(err)
+					}
+					whole(t, &other, ids)
+					list := activeRecord(t, st, "job-1").Awaits
+					if keys := len(keysUnder(t, st, store.AwaitsPrefix)); keys != list.Records {
+						t.Errorf("%d records", keys)
+					}
+					// The job ends, its list is removed, and then what was late comes.
+					if _, _, err := other.Cancel(ctx, "job-1"); err != nil {
+						t.Fatal(err)
+					}
+					for _, key := range list.Keys("job-1") {
+						st.Txn(ctx, store.Txn{Ops: []store.Op{{Delete: key}}})
+					}
+					st.Release()
+					if keys := keysUnder(t, st, store.AwaitsPrefix); len(keys) > 0 {
+						t.Errorf("written after its end: %v", keys)
+					}
+				})
+			})
+		}
+	}
+}
+
+// whole checks that job-1 is read with all names, or not at all once a record lacks.
+func whole(t *testing.T, records *store.Records, ids []string) {
+	t.Helper()
+	list := activeRecord(t, records.Store, "job-1").Awaits
+	if got, err := records.ReadAwaits(t.Context(), "job-1", list); err != nil || !slices.Equal(got, ids) {
+		t.Errorf("%d of %d names, %v", len(got), len(ids), err)
+	}
+}
+
+// A list of which a record is missing is no shorter list.
+func TestListWithoutARecord(t *testing.T) {
+	st := newCountedStore()
+	ids := fullBody(t, st)
+	records := store.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 12})
+	if _, _, err := records.Accept(t.Context(), &api.JobSpec{ID: "job-1", Tasks: 1, Awaits: ids}, time.Unix(1, 0)); err != nil {
+		t.Fatal(err)
+	}
+	list := activeRecord(t, st, "job-1").Awaits
+	for _, i := range []int{0, 3, list.Records - 1} {
+		key := list.Keys("job-1")[i]
+		e, _ := st.Get(t.Context(), key)
+		st.Txn(t.Context(), store.Txn{Ops: []store.Op{{Delete: key}}})
+		if got, err := records.ReadAwaits(t.Context(), "job-1", list); err == nil {
+			t.Errorf("without record %d: %d names", i, len(got))
+		}
+		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+		if got, _, err := records.Lookup(ctx, "job-1"); err == nil {
+			t.Errorf("without record %d: told %+v", i, got)
+		}
+		cancel()
+		st.Txn(t.Context(), store.Txn{Ops: []store.Op{{Put: key, Value: e.Value}}})
+	}
+	whole(t, &records, ids)
+}
+
+// pipelineShapes are what the job with a number awaits, by the form of the pipeline.
+var pipelineShapes = map[string]func(i int) []string{
+	"chain": func(i int) []string { return []string{fmt.Sprint("job-", i-1)} },
+	"fan":   func(int) []string { return []string{"job-0"} },
+	"diamonds": func(i int) []string { // a ladder of levels of two, each awaiting both before
+		if i <= 2 {
+			return []string{"job-0"}
+		}
+		level := (i - 1) / 2
+		return []string{fmt.Sprint("job-", 2*level-1), fmt.Sprint("job-", 2*level)}
+	},
+}
+
+// Whether a job is to be cancelled with one that it needs is known exactly, however
+// far that is, and with a bounded number of requests: nobody else knows it while
+// nobody leads, and a submission must be answered in time.
+func TestCancelledFarBack(t *testing.T) {
+	const jobs, mostRequests = 3000, 40
+	for name, need := range pipelineShapes {
+		t.Run(name, func(t *testing.T) {
+			st := newCountedStore()
+			putJob(t, st, "job-0", api.JobPending)
+			for i := 1; i < jobs; i++ {
+				putJob(t, st, fmt.Sprint("job-", i), api.JobPending, need(i)...)
+			}
+			records := store.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 3})
+			accept := func(id, want string) {
+				t.Helper()
+				st.requests = 0
+				spec := &api.JobSpec{ID: id, Tasks: 1, Awaits: need(jobs)}
+				if got, _, err := records.Accept(t.Context(), spec, time.Unix(1, 0)); err != nil || got.Phase != want {
+					t.Errorf("%s: %+v, %v", id, got, err)
+				}
+				if st.requests > mostRequests {
+					t.Errorf("%s: %d requests", id, st.requests)
+				}
+			}
+			accept("job-9001", api.JobPending)
+			if _, _, err := records.Cancel(t.Context(), "job-0"); err != nil {
+				t.Fatal(err)
+			}
+			accept("job-9002", api.JobWithdrawn)
+			st.requests = 0
+			if got, _, err := records.Lookup(t.Context(), "job-9001"); err != nil || got.Phase != api.JobWithdrawn || st.requests > mostRequests {
+				t.Errorf("asked for: %+v, %v, %d requests", got, err, st.requests)
+			}
+		})
+	}
+}
+
+// Thousands of finished jobs are looked up in a request for each page that holds
+// some of them; what a try has read the next one need not read again.
+func TestManyFinishedJobs(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		st := newCountedStore()
+		var ids []string
+		for i := range 40_000 {
+			id := fmt.Sprintf("job-%06d", i)
+			putJob(t, st, id, api.JobDone)
+			if i%10 == 0 {
+				ids = append(ids, id)
+			}
+		}
+		records := store.NewRecords(st, config.StateLimits{ValueKB: 16, TxnOps: 12})
+		submit := func(id string, awaits []string) error {
+			st.requests = 0
+			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+			defer cancel()
+			_, _, err := records.Accept(ctx, &api.JobSpec{ID: id, Tasks: 1, Awaits: awaits}, time.Unix(1, 0))
+			return err
+		}
+		tries := 1
+		for st.most = 20; submit("job-1", ids) != nil && tries < 10; {
+			tries++
+		}
+		if tries < 2 || tries > 4 {
+			t.Errorf("%d tries of %d requests", tries, st.most)
+		}
+		if err := submit("job-2", ids); err != nil || st.requests > 15 {
+			t.Errorf("again: %d requests, %v", st.requests, err)
+		}
+		st.most = 0
+		for _, missing := range []string{"job-000000000", "job-0001", "job-020000000", "job-9", "job-0"} {
+			var never *store.NeverAcceptedError
+			if err := submit("job-3", append(slices.Clone(ids[:100]), missing)); !errors.As(err, &never) || !strings.HasSuffix(never.ID, missing) {
+				t.Errorf("%s: %v", missing, err)
+			}
+		}
+	})
+}
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -1,8 +1,6 @@
 package store
 
 import (
-	"bytes"
-	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -12,7 +10,10 @@
 	"strings"
 	"time"
 
+	lru "github.com/hashicorp/golang-lru/v2"
+
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/config"
 )
 
 // Prefixes of the service's keys. Active and final jobs are apart, so that a
@@ -34,10 +35,21 @@
 type ActiveRecord struct {
 	Spec     api.JobSpec `json:"spec"`
 	Accepted time.Time   `json:"accepted"`
+	// Awaits tells where the awaited jobs are listed if this record has no room for
+	// them. Spec.Awaits then holds only AwaitsElsewhere.
+	Awaits *AwaitsList `json:"awaits_list,omitempty"`
 }
 
-// Fits tells whether an accepted job's record fits a value of so many KiB.
+// Fits tells whether an accepted job's record fits a value of so many KiB. The jobs
+// that it awaits need not: they may be listed in records of their own.
 func Fits(spec *api.JobSpec, valueKB float64) bool {
+	rec := ActiveRecord{Spec: *spec, Accepted: time.Unix(0, 1).UTC()}
+	return rec.fits(valueKB) || len(spec.Awaits) > 0 && rec.listedElsewhere(longestAwaitsList).fits(valueKB)
+}
+
+// fits tells whether the record fits a value of so many KiB; 0: of any size.
+func (rec ActiveRecord) fits(valueKB float64) bool {
+	spec := &rec.Spec
 	// Everything else in a record is bounded, and short.
 	long := len(spec.Class) + len(spec.Image) + len(spec.Zone) + len(spec.Team)
 	for _, names := range [][]string{spec.Types, spec.Awaits} {
@@ -45,11 +57,14 @@
 			long += len(name) + 3
 		}
 	}
-	room := min(valueKB*1024, MaxTxnBytes-2048) // its keys are in the transaction, too
+	room := float64(MaxTxnBytes - 2048) // its keys are in the transaction, too
+	if valueKB > 0 {
+		room = min(room, valueKB*1024)
+	}
 	if float64(6*long) < room-1024 {
 		return true // even if every byte is escaped
 	}
-	raw, err := json.Marshal(ActiveRecord{Spec: *spec, Accepted: time.Unix(0, 1).UTC()})
+	raw, err := json.Marshal(rec)
 	return err == nil && float64(len(raw)+32) <= room
 }
 
@@ -57,6 +72,9 @@
 type FinalRecord struct {
 	Phase string `json:"phase"`
 	Tasks int    `json:"tasks"`
+	// Ended is when the job was done; zero if it is cancelled, or if a version
+	// wrote the record that did not tell.
+	Ended time.Time `json:"ended,omitzero"`
 }
 
 // ProgressRecord holds the done tasks of a part of a job as a bit set.
@@ -109,7 +127,7 @@
 func (f FinalRecord) FinalState(id string) api.JobState {
 	st := api.JobState{ID: id, Phase: f.Phase}
 	if f.Phase == api.JobDone {
-		st.Done = f.Tasks
+		st.Done, st.Ended = f.Tasks, f.Ended
 	}
 	return st
 }
@@ -118,6 +136,24 @@
 // leads: each change is one guarded transaction.
 type Records struct {
 	Store Service
+	// Limits are the service's; zero: none are known.
+	Limits config.StateLimits
+	// ends remembers how jobs ended that others await; scans bounds the ranges
+	// over all active jobs. Both may be nil.
+	ends  *lru.Cache[string, FinalRecord]
+	scans chan struct{}
+}
+
+// endsKept is how many ends are remembered: more than one submission can name.
+const endsKept = 8192
+
+// NewRecords makes the Records that serve a node's users.
+func NewRecords(s Service, lim config.StateLimits) Records {
+	ends, err := lru.New[string, FinalRecord](endsKept)
+	if err != nil {
+		panic(err) // only for a size that is not positive
+	}
+	return Records{Store: s, Limits: lim, ends: ends, scans: make(chan struct{}, mostScans)}
 }
 
 // tryTimeout bounds one request to the service on a user's behalf. What takes two
@@ -140,49 +176,9 @@
 // Accept makes a job's record. A job known already keeps its state, which is
 // returned with created false.
 func (r *Records) Accept(ctx context.Context, spec *api.JobSpec, now time.Time) (st api.JobState, created bool, err error) {
+	a := r.newAcceptance(spec, now)
 	err = retry(ctx, func() error {
-		txn := Txn{
-			Guards: []Guard{{ActivePrefix + spec.ID, 0}, {FinalPrefix + spec.ID, 0}},
-			Ops:    []Op{{Put: ActivePrefix + spec.ID, Value: ActiveRecord{Spec: *spec, Accepted: now.UTC()}}},
-		}
-		first := api.JobState{ID: spec.ID, Phase: api.JobPending}
-		if len(spec.Awaits) > 0 {
-			withdrawn, err := r.awaited(ctx, spec.Awaits)
-			if errors.Is(err, errNeverAccepted) {
-				// What is known already keeps its state whatever it names.
-				known, found, lerr := r.lookup(ctx, spec.ID)
-				if lerr == nil && found {
-					st = known
-					return nil
-				}
-				return cmp.Or(lerr, err)
-			}
-			if err != nil {
-				return err
-			}
-			// One that is cancelled from now on finds the job among those that
-			// need it, whoever leads then.
-			if withdrawn {
-				final := FinalRecord{Phase: api.JobWithdrawn, Tasks: spec.Tasks}
-				txn.Ops = []Op{{Put: FinalPrefix + spec.ID, Value: final}}
-				first = final.FinalState(spec.ID)
-			}
-		}
-		res, err := r.txn(ctx, txn)
-		if err != nil {
-			return err
-		}
-		if res.OK {
-			st, created = first, true
-			return nil
-		}
-		// Known already; perhaps by this very transaction, whose answer
-		// was lost.
-		var found bool
-		st, found, err = r.lookup(ctx, spec.ID)
-		if err == nil && !found {
-			err = fmt.Errorf("%w: job %s changed meanwhile", ErrUnknown, spec.ID)
-		}
+		st, created, err = r.accept(ctx, a)
 		return err
 	})
 	return st, created, err
@@ -219,132 +215,24 @@
 	return api.JobState{ID: id, Phase: api.JobPending}, true, nil
 }
 
-// mostAwaited is how many awaited jobs are read one by one; more are looked for
-// among all that are active.
-const mostAwaited = 24
-
-// errNeverAccepted means that a job names one that nobody has accepted.
-var errNeverAccepted = errors.New("state service: never accepted")
-
-// NeverAcceptedError names a job that another one awaits and nobody has accepted.
-type NeverAcceptedError struct{ ID string }
-
-func (e *NeverAcceptedError) Error() string { return "awaits " + e.ID + ", which was never accepted" }
-
-// Is makes it an errNeverAccepted.
-func (e *NeverAcceptedError) Is(target error) bool { return target == errNeverAccepted }
-
-// awaited looks whether jobs were accepted and whether one of them is cancelled, or
-// is to be with one that it needs itself.
-func (r *Records) awaited(ctx context.Context, ids []string) (withdrawn bool, err error) {
-	active := map[string]Entry{}
-	if len(ids) > mostAwaited {
-		if active, err = r.allActive(ctx); err != nil {
-			return false, err
-		}
-	}
-	for _, id := range ids {
-		e, ok := active[id]
-		if !ok {
-			if e, err = r.get(ctx, ActivePrefix+id); err != nil {
-				return false, err
-			}
-		}
-		if e.Mark != 0 {
-			pending, err := r.cancelPending(ctx, e)
-			if err != nil {
-				return false, err
-			}
-			withdrawn = withdrawn || pending
-			continue
-		}
-		st, found, err := r.Final(ctx, id)
-		if err != nil {
-			return false, err
-		}
-		if !found {
-			return false, &NeverAcceptedError{id}
-		}
-		withdrawn = withdrawn || st.Phase == api.JobWithdrawn
-	}
-	return withdrawn, nil
-}
-
-func (r *Records) allActive(ctx context.Context) (map[string]Entry, error) {
-	all := map[string]Entry{}
-	for from := ""; ; {
-		ctx, cancel := context.WithTimeout(ctx, 2*tryTimeout)
-		p, err := r.Store.Range(ctx, ActivePrefix, from, 500)
-		cancel()
-		if err != nil {
-			return nil, err
-		}
-		for _, e := range p.Rows {
-			all[strings.TrimPrefix(e.Key, ActivePrefix)] = e
-			from = e.Key
-		}
-		if !p.More || len(p.Rows) == 0 {
-			return all, nil
-		}
-	}
-}
-
-// mostSearched bounds how many jobs are looked at to find whether one is cancelled
-// that another needs. A leader does so without bound, from its memory.
-const mostSearched = 64
-
-// cancelPending tells whether an active job needs one, directly or through others, that is
-// cancelled.
-func (r *Records) cancelPending(ctx context.Context, e Entry) (bool, error) {
-	seen := map[string]bool{}
-	for todo := awaitsOf(e); len(todo) > 0 && len(seen) < mostSearched; {
-		id := todo[0]
-		if todo = todo[1:]; seen[id] {
-			continue
-		}
-		seen[id] = true
-		a, err := r.get(ctx, ActivePrefix+id)
-		if err != nil {
-			return false, err
-		}
-		if a.Mark != 0 {
-			todo = append(todo, awaitsOf(a)...)
-			continue
-		}
-		st, _, err := r.Final(ctx, id)
-		if err != nil {
-			return false, err
-		}
-		if st.Phase == api.JobWithdrawn {
-			return true, nil
-		}
-	}
-	return false, nil
-}
-
-// awaitsOf are the jobs that an active job needs.
-func awaitsOf(e Entry) []string {
-	if !bytes.Contains(e.Value, []byte(`"Awaits"`)) {
-		return nil // most need none
-	}
-	var rec ActiveRecord
-	if json.Unmarshal(e.Value, &rec) != nil {
-		return nil
+// Final reads a job's final record.
+func (r *Records) Final(ctx context.Context, id string) (api.JobState, bool, error) {
+	end, found, err := r.end(ctx, id)
+	if err != nil || !found {
+		return api.JobState{}, false, err
 	}
-	return rec.Spec.Awaits
+	return end.FinalState(id), true, nil
 }
 
-// Final reads a job's final record.
-func (r *Records) Final(ctx context.Context, id string) (api.JobState, bool, error) {
+func (r *Records) end(ctx context.Context, id string) (end FinalRecord, found bool, err error) {
 	e, err := r.get(ctx, FinalPrefix+id)
 	if err != nil || e.Mark == 0 {
-		return api.JobState{}, false, err
+		return end, false, err
 	}
-	var f FinalRecord
-	if err := json.Unmarshal(e.Value, &f); err != nil {
-		return api.JobState{}, false, fmt.Errorf("record %s: %w", e.Key, err)
+	if err := json.Unmarshal(e.Value, &end); err != nil {
+		return end, false, fmt.Errorf("record %s: %w", e.Key, err)
 	}
-	return f.FinalState(id), true, nil
+	return end, true, nil
 }
 
 // Cancel ends a job unless it is over. It returns the job's final state.
