--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"log/slog"
 	"maps"
 	"math"
@@ -133,6 +134,22 @@
 
 type change = map[string]any
 
+// manyTimes is a list that names a job so many times.
+func manyTimes(id string, n int) (list []any) {
+	for range n {
+		list = append(list, id)
+	}
+	return list
+}
+
+// numbered is a list of so many jobs, from a number on.
+func numbered(from, n int) (list []any) {
+	for i := range n {
+		list = append(list, fmt.Sprint("job-", from+i))
+	}
+	return list
+}
+
 // Submissions that are invalid or can never run, and repeats of known jobs: what
 // each is answered wherever it comes, and that none changes what is stored. No
 // node may refuse for good what it cannot tell, and none may accept what cannot run.
@@ -179,6 +196,15 @@
 					{"another shape", change{"Shape": "ring"}, 400},
 					{"another priority", change{"Precedence": "Low"}, 400},
 
+					{"awaits no list", change{"Awaits": "job-1"}, 400},
+					{"awaits a number", change{"Awaits": []any{1}}, 400},
+					{"awaits null", change{"Awaits": []any{"job-1", nil}}, 400},
+					{"awaits no id", change{"Awaits": []any{"job-1", "job-x"}}, 400},
+
+					{"awaits one never accepted", change{"Awaits": []any{"job-99"}}, 422},
+					{"awaits it many times", change{"Awaits": manyTimes("job-99", 40)}, 422},
+					{"awaits many never accepted", change{"Awaits": numbered(1000, 20)}, 422},
+
 					{"unknown team", change{"Owner": "green"}, 422},
 					{"team of another case", change{"Owner": "Red"}, 422},
 					{"CPUs above the limit", change{"Owner": "blue", "Cores": 6.5}, 422},
@@ -218,6 +244,20 @@
 						check(c.name+", "+id, w.job(id, c.change), again, phase)
 					}
 				}
+				for id, phase := range map[string]string{"job-9": "", "job-1": "done", "job-2": "withdrawn", "job-3": "pending"} {
+					want := 200
+					switch {
+					case place.down:
+						want, phase = 503, ""
+					case id == "job-9":
+						want = 400
+					}
+					check("awaits itself, "+id, w.job(id, change{"Awaits": []any{"job-99", id}}), want, phase)
+					// More than are read one by one: what is known is answered all the same.
+					if id != "job-9" && !place.untyped {
+						check("awaits many, "+id, w.job(id, change{"Awaits": numbered(1000, 400)}), want, phase)
+					}
+				}
 				for name, body := range map[string]string{
 					"nothing": "", "no JSON": "{", "null": "null", "list": "[" + w.job("job-1", nil) + "]", "no id": w.job("", change{"NameId": nil}),
 					"id of another form": w.job("job-1/0", nil), "two": w.job("job-1", nil) + w.job("job-1", nil),
--- a/internal/store/awaits.go
+++ b/internal/store/awaits.go
@@ -480,8 +480,9 @@
 // accept tries once to make a job's record.
 func (r *Records) accept(ctx context.Context, a *acceptance) (st api.JobState, created bool, err error) {
 	id := a.spec.ID
-	if a.list != nil {
-		// What is known already must not have a list written.
+	if len(a.spec.Awaits) > mostSingleReads || a.list != nil {
+		// What is known already is not worth a long search, and must not have a
+		// list written.
 		if st, found, err := r.lookup(ctx, id); err != nil || found {
 			return st, false, err
 		}
