--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -94,6 +94,7 @@
 func (p *pipeline) ready(j *job) {
 	now := time.Now()
 	j.awaits, j.since, j.waiting = nil, j.accepted, now
+	j.spec.Awaits = nil // perhaps thousands, all over
 	if j.lastEnd.After(j.since) {
 		j.since = j.lastEnd
 	}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"runtime"
 	"slices"
 	"testing"
 	"time"
@@ -474,3 +475,80 @@
 		w.same("not again while they boot", ordinary(""), before)
 	})
 }
+
+// ladder is what the jobs of a pipeline of diamonds await: each of a level of two
+// awaits both of the level before.
+func ladder(i int) []string {
+	if i <= 2 {
+		return []string{"job-0"}
+	}
+	level := (i - 1) / 2
+	return []string{fmt.Sprint("job-", 2*level-1), fmt.Sprint("job-", 2*level)}
+}
+
+// work is how often f allocates, as a measure of how much it does.
+func work(f func()) uint64 {
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
+	f()
+	runtime.ReadMemStats(&after)
+	return after.Mallocs - before.Mallocs
+}
+
+// In chains, fans and ladders of diamonds of thousands of jobs a deadline and a
+// cancellation reach each job once: twice the jobs are no more than about twice the
+// work. The branches of a diamond differ in length, so that a job that is looked at
+// before all that need it are would be looked at again, and all before it, too.
+func TestWorkInProportionToThePipeline(t *testing.T) {
+	const jobs, mostGrowth = 1500, 3
+	for name, need := range map[string]func(i int) []string{
+		"chain":  func(i int) []string { return []string{fmt.Sprint("job-", i-1)} },
+		"fan":    func(int) []string { return []string{"job-0"} },
+		"ladder": ladder,
+	} {
+		t.Run(name, func(t *testing.T) {
+			play(t, func(w *world) {
+				n := w.start("n0")
+				measure := func(jobs int) (deadline, cancel uint64) {
+					n.look(func(c *Controller) {
+						r := c.reign
+						add := func(id, awaits int, dueS float64) {
+							s := spec(fmt.Sprint("job-", id), 1)
+							if awaits > 0 {
+								s.Awaits = need(awaits)
+							}
+							s.Class, s.DeadlineS, s.EstimateS = "stage", dueS, float64(10+20*(id%2))
+							r.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s, Accepted: time.Now()}, uint64(1000+id))
+						}
+						for i := range jobs {
+							add(i, i, 0)
+						}
+						deadline = work(func() { add(jobs, jobs, 600) })
+						if len(r.jobs["job-0"].due) == 0 {
+							t.Error("the deadline did not reach the first job")
+						}
+						cancel = work(func() { c.cancelled("job-0") })
+						pending := map[*job]bool{}
+						for _, j := range r.pipeline.pendingCancels {
+							pending[j] = true
+						}
+						w.same("cancelled, each once", []int{len(pending), len(r.pipeline.pendingCancels)}, []int{jobs, jobs})
+						for j := range pending {
+							r.withdraw(j)
+						}
+						w.same("left", len(r.jobs)+len(r.pipeline.dependents), 0)
+						r.pipeline.pendingCancels = nil
+						c.final.Purge()
+					})
+					return deadline, cancel
+				}
+				measure(10)
+				deadline, cancel := measure(jobs)
+				deadline2, cancel2 := measure(2 * jobs)
+				if deadline2 > mostGrowth*deadline+100 || cancel2 > mostGrowth*cancel+100 {
+					t.Errorf("%d and %d jobs: %d and %d for a deadline, %d and %d for a cancellation", jobs, 2*jobs, deadline, deadline2, cancel, cancel2)
+				}
+			})
+		})
+	}
+}
--- a/internal/store/awaits.go
+++ b/internal/store/awaits.go
@@ -345,20 +345,33 @@
 	return awaited{rec.Spec.Awaits, rec.Awaits}
 }
 
-// mostScans bounds the ranges over all active jobs that are held in memory at the
-// same time.
-const mostScans = 2
+// mostScans bounds the ranges over all active jobs, and mostLongLists the
+// submissions that name many jobs, that are held in memory at the same time.
+const (
+	mostScans     = 2
+	mostLongLists = 4
+)
+
+// acquire waits for one of some slots; without any there is no bound.
+func acquire(ctx context.Context, slots chan struct{}) (release func(), err error) {
+	if slots == nil {
+		return func() {}, nil
+	}
+	select {
+	case slots <- struct{}{}:
+		return func() { <-slots }, nil
+	case <-ctx.Done():
+		return nil, fmt.Errorf("%w: too many at a time", ErrRefused)
+	}
+}
 
 // allActive reads what all active jobs await.
 func (r *Records) allActive(ctx context.Context) (map[string]awaited, error) {
-	if r.scans != nil {
-		select {
-		case r.scans <- struct{}{}:
-			defer func() { <-r.scans }()
-		case <-ctx.Done():
-			return nil, fmt.Errorf("%w: too many at a time", ErrRefused)
-		}
+	release, err := acquire(ctx, r.scans)
+	if err != nil {
+		return nil, err
 	}
+	defer release()
 	all := map[string]awaited{}
 	for from := ""; ; {
 		p, err := r.page(ctx, ActivePrefix, from)
@@ -481,6 +494,11 @@
 func (r *Records) accept(ctx context.Context, a *acceptance) (st api.JobState, created bool, err error) {
 	id := a.spec.ID
 	if len(a.spec.Awaits) > mostSingleReads || a.list != nil {
+		release, err := acquire(ctx, r.longLists)
+		if err != nil {
+			return st, false, err
+		}
+		defer release()
 		// What is known already is not worth a long search, and must not have a
 		// list written.
 		if st, found, err := r.lookup(ctx, id); err != nil || found {
--- a/internal/store/awaits_test.go
+++ b/internal/store/awaits_test.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"slices"
 	"strings"
+	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -338,3 +340,49 @@
 		}
 	})
 }
+
+// slowRanges is a store whose ranges take a second, and which counts how many are
+// asked for at the same time.
+type slowRanges struct {
+	*storetest.Fake
+	now, most atomic.Int32
+}
+
+func (s *slowRanges) Range(ctx context.Context, prefix, from string, most int) (store.Page, error) {
+	if n := s.now.Add(1); n > s.most.Load() {
+		s.most.Store(n)
+	}
+	defer s.now.Add(-1)
+	time.Sleep(time.Second)
+	return s.Fake.Range(ctx, prefix, from, most)
+}
+
+// However many submissions come that name many jobs, few are held in memory at the
+// same time with all that is read for them; the others wait, or are refused for now.
+func TestManyLongSubmissionsAtATime(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		st := &slowRanges{Fake: storetest.New()}
+		ids := fullBody(t, st.Fake)
+		records := store.NewRecords(st, config.StateLimits{ValueKB: 128, TxnOps: 12})
+		var accepted, refused atomic.Int32
+		var all sync.WaitGroup
+		for i := range 20 {
+			all.Go(func() {
+				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
+				defer cancel()
+				switch _, _, err := records.Accept(ctx, &api.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1, Awaits: ids}, time.Unix(1, 0)); {
+				case err == nil:
+					accepted.Add(1)
+				case errors.Is(err, store.ErrRefused):
+					refused.Add(1)
+				default:
+					t.Error(err)
+				}
+			})
+		}
+		all.Wait()
+		if most := st.most.Load(); most > 4 || accepted.Load() < 10 || accepted.Load()+refused.Load() != 20 {
+			t.Errorf("%d at a time, %d accepted, %d refused", most, accepted.Load(), refused.Load())
+		}
+	})
+}
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -138,10 +138,10 @@
 	Store Service
 	// Limits are the service's; zero: none are known.
 	Limits config.StateLimits
-	// ends remembers how jobs ended that others await; scans bounds the ranges
-	// over all active jobs. Both may be nil.
-	ends  *lru.Cache[string, FinalRecord]
-	scans chan struct{}
+	// ends remembers how jobs ended that others await; scans and longLists bound
+	// what takes much memory. All may be nil.
+	ends             *lru.Cache[string, FinalRecord]
+	scans, longLists chan struct{}
 }
 
 // endsKept is how many ends are remembered: more than one submission can name.
@@ -153,7 +153,8 @@
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
-	return Records{Store: s, Limits: lim, ends: ends, scans: make(chan struct{}, mostScans)}
+	return Records{Store: s, Limits: lim, ends: ends,
+		scans: make(chan struct{}, mostScans), longLists: make(chan struct{}, mostLongLists)}
 }
 
 // tryTimeout bounds one request to the service on a user's behalf. What takes two
