--- a/internal/controller/awaitslist_test.go
+++ b/internal/controller/awaitslist_test.go
@@ -89,7 +89,7 @@
 		w.put(store.AwaitsPrefix+"job-1000/left/00000", store.AwaitsRecord{Jobs: []string{"job-1"}})
 		w.put(store.AwaitsPrefix+"job-7/coming/00000", store.AwaitsRecord{Jobs: []string{"job-1"}})
 		n.crash()
-		n = w.start("n0")
+		w.start("n0")
 		time.Sleep(5 * time.Second)
 		want := append(slices.Clone(own), store.AwaitsPrefix+"job-7/coming/00000")
 		w.same("kept", w.keysUnder(store.AwaitsPrefix), want)
--- a/internal/store/awaits_test.go
+++ b/internal/store/awaits_test.go
@@ -332,6 +332,11 @@
 			t.Errorf("again: %d requests, %v", st.requests, err)
 		}
 		st.most = 0
+		records = store.NewRecords(st, records.Limits) // that remembers nothing
+		if err := submit("job-4", ids); err != nil || st.requests > 50 {
+			t.Errorf("in one try: %d requests, %v", st.requests, err)
+		}
+		t.Logf("%d names in one try: %d requests", len(ids), st.requests)
 		for _, missing := range []string{"job-000000000", "job-0001", "job-020000000", "job-9", "job-0"} {
 			var never *store.NeverAcceptedError
 			if err := submit("job-3", append(slices.Clone(ids[:100]), missing)); !errors.As(err, &never) || !strings.HasSuffix(never.ID, missing) {
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -224,6 +224,8 @@
 	for _, c := range []struct{ got, want string }{
 		{store.ActivePrefix, "a/"}, {store.FinalPrefix, "f/"}, {store.ProgressPrefix, "p/"}, {store.MachinePrefix, "m/"},
 		{store.KeepPrefix, "keep/"}, {store.RelayPrefix, "relay/"}, {store.TypesKey, "types"}, {store.CancelKey, "a/!cancel"},
+		{store.AwaitsPrefix, "awaits/"},
+		{(&store.AwaitsList{Digest: "ab", Records: 3}).Keys("job-1")[2], "awaits/job-1/ab/00002"}, {store.AwaitsElsewhere, "job-"},
 		{election.LeaderKey, "leader"}, {election.TermKey, "term"}, {store.ProgressKey("job-1", 4096), "p/job-1/4096"},
 	} {
 		if c.got != c.want {
