--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -26,7 +26,7 @@
 	if err == nil || errors.As(err, &other) {
 		return ans, err
 	}
-	// The leader cannot be reached from here: its machines are kept alive.
+	// The leader cannot be reached from here: its machines' leases are extended.
 	r, err = c.take(ctx, reportMsg{rep: rep, unreached: r.passTo, refused: errors.Is(err, ErrRefused)})
 	return r.ans, err
 }
@@ -88,14 +88,14 @@
 			m.reply <- reportReply{err: &api.NotLeaderError{Leader: node}}
 			return
 		}
-		if !c.reign.informed(now) && m.rep.Term <= c.reign.term.Number {
+		if !c.leadership.mayRenewLeases(now) && m.rep.Term <= c.leadership.term.Number {
 			m.reply <- reportReply{err: api.ErrUnavailable}
 			return
 		}
-		ans, err := c.reign.report(m.rep, now)
+		ans, err := c.leadership.report(m.rep, now)
 		// A report that shows a later term has ended this node's own.
-		if c.reign != nil {
-			if mc := c.reign.machines[m.rep.Machine]; mc != nil {
+		if c.leadership != nil {
+			if mc := c.leadership.machines[m.rep.Machine]; mc != nil {
 				mc.passed = m.passed
 			}
 		}
@@ -103,18 +103,18 @@
 		return
 	}
 	leader := c.leads(now)
-	if m.passed || c.reign != nil {
+	if m.passed || c.leadership != nil {
 		m.reply <- reportReply{err: &api.NotLeaderError{}}
 		return
 	}
 	if c.passes(m, leader, now) {
-		if c.around.nodes[leader].reached(now) {
+		if c.peerTable.nodes[leader].reached(now) {
 			c.up.dropOrders(m.rep.Machine)
 		}
 		m.reply <- reportReply{passTo: leader}
 		return
 	}
-	if n := c.around.nodes[leader]; n.lost() && (m.refused || n.refused) && c.mayBeReached(m.rep.Machine, now) {
+	if n := c.peerTable.nodes[leader]; n.lost() && (m.refused || n.refused) && c.mayBeReached(m.rep.Machine, now) {
 		// Only the connections between the nodes are refused, or the leader
 		// restarts: the machine may well reach it itself. By now that knows,
 		// too, not to send it back here.
@@ -122,7 +122,7 @@
 		m.reply <- reportReply{err: &api.NotLeaderError{Leader: leader}}
 		return
 	}
-	if n := c.around.nodes[leader]; m.unreached == "" && n.reached(now) && n.Term > 0 {
+	if n := c.peerTable.nodes[leader]; m.unreached == "" && n.reached(now) && n.Term > 0 {
 		settled := m.rep.Term == n.Term && now.Sub(n.termAt) > c.Settings.Site.Workers.Lease()
 		if c.cameBack(m.rep.Machine, leader, n.Term, settled, now) {
 			m.reply <- reportReply{passTo: leader}
@@ -131,8 +131,8 @@
 		m.reply <- reportReply{err: &api.NotLeaderError{Leader: leader}}
 		return
 	}
-	unreached := m.unreached == leader || !c.around.nodes[leader].reached(now)
-	if ans, ok := c.keepAnswer(m.rep, leader, unreached, now); ok {
+	unreached := m.unreached == leader || !c.peerTable.nodes[leader].reached(now)
+	if ans, ok := c.extendLease(m.rep, leader, unreached, now); ok {
 		c.up.note(c, m.rep, &ans, now)
 		m.reply <- reportReply{ans: ans}
 		return
@@ -147,13 +147,13 @@
 
 // nearer names the node that a machine should rather report to, if any.
 func (c *Controller) nearer(m reportMsg, now time.Time) string {
-	mc := c.reign.machines[m.rep.Machine]
+	mc := c.leadership.machines[m.rep.Machine]
 	if m.passed || m.rep.Zone == c.Settings.Zone || mc == nil || !mc.heard || mc.zone != m.rep.Zone ||
-		m.rep.Term != c.reign.term.Number || now.Sub(mc.sentOn) < sendOnEvery {
+		m.rep.Term != c.leadership.term.Number || now.Sub(mc.sentOn) < sendOnEvery {
 		return ""
 	}
 	for _, p := range c.Settings.Peers {
-		if n := c.around.nodes[p.Node]; p.Zone == m.rep.Zone && n.reached(now) && n.Leader == c.Settings.Node && n.StoreOK > 0 {
+		if n := c.peerTable.nodes[p.Node]; p.Zone == m.rep.Zone && n.reached(now) && n.Leader == c.Settings.Node && n.StoreOK > 0 {
 			mc.sentOn = now
 			return p.Node
 		}
@@ -166,7 +166,7 @@
 
 // passes tells whether a report is passed on to the leader.
 func (c *Controller) passes(m reportMsg, leader string, now time.Time) bool {
-	n := c.around.nodes[leader]
+	n := c.peerTable.nodes[leader]
 	return n != nil && m.unreached == "" && m.rep.Zone == c.Settings.Zone && n.zone != c.Settings.Zone &&
 		(n.reached(now) || n.failed == 1 || c.mayBeReached(m.rep.Machine, now))
 }
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -184,9 +184,9 @@
 	sentSession uint64
 	sentAt      time.Time
 	runningAt   time.Time
-	// blurred is set if the machine was out of hearing during the run.
-	blurred bool
-	stop    *stopOrder
+	// unmeasured is set if the machine was out of hearing during the run.
+	unmeasured bool
+	stop       *stopOrder
 	// direct is set if the start was sent straight to the machine.
 	direct *directStart
 	exited bool
@@ -236,7 +236,7 @@
 	askedAt  time.Time
 	unheeded int
 	roster   rosterState
-	sheet    *sheet
+	shard    *shard
 	// heard is set once the machine reports with this term: from then on it
 	// carries out no earlier leader's orders.
 	heard    bool
@@ -256,11 +256,11 @@
 	passed bool
 	// sentOn is when the machine was last told to report to a nearer node.
 	sentOn time.Time
-	// kept is until when another node is known to keep the machine alive.
-	kept    time.Time
-	since   time.Time
-	idle    time.Time
-	reclaim time.Time
+	// extendedUntil is until when another node is known to extend its leases.
+	extendedUntil time.Time
+	since         time.Time
+	idle          time.Time
+	reclaim       time.Time
 
 	attempts map[attemptKey]*attempt
 	// foreign counts tasks whose team is not known; foreignHeld is what the
--- a/internal/controller/settle_test.go
+++ b/internal/controller/settle_test.go
@@ -39,14 +39,14 @@
 // all were looked at side by side none ever was, and machines with tasks long done
 // were kept for the rest of the day.
 func TestManyEndsWithLostAnswersAreSettled(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		st := &thrifty{Fake: w.store, reads: rate.NewLimiter(20, 20)}
 		n := w.startWith("n0", st, nil)
 		var ks []*worker
 		for i := range 15 {
 			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
 		}
-		n.look(func(c *Controller) { c.reign.teams["red"].CPUsMax = 1000 })
+		n.look(func(c *Controller) { c.leadership.teams["red"].CPUsMax = 1000 })
 		all := func(seconds int) {
 			for range seconds {
 				for _, k := range ks {
@@ -76,6 +76,6 @@
 			}
 			k.mu.Unlock()
 		}
-		n.look(func(c *Controller) { w.same("jobs left", len(c.reign.jobs), 0) })
+		n.look(func(c *Controller) { w.same("jobs left", len(c.leadership.jobs), 0) })
 	})
 }
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -20,7 +20,7 @@
 }
 
 // load reads the store until it succeeds.
-func (r *reign) load() {
+func (r *leadership) load() {
 	for r.ctx.Err() == nil {
 		snap, err := r.read()
 		if err == nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-func (r *reign) read() (*snapshot, error) {
+func (r *leadership) read() (*snapshot, error) {
 	s := snapshot{asked: time.Now()}
 	var err error
 	// The active jobs come first: their revision is where the watch begins.
@@ -56,7 +56,7 @@
 	return &s, nil
 }
 
-func (r *reign) readAll(prefix string) (rows []store.Entry, ring uint64, err error) {
+func (r *leadership) readAll(prefix string) (rows []store.Entry, ring uint64, err error) {
 	from := ""
 	for {
 		ctx, cancel := context.WithTimeout(r.ctx, 3*time.Second)
@@ -77,13 +77,13 @@
 }
 
 type loadedMsg struct {
-	r *reign
+	r *leadership
 	s *snapshot
 }
 
 func (m loadedMsg) apply(c *Controller) {
 	r := m.r
-	if c.reign != r {
+	if c.leadership != r {
 		return
 	}
 	now := time.Now()
@@ -103,45 +103,45 @@
 	}
 	r.pipeline.propagateDeadlines(waiting...)
 	for _, e := range m.s.machines {
-		r.addSheet(e, now)
+		r.addShard(e, now)
 	}
-	r.loaded, r.listening, r.vouched = true, now, m.s.asked
+	r.loaded, r.listening, r.cancellationsConfirmedAt = true, now, m.s.asked
 	go r.awaitsLists.sweep()
 	if c.Director != nil {
-		r.greetNext(now)
+		r.resyncNext(now)
 	}
 	c.Log.Info("takeover: read", "term", r.term.Number, "jobs", len(r.jobs), "machines", r.unheard)
 }
 
-// addSheet takes in a sheet of the roster.
-func (r *reign) addSheet(e store.Entry, now time.Time) {
+// addShard takes in a shard of the roster.
+func (r *leadership) addShard(e store.Entry, now time.Time) {
 	var rec store.RosterRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
 		r.c.Log.Error("roster record", "key", e.Key, "err", err)
 		return
 	}
-	s := &sheet{key: e.Key}
+	s := &shard{key: e.Key}
 	for _, one := range rec.Machines {
 		if r.machines[one.Name] != nil {
-			continue // a sheet that was written late
+			continue // a shard that was written late
 		}
 		m := r.addMachine(one.Name, one.Type, one.Zone, one.Spot, now)
 		m.addr = one.Addr
 		m.cpus, m.gpus, m.memory = one.CPUs, one.GPUs, one.MemoryGB
-		m.roster, m.sheet = rosterDurable, s
+		m.roster, m.shard = rosterDurable, s
 		s.members = append(s.members, m)
-		r.toGreet = append(r.toGreet, m)
+		r.toResync = append(r.toResync, m)
 		r.unheard++
 		r.unheardCPUs += m.cpus
 		r.unheardGPUs += m.gpus
 	}
 	if len(s.members) < len(rec.Machines) {
-		s.torn = true
-		r.recorder.torn = append(r.recorder.torn, s)
+		s.stale = true
+		r.recorder.stale = append(r.recorder.stale, s)
 	}
 }
 
-func (r *reign) addProgress(e store.Entry, now time.Time) {
+func (r *leadership) addProgress(e store.Entry, now time.Time) {
 	id, first, ok := store.ParseProgressKey(e.Key)
 	if !ok {
 		return
--- a/internal/controller/waits_test.go
+++ b/internal/controller/waits_test.go
@@ -9,7 +9,7 @@
 
 // An operator is told why jobs wait: each reason by itself.
 func TestWhyWorkWaits(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.teams[0].CPUsMax = 100
 		n := w.start("n0")
 		large := spec("job-1", 8)
@@ -34,15 +34,15 @@
 		}
 		w.submit(n, spec("job-4", 1)) // all machines are in use
 		n.look(func(c *Controller) {
-			got, oldest := c.reign.waits(time.Now())
+			got, oldest := c.leadership.waits(time.Now())
 			w.same("waits", got, map[string]int{"team limit": 1, "no room": 1})
 			w.same("oldest", oldest.spec.ID, "job-2")
-			c.reign.unheard++
-			oldest.mark = c.reign.term.Mark // accepted before this term
-			w.same("before a takeover is over", c.reign.whyWaits(oldest, time.Now()), "takeover")
-			c.reign.unheard--
+			c.leadership.unheard++
+			oldest.mark = c.leadership.term.Mark // accepted before this term
+			w.same("before a takeover is over", c.leadership.whyWaits(oldest, time.Now()), "takeover")
+			c.leadership.unheard--
 			oldest.heldUntil = time.Now().Add(time.Second)
-			w.same("held", c.reign.whyWaits(oldest, time.Now()), "fails everywhere")
+			w.same("held", c.leadership.whyWaits(oldest, time.Now()), "fails everywhere")
 		})
 	})
 }
@@ -54,7 +54,7 @@
 		limit float64
 		want  bool
 	}{{2, true}, {4, false}, {0, false}} {
-		play(t, func(w *world) {
+		simulate(t, func(w *cluster) {
 			n := w.start("n0")
 			n.look(func(o *Controller) { o.Policy.RestartLimit = c.limit })
 			slow, well := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
