--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -55,8 +55,10 @@
 	// that are over: whose team they count for is not known.
 	foreignCPUs float64
 
-	confirm     confirmer
-	pipeline    pipeline
+	confirm  confirmer
+	pipeline pipeline
+	// awaitsLists are the records that list awaited jobs.
+	awaitsLists awaitsLists
 	down        relayDown
 	recorder    recorder
 	provisioner provisioner
@@ -129,6 +131,7 @@
 	r.confirm.r = r
 	r.recorder.init(r)
 	r.pipeline.init(r)
+	r.awaitsLists.r = r
 	r.provisioner.init(r)
 	for _, t := range c.Settings.Site.Teams {
 		q := &queue.Team[*job]{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax,
@@ -254,7 +257,7 @@
 			// was ended by another leader, of which the election has not yet
 			// told: how it ended is not known here.
 			id := e.Delete[len(store.ActivePrefix):]
-			if j := r.jobs[id]; j != nil && !j.finishing && !j.doomed && e.Mark > j.mark {
+			if j := r.jobs[id]; j != nil && !j.finishing && !j.cancelPending && e.Mark > j.mark {
 				r.depose()
 				return
 			}
@@ -284,7 +287,7 @@
 	}
 	n := uint(rec.Spec.Tasks)
 	j := &job{
-		spec: rec.Spec, mark: mark, accepted: rec.Accepted, since: rec.Accepted, waiting: time.Now(), rank: api.PriorityRank(rec.Spec.Priority), preference: r.c.Policy.Preferences[rec.Spec.Class], team: team,
+		spec: rec.Spec, awaitsList: rec.Awaits, mark: mark, accepted: rec.Accepted, since: rec.Accepted, waiting: time.Now(), rank: api.PriorityRank(rec.Spec.Priority), preference: r.c.Policy.Preferences[rec.Spec.Class], team: team,
 		flight: flight.New(rec.Spec.Tasks), live: map[int]*attempt{},
 		done: bitset.New(n), durable: bitset.New(n), chunks: map[int]bool{},
 		runs: jobRuns{by: map[string]*runs{}}, zones: map[string]int{}, restarted: map[int]bool{}, barred: map[int]string{}, errors: map[string]int{},
@@ -298,7 +301,7 @@
 		r.dispatchUntil = time.Now().Add(dispatchFor)
 	case r.loaded:
 		r.pipeline.awaitJobs(j)
-		r.pipeline.urge(j)
+		r.pipeline.propagateDeadlines(j)
 	default: // once all are read
 	}
 	r.c.Log.Debug("job", "job", id, "class", j.spec.Class, "team", j.spec.Team, "tasks", j.spec.Tasks)
@@ -352,6 +355,7 @@
 	for first := range j.chunks {
 		r.recorder.drop(store.ProgressKey(j.spec.ID, first))
 	}
+	r.awaitsLists.drop(j)
 }
 
 // forget drops a job that is over.
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -2,7 +2,7 @@
 
 import (
 	"cmp"
-	"context"
+	"maps"
 	"slices"
 	"time"
 
@@ -24,107 +24,133 @@
 // job's record does the same with it (store.Records).
 type pipeline struct {
 	r *leadership
-	// needers are the jobs that wait, by what they wait for.
-	needers map[string][]*job
-	// doomed are the jobs that are to be cancelled on record.
-	doomed  []*job
-	limiter *rate.Limiter
-	// sought are awaited jobs that are not active: how they ended is to be read,
-	// one at a time.
-	sought  []string
-	seeking bool
+	// dependents are the jobs that wait, by what they wait for.
+	dependents map[string][]*job
+	// pendingCancels are the jobs that are to be cancelled on record.
+	pendingCancels []*job
+	limiter        *rate.Limiter
+	// lookups are awaited jobs that are not active: how they ended is to be read,
+	// of all of them at a time.
+	lookups   []string
+	lookingUp bool
 }
 
 func (p *pipeline) init(r *leadership) {
 	lim := r.c.Settings.Site.State
 	cancels := lim.WriteRPS * cancelShare
-	*p = pipeline{r: r, needers: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancels), max(cancelOps, min(lim.TxnOps, int(cancels))))}
+	*p = pipeline{r: r, dependents: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancels), max(cancelOps, min(lim.TxnOps, int(cancels))))}
 }
 
 // awaitJobs has a job wait for those that it needs.
 func (p *pipeline) awaitJobs(j *job) {
 	j.awaits = map[string]bool{}
-	doomed := false
+	if j.awaitsList != nil && !j.awaitsRead {
+		// Not all is known that it awaits, so nothing of it may start.
+		j.awaits[store.AwaitsElsewhere] = true
+		p.r.awaitsLists.read(j)
+		return
+	}
+	pending := false
 	for _, id := range j.spec.Awaits {
-		if st, ok := p.r.c.final.Get(id); ok {
-			doomed = doomed || st.Phase == api.JobWithdrawn
+		st, over := p.r.c.final.Get(id)
+		if over && st.Phase == api.JobWithdrawn {
+			pending = true
+			continue
+		}
+		if over && !st.Ended.IsZero() {
+			j.awaitedEnded(st.Ended)
 			continue
 		}
 		o := p.r.jobs[id]
 		if o == nil {
-			if len(p.needers[id]) == 0 {
-				p.sought = append(p.sought, id)
+			if len(p.dependents[id]) == 0 {
+				p.lookups = append(p.lookups, id)
 			}
-		} else if o.doomed {
-			doomed = true
+		} else if o.cancelPending {
+			pending = true
 		}
 		j.awaits[id] = true
-		p.needers[id] = append(p.needers[id], j)
+		p.dependents[id] = append(p.dependents[id], j)
 	}
 	switch {
-	case doomed:
-		p.doom(j)
+	case pending:
+		p.cancelWithDependents(j)
 	case len(j.awaits) == 0:
-		p.ready(j, j.accepted)
+		p.ready(j)
+	}
+	p.lookupNext()
+}
+
+// awaitedEnded takes in when a job was done that this one needs.
+func (j *job) awaitedEnded(at time.Time) {
+	if at.After(j.lastEnd) {
+		j.lastEnd = at
 	}
-	p.seekNext()
 }
 
-// ready takes in that all that a job needs is done, and since when it could run.
-func (p *pipeline) ready(j *job, since time.Time) {
+// ready takes in that all that a job needs is done. Its times count from when the
+// last of it was, also if another leader saw that; or from its acceptance, if it
+// was submitted later.
+func (p *pipeline) ready(j *job) {
 	now := time.Now()
-	j.awaits, j.since, j.waiting = nil, since, now
+	j.awaits, j.since, j.waiting = nil, j.accepted, now
+	j.spec.Awaits = nil // perhaps thousands, all over
+	if j.lastEnd.After(j.since) {
+		j.since = j.lastEnd
+	}
 	j.aims = p.r.aims(j)
 	j.look(now)
 	j.team.Add(j)
 	p.r.dispatchUntil = now.Add(dispatchFor)
 }
 
-// done takes in that a job is done on record.
-func (p *pipeline) done(id string, now time.Time) {
-	needers := p.needers[id]
-	delete(p.needers, id)
-	for _, j := range needers {
-		if delete(j.awaits, id); len(j.awaits) == 0 && !j.doomed && !j.over {
-			p.ready(j, now)
+// done takes in that a job is done on record, and since when.
+func (p *pipeline) done(id string, at time.Time) {
+	dependents := p.dependents[id]
+	delete(p.dependents, id)
+	for _, j := range dependents {
+		j.awaitedEnded(at)
+		if delete(j.awaits, id); len(j.awaits) == 0 && !j.cancelPending && !j.over {
+			p.ready(j)
 		}
 	}
 }
 
 // cancelled takes in that a job is cancelled, and with it all that need it.
 func (p *pipeline) cancelled(id string) {
-	needers := p.needers[id]
-	delete(p.needers, id)
-	for _, j := range needers {
-		p.doom(j)
+	dependents := p.dependents[id]
+	delete(p.dependents, id)
+	for _, j := range dependents {
+		p.cancelWithDependents(j)
 	}
 }
 
-// doom has a job that waits cancelled on record, and all that need it.
-func (p *pipeline) doom(j *job) {
+// cancelWithDependents has a job that waits cancelled on record, and all that need it.
+func (p *pipeline) cancelWithDependents(j *job) {
 	for todo := []*job{j}; len(todo) > 0; {
 		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		if j.doomed || j.over {
+		if j.cancelPending || j.over {
 			continue
 		}
-		j.doomed = true
-		p.doomed = append(p.doomed, j)
-		todo = append(todo, p.needers[j.spec.ID]...)
+		j.cancelPending = true
+		p.pendingCancels = append(p.pendingCancels, j)
+		todo = append(todo, p.dependents[j.spec.ID]...)
 	}
 }
 
 // forget takes a job that is over out of the index of what it waited for.
 func (p *pipeline) forget(j *job) {
 	for id := range j.awaits {
-		left := slices.DeleteFunc(p.needers[id], func(o *job) bool { return o == j })
-		if p.needers[id] = left; len(left) == 0 {
-			delete(p.needers, id)
+		left := slices.DeleteFunc(p.dependents[id], func(o *job) bool { return o == j })
+		if p.dependents[id] = left; len(left) == 0 {
+			delete(p.dependents, id)
 		}
 	}
 	j.awaits = nil
 }
 
-// cancelShare is the part of the write rate that doomed jobs have for themselves:
+// cancelShare is the part of the write rate that derived cancellations have to
+// themselves:
 // with small transactions the ends of other jobs would take every turn, and their
 // users wait. Users' own cancellations leave it to them.
 const cancelShare = 0.4
@@ -133,17 +159,17 @@
 // change: nothing of these jobs runs, and this leader knows.
 const cancelOps = 2
 
-// add cancels doomed jobs in a batch of their own, if the write rate allows.
+// add writes pending cancellations in a batch of their own, if the write rate allows.
 func (p *pipeline) add(b *batch, now time.Time) {
-	p.doomed = slices.DeleteFunc(p.doomed, func(j *job) bool { return j.over })
+	p.pendingCancels = slices.DeleteFunc(p.pendingCancels, func(j *job) bool { return j.over })
 	w := &p.r.recorder
 	allowed := min(w.maxOps, int(p.limiter.TokensAt(now)))
-	if len(p.doomed) == 0 || allowed < cancelOps {
+	if len(p.pendingCancels) == 0 || allowed < cancelOps {
 		return
 	}
 	n := 0
-	for n < len(p.doomed) && len(b.txn.Ops)+cancelOps <= allowed && b.bytes < w.maxBytes {
-		j := p.doomed[n]
+	for n < len(p.pendingCancels) && len(b.txn.Ops)+cancelOps <= allowed && b.bytes < w.maxBytes {
+		j := p.pendingCancels[n]
 		active := store.ActivePrefix + j.spec.ID
 		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: active, Mark: j.mark})
 		b.put(store.FinalPrefix+j.spec.ID, store.FinalRecord{Phase: api.JobWithdrawn, Tasks: j.spec.Tasks})
@@ -151,16 +177,16 @@
 		j.ending = true
 		n++
 	}
-	b.doomed = slices.Clone(p.doomed[:n])
-	p.doomed = p.doomed[n:]
+	b.derivedCancels = slices.Clone(p.pendingCancels[:n])
+	p.pendingCancels = p.pendingCancels[n:]
 	p.limiter.AllowN(now, len(b.txn.Ops))
 }
 
-// urge passes the deadlines and priorities of jobs on to all that they need: those
+// propagateDeadlines passes the deadlines and priorities of jobs on to all that they need: those
 // are ordered by the latest time to begin that lets what follows be in time. A job
 // was accepted after all that it needs, so going back in the order of acceptance
 // each is looked at once, after all that need it; and only where anything changes.
-func (p *pipeline) urge(jobs ...*job) {
+func (p *pipeline) propagateDeadlines(jobs ...*job) {
 	byMark := func(a, b *job) int { return cmp.Compare(a.mark, b.mark) }
 	todo := slices.Clone(jobs)
 	slices.SortFunc(todo, byMark)
@@ -169,7 +195,7 @@
 		todo = todo[:len(todo)-1]
 		for _, id := range j.spec.Awaits {
 			o := p.r.jobs[id]
-			if o == nil || o.finishing || !p.press(j, o) || len(o.spec.Awaits) == 0 {
+			if o == nil || o.finishing || !p.propagateDeadline(j, o) || len(o.spec.Awaits) == 0 {
 				continue
 			}
 			if at, found := slices.BinarySearchFunc(todo, o, byMark); !found {
@@ -179,9 +205,9 @@
 	}
 }
 
-// press has a job be done in time for one that needs it, and tells whether that
+// propagateDeadline has a job be done in time for one that needs it, and tells whether that
 // changed anything.
-func (p *pipeline) press(j, o *job) (changed bool) {
+func (p *pipeline) propagateDeadline(j, o *job) (changed bool) {
 	if j.rank < o.rank {
 		o.rank, changed = j.rank, true
 	}
@@ -189,7 +215,7 @@
 	if len(due) == 0 {
 		return changed
 	}
-	takes := p.takes(j)
+	takes := p.stageDuration(j)
 	if len(o.due) > 0 && !due[0].Add(-takes).Before(o.due[0]) {
 		return changed
 	}
@@ -212,9 +238,9 @@
 	return own
 }
 
-// takes is how long a stage is expected to take from the end of the one before
+// stageDuration is how long a stage is expected to take from the end of the one before
 // it: until that is on record, the machine has been told and has the image.
-func (p *pipeline) takes(j *job) time.Duration {
+func (p *pipeline) stageDuration(j *job) time.Duration {
 	fetch := 0.0
 	for _, t := range p.r.c.types.load() {
 		if t.FetchGBs > 0 {
@@ -228,73 +254,97 @@
 // follow are handed out.
 const stageLag = time.Second
 
-// seekNext reads how an awaited job ended that is not active.
-func (p *pipeline) seekNext() {
-	if p.seeking || len(p.sought) == 0 {
+// lookupNext reads how awaited jobs ended that are not active.
+func (p *pipeline) lookupNext() {
+	if p.lookingUp || len(p.lookups) == 0 {
 		return
 	}
-	p.seeking = true
-	r, id := p.r, p.sought[0]
-	p.sought = p.sought[1:]
+	p.lookingUp = true
+	r, ids := p.r, p.lookups
+	p.lookups = nil
 	go func() {
 		records := store.Records{Store: r.c.Store}
-		for r.ctx.Err() == nil {
-			ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
-			st, found, err := records.Final(ctx, id)
-			cancel()
+		ends := map[string]store.FinalRecord{}
+		for unread := ids; r.ctx.Err() == nil; pause(r.ctx, 300*time.Millisecond) {
+			found, err := records.Ends(r.ctx, unread)
+			maps.Copy(ends, found)
 			if err == nil {
-				r.post(soughtMsg{r, id, st, found})
+				r.post(endsLookedUpMsg{r, ids, ends})
 				return
 			}
-			pause(r.ctx, 300*time.Millisecond)
+			unread = slices.DeleteFunc(slices.Clone(unread), func(id string) bool { _, ok := ends[id]; return ok })
 		}
 	}()
 }
 
-type soughtMsg struct {
-	r     *leadership
-	id    string
-	st    api.JobState
-	found bool
+// endsLookedUpMsg brings how jobs ended that were looked up; those that are still
+// active are not among the ends.
+type endsLookedUpMsg struct {
+	r    *leadership
+	ids  []string
+	ends map[string]store.FinalRecord
 }
 
-func (m soughtMsg) apply(c *Controller) {
+func (m endsLookedUpMsg) apply(c *Controller) {
 	p := &m.r.pipeline
 	if c.leadership != m.r {
 		return
 	}
-	p.seeking = false
-	switch {
-	case m.found:
-		finalMsg{m.st}.apply(c)
-		if m.st.Phase == api.JobDone {
-			p.done(m.id, time.Now())
+	p.lookingUp = false
+	var unknown []string
+	for _, id := range m.ids {
+		end, found := m.ends[id]
+		switch {
+		case found:
+			p.ended(id, end)
+		case m.r.jobs[id] == nil && len(p.dependents[id]) > 0:
+			unknown = append(unknown, id)
 		}
-	case m.r.jobs[m.id] == nil && len(p.needers[m.id]) > 0:
+	}
+	if len(unknown) > 0 {
 		// Active, and not known here yet: the watch will tell.
-		time.AfterFunc(time.Second, func() { m.r.post(seekMsg{m.r, m.id}) })
+		time.AfterFunc(time.Second, func() { m.r.post(lookupAgainMsg{m.r, unknown}) })
 	}
-	p.seekNext()
+	p.lookupNext()
 }
 
-// seekMsg asks once more about a job that was not known.
-type seekMsg struct {
-	r  *leadership
-	id string
+// ended takes in the final record of a job.
+func (p *pipeline) ended(id string, end store.FinalRecord) {
+	finalMsg{end.FinalState(id)}.apply(p.r.c)
+	if end.Phase != api.JobDone {
+		return
+	}
+	at := end.Ended
+	if at.IsZero() {
+		at = time.Now() // written by a version that did not tell
+	}
+	p.done(id, at)
+}
+
+// lookupAgainMsg asks once more about jobs that were not known.
+type lookupAgainMsg struct {
+	r   *leadership
+	ids []string
 }
 
-func (m seekMsg) apply(c *Controller) {
-	if p := &m.r.pipeline; c.leadership == m.r && len(p.needers[m.id]) > 0 && m.r.jobs[m.id] == nil {
-		p.sought = append(p.sought, m.id)
-		p.seekNext()
+func (m lookupAgainMsg) apply(c *Controller) {
+	if c.leadership != m.r {
+		return
+	}
+	p := &m.r.pipeline
+	for _, id := range m.ids {
+		if len(p.dependents[id]) > 0 && m.r.jobs[id] == nil {
+			p.lookups = append(p.lookups, id)
+		}
 	}
+	p.lookupNext()
 }
 
 // waitsFor lists what a job waits for, for its user.
 func (j *job) waitsFor() []string {
 	var ids []string
 	for _, id := range j.spec.Awaits {
-		if j.awaits[id] && len(ids) < mostShown {
+		if j.awaits[id] && id != store.AwaitsElsewhere && len(ids) < mostShown {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -84,9 +84,9 @@
 	txn      store.Txn
 	bytes    int
 	finished []*job
-	// doomed are cancelled with a job that they need.
-	doomed []*job
-	shards []*shard
+	// derivedCancels are cancelled with a job that they need.
+	derivedCancels []*job
+	shards         []*shard
 	// replaced are shards that go with this batch.
 	replaced []*shard
 	drops    []string
@@ -143,7 +143,7 @@
 		w.finishing = w.finishing[1:]
 		active := store.ActivePrefix + j.spec.ID
 		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: active, Mark: j.mark})
-		b.put(store.FinalPrefix+j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks})
+		b.put(store.FinalPrefix+j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now.UTC()})
 		b.delete(active)
 		b.finished = append(b.finished, j)
 		// From now on others may read of its end before this node knows of it.
@@ -321,7 +321,7 @@
 				changed = append(changed, j)
 			}
 		}
-		for _, j := range m.b.doomed {
+		for _, j := range m.b.derivedCancels {
 			if slices.Contains(m.res.Failed, store.ActivePrefix+j.spec.ID) {
 				changed = append(changed, j)
 			}
@@ -341,7 +341,7 @@
 // again puts a batch back that was not carried out, or may not have been.
 func (w *recorder) again(b *batch) {
 	w.finishing = append(slices.Clone(b.finished), w.finishing...)
-	w.r.pipeline.doomed = append(slices.Clone(b.doomed), w.r.pipeline.doomed...)
+	w.r.pipeline.pendingCancels = append(slices.Clone(b.derivedCancels), w.r.pipeline.pendingCancels...)
 	w.unwritten(b)
 	w.drops = append(slices.Clone(b.drops), w.drops...)
 	for _, p := range b.progressed {
@@ -387,7 +387,7 @@
 	for _, j := range b.finished {
 		r.finished(j)
 	}
-	for _, j := range b.doomed {
+	for _, j := range b.derivedCancels {
 		r.c.cancelled(j.spec.ID)
 	}
 	w.written(b)
@@ -413,13 +413,15 @@
 		return
 	}
 	r.forget(j)
-	r.c.final.Add(j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks}.FinalState(j.spec.ID))
-	r.pipeline.done(j.spec.ID, time.Now())
+	now := time.Now()
+	r.c.final.Add(j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}.FinalState(j.spec.ID))
+	r.pipeline.done(j.spec.ID, now)
 	for first, written := range j.chunks {
 		if written {
 			r.recorder.drop(store.ProgressKey(j.spec.ID, first))
 		}
 	}
+	r.awaitsLists.drop(j)
 	r.c.Log.Debug("job done", "job", j.spec.ID, "class", j.spec.Class, "tasks", j.spec.Tasks,
 		"lost", j.lost, "firstStart", j.after(j.firstStart), "lastStart", j.after(j.lastStart), "estimate", j.spec.EstimateS, "longest", j.longest.Round(time.Second/10),
 		"late", math.Round(time.Since(j.aims[0]).Seconds()))
@@ -430,7 +432,7 @@
 func (w *recorder) verify(jobs []*job) {
 	for _, j := range jobs {
 		w.finishing = slices.DeleteFunc(w.finishing, func(o *job) bool { return o == j })
-		w.r.pipeline.doomed = slices.DeleteFunc(w.r.pipeline.doomed, func(o *job) bool { return o == j })
+		w.r.pipeline.pendingCancels = slices.DeleteFunc(w.r.pipeline.pendingCancels, func(o *job) bool { return o == j })
 		w.unsettled = append(w.unsettled, j.spec.ID)
 	}
 	w.settleNext()
@@ -486,8 +488,8 @@
 		r.finished(j)
 	case m.found && m.st.Phase == api.JobWithdrawn:
 		r.withdraw(j)
-	case j.doomed:
-		r.pipeline.doomed = append(r.pipeline.doomed, j)
+	case j.cancelPending:
+		r.pipeline.pendingCancels = append(r.pipeline.pendingCancels, j)
 	default:
 		r.recorder.finishing = append(r.recorder.finishing, j)
 	}
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -101,11 +101,12 @@
 			waiting = append(waiting, j)
 		}
 	}
-	r.pipeline.urge(waiting...)
+	r.pipeline.propagateDeadlines(waiting...)
 	for _, e := range m.s.machines {
 		r.addShard(e, now)
 	}
 	r.loaded, r.listening, r.cancellationsConfirmedAt = true, now, m.s.asked
+	go r.awaitsLists.sweep()
 	if c.Director != nil {
 		r.resyncNext(now)
 	}
