--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -96,7 +96,7 @@
 		cfg.UserStore = cfg.Store
 	}
 	return &Controller{
-		Config: cfg, records: store.Records{Store: cfg.UserStore},
+		Config: cfg, records: store.Records{Store: cfg.UserStore, Cache: store.NewJobCache(cfg.Settings.Site.State)},
 		mail: make(chan message, 256), depose: make(chan uint64, 4), resigns: make(chan string, 4), final: final,
 		sent: map[string]time.Time{}, directed: map[string]directed{}, up: newRelayUp(),
 		reads: map[string]*readRound{}, cancels: newCancelLog(cfg.Settings.Site.Workers, time.Now()), around: newAround(cfg.Settings.Peers, time.Now()),
--- /dev/null
+++ b/internal/store/jobcache.go
@@ -0,0 +1,118 @@
+package store
+
+import (
+	"encoding/json"
+	"slices"
+	"strings"
+
+	lru "github.com/hashicorp/golang-lru/v2"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/config"
+)
+
+// JobCache remembers the jobs whose records this node has read or written. An active
+// record never changes, and a job that is done stays done. So a transaction that
+// guards on the remembered versions of all active jobs that a new one awaits, directly
+// or through others, shows in one request that they were accepted and that none is
+// cancelled. Read one by one they would use up the users' request budget: the jobs of
+// a pipeline are submitted within a second or two.
+type JobCache struct {
+	jobs *lru.Cache[string, cachedJob]
+	// maxGuards is how many conditions a transaction may have.
+	maxGuards int
+}
+
+// cachedJob is an accepted job that is not cancelled as far as this node knows.
+type cachedJob struct {
+	// mark is the version of the active record, or 0 if the job is done.
+	mark   uint64
+	awaits []string
+}
+
+const (
+	// jobsCached bounds the jobs in a cache, and awaitsCached the names that each
+	// of them awaits.
+	jobsCached   = 2048
+	awaitsCached = 32
+	// guardsPerOp is how many conditions a transaction may have for each change
+	// that the limits allow.
+	guardsPerOp = 4
+	// ownGuards are the conditions that a new job itself takes.
+	ownGuards = 2
+)
+
+// NewJobCache makes an empty cache.
+func NewJobCache(lim config.StateLimits) *JobCache {
+	jobs, err := lru.New[string, cachedJob](jobsCached)
+	if err != nil {
+		panic(err) // only for a size that is not positive
+	}
+	return &JobCache{jobs: jobs, maxGuards: guardsPerOp * lim.TxnOps}
+}
+
+// guards returns the conditions under which jobs are accepted and neither they nor any
+// that they need is cancelled. It returns false if this node cannot tell.
+func (c *JobCache) guards(ids []string) ([]Guard, bool) {
+	var guards []Guard
+	seen := map[string]bool{}
+	for todo := slices.Clone(ids); len(todo) > 0; {
+		id := todo[len(todo)-1]
+		if todo = todo[:len(todo)-1]; seen[id] {
+			continue
+		}
+		seen[id] = true
+		job, ok := c.jobs.Get(id)
+		if !ok || len(guards) >= c.maxGuards-ownGuards {
+			return nil, false
+		}
+		if job.mark == 0 {
+			continue // done, and with it all that it needed
+		}
+		guards = append(guards, Guard{Key: ActivePrefix + id, Mark: job.mark})
+		todo = append(todo, job.awaits...)
+	}
+	return guards, true
+}
+
+// read takes in a record that was read.
+func (c *JobCache) read(e Entry) {
+	switch {
+	case c == nil || e.Key == CancelKey:
+	case strings.HasPrefix(e.Key, ActivePrefix):
+		id := strings.TrimPrefix(e.Key, ActivePrefix)
+		if e.Mark != 0 {
+			c.add(id, e.Mark, awaitsOf(e))
+		} else {
+			c.jobs.Remove(id) // it is over; its final record tells more
+		}
+	case strings.HasPrefix(e.Key, FinalPrefix):
+		var f FinalRecord
+		if json.Unmarshal(e.Value, &f) == nil && f.Phase == api.JobDone {
+			c.add(strings.TrimPrefix(e.Key, FinalPrefix), 0, nil)
+		}
+	}
+}
+
+// wrote takes in a transaction that was carried out at a revision.
+func (c *JobCache) wrote(txn Txn, ring uint64) {
+	if c == nil {
+		return
+	}
+	for _, op := range txn.Ops {
+		if rec, ok := op.Value.(ActiveRecord); ok {
+			c.add(rec.Spec.ID, ring, rec.Spec.Awaits)
+		}
+	}
+}
+
+func (c *JobCache) add(id string, mark uint64, awaits []string) {
+	if len(awaits) > awaitsCached {
+		return
+	}
+	job := cachedJob{mark: mark}
+	for _, a := range awaits {
+		job.awaits = append(job.awaits, strings.Clone(a))
+	}
+	c.jobs.Add(strings.Clone(id), job)
+}
--- /dev/null
+++ b/internal/store/jobcache_test.go
@@ -0,0 +1,242 @@
+package store_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/config"
+	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/store/storetest"
+)
+
+// counted counts the requests to a state service, and those of them that failed by
+// their conditions.
+type counted struct {
+	*storetest.Fake
+	requests, conflicts int
+}
+
+func (c *counted) Get(ctx context.Context, key string) (store.Entry, error) {
+	c.requests++
+	return c.Fake.Get(ctx, key)
+}
+
+func (c *counted) Txn(ctx context.Context, txn store.Txn) (store.Result, error) {
+	c.requests++
+	res, err := c.Fake.Txn(ctx, txn)
+	if err == nil && !res.OK {
+		c.conflicts++
+	}
+	return res, err
+}
+
+// urval submits a pipeline of six jobs: job-1, then job-2 to job-4, then job-5 and,
+// unless it is left to the test, job-6.
+func urval(t *testing.T, r *store.Records) {
+	t.Helper()
+	for _, s := range []*api.JobSpec{awaiting("job-1"), awaiting("job-2", "job-1"), awaiting("job-3", "job-1"),
+		awaiting("job-4", "job-1"), awaiting("job-5", "job-2", "job-3", "job-4")} {
+		if _, created, err := r.Accept(context.Background(), s, accepted); !created || err != nil {
+			t.Fatal(s.ID, created, err)
+		}
+	}
+}
+
+func awaiting(id string, awaits ...string) *api.JobSpec {
+	s := plainSpec
+	s.ID, s.Awaits = id, awaits
+	return &s
+}
+
+// Submissions of a pipeline's jobs waited for the users' request budget: each read
+// all that it needed, directly or through others, one by one.
+func TestPipelineTakesOneRequestAJob(t *testing.T) {
+	cases := map[string]struct {
+		ops    int
+		atOnce bool
+	}{
+		// The last job has seven conditions, of four for each change allowed.
+		"conditions fit": {2, true},
+		"too many":       {1, false},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			st := &counted{Fake: storetest.New()}
+			r := &store.Records{Store: st, Cache: store.NewJobCache(config.StateLimits{TxnOps: c.ops})}
+			urval(t, r)
+			if _, created, err := r.Accept(context.Background(), awaiting("job-6", "job-5"), accepted); !created || err != nil {
+				t.Fatal(created, err)
+			}
+			if atOnce := st.requests == 6; atOnce != c.atOnce {
+				t.Errorf("%d requests for six jobs", st.requests)
+			}
+		})
+	}
+}
+
+// A job that awaits many is not remembered, so that the cache stays small; it is read.
+func TestJobThatAwaitsManyIsNotRemembered(t *testing.T) {
+	for awaited, remembered := range map[int]bool{32: true, 33: false} {
+		st := &counted{Fake: storetest.New()}
+		r := &store.Records{Store: st, Cache: store.NewJobCache(config.StateLimits{TxnOps: 20})}
+		var ids []string
+		for i := range awaited {
+			ids = append(ids, fmt.Sprint("job-1", i))
+			answer(r, awaiting(ids[i]))
+		}
+		answer(r, awaiting("job-2", ids...))
+		st.requests = 0
+		if got := answer(r, awaiting("job-3", "job-2")); got != "201 pending" {
+			t.Errorf("answer %s", got)
+		}
+		if atOnce := st.requests == 1; atOnce != remembered {
+			t.Errorf("%d awaited: %d requests", awaited, st.requests)
+		}
+	}
+}
+
+// What a node remembers of jobs may be old: the job is accepted or refused as if all
+// had been read.
+func TestRememberedJobsChangeMeanwhile(t *testing.T) {
+	cancel := func(id string) func(*testing.T, *store.Records) {
+		return func(t *testing.T, other *store.Records) {
+			if st, found, err := other.Cancel(context.Background(), id); !found || err != nil || st.Phase != api.JobWithdrawn {
+				t.Fatal(st, found, err)
+			}
+		}
+	}
+	finish := func(ids ...string) func(*testing.T, *store.Records) {
+		return func(t *testing.T, other *store.Records) {
+			for _, id := range ids {
+				txn := store.Txn{Ops: []store.Op{
+					{Put: store.FinalPrefix + id, Value: store.FinalRecord{Phase: api.JobDone, Tasks: 1}},
+					{Delete: store.ActivePrefix + id},
+				}}
+				if res, err := other.Store.Txn(context.Background(), txn); !res.OK || err != nil {
+					t.Fatal(res, err)
+				}
+			}
+		}
+	}
+	accept := func(s *api.JobSpec) func(*testing.T, *store.Records) {
+		return func(t *testing.T, other *store.Records) {
+			if _, created, err := other.Accept(context.Background(), s, accepted); !created || err != nil {
+				t.Fatal(created, err)
+			}
+		}
+	}
+	down := func(t *testing.T, other *store.Records) { other.Store.(*storetest.Fake).SetDown(true) }
+	cases := map[string]struct {
+		meanwhile func(t *testing.T, other *store.Records)
+		spec      *api.JobSpec
+		want      string
+	}{
+		"nothing":                    {nil, awaiting("job-6", "job-5"), "201 pending"},
+		"named one cancelled":        {cancel("job-5"), awaiting("job-6", "job-5"), "201 withdrawn"},
+		"one before it cancelled":    {cancel("job-3"), awaiting("job-6", "job-5"), "201 withdrawn"},
+		"first cancelled":            {cancel("job-1"), awaiting("job-6", "job-5"), "201 withdrawn"},
+		"not what it needs":          {cancel("job-5"), awaiting("job-6", "job-4"), "201 pending"},
+		"first done":                 {finish("job-1"), awaiting("job-6", "job-5"), "201 pending"},
+		"named one done":             {finish("job-1", "job-2"), awaiting("job-6", "job-2"), "201 pending"},
+		"accepted elsewhere already": {accept(awaiting("job-6", "job-5")), awaiting("job-6", "job-5"), "200 pending"},
+		"named one by another node":  {accept(awaiting("job-7", "job-5")), awaiting("job-6", "job-7"), "201 pending"},
+		"never accepted":             {nil, awaiting("job-6", "job-5", "job-9"), "422"},
+		"outage":                     {down, awaiting("job-6", "job-5"), "503"},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				fake := storetest.New()
+				r := &store.Records{Store: fake, Cache: store.NewJobCache(config.StateLimits{TxnOps: 20})}
+				urval(t, r)
+				if c.meanwhile != nil {
+					c.meanwhile(t, &store.Records{Store: fake})
+				}
+				if got := answer(r, c.spec); got != c.want {
+					t.Errorf("answer %s, want %s", got, c.want)
+				}
+				if pending := c.want == "201 pending" || c.want == "200 pending"; fake.Has(store.ActivePrefix+c.spec.ID) != pending {
+					t.Errorf("active on record: %v", !pending)
+				}
+			})
+		})
+	}
+}
+
+// A transaction that fails counts towards the service's limits: what it has shown to
+// be old is not guarded on again.
+func TestOldVersionsAreTriedOnce(t *testing.T) {
+	st := &counted{Fake: storetest.New()}
+	r := &store.Records{Store: st, Cache: store.NewJobCache(config.StateLimits{TxnOps: 20})}
+	urval(t, r)
+	other := store.Records{Store: st.Fake}
+	if _, _, err := other.Cancel(context.Background(), "job-5"); err != nil {
+		t.Fatal(err)
+	}
+	for _, id := range []string{"job-6", "job-7", "job-8"} {
+		if got := answer(r, awaiting(id, "job-5")); got != "201 withdrawn" {
+			t.Errorf("%s: %s", id, got)
+		}
+	}
+	if st.conflicts != 1 {
+		t.Errorf("%d transactions failed", st.conflicts)
+	}
+}
+
+// answer submits a job as a user sees it.
+func answer(r *store.Records, s *api.JobSpec) string {
+	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+	defer cancel()
+	st, created, err := r.Accept(ctx, s, accepted)
+	var never *store.NeverAcceptedError
+	switch {
+	case errors.As(err, &never):
+		return "422"
+	case err != nil:
+		return "503"
+	case !created:
+		return fmt.Sprint("200 ", st.Phase)
+	}
+	return fmt.Sprint("201 ", st.Phase)
+}
+
+// The answer to the one transaction is lost, or it is carried out late, after a job
+// that it guards on was cancelled.
+func TestAcceptedAtOnceWithoutAnAnswer(t *testing.T) {
+	submission := func(txn store.Txn) bool { return len(txn.Ops) > 0 && txn.Ops[0].Put == store.ActivePrefix+"job-6" }
+	t.Run("lost", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			fake := storetest.New()
+			r := &store.Records{Store: fake, Cache: store.NewJobCache(config.StateLimits{TxnOps: 20})}
+			urval(t, r)
+			fake.Lose(submission)
+			if got := answer(r, awaiting("job-6", "job-5")); got != "200 pending" {
+				t.Errorf("answer %s", got)
+			}
+		})
+	})
+	t.Run("late", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			fake := storetest.New()
+			r := &store.Records{Store: fake, Cache: store.NewJobCache(config.StateLimits{TxnOps: 20})}
+			urval(t, r)
+			fake.Hold(submission)
+			if got := answer(r, awaiting("job-6", "job-5")); got != "503" {
+				t.Errorf("answer %s", got)
+			}
+			if _, _, err := r.Cancel(context.Background(), "job-5"); err != nil {
+				t.Fatal(err)
+			}
+			// Held are this one and the repeats of one by one, which guard on less: only
+			// the first is let through.
+			if res := fake.Release(); len(res) == 0 || res[0].OK {
+				t.Errorf("carried out after a job that it awaits was cancelled: %+v", res)
+			}
+		})
+	})
+}
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -118,6 +118,8 @@
 // leads: each change is one guarded transaction.
 type Records struct {
 	Store Service
+	// Cache may be nil.
+	Cache *JobCache
 }
 
 // tryTimeout bounds one request to the service on a user's behalf. What takes two
@@ -128,18 +130,29 @@
 func (r *Records) get(ctx context.Context, key string) (Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
-	return r.Store.Get(ctx, key)
+	e, err := r.Store.Get(ctx, key)
+	if err == nil {
+		r.Cache.read(e)
+	}
+	return e, err
 }
 
 func (r *Records) txn(ctx context.Context, txn Txn) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
-	return r.Store.Txn(ctx, txn)
+	res, err := r.Store.Txn(ctx, txn)
+	if err == nil && res.OK {
+		r.Cache.wrote(txn, res.Ring)
+	}
+	return res, err
 }
 
 // Accept makes a job's record. A job known already keeps its state, which is
 // returned with created false.
 func (r *Records) Accept(ctx context.Context, spec *api.JobSpec, now time.Time) (st api.JobState, created bool, err error) {
+	if r.acceptAtOnce(ctx, spec, now) {
+		return api.JobState{ID: spec.ID, Phase: api.JobPending}, true, nil
+	}
 	err = retry(ctx, func() error {
 		txn := Txn{
 			Guards: []Guard{{ActivePrefix + spec.ID, 0}, {FinalPrefix + spec.ID, 0}},
@@ -188,6 +201,25 @@
 	return st, created, err
 }
 
+// acceptAtOnce accepts a job that awaits others in one transaction if this node has
+// read or written the records of those. Where it fails or its outcome is unknown, all
+// is looked at one by one.
+func (r *Records) acceptAtOnce(ctx context.Context, spec *api.JobSpec, now time.Time) bool {
+	if r.Cache == nil || len(spec.Awaits) == 0 {
+		return false
+	}
+	awaited, ok := r.Cache.guards(spec.Awaits)
+	if !ok {
+		return false
+	}
+	active, final := ActivePrefix+spec.ID, FinalPrefix+spec.ID
+	res, err := r.txn(ctx, Txn{
+		Guards: append([]Guard{{active, 0}, {final, 0}}, awaited...),
+		Ops:    []Op{{Put: active, Value: ActiveRecord{Spec: *spec, Accepted: now.UTC()}}},
+	})
+	return err == nil && res.OK
+}
+
 // Lookup reads a job's record. A job that is active is told as pending, since
 // the record does not hold what runs.
 func (r *Records) Lookup(ctx context.Context, id string) (st api.JobState, found bool, err error) {
