--- a/internal/store/jobcache_test.go
+++ b/internal/store/jobcache_test.go
@@ -168,6 +168,64 @@
 	}
 }
 
+// Questions about a job that waits, while the leader cannot be asked, used up the
+// users' request budget: each read all that the job needs. Now one comparison answers
+// them, unless something has changed.
+func TestQuestionAboutAWaitingJob(t *testing.T) {
+	cases := map[string]struct {
+		change func(*store.Records) error
+		want   string
+		once   bool
+	}{
+		"unchanged": {func(*store.Records) error { return nil }, api.JobPending, true},
+		"cancelled": {func(r *store.Records) error {
+			_, _, err := r.Cancel(context.Background(), "job-5")
+			return err
+		}, api.JobWithdrawn, false},
+		"one that it needs cancelled": {func(r *store.Records) error {
+			_, _, err := r.Cancel(context.Background(), "job-1")
+			return err
+		}, api.JobWithdrawn, false},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			st := &counted{Fake: storetest.New()}
+			r := &store.Records{Store: st, Cache: store.NewJobCache(config.StateLimits{TxnOps: 20})}
+			urval(t, r)
+			if err := c.change(&store.Records{Store: st.Fake}); err != nil {
+				t.Fatal(err)
+			}
+			st.requests = 0
+			got, found, err := r.Lookup(context.Background(), "job-5")
+			if got.Phase != c.want || !found || err != nil {
+				t.Errorf("%+v, %v, %v", got, found, err)
+			}
+			if once := st.requests == 1; once != c.once {
+				t.Errorf("%d requests", st.requests)
+			}
+		})
+	}
+}
+
+// A job that is remembered as done stays so, also for those who ask again.
+func TestRememberedAsDone(t *testing.T) {
+	fake := storetest.New()
+	r := &store.Records{Store: fake, Cache: store.NewJobCache(config.StateLimits{TxnOps: 20})}
+	urval(t, r)
+	txn := store.Txn{Ops: []store.Op{
+		{Put: store.FinalPrefix + "job-1", Value: store.FinalRecord{Phase: api.JobDone, Tasks: 1}},
+		{Delete: store.ActivePrefix + "job-1"},
+	}}
+	if res, err := fake.Txn(context.Background(), txn); !res.OK || err != nil {
+		t.Fatal(res, err)
+	}
+	for range 3 {
+		if st, found, err := r.Lookup(context.Background(), "job-1"); st.Phase != api.JobDone || !found || err != nil {
+			t.Errorf("%+v, %v, %v", st, found, err)
+		}
+	}
+}
+
 // A transaction that fails counts towards the service's limits: what it has shown to
 // be old is not guarded on again.
 func TestOldVersionsAreTriedOnce(t *testing.T) {
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -233,6 +233,9 @@
 // lookup reads the active record before the final one: a job that moves
 // between the two reads is then seen at least once.
 func (r *Records) lookup(ctx context.Context, id string) (api.JobState, bool, error) {
+	if r.stillWaits(ctx, id) {
+		return api.JobState{ID: id, Phase: api.JobPending}, true, nil
+	}
 	e, err := r.get(ctx, ActivePrefix+id)
 	if err != nil {
 		return api.JobState{}, false, err
@@ -251,6 +254,21 @@
 	return api.JobState{ID: id, Phase: api.JobPending}, true, nil
 }
 
+// stillWaits tells whether a job that awaits others is active and nothing that it needs
+// is over: one comparison shows it, if this node has read or written their records.
+// Otherwise it returns false, and all is to be read.
+func (r *Records) stillWaits(ctx context.Context, id string) bool {
+	if r.Cache == nil {
+		return false
+	}
+	guards, ok := r.Cache.guards([]string{id})
+	if !ok || len(guards) < 2 {
+		return false // one read tells as much
+	}
+	res, err := r.txn(ctx, Txn{Guards: guards})
+	return err == nil && res.OK
+}
+
 // mostAwaited is how many awaited jobs are read one by one; more are looked for
 // among all that are active.
 const mostAwaited = 24
