--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -142,6 +142,8 @@
 	// what takes much memory. All may be nil.
 	ends             *lru.Cache[string, FinalRecord]
 	scans, longLists chan struct{}
+	// cache may be nil.
+	cache *jobCache
 }
 
 // endsKept is how many ends are remembered: more than one submission can name.
@@ -154,7 +156,7 @@
 		panic(err) // only for a size that is not positive
 	}
 	return Records{Store: s, Limits: lim, ends: ends,
-		scans: make(chan struct{}, mostScans), longLists: make(chan struct{}, mostLongLists)}
+		scans: make(chan struct{}, mostScans), longLists: make(chan struct{}, mostLongLists), cache: newJobCache(lim)}
 }
 
 // tryTimeout bounds one request to the service on a user's behalf. What takes two
@@ -165,19 +167,30 @@
 func (r *Records) get(ctx context.Context, key string) (Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
-	return r.Store.Get(ctx, key)
+	e, err := r.Store.Get(ctx, key)
+	if err == nil {
+		r.cache.read(e)
+	}
+	return e, err
 }
 
 func (r *Records) txn(ctx context.Context, txn Txn) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
-	return r.Store.Txn(ctx, txn)
+	res, err := r.Store.Txn(ctx, txn)
+	if err == nil && res.OK {
+		r.cache.wrote(txn, res.Ring)
+	}
+	return res, err
 }
 
 // Accept makes a job's record. A job known already keeps its state, which is
 // returned with created false.
 func (r *Records) Accept(ctx context.Context, spec *api.JobSpec, now time.Time) (st api.JobState, created bool, err error) {
 	a := r.newAcceptance(spec, now)
+	if r.acceptAtOnce(ctx, a) {
+		return api.JobState{ID: spec.ID, Phase: api.JobPending}, true, nil
+	}
 	err = retry(ctx, func() error {
 		st, created, err = r.accept(ctx, a)
 		return err
@@ -185,6 +198,25 @@
 	return st, created, err
 }
 
+// acceptAtOnce accepts a job that awaits others in one transaction if this node has
+// read or written the records of those. Where it fails or its outcome is unknown, all
+// is looked at one by one.
+func (r *Records) acceptAtOnce(ctx context.Context, a *acceptance) bool {
+	id := a.spec.ID
+	if r.cache == nil || len(a.spec.Awaits) == 0 || a.list != nil {
+		return false
+	}
+	awaited, ok := r.cache.guards(a.spec.Awaits)
+	if !ok {
+		return false
+	}
+	res, err := r.txn(ctx, Txn{
+		Guards: append([]Guard{{ActivePrefix + id, 0}, {FinalPrefix + id, 0}}, awaited...),
+		Ops:    []Op{{Put: ActivePrefix + id, Value: a.record}},
+	})
+	return err == nil && res.OK
+}
+
 // Lookup reads a job's record. A job that is active is told as pending, since
 // the record does not hold what runs.
 func (r *Records) Lookup(ctx context.Context, id string) (st api.JobState, found bool, err error) {
@@ -198,6 +230,9 @@
 // lookup reads the active record before the final one: a job that moves
 // between the two reads is then seen at least once.
 func (r *Records) lookup(ctx context.Context, id string) (api.JobState, bool, error) {
+	if r.stillWaits(ctx, id) {
+		return api.JobState{ID: id, Phase: api.JobPending}, true, nil
+	}
 	e, err := r.get(ctx, ActivePrefix+id)
 	if err != nil {
 		return api.JobState{}, false, err
@@ -216,6 +251,21 @@
 	return api.JobState{ID: id, Phase: api.JobPending}, true, nil
 }
 
+// stillWaits tells whether a job that awaits others is active and nothing that it needs
+// is over: one comparison shows it, if this node has read or written their records.
+// Otherwise it returns false, and all is to be read.
+func (r *Records) stillWaits(ctx context.Context, id string) bool {
+	if r.cache == nil {
+		return false
+	}
+	guards, ok := r.cache.guards([]string{id})
+	if !ok || len(guards) < 2 {
+		return false // one read tells as much
+	}
+	res, err := r.txn(ctx, Txn{Guards: guards})
+	return err == nil && res.OK
+}
+
 // Final reads a job's final record.
 func (r *Records) Final(ctx context.Context, id string) (api.JobState, bool, error) {
 	end, found, err := r.end(ctx, id)
