--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -79,65 +79,66 @@
 
 func (m reportMsg) apply(c *Controller) {
 	now := time.Now()
-	if now.Sub(m.came) > reportLife {
+	switch {
+	case now.Sub(m.came) > reportLife:
 		m.reply <- reportReply{err: api.ErrUnavailable}
-		return
+	case c.valid():
+		m.reply <- c.answerAsLeader(m, now)
+	case m.passed || c.leadership != nil:
+		m.reply <- reportReply{err: &api.NotLeaderError{}}
+	default:
+		m.reply <- c.answerAsFollower(m, now)
 	}
-	if c.valid() {
-		if node := c.nearer(m, now); node != "" {
-			m.reply <- reportReply{err: &api.NotLeaderError{Leader: node}}
-			return
-		}
-		if !c.leadership.mayRenewLeases(now) && m.rep.Term <= c.leadership.term.Number {
-			m.reply <- reportReply{err: api.ErrUnavailable}
-			return
-		}
-		ans, err := c.leadership.report(m.rep, now)
-		// A report that shows a later term has ended this node's own.
-		if c.leadership != nil {
-			if mc := c.leadership.machines[m.rep.Machine]; mc != nil {
-				mc.passed = m.passed
-			}
+}
+
+// answerAsLeader answers a report while this node may act as leader.
+func (c *Controller) answerAsLeader(m reportMsg, now time.Time) reportReply {
+	if node := c.nearer(m, now); node != "" {
+		return reportReply{err: &api.NotLeaderError{Leader: node}}
+	}
+	if !c.leadership.mayRenewLeases(now) && m.rep.Term <= c.leadership.term.Number {
+		return reportReply{err: api.ErrUnavailable}
+	}
+	ans, err := c.leadership.report(m.rep, now)
+	// A report that shows a later term has ended this node's own.
+	if c.leadership != nil {
+		if mc := c.leadership.machines[m.rep.Machine]; mc != nil {
+			mc.passed = m.passed
 		}
-		m.reply <- reportReply{ans: ans, err: err}
-		return
 	}
+	return reportReply{ans: ans, err: err}
+}
+
+// answerAsFollower passes a report on to the leader, sends its machine there, or
+// answers it in the leader's stead.
+func (c *Controller) answerAsFollower(m reportMsg, now time.Time) reportReply {
 	leader := c.leads(now)
-	if m.passed || c.leadership != nil {
-		m.reply <- reportReply{err: &api.NotLeaderError{}}
-		return
-	}
 	if c.passes(m, leader, now) {
 		if c.peerTable.nodes[leader].reached(now) {
 			c.up.dropOrders(m.rep.Machine)
 		}
-		m.reply <- reportReply{passTo: leader}
-		return
+		return reportReply{passTo: leader}
 	}
 	if n := c.peerTable.nodes[leader]; n.lost() && (m.refused || n.refused) && c.mayBeReached(m.rep.Machine, now) {
 		// Only the connections between the nodes are refused, or the leader
 		// restarts: the machine may well reach it itself. By now that knows,
 		// too, not to send it back here.
 		c.noteSent(m.rep.Machine, now)
-		m.reply <- reportReply{err: &api.NotLeaderError{Leader: leader}}
-		return
+		return reportReply{err: &api.NotLeaderError{Leader: leader}}
 	}
 	if n := c.peerTable.nodes[leader]; m.unreached == "" && n.reached(now) && n.Term > 0 {
 		settled := m.rep.Term == n.Term && now.Sub(n.termAt) > c.Settings.Site.Workers.Lease()
 		if c.cameBack(m.rep.Machine, leader, n.Term, settled, now) {
-			m.reply <- reportReply{passTo: leader}
-			return
+			return reportReply{passTo: leader}
 		}
-		m.reply <- reportReply{err: &api.NotLeaderError{Leader: leader}}
-		return
+		return reportReply{err: &api.NotLeaderError{Leader: leader}}
 	}
 	unreached := m.unreached == leader || !c.peerTable.nodes[leader].reached(now)
 	if ans, ok := c.extendLease(m.rep, leader, unreached, now); ok {
 		c.up.note(c, m.rep, &ans, now)
-		m.reply <- reportReply{ans: ans}
-		return
+		return reportReply{ans: ans}
 	}
-	m.reply <- reportReply{err: &api.NotLeaderError{Leader: leader}}
+	return reportReply{err: &api.NotLeaderError{Leader: leader}}
 }
 
 // Machines of another zone than the leader's report through a node of their
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -39,64 +39,92 @@
 // cause, and a node on the other side may extend the machines' leases: they are
 // given the time in which even that ends.
 func (r *leadership) silences(now time.Time) {
-	w := r.c.Settings.Site.Workers
-	suspect := func(m *machine) bool {
-		if !m.heard {
-			return now.Sub(m.lastSeen) > settleIn // not heard of in this term
-		}
-		return m.unheeded > 0 || now.Sub(m.lastSeen) > w.Report()*5/4+time.Second
-	}
-	all, quiet, fresh := map[string]int{}, map[string]int{}, map[string]int{}
+	zones := r.zoneCounts(now)
 	for _, m := range r.machines {
-		if m.gone || m.returning {
-			continue
-		}
-		all[m.zone]++
-		if suspect(m) {
-			quiet[m.zone]++
-		}
-		if now.Sub(m.lastReport) < freshFor {
-			fresh[m.zone]++
-		}
-	}
-	// How many of a zone's machines should have reported just now.
-	due := min(1, freshFor.Seconds()/w.ReportS)
-	for _, m := range r.machines {
-		if m.gone || m.returning || !suspect(m) {
+		if m.gone || m.returning || !r.suspect(m, now) {
 			continue
 		}
 		r.probe(m, now)
-		cut := quiet[m.zone] >= 3 && quiet[m.zone]*5 > all[m.zone]*3 ||
-			// The first to be missed when all fall silent at once are not
-			// dead: nearly nobody has reported since.
-			m.heard && float64(fresh[m.zone]) < due*float64(all[m.zone])/5 && all[m.zone] >= fewMachines
+		cut := r.likelyCut(m, zones[m.zone])
 		if cut {
 			r.readExtensions(now)
 		}
+		if !r.givenUp(m, cut, now) {
+			continue
+		}
 		why := "silent"
 		if m.unheeded > 0 {
 			why = "deaf"
 		}
-		switch silent := now.Sub(m.lastSeen); {
-		case !m.heard && now.Sub(r.listening) > w.Lease()+2*w.Report():
-			// It holds every earlier job back. A deaf one shows the old token
-			// in report after report and may even answer probes, but its
-			// lease has ended by now. One whose lease another node extends would
-			// have been heard through the store.
-		case now.Before(m.extendedUntil):
-			continue
-		case silent > w.Lease()+2*w.Report() && !cut:
-		case silent > config.Seconds(w.CancelS):
-		case m.probeFails >= deadAfter && !cut:
-		case m.unheeded >= deafAfter && !cut:
-		default:
-			continue
-		}
 		r.leave(m, why)
 		r.provisioner.giveBack(m)
 	}
 }
 
+// suspect tells whether a machine may be dead or deaf.
+func (r *leadership) suspect(m *machine, now time.Time) bool {
+	if !m.heard {
+		return now.Sub(m.lastSeen) > settleIn // not heard of in this term
+	}
+	return m.unheeded > 0 || now.Sub(m.lastSeen) > r.c.Settings.Site.Workers.Report()*5/4+time.Second
+}
+
+// zoneCount counts a zone's machines: all, those that are suspect, and those that
+// have reported just now.
+type zoneCount struct{ all, suspect, fresh int }
+
+func (r *leadership) zoneCounts(now time.Time) map[string]zoneCount {
+	zones := map[string]zoneCount{}
+	for _, m := range r.machines {
+		if m.gone || m.returning {
+			continue
+		}
+		n := zones[m.zone]
+		n.all++
+		if r.suspect(m, now) {
+			n.suspect++
+		}
+		if now.Sub(m.lastReport) < freshFor {
+			n.fresh++
+		}
+		zones[m.zone] = n
+	}
+	return zones
+}
+
+// likelyCut tells whether a suspect machine is more likely cut off, with others of
+// its zone, than dead.
+func (r *leadership) likelyCut(m *machine, zone zoneCount) bool {
+	if zone.suspect >= 3 && zone.suspect*5 > zone.all*3 {
+		return true
+	}
+	// The first to be missed when all fall silent at once are not dead: nearly
+	// nobody has reported since. So many should have reported just now.
+	due := min(1, freshFor.Seconds()/r.c.Settings.Site.Workers.ReportS)
+	return m.heard && float64(zone.fresh) < due*float64(zone.all)/5 && zone.all >= fewMachines
+}
+
+// givenUp tells whether a suspect machine is to be returned.
+func (r *leadership) givenUp(m *machine, cut bool, now time.Time) bool {
+	w := r.c.Settings.Site.Workers
+	switch silent := now.Sub(m.lastSeen); {
+	case !m.heard && now.Sub(r.listening) > w.Lease()+2*w.Report():
+		// It holds every earlier job back. A deaf one shows the old token
+		// in report after report and may even answer probes, but its
+		// lease has ended by now. One whose lease another node extends would
+		// have been heard through the store.
+		return true
+	case now.Before(m.extendedUntil):
+		return false
+	case silent > config.Seconds(w.CancelS):
+		return true
+	case cut:
+		return false
+	default:
+		return silent > w.Lease()+2*w.Report() || m.probeFails >= deadAfter || m.unheeded >= deafAfter
+	}
+}
+
 // probe asks a silent machine, unless it was asked just now.
 func (r *leadership) probe(m *machine, now time.Time) {
 	if now.Before(m.nextProbe) || r.probing >= r.dials {
