--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -237,6 +237,22 @@
 }
 
 func (s *SiteInfo) check() error {
+	for _, check := range []func() error{s.checkTeams, s.checkPositive, s.checkState, s.checkLimits} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	if s.Workers.LeaseS <= s.Workers.ReportS {
+		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v", s.Workers.LeaseS, s.Workers.ReportS)
+	}
+	if s.Cloud.ListLagS < 0 || s.ClockOffMs < 0 {
+		return errors.New("field settings: cloud.list_lag_s and clock_off_ms must not be negative")
+	}
+	return nil
+}
+
+// checkTeams finds the first fault of the teams.
+func (s *SiteInfo) checkTeams() error {
 	if len(s.Teams) == 0 {
 		return errors.New("field settings.teams: no team")
 	}
@@ -254,6 +270,11 @@
 			return fmt.Errorf("%s: the guarantee is above the limit", at)
 		}
 	}
+	return nil
+}
+
+// checkPositive finds the first of the amounts that must be above 0 and is not.
+func (s *SiteInfo) checkPositive() error {
 	for _, p := range []struct {
 		field string
 		v     float64
@@ -266,12 +287,19 @@
 			return fmt.Errorf("field settings.%s: must be above 0, found %v", p.field, p.v)
 		}
 	}
+	return nil
+}
+
+// checkState finds the first fault of the state service's limits, present and next.
+func (s *SiteInfo) checkState() error {
 	if err := s.State.check("settings.state"); err != nil {
 		return err
 	}
-	if err := s.State.checkNext("settings.state.next"); err != nil {
-		return err
-	}
+	return s.State.checkNext("settings.state.next")
+}
+
+// checkLimits finds the first of the machine's limits with which nothing can run.
+func (s *SiteInfo) checkLimits() error {
 	if s.Limits.FDLimit < leastSockets {
 		return fmt.Errorf("field settings.limits.fd_limit: at least %d are needed, found %d", leastSockets, s.Limits.FDLimit)
 	}
@@ -281,12 +309,6 @@
 	if s.Limits.RAMMB < leastRAMMB {
 		return fmt.Errorf("field settings.limits.ram_mb: at least %v are needed to start, found %v", leastRAMMB, s.Limits.RAMMB)
 	}
-	if s.Workers.LeaseS <= s.Workers.ReportS {
-		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v", s.Workers.LeaseS, s.Workers.ReportS)
-	}
-	if s.Cloud.ListLagS < 0 || s.ClockOffMs < 0 {
-		return errors.New("field settings: cloud.list_lag_s and clock_off_ms must not be negative")
-	}
 	return nil
 }
 
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -307,65 +307,82 @@
 
 // stateHandler is the state service's protocol over the scripted one.
 func stateHandler(f *storetest.Fake) http.Handler {
+	s := stateService{f}
 	mux := http.NewServeMux()
-	answer := func(w http.ResponseWriter, status int, body any) {
-		w.WriteHeader(status)
-		json.NewEncoder(w).Encode(body)
-	}
-	mux.HandleFunc("GET /kv/{key...}", func(w http.ResponseWriter, r *http.Request) {
-		e, _ := f.Get(r.Context(), r.PathValue("key"))
-		if e.Mark == 0 {
-			answer(w, 404, map[string]int{"Ring": 1})
-			return
-		}
-		answer(w, 200, e)
-	})
-	mux.HandleFunc("GET /kv", func(w http.ResponseWriter, r *http.Request) {
-		q := r.URL.Query()
-		most, _ := strconv.Atoi(q.Get("Most"))
-		p, _ := f.Range(r.Context(), q.Get("Prefix"), q.Get("From"), max(most, 1))
-		answer(w, 200, p)
-	})
-	mux.HandleFunc("POST /txn", func(w http.ResponseWriter, r *http.Request) {
-		var txn store.Txn
-		if err := json.NewDecoder(r.Body).Decode(&txn); err != nil {
-			answer(w, 400, map[string]string{"error": err.Error()})
-			return
-		}
-		res, err := f.Txn(r.Context(), txn)
-		switch {
-		case err != nil:
-			answer(w, 400, map[string]string{"error": "no such lease"})
-		case res.OK:
-			answer(w, 200, map[string]uint64{"Ring": res.Ring})
-		default:
-			answer(w, 409, map[string]any{"Ring": res.Ring, "failed": res.Failed})
-		}
-	})
-	mux.HandleFunc("POST /leases", func(w http.ResponseWriter, r *http.Request) {
-		var in struct{ LifeMs int64 }
-		json.NewDecoder(r.Body).Decode(&in)
-		id, _ := f.Grant(r.Context(), time.Duration(in.LifeMs)*time.Millisecond)
-		answer(w, 200, map[string]uint64{"Tenure": id})
-	})
-	mux.HandleFunc("POST /leases/{id}/extend", func(w http.ResponseWriter, r *http.Request) {
-		id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
-		if f.Extend(r.Context(), id) != nil {
-			answer(w, 404, map[string]int{})
-			return
-		}
-		answer(w, 200, map[string]int{})
-	})
-	mux.HandleFunc("GET /watch", func(w http.ResponseWriter, r *http.Request) {
-		q := r.URL.Query()
-		from, _ := strconv.ParseUint(q.Get("From"), 10, 64)
-		block, _ := strconv.Atoi(q.Get("BlockMs"))
-		ch, err := f.Watch(r.Context(), q.Get("Prefix"), from, time.Duration(block)*time.Millisecond)
-		if err != nil {
-			answer(w, 503, map[string]string{"error": strings.TrimSpace(err.Error())})
-			return
-		}
-		answer(w, 200, ch)
-	})
+	mux.HandleFunc("GET /kv/{key...}", s.get)
+	mux.HandleFunc("GET /kv", s.list)
+	mux.HandleFunc("POST /txn", s.txn)
+	mux.HandleFunc("POST /leases", s.grant)
+	mux.HandleFunc("POST /leases/{id}/extend", s.extend)
+	mux.HandleFunc("GET /watch", s.watch)
 	return mux
 }
+
+// stateService answers a controller's requests to the state service.
+type stateService struct{ fake *storetest.Fake }
+
+func answer(w http.ResponseWriter, status int, body any) {
+	w.WriteHeader(status)
+	json.NewEncoder(w).Encode(body)
+}
+
+func (s stateService) get(w http.ResponseWriter, r *http.Request) {
+	e, _ := s.fake.Get(r.Context(), r.PathValue("key"))
+	if e.Mark == 0 {
+		answer(w, 404, map[string]int{"Ring": 1})
+		return
+	}
+	answer(w, 200, e)
+}
+
+func (s stateService) list(w http.ResponseWriter, r *http.Request) {
+	q := r.URL.Query()
+	most, _ := strconv.Atoi(q.Get("Most"))
+	p, _ := s.fake.Range(r.Context(), q.Get("Prefix"), q.Get("From"), max(most, 1))
+	answer(w, 200, p)
+}
+
+func (s stateService) txn(w http.ResponseWriter, r *http.Request) {
+	var txn store.Txn
+	if err := json.NewDecoder(r.Body).Decode(&txn); err != nil {
+		answer(w, 400, map[string]string{"error": err.Error()})
+		return
+	}
+	res, err := s.fake.Txn(r.Context(), txn)
+	switch {
+	case err != nil:
+		answer(w, 400, map[string]string{"error": "no such lease"})
+	case res.OK:
+		answer(w, 200, map[string]uint64{"Ring": res.Ring})
+	default:
+		answer(w, 409, map[string]any{"Ring": res.Ring, "failed": res.Failed})
+	}
+}
+
+func (s stateService) grant(w http.ResponseWriter, r *http.Request) {
+	var in struct{ LifeMs int64 }
+	json.NewDecoder(r.Body).Decode(&in)
+	id, _ := s.fake.Grant(r.Context(), time.Duration(in.LifeMs)*time.Millisecond)
+	answer(w, 200, map[string]uint64{"Tenure": id})
+}
+
+func (s stateService) extend(w http.ResponseWriter, r *http.Request) {
+	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
+	if s.fake.Extend(r.Context(), id) != nil {
+		answer(w, 404, map[string]int{})
+		return
+	}
+	answer(w, 200, map[string]int{})
+}
+
+func (s stateService) watch(w http.ResponseWriter, r *http.Request) {
+	q := r.URL.Query()
+	from, _ := strconv.ParseUint(q.Get("From"), 10, 64)
+	block, _ := strconv.Atoi(q.Get("BlockMs"))
+	ch, err := s.fake.Watch(r.Context(), q.Get("Prefix"), from, time.Duration(block)*time.Millisecond)
+	if err != nil {
+		answer(w, 503, map[string]string{"error": strings.TrimSpace(err.Error())})
+		return
+	}
+	answer(w, 200, ch)
+}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -135,35 +135,14 @@
 // each hands over the messages that arrive until the connection fails or take
 // does. What take is given is only its until it returns.
 func each(conn net.Conn, take func(raw []byte) error) error {
-	var pending []byte
-	got := func(p []byte) error {
-		if len(pending) > 0 {
-			pending = append(pending, p...)
-			p = pending
-		}
-		for len(p) >= 4 {
-			n := binary.BigEndian.Uint32(p)
-			if n > maxMessage {
-				return fmt.Errorf("peer: message of %d bytes", n)
-			}
-			if len(p)-4 < int(n) {
-				break
-			}
-			if err := take(p[4 : 4+n]); err != nil {
-				return err
-			}
-			p = p[4+n:]
-		}
-		pending = append([]byte(nil), p...)
-		return nil
-	}
+	f := frames{take: take}
 	buf := make([]byte, 16<<10)
 	quiet, ok := conn.(*netio.Conn)
 	if !ok {
 		for {
 			n, err := conn.Read(buf)
 			if err == nil {
-				err = got(buf[:n])
+				err = f.add(buf[:n])
 			}
 			if err != nil {
 				return err
@@ -177,7 +156,7 @@
 			return netio.Wait
 		}
 		if err == nil {
-			err = got(buf[:n])
+			err = f.add(buf[:n])
 		}
 		if err != nil {
 			failed = err
@@ -190,6 +169,36 @@
 	return errors.Join(err, failed)
 }
 
+// frames takes messages out of what is read from a connection.
+type frames struct {
+	take func(raw []byte) error
+	// pending is the beginning of a message that is not complete.
+	pending []byte
+}
+
+// add takes in what was read, and hands on the messages that are complete.
+func (f *frames) add(p []byte) error {
+	if len(f.pending) > 0 {
+		f.pending = append(f.pending, p...)
+		p = f.pending
+	}
+	for len(p) >= 4 {
+		n := binary.BigEndian.Uint32(p)
+		if n > maxMessage {
+			return fmt.Errorf("peer: message of %d bytes", n)
+		}
+		if len(p)-4 < int(n) {
+			break
+		}
+		if err := f.take(p[4 : 4+n]); err != nil {
+			return err
+		}
+		p = p[4+n:]
+	}
+	f.pending = append([]byte(nil), p...)
+	return nil
+}
+
 // outbox writes messages to a connection. Those that are ready at the same time
 // go out together: while a process lags, many are.
 type outbox struct {
