--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -23,13 +23,11 @@
 // NeverRunsError says why a job can never run.
 type NeverRunsError struct{ Reason string }
 
-// Error implements error.
 func (e *NeverRunsError) Error() string { return "the job can never run: " + e.Reason }
 
 // NotLeaderError names the node that workers should report to, if known.
 type NotLeaderError struct{ Leader string }
 
-// Error implements error.
 func (e *NotLeaderError) Error() string { return "not the leader" }
 
 // Backend is the service behind the handlers.
--- a/internal/ci/doccomments/file.go
+++ b/internal/ci/doccomments/file.go
@@ -22,7 +22,7 @@
 	for _, decl := range file.Decls {
 		switch d := decl.(type) {
 		case *ast.FuncDecl:
-			if d.Name.IsExported() && receiverExported(d) && d.Doc == nil {
+			if d.Name.IsExported() && receiverExported(d) && !isErrorMethod(d) && d.Doc == nil {
 				report(d.Name)
 			}
 		case *ast.GenDecl:
@@ -57,6 +57,17 @@
 	}
 }
 
+// isErrorMethod tells whether a function is the one of the interface error, of which
+// a comment could only say that.
+func isErrorMethod(f *ast.FuncDecl) bool {
+	typ := f.Type
+	if f.Recv == nil || f.Name.Name != "Error" || len(typ.Params.List) > 0 || typ.Results == nil || len(typ.Results.List) != 1 {
+		return false
+	}
+	result, ok := typ.Results.List[0].Type.(*ast.Ident)
+	return ok && result.Name == "string"
+}
+
 // undocumented are the exported names of a declaration for which neither it nor
 // their own line has a comment.
 func undocumented(d *ast.GenDecl) (names []*ast.Ident) {
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"log/slog"
 	"slices"
 	"strconv"
 	"strings"
@@ -149,9 +148,15 @@
 
 // write writes what is new.
 func (u *relayUp) write(c *Controller, now time.Time) {
-	carrying := c.carriesReports(now)
-	u.expireOrders(carrying, now)
-	if c.extender.mark == 0 && !carrying {
+	k := &c.extender
+	leader := c.peerTable.nodes[k.leader]
+	carrying := leader.lost() && k.mark != 0 && now.Sub(k.verified) < c.extensionPeriod()
+	for _, m := range u.machines {
+		if m.orders != nil && (now.Sub(m.since) > relayOrderLife || !carrying) {
+			m.settle(0)
+		}
+	}
+	if k.mark == 0 && !carrying {
 		// The leader is reached again or another leads: what is left to tell
 		// is told under the term that the orders belong to.
 		u.forget(now)
@@ -160,72 +165,35 @@
 		}
 	}
 	u.batch++
+	up := &peer.RelayUp{Incarnation: u.incarnation, Batch: u.batch, Got: u.got}
 	lim := c.Settings.Site.State
 	most := min(relayParts, lim.TxnOps)
 	size := max(relayRoom(lim, most)>>u.halved, 256)
-	up, told := u.collect(c.extender.term, carrying, size*most*relayRaw)
-	parts, err := u.pack(c.Log, up, most, size, now)
-	if err != nil {
-		c.Log.Error("relay", "err", err)
-		return
-	}
-	u.noteCarried(up, told, now)
-	// Where few changes are allowed, relaying must leave room for submissions.
-	if next := now.Add(config.Seconds(float64(len(parts)) / (lim.WriteRPS * store.RecordShare))); next.After(u.next) {
-		u.next = next
-	}
-	u.busy = true
-	go c.sendRelayed(c.relayTxn(parts, carrying))
-}
-
-// carriesReports tells whether this node carries reports to the leader and orders
-// back, since it cannot reach it otherwise.
-func (c *Controller) carriesReports(now time.Time) bool {
-	k := &c.extender
-	leader := c.peerTable.nodes[k.leader]
-	return leader.lost() && k.mark != 0 && now.Sub(k.verified) < c.extensionPeriod()
-}
-
-// expireOrders gives up the orders that may not be handed out any more.
-func (u *relayUp) expireOrders(carrying bool, now time.Time) {
-	for _, m := range u.machines {
-		if m.orders != nil && (now.Sub(m.since) > relayOrderLife || !carrying) {
-			m.settle(0)
-		}
-	}
-}
-
-// collect is the next batch, of about so many bytes of reports, and the machines
-// with the outcomes in it, in their order.
-func (u *relayUp) collect(term uint64, carrying bool, room int) (up *peer.RelayUp, told []*relayed) {
-	up = &peer.RelayUp{Incarnation: u.incarnation, Batch: u.batch, Got: u.got}
+	room := size * most * relayRaw
+	var told []*relayed
 	for _, m := range u.oldestFirst() {
 		if m.outcome != nil {
 			told = append(told, m)
 			up.Outcomes = append(up.Outcomes, m.outcome)
 			up.Term = m.term
 		}
-		if carrying && m.dirty && room > 0 && m.rep.Term == term {
+		if carrying && m.dirty && room > 0 && m.rep.Term == k.term {
 			room -= 100 + 40*len(m.rep.Tasks)
 			up.Reports = append(up.Reports, peer.PackReport(m.rep))
 		}
 	}
 	if carrying {
-		up.Term = term
+		up.Term = k.term
 	}
-	return up, told
-}
-
-// pack makes records of a batch. What does not fit is taken out of it, and comes
-// with a later one: outcomes are told until they are confirmed.
-func (u *relayUp) pack(log *slog.Logger, up *peer.RelayUp, most, size int, now time.Time) ([]relay.Part, error) {
 	parts, err := relay.Pack(up, u.batch, most, size)
 	for errors.Is(err, relay.ErrTooLarge) && len(up.Reports)+len(up.Outcomes) > 0 {
+		// Outcomes are told until they are confirmed: what is left out comes
+		// with a later batch.
 		if len(up.Reports) > 0 {
 			if len(up.Reports) == 1 {
 				// One that fits no batch must not keep the others from theirs.
 				u.machines[up.Reports[0].Machine].sentAt = now
-				log.Warn("report too large to relay", "machine", up.Reports[0].Machine, "tasks", len(up.Reports[0].Tasks))
+				c.Log.Warn("report too large to relay", "machine", up.Reports[0].Machine, "tasks", len(up.Reports[0].Tasks))
 			}
 			up.Reports = up.Reports[:len(up.Reports)/2]
 		} else {
@@ -233,11 +201,10 @@
 		}
 		parts, err = relay.Pack(up, u.batch, most, size)
 	}
-	return parts, err
-}
-
-// noteCarried notes what a packed batch carries.
-func (u *relayUp) noteCarried(up *peer.RelayUp, told []*relayed, now time.Time) {
+	if err != nil {
+		c.Log.Error("relay", "err", err)
+		return
+	}
 	for _, m := range told[:len(up.Outcomes)] {
 		m.toldIn = u.batch
 	}
@@ -245,31 +212,28 @@
 		m := u.machines[rep.Machine]
 		m.dirty, m.sentAt = false, now
 	}
-}
-
-// relayTxn writes the records of a batch. Reports are written only in the term that
-// the store has shown.
-func (c *Controller) relayTxn(parts []relay.Part, carrying bool) store.Txn {
 	txn := store.Txn{Records: true}
 	if carrying {
-		txn.Guards = []store.Guard{{Key: election.TermKey, Mark: c.extender.mark}}
+		txn.Guards = []store.Guard{{Key: election.TermKey, Mark: k.mark}}
 	}
 	prefix := store.RelayPrefix + c.Settings.Node
 	for _, p := range parts {
 		txn.Ops = append(txn.Ops, store.Op{Put: prefix + "/up/" + strconv.Itoa(p.Index), Value: p})
 	}
-	return txn
-}
-
-// sendRelayed carries a batch's transaction out and tells the owner.
-func (c *Controller) sendRelayed(txn store.Txn) {
-	ctx, cancel := context.WithTimeout(context.Background(), relayWait)
-	defer cancel()
-	_, err := c.Store.Txn(ctx, txn)
-	if err != nil {
-		c.Log.Debug("reports not relayed", "err", err)
+	// Where few changes are allowed, relaying must leave room for submissions.
+	if next := now.Add(config.Seconds(float64(len(parts)) / (lim.WriteRPS * store.RecordShare))); next.After(u.next) {
+		u.next = next
 	}
-	c.send(context.Background(), relaySentMsg{errors.Is(err, store.ErrMalformed)})
+	u.busy = true
+	go func() {
+		ctx, cancel := context.WithTimeout(context.Background(), relayWait)
+		defer cancel()
+		_, err := c.Store.Txn(ctx, txn)
+		if err != nil {
+			c.Log.Debug("reports not relayed", "err", err)
+		}
+		c.send(context.Background(), relaySentMsg{errors.Is(err, store.ErrMalformed)})
+	}()
 }
 
 type relaySentMsg struct{ tooLarge bool }
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -229,7 +229,6 @@
 // NeverAcceptedError names a job that another one awaits and nobody has accepted.
 type NeverAcceptedError struct{ ID string }
 
-// Error implements error.
 func (e *NeverAcceptedError) Error() string { return "awaits " + e.ID + ", which was never accepted" }
 
 // Is makes it an errNeverAccepted.
