--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -304,8 +304,13 @@
 	return k
 }
 
+// reporter is a node of any version as workers reach it.
+type reporter interface {
+	Report(ctx context.Context, rep *api.Report) (api.ReportAnswer, error)
+}
+
 // report sends a report and carries the orders out, as a worker does.
-func (k *worker) report(n *node) []api.Order {
+func (k *worker) report(n reporter) []api.Order {
 	orders, err := k.send(n)
 	if err != nil {
 		return nil
@@ -315,7 +320,7 @@
 }
 
 // send sends a report; its orders are lost unless obeyed.
-func (k *worker) send(n *node) ([]api.Order, error) {
+func (k *worker) send(n reporter) ([]api.Order, error) {
 	k.mu.Lock()
 	k.rep.Seq++
 	rep := k.rep
@@ -324,7 +329,7 @@
 	return k.deliver(n, &rep)
 }
 
-func (k *worker) deliver(n *node, rep *api.Report) ([]api.Order, error) {
+func (k *worker) deliver(n reporter, rep *api.Report) ([]api.Order, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
 	ans, err := n.Report(ctx, rep)
@@ -358,7 +363,7 @@
 }
 
 // serve reports once a second for some seconds.
-func (k *worker) serve(n *node, seconds int) {
+func (k *worker) serve(n reporter, seconds int) {
 	for range seconds {
 		k.report(n)
 		time.Sleep(time.Second)
--- /dev/null
+++ b/internal/controller/oldnode_test.go
@@ -0,0 +1,798 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/peer"
+	"example.org/ivytrestle/internal/relay"
+	"example.org/ivytrestle/internal/store"
+)
+
+// The records as the first version that others had to work beside knows them, as
+// far as a scripted node needs them. internal/store/golden_test.go holds all their
+// fields. Whatever else a record holds is passed over, as that version does.
+
+type oldSpec struct {
+	ID    string  `json:"NameId"`
+	Class string  `json:"Jobclass"`
+	Team  string  `json:"Owner"`
+	Shape string  `json:"Shape"`
+	Rank  string  `json:"Precedence"`
+	Tasks int     `json:"Shoots"`
+	CPUs  float64 `json:"Cores"`
+	GPUs  float64 `json:"Cards"`
+	Mem   float64 `json:"MemoryGb"`
+	Image string  `json:"Rootstock"`
+	Pull  float64 `json:"PullGb"`
+	Spot  bool    `json:"Windfall,omitempty"`
+	Takes float64 `json:"ExpectS"`
+}
+
+type oldActive struct {
+	Spec     oldSpec   `json:"spec"`
+	Accepted time.Time `json:"accepted"`
+}
+
+type oldFinal struct {
+	Phase string `json:"phase"`
+	Tasks int    `json:"tasks"`
+}
+
+type oldProgress struct {
+	Done []byte `json:"done"`
+}
+
+type oldSheet struct {
+	Machines []oldMachineRecord `json:"machines"`
+}
+
+type oldMachineRecord struct {
+	Name     string  `json:"name"`
+	Addr     string  `json:"addr"`
+	Type     string  `json:"type"`
+	Zone     string  `json:"zone"`
+	Spot     bool    `json:"spot"`
+	CPUs     float64 `json:"cpus"`
+	GPUs     float64 `json:"gpus"`
+	MemoryGB float64 `json:"memory_gb"`
+}
+
+type oldKeep struct {
+	Term  uint64   `json:"term"`
+	Hosts []string `json:"hosts"`
+}
+
+type oldHolder struct {
+	Node        string `json:"node"`
+	Incarnation string `json:"incarnation"`
+}
+
+type oldTerm struct {
+	Number uint64 `json:"number"`
+}
+
+type oldPart struct {
+	Batch uint64 `json:"batch"`
+	Index int    `json:"index"`
+	Of    int    `json:"of"`
+	Data  []byte `json:"data"`
+}
+
+// oldNode is a scripted node of the version in production: what the others, the
+// store, users and machines see of one. It knows nothing of jobs that await others,
+// and what it does not know it neither heeds nor writes.
+type oldNode struct {
+	w           *world
+	name        string
+	st          *gate
+	links       *links
+	incarnation string
+	began       time.Time
+
+	mu sync.Mutex
+	// cancels is its log of cancellations.
+	cancels []string
+	// storeSince is since when the store has answered; zero: it does not.
+	storeSince time.Time
+	leader     string
+	reign      *oldReign
+	// What it knows of the other nodes' logs.
+	read map[string]CancelPosition
+
+	// As a follower beyond a cut.
+	lost     int
+	verified time.Time
+	term     uint64
+	mark     uint64
+	active   map[string]bool
+	kept     map[string]time.Time
+	relayed  map[string]*api.Report
+	orders   map[string]*peer.RelayOrders
+	outcomes []*peer.RelayOutcome
+	batch    uint64
+	got      uint64
+	// parts is into how many records it packs a batch, if it is not empty.
+	parts int
+}
+
+// startOld starts a scripted node of the version in production.
+func (w *world) startOld(name string, st *gate, l *links) *oldNode {
+	o := &oldNode{w: w, name: name, st: st, links: l, began: time.Now(), incarnation: fmt.Sprint("old", time.Now().UnixNano()),
+		read: map[string]CancelPosition{}, kept: map[string]time.Time{}, relayed: map[string]*api.Report{}, orders: map[string]*peer.RelayOrders{}, parts: 1}
+	ctx, cancel := context.WithCancel(context.Background())
+	w.t.Cleanup(cancel)
+	l.nodes.Store(name, o)
+	go func() {
+		for ctx.Err() == nil && o.running() {
+			o.tick(ctx)
+			pause(ctx, 200*time.Millisecond)
+		}
+	}()
+	return o
+}
+
+// crash ends the process: it neither answers nor writes any more.
+func (o *oldNode) crash() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.links.nodes.CompareAndDelete(o.name, linked(o))
+	o.links, o.reign = nil, nil
+}
+
+func (o *oldNode) running() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.links != nil
+}
+
+func (o *oldNode) leads() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.reign != nil
+}
+
+// others are the nodes that it knows of.
+func (o *oldNode) others() []string {
+	return slices.DeleteFunc([]string{"n0", "n1"}, func(name string) bool { return name == o.name })
+}
+
+// tick is what it does five times a second.
+func (o *oldNode) tick(ctx context.Context) {
+	o.ping(ctx)
+	reign, ch := o.watch(ctx)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	e, err := o.st.Get(ctx, "leader")
+	switch {
+	case o.links == nil:
+		return
+	case err != nil:
+		o.storeSince = time.Time{}
+	case o.storeSince.IsZero():
+		o.storeSince = time.Now()
+	}
+	if err != nil {
+		return
+	}
+	var h oldHolder
+	if e.Mark != 0 && json.Unmarshal(e.Value, &h) != nil {
+		o.w.t.Error("leader key cannot be read")
+	}
+	o.leader = h.Node
+	switch {
+	case e.Mark == 0 || h.Node == o.name && (o.reign == nil || h.Incarnation != o.incarnation):
+		o.takeOver(ctx, e.Mark)
+	case h.Node != o.name:
+		o.reign = nil
+		if o.lost > 2 {
+			o.keep(ctx)
+		}
+	case o.reign == reign:
+		reign.tick(ctx, ch)
+	}
+}
+
+// watch is what has changed of the active jobs for the present reign. The lock must
+// not be held while time passes: others would wait for it outside the fake clock.
+func (o *oldNode) watch(ctx context.Context) (*oldReign, store.Changes) {
+	o.mu.Lock()
+	r := o.reign
+	o.mu.Unlock()
+	if r == nil {
+		return nil, store.Changes{}
+	}
+	wctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
+	defer cancel()
+	ch, err := o.st.Watch(wctx, "a/", r.from, 50*time.Millisecond)
+	if err != nil {
+		return r, store.Changes{}
+	}
+	return r, ch
+}
+
+// ping asks the others what they know of cancellations.
+func (o *oldNode) ping(ctx context.Context) {
+	o.mu.Lock()
+	l := o.links
+	o.mu.Unlock()
+	if l == nil {
+		return
+	}
+	for _, name := range o.others() {
+		pctx, cancel := context.WithTimeout(ctx, 800*time.Millisecond)
+		st, err := l.Ping(pctx, name, o.read[name])
+		cancel()
+		o.mu.Lock()
+		if o.lost++; err == nil {
+			o.lost = 0
+			o.read[name] = CancelPosition{st.Incarnation, st.Cancels.First + uint64(len(st.Cancels.IDs)) - 1}
+			for _, id := range st.Cancels.IDs {
+				o.cancelled(id)
+			}
+		}
+		o.mu.Unlock()
+	}
+}
+
+// cancelled notes a cancellation.
+func (o *oldNode) cancelled(id string) {
+	if !slices.Contains(o.cancels, id) {
+		o.cancels = append(o.cancels, id)
+	}
+	if o.reign == nil {
+		return
+	}
+	if j := o.reign.jobs[id]; j != nil {
+		for key := range j.progress {
+			o.reign.drops = append(o.reign.drops, store.Op{Delete: key})
+		}
+		delete(o.reign.jobs, id)
+	}
+}
+
+// Standing implements linked.
+func (o *oldNode) Standing(_ context.Context, from CancelPosition) (Standing, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	st := Standing{Leader: o.leader, Incarnation: o.incarnation, Known: -1}
+	if !o.storeSince.IsZero() {
+		st.StoreOK = max(time.Since(o.storeSince), time.Millisecond)
+	}
+	if o.reign != nil {
+		st.Term, st.Known = o.reign.term, 0
+	}
+	if from.Incarnation != o.incarnation {
+		from.Number = 0
+	}
+	n := min(from.Number, uint64(len(o.cancels)))
+	st.Cancels = CancelNews{IDs: slices.Clone(o.cancels[n:]), First: n + 1, Whole: time.Since(o.began)}
+	return st, nil
+}
+
+// LeaderResigned implements linked.
+func (o *oldNode) LeaderResigned(ctx context.Context, node string, _ uint64) error {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if e, err := o.st.Get(ctx, "leader"); err == nil && o.links != nil && o.leader == node {
+		o.takeOver(ctx, e.Mark)
+	}
+	return nil
+}
+
+// resign hands the leadership over.
+func (o *oldNode) resign(to string) {
+	o.mu.Lock()
+	r, l := o.reign, o.links
+	o.reign, o.leader = nil, to
+	o.mu.Unlock()
+	if err := l.Resign(context.Background(), to, o.name, r.term); err != nil {
+		o.w.t.Error(err)
+	}
+	time.Sleep(time.Second)
+}
+
+// PeerJob implements linked: it reads the store.
+func (o *oldNode) PeerJob(ctx context.Context, id string) (api.JobState, error) {
+	return o.Job(ctx, id)
+}
+
+// Job is what its users are told of a job. A record under a/ that goes between the
+// two reads is under f/ by then.
+func (o *oldNode) Job(ctx context.Context, id string) (api.JobState, error) {
+	for _, prefix := range []string{"a/", "f/"} {
+		e, err := o.st.Get(ctx, prefix+id)
+		if err != nil {
+			return api.JobState{}, err
+		}
+		var f oldFinal
+		switch {
+		case e.Mark == 0:
+		case prefix == "a/":
+			return api.JobState{ID: id, Phase: "pending"}, nil
+		default:
+			if err := json.Unmarshal(e.Value, &f); err != nil {
+				return api.JobState{}, err
+			}
+			if f.Phase == api.JobWithdrawn {
+				o.mu.Lock()
+				o.cancelled(id)
+				o.mu.Unlock()
+			}
+			return api.JobState{ID: id, Phase: f.Phase}, nil
+		}
+	}
+	return api.JobState{}, api.ErrUnknownJob
+}
+
+// submit accepts a job. It knows no field for awaited jobs.
+func (o *oldNode) submit(s *api.JobSpec) {
+	o.w.t.Helper()
+	rec := oldActive{oldSpec{ID: s.ID, Class: s.Class, Team: s.Team, Shape: s.Shape, Rank: s.Priority, Tasks: s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs,
+		Mem: s.MemoryGB, Image: s.Image, Pull: s.ImageGB, Spot: s.Spot, Takes: s.EstimateS}, time.Now().UTC()}
+	res, err := o.st.Txn(context.Background(), store.Txn{Guards: []store.Guard{{Key: "a/" + s.ID}, {Key: "f/" + s.ID}},
+		Ops: []store.Op{{Put: "a/" + s.ID, Value: rec}}})
+	if err != nil || !res.OK {
+		o.w.t.Fatal("submit", s.ID, res, err)
+	}
+	time.Sleep(200 * time.Millisecond)
+}
+
+// cancel cancels a job by its own transaction, and tells its user the end.
+func (o *oldNode) cancel(id string) string {
+	ctx := context.Background()
+	for {
+		e, err := o.st.Get(ctx, "a/"+id)
+		if err != nil {
+			o.w.t.Fatal("cancel", id, err)
+		}
+		if e.Mark == 0 {
+			st, _ := o.Job(ctx, id)
+			return st.Phase
+		}
+		var rec oldActive
+		if err := json.Unmarshal(e.Value, &rec); err != nil {
+			o.w.t.Fatal(err)
+		}
+		res, err := o.st.Txn(ctx, store.Txn{Guards: []store.Guard{{Key: e.Key, Mark: e.Mark}},
+			Ops: []store.Op{{Put: "a/!cancel", Value: id}, {Put: "f/" + id, Value: oldFinal{"withdrawn", rec.Spec.Tasks}}, {Delete: e.Key}}})
+		if err == nil && res.OK {
+			o.mu.Lock()
+			o.cancelled(id)
+			o.mu.Unlock()
+			return api.JobWithdrawn
+		}
+	}
+}
+
+// oldReign is what it knows as leader of one term.
+type oldReign struct {
+	o                *oldNode
+	term, mark, from uint64
+	lease            uint64
+	jobs             map[string]*oldJob
+	machines         map[string]*oldMachine
+	// sheets are the keys of the roster that it has read, with what is on them.
+	sheets   map[string][]string
+	written  int
+	attempts uint64
+	renewed  time.Time
+	// drops are progress records of jobs that are over.
+	drops []store.Op
+}
+
+type oldJob struct {
+	spec oldSpec
+	mark uint64
+	done map[int]bool
+	// on is where its tasks are.
+	on map[int]string
+	// progress are its progress records.
+	progress map[string]bool
+}
+
+type oldMachine struct {
+	rec          oldMachineRecord
+	session, seq uint64
+	heard        bool
+}
+
+// takeOver takes the leadership: the leader key under a lease and the next term in
+// one transaction. Then it reads what it needs.
+func (o *oldNode) takeOver(ctx context.Context, leaderMark uint64) {
+	e, err := o.st.Get(ctx, "term")
+	var t oldTerm
+	if err != nil || e.Mark != 0 && json.Unmarshal(e.Value, &t) != nil {
+		return
+	}
+	t.Number++
+	lease, err := o.st.Grant(ctx, 30*time.Second)
+	if err != nil {
+		return
+	}
+	res, err := o.st.Txn(ctx, store.Txn{Guards: []store.Guard{{Key: "leader", Mark: leaderMark}, {Key: "term", Mark: e.Mark}},
+		Ops: []store.Op{{Put: "leader", Value: oldHolder{o.name, o.incarnation}, Lease: lease}, {Put: "term", Value: t}}})
+	if err != nil || !res.OK {
+		return
+	}
+	r := &oldReign{o: o, term: t.Number, mark: res.Ring, lease: lease, jobs: map[string]*oldJob{}, machines: map[string]*oldMachine{}, sheets: map[string][]string{}}
+	if r.load(ctx) {
+		o.reign, o.leader = r, o.name
+	}
+}
+
+// load reads active jobs, progress and roster.
+func (r *oldReign) load(ctx context.Context) bool {
+	active, err1 := r.o.st.Range(ctx, "a/", "", 500)
+	progress, err2 := r.o.st.Range(ctx, "p/", "", 500)
+	sheets, err3 := r.o.st.Range(ctx, "m/", "", 500)
+	if errors.Join(err1, err2, err3) != nil {
+		return false
+	}
+	r.from = active.Ring
+	for _, e := range active.Rows {
+		if e.Key != "a/!cancel" { // all else under a/ is taken for a job
+			r.addJob(e.Key, e.Value, e.Mark)
+		}
+	}
+	for _, e := range progress.Rows {
+		r.addProgress(e)
+	}
+	for _, e := range sheets.Rows {
+		var s oldSheet
+		if err := json.Unmarshal(e.Value, &s); err != nil {
+			r.o.w.t.Error(e.Key, err)
+		}
+		for _, m := range s.Machines {
+			r.sheets[e.Key] = append(r.sheets[e.Key], m.Name)
+			r.machines[m.Name] = &oldMachine{rec: m}
+		}
+	}
+	return true
+}
+
+func (r *oldReign) addJob(key string, value []byte, mark uint64) {
+	var rec oldActive
+	if err := json.Unmarshal(value, &rec); err != nil || rec.Spec.Tasks < 1 || "a/"+rec.Spec.ID != key {
+		r.o.w.t.Errorf("the version in production cannot read %s: %s", key, value)
+		return
+	}
+	if r.jobs[rec.Spec.ID] == nil && !slices.Contains(r.o.cancels, rec.Spec.ID) {
+		r.jobs[rec.Spec.ID] = &oldJob{spec: rec.Spec, mark: mark, done: map[int]bool{}, on: map[int]string{}, progress: map[string]bool{}}
+	}
+}
+
+// addProgress takes a progress record in, which may begin at any task and have any
+// length.
+func (r *oldReign) addProgress(e store.Entry) {
+	id, first, _ := strings.Cut(strings.TrimPrefix(e.Key, "p/"), "/")
+	from, err := strconv.Atoi(first)
+	var p oldProgress
+	if err != nil || json.Unmarshal(e.Value, &p) != nil {
+		r.o.w.t.Errorf("the version in production cannot read %s", e.Key)
+		return
+	}
+	j := r.jobs[id]
+	if j == nil {
+		r.drops = append(r.drops, store.Op{Delete: e.Key})
+		return
+	}
+	j.progress[e.Key] = true
+	for i := range 8 * len(p.Done) {
+		if p.Done[i/8]&(1<<(i%8)) != 0 && from+i < j.spec.Tasks {
+			j.done[from+i] = true
+		}
+	}
+}
+
+// tick renews the leadership and follows the active jobs.
+func (r *oldReign) tick(ctx context.Context, ch store.Changes) {
+	if time.Since(r.renewed) > 3*time.Second && r.o.st.Extend(ctx, r.lease) == nil {
+		r.renewed = time.Now()
+	}
+	if len(r.drops) > 0 && r.write(store.Txn{Ops: r.drops}) {
+		r.drops = nil
+	}
+	r.from = max(r.from, ch.Ring)
+	for _, e := range ch.Events {
+		var id string
+		switch {
+		case e.Put == "a/!cancel":
+			if err := json.Unmarshal(e.Value, &id); err != nil {
+				r.o.w.t.Error(err)
+			}
+			r.o.cancelled(id)
+		case e.Put != "":
+			r.addJob(e.Put, e.Value, e.Mark)
+		case r.jobs[strings.TrimPrefix(e.Delete, "a/")] != nil:
+			// It takes it that another leads, and begins a term anew.
+			r.o.w.t.Errorf("%s goes without a cancellation under the old leader of term %d", e.Delete, r.term)
+			r.o.reign = nil
+			return
+		}
+	}
+}
+
+// write writes under its term, or ends its leadership.
+func (r *oldReign) write(txn store.Txn) bool {
+	txn.Guards = append(txn.Guards, store.Guard{Key: "term", Mark: r.mark})
+	res, err := r.o.st.Txn(context.Background(), txn)
+	if err == nil && slices.Contains(res.Failed, "term") {
+		r.o.reign = nil
+	}
+	return err == nil && res.OK
+}
+
+// Report takes a worker's report in.
+func (o *oldNode) Report(ctx context.Context, rep *api.Report) (api.ReportAnswer, error) {
+	o.mu.Lock()
+	r, leader, l := o.reign, o.leader, o.links
+	if l != nil && r == nil {
+		defer o.mu.Unlock()
+		return o.keepAnswer(rep)
+	}
+	o.mu.Unlock()
+	if l == nil {
+		return api.ReportAnswer{}, errors.New("no connection")
+	}
+	if r == nil {
+		return api.ReportAnswer{}, &api.NotLeaderError{Leader: leader}
+	}
+	return o.PassedReport(ctx, rep)
+}
+
+// PassedReport implements linked.
+func (o *oldNode) PassedReport(_ context.Context, rep *api.Report) (api.ReportAnswer, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	r := o.reign
+	if r == nil || rep.Term > r.term {
+		return api.ReportAnswer{}, &api.NotLeaderError{Leader: o.leader}
+	}
+	ans := api.ReportAnswer{Term: r.term, Orders: []api.Order{}}
+	m := r.machines[rep.Machine]
+	if rep.Term < r.term {
+		return ans, nil // so that it learns the term
+	}
+	if m == nil {
+		m = &oldMachine{rec: oldMachineRecord{rep.Machine, rep.Addr, rep.Type, rep.Zone, rep.Spot, 4, 0, 16}}
+		if !r.write(store.Txn{Ops: []store.Op{r.newSheet([]oldMachineRecord{m.rec})}}) {
+			return ans, nil
+		}
+		r.machines[rep.Machine] = m
+	}
+	if rep.Session < m.session || rep.Session == m.session && rep.Seq <= m.seq {
+		return ans, nil
+	}
+	m.session, m.seq, m.heard = rep.Session, rep.Seq, true
+	ans.Orders = r.place(m, rep, r.reconcile(rep))
+	return ans, nil
+}
+
+// newSheet is a sheet of the roster under a name of its own.
+func (r *oldReign) newSheet(machines []oldMachineRecord) store.Op {
+	r.written++
+	key := fmt.Sprintf("m/%d-%d", r.term, r.written)
+	for _, m := range machines {
+		r.sheets[key] = append(r.sheets[key], m.Name)
+	}
+	return store.Op{Put: key, Value: oldSheet{machines}}
+}
+
+// merge writes all machines on one sheet that has room for them under its limits,
+// and drops the others.
+func (r *oldReign) merge() bool {
+	var txn store.Txn
+	for key := range r.sheets {
+		txn.Ops = append(txn.Ops, store.Op{Delete: key})
+	}
+	r.sheets = map[string][]string{}
+	var all []oldMachineRecord
+	for _, name := range slices.Sorted(maps.Keys(r.machines)) {
+		all = append(all, r.machines[name].rec)
+	}
+	txn.Ops = append(txn.Ops, r.newSheet(all))
+	return r.write(txn)
+}
+
+// reconcile takes in what a machine's tasks do.
+func (r *oldReign) reconcile(rep *api.Report) (orders []api.Order) {
+	shown := map[string]bool{}
+	zero := 0.0
+	for _, t := range rep.Tasks {
+		shown[t.Task] = true
+		id, i, _ := splitRef(t.Task)
+		j := r.jobs[id]
+		switch {
+		case j == nil && t.Phase == api.TaskExited:
+			orders = append(orders, api.Order{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
+		case j == nil:
+			orders = append(orders, api.Order{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
+		case t.Phase != api.TaskExited:
+			j.on[i] = rep.Machine
+		case t.Cause != api.CauseDone || r.completed(j, i):
+			delete(j.on, i)
+			orders = append(orders, api.Order{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
+		}
+	}
+	for id, j := range r.jobs {
+		for i, machine := range j.on {
+			if machine == rep.Machine && !shown[fmt.Sprint(id, "/", i)] {
+				delete(j.on, i)
+			}
+		}
+	}
+	return orders
+}
+
+// completed records that a task is done: its result is dropped only then.
+func (r *oldReign) completed(j *oldJob, task int) bool {
+	if j.done[task] {
+		return true
+	}
+	j.done[task] = true
+	guard := []store.Guard{{Key: "a/" + j.spec.ID, Mark: j.mark}}
+	if len(j.done) < j.spec.Tasks {
+		key := "p/" + j.spec.ID + "/0"
+		bits := make([]byte, (j.spec.Tasks+7)/8)
+		for i := range j.done {
+			bits[i/8] |= 1 << (i % 8)
+		}
+		if !r.write(store.Txn{Guards: guard, Ops: []store.Op{{Put: key, Value: oldProgress{bits}}}}) {
+			delete(j.done, task)
+			return false
+		}
+		j.progress[key] = true
+		return true
+	}
+	txn := store.Txn{Guards: guard, Ops: []store.Op{{Put: "f/" + j.spec.ID, Value: oldFinal{"done", j.spec.Tasks}}, {Delete: "a/" + j.spec.ID}}}
+	for key := range j.progress {
+		txn.Ops = append(txn.Ops, store.Op{Delete: key})
+	}
+	if !r.write(txn) {
+		delete(j.done, task)
+		return false
+	}
+	delete(r.jobs, j.spec.ID)
+	return true
+}
+
+// place starts what waits, of any active job, within machine and team. Work of
+// earlier terms waits until all machines on the roster are heard.
+func (r *oldReign) place(m *oldMachine, rep *api.Report, orders []api.Order) []api.Order {
+	free, used := m.rec.CPUs, map[string]float64{}
+	for _, t := range rep.Tasks {
+		if t.Phase != api.TaskExited {
+			free--
+		}
+	}
+	all := true
+	for _, o := range r.machines {
+		all = all && (o.heard || r.o.w.cloud.gone(o.rec.Name))
+	}
+	for _, j := range r.jobs {
+		used[j.spec.Team] += j.spec.CPUs * float64(len(j.on))
+	}
+	jobs := slices.SortedFunc(maps.Values(r.jobs), func(a, b *oldJob) int { return int(a.mark) - int(b.mark) })
+	for _, j := range jobs {
+		most := 0.0
+		for _, t := range r.o.w.teams {
+			if t.Name == j.spec.Team {
+				most = t.CPUsMax
+			}
+		}
+		for i := range j.spec.Tasks {
+			if j.done[i] || j.on[i] != "" || free < j.spec.CPUs || used[j.spec.Team]+j.spec.CPUs > most || !all && j.mark <= r.mark {
+				continue
+			}
+			free -= j.spec.CPUs
+			used[j.spec.Team] += j.spec.CPUs
+			j.on[i] = m.rec.Name
+			r.attempts++
+			orders = append(orders, api.Order{Verb: api.VerbStart, Task: fmt.Sprint(j.spec.ID, "/", i), Attempt: r.term<<32 | r.attempts})
+		}
+	}
+	return orders
+}
+
+// keep is what it does beyond a cut: it reads whether the leader still leads and
+// which jobs are active, writes which machines it keeps alive, all in one record,
+// relays their reports and takes the leader's orders in.
+func (o *oldNode) keep(ctx context.Context) {
+	now := time.Now()
+	e, err1 := o.st.Get(ctx, "term")
+	page, err2 := o.st.Range(ctx, "a/", "", 500)
+	var t oldTerm
+	if errors.Join(err1, err2, json.Unmarshal(e.Value, &t)) != nil {
+		return
+	}
+	o.term, o.mark, o.verified, o.active = t.Number, e.Mark, now, map[string]bool{}
+	for _, row := range page.Rows {
+		o.active[strings.TrimPrefix(row.Key, "a/")] = true
+	}
+	guard := []store.Guard{{Key: "term", Mark: o.mark}}
+	k := oldKeep{Term: o.term}
+	for name, seen := range o.kept {
+		if now.Sub(seen) < 8*time.Second {
+			k.Hosts = append(k.Hosts, name)
+		}
+	}
+	if len(k.Hosts) > 0 {
+		o.st.Txn(ctx, store.Txn{Guards: guard, Ops: []store.Op{{Put: "keep/" + o.name, Value: k}}})
+	}
+	o.takeOrders(ctx)
+	if len(o.relayed)+len(o.outcomes) == 0 {
+		return
+	}
+	o.batch++
+	up := &peer.RelayUp{Term: o.term, Incarnation: o.incarnation, Batch: o.batch, Got: o.got, Outcomes: o.outcomes}
+	for _, rep := range o.relayed {
+		up.Reports = append(up.Reports, peer.PackReport(rep))
+	}
+	parts, err := relay.Pack(up, o.batch, 1, 8<<10)
+	if err != nil {
+		o.w.t.Error(err)
+		return
+	}
+	data, txn := parts[0].Data, store.Txn{Guards: guard}
+	for i := range o.parts {
+		piece := data[len(data)*i/o.parts : len(data)*(i+1)/o.parts]
+		txn.Ops = append(txn.Ops, store.Op{Put: fmt.Sprint("relay/", o.name, "/up/", i), Value: oldPart{o.batch, i, o.parts, piece}})
+	}
+	if _, err := o.st.Txn(ctx, txn); err == nil {
+		clear(o.relayed)
+	}
+}
+
+// takeOrders reads what the leader has written for its machines.
+func (o *oldNode) takeOrders(ctx context.Context) {
+	e, err := o.st.Get(ctx, "relay/"+o.name+"/down")
+	var p relay.Part
+	var down peer.RelayDown
+	if err != nil || e.Mark == 0 || json.Unmarshal(e.Value, &p) != nil {
+		return
+	}
+	if err := relay.Unpack([]relay.Part{p}, &down); err != nil {
+		o.w.t.Error(err)
+	}
+	if down.Incarnation != o.incarnation || down.Batch <= o.got {
+		return
+	}
+	o.got, o.outcomes = down.Batch, nil
+	for _, orders := range down.Orders {
+		o.orders[orders.Machine] = orders
+	}
+}
+
+// keepAnswer answers a report in the leader's stead, for a bounded time. It starts
+// nothing but what the leader has ordered through the store.
+func (o *oldNode) keepAnswer(rep *api.Report) (api.ReportAnswer, error) {
+	if o.lost <= 2 || time.Since(o.verified) > 13*time.Second || rep.Term > o.term {
+		return api.ReportAnswer{}, &api.NotLeaderError{Leader: o.leader}
+	}
+	own := *rep
+	own.Tasks = slices.Clone(rep.Tasks)
+	o.kept[rep.Machine], o.relayed[rep.Machine] = time.Now(), &own
+	ans := api.ReportAnswer{Term: o.term, Orders: []api.Order{}}
+	zero := 0.0
+	for _, t := range rep.Tasks {
+		if id, _, _ := splitRef(t.Task); t.Phase != api.TaskExited && !o.active[id] {
+			ans.Orders = append(ans.Orders, api.Order{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
+		}
+	}
+	if p := o.orders[rep.Machine]; p != nil && p.Session == rep.Session && rep.Seq > p.Base {
+		ans.Orders = append(ans.Orders, peer.UnpackOrders(p.Orders)...)
+		o.outcomes = append(o.outcomes, &peer.RelayOutcome{Machine: rep.Machine, Session: p.Session, Base: p.Base, Handed: rep.Seq})
+		delete(o.orders, rep.Machine)
+	}
+	return ans, nil
+}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -671,13 +671,21 @@
 
 func (l *links) add(name string, n *node) *node { l.nodes.Store(name, n); return n }
 
+// linked is a node as the others reach it.
+type linked interface {
+	PeerJob(ctx context.Context, id string) (api.JobState, error)
+	Standing(ctx context.Context, from CancelPosition) (Standing, error)
+	PassedReport(ctx context.Context, rep *api.Report) (api.ReportAnswer, error)
+	LeaderResigned(ctx context.Context, node string, term uint64) error
+}
+
 // to is the node at the other end, if it can be reached.
-func (l *links) to(name string) (*node, error) {
+func (l *links) to(name string) (linked, error) {
 	n, ok := l.nodes.Load(name)
 	if l.cut.Load() || !ok {
 		return nil, errors.New("cut")
 	}
-	return n.(*node), nil
+	return n.(linked), nil
 }
 
 func (l *links) Job(ctx context.Context, name, id string) (api.JobState, error) {
--- /dev/null
+++ b/internal/controller/versions_test.go
@@ -0,0 +1,308 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/store"
+)
+
+// mixed is a deployment of two nodes, one of the version in production and one of
+// this, and machines that report to whoever answers them.
+type mixed struct {
+	*world
+	l   *links
+	old *oldNode
+	new *node
+	// oldGate and newGate are their ways to the store.
+	oldGate, newGate *gate
+	ks               []*worker
+	// takes is for how many seconds each task runs, ran how long it has, by
+	// machine and attempt.
+	takes int
+	ran   map[string]int
+	// ended are the tasks that have completed.
+	ended map[string]bool
+	// mute is a machine that sends no reports, or nil.
+	mute *worker
+}
+
+// playMixed plays a meeting of two versions on some machines; oldLeads says which
+// of them leads first. The old node is n0.
+func playMixed(t *testing.T, machines int, oldLeads bool, f func(v *mixed)) {
+	t.Helper()
+	play(t, func(w *world) {
+		v := &mixed{world: w, l: &links{}, takes: 5, ran: map[string]int{}, ended: map[string]bool{}, oldGate: &gate{Fake: w.store}, newGate: &gate{Fake: w.store}}
+		if oldLeads {
+			v.beginOld()
+		}
+		v.beginNew()
+		if !oldLeads {
+			v.beginOld()
+		}
+		for i := range machines {
+			v.ks = append(v.ks, w.worker(fmt.Sprint("i-", i+1), "a", false))
+		}
+		time.Sleep(10 * time.Second)
+		w.same("the old one leads", v.old.leads(), oldLeads)
+		f(v)
+		v.old.crash()
+		v.new.crash()
+		time.Sleep(time.Second)
+	})
+}
+
+func (v *mixed) beginOld() {
+	v.old = v.startOld("n0", v.oldGate, v.l)
+	time.Sleep(500 * time.Millisecond)
+}
+
+func (v *mixed) beginNew() { v.new = v.l.add("n1", v.startWith("n1", v.newGate, v.l)) }
+
+// newLeads tells whether the node of this version leads.
+func (v *mixed) newLeads() (leads bool) {
+	v.new.look(func(c *Controller) { leads = c.valid() && c.reign.loaded })
+	return leads
+}
+
+// seconds lets machines report and tasks run. No task is on two machines, none that
+// has completed begins again, and each machine with tasks is on the roster.
+func (v *mixed) seconds(n int) {
+	v.t.Helper()
+	for range n {
+		for _, k := range v.ks {
+			if k != v.mute {
+				k.tryAll(v.old, v.new)
+			}
+			v.advance(k)
+		}
+		v.check()
+		time.Sleep(time.Second)
+	}
+}
+
+// tryAll sends one report, to each node in turn until one answers.
+func (k *worker) tryAll(nodes ...reporter) {
+	for _, n := range nodes {
+		if orders, err := k.send(n); err == nil {
+			k.obey(orders)
+			return
+		}
+	}
+}
+
+// advance lets a machine's tasks run for a second.
+func (v *mixed) advance(k *worker) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	for i := range k.rep.Tasks {
+		t := &k.rep.Tasks[i]
+		key := fmt.Sprint(k.rep.Machine, t.Attempt)
+		if t.Phase == api.TaskExited {
+			continue
+		}
+		if v.ran[key] == 0 && v.ended[t.Task] {
+			v.t.Errorf("%s begins again on %s after it has completed", t.Task, k.rep.Machine)
+		}
+		if v.ran[key]++; v.ran[key] > v.takes {
+			t.Phase, t.Cause = api.TaskExited, api.CauseDone
+			v.ended[t.Task] = true
+		}
+	}
+}
+
+func (v *mixed) check() {
+	v.t.Helper()
+	on, roster := map[string]string{}, v.roster()
+	for _, k := range v.ks {
+		tasks := k.running()
+		if len(tasks) > 0 && !slices.Contains(roster, k.rep.Machine) {
+			v.t.Errorf("%s runs tasks and is on no sheet", k.rep.Machine)
+		}
+		for _, task := range tasks {
+			if on[task] != "" {
+				v.t.Errorf("%s runs on %s and %s", task, on[task], k.rep.Machine)
+			}
+			on[task] = k.rep.Machine
+		}
+	}
+}
+
+// running lists the tasks of a job that are on machines.
+func (v *mixed) running(id string) []string { return runningOf(v.ks, id) }
+
+// phases is what both nodes tell of a job.
+func (v *mixed) phases(id string) (told []string) {
+	v.t.Helper()
+	st, err := v.old.Job(context.Background(), id)
+	if err != nil {
+		st.Phase = err.Error()
+	}
+	return []string{st.Phase, v.phase(v.new, id)}
+}
+
+func (v *mixed) bothTell(id, phase string) {
+	v.t.Helper()
+	v.same(id, v.phases(id), []string{phase, phase})
+}
+
+// handOver passes the leadership from one version to the other, each in its way.
+func (v *mixed) handOver() {
+	v.t.Helper()
+	toNew := v.old.leads()
+	if toNew {
+		v.oldGate.set(true) // it is why it resigns
+		v.old.resign("n1")
+		v.seconds(1)
+		v.oldGate.set(false)
+	} else {
+		v.newGate.set(true)
+		for i := 0; i < 15 && !v.old.leads(); i++ {
+			v.seconds(1)
+		}
+		v.newGate.set(false)
+	}
+	v.seconds(2)
+	v.same("one leads after a change", []bool{v.old.leads(), v.newLeads()}, []bool{!toNew, toNew})
+}
+
+// term is the number of the present term.
+func (v *mixed) term() int {
+	v.t.Helper()
+	e, err := v.store.Get(context.Background(), "term")
+	var term oldTerm
+	if err := errors.Join(err, json.Unmarshal(e.Value, &term)); err != nil {
+		v.t.Fatal(err)
+	}
+	return int(term.Number)
+}
+
+// cancelNew cancels a job at the node of this version.
+func (v *mixed) cancelNew(id string) {
+	v.t.Helper()
+	st, err := v.new.Abort(context.Background(), id)
+	v.same("cancelled "+id, []any{st.Phase, err}, []any{api.JobWithdrawn, nil})
+}
+
+// The leadership goes to and fro between the versions while jobs of either are
+// accepted, run, done and cancelled by either. Each takes over what the other has
+// recorded of jobs, progress and roster.
+func TestLeadershipPassesBetweenVersions(t *testing.T) {
+	for _, oldLeads := range []bool{true, false} {
+		for changes := range 4 {
+			t.Run(fmt.Sprintf("old leads first %v, %d changes", oldLeads, changes), func(t *testing.T) {
+				playMixed(t, 3, oldLeads, func(v *mixed) {
+					v.old.submit(spec("job-1", 14))
+					v.submit(v.new, spec("job-2", 6))
+					v.seconds(4)
+					for i := range changes {
+						v.old.submit(spec(fmt.Sprint("job-3", i), 40))
+						v.submit(v.new, spec(fmt.Sprint("job-4", i), 40))
+						v.mute = v.ks[0] // only the roster tells of its tasks
+						v.handOver()
+						v.seconds(4)
+						v.mute = nil
+						v.old.cancel(fmt.Sprint("job-3", i))
+						v.cancelNew(fmt.Sprint("job-4", i))
+						v.seconds(2 + i)
+						v.same("cancelled ones run", len(v.running(fmt.Sprint("job-3", i)))+len(v.running(fmt.Sprint("job-4", i))), 0)
+					}
+					v.seconds(30)
+					v.bothTell("job-1", "done")
+					v.bothTell("job-2", "done")
+					for i := range changes {
+						v.bothTell(fmt.Sprint("job-3", i), "withdrawn")
+						v.bothTell(fmt.Sprint("job-4", i), "withdrawn")
+					}
+					v.same("terms", v.term(), changes+1) // nobody had to begin anew
+					v.same("progress left", v.keysUnder(store.ProgressPrefix), []string(nil))
+				})
+			})
+		}
+	}
+}
+
+// A process of the version in production ends while it leads. Its lease ends, the
+// new version leads and writes its records; then what the old one sent is carried
+// out late, and the process returns: none of it counts, and it follows.
+func TestOldProcessReturns(t *testing.T) {
+	for _, late := range []struct {
+		name string
+		ops  func(v *mixed) []store.Op
+	}{
+		{"progress", func(*mixed) []store.Op { return []store.Op{{Put: "p/job-1/0", Value: oldProgress{[]byte{1}}}} }},
+		{"end", func(*mixed) []store.Op {
+			return []store.Op{{Put: "f/job-1", Value: oldFinal{"done", 30}}, {Delete: "a/job-1"}}
+		}},
+		{"sheet", func(v *mixed) []store.Op {
+			var ops []store.Op
+			for _, key := range v.keysUnder("m/") {
+				ops = append(ops, store.Op{Delete: key})
+			}
+			return append(ops, store.Op{Put: "m/1-9", Value: oldSheet{}})
+		}},
+		{"leadership", func(v *mixed) []store.Op {
+			return []store.Op{{Put: "leader", Value: oldHolder{"n0", v.old.incarnation}}}
+		}},
+	} {
+		t.Run(late.name, func(t *testing.T) {
+			playMixed(t, 3, true, func(v *mixed) {
+				v.takes = 12
+				v.old.submit(spec("job-1", 30))
+				v.seconds(15)
+				mark := v.old.reign.mark
+				v.old.crash()
+				for i := 0; i < 40 && !v.newLeads(); i++ {
+					v.seconds(1)
+				}
+				v.seconds(8)
+				done := len(v.doneOnRecord("job-1"))
+				v.same("some are done", done > 0, true)
+				res, err := v.store.Txn(context.Background(), store.Txn{Guards: []store.Guard{{Key: "term", Mark: mark}}, Ops: late.ops(v)})
+				v.same("carried out late", []any{res.OK, err}, []any{false, nil})
+				v.beginOld()
+				v.seconds(10)
+				v.same("leads", []bool{v.old.leads(), v.newLeads()}, []bool{false, true})
+				v.same("done are fewer", len(v.doneOnRecord("job-1")) < done && v.store.Has("a/job-1"), false)
+				v.seconds(30)
+				v.bothTell("job-1", "done")
+			})
+		})
+	}
+}
+
+// What a leader of this version has written is carried out late, under an old leader
+// that has written since: none of it counts.
+func TestLateRecordsUnderAnOldLeader(t *testing.T) {
+	for _, prefix := range []string{store.ProgressPrefix, store.FinalPrefix, store.MachinePrefix} {
+		t.Run(prefix, func(t *testing.T) {
+			playMixed(t, 3, false, func(v *mixed) {
+				v.submit(v.new, spec("job-2", 2))
+				v.submit(v.new, spec("job-1", 20))
+				v.seconds(4)
+				v.store.Hold(func(txn store.Txn) bool { return txn.Records && touches(prefix)(txn) })
+				v.ks = append(v.ks, v.worker("i-9", "a", false)) // for the roster
+				v.seconds(8)
+				v.handOver()
+				v.store.Hold(nil)
+				v.seconds(6)
+				results := v.store.Release()
+				v.same("some are late", len(results) > 0, true)
+				for _, res := range results {
+					v.same("carried out late", res.OK, false)
+				}
+				v.seconds(3)
+				v.handOver()
+				v.seconds(40)
+				v.bothTell("job-1", "done")
+				v.bothTell("job-2", "done")
+			})
+		})
+	}
+}
