--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -31,6 +31,10 @@
 	ended map[string]bool
 	// mute is a machine that sends no reports, or nil.
 	mute *worker
+	// awaits are the jobs that others await; early tells what of them began before
+	// these were done on record.
+	awaits map[string][]string
+	early  []string
 }
 
 // playMixed plays a meeting of two versions on some machines; oldLeads says which
@@ -110,6 +114,9 @@
 		if v.ran[key] == 0 && v.ended[t.Task] {
 			v.t.Errorf("%s begins again on %s after it has completed", t.Task, k.rep.Machine)
 		}
+		if v.ran[key] == 0 && !v.mayBegin(t.Task) {
+			v.early = append(v.early, t.Task)
+		}
 		if v.ran[key]++; v.ran[key] > v.takes {
 			t.Phase, t.Cause = api.TaskExited, api.CauseDone
 			v.ended[t.Task] = true
@@ -117,6 +124,12 @@
 	}
 }
 
+// mayBegin tells whether all that a task's job awaits is done on record.
+func (v *mixed) mayBegin(task string) bool {
+	id, _, _ := splitRef(task)
+	return !slices.ContainsFunc(v.awaits[id], func(id string) bool { return !v.store.Has("f/" + id) })
+}
+
 func (v *mixed) check() {
 	v.t.Helper()
 	on, roster := map[string]string{}, v.roster()
@@ -183,6 +196,27 @@
 	return int(term.Number)
 }
 
+// pipeline submits a job and two that await one another after it, at the node of this
+// version.
+func (v *mixed) pipeline() {
+	v.t.Helper()
+	v.awaits = map[string][]string{"job-2": {"job-1"}, "job-3": {"job-2"}}
+	v.submit(v.new, spec("job-1", 2))
+	v.submit(v.new, after("job-2", "blue", 4, "job-1"))
+	v.submit(v.new, after("job-3", "red", 2, "job-2"))
+}
+
+// awaiting is how many jobs the leader's status counts that wait for others.
+func (v *mixed) awaiting() int {
+	v.t.Helper()
+	st, err := v.new.Status(context.Background())
+	s, ok := st.(Status)
+	if err != nil || !ok || s.Leading == nil {
+		v.t.Fatalf("no leader's status: %v, %v", st, err)
+	}
+	return s.Leading.Waits["awaits others"]
+}
+
 // cancelNew cancels a job at the node of this version.
 func (v *mixed) cancelNew(id string) {
 	v.t.Helper()
@@ -306,3 +340,124 @@
 		})
 	}
 }
+
+// An upgrade is reversed while jobs are stored that await others. The version in
+// production knows nothing of that: it starts them too early, and it cancels none
+// with what it needs. That is a limit of going back (docs/operations.md). What is
+// tested is that a leader of this version that follows starts nothing more of them
+// before its time, keeps what runs, and takes all with a cancelled job; and that
+// nothing goes wrong if no job waits any more when the old one leads.
+func TestUpgradeReversed(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		// wait says that operators go back once no job awaits others.
+		wait bool
+		// then is what happens after the new version leads again.
+		then func(v *mixed)
+		want string
+	}{
+		{"no job waits any more", true, func(*mixed) {}, "done"},
+		{"they go on", false, func(*mixed) {}, "done"},
+		{"the first is cancelled", false, func(v *mixed) { v.cancelNew("job-1") }, "withdrawn"},
+		{"the first is cancelled at the old node", false, func(v *mixed) { v.same("cancelled", v.old.cancel("job-1"), "withdrawn") }, "withdrawn"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			playMixed(t, 3, false, func(v *mixed) {
+				v.takes = 25
+				v.pipeline()
+				v.seconds(3)
+				v.same("status counts what awaits others", v.awaiting(), 2)
+				for c.wait && v.awaiting() > 0 {
+					v.seconds(1)
+				}
+				v.handOver()
+				v.seconds(4)
+				early := slices.Clone(v.early)
+				v.same("began too early under the old leader", len(early) > 0, !c.wait)
+				v.handOver()
+				v.seconds(2)
+				if !c.wait {
+					running := v.running("job-2")
+					lost := v.ks[slices.IndexFunc(v.ks, func(k *worker) bool { return len(runningOf([]*worker{k}, "job-2")) > 0 })]
+					lost.exit(api.CauseHalted) // what it ran is to begin again, in its time
+					v.seconds(2)
+					v.same("those that ran elsewhere go on", len(v.running("job-2")) < len(running), true)
+				}
+				c.then(v)
+				v.seconds(4)
+				if c.want == "withdrawn" {
+					v.same("of cancelled jobs", len(v.running("job-1"))+len(v.running("job-2"))+len(v.running("job-3")), 0)
+				}
+				v.seconds(150)
+				v.same("began too early at last", v.early, early)
+				for _, id := range []string{"job-1", "job-2", "job-3"} {
+					v.bothTell(id, c.want)
+				}
+			})
+		})
+	}
+}
+
+// What a leader of this version cancels with a job that it needs goes without a
+// change of the cancel key, by which an old leader tells cancellations from what
+// another leader has done. It never meets one: they are guarded on the term, and the
+// old leader reads the active jobs after its own began. What is left then is
+// cancelled by a node of this version that reads it, with the cancel key, or by the
+// next leader of this version.
+func TestDerivedCancellationsAndAnOldLeader(t *testing.T) {
+	all := []string{"job-1", "job-2", "job-3"}
+	for _, late := range []bool{false, true} {
+		for _, atOld := range []bool{false, true} {
+			t.Run(fmt.Sprintf("late %v, cancelled at the old node %v", late, atOld), func(t *testing.T) {
+				playMixed(t, 3, false, func(v *mixed) {
+					v.takes = 100
+					v.pipeline()
+					v.seconds(4)
+					if late {
+						v.store.Hold(func(txn store.Txn) bool { return txn.Records && touches(store.FinalPrefix)(txn) })
+					}
+					if atOld {
+						v.same("cancelled", v.old.cancel("job-1"), "withdrawn")
+					} else {
+						v.cancelNew("job-1")
+					}
+					v.seconds(3)
+					v.same("job-2 is left", v.store.Has("a/job-2"), late)
+					v.handOver()
+					v.store.Hold(nil)
+					v.seconds(4)
+					for _, res := range v.store.Release() {
+						v.same("carried out late", res.OK, false)
+					}
+					v.seconds(2)
+					if late {
+						// Users are told what the old leader knows.
+						v.bothTell("job-2", "pending")
+						v.bothTell("job-3", "pending")
+						st, err := v.new.Known(context.Background(), "job-2")
+						v.same("read at the new node", []any{st.Phase, err}, []any{"withdrawn", nil})
+						v.seconds(3)
+						v.bothTell("job-2", "withdrawn")
+						v.same("runs of job-2", len(v.running("job-2")), 0)
+						v.same("terms", v.term(), 2)
+						v.new.crash()
+						v.old.crash()
+						v.beginOld()
+						v.beginNew() // they know only what is on record
+						v.seconds(10)
+						v.handOver()
+						v.seconds(3)
+					}
+					for _, id := range all {
+						v.bothTell(id, "withdrawn")
+						v.same("runs of "+id, len(v.running(id)), 0)
+					}
+					if late {
+						return
+					}
+					v.same("terms", v.term(), 2)
+				})
+			})
+		}
+	}
+}
