--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -145,6 +145,9 @@
 func (o *oldNode) crash() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
+	if o.links == nil {
+		return
+	}
 	o.links.nodes.CompareAndDelete(o.name, linked(o))
 	o.links, o.reign = nil, nil
 }
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -215,7 +215,10 @@
 		if a.exited || len(orders) >= maxOrders {
 			continue
 		}
-		if a.job == nil || a.job.over || a.job.live[a.task] != a {
+		// A version that knows nothing of jobs that await others may have started
+		// one too early; one that is to be cancelled is stopped, also while the
+		// store cannot be told so.
+		if a.job == nil || a.job.over || a.job.doomed || a.job.live[a.task] != a {
 			r.stop(a, 0, now)
 		}
 		if a.stop != nil {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -35,6 +35,12 @@
 	// these were done on record.
 	awaits map[string][]string
 	early  []string
+	// heard is when a machine's last answered report was sent; a lease later it
+	// kills its tasks.
+	heard map[string]time.Time
+	// down says that the store is out, enrolled what the roster held last.
+	down     bool
+	enrolled []string
 }
 
 // playMixed plays a meeting of two versions on some machines; oldLeads says which
@@ -42,7 +48,7 @@
 func playMixed(t *testing.T, machines int, oldLeads bool, f func(v *mixed)) {
 	t.Helper()
 	play(t, func(w *world) {
-		v := &mixed{world: w, l: &links{}, takes: 5, ran: map[string]int{}, ended: map[string]bool{}, oldGate: &gate{Fake: w.store}, newGate: &gate{Fake: w.store}}
+		v := &mixed{world: w, l: &links{}, takes: 5, ran: map[string]int{}, heard: map[string]time.Time{}, ended: map[string]bool{}, oldGate: &gate{Fake: w.store}, newGate: &gate{Fake: w.store}}
 		if oldLeads {
 			v.beginOld()
 		}
@@ -81,8 +87,10 @@
 	v.t.Helper()
 	for range n {
 		for _, k := range v.ks {
-			if k != v.mute {
-				k.tryAll(v.old, v.new)
+			if name := k.rep.Machine; k != v.mute && k.tryAll(v.old, v.new) {
+				v.heard[name] = time.Now()
+			} else if time.Since(v.heard[name]) >= gapLease {
+				k.expire()
 			}
 			v.advance(k)
 		}
@@ -92,13 +100,24 @@
 }
 
 // tryAll sends one report, to each node in turn until one answers.
-func (k *worker) tryAll(nodes ...reporter) {
+func (k *worker) tryAll(nodes ...reporter) bool {
 	for _, n := range nodes {
 		if orders, err := k.send(n); err == nil {
 			k.obey(orders)
-			return
+			return true
 		}
 	}
+	return false
+}
+
+// expire is the end of a machine's lease.
+func (k *worker) expire() {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if len(k.rep.Tasks) > 0 {
+		k.rep.Tasks = nil
+		k.rep.Session++
+	}
 }
 
 // advance lets a machine's tasks run for a second.
@@ -132,10 +151,13 @@
 
 func (v *mixed) check() {
 	v.t.Helper()
-	on, roster := map[string]string{}, v.roster()
+	if !v.down {
+		v.enrolled = v.roster()
+	}
+	on := map[string]string{}
 	for _, k := range v.ks {
 		tasks := k.running()
-		if len(tasks) > 0 && !slices.Contains(roster, k.rep.Machine) {
+		if len(tasks) > 0 && !slices.Contains(v.enrolled, k.rep.Machine) {
 			v.t.Errorf("%s runs tasks and is on no sheet", k.rep.Machine)
 		}
 		for _, task := range tasks {
@@ -185,6 +207,12 @@
 	v.same("one leads after a change", []bool{v.old.leads(), v.newLeads()}, []bool{!toNew, toNew})
 }
 
+// outage has the store answer nobody, or all again.
+func (v *mixed) outage(down bool) {
+	v.store.SetDown(down)
+	v.down = down
+}
+
 // term is the number of the present term.
 func (v *mixed) term() int {
 	v.t.Helper()
@@ -461,3 +489,96 @@
 		}
 	}
 }
+
+// Users cancel at a node of one version while the store refuses the leader, which is
+// of the other, and then the store is out for longer than a cancellation may take. A
+// node of the version in production vouches for the cancellations in its log only if
+// the log was whole when the store last answered the leader: one that was started anew
+// vouches for nothing.
+func TestOldNodeVouchesForCancellations(t *testing.T) {
+	elsewhere := func(v *mixed) {
+		other := v.startWith("n9", v.store, nil)
+		_, err := other.Abort(context.Background(), "job-1")
+		v.same("cancelled by a node that ends", err, nil)
+		other.crash()
+	}
+	for _, c := range []struct {
+		name   string
+		cancel func(v *mixed)
+		// kept says that what was not cancelled lives on.
+		kept bool
+	}{
+		{"cancelled at the old node", func(v *mixed) { v.old.cancel("job-1") }, true},
+		{"read by the old node", func(v *mixed) { elsewhere(v); v.same("told", v.phases("job-1")[0], "withdrawn") }, true},
+		{"it ends at once and returns", func(v *mixed) { v.old.cancel("job-1"); v.old.crash(); v.beginOld() }, false},
+		{"it ends for good", func(v *mixed) { v.old.cancel("job-1"); v.old.crash() }, false},
+		{"it cannot be reached", func(v *mixed) { v.l.cut.Store(true); v.old.cancel("job-1") }, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			playMixed(t, 1, false, func(v *mixed) {
+				v.takes = 1000
+				v.submit(v.new, spec("job-1", 2))
+				v.submit(v.new, spec("job-2", 1))
+				v.seconds(4)
+				v.same("running", len(v.ks[0].running()), 3)
+				v.newGate.set(true)
+				c.cancel(v)
+				v.outage(true)
+				v.seconds(30)
+				v.same("of the cancelled job", len(v.running("job-1")), 0)
+				v.same("the other job lives on", len(v.running("job-2")) == 1, c.kept)
+				v.outage(false)
+			})
+		})
+	}
+}
+
+// The log of a node of this version tells an old leader that the store refuses what
+// users have cancelled, in the form in which that reads it.
+func TestOldLeaderHearsOfCancellations(t *testing.T) {
+	playMixed(t, 1, true, func(v *mixed) {
+		v.takes = 1000
+		for i := range 4 {
+			v.submit(v.new, spec(fmt.Sprint("job-", i+1), 1))
+		}
+		v.seconds(4)
+		v.same("running", len(v.ks[0].running()), 4)
+		v.oldGate.set(true)
+		v.cancelNew("job-1")
+		v.seconds(2)
+		v.cancelNew("job-2")
+		v.cancelNew("job-1")
+		v.seconds(2)
+		v.same("go on", v.ks[0].running(), []string{"job-3/0", "job-4/0"})
+		v.same("read so far", v.old.read["n1"].Number, 2)
+		v.new.crash()
+		v.beginNew()
+		v.cancelNew("job-3")
+		v.seconds(2)
+		v.same("go on beside a new process", v.ks[0].running(), []string{"job-4/0"})
+		st, err := v.new.Standing(context.Background(), CancelPosition{})
+		v.same("whole only since it began", []any{st.Cancels.Whole < 5*time.Second, err}, []any{true, nil})
+	})
+}
+
+// A leader of this version that follows an old one may find tasks of a job that began
+// too early. The job that it needs is cancelled, of which the leader hears from the
+// other node only, since the store is out: its tasks end in time all the same.
+func TestBegunTooEarlyAndCancelledInAnOutage(t *testing.T) {
+	playMixed(t, 3, false, func(v *mixed) {
+		v.takes = 1000
+		v.pipeline()
+		v.seconds(3)
+		v.handOver()
+		v.seconds(4)
+		v.handOver()
+		v.seconds(10)
+		v.same("begun too early", len(v.running("job-2"))+len(v.running("job-3")), 6)
+		v.newGate.set(true)
+		v.old.cancel("job-1")
+		v.outage(true)
+		v.seconds(30)
+		v.same("run on", len(v.running("job-1"))+len(v.running("job-2"))+len(v.running("job-3")), 0)
+		v.outage(false)
+	})
+}
