--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -38,6 +38,10 @@
 	// heard is when a machine's last answered report was sent; a lease later it
 	// kills its tasks.
 	heard map[string]time.Time
+	// far is a machine that reaches the follower only, while the zones are apart;
+	// heir is who has taken the old node's place.
+	far  *worker
+	heir *node
 	// down says that the store is out, enrolled what the roster held last.
 	down     bool
 	enrolled []string
@@ -64,6 +68,9 @@
 		f(v)
 		v.old.crash()
 		v.new.crash()
+		if v.heir != nil {
+			v.heir.crash()
+		}
 		time.Sleep(time.Second)
 	})
 }
@@ -87,7 +94,7 @@
 	v.t.Helper()
 	for range n {
 		for _, k := range v.ks {
-			if name := k.rep.Machine; k != v.mute && k.tryAll(v.old, v.new) {
+			if name := k.rep.Machine; k != v.mute && k.tryAll(v.reached(k)...) {
 				v.heard[name] = time.Now()
 			} else if time.Since(v.heard[name]) >= gapLease {
 				k.expire()
@@ -99,6 +106,27 @@
 	}
 }
 
+// reached are the nodes that a machine reaches.
+func (v *mixed) reached(k *worker) []reporter {
+	var first reporter = v.old
+	if v.heir != nil {
+		first = v.heir
+	}
+	switch {
+	case !v.l.cut.Load():
+		return []reporter{first, v.new}
+	case k == v.far:
+		return []reporter{first}
+	}
+	return []reporter{v.new}
+}
+
+// replaceOld ends the old node and starts this version in its place.
+func (v *mixed) replaceOld() {
+	v.old.crash()
+	v.heir = v.l.add("n0", v.startWith("n0", v.oldGate, v.l))
+}
+
 // tryAll sends one report, to each node in turn until one answers.
 func (k *worker) tryAll(nodes ...reporter) bool {
 	for _, n := range nodes {
@@ -582,3 +610,61 @@
 		v.outage(false)
 	})
 }
+
+// zonesApart puts the nodes into zones and lets nothing pass between them; the last
+// machine reaches the follower only.
+func (v *mixed) zonesApart() (far *worker) {
+	v.t.Helper()
+	far = v.ks[len(v.ks)-1]
+	v.l.cut.Store(true)
+	v.far = far
+	return far
+}
+
+// A cut keeps the leader, of this version, from the old node and from a machine that
+// reports to that. The old node keeps it alive, all in one record, and relays its
+// reports in as many records as it needs: the leader does not return the machine, its
+// tasks go on, it is given more, and cancelled ones end. In the cut the node may be
+// started anew, or replaced by the new version, or return as the old one: whoever
+// relays is heard, whatever earlier batches have left beside it.
+func TestOldFollowerBeyondTheCut(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		parts int
+		then  func(v *mixed)
+	}{
+		{"one record", 1, func(*mixed) {}},
+		{"three records", 3, func(*mixed) {}},
+		{"started anew", 1, func(v *mixed) { v.old.crash(); v.beginOld() }},
+		{"started anew after three records", 3, func(v *mixed) { v.old.crash(); v.beginOld() }},
+		{"replaced by the new version after three records", 3, func(v *mixed) { v.replaceOld() }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			playMixed(t, 2, false, func(v *mixed) {
+				v.takes = 1000
+				v.old.parts = c.parts
+				v.submit(v.new, spec("job-1", 6))
+				v.seconds(4)
+				far := v.zonesApart()
+				v.same("on the machine beyond the cut", len(far.running()) > 0, true)
+				before := far.running()
+				v.seconds(20)
+				v.same("goes on", far.running(), before)
+				c.then(v)
+				v.seconds(4)
+				v.submit(v.new, spec("job-2", 2))
+				v.seconds(10)
+				v.same("begun on both sides", len(v.running("job-1"))+len(v.running("job-2")), 8)
+				v.same("machines returned", v.cloud.returned, []string(nil))
+				v.cancelNew("job-1")
+				v.seconds(8)
+				v.same("of the cancelled job", len(v.running("job-1")), 0)
+				v.l.cut.Store(false)
+				v.seconds(5)
+				v.submit(v.new, spec("job-3", 6))
+				v.seconds(8)
+				v.same("after the cut", len(v.running("job-2"))+len(v.running("job-3")), 8)
+			})
+		})
+	}
+}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -8,7 +8,7 @@
 	"errors"
 	"fmt"
 	"io"
-	"sort"
+	"slices"
 
 	"google.golang.org/protobuf/proto"
 )
@@ -55,24 +55,23 @@
 	return out, nil
 }
 
-// Unpack puts a message together from its records. Records of earlier batches
-// may stand beside them.
+// Unpack puts a message together from its records. Records of other batches may stand
+// beside them: each batch is written as a whole, so the first record tells which is
+// the present one. Its number need not be the highest, since a process that is started
+// anew counts from the first again.
 func Unpack(parts []Part, m proto.Message) error {
-	sort.Slice(parts, func(i, j int) bool {
-		return parts[i].Batch > parts[j].Batch || parts[i].Batch == parts[j].Batch && parts[i].Index < parts[j].Index
-	})
+	first := slices.IndexFunc(parts, func(p Part) bool { return p.Index == 0 })
+	if first < 0 {
+		return errors.New("relay: the first record is missing")
+	}
+	batch, of := parts[first].Batch, parts[first].Of
 	var data []byte
-	for i, p := range parts {
-		if i == parts[0].Of {
-			break
-		}
-		if p.Batch != parts[0].Batch || p.Index != i {
-			return fmt.Errorf("relay: record %d of batch %d is missing", i, parts[0].Batch)
+	for i := range of {
+		at := slices.IndexFunc(parts, func(p Part) bool { return p.Batch == batch && p.Index == i })
+		if at < 0 {
+			return fmt.Errorf("relay: record %d of batch %d is missing", i, batch)
 		}
-		data = append(data, p.Data...)
-	}
-	if len(parts) == 0 || len(parts) < parts[0].Of {
-		return errors.New("relay: records are missing")
+		data = append(data, parts[at].Data...)
 	}
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxMessage))
 	if err != nil {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -42,6 +42,12 @@
 	if err := Unpack(mixed, &back); err != nil || !proto.Equal(up, &back) {
 		t.Errorf("not the same: %v", err)
 	}
+	// A process that is started anew counts from the first batch again, beside what an
+	// earlier one has left.
+	left := append([]Part{{Batch: 57, Index: len(parts), Of: len(parts) + 1}}, parts...)
+	if err := Unpack(left, &back); err != nil || !proto.Equal(up, &back) {
+		t.Errorf("beside a higher batch: %v", err)
+	}
 	if err := Unpack(parts[1:], &back); err == nil {
 		t.Error("put together without its first record")
 	}
