--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -121,7 +121,7 @@
 	outcomes []*peer.RelayOutcome
 	batch    uint64
 	got      uint64
-	// parts is into how many records it packs a batch, if it is not empty.
+	// parts is into how many records it packs a batch; 0: it relays nothing.
 	parts int
 }
 
@@ -733,7 +733,7 @@
 		o.st.Txn(ctx, store.Txn{Guards: guard, Ops: []store.Op{{Put: "keep/" + o.name, Value: k}}})
 	}
 	o.takeOrders(ctx)
-	if len(o.relayed)+len(o.outcomes) == 0 {
+	if len(o.relayed)+len(o.outcomes) == 0 || o.parts == 0 {
 		return
 	}
 	o.batch++
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -60,6 +60,8 @@
 	machines    map[string]*relayed
 	// halved is how often a batch was refused as too large.
 	halved int
+	// cleared is set once no record of an earlier process can stand beside a batch.
+	cleared bool
 }
 
 // relayRoom is the size of a record, of so many in a transaction.
@@ -220,28 +222,36 @@
 	for _, p := range parts {
 		txn.Ops = append(txn.Ops, store.Op{Put: prefix + "/up/" + strconv.Itoa(p.Index), Value: p})
 	}
+	if !u.cleared {
+		// A leader of an earlier version takes the highest number for the present
+		// batch. What an earlier process has left would hide this one's from it.
+		for i := len(parts); i < most; i++ {
+			txn.Ops = append(txn.Ops, store.Op{Delete: prefix + "/up/" + strconv.Itoa(i)})
+		}
+	}
 	// Where few changes are allowed, relaying must leave room for submissions.
-	if next := now.Add(config.Seconds(float64(len(parts)) / (lim.WriteRPS * store.RecordShare))); next.After(u.next) {
+	if next := now.Add(config.Seconds(float64(len(txn.Ops)) / (lim.WriteRPS * store.RecordShare))); next.After(u.next) {
 		u.next = next
 	}
 	u.busy = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), relayWait)
 		defer cancel()
-		_, err := c.Store.Txn(ctx, txn)
+		res, err := c.Store.Txn(ctx, txn)
 		if err != nil {
 			c.Log.Debug("reports not relayed", "err", err)
 		}
-		c.send(context.Background(), relaySentMsg{errors.Is(err, store.ErrMalformed)})
+		c.send(context.Background(), relaySentMsg{tooLarge: errors.Is(err, store.ErrMalformed), written: err == nil && res.OK})
 	}()
 }
 
-type relaySentMsg struct{ tooLarge bool }
+type relaySentMsg struct{ tooLarge, written bool }
 
 // The reports of a batch that was refused come again with the next, which is
 // half as large.
 func (m relaySentMsg) apply(c *Controller) {
 	c.up.busy = false
+	c.up.cleared = c.up.cleared || m.written
 	if m.tooLarge {
 		c.Log.Error("reports refused as too large")
 		c.up.halved = min(c.up.halved+1, 8)
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -38,15 +38,16 @@
 	// heard is when a machine's last answered report was sent; a lease later it
 	// kills its tasks.
 	heard map[string]time.Time
-	// far is a machine that reaches the follower only, while the zones are apart;
 	// heir is who has taken the old node's place.
-	far  *worker
 	heir *node
 	// down says that the store is out, enrolled what the roster held last.
 	down     bool
 	enrolled []string
 }
 
+// farZone is the zone of the old node and of machines beyond a cut.
+const farZone = "b"
+
 // playMixed plays a meeting of two versions on some machines; oldLeads says which
 // of them leads first. The old node is n0.
 func playMixed(t *testing.T, machines int, oldLeads bool, f func(v *mixed)) {
@@ -115,7 +116,7 @@
 	switch {
 	case !v.l.cut.Load():
 		return []reporter{first, v.new}
-	case k == v.far:
+	case k.rep.Zone == farZone:
 		return []reporter{first}
 	}
 	return []reporter{v.new}
@@ -215,11 +216,13 @@
 	v.same(id, v.phases(id), []string{phase, phase})
 }
 
-// handOver passes the leadership from one version to the other, each in its way.
+// handOver passes the leadership from one version to the other, each in its way. One
+// machine is not heard for the next seconds: only the roster tells of it.
 func (v *mixed) handOver() {
 	v.t.Helper()
 	toNew := v.old.leads()
 	if toNew {
+		v.mute = v.ks[0]
 		v.oldGate.set(true) // it is why it resigns
 		v.old.resign("n1")
 		v.seconds(1)
@@ -231,7 +234,9 @@
 		}
 		v.newGate.set(false)
 	}
-	v.seconds(2)
+	v.mute = v.ks[0]
+	v.seconds(4)
+	v.mute = nil
 	v.same("one leads after a change", []bool{v.old.leads(), v.newLeads()}, []bool{!toNew, toNew})
 }
 
@@ -294,10 +299,8 @@
 					for i := range changes {
 						v.old.submit(spec(fmt.Sprint("job-3", i), 40))
 						v.submit(v.new, spec(fmt.Sprint("job-4", i), 40))
-						v.mute = v.ks[0] // only the roster tells of its tasks
 						v.handOver()
 						v.seconds(4)
-						v.mute = nil
 						v.old.cancel(fmt.Sprint("job-3", i))
 						v.cancelNew(fmt.Sprint("job-4", i))
 						v.seconds(2 + i)
@@ -611,20 +614,51 @@
 	})
 }
 
-// zonesApart puts the nodes into zones and lets nothing pass between them; the last
-// machine reaches the follower only.
-func (v *mixed) zonesApart() (far *worker) {
-	v.t.Helper()
-	far = v.ks[len(v.ks)-1]
+// zonesApart lets nothing pass between the nodes, nor between the leader's and the
+// machines of the other zone.
+func (v *mixed) zonesApart() {
 	v.l.cut.Store(true)
-	v.far = far
-	return far
+	for _, k := range v.ks {
+		if k.rep.Zone == farZone {
+			v.dead.Store(k.rep.Machine, true)
+		}
+	}
+}
+
+func (v *mixed) zonesJoin() {
+	v.l.cut.Store(false)
+	v.dead.Clear()
 }
 
-// A cut keeps the leader, of this version, from the old node and from a machine that
-// reports to that. The old node keeps it alive, all in one record, and relays its
-// reports in as many records as it needs: the leader does not return the machine, its
-// tasks go on, it is given more, and cancelled ones end. In the cut the node may be
+// readableByOldLeader checks that what this version relays is read by a leader of the
+// version in production, which takes the batch with the highest number.
+func (v *mixed) readableByOldLeader(name string) {
+	v.t.Helper()
+	if v.heir == nil {
+		return // it was the old node that wrote
+	}
+	page, err := v.store.Range(context.Background(), "relay/"+name+"/up/", "", 6)
+	var parts []oldPart
+	for _, e := range page.Rows {
+		var p oldPart
+		err = errors.Join(err, json.Unmarshal(e.Value, &p))
+		parts = append(parts, p)
+	}
+	if err != nil || len(parts) == 0 {
+		v.t.Fatal("nothing relayed", err)
+	}
+	highest := slices.MaxFunc(parts, func(a, b oldPart) int { return int(a.Batch) - int(b.Batch) })
+	for i := range highest.Of {
+		if i >= len(parts) || parts[i].Batch != highest.Batch || parts[i].Index != i {
+			v.t.Errorf("record %d of batch %d is missing: %+v", i, highest.Batch, parts)
+		}
+	}
+}
+
+// A cut keeps the leader, of this version, from the old node and from machines that
+// report to that. The old node keeps them alive, all in one record, and relays their
+// reports in as many records as it needs: the leader does not return them, their tasks
+// go on, they are given more, and cancelled ones end. In the cut the node may be
 // started anew, or replaced by the new version, or return as the old one: whoever
 // relays is heard, whatever earlier batches have left beside it.
 func TestOldFollowerBeyondTheCut(t *testing.T) {
@@ -632,38 +666,50 @@
 		name  string
 		parts int
 		then  func(v *mixed)
+		// begun is how many of three tasks begin there then.
+		begun int
 	}{
-		{"one record", 1, func(*mixed) {}},
-		{"three records", 3, func(*mixed) {}},
-		{"started anew", 1, func(v *mixed) { v.old.crash(); v.beginOld() }},
-		{"started anew after three records", 3, func(v *mixed) { v.old.crash(); v.beginOld() }},
-		{"replaced by the new version after three records", 3, func(v *mixed) { v.replaceOld() }},
+		{"one record", 1, func(*mixed) {}, 3},
+		{"three records", 3, func(*mixed) {}, 3},
+		{"nothing relayed", 0, func(*mixed) {}, 0},
+		{"started anew", 1, func(v *mixed) { v.old.crash(); v.beginOld() }, 3},
+		{"started anew after three records", 3, func(v *mixed) { v.old.crash(); v.beginOld() }, 3},
+		{"replaced by the new version after three records", 3, func(v *mixed) { v.replaceOld() }, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			playMixed(t, 2, false, func(v *mixed) {
+			playMixed(t, 1, false, func(v *mixed) {
 				v.takes = 1000
 				v.old.parts = c.parts
-				v.submit(v.new, spec("job-1", 6))
-				v.seconds(4)
-				far := v.zonesApart()
-				v.same("on the machine beyond the cut", len(far.running()) > 0, true)
-				before := far.running()
+				for i := range 3 {
+					v.ks = append(v.ks, v.worker(fmt.Sprint("i-2", i), farZone, false))
+				}
+				there := func(id string, tasks int) {
+					s := spec(id, tasks)
+					s.Zone = farZone
+					v.submit(v.new, s)
+				}
+				v.submit(v.new, spec("job-1", 2))
+				there("job-2", 6)
+				v.seconds(5)
+				v.same("begun", len(v.running("job-1"))+len(v.running("job-2")), 8)
+				v.zonesApart()
 				v.seconds(20)
-				v.same("goes on", far.running(), before)
+				v.same("go on", len(v.running("job-1"))+len(v.running("job-2")), 8)
 				c.then(v)
 				v.seconds(4)
-				v.submit(v.new, spec("job-2", 2))
+				there("job-3", 3)
 				v.seconds(10)
-				v.same("begun on both sides", len(v.running("job-1"))+len(v.running("job-2")), 8)
+				v.same("begun beyond the cut", len(v.running("job-3")), c.begun)
 				v.same("machines returned", v.cloud.returned, []string(nil))
-				v.cancelNew("job-1")
+				v.readableByOldLeader("n0")
+				v.cancelNew("job-2")
 				v.seconds(8)
-				v.same("of the cancelled job", len(v.running("job-1")), 0)
-				v.l.cut.Store(false)
+				v.same("of the cancelled job", len(v.running("job-2")), 0)
+				v.zonesJoin()
 				v.seconds(5)
-				v.submit(v.new, spec("job-3", 6))
+				there("job-4", 4)
 				v.seconds(8)
-				v.same("after the cut", len(v.running("job-2"))+len(v.running("job-3")), 8)
+				v.same("after the cut", len(v.running("job-3"))+len(v.running("job-4")), 7)
 			})
 		})
 	}
