--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -669,13 +669,16 @@
 	return true
 }
 
+// mostOrders bounds the orders of one answer.
+const mostOrders = 200
+
 // place starts what waits, of any active job, within machine and team. Work of
 // earlier terms waits until all machines on the roster are heard.
 func (r *oldReign) place(m *oldMachine, rep *api.Report, orders []api.Order) []api.Order {
 	free, used := m.rec.CPUs, map[string]float64{}
 	for _, t := range rep.Tasks {
-		if t.Phase != api.TaskExited {
-			free--
+		if id, _, _ := splitRef(t.Task); t.Phase != api.TaskExited && r.jobs[id] != nil {
+			free -= r.jobs[id].spec.CPUs
 		}
 	}
 	all := true
@@ -694,6 +697,9 @@
 			}
 		}
 		for i := range j.spec.Tasks {
+			if len(orders) >= mostOrders {
+				return orders
+			}
 			if j.done[i] || j.on[i] != "" || free < j.spec.CPUs || used[j.spec.Team]+j.spec.CPUs > most || !all && j.mark <= r.mark {
 				continue
 			}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -51,8 +51,15 @@
 // playMixed plays a meeting of two versions on some machines; oldLeads says which
 // of them leads first. The old node is n0.
 func playMixed(t *testing.T, machines int, oldLeads bool, f func(v *mixed)) {
+	t.Helper()
+	playMixedIn(t, func(*world) {}, machines, oldLeads, f)
+}
+
+// playMixedIn is playMixed in a world that is prepared first.
+func playMixedIn(t *testing.T, prepare func(w *world), machines int, oldLeads bool, f func(v *mixed)) {
 	t.Helper()
 	play(t, func(w *world) {
+		prepare(w)
 		v := &mixed{world: w, l: &links{}, takes: 5, ran: map[string]int{}, heard: map[string]time.Time{}, ended: map[string]bool{}, oldGate: &gate{Fake: w.store}, newGate: &gate{Fake: w.store}}
 		if oldLeads {
 			v.beginOld()
@@ -714,3 +721,79 @@
 		})
 	}
 }
+
+// largest is the size of the largest value under a prefix.
+func (v *mixed) largest(prefix string) (size int) {
+	v.t.Helper()
+	page, err := v.store.Range(context.Background(), prefix, "", 1000)
+	if err != nil {
+		v.t.Fatal(err)
+	}
+	for _, e := range page.Rows {
+		size = max(size, len(e.Value))
+	}
+	return size
+}
+
+// The state service is to have smaller limits, to which this version keeps from the
+// start. The one in production reads what this has split, and writes it again in large
+// values as long as the service takes them; this one splits them again, also once the
+// limits have fallen. Nothing of it is lost: what is on record as done stays so, and
+// each machine with tasks is on the roster.
+func TestLimitsToComeBetweenVersions(t *testing.T) {
+	const tasks, machines = 9000, 12
+	next := limits{ops: 6, valueKB: 1, writes: 25}
+	for _, oldLeads := range []bool{false, true} {
+		t.Run(fmt.Sprintf("old leads first %v", oldLeads), func(t *testing.T) {
+			prepare := func(w *world) {
+				w.state = next.settings()
+				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 100
+				w.store.SetLimits(16<<10, 20)
+			}
+			playMixedIn(t, prepare, machines, oldLeads, func(v *mixed) {
+				s := spec("job-1", tasks)
+				s.CPUs, s.MemoryGB = 0.04, 0.04
+				v.submit(v.new, s)
+				v.takes = 8
+				done := 0
+				more := func(seconds int) {
+					for range seconds {
+						v.seconds(1)
+						if now := len(v.doneOnRecord("job-1")); now >= done {
+							done = now
+						} else if v.store.Has("a/job-1") {
+							v.t.Fatalf("%d tasks are done on record, and %d were", now, done)
+						}
+					}
+				}
+				more(12)
+				for i := 0; i < 3 || v.old.leads(); i++ {
+					if v.old.leads() {
+						v.old.mu.Lock()
+						v.same("one sheet", v.old.reign.merge(), true)
+						v.same("knows all machines", len(v.old.reign.machines), machines)
+						v.same("knows all that is done", len(v.old.reign.jobs["job-1"].done) >= done, true)
+						v.old.mu.Unlock()
+						more(4)
+						v.same("too large to come", v.largest(store.MachinePrefix) > 1024 && v.largest(store.ProgressPrefix) > 1024, true)
+					}
+					v.same("on the roster", len(v.roster()), machines)
+					v.handOver()
+					more(2)
+				}
+				v.enforce(next)
+				v.same("goes on", v.store.Has("a/job-1"), true)
+				v.dead.Store(v.ks[0].rep.Machine, true)
+				v.ks = v.ks[1:]
+				for i := 0; i < 150 && v.store.Has("a/job-1"); i++ {
+					more(1)
+				}
+				v.bothTell("job-1", "done")
+				v.seconds(20)
+				v.same("on the roster at last", len(v.roster()), machines-1)
+				v.same("still too large", v.largest(store.MachinePrefix) > 1024, false)
+				v.neverTooLarge()
+			})
+		})
+	}
+}
