--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -158,6 +158,13 @@
 	return o.links != nil
 }
 
+// look lets a test look at what it holds.
+func (o *oldNode) look(f func(o *oldNode)) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	f(o)
+}
+
 func (o *oldNode) leads() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -209,14 +216,17 @@
 // not be held while time passes: others would wait for it outside the fake clock.
 func (o *oldNode) watch(ctx context.Context) (*oldReign, store.Changes) {
 	o.mu.Lock()
-	r := o.reign
+	r, from := o.reign, uint64(0)
+	if r != nil {
+		from = r.from
+	}
 	o.mu.Unlock()
 	if r == nil {
 		return nil, store.Changes{}
 	}
 	wctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
-	ch, err := o.st.Watch(wctx, "a/", r.from, 50*time.Millisecond)
+	ch, err := o.st.Watch(wctx, "a/", from, 50*time.Millisecond)
 	if err != nil {
 		return r, store.Changes{}
 	}
@@ -233,7 +243,10 @@
 	}
 	for _, name := range o.others() {
 		pctx, cancel := context.WithTimeout(ctx, 800*time.Millisecond)
-		st, err := l.Ping(pctx, name, o.read[name])
+		o.mu.Lock()
+		from := o.read[name]
+		o.mu.Unlock()
+		st, err := l.Ping(pctx, name, from)
 		cancel()
 		o.mu.Lock()
 		if o.lost++; err == nil {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -357,7 +357,8 @@
 				v.takes = 12
 				v.old.submit(spec("job-1", 30))
 				v.seconds(15)
-				mark := v.old.reign.mark
+				var mark uint64
+				v.old.look(func(o *oldNode) { mark = o.reign.mark })
 				v.old.crash()
 				for i := 0; i < 40 && !v.newLeads(); i++ {
 					v.seconds(1)
@@ -589,7 +590,7 @@
 		v.cancelNew("job-1")
 		v.seconds(2)
 		v.same("go on", v.ks[0].running(), []string{"job-3/0", "job-4/0"})
-		v.same("read so far", v.old.read["n1"].Number, 2)
+		v.old.look(func(o *oldNode) { v.same("read so far", o.read["n1"].Number, 2) })
 		v.new.crash()
 		v.beginNew()
 		v.cancelNew("job-3")
@@ -684,7 +685,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			playMixed(t, 1, false, func(v *mixed) {
 				v.takes = 1000
-				v.old.parts = c.parts
+				v.old.look(func(o *oldNode) { o.parts = c.parts })
 				for i := range 3 {
 					v.ks = append(v.ks, v.worker(fmt.Sprint("i-2", i), farZone, false))
 				}
@@ -769,11 +770,11 @@
 				more(12)
 				for i := 0; i < 3 || v.old.leads(); i++ {
 					if v.old.leads() {
-						v.old.mu.Lock()
-						v.same("one sheet", v.old.reign.merge(), true)
-						v.same("knows all machines", len(v.old.reign.machines), machines)
-						v.same("knows all that is done", len(v.old.reign.jobs["job-1"].done) >= done, true)
-						v.old.mu.Unlock()
+						v.old.look(func(o *oldNode) {
+							v.same("one sheet", o.reign.merge(), true)
+							v.same("knows all machines", len(o.reign.machines), machines)
+							v.same("knows all that is done", len(o.reign.jobs["job-1"].done) >= done, true)
+						})
 						more(4)
 						v.same("too large to come", v.largest(store.MachinePrefix) > 1024 && v.largest(store.ProgressPrefix) > 1024, true)
 					}
