--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -52,7 +52,7 @@
 	Done []byte `json:"done"`
 }
 
-type oldSheet struct {
+type oldShard struct {
 	Machines []oldMachineRecord `json:"machines"`
 }
 
@@ -67,7 +67,7 @@
 	MemoryGB float64 `json:"memory_gb"`
 }
 
-type oldKeep struct {
+type oldLeaseExtension struct {
 	Term  uint64   `json:"term"`
 	Hosts []string `json:"hosts"`
 }
@@ -92,7 +92,7 @@
 // store, users and machines see of one. It knows nothing of jobs that await others,
 // and what it does not know it neither heeds nor writes.
 type oldNode struct {
-	w           *world
+	w           *cluster
 	name        string
 	st          *gate
 	links       *links
@@ -105,7 +105,7 @@
 	// storeSince is since when the store has answered; zero: it does not.
 	storeSince time.Time
 	leader     string
-	reign      *oldReign
+	leadership *oldLeadership
 	// What it knows of the other nodes' logs.
 	read map[string]CancelPosition
 
@@ -126,7 +126,7 @@
 }
 
 // startOld starts a scripted node of the version in production.
-func (w *world) startOld(name string, st *gate, l *links) *oldNode {
+func (w *cluster) startOld(name string, st *gate, l *links) *oldNode {
 	o := &oldNode{w: w, name: name, st: st, links: l, began: time.Now(), incarnation: fmt.Sprint("old", time.Now().UnixNano()),
 		read: map[string]CancelPosition{}, kept: map[string]time.Time{}, relayed: map[string]*api.Report{}, orders: map[string]*peer.RelayOrders{}, parts: 1}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -149,7 +149,7 @@
 		return
 	}
 	o.links.nodes.CompareAndDelete(o.name, linked(o))
-	o.links, o.reign = nil, nil
+	o.links, o.leadership = nil, nil
 }
 
 func (o *oldNode) running() bool {
@@ -168,7 +168,7 @@
 func (o *oldNode) leads() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.reign != nil
+	return o.leadership != nil
 }
 
 // others are the nodes that it knows of.
@@ -179,7 +179,7 @@
 // tick is what it does five times a second.
 func (o *oldNode) tick(ctx context.Context) {
 	o.ping(ctx)
-	reign, ch := o.watch(ctx)
+	leadership, ch := o.watch(ctx)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e, err := o.st.Get(ctx, "leader")
@@ -200,23 +200,23 @@
 	}
 	o.leader = h.Node
 	switch {
-	case e.Mark == 0 || h.Node == o.name && (o.reign == nil || h.Incarnation != o.incarnation):
+	case e.Mark == 0 || h.Node == o.name && (o.leadership == nil || h.Incarnation != o.incarnation):
 		o.takeOver(ctx, e.Mark)
 	case h.Node != o.name:
-		o.reign = nil
+		o.leadership = nil
 		if o.lost > 2 {
 			o.keep(ctx)
 		}
-	case o.reign == reign:
-		reign.tick(ctx, ch)
+	case o.leadership == leadership:
+		leadership.tick(ctx, ch)
 	}
 }
 
-// watch is what has changed of the active jobs for the present reign. The lock must
+// watch is what has changed of the active jobs for the present leadership. The lock must
 // not be held while time passes: others would wait for it outside the fake clock.
-func (o *oldNode) watch(ctx context.Context) (*oldReign, store.Changes) {
+func (o *oldNode) watch(ctx context.Context) (*oldLeadership, store.Changes) {
 	o.mu.Lock()
-	r, from := o.reign, uint64(0)
+	r, from := o.leadership, uint64(0)
 	if r != nil {
 		from = r.from
 	}
@@ -265,27 +265,27 @@
 	if !slices.Contains(o.cancels, id) {
 		o.cancels = append(o.cancels, id)
 	}
-	if o.reign == nil {
+	if o.leadership == nil {
 		return
 	}
-	if j := o.reign.jobs[id]; j != nil {
+	if j := o.leadership.jobs[id]; j != nil {
 		for key := range j.progress {
-			o.reign.drops = append(o.reign.drops, store.Op{Delete: key})
+			o.leadership.drops = append(o.leadership.drops, store.Op{Delete: key})
 		}
-		delete(o.reign.jobs, id)
+		delete(o.leadership.jobs, id)
 	}
 }
 
-// Standing implements linked.
-func (o *oldNode) Standing(_ context.Context, from CancelPosition) (Standing, error) {
+// PeerStatus implements linked.
+func (o *oldNode) PeerStatus(_ context.Context, from CancelPosition) (PeerStatus, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	st := Standing{Leader: o.leader, Incarnation: o.incarnation, Known: -1}
+	st := PeerStatus{Leader: o.leader, Incarnation: o.incarnation, Known: -1}
 	if !o.storeSince.IsZero() {
 		st.StoreOK = max(time.Since(o.storeSince), time.Millisecond)
 	}
-	if o.reign != nil {
-		st.Term, st.Known = o.reign.term, 0
+	if o.leadership != nil {
+		st.Term, st.Known = o.leadership.term, 0
 	}
 	if from.Incarnation != o.incarnation {
 		from.Number = 0
@@ -308,8 +308,8 @@
 // resign hands the leadership over.
 func (o *oldNode) resign(to string) {
 	o.mu.Lock()
-	r, l := o.reign, o.links
-	o.reign, o.leader = nil, to
+	r, l := o.leadership, o.links
+	o.leadership, o.leader = nil, to
 	o.mu.Unlock()
 	if err := l.Resign(context.Background(), to, o.name, r.term); err != nil {
 		o.w.t.Error(err)
@@ -390,15 +390,15 @@
 	}
 }
 
-// oldReign is what it knows as leader of one term.
-type oldReign struct {
+// oldLeadership is what it knows as leader of one term.
+type oldLeadership struct {
 	o                *oldNode
 	term, mark, from uint64
 	lease            uint64
 	jobs             map[string]*oldJob
 	machines         map[string]*oldMachine
-	// sheets are the keys of the roster that it has read, with what is on them.
-	sheets   map[string][]string
+	// shards are the keys of the roster that it has read, with what is on them.
+	shards   map[string][]string
 	written  int
 	attempts uint64
 	renewed  time.Time
@@ -440,17 +440,17 @@
 	if err != nil || !res.OK {
 		return
 	}
-	r := &oldReign{o: o, term: t.Number, mark: res.Ring, lease: lease, jobs: map[string]*oldJob{}, machines: map[string]*oldMachine{}, sheets: map[string][]string{}}
+	r := &oldLeadership{o: o, term: t.Number, mark: res.Ring, lease: lease, jobs: map[string]*oldJob{}, machines: map[string]*oldMachine{}, shards: map[string][]string{}}
 	if r.load(ctx) {
-		o.reign, o.leader = r, o.name
+		o.leadership, o.leader = r, o.name
 	}
 }
 
 // load reads active jobs, progress and roster.
-func (r *oldReign) load(ctx context.Context) bool {
+func (r *oldLeadership) load(ctx context.Context) bool {
 	active, err1 := r.o.st.Range(ctx, "a/", "", 500)
 	progress, err2 := r.o.st.Range(ctx, "p/", "", 500)
-	sheets, err3 := r.o.st.Range(ctx, "m/", "", 500)
+	shards, err3 := r.o.st.Range(ctx, "m/", "", 500)
 	if errors.Join(err1, err2, err3) != nil {
 		return false
 	}
@@ -463,20 +463,20 @@
 	for _, e := range progress.Rows {
 		r.addProgress(e)
 	}
-	for _, e := range sheets.Rows {
-		var s oldSheet
+	for _, e := range shards.Rows {
+		var s oldShard
 		if err := json.Unmarshal(e.Value, &s); err != nil {
 			r.o.w.t.Error(e.Key, err)
 		}
 		for _, m := range s.Machines {
-			r.sheets[e.Key] = append(r.sheets[e.Key], m.Name)
+			r.shards[e.Key] = append(r.shards[e.Key], m.Name)
 			r.machines[m.Name] = &oldMachine{rec: m}
 		}
 	}
 	return true
 }
 
-func (r *oldReign) addJob(key string, value []byte, mark uint64) {
+func (r *oldLeadership) addJob(key string, value []byte, mark uint64) {
 	var rec oldActive
 	if err := json.Unmarshal(value, &rec); err != nil || rec.Spec.Tasks < 1 || "a/"+rec.Spec.ID != key {
 		r.o.w.t.Errorf("the version in production cannot read %s: %s", key, value)
@@ -489,7 +489,7 @@
 
 // addProgress takes a progress record in, which may begin at any task and have any
 // length.
-func (r *oldReign) addProgress(e store.Entry) {
+func (r *oldLeadership) addProgress(e store.Entry) {
 	id, first, _ := strings.Cut(strings.TrimPrefix(e.Key, "p/"), "/")
 	from, err := strconv.Atoi(first)
 	var p oldProgress
@@ -511,7 +511,7 @@
 }
 
 // tick renews the leadership and follows the active jobs.
-func (r *oldReign) tick(ctx context.Context, ch store.Changes) {
+func (r *oldLeadership) tick(ctx context.Context, ch store.Changes) {
 	if time.Since(r.renewed) > 3*time.Second && r.o.st.Extend(ctx, r.lease) == nil {
 		r.renewed = time.Now()
 	}
@@ -532,18 +532,18 @@
 		case r.jobs[strings.TrimPrefix(e.Delete, "a/")] != nil:
 			// It takes it that another leads, and begins a term anew.
 			r.o.w.t.Errorf("%s goes without a cancellation under the old leader of term %d", e.Delete, r.term)
-			r.o.reign = nil
+			r.o.leadership = nil
 			return
 		}
 	}
 }
 
 // write writes under its term, or ends its leadership.
-func (r *oldReign) write(txn store.Txn) bool {
+func (r *oldLeadership) write(txn store.Txn) bool {
 	txn.Guards = append(txn.Guards, store.Guard{Key: "term", Mark: r.mark})
 	res, err := r.o.st.Txn(context.Background(), txn)
 	if err == nil && slices.Contains(res.Failed, "term") {
-		r.o.reign = nil
+		r.o.leadership = nil
 	}
 	return err == nil && res.OK
 }
@@ -551,10 +551,10 @@
 // Report takes a worker's report in.
 func (o *oldNode) Report(ctx context.Context, rep *api.Report) (api.ReportAnswer, error) {
 	o.mu.Lock()
-	r, leader, l := o.reign, o.leader, o.links
+	r, leader, l := o.leadership, o.leader, o.links
 	if l != nil && r == nil {
 		defer o.mu.Unlock()
-		return o.keepAnswer(rep)
+		return o.extendLease(rep)
 	}
 	o.mu.Unlock()
 	if l == nil {
@@ -570,7 +570,7 @@
 func (o *oldNode) PassedReport(_ context.Context, rep *api.Report) (api.ReportAnswer, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r := o.reign
+	r := o.leadership
 	if r == nil || rep.Term > r.term {
 		return api.ReportAnswer{}, &api.NotLeaderError{Leader: o.leader}
 	}
@@ -581,7 +581,7 @@
 	}
 	if m == nil {
 		m = &oldMachine{rec: oldMachineRecord{rep.Machine, rep.Addr, rep.Type, rep.Zone, rep.Spot, 4, 0, 16}}
-		if !r.write(store.Txn{Ops: []store.Op{r.newSheet([]oldMachineRecord{m.rec})}}) {
+		if !r.write(store.Txn{Ops: []store.Op{r.newShard([]oldMachineRecord{m.rec})}}) {
 			return ans, nil
 		}
 		r.machines[rep.Machine] = m
@@ -594,34 +594,34 @@
 	return ans, nil
 }
 
-// newSheet is a sheet of the roster under a name of its own.
-func (r *oldReign) newSheet(machines []oldMachineRecord) store.Op {
+// newShard is a shard of the roster under a name of its own.
+func (r *oldLeadership) newShard(machines []oldMachineRecord) store.Op {
 	r.written++
 	key := fmt.Sprintf("m/%d-%d", r.term, r.written)
 	for _, m := range machines {
-		r.sheets[key] = append(r.sheets[key], m.Name)
+		r.shards[key] = append(r.shards[key], m.Name)
 	}
-	return store.Op{Put: key, Value: oldSheet{machines}}
+	return store.Op{Put: key, Value: oldShard{machines}}
 }
 
-// merge writes all machines on one sheet that has room for them under its limits,
+// merge writes all machines on one shard that has room for them under its limits,
 // and drops the others.
-func (r *oldReign) merge() bool {
+func (r *oldLeadership) merge() bool {
 	var txn store.Txn
-	for key := range r.sheets {
+	for key := range r.shards {
 		txn.Ops = append(txn.Ops, store.Op{Delete: key})
 	}
-	r.sheets = map[string][]string{}
+	r.shards = map[string][]string{}
 	var all []oldMachineRecord
 	for _, name := range slices.Sorted(maps.Keys(r.machines)) {
 		all = append(all, r.machines[name].rec)
 	}
-	txn.Ops = append(txn.Ops, r.newSheet(all))
+	txn.Ops = append(txn.Ops, r.newShard(all))
 	return r.write(txn)
 }
 
 // reconcile takes in what a machine's tasks do.
-func (r *oldReign) reconcile(rep *api.Report) (orders []api.Order) {
+func (r *oldLeadership) reconcile(rep *api.Report) (orders []api.Order) {
 	shown := map[string]bool{}
 	zero := 0.0
 	for _, t := range rep.Tasks {
@@ -651,7 +651,7 @@
 }
 
 // completed records that a task is done: its result is dropped only then.
-func (r *oldReign) completed(j *oldJob, task int) bool {
+func (r *oldLeadership) completed(j *oldJob, task int) bool {
 	if j.done[task] {
 		return true
 	}
@@ -687,7 +687,7 @@
 
 // place starts what waits, of any active job, within machine and team. Work of
 // earlier terms waits until all machines on the roster are heard.
-func (r *oldReign) place(m *oldMachine, rep *api.Report, orders []api.Order) []api.Order {
+func (r *oldLeadership) place(m *oldMachine, rep *api.Report, orders []api.Order) []api.Order {
 	free, used := m.rec.CPUs, map[string]float64{}
 	for _, t := range rep.Tasks {
 		if id, _, _ := splitRef(t.Task); t.Phase != api.TaskExited && r.jobs[id] != nil {
@@ -742,7 +742,7 @@
 		o.active[strings.TrimPrefix(row.Key, "a/")] = true
 	}
 	guard := []store.Guard{{Key: "term", Mark: o.mark}}
-	k := oldKeep{Term: o.term}
+	k := oldLeaseExtension{Term: o.term}
 	for name, seen := range o.kept {
 		if now.Sub(seen) < 8*time.Second {
 			k.Hosts = append(k.Hosts, name)
@@ -795,9 +795,9 @@
 	}
 }
 
-// keepAnswer answers a report in the leader's stead, for a bounded time. It starts
+// extendLease answers a report in the leader's stead, for a bounded time. It starts
 // nothing but what the leader has ordered through the store.
-func (o *oldNode) keepAnswer(rep *api.Report) (api.ReportAnswer, error) {
+func (o *oldNode) extendLease(rep *api.Report) (api.ReportAnswer, error) {
 	if o.lost <= 2 || time.Since(o.verified) > 13*time.Second || rep.Term > o.term {
 		return api.ReportAnswer{}, &api.NotLeaderError{Leader: o.leader}
 	}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -16,7 +16,7 @@
 // mixed is a deployment of two nodes, one of the version in production and one of
 // this, and machines that report to whoever answers them.
 type mixed struct {
-	*world
+	*cluster
 	l   *links
 	old *oldNode
 	new *node
@@ -52,15 +52,15 @@
 // of them leads first. The old node is n0.
 func playMixed(t *testing.T, machines int, oldLeads bool, f func(v *mixed)) {
 	t.Helper()
-	playMixedIn(t, func(*world) {}, machines, oldLeads, f)
+	playMixedIn(t, func(*cluster) {}, machines, oldLeads, f)
 }
 
 // playMixedIn is playMixed in a world that is prepared first.
-func playMixedIn(t *testing.T, prepare func(w *world), machines int, oldLeads bool, f func(v *mixed)) {
+func playMixedIn(t *testing.T, prepare func(w *cluster), machines int, oldLeads bool, f func(v *mixed)) {
 	t.Helper()
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		prepare(w)
-		v := &mixed{world: w, l: &links{}, takes: 5, ran: map[string]int{}, heard: map[string]time.Time{}, ended: map[string]bool{}, oldGate: &gate{Fake: w.store}, newGate: &gate{Fake: w.store}}
+		v := &mixed{cluster: w, l: &links{}, takes: 5, ran: map[string]int{}, heard: map[string]time.Time{}, ended: map[string]bool{}, oldGate: &gate{Fake: w.store}, newGate: &gate{Fake: w.store}}
 		if oldLeads {
 			v.beginOld()
 		}
@@ -92,7 +92,7 @@
 
 // newLeads tells whether the node of this version leads.
 func (v *mixed) newLeads() (leads bool) {
-	v.new.look(func(c *Controller) { leads = c.valid() && c.reign.loaded })
+	v.new.look(func(c *Controller) { leads = c.valid() && c.leadership.loaded })
 	return leads
 }
 
@@ -195,7 +195,7 @@
 	for _, k := range v.ks {
 		tasks := k.running()
 		if len(tasks) > 0 && !slices.Contains(v.enrolled, k.rep.Machine) {
-			v.t.Errorf("%s runs tasks and is on no sheet", k.rep.Machine)
+			v.t.Errorf("%s runs tasks and is on no shard", k.rep.Machine)
 		}
 		for _, task := range tasks {
 			if on[task] != "" {
@@ -341,12 +341,12 @@
 		{"end", func(*mixed) []store.Op {
 			return []store.Op{{Put: "f/job-1", Value: oldFinal{"done", 30}}, {Delete: "a/job-1"}}
 		}},
-		{"sheet", func(v *mixed) []store.Op {
+		{"shard", func(v *mixed) []store.Op {
 			var ops []store.Op
 			for _, key := range v.keysUnder("m/") {
 				ops = append(ops, store.Op{Delete: key})
 			}
-			return append(ops, store.Op{Put: "m/1-9", Value: oldSheet{}})
+			return append(ops, store.Op{Put: "m/1-9", Value: oldShard{}})
 		}},
 		{"leadership", func(v *mixed) []store.Op {
 			return []store.Op{{Put: "leader", Value: oldHolder{"n0", v.old.incarnation}}}
@@ -358,7 +358,7 @@
 				v.old.submit(spec("job-1", 30))
 				v.seconds(15)
 				var mark uint64
-				v.old.look(func(o *oldNode) { mark = o.reign.mark })
+				v.old.look(func(o *oldNode) { mark = o.leadership.mark })
 				v.old.crash()
 				for i := 0; i < 40 && !v.newLeads(); i++ {
 					v.seconds(1)
@@ -596,7 +596,7 @@
 		v.cancelNew("job-3")
 		v.seconds(2)
 		v.same("go on beside a new process", v.ks[0].running(), []string{"job-4/0"})
-		st, err := v.new.Standing(context.Background(), CancelPosition{})
+		st, err := v.new.PeerStatus(context.Background(), CancelPosition{})
 		v.same("whole only since it began", []any{st.Cancels.Whole < 5*time.Second, err}, []any{true, nil})
 	})
 }
@@ -746,7 +746,7 @@
 	next := limits{ops: 6, valueKB: 1, writes: 25}
 	for _, oldLeads := range []bool{false, true} {
 		t.Run(fmt.Sprintf("old leads first %v", oldLeads), func(t *testing.T) {
-			prepare := func(w *world) {
+			prepare := func(w *cluster) {
 				w.state = next.settings()
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 100
 				w.store.SetLimits(16<<10, 20)
@@ -771,9 +771,9 @@
 				for i := 0; i < 3 || v.old.leads(); i++ {
 					if v.old.leads() {
 						v.old.look(func(o *oldNode) {
-							v.same("one sheet", o.reign.merge(), true)
-							v.same("knows all machines", len(o.reign.machines), machines)
-							v.same("knows all that is done", len(o.reign.jobs["job-1"].done) >= done, true)
+							v.same("one shard", o.leadership.merge(), true)
+							v.same("knows all machines", len(o.leadership.machines), machines)
+							v.same("knows all that is done", len(o.leadership.jobs["job-1"].done) >= done, true)
 						})
 						more(4)
 						v.same("too large to come", v.largest(store.MachinePrefix) > 1024 && v.largest(store.ProgressPrefix) > 1024, true)
@@ -803,7 +803,7 @@
 // machines alive under its term. It starts nothing, stops what is cancelled, and what it
 // writes means to the old leader what it should, though it takes several records.
 func TestNewFollowerBeyondTheCut(t *testing.T) {
-	prepare := func(w *world) { w.state = limits{ops: 6, valueKB: 1, writes: 25}.settings() }
+	prepare := func(w *cluster) { w.state = limits{ops: 6, valueKB: 1, writes: 25}.settings() }
 	playMixedIn(t, prepare, 1, true, func(v *mixed) {
 		v.takes = 1000
 		var there []string
@@ -823,7 +823,7 @@
 		v.same("kept machines in several records", []any{len(page.Rows) > 1, page.More, err}, []any{true, false, nil})
 		var kept []string
 		for _, e := range page.Rows {
-			var k oldKeep
+			var k oldLeaseExtension
 			v.same(e.Key, []any{json.Unmarshal(e.Value, &k), k.Term}, []any{nil, v.term()})
 			kept = append(kept, k.Hosts...)
 		}
