--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cancellation"
 	"example.org/ivytrestle/internal/peer"
 	"example.org/ivytrestle/internal/relay"
 	"example.org/ivytrestle/internal/store"
@@ -107,7 +108,7 @@
 	leader     string
 	leadership *oldLeadership
 	// What it knows of the other nodes' logs.
-	read map[string]CancelPosition
+	read map[string]cancellation.Position
 
 	// As a follower beyond a cut.
 	lost     int
@@ -128,7 +129,7 @@
 // startOld starts a scripted node of the version in production.
 func (w *cluster) startOld(name string, st *gate, l *links) *oldNode {
 	o := &oldNode{w: w, name: name, st: st, links: l, began: time.Now(), incarnation: fmt.Sprint("old", time.Now().UnixNano()),
-		read: map[string]CancelPosition{}, kept: map[string]time.Time{}, relayed: map[string]*api.Report{}, orders: map[string]*peer.RelayOrders{}, parts: 1}
+		read: map[string]cancellation.Position{}, kept: map[string]time.Time{}, relayed: map[string]*api.Report{}, orders: map[string]*peer.RelayOrders{}, parts: 1}
 	ctx, cancel := context.WithCancel(context.Background())
 	w.t.Cleanup(cancel)
 	l.nodes.Store(name, o)
@@ -251,7 +252,7 @@
 		o.mu.Lock()
 		if o.lost++; err == nil {
 			o.lost = 0
-			o.read[name] = CancelPosition{st.Incarnation, st.Cancels.First + uint64(len(st.Cancels.IDs)) - 1}
+			o.read[name] = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancels.First + uint64(len(st.Cancels.IDs)) - 1}
 			for _, id := range st.Cancels.IDs {
 				o.cancelled(id)
 			}
@@ -277,7 +278,7 @@
 }
 
 // PeerStatus implements linked.
-func (o *oldNode) PeerStatus(_ context.Context, from CancelPosition) (PeerStatus, error) {
+func (o *oldNode) PeerStatus(_ context.Context, from cancellation.Position) (PeerStatus, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	st := PeerStatus{Leader: o.leader, Incarnation: o.incarnation, Known: -1}
@@ -291,7 +292,7 @@
 		from.Number = 0
 	}
 	n := min(from.Number, uint64(len(o.cancels)))
-	st.Cancels = CancelNews{IDs: slices.Clone(o.cancels[n:]), First: n + 1, Whole: time.Since(o.began)}
+	st.Cancels = cancellation.News{IDs: slices.Clone(o.cancels[n:]), First: n + 1, Whole: time.Since(o.began)}
 	return st, nil
 }
 
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -218,7 +218,7 @@
 		// A version that knows nothing of jobs that await others may have started
 		// one too early; one that is to be cancelled is stopped, also while the
 		// store cannot be told so.
-		if a.job == nil || a.job.over || a.job.doomed || a.job.live[a.task] != a {
+		if a.job == nil || a.job.over || a.job.cancelPending || a.job.live[a.task] != a {
 			r.stop(a, 0, now)
 		}
 		if a.stop != nil {
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -675,7 +675,7 @@
 // linked is a node as the others reach it.
 type linked interface {
 	PeerJob(ctx context.Context, id string) (api.JobState, error)
-	PeerStatus(ctx context.Context, from CancelPosition) (PeerStatus, error)
+	PeerStatus(ctx context.Context, from cancellation.Position) (PeerStatus, error)
 	PassedReport(ctx context.Context, rep *api.Report) (api.ReportAnswer, error)
 	LeaderResigned(ctx context.Context, node string, term uint64) error
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cancellation"
 	"example.org/ivytrestle/internal/store"
 )
 
@@ -596,7 +597,7 @@
 		v.cancelNew("job-3")
 		v.seconds(2)
 		v.same("go on beside a new process", v.ks[0].running(), []string{"job-4/0"})
-		st, err := v.new.PeerStatus(context.Background(), CancelPosition{})
+		st, err := v.new.PeerStatus(context.Background(), cancellation.Position{})
 		v.same("whole only since it began", []any{st.Cancels.Whole < 5*time.Second, err}, []any{true, nil})
 	})
 }
--- a/internal/store/awaits.go
+++ b/internal/store/awaits.go
@@ -396,6 +396,7 @@
 	for _, id := range ids {
 		if end, ok := r.rememberedEnd(id); ok {
 			ends[id] = end
+			r.cache.ended(id, end)
 		} else {
 			unread = append(unread, id)
 		}
@@ -422,6 +423,7 @@
 	if r.ends != nil {
 		r.ends.Add(strings.Clone(id), end)
 	}
+	r.cache.ended(id, end)
 }
 
 func (r *Records) rememberedEnd(id string) (FinalRecord, bool) {
--- a/internal/store/jobcache.go
+++ b/internal/store/jobcache.go
@@ -88,12 +88,20 @@
 		}
 	case strings.HasPrefix(e.Key, FinalPrefix):
 		var f FinalRecord
-		if json.Unmarshal(e.Value, &f) == nil && f.Phase == api.JobDone {
-			c.add(strings.TrimPrefix(e.Key, FinalPrefix), 0, awaited{})
+		if json.Unmarshal(e.Value, &f) == nil {
+			c.ended(strings.TrimPrefix(e.Key, FinalPrefix), f)
 		}
 	}
 }
 
+// ended takes in how a job ended. One that is done stays so; one that is cancelled is
+// not remembered.
+func (c *jobCache) ended(id string, end FinalRecord) {
+	if c != nil && end.Phase == api.JobDone {
+		c.add(id, 0, awaited{})
+	}
+}
+
 // wrote takes in a transaction that was carried out at a revision.
 func (c *jobCache) wrote(txn Txn, ring uint64) {
 	if c == nil {
--- a/internal/store/jobcache_test.go
+++ b/internal/store/jobcache_test.go
@@ -332,3 +332,26 @@
 		t.Errorf("after a cancellation: %s", got)
 	}
 }
+
+// The end of a job is read once. A later search, which finds its active record gone,
+// must leave it remembered, or each submission after that would read again.
+func TestEndReadEarlierIsRemembered(t *testing.T) {
+	st := &counted{Fake: storetest.New()}
+	putJob(t, st, "job-1", api.JobDone)
+	putJob(t, st, "job-3", api.JobDone)
+	r := newRecords(st, config.StateLimits{TxnOps: 20})
+	for i, c := range []struct {
+		awaits   []string
+		requests int
+	}{
+		{[]string{"job-1"}, 3}, // two reads and the transaction
+		{[]string{"job-1"}, 1},
+		{[]string{"job-1", "job-3"}, 4},
+		{[]string{"job-1"}, 1},
+	} {
+		st.requests = 0
+		if got := answer(r, awaiting(fmt.Sprint("job-2", i), c.awaits...)); got != "201 pending" || st.requests != c.requests {
+			t.Errorf("submission %d: %s after %d requests, want %d", i, got, st.requests, c.requests)
+		}
+	}
+}
