--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -552,3 +552,34 @@
 		})
 	}
 }
+
+// As many jobs as the share of the write rate holds are cancelled with the one that
+// they need within the time that a cancellation has, however small transactions are.
+func TestWideFanIsCancelledInTime(t *testing.T) {
+	for _, lim := range []config.StateLimits{
+		{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, {RPS: 120, WriteRPS: 25, ValueKB: 2, TxnOps: 3}, {RPS: 80, WriteRPS: 10, ValueKB: 2, TxnOps: 4},
+	} {
+		t.Run(fmt.Sprint(lim.WriteRPS, " ", lim.TxnOps), func(t *testing.T) {
+			play(t, func(w *world) {
+				const cancelS = 30
+				w.state = lim
+				w.store.SetLimits(int(lim.ValueKB*1024), lim.TxnOps)
+				n := w.start("n0")
+				w.submit(n, spec("job-0", 1))
+				jobs := int(0.95 * cancelS * lim.WriteRPS * 0.2) // two changes each, of 0.4 of the rate
+				for i := range jobs {
+					w.submit(n, after(fmt.Sprint("job-", 1+i), "red", 1, "job-0"))
+				}
+				if _, err := n.Abort(context.Background(), "job-0"); err != nil {
+					t.Fatal(err)
+				}
+				time.Sleep(cancelS * time.Second)
+				left := w.keysUnder(store.ActivePrefix + "job-")
+				if len(left) > 0 {
+					t.Errorf("%d of %d jobs left", len(left), jobs)
+				}
+				w.same("refused", w.store.TooLarge(), []string(nil))
+			})
+		})
+	}
+}
