--- a/internal/controller/awaitslist_test.go
+++ b/internal/controller/awaitslist_test.go
@@ -55,6 +55,11 @@
 					}
 					k.serve(n, 6)
 					w.same("begun", k.running(), []string{"job-1/0"})
+					n.look(func(c *Controller) {
+						if held := len(c.reign.jobs["job-2"].spec.Awaits); held > fewNames+2 {
+							t.Errorf("%d names held while one job is waited for", held)
+						}
+					})
 					w.same("told", w.phase(n, "job-2"), api.JobPending)
 					st, _ := n.Job(context.Background(), "job-2")
 					w.same("waits for", st.Awaits, []string{"job-1"})
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -72,6 +72,7 @@
 		j.awaits[id] = true
 		p.dependents[id] = append(p.dependents[id], j)
 	}
+	j.dropEnded()
 	switch {
 	case pending:
 		p.cancelWithDependents(j)
@@ -88,6 +89,25 @@
 	}
 }
 
+// fewNames is how many names of ended jobs a waiting one may hold in any case.
+const fewNames = 64
+
+// dropEnded lets go of the names of awaited jobs that have ended once they are most:
+// a job may name thousands of them, and wait long for another.
+func (j *job) dropEnded() {
+	if len(j.spec.Awaits) <= 2*len(j.awaits)+fewNames {
+		return
+	}
+	left, awaits := make([]string, 0, len(j.awaits)), make(map[string]bool, len(j.awaits))
+	for _, id := range j.spec.Awaits {
+		if j.awaits[id] {
+			left = append(left, id)
+			awaits[id] = true
+		}
+	}
+	j.spec.Awaits, j.awaits = left, awaits
+}
+
 // ready takes in that all that a job needs is done. Its times count from when the
 // last of it was, also if another leader saw that; or from its acceptance, if it
 // was submitted later.
@@ -110,7 +130,9 @@
 	delete(p.dependents, id)
 	for _, j := range dependents {
 		j.awaitedEnded(at)
-		if delete(j.awaits, id); len(j.awaits) == 0 && !j.cancelPending && !j.over {
+		delete(j.awaits, id)
+		j.dropEnded()
+		if len(j.awaits) == 0 && !j.cancelPending && !j.over {
 			p.ready(j)
 		}
 	}
