--- a/internal/controller/awaitslist.go
+++ b/internal/controller/awaitslist.go
@@ -11,7 +11,7 @@
 // awaitsLists reads and removes the records that list the awaited jobs of those
 // whose active record has no room for them. Until a list is read its job waits.
 type awaitsLists struct {
-	r *reign
+	r *leadership
 	// unread are the jobs whose list is to be read, one at a time.
 	unread  []*job
 	reading bool
@@ -48,14 +48,14 @@
 
 // listReadMsg brings a job's awaited jobs.
 type listReadMsg struct {
-	r   *reign
+	r   *leadership
 	j   *job
 	ids []string
 	err error
 }
 
 func (m listReadMsg) apply(c *Controller) {
-	if c.reign != m.r {
+	if c.leadership != m.r {
 		return
 	}
 	l := &m.r.awaitsLists
@@ -122,14 +122,14 @@
 
 // listFoundMsg tells of records in a job's name, and whether the job is over.
 type listFoundMsg struct {
-	r    *reign
+	r    *leadership
 	id   string
 	keys []string
 	over bool
 }
 
 func (m listFoundMsg) apply(c *Controller) {
-	if c.reign != m.r {
+	if c.leadership != m.r {
 		return
 	}
 	j := m.r.jobs[m.id]
--- a/internal/controller/awaitslist_test.go
+++ b/internal/controller/awaitslist_test.go
@@ -16,7 +16,7 @@
 )
 
 // manyDone are the names of so many jobs that are done.
-func (w *world) manyDone(n int) (ids []string) {
+func (w *cluster) manyDone(n int) (ids []string) {
 	w.t.Helper()
 	for i := range n {
 		ids = append(ids, fmt.Sprint("job-", 1000+i))
@@ -26,7 +26,7 @@
 }
 
 // put writes a key as some node would.
-func (w *world) put(key string, value any) {
+func (w *cluster) put(key string, value any) {
 	w.t.Helper()
 	if _, err := w.store.Txn(context.Background(), store.Txn{Ops: []store.Op{{Put: key, Value: value}}}); err != nil {
 		w.t.Fatal(err)
@@ -40,7 +40,7 @@
 	for _, end := range []string{api.JobDone, api.JobWithdrawn} {
 		for _, newLeader := range []bool{false, true} {
 			t.Run(fmt.Sprint(end, " ", newLeader), func(t *testing.T) {
-				play(t, func(w *world) {
+				simulate(t, func(w *cluster) {
 					w.state = config.StateLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
 					w.store.SetLimits(2048, 3)
 					n := w.start("n0")
@@ -56,7 +56,7 @@
 					k.serve(n, 6)
 					w.same("begun", k.running(), []string{"job-1/0"})
 					n.look(func(c *Controller) {
-						if held := len(c.reign.jobs["job-2"].spec.Awaits); held > fewNames+2 {
+						if held := len(c.leadership.jobs["job-2"].spec.Awaits); held > fewNames+2 {
 							t.Errorf("%d names held while one job is waited for", held)
 						}
 					})
@@ -84,7 +84,7 @@
 // What is left of lists is removed by the next leader, but for the list of a job
 // that is active and for those of jobs that may be about to be accepted.
 func TestListsThatAreLeft(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.state = config.StateLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
@@ -105,7 +105,7 @@
 // also if an earlier leader saw that end; not from its acceptance, and not from the
 // takeover. Of a record that an earlier version wrote the end is not known.
 func TestTimesCountFromTheLastEnd(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -126,14 +126,14 @@
 		w.submit(n, after("job-3", "red", 1, "job-1", "job-8"))
 		time.Sleep(3 * time.Second)
 		n.look(func(c *Controller) {
-			j := c.reign.jobs["job-2"]
+			j := c.leadership.jobs["job-2"]
 			if d := j.since.Sub(done); len(j.awaits) > 0 || d < 0 || d > 2*time.Second {
 				t.Errorf("counts from %v after the end of what it awaited", d)
 			}
 			if d := j.aims[0].Sub(done); d < 88*time.Second || d > 92*time.Second {
 				t.Errorf("should be complete %v after the end of what it awaited", d)
 			}
-			if j := c.reign.jobs["job-3"]; len(j.awaits) > 0 || j.since.Sub(j.accepted) > 2*time.Second || j.since.Before(j.accepted) {
+			if j := c.leadership.jobs["job-3"]; len(j.awaits) > 0 || j.since.Sub(j.accepted) > 2*time.Second || j.since.Before(j.accepted) {
 				t.Errorf("submitted when all was done: counts from %v after its acceptance", j.since.Sub(j.accepted))
 			}
 		})
@@ -168,7 +168,7 @@
 func TestEndsThatCannotBeRead(t *testing.T) {
 	for _, many := range []int{1, 400} {
 		t.Run(fmt.Sprint(many), func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				st := &unreadableEnds{Fake: w.store}
 				n := w.startWith("n0", st, nil)
 				k := w.worker("i-1", "a", false)
@@ -194,13 +194,13 @@
 // is cancelled, too, at a node that hears of the leader as little as the leader of
 // it; and so is one whose awaited jobs the leader does not know of yet.
 func TestSubmittedDuringACascadeAtANodeCutOff(t *testing.T) {
-	for name, trouble := range map[string]func(w *world){
-		"the leader sees no change":     func(w *world) { w.store.SetBlind(true) },
-		"the cascade is not written":    func(w *world) { w.store.Hold(func(txn store.Txn) bool { return txn.Records }) },
-		"the leader does both in order": func(*world) {},
+	for name, trouble := range map[string]func(w *cluster){
+		"the leader sees no change":     func(w *cluster) { w.store.SetBlind(true) },
+		"the cascade is not written":    func(w *cluster) { w.store.Hold(func(txn store.Txn) bool { return txn.Records }) },
+		"the leader does both in order": func(*cluster) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				leader, other := w.start("n0"), w.start("n1")
 				w.submit(leader, spec("job-1", 1))
 				w.submit(other, after("job-2", "red", 1, "job-1"))
@@ -235,7 +235,7 @@
 // A job may name one that was accepted a moment ago by another node, of which the
 // leader and the node that is asked have yet to hear.
 func TestNamesOneAcceptedAMomentAgo(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		leader, other := w.start("n0"), w.start("n1")
 		k := w.worker("i-1", "a", false)
 		k.serve(leader, 2)
--- a/internal/controller/lag_test.go
+++ b/internal/controller/lag_test.go
@@ -21,7 +21,7 @@
 // back just when the leader can follow least. One that is dead is found all the
 // same once the leader is in time again.
 func TestHeldUpLeaderTakesNobodyForDead(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false), w.worker("i-4", "a", false)}
 		for range 3 {
@@ -52,14 +52,14 @@
 // What was queued while the leader was entitled is not acted on after that: the
 // clock is looked at when acting.
 func TestEntitlementEndsWhileTheOwnerIsHeldUp(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
 		w.submit(n, spec("job-1", 1))
 		w.store.SetDown(true) // no renewal is answered from here on
 		var until time.Time
-		n.look(func(c *Controller) { until = c.reign.until })
+		n.look(func(c *Controller) { until = c.leadership.until })
 		time.Sleep(time.Until(until) - 200*time.Millisecond)
 		held := make(chan struct{})
 		go func() { n.hold(500 * time.Millisecond); close(held) }()
@@ -75,7 +75,7 @@
 // A report that has waited for so long that its worker gives up is not taken in:
 // starts would go out in an answer that is dropped.
 func TestReportThatWaitedTooLongStartsNothing(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -91,7 +91,7 @@
 			t.Errorf("answered: %v", err)
 		}
 		started := 0
-		n.look(func(c *Controller) { started = len(c.reign.jobs["job-1"].live) })
+		n.look(func(c *Controller) { started = len(c.leadership.jobs["job-1"].live) })
 		w.same("starts ordered", started, 0)
 		k.serve(n, 2)
 		w.same("runs after the next report", len(k.running()), 1)
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -23,7 +23,7 @@
 // that the next could not be found from. While nobody leads, whoever reads such a
 // job's record does the same with it (store.Records).
 type pipeline struct {
-	r *reign
+	r *leadership
 	// dependents are the jobs that wait, by what they wait for.
 	dependents map[string][]*job
 	// pendingCancels are the jobs that are to be cancelled on record.
@@ -35,7 +35,7 @@
 	lookingUp bool
 }
 
-func (p *pipeline) init(r *reign) {
+func (p *pipeline) init(r *leadership) {
 	lim := r.c.Settings.Site.State
 	cancels := lim.WriteRPS * cancelShare
 	*p = pipeline{r: r, dependents: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancels), max(cancelOps, min(lim.TxnOps, int(cancels))))}
@@ -302,14 +302,14 @@
 // endsLookedUpMsg brings how jobs ended that were looked up; those that are still
 // active are not among the ends.
 type endsLookedUpMsg struct {
-	r    *reign
+	r    *leadership
 	ids  []string
 	ends map[string]store.FinalRecord
 }
 
 func (m endsLookedUpMsg) apply(c *Controller) {
 	p := &m.r.pipeline
-	if c.reign != m.r {
+	if c.leadership != m.r {
 		return
 	}
 	p.lookingUp = false
@@ -345,12 +345,12 @@
 
 // lookupAgainMsg asks once more about jobs that were not known.
 type lookupAgainMsg struct {
-	r   *reign
+	r   *leadership
 	ids []string
 }
 
 func (m lookupAgainMsg) apply(c *Controller) {
-	if c.reign != m.r {
+	if c.leadership != m.r {
 		return
 	}
 	p := &m.r.pipeline
--- a/internal/controller/history_test.go
+++ b/internal/controller/runchecker_test.go
@@ -15,13 +15,13 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// history is what the machines of a test really ran, seen from outside. It fails
+// runChecker follows what the machines of a test really run, from outside. It fails
 // the test where a rule of the protocol is broken, whoever is to blame.
-type history struct {
-	w      *world
+type runChecker struct {
+	w      *cluster
 	t0     time.Time
 	mu     sync.Mutex
-	jobs   map[string]*past
+	jobs   map[string]*observedJob
 	runs   map[run]bool
 	hosts  map[string]*host
 	broken int
@@ -37,8 +37,8 @@
 
 func (r run) job() string { return r.task[:strings.LastIndexByte(r.task, '/')] }
 
-// past is what users and machines know of a job.
-type past struct {
+// observedJob is what users and machines know of a job.
+type observedJob struct {
 	spec *api.JobSpec
 	// takes is how long its tasks run.
 	takes time.Duration
@@ -60,7 +60,7 @@
 // its team is under its limit.
 const mostWait = 90 * time.Second
 
-func (h *history) fail(format string, args ...any) {
+func (h *runChecker) fail(format string, args ...any) {
 	h.w.t.Helper()
 	if h.broken++; h.broken <= 5 {
 		h.w.t.Errorf("%7.2fs: %s", time.Since(h.t0).Seconds(), fmt.Sprintf(format, args...))
@@ -68,7 +68,7 @@
 }
 
 // purge drops what was on machines that the cloud has taken back.
-func (h *history) purge() {
+func (h *runChecker) purge() {
 	for r := range h.runs {
 		if h.w.cloud.gone(r.machine) {
 			delete(h.runs, r)
@@ -77,7 +77,7 @@
 }
 
 // start takes in that a task is on a machine from now on.
-func (h *history) start(k *host, task string, attempt uint64) {
+func (h *runChecker) start(k *host, task string, attempt uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.purge()
@@ -132,7 +132,7 @@
 }
 
 // end takes in that a task is off a machine.
-func (h *history) end(k *host, task string, attempt uint64, cause string) {
+func (h *runChecker) end(k *host, task string, attempt uint64, cause string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := run{k.rep.Machine, task, attempt}
@@ -143,7 +143,7 @@
 }
 
 // completed tells whether the result of a task is kept.
-func (h *history) completed(task string) bool {
+func (h *runChecker) completed(task string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.jobs[run{task: task}.job()]
@@ -151,7 +151,7 @@
 }
 
 // before lists a job and all that it needs, directly or through others.
-func (h *history) before(id string) []string {
+func (h *runChecker) before(id string) []string {
 	ids := []string{id}
 	for i := 0; i < len(ids); i++ {
 		p := h.jobs[ids[i]]
@@ -169,7 +169,7 @@
 
 // withdrawnBefore is when the first user was told that a job is cancelled that
 // another needs.
-func (h *history) withdrawnBefore(id string) (at time.Time) {
+func (h *runChecker) withdrawnBefore(id string) (at time.Time) {
 	for _, a := range h.before(id)[1:] {
 		if p := h.jobs[a]; p != nil && !p.withdrawn.IsZero() && !p.asked.IsZero() && (at.IsZero() || p.withdrawn.Before(at)) {
 			at = p.withdrawn
@@ -178,10 +178,10 @@
 	return at
 }
 
-func (h *history) cancelTime() time.Duration { return 30 * time.Second }
+func (h *runChecker) cancelTime() time.Duration { return 30 * time.Second }
 
 // look looks at what is on the machines; it is called at every tick.
-func (h *history) look() {
+func (h *runChecker) look() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.purge()
@@ -196,7 +196,7 @@
 }
 
 // waiting fails the test if a job waits for too long beside free room.
-func (h *history) waiting(since time.Duration) {
+func (h *runChecker) waiting(since time.Duration) {
 	used, onHost, taken := map[string]float64{}, map[string]float64{}, map[string]int{}
 	for r := range h.runs {
 		s := h.jobs[r.job()].spec
@@ -229,16 +229,16 @@
 	}
 }
 
-// told takes in what a user was told of a job.
-func (h *history) told(id, phase string) {
+// observed takes in what a user was told of a job.
+func (h *runChecker) observed(id, phase string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tell(id, phase)
 }
 
-// answered is told for a question asked at some time. If another user was told of
+// answered is observed for a question asked at some time. If another user was told of
 // the job's end since, or at that instant, the answer may be older.
-func (h *history) answered(id, phase string, asked time.Time) {
+func (h *runChecker) answered(id, phase string, asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if p := h.jobs[id]; p.withdrawn.Before(asked) && p.finished.Before(asked) {
@@ -246,8 +246,8 @@
 	}
 }
 
-// tell is told with the lock held.
-func (h *history) tell(id, phase string) {
+// tell is observed with the lock held.
+func (h *runChecker) tell(id, phase string) {
 	p := h.jobs[id]
 	if at := h.withdrawnBefore(id); phase != api.JobWithdrawn && !at.IsZero() && time.Since(at) > h.cancelTime() {
 		h.fail("%s is orphaned: called %s %v after the cancellation of a job that it needs", id, phase, time.Since(at))
@@ -270,7 +270,7 @@
 }
 
 // onMachines lists the tasks of a job that are on machines.
-func (h *history) onMachines(job string) (tasks []string) {
+func (h *runChecker) onMachines(job string) (tasks []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.purge()
@@ -284,7 +284,7 @@
 }
 
 // begunTwice lists the tasks that have begun more than once.
-func (h *history) begunTwice() (tasks []string) {
+func (h *runChecker) begunTwice() (tasks []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.jobs {
@@ -299,7 +299,7 @@
 }
 
 // begunWhenDone lists the tasks that began again after they had completed.
-func (h *history) begunWhenDone() []string {
+func (h *runChecker) begunWhenDone() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.again
@@ -308,7 +308,7 @@
 // host is a machine that behaves as the protocol's worker does, by itself.
 type host struct {
 	*worker
-	s *stage
+	s *checkedCluster
 	// heard is when the last answered report was sent, sent and next when the
 	// last one was and the next one is.
 	heard, sent, next time.Time
@@ -326,10 +326,10 @@
 	reports []api.Report
 }
 
-// stage is a deployment whose machines and controllers act by themselves.
-type stage struct {
-	*world
-	h   *history
+// checkedCluster is a deployment whose machines and controllers act by themselves.
+type checkedCluster struct {
+	*cluster
+	h   *runChecker
 	ctx context.Context
 
 	smu   sync.Mutex
@@ -349,30 +349,30 @@
 	return page, err
 }
 
-// playStage plays a meeting with two controllers; the first leads.
-func playStage(t *testing.T, machines int, f func(s *stage)) {
+// simulateChecked runs a test with two controllers; the first leads.
+func simulateChecked(t *testing.T, machines int, f func(s *checkedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		newStage(t, machines, 0, f)
+		newCheckedCluster(t, machines, 0, f)
 	})
 }
 
-// playSeldom is playStage with machines that report every 5 s, and so get their
+// simulateSeldom is simulateChecked with machines that report every 5 s, and so get their
 // starts by direct orders.
-func playSeldom(t *testing.T, machines int, f func(s *stage)) {
+func simulateSeldom(t *testing.T, machines int, f func(s *checkedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		newStage(t, machines, 5, f)
+		newCheckedCluster(t, machines, 5, f)
 	})
 }
 
-func newStage(t *testing.T, machines int, reportS float64, f func(s *stage)) {
-	w := newWorld(t)
+func newCheckedCluster(t *testing.T, machines int, reportS float64, f func(s *checkedCluster)) {
+	w := newCluster(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &stage{world: w, ctx: ctx, links: &links{}, names: []string{"n0", "n1"}, up: map[string]*node{}, gates: map[string]*slowGate{}}
+	s := &checkedCluster{cluster: w, ctx: ctx, links: &links{}, names: []string{"n0", "n1"}, up: map[string]*node{}, gates: map[string]*slowGate{}}
 	w.reportS = reportS
 	w.director = s
-	s.h = &history{w: w, t0: time.Now(), jobs: map[string]*past{}, runs: map[run]bool{}, hosts: map[string]*host{}}
+	s.h = &runChecker{w: w, t0: time.Now(), jobs: map[string]*observedJob{}, runs: map[run]bool{}, hosts: map[string]*host{}}
 	go s.live()
 	s.begin("n0")
 	s.begin("n1")
@@ -389,7 +389,7 @@
 }
 
 // begin starts a controller, crash ends one.
-func (s *stage) begin(name string) {
+func (s *checkedCluster) begin(name string) {
 	s.smu.Lock()
 	if s.gates[name] == nil {
 		s.gates[name] = &slowGate{gate: &gate{Fake: s.store}}
@@ -402,7 +402,7 @@
 	s.up[name] = n
 }
 
-func (s *stage) crash(name string) {
+func (s *checkedCluster) crash(name string) {
 	s.smu.Lock()
 	defer s.smu.Unlock()
 	if n := s.up[name]; n != nil {
@@ -412,18 +412,18 @@
 	}
 }
 
-func (s *stage) node(name string) *node {
+func (s *checkedCluster) node(name string) *node {
 	s.smu.Lock()
 	defer s.smu.Unlock()
 	return s.up[name]
 }
 
 // leader is the node that leads, or "".
-func (s *stage) leader() string {
+func (s *checkedCluster) leader() string {
 	for _, name := range s.names {
 		if n := s.node(name); n != nil {
 			leads := false
-			n.look(func(c *Controller) { leads = c.valid() && c.reign.loaded })
+			n.look(func(c *Controller) { leads = c.valid() && c.leadership.loaded })
 			if leads {
 				return name
 			}
@@ -434,7 +434,7 @@
 
 // handOver makes the leadership pass to the other controller: the store refuses
 // the leader alone for a while.
-func (s *stage) handOver() {
+func (s *checkedCluster) handOver() {
 	if name := s.leader(); name != "" {
 		s.gates[name].set(true)
 		go func() {
@@ -445,7 +445,7 @@
 }
 
 // restart ends the leader, which is back after a while.
-func (s *stage) restart(after time.Duration) {
+func (s *checkedCluster) restart(after time.Duration) {
 	if name := s.leader(); name != "" {
 		s.crash(name)
 		time.Sleep(after)
@@ -455,7 +455,7 @@
 
 // users repeats a request at the controllers, one after the other, until it is
 // answered; first says which comes first.
-func (s *stage) users(what string, first int, ask func(ctx context.Context, n *node) error) {
+func (s *checkedCluster) users(what string, first int, ask func(ctx context.Context, n *node) error) {
 	s.t.Helper()
 	err := errors.New("no controller")
 	for try := first; try < first+60; try++ {
@@ -476,10 +476,10 @@
 }
 
 // order submits a job whose tasks run for some time.
-func (s *stage) order(takes time.Duration, spec *api.JobSpec) {
+func (s *checkedCluster) order(takes time.Duration, spec *api.JobSpec) {
 	s.t.Helper()
 	s.h.mu.Lock()
-	s.h.jobs[spec.ID] = &past{spec: spec, takes: takes, begun: map[string]int{}, done: map[string]int{}}
+	s.h.jobs[spec.ID] = &observedJob{spec: spec, takes: takes, begun: map[string]int{}, done: map[string]int{}}
 	s.h.mu.Unlock()
 	s.users("submit "+spec.ID, spec.Tasks, func(ctx context.Context, n *node) error {
 		_, _, err := n.Submit(ctx, spec)
@@ -488,7 +488,7 @@
 }
 
 // cancel cancels jobs, as users do at the same time.
-func (s *stage) cancel(ids ...string) {
+func (s *checkedCluster) cancel(ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
 		s.h.mu.Lock()
@@ -497,7 +497,7 @@
 		go s.users("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
 			st, err := n.Abort(ctx, id)
 			if err == nil {
-				s.h.told(id, st.Phase)
+				s.h.observed(id, st.Phase)
 			}
 			return err
 		})
@@ -505,7 +505,7 @@
 }
 
 // settle says that all troubles are over, and waits until all jobs are.
-func (s *stage) settle(within time.Duration) {
+func (s *checkedCluster) settle(within time.Duration) {
 	s.t.Helper()
 	s.h.mu.Lock()
 	s.h.calm = true
@@ -521,7 +521,7 @@
 			if n := s.node(s.names[0]); n != nil {
 				last = s.phase(n, id)
 				if last == api.JobDone || last == api.JobWithdrawn {
-					s.h.told(id, last)
+					s.h.observed(id, last)
 					break
 				}
 			}
@@ -535,7 +535,7 @@
 }
 
 // add is a machine that is up from now on.
-func (s *stage) add(name, zone string, spot bool) *host {
+func (s *checkedCluster) add(name, zone string, spot bool) *host {
 	k := &host{worker: s.worker(name, zone, spot), s: s, left: map[run]time.Duration{}, heard: time.Now(), next: time.Now()}
 	s.h.mu.Lock()
 	s.h.hosts[name] = k
@@ -548,7 +548,7 @@
 
 // live is what the machines do. One clock drives them all: the race detector
 // cannot follow a bubble with very many timers.
-func (s *stage) live() {
+func (s *checkedCluster) live() {
 	for s.ctx.Err() == nil {
 		s.h.mu.Lock()
 		hosts := slices.Clone(s.hosts)
@@ -763,7 +763,7 @@
 }
 
 // trouble changes what goes wrong with a machine. What it does to probes is up
-// to the world.
+// to the cluster.
 func (k *host) trouble(f func(*host)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -797,7 +797,7 @@
 }
 
 // holders are the machines on which a job's tasks are.
-func (s *stage) holders(job string) (ks []*host) {
+func (s *checkedCluster) holders(job string) (ks []*host) {
 	for _, k := range s.hosts {
 		s.h.mu.Lock()
 		s.h.purge()
@@ -812,7 +812,7 @@
 }
 
 // Order implements Director: the way of orders straight to machines.
-func (s *stage) Order(ctx context.Context, addr string, o *api.DirectOrders) (uint64, error) {
+func (s *checkedCluster) Order(ctx context.Context, addr string, o *api.DirectOrders) (uint64, error) {
 	rep, err := s.direct(ctx, addr, func(k *host) bool {
 		if o.Term < k.rep.Term || o.Session != k.rep.Session {
 			return false
@@ -828,8 +828,8 @@
 	return rep.Seq, nil
 }
 
-// Greet implements Director.
-func (s *stage) Greet(ctx context.Context, addr string, term uint64) (*api.Report, error) {
+// Resync implements Director.
+func (s *checkedCluster) Resync(ctx context.Context, addr string, term uint64) (*api.Report, error) {
 	return s.direct(ctx, addr, func(k *host) bool {
 		if term < k.rep.Term {
 			return false
@@ -842,7 +842,7 @@
 
 // direct brings something to a machine; a hung or slow one does it late, even if
 // its sender has given up by then.
-func (s *stage) direct(ctx context.Context, addr string, do func(*host) bool) (*api.Report, error) {
+func (s *checkedCluster) direct(ctx context.Context, addr string, do func(*host) bool) (*api.Report, error) {
 	s.h.mu.Lock()
 	k := s.h.hosts[addr]
 	s.h.mu.Unlock()
@@ -878,6 +878,6 @@
 		}
 		return rep, nil
 	case <-ctx.Done():
-		return nil, api.ErrUnsure
+		return nil, api.ErrUnconfirmed
 	}
 }
