--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -61,9 +61,14 @@
 }
 
 // mayCome tells whether a start may still be carried out although a report
-// does not show it.
-func (d *directStart) mayCome(rep *api.Report) bool {
-	return d != nil && rep.Session <= d.session && (d.waiting || d.unsure || rep.Seq < d.seq)
+// does not show it. One that an earlier report showed was carried out, and is
+// not a second time: it has left its machine.
+func (a *attempt) mayCome(rep *api.Report) bool {
+	d := a.direct
+	if d == nil || a.seen != 0 || rep.Session > d.session {
+		return false
+	}
+	return d.waiting || d.unsure || rep.Seq < d.seq
 }
 
 // empty tells whether nothing holds the machine but orders without an answer.
--- a/internal/controller/direct_test.go
+++ b/internal/controller/direct_test.go
@@ -216,6 +216,32 @@
 	})
 }
 
+// Guards against paying for machines without end: an order that was not answered
+// is carried out late, its tasks run and end, and the machine is then returned.
+// Found in an upgrade whose direct commands were held up: about a hundred of 240
+// machines got no more work, and up to 55 were never returned.
+func TestUnansweredOrderCarriedOutLateFreesItsMachine(t *testing.T) {
+	for _, cause := range []string{api.CauseDone, api.CauseError} {
+		play(t, func(w *world) {
+			n, d, ks := w.seldom(1)
+			late := ks[0]
+			w.submit(n, spec("job-0", 1)) // keeps the machine in use
+			late.serve(n, 2)
+			d.set(false, true)
+			w.submit(n, spec("job-1", 1))
+			time.Sleep(3 * time.Second)
+			d.set(false, false)
+			w.same("carried out late", d.release(), 1)
+			late.serve(n, 2)
+			w.same("there", late.running(), []string{"job-0/0", "job-1/0"})
+			w.same("returned while its tasks run", w.cloud.gone("i-0"), false)
+			late.exit(cause)
+			late.serve(n, 6)
+			w.same("returned after its tasks", w.cloud.gone("i-0"), true)
+		})
+	}
+}
+
 // A job cancelled while an order for it is unanswered: only the machine's
 // return keeps the task from beginning too late.
 func TestUnansweredOrderOfACancelledJob(t *testing.T) {
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -201,7 +201,7 @@
 	}
 	for key, a := range m.attempts {
 		if a.seen != m.reports {
-			if a.direct.mayCome(rep) || (from == drawnReport && a.onItsWay(rep)) {
+			if a.mayCome(rep) || (from == drawnReport && a.onItsWay(rep)) {
 				continue
 			}
 			// Reaped, killed with its session, or never begun: a newer
