--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,6 +11,8 @@
 	"os"
 	"strings"
 	"time"
+
+	"example.org/ivytrestle/internal/jsonerror"
 )
 
 // Settings is the platform's settings file.
@@ -191,18 +193,7 @@
 func Parse(raw []byte) (*Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(raw, &s); err != nil {
-		var typ *json.UnmarshalTypeError
-		if errors.As(err, &typ) {
-			return nil, fmt.Errorf("field %s: expected %s, found %s", typ.Field, typ.Type, typ.Value)
-		}
-		var syntax *json.SyntaxError
-		if errors.As(err, &syntax) {
-			// What is not even JSON, a NaN say, has no field; what stands
-			// before it names one.
-			at := min(int(syntax.Offset), len(raw))
-			return nil, fmt.Errorf("not valid JSON: %w, after %q", err, raw[max(0, at-40):at])
-		}
-		return nil, fmt.Errorf("not valid JSON: %w", err)
+		return nil, jsonerror.Describe(raw, err)
 	}
 	if err := s.check(); err != nil {
 		return nil, err
@@ -237,6 +228,31 @@
 }
 
 func (s *SiteInfo) check() error {
+	if err := s.checkTeams(); err != nil {
+		return err
+	}
+	if err := s.checkAmounts(); err != nil {
+		return err
+	}
+	if err := s.State.check("settings.state"); err != nil {
+		return err
+	}
+	if err := s.State.checkNext("settings.state.next"); err != nil {
+		return err
+	}
+	if err := s.Limits.check(); err != nil {
+		return err
+	}
+	if s.Workers.LeaseS <= s.Workers.ReportS {
+		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v", s.Workers.LeaseS, s.Workers.ReportS)
+	}
+	if s.Cloud.ListLagS < 0 || s.ClockOffMs < 0 {
+		return errors.New("field settings: cloud.list_lag_s and clock_off_ms must not be negative")
+	}
+	return nil
+}
+
+func (s *SiteInfo) checkTeams() error {
 	if len(s.Teams) == 0 {
 		return errors.New("field settings.teams: no team")
 	}
@@ -254,38 +270,40 @@
 			return fmt.Errorf("%s: the guarantee is above the limit", at)
 		}
 	}
-	for _, p := range []struct {
+	return nil
+}
+
+// checkAmounts checks that what every controller needs is there and positive.
+func (s *SiteInfo) checkAmounts() error {
+	for _, amount := range []struct {
 		field string
-		v     float64
+		value float64
 	}{
-		{"workers.report_s", s.Workers.ReportS}, {"workers.lease_s", s.Workers.LeaseS},
-		{"workers.cancel_s", s.Workers.CancelS}, {"cloud.rps", s.Cloud.RPS},
-		{"limits.cores", s.Limits.Cores}, {"limits.ram_mb", s.Limits.RAMMB}, {"limits.fd_limit", float64(s.Limits.FDLimit)},
+		{"workers.report_s", s.Workers.ReportS},
+		{"workers.lease_s", s.Workers.LeaseS},
+		{"workers.cancel_s", s.Workers.CancelS},
+		{"cloud.rps", s.Cloud.RPS},
+		{"limits.cores", s.Limits.Cores},
+		{"limits.ram_mb", s.Limits.RAMMB},
+		{"limits.fd_limit", float64(s.Limits.FDLimit)},
 	} {
-		if !(p.v > 0) || math.IsInf(p.v, 0) {
-			return fmt.Errorf("field settings.%s: must be above 0, found %v", p.field, p.v)
+		if !(amount.value > 0) || math.IsInf(amount.value, 0) {
+			return fmt.Errorf("field settings.%s: must be above 0, found %v", amount.field, amount.value)
 		}
 	}
-	if err := s.State.check("settings.state"); err != nil {
-		return err
-	}
-	if err := s.State.checkNext("settings.state.next"); err != nil {
-		return err
-	}
-	if s.Limits.FDLimit < leastSockets {
-		return fmt.Errorf("field settings.limits.fd_limit: at least %d are needed, found %d", leastSockets, s.Limits.FDLimit)
-	}
-	if s.Limits.Cores < leastCores {
-		return fmt.Errorf("field settings.limits.cores: at least %v are needed to answer anybody, found %v", leastCores, s.Limits.Cores)
-	}
-	if s.Limits.RAMMB < leastRAMMB {
-		return fmt.Errorf("field settings.limits.ram_mb: at least %v are needed to start, found %v", leastRAMMB, s.Limits.RAMMB)
+	return nil
+}
+
+// check refuses a process too small to work.
+func (l Limits) check() error {
+	if l.FDLimit < leastSockets {
+		return fmt.Errorf("field settings.limits.fd_limit: at least %d are needed, found %d", leastSockets, l.FDLimit)
 	}
-	if s.Workers.LeaseS <= s.Workers.ReportS {
-		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v", s.Workers.LeaseS, s.Workers.ReportS)
+	if l.Cores < leastCores {
+		return fmt.Errorf("field settings.limits.cores: at least %v are needed to answer anybody, found %v", leastCores, l.Cores)
 	}
-	if s.Cloud.ListLagS < 0 || s.ClockOffMs < 0 {
-		return errors.New("field settings: cloud.list_lag_s and clock_off_ms must not be negative")
+	if l.RAMMB < leastRAMMB {
+		return fmt.Errorf("field settings.limits.ram_mb: at least %v are needed to start, found %v", leastRAMMB, l.RAMMB)
 	}
 	return nil
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -30,10 +30,10 @@
 }
 
 // enforce has the service refuse what is beyond the limits.
-func (w *world) enforce(l limits) { w.store.SetLimits(l.valueKB<<10, l.ops) }
+func (w *cluster) enforce(l limits) { w.store.SetLimits(l.valueKB<<10, l.ops) }
 
 // neverTooLarge is checked at the end: nothing was refused for its size.
-func (w *world) neverTooLarge() {
+func (w *cluster) neverTooLarge() {
 	w.t.Helper()
 	if refused := w.store.TooLarge(); len(refused) > 0 {
 		w.t.Errorf("refused %d times for size: %v", len(refused), refused[:min(5, len(refused))])
@@ -77,7 +77,7 @@
 func TestSmallLimits(t *testing.T) {
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
 				w.state = l.settings()
 				w.enforce(l)
@@ -121,7 +121,7 @@
 }
 
 // keysUnder lists the keys with a prefix.
-func (w *world) keysUnder(prefix string) (keys []string) {
+func (w *cluster) keysUnder(prefix string) (keys []string) {
 	w.t.Helper()
 	p, err := w.store.Range(context.Background(), prefix, "", 1000)
 	if err != nil {
@@ -133,8 +133,8 @@
 	return keys
 }
 
-// oldSheet is a sheet as an earlier version writes it under larger limits.
-func (w *world) oldSheet(key string, n int) {
+// oldShard is a shard as an earlier version writes it under larger limits.
+func (w *cluster) oldShard(key string, n int) {
 	w.t.Helper()
 	var rec store.RosterRecord
 	for i := range n {
@@ -149,10 +149,10 @@
 // inUse lists the machines that may be given tasks.
 func inUse(n *node) (names []string) {
 	n.look(func(c *Controller) {
-		if c.reign == nil {
+		if c.leadership == nil {
 			return
 		}
-		for name, m := range c.reign.machines {
+		for name, m := range c.leadership.machines {
 			if m.roster == rosterDurable && !m.gone {
 				names = append(names, name)
 			}
@@ -161,15 +161,15 @@
 	return names
 }
 
-// A sheet of the version in production may hold more machines than the service
+// A shard of the version in production may hold more machines than the service
 // takes by now in one value. When it is written again it is split, and whatever
-// is cut off between, refused, lost or late, each machine is on some sheet.
-func TestLargeSheetIsSplit(t *testing.T) {
+// is cut off between, refused, lost or late, each machine is on some shard.
+func TestLargeShardIsSplit(t *testing.T) {
 	for _, l := range []limits{{3, 1, 25}, {5, 1, 25}, {12, 2, 25}} {
 		for _, trouble := range []string{"none", "answers lost", "late", "leader crashes"} {
 			t.Run(l.String()+" "+trouble, func(t *testing.T) {
-				play(t, func(w *world) {
-					w.oldSheet(store.MachinePrefix+"0-1", 26)
+				simulate(t, func(w *cluster) {
+					w.oldShard(store.MachinePrefix+"0-1", 26)
 					w.state = l.settings()
 					w.enforce(l) // from now on
 					a := w.start("n0")
@@ -204,7 +204,7 @@
 							on := w.roster()
 							for _, name := range used {
 								if !slices.Contains(on, name) {
-									w.t.Fatalf("second %d: %s may be in use and is on no sheet", i, name)
+									w.t.Fatalf("second %d: %s may be in use and is on no shard", i, name)
 								}
 							}
 						}
@@ -214,7 +214,7 @@
 					reportAll(ks[1:], a, 10)
 					w.same("in use", len(inUse(a)), 25)
 					if w.store.Has(store.MachinePrefix + "0-1") {
-						w.t.Errorf("the large sheet is still there: %v", w.keysUnder(store.MachinePrefix))
+						w.t.Errorf("the large shard is still there: %v", w.keysUnder(store.MachinePrefix))
 					}
 					a.crash()
 					b := w.start("n0")
@@ -228,7 +228,7 @@
 }
 
 // doneOnRecord are the done tasks of a job as the next leader reads them.
-func (w *world) doneOnRecord(id string) map[int]bool {
+func (w *cluster) doneOnRecord(id string) map[int]bool {
 	w.t.Helper()
 	done := map[int]bool{}
 	p, err := w.store.Range(context.Background(), store.ProgressPrefix+id+"/", "", 1000)
@@ -256,7 +256,7 @@
 func TestLongProgressRecord(t *testing.T) {
 	for _, trouble := range []string{"none", "answers lost", "leader crashes"} {
 		t.Run(trouble, func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				const tasks, before = 30000, 14000 // new records hold 4096
 				w.store.SetLimits(8<<10, 12)
 				s := spec("job-1", tasks)
@@ -325,11 +325,11 @@
 	from, to := limits{20, 16, 25}, limits{5, 1, 6}
 	for _, when := range []string{"while jobs run", "during a takeover"} {
 		t.Run(when, func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
 				w.state = to.settings() // the smaller of both
 				w.enforce(from)
-				w.oldSheet(store.MachinePrefix+"0-1", 24)
+				w.oldShard(store.MachinePrefix+"0-1", 24)
 				a := w.start("n0")
 				var ks []*worker
 				for i := range 26 {
@@ -356,7 +356,7 @@
 				w.same("phase", w.phase(a, "job-1"), "done")
 				w.same("on the roster", len(w.roster()), 25)
 				if w.store.Has(store.MachinePrefix + "0-1") {
-					w.t.Error("the large sheet is still there")
+					w.t.Error("the large shard is still there")
 				}
 				w.neverTooLarge()
 			})
@@ -365,11 +365,11 @@
 }
 
 // Many ends at once, with names as long as they may come: batches keep to the
-// changes of a transaction, sheets to the size of their entries.
+// changes of a transaction, shards to the size of their entries.
 func TestManyChangesAtOnce(t *testing.T) {
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
 				w.state = l.settings()
 				w.enforce(l)
@@ -395,12 +395,12 @@
 }
 
 // The service may be smaller than the settings say. What it refuses for its size
-// does not come again unchanged: batches, sheets and progress records shrink, and
+// does not come again unchanged: batches, shards and progress records shrink, and
 // work goes on.
 func TestRefusedForSize(t *testing.T) {
 	for _, real := range []limits{{2, 1, 25}, {3, 1, 25}, {12, 1, 25}} {
 		t.Run(real.String(), func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
 				w.state = limits{20, 16, 100}.settings()
 				w.enforce(real)
@@ -431,7 +431,7 @@
 
 // A progress record that is refused for its size comes again with fewer tasks.
 func TestProgressRefusedForSize(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.state = limits{20, 16, 100}.settings()
 		w.store.SetLimits(1<<10, 20)
 		a := w.start("n0")
@@ -446,7 +446,7 @@
 		}
 		reportAll(ks, a, 8)
 		done := 0
-		a.look(func(c *Controller) { done = c.reign.jobs["job-1"].doneCount })
+		a.look(func(c *Controller) { done = c.leadership.jobs["job-1"].doneCount })
 		if on := w.doneOnRecord("job-1"); len(on) != done || done < 800 {
 			w.t.Errorf("%d tasks are on record, %d done", len(on), done)
 		}
@@ -458,8 +458,8 @@
 
 // A machine whose entry fits no record is never given a task, since the next
 // leader would not know of it, and goes back; the others are not held up.
-func TestEntryFitsNoSheet(t *testing.T) {
-	play(t, func(w *world) {
+func TestEntryFitsNoShard(t *testing.T) {
+	simulate(t, func(w *cluster) {
 		l := limits{5, 1, 25}
 		w.state = l.settings()
 		w.enforce(l)
@@ -477,15 +477,15 @@
 	})
 }
 
-// keptBy has a node publish machines, and tells which of them a leader takes to
-// be kept.
-func keptBy(w *world, l limits, hosts []string) (kept int) {
+// extendedBy has a node publish machines, and tells which of them a leader takes to have
+// extended leases.
+func extendedBy(w *cluster, l limits, hosts []string) (kept int) {
 	w.state = l.settings()
 	w.enforce(l)
 	a := w.start("n0")
 	a.look(func(c *Controller) {
 		for _, name := range hosts {
-			c.reign.addMachine(name, "small", "a", false, time.Now())
+			c.leadership.addMachine(name, "small", "a", false, time.Now())
 		}
 	})
 	e, err := w.store.Get(context.Background(), election.TermKey)
@@ -494,15 +494,15 @@
 	}
 	b := New(Config{Settings: &config.Settings{Node: "n1", Peers: []config.Peer{{Node: "n0"}, {Node: "n2"}}, Site: config.SiteInfo{State: w.state}},
 		Store: w.store, Log: a.Log})
-	b.publishKept(context.Background(), hosts, 1, e.Mark)
+	b.publishExtensions(context.Background(), hosts, 1, e.Mark)
 	a.look(func(c *Controller) {
-		c.reign.keptRead = time.Time{}
-		c.reign.readKept(time.Now())
+		c.leadership.extensionsRead = time.Time{}
+		c.leadership.readExtensions(time.Now())
 	})
 	time.Sleep(100 * time.Millisecond)
 	a.look(func(c *Controller) {
-		for _, m := range c.reign.machines {
-			if m.kept.After(time.Now()) {
+		for _, m := range c.leadership.machines {
+			if m.extendedUntil.After(time.Now()) {
 				kept++
 			}
 		}
@@ -510,9 +510,9 @@
 	return kept
 }
 
-// A list of kept machines that does not fit one record goes on in further ones,
+// A list of extended leases that does not fit one record goes on in further ones,
 // which leaders of any version read; no more are written than they read.
-func TestKeptMachinesFitRecords(t *testing.T) {
+func TestLeaseExtensionsFitRecords(t *testing.T) {
 	names := func(n int) (hosts []string) {
 		for i := range n {
 			hosts = append(hosts, fmt.Sprintf("i-%06d", i))
@@ -521,32 +521,32 @@
 	}
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
-			play(t, func(w *world) {
-				w.same("kept", keptBy(w, l, names(300)), 300)
+			simulate(t, func(w *cluster) {
+				w.same("extended", extendedBy(w, l, names(300)), 300)
 				w.neverTooLarge()
 			})
 		})
 	}
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		// One too long for any record does not hold up the others.
-		w.same("kept", keptBy(w, limits{3, 1, 8}, append(names(40), strings.Repeat("i", 1100))), 40)
+		w.same("extended", extendedBy(w, limits{3, 1, 8}, append(names(40), strings.Repeat("i", 1100))), 40)
 		w.neverTooLarge()
 	})
-	play(t, func(w *world) {
-		keptBy(w, limits{3, 1, 8}, names(5000))
-		if n := len(w.keysUnder(store.KeepPrefix)); 3*n > 100 || n < 30 {
+	simulate(t, func(w *cluster) {
+		extendedBy(w, limits{3, 1, 8}, names(5000))
+		if n := len(w.keysUnder(store.LeaseExtensionPrefix)); 3*n > 100 || n < 30 {
 			w.t.Errorf("%d records of one node of three", n)
 		}
 		w.neverTooLarge()
 	})
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		// The service turns out smaller than the settings say.
 		w.state = limits{12, 8, 25}.settings()
 		a := w.start("n0")
 		w.enforce(limits{12, 1, 25})
 		e, _ := w.store.Get(context.Background(), election.TermKey)
-		a.publishKept(context.Background(), names(200), 1, e.Mark)
-		w.same("records", len(w.keysUnder(store.KeepPrefix)) > 2, true)
+		a.publishExtensions(context.Background(), names(200), 1, e.Mark)
+		w.same("records", len(w.keysUnder(store.LeaseExtensionPrefix)) > 2, true)
 		if n := len(w.store.TooLarge()); n == 0 || n > 3 {
 			w.t.Errorf("refused %d times", n)
 		}
@@ -560,7 +560,7 @@
 		types  int
 		stored bool
 	}{{3, true}, {40, false}} {
-		play(t, func(w *world) {
+		simulate(t, func(w *cluster) {
 			l := limits{3, 1, 8}
 			w.state = l.settings()
 			w.enforce(l)
@@ -580,7 +580,7 @@
 func TestSmallLimitsBeyondTheCut(t *testing.T) {
 	for _, l := range append([]limits{{2, 1, 8}, {3, 1, 2}}, small...) {
 		t.Run(l.String(), func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.teams[0].CPUs, w.teams[0].CPUsMax = 16, 16
 				w.state = l.settings()
 				w.enforce(l)
@@ -624,7 +624,7 @@
 // What is relayed and refused for its size comes again in smaller parts: work goes
 // on beyond the cut although the service is smaller than the settings say.
 func TestRelayRefusedForSize(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		w.teams[0].CPUs, w.teams[0].CPUsMax = 16, 16
 		w.state = limits{20, 16, 100}.settings()
 		_, a, b, _, near, far := w.beyondTheCut()
@@ -659,7 +659,7 @@
 // A report that fits no batch does not keep those of other machines from being
 // relayed.
 func TestReportTooLargeToRelay(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		l := limits{3, 1, 25}
 		w.state = l.settings()
 		w.enforce(l)
@@ -670,7 +670,7 @@
 		}
 		heard := func() (n int) {
 			a.look(func(c *Controller) {
-				if m := c.reign.machines["i-3"]; m != nil {
+				if m := c.leadership.machines["i-3"]; m != nil {
 					n = m.reports
 				}
 			})
@@ -689,10 +689,10 @@
 }
 
 // Where values may be large, the 64 KiB that a transaction has in all are what
-// bounds a batch: sheets of long entries beside each other, progress of many large
+// bounds a batch: shards of long entries beside each other, progress of many large
 // jobs, ends of many jobs with long names.
 func TestTransactionsFitInAll(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		l := limits{400, 128, 2000}
 		w.state = l.settings()
 		w.enforce(l)
@@ -700,7 +700,7 @@
 		time.Sleep(time.Second)
 		var txns []store.Txn
 		a.look(func(c *Controller) {
-			r := c.reign
+			r := c.leadership
 			rec := &r.recorder
 			for i := range 700 {
 				m := r.addMachine(fmt.Sprintf("i-%06d", i), "small", "a", false, time.Now())
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -43,23 +43,23 @@
 // A machine whose orders have no outcome yet, or whose node has not confirmed
 // the last batch, gets nothing more this way.
 func TestRelayHoldsMachinesWithoutOutcome(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		_, a, _, _, _, far := w.beyondTheCut()
 		busy := spec("job-0", 4)
 		busy.Zone = "a"
 		w.submit(a, busy)
 		w.submit(a, spec("job-1", 2))
 		a.look(func(c *Controller) {
-			node := c.reign.down.nodes["n1"]
+			node := c.leadership.down.nodes["n1"]
 			for i, held := range []bool{true, true, false} {
 				delete(node.pending, "i-2")
 				if i == 0 {
 					node.pending["i-2"] = &relayedOrders{}
 				}
 				rep := far.rep
-				rep.Seq = c.reign.machines["i-2"].seq + 1
+				rep.Seq = c.leadership.machines["i-2"].seq + 1
 				var down peer.RelayDown
-				c.reign.relayedReport(node, &rep, &down, i != 1, time.Now())
+				c.leadership.relayedReport(node, &rep, &down, i != 1, time.Now())
 				w.same("held", len(down.Orders) == 0, held)
 			}
 		})
