--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -114,6 +114,17 @@
 	j.hopeless = true
 }
 
+// rounds is how many tasks of the job a CPU could run one after the other from some
+// time on, so that the last still ends by the job's next aim. It is 1 where there is
+// no time for a second, and where the aims say when every task should have started.
+func (j *job) rounds(from time.Time) float64 {
+	estimate := j.spec.Estimate()
+	if !j.startBy.IsZero() || estimate <= 0 {
+		return 1
+	}
+	return 1 + max(0, j.latest.Sub(from).Seconds()/estimate.Seconds())
+}
+
 // begun tells whether any task has begun or is about to.
 func (j *job) begun() bool { return len(j.live) > 0 || j.doneCount > 0 || !j.firstStart.IsZero() }
 
--- a/internal/controller/renter.go
+++ b/internal/controller/renter.go
@@ -10,6 +10,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cloud"
+	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/fleet"
 )
 
@@ -56,21 +57,38 @@
 	f.move(now)
 }
 
-// demand is the CPUs that the teams could use now, each within its limit.
+// demand is the CPUs that the teams need now to be in time, each within its limit.
+// What is within a team's guarantee should start at once and counts in full; beyond
+// it, a job whose tasks can run one after the other counts for the part of its
+// tasks that have to run at the same time.
 func (f *renter) demand() float64 {
+	bootedAt := time.Now().Add(f.longestBoot())
 	sum := 0.0
 	for _, t := range f.r.turns {
-		want := t.UsedCPUs
+		atOnce, inTime := t.UsedCPUs, t.UsedCPUs
 		for _, j := range t.Items() {
-			if !j.finishing && j.faulty == 0 {
-				want += float64(j.flight.Untaken()) * j.spec.CPUs
+			if j.finishing || j.faulty > 0 {
+				continue
 			}
+			cpus := float64(j.flight.Untaken()) * j.spec.CPUs
+			atOnce += cpus
+			inTime += cpus / j.rounds(bootedAt)
 		}
-		sum += min(want, t.CPUsMax)
+		guaranteed := min(atOnce, t.CPUs)
+		sum += min(max(inTime, guaranteed), t.CPUsMax)
 	}
 	return sum
 }
 
+// longestBoot is how long the slowest type of machine usually takes to boot.
+func (f *renter) longestBoot() time.Duration {
+	boot := 0.0
+	for _, mt := range f.r.c.types.load() {
+		boot = max(boot, mt.BootS)
+	}
+	return config.Seconds(boot)
+}
+
 // rent covers what is lacking.
 func (f *renter) rent(now time.Time) {
 	r := f.r
--- /dev/null
+++ b/internal/controller/renter_test.go
@@ -0,0 +1,58 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/config"
+)
+
+// rented sums up the machines that were asked for.
+func (f *fakeCloud) rented() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	sum := 0
+	for _, r := range f.rentals {
+		sum += r.Count
+	}
+	return sum
+}
+
+// A machine for each task of a burst comes up when a part of them has run already,
+// and is then kept for half a minute. Tasks that can run one after the other and
+// still be in time share machines, unless they are within a guarantee.
+func TestTasksThatCanRunInTurnShareMachines(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(s *api.JobSpec)
+		rented int
+	}{
+		// 16 CPUs in all, of which 8 are guaranteed, on machines of 4.
+		{"some time to spare", func(s *api.JobSpec) { s.EstimateS = 50 }, 3},
+		{"much time to spare, but a guarantee", func(s *api.JobSpec) { s.EstimateS = 10 }, 2},
+		{"no time to spare", func(s *api.JobSpec) { s.DeadlineS = 40 }, 4},
+		{"tasks to be started soon", func(s *api.JobSpec) { s.Class = "soon" }, 4},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			play(t, func(w *world) {
+				w.teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 64}}
+				n := w.start("n0")
+				n.look(func(c *Controller) {
+					c.Policy.MinCPUs, c.Policy.Headroom = 0, 0
+					c.Settings.Site.Objectives = append(c.Settings.Site.Objectives,
+						config.Objective{Kind: "finished", Class: "soon", WithinS: 90}, config.Objective{Kind: "wait", Class: "soon", WithinS: 30})
+				})
+				time.Sleep(20 * time.Second) // what was refused may be asked for again
+				w.cloud.mu.Lock()
+				w.cloud.capacity, w.cloud.rentals = 10, nil
+				w.cloud.mu.Unlock()
+				s := spec("job-1", 16)
+				c.change(s)
+				w.submit(n, s)
+				time.Sleep(2 * time.Second)
+				w.same("rented", w.cloud.rented(), c.rented)
+			})
+		})
+	}
+}
