--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -11,11 +11,11 @@
 )
 
 // Director brings orders straight to a machine. Its errors are
-// api.ErrNotDone and api.ErrUnsure.
+// api.ErrNotDone and api.ErrUnconfirmed.
 type Director interface {
 	Order(ctx context.Context, addr string, orders *api.DirectOrders) (seq uint64, err error)
-	// Greet tells a machine of a term and returns the report that shows it.
-	Greet(ctx context.Context, addr string, term uint64) (*api.Report, error)
+	// Resync tells a machine of a term and returns the report that shows it.
+	Resync(ctx context.Context, addr string, term uint64) (*api.Report, error)
 }
 
 // Starts go straight to machines with free room where reports come so seldom
@@ -54,8 +54,8 @@
 // directStart is a start that was sent straight to a machine.
 type directStart struct {
 	session uint64
-	// waiting is set until there is an outcome, unsure if there will be none.
-	waiting, unsure bool
+	// waiting is set until there is an outcome, unconfirmed if there will be none.
+	waiting, unconfirmed bool
 	// seq is the report from which on the attempt must be shown.
 	seq uint64
 }
@@ -63,13 +63,13 @@
 // mayCome tells whether a start may still be carried out although a report
 // does not show it.
 func (d *directStart) mayCome(rep *api.Report) bool {
-	return d != nil && rep.Session <= d.session && (d.waiting || d.unsure || rep.Seq < d.seq)
+	return d != nil && rep.Session <= d.session && (d.waiting || d.unconfirmed || rep.Seq < d.seq)
 }
 
 // empty tells whether nothing holds the machine but orders without an answer.
 func (m *machine) empty() bool {
 	for _, a := range m.attempts {
-		if a.direct == nil || !a.direct.unsure || a.seen != 0 {
+		if a.direct == nil || !a.direct.unconfirmed || a.seen != 0 {
 			return false
 		}
 	}
@@ -77,7 +77,7 @@
 }
 
 // dispatch brings waiting work to machines with free room.
-func (r *reign) dispatch(now time.Time) {
+func (r *leadership) dispatch(now time.Time) {
 	if r.c.Director == nil || r.c.Settings.Site.Workers.Report() <= directAbove || now.After(r.dispatchUntil) {
 		return
 	}
@@ -96,7 +96,7 @@
 		}
 	}
 	slices.SortFunc(ms, func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(r.renter.cpuPrice(a), r.renter.cpuPrice(b)), cmp.Compare(a.freeCPUs(), b.freeCPUs()), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(r.provisioner.cpuPrice(a), r.provisioner.cpuPrice(b)), cmp.Compare(a.freeCPUs(), b.freeCPUs()), cmp.Compare(a.name, b.name))
 	})
 	for _, m := range ms {
 		if r.ordering >= most {
@@ -109,7 +109,7 @@
 }
 
 // anyWaits tells whether any task waits for a machine.
-func (r *reign) anyWaits() bool {
+func (r *leadership) anyWaits() bool {
 	for _, j := range r.jobs {
 		if j.flight.Untaken() > 0 && !j.finishing && !j.doomed && len(j.awaits) == 0 {
 			return true
@@ -119,7 +119,7 @@
 }
 
 // order sends starts that were just placed on a machine.
-func (r *reign) order(m *machine, orders []api.Order) {
+func (r *leadership) order(m *machine, orders []api.Order) {
 	batch := make([]*attempt, 0, len(orders))
 	for _, o := range orders {
 		a := m.attempts[attemptKey{o.Task, o.Attempt}]
@@ -142,7 +142,7 @@
 }
 
 type orderedMsg struct {
-	r     *reign
+	r     *leadership
 	m     *machine
 	batch []*attempt
 	seq   uint64
@@ -150,7 +150,7 @@
 }
 
 func (o orderedMsg) apply(c *Controller) {
-	if c.reign != o.r {
+	if c.leadership != o.r {
 		return
 	}
 	o.m.ordering = false
@@ -173,10 +173,10 @@
 				o.r.offMachine(a)
 			}
 		case o.m.session == a.direct.session:
-			a.direct.unsure = true
+			a.direct.unconfirmed = true
 			o.r.leave(o.m, "order unanswered")
 			if a.job.over {
-				o.r.settleUnsure(a)
+				o.r.settleUnconfirmed(a)
 			}
 		}
 	}
@@ -186,11 +186,11 @@
 	}
 }
 
-// settleUnsure returns a machine on which a task of a job that is over might
+// settleUnconfirmed returns a machine on which a task of a job that is over might
 // still begin: nothing else keeps it from doing so in time.
-func (r *reign) settleUnsure(a *attempt) {
-	if m := a.machine; a.direct != nil && a.direct.unsure && a.seen == 0 && !m.gone && !m.returning {
+func (r *leadership) settleUnconfirmed(a *attempt) {
+	if m := a.machine; a.direct != nil && a.direct.unconfirmed && a.seen == 0 && !m.gone && !m.returning {
 		r.leave(m, "order unanswered")
-		r.renter.giveBack(m)
+		r.provisioner.giveBack(m)
 	}
 }
--- a/internal/controller/direct_test.go
+++ b/internal/controller/direct_test.go
@@ -45,7 +45,7 @@
 		d.held = append(d.held, carryOut)
 		d.mu.Unlock()
 		<-ctx.Done()
-		return 0, api.ErrUnsure
+		return 0, api.ErrUnconfirmed
 	}
 	defer d.mu.Unlock()
 	if seq := carryOut(); seq != 0 {
@@ -54,8 +54,8 @@
 	return 0, api.ErrNotDone
 }
 
-// Greet tells a machine of a term. One that is dead does not answer.
-func (d *wire) Greet(_ context.Context, addr string, term uint64) (*api.Report, error) {
+// Resync tells a machine of a term. One that is dead does not answer.
+func (d *wire) Resync(_ context.Context, addr string, term uint64) (*api.Report, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	k := d.machines[addr]
@@ -102,8 +102,8 @@
 	return done
 }
 
-// seldom is a world whose machines report every 5 s, with n of them.
-func (w *world) seldom(n int) (*node, *wire, []*worker) {
+// seldom is a cluster whose machines report every 5 s, with n of them.
+func (w *cluster) seldom(n int) (*node, *wire, []*worker) {
 	d := &wire{machines: map[string]*worker{}}
 	w.director, w.reportS = d, 5
 	a := w.start("n0")
@@ -120,7 +120,7 @@
 // Work is begun at once where reports are seldom. A report that was on its way
 // as the order was carried out, and so does not show it, changes nothing.
 func TestStartsGoStraightToMachines(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n, d, ks := w.seldom(2)
 		stale := ks[0].rep // on its way while the order is carried out
 		stale.Seq++
@@ -152,7 +152,7 @@
 // session has ended or it is returned; reports that do not show it prove
 // nothing.
 func TestUnansweredOrderKeepsItsTask(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		n, d, ks := w.seldom(2)
 		busy := spec("job-1", 4)
 		busy.Zone = "a"
@@ -202,7 +202,7 @@
 		d.set(false, false)
 		victim := k
 		n.look(func(c *Controller) {
-			for _, a := range c.reign.jobs["job-3"].live {
+			for _, a := range c.leadership.jobs["job-3"].live {
 				victim = d.machines[a.machine.name]
 			}
 		})
@@ -220,7 +220,7 @@
 // return keeps the task from beginning too late.
 func TestUnansweredOrderOfACancelledJob(t *testing.T) {
 	for _, cancelFirst := range []bool{false, true} {
-		play(t, func(w *world) {
+		simulate(t, func(w *cluster) {
 			n, d, ks := w.seldom(1)
 			w.submit(n, spec("job-0", 1)) // keeps the machine in use
 			time.Sleep(time.Second)
@@ -246,7 +246,7 @@
 // Under a new leader an earlier one's order is refused by every machine that
 // the new one has heard, so it needs no memory of it.
 func TestUnansweredOrderOfAnEarlierLeader(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		a, d, ks := w.seldom(2)
 		d.set(false, true)
 		w.submit(a, spec("job-1", 1))
@@ -264,12 +264,12 @@
 	})
 }
 
-// A new leader greets the machines on the roster, and so hears them without
+// A new leader resyncs the machines on the roster, and so hears them without
 // waiting for their reports; one that does not answer is returned, and only
-// then its tasks begin elsewhere. Orders cannot go in a greeting's answer, so
+// then its tasks begin elsewhere. Orders cannot go in a resync's answer, so
 // none are given there.
-func TestTakeoverGreetsMachines(t *testing.T) {
-	play(t, func(w *world) {
+func TestTakeoverResyncsMachines(t *testing.T) {
+	simulate(t, func(w *cluster) {
 		a, d, ks := w.seldom(40)
 		w.submit(a, spec("job-1", 8))
 		time.Sleep(2 * time.Second)
@@ -290,7 +290,7 @@
 		b := w.start("n0")
 		w.submit(b, spec("job-2", 3))
 		time.Sleep(time.Second)
-		b.look(func(c *Controller) { w.same("unheard after a second", c.reign.unheard, 1) })
+		b.look(func(c *Controller) { w.same("unheard after a second", c.leadership.unheard, 1) })
 		w.same("goes on", len(busy[1].running()) >= 4, true)
 		time.Sleep(4 * time.Second)
 		w.same("returned", w.cloud.gone(busy[0].rep.Machine), true)
@@ -306,23 +306,23 @@
 		w.submit(b, spec("job-3", 1))
 		time.Sleep(4 * time.Second)
 		b.look(func(c *Controller) {
-			m := c.reign.machines[idle[5].rep.Machine]
+			m := c.leadership.machines[idle[5].rep.Machine]
 			rep := idle[5].rep
 			rep.Seq, rep.Session = m.seq+1, m.session
-			c.reign.greeting++
-			greetedMsg{c.reign, m, time.Now(), &rep, nil}.apply(c)
-			w.same("given in a greeting", len(m.attempts), 0)
+			c.leadership.resyncing++
+			resyncedMsg{c.leadership, m, time.Now(), &rep, nil}.apply(c)
+			w.same("given in a resync", len(m.attempts), 0)
 		})
 	})
 }
 
-// A greeting's answer may be drawn up while the answer to the machine's own
+// A resync's answer may be drawn up while the answer to the machine's own
 // report, with a start in it, is still on its way to the machine. It is the
 // newer message and does not show the task; taken for proof that the start was
 // lost, the task would begin elsewhere while it begins here. Seen when a leader
-// had 700 machines to greet and answered late.
-func TestGreetingBesideAnAnswer(t *testing.T) {
-	play(t, func(w *world) {
+// had 700 machines to resync and answered late.
+func TestResyncBesideAnAnswer(t *testing.T) {
+	simulate(t, func(w *cluster) {
 		a, d, ks := w.seldom(2)
 		a.crash()
 		d.set(true, false) // only answers bring starts
@@ -335,18 +335,18 @@
 		if err != nil || len(orders) != 4 {
 			t.Fatalf("orders %v, error %v", orders, err)
 		}
-		greeted := func(k *worker) {
+		resynced := func(k *worker) {
 			b.look(func(c *Controller) {
-				m := c.reign.machines[k.rep.Machine]
-				rep, err := d.Greet(context.Background(), m.addr, c.reign.term.Number)
+				m := c.leadership.machines[k.rep.Machine]
+				rep, err := d.Resync(context.Background(), m.addr, c.leadership.term.Number)
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.reign.greeting++
-				greetedMsg{c.reign, m, time.Now(), rep, nil}.apply(c)
+				c.leadership.resyncing++
+				resyncedMsg{c.leadership, m, time.Now(), rep, nil}.apply(c)
 			})
 		}
-		greeted(ks[0])
+		resynced(ks[0])
 		ks[1].serve(b, 3)
 		w.same("begun elsewhere", ks[1].running(), []string(nil))
 		ks[0].obey(orders)
@@ -354,7 +354,7 @@
 		w.same("begun", len(ks[0].running()), 4)
 
 		// An answer that is lost is known by the machine's next own report, or
-		// by its next session, even if a greeting shows that.
+		// by its next session, even if a resync shows that.
 		w.submit(b, spec("job-2", 2))
 		time.Sleep(6 * time.Second)
 		lost, err := ks[1].send(b)
@@ -362,18 +362,18 @@
 			t.Fatalf("orders %v, error %v", lost, err)
 		}
 		ks[1].rep.Session, ks[1].rep.Seq = ks[1].rep.Session+1, 0
-		greeted(ks[1])
-		b.look(func(c *Controller) { w.same("untaken again", c.reign.jobs["job-2"].flight.Untaken(), 2) })
+		resynced(ks[1])
+		b.look(func(c *Controller) { w.same("untaken again", c.leadership.jobs["job-2"].flight.Untaken(), 2) })
 		ks[1].serve(b, 6)
 		w.same("repeated", len(ks[1].running()), 2)
 	})
 }
 
 // A fleet as large as any: a crash, machines that die together, and a second
-// crash in the middle of the takeover. All that live are heard by greetings, none
+// crash in the middle of the takeover. All that live are heard by resyncs, none
 // of them is returned, and no task begins again while it may run.
 func TestTakeoverOfALargeFleet(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		const fleet, fallen = 1100, 100
 		w.teams[0].CPUs, w.teams[0].CPUsMax = 5000, 5000
 		d := &wire{machines: map[string]*worker{}}
@@ -419,11 +419,11 @@
 		b.crash()
 		c := w.start("n0")
 		time.Sleep(500 * time.Millisecond)
-		c.look(func(c *Controller) { w.same("unheard after a second", c.reign.unheard <= fallen, true) })
+		c.look(func(c *Controller) { w.same("unheard after a second", c.leadership.unheard <= fallen, true) })
 		for range 6 {
 			round(c, ks[fallen:])
 		}
-		c.look(func(c *Controller) { w.same("unheard", c.reign.unheard, 0) })
+		c.look(func(c *Controller) { w.same("unheard", c.leadership.unheard, 0) })
 		w.same("returned", len(w.cloud.returned), fallen)
 		w.same("running again", round(c, ks[fallen:]), 4*(fleet-fallen))
 	})
@@ -434,7 +434,7 @@
 // first machines that it misses for dead. Those that reach it through another
 // node get their starts in answers.
 func TestLeaderWithoutAWayToItsMachines(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *cluster) {
 		const fleet = 50
 		w.teams[0].CPUs, w.teams[0].CPUsMax = 500, 500
 		d := &wire{machines: map[string]*worker{}}
--- a/internal/controller/renter_test.go
+++ b/internal/controller/renter_test.go
@@ -35,7 +35,7 @@
 		{"tasks to be started soon", func(s *api.JobSpec) { s.Class = "soon" }, 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			play(t, func(w *world) {
+			simulate(t, func(w *cluster) {
 				w.teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 64}}
 				n := w.start("n0")
 				n.look(func(c *Controller) {
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -36,9 +36,9 @@
 // that waits for it to be heard can start nothing old. One whose reports arrive
 // while it carries out no orders is deaf, and is asked in the same way. Where
 // most of a zone is silent or deaf at once, the network is the more likely
-// cause, and a node on the other side may keep the machines alive: they are
+// cause, and a node on the other side may extend the machines' leases: they are
 // given the time in which even that ends.
-func (r *reign) silences(now time.Time) {
+func (r *leadership) silences(now time.Time) {
 	w := r.c.Settings.Site.Workers
 	suspect := func(m *machine) bool {
 		if !m.heard {
@@ -71,7 +71,7 @@
 			// dead: nearly nobody has reported since.
 			m.heard && float64(fresh[m.zone]) < due*float64(all[m.zone])/5 && all[m.zone] >= fewMachines
 		if cut {
-			r.readKept(now)
+			r.readExtensions(now)
 		}
 		why := "silent"
 		if m.unheeded > 0 {
@@ -81,9 +81,9 @@
 		case !m.heard && now.Sub(r.listening) > w.Lease()+2*w.Report():
 			// It holds every earlier job back. A deaf one shows the old token
 			// in report after report and may even answer probes, but its
-			// lease has ended by now. One that another node keeps alive would
+			// lease has ended by now. One whose lease another node extends would
 			// have been heard through the store.
-		case now.Before(m.kept):
+		case now.Before(m.extendedUntil):
 			continue
 		case silent > w.Lease()+2*w.Report() && !cut:
 		case silent > config.Seconds(w.CancelS):
@@ -93,18 +93,18 @@
 			continue
 		}
 		r.leave(m, why)
-		r.renter.giveBack(m)
+		r.provisioner.giveBack(m)
 	}
 }
 
 // probe asks a silent machine, unless it was asked just now.
-func (r *reign) probe(m *machine, now time.Time) {
+func (r *leadership) probe(m *machine, now time.Time) {
 	if now.Before(m.nextProbe) || r.probing >= r.dials {
 		return
 	}
 	if !m.heard && r.c.Director != nil && m.addr != "" {
-		if r.greeting < r.dials {
-			r.greet(m, now)
+		if r.resyncing < r.dials {
+			r.resync(m, now)
 		}
 		return
 	}
@@ -127,7 +127,7 @@
 }
 
 type probedMsg struct {
-	r     *reign
+	r     *leadership
 	m     *machine
 	asked time.Time
 	// session and seq are of the machine's last report when it was asked.
@@ -137,7 +137,7 @@
 }
 
 func (p probedMsg) apply(c *Controller) {
-	if c.reign != p.r {
+	if c.leadership != p.r {
 		return
 	}
 	p.r.probing--
@@ -157,7 +157,7 @@
 		// they are off the machine but its return.
 		p.r.leave(p.m, "started anew")
 		if !p.m.returning {
-			p.r.renter.giveBack(p.m)
+			p.r.provisioner.giveBack(p.m)
 		}
 		return
 	}
