--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -161,7 +161,8 @@
 	return names
 }()
 
-func (in *submission) spec() (*JobSpec, error) {
+// complete returns an error that names the first required field that is missing.
+func (in *submission) complete() error {
 	for _, f := range []struct {
 		name    string
 		missing bool
@@ -174,9 +175,17 @@
 		{"GraftS", in.CheckpointS == nil}, {"PressS", in.SaveS == nil},
 	} {
 		if f.missing {
-			return nil, fmt.Errorf("field %s is missing", f.name)
+			return fmt.Errorf("field %s is missing", f.name)
 		}
 	}
+	return nil
+}
+
+// spec checks a submission and returns the job that it describes.
+func (in *submission) spec() (*JobSpec, error) {
+	if err := in.complete(); err != nil {
+		return nil, err
+	}
 	s := &JobSpec{
 		ID: *in.ID, Class: *in.Class, Team: *in.Team, Shape: *in.Shape, Priority: *in.Priority,
 		Tasks: *in.Tasks, CPUs: *in.CPUs, GPUs: *in.GPUs, MemoryGB: *in.MemoryGB,
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -123,14 +123,28 @@
 	return &batch{txn: store.Txn{Records: true, Guards: []store.Guard{w.r.termGuard()}}}
 }
 
-// next takes the next batch, the most urgent first, within what the write rate
-// allows at this moment.
+// next builds the next batch, the most urgent changes first, within what the
+// write rate allows at this moment.
 func (w *recorder) next(now time.Time) *batch {
 	b := w.newBatch()
 	if w.r.pipeline.add(b, now); len(b.txn.Ops) > 0 {
 		return b
 	}
 	allowed := min(w.maxOps, int(w.limiter.TokensAt(now)))
+	w.addFinished(b, allowed, now)
+	w.addEnrolled(b, allowed)
+	w.addDrops(b, allowed)
+	if !now.Before(w.nextProgress) {
+		w.nextProgress = now.Add(progressInterval)
+		w.addProgress(b, allowed/2)
+	}
+	w.rewriteStale(b, allowed, now)
+	w.limiter.AllowN(now, len(b.txn.Ops))
+	return b
+}
+
+// addFinished adds the ends of jobs whose tasks are all done.
+func (w *recorder) addFinished(b *batch, allowed int, now time.Time) {
 	for len(w.finishing) > 0 && b.bytes < w.maxBytes {
 		j := w.finishing[0]
 		if j.over {
@@ -138,7 +152,7 @@
 			continue
 		}
 		if len(b.txn.Ops)+2 > allowed {
-			break
+			return
 		}
 		w.finishing = w.finishing[1:]
 		active := store.ActivePrefix + j.spec.ID
@@ -149,6 +163,10 @@
 		// From now on others may read of its end before this node knows of it.
 		j.ending = true
 	}
+}
+
+// addEnrolled adds new machines to the roster.
+func (w *recorder) addEnrolled(b *batch, allowed int) {
 	w.enrolling = slices.DeleteFunc(w.enrolling, func(m *machine) bool { return m.gone })
 	for len(w.enrolling) > 0 && len(b.txn.Ops) < allowed && b.bytes < w.maxBytes {
 		n, size := w.fitting(w.enrolling)
@@ -158,23 +176,20 @@
 			continue
 		}
 		if len(b.txn.Ops) > 0 && b.bytes+size > w.maxBytes {
-			break
+			return
 		}
 		b.shard(w.newShard(w.enrolling[:n]))
 		w.enrolling = w.enrolling[n:]
 	}
+}
+
+// addDrops adds the deletion of records that are no longer needed.
+func (w *recorder) addDrops(b *batch, allowed int) {
 	for len(w.drops) > 0 && len(b.txn.Ops) < allowed {
 		b.delete(w.drops[0])
 		b.drops = append(b.drops, w.drops[0])
 		w.drops = w.drops[1:]
 	}
-	if !now.Before(w.nextProgress) {
-		w.nextProgress = now.Add(progressInterval)
-		w.addProgress(b, allowed/2)
-	}
-	w.rewriteStale(b, allowed, now)
-	w.limiter.AllowN(now, len(b.txn.Ops))
-	return b
 }
 
 // addProgress adds the done tasks of changed jobs.
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -148,7 +148,7 @@
 	}()
 }
 
-// write writes what is new.
+// write writes new reports and outcomes to the store.
 func (u *relayUp) write(c *Controller, now time.Time) {
 	k := &c.extender
 	leader := c.peerTable.nodes[k.leader]
@@ -167,12 +167,37 @@
 		}
 	}
 	u.batch++
-	up := &peer.RelayUp{Incarnation: u.incarnation, Batch: u.batch, Got: u.got}
 	lim := c.Settings.Site.State
 	most := min(relayParts, lim.TxnOps)
 	size := max(relayRoom(lim, most)>>u.halved, 256)
-	room := size * most * relayRaw
-	var told []*relayed
+	up, told := u.compose(k, carrying, size*most*relayRaw)
+	parts, err := u.pack(c, up, most, size, now)
+	if err != nil {
+		c.Log.Error("relay", "err", err)
+		return
+	}
+	for _, m := range told[:len(up.Outcomes)] {
+		m.toldIn = u.batch
+	}
+	for _, rep := range up.Reports {
+		m := u.machines[rep.Machine]
+		m.dirty, m.sentAt = false, now
+	}
+	txn := u.transaction(store.RelayPrefix+c.Settings.Node, parts, most)
+	if carrying {
+		txn.Guards = []store.Guard{{Key: election.TermKey, Mark: k.mark}}
+	}
+	// Where few changes are allowed, relaying must leave room for submissions.
+	if next := now.Add(config.Seconds(float64(len(txn.Ops)) / (lim.WriteRPS * store.RecordShare))); next.After(u.next) {
+		u.next = next
+	}
+	u.send(c, txn)
+}
+
+// compose builds a batch of outcomes and, while the leader cannot be reached, of
+// about room bytes of reports. It returns with it the machines of the outcomes.
+func (u *relayUp) compose(k *leaseExtender, carrying bool, room int) (up *peer.RelayUp, told []*relayed) {
+	up = &peer.RelayUp{Incarnation: u.incarnation, Batch: u.batch, Got: u.got}
 	for _, m := range u.oldestFirst() {
 		if m.outcome != nil {
 			told = append(told, m)
@@ -187,6 +212,12 @@
 	if carrying {
 		up.Term = k.term
 	}
+	return up, told
+}
+
+// pack divides a batch into at most so many records of a size. Of a batch that is
+// too large, it leaves out reports first, then outcomes.
+func (u *relayUp) pack(c *Controller, up *peer.RelayUp, most, size int, now time.Time) ([]relay.Part, error) {
 	parts, err := relay.Pack(up, u.batch, most, size)
 	for errors.Is(err, relay.ErrTooLarge) && len(up.Reports)+len(up.Outcomes) > 0 {
 		// Outcomes are told until they are confirmed: what is left out comes
@@ -203,22 +234,12 @@
 		}
 		parts, err = relay.Pack(up, u.batch, most, size)
 	}
-	if err != nil {
-		c.Log.Error("relay", "err", err)
-		return
-	}
-	for _, m := range told[:len(up.Outcomes)] {
-		m.toldIn = u.batch
-	}
-	for _, rep := range up.Reports {
-		m := u.machines[rep.Machine]
-		m.dirty, m.sentAt = false, now
-	}
+	return parts, err
+}
+
+// transaction puts the parts of a batch in place of the last one's.
+func (u *relayUp) transaction(prefix string, parts []relay.Part, most int) store.Txn {
 	txn := store.Txn{Records: true}
-	if carrying {
-		txn.Guards = []store.Guard{{Key: election.TermKey, Mark: k.mark}}
-	}
-	prefix := store.RelayPrefix + c.Settings.Node
 	for _, p := range parts {
 		txn.Ops = append(txn.Ops, store.Op{Put: prefix + "/up/" + strconv.Itoa(p.Index), Value: p})
 	}
@@ -229,10 +250,11 @@
 			txn.Ops = append(txn.Ops, store.Op{Delete: prefix + "/up/" + strconv.Itoa(i)})
 		}
 	}
-	// Where few changes are allowed, relaying must leave room for submissions.
-	if next := now.Add(config.Seconds(float64(len(txn.Ops)) / (lim.WriteRPS * store.RecordShare))); next.After(u.next) {
-		u.next = next
-	}
+	return txn
+}
+
+// send carries out a batch's transaction and posts its result.
+func (u *relayUp) send(c *Controller, txn store.Txn) {
 	u.busy = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), relayWait)
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -14,11 +14,11 @@
 // below 64 KiB.
 const maxOrders = 200
 
-// report takes a worker's report in and gives it its orders. Orders go in
+// report processes a worker's report and answers with its orders. Orders go in
 // answers only: an answer that comes late is dropped by the worker, while an
 // order sent by itself could be carried out minutes later.
 func (r *leadership) report(rep *api.Report, now time.Time) (api.ReportAnswer, error) {
-	return r.takeIn(rep, ownReport, now)
+	return r.processReport(rep, ownReport, now)
 }
 
 // origin is how a report came about.
@@ -35,7 +35,8 @@
 	drawnReport
 )
 
-func (r *leadership) takeIn(rep *api.Report, from origin, now time.Time) (api.ReportAnswer, error) {
+// processReport updates the leader's state by a report and returns the answer to it.
+func (r *leadership) processReport(rep *api.Report, from origin, now time.Time) (api.ReportAnswer, error) {
 	ans := api.ReportAnswer{Term: r.term.Number, Orders: []api.Order{}}
 	if rep.Term > r.term.Number {
 		// The machine has seen a later term than this one.
@@ -55,8 +56,8 @@
 	if rep.Term < r.term.Number && (m != nil || r.expected[rep.Machine] == nil) {
 		// A token never falls, so this is the first report of a machine that
 		// has yet to hear of this term, one of a machine that no answer
-		// reaches, or a copy of an old report that comes late. Which, cannot
-		// be told: it is answered, so that the machine learns the term, and
+		// reaches, or a copy of an old report that comes late. These look
+		// alike: it is answered, so that the machine learns the term, and
 		// otherwise changes nothing. Above all it is no sign of life, and
 		// brings no machine back that an earlier leader returned.
 		return ans, nil
@@ -69,6 +70,36 @@
 	if rep.Session < m.session || (rep.Session == m.session && rep.Seq <= m.seq) {
 		return ans, nil // older than what is known
 	}
+	ans.Orders = r.processNew(m, rep, from, ans.Orders, now)
+	return ans, nil
+}
+
+// processNew updates the state of a machine by a report that is newer than all
+// before it, and adds the orders that answer it.
+func (r *leadership) processNew(m *machine, rep *api.Report, from origin, orders []api.Order, now time.Time) []api.Order {
+	r.updateMachine(m, rep, now)
+	orders = r.reconcile(m, rep, from, orders, now)
+	if m.unheeded == 0 {
+		m.probeFails = 0
+	}
+	r.enrollUnknown(m)
+	if rep.Term == r.term.Number {
+		r.countHeard(m)
+		if from == ownReport {
+			orders = r.place(m, orders, now)
+		}
+	}
+	if from == ownReport {
+		m.asked, m.askedAt = orders, now
+	}
+	if m.usedCPUs > slack || len(m.attempts) > 0 {
+		m.idle = now
+	}
+	return orders
+}
+
+// updateMachine records what a new report says of the machine itself.
+func (r *leadership) updateMachine(m *machine, rep *api.Report, now time.Time) {
 	if m.session != 0 && rep.Session > m.session {
 		if r.punctual(now.Add(-r.c.Settings.Site.Workers.Lease() - r.hearable())) {
 			m.unheeded++ // its lease has ended although it was answered
@@ -92,29 +123,17 @@
 	if rep.NoticeS != nil {
 		r.notice(m, *rep.NoticeS, now)
 	}
-	ans.Orders = r.reconcile(m, rep, from, ans.Orders, now)
-	if m.unheeded == 0 {
-		m.probeFails = 0
-	}
-	if m.roster == rosterNone && m.cpus > 0 && !m.leaving {
-		m.roster = rosterWriting
-		// Unknown to the roster: no earlier leader started anything here.
-		m.heard = true
-		r.recorder.enroll(m)
-	}
-	if rep.Term == r.term.Number {
-		r.countHeard(m)
-		if from == ownReport {
-			ans.Orders = r.place(m, ans.Orders, now)
-		}
-	}
-	if from == ownReport {
-		m.asked, m.askedAt = ans.Orders, now
-	}
-	if m.usedCPUs > slack || len(m.attempts) > 0 {
-		m.idle = now
+}
+
+// enrollUnknown has a machine written to the roster if it is not on it. No
+// earlier leader has started anything there, so it counts as heard.
+func (r *leadership) enrollUnknown(m *machine) {
+	if m.roster != rosterNone || m.cpus <= 0 || m.leaving {
+		return
 	}
-	return ans, nil
+	m.roster = rosterWriting
+	m.heard = true
+	r.recorder.enroll(m)
 }
 
 // lateAnswer is how long before an answer this node may have been held up and the
@@ -182,34 +201,15 @@
 func (r *leadership) reconcile(m *machine, rep *api.Report, from origin, orders []api.Order, now time.Time) []api.Order {
 	// Stops go before reaps: a machine that has ended more tasks than an answer
 	// holds orders would run what is cancelled on, while its lease is renewed.
-	var reaps []api.Order
-	for i := range rep.Tasks {
-		t := &rep.Tasks[i]
-		key := attemptKey{t.Task, t.Attempt}
-		a := m.attempts[key]
-		if a == nil {
-			a = r.adopt(m, key, t, now)
-		}
-		a.seen = m.reports
-		r.update(a, t, now)
-		if a.exited && r.reapable(a) && len(reaps) < maxOrders {
-			reaps = append(reaps, api.Order{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
-		}
-	}
+	reaps := r.updateAttempts(m, rep, now)
 	if from == ownReport {
 		r.heed(m, now)
 	}
 	for key, a := range m.attempts {
 		if a.seen != m.reports {
-			if a.mayCome(rep) || (from == drawnReport && a.onItsWay(rep)) {
-				continue
-			}
-			// Reaped, killed with its session, or never begun: a newer
-			// report without it shows that it is off the machine.
-			if !a.exited && !a.noted && a.phase == "" {
-				r.c.Log.Debug("start lost", "machine", m.name, "task", key.ref, "attempt", key.id)
+			if !a.mayCome(rep) && !(from == drawnReport && a.onItsWay(rep)) {
+				r.unreported(a)
 			}
-			r.offMachine(a)
 			continue
 		}
 		if a.exited || len(orders) >= maxOrders {
@@ -217,7 +217,7 @@
 		}
 		// A version that knows nothing of jobs that await others may have started
 		// one too early; one that is to be cancelled is stopped, also while the
-		// store cannot be told so.
+		// store cannot be written.
 		if a.job == nil || a.job.over || a.job.cancelPending || a.job.live[a.task] != a {
 			r.stop(a, 0, now)
 		}
@@ -229,6 +229,35 @@
 	return append(orders, reaps[:min(len(reaps), maxOrders-len(orders))]...)
 }
 
+// updateAttempts updates the attempts that a report names, and returns the
+// orders to reap those that have ended.
+func (r *leadership) updateAttempts(m *machine, rep *api.Report, now time.Time) []api.Order {
+	var reaps []api.Order
+	for i := range rep.Tasks {
+		t := &rep.Tasks[i]
+		key := attemptKey{t.Task, t.Attempt}
+		a := m.attempts[key]
+		if a == nil {
+			a = r.adopt(m, key, t, now)
+		}
+		a.seen = m.reports
+		r.update(a, t, now)
+		if a.exited && r.reapable(a) && len(reaps) < maxOrders {
+			reaps = append(reaps, api.Order{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
+		}
+	}
+	return reaps
+}
+
+// unreported removes an attempt that a newer report does not name, which shows
+// that it is off the machine: reaped, killed with its session, or never begun.
+func (r *leadership) unreported(a *attempt) {
+	if !a.exited && !a.noted && a.phase == "" {
+		r.c.Log.Debug("start lost", "machine", a.machine.name, "task", a.key.ref, "attempt", a.key.id)
+	}
+	r.offMachine(a)
+}
+
 // hasImage notes that a machine has a job's image.
 func (r *leadership) hasImage(m *machine, s *api.JobSpec, now time.Time) {
 	m.images.use(s, r.c.types.load()[m.typ].CacheGB, now)
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -73,7 +73,7 @@
 			g.m.probeFails++
 		}
 	case c.valid() && g.rep.Machine == g.m.name:
-		if _, err := r.takeIn(g.rep, drawnReport, now); err != nil {
+		if _, err := r.processReport(g.rep, drawnReport, now); err != nil {
 			c.Log.Debug("resync", "machine", g.m.name, "err", err)
 		}
 	}
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -192,7 +192,7 @@
 	if p.m.heard && p.rep.Session > p.m.session && c.valid() {
 		// Its lease has ended while it reached no controller, and its tasks
 		// with that. Its reports may not come for long.
-		if _, err := p.r.takeIn(p.rep, drawnReport, time.Now()); err != nil {
+		if _, err := p.r.processReport(p.rep, drawnReport, time.Now()); err != nil {
 			c.Log.Debug("probe", "machine", p.m.name, "err", err)
 		}
 		return
--- a/internal/store/awaits.go
+++ b/internal/store/awaits.go
@@ -507,11 +507,6 @@
 			return st, false, err
 		}
 	}
-	txn := Txn{
-		Guards: []Guard{{ActivePrefix + id, 0}, {FinalPrefix + id, 0}},
-		Ops:    []Op{{Put: ActivePrefix + id, Value: a.record}},
-	}
-	first := api.JobState{ID: id, Phase: api.JobPending}
 	withdrawn, err := r.awaited(ctx, a.spec.Awaits)
 	if errors.Is(err, errNeverAccepted) {
 		// What is known already keeps its state whatever it names.
@@ -524,17 +519,14 @@
 	}
 	// One that is cancelled from now on finds the job among those that need it,
 	// whoever leads then.
-	if withdrawn {
-		final := FinalRecord{Phase: api.JobWithdrawn, Tasks: a.spec.Tasks}
-		txn.Ops = []Op{{Put: FinalPrefix + id, Value: final}}
-		first = final.FinalState(id)
-	} else if a.list != nil {
+	if !withdrawn && a.list != nil {
 		if ok, err := r.writeAwaits(ctx, id, a.list, a.parts); err != nil {
 			return st, false, err
 		} else if !ok {
 			return r.changed(ctx, id)
 		}
 	}
+	txn, first := a.transaction(withdrawn)
 	res, err := r.txn(ctx, txn)
 	if err != nil {
 		return st, false, err
@@ -545,6 +537,20 @@
 	return r.changed(ctx, id)
 }
 
+// transaction returns the transaction that makes the job's record, and the state
+// that the job then has: withdrawn if a job that it awaits is.
+func (a *acceptance) transaction(withdrawn bool) (Txn, api.JobState) {
+	id := a.spec.ID
+	txn := Txn{Guards: []Guard{{ActivePrefix + id, 0}, {FinalPrefix + id, 0}}}
+	if withdrawn {
+		final := FinalRecord{Phase: api.JobWithdrawn, Tasks: a.spec.Tasks}
+		txn.Ops = []Op{{Put: FinalPrefix + id, Value: final}}
+		return txn, final.FinalState(id)
+	}
+	txn.Ops = []Op{{Put: ActivePrefix + id, Value: a.record}}
+	return txn, api.JobState{ID: id, Phase: api.JobPending}
+}
+
 // changed looks up a job that turned out to be known; perhaps by a transaction of
 // this very submission, whose answer was lost.
 func (r *Records) changed(ctx context.Context, id string) (api.JobState, bool, error) {
