--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -52,7 +52,7 @@
 
 // Handler serves users, workers and health checks.
 func Handler(b Backend, log *slog.Logger) http.Handler {
-	s := &server{b: b, log: log, submits: make(chan struct{}, maxSubmits), asks: make(chan struct{}, maxAsks)}
+	s := &server{backend: b, log: log, submits: make(chan struct{}, maxSubmits), asks: make(chan struct{}, maxAsks)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /api/jobs", s.limited(s.submits, s.submit))
 	mux.HandleFunc("GET /api/jobs/{id}", s.limited(s.asks, s.job))
@@ -64,8 +64,8 @@
 }
 
 type server struct {
-	b   Backend
-	log *slog.Logger
+	backend Backend
+	log     *slog.Logger
 	// submits and asks bound the users' requests that are being served: what
 	// cannot be is refused at once, with a time to come back.
 	submits, asks chan struct{}
@@ -98,7 +98,7 @@
 }
 
 func (s *server) ready(w http.ResponseWriter, _ *http.Request) {
-	if !s.b.Ready() {
+	if !s.backend.Ready() {
 		s.fail(w, http.StatusServiceUnavailable, ErrUnavailable)
 		return
 	}
@@ -108,7 +108,7 @@
 func (s *server) status(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), pollWait)
 	defer cancel()
-	st, err := s.b.Status(ctx)
+	st, err := s.backend.Status(ctx)
 	if err != nil {
 		s.unavailable(w, err)
 		return
@@ -129,7 +129,7 @@
 		s.refuse(ctx, w, id, http.StatusBadRequest, err)
 		return
 	}
-	st, created, err := s.b.Submit(ctx, spec)
+	st, created, err := s.backend.Submit(ctx, spec)
 	var never *NeverRunsError
 	switch {
 	case errors.As(err, &never):
@@ -150,7 +150,7 @@
 		s.fail(w, status, cause)
 		return
 	}
-	st, err := s.b.Known(ctx, id)
+	st, err := s.backend.Known(ctx, id)
 	switch {
 	case errors.Is(err, ErrUnknownJob):
 		s.fail(w, status, cause)
@@ -169,7 +169,7 @@
 		s.fail(w, http.StatusNotFound, ErrUnknownJob)
 		return
 	}
-	st, err := s.b.Job(ctx, id)
+	st, err := s.backend.Job(ctx, id)
 	s.state(w, st, err)
 }
 
@@ -181,7 +181,7 @@
 		s.fail(w, http.StatusNotFound, ErrUnknownJob)
 		return
 	}
-	st, err := s.b.Abort(ctx, id)
+	st, err := s.backend.Abort(ctx, id)
 	s.state(w, st, err)
 }
 
@@ -207,7 +207,7 @@
 		s.fail(w, http.StatusBadRequest, err)
 		return
 	}
-	ans, err := s.b.Report(r.Context(), rep)
+	ans, err := s.backend.Report(r.Context(), rep)
 	var other *NotLeaderError
 	switch {
 	case errors.As(err, &other) && other.Leader != "":
--- a/internal/controller/awaitslist.go
+++ b/internal/controller/awaitslist.go
@@ -11,7 +11,7 @@
 // awaitsLists reads and removes the records that list the awaited jobs of those
 // whose active record has no room for them. Until a list is read its job waits.
 type awaitsLists struct {
-	r *leadership
+	leadership *leadership
 	// unread are the jobs whose list is to be read, one at a time.
 	unread  []*job
 	reading bool
@@ -31,7 +31,7 @@
 		return
 	}
 	l.reading = true
-	r, j := l.r, l.unread[0]
+	r, j := l.leadership, l.unread[0]
 	l.unread = l.unread[1:]
 	id, list := j.spec.ID, j.awaitsList
 	go func() {
@@ -48,26 +48,26 @@
 
 // listReadMsg brings a job's awaited jobs.
 type listReadMsg struct {
-	r   *leadership
-	j   *job
-	ids []string
-	err error
+	leadership *leadership
+	job        *job
+	ids        []string
+	err        error
 }
 
 func (m listReadMsg) apply(c *Controller) {
-	if c.leadership != m.r {
+	if c.leadership != m.leadership {
 		return
 	}
-	l := &m.r.awaitsLists
+	l := &m.leadership.awaitsLists
 	l.reading = false
 	switch {
-	case m.j.over:
+	case m.job.over:
 	case m.err != nil:
-		l.unread = append(l.unread, m.j)
+		l.unread = append(l.unread, m.job)
 	default:
-		m.j.spec.Awaits, m.j.awaitsRead = m.ids, true
-		m.r.pipeline.awaitJobs(m.j)
-		m.r.pipeline.propagateDeadlines(m.j)
+		m.job.spec.Awaits, m.job.awaitsRead = m.ids, true
+		m.leadership.pipeline.awaitJobs(m.job)
+		m.leadership.pipeline.propagateDeadlines(m.job)
 	}
 	l.readNext()
 }
@@ -78,7 +78,7 @@
 		return
 	}
 	for _, key := range j.awaitsList.Keys(j.spec.ID) {
-		l.r.recorder.drop(key)
+		l.leadership.recorder.drop(key)
 	}
 }
 
@@ -86,16 +86,16 @@
 // come to their end, have left of lists.
 func (l *awaitsLists) sweep() {
 	keys := l.leftKeys()
-	records := store.Records{Store: l.r.c.Store}
+	records := store.Records{Store: l.leadership.c.Store}
 	for id, of := range keys {
-		ctx, cancel := context.WithTimeout(l.r.ctx, 4*time.Second)
+		ctx, cancel := context.WithTimeout(l.leadership.ctx, 4*time.Second)
 		_, over, err := records.Final(ctx, id)
 		cancel()
 		if err != nil {
 			continue // the next term's sweep finds it
 		}
-		l.r.post(listFoundMsg{l.r, id, of, over})
-		pause(l.r.ctx, sweepPause)
+		l.leadership.post(listFoundMsg{l.leadership, id, of, over})
+		pause(l.leadership.ctx, sweepPause)
 	}
 }
 
@@ -104,10 +104,10 @@
 
 // leftKeys are the keys of all records of lists, by job.
 func (l *awaitsLists) leftKeys() map[string][]string {
-	for l.r.ctx.Err() == nil {
+	for l.leadership.ctx.Err() == nil {
 		keys := map[string][]string{}
-		records := store.Records{Store: l.r.c.Store}
-		err := records.EachKey(l.r.ctx, store.AwaitsPrefix, func(key string) {
+		records := store.Records{Store: l.leadership.c.Store}
+		err := records.EachKey(l.leadership.ctx, store.AwaitsPrefix, func(key string) {
 			if id, _, ok := store.ParseAwaitsKey(key); ok {
 				keys[id] = append(keys[id], key)
 			}
@@ -115,30 +115,30 @@
 		if err == nil {
 			return keys
 		}
-		pause(l.r.ctx, listRetry)
+		pause(l.leadership.ctx, listRetry)
 	}
 	return nil
 }
 
 // listFoundMsg tells of records in a job's name, and whether the job is over.
 type listFoundMsg struct {
-	r    *leadership
-	id   string
-	keys []string
-	over bool
+	leadership *leadership
+	id         string
+	keys       []string
+	over       bool
 }
 
 func (m listFoundMsg) apply(c *Controller) {
-	if c.leadership != m.r {
+	if c.leadership != m.leadership {
 		return
 	}
-	j := m.r.jobs[m.id]
+	j := m.leadership.jobs[m.id]
 	for _, key := range m.keys {
 		_, digest, _ := store.ParseAwaitsKey(key)
 		// Of a job that is accepted only its own list is of use. One that is not
 		// may be about to be accepted, unless it is over.
 		if m.over || j != nil && (j.awaitsList == nil || j.awaitsList.Digest != digest) {
-			m.r.recorder.drop(key)
+			m.leadership.recorder.drop(key)
 		}
 	}
 }
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -111,7 +111,7 @@
 	{"without machine types", true, false, func(w *cluster) *node {
 		n := w.start("n0")
 		w.seedJobs(n)
-		n.types.p.Store(nil)
+		n.types.byName.Store(nil)
 		return n
 	}},
 	{"outage", false, true, func(w *cluster) *node {
--- a/internal/controller/constrained.go
+++ b/internal/controller/constrained.go
@@ -70,7 +70,7 @@
 // allBegun tells whether all that a job waits for has begun.
 func (p *pipeline) allBegun(j *job) bool {
 	for id := range j.awaits {
-		if o := p.r.jobs[id]; o == nil || !o.begun() {
+		if o := p.leadership.jobs[id]; o == nil || !o.begun() {
 			return false
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -378,17 +378,17 @@
 }
 
 type readDoneMsg struct {
-	id string
-	r  readReply
+	id    string
+	reply readReply
 }
 
 func (m readDoneMsg) apply(c *Controller) {
-	if m.r.err == nil && m.r.found && m.r.st.Final() {
-		finalMsg{m.r.st}.apply(c)
+	if m.reply.err == nil && m.reply.found && m.reply.st.Final() {
+		finalMsg{m.reply.st}.apply(c)
 	}
 	round := c.reads[m.id]
 	for _, reply := range round.now {
-		reply <- m.r
+		reply <- m.reply
 	}
 	if len(round.next) == 0 {
 		delete(c.reads, m.id)
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -147,25 +147,25 @@
 }
 
 type orderedMsg struct {
-	r     *leadership
-	m     *machine
-	batch []*attempt
-	seq   uint64
-	err   error
+	leadership *leadership
+	machine    *machine
+	batch      []*attempt
+	seq        uint64
+	err        error
 }
 
 func (o orderedMsg) apply(c *Controller) {
-	if c.leadership != o.r {
+	if c.leadership != o.leadership {
 		return
 	}
-	o.m.ordering = false
-	o.r.ordering--
+	o.machine.ordering = false
+	o.leadership.ordering--
 	if o.err == nil {
-		o.r.directFails = 0
-	} else if o.r.directFails++; o.r.directFails >= directFailsMost {
-		o.r.directFrom = time.Now().Add(directPause)
+		o.leadership.directFails = 0
+	} else if o.leadership.directFails++; o.leadership.directFails >= directFailsMost {
+		o.leadership.directFrom = time.Now().Add(directPause)
 	}
-	if o.m.gone {
+	if o.machine.gone {
 		return
 	}
 	for _, a := range o.batch {
@@ -174,20 +174,20 @@
 		case o.err == nil:
 			a.direct.seq = o.seq
 		case errors.Is(o.err, api.ErrNotDone):
-			if a.seen == 0 && o.m.attempts[a.key] == a {
-				o.r.offMachine(a)
+			if a.seen == 0 && o.machine.attempts[a.key] == a {
+				o.leadership.offMachine(a)
 			}
-		case o.m.session == a.direct.session:
+		case o.machine.session == a.direct.session:
 			a.direct.unconfirmed = true
-			o.r.leave(o.m, "order unanswered")
+			o.leadership.leave(o.machine, "order unanswered")
 			if a.job.over {
-				o.r.settleUnconfirmed(a)
+				o.leadership.settleUnconfirmed(a)
 			}
 		}
 	}
 	if o.err != nil {
-		c.Log.Debug("direct orders", "machine", o.m.name, "orders", len(o.batch), "err", o.err)
-		o.m.pauseUntil = time.Now().Add(c.Settings.Site.Workers.Report())
+		c.Log.Debug("direct orders", "machine", o.machine.name, "orders", len(o.batch), "err", o.err)
+		o.machine.pauseUntil = time.Now().Add(c.Settings.Site.Workers.Report())
 	}
 }
 
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -128,10 +128,10 @@
 	r.counts = newCounters()
 	r.fetches = manyFetches
 	r.dials = dials(c.Settings.Site.Limits.FDLimit)
-	r.confirm.r = r
+	r.confirm.leadership = r
 	r.recorder.init(r)
 	r.pipeline.init(r)
-	r.awaitsLists.r = r
+	r.awaitsLists.leadership = r
 	r.provisioner.init(r)
 	for _, t := range c.Settings.Site.Teams {
 		q := &queue.Team[*job]{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax,
@@ -225,18 +225,18 @@
 	}
 }
 
-type deposeMsg struct{ r *leadership }
+type deposeMsg struct{ leadership *leadership }
 
-func (m deposeMsg) apply(*Controller) { m.r.depose() }
+func (m deposeMsg) apply(*Controller) { m.leadership.depose() }
 
 // changesMsg brings what the watch saw.
 type changesMsg struct {
-	r      *leadership
-	events []store.Event
+	leadership *leadership
+	events     []store.Event
 }
 
 func (m changesMsg) apply(c *Controller) {
-	r := m.r
+	r := m.leadership
 	if c.leadership != r {
 		return
 	}
--- a/internal/controller/leaseextension.go
+++ b/internal/controller/leaseextension.go
@@ -293,12 +293,12 @@
 }
 
 type extensionsMsg struct {
-	r    *leadership
-	rows []store.Entry
+	leadership *leadership
+	rows       []store.Entry
 }
 
 func (m extensionsMsg) apply(c *Controller) {
-	r := m.r
+	r := m.leadership
 	if c.leadership != r {
 		return
 	}
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -23,7 +23,7 @@
 // that the next could not be found from. While nobody leads, whoever reads such a
 // job's record does the same with it (store.Records).
 type pipeline struct {
-	r *leadership
+	leadership *leadership
 	// dependents are the jobs that wait, by what they wait for.
 	dependents map[string][]*job
 	// pendingCancels are the jobs that are to be cancelled on record.
@@ -38,7 +38,7 @@
 func (p *pipeline) init(r *leadership) {
 	lim := r.c.Settings.Site.State
 	cancels := lim.WriteRPS * cancelShare
-	*p = pipeline{r: r, dependents: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancels), max(cancelOps, min(lim.TxnOps, int(cancels))))}
+	*p = pipeline{leadership: r, dependents: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancels), max(cancelOps, min(lim.TxnOps, int(cancels))))}
 }
 
 // awaitJobs has a job wait for those that it needs.
@@ -47,12 +47,12 @@
 	if j.awaitsList != nil && !j.awaitsRead {
 		// Not all is known that it awaits, so nothing of it may start.
 		j.awaits[store.AwaitsElsewhere] = true
-		p.r.awaitsLists.read(j)
+		p.leadership.awaitsLists.read(j)
 		return
 	}
 	pending := false
 	for _, id := range j.spec.Awaits {
-		st, over := p.r.c.final.Get(id)
+		st, over := p.leadership.c.final.Get(id)
 		if over && st.Phase == api.JobWithdrawn {
 			pending = true
 			continue
@@ -61,7 +61,7 @@
 			j.awaitedEnded(st.Ended)
 			continue
 		}
-		o := p.r.jobs[id]
+		o := p.leadership.jobs[id]
 		if o == nil {
 			if len(p.dependents[id]) == 0 {
 				p.lookups = append(p.lookups, id)
@@ -118,10 +118,10 @@
 	if j.lastEnd.After(j.since) {
 		j.since = j.lastEnd
 	}
-	j.aims = p.r.aims(j)
+	j.aims = p.leadership.aims(j)
 	j.look(now)
 	j.team.Add(j)
-	p.r.dispatchUntil = now.Add(dispatchFor)
+	p.leadership.dispatchUntil = now.Add(dispatchFor)
 }
 
 // done takes in that a job is done on record, and since when.
@@ -184,7 +184,7 @@
 // add writes pending cancellations in a batch of their own, if the write rate allows.
 func (p *pipeline) add(b *batch, now time.Time) {
 	p.pendingCancels = slices.DeleteFunc(p.pendingCancels, func(j *job) bool { return j.over })
-	w := &p.r.recorder
+	w := &p.leadership.recorder
 	allowed := min(w.maxOps, int(p.limiter.TokensAt(now)))
 	if len(p.pendingCancels) == 0 || allowed < cancelOps {
 		return
@@ -216,7 +216,7 @@
 		j := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
 		for _, id := range j.spec.Awaits {
-			o := p.r.jobs[id]
+			o := p.leadership.jobs[id]
 			if o == nil || o.finishing || !p.propagateDeadline(j, o) || len(o.spec.Awaits) == 0 {
 				continue
 			}
@@ -245,7 +245,7 @@
 	for _, at := range due {
 		o.due = append(o.due, at.Add(-takes))
 	}
-	o.aims = p.r.aims(o)
+	o.aims = p.leadership.aims(o)
 	o.look(time.Now())
 	return true
 }
@@ -253,7 +253,7 @@
 // due are the times by which a job should be complete for the deadlines of its
 // pipeline, the strictest first.
 func (p *pipeline) due(j *job) []time.Time {
-	own := p.r.deadlines(j)
+	own := p.leadership.deadlines(j)
 	if len(own) == 0 || len(j.due) > 0 && j.due[0].Before(own[0]) {
 		return j.due
 	}
@@ -264,12 +264,12 @@
 // it: until that is on record, the machine has been told and has the image.
 func (p *pipeline) stageDuration(j *job) time.Duration {
 	fetch := 0.0
-	for _, t := range p.r.c.types.load() {
+	for _, t := range p.leadership.c.types.load() {
 		if t.FetchGBs > 0 {
 			fetch = max(fetch, j.spec.ImageGB/t.FetchGBs)
 		}
 	}
-	return j.spec.Estimate() + config.Seconds(fetch) + p.r.c.Settings.Site.Workers.Report() + stageLag
+	return j.spec.Estimate() + config.Seconds(fetch) + p.leadership.c.Settings.Site.Workers.Report() + stageLag
 }
 
 // stageLag is about how long it takes until a job's end is on record and those that
@@ -282,7 +282,7 @@
 		return
 	}
 	p.lookingUp = true
-	r, ids := p.r, p.lookups
+	r, ids := p.leadership, p.lookups
 	p.lookups = nil
 	go func() {
 		records := store.Records{Store: r.c.Store}
@@ -302,14 +302,14 @@
 // endsLookedUpMsg brings how jobs ended that were looked up; those that are still
 // active are not among the ends.
 type endsLookedUpMsg struct {
-	r    *leadership
-	ids  []string
-	ends map[string]store.FinalRecord
+	leadership *leadership
+	ids        []string
+	ends       map[string]store.FinalRecord
 }
 
 func (m endsLookedUpMsg) apply(c *Controller) {
-	p := &m.r.pipeline
-	if c.leadership != m.r {
+	p := &m.leadership.pipeline
+	if c.leadership != m.leadership {
 		return
 	}
 	p.lookingUp = false
@@ -319,20 +319,20 @@
 		switch {
 		case found:
 			p.ended(id, end)
-		case m.r.jobs[id] == nil && len(p.dependents[id]) > 0:
+		case m.leadership.jobs[id] == nil && len(p.dependents[id]) > 0:
 			unknown = append(unknown, id)
 		}
 	}
 	if len(unknown) > 0 {
 		// Active, and not known here yet: the watch will tell.
-		time.AfterFunc(time.Second, func() { m.r.post(lookupAgainMsg{m.r, unknown}) })
+		time.AfterFunc(time.Second, func() { m.leadership.post(lookupAgainMsg{m.leadership, unknown}) })
 	}
 	p.lookupNext()
 }
 
 // ended takes in the final record of a job.
 func (p *pipeline) ended(id string, end store.FinalRecord) {
-	finalMsg{end.FinalState(id)}.apply(p.r.c)
+	finalMsg{end.FinalState(id)}.apply(p.leadership.c)
 	if end.Phase != api.JobDone {
 		return
 	}
@@ -345,17 +345,17 @@
 
 // lookupAgainMsg asks once more about jobs that were not known.
 type lookupAgainMsg struct {
-	r   *leadership
-	ids []string
+	leadership *leadership
+	ids        []string
 }
 
 func (m lookupAgainMsg) apply(c *Controller) {
-	if c.leadership != m.r {
+	if c.leadership != m.leadership {
 		return
 	}
-	p := &m.r.pipeline
+	p := &m.leadership.pipeline
 	for _, id := range m.ids {
-		if len(p.dependents[id]) > 0 && m.r.jobs[id] == nil {
+		if len(p.dependents[id]) > 0 && m.leadership.jobs[id] == nil {
 			p.lookups = append(p.lookups, id)
 		}
 	}
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -135,9 +135,9 @@
 // followed by another. One comparison of the two keys' versions serves all
 // polls that came before it was sent.
 type confirmer struct {
-	r       *leadership
-	waiting []*pollMsg
-	busy    bool
+	leadership *leadership
+	waiting    []*pollMsg
+	busy       bool
 	// last is when the store was last asked. It is so from time to time even if
 	// nobody polls: the leader must know that it knows all cancellations.
 	last time.Time
@@ -149,12 +149,12 @@
 }
 
 func (f *confirmer) start() {
-	if f.busy || (len(f.waiting) == 0 && time.Since(f.last) < f.r.c.proofInterval()) {
+	if f.busy || (len(f.waiting) == 0 && time.Since(f.last) < f.leadership.c.proofInterval()) {
 		return
 	}
 	f.last = time.Now()
 	f.busy = true
-	r, batch, sent := f.r, f.waiting, f.last
+	r, batch, sent := f.leadership, f.waiting, f.last
 	f.waiting = nil
 	txn := store.Txn{Guards: []store.Guard{r.termGuard(), {Key: store.CancelKey, Mark: r.cancelMark}}}
 	go func() {
@@ -170,26 +170,26 @@
 const confirmPause = 200 * time.Millisecond
 
 type confirmedMsg struct {
-	r     *leadership
-	batch []*pollMsg
-	sent  time.Time
-	res   store.Result
-	err   error
+	leadership *leadership
+	batch      []*pollMsg
+	sent       time.Time
+	res        store.Result
+	err        error
 }
 
 func (m confirmedMsg) apply(c *Controller) {
-	f := &m.r.confirm
+	f := &m.leadership.confirm
 	switch {
-	case c.leadership != m.r || m.err != nil:
+	case c.leadership != m.leadership || m.err != nil:
 		for _, p := range m.batch {
 			p.reply <- pollReply{err: api.ErrUnavailable}
 		}
 	case m.res.OK:
-		m.r.cancellationsConfirmedAt = m.sent
+		m.leadership.cancellationsConfirmedAt = m.sent
 		for _, p := range m.batch {
-			p.reply <- m.r.answer(p.id)
+			p.reply <- m.leadership.answer(p.id)
 		}
-	case m.r.superseded(m.res):
+	case m.leadership.superseded(m.res):
 		for _, p := range m.batch {
 			p.reply <- pollReply{err: api.ErrUnavailable}
 		}
@@ -204,17 +204,17 @@
 			}
 		}
 	}
-	if c.leadership == m.r {
-		time.AfterFunc(confirmPause, func() { m.r.post(confirmNextMsg{m.r}) })
+	if c.leadership == m.leadership {
+		time.AfterFunc(confirmPause, func() { m.leadership.post(confirmNextMsg{m.leadership}) })
 	}
 }
 
-type confirmNextMsg struct{ r *leadership }
+type confirmNextMsg struct{ leadership *leadership }
 
 func (m confirmNextMsg) apply(c *Controller) {
-	if c.leadership == m.r {
-		m.r.confirm.busy = false
-		m.r.confirm.start()
+	if c.leadership == m.leadership {
+		m.leadership.confirm.busy = false
+		m.leadership.confirm.start()
 	}
 }
 
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -18,10 +18,10 @@
 // recorder brings the leader's changes to the store: batched, one transaction
 // at a time, within a part of the write rate that leaves submissions theirs.
 type recorder struct {
-	r        *leadership
-	limiter  *rate.Limiter
-	maxOps   int
-	maxBytes int
+	leadership *leadership
+	limiter    *rate.Limiter
+	maxOps     int
+	maxBytes   int
 	// perChunk is how many tasks a progress record holds; 0: none is written.
 	perChunk int
 
@@ -49,7 +49,7 @@
 
 func (w *recorder) init(r *leadership) {
 	lim := r.c.Settings.Site.State
-	w.r = r
+	w.leadership = r
 	w.maxOps = lim.TxnOps
 	records := lim.WriteRPS * store.RecordShare
 	// A burst of records leaves room for submissions in the service's own.
@@ -95,7 +95,7 @@
 }
 
 type progressed struct {
-	j     *job
+	job   *job
 	first int
 	words []byte
 }
@@ -110,7 +110,7 @@
 		return
 	}
 	w.busy = true
-	r := w.r
+	r := w.leadership
 	go func() {
 		ctx, cancel := context.WithTimeout(r.ctx, 2*time.Second)
 		defer cancel()
@@ -120,14 +120,14 @@
 }
 
 func (w *recorder) newBatch() *batch {
-	return &batch{txn: store.Txn{Records: true, Guards: []store.Guard{w.r.termGuard()}}}
+	return &batch{txn: store.Txn{Records: true, Guards: []store.Guard{w.leadership.termGuard()}}}
 }
 
 // next builds the next batch, the most urgent changes first, within what the
 // write rate allows at this moment.
 func (w *recorder) next(now time.Time) *batch {
 	b := w.newBatch()
-	if w.r.pipeline.add(b, now); len(b.txn.Ops) > 0 {
+	if w.leadership.pipeline.add(b, now); len(b.txn.Ops) > 0 {
 		return b
 	}
 	allowed := min(w.maxOps, int(w.limiter.TokensAt(now)))
@@ -299,54 +299,54 @@
 }
 
 type recordedMsg struct {
-	r    *leadership
-	b    *batch
-	sent time.Time
-	res  store.Result
-	err  error
+	leadership *leadership
+	batch      *batch
+	sent       time.Time
+	res        store.Result
+	err        error
 }
 
 func (m recordedMsg) apply(c *Controller) {
-	if c.leadership != m.r {
+	if c.leadership != m.leadership {
 		return
 	}
-	w := &m.r.recorder
+	w := &m.leadership.recorder
 	w.busy = false
 	now := time.Now()
 	switch {
 	case errors.Is(m.err, store.ErrMalformed):
 		w.waitUntil = now.Add(250 * time.Millisecond)
-		w.again(m.b)
-		w.lower(m.b, now)
+		w.again(m.batch)
+		w.lower(m.batch, now)
 	case m.err != nil:
 		w.waitUntil = now.Add(250 * time.Millisecond)
 		// If it was carried out all the same, or is yet to be, the next try
 		// fails by its guards, and tells which jobs to look at.
-		w.again(m.b)
+		w.again(m.batch)
 		c.Log.Debug("records not written", "err", m.err)
 	case m.res.OK:
-		record(m.r.counts.recorded, now.Sub(m.sent))
-		w.recorded(m.b)
-	case m.r.superseded(m.res):
+		record(m.leadership.counts.recorded, now.Sub(m.sent))
+		w.recorded(m.batch)
+	case m.leadership.superseded(m.res):
 	default:
-		w.again(m.b)
+		w.again(m.batch)
 		var changed []*job
-		for _, j := range m.b.finished {
+		for _, j := range m.batch.finished {
 			if slices.Contains(m.res.Failed, store.ActivePrefix+j.spec.ID) {
 				changed = append(changed, j)
 			}
 		}
-		for _, j := range m.b.derivedCancels {
+		for _, j := range m.batch.derivedCancels {
 			if slices.Contains(m.res.Failed, store.ActivePrefix+j.spec.ID) {
 				changed = append(changed, j)
 			}
 		}
 		w.verify(changed)
-		for _, p := range m.b.progressed {
-			if !p.j.over && slices.Contains(m.res.Failed, store.ActivePrefix+p.j.spec.ID) {
-				p.j.dirty = false // cancelled; the watch will say so
-				p.j.chunks[p.first] = false
-				w.dirty = slices.DeleteFunc(w.dirty, func(j *job) bool { return j == p.j })
+		for _, p := range m.batch.progressed {
+			if !p.job.over && slices.Contains(m.res.Failed, store.ActivePrefix+p.job.spec.ID) {
+				p.job.dirty = false // cancelled; the watch will say so
+				p.job.chunks[p.first] = false
+				w.dirty = slices.DeleteFunc(w.dirty, func(j *job) bool { return j == p.job })
 			}
 		}
 	}
@@ -356,18 +356,18 @@
 // again puts a batch back that was not carried out, or may not have been.
 func (w *recorder) again(b *batch) {
 	w.finishing = append(slices.Clone(b.finished), w.finishing...)
-	w.r.pipeline.pendingCancels = append(slices.Clone(b.derivedCancels), w.r.pipeline.pendingCancels...)
+	w.leadership.pipeline.pendingCancels = append(slices.Clone(b.derivedCancels), w.leadership.pipeline.pendingCancels...)
 	w.unwritten(b)
 	w.drops = append(slices.Clone(b.drops), w.drops...)
 	for _, p := range b.progressed {
-		w.progress(p.j)
+		w.progress(p.job)
 	}
 }
 
 // lower takes in that a batch was refused for good, although it kept to the
 // limits as this node knows them: the same again would be refused again.
 func (w *recorder) lower(b *batch, now time.Time) {
-	log := w.r.c.Log
+	log := w.leadership.c.Log
 	log.Error("records refused as too large", "changes", len(b.txn.Ops), "bytes", b.bytes)
 	switch {
 	case len(b.txn.Ops) > 2:
@@ -392,13 +392,13 @@
 // unfit gives up a machine whose entry no shard can hold: the next leader would
 // not know of it, so it is never given a task.
 func (w *recorder) unfit(m *machine) {
-	w.r.c.Log.Error("machine's entry does not fit the roster", "machine", m.name)
-	w.r.leave(m, "does not fit the roster")
+	w.leadership.c.Log.Error("machine's entry does not fit the roster", "machine", m.name)
+	w.leadership.leave(m, "does not fit the roster")
 }
 
 // recorded takes in what is now on record.
 func (w *recorder) recorded(b *batch) {
-	r := w.r
+	r := w.leadership
 	for _, j := range b.finished {
 		r.finished(j)
 	}
@@ -407,17 +407,17 @@
 	}
 	w.written(b)
 	for _, p := range b.progressed {
-		p.j.extents[p.first] = 8 * len(p.words)
-		delete(p.j.moving, p.first)
+		p.job.extents[p.first] = 8 * len(p.words)
+		delete(p.job.moving, p.first)
 		for i, by := range p.words {
 			for bit := range 8 {
 				if by&(1<<bit) != 0 {
-					p.j.durable.Set(uint(p.first + i*8 + bit))
+					p.job.durable.Set(uint(p.first + i*8 + bit))
 				}
 			}
 		}
-		if _, more := p.j.unrecorded(w.perChunk); more && !p.j.over && !p.j.finishing {
-			w.progress(p.j)
+		if _, more := p.job.unrecorded(w.perChunk); more && !p.job.over && !p.job.finishing {
+			w.progress(p.job)
 		}
 	}
 }
@@ -447,7 +447,7 @@
 func (w *recorder) verify(jobs []*job) {
 	for _, j := range jobs {
 		w.finishing = slices.DeleteFunc(w.finishing, func(o *job) bool { return o == j })
-		w.r.pipeline.pendingCancels = slices.DeleteFunc(w.r.pipeline.pendingCancels, func(o *job) bool { return o == j })
+		w.leadership.pipeline.pendingCancels = slices.DeleteFunc(w.leadership.pipeline.pendingCancels, func(o *job) bool { return o == j })
 		w.unsettled = append(w.unsettled, j.spec.ID)
 	}
 	w.settleNext()
@@ -461,7 +461,7 @@
 		return
 	}
 	w.settling = true
-	go w.r.settle(w.unsettled[0])
+	go w.leadership.settle(w.unsettled[0])
 	w.unsettled = w.unsettled[1:]
 }
 
@@ -481,14 +481,14 @@
 }
 
 type settledMsg struct {
-	r     *leadership
-	id    string
-	st    api.JobState
-	found bool
+	leadership *leadership
+	id         string
+	st         api.JobState
+	found      bool
 }
 
 func (m settledMsg) apply(c *Controller) {
-	r := m.r
+	r := m.leadership
 	if c.leadership != r {
 		return
 	}
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -130,13 +130,13 @@
 
 // relayReadMsg brings what a node has written; nil: nothing.
 type relayReadMsg struct {
-	r    *leadership
-	node string
-	up   *peer.RelayUp
+	leadership *leadership
+	node       string
+	up         *peer.RelayUp
 }
 
 func (m relayReadMsg) apply(c *Controller) {
-	r := m.r
+	r := m.leadership
 	if c.leadership != r {
 		return
 	}
@@ -273,16 +273,16 @@
 }
 
 type relayWrittenMsg struct {
-	r    *leadership
-	node string
-	err  error
+	leadership *leadership
+	node       string
+	err        error
 }
 
 func (m relayWrittenMsg) apply(c *Controller) {
-	if c.leadership != m.r {
+	if c.leadership != m.leadership {
 		return
 	}
-	node := m.r.down.nodes[m.node]
+	node := m.leadership.down.nodes[m.node]
 	node.busy = false
 	if !errors.Is(m.err, store.ErrMalformed) {
 		node.unconfirmed = true
@@ -297,7 +297,7 @@
 	// batch had not been.
 	for _, machine := range node.given {
 		if p := node.pending[machine]; p != nil {
-			p.settled(m.r, 0)
+			p.settled(m.leadership, 0)
 			delete(node.pending, machine)
 		}
 	}
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -51,30 +51,30 @@
 }
 
 type resyncedMsg struct {
-	r     *leadership
-	m     *machine
-	asked time.Time
-	rep   *api.Report
-	err   error
+	leadership *leadership
+	machine    *machine
+	asked      time.Time
+	rep        *api.Report
+	err        error
 }
 
 func (g resyncedMsg) apply(c *Controller) {
-	r := g.r
+	r := g.leadership
 	if c.leadership != r {
 		return
 	}
 	r.resyncing--
 	now := time.Now()
 	switch {
-	case g.m.gone:
+	case g.machine.gone:
 	case g.err != nil:
-		c.Log.Debug("resync", "machine", g.m.name, "err", g.err)
-		if !g.m.heard && r.punctual(g.asked) {
-			g.m.probeFails++
+		c.Log.Debug("resync", "machine", g.machine.name, "err", g.err)
+		if !g.machine.heard && r.punctual(g.asked) {
+			g.machine.probeFails++
 		}
-	case c.valid() && g.rep.Machine == g.m.name:
+	case c.valid() && g.rep.Machine == g.machine.name:
 		if _, err := r.processReport(g.rep, drawnReport, now); err != nil {
-			c.Log.Debug("resync", "machine", g.m.name, "err", err)
+			c.Log.Debug("resync", "machine", g.machine.name, "err", err)
 		}
 	}
 	if c.leadership == r {
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -144,7 +144,7 @@
 	}
 	r.probing++
 	// The machine is the owner's.
-	msg := probedMsg{r: r, m: m, asked: now, session: m.session, seq: m.seq}
+	msg := probedMsg{leadership: r, machine: m, asked: now, session: m.session, seq: m.seq}
 	addr := m.addr
 	go func() {
 		ctx, cancel := context.WithTimeout(r.ctx, probeTimeout)
@@ -155,9 +155,9 @@
 }
 
 type probedMsg struct {
-	r     *leadership
-	m     *machine
-	asked time.Time
+	leadership *leadership
+	machine    *machine
+	asked      time.Time
 	// session and seq are of the machine's last report when it was asked.
 	session, seq uint64
 	rep          *api.Report
@@ -165,16 +165,16 @@
 }
 
 func (p probedMsg) apply(c *Controller) {
-	if c.leadership != p.r {
+	if c.leadership != p.leadership {
 		return
 	}
-	p.r.probing--
-	if p.m.gone {
+	p.leadership.probing--
+	if p.machine.gone {
 		return
 	}
-	if p.err != nil || p.rep.Machine != p.m.name {
-		if (p.m.lastSeen.Before(p.asked) || p.m.unheeded > 0) && p.r.punctual(p.asked) {
-			p.m.probeFails++
+	if p.err != nil || p.rep.Machine != p.machine.name {
+		if (p.machine.lastSeen.Before(p.asked) || p.machine.unheeded > 0) && p.leadership.punctual(p.asked) {
+			p.machine.probeFails++
 		}
 		return
 	}
@@ -183,22 +183,22 @@
 		// before anybody missed it. All its reports would be taken for older
 		// ones, and its tasks for running, without end. Nothing shows that
 		// they are off the machine but its return.
-		p.r.leave(p.m, "started anew")
-		if !p.m.returning {
-			p.r.provisioner.giveBack(p.m)
+		p.leadership.leave(p.machine, "started anew")
+		if !p.machine.returning {
+			p.leadership.provisioner.giveBack(p.machine)
 		}
 		return
 	}
-	if p.m.heard && p.rep.Session > p.m.session && c.valid() {
+	if p.machine.heard && p.rep.Session > p.machine.session && c.valid() {
 		// Its lease has ended while it reached no controller, and its tasks
 		// with that. Its reports may not come for long.
-		if _, err := p.r.processReport(p.rep, drawnReport, time.Now()); err != nil {
-			c.Log.Debug("probe", "machine", p.m.name, "err", err)
+		if _, err := p.leadership.processReport(p.rep, drawnReport, time.Now()); err != nil {
+			c.Log.Debug("probe", "machine", p.machine.name, "err", err)
 		}
 		return
 	}
 	// Alive, but its reports do not get here; what they would say is not
 	// known, so only the silence is taken back.
-	p.m.probeFails = 0
-	p.m.lastSeen = time.Now()
+	p.machine.probeFails = 0
+	p.machine.lastSeen = time.Now()
 }
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -19,7 +19,7 @@
 
 // runs is what a member has completed of a job.
 type runs struct {
-	n       int
+	count   int
 	sum     time.Duration
 	longest time.Duration
 	overran int
@@ -27,7 +27,7 @@
 
 // add takes in a completed run.
 func (o *runs) add(took time.Duration, overran bool) {
-	o.n++
+	o.count++
 	o.sum += took
 	o.longest = max(o.longest, took)
 	if overran {
@@ -65,7 +65,7 @@
 func (j *job) elsewhere(m *machine) runs {
 	out := j.runs.all
 	if mine := j.runs.by[m.name]; mine != nil {
-		out.n -= mine.n
+		out.count -= mine.count
 		out.sum -= mine.sum
 		out.overran -= mine.overran
 	}
@@ -85,10 +85,10 @@
 	j.longest = max(j.longest, took)
 	j.runs.add(m.name, took, took > overdueTimes*j.spec.Estimate())
 	others := j.elsewhere(m)
-	if others.n < sampleRuns || took < time.Second {
+	if others.count < sampleRuns || took < time.Second {
 		return // a result that was kept comes at once and says nothing
 	}
-	ratio := float64(took) * float64(others.n) / float64(max(others.sum, time.Second))
+	ratio := float64(took) * float64(others.count) / float64(max(others.sum, time.Second))
 	m.slowRuns++
 	m.slowness += (ratio - m.slowness) / float64(min(m.slowRuns, slowRuns))
 	if m.slowRuns >= slowRuns && m.slowness > slowRatio && !m.leaving && r.fewSlow() {
@@ -140,7 +140,7 @@
 	}
 	for _, j := range r.jobs {
 		limit := time.Duration(times * float64(j.spec.Estimate()))
-		if limit <= 0 || len(j.live) == 0 || j.runs.all.n == 0 {
+		if limit <= 0 || len(j.live) == 0 || j.runs.all.count == 0 {
 			continue
 		}
 		for _, a := range j.live {
@@ -151,7 +151,7 @@
 				continue
 			}
 			others := j.elsewhere(m)
-			if others.n < sampleRuns || others.overran > 0 || float64(took) < beyondOthers*float64(others.longest) ||
+			if others.count < sampleRuns || others.overran > 0 || float64(took) < beyondOthers*float64(others.longest) ||
 				j.overranOn(m, limit, now) < 2 {
 				continue
 			}
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -77,21 +77,21 @@
 }
 
 type loadedMsg struct {
-	r *leadership
-	s *snapshot
+	leadership *leadership
+	snapshot   *snapshot
 }
 
 func (m loadedMsg) apply(c *Controller) {
-	r := m.r
+	r := m.leadership
 	if c.leadership != r {
 		return
 	}
 	now := time.Now()
-	r.cancelMark = m.s.cancelMark
-	for _, e := range m.s.active {
+	r.cancelMark = m.snapshot.cancelMark
+	for _, e := range m.snapshot.active {
 		r.addJob(e.Key, e.Value, e.Mark)
 	}
-	for _, e := range m.s.progress {
+	for _, e := range m.snapshot.progress {
 		r.addProgress(e, now)
 	}
 	var waiting []*job
@@ -102,10 +102,10 @@
 		}
 	}
 	r.pipeline.propagateDeadlines(waiting...)
-	for _, e := range m.s.machines {
+	for _, e := range m.snapshot.machines {
 		r.addShard(e, now)
 	}
-	r.loaded, r.listening, r.cancellationsConfirmedAt = true, now, m.s.asked
+	r.loaded, r.listening, r.cancellationsConfirmedAt = true, now, m.snapshot.asked
 	go r.awaitsLists.sweep()
 	if c.Director != nil {
 		r.resyncNext(now)
--- a/internal/controller/types.go
+++ b/internal/controller/types.go
@@ -9,11 +9,11 @@
 // typesCell holds the machine types. They are replaced whole, so that the
 // handlers read them without asking the owner.
 type typesCell struct {
-	p atomic.Pointer[map[string]api.MachineType]
+	byName atomic.Pointer[map[string]api.MachineType]
 }
 
 func (t *typesCell) load() map[string]api.MachineType {
-	if p := t.p.Load(); p != nil {
+	if p := t.byName.Load(); p != nil {
 		return *p
 	}
 	return nil
@@ -24,5 +24,5 @@
 	for _, mt := range types {
 		m[mt.Name] = mt
 	}
-	t.p.Store(&m)
+	t.byName.Store(&m)
 }
--- a/internal/store/awaits.go
+++ b/internal/store/awaits.go
@@ -224,8 +224,8 @@
 
 // awaitedSearch follows what jobs await, directly or through others.
 type awaitedSearch struct {
-	r     *Records
-	reads int
+	records *Records
+	reads   int
 	// active is what all active jobs await, once it is read.
 	active map[string]awaited
 	// ended are the jobs found that are not active.
@@ -267,14 +267,14 @@
 	var a awaited
 	if s.active == nil && s.reads < mostSingleReads {
 		s.reads++
-		e, err := s.r.get(ctx, ActivePrefix+id)
+		e, err := s.records.get(ctx, ActivePrefix+id)
 		if err != nil || e.Mark == 0 {
 			return nil, false, err
 		}
 		a = awaitsOf(e)
 	} else {
 		if s.active == nil {
-			if s.active, err = s.r.allActive(ctx); err != nil {
+			if s.active, err = s.records.allActive(ctx); err != nil {
 				return nil, false, err
 			}
 		}
@@ -284,7 +284,7 @@
 		}
 	}
 	if a.list != nil {
-		a.ids, err = s.r.ReadAwaits(ctx, id, a.list)
+		a.ids, err = s.records.ReadAwaits(ctx, id, a.list)
 	}
 	return a.ids, true, err
 }
@@ -292,7 +292,7 @@
 // awaited looks whether jobs were accepted and whether one of them is cancelled, or
 // is to be with one that it needs itself.
 func (r *Records) awaited(ctx context.Context, ids []string) (withdrawn bool, err error) {
-	s := awaitedSearch{r: r}
+	s := awaitedSearch{records: r}
 	if err := s.run(ctx, ids); err != nil {
 		return false, err
 	}
@@ -320,7 +320,7 @@
 			return false, err
 		}
 	}
-	s := awaitedSearch{r: r}
+	s := awaitedSearch{records: r}
 	if err := s.run(ctx, a.ids); err != nil {
 		return false, err
 	}
