--- a/internal/controller/constrained.go
+++ b/internal/controller/constrained.go
@@ -36,17 +36,17 @@
 		if j.spec.Spot {
 			key += "|spot"
 		}
-		p := byKind[key]
-		if p == nil {
-			p = &constrainedDemand{spec: &j.spec}
-			byKind[key] = p
+		demand := byKind[key]
+		if demand == nil {
+			demand = &constrainedDemand{spec: &j.spec}
+			byKind[key] = demand
 		}
-		p.cpus += cpus
+		demand.cpus += cpus
 	}
 	patience := 2 * f.r.c.Settings.Site.Workers.Report()
-	for _, t := range f.r.turns {
-		room := t.CPUsMax - t.UsedCPUs
-		for _, j := range t.Items() {
+	for _, team := range f.r.turns {
+		room := team.CPUsMax - team.UsedCPUs
+		for _, j := range team.Items() {
 			cpus := min(float64(j.flight.Untaken())*j.spec.CPUs, room)
 			if cpus > 0 && restricted(&j.spec) && !j.finishing && j.faulty == 0 && now.Sub(j.since) > patience {
 				add(j, cpus)
@@ -60,8 +60,8 @@
 		}
 	}
 	var out []*constrainedDemand
-	for _, p := range byKind {
-		out = append(out, p)
+	for _, demand := range byKind {
+		out = append(out, demand)
 	}
 	slices.SortFunc(out, func(a, b *constrainedDemand) int { return strings.Compare(a.spec.ID, b.spec.ID) })
 	return out
@@ -80,37 +80,43 @@
 // rentConstrained covers what is lacking for jobs that may not use every machine: by
 // machines that were to be drained, or by new ones.
 func (f *provisioner) rentConstrained(offers []fleet.Offer, now time.Time) {
-	r := f.r
-	for _, p := range f.constrainedDemands(now) {
-		lack := p.cpus
-		var drained []*machine
-		for _, m := range r.machines {
-			switch {
-			case m.leaving || m.gone || m.cpus == 0 || !mayUse(p.spec, m.typ, m.zone, m.spot):
-			case m.draining:
-				drained = append(drained, m)
-			default:
-				lack -= float64(m.slots(p.spec)) * p.spec.CPUs
-			}
-		}
-		for _, e := range r.expected {
-			if !e.returning && mayUse(p.spec, e.typ, e.zone, e.spot) {
-				lack -= e.cpus
-			}
-		}
-		for _, h := range f.pendingRentals {
-			if mayUse(p.spec, h.Type, h.Zone, h.Spot) {
-				lack -= float64(h.Count) * h.CPUs
-			}
-		}
-		slices.SortFunc(drained, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
-		for _, m := range drained {
+	for _, demand := range f.constrainedDemands(now) {
+		lack, draining := f.uncovered(demand)
+		for _, m := range draining {
 			if lack <= 0 {
 				break
 			}
 			m.draining = false
-			lack -= float64(m.slots(p.spec)) * p.spec.CPUs
+			lack -= float64(m.slots(demand.spec)) * demand.spec.CPUs
+		}
+		f.cover(lack, slices.DeleteFunc(slices.Clone(offers), func(o fleet.Offer) bool { return !mayUse(demand.spec, o.Type, o.Zone, o.Spot) }))
+	}
+}
+
+// uncovered is how many CPUs a demand lacks on the machines at hand, on those that
+// are expected and on those being rented. With it come the draining machines that
+// could serve the demand, by name.
+func (f *provisioner) uncovered(demand *constrainedDemand) (lack float64, draining []*machine) {
+	lack = demand.cpus
+	for _, m := range f.r.machines {
+		switch {
+		case m.leaving || m.gone || m.cpus == 0 || !mayUse(demand.spec, m.typ, m.zone, m.spot):
+		case m.draining:
+			draining = append(draining, m)
+		default:
+			lack -= float64(m.slots(demand.spec)) * demand.spec.CPUs
+		}
+	}
+	for _, e := range f.r.expected {
+		if !e.returning && mayUse(demand.spec, e.typ, e.zone, e.spot) {
+			lack -= e.cpus
+		}
+	}
+	for _, rental := range f.pendingRentals {
+		if mayUse(demand.spec, rental.Type, rental.Zone, rental.Spot) {
+			lack -= float64(rental.Count) * rental.CPUs
 		}
-		f.cover(lack, slices.DeleteFunc(slices.Clone(offers), func(o fleet.Offer) bool { return !mayUse(p.spec, o.Type, o.Zone, o.Spot) }))
 	}
+	slices.SortFunc(draining, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
+	return lack, draining
 }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -89,7 +89,7 @@
 	return relayUp{incarnation: rand.Text(), machines: map[string]*relayed{}}
 }
 
-// note takes a report that is answered here in the leader's stead, and adds the
+// note stores a report that is answered here in place of the leader, and adds the
 // leader's orders to the answer.
 func (u *relayUp) note(c *Controller, rep *api.Report, ans *api.ReportAnswer, now time.Time) {
 	m := u.machines[rep.Machine]
@@ -150,15 +150,15 @@
 
 // write writes new reports and outcomes to the store.
 func (u *relayUp) write(c *Controller, now time.Time) {
-	k := &c.extender
-	leader := c.peerTable.nodes[k.leader]
-	carrying := leader.lost() && k.mark != 0 && now.Sub(k.verified) < c.extensionPeriod()
+	extender := &c.extender
+	leader := c.peerTable.nodes[extender.leader]
+	carrying := leader.lost() && extender.mark != 0 && now.Sub(extender.verified) < c.extensionPeriod()
 	for _, m := range u.machines {
 		if m.orders != nil && (now.Sub(m.since) > relayOrderLife || !carrying) {
 			m.settle(0)
 		}
 	}
-	if k.mark == 0 && !carrying {
+	if extender.mark == 0 && !carrying {
 		// The leader is reached again or another leads: what is left to tell
 		// is told under the term that the orders belong to.
 		u.forget(now)
@@ -170,7 +170,7 @@
 	lim := c.Settings.Site.State
 	most := min(relayParts, lim.TxnOps)
 	size := max(relayRoom(lim, most)>>u.halved, 256)
-	up, told := u.compose(k, carrying, size*most*relayRaw)
+	up, told := u.compose(extender, carrying, size*most*relayRaw)
 	parts, err := u.pack(c, up, most, size, now)
 	if err != nil {
 		c.Log.Error("relay", "err", err)
@@ -185,7 +185,7 @@
 	}
 	txn := u.transaction(store.RelayPrefix+c.Settings.Node, parts, most)
 	if carrying {
-		txn.Guards = []store.Guard{{Key: election.TermKey, Mark: k.mark}}
+		txn.Guards = []store.Guard{{Key: election.TermKey, Mark: extender.mark}}
 	}
 	// Where few changes are allowed, relaying must leave room for submissions.
 	if next := now.Add(config.Seconds(float64(len(txn.Ops)) / (lim.WriteRPS * store.RecordShare))); next.After(u.next) {
@@ -196,7 +196,7 @@
 
 // compose builds a batch of outcomes and, while the leader cannot be reached, of
 // about room bytes of reports. It returns with it the machines of the outcomes.
-func (u *relayUp) compose(k *leaseExtender, carrying bool, room int) (up *peer.RelayUp, told []*relayed) {
+func (u *relayUp) compose(extender *leaseExtender, carrying bool, room int) (up *peer.RelayUp, told []*relayed) {
 	up = &peer.RelayUp{Incarnation: u.incarnation, Batch: u.batch, Got: u.got}
 	for _, m := range u.oldestFirst() {
 		if m.outcome != nil {
@@ -204,13 +204,13 @@
 			up.Outcomes = append(up.Outcomes, m.outcome)
 			up.Term = m.term
 		}
-		if carrying && m.dirty && room > 0 && m.rep.Term == k.term {
+		if carrying && m.dirty && room > 0 && m.rep.Term == extender.term {
 			room -= 100 + 40*len(m.rep.Tasks)
 			up.Reports = append(up.Reports, peer.PackReport(m.rep))
 		}
 	}
 	if carrying {
-		up.Term = k.term
+		up.Term = extender.term
 	}
 	return up, told
 }
@@ -324,7 +324,7 @@
 	u.write(c, now)
 }
 
-// take takes in what the leader has written.
+// take processes what the leader has written.
 func (u *relayUp) take(c *Controller, d *peer.RelayDown, now time.Time) {
 	for _, m := range u.machines {
 		if m.outcome != nil && m.toldIn != 0 && m.toldIn <= d.Seen {
