--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -27,7 +27,7 @@
 // A follower that extends leases knows no more than its leader did when that last
 // answered its ping.
 
-// cancelled takes in that a job is cancelled on record.
+// cancelled handles a job that is cancelled on record.
 func (c *Controller) cancelled(id string) {
 	c.final.Add(id, api.JobState{ID: id, Phase: api.JobWithdrawn})
 	c.cancels.Add(id, time.Now())
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -54,7 +54,7 @@
 
 // reportLife is how long a report may wait for the owner and still be answered
 // before its worker gives up. After that its orders would be lost, and be taken
-// for carried out by nobody: it is not taken in at all, and the next one says
+// for carried out by nobody: it is not processed at all, and the next one says
 // more.
 const reportLife = 3 * time.Second
 
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -344,7 +344,7 @@
 	return out
 }
 
-// withdraw takes in that a job was cancelled. What runs of it is stopped by
+// withdraw removes a job that was cancelled. What runs of it is stopped by
 // the answers to its machines' reports.
 func (r *leadership) withdraw(j *job) {
 	r.forget(j)
@@ -367,7 +367,7 @@
 	j.team.Remove(j)
 }
 
-// taskDone takes in that a task has completed.
+// taskDone records that a task has completed.
 func (r *leadership) taskDone(j *job, task int, now time.Time) {
 	if j.done.Test(uint(task)) {
 		return
@@ -532,7 +532,7 @@
 	r.c.Log.Info("machine leaves", "machine", m.name, "type", m.typ, "why", why, "tasks", len(m.attempts))
 }
 
-// machineGone takes in that the cloud has confirmed a machine's return.
+// machineGone removes a machine whose return the cloud has confirmed.
 // Only this, or a newer report, shows that a task is off its machine.
 func (r *leadership) machineGone(m *machine) {
 	m.gone = true
--- a/internal/controller/leaseextension.go
+++ b/internal/controller/leaseextension.go
@@ -80,7 +80,7 @@
 	return term == k.term || (term < k.term && k.active != nil && now.Sub(k.verified) < justShown)
 }
 
-// verify takes in the leader's answer to a ping.
+// verify processes the leader's answer to a ping.
 func (k *leaseExtender) verify(leader string, term uint64, at time.Time) {
 	*k = leaseExtender{leader: leader, term: term, verified: at}
 }
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -192,7 +192,7 @@
 	exited bool
 	// seen is the last of the machine's reports that showed the attempt.
 	seen int
-	// noted is set once what the exit means has been taken in.
+	// noted is set once the exit has been handled.
 	noted bool
 }
 
@@ -227,7 +227,7 @@
 	usedCPUs, usedGPUs, usedMemory float64
 
 	session, seq uint64
-	// reports counts the reports taken in.
+	// reports counts the reports processed.
 	reports int
 	// asked are the orders of the last answer. unheeded counts the reports in
 	// a row that showed none of their orders carried out, and the sessions
--- a/internal/controller/peertable.go
+++ b/internal/controller/peertable.go
@@ -237,7 +237,7 @@
 	}
 }
 
-// LeaderResigned takes in that a leader has stopped to act.
+// LeaderResigned handles the notice that a leader has stopped acting.
 func (c *Controller) LeaderResigned(ctx context.Context, node string, term uint64) error {
 	return c.send(ctx, resignedMsg{node, term})
 }
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -82,7 +82,7 @@
 	p.lookupNext()
 }
 
-// awaitedEnded takes in when a job was done that this one needs.
+// awaitedEnded records when a job that this one awaits was done.
 func (j *job) awaitedEnded(at time.Time) {
 	if at.After(j.lastEnd) {
 		j.lastEnd = at
@@ -92,7 +92,7 @@
 // fewNames is how many names of ended jobs a waiting one may hold in any case.
 const fewNames = 64
 
-// dropEnded lets go of the names of awaited jobs that have ended once they are most:
+// dropEnded frees the names of awaited jobs that have ended once they are most:
 // a job may name thousands of them, and wait long for another.
 func (j *job) dropEnded() {
 	if len(j.spec.Awaits) <= 2*len(j.awaits)+fewNames {
@@ -108,7 +108,7 @@
 	j.spec.Awaits, j.awaits = left, awaits
 }
 
-// ready takes in that all that a job needs is done. Its times count from when the
+// ready queues a job once all that it awaits is done. Its times count from when the
 // last of it was, also if another leader saw that; or from its acceptance, if it
 // was submitted later.
 func (p *pipeline) ready(j *job) {
@@ -124,7 +124,7 @@
 	p.leadership.dispatchUntil = now.Add(dispatchFor)
 }
 
-// done takes in that a job is done on record, and since when.
+// done handles a job that is done on record, and since when.
 func (p *pipeline) done(id string, at time.Time) {
 	dependents := p.dependents[id]
 	delete(p.dependents, id)
@@ -138,7 +138,7 @@
 	}
 }
 
-// cancelled takes in that a job is cancelled, and with it all that need it.
+// cancelled handles the cancellation of a job, and with it of all its dependents.
 func (p *pipeline) cancelled(id string) {
 	dependents := p.dependents[id]
 	delete(p.dependents, id)
@@ -330,7 +330,7 @@
 	p.lookupNext()
 }
 
-// ended takes in the final record of a job.
+// ended processes the final record of a job.
 func (p *pipeline) ended(id string, end store.FinalRecord) {
 	finalMsg{end.FinalState(id)}.apply(p.leadership.c)
 	if end.Phase != api.JobDone {
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -121,7 +121,7 @@
 	want []float64
 }
 
-// add takes in the present demand and returns the highest since hold ago.
+// add records the present demand and returns the highest since hold ago.
 func (p *peak) add(now time.Time, want float64, hold time.Duration) float64 {
 	// Only falling values are kept: a lower one before a higher one can never
 	// be the highest again.
@@ -435,7 +435,7 @@
 	}
 }
 
-// listed takes in one machine of the cloud's list, which lags.
+// listed processes one machine of the cloud's list, which lags.
 func (r *leadership) listed(h *cloud.Machine, now time.Time) {
 	if r.returned.Contains(h.Name) {
 		return
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -15,7 +15,7 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// recorder brings the leader's changes to the store: batched, one transaction
+// recorder writes the leader's changes to the store: batched, one transaction
 // at a time, within a part of the write rate that leaves submissions theirs.
 type recorder struct {
 	leadership *leadership
@@ -241,8 +241,8 @@
 	return 0, false
 }
 
-// holds takes in that a record may be in the store that begins at first and
-// speaks of so many tasks.
+// holds notes that the store may have a record that begins at first and covers
+// so many tasks.
 func (j *job) holds(first, tasks int) {
 	if j.extents == nil {
 		j.extents = map[int]int{}
@@ -251,8 +251,8 @@
 }
 
 // replaceable tells whether the record that begins at first may be written with
-// per tasks. One written under larger limits speaks of more: written over, the
-// tasks beyond would be done no more for the next leader. They are first put on
+// per tasks. One written under larger limits covers more: written over, the
+// tasks beyond would no longer count as done for the next leader. They are first put on
 // record under keys of their own, which all lie further on.
 func (j *job) replaceable(first, per int) bool {
 	extent := j.extents[first]
@@ -353,7 +353,7 @@
 	w.flush(now)
 }
 
-// again puts a batch back that was not carried out, or may not have been.
+// again queues the changes of a batch that was not carried out, or may not have been.
 func (w *recorder) again(b *batch) {
 	w.finishing = append(slices.Clone(b.finished), w.finishing...)
 	w.leadership.pipeline.pendingCancels = append(slices.Clone(b.derivedCancels), w.leadership.pipeline.pendingCancels...)
@@ -364,8 +364,8 @@
 	}
 }
 
-// lower takes in that a batch was refused for good, although it kept to the
-// limits as this node knows them: the same again would be refused again.
+// lower reduces what a batch may hold after one was refused for good, although it
+// kept to the limits as this node knows them: a retry would be refused too.
 func (w *recorder) lower(b *batch, now time.Time) {
 	log := w.leadership.c.Log
 	log.Error("records refused as too large", "changes", len(b.txn.Ops), "bytes", b.bytes)
@@ -389,14 +389,14 @@
 	}
 }
 
-// unfit gives up a machine whose entry no shard can hold: the next leader would
+// unfit takes out of use a machine whose entry no shard can hold: the next leader would
 // not know of it, so it is never given a task.
 func (w *recorder) unfit(m *machine) {
 	w.leadership.c.Log.Error("machine's entry does not fit the roster", "machine", m.name)
 	w.leadership.leave(m, "does not fit the roster")
 }
 
-// recorded takes in what is now on record.
+// recorded updates the state of what a written batch has put on record.
 func (w *recorder) recorded(b *batch) {
 	r := w.leadership
 	for _, j := range b.finished {
@@ -422,7 +422,7 @@
 	}
 }
 
-// finished takes in that a job's end is on record.
+// finished removes a job whose end is on record.
 func (r *leadership) finished(j *job) {
 	if j.over {
 		return
@@ -465,7 +465,7 @@
 	w.unsettled = w.unsettled[1:]
 }
 
-// settle reads how a job ended, by the leader's own budget.
+// settle reads how a job ended, within the leader's own request budget.
 func (r *leadership) settle(id string) {
 	records := store.Records{Store: r.c.Store}
 	for r.ctx.Err() == nil {
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// restarted takes in under which incarnation a node is seen. One that was
+// restarted handles the incarnation under which a node is seen. One that was
 // started anew hands nothing out that it was given before: the next reports
 // decide.
 func (d *relayDown) restarted(r *leadership, name, incarnation string) {
@@ -198,7 +198,7 @@
 	answer.Orders = append(answer.Orders, &peer.RelayOrders{Machine: rep.Machine, Session: rep.Session, Base: rep.Seq, Orders: peer.PackOrders(ans.Orders)})
 }
 
-// settled takes in what became of orders: handed is the report in whose answer
+// settled records the outcome of orders: handed is the report in whose answer
 // they were handed out, or 0.
 func (p *relayedOrders) settled(r *leadership, handed uint64) {
 	for _, a := range p.starts {
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -140,7 +140,7 @@
 // answer have gone out too late for it: workers drop what comes after four seconds.
 const lateAnswer = 4 * time.Second
 
-// heed looks whether a report shows that the orders of the last answer were
+// heed checks whether a report shows that the orders of the last answer were
 // carried out. To a machine whose reports arrive while answers do not reach it,
 // starts would otherwise be sent again and again.
 func (r *leadership) heed(m *machine, now time.Time) {
@@ -166,7 +166,7 @@
 	r.c.Log.Debug("orders not carried out", "machine", m.name, "orders", len(m.asked), "times", m.unheeded)
 }
 
-// notice takes in that the cloud will take the machine.
+// notice handles the cloud's notice that it will take the machine.
 func (r *leadership) notice(m *machine, seconds float64, now time.Time) {
 	left := time.Duration(seconds * float64(time.Second))
 	first := m.reclaim.IsZero()
@@ -263,7 +263,7 @@
 	m.images.use(s, r.c.types.load()[m.typ].CacheGB, now)
 }
 
-// adopt takes in an attempt that this leader did not start.
+// adopt adds an attempt that this leader did not start.
 func (r *leadership) adopt(m *machine, key attemptKey, t *api.TaskReport, now time.Time) *attempt {
 	key.ref = strings.Clone(key.ref)
 	a := &attempt{key: key, machine: m, phase: t.Phase, sentAt: now}
@@ -290,7 +290,7 @@
 	return a
 }
 
-// update takes in what a report says of an attempt.
+// update applies what a report says of an attempt.
 func (r *leadership) update(a *attempt, t *api.TaskReport, now time.Time) {
 	was := a.phase
 	a.phase = t.Phase
@@ -319,7 +319,7 @@
 	r.exit(a, t, now)
 }
 
-// exit takes in why an attempt ended.
+// exit handles the end of an attempt by its cause.
 func (r *leadership) exit(a *attempt, t *api.TaskReport, now time.Time) {
 	j, m := a.job, a.machine
 	if j == nil {
@@ -360,7 +360,7 @@
 	}
 }
 
-// offMachine takes in that an attempt is no longer on its machine.
+// offMachine removes an attempt that is no longer on its machine.
 func (r *leadership) offMachine(a *attempt) {
 	delete(a.machine.attempts, a.key)
 	if !a.exited {
@@ -377,7 +377,7 @@
 	return j == nil || j.over || !j.done.Test(uint(a.task)) || j.durable.Test(uint(a.task))
 }
 
-// failed takes in that a task ended with an error. Mostly the machine is at
+// failed handles a task that ended with an error. Mostly the machine is at
 // fault; a job whose tasks fail on several machines and complete on none is.
 func (r *leadership) failed(a *attempt, now time.Time) {
 	j, m := a.job, a.machine
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -72,7 +72,7 @@
 	b.shards = append(b.shards, s)
 }
 
-// dropMember takes in that a machine is gone. Its shard is dropped with the last of
+// dropMember removes a machine that is gone. Its shard is dropped with the last of
 // its machines, and otherwise rewritten when there is time: an entry too many
 // costs the next leader a question, one too few would be a task run twice.
 func (w *recorder) dropMember(m *machine) {
@@ -144,7 +144,7 @@
 	b.replaced = append(b.replaced, s)
 }
 
-// unwritten takes in that a batch's shards were not written, or may not have
+// unwritten handles a batch whose shards were not written, or may not have
 // been.
 func (w *recorder) unwritten(b *batch) {
 	for _, s := range b.shards {
@@ -162,7 +162,7 @@
 	w.stale = append(w.stale, b.replaced...)
 }
 
-// written takes in that a batch's shards are on record.
+// written handles a batch whose shards are on record.
 func (w *recorder) written(b *batch) {
 	for _, s := range b.shards {
 		if old := s.replaces; s.part {
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -25,7 +25,7 @@
 	overran int
 }
 
-// add takes in a completed run.
+// add records a completed run.
 func (o *runs) add(took time.Duration, overran bool) {
 	o.count++
 	o.sum += took
@@ -45,7 +45,7 @@
 	longestBeside time.Duration
 }
 
-// add takes in a completed run on a machine.
+// add records a completed run on a machine.
 func (o *jobRuns) add(machine string, took time.Duration, overran bool) {
 	if o.by[machine] == nil {
 		o.by[machine] = &runs{}
@@ -75,7 +75,7 @@
 	return out
 }
 
-// ran takes in how long a completed run took, and quarantines a machine whose
+// ran records how long a completed run took, and quarantines a machine whose
 // runs take much longer than the same jobs' elsewhere.
 func (r *leadership) ran(a *attempt, took time.Duration, now time.Time) {
 	j, m := a.job, a.machine
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -113,7 +113,7 @@
 	c.Log.Info("takeover: read", "term", r.term.Number, "jobs", len(r.jobs), "machines", r.unheard)
 }
 
-// addShard takes in a shard of the roster.
+// addShard adds the machines of a shard of the roster.
 func (r *leadership) addShard(e store.Entry, now time.Time) {
 	var rec store.RosterRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
--- a/internal/store/jobcache.go
+++ b/internal/store/jobcache.go
@@ -75,7 +75,7 @@
 	return guards, true
 }
 
-// read takes in a record that was read.
+// read caches a record that was read.
 func (c *jobCache) read(e Entry) {
 	switch {
 	case c == nil || e.Key == CancelKey:
@@ -94,7 +94,7 @@
 	}
 }
 
-// ended takes in how a job ended. One that is done stays so; one that is cancelled is
+// ended caches how a job ended. One that is done stays so; one that is cancelled is
 // not remembered.
 func (c *jobCache) ended(id string, end FinalRecord) {
 	if c != nil && end.Phase == api.JobDone {
@@ -102,7 +102,7 @@
 	}
 }
 
-// wrote takes in a transaction that was carried out at a revision.
+// wrote updates the cache by a transaction that was carried out at a revision.
 func (c *jobCache) wrote(txn Txn, ring uint64) {
 	if c == nil {
 		return
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -123,7 +123,7 @@
 	return id, task, err == nil && task >= 0
 }
 
-// FinalState is what a user is told of a job that is over.
+// FinalState is the state reported to users of a job that is over.
 func (f FinalRecord) FinalState(id string) api.JobState {
 	st := api.JobState{ID: id, Phase: f.Phase}
 	if f.Phase == api.JobDone {
@@ -217,7 +217,7 @@
 	return err == nil && res.OK
 }
 
-// Lookup reads a job's record. A job that is active is told as pending, since
+// Lookup reads a job's record. A job that is active is reported as pending, since
 // the record does not hold what runs.
 func (r *Records) Lookup(ctx context.Context, id string) (st api.JobState, found bool, err error) {
 	err = retry(ctx, func() error {
