--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -128,10 +128,10 @@
 	r.counts = newCounters()
 	r.fetches = manyFetches
 	r.dials = dials(c.Settings.Site.Limits.FDLimit)
-	r.confirm.r = r
+	r.confirm.leadership = r
 	r.recorder.init(r)
 	r.pipeline.init(r)
-	r.awaitsLists.r = r
+	r.awaitsLists.leadership = r
 	r.provisioner.init(r)
 	for _, t := range c.Settings.Site.Teams {
 		q := &queue.Team[*job]{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax,
@@ -225,18 +225,18 @@
 	}
 }
 
-type deposeMsg struct{ r *leadership }
+type deposeMsg struct{ leadership *leadership }
 
-func (m deposeMsg) apply(*Controller) { m.r.depose() }
+func (m deposeMsg) apply(*Controller) { m.leadership.depose() }
 
 // changesMsg brings what the watch saw.
 type changesMsg struct {
-	r      *leadership
-	events []store.Event
+	leadership *leadership
+	events     []store.Event
 }
 
 func (m changesMsg) apply(c *Controller) {
-	r := m.r
+	r := m.leadership
 	if c.leadership != r {
 		return
 	}
@@ -344,7 +344,7 @@
 	return out
 }
 
-// withdraw takes in that a job was cancelled. What runs of it is stopped by
+// withdraw removes a job that was cancelled. What runs of it is stopped by
 // the answers to its machines' reports.
 func (r *leadership) withdraw(j *job) {
 	r.forget(j)
@@ -367,7 +367,7 @@
 	j.team.Remove(j)
 }
 
-// taskDone takes in that a task has completed.
+// taskDone records that a task has completed.
 func (r *leadership) taskDone(j *job, task int, now time.Time) {
 	if j.done.Test(uint(task)) {
 		return
@@ -532,7 +532,7 @@
 	r.c.Log.Info("machine leaves", "machine", m.name, "type", m.typ, "why", why, "tasks", len(m.attempts))
 }
 
-// machineGone takes in that the cloud has confirmed a machine's return.
+// machineGone removes a machine whose return the cloud has confirmed.
 // Only this, or a newer report, shows that a task is off its machine.
 func (r *leadership) machineGone(m *machine) {
 	m.gone = true
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -36,7 +36,7 @@
 
 func (w *recorder) newShard(members []*machine) *shard {
 	w.shards++
-	return &shard{key: fmt.Sprintf("%s%d-%d", store.MachinePrefix, w.r.term.Number, w.shards), members: slices.Clone(members)}
+	return &shard{key: fmt.Sprintf("%s%d-%d", store.MachinePrefix, w.leadership.term.Number, w.shards), members: slices.Clone(members)}
 }
 
 // fitting is how many of the first machines a new shard holds, and its size.
@@ -72,7 +72,7 @@
 	b.shards = append(b.shards, s)
 }
 
-// dropMember takes in that a machine is gone. Its shard is dropped with the last of
+// dropMember removes a machine that is gone. Its shard is dropped with the last of
 // its machines, and otherwise rewritten when there is time: an entry too many
 // costs the next leader a question, one too few would be a task run twice.
 func (w *recorder) dropMember(m *machine) {
@@ -128,7 +128,7 @@
 // keepStale leaves a shard as it is that no new one can replace, until another of
 // its machines goes.
 func (w *recorder) keepStale(s *shard) {
-	w.r.c.Log.Error("shard of the roster cannot be written again", "key", s.key)
+	w.leadership.c.Log.Error("shard of the roster cannot be written again", "key", s.key)
 	s.stale = false
 	w.stale = slices.DeleteFunc(w.stale, func(o *shard) bool { return o == s })
 }
@@ -144,7 +144,7 @@
 	b.replaced = append(b.replaced, s)
 }
 
-// unwritten takes in that a batch's shards were not written, or may not have
+// unwritten handles a batch whose shards were not written, or may not have
 // been.
 func (w *recorder) unwritten(b *batch) {
 	for _, s := range b.shards {
@@ -162,7 +162,7 @@
 	w.stale = append(w.stale, b.replaced...)
 }
 
-// written takes in that a batch's shards are on record.
+// written handles a batch whose shards are on record.
 func (w *recorder) written(b *batch) {
 	for _, s := range b.shards {
 		if old := s.replaces; s.part {
@@ -176,6 +176,6 @@
 				w.dropMember(m)
 			}
 		}
-		w.r.dispatchUntil = time.Now().Add(dispatchFor)
+		w.leadership.dispatchUntil = time.Now().Add(dispatchFor)
 	}
 }
--- a/internal/store/awaits.go
+++ b/internal/store/awaits.go
@@ -224,8 +224,8 @@
 
 // awaitedSearch follows what jobs await, directly or through others.
 type awaitedSearch struct {
-	r     *Records
-	reads int
+	records *Records
+	reads   int
 	// active is what all active jobs await, once it is read.
 	active map[string]awaited
 	// ended are the jobs found that are not active.
@@ -267,14 +267,14 @@
 	var a awaited
 	if s.active == nil && s.reads < mostSingleReads {
 		s.reads++
-		e, err := s.r.get(ctx, ActivePrefix+id)
+		e, err := s.records.get(ctx, ActivePrefix+id)
 		if err != nil || e.Mark == 0 {
 			return nil, false, err
 		}
 		a = awaitsOf(e)
 	} else {
 		if s.active == nil {
-			if s.active, err = s.r.allActive(ctx); err != nil {
+			if s.active, err = s.records.allActive(ctx); err != nil {
 				return nil, false, err
 			}
 		}
@@ -284,7 +284,7 @@
 		}
 	}
 	if a.list != nil {
-		a.ids, err = s.r.ReadAwaits(ctx, id, a.list)
+		a.ids, err = s.records.ReadAwaits(ctx, id, a.list)
 	}
 	return a.ids, true, err
 }
@@ -292,7 +292,7 @@
 // awaited looks whether jobs were accepted and whether one of them is cancelled, or
 // is to be with one that it needs itself.
 func (r *Records) awaited(ctx context.Context, ids []string) (withdrawn bool, err error) {
-	s := awaitedSearch{r: r}
+	s := awaitedSearch{records: r}
 	if err := s.run(ctx, ids); err != nil {
 		return false, err
 	}
@@ -320,7 +320,7 @@
 			return false, err
 		}
 	}
-	s := awaitedSearch{r: r}
+	s := awaitedSearch{records: r}
 	if err := s.run(ctx, a.ids); err != nil {
 		return false, err
 	}
@@ -507,11 +507,6 @@
 			return st, false, err
 		}
 	}
-	txn := Txn{
-		Guards: []Guard{{ActivePrefix + id, 0}, {FinalPrefix + id, 0}},
-		Ops:    []Op{{Put: ActivePrefix + id, Value: a.record}},
-	}
-	first := api.JobState{ID: id, Phase: api.JobPending}
 	withdrawn, err := r.awaited(ctx, a.spec.Awaits)
 	if errors.Is(err, errNeverAccepted) {
 		// What is known already keeps its state whatever it names.
@@ -524,17 +519,14 @@
 	}
 	// One that is cancelled from now on finds the job among those that need it,
 	// whoever leads then.
-	if withdrawn {
-		final := FinalRecord{Phase: api.JobWithdrawn, Tasks: a.spec.Tasks}
-		txn.Ops = []Op{{Put: FinalPrefix + id, Value: final}}
-		first = final.FinalState(id)
-	} else if a.list != nil {
+	if !withdrawn && a.list != nil {
 		if ok, err := r.writeAwaits(ctx, id, a.list, a.parts); err != nil {
 			return st, false, err
 		} else if !ok {
 			return r.changed(ctx, id)
 		}
 	}
+	txn, first := a.transaction(withdrawn)
 	res, err := r.txn(ctx, txn)
 	if err != nil {
 		return st, false, err
@@ -545,6 +537,20 @@
 	return r.changed(ctx, id)
 }
 
+// transaction returns the transaction that makes the job's record, and the state
+// that the job then has: withdrawn if a job that it awaits is.
+func (a *acceptance) transaction(withdrawn bool) (Txn, api.JobState) {
+	id := a.spec.ID
+	txn := Txn{Guards: []Guard{{ActivePrefix + id, 0}, {FinalPrefix + id, 0}}}
+	if withdrawn {
+		final := FinalRecord{Phase: api.JobWithdrawn, Tasks: a.spec.Tasks}
+		txn.Ops = []Op{{Put: FinalPrefix + id, Value: final}}
+		return txn, final.FinalState(id)
+	}
+	txn.Ops = []Op{{Put: ActivePrefix + id, Value: a.record}}
+	return txn, api.JobState{ID: id, Phase: api.JobPending}
+}
+
 // changed looks up a job that turned out to be known; perhaps by a transaction of
 // this very submission, whose answer was lost.
 func (r *Records) changed(ctx context.Context, id string) (api.JobState, bool, error) {
