--- /dev/null
+++ b/internal/controller/checkedcluster_test.go
@@ -0,0 +1,334 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/store"
+)
+
+// checkedCluster is a deployment whose machines and controllers act by themselves.
+type checkedCluster struct {
+	*cluster
+	h   *runChecker
+	ctx context.Context
+
+	smu   sync.Mutex
+	links *links
+	names []string
+	up    map[string]*node
+	gates map[string]*slowGate
+	hosts []*host
+}
+
+// slowGate is a way to the store over which a page takes a while.
+type slowGate struct{ *gate }
+
+func (g *slowGate) Range(ctx context.Context, prefix, from string, most int) (store.Page, error) {
+	page, err := g.gate.Range(ctx, prefix, from, most)
+	idle(ctx, 150*time.Millisecond)
+	return page, err
+}
+
+// simulateChecked runs a test with two controllers; the first leads.
+func simulateChecked(t *testing.T, machines int, f func(s *checkedCluster)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		newCheckedCluster(t, machines, 0, f)
+	})
+}
+
+// simulateSeldom is simulateChecked with machines that report every 5 s, and so get their
+// starts by direct orders.
+func simulateSeldom(t *testing.T, machines int, f func(s *checkedCluster)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		newCheckedCluster(t, machines, 5, f)
+	})
+}
+
+func newCheckedCluster(t *testing.T, machines int, reportS float64, f func(s *checkedCluster)) {
+	w := newCluster(t)
+	ctx, cancel := context.WithCancel(context.Background())
+	s := &checkedCluster{cluster: w, ctx: ctx, links: &links{}, names: []string{"n0", "n1"}, up: map[string]*node{}, gates: map[string]*slowGate{}}
+	w.reportS = reportS
+	w.director = s
+	s.h = &runChecker{w: w, t0: time.Now(), jobs: map[string]*observedJob{}, runs: map[run]bool{}, hosts: map[string]*host{}}
+	go s.live()
+	s.begin("n0")
+	s.begin("n1")
+	for i := range machines {
+		s.add(fmt.Sprint("i-", i+1), []string{"a", "b"}[i%2], false)
+	}
+	time.Sleep(2*time.Second + 1500*time.Millisecond*time.Duration(reportS))
+	f(s)
+	cancel()
+	for _, name := range s.names {
+		s.crash(name)
+	}
+	time.Sleep(10 * time.Second)
+}
+
+// begin starts a controller, crash ends one.
+func (s *checkedCluster) begin(name string) {
+	s.smu.Lock()
+	if s.gates[name] == nil {
+		s.gates[name] = &slowGate{gate: &gate{Fake: s.store}}
+	}
+	g := s.gates[name]
+	s.smu.Unlock()
+	n := s.links.add(name, s.startWith(name, g, s.links))
+	s.smu.Lock()
+	defer s.smu.Unlock()
+	s.up[name] = n
+}
+
+func (s *checkedCluster) crash(name string) {
+	s.smu.Lock()
+	defer s.smu.Unlock()
+	if n := s.up[name]; n != nil {
+		n.crash()
+		s.links.nodes.Delete(name)
+		delete(s.up, name)
+	}
+}
+
+func (s *checkedCluster) node(name string) *node {
+	s.smu.Lock()
+	defer s.smu.Unlock()
+	return s.up[name]
+}
+
+// leader is the node that leads, or "".
+func (s *checkedCluster) leader() string {
+	for _, name := range s.names {
+		if n := s.node(name); n != nil {
+			leads := false
+			n.look(func(c *Controller) { leads = c.valid() && c.leadership.loaded })
+			if leads {
+				return name
+			}
+		}
+	}
+	return ""
+}
+
+// handOver makes the leadership pass to the other controller: the store refuses
+// the leader alone for a while.
+func (s *checkedCluster) handOver() {
+	if name := s.leader(); name != "" {
+		s.gates[name].set(true)
+		go func() {
+			idle(s.ctx, 8*time.Second)
+			s.gates[name].set(false)
+		}()
+	}
+}
+
+// restart ends the leader, which is back after a while.
+func (s *checkedCluster) restart(after time.Duration) {
+	if name := s.leader(); name != "" {
+		s.crash(name)
+		time.Sleep(after)
+		s.begin(name)
+	}
+}
+
+// users repeats a request at the controllers, one after the other, until it is
+// answered; first says which comes first.
+func (s *checkedCluster) users(what string, first int, ask func(ctx context.Context, n *node) error) {
+	s.t.Helper()
+	err := errors.New("no controller")
+	for try := first; try < first+60; try++ {
+		if n := s.node(s.names[try%len(s.names)]); n != nil {
+			ctx, cancel := context.WithTimeout(s.ctx, 5*time.Second)
+			err = ask(ctx, n)
+			cancel()
+			if err == nil {
+				return
+			}
+		}
+		if s.ctx.Err() != nil {
+			return
+		}
+		time.Sleep(time.Second)
+	}
+	s.t.Errorf("%s: %v", what, err)
+}
+
+// order submits a job whose tasks run for some time.
+func (s *checkedCluster) order(takes time.Duration, spec *api.JobSpec) {
+	s.t.Helper()
+	s.h.mu.Lock()
+	s.h.jobs[spec.ID] = &observedJob{spec: spec, takes: takes, begun: map[string]int{}, done: map[string]int{}}
+	s.h.mu.Unlock()
+	s.users("submit "+spec.ID, spec.Tasks, func(ctx context.Context, n *node) error {
+		_, _, err := n.Submit(ctx, spec)
+		return err
+	})
+}
+
+// cancel cancels jobs, as users do at the same time.
+func (s *checkedCluster) cancel(ids ...string) {
+	s.t.Helper()
+	for _, id := range ids {
+		s.h.mu.Lock()
+		s.h.jobs[id].asked = time.Now()
+		s.h.mu.Unlock()
+		go s.users("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
+			st, err := n.Abort(ctx, id)
+			if err == nil {
+				s.h.observed(id, st.Phase)
+			}
+			return err
+		})
+	}
+}
+
+// settle says that all troubles are over, and waits until all jobs are.
+func (s *checkedCluster) settle(within time.Duration) {
+	s.t.Helper()
+	s.h.mu.Lock()
+	s.h.calm = true
+	var ids []string
+	for id := range s.h.jobs {
+		ids = append(ids, id)
+	}
+	s.h.mu.Unlock()
+	slices.Sort(ids)
+	deadline := time.Now().Add(within)
+	for _, id := range ids {
+		for last := ""; ; {
+			if n := s.node(s.names[0]); n != nil {
+				last = s.phase(n, id)
+				if last == api.JobDone || last == api.JobWithdrawn {
+					s.h.observed(id, last)
+					break
+				}
+			}
+			if time.Now().After(deadline) {
+				s.t.Errorf("%s: %s after the troubles", id, last)
+				break
+			}
+			time.Sleep(500 * time.Millisecond)
+		}
+	}
+}
+
+// add is a machine that is up from now on.
+func (s *checkedCluster) add(name, zone string, spot bool) *host {
+	k := &host{worker: s.worker(name, zone, spot), s: s, left: map[run]time.Duration{}, heard: time.Now(), next: time.Now()}
+	s.h.mu.Lock()
+	s.h.hosts[name] = k
+	s.hosts = append(s.hosts, k)
+	s.h.mu.Unlock()
+	return k
+}
+
+// live is what the machines do. One clock drives them all: the race detector
+// cannot follow a bubble with very many timers.
+func (s *checkedCluster) live() {
+	for s.ctx.Err() == nil {
+		s.h.mu.Lock()
+		hosts := slices.Clone(s.hosts)
+		s.h.mu.Unlock()
+		for _, k := range hosts {
+			k.live(time.Now())
+		}
+		s.h.look()
+		idle(s.ctx, tick)
+	}
+}
+
+// holders are the machines on which a job's tasks are.
+func (s *checkedCluster) holders(job string) (ks []*host) {
+	for _, k := range s.hosts {
+		s.h.mu.Lock()
+		s.h.purge()
+		for r := range s.h.runs {
+			if r.machine == k.rep.Machine && r.job() == job && !slices.Contains(ks, k) {
+				ks = append(ks, k)
+			}
+		}
+		s.h.mu.Unlock()
+	}
+	return ks
+}
+
+// Order implements Director: the way of orders straight to machines.
+func (s *checkedCluster) Order(ctx context.Context, addr string, o *api.DirectOrders) (uint64, error) {
+	rep, err := s.direct(ctx, addr, func(k *host) bool {
+		if o.Term < k.rep.Term || o.Session != k.rep.Session {
+			return false
+		}
+		k.changed = k.changed || o.Term > k.rep.Term
+		k.rep.Term = o.Term
+		k.obey(o.Orders)
+		return true
+	})
+	if err != nil {
+		return 0, err
+	}
+	return rep.Seq, nil
+}
+
+// Resync implements Director.
+func (s *checkedCluster) Resync(ctx context.Context, addr string, term uint64) (*api.Report, error) {
+	return s.direct(ctx, addr, func(k *host) bool {
+		if term < k.rep.Term {
+			return false
+		}
+		k.changed = k.changed || term > k.rep.Term
+		k.rep.Term = term
+		return true
+	})
+}
+
+// direct brings something to a machine; a hung or slow one does it late, even if
+// its sender has given up by then.
+func (s *checkedCluster) direct(ctx context.Context, addr string, do func(*host) bool) (*api.Report, error) {
+	s.h.mu.Lock()
+	k := s.h.hosts[addr]
+	s.h.mu.Unlock()
+	if k == nil || s.cloud.gone(addr) {
+		return nil, api.ErrNotDone
+	}
+	k.mu.Lock()
+	closed, orderDelay, answerDelay := k.cut || k.deaf, k.orderDelay, k.answerDelay
+	k.mu.Unlock()
+	if closed {
+		<-ctx.Done()
+		return nil, api.ErrNotDone // no connection
+	}
+	out := make(chan *api.Report, 1)
+	go func() {
+		idle(s.ctx, orderDelay)
+		k.awake()
+		var rep *api.Report
+		if s.ctx.Err() == nil && !s.cloud.gone(addr) && do(k) {
+			k.rep.Seq++
+			own := k.rep
+			own.Tasks = slices.Clone(k.rep.Tasks)
+			rep = &own
+		}
+		k.mu.Unlock()
+		idle(s.ctx, answerDelay)
+		out <- rep
+	}()
+	select {
+	case rep := <-out:
+		if rep == nil {
+			return nil, api.ErrNotDone
+		}
+		return rep, nil
+	case <-ctx.Done():
+		return nil, api.ErrUnconfirmed
+	}
+}
--- /dev/null
+++ b/internal/controller/leadership_test.go
@@ -0,0 +1,233 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/store"
+)
+
+// A transaction of an earlier leader that is carried out late must fail, or it
+// would change what the next leader has read.
+func TestLateTransactionOfAnEarlierLeaderFails(t *testing.T) {
+	simulate(t, func(w *cluster) {
+		a := w.start("n0")
+		w.store.Hold(touches(store.MachinePrefix))
+		k := w.worker("i-1", "a", false)
+		w.submit(a, spec("job-1", 1))
+		k.serve(a, 2)
+		w.same("held", w.store.Held() > 0, true)
+		w.same("no start before the roster is durable", len(k.running()), 0)
+		a.crash()
+		w.start("n0")
+		for _, res := range w.store.Release() {
+			w.same("late transaction carried out", res.OK, false)
+		}
+		w.same("roster", w.roster(), []string(nil))
+	})
+}
+
+// A machine that has not been heard in this term may hold any earlier task.
+func TestTakeoverWaitsForUnheardMachines(t *testing.T) {
+	simulate(t, func(w *cluster) {
+		a := w.start("n0")
+		k1, k2, k3 := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
+		w.submit(a, spec("job-1", 8))
+		k1.serve(a, 3)
+		k2.serve(a, 3)
+		k3.serve(a, 3)
+		w.same("all started", len(k1.running())+len(k2.running())+len(k3.running()), 8)
+		a.crash()
+		b := w.start("n0")
+		k1.exit(api.CauseHalted)
+		k3.exit(api.CauseDone)
+		k1.serve(b, 2)
+		k3.serve(b, 2)
+		// k2 is silent: nothing of the old job starts, and its four CPUs count
+		// against the limit of every team: of 8 blue ones, 4 remain.
+		w.same("old job waits", len(k1.running())+len(k3.running()), 0)
+		s := spec("job-2", 8)
+		s.Team = "blue"
+		w.submit(b, s)
+		k3.serve(b, 2)
+		k1.serve(b, 2)
+		w.same("new job within the limit", len(k3.running())+len(k1.running()), 4)
+		k2.report(b)
+		k2.report(b)
+		k1.serve(b, 3)
+		k3.serve(b, 3)
+		w.same("all heard", len(k1.running())+len(k3.running()) > 4, true)
+	})
+}
+
+// Until a machine has this term as its token it may still carry out an answer
+// of the earlier leader, so one report in the new term is not enough.
+func TestMachineIsHeardOnlyWithThisTerm(t *testing.T) {
+	simulate(t, func(w *cluster) {
+		a := w.start("n0")
+		k := w.worker("i-1", "a", false)
+		k.serve(a, 2)
+		w.submit(a, spec("job-1", 2))
+		orders, err := k.send(a) // on its way when the leader crashes
+		if err != nil || len(orders) != 2 {
+			t.Fatalf("orders %v, %v", orders, err)
+		}
+		a.crash()
+		b := w.start("n0")
+		k2 := w.worker("i-2", "a", false)
+		k2.serve(b, 3)
+		w.same("nothing elsewhere", len(k2.running()), 0)
+		rep := k.rep
+		rep.Seq++
+		if _, err := k.deliver(b, &rep); err != nil {
+			t.Fatal(err)
+		}
+		k2.serve(b, 2)
+		w.same("nothing elsewhere yet", len(k2.running()), 0)
+		k.rep.Seq++
+		k.report(b)
+		k2.serve(b, 2)
+		w.same("started", len(k.running())+len(k2.running()), 2)
+	})
+}
+
+func TestAttemptsAreNeverReusedAcrossTerms(t *testing.T) {
+	simulate(t, func(w *cluster) {
+		seen := map[uint64]bool{}
+		k := w.worker("i-1", "a", false)
+		for range 3 {
+			n := w.start("n0")
+			w.submit(n, spec("job-1", 20))
+			for range 4 {
+				for _, o := range k.report(n) {
+					if o.Verb == api.VerbStart {
+						w.same("reused", seen[o.Attempt], false)
+						seen[o.Attempt] = true
+					}
+				}
+				k.exit(api.CauseError)
+				time.Sleep(2 * time.Second)
+			}
+			n.crash()
+		}
+		w.same("starts seen", len(seen) > 6, true)
+	})
+}
+
+// Past its validity a leader acts for nobody; once a renewal is answered, the
+// lease was never over and it goes on with the same term.
+func TestLeaderStopsWhenItsLeaseMayBeOver(t *testing.T) {
+	simulate(t, func(w *cluster) {
+		n := w.start("n0")
+		k := w.worker("i-1", "a", false)
+		k.serve(n, 2)
+		term := k.rep.Term
+		w.store.SetDown(true)
+		k.serve(n, 20)
+		if _, err := k.send(n); err != nil {
+			t.Errorf("within the lease: %v", err)
+		}
+		k.serve(n, 12)
+		if _, err := k.send(n); err == nil {
+			t.Error("answered after the lease may have ended")
+		}
+		w.store.SetDown(false)
+		time.Sleep(4 * time.Second)
+		if _, err := k.send(n); err != nil || k.rep.Term != term {
+			t.Errorf("after the outage: %v, term %d, was %d", err, k.rep.Term, term)
+		}
+	})
+}
+
+// A restarted leader need not wait for its own lease to end.
+func TestRestartedLeaderTakesANewTermAtOnce(t *testing.T) {
+	simulate(t, func(w *cluster) {
+		a := w.start("n0")
+		b := w.start("n1")
+		k := w.worker("i-1", "a", false)
+		k.serve(a, 2)
+		first := k.rep.Term
+		a.crash()
+		a = w.start("n0")
+		if _, err := k.send(b); err == nil {
+			t.Error("a follower answered")
+		}
+		if _, err := k.send(a); err != nil || k.rep.Term <= first {
+			t.Errorf("%v, term %d after %d", err, k.rep.Term, first)
+		}
+	})
+}
+
+// The store refuses the leader alone until another has taken over and ended a
+// job. When the old leader is let in again, the first thing it sees is that
+// the job's record is gone: it must not take that for a cancellation.
+func TestLeaderShutOutOfTheStore(t *testing.T) {
+	simulate(t, func(w *cluster) {
+		g := &gate{Fake: w.store}
+		a := w.startWith("n0", g, nil)
+		b := w.start("n1")
+		k := w.worker("i-1", "a", false)
+		w.submit(b, spec("job-1", 1))
+		k.serve(a, 3)
+		w.same("running", len(k.running()), 1)
+		g.set(true)
+		for range 40 {
+			if k.report(a); k.report(b) != nil {
+				break
+			}
+			time.Sleep(time.Second)
+		}
+		k.serve(b, 2)
+		k.exit(api.CauseDone)
+		k.serve(b, 4)
+		w.same("new leader", w.phase(b, "job-1"), "done")
+		g.set(false)
+		for range 30 {
+			time.Sleep(100 * time.Millisecond)
+			if got := w.phase(a, "job-1"); got == "withdrawn" {
+				t.Fatal("told as cancelled")
+			}
+		}
+		w.same("old leader", w.phase(a, "job-1"), "done")
+	})
+}
+
+// A new leader asks the machines that it has not heard, by the addresses on
+// the roster: one that is dead would hold all earlier jobs back for as long as
+// it is waited for. One that is alive is waited for.
+func TestTakeoverAsksUnheardMachines(t *testing.T) {
+	simulate(t, func(w *cluster) {
+		a := w.start("n0")
+		ks := make([]*worker, 5)
+		for i := range ks {
+			ks[i] = w.worker(fmt.Sprint("i-", i), "a", false)
+			ks[i].serve(a, 2)
+		}
+		w.submit(a, spec("job-1", 8))
+		for range 2 {
+			ks[0].report(a)
+			ks[1].report(a)
+			time.Sleep(time.Second)
+		}
+		w.same("started", len(ks[0].running())+len(ks[1].running()), 8)
+		a.crash()
+		w.dead.Store("i-0", true)
+		b := w.start("n0")
+		for range 7 {
+			for _, k := range ks[2:] {
+				k.report(b)
+			}
+			time.Sleep(time.Second)
+		}
+		w.same("dead machine returned", w.cloud.gone("i-0"), true)
+		w.same("live machine waited for", w.cloud.gone("i-1"), false)
+		for range 3 {
+			ks[1].report(b)
+			ks[2].report(b)
+			time.Sleep(time.Second)
+		}
+		w.same("restarted", len(ks[2].running()), 4)
+	})
+}
--- /dev/null
+++ b/internal/controller/simulatedhost_test.go
@@ -0,0 +1,266 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+)
+
+// host is a machine that behaves as the protocol's worker does, by itself.
+type host struct {
+	*worker
+	s *checkedCluster
+	// heard is when the last answered report was sent, sent and next when the
+	// last one was and the next one is.
+	heard, sent, next time.Time
+	at                int
+	inFlight, changed bool
+	left              map[run]time.Duration
+	// What the troubles do to it: cut and mute machines reach no controller,
+	// and nothing reaches cut and deaf ones. What comes to a hung one waits.
+	cut, mute, deaf bool
+	hung            time.Time
+	// orderDelay holds up direct orders, answerDelay their answers, and
+	// linkDelay the answers to reports.
+	orderDelay, answerDelay, linkDelay time.Duration
+	// reports are copies of all that it sent.
+	reports []api.Report
+}
+
+// live is what a machine does at a tick, until it is returned.
+func (k *host) live(now time.Time) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if now.Before(k.hung) || k.s.cloud.gone(k.rep.Machine) {
+		return
+	}
+	k.expire(now)
+	k.advance()
+	due := !now.Before(k.next) || k.changed && now.Sub(k.sent) >= 500*time.Millisecond
+	if due && !k.inFlight {
+		k.post(now)
+	}
+}
+
+func (k *host) lease() time.Duration {
+	return max(10*time.Second, time.Duration(5*k.s.reportS*float64(time.Second)))
+}
+
+// expire kills the tasks when the lease has ended.
+func (k *host) expire(now time.Time) {
+	if now.Sub(k.heard) <= k.lease() {
+		return
+	}
+	for _, t := range k.rep.Tasks {
+		if t.Phase != api.TaskExited {
+			k.s.h.end(k, t.Task, t.Attempt, "killed")
+		}
+	}
+	k.rep.Tasks = nil
+	clear(k.left)
+	k.rep.Session++
+	k.heard, k.changed = now, true
+}
+
+// advance brings the tasks on by a tick.
+func (k *host) advance() {
+	for i := range k.rep.Tasks {
+		t := &k.rep.Tasks[i]
+		if t.Phase == api.TaskExited {
+			continue
+		}
+		r := run{k.rep.Machine, t.Task, t.Attempt}
+		if k.left[r] -= tick; k.left[r] > 0 {
+			continue
+		}
+		cause := api.CauseDone
+		if t.Phase == api.TaskSaving {
+			cause, t.Saved = api.CauseHalted, true
+		}
+		k.exitTask(t, cause)
+	}
+}
+
+func (k *host) exitTask(t *api.TaskReport, cause string) {
+	t.Phase, t.Cause = api.TaskExited, cause
+	k.changed = true
+	k.s.h.end(k, t.Task, t.Attempt, cause)
+}
+
+// post sends a report to the machine's controller.
+func (k *host) post(now time.Time) {
+	k.rep.Seq++
+	rep := k.rep
+	rep.Tasks = slices.Clone(k.rep.Tasks)
+	k.reports = append(k.reports, rep)
+	k.sent, k.inFlight, k.changed = now, true, false
+	every := time.Duration(max(1, k.s.reportS) * float64(time.Second))
+	k.next = now.Add(every - every/4 + every/2*time.Duration(rep.Seq*7%10)/10)
+	n := k.s.node(k.s.names[k.at])
+	if k.cut || k.mute {
+		n = nil
+	}
+	go func() {
+		ans, err := api.ReportAnswer{}, errors.New("no connection")
+		if n != nil {
+			ctx, cancel := context.WithTimeout(k.s.ctx, 4*time.Second)
+			own := rep
+			own.Tasks = slices.Clone(rep.Tasks)
+			ans, err = n.Report(ctx, &own)
+			cancel()
+		}
+		k.answered(now, rep.Session, ans, err)
+	}()
+}
+
+// answered takes in what became of a report.
+func (k *host) answered(sent time.Time, session uint64, ans api.ReportAnswer, err error) {
+	k.mu.Lock()
+	delay := k.linkDelay
+	k.mu.Unlock()
+	idle(k.s.ctx, delay)
+	k.awake()
+	defer k.mu.Unlock()
+	var other *api.NotLeaderError
+	lost := (k.deaf || k.cut) && !k.mute
+	if lost || time.Since(sent) >= 4*time.Second {
+		err = errors.New("no answer")
+		k.mu.Unlock()
+		idle(k.s.ctx, time.Until(sent.Add(4*time.Second)))
+		k.mu.Lock()
+	}
+	k.inFlight = false
+	switch {
+	case err == nil:
+		if session != k.rep.Session || ans.Term < k.rep.Term {
+			return
+		}
+		k.changed = k.changed || ans.Term > k.rep.Term
+		k.rep.Term, k.heard = ans.Term, sent
+		k.obey(ans.Orders)
+	case errors.As(err, &other) && slices.Contains(k.s.names, other.Leader) && other.Leader != k.s.names[k.at]:
+		k.at = slices.Index(k.s.names, other.Leader)
+		k.next = time.Now()
+	default:
+		k.at = (k.at + 1) % len(k.s.names)
+		k.next, k.changed = time.Now().Add(time.Second), false
+		k.sent = time.Now().Add(500 * time.Millisecond) // not sooner, whatever changes
+	}
+}
+
+// idle is pause, but sets no timer for no time: the race detector fails on
+// timers that are due when a bubble's goroutine selects on them.
+func idle(ctx context.Context, d time.Duration) {
+	if d > 0 {
+		pause(ctx, d)
+	}
+}
+
+// awake waits while the machine hangs, and returns with its lock held.
+func (k *host) awake() {
+	for {
+		k.mu.Lock()
+		rest := time.Until(k.hung)
+		if rest <= 0 || k.s.ctx.Err() != nil {
+			return
+		}
+		k.mu.Unlock()
+		idle(k.s.ctx, rest)
+	}
+}
+
+// obey carries orders out as a worker does.
+func (k *host) obey(orders []api.Order) {
+	if k.s.cloud.gone(k.rep.Machine) {
+		return
+	}
+	for _, o := range orders {
+		i := slices.IndexFunc(k.rep.Tasks, func(t api.TaskReport) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
+		r := run{k.rep.Machine, o.Task, o.Attempt}
+		switch {
+		case o.Verb == api.VerbStart && i < 0:
+			k.begin(r)
+		case o.Verb == api.VerbStop && i >= 0 && k.rep.Tasks[i].Phase != api.TaskExited:
+			k.s.h.mu.Lock()
+			p := k.s.h.jobs[r.job()].spec
+			k.s.h.mu.Unlock()
+			if t := &k.rep.Tasks[i]; t.Phase == api.TaskRunning && p.CheckpointS > 0 && o.GraceS != nil && *o.GraceS >= p.SaveS && p.SaveS > 0 {
+				t.Phase, k.left[r], k.changed = api.TaskSaving, p.Save(), true
+			} else if t.Phase == api.TaskRunning || o.GraceS == nil || *o.GraceS == 0 {
+				k.exitTask(t, api.CauseHalted)
+			}
+		case o.Verb == api.VerbReap && i >= 0 && k.rep.Tasks[i].Phase == api.TaskExited:
+			k.rep.Tasks = slices.Delete(k.rep.Tasks, i, i+1)
+		}
+	}
+}
+
+// begin starts a task, or refuses it.
+func (k *host) begin(r run) {
+	t := api.TaskReport{Task: r.task, Attempt: r.attempt, Phase: api.TaskRunning}
+	k.s.h.mu.Lock()
+	p := k.s.h.jobs[r.job()]
+	used := 0.0
+	for _, o := range k.rep.Tasks {
+		if o.Phase == api.TaskExited {
+			continue
+		}
+		used += k.s.h.jobs[run{task: o.Task}.job()].spec.CPUs
+		if o.Task == r.task {
+			t.Phase, t.Cause = api.TaskExited, api.CauseBusy
+		}
+	}
+	k.s.h.mu.Unlock()
+	k.changed = true
+	switch {
+	case t.Phase == api.TaskExited:
+	case p == nil:
+		t.Phase, t.Cause = api.TaskExited, api.CauseNoSuch
+	case used+p.spec.CPUs > 4:
+		t.Phase, t.Cause = api.TaskExited, api.CauseNoRoom
+	default:
+		k.s.h.start(k, r.task, r.attempt)
+		_, i, _ := splitRef(r.task)
+		if k.left[r] = p.takes + time.Duration(i)*p.apart; k.s.h.completed(r.task) {
+			k.left[r] = 0 // its result is kept
+		}
+	}
+	k.rep.Tasks = append(k.rep.Tasks, t)
+}
+
+// trouble changes what goes wrong with a machine. What it does to probes is up
+// to the cluster.
+func (k *host) trouble(f func(*host)) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	f(k)
+	name := k.rep.Machine
+	k.s.dead.Delete(name)
+	k.s.tardy.Delete(name)
+	if k.cut {
+		k.s.dead.Store(name, true)
+	}
+	if k.deaf {
+		k.s.tardy.Store(name, true)
+	}
+	if rest := time.Until(k.hung); rest > 0 {
+		k.s.tardy.Store(name, true)
+		go func() {
+			idle(k.s.ctx, rest)
+			k.trouble(func(*host) {})
+		}()
+	}
+}
+
+func (k *host) hang(d time.Duration) { k.trouble(func(k *host) { k.hung = time.Now().Add(d) }) }
+
+// well ends all troubles of a machine.
+func (k *host) well() {
+	k.trouble(func(k *host) {
+		k.cut, k.mute, k.deaf = false, false, false
+		k.orderDelay, k.answerDelay, k.linkDelay = 0, 0, 0
+	})
+}
--- /dev/null
+++ b/internal/controller/usercluster_test.go
@@ -0,0 +1,410 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cancellation"
+	"example.org/ivytrestle/internal/store"
+)
+
+// way is one node's way to the store. Requests take a while there and back, so
+// that what others do can come between.
+type way struct {
+	gate
+	there, back time.Duration
+	tally       *tally
+}
+
+// tally counts what the nodes ask of the store, by second.
+type tally struct {
+	mu                        sync.Mutex
+	requests, writes, watches map[int64]int
+}
+
+func (y *tally) add(m map[int64]int, n int) {
+	y.mu.Lock()
+	defer y.mu.Unlock()
+	m[time.Now().Unix()] += n
+}
+
+// counts are the largest count of a second and the sum.
+func (y *tally) counts(m map[int64]int) (most, sum int) {
+	y.mu.Lock()
+	defer y.mu.Unlock()
+	for _, n := range m {
+		most = max(most, n)
+		sum += n
+	}
+	return most, sum
+}
+
+// reset begins anew.
+func (y *tally) reset() {
+	y.mu.Lock()
+	defer y.mu.Unlock()
+	clear(y.requests)
+	clear(y.writes)
+	clear(y.watches)
+}
+
+// trip carries a request out after its way there, and its answer after its way back.
+func trip[T any](ctx context.Context, y *way, f func() (T, error)) (T, error) {
+	var none T
+	y.tally.add(y.tally.requests, 1)
+	for _, leg := range []time.Duration{y.there, y.back} {
+		select {
+		case <-ctx.Done():
+			return none, store.ErrUnknown
+		case <-time.After(leg):
+		}
+		if leg == y.there && f != nil {
+			v, err := f()
+			if err != nil {
+				return v, err
+			}
+			none, f = v, nil
+		}
+	}
+	return none, nil
+}
+
+func (y *way) Get(ctx context.Context, key string) (store.Entry, error) {
+	return trip(ctx, y, func() (store.Entry, error) { return y.gate.Get(ctx, key) })
+}
+
+func (y *way) Txn(ctx context.Context, txn store.Txn) (store.Result, error) {
+	y.tally.add(y.tally.writes, len(txn.Ops))
+	return trip(ctx, y, func() (store.Result, error) { return y.gate.Txn(ctx, txn) })
+}
+
+func (y *way) Range(ctx context.Context, prefix, from string, most int) (store.Page, error) {
+	return trip(ctx, y, func() (store.Page, error) { return y.gate.Range(ctx, prefix, from, most) })
+}
+
+func (y *way) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (store.Changes, error) {
+	y.tally.add(y.tally.requests, 1)
+	y.tally.add(y.tally.watches, 1)
+	return y.gate.Watch(ctx, prefix, from, block)
+}
+
+// userHost is a scripted machine that reports by itself, whose tasks end after their
+// time and with its lease.
+type userHost struct {
+	*worker
+	began map[string]time.Time
+	// sent is when its last report was sent, leased when the last answered one was.
+	sent, leased time.Time
+	// changed wakes it to report.
+	changed chan struct{}
+	// starts counts the starts that it was ordered.
+	starts atomic.Int64
+}
+
+// userCluster is three nodes with their machines and users, who note all they are told.
+type userCluster struct {
+	*cluster
+	checker *answerChecker
+	links   *links
+	ways    []*way
+	tally   *tally
+	hosts   []*userHost
+	// takes is how long tasks run, by job; others run until ended.
+	takes sync.Map
+	users sync.WaitGroup
+
+	mu    sync.Mutex
+	nodes []*node
+	// stayed are the tasks that were on machines for too long after a confirmed
+	// cancellation.
+	stayed []string
+	over   atomic.Bool
+}
+
+func newUserCluster(w *cluster, hosts int) *userCluster {
+	w.zones = map[string]string{"n0": "a", "n1": "a", "n2": "a"}
+	w.teams[0].CPUsMax = 1000
+	tn := &userCluster{cluster: w, checker: newAnswerChecker(w.t), links: &links{}, nodes: make([]*node, 3),
+		tally: &tally{requests: map[int64]int{}, writes: map[int64]int{}, watches: map[int64]int{}}}
+	for i := range 3 {
+		y := &way{there: time.Duration(2+3*i) * time.Millisecond, back: time.Duration(1+2*i) * time.Millisecond, tally: tn.tally}
+		y.gate.Fake = w.store
+		tn.ways = append(tn.ways, y)
+		tn.begin(i)
+	}
+	for i := range hosts {
+		h := &userHost{worker: w.worker(fmt.Sprintf("i-%d", i+1), "a", false), began: map[string]time.Time{}, leased: time.Now(), changed: make(chan struct{}, 1)}
+		tn.hosts = append(tn.hosts, h)
+		tn.users.Go(func() { tn.live(h) })
+	}
+	time.Sleep(3 * time.Second)
+	return tn
+}
+
+// begin starts a node, or starts it anew after a crash.
+func (tn *userCluster) begin(i int) {
+	name := fmt.Sprint("n", i)
+	n := tn.links.add(name, tn.startWith(name, tn.ways[i], tn.links))
+	tn.mu.Lock()
+	defer tn.mu.Unlock()
+	tn.nodes[i] = n
+}
+
+// crash ends a node; users and machines no longer come to it.
+func (tn *userCluster) crash(i int) {
+	tn.mu.Lock()
+	defer tn.mu.Unlock()
+	tn.nodes[i].crash()
+	tn.links.nodes.Delete(tn.nodes[i].Settings.Node)
+	tn.nodes[i] = nil
+}
+
+// at is a node as it is at present, or the next if that is down.
+func (tn *userCluster) at(i int) *node {
+	tn.mu.Lock()
+	defer tn.mu.Unlock()
+	for tn.nodes[i%3] == nil {
+		i++
+	}
+	return tn.nodes[i%3]
+}
+
+// all are the nodes that are up.
+func (tn *userCluster) all() []*node {
+	tn.mu.Lock()
+	defer tn.mu.Unlock()
+	return slices.DeleteFunc(slices.Clone(tn.nodes), func(n *node) bool { return n == nil })
+}
+
+// leader waits until a node leads, and is its number.
+func (tn *userCluster) leader() int {
+	for {
+		for i := range 3 {
+			n := tn.at(i)
+			st, err := n.PeerStatus(context.Background(), cancellation.Position{})
+			if err == nil && st.Term > 0 {
+				return int(n.Settings.Node[1] - '0')
+			}
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+}
+
+// live has a machine report once a second and at every change.
+func (tn *userCluster) live(h *userHost) {
+	for changed := false; !tn.over.Load(); {
+		now := time.Now()
+		if h.lapse(now); h.end(tn, now, "") || changed || now.Sub(h.sent) >= time.Second {
+			h.tell(tn)
+		}
+		for _, ref := range h.running() {
+			id, _, _ := strings.Cut(ref, "/")
+			if end, at := tn.checker.end(id); end == api.JobWithdrawn && now.Sub(at) > 30*time.Second {
+				tn.stays(ref)
+			}
+		}
+		select {
+		case <-h.changed:
+			changed = true
+		case <-time.After(20 * time.Millisecond):
+			changed = false
+		}
+	}
+}
+
+func (tn *userCluster) stays(ref string) {
+	tn.mu.Lock()
+	defer tn.mu.Unlock()
+	if !slices.Contains(tn.stayed, ref) {
+		tn.stayed = append(tn.stayed, ref)
+	}
+}
+
+// gone sees that no task of a cancelled job has stayed for longer than it may.
+func (tn *userCluster) gone() {
+	tn.mu.Lock()
+	defer tn.mu.Unlock()
+	tn.same("on machines too long after a confirmed cancellation", tn.stayed, []string(nil))
+}
+
+// tell sends a report to whichever node answers it.
+func (h *userHost) tell(tn *userCluster) {
+	h.sent = time.Now()
+	sent := h.sent
+	for _, n := range tn.all() {
+		orders, err := h.send(n)
+		if err != nil {
+			continue
+		}
+		h.leased = sent
+		h.obey(orders)
+		for _, o := range orders {
+			if o.Verb == api.VerbStart {
+				h.starts.Add(1)
+			}
+		}
+		h.mu.Lock()
+		for _, t := range h.rep.Tasks {
+			if _, ok := h.began[t.Task]; !ok {
+				h.began[t.Task] = time.Now()
+			}
+		}
+		h.mu.Unlock()
+		return
+	}
+}
+
+// lapse ends the machine's lease if no report was answered in time.
+func (h *userHost) lapse(now time.Time) {
+	if now.Sub(h.leased) <= 10*time.Second {
+		return
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.rep.Session++
+	h.rep.Tasks, h.leased = nil, now
+	clear(h.began)
+}
+
+// end completes the tasks whose time is over, and those of the job named.
+func (h *userHost) end(tn *userCluster, now time.Time, named string) (any bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i := range h.rep.Tasks {
+		t := &h.rep.Tasks[i]
+		id, _, _ := strings.Cut(t.Task, "/")
+		takes, ok := tn.takes.Load(id)
+		if t.Phase != api.TaskRunning || !(id == named || ok && now.Sub(h.began[t.Task]) >= takes.(time.Duration)) {
+			continue
+		}
+		t.Phase, t.Cause = api.TaskExited, api.CauseDone
+		tn.checker.completed(t.Task)
+		any = true
+	}
+	return any
+}
+
+// finish ends the tasks of a job now, wherever they run.
+func (tn *userCluster) finish(id string) {
+	n := 0
+	for _, h := range tn.hosts {
+		if h.end(tn, time.Now(), id) {
+			h.changed <- struct{}{}
+			n++
+		}
+	}
+	if n == 0 {
+		tn.t.Errorf("%s has no task to end", id)
+	}
+}
+
+// background does what some user does while the others go on.
+func (tn *userCluster) background(f func()) { tn.users.Go(f) }
+
+// pollAll asks about a job at all nodes in turn, with gap between two questions
+// whether or not they are answered; some repeat the submission.
+func (tn *userCluster) pollAll(s *api.JobSpec, gap, span time.Duration) {
+	submitted := func() bool {
+		tn.checker.mu.Lock()
+		defer tn.checker.mu.Unlock()
+		return tn.checker.of(s.ID).submitted
+	}
+	tn.background(func() {
+		for i := 0; time.Duration(i)*gap < span; i++ {
+			n := tn.at(i)
+			tn.background(func() {
+				switch {
+				case i%5 == 4 && submitted():
+					tn.checker.submit(n, s)
+				case i%17 == 3:
+					tn.checker.resubmitInvalid(n, s.ID)
+				default:
+					tn.checker.ask(n, s.ID)
+				}
+			})
+			time.Sleep(gap)
+		}
+	})
+}
+
+func (tn *userCluster) accept(i int, s *api.JobSpec) {
+	if err := insist(func() error { _, err := tn.checker.submit(tn.at(i), s); return err }); err != nil {
+		tn.t.Errorf("submission of %s: %v", s.ID, err)
+	}
+}
+
+func (tn *userCluster) cancel(i int, id string) string {
+	var st api.JobState
+	if err := insist(func() (err error) { st, err = tn.checker.cancel(tn.at(i), id); return err }); err != nil {
+		tn.t.Errorf("cancellation of %s: %v", id, err)
+	}
+	return st.Phase
+}
+
+// finally waits for the users and sees that all nodes tell the same of a job.
+func (tn *userCluster) finally(want map[string]string) {
+	for id, phase := range want {
+		for i := range 3 {
+			st, err := tn.checker.ask(tn.at(i), id)
+			if got := st.Phase; err != nil || got != phase {
+				tn.t.Errorf("%s at node %d in the end: %q, %v, want %s", id, i, got, err, phase)
+			}
+		}
+	}
+}
+
+// close ends machines, users and nodes, with what these have on the way.
+func (tn *userCluster) close() {
+	tn.over.Store(true)
+	tn.users.Wait()
+	tn.store.Lose(nil)
+	for _, n := range tn.all() {
+		n.crash()
+	}
+	time.Sleep(10 * time.Second)
+}
+
+// written is the version of a record, 0 if there is none.
+func (tn *userCluster) written(key string) uint64 {
+	e, err := tn.store.Get(context.Background(), key)
+	if err != nil {
+		tn.t.Error(err)
+	}
+	return e.Mark
+}
+
+// starts is how many starts the machines were ordered.
+func (tn *userCluster) starts() (n int64) {
+	for _, h := range tn.hosts {
+		n += h.starts.Load()
+	}
+	return n
+}
+
+// held is how many tasks are on machines, in whatever state.
+func (tn *userCluster) held() (n int) {
+	for _, h := range tn.hosts {
+		h.mu.Lock()
+		n += len(h.rep.Tasks)
+		h.mu.Unlock()
+	}
+	return n
+}
+
+// follow has a job's user ask until told of its end, each time at another node.
+func (tn *userCluster) follow(i int, id string, every time.Duration) {
+	tn.background(func() {
+		for ; !tn.over.Load(); i++ {
+			if st, err := tn.checker.ask(tn.at(i), id); err == nil && st.Final() {
+				return
+			}
+			time.Sleep(every)
+		}
+	})
+}
