--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -24,6 +24,8 @@
 type cellGroup struct {
 	t     *testing.T
 	cells []*cell
+	// tasks are the group's own goroutines, which end before its nodes do.
+	tasks sync.WaitGroup
 
 	// mu guards what follows, and the jobs' own fields.
 	mu   sync.Mutex
@@ -78,15 +80,15 @@
 			c.begin()
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		go g.live(ctx)
+		g.tasks.Go(func() { g.live(ctx) })
 		defer func() {
 			cancel()
+			g.tasks.Wait()
 			for _, c := range g.cells {
 				for _, n := range c.at() {
 					n.crash()
 				}
 			}
-			time.Sleep(30 * time.Second) // what is on its way is given up
 		}()
 		time.Sleep(4 * time.Second)
 		f(g)
@@ -138,7 +140,7 @@
 func (c *cell) leader() *node {
 	for _, n := range c.at() {
 		leads := false
-		n.look(func(o *Controller) { leads = o.valid() && o.leadership.loaded })
+		n.tryLook(func(o *Controller) { leads = o.valid() && o.leadership.loaded })
 		if leads {
 			return n
 		}
@@ -214,6 +216,9 @@
 	for ctx.Err() == nil {
 		for _, c := range g.cells {
 			for _, k := range c.working() {
+				if ctx.Err() != nil {
+					return
+				}
 				c.work(k)
 			}
 		}
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -17,8 +17,11 @@
 // checkedCluster is a deployment whose machines and controllers act by themselves.
 type checkedCluster struct {
 	*cluster
-	h   *runChecker
-	ctx context.Context
+	h *runChecker
+	// ctx ends when the test does, before the nodes do; tasks are the goroutines of
+	// machines, users and troubles, which end with it.
+	ctx   context.Context
+	tasks sync.WaitGroup
 
 	smu   sync.Mutex
 	links *links
@@ -61,7 +64,11 @@
 	w.reportS = reportS
 	w.director = s
 	s.h = &runChecker{w: w, t0: time.Now(), jobs: map[string]*observedJob{}, runs: map[run]bool{}, hosts: map[string]*host{}}
-	go s.live()
+	defer func() {
+		cancel()
+		s.tasks.Wait()
+	}()
+	s.tasks.Go(s.live)
 	s.begin("n0")
 	s.begin("n1")
 	for i := range machines {
@@ -69,11 +76,6 @@
 	}
 	time.Sleep(2*time.Second + 1500*time.Millisecond*time.Duration(reportS))
 	f(s)
-	cancel()
-	for _, name := range s.names {
-		s.crash(name)
-	}
-	time.Sleep(10 * time.Second)
 }
 
 // begin starts a controller, crash ends one.
@@ -111,7 +113,7 @@
 	for _, name := range s.names {
 		if n := s.node(name); n != nil {
 			leads := false
-			n.look(func(c *Controller) { leads = c.valid() && c.leadership.loaded })
+			n.tryLook(func(c *Controller) { leads = c.valid() && c.leadership.loaded })
 			if leads {
 				return name
 			}
@@ -125,10 +127,10 @@
 func (s *checkedCluster) handOver() {
 	if name := s.leader(); name != "" {
 		s.gates[name].set(true)
-		go func() {
+		s.tasks.Go(func() {
 			idle(s.ctx, 8*time.Second)
 			s.gates[name].set(false)
-		}()
+		})
 	}
 }
 
@@ -182,12 +184,14 @@
 		s.h.mu.Lock()
 		s.h.jobs[id].asked = time.Now()
 		s.h.mu.Unlock()
-		go s.users("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
-			st, err := n.Abort(ctx, id)
-			if err == nil {
-				s.h.observed(id, st.Phase)
-			}
-			return err
+		s.tasks.Go(func() {
+			s.users("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
+				st, err := n.Abort(ctx, id)
+				if err == nil {
+					s.h.observed(id, st.Phase)
+				}
+				return err
+			})
 		})
 	}
 }
@@ -308,6 +312,8 @@
 		return nil, api.ErrNotDone // no connection
 	}
 	out := make(chan *api.Report, 1)
+	// Controllers call this while the test ends, so tasks does not count it: it waits for
+	// nothing once s.ctx has ended.
 	go func() {
 		idle(s.ctx, orderDelay)
 		k.awake()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -74,6 +74,8 @@
 	Config
 	records store.Records
 	mail    chan message
+	// ended is closed when Run has returned: nothing in the mailbox is applied any more.
+	ended   chan struct{}
 	depose  chan uint64
 	resigns chan election.Resignation
 	types   typesCell
@@ -116,7 +118,7 @@
 	}
 	return &Controller{
 		Config: cfg, records: store.NewRecords(cfg.UserStore, cfg.Settings.Site.State),
-		mail: make(chan message, 256), depose: make(chan uint64, 4), resigns: make(chan election.Resignation, 4), final: final,
+		mail: make(chan message, 256), ended: make(chan struct{}), depose: make(chan uint64, 4), resigns: make(chan election.Resignation, 4), final: final,
 		sent: map[string]time.Time{}, directed: map[string]directed{}, up: newRelayUp(cfg.Settings.Site.Limits),
 		reads: map[string]*readRound{}, cancels: cancellation.NewLog(cfg.Settings.Site.Workers, cfg.Settings.Site.Limits, time.Now()), peerTable: newPeerTable(cfg.Settings.Peers, time.Now()),
 	}
@@ -141,8 +143,9 @@
 	return want
 }
 
-// Run owns the state until the context ends.
+// Run owns the state until the context ends. It may be called once.
 func (c *Controller) Run(ctx context.Context) {
+	defer close(c.ended)
 	go c.refreshTypes(ctx)
 	go c.watchStore(ctx)
 	if c.Peers != nil {
@@ -175,16 +178,6 @@
 	}
 }
 
-// send hands a message to the owner.
-func (c *Controller) send(ctx context.Context, m message) error {
-	select {
-	case c.mail <- m:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
-
 // Resigns is where the election hears which node has stopped to lead.
 func (c *Controller) Resigns() <-chan election.Resignation { return c.resigns }
 
@@ -198,7 +191,8 @@
 	}
 }
 
-// The election's calls become messages.
+// The election's calls become messages. They have no context: what the election says to a
+// controller that has ended is dropped.
 
 type leaderMsg struct{ node string }
 
@@ -240,16 +234,20 @@
 }
 
 // Leader implements election.Observer.
-func (c *Controller) Leader(node string) { c.mail <- leaderMsg{node} }
+func (c *Controller) Leader(node string) { c.send(context.Background(), leaderMsg{node}) }
 
 // Won implements election.Observer.
-func (c *Controller) Won(t election.Term, until time.Time) { c.mail <- wonMsg{t, until} }
+func (c *Controller) Won(t election.Term, until time.Time) {
+	c.send(context.Background(), wonMsg{t, until})
+}
 
 // Extended implements election.Observer.
-func (c *Controller) Extended(t election.Term, until time.Time) { c.mail <- extendedMsg{t, until} }
+func (c *Controller) Extended(t election.Term, until time.Time) {
+	c.send(context.Background(), extendedMsg{t, until})
+}
 
 // Lost implements election.Observer.
-func (c *Controller) Lost(t election.Term) { c.mail <- lostMsg{t} }
+func (c *Controller) Lost(t election.Term) { c.send(context.Background(), lostMsg{t}) }
 
 // valid tells whether this node may act as leader at this moment.
 func (c *Controller) valid() bool {
@@ -279,7 +277,7 @@
 		err = &api.NeverRunsError{Reason: never.Error()}
 	}
 	if err == nil && st.Final() {
-		err = c.send(ctx, finalMsg{st})
+		err = c.tellFinal(ctx, st)
 	}
 	return st, created, err
 }
@@ -334,7 +332,7 @@
 	if !found {
 		return st, api.ErrUnknownJob
 	}
-	return st, c.send(ctx, finalMsg{st})
+	return st, c.tellFinal(ctx, st)
 }
 
 func (c *Controller) lookup(ctx context.Context, id string) (api.JobState, error) {
@@ -342,15 +340,14 @@
 	if err := c.send(ctx, m); err != nil {
 		return api.JobState{}, err
 	}
-	select {
-	case r := <-m.reply:
-		if r.err == nil && !r.found {
-			return r.st, api.ErrUnknownJob
-		}
-		return r.st, r.err
-	case <-ctx.Done():
-		return api.JobState{}, ctx.Err()
+	r, err := await(ctx, c, m.reply)
+	if err != nil {
+		return api.JobState{}, err
+	}
+	if r.err == nil && !r.found {
+		return r.st, api.ErrUnknownJob
 	}
+	return r.st, r.err
 }
 
 // readMsg asks what the store has of a job. Users who ask again and again, at all
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -38,18 +38,17 @@
 }
 
 // take has the owner take a report in. The owner answers every report, late ones
-// too, so nothing but the end of the process cuts the wait short.
+// too, so nothing but the end of the controller cuts the wait short.
 func (c *Controller) take(ctx context.Context, m reportMsg) (reportReply, error) {
 	m.reply, m.came = make(chan reportReply, 1), time.Now()
 	if err := c.send(ctx, m); err != nil {
 		return reportReply{}, err
 	}
-	select {
-	case r := <-m.reply:
-		return r, r.err
-	case <-ctx.Done():
-		return reportReply{}, ctx.Err()
+	r, err := await(ctx, c, m.reply)
+	if err != nil {
+		return r, err
 	}
+	return r, r.err
 }
 
 // reportLife is how long a report may wait for the owner and still be answered
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -14,13 +14,8 @@
 	if c.send(ctx, m) != nil {
 		return
 	}
-	var h heir
-	select {
-	case h = <-m.reply:
-	case <-ctx.Done():
-		return
-	}
-	if h.node == "" {
+	h, err := await(ctx, c, m.reply)
+	if err != nil || h.node == "" {
 		return
 	}
 	if err := c.Peers.Resign(ctx, h.node, c.Settings.Node, h.term); err != nil {
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -107,6 +107,10 @@
 	dead, tardy sync.Map
 	// machines are the scripted machines by address.
 	machines sync.Map
+	// ctx ends when the cluster does, and with it all nodes; running counts what runs
+	// until then.
+	ctx     context.Context
+	running sync.WaitGroup
 }
 
 // Probe implements Prober.
@@ -131,11 +135,24 @@
 	return &rep, nil
 }
 
+// requestsEnd is longer than any request of a node lasts that has its own time limit.
+const requestsEnd = 30 * time.Second
+
+// newCluster makes a cluster without nodes. When the test is over, also one that failed
+// half-way, its nodes are ended and awaited: time stands still once the test's own
+// goroutine has returned, and whoever waits for time then is reported as a deadlock.
 func newCluster(t *testing.T) *cluster {
-	return &cluster{t: t, store: storetest.New(),
+	ctx, cancel := context.WithCancel(context.Background())
+	w := &cluster{t: t, ctx: ctx, store: storetest.New(),
 		cloud: &fakeCloud{types: []api.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.4,
 			BootS: 20, Zones: []string{"a", "b"}}}, made: map[string][]string{}},
 		teams: []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}, {Name: "blue", CPUs: 8, CPUsMax: 8}}}
+	t.Cleanup(func() {
+		cancel()
+		w.running.Wait()
+		time.Sleep(requestsEnd)
+	})
+	return w
 }
 
 // gate is one node's way to the store, which can refuse that node alone.
@@ -223,10 +240,21 @@
 
 func (m lookMsg) apply(c *Controller) { m.f(c); close(m.done) }
 
+// look looks at a node that runs.
 func (n *node) look(f func(*Controller)) {
+	if !n.tryLook(f) {
+		panic("look at a controller that has ended")
+	}
+}
+
+// tryLook looks at a node that may be ended meanwhile, and tells whether it could.
+func (n *node) tryLook(f func(*Controller)) bool {
 	m := lookMsg{f, make(chan struct{})}
-	n.mail <- m
-	<-m.done
+	if n.send(context.Background(), m) != nil {
+		return false
+	}
+	_, err := await(context.Background(), n.Controller, m.done)
+	return err == nil
 }
 
 func (w *cluster) start(name string) *node {
@@ -255,12 +283,11 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	c := New(Config{Settings: s, Policy: pol, Store: st, Cloud: w.cloud, Peers: peers, Prober: w, Director: w.director, Log: log, Cells: w.cells, Link: w.link, Standby: w.standby})
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(w.ctx)
 	cand := &election.Candidate{Node: name, Incarnation: fmt.Sprint(time.Now().UnixNano()), Store: st,
 		Lease: pol.LeaderLease, Renew: 3 * time.Second, Observer: c, Log: log, Depose: c.Depose(), Resigned: c.Resigns()}
-	go c.Run(ctx)
-	go cand.Run(ctx)
-	w.t.Cleanup(cancel)
+	w.running.Go(func() { c.Run(ctx) })
+	w.running.Go(func() { cand.Run(ctx) })
 	time.Sleep(500 * time.Millisecond)
 	return &node{c, cancel}
 }
--- a/internal/controller/leaseextension.go
+++ b/internal/controller/leaseextension.go
@@ -92,13 +92,8 @@
 	if c.send(ctx, ask) != nil {
 		return
 	}
-	var a followedLeader
-	select {
-	case a = <-ask.reply:
-	case <-ctx.Done():
-		return
-	}
-	if a.leader != node || c.send(ctx, awayMsg{node}) != nil {
+	a, err := await(ctx, c, ask.reply)
+	if err != nil || a.leader != node || c.send(ctx, awayMsg{node}) != nil {
 		return
 	}
 	m, err := c.verifyTerm(ctx, a)
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -20,15 +20,11 @@
 	if err := c.send(ctx, m); err != nil {
 		return nil, err
 	}
-	select {
-	case answer := <-m.reply:
-		if answer == nil {
-			return nil, api.ErrUnavailable
-		}
-		return answer, nil
-	case <-ctx.Done():
-		return nil, ctx.Err()
+	answer, err := await(ctx, c, m.reply)
+	if err == nil && answer == nil {
+		err = api.ErrUnavailable
 	}
+	return answer, err
 }
 
 type loanRequestMsg struct {
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -104,7 +104,7 @@
 						time.Sleep(-off)
 						change(s)
 					} else {
-						go change(s)
+						s.tasks.Go(func() { change(s) })
 						time.Sleep(off)
 						cancels()
 					}
@@ -164,11 +164,11 @@
 			if n := k.s.node(name); n != nil {
 				own := rep
 				own.Tasks = slices.Clone(rep.Tasks)
-				go func() {
+				k.s.tasks.Go(func() {
 					ctx, cancel := context.WithTimeout(k.s.ctx, 4*time.Second)
 					defer cancel()
 					n.Report(ctx, &own) // whatever it says, the machine has gone on
-				}()
+				})
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -206,7 +206,7 @@
 			}
 			replay := func() {
 				for k, reports := range late {
-					go k.replay(reports)
+					s.tasks.Go(func() { k.replay(reports) })
 				}
 				time.Sleep(700 * time.Millisecond)
 			}
@@ -217,7 +217,7 @@
 				time.Sleep(-off)
 				change(s)
 			} else {
-				go change(s)
+				s.tasks.Go(func() { change(s) })
 				time.Sleep(off)
 				replay()
 			}
@@ -334,10 +334,10 @@
 					s.order(15*time.Second, job1("job-2", "red", 20))
 					s.order(4*time.Minute, job1("job-3", "blue", 4))
 					time.Sleep(off)
-					go func() {
+					s.tasks.Go(func() {
 						time.Sleep(4 * time.Second)
 						s.cancel("job-3")
-					}()
+					})
 					script(s)
 					s.settle(6 * time.Minute)
 				})
@@ -523,13 +523,13 @@
 					case 9:
 						s.cancel(fmt.Sprint("job-", rnd.IntN(i+1)))
 					case 10:
-						go k.replay(k.sentSoFar())
+						s.tasks.Go(func() { k.replay(k.sentSoFar()) })
 					case 11:
 						s.store.Hold(touches(store.MachinePrefix))
-						go func() {
+						s.tasks.Go(func() {
 							idle(s.ctx, 5*time.Second)
 							s.store.Release()
-						}()
+						})
 					}
 					time.Sleep(time.Duration(rnd.IntN(3000)) * time.Millisecond)
 				}
--- /dev/null
+++ b/internal/controller/mailbox_test.go
@@ -0,0 +1,112 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cancellation"
+	"example.org/ivytrestle/internal/election"
+)
+
+// callers are the calls that wait for the owner's reply.
+var callers = map[string]func(ctx context.Context, n *node) error{
+	"report": func(ctx context.Context, n *node) error {
+		_, err := n.Report(ctx, &api.Report{Machine: "i-1", Addr: "i-1", Type: "small", Zone: "a", Session: 1, Seq: 1})
+		return err
+	},
+	"job":         func(ctx context.Context, n *node) error { _, err := n.Job(ctx, "job-1"); return err },
+	"known":       func(ctx context.Context, n *node) error { _, err := n.Known(ctx, "job-1"); return err },
+	"status":      func(ctx context.Context, n *node) error { _, err := n.Status(ctx); return err },
+	"loans":       func(ctx context.Context, n *node) error { _, err := n.Loans(ctx, nil); return err },
+	"peer grant":  func(ctx context.Context, n *node) error { _, err := n.PeerGrant(ctx, 1); return err },
+	"promise":     func(ctx context.Context, n *node) error { _, err := n.PeerPromise(ctx, 1); return err },
+	"resignation": func(ctx context.Context, n *node) error { return n.LeaderResigned(ctx, "n1", 1) },
+	"peer status": func(ctx context.Context, n *node) error {
+		_, err := n.PeerStatus(ctx, cancellation.Position{})
+		return err
+	},
+}
+
+// A controller that has ended refuses what comes to it at once, whether or not its
+// mailbox has room: nobody reads that any more.
+func TestEndedControllerRefuses(t *testing.T) {
+	for name, call := range callers {
+		t.Run(name, func(t *testing.T) {
+			simulate(t, func(w *cluster) {
+				n := w.start("n0")
+				n.crash()
+				time.Sleep(time.Second)
+				begun := time.Now()
+				for range 2 * cap(n.mail) {
+					if err := call(context.Background(), n); !errors.Is(err, api.ErrUnavailable) {
+						t.Fatalf("got %v, want %v", err, api.ErrUnavailable)
+					}
+				}
+				w.same("time taken", time.Since(begun), time.Duration(0))
+			})
+		})
+	}
+}
+
+// What is in the mailbox when the controller ends is answered then, not at the end of
+// the caller's time.
+func TestQueuedCallsEndWithTheController(t *testing.T) {
+	for name, call := range callers {
+		if name == "resignation" {
+			continue // waits for no reply
+		}
+		t.Run(name, func(t *testing.T) {
+			simulate(t, func(w *cluster) {
+				n := w.start("n0")
+				w.running.Go(func() { n.tryLook(func(*Controller) { time.Sleep(time.Second); n.crash() }) })
+				time.Sleep(time.Millisecond)
+				begun, calls := time.Now(), 2*cap(n.mail)
+				answers := make(chan error, calls)
+				for range calls {
+					go func() { answers <- call(context.Background(), n) }()
+				}
+				for range calls {
+					<-answers // some are still carried out: Run chooses among what is ready
+				}
+				if took := time.Since(begun); took > 2*time.Second {
+					t.Errorf("answered after %v", took)
+				}
+			})
+		})
+	}
+}
+
+// The election may tell a controller that has ended any number of things.
+func TestEndedControllerDoesNotBlockTheElection(t *testing.T) {
+	simulate(t, func(w *cluster) {
+		n := w.start("n0")
+		n.crash()
+		time.Sleep(time.Second)
+		for i := range uint64(cap(n.mail)) {
+			n.Leader(fmt.Sprint("n", i))
+			n.Won(election.Term{Number: i}, time.Now())
+			n.Extended(election.Term{Number: i}, time.Now())
+			n.Lost(election.Term{Number: i})
+		}
+	})
+}
+
+// A user whose job is recorded is told so, also by a controller that has just ended.
+func TestRecordedRequestsSucceedAtAnEndedController(t *testing.T) {
+	simulate(t, func(w *cluster) {
+		n := w.start("n0")
+		w.submit(n, spec("job-1", 1))
+		n.crash()
+		time.Sleep(time.Second)
+		for range 2 * cap(n.mail) {
+			st, err := n.Abort(context.Background(), "job-1")
+			if err != nil || st.Phase != api.JobWithdrawn {
+				t.Fatalf("cancellation: %v, %v", st.Phase, err)
+			}
+		}
+	})
+}
--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -133,15 +133,13 @@
 func (w *cluster) startOld(name string, st *gate, l *links) *oldNode {
 	o := &oldNode{w: w, name: name, st: st, links: l, began: time.Now(), incarnation: fmt.Sprint("old", time.Now().UnixNano()),
 		read: map[string]cancellation.Position{}, kept: map[string]time.Time{}, relayed: map[string]*api.Report{}, orders: map[string]*peer.RelayOrders{}, parts: 1}
-	ctx, cancel := context.WithCancel(context.Background())
-	w.t.Cleanup(cancel)
 	l.nodes.Store(name, o)
-	go func() {
-		for ctx.Err() == nil && o.running() {
-			o.tick(ctx)
-			pause(ctx, 200*time.Millisecond)
+	w.running.Go(func() {
+		for w.ctx.Err() == nil && o.running() {
+			o.tick(w.ctx)
+			pause(w.ctx, 200*time.Millisecond)
 		}
-	}()
+	})
 	return o
 }
 
--- a/internal/controller/peertable.go
+++ b/internal/controller/peertable.go
@@ -269,12 +269,7 @@
 	if err := c.send(ctx, m); err != nil {
 		return PeerStatus{}, err
 	}
-	select {
-	case st := <-m.reply:
-		return st, nil
-	case <-ctx.Done():
-		return PeerStatus{}, ctx.Err()
-	}
+	return await(ctx, c, m.reply)
 }
 
 type peerStatusMsg struct {
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -36,7 +36,7 @@
 // follow tells the checker every second what a job is called at both nodes.
 func (s *checkedCluster) follow(ids ...string) {
 	for _, id := range ids {
-		go func() {
+		s.tasks.Go(func() {
 			for s.ctx.Err() == nil {
 				for _, name := range s.names {
 					if n := s.node(name); n != nil {
@@ -48,7 +48,7 @@
 				}
 				pause(s.ctx, time.Second)
 			}
-		}()
+		})
 	}
 }
 
@@ -98,13 +98,13 @@
 					s.follow(append(diamondJobs, "job-6", "job-7")...)
 					time.Sleep(3 * time.Second)
 					if off < 0 {
-						go change(s)
+						s.tasks.Go(func() { change(s) })
 						time.Sleep(-off)
 						s.cancel(victim)
 					} else {
 						s.cancel(victim)
 						time.Sleep(off)
-						go change(s)
+						s.tasks.Go(func() { change(s) })
 					}
 					s.order(2*time.Second, after("job-6", "red", 1, victim))
 					s.order(2*time.Second, after("job-7", "blue", 1, "job-6", "job-9"))
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -53,7 +53,7 @@
 	defer cancel()
 	st, err := c.Peers.Job(ctx, node, id)
 	if err == nil && st.Final() {
-		return st, c.send(ctx, finalMsg{st})
+		return st, c.tellFinal(ctx, st)
 	}
 	return st, err
 }
@@ -80,12 +80,7 @@
 	if err := c.send(ctx, m); err != nil {
 		return pollReply{}, err
 	}
-	select {
-	case r := <-m.reply:
-		return r, nil
-	case <-ctx.Done():
-		return pollReply{}, ctx.Err()
-	}
+	return await(ctx, c, m.reply)
 }
 
 // pollReply either answers a poll, or names the leader to ask; with neither,
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -82,10 +82,8 @@
 		if c.send(ctx, ask) != nil {
 			return
 		}
-		term := uint64(0)
-		select {
-		case term = <-ask.reply:
-		case <-ctx.Done():
+		term, err := await(ctx, c, ask.reply)
+		if err != nil {
 			return
 		}
 		if term != 0 {
@@ -283,12 +281,7 @@
 	if err := c.send(ctx, m); err != nil {
 		return false, err
 	}
-	select {
-	case granted := <-m.reply:
-		return granted, nil
-	case <-ctx.Done():
-		return false, ctx.Err()
-	}
+	return await(ctx, c, m.reply)
 }
 
 type peerGrantMsg struct {
@@ -307,15 +300,11 @@
 	if err := c.send(ctx, m); err != nil {
 		return 0, err
 	}
-	select {
-	case wait := <-m.reply:
-		if wait == noPromise {
-			return 0, api.ErrUnavailable
-		}
-		return wait, nil
-	case <-ctx.Done():
-		return 0, ctx.Err()
+	wait, err := await(ctx, c, m.reply)
+	if err == nil && wait == noPromise {
+		return 0, api.ErrUnavailable
 	}
+	return wait, err
 }
 
 type peerPromiseMsg struct {
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -138,14 +138,12 @@
 		}
 		done := make(chan struct{})
 		go func() { s.live(ctx); close(done) }()
+		defer func() {
+			cancel()
+			<-done
+		}()
 		time.Sleep(20 * time.Second) // a leader is bound
 		f(s)
-		cancel()
-		<-done
-		for _, n := range s.mesh.nodes {
-			n.crash()
-		}
-		time.Sleep(10 * time.Second)
 	})
 }
 
@@ -187,7 +185,7 @@
 // leader is the node with the highest term that may act.
 func (s *standbyCluster) leader() (best *node, term uint64) {
 	for _, n := range s.all() {
-		n.look(func(c *Controller) {
+		n.tryLook(func(c *Controller) {
 			if c.valid() && c.leadership.loaded && c.leadership.term.Number > term {
 				best, term = n, c.leadership.term.Number
 			}
--- a/internal/controller/simulatedhost_test.go
+++ b/internal/controller/simulatedhost_test.go
@@ -103,7 +103,7 @@
 	if k.cut || k.mute {
 		n = nil
 	}
-	go func() {
+	k.s.tasks.Go(func() {
 		ans, err := api.ReportAnswer{}, errors.New("no connection")
 		if n != nil {
 			ctx, cancel := context.WithTimeout(k.s.ctx, 4*time.Second)
@@ -113,7 +113,7 @@
 			cancel()
 		}
 		k.answered(now, rep.Session, ans, err)
-	}()
+	})
 }
 
 // answered takes in what became of a report.
@@ -248,10 +248,10 @@
 	}
 	if rest := time.Until(k.hung); rest > 0 {
 		k.s.tardy.Store(name, true)
-		go func() {
+		k.s.tasks.Go(func() {
 			idle(k.s.ctx, rest)
 			k.trouble(func(*host) {})
-		}()
+		})
 	}
 }
 
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -358,7 +358,7 @@
 					}
 					id := when(g, g.burst(g.cells[0], 100, 6, takes))
 					if crash >= 0 {
-						go g.cells[crash].crash(0, 200*time.Millisecond)
+						g.tasks.Go(func() { g.cells[crash].crash(0, 200*time.Millisecond) })
 					}
 					told := g.cancel(id, 60)
 					if told != api.JobWithdrawn && !(told == api.JobDone && name == "as it ends") {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -97,12 +97,11 @@
 	if err := c.send(ctx, m); err != nil {
 		return nil, err
 	}
-	select {
-	case s := <-m.reply:
-		return s, nil
-	case <-ctx.Done():
-		return nil, ctx.Err()
+	s, err := await(ctx, c, m.reply)
+	if err != nil {
+		return nil, err
 	}
+	return s, nil
 }
 
 type statusMsg struct{ reply chan Status }
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -367,7 +367,6 @@
 	for _, n := range tn.all() {
 		n.crash()
 	}
-	time.Sleep(10 * time.Second)
 }
 
 // written is the version of a record, 0 if there is none.
