--- a/internal/controller/apart_test.go
+++ b/internal/controller/apart_test.go
@@ -375,7 +375,7 @@
 		w.submit(a, spec("job-1", 2))
 		time.Sleep(3 * time.Second) // ordered through the store, not handed out yet
 		pending := false
-		a.look(func(c *Controller) { pending = len(c.leadership.down.nodes["n1"].pending) > 0 })
+		a.look(func(c *Controller) { pending = len(c.leaderTerm.down.nodes["n1"].pending) > 0 })
 		far.report(b) // hands them out, if they came by now
 		if !pending && len(far.running()) == 0 {
 			far.report(b)
@@ -473,7 +473,7 @@
 				far.report(b)
 			}
 			time.Sleep(200 * time.Millisecond)
-			a.look(func(c *Controller) { pending = len(c.leadership.down.nodes["n1"].pending) > 0 })
+			a.look(func(c *Controller) { pending = len(c.leaderTerm.down.nodes["n1"].pending) > 0 })
 		}
 		w.same("ordered", pending, true)
 		b.crash()
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -8,16 +8,16 @@
 )
 
 // adopt adds an attempt that this leader did not start.
-func (r *leadership) adopt(m *machine, key attemptKey, t *api.TaskReport, now time.Time) *attempt {
+func (lt *leaderTerm) adopt(m *machine, key attemptKey, t *api.TaskReport, now time.Time) *attempt {
 	key.ref = strings.Clone(key.ref)
 	a := &attempt{key: key, machine: m, phase: t.Phase, sentAt: now}
 	m.attempts[key] = a
 	id, task, ok := splitRef(key.ref)
-	if j := r.jobs[id]; ok && j != nil && task < j.spec.Tasks {
+	if j := lt.jobs[id]; ok && j != nil && task < j.spec.Tasks {
 		a.job, a.task = j, task
 	}
 	if a.job != nil && (t.Phase == api.TaskRunning || t.Phase == api.TaskSaving || t.Cause == api.CauseDone) {
-		r.hasImage(m, &a.job.spec, now)
+		lt.hasImage(m, &a.job.spec, now)
 	}
 	if t.Phase == api.TaskExited {
 		a.exited = true
@@ -35,7 +35,7 @@
 }
 
 // update applies what a report says of an attempt.
-func (r *leadership) update(a *attempt, t *api.TaskReport, now time.Time) {
+func (lt *leaderTerm) update(a *attempt, t *api.TaskReport, now time.Time) {
 	was := a.phase
 	a.phase = t.Phase
 	if a.phase == api.TaskRunning && was != api.TaskRunning {
@@ -43,10 +43,10 @@
 		if a.job != nil {
 			if a.job.firstStart.IsZero() {
 				a.job.firstStart = now
-				record(r.counts.firstStart, now.Sub(a.job.since))
+				record(lt.counts.firstStart, now.Sub(a.job.since))
 			}
 			a.job.lastStart = now
-			r.hasImage(a.machine, &a.job.spec, now)
+			lt.hasImage(a.machine, &a.job.spec, now)
 		}
 	}
 	if t.Phase != api.TaskExited {
@@ -60,38 +60,38 @@
 		return
 	}
 	a.noted = true
-	r.exit(a, t, now)
+	lt.exit(a, t, now)
 }
 
 // exit handles the end of an attempt by its cause.
-func (r *leadership) exit(a *attempt, t *api.TaskReport, now time.Time) {
+func (lt *leaderTerm) exit(a *attempt, t *api.TaskReport, now time.Time) {
 	j, m := a.job, a.machine
 	if j == nil {
 		return
 	}
 	if t.Cause == api.CauseDone {
 		if !a.runningAt.IsZero() {
-			r.ran(a, now.Sub(a.runningAt), now)
+			lt.ran(a, now.Sub(a.runningAt), now)
 		}
-		r.taskDone(j, a.task, now)
+		lt.taskDone(j, a.task, now)
 		j.faulty = 0
 		m.pause = 0
 		clear(m.errorJobs)
-		r.hasImage(m, &j.spec, now)
+		lt.hasImage(m, &j.spec, now)
 	}
-	r.release(a)
+	lt.release(a)
 	switch t.Cause {
 	case api.CauseError:
-		r.failed(a, now)
+		lt.failed(a, now)
 	case api.CauseNoRoom, api.CauseBusy, api.CauseNoSuch:
-		r.c.Log.Debug("start refused", "machine", m.name, "task", a.key.ref, "why", t.Cause)
+		lt.c.Log.Debug("start refused", "machine", m.name, "task", a.key.ref, "why", t.Cause)
 		m.pauseUntil = now.Add(time.Second)
 	}
 }
 
 // release gives an attempt's task back to its job, unless it is done or held
 // by another attempt.
-func (r *leadership) release(a *attempt) {
+func (lt *leaderTerm) release(a *attempt) {
 	j := a.job
 	if j == nil || j.live[a.task] != a {
 		return
@@ -99,31 +99,31 @@
 	delete(j.live, a.task)
 	if !j.done.Test(uint(a.task)) {
 		j.lost++
-		r.counts.lost++
+		lt.counts.lost++
 		j.flight.Release(a.task)
 	}
 }
 
 // offMachine removes an attempt that is no longer on its machine.
-func (r *leadership) offMachine(a *attempt) {
+func (lt *leaderTerm) offMachine(a *attempt) {
 	delete(a.machine.attempts, a.key)
 	if !a.exited {
 		a.exited = true
 		a.charge(-1)
 	}
-	r.release(a)
+	lt.release(a)
 }
 
 // reapable tells whether an exited attempt may be dropped from the reports: a
 // completed one only once that is on record, so that a new leader finds it.
-func (r *leadership) reapable(a *attempt) bool {
+func (lt *leaderTerm) reapable(a *attempt) bool {
 	j := a.job
 	return j == nil || j.over || !j.done.Test(uint(a.task)) || j.durable.Test(uint(a.task))
 }
 
 // failed handles a task that ended with an error. Mostly the machine is at
 // fault; a job whose tasks fail on several machines and complete on none is.
-func (r *leadership) failed(a *attempt, now time.Time) {
+func (lt *leaderTerm) failed(a *attempt, now time.Time) {
 	j, m := a.job, a.machine
 	j.errors[m.name]++
 	j.barred[a.task] = m.name
@@ -132,9 +132,9 @@
 		hold := min(5*time.Second<<min(j.faulty, 4), time.Minute)
 		j.heldUntil = now.Add(hold)
 		if j.faulty == 1 {
-			r.c.Log.Info("job fails on every machine", "job", j.spec.ID, "machines", len(j.errors))
+			lt.c.Log.Info("job fails on every machine", "job", j.spec.ID, "machines", len(j.errors))
 			for name := range j.errors {
-				if o := r.machines[name]; o != nil {
+				if o := lt.machines[name]; o != nil {
 					delete(o.errorJobs, j.spec.ID)
 				}
 			}
@@ -146,11 +146,11 @@
 	m.pauseUntil = now.Add(m.pause)
 	if len(m.errorJobs) >= 2 || (j.doneCount > 0 && m.errorJobs[j.spec.ID] >= 2) {
 		if !m.leaving {
-			r.c.Log.Info("machine quarantined", "machine", m.name, "jobs", len(m.errorJobs))
-			r.leave(m, "fails tasks")
+			lt.c.Log.Info("machine quarantined", "machine", m.name, "jobs", len(m.errorJobs))
+			lt.leave(m, "fails tasks")
 			for _, o := range m.attempts {
 				if !o.exited && o.job != nil {
-					r.stop(o, o.job.spec.Save()*2, now)
+					lt.stop(o, o.job.spec.Save()*2, now)
 				}
 			}
 		}
--- a/internal/controller/awaitslist.go
+++ b/internal/controller/awaitslist.go
@@ -11,7 +11,7 @@
 // awaitsLists reads and removes the records that list the awaited jobs of those
 // whose active record has no room for them. Until a list is read its job waits.
 type awaitsLists struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	// unread are the jobs whose list is to be read, one at a time.
 	unread  []*job
 	reading bool
@@ -31,34 +31,34 @@
 		return
 	}
 	l.reading = true
-	r, j := l.leadership, l.unread[0]
+	lt, j := l.leaderTerm, l.unread[0]
 	l.unread = l.unread[1:]
 	id, list := j.spec.ID, j.awaitsList
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
-		ids, err := (&store.Records{Store: r.c.Store}).ReadAwaits(ctx, id, list)
+		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
+		ids, err := (&store.Records{Store: lt.c.Store}).ReadAwaits(ctx, id, list)
 		cancel()
 		if err != nil {
-			r.c.Log.Debug("awaited jobs not read", "job", id, "err", err)
-			pause(r.ctx, listRetry)
+			lt.c.Log.Debug("awaited jobs not read", "job", id, "err", err)
+			sleep(lt.ctx, listRetry)
 		}
-		r.post(listReadMsg{r, j, ids, err})
+		lt.sendToOwner(listReadMsg{lt, j, ids, err})
 	}()
 }
 
 // listReadMsg brings a job's awaited jobs.
 type listReadMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	job        *job
 	ids        []string
 	err        error
 }
 
 func (m listReadMsg) apply(c *Controller) {
-	if c.leadership != m.leadership {
+	if c.leaderTerm != m.leaderTerm {
 		return
 	}
-	l := &m.leadership.awaitsLists
+	l := &m.leaderTerm.awaitsLists
 	l.reading = false
 	switch {
 	case m.job.over:
@@ -66,8 +66,8 @@
 		l.unread = append(l.unread, m.job)
 	default:
 		m.job.spec.Awaits, m.job.awaitsRead = m.ids, true
-		m.leadership.pipeline.awaitJobs(m.job)
-		m.leadership.pipeline.propagateDeadlines(m.job)
+		m.leaderTerm.pipeline.awaitJobs(m.job)
+		m.leaderTerm.pipeline.propagateDeadlines(m.job)
 	}
 	l.readNext()
 }
@@ -78,7 +78,7 @@
 		return
 	}
 	for _, key := range j.awaitsList.Keys(j.spec.ID) {
-		l.leadership.recorder.drop(key)
+		l.leaderTerm.recorder.drop(key)
 	}
 }
 
@@ -86,16 +86,16 @@
 // come to their end, have left of lists.
 func (l *awaitsLists) sweep() {
 	keys := l.leftKeys()
-	records := store.Records{Store: l.leadership.c.Store}
+	records := store.Records{Store: l.leaderTerm.c.Store}
 	for id, of := range keys {
-		ctx, cancel := context.WithTimeout(l.leadership.ctx, 4*time.Second)
+		ctx, cancel := context.WithTimeout(l.leaderTerm.ctx, 4*time.Second)
 		_, over, err := records.Final(ctx, id)
 		cancel()
 		if err != nil {
 			continue // the next term's sweep finds it
 		}
-		l.leadership.post(listFoundMsg{l.leadership, id, of, over})
-		pause(l.leadership.ctx, sweepPause)
+		l.leaderTerm.sendToOwner(listFoundMsg{l.leaderTerm, id, of, over})
+		sleep(l.leaderTerm.ctx, sweepPause)
 	}
 }
 
@@ -104,10 +104,10 @@
 
 // leftKeys are the keys of all records of lists, by job.
 func (l *awaitsLists) leftKeys() map[string][]string {
-	for l.leadership.ctx.Err() == nil {
+	for l.leaderTerm.ctx.Err() == nil {
 		keys := map[string][]string{}
-		records := store.Records{Store: l.leadership.c.Store}
-		err := records.EachKey(l.leadership.ctx, store.AwaitsPrefix, func(key string) {
+		records := store.Records{Store: l.leaderTerm.c.Store}
+		err := records.EachKey(l.leaderTerm.ctx, store.AwaitsPrefix, func(key string) {
 			if id, _, ok := store.ParseAwaitsKey(key); ok {
 				keys[id] = append(keys[id], key)
 			}
@@ -115,30 +115,30 @@
 		if err == nil {
 			return keys
 		}
-		pause(l.leadership.ctx, listRetry)
+		sleep(l.leaderTerm.ctx, listRetry)
 	}
 	return nil
 }
 
 // listFoundMsg tells of records in a job's name, and whether the job is over.
 type listFoundMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	id         string
 	keys       []string
 	over       bool
 }
 
 func (m listFoundMsg) apply(c *Controller) {
-	if c.leadership != m.leadership {
+	if c.leaderTerm != m.leaderTerm {
 		return
 	}
-	j := m.leadership.jobs[m.id]
+	j := m.leaderTerm.jobs[m.id]
 	for _, key := range m.keys {
 		_, digest, _ := store.ParseAwaitsKey(key)
 		// Of a job that is accepted only its own list is of use. One that is not
 		// may be about to be accepted, unless it is over.
 		if m.over || j != nil && (j.awaitsList == nil || j.awaitsList.Digest != digest) {
-			m.leadership.recorder.drop(key)
+			m.leaderTerm.recorder.drop(key)
 		}
 	}
 }
--- a/internal/controller/awaitslist_test.go
+++ b/internal/controller/awaitslist_test.go
@@ -56,7 +56,7 @@
 					k.serve(n, 6)
 					w.same("begun", k.running(), []string{"job-1/0"})
 					n.look(func(c *Controller) {
-						if held := len(c.leadership.jobs["job-2"].spec.Awaits); held > fewNames+2 {
+						if held := len(c.leaderTerm.jobs["job-2"].spec.Awaits); held > fewNames+2 {
 							t.Errorf("%d names held while one job is waited for", held)
 						}
 					})
@@ -126,14 +126,14 @@
 		w.submit(n, after("job-3", "red", 1, "job-1", "job-8"))
 		time.Sleep(3 * time.Second)
 		n.look(func(c *Controller) {
-			j := c.leadership.jobs["job-2"]
+			j := c.leaderTerm.jobs["job-2"]
 			if d := j.since.Sub(done); len(j.awaits) > 0 || d < 0 || d > 2*time.Second {
 				t.Errorf("counts from %v after the end of what it awaited", d)
 			}
 			if d := j.aims[0].Sub(done); d < 88*time.Second || d > 92*time.Second {
 				t.Errorf("should be complete %v after the end of what it awaited", d)
 			}
-			if j := c.leadership.jobs["job-3"]; len(j.awaits) > 0 || j.since.Sub(j.accepted) > 2*time.Second || j.since.Before(j.accepted) {
+			if j := c.leaderTerm.jobs["job-3"]; len(j.awaits) > 0 || j.since.Sub(j.accepted) > 2*time.Second || j.since.Before(j.accepted) {
 				t.Errorf("submitted when all was done: counts from %v after its acceptance", j.since.Sub(j.accepted))
 			}
 		})
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -97,7 +97,7 @@
 	{"follower", false, false, func(w *cluster) *node {
 		_, a, b, _, _ := w.pair()
 		w.seedJobs(a)
-		b.look(func(c *Controller) { w.same("follows", c.leadership == nil && c.leader == "n0", true) })
+		b.look(func(c *Controller) { w.same("follows", c.leaderTerm == nil && c.leader == "n0", true) })
 		return b
 	}},
 	{"taking over", false, false, func(w *cluster) *node {
@@ -105,7 +105,7 @@
 		w.seedJobs(a)
 		a.crash()
 		b := w.startWith("n0", stalled{w.store}, nil)
-		b.look(func(c *Controller) { w.same("takes over", c.leadership != nil && !c.leadership.loaded, true) })
+		b.look(func(c *Controller) { w.same("takes over", c.leaderTerm != nil && !c.leaderTerm.loaded, true) })
 		return b
 	}},
 	{"without machine types", true, false, func(w *cluster) *node {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -15,7 +15,7 @@
 )
 
 // full is a leader whose machines are all busy, with jobs that wait.
-func full(b *testing.B, machines, jobs int) (*leadership, []*api.Report) {
+func full(b *testing.B, machines, jobs int) (*leaderTerm, []*api.Report) {
 	b.Helper()
 	pol, err := policy.Parse("", "")
 	if err != nil {
@@ -28,22 +28,22 @@
 	c := New(Config{Settings: s, Policy: pol, Store: storetest.New(), Cloud: &fakeCloud{}, Log: slog.New(slog.DiscardHandler)})
 	c.types.set([]api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Price: 1, Zones: []string{"a"}}})
 	now := time.Now()
-	r := newLeadership(c, election.Term{Number: 1, Mark: 1}, now.Add(time.Hour))
-	r.cancel() // nothing of it runs by itself
-	r.loaded, c.leadership = true, r
+	lt := newLeaderTerm(c, election.Term{Number: 1, Mark: 1}, now.Add(time.Hour))
+	lt.cancel() // nothing of it runs by itself
+	lt.loaded, c.leaderTerm = true, lt
 	for i := range jobs {
 		sp := spec(fmt.Sprint("job-", i), max(100, 40*machines/jobs)) // more than fits
 		sp.Team = []string{"red", "blue"}[i%2]
-		r.addRecord(store.ActivePrefix+sp.ID, store.ActiveRecord{Spec: *sp, Accepted: now}, uint64(i+2))
+		lt.addRecord(store.ActivePrefix+sp.ID, store.ActiveRecord{Spec: *sp, Accepted: now}, uint64(i+2))
 	}
 	reports := make([]*api.Report, machines)
 	for i := range reports {
 		k := &worker{rep: api.Report{Machine: fmt.Sprint("i-", i), Addr: "x", Type: "small", Zone: "a", Session: 1, Term: 1}}
-		m := r.addMachine(k.rep.Machine, "small", "a", false, now)
+		m := lt.addMachine(k.rep.Machine, "small", "a", false, now)
 		m.heard, m.roster = true, rosterDurable
 		for range 3 {
 			k.rep.Seq++
-			ans, err := r.report(&k.rep, now.Add(time.Minute))
+			ans, err := lt.report(&k.rep, now.Add(time.Minute))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -51,7 +51,7 @@
 		}
 		reports[i] = &k.rep
 	}
-	return r, reports
+	return lt, reports
 }
 
 // The cost of a report should depend on what it changes, not on how many
@@ -59,13 +59,13 @@
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []struct{ machines, jobs int }{{100, 40}, {400, 40}, {1100, 40}, {1100, 400}} {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", n.machines, n.jobs), func(b *testing.B) {
-			r, reports := full(b, n.machines, n.jobs)
+			lt, reports := full(b, n.machines, n.jobs)
 			now := time.Now().Add(2 * time.Minute)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				rep := reports[i%len(reports)]
 				rep.Seq++
-				if _, err := r.report(rep, now); err != nil {
+				if _, err := lt.report(rep, now); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -77,14 +77,14 @@
 func BenchmarkPull(b *testing.B) {
 	for _, n := range []struct{ machines, jobs int }{{100, 40}, {400, 40}, {1100, 40}, {1100, 400}} {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", n.machines, n.jobs), func(b *testing.B) {
-			r, reports := full(b, n.machines, n.jobs)
+			lt, reports := full(b, n.machines, n.jobs)
 			now := time.Now().Add(2 * time.Minute)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				rep := reports[i%len(reports)]
 				rep.Seq++
 				rep.Tasks[0].Phase, rep.Tasks[0].Cause = api.TaskExited, api.CauseHalted
-				ans, err := r.report(rep, now)
+				ans, err := lt.report(rep, now)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -104,21 +104,21 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []struct{ machines, jobs int }{{100, 40}, {400, 40}, {1100, 40}, {1100, 400}} {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", n.machines, n.jobs), func(b *testing.B) {
-			r, _ := full(b, n.machines, n.jobs)
+			lt, _ := full(b, n.machines, n.jobs)
 			now := time.Now().Add(2 * time.Minute)
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Second)
-				r.lastTick = now
-				for _, m := range r.machines {
+				lt.lastTick = now
+				for _, m := range lt.machines {
 					m.lastSeen, m.lastReport = now, now
 				}
-				r.triage(now)
-				r.countHolders(now)
-				r.scanMachines(now)
-				r.scanOverdue(now)
-				r.provisioner.drain(now)
-				r.provisioner.move(now)
+				lt.triage(now)
+				lt.countHolders(now)
+				lt.scanMachines(now)
+				lt.scanOverdue(now)
+				lt.provisioner.drain(now)
+				lt.provisioner.move(now)
 			}
 		})
 	}
@@ -129,19 +129,19 @@
 func BenchmarkPlaceIdle(b *testing.B) {
 	for _, n := range []struct{ machines, jobs int }{{100, 1}, {400, 1}, {1100, 1}, {1100, 40}} {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", n.machines, n.jobs), func(b *testing.B) {
-			r, reports := full(b, n.machines, 0)
+			lt, reports := full(b, n.machines, 0)
 			now := time.Now()
 			for i := range n.jobs {
 				sp := spec(fmt.Sprint("job-w", i), 20_000)
 				sp.Types = nil
 				sp.Team = "red"
-				r.addRecord(store.ActivePrefix+sp.ID, store.ActiveRecord{Spec: *sp, Accepted: now}, uint64(i+2))
+				lt.addRecord(store.ActivePrefix+sp.ID, store.ActiveRecord{Spec: *sp, Accepted: now}, uint64(i+2))
 			}
-			r.grace = time.Hour
+			lt.grace = time.Hour
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				m := r.machines[reports[i%len(reports)].Machine]
-				if j := r.pick(m, now); j != nil {
+				m := lt.machines[reports[i%len(reports)].Machine]
+				if j := lt.pick(m, now); j != nil {
 					j.flight.Join(m.name)
 				}
 			}
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -32,13 +32,13 @@
 func (c *Controller) cancelled(id string) {
 	c.final.Add(id, api.JobState{ID: id, Phase: api.JobWithdrawn})
 	c.cancels.Add(id, time.Now())
-	if c.leadership != nil {
-		if j := c.leadership.jobs[id]; j != nil && !j.cancelPending {
-			c.leadership.withdraw(j)
+	if c.leaderTerm != nil {
+		if j := c.leaderTerm.jobs[id]; j != nil && !j.cancelPending {
+			c.leaderTerm.withdraw(j)
 		}
 		// One whose cancellation follows from another's is dropped only once its
 		// own end is on record: else nobody would write that.
-		c.leadership.pipeline.cancelled(id)
+		c.leaderTerm.pipeline.cancelled(id)
 	}
 }
 
@@ -94,42 +94,42 @@
 
 // cancellationsKnownAt is the moment before which all cancellations told to users are known
 // here.
-func (r *leadership) cancellationsKnownAt(now time.Time) time.Time {
+func (lt *leaderTerm) cancellationsKnownAt(now time.Time) time.Time {
 	all := now
-	for _, n := range r.c.peerTable.nodes {
-		if n.cancels.WholeSince().After(r.cancellationsConfirmedAt) {
-			return r.cancellationsConfirmedAt // it was started, or cut off, since the store answered
+	for _, n := range lt.c.peerTable.nodes {
+		if n.cancels.WholeSince().After(lt.cancellationsConfirmedAt) {
+			return lt.cancellationsConfirmedAt // it was started, or cut off, since the store answered
 		}
 		if n.cancels.KnownUntil().Before(all) {
 			all = n.cancels.KnownUntil()
 		}
 	}
-	if r.cancellationsConfirmedAt.After(all) {
-		return r.cancellationsConfirmedAt
+	if lt.cancellationsConfirmedAt.After(all) {
+		return lt.cancellationsConfirmedAt
 	}
 	return all
 }
 
 // mayRenewLeases tells whether this leader may renew leases.
-func (r *leadership) mayRenewLeases(now time.Time) bool {
-	if !r.loaded {
-		return now.Sub(r.began) <= min(loadWithin, max(r.c.renewFor(), leastRenew))
+func (lt *leaderTerm) mayRenewLeases(now time.Time) bool {
+	if !lt.loaded {
+		return now.Sub(lt.startedAt) <= min(loadWithin, max(lt.c.renewFor(), leastRenew))
 	}
-	return now.Sub(r.cancellationsKnownAt(now)) <= max(r.c.renewFor(), leastRenew)
+	return now.Sub(lt.cancellationsKnownAt(now)) <= max(lt.c.renewFor(), leastRenew)
 }
 
 // mayStart tells whether this leader may start tasks. One that has lost the
 // state service and all other nodes, but not its workers, would start for half a
 // minute what users have called off elsewhere. In an outage that the others see
 // as well nobody can call anything off.
-func (r *leadership) mayStart(now time.Time) bool {
-	if !r.mayDecide(now) {
+func (lt *leaderTerm) mayStart(now time.Time) bool {
+	if !lt.mayDecide(now) {
 		return false
 	}
-	if now.Sub(r.cancellationsKnownAt(now)) <= r.c.proofInterval()+startSlack {
+	if now.Sub(lt.cancellationsKnownAt(now)) <= lt.c.proofInterval()+startSlack {
 		return true
 	}
-	for _, n := range r.c.peerTable.nodes {
+	for _, n := range lt.c.peerTable.nodes {
 		if n.reached(now) && n.StoreOK == 0 {
 			return true
 		}
--- a/internal/controller/cascade_test.go
+++ b/internal/controller/cascade_test.go
@@ -94,7 +94,7 @@
 				w.same("records left", w.activeJobs(), 0)
 				w.same("told at last", w.told(leader, ids), all)
 				leader.look(func(c *Controller) {
-					w.same("in memory", len(c.leadership.jobs)+len(c.leadership.pipeline.pendingCancels)+len(c.leadership.pipeline.dependents), 0)
+					w.same("in memory", len(c.leaderTerm.jobs)+len(c.leaderTerm.pipeline.pendingCancels)+len(c.leaderTerm.pipeline.dependents), 0)
 				})
 			})
 		})
@@ -112,14 +112,14 @@
 		}
 		w.store.Hold(touches(store.FinalPrefix)) // what follows is not recorded
 		n.look(func(c *Controller) {
-			p := &c.leadership.pipeline
-			for _, j := range c.leadership.jobs {
+			p := &c.leaderTerm.pipeline
+			for _, j := range c.leaderTerm.jobs {
 				j.cancelPending = false // as a leader has it that has not read the end yet
 			}
 			p.pendingCancels, p.lookingUp = nil, true
 		})
 		w.same("called", w.told(n, ids[1:]), map[string]int{api.JobWithdrawn: 2})
-		n.look(func(c *Controller) { c.leadership.pipeline.lookingUp = false })
+		n.look(func(c *Controller) { c.leaderTerm.pipeline.lookingUp = false })
 		time.Sleep(2 * time.Second) // what is held is given up
 	})
 }
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -140,7 +140,7 @@
 func (c *cell) leader() *node {
 	for _, n := range c.at() {
 		leads := false
-		n.tryLook(func(o *Controller) { leads = o.valid() && o.leadership.loaded })
+		n.tryLook(func(o *Controller) { leads = o.holdsLease() && o.leaderTerm.loaded })
 		if leads {
 			return n
 		}
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -113,7 +113,7 @@
 	for _, name := range s.names {
 		if n := s.node(name); n != nil {
 			leads := false
-			n.tryLook(func(c *Controller) { leads = c.valid() && c.leadership.loaded })
+			n.tryLook(func(c *Controller) { leads = c.holdsLease() && c.leaderTerm.loaded })
 			if leads {
 				return name
 			}
--- a/internal/controller/constrained.go
+++ b/internal/controller/constrained.go
@@ -43,8 +43,8 @@
 		}
 		demand.cpus += cpus
 	}
-	patience := 2 * f.r.c.Settings.Site.Workers.Report()
-	for _, team := range f.r.allTeams() {
+	patience := 2 * f.leaderTerm.c.Settings.Site.Workers.Report()
+	for _, team := range f.leaderTerm.allTeams() {
 		room := team.CPUsMax - team.UsedCPUs
 		for _, j := range team.Items() {
 			cpus := min(float64(j.flight.Untaken())*j.spec.CPUs, room)
@@ -54,8 +54,8 @@
 			}
 		}
 	}
-	for _, j := range f.r.jobs {
-		if len(j.awaits) > 0 && !j.cancelPending && restricted(&j.spec) && f.r.pipeline.allBegun(j) {
+	for _, j := range f.leaderTerm.jobs {
+		if len(j.awaits) > 0 && !j.cancelPending && restricted(&j.spec) && f.leaderTerm.pipeline.allBegun(j) {
 			add(j, min(float64(j.spec.Tasks)*j.spec.CPUs, j.team.CPUsMax))
 		}
 	}
@@ -70,7 +70,7 @@
 // allBegun tells whether all that a job waits for has begun.
 func (p *pipeline) allBegun(j *job) bool {
 	for id := range j.awaits {
-		if o := p.leadership.jobs[id]; o == nil || !o.begun() {
+		if o := p.leaderTerm.jobs[id]; o == nil || !o.begun() {
 			return false
 		}
 	}
@@ -98,7 +98,7 @@
 // could serve the demand, by name.
 func (f *provisioner) uncovered(demand *constrainedDemand) (lack float64, draining []*machine) {
 	lack = demand.cpus
-	for _, m := range f.r.machines {
+	for _, m := range f.leaderTerm.machines {
 		switch {
 		case m.leaving || m.gone || m.cpus == 0 || !mayUse(demand.spec, m.typ, m.zone, m.spot):
 		case m.draining:
@@ -107,7 +107,7 @@
 			lack -= float64(m.slots(demand.spec)) * demand.spec.CPUs
 		}
 	}
-	for _, e := range f.r.expected {
+	for _, e := range f.leaderTerm.expected {
 		if !e.returning && mayUse(demand.spec, e.typ, e.zone, e.spot) {
 			lack -= e.cpus
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -73,18 +73,18 @@
 type Controller struct {
 	Config
 	records store.Records
-	mail    chan message
+	mailbox chan message
 	// ended is closed when Run has returned: nothing in the mailbox is applied any more.
-	ended   chan struct{}
-	depose  chan uint64
-	resigns chan election.Resignation
-	types   typesCell
+	ended        chan struct{}
+	stepDowns    chan uint64
+	resignations chan election.Resignation
+	types        typesCell
 	// shut tells the health checks that users are better served elsewhere.
 	shut atomic.Bool
 
 	// The rest belongs to the owner goroutine.
 	leader     string
-	leadership *leadership
+	leaderTerm *leaderTerm
 	extender   leaseExtender
 	up         relayUp
 	peerTable  peerTable
@@ -95,8 +95,8 @@
 	final       *lru.Cache[string, api.JobState]
 	cancels     *cancellation.Log
 	replacement replacement
-	// leaving is set once the process is about to end.
-	leaving bool
+	// draining is set once the process is about to end.
+	draining bool
 	// reads are the reads of the store that users wait for, by job.
 	reads map[string]*readRound
 }
@@ -118,7 +118,7 @@
 	}
 	return &Controller{
 		Config: cfg, records: store.NewRecords(cfg.UserStore, cfg.Settings.Site.State),
-		mail: make(chan message, 256), ended: make(chan struct{}), depose: make(chan uint64, 4), resigns: make(chan election.Resignation, 4), final: final,
+		mailbox: make(chan message, 256), ended: make(chan struct{}), stepDowns: make(chan uint64, 4), resignations: make(chan election.Resignation, 4), final: final,
 		sent: map[string]time.Time{}, directed: map[string]directed{}, up: newRelayUp(cfg.Settings.Site.Limits),
 		reads: map[string]*readRound{}, cancels: cancellation.NewLog(cfg.Settings.Site.Workers, cfg.Settings.Site.Limits, time.Now()), peerTable: newPeerTable(cfg.Settings.Peers, time.Now()),
 	}
@@ -131,10 +131,10 @@
 	followInterval = 500 * time.Millisecond
 )
 
-// ticks sets the ticker for what the node is now.
-func (c *Controller) ticks(tick *time.Ticker, was time.Duration) time.Duration {
+// resetTicker sets the ticker for what the node is now.
+func (c *Controller) resetTicker(tick *time.Ticker, was time.Duration) time.Duration {
 	want := followInterval
-	if c.leadership != nil {
+	if c.leaderTerm != nil {
 		want = tickInterval
 	}
 	if want != was {
@@ -158,19 +158,19 @@
 	defer tick.Stop()
 	interval := followInterval
 	for {
-		interval = c.ticks(tick, interval)
+		interval = c.resetTicker(tick, interval)
 		select {
 		case <-ctx.Done():
-			c.endLeadership()
+			c.endTerm()
 			return
-		case m := <-c.mail:
+		case m := <-c.mailbox:
 			m.apply(c)
 		case <-tick.C:
 			now := time.Now()
 			c.checkStoreAccess(now)
 			c.up.tick(c, now)
-			if c.leadership != nil {
-				c.leadership.tick(now)
+			if c.leaderTerm != nil {
+				c.leaderTerm.tick(now)
 			} else {
 				c.replacement.tick(c, now)
 			}
@@ -178,80 +178,80 @@
 	}
 }
 
-// Resigns is where the election hears which node has stopped to lead.
-func (c *Controller) Resigns() <-chan election.Resignation { return c.resigns }
+// Resignations is where the election hears which node has stopped to lead.
+func (c *Controller) Resignations() <-chan election.Resignation { return c.resignations }
 
-// Depose is where the election hears that a term is over.
-func (c *Controller) Depose() <-chan uint64 { return c.depose }
+// StepDowns is where the election hears that a term is over.
+func (c *Controller) StepDowns() <-chan uint64 { return c.stepDowns }
 
-func (c *Controller) endLeadership() {
-	if c.leadership != nil {
-		c.leadership.cancel()
-		c.leadership = nil
+func (c *Controller) endTerm() {
+	if c.leaderTerm != nil {
+		c.leaderTerm.cancel()
+		c.leaderTerm = nil
 	}
 }
 
 // The election's calls become messages. They have no context: what the election says to a
 // controller that has ended is dropped.
 
-type leaderMsg struct{ node string }
+type leaderChangedMsg struct{ node string }
 
-func (m leaderMsg) apply(c *Controller) {
+func (m leaderChangedMsg) apply(c *Controller) {
 	if c.leader != m.node {
 		c.Log.Info("leader", "node", m.node)
 	}
 	c.leader = m.node
 }
 
-type wonMsg struct {
-	term  election.Term
-	until time.Time
+type electionWonMsg struct {
+	term        election.Term
+	leaseExpiry time.Time
 }
 
-func (m wonMsg) apply(c *Controller) {
-	c.endLeadership()
-	if c.leaving {
+func (m electionWonMsg) apply(c *Controller) {
+	c.endTerm()
+	if c.draining {
 		return
 	}
-	c.leadership = newLeadership(c, m.term, m.until)
+	c.leaderTerm = newLeaderTerm(c, m.term, m.leaseExpiry)
 }
 
-type extendedMsg wonMsg
+type leaseRenewedMsg electionWonMsg
 
-func (m extendedMsg) apply(c *Controller) {
-	if r := c.leadership; r != nil && r.term == m.term && m.until.After(r.until) {
-		r.until = m.until
+func (m leaseRenewedMsg) apply(c *Controller) {
+	if lt := c.leaderTerm; lt != nil && lt.term == m.term && m.leaseExpiry.After(lt.leaseExpiry) {
+		lt.leaseExpiry = m.leaseExpiry
 	}
 }
 
-type lostMsg struct{ term election.Term }
+type leaseLostMsg struct{ term election.Term }
 
-func (m lostMsg) apply(c *Controller) {
-	if r := c.leadership; r != nil && r.term == m.term {
-		c.endLeadership()
+func (m leaseLostMsg) apply(c *Controller) {
+	if lt := c.leaderTerm; lt != nil && lt.term == m.term {
+		c.endTerm()
 	}
 	c.leader = ""
 }
 
-// Leader implements election.Observer.
-func (c *Controller) Leader(node string) { c.send(context.Background(), leaderMsg{node}) }
+// LeaderChanged implements election.Observer.
+func (c *Controller) LeaderChanged(node string) { c.send(context.Background(), leaderChangedMsg{node}) }
 
-// Won implements election.Observer.
-func (c *Controller) Won(t election.Term, until time.Time) {
-	c.send(context.Background(), wonMsg{t, until})
+// ElectionWon implements election.Observer.
+func (c *Controller) ElectionWon(t election.Term, until time.Time) {
+	c.send(context.Background(), electionWonMsg{t, until})
 }
 
-// Extended implements election.Observer.
-func (c *Controller) Extended(t election.Term, until time.Time) {
-	c.send(context.Background(), extendedMsg{t, until})
+// LeaseRenewed implements election.Observer.
+func (c *Controller) LeaseRenewed(t election.Term, until time.Time) {
+	c.send(context.Background(), leaseRenewedMsg{t, until})
 }
 
-// Lost implements election.Observer.
-func (c *Controller) Lost(t election.Term) { c.send(context.Background(), lostMsg{t}) }
+// LeaseLost implements election.Observer.
+func (c *Controller) LeaseLost(t election.Term) { c.send(context.Background(), leaseLostMsg{t}) }
 
-// valid tells whether this node may act as leader at this moment.
-func (c *Controller) valid() bool {
-	return c.leadership != nil && time.Now().Before(c.leadership.until)
+// holdsLease tells whether this node may act as leader at this moment.
+func (c *Controller) holdsLease() bool {
+	return c.leaderTerm != nil && time.Now().Before(c.leaderTerm.leaseExpiry)
 }
 
 // Ready implements api.Backend.
@@ -424,9 +424,9 @@
 		c.cancelled(m.st.ID)
 		return
 	}
-	if c.leadership != nil {
-		if j := c.leadership.jobs[m.st.ID]; j != nil {
-			c.leadership.finished(j)
+	if c.leaderTerm != nil {
+		if j := c.leaderTerm.jobs[m.st.ID]; j != nil {
+			c.leaderTerm.finished(j)
 		}
 	}
 	c.final.Add(m.st.ID, m.st)
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -82,40 +82,40 @@
 }
 
 // dispatch brings waiting work to machines with free room.
-func (r *leadership) dispatch(now time.Time) {
-	if r.c.Director == nil || r.c.Settings.Site.Workers.Report() <= directAbove || now.After(r.dispatchUntil) {
+func (lt *leaderTerm) dispatch(now time.Time) {
+	if lt.c.Director == nil || lt.c.Settings.Site.Workers.Report() <= directAbove || now.After(lt.dispatchUntil) {
 		return
 	}
-	if !r.anyWaits() || now.Before(r.directFrom) {
+	if !lt.anyWaits() || now.Before(lt.directFrom) {
 		return
 	}
-	most := r.dials
-	if r.directFails >= directFailsMost {
+	most := lt.dials
+	if lt.directFails >= directFailsMost {
 		most = 1 // to see whether the way is open again
 	}
 	var ms []*machine
-	for _, m := range r.machines {
+	for _, m := range lt.machines {
 		if m.open(now) && !m.ordering && !m.passed && m.unheeded == 0 && m.freeCPUs() > slack && m.addr != "" &&
-			now.Sub(m.lastReport) <= r.hearable() {
+			now.Sub(m.lastReport) <= lt.hearable() {
 			ms = append(ms, m)
 		}
 	}
 	slices.SortFunc(ms, func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(r.provisioner.cpuPrice(a), r.provisioner.cpuPrice(b)), cmp.Compare(a.freeCPUs(), b.freeCPUs()), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(lt.provisioner.cpuPrice(a), lt.provisioner.cpuPrice(b)), cmp.Compare(a.freeCPUs(), b.freeCPUs()), cmp.Compare(a.name, b.name))
 	})
 	for _, m := range ms {
-		if r.ordering >= most {
+		if lt.ordering >= most {
 			return
 		}
-		if orders := r.place(m, nil, now); len(orders) > 0 {
-			r.order(m, orders)
+		if orders := lt.place(m, nil, now); len(orders) > 0 {
+			lt.order(m, orders)
 		}
 	}
 }
 
 // anyWaits tells whether any task waits for a machine.
-func (r *leadership) anyWaits() bool {
-	for _, j := range r.jobs {
+func (lt *leaderTerm) anyWaits() bool {
+	for _, j := range lt.jobs {
 		if j.flight.Untaken() > 0 && !j.finishing && !j.cancelPending && len(j.awaits) == 0 {
 			return true
 		}
@@ -124,7 +124,7 @@
 }
 
 // order sends starts that were just placed on a machine.
-func (r *leadership) order(m *machine, orders []api.Order) {
+func (lt *leaderTerm) order(m *machine, orders []api.Order) {
 	batch := make([]*attempt, 0, len(orders))
 	for _, o := range orders {
 		a := m.attempts[attemptKey{o.Task, o.Attempt}]
@@ -132,22 +132,22 @@
 		batch = append(batch, a)
 	}
 	m.ordering = true
-	r.ordering++
-	addr, req := m.addr, &api.DirectOrders{Term: r.term.Number, Session: m.session, Orders: orders}
+	lt.ordering++
+	addr, req := m.addr, &api.DirectOrders{Term: lt.term.Number, Session: m.session, Orders: orders}
 	wait := directWait
-	if !r.punctual(time.Now().Add(-heldUpLately)) {
+	if !lt.punctual(time.Now().Add(-heldUpLately)) {
 		wait = directWaitLate
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, wait)
+		ctx, cancel := context.WithTimeout(lt.ctx, wait)
 		defer cancel()
-		seq, err := r.c.Director.Order(ctx, addr, req)
-		r.post(orderedMsg{r, m, batch, seq, err})
+		seq, err := lt.c.Director.Order(ctx, addr, req)
+		lt.sendToOwner(orderedMsg{lt, m, batch, seq, err})
 	}()
 }
 
 type orderedMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	machine    *machine
 	batch      []*attempt
 	seq        uint64
@@ -155,15 +155,15 @@
 }
 
 func (o orderedMsg) apply(c *Controller) {
-	if c.leadership != o.leadership {
+	if c.leaderTerm != o.leaderTerm {
 		return
 	}
 	o.machine.ordering = false
-	o.leadership.ordering--
+	o.leaderTerm.ordering--
 	if o.err == nil {
-		o.leadership.directFails = 0
-	} else if o.leadership.directFails++; o.leadership.directFails >= directFailsMost {
-		o.leadership.directFrom = time.Now().Add(directPause)
+		o.leaderTerm.directFails = 0
+	} else if o.leaderTerm.directFails++; o.leaderTerm.directFails >= directFailsMost {
+		o.leaderTerm.directFrom = time.Now().Add(directPause)
 	}
 	if o.machine.gone {
 		return
@@ -175,13 +175,13 @@
 			a.direct.seq = o.seq
 		case errors.Is(o.err, api.ErrNotDone):
 			if a.seen == 0 && o.machine.attempts[a.key] == a {
-				o.leadership.offMachine(a)
+				o.leaderTerm.offMachine(a)
 			}
 		case o.machine.session == a.direct.session:
 			a.direct.unconfirmed = true
-			o.leadership.leave(o.machine, "order unanswered")
+			o.leaderTerm.leave(o.machine, "order unanswered")
 			if a.job.over {
-				o.leadership.settleUnconfirmed(a)
+				o.leaderTerm.settleUnconfirmed(a)
 			}
 		}
 	}
@@ -193,9 +193,9 @@
 
 // settleUnconfirmed returns a machine on which a task of a job that is over might
 // still begin: nothing else keeps it from doing so in time.
-func (r *leadership) settleUnconfirmed(a *attempt) {
+func (lt *leaderTerm) settleUnconfirmed(a *attempt) {
 	if m := a.machine; a.direct != nil && a.direct.unconfirmed && a.seen == 0 && !m.gone && !m.returning {
-		r.leave(m, "order unanswered")
-		r.provisioner.giveBack(m)
+		lt.leave(m, "order unanswered")
+		lt.provisioner.giveBack(m)
 	}
 }
--- a/internal/controller/direct_test.go
+++ b/internal/controller/direct_test.go
@@ -202,7 +202,7 @@
 		d.set(false, false)
 		victim := k
 		n.look(func(c *Controller) {
-			for _, a := range c.leadership.jobs["job-3"].live {
+			for _, a := range c.leaderTerm.jobs["job-3"].live {
 				victim = d.machines[a.machine.name]
 			}
 		})
@@ -316,7 +316,7 @@
 		b := w.start("n0")
 		w.submit(b, spec("job-2", 3))
 		time.Sleep(time.Second)
-		b.look(func(c *Controller) { w.same("unheard after a second", c.leadership.unheard, 1) })
+		b.look(func(c *Controller) { w.same("unheard after a second", c.leaderTerm.unheard, 1) })
 		w.same("goes on", len(busy[1].running()) >= 4, true)
 		time.Sleep(4 * time.Second)
 		w.same("returned", w.cloud.gone(busy[0].rep.Machine), true)
@@ -332,11 +332,11 @@
 		w.submit(b, spec("job-3", 1))
 		time.Sleep(4 * time.Second)
 		b.look(func(c *Controller) {
-			m := c.leadership.machines[idle[5].rep.Machine]
+			m := c.leaderTerm.machines[idle[5].rep.Machine]
 			rep := idle[5].rep
 			rep.Seq, rep.Session = m.seq+1, m.session
-			c.leadership.resyncing++
-			resyncedMsg{c.leadership, m, time.Now(), &rep, nil}.apply(c)
+			c.leaderTerm.resyncing++
+			resyncedMsg{c.leaderTerm, m, time.Now(), &rep, nil}.apply(c)
 			w.same("given in a resync", len(m.attempts), 0)
 		})
 	})
@@ -363,13 +363,13 @@
 		}
 		resynced := func(k *worker) {
 			b.look(func(c *Controller) {
-				m := c.leadership.machines[k.rep.Machine]
-				rep, err := d.Resync(context.Background(), m.addr, c.leadership.term.Number)
+				m := c.leaderTerm.machines[k.rep.Machine]
+				rep, err := d.Resync(context.Background(), m.addr, c.leaderTerm.term.Number)
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.leadership.resyncing++
-				resyncedMsg{c.leadership, m, time.Now(), rep, nil}.apply(c)
+				c.leaderTerm.resyncing++
+				resyncedMsg{c.leaderTerm, m, time.Now(), rep, nil}.apply(c)
 			})
 		}
 		resynced(ks[0])
@@ -389,7 +389,7 @@
 		}
 		ks[1].rep.Session, ks[1].rep.Seq = ks[1].rep.Session+1, 0
 		resynced(ks[1])
-		b.look(func(c *Controller) { w.same("untaken again", c.leadership.jobs["job-2"].flight.Untaken(), 2) })
+		b.look(func(c *Controller) { w.same("untaken again", c.leaderTerm.jobs["job-2"].flight.Untaken(), 2) })
 		ks[1].serve(b, 6)
 		w.same("repeated", len(ks[1].running()), 2)
 	})
@@ -445,11 +445,11 @@
 		b.crash()
 		c := w.start("n0")
 		time.Sleep(500 * time.Millisecond)
-		c.look(func(c *Controller) { w.same("unheard after a second", c.leadership.unheard <= fallen, true) })
+		c.look(func(c *Controller) { w.same("unheard after a second", c.leaderTerm.unheard <= fallen, true) })
 		for range 6 {
 			round(c, ks[fallen:])
 		}
-		c.look(func(c *Controller) { w.same("unheard", c.leadership.unheard, 0) })
+		c.look(func(c *Controller) { w.same("unheard", c.leaderTerm.unheard, 0) })
 		w.same("returned", len(w.cloud.returned), fallen)
 		w.same("running again", round(c, ks[fallen:]), 4*(fleet-fallen))
 	})
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -164,7 +164,7 @@
 			g.cancelAt(g.a)
 		}, 1050: down}, true},
 		{"a second leader, refused in turn", map[int]func(*gapCluster){1000: refuse, 14_000: func(g *gapCluster) {
-			g.same("the other leads", g.b.valid(), true)
+			g.same("the other leads", g.b.holdsLease(), true)
 			g.ga.set(false)
 		}, 24_000: func(g *gapCluster) { g.gb.set(true) }, 25_000: func(g *gapCluster) { g.cancelAt(g.a) }, 25_050: down}, true},
 	} {
@@ -281,7 +281,7 @@
 			gone.crash()
 			a = l.add("n0", w.startWith("n0", w.store, l))
 			time.Sleep(after - time.Since(confirmed))
-			a.look(func(c *Controller) { k.rep.Term = c.leadership.term.Number }) // it was resynced
+			a.look(func(c *Controller) { k.rep.Term = c.leaderTerm.term.Number }) // it was resynced
 			w.same("second term", k.rep.Term > 1, true)
 			l.cut.Store(true)
 			gb.set(true)
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -81,9 +81,9 @@
 	switch {
 	case now.Sub(m.came) > reportLife:
 		m.reply <- reportReply{err: api.ErrUnavailable}
-	case c.valid():
+	case c.holdsLease():
 		m.reply <- c.answerAsLeader(m, now)
-	case m.passed || c.leadership != nil:
+	case m.passed || c.leaderTerm != nil:
 		m.reply <- reportReply{err: &api.NotLeaderError{}}
 	default:
 		m.reply <- c.answerAsFollower(m, now)
@@ -95,13 +95,13 @@
 	if node := c.nearer(m, now); node != "" {
 		return reportReply{err: &api.NotLeaderError{Leader: node}}
 	}
-	if !c.leadership.mayRenewLeases(now) && m.rep.Term <= c.leadership.term.Number {
+	if !c.leaderTerm.mayRenewLeases(now) && m.rep.Term <= c.leaderTerm.term.Number {
 		return reportReply{err: api.ErrUnavailable}
 	}
-	ans, err := c.leadership.report(m.rep, now)
+	ans, err := c.leaderTerm.report(m.rep, now)
 	// A report that shows a later term has ended this node's own.
-	if c.leadership != nil {
-		if mc := c.leadership.machines[m.rep.Machine]; mc != nil {
+	if c.leaderTerm != nil {
+		if mc := c.leaderTerm.machines[m.rep.Machine]; mc != nil {
 			mc.passed = m.passed
 		}
 	}
@@ -147,9 +147,9 @@
 
 // nearer names the node that a machine should rather report to, if any.
 func (c *Controller) nearer(m reportMsg, now time.Time) string {
-	mc := c.leadership.machines[m.rep.Machine]
+	mc := c.leaderTerm.machines[m.rep.Machine]
 	if m.passed || m.rep.Zone == c.Settings.Zone || mc == nil || !mc.heard || mc.zone != m.rep.Zone ||
-		m.rep.Term != c.leadership.term.Number || now.Sub(mc.sentOn) < sendOnEvery {
+		m.rep.Term != c.leaderTerm.term.Number || now.Sub(mc.sentOn) < sendOnEvery {
 		return ""
 	}
 	for _, p := range c.Settings.Peers {
--- a/internal/controller/guests.go
+++ b/internal/controller/guests.go
@@ -43,7 +43,7 @@
 	queue.Turns(l.guestTurns)
 	for _, t := range l.guestTurns {
 		for _, j := range t.Items() {
-			if j.flight.Untaken() > 0 && l.leadership.eligible(j, m, now) {
+			if j.flight.Untaken() > 0 && l.leaderTerm.eligible(j, m, now) {
 				return j
 			}
 		}
@@ -54,12 +54,12 @@
 // advert is what this cell has to spare: the free room on its machines, less what waits
 // of its own jobs and of guests.
 func (l *loans) advert(now time.Time) loan.Advert {
-	r := l.leadership
-	a := loan.Advert{CancelS: r.c.Settings.Site.Workers.CancelS}
+	lt := l.leaderTerm
+	a := loan.Advert{CancelS: lt.c.Settings.Site.Workers.CancelS}
 	room := l.openRoom(now)
 	a.CPUs, a.GPUs = room.freeCPUs, room.freeGPUs
 	guests := 0.0
-	for _, j := range r.jobs {
+	for _, j := range lt.jobs {
 		if j.lent != nil || j.cancelPending || len(j.awaits) > 0 {
 			continue
 		}
@@ -71,13 +71,13 @@
 		a.CPUs -= cpus
 		a.GPUs -= float64(j.flight.Untaken()) * j.spec.GPUs
 	}
-	a.CPUs = max(0, min(a.CPUs, r.c.Policy.Spill.GuestShare*room.cpus-guests))
+	a.CPUs = max(0, min(a.CPUs, lt.c.Policy.Spill.GuestShare*room.cpus-guests))
 	a.GPUs = max(0, a.GPUs)
-	for _, t := range r.c.types.load() {
+	for _, t := range lt.c.types.load() {
 		a.Types = append(a.Types, t)
 	}
 	slices.SortFunc(a.Types, func(x, y api.MachineType) int { return strings.Compare(x.Name, y.Name) })
-	a.Accepting = a.CPUs > 0 && r.unheard == 0 && l.enabled()
+	a.Accepting = a.CPUs > 0 && lt.unheard == 0 && l.enabled()
 	return a
 }
 
@@ -86,11 +86,11 @@
 
 // scanHost looks once a second after the guests.
 func (l *loans) scanHost(now time.Time) {
-	r := l.leadership
+	lt := l.leaderTerm
 	for _, t := range l.guestTurns {
 		for _, j := range t.Items() {
 			switch {
-			case j.handover || r.unheard > 0:
+			case j.handover || lt.unheard > 0:
 			case j.doneCount == j.spec.Tasks:
 				l.guestDone(j) // it was not recorded yet
 			case now.Sub(j.waiting) > giveBackAfter && !j.begun():
@@ -139,15 +139,15 @@
 		}
 		lack -= a.job.spec.CPUs
 		l.counts.Stopped++
-		l.leadership.stop(a, 2*a.job.spec.Save(), now)
+		l.leaderTerm.stop(a, 2*a.job.spec.Save(), now)
 	}
 }
 
 // lackOfGuarantees is how many CPUs waiting work within the teams' guarantees lacks.
 func (l *loans) lackOfGuarantees(now time.Time) float64 {
-	r := l.leadership
+	lt := l.leaderTerm
 	lack := -l.openRoom(now).freeCPUs
-	for _, t := range r.turns {
+	for _, t := range lt.turns {
 		left := t.CPUs - t.UsedCPUs
 		for _, j := range t.Items() {
 			if left <= 0 {
@@ -176,7 +176,7 @@
 		return l.room
 	}
 	l.room = openRoom{at: now}
-	for _, m := range l.leadership.machines {
+	for _, m := range l.leaderTerm.machines {
 		if m.open(now) {
 			l.room.cpus += m.cpus
 			l.room.freeCPUs += m.freeCPUs()
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Leave hands the leadership over, if this node has it, before its process ends: it stops to
+// Drain hands the leadership over, if this node has it, before its process ends: it stops to
 // act, and tells another node that it has, which takes over without waiting for the lease.
 // It also has users sent elsewhere. It returns when that is done or the context ends.
-func (c *Controller) Leave(ctx context.Context) {
+func (c *Controller) Drain(ctx context.Context) {
 	c.shut.Store(true)
-	m := leaveMsg{make(chan heir, 1)}
+	m := drainMsg{make(chan successor, 1)}
 	if c.send(ctx, m) != nil {
 		return
 	}
@@ -23,22 +23,22 @@
 	}
 }
 
-// heir is the node that is to take over from a leader of a term; none: an empty name.
-type heir struct {
+// successor is the node that is to take over from a leader of a term; none: an empty name.
+type successor struct {
 	node string
 	term uint64
 }
 
-// leaveMsg ends the leadership and asks who is to have it next.
-type leaveMsg struct{ reply chan heir }
+// drainMsg ends the leadership and asks who is to have it next.
+type drainMsg struct{ reply chan successor }
 
-func (m leaveMsg) apply(c *Controller) {
-	c.leaving = true
-	if !c.valid() {
-		m.reply <- heir{}
+func (m drainMsg) apply(c *Controller) {
+	c.draining = true
+	if !c.holdsLease() {
+		m.reply <- successor{}
 		return
 	}
-	h := heir{term: c.leadership.term.Number}
+	h := successor{term: c.leaderTerm.term.Number}
 	now, longest := time.Now(), time.Duration(0)
 	for name, n := range c.peerTable.nodes {
 		if n.reached(now) && n.StoreOK > longest {
@@ -50,6 +50,6 @@
 	} else {
 		c.Log.Info("leadership handed over", "term", h.term, "to", h.node)
 	}
-	c.endLeadership() // from here on this node acts for nobody
+	c.endTerm() // from here on this node acts for nobody
 	m.reply <- h
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -284,8 +284,8 @@
 	log := slog.New(slog.DiscardHandler)
 	c := New(Config{Settings: s, Policy: pol, Store: st, Cloud: w.cloud, Peers: peers, Prober: w, Director: w.director, Log: log, Cells: w.cells, Link: w.link, Standby: w.standby})
 	ctx, cancel := context.WithCancel(w.ctx)
-	cand := &election.Candidate{Node: name, Incarnation: fmt.Sprint(time.Now().UnixNano()), Store: st,
-		Lease: pol.LeaderLease, Renew: 3 * time.Second, Observer: c, Log: log, Depose: c.Depose(), Resigned: c.Resigns()}
+	cand := &election.Elector{Node: name, Incarnation: fmt.Sprint(time.Now().UnixNano()), Store: st,
+		Lease: pol.LeaderLease, Renew: 3 * time.Second, Observer: c, Log: log, StepDowns: c.StepDowns(), Resignations: c.Resignations()}
 	w.running.Go(func() { c.Run(ctx) })
 	w.running.Go(func() { cand.Run(ctx) })
 	time.Sleep(500 * time.Millisecond)
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -42,21 +42,21 @@
 }
 
 // hold counts the CPUs of the open machines that have each image.
-func (r *leadership) countHolders(now time.Time) {
-	clear(r.holders)
-	for _, m := range r.machines {
+func (lt *leaderTerm) countHolders(now time.Time) {
+	clear(lt.holders)
+	for _, m := range lt.machines {
 		if !m.open(now) {
 			continue
 		}
 		for image := range m.images.used {
-			r.holders[image] += m.cpus
+			lt.holders[image] += m.cpus
 		}
 	}
 }
 
 // fetchTime is how long a machine takes to fetch a job's image, if it must.
-func (r *leadership) fetchTime(j *job, m *machine) time.Duration {
-	rate := r.c.types.load()[m.typ].FetchGBs
+func (lt *leaderTerm) fetchTime(j *job, m *machine) time.Duration {
+	rate := lt.c.types.load()[m.typ].FetchGBs
 	if rate <= 0 || m.images.has(j.spec.Image) || m.fetching[j.spec.Image] {
 		return 0
 	}
@@ -67,8 +67,8 @@
 // has the image, or because waiting for machines that have it would take longer
 // than the fetch. Room on a full fleet comes free where tasks end; fetching
 // images everywhere would hold much of it idle.
-func (r *leadership) suits(j *job, m *machine, now time.Time) bool {
-	fetch := r.fetchTime(j, m)
+func (lt *leaderTerm) suits(j *job, m *machine, now time.Time) bool {
+	fetch := lt.fetchTime(j, m)
 	if fetch == 0 {
 		return true
 	}
@@ -77,21 +77,21 @@
 	}
 	// What the holders free in the time of the fetch, if their CPUs come free
 	// once in an estimated run of this job.
-	freed := r.holders[j.spec.Image] * fetch.Seconds() / max(j.spec.EstimateS, 1)
-	return freed < float64(j.flight.Untaken())*j.spec.CPUs || now.Sub(j.passed) > r.passFor(fetch)
+	freed := lt.holders[j.spec.Image] * fetch.Seconds() / max(j.spec.EstimateS, 1)
+	return freed < float64(j.flight.Untaken())*j.spec.CPUs || now.Sub(j.passed) > lt.passFor(fetch)
 }
 
 // passFor is for how long a job may be passed over by machines that would take
 // a time to fetch its image: twice that, but no longer than leaves time to fetch
 // it and still start within what the guarantee allows.
-func (r *leadership) passFor(fetch time.Duration) time.Duration {
+func (lt *leaderTerm) passFor(fetch time.Duration) time.Duration {
 	limit := passFetches * fetch
 	switch {
-	case r.startWithin == 0:
-	case fetch < r.startWithin:
-		limit = min(limit, r.startWithin-fetch)
+	case lt.startWithin == 0:
+	case fetch < lt.startWithin:
+		limit = min(limit, lt.startWithin-fetch)
 	default:
-		limit = min(limit, r.startWithin)
+		limit = min(limit, lt.startWithin)
 	}
 	return limit
 }
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -31,8 +31,8 @@
 	for _, c := range []struct{ within, fetch, want int }{
 		{0, 6, 12}, {10, 6, 4}, {5, 2, 3}, {60, 6, 12}, {5, 6, 5},
 	} {
-		r := &leadership{startWithin: time.Duration(c.within) * time.Second}
-		if got := r.passFor(time.Duration(c.fetch) * time.Second); got != time.Duration(c.want)*time.Second {
+		lt := &leaderTerm{startWithin: time.Duration(c.within) * time.Second}
+		if got := lt.passFor(time.Duration(c.fetch) * time.Second); got != time.Duration(c.want)*time.Second {
 			t.Errorf("within %d s, fetch of %d s: %v", c.within, c.fetch, got)
 		}
 	}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -16,57 +16,57 @@
 
 // addJob takes in an active record: of a job that is new, or of one that was lent or taken
 // back.
-func (r *leadership) addJob(key string, value []byte, mark uint64) {
+func (lt *leaderTerm) addJob(key string, value []byte, mark uint64) {
 	id := key[len(store.ActivePrefix):]
-	j := r.jobs[id]
-	if _, ok := r.c.final.Get(id); ok || j != nil && j.mark >= mark {
+	j := lt.jobs[id]
+	if _, ok := lt.c.final.Get(id); ok || j != nil && j.mark >= mark {
 		return
 	}
 	var rec store.ActiveRecord
 	if err := json.Unmarshal(value, &rec); err != nil {
-		r.c.Log.Error("job record", "key", key, "err", err)
+		lt.c.Log.Error("job record", "key", key, "err", err)
 		return
 	}
 	if j != nil {
-		r.applyLoan(j, rec, mark)
+		lt.applyLoan(j, rec, mark)
 		return
 	}
-	r.addRecord(key, rec, mark)
+	lt.addRecord(key, rec, mark)
 }
 
 // addRecord adds the job of an active record.
-func (r *leadership) addRecord(key string, rec store.ActiveRecord, mark uint64) {
-	spec, since, team := rec.Spec, rec.Accepted, r.teams[rec.Spec.Team]
+func (lt *leaderTerm) addRecord(key string, rec store.ActiveRecord, mark uint64) {
+	spec, since, team := rec.Spec, rec.Accepted, lt.teams[rec.Spec.Team]
 	switch {
 	case rec.Lent != nil:
-		spec, since, team = rec.Lent.Spec, rec.Lent.Since, r.teams[rec.Lent.Spec.Team]
+		spec, since, team = rec.Lent.Spec, rec.Lent.Since, lt.teams[rec.Lent.Spec.Team]
 	case rec.Guest != nil:
-		spec, since, team = rec.Guest.Spec, rec.Guest.Since, r.loans.guestTeam(rec.Guest.Home)
+		spec, since, team = rec.Guest.Spec, rec.Guest.Since, lt.loans.guestTeam(rec.Guest.Home)
 	}
 	id := spec.ID
 	if team == nil || spec.Tasks < 1 {
-		r.c.Log.Error("job record", "key", key, "team", spec.Team, "tasks", spec.Tasks)
+		lt.c.Log.Error("job record", "key", key, "team", spec.Team, "tasks", spec.Tasks)
 		return
 	}
 	j := newJob(spec, team)
 	j.mark, j.accepted, j.since = mark, rec.Accepted, since
 	j.awaitsList, j.guest, j.lends = rec.Awaits, rec.Guest, rec.Lends
-	j.preference = r.c.Policy.Preferences[spec.Class]
-	j.aims = r.aims(j)
+	j.preference = lt.c.Policy.Preferences[spec.Class]
+	j.aims = lt.aims(j)
 	j.look(time.Now())
-	r.jobs[id] = j
+	lt.jobs[id] = j
 	switch {
 	case rec.Lent != nil:
-		r.loans.lent(j, rec.Lent)
+		lt.loans.lent(j, rec.Lent)
 	case len(j.spec.Awaits) == 0:
 		team.Add(j)
-		r.dispatchUntil = time.Now().Add(dispatchFor)
-	case r.loaded:
-		r.pipeline.awaitJobs(j)
-		r.pipeline.propagateDeadlines(j)
+		lt.dispatchUntil = time.Now().Add(dispatchFor)
+	case lt.loaded:
+		lt.pipeline.awaitJobs(j)
+		lt.pipeline.propagateDeadlines(j)
 	default: // once all are read
 	}
-	r.c.Log.Debug("job", "job", id, "class", j.spec.Class, "team", j.spec.Team, "tasks", j.spec.Tasks)
+	lt.c.Log.Debug("job", "job", id, "class", j.spec.Class, "team", j.spec.Team, "tasks", j.spec.Tasks)
 }
 
 // newJob makes a job of a team of which nothing has begun.
@@ -84,9 +84,9 @@
 // aims are the times by which a job should be complete: its deadline and the
 // multiples of it that the objectives name, or the times that they name for
 // its class.
-func (r *leadership) aims(j *job) []time.Time {
-	out := slices.Concat(r.deadlines(j), j.due)
-	for _, o := range r.c.Settings.Site.Objectives {
+func (lt *leaderTerm) aims(j *job) []time.Time {
+	out := slices.Concat(lt.deadlines(j), j.due)
+	for _, o := range lt.c.Settings.Site.Objectives {
 		switch {
 		case o.Class != j.spec.Class:
 		case o.Kind == "wait":
@@ -104,12 +104,12 @@
 
 // deadlines are the times that follow from a job's own deadline. It counts from
 // the submission, however long the job waits for others.
-func (r *leadership) deadlines(j *job) []time.Time {
+func (lt *leaderTerm) deadlines(j *job) []time.Time {
 	if j.spec.DeadlineS <= 0 {
 		return nil
 	}
 	out := []time.Time{j.accepted.Add(config.Seconds(j.spec.DeadlineS))}
-	for _, o := range r.c.Settings.Site.Objectives {
+	for _, o := range lt.c.Settings.Site.Objectives {
 		if o.Kind == "deadline" && o.Class == j.spec.Class && o.Times > 1 {
 			out = append(out, j.accepted.Add(config.Seconds(j.spec.DeadlineS*o.Times)))
 		}
@@ -120,52 +120,52 @@
 
 // withdraw removes a job that was cancelled. What runs of it is stopped by
 // the answers to its machines' reports.
-func (r *leadership) withdraw(j *job) {
-	r.forget(j)
-	r.c.cancelled(j.spec.ID)
+func (lt *leaderTerm) withdraw(j *job) {
+	lt.forget(j)
+	lt.c.cancelled(j.spec.ID)
 	for _, a := range j.live {
-		r.settleUnconfirmed(a)
+		lt.settleUnconfirmed(a)
 	}
 	for first := range j.chunks {
-		r.recorder.drop(store.ProgressKey(j.spec.ID, first))
+		lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
 	}
-	r.awaitsLists.drop(j)
+	lt.awaitsLists.drop(j)
 }
 
 // forget drops a job that is over.
-func (r *leadership) forget(j *job) {
+func (lt *leaderTerm) forget(j *job) {
 	j.over = true
 	j.dirty = false
-	delete(r.jobs, j.spec.ID)
-	r.pipeline.forget(j)
-	r.loans.release(j)
+	delete(lt.jobs, j.spec.ID)
+	lt.pipeline.forget(j)
+	lt.loans.release(j)
 	j.team.Remove(j)
 }
 
 // taskDone records that a task has completed.
-func (r *leadership) taskDone(j *job, task int, now time.Time) {
+func (lt *leaderTerm) taskDone(j *job, task int, now time.Time) {
 	if j.done.Test(uint(task)) {
 		return
 	}
 	j.done.Set(uint(task))
 	j.doneCount++
-	r.counts.done++
+	lt.counts.done++
 	j.flight.Take(task)
 	if a := j.live[task]; a != nil && !a.exited {
-		r.stop(a, 0, now)
+		lt.stop(a, 0, now)
 	}
 	if j.over {
 		return
 	}
 	if j.doneCount == j.spec.Tasks && j.guest != nil {
-		r.loans.guestDone(j)
+		lt.loans.guestDone(j)
 		return
 	}
 	if j.doneCount == j.spec.Tasks {
-		r.recorder.finish(j)
+		lt.recorder.finish(j)
 		return
 	}
 	if !j.durable.Test(uint(task)) {
-		r.recorder.progress(j)
+		lt.recorder.progress(j)
 	}
 }
--- a/internal/controller/lag.go
+++ b/internal/controller/lag.go
@@ -17,19 +17,19 @@
 // service would be to give the whole fleet back. On a controller with too little
 // processor time that happens in small: what it was late by is no silence either,
 // and no answer that it waited for meanwhile is missing.
-func (r *leadership) deaf(now time.Time) bool {
-	gap := now.Sub(r.lastTick)
-	first := r.lastTick.IsZero()
-	r.lastTick = now
+func (lt *leaderTerm) deaf(now time.Time) bool {
+	gap := now.Sub(lt.lastTick)
+	first := lt.lastTick.IsZero()
+	lt.lastTick = now
 	if first || gap < lateTick {
 		return false
 	}
-	r.heldUp = now
+	lt.heldUp = now
 	lost := gap >= lostTicks
 	if lost {
-		r.listening = now
+		lt.listening = now
 	}
-	for _, m := range r.machines {
+	for _, m := range lt.machines {
 		if m.lastSeen = m.lastSeen.Add(gap); lost || m.lastSeen.After(now) {
 			m.lastSeen = now
 		}
@@ -39,6 +39,6 @@
 
 // punctual tells whether this node has not been held up since it asked something.
 // If it was, an answer may wait to be read although the time for it has passed.
-func (r *leadership) punctual(asked time.Time) bool {
-	return !r.heldUp.After(asked) && time.Since(r.lastTick) < lateTick
+func (lt *leaderTerm) punctual(asked time.Time) bool {
+	return !lt.heldUp.After(asked) && time.Since(lt.lastTick) < lateTick
 }
--- a/internal/controller/lag_test.go
+++ b/internal/controller/lag_test.go
@@ -59,7 +59,7 @@
 		w.submit(n, spec("job-1", 1))
 		w.store.SetDown(true) // no renewal is answered from here on
 		var until time.Time
-		n.look(func(c *Controller) { until = c.leadership.until })
+		n.look(func(c *Controller) { until = c.leaderTerm.leaseExpiry })
 		time.Sleep(time.Until(until) - 200*time.Millisecond)
 		held := make(chan struct{})
 		go func() { n.hold(500 * time.Millisecond); close(held) }()
@@ -91,7 +91,7 @@
 			t.Errorf("answered: %v", err)
 		}
 		started := 0
-		n.look(func(c *Controller) { started = len(c.leadership.jobs["job-1"].live) })
+		n.look(func(c *Controller) { started = len(c.leaderTerm.jobs["job-1"].live) })
 		w.same("starts ordered", started, 0)
 		k.serve(n, 2)
 		w.same("runs after the next report", len(k.running()), 1)
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -71,34 +71,34 @@
 		}
 		n := w.start("n0")
 		time.Sleep(time.Second)
-		n.look(func(c *Controller) { w.same("unheard", c.leadership.unheard, largeFleet) })
+		n.look(func(c *Controller) { w.same("unheard", c.leaderTerm.unheard, largeFleet) })
 		for i := range largeFleet {
 			k := w.worker(hostName(i), "a", false)
 			k.report(n) // it learns the term
 			k.report(n)
 		}
 		n.look(func(c *Controller) {
-			r := c.leadership
-			w.same("heard", []int{r.unheard, len(r.machines)}, []int{0, largeFleet})
+			lt := c.leaderTerm
+			w.same("heard", []int{lt.unheard, len(lt.machines)}, []int{0, largeFleet})
 			for i := range jobs {
 				raw, err := json.Marshal(store.ActiveRecord{Spec: *spec(fmt.Sprintf("job-%06d", i), 1), Accepted: time.Now()})
 				if err != nil {
 					t.Fatal(err)
 				}
-				r.addJob(store.ActivePrefix+fmt.Sprintf("job-%06d", i), raw, uint64(1000+i))
+				lt.addJob(store.ActivePrefix+fmt.Sprintf("job-%06d", i), raw, uint64(1000+i))
 			}
-			r.triage(time.Now())
+			lt.triage(time.Now())
 			looked := 0
-			for _, j := range r.jobs {
+			for _, j := range lt.jobs {
 				if !j.load.Aim.IsZero() {
 					looked++
 				}
 			}
 			w.same("jobs looked at", looked, jobs)
 			for i := range largeFleet {
-				r.returned.Add(hostName(i), true)
+				lt.returned.Add(hostName(i), true)
 			}
-			w.same("returned are known", r.returned.Len(), largeFleet)
+			w.same("returned are known", lt.returned.Len(), largeFleet)
 		})
 	})
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -17,22 +17,22 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// leadership is everything a node knows as leader of one term. It is dropped whole
+// leaderTerm is everything a node knows as leader of one term. It is dropped whole
 // when the term is over, so nothing of one term reaches into another.
-type leadership struct {
-	c      *Controller
-	ctx    context.Context
-	cancel context.CancelFunc
-	term   election.Term
-	until  time.Time
-	began  time.Time
+type leaderTerm struct {
+	c           *Controller
+	ctx         context.Context
+	cancel      context.CancelFunc
+	term        election.Term
+	leaseExpiry time.Time
+	startedAt   time.Time
 
 	loaded bool
 	// cancellationsConfirmedAt is when the store was last asked that has answered that all
 	// cancellations were known.
 	cancellationsConfirmedAt time.Time
 	cancelMark               uint64
-	attempts                 uint32
+	attemptCount             uint32
 
 	jobs     map[string]*job
 	teams    map[string]*queue.Team[*job]
@@ -111,80 +111,80 @@
 	returnedBytes  = 256
 )
 
-func newLeadership(c *Controller, term election.Term, until time.Time) *leadership {
+func newLeaderTerm(c *Controller, term election.Term, until time.Time) *leaderTerm {
 	ctx, cancel := context.WithCancel(context.Background())
 	returned, err := lru.New[string, bool](c.Settings.Site.Limits.Entries(returnedMemory, returnedBytes))
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
-	r := &leadership{
-		c: c, ctx: ctx, cancel: cancel, term: term, until: until, began: time.Now(),
+	lt := &leaderTerm{
+		c: c, ctx: ctx, cancel: cancel, term: term, leaseExpiry: until, startedAt: time.Now(),
 		jobs: map[string]*job{}, teams: map[string]*queue.Team[*job]{},
 		machines: map[string]*machine{}, expected: map[string]*expected{}, returned: returned,
 	}
-	r.down.nodes = map[string]*relayNode{}
-	r.extensionMarks = map[string]uint64{}
-	r.holders = map[string]float64{}
-	r.counts = newCounters()
-	r.fetches = manyFetches
-	r.dials = dials(c.Settings.Site.Limits.FDLimit)
-	r.confirm.leadership = r
-	r.recorder.init(r)
-	r.pipeline.init(r)
-	r.awaitsLists.leadership = r
-	r.loans.init(r)
-	r.provisioner.init(r)
+	lt.down.nodes = map[string]*relayNode{}
+	lt.extensionMarks = map[string]uint64{}
+	lt.holders = map[string]float64{}
+	lt.counts = newCounters()
+	lt.fetches = manyFetches
+	lt.dials = dials(c.Settings.Site.Limits.FDLimit)
+	lt.confirm.leaderTerm = lt
+	lt.recorder.init(lt)
+	lt.pipeline.init(lt)
+	lt.awaitsLists.leaderTerm = lt
+	lt.loans.init(lt)
+	lt.provisioner.init(lt)
 	if c.Standby != nil {
-		r.grants = grant.NewHolder(c.Standby.Grant())
+		lt.grants = grant.NewHolder(c.Standby.Grant())
 	}
 	for _, t := range c.Settings.Site.Teams {
 		q := &queue.Team[*job]{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax,
 			Share: c.Policy.Share(t.Name, max(t.CPUs, t.GPUs, 1))}
-		r.teams[t.Name] = q
-		r.turns = append(r.turns, q)
+		lt.teams[t.Name] = q
+		lt.turns = append(lt.turns, q)
 	}
 	// Half a round of reports, but no more than a small part of the time in
 	// which work within a guarantee should start.
-	r.grace = c.Settings.Site.Workers.Report() / 2
+	lt.grace = c.Settings.Site.Workers.Report() / 2
 	for _, o := range c.Settings.Site.Objectives {
 		if o.Kind == "guarantee" && o.WithinS > 0 {
-			r.grace = min(r.grace, config.Seconds(o.WithinS/5))
-			if within := config.Seconds(o.WithinS); r.startWithin == 0 || within < r.startWithin {
-				r.startWithin = within
+			lt.grace = min(lt.grace, config.Seconds(o.WithinS/5))
+			if within := config.Seconds(o.WithinS); lt.startWithin == 0 || within < lt.startWithin {
+				lt.startWithin = within
 			}
 		}
 	}
-	go r.load()
-	return r
+	go lt.load()
+	return lt
 }
 
-func (r *leadership) termGuard() store.Guard {
-	return store.Guard{Key: election.TermKey, Mark: r.term.Mark}
+func (lt *leaderTerm) termCompare() store.Guard {
+	return store.Guard{Key: election.TermKey, Mark: lt.term.Mark}
 }
 
-// post sends a message unless the term has ended.
-func (r *leadership) post(m message) {
+// sendToOwner sends a message unless the term has ended.
+func (lt *leaderTerm) sendToOwner(m message) {
 	select {
-	case r.c.mail <- m:
-	case <-r.ctx.Done():
+	case lt.c.mailbox <- m:
+	case <-lt.ctx.Done():
 	}
 }
 
-// superseded ends the leadership if a failed transaction shows that another term
+// checkTermConflict ends the leadership if a failed transaction shows that another term
 // has begun.
-func (r *leadership) superseded(res store.Result) bool {
+func (lt *leaderTerm) checkTermConflict(res store.Result) bool {
 	if !slices.Contains(res.Failed, election.TermKey) {
 		return false
 	}
-	r.depose()
+	lt.stepDown()
 	return true
 }
 
-func (r *leadership) depose() {
-	if r.c.leadership == r {
-		r.c.endLeadership()
+func (lt *leaderTerm) stepDown() {
+	if lt.c.leaderTerm == lt {
+		lt.c.endTerm()
 		select {
-		case r.c.depose <- r.term.Number:
+		case lt.c.stepDowns <- lt.term.Number:
 		default:
 		}
 	}
@@ -199,55 +199,55 @@
 )
 
 // watch follows the active jobs from a revision on.
-func (r *leadership) watch(from uint64) {
-	for r.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(r.ctx, watchTimeout)
-		ch, err := r.c.Store.Watch(ctx, store.ActivePrefix, from, watchBlock)
+func (lt *leaderTerm) watch(from uint64) {
+	for lt.ctx.Err() == nil {
+		ctx, cancel := context.WithTimeout(lt.ctx, watchTimeout)
+		ch, err := lt.c.Store.Watch(ctx, store.ActivePrefix, from, watchBlock)
 		cancel()
 		switch {
 		case errors.Is(err, store.ErrCompacted):
 			// Too far behind: a new term reads everything again.
-			r.post(deposeMsg{r})
+			lt.sendToOwner(stepDownMsg{lt})
 			return
 		case err != nil:
-			r.c.Log.Debug("watch", "err", err)
-			pause(r.ctx, 300*time.Millisecond)
+			lt.c.Log.Debug("watch", "err", err)
+			sleep(lt.ctx, 300*time.Millisecond)
 			continue
 		}
 		from = max(from, ch.Ring)
 		if len(ch.Events) > 0 {
-			r.post(changesMsg{r, ch.Events})
-			pause(r.ctx, 40*time.Millisecond)
+			lt.sendToOwner(activeJobsChangedMsg{lt, ch.Events})
+			sleep(lt.ctx, 40*time.Millisecond)
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-type deposeMsg struct{ leadership *leadership }
+type stepDownMsg struct{ leaderTerm *leaderTerm }
 
-func (m deposeMsg) apply(*Controller) { m.leadership.depose() }
+func (m stepDownMsg) apply(*Controller) { m.leaderTerm.stepDown() }
 
-// changesMsg brings what the watch saw.
-type changesMsg struct {
-	leadership *leadership
+// activeJobsChangedMsg brings what the watch saw.
+type activeJobsChangedMsg struct {
+	leaderTerm *leaderTerm
 	events     []store.Event
 }
 
-func (m changesMsg) apply(c *Controller) {
-	r := m.leadership
-	if c.leadership != r {
+func (m activeJobsChangedMsg) apply(c *Controller) {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
 		return
 	}
 	for _, e := range m.events {
 		switch {
 		case e.Put == store.CancelKey:
-			r.cancelMark = max(r.cancelMark, e.Mark)
+			lt.cancelMark = max(lt.cancelMark, e.Mark)
 			var id string
 			if err := json.Unmarshal(e.Value, &id); err != nil {
 				c.Log.Error("cancel record", "err", err)
@@ -255,53 +255,53 @@
 			}
 			c.cancelled(id)
 		case e.Put != "":
-			r.addJob(e.Put, e.Value, e.Mark)
+			lt.addJob(e.Put, e.Value, e.Mark)
 		default:
 			// A record that went neither by a cancellation nor by this leader
 			// was ended by another leader, of which the election has not yet
 			// told: how it ended is not known here.
 			id := e.Delete[len(store.ActivePrefix):]
-			if j := r.jobs[id]; j != nil && !j.finishing && !j.cancelPending && !j.handover && e.Mark > j.mark {
-				r.depose()
+			if j := lt.jobs[id]; j != nil && !j.finishing && !j.cancelPending && !j.handover && e.Mark > j.mark {
+				lt.stepDown()
 				return
 			}
 		}
 	}
 }
 
-func (r *leadership) tick(now time.Time) {
-	if !r.loaded || !r.c.valid() {
+func (lt *leaderTerm) tick(now time.Time) {
+	if !lt.loaded || !lt.c.holdsLease() {
 		return
 	}
-	r.confirm.start()
-	r.recorder.flush(now)
-	if r.checkGrants(now); r.c.leadership != r {
+	lt.confirm.start()
+	lt.recorder.flush(now)
+	if lt.checkGrants(now); lt.c.leaderTerm != lt {
 		return
 	}
-	r.loans.tick(now)
-	if !r.mayRenewLeases(now) || r.deaf(now) {
+	lt.loans.tick(now)
+	if !lt.mayRenewLeases(now) || lt.deaf(now) {
 		return
 	}
-	r.dispatch(now)
-	r.down.tick(r, now)
-	if now.Before(r.nextScan) {
+	lt.dispatch(now)
+	lt.down.tick(lt, now)
+	if now.Before(lt.nextScan) {
 		return
 	}
-	r.nextScan = now.Add(time.Second)
-	r.triage(now)
-	r.countHolders(now)
-	r.scanMachines(now)
-	r.scanOverdue(now)
-	if r.mayDecide(now) {
-		r.provisioner.tick(now)
+	lt.nextScan = now.Add(time.Second)
+	lt.triage(now)
+	lt.countHolders(now)
+	lt.scanMachines(now)
+	lt.scanOverdue(now)
+	if lt.mayDecide(now) {
+		lt.provisioner.tick(now)
 	}
-	r.logUse(now)
-	r.logWaits(now)
+	lt.logUse(now)
+	lt.logWaits(now)
 }
 
-func (r *leadership) nextAttempt() uint64 {
-	r.attempts++
-	return r.term.Number<<32 | uint64(r.attempts)
+func (lt *leaderTerm) nextAttempt() uint64 {
+	lt.attemptCount++
+	return lt.term.Number<<32 | uint64(lt.attemptCount)
 }
 
-func (r *leadership) rentalName(n int) string { return fmt.Sprintf("r-%d-%d", r.term.Number, n) }
+func (lt *leaderTerm) rentalName(n int) string { return fmt.Sprintf("r-%d-%d", lt.term.Number, n) }
--- a/internal/controller/leaseextension.go
+++ b/internal/controller/leaseextension.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return m, err
 	}
-	var h election.Holder
+	var h election.LeaderRecord
 	if err := json.Unmarshal(lead.Value, &h); lead.Mark == 0 || err != nil || h.Node != a.leader {
 		return m, fmt.Errorf("%s does not lead: %w", a.leader, api.ErrUnavailable)
 	}
@@ -122,7 +122,7 @@
 	if err != nil {
 		return m, err
 	}
-	var tv election.TermValue
+	var tv election.TermRecord
 	if err := json.Unmarshal(term.Value, &tv); err != nil {
 		return m, fmt.Errorf("term key: %w", err)
 	}
@@ -272,22 +272,22 @@
 }
 
 // readExtensions reads whose leases other nodes extend, every few seconds.
-func (r *leadership) readExtensions(now time.Time) {
-	if now.Sub(r.extensionsRead) < 2*time.Second {
+func (lt *leaderTerm) readExtensions(now time.Time) {
+	if now.Sub(lt.extensionsRead) < 2*time.Second {
 		return
 	}
-	r.extensionsRead = now
+	lt.extensionsRead = now
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, 2*time.Second)
+		ctx, cancel := context.WithTimeout(lt.ctx, 2*time.Second)
 		defer cancel()
 		// An answer holds no more than the service allows, so there may be several.
 		for from, left := "", extensionRows; left > 0; {
-			p, err := r.c.Store.Range(ctx, store.LeaseExtensionPrefix, from, left)
+			p, err := lt.c.Store.Range(ctx, store.LeaseExtensionPrefix, from, left)
 			if err != nil {
-				r.c.Log.Debug("extended leases not read", "err", err)
+				lt.c.Log.Debug("extended leases not read", "err", err)
 				return
 			}
-			r.post(extensionsMsg{r, p.Rows})
+			lt.sendToOwner(extensionsMsg{lt, p.Rows})
 			if !p.More || len(p.Rows) == 0 {
 				return
 			}
@@ -297,27 +297,27 @@
 }
 
 type extensionsMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	rows       []store.Entry
 }
 
 func (m extensionsMsg) apply(c *Controller) {
-	r := m.leadership
-	if c.leadership != r {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
 		return
 	}
 	now := time.Now()
 	for _, e := range m.rows {
-		if r.extensionMarks[e.Key] == e.Mark {
+		if lt.extensionMarks[e.Key] == e.Mark {
 			continue // not renewed since it was last read
 		}
-		r.extensionMarks[e.Key] = e.Mark
+		lt.extensionMarks[e.Key] = e.Mark
 		var rec store.LeaseExtensionRecord
-		if err := json.Unmarshal(e.Value, &rec); err != nil || rec.Term != r.term.Number {
+		if err := json.Unmarshal(e.Value, &rec); err != nil || rec.Term != lt.term.Number {
 			continue
 		}
 		for _, name := range rec.Hosts {
-			if mc := r.machines[name]; mc != nil {
+			if mc := lt.machines[name]; mc != nil {
 				mc.extendedUntil = now.Add(extensionLife)
 			}
 		}
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -13,14 +13,14 @@
 
 // scanHome looks once a second at what to lend and what to take back.
 func (l *loans) scanHome(now time.Time) {
-	r := l.leadership
+	lt := l.leaderTerm
 	waits := l.predictedStarts(now)
 	l.recall(waits, now)
-	if !l.enabled() || r.unheard > 0 || !r.mayStart(now) {
+	if !l.enabled() || lt.unheard > 0 || !lt.mayStart(now) {
 		return
 	}
 	for _, n := range l.neighbours {
-		if n.lost || now.Sub(n.heard) > advertLife || !n.advert.Accepting || n.advert.CancelS > r.c.Settings.Site.Workers.CancelS {
+		if n.lost || now.Sub(n.heard) > advertLife || !n.advert.Accepting || n.advert.CancelS > lt.c.Settings.Site.Workers.CancelS {
 			continue
 		}
 		l.lendTo(n, waits, now)
@@ -36,15 +36,15 @@
 // predictedStarts goes through what waits in the order in which it is served, and sums up
 // the work before each job by the CPUs there are.
 func (l *loans) predictedStarts(now time.Time) []predictedStart {
-	r := l.leadership
+	lt := l.leaderTerm
 	room := l.openRoom(now)
 	free, work := room.freeCPUs, 0.0
-	for _, j := range r.jobs {
+	for _, j := range lt.jobs {
 		// What runs is about half through.
 		work += float64(len(j.live)) * j.spec.CPUs * j.spec.EstimateS / 2
 	}
 	var jobs []*job
-	for _, t := range r.turns {
+	for _, t := range lt.turns {
 		for _, j := range t.Items() {
 			if j.flight.Untaken() > 0 && !j.finishing {
 				jobs = append(jobs, j)
@@ -61,8 +61,8 @@
 		return 0
 	})
 	latest := time.Duration(1<<62 - 1)
-	if len(r.provisioner.offers(now)) > 0 {
-		latest = r.provisioner.longestBoot() + r.c.Settings.Site.Workers.Report()
+	if len(lt.provisioner.offers(now)) > 0 {
+		latest = lt.provisioner.longestBoot() + lt.c.Settings.Site.Workers.Report()
 	}
 	out := make([]predictedStart, 0, len(jobs))
 	for _, j := range jobs {
@@ -77,7 +77,7 @@
 // lendTo offers a neighbour the jobs that would gain most by it.
 func (l *loans) lendTo(n *neighbour, waits []predictedStart, now time.Time) {
 	out, offers := 0, 0
-	for _, j := range l.leadership.jobs {
+	for _, j := range l.leaderTerm.jobs {
 		switch {
 		case j.lent != nil && j.lent.Host == n.cell:
 			if out++; j.remote.Phase == loan.PhaseUnknown {
@@ -87,9 +87,9 @@
 			offers++
 		}
 	}
-	policy := &l.leadership.c.Policy.Spill
+	policy := &l.leaderTerm.c.Policy.Spill
 	spare := n.advert.CPUs
-	for i := len(waits) - 1; i >= 0 && out < l.leadership.c.Cells.MaxLoans && offers < mostOffers; i-- {
+	for i := len(waits) - 1; i >= 0 && out < l.leaderTerm.c.Cells.MaxLoans && offers < mostOffers; i-- {
 		j := waits[i].job
 		there := n.delay + transferTime + fetchTime(&j.spec, n.advert.Types)
 		if waits[i].wait-there < policy.Gain || now.Sub(j.since) < policy.After || spare < j.spec.CPUs || !l.lendable(j, n, now) {
@@ -108,16 +108,16 @@
 
 // lendable tells whether a job may be lent to a neighbour at all.
 func (l *loans) lendable(j *job, n *neighbour, now time.Time) bool {
-	r := l.leadership
-	policy := &r.c.Policy.Spill
+	lt := l.leaderTerm
+	policy := &lt.c.Policy.Spill
 	switch {
 	case j.lent != nil || j.guest != nil || j.handover || j.over || j.finishing || j.cancelPending || len(j.awaits) > 0:
 		return false
-	case l.changing[loanName(r.c.Cells.Cell, j.spec.ID)]:
+	case l.changing[loanName(lt.c.Cells.Cell, j.spec.ID)]:
 		return false // what the watch has shown already is yet to be answered
 	case j.begun() || j.lost > 0 || j.done.Any() || len(j.chunks) > 0:
 		return false
-	case !store.FitsRecord(store.ActiveRecord{Lent: &loan.Lent{Host: n.cell, Spec: j.spec}}, r.c.Settings.Site.State.ValueKB):
+	case !store.FitsRecord(store.ActiveRecord{Lent: &loan.Lent{Host: n.cell, Spec: j.spec}}, lt.c.Settings.Site.State.ValueKB):
 		return false
 	case j.lends >= policy.Lends || now.Sub(j.lentBefore[n.cell]) < policy.Cooldown:
 		return false
@@ -129,10 +129,10 @@
 // what there is to spare, in whole tasks.
 func (l *loans) grant(j *job, spare float64) loan.Grant {
 	s := &j.spec
-	r := l.leadership
+	lt := l.leaderTerm
 	tasks := 0
 	for tasks < s.Tasks && float64(tasks+1)*s.CPUs <= spare+slack &&
-		j.team.Allowed(float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs, r.unheardCPUs+r.foreignCPUs, r.unheardGPUs) {
+		j.team.Allowed(float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs, lt.unheardCPUs+lt.foreignCPUs, lt.unheardGPUs) {
 		tasks++
 		if s.CPUs <= 0 {
 			break
@@ -154,28 +154,28 @@
 
 // recall wants back what could start here at once and has not begun there.
 func (l *loans) recall(waits []predictedStart, now time.Time) {
-	r := l.leadership
+	lt := l.leaderTerm
 	free, recalled := l.openRoom(now).freeCPUs, 0
 	for _, w := range waits {
 		free -= float64(w.job.flight.Untaken()) * w.job.spec.CPUs
 	}
-	for _, j := range r.jobs {
+	for _, j := range lt.jobs {
 		if j.wantBack {
 			recalled++
 			free -= float64(j.spec.Tasks) * j.spec.CPUs
 		}
 	}
-	for _, j := range r.jobs {
+	for _, j := range lt.jobs {
 		if recalled >= mostRecalls {
 			return
 		}
 		wants := float64(j.spec.Tasks) * j.spec.CPUs
-		if j.lent == nil || j.wantBack || j.remote.Phase != loan.PhaseAccepted || wants > free || r.unheard > 0 {
+		if j.lent == nil || j.wantBack || j.remote.Phase != loan.PhaseAccepted || wants > free || lt.unheard > 0 {
 			continue
 		}
 		j.wantBack = true
 		free -= wants
 		recalled++
-		r.c.Log.Info("loan called back", "job", j.spec.ID, "from", j.lent.Host)
+		lt.c.Log.Info("loan called back", "job", j.spec.ID, "from", j.lent.Host)
 	}
 }
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -28,10 +28,10 @@
 // inUse lists the machines that may be given tasks.
 func inUse(n *node) (names []string) {
 	n.look(func(c *Controller) {
-		if c.leadership == nil {
+		if c.leaderTerm == nil {
 			return
 		}
-		for name, m := range c.leadership.machines {
+		for name, m := range c.leaderTerm.machines {
 			if m.roster == rosterDurable && !m.gone {
 				names = append(names, name)
 			}
@@ -250,7 +250,7 @@
 		}
 		reportAll(ks, a, 8)
 		done := 0
-		a.look(func(c *Controller) { done = c.leadership.jobs["job-1"].doneCount })
+		a.look(func(c *Controller) { done = c.leaderTerm.jobs["job-1"].doneCount })
 		if on := w.doneOnRecord("job-1"); len(on) != done || done < 800 {
 			w.t.Errorf("%d tasks are on record, %d done", len(on), done)
 		}
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -21,7 +21,7 @@
 	a := w.start("n0")
 	a.look(func(c *Controller) {
 		for _, name := range hosts {
-			c.leadership.addMachine(name, "small", "a", false, time.Now())
+			c.leaderTerm.addMachine(name, "small", "a", false, time.Now())
 		}
 	})
 	e, err := w.store.Get(context.Background(), election.TermKey)
@@ -32,12 +32,12 @@
 		Store: w.store, Log: a.Log})
 	b.publishExtensions(context.Background(), hosts, 1, e.Mark)
 	a.look(func(c *Controller) {
-		c.leadership.extensionsRead = time.Time{}
-		c.leadership.readExtensions(time.Now())
+		c.leaderTerm.extensionsRead = time.Time{}
+		c.leaderTerm.readExtensions(time.Now())
 	})
 	time.Sleep(100 * time.Millisecond)
 	a.look(func(c *Controller) {
-		for _, m := range c.leadership.machines {
+		for _, m := range c.leaderTerm.machines {
 			if m.extendedUntil.After(time.Now()) {
 				kept++
 			}
@@ -184,7 +184,7 @@
 		}
 		heard := func() (n int) {
 			a.look(func(c *Controller) {
-				if m := c.leadership.machines["i-3"]; m != nil {
+				if m := c.leaderTerm.machines["i-3"]; m != nil {
 					n = m.reports
 				}
 			})
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -241,25 +241,25 @@
 		time.Sleep(time.Second)
 		var txns []store.Txn
 		a.look(func(c *Controller) {
-			r := c.leadership
-			rec := &r.recorder
+			lt := c.leaderTerm
+			rec := &lt.recorder
 			for i := range 700 {
-				m := r.addMachine(fmt.Sprintf("i-%06d", i), "small", "a", false, time.Now())
+				m := lt.addMachine(fmt.Sprintf("i-%06d", i), "small", "a", false, time.Now())
 				m.addr = strings.Repeat("x", 10+i)
 				rec.enroll(m)
 			}
 			for i := range 8 {
 				s := spec(fmt.Sprintf("large-%d", i), api.MaxTasks)
-				r.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s}, 1)
+				lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s}, 1)
 				for task := range api.MaxTasks - 1 {
-					r.jobs[s.ID].done.Set(uint(task))
+					lt.jobs[s.ID].done.Set(uint(task))
 				}
-				rec.progress(r.jobs[s.ID])
+				rec.progress(lt.jobs[s.ID])
 			}
 			for i := range 500 {
 				s := spec(fmt.Sprintf("%s-%d", strings.Repeat("j", 150), i), 1)
-				r.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s}, 1)
-				rec.finish(r.jobs[s.ID])
+				lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s}, 1)
+				rec.finish(lt.jobs[s.ID])
 			}
 			now := time.Now()
 			for range 400 {
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -19,7 +19,7 @@
 		ids := g.burst(home, 100, 9, 5*time.Second)
 		g.settle(4 * time.Minute)
 		counts := func(c *cell) (s CellsStatus) {
-			c.leader().look(func(o *Controller) { s = *o.leadership.loans.status(time.Now()) })
+			c.leader().look(func(o *Controller) { s = *o.leaderTerm.loans.status(time.Now()) })
 			return s
 		}
 		out, in := counts(home).Counts, counts(host).Counts
@@ -35,28 +35,28 @@
 }
 
 // lendingLeader is the leader of a full cell with a neighbour that has room.
-func lendingLeader(b *testing.B, machines, jobs int) *leadership {
+func lendingLeader(b *testing.B, machines, jobs int) *leaderTerm {
 	b.Helper()
-	r, _ := full(b, machines, 40)
-	c := r.c
+	lt, _ := full(b, machines, 40)
+	c := lt.c
 	c.Cells = &cells.Settings{Cell: "cell-a", MaxLoans: 100, Neighbours: []cells.Neighbour{{Cell: "cell-b"}}}
 	c.Policy.Spill.After = time.Hour // it looks, and lends nothing
-	r.loans.init(r)
-	n := r.loans.neighbours["cell-b"]
+	lt.loans.init(lt)
+	n := lt.loans.neighbours["cell-b"]
 	n.heard = time.Now().Add(time.Hour)
 	n.advert = loan.Advert{Accepting: true, CPUs: 1e4, CancelS: 30, Types: []api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Zones: []string{"a"}}}}
 	now := time.Now()
 	for i := range jobs {
 		s := spec(fmt.Sprint("job-9", i), 10)
 		s.Team = []string{"red", "blue"}[i%2]
-		r.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s, Accepted: now}, uint64(10_000+i))
+		lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s, Accepted: now}, uint64(10_000+i))
 	}
 	for i := range 100 {
 		s := spec(fmt.Sprint("job-8", i), 10)
 		s.Team = "guest"
-		r.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Guest: &loan.Guest{Home: "cell-b", Epoch: 1, Spec: *s, Grant: loan.Grant{CPUs: 10}}, Accepted: now}, uint64(50_000+i))
+		lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Guest: &loan.Guest{Home: "cell-b", Epoch: 1, Spec: *s, Grant: loan.Grant{CPUs: 10}}, Accepted: now}, uint64(50_000+i))
 	}
-	return r
+	return lt
 }
 
 // What the loans cost a leader in a second: what to lend and to call back, what guests
@@ -64,12 +64,12 @@
 func BenchmarkLoansSecond(b *testing.B) {
 	for _, n := range []struct{ machines, jobs int }{{250, 100}, {250, 1000}, {1000, 1000}, {4000, 1000}, {4000, 5000}} {
 		b.Run(fmt.Sprintf("%d machines, %d jobs", n.machines, n.jobs), func(b *testing.B) {
-			r := lendingLeader(b, n.machines, n.jobs)
+			lt := lendingLeader(b, n.machines, n.jobs)
 			for b.Loop() {
 				now := time.Now()
-				r.loans.scanHome(now)
-				r.loans.scanHost(now)
-				r.loans.answer(&loan.Request{Home: "cell-b", Term: 1}, now)
+				lt.loans.scanHome(now)
+				lt.loans.scanHost(now)
+				lt.loans.answer(&loan.Request{Home: "cell-b", Term: 1}, now)
 			}
 		})
 	}
@@ -84,17 +84,17 @@
 		g.setCut("cell-a", "cell-b", true)
 		time.Sleep(3 * time.Second)
 		home.leader().look(func(c *Controller) {
-			s := c.leadership.status(time.Now()).Cells
+			s := c.leaderTerm.status(time.Now()).Cells
 			home.same("neighbour", []any{s.Neighbours[0].Cell, s.Neighbours[0].LastError, s.Neighbours[0].Lent > 0}, []any{"cell-b", errCut.Error(), true})
 			for _, l := range s.Lent {
 				if l.Job == id {
 					home.same("loan", []any{l.Cell, l.Phase, l.Waits}, []any{"cell-b", "begun", "its cell does not answer: cut"})
 				}
 			}
-			home.same("told", c.leadership.jobs[id].state().Cell, "cell-b")
+			home.same("told", c.leaderTerm.jobs[id].state().Cell, "cell-b")
 		})
 		host.leader().look(func(c *Controller) {
-			s := c.leadership.status(time.Now()).Cells
+			s := c.leaderTerm.status(time.Now()).Cells
 			host.same("guests", []any{len(s.Guests) > 0, s.Neighbours[0].Guests > 0, s.Guests[0].Cell}, []any{true, true, "cell-a"})
 		})
 		g.setCut("cell-a", "cell-b", false)
@@ -111,9 +111,9 @@
 			lent := false
 			for range 100 {
 				c.leader().look(func(o *Controller) {
-					l := &o.leadership.loans
+					l := &o.leaderTerm.loans
 					for _, id := range ids {
-						if j := o.leadership.jobs[id]; j != nil && !j.begun() && j.lends == 0 && !j.handover {
+						if j := o.leaderTerm.jobs[id]; j != nil && !j.begun() && j.lends == 0 && !j.handover {
 							l.lend(j, l.neighbours[n.name], loan.Grant{CPUs: j.spec.CPUs})
 							lent = true
 						}
@@ -158,7 +158,7 @@
 		w.teams[0].GPUsMax = 3
 		n := w.start("n0")
 		n.look(func(c *Controller) {
-			l := &c.leadership.loans
+			l := &c.leaderTerm.loans
 			for _, g := range []struct {
 				tasks      int
 				cpus, gpus float64
@@ -175,7 +175,7 @@
 			} {
 				s := spec("job-1", g.tasks)
 				s.CPUs, s.GPUs = g.cpus, g.gpus
-				team := c.leadership.teams["red"]
+				team := c.leaderTerm.teams["red"]
 				team.UsedCPUs = g.used
 				j := newJob(*s, team)
 				got := l.grant(j, g.spare)
@@ -188,7 +188,7 @@
 				}
 				w.same("begun of "+fmt.Sprint(g), float64(begun)*g.cpus, got.CPUs)
 			}
-			c.leadership.teams["red"].UsedCPUs = 0
+			c.leaderTerm.teams["red"].UsedCPUs = 0
 		})
 	})
 }
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -25,7 +25,7 @@
 // loans are the jobs that the leader's cell has lent to others, and those that it runs
 // for others. docs/spillover.md explains how a job moves.
 type loans struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	// count numbers this leader's loans.
 	count uint32
 	// neighbours are the cells that jobs may be lent to.
@@ -71,14 +71,14 @@
 // loanWriteShare is the part of the write rate that changes of loans may take.
 const loanWriteShare = 0.1
 
-func (l *loans) init(r *leadership) {
-	*l = loans{leadership: r, neighbours: map[string]*neighbour{}, floors: map[string]loanFloor{}, ends: iradix.New[loanEnd](),
+func (l *loans) init(lt *leaderTerm) {
+	*l = loans{leaderTerm: lt, neighbours: map[string]*neighbour{}, floors: map[string]loanFloor{}, ends: iradix.New[loanEnd](),
 		guestTeams: map[string]*queue.Team[*job]{}, changing: map[string]bool{}, taken: map[string]bool{}, logged: map[string]bool{},
-		limiter: rate.NewLimiter(rate.Limit(r.c.Settings.Site.State.WriteRPS*loanWriteShare), mostLoanOps)}
-	if r.c.Cells == nil {
+		limiter: rate.NewLimiter(rate.Limit(lt.c.Settings.Site.State.WriteRPS*loanWriteShare), mostLoanOps)}
+	if lt.c.Cells == nil {
 		return
 	}
-	for _, n := range r.c.Cells.Neighbours {
+	for _, n := range lt.c.Cells.Neighbours {
 		l.neighbours[n.Cell] = &neighbour{cell: n.Cell, lost: n.Lost, forget: map[string]loan.Epoch{}}
 	}
 }
@@ -92,10 +92,10 @@
 // enabled tells whether new loans may be made and accepted: only once every node of the
 // cell has told that it knows of them.
 func (l *loans) enabled() bool {
-	if l.leadership.c.Cells == nil {
+	if l.leaderTerm.c.Cells == nil {
 		return false
 	}
-	for _, n := range l.leadership.c.peerTable.nodes {
+	for _, n := range l.leaderTerm.c.peerTable.nodes {
 		if !n.KnowsLoans {
 			return false
 		}
@@ -106,7 +106,7 @@
 // tick is called once a tick of the leader.
 func (l *loans) tick(now time.Time) {
 	l.writeNext(now)
-	if l.leadership.c.Cells == nil {
+	if l.leaderTerm.c.Cells == nil {
 		return
 	}
 	l.exchange(now)
@@ -168,42 +168,42 @@
 // write sends a transaction until its outcome is known. One that may yet be carried out
 // is never left alone: what is decided next would rest on its not being so.
 func (l *loans) write(c *loanChange, txn store.Txn) {
-	r := l.leadership
-	for r.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(r.ctx, 2*time.Second)
-		res, err := r.c.Store.Txn(ctx, txn)
+	lt := l.leaderTerm
+	for lt.ctx.Err() == nil {
+		ctx, cancel := context.WithTimeout(lt.ctx, 2*time.Second)
+		res, err := lt.c.Store.Txn(ctx, txn)
 		cancel()
 		if err == nil {
-			r.post(loanWrittenMsg{r, c, res})
+			lt.sendToOwner(loanWrittenMsg{lt, c, res})
 			return
 		}
-		r.c.Log.Debug("loan not written", "job", c.job, "home", c.home, "err", err)
+		lt.c.Log.Debug("loan not written", "job", c.job, "home", c.home, "err", err)
 		if errors.Is(err, store.ErrMalformed) {
-			r.post(loanWrittenMsg{r, c, store.Result{}})
+			lt.sendToOwner(loanWrittenMsg{lt, c, store.Result{}})
 			return
 		}
-		pause(r.ctx, loanRetry)
+		sleep(lt.ctx, loanRetry)
 	}
 }
 
 type loanWrittenMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	change     *loanChange
 	res        store.Result
 }
 
 func (m loanWrittenMsg) apply(c *Controller) {
-	r := m.leadership
-	if c.leadership != r {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
 		return
 	}
-	l := &r.loans
+	l := &lt.loans
 	switch {
 	case m.res.OK:
 		l.finished(m.change)
 		l.counts.Written++
 		m.change.done(m.res.Ring)
-	case r.superseded(m.res):
+	case lt.checkTermConflict(m.res):
 		return
 	default:
 		// By an earlier try whose answer was lost, or since something else has
@@ -222,12 +222,12 @@
 
 // read reads all records that a change is about.
 func (l *loans) read(c *loanChange) {
-	r := l.leadership
+	lt := l.leaderTerm
 	keys := []string{store.ActivePrefix + c.job, loan.EndKey(c.home, c.job), loan.FloorKey(c.home)}
-	for r.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
-		entries, err := getAll(ctx, r.c.Store, keys)
-		records := store.Records{Store: r.c.Store}
+	for lt.ctx.Err() == nil {
+		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
+		entries, err := getAll(ctx, lt.c.Store, keys)
+		records := store.Records{Store: lt.c.Store}
 		var final api.JobState
 		var isFinal bool
 		if err == nil {
@@ -235,10 +235,10 @@
 		}
 		cancel()
 		if err == nil {
-			r.post(loanReadMsg{r, c, entries[0], entries[1], entries[2], final, isFinal})
+			lt.sendToOwner(loanReadMsg{lt, c, entries[0], entries[1], entries[2], final, isFinal})
 			return
 		}
-		pause(r.ctx, loanRetry)
+		sleep(lt.ctx, loanRetry)
 	}
 }
 
@@ -255,7 +255,7 @@
 
 // loanReadMsg brings the records that a change is about.
 type loanReadMsg struct {
-	leadership         *leadership
+	leaderTerm         *leaderTerm
 	change             *loanChange
 	active, end, floor store.Entry
 	final              api.JobState
@@ -263,11 +263,11 @@
 }
 
 func (m loanReadMsg) apply(c *Controller) {
-	r := m.leadership
-	if c.leadership != r {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
 		return
 	}
-	l := &r.loans
+	l := &lt.loans
 	l.finished(m.change)
 	l.addRecord(m.floor)
 	if m.end.Mark == 0 {
@@ -278,20 +278,20 @@
 	if m.isFinal && len(l.taken) < mostLoanNames {
 		l.taken[m.change.job] = true
 	}
-	j := r.jobs[m.change.job]
+	j := lt.jobs[m.change.job]
 	if j != nil {
 		j.handover = false
 	}
 	switch {
 	case m.active.Mark != 0:
-		r.addJob(m.active.Key, m.active.Value, m.active.Mark)
+		lt.addJob(m.active.Key, m.active.Value, m.active.Mark)
 	case j == nil:
 	case j.guest != nil:
 		l.guestOver(j, m.end)
 	case m.isFinal && m.final.Phase == api.JobDone:
-		r.finished(j)
+		lt.finished(j)
 	case m.isFinal:
-		r.withdraw(j)
+		lt.withdraw(j)
 	}
 	l.writeNext(time.Now())
 }
@@ -314,21 +314,21 @@
 		}
 	}
 	if err != nil {
-		l.leadership.c.Log.Error("loan record", "key", e.Key, "err", err)
+		l.leaderTerm.c.Log.Error("loan record", "key", e.Key, "err", err)
 	}
 }
 
 // applyLoan takes in what a job's record says of loans. It is called for each newer
 // version of the record, whoever wrote it.
-func (r *leadership) applyLoan(j *job, rec store.ActiveRecord, mark uint64) {
+func (lt *leaderTerm) applyLoan(j *job, rec store.ActiveRecord, mark uint64) {
 	if mark <= j.mark {
 		return
 	}
 	j.mark, j.lends = mark, rec.Lends
 	switch {
 	case rec.Lent != nil:
-		r.loans.lent(j, rec.Lent)
+		lt.loans.lent(j, rec.Lent)
 	case j.lent != nil:
-		r.loans.takenBack(j)
+		lt.loans.takenBack(j)
 	}
 }
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -57,7 +57,7 @@
 
 // takenBack takes in that a job is this cell's own again.
 func (l *loans) takenBack(j *job) {
-	l.leadership.c.Log.Info("loan taken back", "job", j.spec.ID, "from", j.lent.Host, "reason", j.remote.Reason)
+	l.leaderTerm.c.Log.Info("loan taken back", "job", j.spec.ID, "from", j.lent.Host, "reason", j.remote.Reason)
 	if j.lentBefore == nil {
 		j.lentBefore = map[string]time.Time{}
 	}
@@ -73,7 +73,7 @@
 	j.waiting = time.Now()
 	j.team.Remove(j)
 	j.team.Add(j)
-	l.leadership.dispatchUntil = j.waiting.Add(dispatchFor)
+	l.leaderTerm.dispatchUntil = j.waiting.Add(dispatchFor)
 }
 
 // reserve counts a loan's grant as used by its team, and release no more.
@@ -92,15 +92,15 @@
 
 // lend puts on record that a job is lent. From now on nothing of it starts here.
 func (l *loans) lend(j *job, n *neighbour, grant loan.Grant) {
-	r := l.leadership
+	lt := l.leaderTerm
 	l.count++
 	l.counts.Lent++
 	spec := j.spec
 	spec.Awaits = nil
-	record := &loan.Lent{Host: n.cell, Epoch: loan.NewEpoch(r.term.Number, l.count), Spec: spec, Grant: grant, Since: j.since.UTC()}
+	record := &loan.Lent{Host: n.cell, Epoch: loan.NewEpoch(lt.term.Number, l.count), Spec: spec, Grant: grant, Since: j.since.UTC()}
 	j.team.Remove(j)
 	l.reserve(j, grant)
-	r.c.Log.Info("loan", "job", spec.ID, "class", spec.Class, "to", n.cell, "epoch", record.Epoch, "cpus", grant.CPUs)
+	lt.c.Log.Info("loan", "job", spec.ID, "class", spec.Class, "to", n.cell, "epoch", record.Epoch, "cpus", grant.CPUs)
 	active := store.ActiveRecord{Accepted: j.accepted, Lent: record, Lends: j.lends + 1}
 	l.changeActive(j, active)
 }
@@ -108,42 +108,42 @@
 // changeActive puts another record in the place of a job's active one.
 func (l *loans) changeActive(j *job, rec store.ActiveRecord) {
 	key := store.ActivePrefix + j.spec.ID
-	j.handover = l.change(&loanChange{home: l.leadership.c.Cells.Cell, job: j.spec.ID,
+	j.handover = l.change(&loanChange{home: l.leaderTerm.c.Cells.Cell, job: j.spec.ID,
 		build: func() (store.Txn, bool) {
-			return store.Txn{Guards: []store.Guard{l.leadership.termGuard(), {Key: key, Mark: j.mark}},
+			return store.Txn{Guards: []store.Guard{l.leaderTerm.termCompare(), {Key: key, Mark: j.mark}},
 				Ops: []store.Op{{Put: key, Value: rec}}}, !j.over
 		},
 		done: func(ring uint64) {
 			j.handover = false
-			l.leadership.applyLoan(j, rec, ring)
+			l.leaderTerm.applyLoan(j, rec, ring)
 		}})
 }
 
 // exchange tells each neighbour of all loans to it.
 func (l *loans) exchange(now time.Time) {
-	r := l.leadership
+	lt := l.leaderTerm
 	for _, n := range l.neighbours {
 		if n.lost {
 			l.takeFromLost(n)
 			continue
 		}
-		if n.busy || now.Before(n.next) || r.c.Link == nil {
+		if n.busy || now.Before(n.next) || lt.c.Link == nil {
 			continue
 		}
 		n.busy, n.next = true, now.Add(exchangeEvery)
 		req := l.request(n)
 		go func() {
-			ctx, cancel := context.WithTimeout(r.ctx, exchangeTimeout)
+			ctx, cancel := context.WithTimeout(lt.ctx, exchangeTimeout)
 			defer cancel()
-			answer, err := r.c.Link.Loans(ctx, n.cell, req)
-			r.post(loanAnswerMsg{r, n, now, answer, err})
+			answer, err := lt.c.Link.Loans(ctx, n.cell, req)
+			lt.sendToOwner(loanAnswerMsg{lt, n, now, answer, err})
 		}()
 	}
 }
 
 // takeFromLost takes back what was lent to a cell that the operators have given up.
 func (l *loans) takeFromLost(n *neighbour) {
-	for _, j := range l.leadership.jobs {
+	for _, j := range l.leaderTerm.jobs {
 		if j.lent != nil && j.lent.Host == n.cell && !j.handover {
 			l.act(j, loan.State{Job: j.spec.ID, Epoch: j.lent.Epoch, Phase: loan.PhaseClosed, Reason: "the cell is lost"})
 		}
@@ -155,10 +155,10 @@
 
 // request says what is wanted of each loan to a neighbour.
 func (l *loans) request(n *neighbour) *loan.Request {
-	r := l.leadership
-	req := &loan.Request{Home: r.c.Cells.Cell, Term: r.term.Number}
+	lt := l.leaderTerm
+	req := &loan.Request{Home: lt.c.Cells.Cell, Term: lt.term.Number}
 	room := mostOfferBytes
-	for id, j := range r.jobs {
+	for id, j := range lt.jobs {
 		if j.lent == nil || j.lent.Host != n.cell || j.handover {
 			continue
 		}
@@ -186,7 +186,7 @@
 
 // loanAnswerMsg brings a neighbour's answer.
 type loanAnswerMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	neighbour  *neighbour
 	sent       time.Time
 	answer     *loan.Answer
@@ -194,10 +194,10 @@
 }
 
 func (m loanAnswerMsg) apply(c *Controller) {
-	if c.leadership != m.leadership {
+	if c.leaderTerm != m.leaderTerm {
 		return
 	}
-	l, n, now := &m.leadership.loans, m.neighbour, time.Now()
+	l, n, now := &m.leaderTerm.loans, m.neighbour, time.Now()
 	n.busy = false
 	if m.err == nil && m.answer.Refused != "" {
 		m.err = &RefusedError{Cell: n.cell, Reason: m.answer.Refused}
@@ -227,13 +227,13 @@
 
 // takeState takes in how a loan stands at its host.
 func (l *loans) takeState(n *neighbour, s loan.State) {
-	r := l.leadership
-	j := r.jobs[s.Job]
+	lt := l.leaderTerm
+	j := lt.jobs[s.Job]
 	if j != nil && j.handover {
 		return // what is on its way decides
 	}
 	if j == nil || j.lent == nil || j.lent.Host != n.cell || j.lent.Epoch != s.Epoch {
-		if s.Phase != loan.PhaseClosed && s.Phase != loan.PhaseUnknown && loan.SettledBy(r.term.Number, s.Epoch) {
+		if s.Phase != loan.PhaseClosed && s.Phase != loan.PhaseUnknown && loan.SettledBy(lt.term.Number, s.Epoch) {
 			n.forget[s.Job] = s.Epoch
 			n.next = time.Time{}
 		}
@@ -263,11 +263,11 @@
 
 // end records how a lent job ended.
 func (l *loans) end(j *job, final store.FinalRecord) {
-	r, id := l.leadership, j.spec.ID
+	lt, id := l.leaderTerm, j.spec.ID
 	active := store.ActivePrefix + id
-	j.handover = l.change(&loanChange{home: r.c.Cells.Cell, job: id,
+	j.handover = l.change(&loanChange{home: lt.c.Cells.Cell, job: id,
 		build: func() (store.Txn, bool) {
-			txn := store.Txn{Guards: []store.Guard{r.termGuard(), {Key: active, Mark: j.mark}}}
+			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.mark}}}
 			if final.Phase == api.JobWithdrawn {
 				// As with a user's own cancellation, a watch sees why the record goes.
 				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: id})
@@ -283,10 +283,10 @@
 			case final.Phase == api.JobDone:
 				j.doneCount = j.spec.Tasks
 				l.counts.Done++
-				r.finished(j)
+				lt.finished(j)
 			default:
 				l.counts.Withdrawn++
-				r.withdraw(j)
+				lt.withdraw(j)
 			}
 			if n := l.neighbours[j.lent.Host]; n != nil {
 				n.next = time.Time{} // it names the loan once more, and is told to forget it
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -33,21 +33,21 @@
 }
 
 func (m loanRequestMsg) apply(c *Controller) {
-	if c.leadership == nil || !c.leadership.loaded || !c.valid() {
+	if c.leaderTerm == nil || !c.leaderTerm.loaded || !c.holdsLease() {
 		m.reply <- nil
 		return
 	}
-	m.reply <- c.leadership.loans.answer(m.req, time.Now())
+	m.reply <- c.leaderTerm.loans.answer(m.req, time.Now())
 }
 
 // answer takes a request in and says how all loans of its cell stand.
 func (l *loans) answer(req *loan.Request, now time.Time) *loan.Answer {
-	r := l.leadership
+	lt := l.leaderTerm
 	if reason := l.refusal(req); reason != "" {
 		l.logOnce("loans refused", req.Home, reason)
 		return &loan.Answer{Refused: reason}
 	}
-	answer := &loan.Answer{Host: r.c.Cells.Cell, Term: r.term.Number, Advert: l.advert(now)}
+	answer := &loan.Answer{Host: lt.c.Cells.Cell, Term: lt.term.Number, Advert: l.advert(now)}
 	named := map[string]bool{}
 	raise := loan.Epoch(0)
 	for _, e := range req.Entries {
@@ -55,7 +55,7 @@
 		held := l.held(req.Home, e, &answer.Advert)
 		phase, step := loan.HostStep(e, held)
 		state := loan.State{Job: e.Job, Epoch: e.Epoch, Phase: phase, Reason: held.Refuse}
-		if j := r.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Epoch == e.Epoch {
+		if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Epoch == e.Epoch {
 			l.progress(j, &state)
 		} else {
 			state.Held = l.onMachines(e.Job)
@@ -77,7 +77,7 @@
 
 // refusal says why a request is not taken in at all, or "".
 func (l *loans) refusal(req *loan.Request) string {
-	cells := l.leadership.c.Cells
+	cells := l.leaderTerm.c.Cells
 	if cells == nil {
 		return "no cells are configured here"
 	}
@@ -104,20 +104,20 @@
 		return
 	}
 	l.logged[key] = true
-	l.leadership.c.Log.Warn(what, "of", of, "reason", reason)
+	l.leaderTerm.c.Log.Warn(what, "of", of, "reason", reason)
 }
 
 // held is what this cell's records say of a job of a home cell.
 func (l *loans) held(home string, e loan.Entry, advert *loan.Advert) loan.Held {
-	r := l.leadership
+	lt := l.leaderTerm
 	h := loan.Held{Floor: l.floors[home].epoch}
 	if end, ok := l.ends.Get([]byte(loanName(home, e.Job))); ok {
 		h.End = &end.End
 	}
-	if j := r.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Home == home {
+	if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Home == home {
 		h.Guest = j.guest.Epoch
 		// A machine that is not heard may hold tasks of it.
-		h.Begun = j.begun() || r.unheard > 0 && j.mark <= r.term.Mark
+		h.Begun = j.begun() || lt.unheard > 0 && j.mark <= lt.term.Mark
 		return h
 	}
 	if e.Want == loan.WantRun && e.Offer != nil && h.End == nil {
@@ -129,12 +129,12 @@
 // refuses says why an offer is not accepted, or "", and takes what it needs off what
 // there is to spare.
 func (l *loans) refuses(home string, o *loan.Offer, advert *loan.Advert) string {
-	r, s := l.leadership, &o.Spec
+	lt, s := l.leaderTerm, &o.Spec
 	if l.changing[loanName(home, s.ID)] {
 		return "" // it is being accepted
 	}
 	guests := 0
-	for _, j := range r.jobs {
+	for _, j := range lt.jobs {
 		if j.guest != nil && j.guest.Home == home {
 			guests++
 		}
@@ -143,15 +143,15 @@
 	switch {
 	case !l.enabled():
 		return "a controller here does not know of loans"
-	case r.jobs[s.ID] != nil || l.taken[s.ID]:
+	case lt.jobs[s.ID] != nil || l.taken[s.ID]:
 		return "a job of that name is here"
-	case guests+len(l.changing) >= r.c.Cells.MaxLoans:
+	case guests+len(l.changing) >= lt.c.Cells.MaxLoans:
 		return "too many loans"
 	case !advert.Accepting || advert.CPUs < s.CPUs || advert.GPUs < s.GPUs:
 		return "nothing to spare"
 	case o.Grant.CPUs < s.CPUs || o.Grant.GPUs < s.GPUs:
 		return "the grant holds no task"
-	case !store.FitsRecord(rec, r.c.Settings.Site.State.ValueKB):
+	case !store.FitsRecord(rec, lt.c.Settings.Site.State.ValueKB):
 		return "larger than a record"
 	}
 	if !slices.ContainsFunc(advert.Types, func(t api.MachineType) bool { return taskFits(s, t) }) {
@@ -169,12 +169,12 @@
 
 // onMachines tells whether tasks of a job may be on machines, whatever is known of it.
 func (l *loans) onMachines(id string) bool {
-	r := l.leadership
-	if r.unheard > 0 {
+	lt := l.leaderTerm
+	if lt.unheard > 0 {
 		return true
 	}
 	prefix := id + "/"
-	for _, m := range r.machines {
+	for _, m := range lt.machines {
 		for key, a := range m.attempts {
 			if !a.exited && strings.HasPrefix(key.ref, prefix) {
 				return true
@@ -187,7 +187,7 @@
 // unnamed are the loans of a cell that are here and that its request does not name. It is
 // told of them, and says what is to become of them.
 func (l *loans) unnamed(home string, named map[string]bool) (states []loan.State) {
-	for id, j := range l.leadership.jobs {
+	for id, j := range l.leaderTerm.jobs {
 		if j.guest == nil || j.guest.Home != home || named[id] {
 			continue
 		}
@@ -213,7 +213,7 @@
 
 // carryOut changes this cell's records as a step says.
 func (l *loans) carryOut(home string, e loan.Entry, step loan.Step) {
-	j := l.leadership.jobs[e.Job]
+	j := l.leaderTerm.jobs[e.Job]
 	switch step {
 	case loan.StepAccept:
 		l.accept(home, e)
@@ -228,20 +228,20 @@
 
 // accept puts a guest's record, unless this cell knows the job or the floor has risen.
 func (l *loans) accept(home string, e loan.Entry) {
-	r := l.leadership
+	lt := l.leaderTerm
 	active := store.ActivePrefix + e.Job
 	rec := store.ActiveRecord{Accepted: time.Now().UTC(), Guest: &loan.Guest{Home: home, Epoch: e.Epoch, Spec: e.Offer.Spec, Grant: e.Offer.Grant, Since: e.Offer.Since}}
 	l.change(&loanChange{home: home, job: e.Job,
 		build: func() (store.Txn, bool) {
-			return store.Txn{Guards: []store.Guard{r.termGuard(), {Key: loan.FloorKey(home), Mark: l.floors[home].mark},
+			return store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: loan.FloorKey(home), Mark: l.floors[home].mark},
 				{Key: active}, {Key: store.FinalPrefix + e.Job}, {Key: loan.EndKey(home, e.Job)}},
-				Ops: []store.Op{{Put: active, Value: rec}}}, e.Epoch > l.floors[home].epoch && r.jobs[e.Job] == nil
+				Ops: []store.Op{{Put: active, Value: rec}}}, e.Epoch > l.floors[home].epoch && lt.jobs[e.Job] == nil
 		},
 		done: func(ring uint64) {
 			l.counts.Accepted++
-			r.c.Log.Info("guest accepted", "job", e.Job, "home", home, "epoch", e.Epoch, "cpus", e.Offer.Grant.CPUs)
-			if r.jobs[e.Job] == nil {
-				r.addRecord(active, rec, ring)
+			lt.c.Log.Info("guest accepted", "job", e.Job, "home", home, "epoch", e.Epoch, "cpus", e.Offer.Grant.CPUs)
+			if lt.jobs[e.Job] == nil {
+				lt.addRecord(active, rec, ring)
 			}
 		}})
 }
@@ -262,7 +262,7 @@
 func (l *loans) raiseFloor(home string, epoch loan.Epoch) {
 	l.change(&loanChange{home: home, job: "floor",
 		build: func() (store.Txn, bool) {
-			txn := store.Txn{Guards: []store.Guard{l.leadership.termGuard()}}
+			txn := store.Txn{Guards: []store.Guard{l.leaderTerm.termCompare()}}
 			l.floorOp(&txn, home, epoch)
 			return txn, epoch > l.floors[home].epoch
 		},
@@ -271,7 +271,7 @@
 
 // giveBack removes a guest that has not begun.
 func (l *loans) giveBack(j *job) {
-	r, home, epoch := l.leadership, j.guest.Home, j.guest.Epoch
+	lt, home, epoch := l.leaderTerm, j.guest.Home, j.guest.Epoch
 	active := store.ActivePrefix + j.spec.ID
 	l.change(&loanChange{home: home, job: j.spec.ID,
 		build: func() (store.Txn, bool) {
@@ -279,7 +279,7 @@
 				return store.Txn{}, false
 			}
 			j.handover = true
-			txn := store.Txn{Guards: []store.Guard{r.termGuard(), {Key: active, Mark: j.mark}}, Ops: []store.Op{{Delete: active}}}
+			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.mark}}, Ops: []store.Op{{Delete: active}}}
 			l.floorOp(&txn, home, epoch)
 			return txn, true
 		},
@@ -297,11 +297,11 @@
 
 // endGuest records how a guest ended, for its home cell.
 func (l *loans) endGuest(j *job, end loan.End) {
-	r, home, id := l.leadership, j.guest.Home, j.spec.ID
+	lt, home, id := l.leaderTerm, j.guest.Home, j.spec.ID
 	active, key := store.ActivePrefix+id, loan.EndKey(home, id)
 	l.change(&loanChange{home: home, job: id,
 		build: func() (store.Txn, bool) {
-			txn := store.Txn{Guards: []store.Guard{r.termGuard(), {Key: active, Mark: j.mark}}}
+			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.mark}}}
 			if end.Phase == api.JobWithdrawn {
 				// All nodes of this cell must know before they renew leases.
 				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: loan.GuestMark + id})
@@ -327,21 +327,21 @@
 	if j.over {
 		return
 	}
-	r := l.leadership
-	r.forget(j)
+	lt := l.leaderTerm
+	lt.forget(j)
 	if end.Mark != 0 {
 		var e loan.End
 		if err := json.Unmarshal(end.Value, &e); err == nil && e.Phase == api.JobWithdrawn {
-			r.c.cancelled(loan.GuestMark + j.spec.ID)
+			lt.c.cancelled(loan.GuestMark + j.spec.ID)
 		}
 	}
 	for _, a := range j.live {
-		r.settleUnconfirmed(a)
+		lt.settleUnconfirmed(a)
 	}
 	for first := range j.chunks {
-		r.recorder.drop(store.ProgressKey(j.spec.ID, first))
+		lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
 	}
-	r.c.Log.Info("guest over", "job", j.spec.ID, "home", j.guest.Home, "done", j.doneCount, "tasks", j.spec.Tasks)
+	lt.c.Log.Info("guest over", "job", j.spec.ID, "home", j.guest.Home, "done", j.doneCount, "tasks", j.spec.Tasks)
 }
 
 // forgetEnd drops how a guest ended, once its home cell has recorded it.
@@ -351,7 +351,7 @@
 	l.change(&loanChange{home: home, job: e.Job,
 		build: func() (store.Txn, bool) {
 			end, ok := l.ends.Get(name)
-			txn := store.Txn{Guards: []store.Guard{l.leadership.termGuard(), {Key: key, Mark: end.mark}}, Ops: []store.Op{{Delete: key}}}
+			txn := store.Txn{Guards: []store.Guard{l.leaderTerm.termCompare(), {Key: key, Mark: end.mark}}, Ops: []store.Op{{Delete: key}}}
 			l.floorOp(&txn, home, e.Epoch)
 			return txn, ok
 		},
--- a/internal/controller/loansstatus.go
+++ b/internal/controller/loansstatus.go
@@ -65,13 +65,13 @@
 
 // status is the operators' view, or nil where there are no other cells.
 func (l *loans) status(now time.Time) *CellsStatus {
-	r := l.leadership
-	if r.c.Cells == nil {
+	lt := l.leaderTerm
+	if lt.c.Cells == nil {
 		return nil
 	}
-	s := &CellsStatus{Cell: r.c.Cells.Cell, Enabled: l.enabled(), Ended: l.ends.Len(), Counts: l.counts}
+	s := &CellsStatus{Cell: lt.c.Cells.Cell, Enabled: l.enabled(), Ended: l.ends.Len(), Counts: l.counts}
 	lent, guests := map[string]int{}, map[string]int{}
-	for _, j := range r.jobs {
+	for _, j := range lt.jobs {
 		switch {
 		case j.lent != nil:
 			lent[j.lent.Host]++
--- a/internal/controller/lostanswers_test.go
+++ b/internal/controller/lostanswers_test.go
@@ -104,7 +104,7 @@
 							w.same("told in time", endedAt.Sub(tn.checker.doneAt("job-1")) < 3*time.Second, true)
 						}
 						if c.want != "running" {
-							tn.at(0).look(func(o *Controller) { w.same("jobs left", len(o.leadership.jobs), 0) })
+							tn.at(0).look(func(o *Controller) { w.same("jobs left", len(o.leaderTerm.jobs), 0) })
 						}
 					})
 				})
@@ -188,7 +188,7 @@
 					}
 					if want != "running" {
 						w.same("on machines", tn.held(), 0)
-						tn.at(0).look(func(o *Controller) { w.same("jobs left", len(o.leadership.jobs), 0) })
+						tn.at(0).look(func(o *Controller) { w.same("jobs left", len(o.leaderTerm.jobs), 0) })
 					}
 				})
 			}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -16,68 +16,68 @@
 }
 
 // scanMachines gives back the machines that are silent, bad or idle.
-func (r *leadership) scanMachines(now time.Time) {
-	r.silences(now)
-	for _, m := range r.machines {
+func (lt *leaderTerm) scanMachines(now time.Time) {
+	lt.silences(now)
+	for _, m := range lt.machines {
 		if m.leaving && !m.returning && !m.gone && m.empty() {
-			r.provisioner.giveBack(m)
+			lt.provisioner.giveBack(m)
 		}
 	}
-	idle := r.provisioner.idle(now)
+	idle := lt.provisioner.idle(now)
 	for _, m := range idle {
-		r.leave(m, "idle")
-		r.provisioner.giveBack(m)
+		lt.leave(m, "idle")
+		lt.provisioner.giveBack(m)
 	}
 }
 
 // leave stops giving a machine tasks.
-func (r *leadership) leave(m *machine, why string) {
+func (lt *leaderTerm) leave(m *machine, why string) {
 	if m.leaving {
 		return
 	}
 	m.leaving, m.why = true, why
-	r.c.Log.Info("machine leaves", "machine", m.name, "type", m.typ, "why", why, "tasks", len(m.attempts))
+	lt.c.Log.Info("machine leaves", "machine", m.name, "type", m.typ, "why", why, "tasks", len(m.attempts))
 }
 
 // machineGone removes a machine whose return the cloud has confirmed.
 // Only this, or a newer report, shows that a task is off its machine.
-func (r *leadership) machineGone(m *machine) {
+func (lt *leaderTerm) machineGone(m *machine) {
 	m.gone = true
-	r.returned.Add(m.name, true)
-	delete(r.machines, m.name)
-	r.countHeard(m)
+	lt.returned.Add(m.name, true)
+	delete(lt.machines, m.name)
+	lt.countHeard(m)
 	for _, a := range m.attempts {
-		r.offMachine(a)
+		lt.offMachine(a)
 	}
-	for _, j := range r.jobs {
+	for _, j := range lt.jobs {
 		j.flight.Leave(m.name)
 	}
-	r.recorder.dropMember(m)
-	r.c.Log.Info("machine gone", "machine", m.name, "why", m.why)
+	lt.recorder.dropMember(m)
+	lt.c.Log.Info("machine gone", "machine", m.name, "why", m.why)
 }
 
 // countHeard notes that a machine can no longer surprise this term.
-func (r *leadership) countHeard(m *machine) {
+func (lt *leaderTerm) countHeard(m *machine) {
 	if m.heard || m.roster != rosterDurable {
 		return
 	}
 	m.heard = true
-	r.unheard--
-	r.unheardCPUs -= m.cpus
-	r.unheardGPUs -= m.gpus
-	if r.unheard == 0 {
-		r.c.Log.Info("takeover: all machines heard or gone", "term", r.term.Number,
-			"after", time.Since(r.began).Round(time.Millisecond))
+	lt.unheard--
+	lt.unheardCPUs -= m.cpus
+	lt.unheardGPUs -= m.gpus
+	if lt.unheard == 0 {
+		lt.c.Log.Info("takeover: all machines heard or gone", "term", lt.term.Number,
+			"after", time.Since(lt.startedAt).Round(time.Millisecond))
 	}
 }
 
-func (r *leadership) addMachine(name, typ, zone string, spot bool, now time.Time) *machine {
-	m := &machine{name: name, foreignSum: &r.foreignCPUs, typ: typ, zone: zone, spot: spot, lastSeen: now, since: now, idle: now,
+func (lt *leaderTerm) addMachine(name, typ, zone string, spot bool, now time.Time) *machine {
+	m := &machine{name: name, foreignSum: &lt.foreignCPUs, typ: typ, zone: zone, spot: spot, lastSeen: now, since: now, idle: now,
 		attempts: map[attemptKey]*attempt{}, errorJobs: map[string]int{}}
-	if mt, ok := r.c.types.load()[typ]; ok {
+	if mt, ok := lt.c.types.load()[typ]; ok {
 		m.cpus, m.gpus, m.memory = mt.CPUs, mt.GPUs, mt.MemoryGB
 	}
-	r.machines[name] = m
-	delete(r.expected, name)
+	lt.machines[name] = m
+	delete(lt.expected, name)
 	return m
 }
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -18,7 +18,7 @@
 		return api.ErrUnavailable
 	}
 	select {
-	case c.mail <- m:
+	case c.mailbox <- m:
 		return nil
 	case <-c.ended:
 		return api.ErrUnavailable
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -41,7 +41,7 @@
 				n.crash()
 				time.Sleep(time.Second)
 				begun := time.Now()
-				for range 2 * cap(n.mail) {
+				for range 2 * cap(n.mailbox) {
 					if err := call(context.Background(), n); !errors.Is(err, api.ErrUnavailable) {
 						t.Fatalf("got %v, want %v", err, api.ErrUnavailable)
 					}
@@ -64,7 +64,7 @@
 				n := w.start("n0")
 				w.running.Go(func() { n.tryLook(func(*Controller) { time.Sleep(time.Second); n.crash() }) })
 				time.Sleep(time.Millisecond)
-				begun, calls := time.Now(), 2*cap(n.mail)
+				begun, calls := time.Now(), 2*cap(n.mailbox)
 				answers := make(chan error, calls)
 				for range calls {
 					go func() { answers <- call(context.Background(), n) }()
@@ -86,11 +86,11 @@
 		n := w.start("n0")
 		n.crash()
 		time.Sleep(time.Second)
-		for i := range uint64(cap(n.mail)) {
-			n.Leader(fmt.Sprint("n", i))
-			n.Won(election.Term{Number: i}, time.Now())
-			n.Extended(election.Term{Number: i}, time.Now())
-			n.Lost(election.Term{Number: i})
+		for i := range uint64(cap(n.mailbox)) {
+			n.LeaderChanged(fmt.Sprint("n", i))
+			n.ElectionWon(election.Term{Number: i}, time.Now())
+			n.LeaseRenewed(election.Term{Number: i}, time.Now())
+			n.LeaseLost(election.Term{Number: i})
 		}
 	})
 }
@@ -102,7 +102,7 @@
 		w.submit(n, spec("job-1", 1))
 		n.crash()
 		time.Sleep(time.Second)
-		for range 2 * cap(n.mail) {
+		for range 2 * cap(n.mailbox) {
 			st, err := n.Abort(context.Background(), "job-1")
 			if err != nil || st.Phase != api.JobWithdrawn {
 				t.Fatalf("cancellation: %v, %v", st.Phase, err)
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -38,13 +38,13 @@
 			if time.Sleep(8 * time.Millisecond); i%4 == 3 {
 				time.Sleep(968 * time.Millisecond)
 				tn.at(0).look(func(c *Controller) {
-					r := c.leadership
-					if r == nil {
+					lt := c.leaderTerm
+					if lt == nil {
 						t.Error("the leader leads no more")
 						return
 					}
-					inMemory = max(inMemory, len(r.jobs))
-					lists = max(lists, len(r.recorder.finishing)+len(r.recorder.drops)+len(r.recorder.dirty)+len(r.recorder.unsettled))
+					inMemory = max(inMemory, len(lt.jobs))
+					lists = max(lists, len(lt.recorder.finishing)+len(lt.recorder.drops)+len(lt.recorder.dirty)+len(lt.recorder.unsettled))
 				})
 			}
 		}
@@ -86,11 +86,11 @@
 		}
 		w.same("cancelled in time", cancelled > 100, true)
 		tn.at(0).look(func(c *Controller) {
-			if c.leadership == nil {
+			if c.leaderTerm == nil {
 				return
 			}
-			w.same("jobs left", len(c.leadership.jobs), 0)
-			for _, m := range c.leadership.machines {
+			w.same("jobs left", len(c.leaderTerm.jobs), 0)
+			for _, m := range c.leaderTerm.machines {
 				w.same("attempts left", len(m.attempts), 0)
 			}
 		})
--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -137,7 +137,7 @@
 	w.running.Go(func() {
 		for w.ctx.Err() == nil && o.running() {
 			o.tick(w.ctx)
-			pause(w.ctx, 200*time.Millisecond)
+			sleep(w.ctx, 200*time.Millisecond)
 		}
 	})
 	return o
@@ -428,7 +428,7 @@
 	heard        bool
 }
 
-// takeOver takes the leadership: the leader key under a lease and the next term in
+// campaign takes the leadership: the leader key under a lease and the next term in
 // one transaction. Then it reads what it needs.
 func (o *oldNode) takeOver(ctx context.Context, leaderMark uint64) {
 	e, err := o.st.Get(ctx, "term")
--- a/internal/controller/peertable.go
+++ b/internal/controller/peertable.go
@@ -114,7 +114,7 @@
 		if c.send(ctx, storeMsg{err == nil}) != nil {
 			return
 		}
-		pause(ctx, storeEvery)
+		sleep(ctx, storeEvery)
 	}
 }
 
@@ -154,7 +154,7 @@
 		if failed >= unreachedAfter {
 			c.extendLeases(ctx, node)
 		}
-		pause(ctx, pingEvery)
+		sleep(ctx, pingEvery)
 	}
 }
 
@@ -186,8 +186,8 @@
 	}
 	m.st.Cancels = cancellation.News{}
 	n.PeerStatus, n.seen = m.st, m.sent
-	if c.leadership != nil {
-		c.leadership.down.restarted(c.leadership, m.node, m.st.Incarnation)
+	if c.leaderTerm != nil {
+		c.leaderTerm.down.restarted(c.leaderTerm, m.node, m.st.Incarnation)
 	}
 	if m.node == c.leader {
 		// What the leader knows of cancellations it says itself. Those of
@@ -205,7 +205,7 @@
 // checkStoreAccess draws the conclusions: a node that the state service refuses
 // while it answers others can only fail its users, and cannot lead.
 func (c *Controller) checkStoreAccess(now time.Time) {
-	if c.leaving {
+	if c.draining {
 		return
 	}
 	a := &c.peerTable
@@ -231,10 +231,10 @@
 		c.shut.Store(shut)
 		c.Log.Info("state service lost here", "answersOthers", heir != "", "nodesReached", reached)
 	}
-	if r := c.leadership; r != nil && heir != "" {
-		c.Log.Info("leadership resigned", "term", r.term.Number, "to", heir)
-		term := r.term.Number
-		r.depose() // from here on this node acts for nobody
+	if lt := c.leaderTerm; lt != nil && heir != "" {
+		c.Log.Info("leadership resigned", "term", lt.term.Number, "to", heir)
+		term := lt.term.Number
+		lt.stepDown() // from here on this node acts for nobody
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 			defer cancel()
@@ -258,7 +258,7 @@
 func (m resignedMsg) apply(c *Controller) {
 	c.Log.Info("leader has resigned", "leader", m.node, "term", m.term)
 	select {
-	case c.resigns <- election.Resignation{Node: m.node, Term: m.term}:
+	case c.resignations <- election.Resignation{Node: m.node, Term: m.term}:
 	default:
 	}
 }
@@ -284,10 +284,10 @@
 		m.from.Number = 0
 	}
 	st.Cancels = c.cancels.After(m.from.Number, now)
-	if c.valid() {
-		st.Term, st.Bound = c.leadership.term.Number, c.leadership.bound
-		if c.leadership.loaded {
-			st.Known = now.Sub(c.leadership.cancellationsKnownAt(now))
+	if c.holdsLease() {
+		st.Term, st.Bound = c.leaderTerm.term.Number, c.leaderTerm.bound
+		if c.leaderTerm.loaded {
+			st.Known = now.Sub(c.leaderTerm.cancellationsKnownAt(now))
 		}
 	}
 	if c.peerTable.storeOK && now.Sub(c.peerTable.storeAt) < 2*storeEvery {
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -23,7 +23,7 @@
 // writes it: in steps within the write rate, each of which leaves nothing that the
 // next could not be found from.
 type pipeline struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	// dependents are the jobs that wait, by what they wait for.
 	dependents map[string][]*job
 	// pendingCancels are the jobs that are to be cancelled on record.
@@ -38,10 +38,10 @@
 	unknown int
 }
 
-func (p *pipeline) init(r *leadership) {
-	lim := r.c.Settings.Site.State
+func (p *pipeline) init(lt *leaderTerm) {
+	lim := lt.c.Settings.Site.State
 	cancels := lim.WriteRPS * cancelShare
-	*p = pipeline{leadership: r, dependents: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancels), max(cancelOps, min(lim.TxnOps, int(cancels))))}
+	*p = pipeline{leaderTerm: lt, dependents: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancels), max(cancelOps, min(lim.TxnOps, int(cancels))))}
 }
 
 // awaitJobs has a job wait for those that it needs.
@@ -50,12 +50,12 @@
 	if j.awaitsList != nil && !j.awaitsRead {
 		// Not all is known that it awaits, so nothing of it may start.
 		j.awaits[store.AwaitsElsewhere] = true
-		p.leadership.awaitsLists.read(j)
+		p.leaderTerm.awaitsLists.read(j)
 		return
 	}
 	pending := false
 	for _, id := range j.spec.Awaits {
-		st, over := p.leadership.c.final.Get(id)
+		st, over := p.leaderTerm.c.final.Get(id)
 		if over && st.Phase == api.JobWithdrawn {
 			pending = true
 			continue
@@ -64,7 +64,7 @@
 			j.awaitedEnded(st.Ended)
 			continue
 		}
-		o := p.leadership.jobs[id]
+		o := p.leaderTerm.jobs[id]
 		if o == nil {
 			if len(p.dependents[id]) == 0 {
 				p.lookups = append(p.lookups, id)
@@ -121,10 +121,10 @@
 	if j.lastEnd.After(j.since) {
 		j.since = j.lastEnd
 	}
-	j.aims = p.leadership.aims(j)
+	j.aims = p.leaderTerm.aims(j)
 	j.look(now)
 	j.team.Add(j)
-	p.leadership.dispatchUntil = now.Add(dispatchFor)
+	p.leaderTerm.dispatchUntil = now.Add(dispatchFor)
 }
 
 // done handles a job that is done on record, and since when.
@@ -187,7 +187,7 @@
 // add writes pending cancellations in a batch of their own, if the write rate allows.
 func (p *pipeline) add(b *batch, now time.Time) {
 	p.pendingCancels = slices.DeleteFunc(p.pendingCancels, func(j *job) bool { return j.over })
-	w := &p.leadership.recorder
+	w := &p.leaderTerm.recorder
 	allowed := min(w.maxOps, int(p.limiter.TokensAt(now)))
 	if len(p.pendingCancels) == 0 || allowed < cancelOps {
 		return
@@ -219,7 +219,7 @@
 		j := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
 		for _, id := range j.spec.Awaits {
-			o := p.leadership.jobs[id]
+			o := p.leaderTerm.jobs[id]
 			if o == nil || o.finishing || !p.propagateDeadline(j, o) || len(o.spec.Awaits) == 0 {
 				continue
 			}
@@ -248,7 +248,7 @@
 	for _, at := range due {
 		o.due = append(o.due, at.Add(-takes))
 	}
-	o.aims = p.leadership.aims(o)
+	o.aims = p.leaderTerm.aims(o)
 	o.look(time.Now())
 	return true
 }
@@ -256,7 +256,7 @@
 // due are the times by which a job should be complete for the deadlines of its
 // pipeline, the strictest first.
 func (p *pipeline) due(j *job) []time.Time {
-	own := p.leadership.deadlines(j)
+	own := p.leaderTerm.deadlines(j)
 	if len(own) == 0 || len(j.due) > 0 && j.due[0].Before(own[0]) {
 		return j.due
 	}
@@ -267,12 +267,12 @@
 // it: until that is on record, the machine has been told and has the image.
 func (p *pipeline) stageDuration(j *job) time.Duration {
 	fetch := 0.0
-	for _, t := range p.leadership.c.types.load() {
+	for _, t := range p.leaderTerm.c.types.load() {
 		if t.FetchGBs > 0 {
 			fetch = max(fetch, j.spec.ImageGB/t.FetchGBs)
 		}
 	}
-	return j.spec.Estimate() + config.Seconds(fetch) + p.leadership.c.Settings.Site.Workers.Report() + stageLag
+	return j.spec.Estimate() + config.Seconds(fetch) + p.leaderTerm.c.Settings.Site.Workers.Report() + stageLag
 }
 
 // stageLag is about how long it takes until a job's end is on record and those that
@@ -285,16 +285,16 @@
 		return
 	}
 	p.lookingUp = true
-	r, ids := p.leadership, p.lookups
+	lt, ids := p.leaderTerm, p.lookups
 	p.lookups = nil
 	go func() {
-		records := store.Records{Store: r.c.Store}
+		records := store.Records{Store: lt.c.Store}
 		ends := map[string]store.FinalRecord{}
-		for unread := ids; r.ctx.Err() == nil; pause(r.ctx, 300*time.Millisecond) {
-			found, err := records.Ends(r.ctx, unread)
+		for unread := ids; lt.ctx.Err() == nil; sleep(lt.ctx, 300*time.Millisecond) {
+			found, err := records.Ends(lt.ctx, unread)
 			maps.Copy(ends, found)
 			if err == nil {
-				r.post(endsLookedUpMsg{r, ids, ends})
+				lt.sendToOwner(endsLookedUpMsg{lt, ids, ends})
 				return
 			}
 			unread = slices.DeleteFunc(slices.Clone(unread), func(id string) bool { _, ok := ends[id]; return ok })
@@ -305,14 +305,14 @@
 // endsLookedUpMsg brings how jobs ended that were looked up; those that are still
 // active are not among the ends.
 type endsLookedUpMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	ids        []string
 	ends       map[string]store.FinalRecord
 }
 
 func (m endsLookedUpMsg) apply(c *Controller) {
-	p := &m.leadership.pipeline
-	if c.leadership != m.leadership {
+	p := &m.leaderTerm.pipeline
+	if c.leaderTerm != m.leaderTerm {
 		return
 	}
 	p.lookingUp = false
@@ -322,21 +322,21 @@
 		switch {
 		case found:
 			p.ended(id, end)
-		case m.leadership.jobs[id] == nil && len(p.dependents[id]) > 0:
+		case m.leaderTerm.jobs[id] == nil && len(p.dependents[id]) > 0:
 			unknown = append(unknown, id)
 		}
 	}
 	if len(unknown) > 0 {
 		// Active, and not known here yet: the watch will tell.
 		p.unknown++
-		time.AfterFunc(time.Second, func() { m.leadership.post(lookupAgainMsg{m.leadership, unknown}) })
+		time.AfterFunc(time.Second, func() { m.leaderTerm.sendToOwner(lookupAgainMsg{m.leaderTerm, unknown}) })
 	}
 	p.lookupNext()
 }
 
 // ended processes the final record of a job.
 func (p *pipeline) ended(id string, end store.FinalRecord) {
-	finalMsg{end.FinalState(id)}.apply(p.leadership.c)
+	finalMsg{end.FinalState(id)}.apply(p.leaderTerm.c)
 	if end.Phase != api.JobDone {
 		return
 	}
@@ -349,18 +349,18 @@
 
 // lookupAgainMsg asks once more about jobs that were not known.
 type lookupAgainMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	ids        []string
 }
 
 func (m lookupAgainMsg) apply(c *Controller) {
-	if c.leadership != m.leadership {
+	if c.leaderTerm != m.leaderTerm {
 		return
 	}
-	p := &m.leadership.pipeline
+	p := &m.leaderTerm.pipeline
 	p.unknown--
 	for _, id := range m.ids {
-		if len(p.dependents[id]) > 0 && m.leadership.jobs[id] == nil {
+		if len(p.dependents[id]) > 0 && m.leaderTerm.jobs[id] == nil {
 			p.lookups = append(p.lookups, id)
 		}
 	}
@@ -370,7 +370,7 @@
 // unresolved tells whether it is still being read what some jobs await, or how that
 // ended. Until then a job may need a cancelled one without this leader knowing.
 func (p *pipeline) unresolved() bool {
-	lists := &p.leadership.awaitsLists
+	lists := &p.leaderTerm.awaitsLists
 	return p.lookingUp || len(p.lookups) > 0 || p.unknown > 0 || lists.reading || len(lists.unread) > 0
 }
 
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -46,7 +46,7 @@
 						}
 					}
 				}
-				pause(s.ctx, time.Second)
+				sleep(s.ctx, time.Second)
 			}
 		})
 	}
@@ -186,8 +186,8 @@
 		w.store.SetDown(false)
 		time.Sleep(4 * time.Second)
 		n.look(func(c *Controller) {
-			w.same("may run", len(c.leadership.jobs["job-11"].awaits), 0)
-			w.same("in the queue", slices.Contains(c.leadership.teams["red"].Items(), c.leadership.jobs["job-11"]), true)
+			w.same("may run", len(c.leaderTerm.jobs["job-11"].awaits), 0)
+			w.same("in the queue", slices.Contains(c.leaderTerm.teams["red"].Items(), c.leaderTerm.jobs["job-11"]), true)
 		})
 	})
 }
@@ -238,11 +238,11 @@
 		w.submit(n, after("job-2", "red", 100, "job-1"))
 		k.serve(n, 100)
 		n.look(func(c *Controller) {
-			r := c.leadership
-			w.same("demand", r.provisioner.demand(), 1.0)
-			w.same("in the queue", len(r.teams["red"].Items()), 1)
-			w.same("overlooked", r.overlooked, 0)
-			counts, _ := r.waits(time.Now())
+			lt := c.leaderTerm
+			w.same("demand", lt.provisioner.demand(), 1.0)
+			w.same("in the queue", len(lt.teams["red"].Items()), 1)
+			w.same("overlooked", lt.overlooked, 0)
+			counts, _ := lt.waits(time.Now())
 			w.same("why it waits", counts, map[string]int{"awaits others": 1})
 		})
 		st, err := n.Job(context.Background(), "job-2")
@@ -255,10 +255,10 @@
 		k.serve(n, 3)
 		w.same("begun", len(k.running()), 4)
 		n.look(func(c *Controller) {
-			j := c.leadership.jobs["job-2"]
+			j := c.leaderTerm.jobs["job-2"]
 			w.same("since it could run", time.Since(j.since) < 5*time.Second, true)
 			w.same("its aim", time.Until(j.aims[0]) > 80*time.Second, true)
-			w.same("demand", c.leadership.provisioner.demand(), 16.0)
+			w.same("demand", c.leaderTerm.provisioner.demand(), 16.0)
 		})
 	})
 }
@@ -279,18 +279,18 @@
 		accepted := time.Now()
 		time.Sleep(1500 * time.Millisecond) // the queues are put in order once a second
 		n.look(func(c *Controller) {
-			r := c.leadership
+			lt := c.leaderTerm
 			takes := 30*time.Second + time.Second + stageLag // estimate, a report, and the lag
 			for id, stages := range map[string]int{"job-4": 0, "job-2": 1, "job-3": 1, "job-1": 2} {
-				j := r.jobs[id]
+				j := lt.jobs[id]
 				want := accepted.Add(300*time.Second - time.Duration(stages)*takes)
 				if d := j.aims[0].Sub(want); d < -time.Second || d > time.Second {
 					t.Errorf("%s should be complete %v from the wanted time", id, d)
 				}
 				w.same(id+" rank", j.rank, api.PriorityRank("urgent"))
 			}
-			w.same("of another pipeline", r.jobs["job-8"].rank, api.PriorityRank("low"))
-			w.same("served first", r.teams["red"].Items()[0].ID(), "job-1")
+			w.same("of another pipeline", lt.jobs["job-8"].rank, api.PriorityRank("low"))
+			w.same("served first", lt.teams["red"].Items()[0].ID(), "job-1")
 		})
 	})
 }
@@ -324,7 +324,7 @@
 				n.crash()
 				n = w.start("n0")
 				time.Sleep(2 * time.Second)
-				n.look(func(c *Controller) { w.same("in the queue", len(c.leadership.teams["red"].Items()), 1) })
+				n.look(func(c *Controller) { w.same("in the queue", len(c.leaderTerm.teams["red"].Items()), 1) })
 				if _, err := n.Abort(context.Background(), "job-0"); err != nil {
 					t.Fatal(err)
 				}
@@ -339,7 +339,7 @@
 					}
 				}
 				n.look(func(c *Controller) {
-					w.same("left in memory", len(c.leadership.jobs)+len(c.leadership.pipeline.dependents)+len(c.leadership.pipeline.pendingCancels), 0)
+					w.same("left in memory", len(c.leaderTerm.jobs)+len(c.leaderTerm.pipeline.dependents)+len(c.leaderTerm.pipeline.pendingCancels), 0)
 				})
 			})
 		})
@@ -356,7 +356,7 @@
 		for i := range 20 {
 			w.submit(n, after(fmt.Sprint("job-2", i), "red", 1, "job-1"))
 		}
-		n.look(func(c *Controller) { c.leadership.teams["blue"].CPUsMax = 1000 })
+		n.look(func(c *Controller) { c.leaderTerm.teams["blue"].CPUsMax = 1000 })
 		var ks []*worker
 		for i := range 30 {
 			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
@@ -378,12 +378,12 @@
 			}
 		}
 		work(3)
-		n.look(func(c *Controller) { c.leadership.jobs["job-1"].heldUntil = time.Now().Add(time.Hour) })
+		n.look(func(c *Controller) { c.leaderTerm.jobs["job-1"].heldUntil = time.Now().Add(time.Hour) })
 		if _, err := n.Abort(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
 		work(20)
-		n.look(func(c *Controller) { w.same("ends wait", len(c.leadership.recorder.finishing) > 20, true) })
+		n.look(func(c *Controller) { w.same("ends wait", len(c.leaderTerm.recorder.finishing) > 20, true) })
 		for i := range 20 {
 			w.same("needs it", w.phase(n, fmt.Sprint("job-2", i)), api.JobWithdrawn)
 		}
@@ -426,7 +426,7 @@
 					w.same(id, w.phase(n, id), api.JobWithdrawn)
 				}
 				n.look(func(c *Controller) {
-					w.same("still to do", len(c.leadership.jobs)+len(c.leadership.pipeline.pendingCancels)+len(c.leadership.pipeline.dependents), 0)
+					w.same("still to do", len(c.leaderTerm.jobs)+len(c.leaderTerm.pipeline.pendingCancels)+len(c.leaderTerm.pipeline.dependents), 0)
 				})
 			})
 		})
@@ -511,33 +511,33 @@
 				n := w.start("n0")
 				measure := func(jobs int) (deadline, cancel uint64) {
 					n.look(func(c *Controller) {
-						r := c.leadership
+						lt := c.leaderTerm
 						add := func(id, awaits int, dueS float64) {
 							s := spec(fmt.Sprint("job-", id), 1)
 							if awaits > 0 {
 								s.Awaits = need(awaits)
 							}
 							s.Class, s.DeadlineS, s.EstimateS = "stage", dueS, float64(10+20*(id%2))
-							r.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s, Accepted: time.Now()}, uint64(1000+id))
+							lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s, Accepted: time.Now()}, uint64(1000+id))
 						}
 						for i := range jobs {
 							add(i, i, 0)
 						}
 						deadline = work(func() { add(jobs, jobs, 600) })
-						if len(r.jobs["job-0"].due) == 0 {
+						if len(lt.jobs["job-0"].due) == 0 {
 							t.Error("the deadline did not reach the first job")
 						}
 						cancel = work(func() { c.cancelled("job-0") })
 						pending := map[*job]bool{}
-						for _, j := range r.pipeline.pendingCancels {
+						for _, j := range lt.pipeline.pendingCancels {
 							pending[j] = true
 						}
-						w.same("cancelled, each once", []int{len(pending), len(r.pipeline.pendingCancels)}, []int{jobs, jobs})
+						w.same("cancelled, each once", []int{len(pending), len(lt.pipeline.pendingCancels)}, []int{jobs, jobs})
 						for j := range pending {
-							r.withdraw(j)
+							lt.withdraw(j)
 						}
-						w.same("left", len(r.jobs)+len(r.pipeline.dependents), 0)
-						r.pipeline.pendingCancels = nil
+						w.same("left", len(lt.jobs)+len(lt.pipeline.dependents), 0)
+						lt.pipeline.pendingCancels = nil
 						c.final.Purge()
 					})
 					return deadline, cancel
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -8,13 +8,13 @@
 )
 
 // place pulls tasks for a machine with free room.
-func (r *leadership) place(m *machine, orders []api.Order, now time.Time) []api.Order {
-	if !m.open(now) || !r.mayStart(now) {
+func (lt *leaderTerm) place(m *machine, orders []api.Order, now time.Time) []api.Order {
+	if !m.open(now) || !lt.mayStart(now) {
 		return orders
 	}
 	m.lookFetches()
 	for len(orders) < maxOrders {
-		j := r.pick(m, now)
+		j := lt.pick(m, now)
 		if j == nil {
 			break
 		}
@@ -23,7 +23,7 @@
 		if !ok {
 			break
 		}
-		a := &attempt{key: attemptKey{j.taskRef(task), r.nextAttempt()}, machine: m, job: j, task: task,
+		a := &attempt{key: attemptKey{j.taskRef(task), lt.nextAttempt()}, machine: m, job: j, task: task,
 			sentSession: m.session, sentAt: now}
 		m.attempts[a.key] = a
 		if !m.images.has(j.spec.Image) {
@@ -32,7 +32,7 @@
 		j.passed = time.Time{}
 		j.live[task] = a
 		a.charge(1)
-		r.counts.started++
+		lt.counts.started++
 		orders = append(orders, api.Order{Verb: api.VerbStart, Task: a.key.ref, Attempt: a.key.id})
 	}
 	return orders
@@ -42,17 +42,17 @@
 // guarantees cover comes first: no team waits for another there, so the job
 // that must begin soonest is taken. What they borrow is served by the teams in
 // turn by shares, urgent work before the rest.
-func (r *leadership) pick(m *machine, now time.Time) *job {
+func (lt *leaderTerm) pick(m *machine, now time.Time) *job {
 	if m.freeCPUs() < slack && m.gpus <= m.usedGPUs {
 		return nil
 	}
-	if j := r.behindFirst(m, now); j != nil {
+	if j := lt.behindFirst(m, now); j != nil {
 		return j
 	}
 	for _, suited := range []bool{true, false} {
 		var best *job
-		for _, t := range r.turns {
-			j := r.first(t, m, true, suited, now)
+		for _, t := range lt.turns {
+			j := lt.first(t, m, true, suited, now)
 			if j != nil && (best == nil || queue.Before(j, best)) {
 				best = j
 			}
@@ -60,9 +60,9 @@
 		if best != nil {
 			return best
 		}
-		queue.Turns(r.turns)
-		for _, t := range r.turns {
-			j := r.first(t, m, false, suited, now)
+		queue.Turns(lt.turns)
+		for _, t := range lt.turns {
+			j := lt.first(t, m, false, suited, now)
 			if j != nil && (best == nil || queue.Urgency(j) < queue.Urgency(best)) {
 				best = j
 			}
@@ -71,7 +71,7 @@
 			return best
 		}
 	}
-	return r.loans.pickGuest(m, now)
+	return lt.loans.pickGuest(m, now)
 }
 
 // Jobs that cannot be in time give way to those that can, but not without
@@ -86,18 +86,18 @@
 )
 
 // behindFirst is the job that goes before all others on a machine, if any.
-func (r *leadership) behindFirst(m *machine, now time.Time) *job {
+func (lt *leaderTerm) behindFirst(m *machine, now time.Time) *job {
 	var best *job
-	turn := r.attempts%behindShare == 0
-	if !turn && r.overlooked == 0 {
+	turn := lt.attemptCount%behindShare == 0
+	if !turn && lt.overlooked == 0 {
 		return nil
 	}
-	for _, t := range r.turns {
+	for _, t := range lt.turns {
 		for _, j := range t.Items() {
 			if j.flight.Untaken() == 0 || !(j.overlooked && !j.begun() || turn && j.behind(now)) {
 				continue
 			}
-			if (best == nil || j.since.Before(best.since)) && r.eligible(j, m, now) {
+			if (best == nil || j.since.Before(best.since)) && lt.eligible(j, m, now) {
 				best = j
 			}
 		}
@@ -108,10 +108,10 @@
 // first is the first job of a team's queue that this machine may serve, among
 // those whose next task is within the guarantee or among the others, and among
 // those that the machine suits or among all.
-func (r *leadership) first(t *queue.Team[*job], m *machine, guaranteed, suited bool, now time.Time) *job {
+func (lt *leaderTerm) first(t *queue.Team[*job], m *machine, guaranteed, suited bool, now time.Time) *job {
 	for _, j := range t.Items() {
 		if j.flight.Untaken() > 0 && t.Guaranteed(j.spec.CPUs, j.spec.GPUs) == guaranteed &&
-			r.eligible(j, m, now) && (!(suited || j.hurries(now)) || r.suits(j, m, now)) && !r.betterElsewhere(j, m, now) {
+			lt.eligible(j, m, now) && (!(suited || j.hurries(now)) || lt.suits(j, m, now)) && !lt.betterElsewhere(j, m, now) {
 			return j
 		}
 	}
@@ -119,22 +119,22 @@
 }
 
 // eligible tells whether the next task of a job may start on a machine.
-func (r *leadership) eligible(j *job, m *machine, now time.Time) bool {
+func (lt *leaderTerm) eligible(j *job, m *machine, now time.Time) bool {
 	s := &j.spec
 	switch {
 	case j.over || j.finishing || j.handover || j.lent != nil || now.Before(j.heldUntil):
 		return false
 	case j.guest != nil && !j.withinGrant():
 		return false
-	case r.unheard > 0 && j.mark <= r.term.Mark:
+	case lt.unheard > 0 && j.mark <= lt.term.Mark:
 		// A machine not heard in this term may hold any task that was
 		// accepted before it.
 		return false
 	case !m.fits(s) || !typeAllowed(s, m.typ) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.Spot):
 		return false
-	case !j.team.Allowed(s.CPUs, s.GPUs, r.unheardCPUs+r.foreignCPUs, r.unheardGPUs):
+	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unheardCPUs+lt.foreignCPUs, lt.unheardGPUs):
 		return false
-	case j.errors[m.name] >= 2 || j.onlyBarred(m) || !(m.canFetch(s.Image, r.fetches) || r.quickFetch(j, m)):
+	case j.errors[m.name] >= 2 || j.onlyBarred(m) || !(m.canFetch(s.Image, lt.fetches) || lt.quickFetch(j, m)):
 		return false
 	}
 	if s.OneZone {
@@ -152,12 +152,12 @@
 // work gathers where its image is, on cheap machines and on those in use, and
 // the others become empty and go back to the cloud. A job that has waited
 // for its grace is taken by anybody.
-func (r *leadership) betterElsewhere(j *job, m *machine, now time.Time) bool {
-	if now.Sub(j.waiting) > r.grace {
+func (lt *leaderTerm) betterElsewhere(j *job, m *machine, now time.Time) bool {
+	if now.Sub(j.waiting) > lt.grace {
 		return false
 	}
 	if now.Sub(j.room.at) >= tickInterval {
-		r.findRoom(j, now)
+		lt.findRoom(j, now)
 	}
-	return j.room.below(r.placementCost(j, m)-0.5) >= j.flight.Untaken()
+	return j.room.below(lt.placementCost(j, m)-0.5) >= j.flight.Untaken()
 }
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -107,13 +107,13 @@
 		m.reply <- pollReply{st: st, answered: true}
 		return
 	}
-	if c.leadership != nil && c.valid() && c.leadership.loaded && c.leadership.knows(m.id) {
-		c.leadership.confirm.add(m)
+	if c.leaderTerm != nil && c.holdsLease() && c.leaderTerm.loaded && c.leaderTerm.knows(m.id) {
+		c.leaderTerm.confirm.add(m)
 		return
 	}
 	now := time.Now()
 	reply := pollReply{storeLost: !c.peerTable.storeOK}
-	if c.leadership == nil {
+	if c.leaderTerm == nil {
 		reply.leader = c.leads(now)
 	}
 	for name, n := range c.peerTable.nodes {
@@ -130,7 +130,7 @@
 // followed by another. One comparison of the two keys' versions serves all
 // polls that came before it was sent.
 type confirmer struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	waiting    []*pollMsg
 	busy       bool
 	// last is when the store was last asked. It is so from time to time even if
@@ -144,19 +144,19 @@
 }
 
 func (f *confirmer) start() {
-	if f.busy || (len(f.waiting) == 0 && time.Since(f.last) < f.leadership.c.proofInterval()) {
+	if f.busy || (len(f.waiting) == 0 && time.Since(f.last) < f.leaderTerm.c.proofInterval()) {
 		return
 	}
 	f.last = time.Now()
 	f.busy = true
-	r, batch, sent := f.leadership, f.waiting, f.last
+	lt, batch, sent := f.leaderTerm, f.waiting, f.last
 	f.waiting = nil
-	txn := store.Txn{Guards: []store.Guard{r.termGuard(), {Key: store.CancelKey, Mark: r.cancelMark}}}
+	txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: store.CancelKey, Mark: lt.cancelMark}}}
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, 700*time.Millisecond)
+		ctx, cancel := context.WithTimeout(lt.ctx, 700*time.Millisecond)
 		defer cancel()
-		res, err := r.c.Store.Txn(ctx, txn)
-		r.post(confirmedMsg{r, batch, sent, res, err})
+		res, err := lt.c.Store.Txn(ctx, txn)
+		lt.sendToOwner(confirmedMsg{lt, batch, sent, res, err})
 	}()
 }
 
@@ -165,7 +165,7 @@
 const confirmPause = 200 * time.Millisecond
 
 type confirmedMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	batch      []*pollMsg
 	sent       time.Time
 	res        store.Result
@@ -173,18 +173,18 @@
 }
 
 func (m confirmedMsg) apply(c *Controller) {
-	f := &m.leadership.confirm
+	f := &m.leaderTerm.confirm
 	switch {
-	case c.leadership != m.leadership || m.err != nil:
+	case c.leaderTerm != m.leaderTerm || m.err != nil:
 		for _, p := range m.batch {
 			p.reply <- pollReply{err: api.ErrUnavailable}
 		}
 	case m.res.OK:
-		m.leadership.cancellationsConfirmedAt = m.sent
+		m.leaderTerm.cancellationsConfirmedAt = m.sent
 		for _, p := range m.batch {
-			p.reply <- m.leadership.answer(p.id)
+			p.reply <- m.leaderTerm.answer(p.id)
 		}
-	case m.leadership.superseded(m.res):
+	case m.leaderTerm.checkTermConflict(m.res):
 		for _, p := range m.batch {
 			p.reply <- pollReply{err: api.ErrUnavailable}
 		}
@@ -199,32 +199,32 @@
 			}
 		}
 	}
-	if c.leadership == m.leadership {
-		time.AfterFunc(confirmPause, func() { m.leadership.post(confirmNextMsg{m.leadership}) })
+	if c.leaderTerm == m.leaderTerm {
+		time.AfterFunc(confirmPause, func() { m.leaderTerm.sendToOwner(confirmNextMsg{m.leaderTerm}) })
 	}
 }
 
-type confirmNextMsg struct{ leadership *leadership }
+type confirmNextMsg struct{ leaderTerm *leaderTerm }
 
 func (m confirmNextMsg) apply(c *Controller) {
-	if c.leadership == m.leadership {
-		m.leadership.confirm.busy = false
-		m.leadership.confirm.start()
+	if c.leaderTerm == m.leaderTerm {
+		m.leaderTerm.confirm.busy = false
+		m.leaderTerm.confirm.start()
 	}
 }
 
 // knows tells whether this cell's users may know a job that is active.
-func (r *leadership) knows(id string) bool {
-	j := r.jobs[id]
+func (lt *leaderTerm) knows(id string) bool {
+	j := lt.jobs[id]
 	return j != nil && j.guest == nil
 }
 
 // answer is what the leader's memory says of a job.
-func (r *leadership) answer(id string) pollReply {
-	if st, ok := r.c.final.Get(id); ok {
+func (lt *leaderTerm) answer(id string) pollReply {
+	if st, ok := lt.c.final.Get(id); ok {
 		return pollReply{st: st, answered: true}
 	}
-	j := r.jobs[id]
+	j := lt.jobs[id]
 	switch {
 	case j == nil || j.guest != nil:
 		return pollReply{} // the store knows
@@ -233,7 +233,7 @@
 		// jobs follow from one cancellation, their users need not wait for the
 		// write rate.
 		return pollReply{st: api.JobState{ID: id, Phase: api.JobWithdrawn, Derived: true}, answered: true}
-	case j.ending, len(j.awaits) > 0 && r.pipeline.unresolved():
+	case j.ending, len(j.awaits) > 0 && lt.pipeline.unresolved():
 		// In the second case one that it needs may be cancelled, and an earlier
 		// leader or another node may have told so.
 		return pollReply{}
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -19,10 +19,10 @@
 // is a part of the leadership and speaks to the cloud through goroutines that
 // answer by messages.
 type provisioner struct {
-	r       *leadership
-	named   int
-	renting int
-	asked   float64 // CPUs of rentals whose outcome is not known yet
+	leaderTerm *leaderTerm
+	named      int
+	renting    int
+	asked      float64 // CPUs of rentals whose outcome is not known yet
 	// pendingRentals are the rentals that are not answered yet, by name.
 	pendingRentals map[string]fleet.Purchase
 	blocked        map[fleet.Kind]time.Time
@@ -45,8 +45,8 @@
 	blockedFor = 15 * time.Second
 )
 
-func (f *provisioner) init(r *leadership) {
-	f.r = r
+func (f *provisioner) init(lt *leaderTerm) {
+	f.leaderTerm = lt
 	f.blocked = map[fleet.Kind]time.Time{}
 	f.pendingRentals = map[string]fleet.Purchase{}
 }
@@ -65,7 +65,7 @@
 func (f *provisioner) demand() float64 {
 	bootedAt := time.Now().Add(f.longestBoot())
 	sum := 0.0
-	for _, t := range f.r.allTeams() {
+	for _, t := range f.leaderTerm.allTeams() {
 		atOnce, inTime := t.UsedCPUs, t.UsedCPUs
 		for _, j := range t.Items() {
 			if j.finishing || j.faulty > 0 {
@@ -82,17 +82,17 @@
 }
 
 // allTeams are the cell's own teams and those of guests: what was accepted is to run.
-func (r *leadership) allTeams() []*queue.Team[*job] {
-	if len(r.loans.guestTurns) == 0 {
-		return r.turns
+func (lt *leaderTerm) allTeams() []*queue.Team[*job] {
+	if len(lt.loans.guestTurns) == 0 {
+		return lt.turns
 	}
-	return slices.Concat(r.turns, r.loans.guestTurns)
+	return slices.Concat(lt.turns, lt.loans.guestTurns)
 }
 
 // longestBoot is how long the slowest type of machine usually takes to boot.
 func (f *provisioner) longestBoot() time.Duration {
 	boot := 0.0
-	for _, mt := range f.r.c.types.load() {
+	for _, mt := range f.leaderTerm.c.types.load() {
 		boot = max(boot, mt.BootS)
 	}
 	return config.Seconds(boot)
@@ -100,24 +100,24 @@
 
 // rent covers what is lacking.
 func (f *provisioner) rent(now time.Time) {
-	r := f.r
+	lt := f.leaderTerm
 	used, total := 0.0, 0.0
-	for _, m := range r.machines {
+	for _, m := range lt.machines {
 		used += m.usedCPUs
 		if !m.leaving && !m.gone {
 			total += m.cpus
 		}
 	}
 	booting := f.asked
-	for _, e := range r.expected {
+	for _, e := range lt.expected {
 		if !e.returning {
 			booting += e.cpus
 		}
 	}
-	want := max(f.demand()*(1+r.c.Policy.Headroom), r.c.Policy.MinCPUs)
-	f.surplus = total - f.peak.add(now, want, r.c.Policy.Hold)
+	want := max(f.demand()*(1+lt.c.Policy.Headroom), lt.c.Policy.MinCPUs)
+	f.surplus = total - f.peak.add(now, want, lt.c.Policy.Hold)
 	f.drain(now)
-	if r.unheard > 0 {
+	if lt.unheard > 0 {
 		return
 	}
 	offers := f.offers(now)
@@ -134,9 +134,9 @@
 		f.named++
 		f.renting++
 		f.asked += float64(p.Count) * p.CPUs
-		req := cloud.Rental{Name: f.r.rentalName(f.named), Type: p.Type, Zone: p.Zone, Spot: p.Spot, Count: p.Count}
+		req := cloud.Rental{Name: f.leaderTerm.rentalName(f.named), Type: p.Type, Zone: p.Zone, Spot: p.Spot, Count: p.Count}
 		f.pendingRentals[req.Name] = p
-		go f.r.sendRental(req, p.Offer)
+		go f.leaderTerm.sendRental(req, p.Offer)
 	}
 }
 
@@ -171,7 +171,7 @@
 func (f *provisioner) drain(now time.Time) {
 	spare := f.surplus
 	var draining, rest []*machine
-	for _, m := range f.r.machines {
+	for _, m := range f.leaderTerm.machines {
 		switch {
 		case m.leaving || m.gone:
 		case m.draining:
@@ -203,7 +203,7 @@
 		}
 		spare -= m.cpus
 		m.draining = true
-		f.r.c.Log.Debug("machine drained", "machine", m.name, "tasks", len(m.attempts), "spare", spare)
+		f.leaderTerm.c.Log.Debug("machine drained", "machine", m.name, "tasks", len(m.attempts), "spare", spare)
 	}
 }
 
@@ -222,12 +222,12 @@
 // where they were.
 func (f *provisioner) move(now time.Time) {
 	room := 0.0
-	for _, m := range f.r.machines {
+	for _, m := range f.leaderTerm.machines {
 		if m.open(now) {
 			room += m.freeCPUs()
 		}
 	}
-	for _, m := range f.r.machines {
+	for _, m := range f.leaderTerm.machines {
 		if !m.draining || room < ampleRoom*m.usedCPUs {
 			continue
 		}
@@ -240,9 +240,9 @@
 			left := s.Estimate() - ran
 			aim := a.job.latest.Add(s.Estimate())
 			if ran > moveAfter && left > moveUnless+s.Save() &&
-				(a.job.hopeless || now.Add(left*5/4+s.Save()+3*f.r.c.Settings.Site.Workers.Report()+moveMargin).Before(aim)) {
+				(a.job.hopeless || now.Add(left*5/4+s.Save()+3*f.leaderTerm.c.Settings.Site.Workers.Report()+moveMargin).Before(aim)) {
 				room -= s.CPUs
-				f.r.stop(a, 2*s.Save()+time.Second, now)
+				f.leaderTerm.stop(a, 2*s.Save()+time.Second, now)
 			}
 		}
 	}
@@ -251,13 +251,13 @@
 // offers are the kinds of machine that were not refused lately.
 func (f *provisioner) offers(now time.Time) []fleet.Offer {
 	var all []fleet.Offer
-	for _, mt := range f.r.c.types.load() {
+	for _, mt := range f.leaderTerm.c.types.load() {
 		for _, z := range mt.Zones {
 			for _, spot := range []bool{true, false} {
 				o := fleet.Offer{Type: mt.Name, Zone: z, Spot: spot, CPUs: mt.CPUs, Price: mt.Price,
 					Boot: time.Duration(mt.BootS * float64(time.Second))}
 				if spot {
-					if !f.r.c.Policy.UseSpot || mt.SpotPrice <= 0 {
+					if !f.leaderTerm.c.Policy.UseSpot || mt.SpotPrice <= 0 {
 						continue
 					}
 					o.Price = mt.SpotPrice
@@ -272,54 +272,54 @@
 }
 
 // sendRental sends a rental until its outcome is known. The name makes repeats safe.
-func (r *leadership) sendRental(req cloud.Rental, o fleet.Offer) {
+func (lt *leaderTerm) sendRental(req cloud.Rental, o fleet.Offer) {
 	wait := time.Second
 	for range 6 {
-		ctx, cancel := context.WithTimeout(r.ctx, 5*time.Second)
-		hosts, err := r.c.Cloud.Rent(ctx, req)
+		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
+		hosts, err := lt.c.Cloud.Rent(ctx, req)
 		cancel()
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-			r.post(rentedMsg{r, req, o, hosts})
+			lt.sendToOwner(rentedMsg{lt, req, o, hosts})
 			return
 		}
-		r.c.Log.Debug("rental", "name", req.Name, "err", err)
-		pause(r.ctx, wait)
+		lt.c.Log.Debug("rental", "name", req.Name, "err", err)
+		sleep(lt.ctx, wait)
 		wait = min(2*wait, 8*time.Second)
 	}
 	// If it was carried out after all, the list or a report shows it.
-	r.post(rentedMsg{r: r, req: req, o: o})
+	lt.sendToOwner(rentedMsg{leaderTerm: lt, req: req, o: o})
 }
 
 type rentedMsg struct {
-	r     *leadership
-	req   cloud.Rental
-	o     fleet.Offer
-	hosts []string
+	leaderTerm *leaderTerm
+	req        cloud.Rental
+	o          fleet.Offer
+	hosts      []string
 }
 
 func (m rentedMsg) apply(c *Controller) {
-	r := m.r
-	if c.leadership != r {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
 		return
 	}
 	now := time.Now()
-	r.provisioner.renting--
-	delete(r.provisioner.pendingRentals, m.req.Name)
-	r.provisioner.asked -= float64(m.req.Count) * m.o.CPUs
+	lt.provisioner.renting--
+	delete(lt.provisioner.pendingRentals, m.req.Name)
+	lt.provisioner.asked -= float64(m.req.Count) * m.o.CPUs
 	if len(m.hosts) < m.req.Count {
-		r.provisioner.blocked[m.o.Kind()] = now.Add(blockedFor)
+		lt.provisioner.blocked[m.o.Kind()] = now.Add(blockedFor)
 	}
 	if len(m.hosts) > 0 {
 		c.Log.Info("machines rented", "type", m.req.Type, "zone", m.req.Zone, "spot", m.req.Spot,
 			"asked", m.req.Count, "got", len(m.hosts))
 	}
 	for _, h := range m.hosts {
-		if r.machines[h] == nil && !r.returned.Contains(h) {
-			r.expected[h] = &expected{typ: m.req.Type, zone: m.req.Zone, spot: m.req.Spot, since: now, boot: m.o.Boot, cpus: m.o.CPUs}
+		if lt.machines[h] == nil && !lt.returned.Contains(h) {
+			lt.expected[h] = &expected{typ: m.req.Type, zone: m.req.Zone, spot: m.req.Spot, since: now, boot: m.o.Boot, cpus: m.o.CPUs}
 		}
 	}
-	if c.valid() {
-		r.provisioner.rent(now) // what is still lacking is asked for at once
+	if c.holdsLease() {
+		lt.provisioner.rent(now) // what is still lacking is asked for at once
 	}
 }
 
@@ -327,9 +327,9 @@
 // first, as far as what remains covers the demand.
 func (f *provisioner) idle(now time.Time) []*machine {
 	var out []*machine
-	for _, m := range f.r.machines {
+	for _, m := range f.leaderTerm.machines {
 		if m.leaving || m.gone || !m.heard || m.cpus == 0 || len(m.attempts) > 0 ||
-			(!m.draining && now.Sub(m.idle) < f.r.c.Policy.IdleReturn) || now.Sub(m.since) < minimumStay {
+			(!m.draining && now.Sub(m.idle) < f.leaderTerm.c.Policy.IdleReturn) || now.Sub(m.since) < minimumStay {
 			continue
 		}
 		out = append(out, m)
@@ -351,7 +351,7 @@
 // cheapest is the lowest price of a CPU.
 func (f *provisioner) cheapest() float64 {
 	best := math.Inf(1)
-	for _, mt := range f.r.c.types.load() {
+	for _, mt := range f.leaderTerm.c.types.load() {
 		for _, p := range []float64{mt.Price, mt.SpotPrice} {
 			if p > 0 && mt.CPUs > 0 {
 				best = min(best, p/mt.CPUs)
@@ -362,7 +362,7 @@
 }
 
 func (f *provisioner) cpuPrice(m *machine) float64 {
-	mt, ok := f.r.c.types.load()[m.typ]
+	mt, ok := f.leaderTerm.c.types.load()[m.typ]
 	if !ok || mt.CPUs == 0 {
 		return 0
 	}
@@ -387,40 +387,40 @@
 	names := slices.Clone(f.returns[:n])
 	f.returns = f.returns[n:]
 	f.sending = true
-	r := f.r
+	lt := f.leaderTerm
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, 5*time.Second)
+		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
 		defer cancel()
-		err := r.c.Cloud.Return(ctx, names)
-		r.post(returnedMsg{r, names, err})
+		err := lt.c.Cloud.Return(ctx, names)
+		lt.sendToOwner(returnedMsg{lt, names, err})
 	}()
 }
 
 type returnedMsg struct {
-	r     *leadership
-	names []string
-	err   error
+	leaderTerm *leaderTerm
+	names      []string
+	err        error
 }
 
 func (m returnedMsg) apply(c *Controller) {
-	r := m.r
-	if c.leadership != r {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
 		return
 	}
-	r.provisioner.sending = false
+	lt.provisioner.sending = false
 	if m.err != nil {
 		c.Log.Debug("machines not returned", "machines", m.names, "err", m.err)
-		r.provisioner.returns = append(r.provisioner.returns, m.names...)
+		lt.provisioner.returns = append(lt.provisioner.returns, m.names...)
 		return
 	}
 	for _, name := range m.names {
-		delete(r.expected, name)
-		r.returned.Add(name, true)
-		if mc := r.machines[name]; mc != nil {
-			r.machineGone(mc)
+		delete(lt.expected, name)
+		lt.returned.Add(name, true)
+		if mc := lt.machines[name]; mc != nil {
+			lt.machineGone(mc)
 		}
 	}
-	r.provisioner.sendReturns()
+	lt.provisioner.sendReturns()
 }
 
 // list reads the cloud's list from time to time: for machines that nobody
@@ -430,27 +430,27 @@
 		return
 	}
 	f.listing = true
-	r := f.r
+	lt := f.leaderTerm
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, 5*time.Second)
+		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
 		defer cancel()
-		hosts, err := r.c.Cloud.List(ctx)
-		r.post(listedMsg{r, hosts, err})
+		hosts, err := lt.c.Cloud.List(ctx)
+		lt.sendToOwner(listedMsg{lt, hosts, err})
 	}()
 }
 
 type listedMsg struct {
-	r     *leadership
-	hosts []cloud.Machine
-	err   error
+	leaderTerm *leaderTerm
+	hosts      []cloud.Machine
+	err        error
 }
 
 func (m listedMsg) apply(c *Controller) {
-	r := m.r
-	if c.leadership != r {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
 		return
 	}
-	f := &r.provisioner
+	f := &lt.provisioner
 	now := time.Now()
 	f.listing, f.nextList = false, now.Add(listInterval)
 	if m.err != nil {
@@ -458,38 +458,38 @@
 		return
 	}
 	for i := range m.hosts {
-		r.listed(&m.hosts[i], now)
+		lt.listed(&m.hosts[i], now)
 	}
 }
 
 // listed processes one machine of the cloud's list, which lags.
-func (r *leadership) listed(h *cloud.Machine, now time.Time) {
-	if r.returned.Contains(h.Name) {
+func (lt *leaderTerm) listed(h *cloud.Machine, now time.Time) {
+	if lt.returned.Contains(h.Name) {
 		return
 	}
-	if m := r.machines[h.Name]; m != nil {
-		if h.Phase == cloud.PhaseFailed && !m.returning && now.Sub(m.lastSeen) > 2*r.c.Settings.Site.Workers.Report() {
-			r.leave(m, "stopped")
-			r.provisioner.giveBack(m)
+	if m := lt.machines[h.Name]; m != nil {
+		if h.Phase == cloud.PhaseFailed && !m.returning && now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.Report() {
+			lt.leave(m, "stopped")
+			lt.provisioner.giveBack(m)
 		}
 		return
 	}
-	mt := r.c.types.load()[h.Type]
+	mt := lt.c.types.load()[h.Type]
 	boot := time.Duration(mt.BootS * float64(time.Second))
 	age := time.Duration(h.AgeS * float64(time.Second))
-	e := r.expected[h.Name]
+	e := lt.expected[h.Name]
 	if e == nil {
 		e = &expected{typ: h.Type, zone: h.Zone, spot: h.Spot, since: now.Add(-age), boot: boot, cpus: mt.CPUs}
-		r.expected[h.Name] = e
+		lt.expected[h.Name] = e
 	}
 	if e.returning {
 		return
 	}
 	// A machine that is up reports within seconds; one that boots may take
 	// several times as long as usual.
-	if h.Phase == cloud.PhaseFailed || (now.Sub(e.since) > 4*boot+r.c.Settings.Site.Workers.Lease()) {
-		r.c.Log.Info("machine never reported", "machine", h.Name, "phase", h.Phase, "age", age.Round(time.Second))
+	if h.Phase == cloud.PhaseFailed || (now.Sub(e.since) > 4*boot+lt.c.Settings.Site.Workers.Lease()) {
+		lt.c.Log.Info("machine never reported", "machine", h.Name, "phase", h.Phase, "age", age.Round(time.Second))
 		e.returning = true
-		r.provisioner.returns = append(r.provisioner.returns, h.Name)
+		lt.provisioner.returns = append(lt.provisioner.returns, h.Name)
 	}
 }
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -17,7 +17,7 @@
 // recorder writes the leader's changes to the store: batched, one transaction
 // at a time, within a part of the write rate that leaves submissions theirs.
 type recorder struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	limiter    *rate.Limiter
 	maxOps     int
 	maxBytes   int
@@ -46,9 +46,9 @@
 
 const progressInterval = 500 * time.Millisecond
 
-func (w *recorder) init(r *leadership) {
-	lim := r.c.Settings.Site.State
-	w.leadership = r
+func (w *recorder) init(lt *leaderTerm) {
+	lim := lt.c.Settings.Site.State
+	w.leaderTerm = lt
 	w.maxOps = lim.TxnOps
 	records := lim.WriteRPS * store.RecordShare
 	// A burst of records leaves room for submissions in the service's own.
@@ -109,24 +109,24 @@
 		return
 	}
 	w.busy = true
-	r := w.leadership
+	lt := w.leaderTerm
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, 2*time.Second)
+		ctx, cancel := context.WithTimeout(lt.ctx, 2*time.Second)
 		defer cancel()
-		res, err := r.c.Store.Txn(ctx, b.txn)
-		r.post(recordedMsg{r, b, now, res, err})
+		res, err := lt.c.Store.Txn(ctx, b.txn)
+		lt.sendToOwner(recordedMsg{lt, b, now, res, err})
 	}()
 }
 
 func (w *recorder) newBatch() *batch {
-	return &batch{txn: store.Txn{Records: true, Guards: []store.Guard{w.leadership.termGuard()}}}
+	return &batch{txn: store.Txn{Records: true, Guards: []store.Guard{w.leaderTerm.termCompare()}}}
 }
 
 // next builds the next batch, the most urgent changes first, within what the
 // write rate allows at this moment.
 func (w *recorder) next(now time.Time) *batch {
 	b := w.newBatch()
-	if w.leadership.pipeline.add(b, now); len(b.txn.Ops) > 0 {
+	if w.leaderTerm.pipeline.add(b, now); len(b.txn.Ops) > 0 {
 		return b
 	}
 	allowed := min(w.maxOps, int(w.limiter.TokensAt(now)))
@@ -206,7 +206,7 @@
 }
 
 type recordedMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	batch      *batch
 	sent       time.Time
 	res        store.Result
@@ -214,10 +214,10 @@
 }
 
 func (m recordedMsg) apply(c *Controller) {
-	if c.leadership != m.leadership {
+	if c.leaderTerm != m.leaderTerm {
 		return
 	}
-	w := &m.leadership.recorder
+	w := &m.leaderTerm.recorder
 	w.busy = false
 	now := time.Now()
 	switch {
@@ -232,9 +232,9 @@
 		w.again(m.batch)
 		c.Log.Debug("records not written", "err", m.err)
 	case m.res.OK:
-		record(m.leadership.counts.recorded, now.Sub(m.sent))
+		record(m.leaderTerm.counts.recorded, now.Sub(m.sent))
 		w.recorded(m.batch)
-	case m.leadership.superseded(m.res):
+	case m.leaderTerm.checkTermConflict(m.res):
 	default:
 		w.again(m.batch)
 		var changed []*job
@@ -263,7 +263,7 @@
 // again queues the changes of a batch that was not carried out, or may not have been.
 func (w *recorder) again(b *batch) {
 	w.finishing = append(slices.Clone(b.finished), w.finishing...)
-	w.leadership.pipeline.pendingCancels = append(slices.Clone(b.derivedCancels), w.leadership.pipeline.pendingCancels...)
+	w.leaderTerm.pipeline.pendingCancels = append(slices.Clone(b.derivedCancels), w.leaderTerm.pipeline.pendingCancels...)
 	w.unwritten(b)
 	w.drops = append(slices.Clone(b.drops), w.drops...)
 	for _, p := range b.progressed {
@@ -274,7 +274,7 @@
 // lower reduces what a batch may hold after one was refused for good, although it
 // kept to the limits as this node knows them: a retry would be refused too.
 func (w *recorder) lower(b *batch, now time.Time) {
-	log := w.leadership.c.Log
+	log := w.leaderTerm.c.Log
 	log.Error("records refused as too large", "changes", len(b.txn.Ops), "bytes", b.bytes)
 	switch {
 	case len(b.txn.Ops) > 2:
@@ -299,19 +299,19 @@
 // unfit takes out of use a machine whose entry no shard can hold: the next leader would
 // not know of it, so it is never given a task.
 func (w *recorder) unfit(m *machine) {
-	w.leadership.c.Log.Error("machine's entry does not fit the roster", "machine", m.name)
-	w.leadership.leave(m, "does not fit the roster")
+	w.leaderTerm.c.Log.Error("machine's entry does not fit the roster", "machine", m.name)
+	w.leaderTerm.leave(m, "does not fit the roster")
 }
 
 // recorded updates the state of what a written batch has put on record.
 func (w *recorder) recorded(b *batch) {
-	r := w.leadership
+	lt := w.leaderTerm
 	for _, j := range b.finished {
-		r.finished(j)
+		lt.finished(j)
 	}
 	for _, j := range b.derivedCancels {
 		if !j.over {
-			r.withdraw(j)
+			lt.withdraw(j)
 		}
 	}
 	w.written(b)
@@ -332,21 +332,21 @@
 }
 
 // finished removes a job whose end is on record.
-func (r *leadership) finished(j *job) {
+func (lt *leaderTerm) finished(j *job) {
 	if j.over {
 		return
 	}
-	r.forget(j)
+	lt.forget(j)
 	now := time.Now()
-	r.c.final.Add(j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}.FinalState(j.spec.ID))
-	r.pipeline.done(j.spec.ID, now)
+	lt.c.final.Add(j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}.FinalState(j.spec.ID))
+	lt.pipeline.done(j.spec.ID, now)
 	for first, written := range j.chunks {
 		if written {
-			r.recorder.drop(store.ProgressKey(j.spec.ID, first))
+			lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
 		}
 	}
-	r.awaitsLists.drop(j)
-	r.c.Log.Debug("job done", "job", j.spec.ID, "class", j.spec.Class, "tasks", j.spec.Tasks,
+	lt.awaitsLists.drop(j)
+	lt.c.Log.Debug("job done", "job", j.spec.ID, "class", j.spec.Class, "tasks", j.spec.Tasks,
 		"lost", j.lost, "firstStart", j.after(j.firstStart), "lastStart", j.after(j.lastStart), "estimate", j.spec.EstimateS, "longest", j.longest.Round(time.Second/10),
 		"late", math.Round(time.Since(j.aims[0]).Seconds()))
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -51,16 +51,16 @@
 		w.submit(a, busy)
 		w.submit(a, spec("job-1", 2))
 		a.look(func(c *Controller) {
-			node := c.leadership.down.nodes["n1"]
+			node := c.leaderTerm.down.nodes["n1"]
 			for i, held := range []bool{true, true, false} {
 				delete(node.pending, "i-2")
 				if i == 0 {
 					node.pending["i-2"] = &relayedOrders{}
 				}
 				rep := far.rep
-				rep.Seq = c.leadership.machines["i-2"].seq + 1
+				rep.Seq = c.leaderTerm.machines["i-2"].seq + 1
 				var down peer.RelayDown
-				c.leadership.relayedReport(node, &rep, &down, i != 1, time.Now())
+				c.leaderTerm.relayedReport(node, &rep, &down, i != 1, time.Now())
 				w.same("held", len(down.Orders) == 0, held)
 			}
 		})
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -46,30 +46,30 @@
 }
 
 // tick reads what nodes out of reach have written.
-func (d *relayDown) tick(r *leadership, now time.Time) {
+func (d *relayDown) tick(lt *leaderTerm, now time.Time) {
 	if now.Before(d.next) {
 		return
 	}
 	d.next = now.Add(relayEvery / 2)
-	for name, n := range r.c.peerTable.nodes {
+	for name, n := range lt.c.peerTable.nodes {
 		node := d.nodes[name]
 		if node == nil {
 			node = &relayNode{pending: map[string]*relayedOrders{}}
 			d.nodes[name] = node
 		}
-		node.giveUp(r, now)
+		node.giveUp(lt, now)
 		if node.busy || !(n.lost() || len(node.pending) > 0) {
 			continue
 		}
 		node.busy = true
 		go func() {
-			ctx, cancel := context.WithTimeout(r.ctx, relayWait)
+			ctx, cancel := context.WithTimeout(lt.ctx, relayWait)
 			defer cancel()
-			up, err := readUp(ctx, r.c.Store, store.RelayPrefix+name+"/up/")
+			up, err := readUp(ctx, lt.c.Store, store.RelayPrefix+name+"/up/")
 			if err != nil {
-				r.c.Log.Debug("relayed reports not read", "node", name, "err", err)
+				lt.c.Log.Debug("relayed reports not read", "node", name, "err", err)
 			}
-			r.post(relayReadMsg{r, name, up})
+			lt.sendToOwner(relayReadMsg{lt, name, up})
 		}()
 	}
 }
@@ -77,20 +77,20 @@
 // restarted handles the incarnation under which a node is seen. One that was
 // started anew hands nothing out that it was given before: the next reports
 // decide.
-func (d *relayDown) restarted(r *leadership, name, incarnation string) {
+func (d *relayDown) restarted(lt *leaderTerm, name, incarnation string) {
 	node := d.nodes[name]
 	if node == nil || incarnation == "" || node.incarnation == incarnation {
 		return
 	}
 	for machine, p := range node.pending {
-		p.settled(r, 1)
+		p.settled(lt, 1)
 		delete(node.pending, machine)
 	}
 }
 
 // giveUp bounds how long a machine is held for a node that tells nothing any
 // more: it gets no more work, and its return settles what became of its orders.
-func (n *relayNode) giveUp(r *leadership, now time.Time) {
+func (n *relayNode) giveUp(lt *leaderTerm, now time.Time) {
 	for name, p := range n.pending {
 		if now.Sub(p.since) < outcomeWithin {
 			continue
@@ -99,9 +99,9 @@
 		for _, a := range p.starts {
 			if a.direct.waiting = false; a.seen == 0 && a.machine.attempts[a.key] == a {
 				a.direct.unconfirmed = true
-				r.leave(a.machine, "order unanswered")
+				lt.leave(a.machine, "order unanswered")
 				if a.job.over {
-					r.settleUnconfirmed(a)
+					lt.settleUnconfirmed(a)
 				}
 			}
 		}
@@ -130,23 +130,23 @@
 
 // relayReadMsg brings what a node has written; nil: nothing.
 type relayReadMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	node       string
 	up         *peer.RelayUp
 }
 
 func (m relayReadMsg) apply(c *Controller) {
-	r := m.leadership
-	if c.leadership != r {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
 		return
 	}
-	node := r.down.nodes[m.node]
+	node := lt.down.nodes[m.node]
 	node.busy = false
 	up := m.up
-	if up == nil || up.Term != r.term.Number || !c.valid() || !r.loaded {
+	if up == nil || up.Term != lt.term.Number || !c.holdsLease() || !lt.loaded {
 		return
 	}
-	if r.down.restarted(r, m.node, up.Incarnation); node.incarnation != up.Incarnation {
+	if lt.down.restarted(lt, m.node, up.Incarnation); node.incarnation != up.Incarnation {
 		*node = relayNode{incarnation: up.Incarnation, batch: up.Got, pending: map[string]*relayedOrders{}}
 	}
 	if up.Batch <= node.seen {
@@ -155,32 +155,32 @@
 	node.seen, node.got = up.Batch, up.Got
 	for _, o := range up.Outcomes {
 		if p := node.pending[o.Machine]; p != nil && p.base == o.Base {
-			p.settled(r, o.Handed)
+			p.settled(lt, o.Handed)
 			delete(node.pending, o.Machine)
 		}
 	}
 	now := time.Now()
-	answer := &peer.RelayDown{Term: r.term.Number, Incarnation: node.incarnation, Seen: node.seen}
+	answer := &peer.RelayDown{Term: lt.term.Number, Incarnation: node.incarnation, Seen: node.seen}
 	confirmed := node.got == node.batch
 	for _, rep := range up.Reports {
-		r.relayedReport(node, rep.Unpack(), answer, confirmed, now)
+		lt.relayedReport(node, rep.Unpack(), answer, confirmed, now)
 	}
 	if confirmed {
 		node.batch++
 	}
 	answer.Batch = node.batch
-	r.writeDown(m.node, node, answer, confirmed)
+	lt.writeDown(m.node, node, answer, confirmed)
 }
 
 // relayedReport takes a relayed report in and adds its orders to the answer.
-func (r *leadership) relayedReport(node *relayNode, rep *api.Report, answer *peer.RelayDown, confirmed bool, now time.Time) {
-	mc := r.machines[rep.Machine]
+func (lt *leaderTerm) relayedReport(node *relayNode, rep *api.Report, answer *peer.RelayDown, confirmed bool, now time.Time) {
+	mc := lt.machines[rep.Machine]
 	hold := !confirmed || node.pending[rep.Machine] != nil
 	if mc != nil {
 		mc.held = hold
 	}
-	ans, err := r.report(rep, now)
-	if mc = r.machines[rep.Machine]; mc == nil {
+	ans, err := lt.report(rep, now)
+	if mc = lt.machines[rep.Machine]; mc == nil {
 		return
 	}
 	mc.held, mc.asked = false, nil
@@ -200,19 +200,19 @@
 
 // settled records the outcome of orders: handed is the report in whose answer
 // they were handed out, or 0.
-func (p *relayedOrders) settled(r *leadership, handed uint64) {
+func (p *relayedOrders) settled(lt *leaderTerm, handed uint64) {
 	for _, a := range p.starts {
 		a.direct.waiting = false
 		if handed > 0 {
 			a.direct.seq = handed + 1
 		} else if a.seen == 0 && a.machine.attempts[a.key] == a {
-			r.offMachine(a)
+			lt.offMachine(a)
 		}
 	}
 }
 
 // cut takes back the latter half of a machine's orders.
-func (p *relayedOrders) cut(r *leadership, o *peer.RelayOrders) {
+func (p *relayedOrders) cut(lt *leaderTerm, o *peer.RelayOrders) {
 	o.Orders = o.Orders[:len(o.Orders)/2]
 	back := &relayedOrders{}
 	p.starts = slices.DeleteFunc(p.starts, func(a *attempt) bool {
@@ -222,31 +222,31 @@
 		}
 		return !left
 	})
-	back.settled(r, 0)
+	back.settled(lt, 0)
 }
 
 // writeDown writes the answer. What does not fit the record is taken back.
-func (r *leadership) writeDown(name string, node *relayNode, answer *peer.RelayDown, fresh bool) {
-	size := max(relayRoom(r.c.Settings.Site.State, 1)>>node.halved, 256)
+func (lt *leaderTerm) writeDown(name string, node *relayNode, answer *peer.RelayDown, fresh bool) {
+	size := max(relayRoom(lt.c.Settings.Site.State, 1)>>node.halved, 256)
 	if fresh {
 		parts, err := relay.Pack(answer, answer.Batch, 1, size)
 		for errors.Is(err, relay.ErrTooLarge) && len(answer.Orders) > 0 {
 			if one := answer.Orders[0]; len(answer.Orders) == 1 && len(one.Orders) > 1 {
 				// Taken back whole, they would be the same again next time.
-				node.pending[one.Machine].cut(r, one)
+				node.pending[one.Machine].cut(lt, one)
 				parts, err = relay.Pack(answer, answer.Batch, 1, size)
 				continue
 			}
 			cut := answer.Orders[len(answer.Orders)*3/4:]
 			answer.Orders = answer.Orders[:len(answer.Orders)*3/4]
 			for _, o := range cut {
-				node.pending[o.Machine].settled(r, 0)
+				node.pending[o.Machine].settled(lt, 0)
 				delete(node.pending, o.Machine)
 			}
 			parts, err = relay.Pack(answer, answer.Batch, 1, size)
 		}
 		if err != nil {
-			r.c.Log.Error("relay", "err", err)
+			lt.c.Log.Error("relay", "err", err)
 			return
 		}
 		node.last, node.unconfirmed, node.given = parts, false, nil
@@ -258,31 +258,31 @@
 		return
 	}
 	// Until it is confirmed the same batch is written again.
-	txn := store.Txn{Records: true, Guards: []store.Guard{r.termGuard()},
+	txn := store.Txn{Records: true, Guards: []store.Guard{lt.termCompare()},
 		Ops: []store.Op{{Put: store.RelayPrefix + name + "/down", Value: node.last[0]}}}
 	node.busy = true
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, relayWait)
+		ctx, cancel := context.WithTimeout(lt.ctx, relayWait)
 		defer cancel()
-		_, err := r.c.Store.Txn(ctx, txn)
+		_, err := lt.c.Store.Txn(ctx, txn)
 		if err != nil {
-			r.c.Log.Debug("relayed orders not written", "err", err)
+			lt.c.Log.Debug("relayed orders not written", "err", err)
 		}
-		r.post(relayWrittenMsg{r, name, err})
+		lt.sendToOwner(relayWrittenMsg{lt, name, err})
 	}()
 }
 
 type relayWrittenMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	node       string
 	err        error
 }
 
 func (m relayWrittenMsg) apply(c *Controller) {
-	if c.leadership != m.leadership {
+	if c.leaderTerm != m.leaderTerm {
 		return
 	}
-	node := m.leadership.down.nodes[m.node]
+	node := m.leaderTerm.down.nodes[m.node]
 	node.busy = false
 	if !errors.Is(m.err, store.ErrMalformed) {
 		node.unconfirmed = true
@@ -297,7 +297,7 @@
 	// batch had not been.
 	for _, machine := range node.given {
 		if p := node.pending[machine]; p != nil {
-			p.settled(m.leadership, 0)
+			p.settled(m.leaderTerm, 0)
 			delete(node.pending, machine)
 		}
 	}
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -58,7 +58,7 @@
 		rctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		e, err := c.Store.Get(rctx, election.TermKey)
 		cancel()
-		var term election.TermValue
+		var term election.TermRecord
 		if err == nil && e.Mark != 0 {
 			err = json.Unmarshal(e.Value, &term)
 		}
@@ -67,7 +67,7 @@
 			return
 		}
 		c.Log.Debug("term not read", "err", err)
-		pause(ctx, storeEvery)
+		sleep(ctx, storeEvery)
 	}
 }
 
@@ -95,7 +95,7 @@
 				c.send(ctx, grantedMsg{node, term, asked})
 			}
 		}
-		pause(ctx, grantEvery)
+		sleep(ctx, grantEvery)
 	}
 }
 
@@ -104,8 +104,8 @@
 
 func (m leadingTermMsg) apply(c *Controller) {
 	term := uint64(0)
-	if c.valid() {
-		term = c.leadership.term.Number
+	if c.holdsLease() {
+		term = c.leaderTerm.term.Number
 	}
 	m.reply <- term
 }
@@ -118,69 +118,69 @@
 }
 
 func (m grantedMsg) apply(c *Controller) {
-	if r := c.leadership; r != nil && r.term.Number == m.term {
-		r.grants.Granted(m.node, m.asked)
+	if lt := c.leaderTerm; lt != nil && lt.term.Number == m.term {
+		lt.grants.Granted(m.node, m.asked)
 	}
 }
 
 // granted tells whether the leader holds enough grants.
-func (r *leadership) granted(now time.Time) bool {
-	return r.grants.Valid(grant.NeededGrants(len(r.c.Settings.Peers)+1), now)
+func (lt *leaderTerm) granted(now time.Time) bool {
+	return lt.grants.Valid(grant.NeededGrants(len(lt.c.Settings.Peers)+1), now)
 }
 
 // mayDecide tells whether the leader may start tasks, and rent and return machines. One
 // that is bound to grants and lacks them may have been replaced; all that it goes on with
 // is what renews leases, and what the state service guards.
-func (r *leadership) mayDecide(now time.Time) bool { return !r.bound || r.granted(now) }
+func (lt *leaderTerm) mayDecide(now time.Time) bool { return !lt.bound || lt.granted(now) }
 
 // checkGrants binds the leader to grants once all other nodes know of them and enough have
 // granted. One that lacks them for long, and is not replaced, begins a new term: those
 // that have promised to grant the present one nothing more are not bound to that.
-func (r *leadership) checkGrants(now time.Time) {
-	if r.c.Standby == nil || len(r.c.Settings.Peers) == 0 {
+func (lt *leaderTerm) checkGrants(now time.Time) {
+	if lt.c.Standby == nil || len(lt.c.Settings.Peers) == 0 {
 		return
 	}
-	if !r.bound {
-		r.bind(now)
+	if !lt.bound {
+		lt.bind(now)
 		return
 	}
-	if r.granted(now) {
-		r.ungranted = time.Time{}
+	if lt.granted(now) {
+		lt.ungranted = time.Time{}
 		return
 	}
-	if r.ungranted.IsZero() {
-		r.ungranted = now
-		r.c.Log.Info("grants lost, nothing is decided", "term", r.term.Number)
+	if lt.ungranted.IsZero() {
+		lt.ungranted = now
+		lt.c.Log.Info("grants lost, nothing is decided", "term", lt.term.Number)
 	}
-	if now.Sub(r.ungranted) > 2*r.c.Standby.Grant() && r.c.peerTable.storeOK {
-		r.c.Log.Info("leadership given up without grants", "term", r.term.Number)
-		r.depose()
+	if now.Sub(lt.ungranted) > 2*lt.c.Standby.Grant() && lt.c.peerTable.storeOK {
+		lt.c.Log.Info("leadership given up without grants", "term", lt.term.Number)
+		lt.stepDown()
 	}
 }
 
 // bind binds the leader to grants once all other nodes know of them and enough of them
 // grant. Processes that were begun after the term was grant it nothing, as they cannot know
 // what earlier ones have promised: if there are too many of them, a new term is begun.
-func (r *leadership) bind(now time.Time) {
-	for _, n := range r.c.peerTable.nodes {
+func (lt *leaderTerm) bind(now time.Time) {
+	for _, n := range lt.c.peerTable.nodes {
 		if !n.KnowsGrants || !n.reached(now) {
-			r.ungranted = time.Time{}
+			lt.ungranted = time.Time{}
 			return
 		}
 	}
-	if r.bound = r.granted(now); r.bound {
-		r.ungranted = time.Time{}
-		r.c.Log.Info("bound to grants", "term", r.term.Number)
+	if lt.bound = lt.granted(now); lt.bound {
+		lt.ungranted = time.Time{}
+		lt.c.Log.Info("bound to grants", "term", lt.term.Number)
 		return
 	}
-	if r.ungranted.IsZero() {
-		r.ungranted = now
+	if lt.ungranted.IsZero() {
+		lt.ungranted = now
 	}
-	p := &r.c.replacement
-	if now.Sub(r.ungranted) > bindAfter && now.Sub(p.newTerm) > newTermEvery && r.c.peerTable.storeOK {
+	p := &lt.c.replacement
+	if now.Sub(lt.ungranted) > bindAfter && now.Sub(p.newTerm) > newTermEvery && lt.c.peerTable.storeOK {
 		p.newTerm = now
-		r.c.Log.Info("new term begun, to be granted", "term", r.term.Number)
-		r.depose()
+		lt.c.Log.Info("new term begun, to be granted", "term", lt.term.Number)
+		lt.stepDown()
 	}
 }
 
@@ -247,7 +247,7 @@
 func (m promisesMsg) apply(c *Controller) {
 	p, now := &c.replacement, time.Now()
 	n := c.peerTable.nodes[m.leader]
-	if m.promises+1 < grant.NeededPromises(len(c.Settings.Peers)+1) || c.leader != m.leader || c.leadership != nil || n.failed < unreachedAfter || n.Term != m.term {
+	if m.promises+1 < grant.NeededPromises(len(c.Settings.Peers)+1) || c.leader != m.leader || c.leaderTerm != nil || n.failed < unreachedAfter || n.Term != m.term {
 		p.busy, p.next = false, now.Add(replaceAgain)
 		return
 	}
@@ -266,11 +266,11 @@
 
 func (m replaceMsg) apply(c *Controller) {
 	c.replacement.busy, c.replacement.next = false, time.Now().Add(replaceAgain)
-	if c.leader != m.leader || c.leadership != nil {
+	if c.leader != m.leader || c.leaderTerm != nil {
 		return // somebody else was quicker
 	}
 	select {
-	case c.resigns <- election.Resignation{Node: m.leader, Term: m.term}:
+	case c.resignations <- election.Resignation{Node: m.leader, Term: m.term}:
 	default:
 	}
 }
@@ -315,7 +315,7 @@
 // A node that hears the leader, or leads itself, promises nothing.
 func (m peerPromiseMsg) apply(c *Controller) {
 	v, now := c.replacement.voter, time.Now()
-	if v == nil || c.leadership != nil {
+	if v == nil || c.leaderTerm != nil {
 		m.reply <- noPromise
 		return
 	}
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -186,8 +186,8 @@
 func (s *standbyCluster) leader() (best *node, term uint64) {
 	for _, n := range s.all() {
 		n.tryLook(func(c *Controller) {
-			if c.valid() && c.leadership.loaded && c.leadership.term.Number > term {
-				best, term = n, c.leadership.term.Number
+			if c.holdsLease() && c.leaderTerm.loaded && c.leaderTerm.term.Number > term {
+				best, term = n, c.leaderTerm.term.Number
 			}
 		})
 	}
@@ -398,7 +398,7 @@
 			if off%4 < 2 {
 				// It does not learn of the next term, and nothing else holds it back.
 				s.gates[leader].set(true)
-				n.look(func(c *Controller) { c.leadership.cancellationsConfirmedAt = time.Now().Add(time.Hour) })
+				n.look(func(c *Controller) { c.leaderTerm.cancellationsConfirmedAt = time.Now().Add(time.Hour) })
 			}
 			time.Sleep(13 * time.Second)
 			if _, now := s.leader(); now > term {
@@ -422,10 +422,10 @@
 				c.replacement.voter.Begin(1000) // as if begun after all terms to come
 			})
 		}
-		n.look(func(c *Controller) { c.leadership.depose() })
+		n.look(func(c *Controller) { c.leaderTerm.stepDown() })
 		time.Sleep(5 * time.Second)
 		n, term := s.leader()
-		n.look(func(c *Controller) { s.same("bound", c.leadership.bound, false) })
+		n.look(func(c *Controller) { s.same("bound", c.leaderTerm.bound, false) })
 		began := time.Now()
 		s.end(n.Settings.Node)
 		time.Sleep(45 * time.Second)
@@ -483,7 +483,7 @@
 		s.begin(n.Settings.Node)
 		time.Sleep(10 * time.Second)
 		n, term := s.leader()
-		n.look(func(c *Controller) { s.same("bound", c.leadership.bound, false) })
+		n.look(func(c *Controller) { s.same("bound", c.leaderTerm.bound, false) })
 		began := time.Now()
 		s.end(n.Settings.Node)
 		time.Sleep(45 * time.Second)
@@ -549,7 +549,7 @@
 		simulateStandby(t, grant, func(s *standbyCluster) {
 			n, term := s.leader()
 			began := time.Now()
-			n.Leave(context.Background())
+			n.Drain(context.Background())
 			if n.Ready() {
 				t.Error("users are still sent to it")
 			}
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -14,8 +14,8 @@
 // report processes a worker's report and answers with its orders. Orders go in
 // answers only: an answer that comes late is dropped by the worker, while an
 // order sent by itself could be carried out minutes later.
-func (r *leadership) report(rep *api.Report, now time.Time) (api.ReportAnswer, error) {
-	return r.processReport(rep, ownReport, now)
+func (lt *leaderTerm) report(rep *api.Report, now time.Time) (api.ReportAnswer, error) {
+	return lt.processReport(rep, ownReport, now)
 }
 
 // origin is how a report came about.
@@ -33,24 +33,24 @@
 )
 
 // processReport updates the leader's state by a report and returns the answer to it.
-func (r *leadership) processReport(rep *api.Report, from origin, now time.Time) (api.ReportAnswer, error) {
-	ans := api.ReportAnswer{Term: r.term.Number, Orders: []api.Order{}}
-	if rep.Term > r.term.Number {
+func (lt *leaderTerm) processReport(rep *api.Report, from origin, now time.Time) (api.ReportAnswer, error) {
+	ans := api.ReportAnswer{Term: lt.term.Number, Orders: []api.Order{}}
+	if rep.Term > lt.term.Number {
 		// The machine has seen a later term than this one.
-		r.depose()
+		lt.stepDown()
 		return ans, &api.NotLeaderError{}
 	}
-	if !r.loaded {
+	if !lt.loaded {
 		// This keeps the lease and makes the machine heard. What is known to be
 		// cancelled must not live on by it.
-		ans.Orders = r.c.stopCancelled(rep, nil)
+		ans.Orders = lt.c.stopCancelled(rep, nil)
 		return ans, nil
 	}
-	if r.returned.Contains(rep.Machine) {
+	if lt.returned.Contains(rep.Machine) {
 		return ans, api.ErrUnavailable // given back; this was held up on its way
 	}
-	m := r.machines[rep.Machine]
-	if rep.Term < r.term.Number && (m != nil || r.expected[rep.Machine] == nil) {
+	m := lt.machines[rep.Machine]
+	if rep.Term < lt.term.Number && (m != nil || lt.expected[rep.Machine] == nil) {
 		// A token never falls, so this is the first report of a machine that
 		// has yet to hear of this term, one of a machine that no answer
 		// reaches, or a copy of an old report that comes late. These look
@@ -61,29 +61,29 @@
 	}
 	if m == nil {
 		// The report's strings share its body's memory.
-		m = r.addMachine(strings.Clone(rep.Machine), strings.Clone(rep.Type), strings.Clone(rep.Zone), rep.Spot, now)
-		r.c.Log.Info("machine up", "machine", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot)
+		m = lt.addMachine(strings.Clone(rep.Machine), strings.Clone(rep.Type), strings.Clone(rep.Zone), rep.Spot, now)
+		lt.c.Log.Info("machine up", "machine", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot)
 	}
 	if rep.Session < m.session || (rep.Session == m.session && rep.Seq <= m.seq) {
 		return ans, nil // older than what is known
 	}
-	ans.Orders = r.processNew(m, rep, from, ans.Orders, now)
+	ans.Orders = lt.processNew(m, rep, from, ans.Orders, now)
 	return ans, nil
 }
 
 // processNew updates the state of a machine by a report that is newer than all
 // before it, and adds the orders that answer it.
-func (r *leadership) processNew(m *machine, rep *api.Report, from origin, orders []api.Order, now time.Time) []api.Order {
-	r.updateMachine(m, rep, now)
-	orders = r.reconcile(m, rep, from, orders, now)
+func (lt *leaderTerm) processNew(m *machine, rep *api.Report, from origin, orders []api.Order, now time.Time) []api.Order {
+	lt.updateMachine(m, rep, now)
+	orders = lt.reconcile(m, rep, from, orders, now)
 	if m.unheeded == 0 {
 		m.probeFails = 0
 	}
-	r.enrollUnknown(m)
-	if rep.Term == r.term.Number {
-		r.countHeard(m)
+	lt.enrollUnknown(m)
+	if rep.Term == lt.term.Number {
+		lt.countHeard(m)
 		if from == ownReport {
-			orders = r.place(m, orders, now)
+			orders = lt.place(m, orders, now)
 		}
 	}
 	if from == ownReport {
@@ -96,15 +96,15 @@
 }
 
 // updateMachine records what a new report says of the machine itself.
-func (r *leadership) updateMachine(m *machine, rep *api.Report, now time.Time) {
+func (lt *leaderTerm) updateMachine(m *machine, rep *api.Report, now time.Time) {
 	if m.session != 0 && rep.Session > m.session {
-		if r.punctual(now.Add(-r.c.Settings.Site.Workers.Lease() - r.hearable())) {
+		if lt.punctual(now.Add(-lt.c.Settings.Site.Workers.Lease() - lt.hearable())) {
 			m.unheeded++ // its lease has ended although it was answered
 		}
 		m.asked = nil
 	}
 	m.reports++
-	if now.Sub(m.lastReport) > r.hearable() {
+	if now.Sub(m.lastReport) > lt.hearable() {
 		m.markUnmeasured()
 	}
 	m.lastReport = now
@@ -113,24 +113,24 @@
 		m.addr = strings.Clone(rep.Addr)
 	}
 	if m.cpus == 0 {
-		if mt, ok := r.c.types.load()[m.typ]; ok {
+		if mt, ok := lt.c.types.load()[m.typ]; ok {
 			m.cpus, m.gpus, m.memory = mt.CPUs, mt.GPUs, mt.MemoryGB
 		}
 	}
 	if rep.NoticeS != nil {
-		r.notice(m, *rep.NoticeS, now)
+		lt.notice(m, *rep.NoticeS, now)
 	}
 }
 
 // enrollUnknown has a machine written to the roster if it is not on it. No
 // earlier leader has started anything there, so it counts as heard.
-func (r *leadership) enrollUnknown(m *machine) {
+func (lt *leaderTerm) enrollUnknown(m *machine) {
 	if m.roster != rosterNone || m.cpus <= 0 || m.leaving {
 		return
 	}
 	m.roster = rosterWriting
 	m.heard = true
-	r.recorder.enroll(m)
+	lt.recorder.enroll(m)
 }
 
 // lateAnswer is how long before an answer this node may have been held up and the
@@ -140,7 +140,7 @@
 // heed checks whether a report shows that the orders of the last answer were
 // carried out. To a machine whose reports arrive while answers do not reach it,
 // starts would otherwise be sent again and again.
-func (r *leadership) heed(m *machine, now time.Time) {
+func (lt *leaderTerm) heed(m *machine, now time.Time) {
 	if len(m.asked) == 0 {
 		return
 	}
@@ -152,42 +152,42 @@
 			return
 		}
 	}
-	if !r.punctual(m.askedAt.Add(-lateAnswer)) {
+	if !lt.punctual(m.askedAt.Add(-lateAnswer)) {
 		return // the answer may have come too late, by this node's fault
 	}
 	// One answer may be lost; after a second, the machine is asked first.
 	if m.unheeded++; m.unheeded > 1 {
-		m.pauseUntil = now.Add(min(r.c.Settings.Site.Workers.Report()<<min(m.unheeded, 5), 30*time.Second))
+		m.pauseUntil = now.Add(min(lt.c.Settings.Site.Workers.Report()<<min(m.unheeded, 5), 30*time.Second))
 	}
 	m.nextProbe = now
-	r.c.Log.Debug("orders not carried out", "machine", m.name, "orders", len(m.asked), "times", m.unheeded)
+	lt.c.Log.Debug("orders not carried out", "machine", m.name, "orders", len(m.asked), "times", m.unheeded)
 }
 
 // notice handles the cloud's notice that it will take the machine.
-func (r *leadership) notice(m *machine, seconds float64, now time.Time) {
+func (lt *leaderTerm) notice(m *machine, seconds float64, now time.Time) {
 	left := time.Duration(seconds * float64(time.Second))
 	first := m.reclaim.IsZero()
 	m.reclaim = now.Add(left)
 	if !first {
 		return
 	}
-	r.leave(m, "taken by the cloud")
+	lt.leave(m, "taken by the cloud")
 	for _, a := range m.attempts {
 		if a.exited || a.job == nil {
 			continue
 		}
 		s := &a.job.spec
 		if s.CheckpointS > 0 {
-			r.stop(a, left, now)
+			lt.stop(a, left, now)
 		} else if a.runningAt.IsZero() || a.runningAt.Add(s.Estimate()).After(m.reclaim) {
 			// It would not end in time; elsewhere it can begin now.
-			r.stop(a, 0, now)
+			lt.stop(a, 0, now)
 		}
 	}
 }
 
 // stop marks an attempt to be stopped by the answers to its machine's reports.
-func (r *leadership) stop(a *attempt, grace time.Duration, now time.Time) {
+func (lt *leaderTerm) stop(a *attempt, grace time.Duration, now time.Time) {
 	if a.stop != nil && a.stop.grace <= grace {
 		return
 	}
@@ -195,17 +195,17 @@
 }
 
 // reconcile brings the machine's attempts in line with its report.
-func (r *leadership) reconcile(m *machine, rep *api.Report, from origin, orders []api.Order, now time.Time) []api.Order {
+func (lt *leaderTerm) reconcile(m *machine, rep *api.Report, from origin, orders []api.Order, now time.Time) []api.Order {
 	// Stops go before reaps: a machine that has ended more tasks than an answer
 	// holds orders would run what is cancelled on, while its lease is renewed.
-	reaps := r.updateAttempts(m, rep, now)
+	reaps := lt.updateAttempts(m, rep, now)
 	if from == ownReport {
-		r.heed(m, now)
+		lt.heed(m, now)
 	}
 	for key, a := range m.attempts {
 		if a.seen != m.reports {
 			if !a.mayCome(rep) && !(from == drawnReport && a.onItsWay(rep)) {
-				r.unreported(a)
+				lt.unreported(a)
 			}
 			continue
 		}
@@ -216,7 +216,7 @@
 		// one too early; one that is to be cancelled is stopped, also while the
 		// store cannot be written; so is one that another cell owns.
 		if a.job == nil || a.job.over || a.job.cancelPending || a.job.lent != nil || a.job.live[a.task] != a {
-			r.stop(a, 0, now)
+			lt.stop(a, 0, now)
 		}
 		if a.stop != nil {
 			grace := max(0, a.stop.grace-now.Sub(a.stop.since)).Seconds()
@@ -228,18 +228,18 @@
 
 // updateAttempts updates the attempts that a report names, and returns the
 // orders to reap those that have ended.
-func (r *leadership) updateAttempts(m *machine, rep *api.Report, now time.Time) []api.Order {
+func (lt *leaderTerm) updateAttempts(m *machine, rep *api.Report, now time.Time) []api.Order {
 	var reaps []api.Order
 	for i := range rep.Tasks {
 		t := &rep.Tasks[i]
 		key := attemptKey{t.Task, t.Attempt}
 		a := m.attempts[key]
 		if a == nil {
-			a = r.adopt(m, key, t, now)
+			a = lt.adopt(m, key, t, now)
 		}
 		a.seen = m.reports
-		r.update(a, t, now)
-		if a.exited && r.reapable(a) && len(reaps) < maxOrders {
+		lt.update(a, t, now)
+		if a.exited && lt.reapable(a) && len(reaps) < maxOrders {
 			reaps = append(reaps, api.Order{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
@@ -248,14 +248,14 @@
 
 // unreported removes an attempt that a newer report does not name, which shows
 // that it is off the machine: reaped, killed with its session, or never begun.
-func (r *leadership) unreported(a *attempt) {
+func (lt *leaderTerm) unreported(a *attempt) {
 	if !a.exited && !a.noted && a.phase == "" {
-		r.c.Log.Debug("start lost", "machine", a.machine.name, "task", a.key.ref, "attempt", a.key.id)
+		lt.c.Log.Debug("start lost", "machine", a.machine.name, "task", a.key.ref, "attempt", a.key.id)
 	}
-	r.offMachine(a)
+	lt.offMachine(a)
 }
 
 // hasImage notes that a machine has a job's image.
-func (r *leadership) hasImage(m *machine, s *api.JobSpec, now time.Time) {
-	m.images.use(s, r.c.types.load()[m.typ].CacheGB, now)
+func (lt *leaderTerm) hasImage(m *machine, s *api.JobSpec, now time.Time) {
+	m.images.use(s, lt.c.types.load()[m.typ].CacheGB, now)
 }
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -25,33 +25,33 @@
 )
 
 // resyncNext resyncs the machines that are still to be resynced.
-func (r *leadership) resyncNext(now time.Time) {
-	for len(r.toResync) > 0 && r.resyncing < r.dials {
-		m := r.toResync[0]
-		r.toResync = r.toResync[1:]
+func (lt *leaderTerm) resyncNext(now time.Time) {
+	for len(lt.toResync) > 0 && lt.resyncing < lt.dials {
+		m := lt.toResync[0]
+		lt.toResync = lt.toResync[1:]
 		if m.heard || m.gone || m.returning || m.addr == "" {
 			continue
 		}
-		r.resync(m, now)
+		lt.resync(m, now)
 	}
 }
 
 // resync asks a machine for a report with this term. One that does not answer is asked
 // again like any silent machine.
-func (r *leadership) resync(m *machine, now time.Time) {
-	r.resyncing++
+func (lt *leaderTerm) resync(m *machine, now time.Time) {
+	lt.resyncing++
 	m.nextProbe = now.Add(probeEvery)
-	addr, term := m.addr, r.term.Number
+	addr, term := m.addr, lt.term.Number
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, probeTimeout)
+		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
 		defer cancel()
-		rep, err := r.c.Director.Resync(ctx, addr, term)
-		r.post(resyncedMsg{r, m, now, rep, err})
+		rep, err := lt.c.Director.Resync(ctx, addr, term)
+		lt.sendToOwner(resyncedMsg{lt, m, now, rep, err})
 	}()
 }
 
 type resyncedMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	machine    *machine
 	asked      time.Time
 	rep        *api.Report
@@ -59,25 +59,25 @@
 }
 
 func (g resyncedMsg) apply(c *Controller) {
-	r := g.leadership
-	if c.leadership != r {
+	lt := g.leaderTerm
+	if c.leaderTerm != lt {
 		return
 	}
-	r.resyncing--
+	lt.resyncing--
 	now := time.Now()
 	switch {
 	case g.machine.gone:
 	case g.err != nil:
 		c.Log.Debug("resync", "machine", g.machine.name, "err", g.err)
-		if !g.machine.heard && r.punctual(g.asked) {
+		if !g.machine.heard && lt.punctual(g.asked) {
 			g.machine.probeFails++
 		}
-	case c.valid() && g.rep.Machine == g.machine.name:
-		if _, err := r.processReport(g.rep, drawnReport, now); err != nil {
+	case c.holdsLease() && g.rep.Machine == g.machine.name:
+		if _, err := lt.processReport(g.rep, drawnReport, now); err != nil {
 			c.Log.Debug("resync", "machine", g.machine.name, "err", err)
 		}
 	}
-	if c.leadership == r {
-		r.resyncNext(now)
+	if c.leaderTerm == lt {
+		lt.resyncNext(now)
 	}
 }
--- a/internal/controller/room.go
+++ b/internal/controller/room.go
@@ -30,15 +30,15 @@
 }
 
 // findRoom looks through the fleet for room for a job.
-func (r *leadership) findRoom(j *job, now time.Time) {
+func (lt *leaderTerm) findRoom(j *job, now time.Time) {
 	type place struct {
 		cost  float64
 		slots int
 	}
 	var places []place
-	for _, m := range r.machines {
+	for _, m := range lt.machines {
 		if m.open(now) && m.fits(&j.spec) && (!m.spot || j.spec.Spot) {
-			places = append(places, place{r.placementCost(j, m), m.slots(&j.spec)})
+			places = append(places, place{lt.placementCost(j, m), m.slots(&j.spec)})
 		}
 	}
 	slices.SortFunc(places, func(a, b place) int { return cmp.Compare(a.cost, b.cost) })
@@ -53,9 +53,9 @@
 
 // quickFetch tells whether an image is fetched sooner than the machine would
 // report again.
-func (r *leadership) quickFetch(j *job, m *machine) bool {
-	rate := r.c.types.load()[m.typ].FetchGBs
-	return rate > 0 && j.spec.ImageGB/rate < 2*r.c.Settings.Site.Workers.ReportS
+func (lt *leaderTerm) quickFetch(j *job, m *machine) bool {
+	rate := lt.c.types.load()[m.typ].FetchGBs
+	return rate > 0 && j.spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.ReportS
 }
 
 // misplaced is what it counts for, in seconds, if work that saves nothing is on a
@@ -66,8 +66,8 @@
 
 // placementCost is how badly a machine suits a job, in seconds lost: the time to
 // fetch the image, and a measure of what it costs to keep the machine.
-func (r *leadership) placementCost(j *job, m *machine) float64 {
-	mt := r.c.types.load()[m.typ]
+func (lt *leaderTerm) placementCost(j *job, m *machine) float64 {
+	mt := lt.c.types.load()[m.typ]
 	lost := 0.0
 	if !m.images.has(j.spec.Image) && mt.FetchGBs > 0 {
 		lost += j.spec.ImageGB / mt.FetchGBs
@@ -75,8 +75,8 @@
 	if m.usedCPUs < slack {
 		lost += 4
 	}
-	if p := r.provisioner.cpuPrice(m); p > 0 {
-		lost += p/r.provisioner.cheapest() - 1
+	if p := lt.provisioner.cpuPrice(m); p > 0 {
+		lost += p/lt.provisioner.cheapest() - 1
 	}
 	if m.spot != (j.spec.CheckpointS > 0) {
 		lost += misplaced
--- a/internal/controller/room_test.go
+++ b/internal/controller/room_test.go
@@ -64,17 +64,17 @@
 		second.ImageGB = 6
 		w.submit(a, second)
 		a.look(func(c *Controller) {
-			j, now := c.leadership.jobs["job-2"], time.Now()
+			j, now := c.leaderTerm.jobs["job-2"], time.Now()
 			better := func() bool {
 				j.room.at = time.Time{}
-				return c.leadership.betterElsewhere(j, c.leadership.machines["i-2"], now)
+				return c.leaderTerm.betterElsewhere(j, c.leaderTerm.machines["i-2"], now)
 			}
 			w.same("more waits than the better have room for", better(), false)
 			j.flight.Take(0)
 			j.flight.Take(1)
 			w.same("as much waits as the better have room for", better(), true)
-			w.same("one of the better", c.leadership.betterElsewhere(j, c.leadership.machines["i-0"], now), false)
-			j.waiting = now.Add(-c.leadership.grace - time.Second)
+			w.same("one of the better", c.leaderTerm.betterElsewhere(j, c.leaderTerm.machines["i-0"], now), false)
+			j.waiting = now.Add(-c.leaderTerm.grace - time.Second)
 			w.same("it has waited for long enough", better(), false)
 		})
 	})
