--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -36,7 +36,7 @@
 
 func (w *recorder) newShard(members []*machine) *shard {
 	w.shards++
-	return &shard{key: fmt.Sprintf("%s%d-%d", store.MachinePrefix, w.leadership.term.Number, w.shards), members: slices.Clone(members)}
+	return &shard{key: fmt.Sprintf("%s%d-%d", store.MachinePrefix, w.leaderTerm.term.Number, w.shards), members: slices.Clone(members)}
 }
 
 // fitting is how many of the first machines a new shard holds, and its size.
@@ -128,7 +128,7 @@
 // keepStale leaves a shard as it is that no new one can replace, until another of
 // its machines goes.
 func (w *recorder) keepStale(s *shard) {
-	w.leadership.c.Log.Error("shard of the roster cannot be written again", "key", s.key)
+	w.leaderTerm.c.Log.Error("shard of the roster cannot be written again", "key", s.key)
 	s.stale = false
 	w.stale = slices.DeleteFunc(w.stale, func(o *shard) bool { return o == s })
 }
@@ -176,6 +176,6 @@
 				w.dropMember(m)
 			}
 		}
-		w.leadership.dispatchUntil = time.Now().Add(dispatchFor)
+		w.leaderTerm.dispatchUntil = time.Now().Add(dispatchFor)
 	}
 }
--- a/internal/controller/roster_test.go
+++ b/internal/controller/roster_test.go
@@ -70,12 +70,12 @@
 			time.Sleep(time.Second)
 		}
 		left := 0
-		a.look(func(c *Controller) { left = len(c.leadership.machines) })
+		a.look(func(c *Controller) { left = len(c.leaderTerm.machines) })
 		if names := w.roster(); left >= 60 || len(names) != left {
 			t.Errorf("%d machines are left, on the roster %v", left, names)
 		}
 		b := w.start("n0")
-		b.look(func(c *Controller) { w.same("read by the next leader", len(c.leadership.machines), left) })
+		b.look(func(c *Controller) { w.same("read by the next leader", len(c.leaderTerm.machines), left) })
 	})
 }
 
@@ -112,7 +112,7 @@
 					time.Sleep(50 * time.Millisecond)
 					names, inUse := w.roster(), []string(nil)
 					a.look(func(c *Controller) {
-						for name, m := range c.leadership.machines {
+						for name, m := range c.leaderTerm.machines {
 							if m.roster == rosterDurable {
 								inUse = append(inUse, name)
 							}
@@ -140,8 +140,8 @@
 		a := w.start("n0")
 		w.worker("i-1", "a", false).serve(a, 3)
 		a.look(func(c *Controller) {
-			rec := &c.leadership.recorder
-			old := c.leadership.machines["i-1"].shard
+			rec := &c.leaderTerm.recorder
+			old := c.leaderTerm.machines["i-1"].shard
 			next := rec.newShard(old.members)
 			next.replaces, old.stale = old, true
 			rec.unwritten(&batch{shards: []*shard{next}, replaced: []*shard{old}})
--- a/internal/controller/settle.go
+++ b/internal/controller/settle.go
@@ -14,7 +14,7 @@
 func (w *recorder) verify(jobs []*job) {
 	for _, j := range jobs {
 		w.finishing = slices.DeleteFunc(w.finishing, func(o *job) bool { return o == j })
-		w.leadership.pipeline.pendingCancels = slices.DeleteFunc(w.leadership.pipeline.pendingCancels, func(o *job) bool { return o == j })
+		w.leaderTerm.pipeline.pendingCancels = slices.DeleteFunc(w.leaderTerm.pipeline.pendingCancels, func(o *job) bool { return o == j })
 		w.unsettled = append(w.unsettled, j.spec.ID)
 	}
 	w.settleNext()
@@ -28,51 +28,51 @@
 		return
 	}
 	w.settling = true
-	go w.leadership.settle(w.unsettled[0])
+	go w.leaderTerm.settle(w.unsettled[0])
 	w.unsettled = w.unsettled[1:]
 }
 
 // settle reads how a job ended, within the leader's own request budget.
-func (r *leadership) settle(id string) {
-	records := store.Records{Store: r.c.Store}
-	for r.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
+func (lt *leaderTerm) settle(id string) {
+	records := store.Records{Store: lt.c.Store}
+	for lt.ctx.Err() == nil {
+		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
 		st, found, err := records.Lookup(ctx, id)
 		cancel()
 		if err == nil {
-			r.post(settledMsg{r, id, st, found})
+			lt.sendToOwner(settledMsg{lt, id, st, found})
 			return
 		}
-		pause(r.ctx, 300*time.Millisecond)
+		sleep(lt.ctx, 300*time.Millisecond)
 	}
 }
 
 type settledMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	id         string
 	st         api.JobState
 	found      bool
 }
 
 func (m settledMsg) apply(c *Controller) {
-	r := m.leadership
-	if c.leadership != r {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
 		return
 	}
-	r.recorder.settling = false
-	defer r.recorder.settleNext()
-	j := r.jobs[m.id]
+	lt.recorder.settling = false
+	defer lt.recorder.settleNext()
+	j := lt.jobs[m.id]
 	if j == nil || j.over {
 		return
 	}
 	switch {
 	case m.found && m.st.Phase == api.JobDone:
-		r.finished(j)
+		lt.finished(j)
 	case m.found && m.st.Phase == api.JobWithdrawn && !m.st.Derived:
-		r.withdraw(j)
+		lt.withdraw(j)
 	case j.cancelPending:
-		r.pipeline.pendingCancels = append(r.pipeline.pendingCancels, j)
+		lt.pipeline.pendingCancels = append(lt.pipeline.pendingCancels, j)
 	default:
-		r.recorder.finishing = append(r.recorder.finishing, j)
+		lt.recorder.finishing = append(lt.recorder.finishing, j)
 	}
 }
--- a/internal/controller/settle_test.go
+++ b/internal/controller/settle_test.go
@@ -46,7 +46,7 @@
 		for i := range 15 {
 			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
 		}
-		n.look(func(c *Controller) { c.leadership.teams["red"].CPUsMax = 1000 })
+		n.look(func(c *Controller) { c.leaderTerm.teams["red"].CPUsMax = 1000 })
 		all := func(seconds int) {
 			for range seconds {
 				for _, k := range ks {
@@ -76,6 +76,6 @@
 			}
 			k.mu.Unlock()
 		}
-		n.look(func(c *Controller) { w.same("jobs left", len(c.leadership.jobs), 0) })
+		n.look(func(c *Controller) { w.same("jobs left", len(c.leaderTerm.jobs), 0) })
 	})
 }
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -38,50 +38,50 @@
 // most of a zone is silent or deaf at once, the network is the more likely
 // cause, and a node on the other side may extend the machines' leases: they are
 // given the time in which even that ends.
-func (r *leadership) silences(now time.Time) {
-	zones := r.zoneCounts(now)
-	for _, m := range r.machines {
-		if m.gone || m.returning || !r.suspect(m, now) {
+func (lt *leaderTerm) silences(now time.Time) {
+	zones := lt.zoneCounts(now)
+	for _, m := range lt.machines {
+		if m.gone || m.returning || !lt.suspect(m, now) {
 			continue
 		}
-		r.probe(m, now)
-		cut := r.likelyCut(m, zones[m.zone])
+		lt.probe(m, now)
+		cut := lt.likelyCut(m, zones[m.zone])
 		if cut {
-			r.readExtensions(now)
+			lt.readExtensions(now)
 		}
-		if !r.givenUp(m, cut, now) {
+		if !lt.givenUp(m, cut, now) {
 			continue
 		}
 		why := "silent"
 		if m.unheeded > 0 {
 			why = "deaf"
 		}
-		r.leave(m, why)
-		r.provisioner.giveBack(m)
+		lt.leave(m, why)
+		lt.provisioner.giveBack(m)
 	}
 }
 
 // suspect tells whether a machine may be dead or deaf.
-func (r *leadership) suspect(m *machine, now time.Time) bool {
+func (lt *leaderTerm) suspect(m *machine, now time.Time) bool {
 	if !m.heard {
 		return now.Sub(m.lastSeen) > settleIn // not heard of in this term
 	}
-	return m.unheeded > 0 || now.Sub(m.lastSeen) > r.c.Settings.Site.Workers.Report()*5/4+time.Second
+	return m.unheeded > 0 || now.Sub(m.lastSeen) > lt.c.Settings.Site.Workers.Report()*5/4+time.Second
 }
 
 // zoneCount counts a zone's machines: all, those that are suspect, and those that
 // have reported just now.
 type zoneCount struct{ all, suspect, fresh int }
 
-func (r *leadership) zoneCounts(now time.Time) map[string]zoneCount {
+func (lt *leaderTerm) zoneCounts(now time.Time) map[string]zoneCount {
 	zones := map[string]zoneCount{}
-	for _, m := range r.machines {
+	for _, m := range lt.machines {
 		if m.gone || m.returning {
 			continue
 		}
 		n := zones[m.zone]
 		n.all++
-		if r.suspect(m, now) {
+		if lt.suspect(m, now) {
 			n.suspect++
 		}
 		if now.Sub(m.lastReport) < freshFor {
@@ -94,21 +94,21 @@
 
 // likelyCut tells whether a suspect machine is more likely cut off, with others of
 // its zone, than dead.
-func (r *leadership) likelyCut(m *machine, zone zoneCount) bool {
+func (lt *leaderTerm) likelyCut(m *machine, zone zoneCount) bool {
 	if zone.suspect >= 3 && zone.suspect*5 > zone.all*3 {
 		return true
 	}
 	// The first to be missed when all fall silent at once are not dead: nearly
 	// nobody has reported since. So many should have reported just now.
-	due := min(1, freshFor.Seconds()/r.c.Settings.Site.Workers.ReportS)
+	due := min(1, freshFor.Seconds()/lt.c.Settings.Site.Workers.ReportS)
 	return m.heard && float64(zone.fresh) < due*float64(zone.all)/5 && zone.all >= fewMachines
 }
 
 // givenUp tells whether a suspect machine is to be returned.
-func (r *leadership) givenUp(m *machine, cut bool, now time.Time) bool {
-	w := r.c.Settings.Site.Workers
+func (lt *leaderTerm) givenUp(m *machine, cut bool, now time.Time) bool {
+	w := lt.c.Settings.Site.Workers
 	switch silent := now.Sub(m.lastSeen); {
-	case !m.heard && now.Sub(r.listening) > w.Lease()+2*w.Report():
+	case !m.heard && now.Sub(lt.listening) > w.Lease()+2*w.Report():
 		// It holds every earlier job back. A deaf one shows the old token
 		// in report after report and may even answer probes, but its
 		// lease has ended by now. One whose lease another node extends would
@@ -126,36 +126,36 @@
 }
 
 // probe asks a silent machine, unless it was asked just now.
-func (r *leadership) probe(m *machine, now time.Time) {
-	if now.Before(m.nextProbe) || r.probing >= r.dials {
+func (lt *leaderTerm) probe(m *machine, now time.Time) {
+	if now.Before(m.nextProbe) || lt.probing >= lt.dials {
 		return
 	}
-	if !m.heard && r.c.Director != nil && m.addr != "" {
-		if r.resyncing < r.dials {
-			r.resync(m, now)
+	if !m.heard && lt.c.Director != nil && m.addr != "" {
+		if lt.resyncing < lt.dials {
+			lt.resync(m, now)
 		}
 		return
 	}
 	m.nextProbe = now.Add(probeEvery)
-	p := r.c.Prober
+	p := lt.c.Prober
 	if p == nil || m.addr == "" {
 		m.probeFails++
 		return
 	}
-	r.probing++
+	lt.probing++
 	// The machine is the owner's.
-	msg := probedMsg{leadership: r, machine: m, asked: now, session: m.session, seq: m.seq}
+	msg := probedMsg{leaderTerm: lt, machine: m, asked: now, session: m.session, seq: m.seq}
 	addr := m.addr
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, probeTimeout)
+		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
 		defer cancel()
 		msg.rep, msg.err = p.Probe(ctx, addr)
-		r.post(msg)
+		lt.sendToOwner(msg)
 	}()
 }
 
 type probedMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	machine    *machine
 	asked      time.Time
 	// session and seq are of the machine's last report when it was asked.
@@ -165,15 +165,15 @@
 }
 
 func (p probedMsg) apply(c *Controller) {
-	if c.leadership != p.leadership {
+	if c.leaderTerm != p.leaderTerm {
 		return
 	}
-	p.leadership.probing--
+	p.leaderTerm.probing--
 	if p.machine.gone {
 		return
 	}
 	if p.err != nil || p.rep.Machine != p.machine.name {
-		if (p.machine.lastSeen.Before(p.asked) || p.machine.unheeded > 0) && p.leadership.punctual(p.asked) {
+		if (p.machine.lastSeen.Before(p.asked) || p.machine.unheeded > 0) && p.leaderTerm.punctual(p.asked) {
 			p.machine.probeFails++
 		}
 		return
@@ -183,16 +183,16 @@
 		// before anybody missed it. All its reports would be taken for older
 		// ones, and its tasks for running, without end. Nothing shows that
 		// they are off the machine but its return.
-		p.leadership.leave(p.machine, "started anew")
+		p.leaderTerm.leave(p.machine, "started anew")
 		if !p.machine.returning {
-			p.leadership.provisioner.giveBack(p.machine)
+			p.leaderTerm.provisioner.giveBack(p.machine)
 		}
 		return
 	}
-	if p.machine.heard && p.rep.Session > p.machine.session && c.valid() {
+	if p.machine.heard && p.rep.Session > p.machine.session && c.holdsLease() {
 		// Its lease has ended while it reached no controller, and its tasks
 		// with that. Its reports may not come for long.
-		if _, err := p.leadership.processReport(p.rep, drawnReport, time.Now()); err != nil {
+		if _, err := p.leaderTerm.processReport(p.rep, drawnReport, time.Now()); err != nil {
 			c.Log.Debug("probe", "machine", p.machine.name, "err", err)
 		}
 		return
--- a/internal/controller/simulatedhost_test.go
+++ b/internal/controller/simulatedhost_test.go
@@ -155,7 +155,7 @@
 // timers that are due when a bubble's goroutine selects on them.
 func idle(ctx context.Context, d time.Duration) {
 	if d > 0 {
-		pause(ctx, d)
+		sleep(ctx, d)
 	}
 }
 
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -77,7 +77,7 @@
 
 // ran records how long a completed run took, and quarantines a machine whose
 // runs take much longer than the same jobs' elsewhere.
-func (r *leadership) ran(a *attempt, took time.Duration, now time.Time) {
+func (lt *leaderTerm) ran(a *attempt, took time.Duration, now time.Time) {
 	j, m := a.job, a.machine
 	if a.unmeasured {
 		return
@@ -91,12 +91,12 @@
 	ratio := float64(took) * float64(others.count) / float64(max(others.sum, time.Second))
 	m.slowRuns++
 	m.slowness += (ratio - m.slowness) / float64(min(m.slowRuns, slowRuns))
-	if m.slowRuns >= slowRuns && m.slowness > slowRatio && !m.leaving && r.fewSlow() {
-		r.c.Log.Info("machine quarantined", "machine", m.name, "slowness", m.slowness)
-		r.leave(m, "slow")
+	if m.slowRuns >= slowRuns && m.slowness > slowRatio && !m.leaving && lt.fewSlow() {
+		lt.c.Log.Info("machine quarantined", "machine", m.name, "slowness", m.slowness)
+		lt.leave(m, "slow")
 		for _, o := range m.attempts {
 			if !o.exited && o.job != nil && o.job.spec.CheckpointS > 0 {
-				r.stop(o, 2*o.job.spec.Save()+time.Second, now)
+				lt.stop(o, 2*o.job.spec.Save()+time.Second, now)
 			}
 		}
 	}
@@ -104,14 +104,14 @@
 
 // fewSlow tells whether slow machines are the exception: where many seem slow
 // at once, something else is the matter, and quarantine would take the fleet.
-func (r *leadership) fewSlow() bool {
+func (lt *leaderTerm) fewSlow() bool {
 	n := 0
-	for _, m := range r.machines {
+	for _, m := range lt.machines {
 		if m.why == "slow" {
 			n++
 		}
 	}
-	return n < max(1, len(r.machines)/10)
+	return n < max(1, len(lt.machines)/10)
 }
 
 // markUnmeasured marks the runs on a machine whose reports were held up: when they ended
@@ -124,8 +124,8 @@
 }
 
 // hearable is the longest time between two reports of a machine in order.
-func (r *leadership) hearable() time.Duration {
-	return 2*r.c.Settings.Site.Workers.Report() + time.Second
+func (lt *leaderTerm) hearable() time.Duration {
+	return 2*lt.c.Settings.Site.Workers.Report() + time.Second
 }
 
 // scanOverdue restarts, once, a run past twice its estimate when its machine's
@@ -133,12 +133,12 @@
 // Estimates are often too low for the whole job, and then all its tasks cross
 // the limit together: so the run must also exceed by half the longest that any
 // other member took, or it would be thrown away near its end.
-func (r *leadership) scanOverdue(now time.Time) {
-	times := r.c.Policy.RestartLimit
+func (lt *leaderTerm) scanOverdue(now time.Time) {
+	times := lt.c.Policy.RestartLimit
 	if times == 0 {
 		return
 	}
-	for _, j := range r.jobs {
+	for _, j := range lt.jobs {
 		limit := time.Duration(times * float64(j.spec.Estimate()))
 		if limit <= 0 || len(j.live) == 0 || j.runs.all.count == 0 {
 			continue
@@ -147,7 +147,7 @@
 			m := a.machine
 			took := now.Sub(a.runningAt)
 			// A machine out of hearing may have ended the run long ago.
-			if now.Sub(m.lastReport) > r.hearable() || a.exited || a.stop != nil || a.runningAt.IsZero() || took <= limit || j.restarted[a.task] {
+			if now.Sub(m.lastReport) > lt.hearable() || a.exited || a.stop != nil || a.runningAt.IsZero() || took <= limit || j.restarted[a.task] {
 				continue
 			}
 			others := j.elsewhere(m)
@@ -157,8 +157,8 @@
 			}
 			j.restarted[a.task] = true
 			j.barred[a.task] = m.name
-			r.c.Log.Debug("slow run restarted", "task", a.key.ref, "machine", m.name)
-			r.stop(a, j.spec.Save()*2, now)
+			lt.c.Log.Debug("slow run restarted", "task", a.key.ref, "machine", m.name)
+			lt.stop(a, j.spec.Save()*2, now)
 		}
 	}
 }
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -147,9 +147,9 @@
 			time.Sleep(50 * time.Millisecond)
 			given := false
 			host.nodes[0].look(func(c *Controller) {
-				for _, j := range c.leadership.jobs {
+				for _, j := range c.leaderTerm.jobs {
 					if j.guest != nil && !j.begun() {
-						c.leadership.loans.giveBack(j)
+						c.leaderTerm.loans.giveBack(j)
 						given = true
 					}
 				}
@@ -180,12 +180,12 @@
 		time.Sleep(10 * time.Second)
 		lent := func() (grants, used float64) {
 			home.leader().look(func(c *Controller) {
-				for _, j := range c.leadership.jobs {
+				for _, j := range c.leaderTerm.jobs {
 					if j.lent != nil {
 						grants += j.lent.Grant.CPUs
 					}
 				}
-				for _, team := range c.leadership.teams {
+				for _, team := range c.leaderTerm.teams {
 					used += team.UsedCPUs
 				}
 			})
@@ -231,7 +231,7 @@
 				g.settle(12 * time.Minute)
 				for _, c := range g.cells {
 					if n := c.leader(); n != nil {
-						n.look(func(o *Controller) { lends += int(o.leadership.loans.count) })
+						n.look(func(o *Controller) { lends += int(o.leaderTerm.loans.count) })
 					}
 				}
 				away += g.away()
@@ -342,7 +342,7 @@
 		"called back": func(g *cellGroup, ids []string) string {
 			id := g.onRecord(ids)
 			g.cells[0].leader().look(func(c *Controller) {
-				if j := c.leadership.jobs[id]; j != nil {
+				if j := c.leaderTerm.jobs[id]; j != nil {
 					j.wantBack = true
 				}
 			})
@@ -399,7 +399,7 @@
 		if n := g.job(ids[0]).home.leader(); n != nil {
 			n.look(func(c *Controller) {
 				for _, id := range ids {
-					if j := c.leadership.jobs[id]; j != nil && j.lent != nil {
+					if j := c.leaderTerm.jobs[id]; j != nil && j.lent != nil {
 						lent = id
 					}
 				}
@@ -478,7 +478,7 @@
 		held := ""
 		for range 200 {
 			host.nodes[0].look(func(c *Controller) {
-				for id, j := range c.leadership.jobs {
+				for id, j := range c.leaderTerm.jobs {
 					if held == "" && j.guest != nil && !j.begun() {
 						j.heldUntil = time.Now().Add(time.Hour)
 						held = id
@@ -513,7 +513,7 @@
 		home.same("while it is only silent", g.poll(id) == api.JobDone, false)
 		n := home.leader()
 		n.look(func(c *Controller) {
-			st := c.leadership.jobs[id].state()
+			st := c.leaderTerm.jobs[id].state()
 			home.same("told where it is", st.Cell, host.name)
 		})
 		for _, n := range home.nodes {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -108,22 +108,22 @@
 
 func (m statusMsg) apply(c *Controller) {
 	s := Status{Node: c.Settings.Node, Leader: c.leader}
-	if c.leadership != nil {
-		s.Leading = c.leadership.status(time.Now())
+	if c.leaderTerm != nil {
+		s.Leading = c.leaderTerm.status(time.Now())
 	}
 	m.reply <- s
 }
 
-func (r *leadership) status(now time.Time) *LeaderStatus {
-	s := &LeaderStatus{Term: r.term.Number, ValidS: max(0, r.until.Sub(now).Seconds()), Machines: len(r.machines),
-		Unheard: r.unheard, Booting: len(r.expected), Started: r.counts.started, Lost: r.counts.lost,
-		Done: r.counts.done, FirstStart: latency(r.counts.firstStart), Recorded: latency(r.counts.recorded)}
-	s.Waits, _ = r.waits(now)
-	s.Cells = r.loans.status(now)
-	if r.c.Standby != nil {
-		s.Grants = &GrantStatus{Bound: r.bound, Held: r.granted(now)}
+func (lt *leaderTerm) status(now time.Time) *LeaderStatus {
+	s := &LeaderStatus{Term: lt.term.Number, ValidS: max(0, lt.leaseExpiry.Sub(now).Seconds()), Machines: len(lt.machines),
+		Unheard: lt.unheard, Booting: len(lt.expected), Started: lt.counts.started, Lost: lt.counts.lost,
+		Done: lt.counts.done, FirstStart: latency(lt.counts.firstStart), Recorded: latency(lt.counts.recorded)}
+	s.Waits, _ = lt.waits(now)
+	s.Cells = lt.loans.status(now)
+	if lt.c.Standby != nil {
+		s.Grants = &GrantStatus{Bound: lt.bound, Held: lt.granted(now)}
 	}
-	for _, m := range r.machines {
+	for _, m := range lt.machines {
 		s.CPUs += m.cpus
 		s.UsedCPUs += m.usedCPUs
 		switch {
@@ -133,8 +133,8 @@
 			s.Draining++
 		}
 	}
-	for _, t := range r.c.Settings.Site.Teams {
-		q := r.teams[t.Name]
+	for _, t := range lt.c.Settings.Site.Teams {
+		q := lt.teams[t.Name]
 		ts := TeamStatus{Name: t.Name, Jobs: len(q.Items()), UsedCPUs: q.UsedCPUs, CPUs: q.CPUs, CPUsMax: q.CPUsMax}
 		for _, j := range q.Items() {
 			ts.Waiting += j.flight.Untaken()
@@ -145,7 +145,7 @@
 }
 
 // whyWaits says why a job's next task is on no machine.
-func (r *leadership) whyWaits(j *job, now time.Time) string {
+func (lt *leaderTerm) whyWaits(j *job, now time.Time) string {
 	s := &j.spec
 	switch {
 	case j.lent != nil || j.handover:
@@ -158,9 +158,9 @@
 		return "awaits others"
 	case now.Before(j.heldUntil):
 		return "fails everywhere"
-	case r.unheard > 0 && j.mark <= r.term.Mark:
+	case lt.unheard > 0 && j.mark <= lt.term.Mark:
 		return "takeover"
-	case !j.team.Allowed(s.CPUs, s.GPUs, r.unheardCPUs+r.foreignCPUs, r.unheardGPUs):
+	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unheardCPUs+lt.foreignCPUs, lt.unheardGPUs):
 		return "team limit"
 	case j.load.Defer || j.hopeless:
 		return "gives way"
@@ -170,13 +170,13 @@
 
 // waits counts the jobs that wait for their first start, by why, and returns the
 // one that has waited longest.
-func (r *leadership) waits(now time.Time) (counts map[string]int, oldest *job) {
+func (lt *leaderTerm) waits(now time.Time) (counts map[string]int, oldest *job) {
 	counts = map[string]int{}
-	for _, j := range r.jobs {
+	for _, j := range lt.jobs {
 		if j.finishing || j.begun() || j.flight.Untaken() == 0 {
 			continue
 		}
-		counts[r.whyWaits(j, now)]++
+		counts[lt.whyWaits(j, now)]++
 		if len(j.awaits) > 0 || j.lent != nil || j.guest != nil {
 			continue // not for room
 		}
@@ -195,30 +195,30 @@
 )
 
 // logWaits tells why work waits.
-func (r *leadership) logWaits(now time.Time) {
-	if now.Before(r.nextWaits) {
+func (lt *leaderTerm) logWaits(now time.Time) {
+	if now.Before(lt.nextWaits) {
 		return
 	}
-	r.nextWaits = now.Add(waitsInterval)
-	counts, oldest := r.waits(now)
+	lt.nextWaits = now.Add(waitsInterval)
+	counts, oldest := lt.waits(now)
 	if oldest == nil || now.Sub(oldest.since) < waitsLong {
 		return
 	}
-	r.c.Log.Info("work waits", "jobs", counts, "longest", oldest.spec.ID, "class", oldest.spec.Class, "team", oldest.spec.Team,
-		"for", now.Sub(oldest.since).Round(time.Second), "why", r.whyWaits(oldest, now))
+	lt.c.Log.Info("work waits", "jobs", counts, "longest", oldest.spec.ID, "class", oldest.spec.Class, "team", oldest.spec.Team,
+		"for", now.Sub(oldest.since).Round(time.Second), "why", lt.whyWaits(oldest, now))
 }
 
 // useInterval is how often the log tells how the fleet is used.
 const useInterval = 5 * time.Second
 
 // logUse tells at debug what the fleet's CPUs are doing and how much waits.
-func (r *leadership) logUse(now time.Time) {
-	if now.Before(r.nextUse) || !r.c.Log.Enabled(r.ctx, slog.LevelDebug) {
+func (lt *leaderTerm) logUse(now time.Time) {
+	if now.Before(lt.nextUse) || !lt.c.Log.Enabled(lt.ctx, slog.LevelDebug) {
 		return
 	}
-	r.nextUse = now.Add(useInterval)
+	lt.nextUse = now.Add(useInterval)
 	var total, open, running, pulling, ordered, saving, kept float64
-	for _, m := range r.machines {
+	for _, m := range lt.machines {
 		total += m.cpus
 		if m.open(now) {
 			open += m.cpus
@@ -240,11 +240,11 @@
 		}
 	}
 	waiting := map[string]float64{}
-	for _, j := range r.jobs {
+	for _, j := range lt.jobs {
 		waiting[j.spec.Class] += float64(j.flight.Untaken()) * j.spec.CPUs
 	}
-	r.c.Log.Debug("fleet use", "machines", len(r.machines), "unheard", r.unheard, "expected", len(r.expected), "cpus", total, "open", open,
-		"running", running, "pulling", pulling, "ordered", ordered, "saving", saving, "kept", kept, "jobs", len(r.jobs), "waiting", waiting)
+	lt.c.Log.Debug("fleet use", "machines", len(lt.machines), "unheard", lt.unheard, "expected", len(lt.expected), "cpus", total, "open", open,
+		"running", running, "pulling", pulling, "ordered", ordered, "saving", saving, "kept", kept, "jobs", len(lt.jobs), "waiting", waiting)
 }
 
 var _ api.Backend = (*Controller)(nil)
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -22,34 +22,34 @@
 }
 
 // load reads the store until it succeeds.
-func (r *leadership) load() {
-	for r.ctx.Err() == nil {
-		snap, err := r.read()
+func (lt *leaderTerm) load() {
+	for lt.ctx.Err() == nil {
+		snap, err := lt.read()
 		if err == nil {
-			r.post(loadedMsg{r, snap})
-			r.watch(snap.ring)
+			lt.sendToOwner(loadedMsg{lt, snap})
+			lt.watch(snap.ring)
 			return
 		}
-		r.c.Log.Debug("takeover: read", "err", err)
-		pause(r.ctx, 200*time.Millisecond)
+		lt.c.Log.Debug("takeover: read", "err", err)
+		sleep(lt.ctx, 200*time.Millisecond)
 	}
 }
 
-func (r *leadership) read() (*snapshot, error) {
+func (lt *leaderTerm) read() (*snapshot, error) {
 	s := snapshot{asked: time.Now()}
 	var err error
 	// The active jobs come first: their revision is where the watch begins.
-	if s.active, s.ring, err = r.readAll(store.ActivePrefix); err != nil {
+	if s.active, s.ring, err = lt.readAll(store.ActivePrefix); err != nil {
 		return nil, err
 	}
-	if s.progress, _, err = r.readAll(store.ProgressPrefix); err != nil {
+	if s.progress, _, err = lt.readAll(store.ProgressPrefix); err != nil {
 		return nil, err
 	}
-	if s.machines, _, err = r.readAll(store.MachinePrefix); err != nil {
+	if s.machines, _, err = lt.readAll(store.MachinePrefix); err != nil {
 		return nil, err
 	}
-	if r.c.Cells != nil {
-		if s.loans, _, err = r.readAll(loan.Prefix); err != nil {
+	if lt.c.Cells != nil {
+		if s.loans, _, err = lt.readAll(loan.Prefix); err != nil {
 			return nil, err
 		}
 	}
@@ -63,11 +63,11 @@
 	return &s, nil
 }
 
-func (r *leadership) readAll(prefix string) (rows []store.Entry, ring uint64, err error) {
+func (lt *leaderTerm) readAll(prefix string) (rows []store.Entry, ring uint64, err error) {
 	from := ""
 	for {
-		ctx, cancel := context.WithTimeout(r.ctx, 3*time.Second)
-		p, err := r.c.Store.Range(ctx, prefix, from, 500)
+		ctx, cancel := context.WithTimeout(lt.ctx, 3*time.Second)
+		p, err := lt.c.Store.Range(ctx, prefix, from, 500)
 		cancel()
 		if err != nil {
 			return nil, 0, err
@@ -84,86 +84,86 @@
 }
 
 type loadedMsg struct {
-	leadership *leadership
+	leaderTerm *leaderTerm
 	snapshot   *snapshot
 }
 
 func (m loadedMsg) apply(c *Controller) {
-	r := m.leadership
-	if c.leadership != r {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
 		return
 	}
 	now := time.Now()
-	r.cancelMark = m.snapshot.cancelMark
+	lt.cancelMark = m.snapshot.cancelMark
 	for _, e := range m.snapshot.loans {
-		r.loans.addRecord(e)
+		lt.loans.addRecord(e)
 	}
 	for _, e := range m.snapshot.active {
-		r.addJob(e.Key, e.Value, e.Mark)
+		lt.addJob(e.Key, e.Value, e.Mark)
 	}
 	for _, e := range m.snapshot.progress {
-		r.addProgress(e, now)
+		lt.addProgress(e, now)
 	}
 	var waiting []*job
-	for _, j := range r.jobs {
+	for _, j := range lt.jobs {
 		if len(j.spec.Awaits) > 0 {
-			r.pipeline.awaitJobs(j)
+			lt.pipeline.awaitJobs(j)
 			waiting = append(waiting, j)
 		}
 	}
-	r.pipeline.propagateDeadlines(waiting...)
+	lt.pipeline.propagateDeadlines(waiting...)
 	for _, e := range m.snapshot.machines {
-		r.addShard(e, now)
+		lt.addShard(e, now)
 	}
-	r.loaded, r.listening, r.cancellationsConfirmedAt = true, now, m.snapshot.asked
-	go r.awaitsLists.sweep()
+	lt.loaded, lt.listening, lt.cancellationsConfirmedAt = true, now, m.snapshot.asked
+	go lt.awaitsLists.sweep()
 	if c.Director != nil {
-		r.resyncNext(now)
+		lt.resyncNext(now)
 	}
-	c.Log.Info("takeover: read", "term", r.term.Number, "jobs", len(r.jobs), "machines", r.unheard)
+	c.Log.Info("takeover: read", "term", lt.term.Number, "jobs", len(lt.jobs), "machines", lt.unheard)
 }
 
 // addShard adds the machines of a shard of the roster.
-func (r *leadership) addShard(e store.Entry, now time.Time) {
+func (lt *leaderTerm) addShard(e store.Entry, now time.Time) {
 	var rec store.RosterRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
-		r.c.Log.Error("roster record", "key", e.Key, "err", err)
+		lt.c.Log.Error("roster record", "key", e.Key, "err", err)
 		return
 	}
 	s := &shard{key: e.Key}
 	for _, one := range rec.Machines {
-		if r.machines[one.Name] != nil {
+		if lt.machines[one.Name] != nil {
 			continue // a shard that was written late
 		}
-		m := r.addMachine(one.Name, one.Type, one.Zone, one.Spot, now)
+		m := lt.addMachine(one.Name, one.Type, one.Zone, one.Spot, now)
 		m.addr = one.Addr
 		m.cpus, m.gpus, m.memory = one.CPUs, one.GPUs, one.MemoryGB
 		m.roster, m.shard = rosterDurable, s
 		s.members = append(s.members, m)
-		r.toResync = append(r.toResync, m)
-		r.unheard++
-		r.unheardCPUs += m.cpus
-		r.unheardGPUs += m.gpus
+		lt.toResync = append(lt.toResync, m)
+		lt.unheard++
+		lt.unheardCPUs += m.cpus
+		lt.unheardGPUs += m.gpus
 	}
 	if len(s.members) < len(rec.Machines) {
 		s.stale = true
-		r.recorder.stale = append(r.recorder.stale, s)
+		lt.recorder.stale = append(lt.recorder.stale, s)
 	}
 }
 
-func (r *leadership) addProgress(e store.Entry, now time.Time) {
+func (lt *leaderTerm) addProgress(e store.Entry, now time.Time) {
 	id, first, ok := store.ParseProgressKey(e.Key)
 	if !ok {
 		return
 	}
-	j := r.jobs[id]
+	j := lt.jobs[id]
 	if j == nil {
-		r.recorder.drop(e.Key)
+		lt.recorder.drop(e.Key)
 		return
 	}
 	var rec store.ProgressRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
-		r.c.Log.Error("progress record", "key", e.Key, "err", err)
+		lt.c.Log.Error("progress record", "key", e.Key, "err", err)
 		return
 	}
 	j.chunks[first] = true
@@ -172,7 +172,7 @@
 		for bit := range 8 {
 			if task := first + i*8 + bit; b&(1<<bit) != 0 && task < j.spec.Tasks {
 				j.durable.Set(uint(task))
-				r.taskDone(j, task, now)
+				lt.taskDone(j, task, now)
 			}
 		}
 	}
--- a/internal/controller/triage.go
+++ b/internal/controller/triage.go
@@ -15,22 +15,22 @@
 
 // triage looks again at which jobs can be in time, and puts the queues in that
 // order.
-func (r *leadership) triage(now time.Time) {
+func (lt *leaderTerm) triage(now time.Time) {
 	cpus, free, waiting := 0.0, 0.0, 0.0
-	for _, m := range r.machines {
+	for _, m := range lt.machines {
 		if m.open(now) {
 			cpus += m.cpus
 			free += m.freeCPUs()
 		}
 	}
 	var loads []*queue.Load
-	most := max(leastTriaged, len(r.machines))
-	r.overlooked = 0
-	for _, t := range r.turns {
+	most := max(leastTriaged, len(lt.machines))
+	lt.overlooked = 0
+	for _, t := range lt.turns {
 		for _, j := range t.Items() {
 			j.look(now)
 			if j.overlooked = !j.begun() && now.Sub(j.since) > beginWithin; j.overlooked {
-				r.overlooked++
+				lt.overlooked++
 			}
 			waiting += float64(j.flight.Untaken()) * j.spec.CPUs
 			j.load = queue.Load{}
@@ -53,11 +53,11 @@
 	// Images that are fetched at the same time share the machine's rate. While
 	// there is too little room, one after the other is better: the first
 	// tasks begin sooner, and no room is held for those whose image comes last.
-	r.fetches = manyFetches
+	lt.fetches = manyFetches
 	if waiting > free {
-		r.fetches = 1
+		lt.fetches = 1
 	}
-	for _, t := range r.turns {
+	for _, t := range lt.turns {
 		t.Resort()
 	}
 }
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -216,7 +216,7 @@
 		}
 		far.rep.Seq++
 		far.deliver(n, &held)
-		n.look(func(c *Controller) { w.same("restarted", len(c.leadership.jobs["job-1"].restarted), 0) })
+		n.look(func(c *Controller) { w.same("restarted", len(c.leaderTerm.jobs["job-1"].restarted), 0) })
 		round(false)
 		round(false)
 		round(false)
@@ -456,7 +456,7 @@
 			m := reportMsg{rep: &rep, reply: make(chan reportReply, 1), came: time.Now()}
 			m.apply(c)
 			w.same("refused", (<-m.reply).err, &api.NotLeaderError{})
-			w.same("leads", c.leadership != nil, false)
+			w.same("leads", c.leaderTerm != nil, false)
 		})
 	})
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -94,7 +94,7 @@
 
 // newLeads tells whether the node of this version leads.
 func (v *mixed) newLeads() (leads bool) {
-	v.new.look(func(c *Controller) { leads = c.valid() && c.leadership.loaded })
+	v.new.look(func(c *Controller) { leads = c.holdsLease() && c.leaderTerm.loaded })
 	return leads
 }
 
@@ -860,9 +860,9 @@
 		v.handOver()
 		v.seconds(4)
 		v.new.look(func(c *Controller) {
-			r := c.leadership
-			v.same("lent", []any{r.jobs["job-1"].lent.Host, r.teams["red"].UsedCPUs}, []any{"cell-b", 2.0})
-			v.same("guest", r.jobs["job-2"].guest.Home, "cell-b")
+			lt := c.leaderTerm
+			v.same("lent", []any{lt.jobs["job-1"].lent.Host, lt.teams["red"].UsedCPUs}, []any{"cell-b", 2.0})
+			v.same("guest", lt.jobs["job-2"].guest.Home, "cell-b")
 		})
 		v.same("begun of the lent job", len(v.running("job-1")), 0)
 	})
--- a/internal/controller/waits_test.go
+++ b/internal/controller/waits_test.go
@@ -34,15 +34,15 @@
 		}
 		w.submit(n, spec("job-4", 1)) // all machines are in use
 		n.look(func(c *Controller) {
-			got, oldest := c.leadership.waits(time.Now())
+			got, oldest := c.leaderTerm.waits(time.Now())
 			w.same("waits", got, map[string]int{"team limit": 1, "no room": 1})
 			w.same("oldest", oldest.spec.ID, "job-2")
-			c.leadership.unheard++
-			oldest.mark = c.leadership.term.Mark // accepted before this term
-			w.same("before a takeover is over", c.leadership.whyWaits(oldest, time.Now()), "takeover")
-			c.leadership.unheard--
+			c.leaderTerm.unheard++
+			oldest.mark = c.leaderTerm.term.Mark // accepted before this term
+			w.same("before a takeover is over", c.leaderTerm.whyWaits(oldest, time.Now()), "takeover")
+			c.leaderTerm.unheard--
 			oldest.heldUntil = time.Now().Add(time.Second)
-			w.same("held", c.leadership.whyWaits(oldest, time.Now()), "fails everywhere")
+			w.same("held", c.leaderTerm.whyWaits(oldest, time.Now()), "fails everywhere")
 		})
 	})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -119,10 +119,10 @@
 	stopped := ctx.Done()
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	cand := &election.Candidate{
+	cand := &election.Elector{
 		Node: s.Node, Incarnation: rand.Text(), Store: st,
 		Lease: p.LeaderLease, Renew: min(p.LeaderLease/6, 3*time.Second),
-		Observer: c, Log: log, Depose: c.Depose(), Resigned: c.Resigns(),
+		Observer: c, Log: log, StepDowns: c.StepDowns(), Resignations: c.Resignations(),
 	}
 	go c.Run(ctx)
 	go cand.Run(ctx)
@@ -138,7 +138,7 @@
 	select {
 	case <-stopped:
 		lctx, done := context.WithTimeout(ctx, leaveWithin)
-		c.Leave(lctx)
+		c.Drain(lctx)
 		done()
 		apiLn.Close()
 		log.Info("stopped", "node", s.Node)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -14,10 +14,10 @@
 // observer notes the terms that a candidate has won.
 type observer struct{ term atomic.Uint64 }
 
-func (*observer) Leader(string)                {}
-func (o *observer) Won(term Term, _ time.Time) { o.term.Store(term.Number) }
-func (*observer) Extended(Term, time.Time)     {}
-func (o *observer) Lost(Term)                  { o.term.Store(0) }
+func (*observer) LeaderChanged(string)                 {}
+func (o *observer) ElectionWon(term Term, _ time.Time) { o.term.Store(term.Number) }
+func (*observer) LeaseRenewed(Term, time.Time)         {}
+func (o *observer) LeaseLost(Term)                     { o.term.Store(0) }
 
 // A notice that a leader has resigned counts for the term that it names: one that comes
 // when the same node leads in a later term changes nothing.
@@ -28,9 +28,9 @@
 		begin := func(node string, o *observer) (chan<- Resignation, context.CancelFunc) {
 			ctx, cancel := context.WithCancel(context.Background())
 			resigned := make(chan Resignation, 1)
-			c := &Candidate{Node: node, Incarnation: node, Store: st, Lease: 30 * time.Second, Renew: 3 * time.Second,
-				Observer: o, Log: slog.New(slog.DiscardHandler), Resigned: resigned}
-			go c.Run(ctx)
+			e := &Elector{Node: node, Incarnation: node, Store: st, Lease: 30 * time.Second, Renew: 3 * time.Second,
+				Observer: o, Log: slog.New(slog.DiscardHandler), Resignations: resigned}
+			go e.Run(ctx)
 			time.Sleep(time.Second)
 			return resigned, cancel
 		}
