--- a/cmd/ivytrestle/main.go
+++ b/cmd/ivytrestle/main.go
@@ -107,7 +107,7 @@
 		more = fmt.Sprintf(", cell %s with %d neighbours", others.Cell, len(others.Neighbours))
 	}
 	if files.parts.Standby != nil {
-		more += fmt.Sprintf(", leaders replaced after %v without grants", files.parts.Standby.Grant())
+		more += fmt.Sprintf(", leaders replaced after %v without grants", files.parts.Standby.VoteLifetime())
 	}
 	fmt.Printf("%s: good (%d teams, %d other controllers%s)\n", s.Node, len(s.Site.Teams), len(s.Peers), more)
 	return nil
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -123,7 +123,7 @@
 // minute what users have called off elsewhere. In an outage that the others see
 // as well nobody can call anything off.
 func (lt *leaderTerm) mayStart(now time.Time) bool {
-	if !lt.mayDecide(now) {
+	if !lt.hasLeaseQuorum(now) {
 		return false
 	}
 	if now.Sub(lt.cancellationsKnownAt(now)) <= lt.c.proofInterval()+startSlack {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -29,8 +29,8 @@
 // network to its host works.
 var ErrRefused = errors.New("connection refused")
 
-// PeerAsker speaks to the other nodes.
-type PeerAsker interface {
+// PeerClient speaks to the other nodes.
+type PeerClient interface {
 	// Job returns ErrUnavailable when the node cannot answer.
 	Job(ctx context.Context, node, id string) (api.JobState, error)
 	// Ping returns the node's state, if it can be reached.
@@ -41,8 +41,8 @@
 	Report(ctx context.Context, node string, rep *api.Report) (api.ReportAnswer, error)
 	// Resign tells a node that self has stopped to act in a term.
 	Resign(ctx context.Context, node, self string, term uint64) error
-	// Grant asks a node to let this one decide as leader of a term for a while.
-	Grant(ctx context.Context, node string, term uint64) (granted bool, err error)
+	// Vote asks a node to let this one decide as leader of a term for a while.
+	Vote(ctx context.Context, node string, term uint64) (granted bool, err error)
 	// Promise asks a node to grant a term nothing more, and returns for how long what
 	// it has granted may be valid. ErrUnavailable means that it would not: it hears
 	// the leader.
@@ -57,7 +57,7 @@
 	// UserStore is Store for what users ask; nil: Store itself.
 	UserStore store.Service
 	Cloud     cloud.Service
-	Peers     PeerAsker
+	Peers     PeerClient
 	Prober    Prober
 	Director  Director
 	Log       *slog.Logger
@@ -91,10 +91,10 @@
 	// sent is when machines were sent on to the leader, past this node.
 	sent map[string]time.Time
 	// directed is to whom machines were last told to report.
-	directed    map[string]directed
-	final       *lru.Cache[string, api.JobState]
-	cancels     *cancellation.Log
-	replacement replacement
+	directed map[string]directed
+	final    *lru.Cache[string, api.JobState]
+	cancels  *cancellation.Log
+	failover failover
 	// draining is set once the process is about to end.
 	draining bool
 	// reads are the reads of the store that users wait for, by job.
@@ -153,7 +153,7 @@
 			go c.watchPeer(ctx, p.Node)
 		}
 	}
-	c.replacement.run(ctx, c)
+	c.failover.run(ctx, c)
 	tick := time.NewTicker(followInterval)
 	defer tick.Stop()
 	interval := followInterval
@@ -172,7 +172,7 @@
 			if c.leaderTerm != nil {
 				c.leaderTerm.tick(now)
 			} else {
-				c.replacement.tick(c, now)
+				c.failover.tick(c, now)
 			}
 		}
 	}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -261,7 +261,7 @@
 	return w.startWith(name, w.store, nil)
 }
 
-func (w *cluster) startWith(name string, st store.Service, peers PeerAsker) *node {
+func (w *cluster) startWith(name string, st store.Service, peers PeerClient) *node {
 	w.t.Helper()
 	pol, err := policy.Parse("", "")
 	if err != nil {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -58,15 +58,15 @@
 	// awaitsLists are the records that list awaited jobs.
 	awaitsLists awaitsLists
 	loans       loans
-	// grants are what the other nodes let this one decide by, and bound is set once it
+	// votes are what the other nodes let this one decide by, and bound is set once it
 	// decides only with enough of them; ungranted is since when it lacks them.
-	grants      *grant.Holder
-	bound       bool
-	ungranted   time.Time
-	down        relayDown
-	recorder    recorder
-	provisioner provisioner
-	counts      counters
+	votes          *grant.VoteSet
+	quorumRequired bool
+	quorumLostAt   time.Time
+	down           relayDown
+	recorder       recorder
+	provisioner    provisioner
+	counts         counters
 	// dispatchUntil is until when free machines are looked for that could be
 	// given work directly; ordering is to how many such orders are on the way.
 	dispatchUntil time.Time
@@ -135,7 +135,7 @@
 	lt.loans.init(lt)
 	lt.provisioner.init(lt)
 	if c.Standby != nil {
-		lt.grants = grant.NewHolder(c.Standby.Grant())
+		lt.votes = grant.NewVoteSet(c.Standby.VoteLifetime())
 	}
 	for _, t := range c.Settings.Site.Teams {
 		q := &queue.Team[*job]{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax,
@@ -275,7 +275,7 @@
 	}
 	lt.confirm.start()
 	lt.recorder.flush(now)
-	if lt.checkGrants(now); lt.c.leaderTerm != lt {
+	if lt.checkLeaseQuorum(now); lt.c.leaderTerm != lt {
 		return
 	}
 	lt.loans.tick(now)
@@ -292,7 +292,7 @@
 	lt.countHolders(now)
 	lt.scanMachines(now)
 	lt.scanOverdue(now)
-	if lt.mayDecide(now) {
+	if lt.hasLeaseQuorum(now) {
 		lt.provisioner.tick(now)
 	}
 	lt.logUse(now)
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -78,7 +78,7 @@
 
 // granting is a node that knows of grants.
 type granting interface {
-	PeerGrant(ctx context.Context, term uint64) (bool, error)
+	PeerVote(ctx context.Context, term uint64) (bool, error)
 	PeerPromise(ctx context.Context, term uint64) (time.Duration, error)
 }
 
@@ -95,12 +95,12 @@
 	return g, nil
 }
 
-func (l *links) Grant(ctx context.Context, name string, term uint64) (bool, error) {
+func (l *links) Vote(ctx context.Context, name string, term uint64) (bool, error) {
 	n, err := l.grantingTo(name)
 	if err != nil {
 		return false, err
 	}
-	return n.PeerGrant(ctx, term)
+	return n.PeerVote(ctx, term)
 }
 
 func (l *links) Promise(ctx context.Context, name string, term uint64) (time.Duration, error) {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -96,7 +96,7 @@
 		return false
 	}
 	for _, n := range l.leaderTerm.c.peerTable.nodes {
-		if !n.KnowsLoans {
+		if !n.SupportsLoans {
 			return false
 		}
 	}
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -22,7 +22,7 @@
 	"known":       func(ctx context.Context, n *node) error { _, err := n.Known(ctx, "job-1"); return err },
 	"status":      func(ctx context.Context, n *node) error { _, err := n.Status(ctx); return err },
 	"loans":       func(ctx context.Context, n *node) error { _, err := n.Loans(ctx, nil); return err },
-	"peer grant":  func(ctx context.Context, n *node) error { _, err := n.PeerGrant(ctx, 1); return err },
+	"peer grant":  func(ctx context.Context, n *node) error { _, err := n.PeerVote(ctx, 1); return err },
 	"promise":     func(ctx context.Context, n *node) error { _, err := n.PeerPromise(ctx, 1); return err },
 	"resignation": func(ctx context.Context, n *node) error { return n.LeaderResigned(ctx, "n1", 1) },
 	"peer status": func(ctx context.Context, n *node) error {
--- a/internal/controller/peertable.go
+++ b/internal/controller/peertable.go
@@ -25,11 +25,11 @@
 	// all of them as a leader; negative: it does not know.
 	Cancels cancellation.News
 	Known   time.Duration
-	// KnowsLoans is set if it knows records of jobs that are lent between cells.
-	KnowsLoans bool
-	// KnowsGrants is set if it grants and promises, and Bound if it decides as leader
+	// SupportsLoans is set if it knows records of jobs that are lent between cells.
+	SupportsLoans bool
+	// SupportsLeaseQuorum is set if it grants and promises, and Bound if it decides as leader
 	// only while it is granted that.
-	KnowsGrants, Bound bool
+	SupportsLeaseQuorum, QuorumRequired bool
 }
 
 // peerTable is what a node knows of the others and of its own way to the state
@@ -279,13 +279,13 @@
 
 func (m peerStatusMsg) apply(c *Controller) {
 	now := time.Now()
-	st := PeerStatus{Leader: c.leader, Incarnation: c.up.incarnation, Known: -1, KnowsLoans: c.Cells != nil, KnowsGrants: c.Standby != nil}
+	st := PeerStatus{Leader: c.leader, Incarnation: c.up.incarnation, Known: -1, SupportsLoans: c.Cells != nil, SupportsLeaseQuorum: c.Standby != nil}
 	if m.from.Incarnation != st.Incarnation {
 		m.from.Number = 0
 	}
 	st.Cancels = c.cancels.After(m.from.Number, now)
 	if c.holdsLease() {
-		st.Term, st.Bound = c.leaderTerm.term.Number, c.leaderTerm.bound
+		st.Term, st.QuorumRequired = c.leaderTerm.term.Number, c.leaderTerm.quorumRequired
 		if c.leaderTerm.loaded {
 			st.Known = now.Sub(c.leaderTerm.cancellationsKnownAt(now))
 		}
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -11,43 +11,43 @@
 	"example.org/ivytrestle/internal/grant"
 )
 
-// replacement is a node's part in replacing a leader that is gone without waiting for its
+// failover is a node's part in replacing a leader that is gone without waiting for its
 // lease at the state service. It grants the leader that it decides, a little at a time;
 // and when it does not hear the leader it has the others promise with it to grant that
 // term nothing more, waits until what was granted has run out, and tells the election that
 // the leader no longer acts. docs/standby.md says why that is safe.
-type replacement struct {
+type failover struct {
 	// voter is nil where this is switched off.
-	voter *grant.Voter
-	busy  bool
-	next  time.Time
-	// newTerm is when this node last gave up a term to be granted the next.
-	newTerm time.Time
+	voter       *grant.Voter
+	busy        bool
+	nextAttempt time.Time
+	// lastNewTerm is when this node last gave up a term to be granted the next.
+	lastNewTerm time.Time
 }
 
 const (
-	grantEvery   = time.Second
-	grantTimeout = 800 * time.Millisecond
-	// replaceAgain is how long after a vain try the others are asked again.
-	replaceAgain = time.Second
-	// bindAfter is how long nodes that know of grants may grant nothing before a new
-	// term is begun for that, and newTermEvery how often that may be.
-	bindAfter    = 3 * time.Second
-	newTermEvery = 5 * time.Minute
+	voteInterval = time.Second
+	voteTimeout  = 800 * time.Millisecond
+	// failoverRetryInterval is how long after a vain try the others are asked again.
+	failoverRetryInterval = time.Second
+	// quorumWait is how long nodes that know of grants may grant nothing before a new
+	// term is begun for that, and newTermInterval how often that may be.
+	quorumWait      = 3 * time.Second
+	newTermInterval = 5 * time.Minute
 )
 
 // run begins what goes on beside the owner, if it is switched on.
-func (p *replacement) run(ctx context.Context, c *Controller) {
+func (f *failover) run(ctx context.Context, c *Controller) {
 	if c.Standby == nil {
 		return
 	}
-	p.voter = grant.NewVoter(c.Standby.Grant(), time.Now())
+	f.voter = grant.NewVoter(c.Standby.VoteLifetime(), time.Now())
 	go c.readVoterTerm(ctx)
 	if c.Peers == nil {
 		return
 	}
 	for _, peer := range c.Settings.Peers {
-		go c.requestGrants(ctx, peer.Node)
+		go c.requestVotes(ctx, peer.Node)
 	}
 }
 
@@ -73,12 +73,12 @@
 
 type voterTermMsg struct{ term uint64 }
 
-func (m voterTermMsg) apply(c *Controller) { c.replacement.voter.Begin(m.term) }
+func (m voterTermMsg) apply(c *Controller) { c.failover.voter.Begin(m.term) }
 
-// requestGrants asks another node for a grant every second while this one leads.
-func (c *Controller) requestGrants(ctx context.Context, node string) {
+// requestVotes asks another node for a grant every second while this one leads.
+func (c *Controller) requestVotes(ctx context.Context, node string) {
 	for ctx.Err() == nil {
-		ask := leadingTermMsg{make(chan uint64, 1)}
+		ask := ownTermRequestMsg{make(chan uint64, 1)}
 		if c.send(ctx, ask) != nil {
 			return
 		}
@@ -88,21 +88,21 @@
 		}
 		if term != 0 {
 			asked := time.Now()
-			gctx, cancel := context.WithTimeout(ctx, grantTimeout)
-			granted, err := c.Peers.Grant(gctx, node, term)
+			gctx, cancel := context.WithTimeout(ctx, voteTimeout)
+			granted, err := c.Peers.Vote(gctx, node, term)
 			cancel()
 			if err == nil && granted {
-				c.send(ctx, grantedMsg{node, term, asked})
+				c.send(ctx, voteGrantedMsg{node, term, asked})
 			}
 		}
-		sleep(ctx, grantEvery)
+		sleep(ctx, voteInterval)
 	}
 }
 
-// leadingTermMsg asks in which term this node leads, if it does.
-type leadingTermMsg struct{ reply chan uint64 }
+// ownTermRequestMsg asks in which term this node leads, if it does.
+type ownTermRequestMsg struct{ reply chan uint64 }
 
-func (m leadingTermMsg) apply(c *Controller) {
+func (m ownTermRequestMsg) apply(c *Controller) {
 	term := uint64(0)
 	if c.holdsLease() {
 		term = c.leaderTerm.term.Number
@@ -110,84 +110,86 @@
 	m.reply <- term
 }
 
-// grantedMsg brings another node's grant.
-type grantedMsg struct {
+// voteGrantedMsg brings another node's grant.
+type voteGrantedMsg struct {
 	node  string
 	term  uint64
 	asked time.Time
 }
 
-func (m grantedMsg) apply(c *Controller) {
+func (m voteGrantedMsg) apply(c *Controller) {
 	if lt := c.leaderTerm; lt != nil && lt.term.Number == m.term {
-		lt.grants.Granted(m.node, m.asked)
+		lt.votes.Add(m.node, m.asked)
 	}
 }
 
-// granted tells whether the leader holds enough grants.
-func (lt *leaderTerm) granted(now time.Time) bool {
-	return lt.grants.Valid(grant.NeededGrants(len(lt.c.Settings.Peers)+1), now)
+// voteQuorum tells whether the leader holds enough grants.
+func (lt *leaderTerm) voteQuorum(now time.Time) bool {
+	return lt.votes.HasQuorum(grant.RequiredVotes(len(lt.c.Settings.Peers)+1), now)
 }
 
-// mayDecide tells whether the leader may start tasks, and rent and return machines. One
+// hasLeaseQuorum tells whether the leader may start tasks, and rent and return machines. One
 // that is bound to grants and lacks them may have been replaced; all that it goes on with
 // is what renews leases, and what the state service guards.
-func (lt *leaderTerm) mayDecide(now time.Time) bool { return !lt.bound || lt.granted(now) }
+func (lt *leaderTerm) hasLeaseQuorum(now time.Time) bool {
+	return !lt.quorumRequired || lt.voteQuorum(now)
+}
 
-// checkGrants binds the leader to grants once all other nodes know of them and enough have
+// checkLeaseQuorum binds the leader to grants once all other nodes know of them and enough have
 // granted. One that lacks them for long, and is not replaced, begins a new term: those
 // that have promised to grant the present one nothing more are not bound to that.
-func (lt *leaderTerm) checkGrants(now time.Time) {
+func (lt *leaderTerm) checkLeaseQuorum(now time.Time) {
 	if lt.c.Standby == nil || len(lt.c.Settings.Peers) == 0 {
 		return
 	}
-	if !lt.bound {
-		lt.bind(now)
+	if !lt.quorumRequired {
+		lt.requireQuorum(now)
 		return
 	}
-	if lt.granted(now) {
-		lt.ungranted = time.Time{}
+	if lt.voteQuorum(now) {
+		lt.quorumLostAt = time.Time{}
 		return
 	}
-	if lt.ungranted.IsZero() {
-		lt.ungranted = now
+	if lt.quorumLostAt.IsZero() {
+		lt.quorumLostAt = now
 		lt.c.Log.Info("grants lost, nothing is decided", "term", lt.term.Number)
 	}
-	if now.Sub(lt.ungranted) > 2*lt.c.Standby.Grant() && lt.c.peerTable.storeOK {
+	if now.Sub(lt.quorumLostAt) > 2*lt.c.Standby.VoteLifetime() && lt.c.peerTable.storeOK {
 		lt.c.Log.Info("leadership given up without grants", "term", lt.term.Number)
 		lt.stepDown()
 	}
 }
 
-// bind binds the leader to grants once all other nodes know of them and enough of them
+// requireQuorum binds the leader to grants once all other nodes know of them and enough of them
 // grant. Processes that were begun after the term was grant it nothing, as they cannot know
 // what earlier ones have promised: if there are too many of them, a new term is begun.
-func (lt *leaderTerm) bind(now time.Time) {
+func (lt *leaderTerm) requireQuorum(now time.Time) {
 	for _, n := range lt.c.peerTable.nodes {
-		if !n.KnowsGrants || !n.reached(now) {
-			lt.ungranted = time.Time{}
+		if !n.SupportsLeaseQuorum || !n.reached(now) {
+			lt.quorumLostAt = time.Time{}
 			return
 		}
 	}
-	if lt.bound = lt.granted(now); lt.bound {
-		lt.ungranted = time.Time{}
+	if lt.quorumRequired = lt.voteQuorum(now); lt.quorumRequired {
+		lt.quorumLostAt = time.Time{}
 		lt.c.Log.Info("bound to grants", "term", lt.term.Number)
 		return
 	}
-	if lt.ungranted.IsZero() {
-		lt.ungranted = now
+	if lt.quorumLostAt.IsZero() {
+		lt.quorumLostAt = now
 	}
-	p := &lt.c.replacement
-	if now.Sub(lt.ungranted) > bindAfter && now.Sub(p.newTerm) > newTermEvery && lt.c.peerTable.storeOK {
-		p.newTerm = now
+	f := &lt.c.failover
+	if now.Sub(lt.quorumLostAt) > quorumWait && now.Sub(f.lastNewTerm) > newTermInterval && lt.c.peerTable.storeOK {
+		f.lastNewTerm = now
 		lt.c.Log.Info("new term begun, to be granted", "term", lt.term.Number)
 		lt.stepDown()
 	}
 }
 
 // tick looks, on a node that does not lead, whether the leader is to be replaced.
-func (p *replacement) tick(c *Controller, now time.Time) {
+func (f *failover) tick(c *Controller, now time.Time) {
 	n := c.peerTable.nodes[c.leader]
-	if p.voter == nil || p.busy || n == nil || !n.Bound || n.Term == 0 || n.failed < unreachedAfter || !c.peerTable.storeOK || now.Before(p.next) {
+	if f.voter == nil || f.busy || n == nil || !n.QuorumRequired || n.Term == 0 || n.failed < unreachedAfter || !c.peerTable.storeOK || now.Before(f.nextAttempt) {
 		return
 	}
 	var others []string
@@ -196,7 +198,7 @@
 			others = append(others, name)
 		}
 	}
-	p.busy = true
+	f.busy = true
 	c.Log.Info("leader suspected", "leader", c.leader, "term", n.Term, "failed", n.failed)
 	go c.collectPromises(c.leader, n.Term, others)
 }
@@ -204,7 +206,7 @@
 // collectPromises asks the others to grant a term nothing more. Those that hear its leader
 // do not.
 func (c *Controller) collectPromises(leader string, term uint64, others []string) {
-	ctx, cancel := context.WithTimeout(context.Background(), grantTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), voteTimeout)
 	defer cancel()
 	asked := time.Now()
 	waits := make(chan time.Duration, len(others))
@@ -220,11 +222,11 @@
 			waits <- wait
 		}()
 	}
-	m := promisesMsg{leader: leader, term: term}
+	m := promisesCollectedMsg{leader: leader, term: term}
 	for range others {
 		if wait := <-waits; wait != noPromise {
 			m.promises++
-			if until := asked.Add(grantTimeout + wait); until.After(m.until) {
+			if until := asked.Add(voteTimeout + wait); until.After(m.until) {
 				m.until = until
 			}
 		}
@@ -235,37 +237,37 @@
 // noPromise is in place of a wait where there is no promise.
 const noPromise = -1
 
-// promisesMsg brings what others have promised, and until when what they have granted may
+// promisesCollectedMsg brings what others have promised, and until when what they have granted may
 // be valid.
-type promisesMsg struct {
+type promisesCollectedMsg struct {
 	leader   string
 	term     uint64
 	promises int
 	until    time.Time
 }
 
-func (m promisesMsg) apply(c *Controller) {
-	p, now := &c.replacement, time.Now()
+func (m promisesCollectedMsg) apply(c *Controller) {
+	f, now := &c.failover, time.Now()
 	n := c.peerTable.nodes[m.leader]
-	if m.promises+1 < grant.NeededPromises(len(c.Settings.Peers)+1) || c.leader != m.leader || c.leaderTerm != nil || n.failed < unreachedAfter || n.Term != m.term {
-		p.busy, p.next = false, now.Add(replaceAgain)
+	if m.promises+1 < grant.RequiredPromises(len(c.Settings.Peers)+1) || c.leader != m.leader || c.leaderTerm != nil || n.failed < unreachedAfter || n.Term != m.term {
+		f.busy, f.nextAttempt = false, now.Add(failoverRetryInterval)
 		return
 	}
-	if own := now.Add(p.voter.Promise(m.term, now)); own.After(m.until) {
+	if own := now.Add(f.voter.Promise(m.term, now)); own.After(m.until) {
 		m.until = own
 	}
 	c.Log.Info("leader to be replaced", "leader", m.leader, "term", m.term, "in", m.until.Sub(now).Round(time.Millisecond))
-	time.AfterFunc(m.until.Sub(now), func() { c.send(context.Background(), replaceMsg{m.leader, m.term}) })
+	time.AfterFunc(m.until.Sub(now), func() { c.send(context.Background(), leaseRevokedMsg{m.leader, m.term}) })
 }
 
-// replaceMsg says that a leader may decide nothing any more in its term.
-type replaceMsg struct {
+// leaseRevokedMsg says that a leader may decide nothing any more in its term.
+type leaseRevokedMsg struct {
 	leader string
 	term   uint64
 }
 
-func (m replaceMsg) apply(c *Controller) {
-	c.replacement.busy, c.replacement.next = false, time.Now().Add(replaceAgain)
+func (m leaseRevokedMsg) apply(c *Controller) {
+	c.failover.busy, c.failover.nextAttempt = false, time.Now().Add(failoverRetryInterval)
 	if c.leader != m.leader || c.leaderTerm != nil {
 		return // somebody else was quicker
 	}
@@ -275,28 +277,28 @@
 	}
 }
 
-// PeerGrant answers a leader that asks to decide in its term.
-func (c *Controller) PeerGrant(ctx context.Context, term uint64) (bool, error) {
-	m := peerGrantMsg{term, make(chan bool, 1)}
+// PeerVote answers a leader that asks to decide in its term.
+func (c *Controller) PeerVote(ctx context.Context, term uint64) (bool, error) {
+	m := voteRequestMsg{term, make(chan bool, 1)}
 	if err := c.send(ctx, m); err != nil {
 		return false, err
 	}
 	return await(ctx, c, m.reply)
 }
 
-type peerGrantMsg struct {
+type voteRequestMsg struct {
 	term  uint64
 	reply chan bool
 }
 
-func (m peerGrantMsg) apply(c *Controller) {
-	v := c.replacement.voter
-	m.reply <- v != nil && v.Grant(m.term, time.Now())
+func (m voteRequestMsg) apply(c *Controller) {
+	v := c.failover.voter
+	m.reply <- v != nil && v.Vote(m.term, time.Now())
 }
 
 // PeerPromise answers a node that wants to replace the leader of a term.
 func (c *Controller) PeerPromise(ctx context.Context, term uint64) (time.Duration, error) {
-	m := peerPromiseMsg{term, make(chan time.Duration, 1)}
+	m := promiseRequestMsg{term, make(chan time.Duration, 1)}
 	if err := c.send(ctx, m); err != nil {
 		return 0, err
 	}
@@ -307,14 +309,14 @@
 	return wait, err
 }
 
-type peerPromiseMsg struct {
+type promiseRequestMsg struct {
 	term  uint64
 	reply chan time.Duration
 }
 
 // A node that hears the leader, or leads itself, promises nothing.
-func (m peerPromiseMsg) apply(c *Controller) {
-	v, now := c.replacement.voter, time.Now()
+func (m promiseRequestMsg) apply(c *Controller) {
+	v, now := c.failover.voter, time.Now()
 	if v == nil || c.leaderTerm != nil {
 		m.reply <- noPromise
 		return
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -83,12 +83,12 @@
 	return n.LeaderResigned(ctx, self, term)
 }
 
-func (e meshEnd) Grant(ctx context.Context, name string, term uint64) (bool, error) {
+func (e meshEnd) Vote(ctx context.Context, name string, term uint64) (bool, error) {
 	n, err := e.to(name)
 	if err != nil {
 		return false, err
 	}
-	return n.PeerGrant(ctx, term)
+	return n.PeerVote(ctx, term)
 }
 
 func (e meshEnd) Promise(ctx context.Context, name string, term uint64) (time.Duration, error) {
@@ -150,7 +150,7 @@
 func (s *standbyCluster) begin(name string) {
 	s.standby = nil
 	if s.grant > 0 {
-		s.standby = &standby.Settings{GrantS: s.grant}
+		s.standby = &standby.Settings{VoteLifetimeS: s.grant}
 	}
 	s.gates[name] = &gate{Fake: s.store}
 	n := s.startWith(name, s.gates[name], meshEnd{s.mesh, name})
@@ -418,14 +418,14 @@
 		n, _ := s.leader()
 		for _, other := range s.all() {
 			other.look(func(c *Controller) {
-				c.replacement.newTerm = time.Now().Add(time.Hour)
-				c.replacement.voter.Begin(1000) // as if begun after all terms to come
+				c.failover.lastNewTerm = time.Now().Add(time.Hour)
+				c.failover.voter.Begin(1000) // as if begun after all terms to come
 			})
 		}
 		n.look(func(c *Controller) { c.leaderTerm.stepDown() })
 		time.Sleep(5 * time.Second)
 		n, term := s.leader()
-		n.look(func(c *Controller) { s.same("bound", c.leaderTerm.bound, false) })
+		n.look(func(c *Controller) { s.same("bound", c.leaderTerm.quorumRequired, false) })
 		began := time.Now()
 		s.end(n.Settings.Node)
 		time.Sleep(45 * time.Second)
@@ -483,7 +483,7 @@
 		s.begin(n.Settings.Node)
 		time.Sleep(10 * time.Second)
 		n, term := s.leader()
-		n.look(func(c *Controller) { s.same("bound", c.leaderTerm.bound, false) })
+		n.look(func(c *Controller) { s.same("bound", c.leaderTerm.quorumRequired, false) })
 		began := time.Now()
 		s.end(n.Settings.Node)
 		time.Sleep(45 * time.Second)
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -584,7 +584,7 @@
 		g.burst(home, 100, 6, 10*time.Second)
 		time.Sleep(8 * time.Second)
 		home.same("lent", g.away(), 0)
-		n.look(func(c *Controller) { c.peerTable.nodes["n9"].KnowsLoans = true })
+		n.look(func(c *Controller) { c.peerTable.nodes["n9"].SupportsLoans = true })
 		time.Sleep(8 * time.Second)
 		if g.away() == 0 {
 			t.Error("nothing was lent once all know")
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -36,17 +36,17 @@
 	Waits      map[string]int `json:"waits"`
 	FirstStart Latency        `json:"first_start_ms"`
 	Recorded   Latency        `json:"recorded_ms"`
-	// Grants tell whether the leader decides by the grants of others, if that is on.
-	Grants *GrantStatus `json:"grants,omitempty"`
+	// Quorum tell whether the leader decides by the grants of others, if that is on.
+	Quorum *QuorumStatus `json:"grants,omitempty"`
 	// Cells are the loans to and from other cells, if there are any.
 	Cells *CellsStatus `json:"cells,omitempty"`
 }
 
-// GrantStatus tells whether a leader decides only while it is granted that, and whether
+// QuorumStatus tells whether a leader decides only while it is granted that, and whether
 // it is at present.
-type GrantStatus struct {
-	Bound bool `json:"bound"`
-	Held  bool `json:"held"`
+type QuorumStatus struct {
+	Required bool `json:"bound"`
+	Held     bool `json:"held"`
 }
 
 // TeamStatus is one team's queue and use.
@@ -121,7 +121,7 @@
 	s.Waits, _ = lt.waits(now)
 	s.Cells = lt.loans.status(now)
 	if lt.c.Standby != nil {
-		s.Grants = &GrantStatus{Bound: lt.bound, Held: lt.granted(now)}
+		s.Quorum = &QuorumStatus{Required: lt.quorumRequired, Held: lt.voteQuorum(now)}
 	}
 	for _, m := range lt.machines {
 		s.CPUs += m.cpus
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -44,7 +44,7 @@
 	}
 	pong := &peer.Pong{Term: st.Term, Leader: st.Leader, StoreOkMs: uint64(st.StoreOK.Milliseconds()), Incarnation: st.Incarnation,
 		Cancelled: st.Cancels.IDs, CancelFirst: st.Cancels.First, CancelMore: st.Cancels.More, CancelWholeMs: uint64(st.Cancels.Whole.Milliseconds())}
-	pong.KnowsLoans, pong.KnowsGrants, pong.Bound = st.KnowsLoans, st.KnowsGrants, st.Bound
+	pong.KnowsLoans, pong.KnowsGrants, pong.Bound = st.SupportsLoans, st.SupportsLeaseQuorum, st.QuorumRequired
 	if st.Known >= 0 {
 		// Rounded up: it must not seem fresher than it is.
 		pong.KnownAgeMs = proto.Uint64(uint64(st.Known.Milliseconds()) + 1)
@@ -77,7 +77,7 @@
 func (h peerHandler) Grant(ctx context.Context, r *peer.GrantRequest) (*peer.GrantAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerWait)
 	defer cancel()
-	granted, err := h.c.PeerGrant(ctx, r.GetTerm())
+	granted, err := h.c.PeerVote(ctx, r.GetTerm())
 	return &peer.GrantAnswer{Granted: granted}, err
 }
 
@@ -101,7 +101,7 @@
 	return p
 }
 
-// Job implements controller.PeerAsker.
+// Job implements controller.PeerClient.
 func (p peers) Job(ctx context.Context, node, id string) (api.JobState, error) {
 	cl := p[node]
 	if cl == nil {
@@ -117,7 +117,7 @@
 	return api.JobState{ID: id, Phase: st.Phase, Done: int(st.Done), Running: int(st.Running), Awaits: st.Awaits, Derived: st.Derived, Cell: st.Cell}, nil
 }
 
-// Ping implements controller.PeerAsker.
+// Ping implements controller.PeerClient.
 func (p peers) Ping(ctx context.Context, node string, from cancellation.Position) (controller.PeerStatus, error) {
 	cl := p[node]
 	if cl == nil {
@@ -133,14 +133,14 @@
 	out := controller.PeerStatus{Term: st.Term, Leader: st.Leader, StoreOK: time.Duration(st.StoreOkMs) * time.Millisecond,
 		Incarnation: st.Incarnation, Known: -1, Cancels: cancellation.News{IDs: st.Cancelled, First: st.CancelFirst, More: st.CancelMore,
 			Whole: time.Duration(st.CancelWholeMs) * time.Millisecond}}
-	out.KnowsLoans, out.KnowsGrants, out.Bound = st.KnowsLoans, st.KnowsGrants, st.Bound
+	out.SupportsLoans, out.SupportsLeaseQuorum, out.QuorumRequired = st.KnowsLoans, st.KnowsGrants, st.Bound
 	if st.KnownAgeMs != nil {
 		out.Known = time.Duration(*st.KnownAgeMs) * time.Millisecond
 	}
 	return out, nil
 }
 
-// Report implements controller.PeerAsker.
+// Report implements controller.PeerClient.
 func (p peers) Report(ctx context.Context, node string, rep *api.Report) (api.ReportAnswer, error) {
 	cl := p[node]
 	if cl == nil {
@@ -159,7 +159,7 @@
 	return api.ReportAnswer{Term: ans.Term, Orders: peer.UnpackOrders(ans.Orders)}, nil
 }
 
-// Resign implements controller.PeerAsker.
+// Resign implements controller.PeerClient.
 func (p peers) Resign(ctx context.Context, node, self string, term uint64) error {
 	cl := p[node]
 	if cl == nil {
@@ -168,8 +168,8 @@
 	return cl.Resign(ctx, &peer.Resignation{Node: self, Term: term})
 }
 
-// Grant implements controller.PeerAsker.
-func (p peers) Grant(ctx context.Context, node string, term uint64) (bool, error) {
+// Vote implements controller.PeerClient.
+func (p peers) Vote(ctx context.Context, node string, term uint64) (bool, error) {
 	cl := p[node]
 	if cl == nil {
 		return false, api.ErrUnavailable
@@ -177,7 +177,7 @@
 	return cl.Grant(ctx, term)
 }
 
-// Promise implements controller.PeerAsker.
+// Promise implements controller.PeerClient.
 func (p peers) Promise(ctx context.Context, node string, term uint64) (time.Duration, error) {
 	cl := p[node]
 	if cl == nil {
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -14,28 +14,28 @@
 	effectTime = 500 * time.Millisecond
 )
 
-// NeededGrants is how many of the other controllers a leader needs the grants of.
-func NeededGrants(controllers int) int { return controllers / 2 }
+// RequiredVotes is how many of the other controllers a leader needs the grants of.
+func RequiredVotes(controllers int) int { return controllers / 2 }
 
-// NeededPromises is how many controllers, with the one that asks, must promise to grant a
+// RequiredPromises is how many controllers, with the one that asks, must promise to grant a
 // leader nothing more: so many that the rest cannot make up the grants that it needs.
-func NeededPromises(controllers int) int { return controllers - NeededGrants(controllers) }
+func RequiredPromises(controllers int) int { return controllers - RequiredVotes(controllers) }
 
 // Voter is a controller's memory of what it has granted and promised. All of it ends with
 // the process; Begin says how the next one makes up for that.
 type Voter struct {
-	life    time.Duration
-	started time.Time
-	ready   bool
-	// closed is the highest term that is granted nothing.
-	closed uint64
-	// last is when it granted last, whatever term.
-	last time.Time
+	voteLifetime time.Duration
+	started      time.Time
+	ready        bool
+	// promisedTerm is the highest term that is granted nothing.
+	promisedTerm uint64
+	// lastVote is when it granted last, whatever term.
+	lastVote time.Time
 }
 
 // NewVoter makes the voter of a process that begins now, with the life of a grant.
 func NewVoter(life time.Duration, now time.Time) *Voter {
-	return &Voter{life: life, started: now}
+	return &Voter{voteLifetime: life, started: now}
 }
 
 // Begin tells the voter of the latest term as the state service has shown it since the
@@ -43,52 +43,52 @@
 // term, or an earlier one, nothing more; so it grants them nothing.
 func (v *Voter) Begin(term uint64) {
 	v.ready = true
-	v.closed = max(v.closed, term)
+	v.promisedTerm = max(v.promisedTerm, term)
 }
 
-// Grant answers a leader that asks for a grant in its term.
-func (v *Voter) Grant(term uint64, now time.Time) bool {
-	if !v.ready || term <= v.closed {
+// Vote answers a leader that asks for a grant in its term.
+func (v *Voter) Vote(term uint64, now time.Time) bool {
+	if !v.ready || term <= v.promisedTerm {
 		return false
 	}
-	v.last = now
+	v.lastVote = now
 	return true
 }
 
 // Promise makes the voter grant a term, and all before it, nothing more. It returns for how
 // long what it, or an earlier process of this controller, has granted may still be valid.
 func (v *Voter) Promise(term uint64, now time.Time) (wait time.Duration) {
-	v.closed = max(v.closed, term)
+	v.promisedTerm = max(v.promisedTerm, term)
 	latest := v.started
-	if v.last.After(latest) {
-		latest = v.last
+	if v.lastVote.After(latest) {
+		latest = v.lastVote
 	}
-	valid := v.life + time.Duration(float64(v.life)*driftShare) + effectTime
+	valid := v.voteLifetime + time.Duration(float64(v.voteLifetime)*driftShare) + effectTime
 	return max(0, latest.Add(valid).Sub(now))
 }
 
-// Holder is what a leader has been granted in its term.
-type Holder struct {
-	life  time.Duration
-	until map[string]time.Time
+// VoteSet is what a leader has been granted in its term.
+type VoteSet struct {
+	voteLifetime time.Duration
+	expiries     map[string]time.Time
 }
 
-// NewHolder makes the holder of a term that begins, with the life of a grant.
-func NewHolder(life time.Duration) *Holder {
-	return &Holder{life: life, until: map[string]time.Time{}}
+// NewVoteSet makes the holder of a term that begins, with the life of a grant.
+func NewVoteSet(life time.Duration) *VoteSet {
+	return &VoteSet{voteLifetime: life, expiries: map[string]time.Time{}}
 }
 
-// Granted notes another controller's grant, which counts from when it was asked for.
-func (h *Holder) Granted(controller string, asked time.Time) {
-	if until := asked.Add(h.life); until.After(h.until[controller]) {
-		h.until[controller] = until
+// Add notes another controller's grant, which counts from when it was asked for.
+func (s *VoteSet) Add(controller string, asked time.Time) {
+	if until := asked.Add(s.voteLifetime); until.After(s.expiries[controller]) {
+		s.expiries[controller] = until
 	}
 }
 
-// Valid tells whether the leader holds so many grants.
-func (h *Holder) Valid(needed int, now time.Time) bool {
+// HasQuorum tells whether the leader holds so many grants.
+func (s *VoteSet) HasQuorum(needed int, now time.Time) bool {
 	count := 0
-	for _, until := range h.until {
+	for _, until := range s.expiries {
 		if now.Before(until) {
 			count++
 		}
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -11,11 +11,11 @@
 func TestQuorumsMeet(t *testing.T) {
 	for n := 1; n <= 9; n++ {
 		others := n - 1
-		if left := others - NeededPromises(n); left >= NeededGrants(n) && NeededGrants(n) > 0 {
-			t.Errorf("%d controllers: %d promises leave %d that can grant, and %d grants are needed", n, NeededPromises(n), left, NeededGrants(n))
+		if left := others - RequiredPromises(n); left >= RequiredVotes(n) && RequiredVotes(n) > 0 {
+			t.Errorf("%d controllers: %d promises leave %d that can grant, and %d grants are needed", n, RequiredPromises(n), left, RequiredVotes(n))
 		}
 	}
-	if NeededGrants(3) != 1 || NeededPromises(3) != 2 || NeededGrants(5) != 2 || NeededPromises(5) != 3 {
+	if RequiredVotes(3) != 1 || RequiredPromises(3) != 2 || RequiredVotes(5) != 2 || RequiredPromises(5) != 3 {
 		t.Error("not the least that is safe")
 	}
 }
@@ -39,7 +39,7 @@
 type simulatedLeader struct {
 	node   int
 	term   uint64
-	holder *Holder
+	holder *VoteSet
 }
 
 type simulatedEvent struct {
@@ -81,10 +81,10 @@
 func (s *simulated) ask(l *simulatedLeader, node int) {
 	asked := s.clock(l.node)
 	s.after(s.delay(), func() {
-		granted := s.voters[node].Grant(l.term, s.clock(node))
+		granted := s.voters[node].Vote(l.term, s.clock(node))
 		s.after(s.delay(), func() {
 			if granted {
-				l.holder.Granted(string(rune('a'+node)), asked)
+				l.holder.Add(string(rune('a'+node)), asked)
 			}
 		})
 	})
@@ -100,7 +100,7 @@
 		if until := s.clock(node).Add(wait).Sub(began); until > longest {
 			longest = until
 		}
-		if promised == NeededPromises(s.n) {
+		if promised == RequiredPromises(s.n) {
 			var wake func()
 			wake = func() {
 				if s.clock(node).Sub(began) < longest {
@@ -109,7 +109,7 @@
 				}
 				if s.term == term { // the transaction's guard
 					s.term++
-					s.leaders = append(s.leaders, &simulatedLeader{node, s.term, NewHolder(s.life)})
+					s.leaders = append(s.leaders, &simulatedLeader{node, s.term, NewVoteSet(s.life)})
 				}
 			}
 			wake()
@@ -134,7 +134,7 @@
 // after it has looked.
 func (s *simulated) deciding() (terms []uint64) {
 	for _, l := range s.leaders {
-		if l.holder.Valid(NeededGrants(s.n), s.clock(l.node).Add(-effectTime)) {
+		if l.holder.HasQuorum(RequiredVotes(s.n), s.clock(l.node).Add(-effectTime)) {
 			terms = append(terms, l.term)
 		}
 	}
@@ -157,7 +157,7 @@
 		}
 		s.now = 20 * time.Second
 		s.term = 1
-		s.leaders = []*simulatedLeader{{0, 1, NewHolder(s.life)}}
+		s.leaders = []*simulatedLeader{{0, 1, NewVoteSet(s.life)}}
 		for ; s.now < 4*time.Minute; s.now += 20 * time.Millisecond {
 			due := s.events
 			s.events = nil
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -12,12 +12,12 @@
 
 // Settings say how a leader is replaced.
 type Settings struct {
-	// GrantS is for how long the other controllers grant the leader that it decides.
-	GrantS float64 `json:"grant_s"`
+	// VoteLifetimeS is for how long the other controllers grant the leader that it decides.
+	VoteLifetimeS float64 `json:"grant_s"`
 }
 
-// Grant is how long a grant lasts.
-func (s *Settings) Grant() time.Duration { return config.Seconds(s.GrantS) }
+// VoteLifetime is how long a grant lasts.
+func (s *Settings) VoteLifetime() time.Duration { return config.Seconds(s.VoteLifetimeS) }
 
 //go:embed schema.json
 var schema []byte
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -11,7 +11,7 @@
 // The example is good; a bad file is refused in one line that names it and the field.
 func TestFiles(t *testing.T) {
 	s, err := Load("../../deploy/standby-example.toml")
-	if err != nil || s.Grant() != 3*time.Second {
+	if err != nil || s.VoteLifetime() != 3*time.Second {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	path := filepath.Join(t.TempDir(), "standby.toml")
