--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -16,10 +16,10 @@
 type Log struct {
 	entries []entry
 	known   map[string]bool
-	// last is the number of the newest entry, from 1 on.
-	last uint64
-	// since is from when on the log is whole.
-	since     time.Time
+	// lastNumber is the number of the newest entry, from 1 on.
+	lastNumber uint64
+	// startedAt is from when on the log is whole.
+	startedAt time.Time
 	retention time.Duration
 	// maxEntries bounds the log.
 	maxEntries int
@@ -35,9 +35,9 @@
 	// what one of its entries takes.
 	memoryShare = 1.0 / 32
 	entryBytes  = 128
-	// maxNewsBytes bounds what one answer carries of a log: half of what a message
+	// maxDeltaBytes bounds what one answer carries of a log: half of what a message
 	// between controllers may hold, in any version.
-	maxNewsBytes = 128 << 10
+	maxDeltaBytes = 128 << 10
 	// idOverhead is what a message takes for an id, besides its bytes.
 	idOverhead = 4
 )
@@ -45,7 +45,7 @@
 // NewLog makes the log of a process that begins now. Entries are retained until no
 // worker can have a task of theirs any more.
 func NewLog(w config.Workers, lim config.Limits, now time.Time) *Log {
-	return &Log{known: map[string]bool{}, since: now, retention: config.Seconds(w.CancelS) + 2*w.Lease(),
+	return &Log{known: map[string]bool{}, startedAt: now, retention: config.Seconds(w.CancelS) + 2*w.Lease(),
 		maxEntries: lim.Entries(memoryShare, entryBytes)}
 }
 
@@ -53,7 +53,7 @@
 func (l *Log) Add(id string, now time.Time) {
 	drop := 0
 	for drop < len(l.entries) && (now.Sub(l.entries[drop].at) > l.retention || len(l.entries)-drop >= l.maxEntries) {
-		l.since = l.entries[drop].at
+		l.startedAt = l.entries[drop].at
 		delete(l.known, l.entries[drop].id)
 		drop++
 	}
@@ -63,7 +63,7 @@
 	}
 	id = strings.Clone(id)
 	l.known[id] = true
-	l.last++
+	l.lastNumber++
 	l.entries = append(l.entries, entry{id, now})
 }
 
@@ -75,30 +75,30 @@
 	Number uint64
 }
 
-// News is what a node's log holds beyond a position.
-type News struct {
+// Delta is what a node's log holds beyond a position.
+type Delta struct {
 	IDs []string
 	// First is the number of the first of them, or would be.
 	First uint64
 	// More is set if there are more than this.
 	More bool
-	// Whole is for how long the log has been whole.
-	Whole time.Duration
+	// CompleteFor is for how long the log has been whole.
+	CompleteFor time.Duration
 }
 
-// Last is the number of the last entry that the news hold, or of the one before
+// LastNumber is the number of the last entry that the news hold, or of the one before
 // them if they hold none.
-func (n *News) Last() uint64 { return n.First + uint64(len(n.IDs)) - 1 }
+func (n *Delta) LastNumber() uint64 { return n.First + uint64(len(n.IDs)) - 1 }
 
-// After is what an asker lacks that has read the log up to a number.
-func (l *Log) After(number uint64, now time.Time) News {
-	oldest := l.last + 1 - uint64(len(l.entries))
-	from := min(max(number+1, oldest), l.last+1)
+// Since is what an asker lacks that has read the log up to a number.
+func (l *Log) Since(number uint64, now time.Time) Delta {
+	oldest := l.lastNumber + 1 - uint64(len(l.entries))
+	from := min(max(number+1, oldest), l.lastNumber+1)
 	entries := l.entries[from-oldest:]
-	n := News{First: from, Whole: now.Sub(l.since)}
+	n := Delta{First: from, CompleteFor: now.Sub(l.startedAt)}
 	size := 0
 	for _, e := range entries {
-		if size += len(e.id) + idOverhead; size > maxNewsBytes {
+		if size += len(e.id) + idOverhead; size > maxDeltaBytes {
 			n.More = true
 			break
 		}
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -28,10 +28,10 @@
 // A follower that extends leases knows no more than its leader did when that last
 // answered its ping.
 
-// cancelled handles a job that is cancelled on record.
-func (c *Controller) cancelled(id string) {
+// recordCancellation handles a job that is cancelled on record.
+func (c *Controller) recordCancellation(id string) {
 	c.final.Add(id, api.JobState{ID: id, Phase: api.JobWithdrawn})
-	c.cancels.Add(id, time.Now())
+	c.cancellations.Add(id, time.Now())
 	if c.leaderTerm != nil {
 		if j := c.leaderTerm.jobs[id]; j != nil && !j.cancelPending {
 			c.leaderTerm.withdraw(j)
@@ -42,8 +42,8 @@
 	}
 }
 
-// knownCancelled tells whether a job, or a guest under its mark, is known to be cancelled.
-func (c *Controller) knownCancelled(id string) bool {
+// isCancelled tells whether a job, or a guest under its mark, is known to be cancelled.
+func (c *Controller) isCancelled(id string) bool {
 	st, ok := c.final.Peek(id)
 	return ok && st.Phase == api.JobWithdrawn
 }
@@ -57,7 +57,7 @@
 			continue
 		}
 		id, _, _ := splitRef(t.Task)
-		if !c.knownCancelled(id) && !c.knownCancelled(loan.GuestMark+id) && (over == nil || !over(id)) {
+		if !c.isCancelled(id) && !c.isCancelled(loan.GuestMark+id) && (over == nil || !over(id)) {
 			continue
 		}
 		grace := 0.0
@@ -67,15 +67,15 @@
 }
 
 const (
-	// renewMargin is kept back of the time that a cancellation has, besides
+	// leaseRenewalMargin is kept back of the time that a cancellation has, besides
 	// what the clocks may differ by.
-	renewMargin = 500 * time.Millisecond
-	// leastRenew is what a leader is given at the least: with leases nearly as
+	leaseRenewalMargin = 500 * time.Millisecond
+	// minLeaseRenewal is what a leader is given at the least: with leases nearly as
 	// long as a cancellation may take, it must ask the store that often.
-	leastRenew = 2500 * time.Millisecond
-	// loadWithin is how long a new leader may renew leases before it has read
+	minLeaseRenewal = 2500 * time.Millisecond
+	// loadAllowance is how long a new leader may renew leases before it has read
 	// the store.
-	loadWithin       = 4 * time.Second
+	loadAllowance    = 4 * time.Second
 	minProofInterval = 300 * time.Millisecond
 	// startSlack is how late the answer to a round of questions may be before
 	// nothing is started any more.
@@ -83,25 +83,25 @@
 	maxProofInterval = 2 * time.Second
 )
 
-// renewFor is how long after a moment before which it knew all cancellations a
+// leaseRenewalWindow is how long after a moment before which it knew all cancellations a
 // node may renew leases: none is renewed so late that it ends later than
 // cancel_s after that moment.
-func (c *Controller) renewFor() time.Duration {
+func (c *Controller) leaseRenewalWindow() time.Duration {
 	w := c.Settings.Site.Workers
 	cancel := config.Seconds(w.CancelS)
-	return cancel - w.Lease() - renewMargin - cancel/500
+	return cancel - w.Lease() - leaseRenewalMargin - cancel/500
 }
 
 // cancellationsKnownAt is the moment before which all cancellations told to users are known
 // here.
 func (lt *leaderTerm) cancellationsKnownAt(now time.Time) time.Time {
 	all := now
-	for _, n := range lt.c.peerTable.nodes {
-		if n.cancels.WholeSince().After(lt.cancellationsConfirmedAt) {
+	for _, mb := range lt.c.membership.members {
+		if mb.cancels.CompleteSince().After(lt.cancellationsConfirmedAt) {
 			return lt.cancellationsConfirmedAt // it was started, or cut off, since the store answered
 		}
-		if n.cancels.KnownUntil().Before(all) {
-			all = n.cancels.KnownUntil()
+		if mb.cancels.KnownUntil().Before(all) {
+			all = mb.cancels.KnownUntil()
 		}
 	}
 	if lt.cancellationsConfirmedAt.After(all) {
@@ -113,9 +113,9 @@
 // mayRenewLeases tells whether this leader may renew leases.
 func (lt *leaderTerm) mayRenewLeases(now time.Time) bool {
 	if !lt.loaded {
-		return now.Sub(lt.startedAt) <= min(loadWithin, max(lt.c.renewFor(), leastRenew))
+		return now.Sub(lt.startedAt) <= min(loadAllowance, max(lt.c.leaseRenewalWindow(), minLeaseRenewal))
 	}
-	return now.Sub(lt.cancellationsKnownAt(now)) <= max(lt.c.renewFor(), leastRenew)
+	return now.Sub(lt.cancellationsKnownAt(now)) <= max(lt.c.leaseRenewalWindow(), minLeaseRenewal)
 }
 
 // mayStart tells whether this leader may start tasks. One that has lost the
@@ -129,8 +129,8 @@
 	if now.Sub(lt.cancellationsKnownAt(now)) <= lt.c.proofInterval()+startSlack {
 		return true
 	}
-	for _, n := range lt.c.peerTable.nodes {
-		if n.reached(now) && n.StoreOK == 0 {
+	for _, mb := range lt.c.membership.members {
+		if mb.isReachable(now) && mb.KVReachableFor == 0 {
 			return true
 		}
 	}
@@ -139,5 +139,5 @@
 
 // proofInterval is how often the store is asked whether all cancellations are known.
 func (c *Controller) proofInterval() time.Duration {
-	return min(max(c.renewFor()/8, minProofInterval), maxProofInterval)
+	return min(max(c.leaseRenewalWindow()/8, minProofInterval), maxProofInterval)
 }
--- a/internal/controller/cascade_test.go
+++ b/internal/controller/cascade_test.go
@@ -137,7 +137,7 @@
 		time.Sleep(time.Second)
 		n.look(func(c *Controller) {
 			for _, id := range ids[1:] {
-				c.cancelled(id)
+				c.recordCancellation(id)
 			}
 		})
 		w.store.Hold(nil)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -79,22 +79,22 @@
 	stepDowns    chan uint64
 	resignations chan election.Resignation
 	types        typesCell
-	// shut tells the health checks that users are better served elsewhere.
-	shut atomic.Bool
+	// unready tells the health checks that users are better served elsewhere.
+	unready atomic.Bool
 
 	// The rest belongs to the owner goroutine.
 	leader     string
 	leaderTerm *leaderTerm
 	extender   leaseExtender
 	up         relayUp
-	peerTable  peerTable
+	membership membership
 	// sent is when machines were sent on to the leader, past this node.
 	sent map[string]time.Time
 	// directed is to whom machines were last told to report.
-	directed map[string]directed
-	final    *lru.Cache[string, api.JobState]
-	cancels  *cancellation.Log
-	failover failover
+	directed      map[string]directed
+	final         *lru.Cache[string, api.JobState]
+	cancellations *cancellation.Log
+	failover      failover
 	// draining is set once the process is about to end.
 	draining bool
 	// reads are the reads of the store that users wait for, by job.
@@ -120,7 +120,7 @@
 		Config: cfg, records: store.NewRecords(cfg.UserStore, cfg.Settings.Site.State),
 		mailbox: make(chan message, 256), ended: make(chan struct{}), stepDowns: make(chan uint64, 4), resignations: make(chan election.Resignation, 4), final: final,
 		sent: map[string]time.Time{}, directed: map[string]directed{}, up: newRelayUp(cfg.Settings.Site.Limits),
-		reads: map[string]*readRound{}, cancels: cancellation.NewLog(cfg.Settings.Site.Workers, cfg.Settings.Site.Limits, time.Now()), peerTable: newPeerTable(cfg.Settings.Peers, time.Now()),
+		reads: map[string]*readRound{}, cancellations: cancellation.NewLog(cfg.Settings.Site.Workers, cfg.Settings.Site.Limits, time.Now()), membership: newMembership(cfg.Settings.Peers, time.Now()),
 	}
 }
 
@@ -147,10 +147,10 @@
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.ended)
 	go c.refreshTypes(ctx)
-	go c.watchStore(ctx)
+	go c.kvHealthLoop(ctx)
 	if c.Peers != nil {
 		for _, p := range c.Settings.Peers {
-			go c.watchPeer(ctx, p.Node)
+			go c.pingLoop(ctx, p.Node)
 		}
 	}
 	c.failover.run(ctx, c)
@@ -167,7 +167,7 @@
 			m.apply(c)
 		case <-tick.C:
 			now := time.Now()
-			c.checkStoreAccess(now)
+			c.checkKVAccess(now)
 			c.up.tick(c, now)
 			if c.leaderTerm != nil {
 				c.leaderTerm.tick(now)
@@ -255,7 +255,7 @@
 }
 
 // Ready implements api.Backend.
-func (c *Controller) Ready() bool { return c.types.load() != nil && !c.shut.Load() }
+func (c *Controller) Ready() bool { return c.types.load() != nil && !c.unready.Load() }
 
 // Submit implements api.Backend.
 func (c *Controller) Submit(ctx context.Context, spec *api.JobSpec) (api.JobState, bool, error) {
@@ -421,7 +421,7 @@
 		return // the leader finds it by itself, and has yet to write it
 	}
 	if m.st.Phase == api.JobWithdrawn {
-		c.cancelled(m.st.ID)
+		c.recordCancellation(m.st.ID)
 		return
 	}
 	if c.leaderTerm != nil {
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -111,28 +111,28 @@
 // answerAsFollower passes a report on to the leader, sends its machine there, or
 // answers it in the leader's stead.
 func (c *Controller) answerAsFollower(m reportMsg, now time.Time) reportReply {
-	leader := c.leads(now)
+	leader := c.currentLeader(now)
 	if c.passes(m, leader, now) {
-		if c.peerTable.nodes[leader].reached(now) {
+		if c.membership.members[leader].isReachable(now) {
 			c.up.dropOrders(m.rep.Machine)
 		}
 		return reportReply{passTo: leader}
 	}
-	if n := c.peerTable.nodes[leader]; n.lost() && (m.refused || n.refused) && c.mayBeReached(m.rep.Machine, now) {
+	if mb := c.membership.members[leader]; mb.isUnreachable() && (m.refused || mb.connectionRefused) && c.mayBeReached(m.rep.Machine, now) {
 		// Only the connections between the nodes are refused, or the leader
 		// restarts: the machine may well reach it itself. By now that knows,
 		// too, not to send it back here.
 		c.noteSent(m.rep.Machine, now)
 		return reportReply{err: &api.NotLeaderError{Leader: leader}}
 	}
-	if n := c.peerTable.nodes[leader]; m.unreached == "" && n.reached(now) && n.Term > 0 {
-		settled := m.rep.Term == n.Term && now.Sub(n.termAt) > c.Settings.Site.Workers.Lease()
-		if c.cameBack(m.rep.Machine, leader, n.Term, settled, now) {
+	if mb := c.membership.members[leader]; m.unreached == "" && mb.isReachable(now) && mb.Term > 0 {
+		settled := m.rep.Term == mb.Term && now.Sub(mb.termSeenAt) > c.Settings.Site.Workers.Lease()
+		if c.cameBack(m.rep.Machine, leader, mb.Term, settled, now) {
 			return reportReply{passTo: leader}
 		}
 		return reportReply{err: &api.NotLeaderError{Leader: leader}}
 	}
-	unreached := m.unreached == leader || !c.peerTable.nodes[leader].reached(now)
+	unreached := m.unreached == leader || !c.membership.members[leader].isReachable(now)
 	if ans, ok := c.extendLease(m.rep, leader, unreached, now); ok {
 		c.up.note(c, m.rep, &ans, now)
 		return reportReply{ans: ans}
@@ -153,7 +153,7 @@
 		return ""
 	}
 	for _, p := range c.Settings.Peers {
-		if n := c.peerTable.nodes[p.Node]; p.Zone == m.rep.Zone && n.reached(now) && n.Leader == c.Settings.Node && n.StoreOK > 0 {
+		if mb := c.membership.members[p.Node]; p.Zone == m.rep.Zone && mb.isReachable(now) && mb.Leader == c.Settings.Node && mb.KVReachableFor > 0 {
 			mc.sentOn = now
 			return p.Node
 		}
@@ -166,9 +166,9 @@
 
 // passes tells whether a report is passed on to the leader.
 func (c *Controller) passes(m reportMsg, leader string, now time.Time) bool {
-	n := c.peerTable.nodes[leader]
-	return n != nil && m.unreached == "" && m.rep.Zone == c.Settings.Zone && n.zone != c.Settings.Zone &&
-		(n.reached(now) || n.failed == 1 || c.mayBeReached(m.rep.Machine, now))
+	mb := c.membership.members[leader]
+	return mb != nil && m.unreached == "" && m.rep.Zone == c.Settings.Zone && mb.zone != c.Settings.Zone &&
+		(mb.isReachable(now) || mb.failedPings == 1 || c.mayBeReached(m.rep.Machine, now))
 }
 
 // mayBeReached tells whether it is time to try the leader's connection again
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -9,7 +9,7 @@
 // act, and tells another node that it has, which takes over without waiting for the lease.
 // It also has users sent elsewhere. It returns when that is done or the context ends.
 func (c *Controller) Drain(ctx context.Context) {
-	c.shut.Store(true)
+	c.unready.Store(true)
 	m := drainMsg{make(chan successor, 1)}
 	if c.send(ctx, m) != nil {
 		return
@@ -40,9 +40,9 @@
 	}
 	h := successor{term: c.leaderTerm.term.Number}
 	now, longest := time.Now(), time.Duration(0)
-	for name, n := range c.peerTable.nodes {
-		if n.reached(now) && n.StoreOK > longest {
-			h.node, longest = name, n.StoreOK
+	for name, mb := range c.membership.members {
+		if mb.isReachable(now) && mb.KVReachableFor > longest {
+			h.node, longest = name, mb.KVReachableFor
 		}
 	}
 	if h.node == "" {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -122,7 +122,7 @@
 // the answers to its machines' reports.
 func (lt *leaderTerm) withdraw(j *job) {
 	lt.forget(j)
-	lt.c.cancelled(j.spec.ID)
+	lt.c.recordCancellation(j.spec.ID)
 	for _, a := range j.live {
 		lt.settleUnconfirmed(a)
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -31,7 +31,7 @@
 	// cancellationsConfirmedAt is when the store was last asked that has answered that all
 	// cancellations were known.
 	cancellationsConfirmedAt time.Time
-	cancelMark               uint64
+	cancelRevision           uint64
 	attemptCount             uint32
 
 	jobs     map[string]*job
@@ -53,8 +53,8 @@
 	// that are over: whose team they count for is not known.
 	foreignCPUs float64
 
-	confirm  confirmer
-	pipeline pipeline
+	readIndex readIndexer
+	pipeline  pipeline
 	// awaitsLists are the records that list awaited jobs.
 	awaitsLists awaitsLists
 	loans       loans
@@ -128,7 +128,7 @@
 	lt.counts = newCounters()
 	lt.fetches = manyFetches
 	lt.dials = dials(c.Settings.Site.Limits.FDLimit)
-	lt.confirm.leaderTerm = lt
+	lt.readIndex.leaderTerm = lt
 	lt.recorder.init(lt)
 	lt.pipeline.init(lt)
 	lt.awaitsLists.leaderTerm = lt
@@ -247,13 +247,13 @@
 	for _, e := range m.events {
 		switch {
 		case e.Put == store.CancelKey:
-			lt.cancelMark = max(lt.cancelMark, e.Mark)
+			lt.cancelRevision = max(lt.cancelRevision, e.Mark)
 			var id string
 			if err := json.Unmarshal(e.Value, &id); err != nil {
 				c.Log.Error("cancel record", "err", err)
 				continue
 			}
-			c.cancelled(id)
+			c.recordCancellation(id)
 		case e.Put != "":
 			lt.addJob(e.Put, e.Value, e.Mark)
 		default:
@@ -273,7 +273,7 @@
 	if !lt.loaded || !lt.c.holdsLease() {
 		return
 	}
-	lt.confirm.start()
+	lt.readIndex.start()
 	lt.recorder.flush(now)
 	if lt.checkLeaseQuorum(now); lt.c.leaderTerm != lt {
 		return
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -95,8 +95,8 @@
 	if l.leaderTerm.c.Cells == nil {
 		return false
 	}
-	for _, n := range l.leaderTerm.c.peerTable.nodes {
-		if !n.SupportsLoans {
+	for _, mb := range l.leaderTerm.c.membership.members {
+		if !mb.SupportsLoans {
 			return false
 		}
 	}
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -332,7 +332,7 @@
 	if end.Mark != 0 {
 		var e loan.End
 		if err := json.Unmarshal(end.Value, &e); err == nil && e.Phase == api.JobWithdrawn {
-			lt.c.cancelled(loan.GuestMark + j.spec.ID)
+			lt.c.recordCancellation(loan.GuestMark + j.spec.ID)
 		}
 	}
 	for _, a := range j.live {
--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -106,7 +106,7 @@
 	mu sync.Mutex
 	// cancels is its log of cancellations.
 	cancels []string
-	// storeSince is since when the store has answered; zero: it does not.
+	// kvStateSince is since when the store has answered; zero: it does not.
 	storeSince time.Time
 	leader     string
 	leadership *oldLeadership
@@ -253,12 +253,12 @@
 		o.mu.Lock()
 		if o.lost++; err == nil {
 			o.lost = 0
-			if st.Incarnation == from.Incarnation && st.Cancels.First != from.Number+1 {
+			if st.Incarnation == from.Incarnation && st.Cancellations.First != from.Number+1 {
 				// It would take what it knew of the log for nothing.
-				o.w.t.Errorf("%s: the log goes on with %d after %d", name, st.Cancels.First, from.Number)
+				o.w.t.Errorf("%s: the log goes on with %d after %d", name, st.Cancellations.First, from.Number)
 			}
-			o.read[name] = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancels.First + uint64(len(st.Cancels.IDs)) - 1}
-			for _, id := range st.Cancels.IDs {
+			o.read[name] = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancellations.First + uint64(len(st.Cancellations.IDs)) - 1}
+			for _, id := range st.Cancellations.IDs {
 				o.cancelled(id)
 			}
 		}
@@ -286,18 +286,18 @@
 func (o *oldNode) PeerStatus(_ context.Context, from cancellation.Position) (PeerStatus, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	st := PeerStatus{Leader: o.leader, Incarnation: o.incarnation, Known: -1}
+	st := PeerStatus{Leader: o.leader, Incarnation: o.incarnation, CancellationsKnownAge: -1}
 	if !o.storeSince.IsZero() {
-		st.StoreOK = max(time.Since(o.storeSince), time.Millisecond)
+		st.KVReachableFor = max(time.Since(o.storeSince), time.Millisecond)
 	}
 	if o.leadership != nil {
-		st.Term, st.Known = o.leadership.term, 0
+		st.Term, st.CancellationsKnownAge = o.leadership.term, 0
 	}
 	if from.Incarnation != o.incarnation {
 		from.Number = 0
 	}
 	n := min(from.Number, uint64(len(o.cancels)))
-	st.Cancels = cancellation.News{IDs: slices.Clone(o.cancels[n:]), First: n + 1, Whole: time.Since(o.began)}
+	st.Cancellations = cancellation.Delta{IDs: slices.Clone(o.cancels[n:]), First: n + 1, CompleteFor: time.Since(o.began)}
 	return st, nil
 }
 
--- a/internal/controller/peertable.go
+++ b/internal/controller/peertable.go
@@ -17,14 +17,14 @@
 	Term uint64
 	// Leader is the node that it takes for the leader.
 	Leader string
-	// StoreOK is for how long the state service has answered it.
-	StoreOK time.Duration
+	// KVReachableFor is for how long the state service has answered it.
+	KVReachableFor time.Duration
 	// Incarnation is the one under which it relays reports.
 	Incarnation string
-	// Cancels is what it knows of cancellations, and Known how long ago it knew
+	// Cancellations is what it knows of cancellations, and Known how long ago it knew
 	// all of them as a leader; negative: it does not know.
-	Cancels cancellation.News
-	Known   time.Duration
+	Cancellations         cancellation.Delta
+	CancellationsKnownAge time.Duration
 	// SupportsLoans is set if it knows records of jobs that are lent between cells.
 	SupportsLoans bool
 	// SupportsLeaseQuorum is set if it grants and promises, and Bound if it decides as leader
@@ -32,70 +32,70 @@
 	SupportsLeaseQuorum, QuorumRequired bool
 }
 
-// peerTable is what a node knows of the others and of its own way to the state
+// membership is what a node knows of the others and of its own way to the state
 // service.
-type peerTable struct {
-	nodes map[string]*peerState
-	// storeAt is when the service last answered, storeSince since when it has
+type membership struct {
+	members map[string]*member
+	// kvAnsweredAt is when the service last answered, kvStateSince since when it has
 	// done so without a break, or has not.
-	storeAt    time.Time
-	storeOK    bool
-	storeSince time.Time
+	kvAnsweredAt time.Time
+	kvReachable  bool
+	kvStateSince time.Time
 }
 
-// peerState is another node as last heard of.
-type peerState struct {
+// member is another node as last heard of.
+type member struct {
 	PeerStatus
 	zone    string
 	cancels cancellation.Reader
-	// termAt is when it was first heard to lead in its term.
-	termAt time.Time
-	seen   time.Time
-	failed int
-	// refused is set if it refuses connections from here.
-	refused bool
+	// termSeenAt is when it was first heard to lead in its term.
+	termSeenAt  time.Time
+	lastPong    time.Time
+	failedPings int
+	// connectionRefused is set if it refuses connections from here.
+	connectionRefused bool
 }
 
-func newPeerTable(peers []config.Peer, now time.Time) peerTable {
-	a := peerTable{nodes: map[string]*peerState{}, storeSince: now}
+func newMembership(peers []config.Peer, now time.Time) membership {
+	a := membership{members: map[string]*member{}, kvStateSince: now}
 	for _, p := range peers {
-		a.nodes[p.Node] = &peerState{zone: p.Zone}
+		a.members[p.Node] = &member{zone: p.Zone}
 	}
 	return a
 }
 
 const (
-	pingEvery   = time.Second
-	pingTimeout = 800 * time.Millisecond
+	pingInterval = time.Second
+	pingTimeout  = 800 * time.Millisecond
 	// unreachedAfter is how many pings in a row must fail.
-	unreachedAfter = 2
-	storeEvery     = 1500 * time.Millisecond
-	storeTimeout   = 1200 * time.Millisecond
-	// storeLostAfter is how long the service must not answer this node before
-	// it takes itself for shut out, and storeSureAfter how long it must have
+	unreachedAfter  = 2
+	kvCheckInterval = 1500 * time.Millisecond
+	kvCheckTimeout  = 1200 * time.Millisecond
+	// kvUnreachableAfter is how long the service must not answer this node before
+	// it takes itself for shut out, and kvHealthyAfter how long it must have
 	// answered another one, so that neither the beginning nor the end of an
 	// outage looks like that.
-	storeLostAfter = 5 * time.Second
-	storeSureAfter = 8 * time.Second
+	kvUnreachableAfter = 5 * time.Second
+	kvHealthyAfter     = 8 * time.Second
 )
 
-// reached tells whether the node has answered just now.
-func (n *peerState) reached(now time.Time) bool {
-	return n != nil && n.failed == 0 && now.Sub(n.seen) < 3*pingEvery
+// isReachable tells whether the node has answered just now.
+func (mb *member) isReachable(now time.Time) bool {
+	return mb != nil && mb.failedPings == 0 && now.Sub(mb.lastPong) < 3*pingInterval
 }
 
-// lost tells whether the node has not answered for a while.
-func (n *peerState) lost() bool { return n != nil && n.failed > unreachedAfter }
+// isUnreachable tells whether the node has not answered for a while.
+func (mb *member) isUnreachable() bool { return mb != nil && mb.failedPings > unreachedAfter }
 
-// leads names the node that leads, as far as known here.
-func (c *Controller) leads(now time.Time) string {
-	if c.leader != "" && c.leader != c.Settings.Node && c.peerTable.storeOK {
+// currentLeader names the node that leads, as far as known here.
+func (c *Controller) currentLeader(now time.Time) string {
+	if c.leader != "" && c.leader != c.Settings.Node && c.membership.kvReachable {
 		return c.leader
 	}
 	best, term := "", uint64(0)
-	for name, n := range c.peerTable.nodes {
-		if n.reached(now) && n.Term > term {
-			best, term = name, n.Term
+	for name, mb := range c.membership.members {
+		if mb.isReachable(now) && mb.Term > term {
+			best, term = name, mb.Term
 		}
 	}
 	if best == "" && c.leader != c.Settings.Node {
@@ -104,36 +104,36 @@
 	return best
 }
 
-// watchStore asks the state service from time to time, only to know whether it
+// kvHealthLoop asks the state service from time to time, only to know whether it
 // answers this node.
-func (c *Controller) watchStore(ctx context.Context) {
+func (c *Controller) kvHealthLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		sctx, cancel := context.WithTimeout(ctx, storeTimeout)
+		sctx, cancel := context.WithTimeout(ctx, kvCheckTimeout)
 		_, err := c.Store.Get(sctx, election.LeaderKey)
 		cancel()
-		if c.send(ctx, storeMsg{err == nil}) != nil {
+		if c.send(ctx, kvHealthMsg{err == nil}) != nil {
 			return
 		}
-		sleep(ctx, storeEvery)
+		sleep(ctx, kvCheckInterval)
 	}
 }
 
-type storeMsg struct{ ok bool }
+type kvHealthMsg struct{ ok bool }
 
-func (m storeMsg) apply(c *Controller) {
+func (m kvHealthMsg) apply(c *Controller) {
 	now := time.Now()
-	a := &c.peerTable
+	a := &c.membership
 	if m.ok {
-		a.storeAt = now
+		a.kvAnsweredAt = now
 	}
-	if m.ok != a.storeOK {
-		a.storeOK, a.storeSince = m.ok, now
+	if m.ok != a.kvReachable {
+		a.kvReachable, a.kvStateSince = m.ok, now
 	}
 }
 
-// watchPeer pings another node, and while that leads and cannot be reached
+// pingLoop pings another node, and while that leads and cannot be reached
 // keeps what the lease extender must know up to date.
-func (c *Controller) watchPeer(ctx context.Context, node string) {
+func (c *Controller) pingLoop(ctx context.Context, node string) {
 	failed := 0
 	var from cancellation.Position
 	for ctx.Err() == nil {
@@ -145,90 +145,90 @@
 		if err == nil || errors.Is(err, api.ErrUnavailable) {
 			failed = 0
 		}
-		if c.send(ctx, peerMsg{node, st, sent, failed, errors.Is(err, ErrRefused)}) != nil {
+		if c.send(ctx, pingResultMsg{node, st, sent, failed, errors.Is(err, ErrRefused)}) != nil {
 			return
 		}
 		if err == nil {
-			from = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancels.Last()}
+			from = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancellations.LastNumber()}
 		}
 		if failed >= unreachedAfter {
 			c.extendLeases(ctx, node)
 		}
-		sleep(ctx, pingEvery)
+		sleep(ctx, pingInterval)
 	}
 }
 
-type peerMsg struct {
-	node   string
-	st     PeerStatus
-	sent   time.Time
-	failed int
-	// refused is set if the connection was refused.
-	refused bool
+type pingResultMsg struct {
+	node        string
+	status      PeerStatus
+	sent        time.Time
+	failedPings int
+	// connectionRefused is set if the connection was refused.
+	connectionRefused bool
 }
 
-func (m peerMsg) apply(c *Controller) {
+func (m pingResultMsg) apply(c *Controller) {
 	now := time.Now()
-	n := c.peerTable.nodes[m.node]
-	if n == nil {
+	mb := c.membership.members[m.node]
+	if mb == nil {
 		return
 	}
-	n.refused = m.refused
-	if n.failed = m.failed; m.failed > 0 {
+	mb.connectionRefused = m.connectionRefused
+	if mb.failedPings = m.failedPings; m.failedPings > 0 {
 		return
 	}
-	if m.st.Term != n.Term {
-		n.termAt = now
+	if m.status.Term != mb.Term {
+		mb.termSeenAt = now
 	}
-	n.cancels.Take(m.st.Incarnation, &m.st.Cancels, m.sent, now)
-	for _, id := range m.st.Cancels.IDs {
-		c.cancelled(id)
+	mb.cancels.Apply(m.status.Incarnation, &m.status.Cancellations, m.sent, now)
+	for _, id := range m.status.Cancellations.IDs {
+		c.recordCancellation(id)
 	}
-	m.st.Cancels = cancellation.News{}
-	n.PeerStatus, n.seen = m.st, m.sent
+	m.status.Cancellations = cancellation.Delta{}
+	mb.PeerStatus, mb.lastPong = m.status, m.sent
 	if c.leaderTerm != nil {
-		c.leaderTerm.down.restarted(c.leaderTerm, m.node, m.st.Incarnation)
+		c.leaderTerm.down.restarted(c.leaderTerm, m.node, m.status.Incarnation)
 	}
 	if m.node == c.leader {
 		// What the leader knows of cancellations it says itself. Those of
 		// earlier terms are in no log that must have come here: it only knows
 		// which jobs are left, and has told it to each machine that is still
 		// alive when a lease has passed.
-		known := m.sent.Add(-m.st.Known)
-		if w := c.Settings.Site.Workers; m.st.Known < 0 || m.st.Term > 1 && now.Sub(n.termAt) < w.Lease()+2*w.Report() {
+		known := m.sent.Add(-m.status.CancellationsKnownAge)
+		if w := c.Settings.Site.Workers; m.status.CancellationsKnownAge < 0 || m.status.Term > 1 && now.Sub(mb.termSeenAt) < w.Lease()+2*w.Report() {
 			known = time.Time{}
 		}
-		c.extender.verify(m.node, m.st.Term, known)
+		c.extender.verify(m.node, m.status.Term, known)
 	}
 }
 
-// checkStoreAccess draws the conclusions: a node that the state service refuses
+// checkKVAccess draws the conclusions: a node that the state service refuses
 // while it answers others can only fail its users, and cannot lead.
-func (c *Controller) checkStoreAccess(now time.Time) {
+func (c *Controller) checkKVAccess(now time.Time) {
 	if c.draining {
 		return
 	}
-	a := &c.peerTable
-	if a.storeOK || now.Sub(a.storeSince) < storeLostAfter {
-		if c.shut.Swap(false) {
+	a := &c.membership
+	if a.kvReachable || now.Sub(a.kvStateSince) < kvUnreachableAfter {
+		if c.unready.Swap(false) {
 			c.Log.Info("state service reached again")
 		}
 		return
 	}
 	reached, heir := 0, ""
-	for name, n := range a.nodes {
-		if !n.reached(now) {
+	for name, mb := range a.members {
+		if !mb.isReachable(now) {
 			continue
 		}
 		reached++
-		if n.StoreOK >= storeSureAfter {
+		if mb.KVReachableFor >= kvHealthyAfter {
 			heir = name
 		}
 	}
 	// With no other node in reach it cannot be told whether it is an outage;
 	// then, too, users are better served elsewhere, if they are anywhere.
-	if shut := heir != "" || (reached == 0 && len(a.nodes) > 0); shut != c.shut.Load() {
-		c.shut.Store(shut)
+	if shut := heir != "" || (reached == 0 && len(a.members) > 0); shut != c.unready.Load() {
+		c.unready.Store(shut)
 		c.Log.Info("state service lost here", "answersOthers", heir != "", "nodesReached", reached)
 	}
 	if lt := c.leaderTerm; lt != nil && heir != "" {
@@ -247,15 +247,15 @@
 
 // LeaderResigned handles the notice that a leader has stopped acting.
 func (c *Controller) LeaderResigned(ctx context.Context, node string, term uint64) error {
-	return c.send(ctx, resignedMsg{node, term})
+	return c.send(ctx, leaderResignedMsg{node, term})
 }
 
-type resignedMsg struct {
+type leaderResignedMsg struct {
 	node string
 	term uint64
 }
 
-func (m resignedMsg) apply(c *Controller) {
+func (m leaderResignedMsg) apply(c *Controller) {
 	c.Log.Info("leader has resigned", "leader", m.node, "term", m.term)
 	select {
 	case c.resignations <- election.Resignation{Node: m.node, Term: m.term}:
@@ -265,33 +265,33 @@
 
 // PeerStatus is the state of this node, as the others are told.
 func (c *Controller) PeerStatus(ctx context.Context, from cancellation.Position) (PeerStatus, error) {
-	m := peerStatusMsg{from, make(chan PeerStatus, 1)}
+	m := pingMsg{from, make(chan PeerStatus, 1)}
 	if err := c.send(ctx, m); err != nil {
 		return PeerStatus{}, err
 	}
 	return await(ctx, c, m.reply)
 }
 
-type peerStatusMsg struct {
+type pingMsg struct {
 	from  cancellation.Position
 	reply chan PeerStatus
 }
 
-func (m peerStatusMsg) apply(c *Controller) {
+func (m pingMsg) apply(c *Controller) {
 	now := time.Now()
-	st := PeerStatus{Leader: c.leader, Incarnation: c.up.incarnation, Known: -1, SupportsLoans: c.Cells != nil, SupportsLeaseQuorum: c.Standby != nil}
+	st := PeerStatus{Leader: c.leader, Incarnation: c.up.incarnation, CancellationsKnownAge: -1, SupportsLoans: c.Cells != nil, SupportsLeaseQuorum: c.Standby != nil}
 	if m.from.Incarnation != st.Incarnation {
 		m.from.Number = 0
 	}
-	st.Cancels = c.cancels.After(m.from.Number, now)
+	st.Cancellations = c.cancellations.Since(m.from.Number, now)
 	if c.holdsLease() {
 		st.Term, st.QuorumRequired = c.leaderTerm.term.Number, c.leaderTerm.quorumRequired
 		if c.leaderTerm.loaded {
-			st.Known = now.Sub(c.leaderTerm.cancellationsKnownAt(now))
+			st.CancellationsKnownAge = now.Sub(c.leaderTerm.cancellationsKnownAt(now))
 		}
 	}
-	if c.peerTable.storeOK && now.Sub(c.peerTable.storeAt) < 2*storeEvery {
-		st.StoreOK = max(now.Sub(c.peerTable.storeSince), time.Millisecond)
+	if c.membership.kvReachable && now.Sub(c.membership.kvAnsweredAt) < 2*kvCheckInterval {
+		st.KVReachableFor = max(now.Sub(c.membership.kvStateSince), time.Millisecond)
 	}
 	m.reply <- st
 }
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -527,7 +527,7 @@
 						if len(lt.jobs["job-0"].due) == 0 {
 							t.Error("the deadline did not reach the first job")
 						}
-						cancel = work(func() { c.cancelled("job-0") })
+						cancel = work(func() { c.recordCancellation("job-0") })
 						pending := map[*job]bool{}
 						for _, j := range lt.pipeline.pendingCancels {
 							pending[j] = true
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	askTimeout  = 500 * time.Millisecond
-	readTimeout = 600 * time.Millisecond
+	peerQueryTimeout = 500 * time.Millisecond
+	readTimeout      = 600 * time.Millisecond
 )
 
 // Job implements api.Backend. Whichever node a user's connection stays on, it
@@ -22,15 +22,15 @@
 		return api.JobState{}, err
 	}
 	if r.err != nil || r.answered {
-		return r.st, r.err
+		return r.state, r.err
 	}
 	if r.leader != "" && c.Peers != nil {
-		if st, err := c.ask(ctx, r.leader, id); err == nil || errors.Is(err, api.ErrUnknownJob) {
+		if st, err := c.askPeer(ctx, r.leader, id); err == nil || errors.Is(err, api.ErrUnknownJob) {
 			return st, err
 		}
 	}
 	err = api.ErrUnavailable
-	if !r.storeLost {
+	if !r.kvUnreachable {
 		lctx, cancel := context.WithTimeout(ctx, readTimeout)
 		st, lerr := c.lookup(lctx, id)
 		cancel()
@@ -39,17 +39,17 @@
 		}
 		err = lerr
 	}
-	for _, node := range r.others {
-		if st, err := c.ask(ctx, node, id); err == nil || errors.Is(err, api.ErrUnknownJob) {
+	for _, node := range r.otherNodes {
+		if st, err := c.askPeer(ctx, node, id); err == nil || errors.Is(err, api.ErrUnknownJob) {
 			return st, err
 		}
 	}
 	return api.JobState{}, err
 }
 
-// ask asks another node about a job.
-func (c *Controller) ask(ctx context.Context, node, id string) (api.JobState, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// askPeer asks another node about a job.
+func (c *Controller) askPeer(ctx context.Context, node, id string) (api.JobState, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
 	st, err := c.Peers.Job(ctx, node, id)
 	if err == nil && st.Final() {
@@ -66,8 +66,8 @@
 	case err != nil:
 		return api.JobState{}, err
 	case r.err != nil || r.answered:
-		return r.st, r.err
-	case r.storeLost:
+		return r.state, r.err
+	case r.kvUnreachable:
 		return api.JobState{}, api.ErrUnavailable
 	}
 	return c.lookup(ctx, id)
@@ -86,14 +86,14 @@
 // pollReply either answers a poll, or names the leader to ask; with neither,
 // the store must be read.
 type pollReply struct {
-	st       api.JobState
+	state    api.JobState
 	answered bool
 	leader   string
-	// others are further nodes to ask, whom the store answers.
-	others []string
-	// storeLost is set while the store does not answer this node.
-	storeLost bool
-	err       error
+	// otherNodes are further nodes to ask, whom the store answers.
+	otherNodes []string
+	// kvUnreachable is set while the store does not answer this node.
+	kvUnreachable bool
+	err           error
 }
 
 type pollMsg struct {
@@ -104,67 +104,67 @@
 
 func (m *pollMsg) apply(c *Controller) {
 	if st, ok := c.final.Get(m.id); ok {
-		m.reply <- pollReply{st: st, answered: true}
+		m.reply <- pollReply{state: st, answered: true}
 		return
 	}
-	if c.leaderTerm != nil && c.holdsLease() && c.leaderTerm.loaded && c.leaderTerm.knows(m.id) {
-		c.leaderTerm.confirm.add(m)
+	if c.leaderTerm != nil && c.holdsLease() && c.leaderTerm.loaded && c.leaderTerm.knowsJob(m.id) {
+		c.leaderTerm.readIndex.enqueue(m)
 		return
 	}
 	now := time.Now()
-	reply := pollReply{storeLost: !c.peerTable.storeOK}
+	reply := pollReply{kvUnreachable: !c.membership.kvReachable}
 	if c.leaderTerm == nil {
-		reply.leader = c.leads(now)
+		reply.leader = c.currentLeader(now)
 	}
-	for name, n := range c.peerTable.nodes {
-		if name != reply.leader && n.reached(now) && n.StoreOK > 0 {
-			reply.others = append(reply.others, name)
+	for name, mb := range c.membership.members {
+		if name != reply.leader && mb.isReachable(now) && mb.KVReachableFor > 0 {
+			reply.otherNodes = append(reply.otherNodes, name)
 		}
 	}
 	m.reply <- reply
 }
 
-// confirmer makes sure that the leader's memory is as new as the store before
+// readIndexer makes sure that the leader's memory is as new as the store before
 // it is told to users. Any node cancels jobs by its own transaction, so the
 // leader may not have heard yet; and a leader that was held up may have been
 // followed by another. One comparison of the two keys' versions serves all
 // polls that came before it was sent.
-type confirmer struct {
+type readIndexer struct {
 	leaderTerm *leaderTerm
 	waiting    []*pollMsg
 	busy       bool
-	// last is when the store was last asked. It is so from time to time even if
+	// lastStarted is when the store was last asked. It is so from time to time even if
 	// nobody polls: the leader must know that it knows all cancellations.
-	last time.Time
+	lastStarted time.Time
 }
 
-func (f *confirmer) add(m *pollMsg) {
-	f.waiting = append(f.waiting, m)
-	f.start()
+func (ri *readIndexer) enqueue(m *pollMsg) {
+	ri.waiting = append(ri.waiting, m)
+	ri.start()
 }
 
-func (f *confirmer) start() {
-	if f.busy || (len(f.waiting) == 0 && time.Since(f.last) < f.leaderTerm.c.proofInterval()) {
+func (ri *readIndexer) start() {
+	if ri.busy || (len(ri.waiting) == 0 && time.Since(ri.lastStarted) < ri.leaderTerm.c.proofInterval()) {
 		return
 	}
-	f.last = time.Now()
-	f.busy = true
-	lt, batch, sent := f.leaderTerm, f.waiting, f.last
-	f.waiting = nil
-	txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: store.CancelKey, Mark: lt.cancelMark}}}
+	ri.lastStarted = time.Now()
+	ri.busy = true
+	lt, batch, sent := ri.leaderTerm, ri.waiting, ri.lastStarted
+	ri.waiting = nil
+	txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: store.CancelKey, Mark: lt.cancelRevision}}}
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, 700*time.Millisecond)
 		defer cancel()
 		res, err := lt.c.Store.Txn(ctx, txn)
-		lt.sendToOwner(confirmedMsg{lt, batch, sent, res, err})
+		lt.sendToOwner(readIndexMsg{lt, batch, sent, res, err})
 	}()
 }
 
-// confirmPause keeps polls from taking more than a few requests a second; it is
+// readIndexRetryDelay keeps polls from taking more than a few requests a second; it is
 // small against what users wait for an answer.
-const confirmPause = 200 * time.Millisecond
+const readIndexRetryDelay = 200 * time.Millisecond
 
-type confirmedMsg struct {
+type readIndexMsg struct {
 	leaderTerm *leaderTerm
 	batch      []*pollMsg
 	sent       time.Time
@@ -172,8 +172,8 @@
 	err        error
 }
 
-func (m confirmedMsg) apply(c *Controller) {
-	f := &m.leaderTerm.confirm
+func (m readIndexMsg) apply(c *Controller) {
+	ri := &m.leaderTerm.readIndex
 	switch {
 	case c.leaderTerm != m.leaderTerm || m.err != nil:
 		for _, p := range m.batch {
@@ -182,7 +182,7 @@
 	case m.res.OK:
 		m.leaderTerm.cancellationsConfirmedAt = m.sent
 		for _, p := range m.batch {
-			p.reply <- m.leaderTerm.answer(p.id)
+			p.reply <- m.leaderTerm.jobState(p.id)
 		}
 	case m.leaderTerm.checkTermConflict(m.res):
 		for _, p := range m.batch {
@@ -193,36 +193,36 @@
 		now := time.Now()
 		for _, p := range m.batch {
 			if now.Before(p.deadline.Add(-200 * time.Millisecond)) {
-				f.waiting = append(f.waiting, p)
+				ri.waiting = append(ri.waiting, p)
 			} else {
 				p.reply <- pollReply{err: api.ErrUnavailable}
 			}
 		}
 	}
 	if c.leaderTerm == m.leaderTerm {
-		time.AfterFunc(confirmPause, func() { m.leaderTerm.sendToOwner(confirmNextMsg{m.leaderTerm}) })
+		time.AfterFunc(readIndexRetryDelay, func() { m.leaderTerm.sendToOwner(readIndexRetryMsg{m.leaderTerm}) })
 	}
 }
 
-type confirmNextMsg struct{ leaderTerm *leaderTerm }
+type readIndexRetryMsg struct{ leaderTerm *leaderTerm }
 
-func (m confirmNextMsg) apply(c *Controller) {
+func (m readIndexRetryMsg) apply(c *Controller) {
 	if c.leaderTerm == m.leaderTerm {
-		m.leaderTerm.confirm.busy = false
-		m.leaderTerm.confirm.start()
+		m.leaderTerm.readIndex.busy = false
+		m.leaderTerm.readIndex.start()
 	}
 }
 
-// knows tells whether this cell's users may know a job that is active.
-func (lt *leaderTerm) knows(id string) bool {
+// knowsJob tells whether this cell's users may know a job that is active.
+func (lt *leaderTerm) knowsJob(id string) bool {
 	j := lt.jobs[id]
 	return j != nil && j.guest == nil
 }
 
-// answer is what the leader's memory says of a job.
-func (lt *leaderTerm) answer(id string) pollReply {
+// jobState is what the leader's memory says of a job.
+func (lt *leaderTerm) jobState(id string) pollReply {
 	if st, ok := lt.c.final.Get(id); ok {
-		return pollReply{st: st, answered: true}
+		return pollReply{state: st, answered: true}
 	}
 	j := lt.jobs[id]
 	switch {
@@ -232,11 +232,11 @@
 		// One that it needs is cancelled on record, and that stays so. However many
 		// jobs follow from one cancellation, their users need not wait for the
 		// write rate.
-		return pollReply{st: api.JobState{ID: id, Phase: api.JobWithdrawn, Derived: true}, answered: true}
+		return pollReply{state: api.JobState{ID: id, Phase: api.JobWithdrawn, Derived: true}, answered: true}
 	case j.ending, len(j.awaits) > 0 && lt.pipeline.unresolved():
 		// In the second case one that it needs may be cancelled, and an earlier
 		// leader or another node may have told so.
 		return pollReply{}
 	}
-	return pollReply{st: j.state(), answered: true}
+	return pollReply{state: j.state(), answered: true}
 }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -155,8 +155,8 @@
 // write writes new reports and outcomes to the store.
 func (u *relayUp) write(c *Controller, now time.Time) {
 	extender := &c.extender
-	leader := c.peerTable.nodes[extender.leader]
-	carrying := leader.lost() && extender.mark != 0 && now.Sub(extender.verified) < c.extensionPeriod()
+	leader := c.membership.members[extender.leader]
+	carrying := leader.isUnreachable() && extender.mark != 0 && now.Sub(extender.verified) < c.extensionPeriod()
 	for _, m := range u.machines {
 		if m.orders != nil && (now.Sub(m.since) > relayOrderLife || !carrying) {
 			m.settle(0)
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -51,14 +51,14 @@
 		return
 	}
 	d.next = now.Add(relayEvery / 2)
-	for name, n := range lt.c.peerTable.nodes {
+	for name, mb := range lt.c.membership.members {
 		node := d.nodes[name]
 		if node == nil {
 			node = &relayNode{pending: map[string]*relayedOrders{}}
 			d.nodes[name] = node
 		}
 		node.giveUp(lt, now)
-		if node.busy || !(n.lost() || len(node.pending) > 0) {
+		if node.busy || !(mb.isUnreachable() || len(node.pending) > 0) {
 			continue
 		}
 		node.busy = true
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -55,7 +55,7 @@
 // an earlier process of this node may have promised that.
 func (c *Controller) readVoterTerm(ctx context.Context) {
 	for ctx.Err() == nil {
-		rctx, cancel := context.WithTimeout(ctx, storeTimeout)
+		rctx, cancel := context.WithTimeout(ctx, kvCheckTimeout)
 		e, err := c.Store.Get(rctx, election.TermKey)
 		cancel()
 		var term election.TermRecord
@@ -67,7 +67,7 @@
 			return
 		}
 		c.Log.Debug("term not read", "err", err)
-		sleep(ctx, storeEvery)
+		sleep(ctx, kvCheckInterval)
 	}
 }
 
@@ -154,7 +154,7 @@
 		lt.quorumLostAt = now
 		lt.c.Log.Info("grants lost, nothing is decided", "term", lt.term.Number)
 	}
-	if now.Sub(lt.quorumLostAt) > 2*lt.c.Standby.VoteLifetime() && lt.c.peerTable.storeOK {
+	if now.Sub(lt.quorumLostAt) > 2*lt.c.Standby.VoteLifetime() && lt.c.membership.kvReachable {
 		lt.c.Log.Info("leadership given up without grants", "term", lt.term.Number)
 		lt.stepDown()
 	}
@@ -164,8 +164,8 @@
 // grant. Processes that were begun after the term was grant it nothing, as they cannot know
 // what earlier ones have promised: if there are too many of them, a new term is begun.
 func (lt *leaderTerm) requireQuorum(now time.Time) {
-	for _, n := range lt.c.peerTable.nodes {
-		if !n.SupportsLeaseQuorum || !n.reached(now) {
+	for _, mb := range lt.c.membership.members {
+		if !mb.SupportsLeaseQuorum || !mb.isReachable(now) {
 			lt.quorumLostAt = time.Time{}
 			return
 		}
@@ -179,7 +179,7 @@
 		lt.quorumLostAt = now
 	}
 	f := &lt.c.failover
-	if now.Sub(lt.quorumLostAt) > quorumWait && now.Sub(f.lastNewTerm) > newTermInterval && lt.c.peerTable.storeOK {
+	if now.Sub(lt.quorumLostAt) > quorumWait && now.Sub(f.lastNewTerm) > newTermInterval && lt.c.membership.kvReachable {
 		f.lastNewTerm = now
 		lt.c.Log.Info("new term begun, to be granted", "term", lt.term.Number)
 		lt.stepDown()
@@ -188,19 +188,19 @@
 
 // tick looks, on a node that does not lead, whether the leader is to be replaced.
 func (f *failover) tick(c *Controller, now time.Time) {
-	n := c.peerTable.nodes[c.leader]
-	if f.voter == nil || f.busy || n == nil || !n.QuorumRequired || n.Term == 0 || n.failed < unreachedAfter || !c.peerTable.storeOK || now.Before(f.nextAttempt) {
+	mb := c.membership.members[c.leader]
+	if f.voter == nil || f.busy || mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.failedPings < unreachedAfter || !c.membership.kvReachable || now.Before(f.nextAttempt) {
 		return
 	}
 	var others []string
-	for name := range c.peerTable.nodes {
+	for name := range c.membership.members {
 		if name != c.leader {
 			others = append(others, name)
 		}
 	}
 	f.busy = true
-	c.Log.Info("leader suspected", "leader", c.leader, "term", n.Term, "failed", n.failed)
-	go c.collectPromises(c.leader, n.Term, others)
+	c.Log.Info("leader suspected", "leader", c.leader, "term", mb.Term, "failed", mb.failedPings)
+	go c.collectPromises(c.leader, mb.Term, others)
 }
 
 // collectPromises asks the others to grant a term nothing more. Those that hear its leader
@@ -248,8 +248,8 @@
 
 func (m promisesCollectedMsg) apply(c *Controller) {
 	f, now := &c.failover, time.Now()
-	n := c.peerTable.nodes[m.leader]
-	if m.promises+1 < grant.RequiredPromises(len(c.Settings.Peers)+1) || c.leader != m.leader || c.leaderTerm != nil || n.failed < unreachedAfter || n.Term != m.term {
+	mb := c.membership.members[m.leader]
+	if m.promises+1 < grant.RequiredPromises(len(c.Settings.Peers)+1) || c.leader != m.leader || c.leaderTerm != nil || mb.failedPings < unreachedAfter || mb.Term != m.term {
 		f.busy, f.nextAttempt = false, now.Add(failoverRetryInterval)
 		return
 	}
@@ -321,8 +321,8 @@
 		m.reply <- noPromise
 		return
 	}
-	for _, n := range c.peerTable.nodes {
-		if n.Term == m.term && n.reached(now) {
+	for _, mb := range c.membership.members {
+		if mb.Term == m.term && mb.isReachable(now) {
 			m.reply <- noPromise
 			return
 		}
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -580,11 +580,11 @@
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home := g.cells[0]
 		n := home.leader()
-		n.look(func(c *Controller) { c.peerTable.nodes["n9"] = &peerState{} })
+		n.look(func(c *Controller) { c.membership.members["n9"] = &member{} })
 		g.burst(home, 100, 6, 10*time.Second)
 		time.Sleep(8 * time.Second)
 		home.same("lent", g.away(), 0)
-		n.look(func(c *Controller) { c.peerTable.nodes["n9"].SupportsLoans = true })
+		n.look(func(c *Controller) { c.membership.members["n9"].SupportsLoans = true })
 		time.Sleep(8 * time.Second)
 		if g.away() == 0 {
 			t.Error("nothing was lent once all know")
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -94,7 +94,7 @@
 		return
 	}
 	now := time.Now()
-	lt.cancelMark = m.snapshot.cancelMark
+	lt.cancelRevision = m.snapshot.cancelMark
 	for _, e := range m.snapshot.loans {
 		lt.loans.addRecord(e)
 	}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -599,7 +599,7 @@
 		v.seconds(2)
 		v.same("go on beside a new process", v.ks[0].running(), []string{"job-4/0"})
 		st, err := v.new.PeerStatus(context.Background(), cancellation.Position{})
-		v.same("whole only since it began", []any{st.Cancels.Whole < 5*time.Second, err}, []any{true, nil})
+		v.same("whole only since it began", []any{st.Cancellations.CompleteFor < 5*time.Second, err}, []any{true, nil})
 	})
 }
 
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -42,12 +42,12 @@
 	if err != nil {
 		return nil, err
 	}
-	pong := &peer.Pong{Term: st.Term, Leader: st.Leader, StoreOkMs: uint64(st.StoreOK.Milliseconds()), Incarnation: st.Incarnation,
-		Cancelled: st.Cancels.IDs, CancelFirst: st.Cancels.First, CancelMore: st.Cancels.More, CancelWholeMs: uint64(st.Cancels.Whole.Milliseconds())}
+	pong := &peer.Pong{Term: st.Term, Leader: st.Leader, StoreOkMs: uint64(st.KVReachableFor.Milliseconds()), Incarnation: st.Incarnation,
+		Cancelled: st.Cancellations.IDs, CancelFirst: st.Cancellations.First, CancelMore: st.Cancellations.More, CancelWholeMs: uint64(st.Cancellations.CompleteFor.Milliseconds())}
 	pong.KnowsLoans, pong.KnowsGrants, pong.Bound = st.SupportsLoans, st.SupportsLeaseQuorum, st.QuorumRequired
-	if st.Known >= 0 {
+	if st.CancellationsKnownAge >= 0 {
 		// Rounded up: it must not seem fresher than it is.
-		pong.KnownAgeMs = proto.Uint64(uint64(st.Known.Milliseconds()) + 1)
+		pong.KnownAgeMs = proto.Uint64(uint64(st.CancellationsKnownAge.Milliseconds()) + 1)
 	}
 	return pong, nil
 }
@@ -130,12 +130,12 @@
 	if err != nil {
 		return controller.PeerStatus{}, err
 	}
-	out := controller.PeerStatus{Term: st.Term, Leader: st.Leader, StoreOK: time.Duration(st.StoreOkMs) * time.Millisecond,
-		Incarnation: st.Incarnation, Known: -1, Cancels: cancellation.News{IDs: st.Cancelled, First: st.CancelFirst, More: st.CancelMore,
-			Whole: time.Duration(st.CancelWholeMs) * time.Millisecond}}
+	out := controller.PeerStatus{Term: st.Term, Leader: st.Leader, KVReachableFor: time.Duration(st.StoreOkMs) * time.Millisecond,
+		Incarnation: st.Incarnation, CancellationsKnownAge: -1, Cancellations: cancellation.Delta{IDs: st.Cancelled, First: st.CancelFirst, More: st.CancelMore,
+			CompleteFor: time.Duration(st.CancelWholeMs) * time.Millisecond}}
 	out.SupportsLoans, out.SupportsLeaseQuorum, out.QuorumRequired = st.KnowsLoans, st.KnowsGrants, st.Bound
 	if st.KnownAgeMs != nil {
-		out.Known = time.Duration(*st.KnownAgeMs) * time.Millisecond
+		out.CancellationsKnownAge = time.Duration(*st.KnownAgeMs) * time.Millisecond
 	}
 	return out, nil
 }
