--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -45,11 +45,11 @@
 
 func (s *stub) Abort(ctx context.Context, id string) (JobState, error) { return s.Job(ctx, id) }
 
-func (s *stub) Report(context.Context, *Report) (ReportAnswer, error) {
+func (s *stub) Heartbeat(context.Context, *Heartbeat) (HeartbeatResponse, error) {
 	if s.leader != "" {
-		return ReportAnswer{}, &NotLeaderError{Leader: s.leader}
+		return HeartbeatResponse{}, &NotLeaderError{Leader: s.leader}
 	}
-	return ReportAnswer{Term: 4, Orders: []Order{}}, nil
+	return HeartbeatResponse{Term: 4, Commands: []Command{}}, nil
 }
 
 func (s *stub) Status(context.Context) (any, error) { return map[string]int{"term": 4}, nil }
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -37,7 +37,7 @@
 	Known(ctx context.Context, id string) (JobState, error)
 	Job(ctx context.Context, id string) (JobState, error)
 	Abort(ctx context.Context, id string) (JobState, error)
-	Report(ctx context.Context, r *Report) (ReportAnswer, error)
+	Heartbeat(ctx context.Context, hb *Heartbeat) (HeartbeatResponse, error)
 	Ready() bool
 	// Status is the operators' view of the node.
 	Status(ctx context.Context) (any, error)
@@ -57,7 +57,7 @@
 	mux.HandleFunc("POST /api/jobs", s.limited(s.submits, s.submit))
 	mux.HandleFunc("GET /api/jobs/{id}", s.limited(s.asks, s.job))
 	mux.HandleFunc("POST /api/jobs/{id}/abort", s.limited(s.submits, s.abort))
-	mux.HandleFunc("POST /v1/report", s.report)
+	mux.HandleFunc("POST /v1/report", s.heartbeat)
 	mux.HandleFunc("GET /ready", s.ready)
 	mux.HandleFunc("GET /status", s.status)
 	return mux
@@ -196,18 +196,18 @@
 	}
 }
 
-func (s *server) report(w http.ResponseWriter, r *http.Request) {
+func (s *server) heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r, 4*MaxBody)
 	if err != nil {
 		s.fail(w, http.StatusBadRequest, err)
 		return
 	}
-	rep, err := ParseReport(body)
+	rep, err := ParseHeartbeat(body)
 	if err != nil {
 		s.fail(w, http.StatusBadRequest, err)
 		return
 	}
-	ans, err := s.backend.Report(r.Context(), rep)
+	ans, err := s.backend.Heartbeat(r.Context(), rep)
 	var other *NotLeaderError
 	switch {
 	case errors.As(err, &other) && other.Leader != "":
--- a/internal/api/report_test.go
+++ b/internal/api/report_test.go
@@ -24,9 +24,9 @@
 		`{"Host":"i-1","Z":` + strings.Repeat(`{"a":`, 5_000) + "1" + strings.Repeat("}", 5_000) + `}`,
 		`{"Host":"i-1","Shoots":[` + strings.Repeat(`{"Shoot":"job-1/3","Sprout":2,"Phase":"running"},`, 3_000) + `{}]}`,
 	} {
-		var want Report
+		var want Heartbeat
 		wantErr := json.Unmarshal([]byte(body), &want) != nil || want.Machine == ""
-		got, err := ParseReport([]byte(body))
+		got, err := ParseHeartbeat([]byte(body))
 		if (err != nil) != wantErr || err == nil && !reflect.DeepEqual(*got, want) {
 			t.Errorf("%.80q: %+v, %v; the standard library: %+v, %v", body, got, err, want, wantErr)
 		}
@@ -37,13 +37,13 @@
 // grow by many times its size: 16 MiB for one report was seen.
 func TestNestedReportsTakeNoStack(t *testing.T) {
 	for _, open := range []string{"[", `{"a":`, `[{"a":`, `{"a": `} {
-		for _, depth := range []int{2 * manyObjects, 4 * MaxBody / len(open)} {
+		for _, depth := range []int{2 * maxObjects, 4 * MaxBody / len(open)} {
 			body := []byte(`{"Host":"i-1","Z":` + strings.Repeat(open, depth))
 			grew := make(chan uint64)
 			go func() { // a stack of its own, that has yet to grow
 				var before, after runtime.MemStats
 				runtime.ReadMemStats(&before)
-				if _, err := ParseReport(body); err == nil {
+				if _, err := ParseHeartbeat(body); err == nil {
 					t.Errorf("%d times %q was read", depth, open)
 				}
 				runtime.ReadMemStats(&after)
@@ -60,7 +60,7 @@
 // whole body there.
 func TestPhasesShareNoMemoryWithTheReport(t *testing.T) {
 	body := []byte(`{"Host":"i-1","Shoots":[{"Shoot":"job-1/3","Phase":"running","Cause":"odd"}]}`)
-	rep, err := ParseReport(body)
+	rep, err := ParseHeartbeat(body)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -314,22 +314,22 @@
 // Final tells whether the job is over.
 func (s JobState) Final() bool { return s.Phase == JobDone || s.Phase == JobWithdrawn }
 
-// Report is a worker's report.
-type Report struct {
-	Machine string       `json:"Host"`
-	Addr    string       `json:"Addr"`
-	Type    string       `json:"Frame"`
-	Zone    string       `json:"Bed"`
-	Spot    bool         `json:"Windfall"`
-	Session uint64       `json:"Season"`
-	Seq     uint64       `json:"Tally"`
-	Term    uint64       `json:"Warrant"`
-	NoticeS *float64     `json:"ReclaimS"`
-	Tasks   []TaskReport `json:"Shoots"`
+// Heartbeat is a worker's report.
+type Heartbeat struct {
+	Machine           string       `json:"Host"`
+	Addr              string       `json:"Addr"`
+	Type              string       `json:"Frame"`
+	Zone              string       `json:"Bed"`
+	Spot              bool         `json:"Windfall"`
+	AgentEpoch        uint64       `json:"Season"`
+	Seq               uint64       `json:"Tally"`
+	Term              uint64       `json:"Warrant"`
+	PreemptionNoticeS *float64     `json:"ReclaimS"`
+	Tasks             []TaskStatus `json:"Shoots"`
 }
 
-// TaskReport is one task of a report.
-type TaskReport struct {
+// TaskStatus is one task of a report.
+type TaskStatus struct {
 	Task    string `json:"Shoot"`
 	Attempt uint64 `json:"Sprout"`
 	Phase   string `json:"Phase"`
@@ -337,21 +337,21 @@
 	Saved   bool   `json:"Kept"`
 }
 
-// manyArrays and manyObjects are how many of these a report may open and still be
+// maxArrays and maxObjects are how many of these a report may open and still be
 // read by the fast decoder, which follows nesting to any depth: a report full of
 // brackets would have its stack grow past the memory of the smallest controllers.
 // Each task is an object of fifty bytes or more, and MaxBody has room for fewer.
 const (
-	manyArrays  = 256
-	manyObjects = 2048
+	maxArrays  = 256
+	maxObjects = 2048
 )
 
-// ParseReport reads a report. Its strings share the memory of body, which must
+// ParseHeartbeat reads a report. Its strings share the memory of body, which must
 // not be changed afterwards; what is kept for long is to be cloned.
-func ParseReport(body []byte) (*Report, error) {
-	var rep Report
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var rep Heartbeat
 	var err error
-	if bytes.Count(body, []byte("[")) > manyArrays || bytes.Count(body, []byte("{")) > manyObjects {
+	if bytes.Count(body, []byte("[")) > maxArrays || bytes.Count(body, []byte("{")) > maxObjects {
 		err = json.Unmarshal(body, &rep)
 	} else {
 		// Reports are most of what a leader reads, and this decoder takes a
@@ -370,14 +370,14 @@
 	}
 	for i := range rep.Tasks {
 		t := &rep.Tasks[i]
-		t.Phase, t.Cause = own(t.Phase), own(t.Cause)
+		t.Phase, t.Cause = cloneString(t.Phase), cloneString(t.Cause)
 	}
 	return &rep, nil
 }
 
-// own is a string that shares no memory with a report: the constants for the
+// cloneString is a string that shares no memory with a report: the constants for the
 // phases and causes that are known.
-func own(s string) string {
+func cloneString(s string) string {
 	for _, known := range [...]string{"", TaskRunning, TaskExited, CauseDone, TaskPulling, TaskSaving,
 		CauseHalted, CauseError, CauseNoRoom, CauseBusy, CauseNoSuch} {
 		if s == known {
@@ -387,8 +387,8 @@
 	return strings.Clone(s)
 }
 
-// Order is one command to a worker.
-type Order struct {
+// Command is one command to a worker.
+type Command struct {
 	Verb    string   `json:"Verb"`
 	Task    string   `json:"Shoot"`
 	Attempt uint64   `json:"Sprout"`
@@ -397,23 +397,23 @@
 
 // Outcomes of direct orders that were not answered with success.
 var (
-	// ErrNotDone means that they were not and will not be carried out.
-	ErrNotDone = errors.New("orders not carried out")
-	// ErrUnconfirmed means that they may have been, or may yet be.
-	ErrUnconfirmed = errors.New("orders may have been carried out")
+	// ErrCommandsNotApplied means that they were not and will not be carried out.
+	ErrCommandsNotApplied = errors.New("orders not carried out")
+	// ErrCommandsOutcomeUnknown means that they may have been, or may yet be.
+	ErrCommandsOutcomeUnknown = errors.New("orders may have been carried out")
 )
 
-// DirectOrders are orders sent straight to a machine, for one of its sessions.
-type DirectOrders struct {
-	Term    uint64  `json:"Warrant"`
-	Session uint64  `json:"Season"`
-	Orders  []Order `json:"Orders"`
+// CommandBatch are orders sent straight to a machine, for one of its sessions.
+type CommandBatch struct {
+	Term       uint64    `json:"Warrant"`
+	AgentEpoch uint64    `json:"Season"`
+	Commands   []Command `json:"Orders"`
 }
 
-// ReportAnswer answers a report.
-type ReportAnswer struct {
-	Term   uint64  `json:"Warrant"`
-	Orders []Order `json:"Orders"`
+// HeartbeatResponse answers a report.
+type HeartbeatResponse struct {
+	Term     uint64    `json:"Warrant"`
+	Commands []Command `json:"Orders"`
 }
 
 // MachineType is a type of machine that the cloud rents.
--- a/internal/controller/apart_test.go
+++ b/internal/controller/apart_test.go
@@ -509,7 +509,7 @@
 			}
 			if i == 30 {
 				far.mu.Lock()
-				far.rep.Session++
+				far.rep.AgentEpoch++
 				far.rep.Tasks = nil
 				far.mu.Unlock()
 				orders, _ := far.send(b)
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -8,7 +8,7 @@
 )
 
 // adopt adds an attempt that this leader did not start.
-func (lt *leaderTerm) adopt(m *machine, key attemptKey, t *api.TaskReport, now time.Time) *attempt {
+func (lt *leaderTerm) adopt(m *machine, key attemptKey, t *api.TaskStatus, now time.Time) *attempt {
 	key.ref = strings.Clone(key.ref)
 	a := &attempt{key: key, machine: m, phase: t.Phase, sentAt: now}
 	m.attempts[key] = a
@@ -35,7 +35,7 @@
 }
 
 // update applies what a report says of an attempt.
-func (lt *leaderTerm) update(a *attempt, t *api.TaskReport, now time.Time) {
+func (lt *leaderTerm) update(a *attempt, t *api.TaskStatus, now time.Time) {
 	was := a.phase
 	a.phase = t.Phase
 	if a.phase == api.TaskRunning && was != api.TaskRunning {
@@ -56,15 +56,15 @@
 		a.exited = true
 		a.charge(-1)
 	}
-	if a.noted {
+	if a.exitHandled {
 		return
 	}
-	a.noted = true
+	a.exitHandled = true
 	lt.exit(a, t, now)
 }
 
 // exit handles the end of an attempt by its cause.
-func (lt *leaderTerm) exit(a *attempt, t *api.TaskReport, now time.Time) {
+func (lt *leaderTerm) exit(a *attempt, t *api.TaskStatus, now time.Time) {
 	j, m := a.job, a.machine
 	if j == nil {
 		return
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -15,7 +15,7 @@
 )
 
 // full is a leader whose machines are all busy, with jobs that wait.
-func full(b *testing.B, machines, jobs int) (*leaderTerm, []*api.Report) {
+func full(b *testing.B, machines, jobs int) (*leaderTerm, []*api.Heartbeat) {
 	b.Helper()
 	pol, err := policy.Parse("", "")
 	if err != nil {
@@ -36,18 +36,18 @@
 		sp.Team = []string{"red", "blue"}[i%2]
 		lt.addRecord(store.ActivePrefix+sp.ID, store.ActiveRecord{Spec: *sp, Accepted: now}, uint64(i+2))
 	}
-	reports := make([]*api.Report, machines)
+	reports := make([]*api.Heartbeat, machines)
 	for i := range reports {
-		k := &worker{rep: api.Report{Machine: fmt.Sprint("i-", i), Addr: "x", Type: "small", Zone: "a", Session: 1, Term: 1}}
+		k := &worker{rep: api.Heartbeat{Machine: fmt.Sprint("i-", i), Addr: "x", Type: "small", Zone: "a", AgentEpoch: 1, Term: 1}}
 		m := lt.addMachine(k.rep.Machine, "small", "a", false, now)
-		m.heard, m.roster = true, rosterDurable
+		m.fenced, m.roster = true, rosterDurable
 		for range 3 {
 			k.rep.Seq++
-			ans, err := lt.report(&k.rep, now.Add(time.Minute))
+			ans, err := lt.handleOwnHeartbeat(&k.rep, now.Add(time.Minute))
 			if err != nil {
 				b.Fatal(err)
 			}
-			k.carryOut(ans.Orders)
+			k.carryOut(ans.Commands)
 		}
 		reports[i] = &k.rep
 	}
@@ -65,7 +65,7 @@
 			for i := 0; b.Loop(); i++ {
 				rep := reports[i%len(reports)]
 				rep.Seq++
-				if _, err := lt.report(rep, now); err != nil {
+				if _, err := lt.handleOwnHeartbeat(rep, now); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -84,14 +84,14 @@
 				rep := reports[i%len(reports)]
 				rep.Seq++
 				rep.Tasks[0].Phase, rep.Tasks[0].Cause = api.TaskExited, api.CauseHalted
-				ans, err := lt.report(rep, now)
+				ans, err := lt.handleOwnHeartbeat(rep, now)
 				if err != nil {
 					b.Fatal(err)
 				}
 				rep.Tasks = rep.Tasks[1:]
-				for _, o := range ans.Orders {
+				for _, o := range ans.Commands {
 					if o.Verb == api.VerbStart {
-						rep.Tasks = append(rep.Tasks, api.TaskReport{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
+						rep.Tasks = append(rep.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
 					}
 				}
 			}
@@ -111,7 +111,7 @@
 				now = now.Add(time.Second)
 				lt.lastTick = now
 				for _, m := range lt.machines {
-					m.lastSeen, m.lastReport = now, now
+					m.lastSeen, m.lastHeartbeat = now, now
 				}
 				lt.triage(now)
 				lt.countHolders(now)
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -266,15 +266,15 @@
 	return ks
 }
 
-// Order implements Director: the way of orders straight to machines.
-func (s *checkedCluster) Order(ctx context.Context, addr string, o *api.DirectOrders) (uint64, error) {
+// SendCommands implements Director: the way of orders straight to machines.
+func (s *checkedCluster) SendCommands(ctx context.Context, addr string, o *api.CommandBatch) (uint64, error) {
 	rep, err := s.direct(ctx, addr, func(k *host) bool {
-		if o.Term < k.rep.Term || o.Session != k.rep.Session {
+		if o.Term < k.rep.Term || o.AgentEpoch != k.rep.AgentEpoch {
 			return false
 		}
 		k.changed = k.changed || o.Term > k.rep.Term
 		k.rep.Term = o.Term
-		k.obey(o.Orders)
+		k.obey(o.Commands)
 		return true
 	})
 	if err != nil {
@@ -284,7 +284,7 @@
 }
 
 // Resync implements Director.
-func (s *checkedCluster) Resync(ctx context.Context, addr string, term uint64) (*api.Report, error) {
+func (s *checkedCluster) Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error) {
 	return s.direct(ctx, addr, func(k *host) bool {
 		if term < k.rep.Term {
 			return false
@@ -297,27 +297,27 @@
 
 // direct brings something to a machine; a hung or slow one does it late, even if
 // its sender has given up by then.
-func (s *checkedCluster) direct(ctx context.Context, addr string, do func(*host) bool) (*api.Report, error) {
+func (s *checkedCluster) direct(ctx context.Context, addr string, do func(*host) bool) (*api.Heartbeat, error) {
 	s.h.mu.Lock()
 	k := s.h.hosts[addr]
 	s.h.mu.Unlock()
 	if k == nil || s.cloud.gone(addr) {
-		return nil, api.ErrNotDone
+		return nil, api.ErrCommandsNotApplied
 	}
 	k.mu.Lock()
 	closed, orderDelay, answerDelay := k.cut || k.deaf, k.orderDelay, k.answerDelay
 	k.mu.Unlock()
 	if closed {
 		<-ctx.Done()
-		return nil, api.ErrNotDone // no connection
+		return nil, api.ErrCommandsNotApplied // no connection
 	}
-	out := make(chan *api.Report, 1)
+	out := make(chan *api.Heartbeat, 1)
 	// Controllers call this while the test ends, so tasks does not count it: it waits for
 	// nothing once s.ctx has ended.
 	go func() {
 		idle(s.ctx, orderDelay)
 		k.awake()
-		var rep *api.Report
+		var rep *api.Heartbeat
 		if s.ctx.Err() == nil && !s.cloud.gone(addr) && do(k) {
 			k.rep.Seq++
 			own := k.rep
@@ -331,10 +331,10 @@
 	select {
 	case rep := <-out:
 		if rep == nil {
-			return nil, api.ErrNotDone
+			return nil, api.ErrCommandsNotApplied
 		}
 		return rep, nil
 	case <-ctx.Done():
-		return nil, api.ErrUnconfirmed
+		return nil, api.ErrCommandsOutcomeUnknown
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -36,9 +36,9 @@
 	// Ping returns the node's state, if it can be reached.
 	// What it knows of cancellations beyond a position comes with it.
 	Ping(ctx context.Context, node string, from cancellation.Position) (PeerStatus, error)
-	// Report passes a machine's report on to the leader. NotLeaderError means
+	// ForwardHeartbeat passes a machine's report on to the leader. NotLeaderError means
 	// that the node does not lead, ErrRefused that connections are refused.
-	Report(ctx context.Context, node string, rep *api.Report) (api.ReportAnswer, error)
+	ForwardHeartbeat(ctx context.Context, node string, rep *api.Heartbeat) (api.HeartbeatResponse, error)
 	// Resign tells a node that self has stopped to act in a term.
 	Resign(ctx context.Context, node, self string, term uint64) error
 	// Vote asks a node to let this one decide as leader of a term for a while.
@@ -55,12 +55,12 @@
 	Policy   *policy.Policy
 	Store    store.Service
 	// UserStore is Store for what users ask; nil: Store itself.
-	UserStore store.Service
-	Cloud     cloud.Service
-	Peers     PeerClient
-	Prober    Prober
-	Director  Director
-	Log       *slog.Logger
+	UserStore     store.Service
+	Cloud         cloud.Service
+	Peers         PeerClient
+	Prober        Prober
+	CommandSender CommandSender
+	Log           *slog.Logger
 	// Cells are the cells that lend each other capacity, and Link the way to them; nil:
 	// there are none.
 	Cells *cells.Settings
@@ -88,10 +88,10 @@
 	extender   leaseExtender
 	up         relayUp
 	membership membership
-	// sent is when machines were sent on to the leader, past this node.
-	sent map[string]time.Time
-	// directed is to whom machines were last told to report.
-	directed      map[string]directed
+	// redirectedAt is when machines were sent on to the leader, past this node.
+	redirectedAt map[string]time.Time
+	// redirects is to whom machines were last told to report.
+	redirects     map[string]redirect
 	final         *lru.Cache[string, api.JobState]
 	cancellations *cancellation.Log
 	failover      failover
@@ -119,7 +119,7 @@
 	return &Controller{
 		Config: cfg, records: store.NewRecords(cfg.UserStore, cfg.Settings.Site.State),
 		mailbox: make(chan message, 256), ended: make(chan struct{}), stepDowns: make(chan uint64, 4), resignations: make(chan election.Resignation, 4), final: final,
-		sent: map[string]time.Time{}, directed: map[string]directed{}, up: newRelayUp(cfg.Settings.Site.Limits),
+		redirectedAt: map[string]time.Time{}, redirects: map[string]redirect{}, up: newRelayUp(cfg.Settings.Site.Limits),
 		reads: map[string]*readRound{}, cancellations: cancellation.NewLog(cfg.Settings.Site.Workers, cfg.Settings.Site.Limits, time.Now()), membership: newMembership(cfg.Settings.Peers, time.Now()),
 	}
 }
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -10,12 +10,12 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// Director brings orders straight to a machine. Its errors are
-// api.ErrNotDone and api.ErrUnconfirmed.
-type Director interface {
-	Order(ctx context.Context, addr string, orders *api.DirectOrders) (seq uint64, err error)
+// CommandSender brings orders straight to a machine. Its errors are
+// api.ErrCommandsNotApplied and api.ErrCommandsOutcomeUnknown.
+type CommandSender interface {
+	SendCommands(ctx context.Context, addr string, orders *api.CommandBatch) (seq uint64, err error)
 	// Resync tells a machine of a term and returns the report that shows it.
-	Resync(ctx context.Context, addr string, term uint64) (*api.Report, error)
+	Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error)
 }
 
 // Starts go straight to machines with free room where reports come so seldom
@@ -35,46 +35,46 @@
 //   - A new leader needs nothing of this: a machine that it has heard has its
 //     token, and refuses orders of earlier ones.
 const (
-	directAbove = 2 * time.Second
-	dispatchFor = 1500 * time.Millisecond
-	directWait  = 1500 * time.Millisecond
+	directHeartbeatThreshold = 2 * time.Second
+	dispatchFor              = 1500 * time.Millisecond
+	directTimeout            = 1500 * time.Millisecond
 	// A node that was held up lately may be so again, and then finds that the
 	// time has passed before it could read the answer: the machine would be
 	// given back for nothing.
-	directWaitLate = 5 * time.Second
-	heldUpLately   = 15 * time.Second
-	// directFailsMost is how many orders in a row may find no way to their
-	// machines, and directPause for how long none are sent then: the leader
+	slowDirectTimeout = 5 * time.Second
+	recentPause       = 15 * time.Second
+	// maxDirectFailures is how many orders in a row may find no way to their
+	// machines, and directBackoff for how long none are sent then: the leader
 	// may have lost the way to all of them, and each order holds its tasks
 	// for a while, and its machine for longer.
-	directFailsMost = 4
-	directPause     = 3 * time.Second
+	maxDirectFailures = 4
+	directBackoff     = 3 * time.Second
 )
 
-// directStart is a start that was sent straight to a machine.
-type directStart struct {
-	session uint64
-	// waiting is set until there is an outcome, unconfirmed if there will be none.
-	waiting, unconfirmed bool
+// directCommand is a start that was sent straight to a machine.
+type directCommand struct {
+	agentEpoch uint64
+	// inFlight is set until there is an outcome, unconfirmed if there will be none.
+	inFlight, outcomeUnknown bool
 	// seq is the report from which on the attempt must be shown.
 	seq uint64
 }
 
-// mayCome tells whether a start may still be carried out although a report
+// mayStillStart tells whether a start may still be carried out although a report
 // does not show it. One that an earlier report showed was carried out, and is
 // not a second time: it has left its machine.
-func (a *attempt) mayCome(rep *api.Report) bool {
+func (a *attempt) mayStillStart(rep *api.Heartbeat) bool {
 	d := a.direct
-	if d == nil || a.seen != 0 || rep.Session > d.session {
+	if d == nil || a.lastSeenIn != 0 || rep.AgentEpoch > d.agentEpoch {
 		return false
 	}
-	return d.waiting || d.unconfirmed || rep.Seq < d.seq
+	return d.inFlight || d.outcomeUnknown || rep.Seq < d.seq
 }
 
 // empty tells whether nothing holds the machine but orders without an answer.
 func (m *machine) empty() bool {
 	for _, a := range m.attempts {
-		if a.direct == nil || !a.direct.unconfirmed || a.seen != 0 {
+		if a.direct == nil || !a.direct.outcomeUnknown || a.lastSeenIn != 0 {
 			return false
 		}
 	}
@@ -83,20 +83,20 @@
 
 // dispatch brings waiting work to machines with free room.
 func (lt *leaderTerm) dispatch(now time.Time) {
-	if lt.c.Director == nil || lt.c.Settings.Site.Workers.Report() <= directAbove || now.After(lt.dispatchUntil) {
+	if lt.c.CommandSender == nil || lt.c.Settings.Site.Workers.Report() <= directHeartbeatThreshold || now.After(lt.dispatchUntil) {
 		return
 	}
-	if !lt.anyWaits() || now.Before(lt.directFrom) {
+	if !lt.anyUnassigned() || now.Before(lt.nextDirectCommand) {
 		return
 	}
-	most := lt.dials
-	if lt.directFails >= directFailsMost {
+	most := lt.maxDials
+	if lt.directFailures >= maxDirectFailures {
 		most = 1 // to see whether the way is open again
 	}
 	var ms []*machine
 	for _, m := range lt.machines {
-		if m.open(now) && !m.ordering && !m.passed && m.unheeded == 0 && m.freeCPUs() > slack && m.addr != "" &&
-			now.Sub(m.lastReport) <= lt.hearable() {
+		if m.open(now) && !m.commandInFlight && !m.lastForwarded && m.unappliedResponses == 0 && m.freeCPUs() > slack && m.addr != "" &&
+			now.Sub(m.lastHeartbeat) <= lt.hearable() {
 			ms = append(ms, m)
 		}
 	}
@@ -104,17 +104,17 @@
 		return cmp.Or(cmp.Compare(lt.provisioner.cpuPrice(a), lt.provisioner.cpuPrice(b)), cmp.Compare(a.freeCPUs(), b.freeCPUs()), cmp.Compare(a.name, b.name))
 	})
 	for _, m := range ms {
-		if lt.ordering >= most {
+		if lt.commandsInFlight >= most {
 			return
 		}
 		if orders := lt.place(m, nil, now); len(orders) > 0 {
-			lt.order(m, orders)
+			lt.sendCommands(m, orders)
 		}
 	}
 }
 
-// anyWaits tells whether any task waits for a machine.
-func (lt *leaderTerm) anyWaits() bool {
+// anyUnassigned tells whether any task waits for a machine.
+func (lt *leaderTerm) anyUnassigned() bool {
 	for _, j := range lt.jobs {
 		if j.flight.Untaken() > 0 && !j.finishing && !j.cancelPending && len(j.awaits) == 0 {
 			return true
@@ -123,30 +123,30 @@
 	return false
 }
 
-// order sends starts that were just placed on a machine.
-func (lt *leaderTerm) order(m *machine, orders []api.Order) {
+// sendCommands sends starts that were just placed on a machine.
+func (lt *leaderTerm) sendCommands(m *machine, orders []api.Command) {
 	batch := make([]*attempt, 0, len(orders))
 	for _, o := range orders {
 		a := m.attempts[attemptKey{o.Task, o.Attempt}]
-		a.direct = &directStart{session: m.session, waiting: true}
+		a.direct = &directCommand{agentEpoch: m.agentEpoch, inFlight: true}
 		batch = append(batch, a)
 	}
-	m.ordering = true
-	lt.ordering++
-	addr, req := m.addr, &api.DirectOrders{Term: lt.term.Number, Session: m.session, Orders: orders}
-	wait := directWait
-	if !lt.punctual(time.Now().Add(-heldUpLately)) {
-		wait = directWaitLate
+	m.commandInFlight = true
+	lt.commandsInFlight++
+	addr, req := m.addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.agentEpoch, Commands: orders}
+	wait := directTimeout
+	if !lt.punctual(time.Now().Add(-recentPause)) {
+		wait = slowDirectTimeout
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, wait)
 		defer cancel()
-		seq, err := lt.c.Director.Order(ctx, addr, req)
-		lt.sendToOwner(orderedMsg{lt, m, batch, seq, err})
+		seq, err := lt.c.CommandSender.SendCommands(ctx, addr, req)
+		lt.sendToOwner(commandsSentMsg{lt, m, batch, seq, err})
 	}()
 }
 
-type orderedMsg struct {
+type commandsSentMsg struct {
 	leaderTerm *leaderTerm
 	machine    *machine
 	batch      []*attempt
@@ -154,34 +154,34 @@
 	err        error
 }
 
-func (o orderedMsg) apply(c *Controller) {
+func (o commandsSentMsg) apply(c *Controller) {
 	if c.leaderTerm != o.leaderTerm {
 		return
 	}
-	o.machine.ordering = false
-	o.leaderTerm.ordering--
+	o.machine.commandInFlight = false
+	o.leaderTerm.commandsInFlight--
 	if o.err == nil {
-		o.leaderTerm.directFails = 0
-	} else if o.leaderTerm.directFails++; o.leaderTerm.directFails >= directFailsMost {
-		o.leaderTerm.directFrom = time.Now().Add(directPause)
+		o.leaderTerm.directFailures = 0
+	} else if o.leaderTerm.directFailures++; o.leaderTerm.directFailures >= maxDirectFailures {
+		o.leaderTerm.nextDirectCommand = time.Now().Add(directBackoff)
 	}
 	if o.machine.gone {
 		return
 	}
 	for _, a := range o.batch {
-		a.direct.waiting = false
+		a.direct.inFlight = false
 		switch {
 		case o.err == nil:
 			a.direct.seq = o.seq
-		case errors.Is(o.err, api.ErrNotDone):
-			if a.seen == 0 && o.machine.attempts[a.key] == a {
+		case errors.Is(o.err, api.ErrCommandsNotApplied):
+			if a.lastSeenIn == 0 && o.machine.attempts[a.key] == a {
 				o.leaderTerm.offMachine(a)
 			}
-		case o.machine.session == a.direct.session:
-			a.direct.unconfirmed = true
+		case o.machine.agentEpoch == a.direct.agentEpoch:
+			a.direct.outcomeUnknown = true
 			o.leaderTerm.leave(o.machine, "order unanswered")
 			if a.job.over {
-				o.leaderTerm.settleUnconfirmed(a)
+				o.leaderTerm.resolveOutcome(a)
 			}
 		}
 	}
@@ -191,10 +191,10 @@
 	}
 }
 
-// settleUnconfirmed returns a machine on which a task of a job that is over might
+// resolveOutcome returns a machine on which a task of a job that is over might
 // still begin: nothing else keeps it from doing so in time.
-func (lt *leaderTerm) settleUnconfirmed(a *attempt) {
-	if m := a.machine; a.direct != nil && a.direct.unconfirmed && a.seen == 0 && !m.gone && !m.returning {
+func (lt *leaderTerm) resolveOutcome(a *attempt) {
+	if m := a.machine; a.direct != nil && a.direct.outcomeUnknown && a.lastSeenIn == 0 && !m.gone && !m.returning {
 		lt.leave(m, "order unanswered")
 		lt.provisioner.giveBack(m)
 	}
--- a/internal/controller/direct_test.go
+++ b/internal/controller/direct_test.go
@@ -21,23 +21,23 @@
 	sent     int
 }
 
-func (d *wire) Order(ctx context.Context, addr string, o *api.DirectOrders) (uint64, error) {
+func (d *wire) SendCommands(ctx context.Context, addr string, o *api.CommandBatch) (uint64, error) {
 	d.mu.Lock()
 	d.sent++
 	if d.refuse {
 		d.mu.Unlock()
-		return 0, api.ErrNotDone
+		return 0, api.ErrCommandsNotApplied
 	}
 	k := d.machines[addr]
 	carryOut := func() uint64 {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		// As a machine does: its token must not be higher, its session the same.
-		if k.rep.Term > o.Term || k.rep.Session != o.Session {
+		if k.rep.Term > o.Term || k.rep.AgentEpoch != o.AgentEpoch {
 			return 0
 		}
 		k.rep.Term = o.Term
-		k.carryOut(o.Orders)
+		k.carryOut(o.Commands)
 		k.rep.Seq++
 		return k.rep.Seq
 	}
@@ -45,27 +45,27 @@
 		d.held = append(d.held, carryOut)
 		d.mu.Unlock()
 		<-ctx.Done()
-		return 0, api.ErrUnconfirmed
+		return 0, api.ErrCommandsOutcomeUnknown
 	}
 	defer d.mu.Unlock()
 	if seq := carryOut(); seq != 0 {
 		return seq, nil
 	}
-	return 0, api.ErrNotDone
+	return 0, api.ErrCommandsNotApplied
 }
 
 // Resync tells a machine of a term. One that is dead does not answer.
-func (d *wire) Resync(_ context.Context, addr string, term uint64) (*api.Report, error) {
+func (d *wire) Resync(_ context.Context, addr string, term uint64) (*api.Heartbeat, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	k := d.machines[addr]
 	if _, dead := k.w.dead.Load(addr); dead {
-		return nil, api.ErrNotDone
+		return nil, api.ErrCommandsNotApplied
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.rep.Term > term {
-		return nil, api.ErrNotDone
+		return nil, api.ErrCommandsNotApplied
 	}
 	k.rep.Term = term
 	k.rep.Seq++
@@ -206,7 +206,7 @@
 				victim = d.machines[a.machine.name]
 			}
 		})
-		victim.rep.Session++
+		victim.rep.AgentEpoch++
 		victim.rep.Tasks = nil
 		victim.report(n)
 		w.same("not carried out in a new session", d.release(), 0)
@@ -316,7 +316,7 @@
 		b := w.start("n0")
 		w.submit(b, spec("job-2", 3))
 		time.Sleep(time.Second)
-		b.look(func(c *Controller) { w.same("unheard after a second", c.leaderTerm.unheard, 1) })
+		b.look(func(c *Controller) { w.same("unheard after a second", c.leaderTerm.unfenced, 1) })
 		w.same("goes on", len(busy[1].running()) >= 4, true)
 		time.Sleep(4 * time.Second)
 		w.same("returned", w.cloud.gone(busy[0].rep.Machine), true)
@@ -334,7 +334,7 @@
 		b.look(func(c *Controller) {
 			m := c.leaderTerm.machines[idle[5].rep.Machine]
 			rep := idle[5].rep
-			rep.Seq, rep.Session = m.seq+1, m.session
+			rep.Seq, rep.AgentEpoch = m.heartbeatSeq+1, m.agentEpoch
 			c.leaderTerm.resyncing++
 			resyncedMsg{c.leaderTerm, m, time.Now(), &rep, nil}.apply(c)
 			w.same("given in a resync", len(m.attempts), 0)
@@ -387,7 +387,7 @@
 		if err != nil || len(lost) != 2 {
 			t.Fatalf("orders %v, error %v", lost, err)
 		}
-		ks[1].rep.Session, ks[1].rep.Seq = ks[1].rep.Session+1, 0
+		ks[1].rep.AgentEpoch, ks[1].rep.Seq = ks[1].rep.AgentEpoch+1, 0
 		resynced(ks[1])
 		b.look(func(c *Controller) { w.same("untaken again", c.leaderTerm.jobs["job-2"].flight.Untaken(), 2) })
 		ks[1].serve(b, 6)
@@ -445,11 +445,11 @@
 		b.crash()
 		c := w.start("n0")
 		time.Sleep(500 * time.Millisecond)
-		c.look(func(c *Controller) { w.same("unheard after a second", c.leaderTerm.unheard <= fallen, true) })
+		c.look(func(c *Controller) { w.same("unheard after a second", c.leaderTerm.unfenced <= fallen, true) })
 		for range 6 {
 			round(c, ks[fallen:])
 		}
-		c.look(func(c *Controller) { w.same("unheard", c.leaderTerm.unheard, 0) })
+		c.look(func(c *Controller) { w.same("unheard", c.leaderTerm.unfenced, 0) })
 		w.same("returned", len(w.cloud.returned), fallen)
 		w.same("running again", round(c, ks[fallen:]), 4*(fleet-fallen))
 	})
@@ -498,11 +498,11 @@
 			k.rep.Seq++
 			rep := k.rep
 			rep.Tasks = slices.Clone(k.rep.Tasks)
-			ans, err := a.PassedReport(context.Background(), &rep)
+			ans, err := a.ForwardedHeartbeat(context.Background(), &rep)
 			if err != nil {
 				t.Fatal(err)
 			}
-			k.obey(ans.Orders)
+			k.obey(ans.Commands)
 		}
 		d.taken()
 		for range 3 {
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -83,7 +83,7 @@
 		g.lost = time.Now()
 	}
 	g.k.rep.Tasks, g.heard = nil, time.Now()
-	g.k.rep.Session++
+	g.k.rep.AgentEpoch++
 }
 
 func (g *gapCluster) check() {
--- a/internal/controller/guests.go
+++ b/internal/controller/guests.go
@@ -77,7 +77,7 @@
 		a.Types = append(a.Types, t)
 	}
 	slices.SortFunc(a.Types, func(x, y api.MachineType) int { return strings.Compare(x.Name, y.Name) })
-	a.Accepting = a.CPUs > 0 && lt.unheard == 0 && l.enabled()
+	a.Accepting = a.CPUs > 0 && lt.unfenced == 0 && l.enabled()
 	return a
 }
 
@@ -90,7 +90,7 @@
 	for _, t := range l.guestTurns {
 		for _, j := range t.Items() {
 			switch {
-			case j.handover || lt.unheard > 0:
+			case j.handover || lt.unfenced > 0:
 			case j.doneCount == j.spec.Tasks:
 				l.guestDone(j) // it was not recorded yet
 			case now.Sub(j.waiting) > giveBackAfter && !j.begun():
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -88,7 +88,7 @@
 	cloud *fakeCloud
 	teams []config.Team
 	// director takes the orders sent straight to machines; nil: none are sent.
-	director Director
+	director CommandSender
 	reportS  float64
 	// cancelS is how long a cancellation may take; 0: 30 s.
 	cancelS float64
@@ -114,7 +114,7 @@
 }
 
 // Probe implements Prober.
-func (w *cluster) Probe(ctx context.Context, addr string) (*api.Report, error) {
+func (w *cluster) Probe(ctx context.Context, addr string) (*api.Heartbeat, error) {
 	if _, tardy := w.tardy.Load(addr); tardy {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -282,7 +282,7 @@
 		}
 	}
 	log := slog.New(slog.DiscardHandler)
-	c := New(Config{Settings: s, Policy: pol, Store: st, Cloud: w.cloud, Peers: peers, Prober: w, Director: w.director, Log: log, Cells: w.cells, Link: w.link, Standby: w.standby})
+	c := New(Config{Settings: s, Policy: pol, Store: st, Cloud: w.cloud, Peers: peers, Prober: w, CommandSender: w.director, Log: log, Cells: w.cells, Link: w.link, Standby: w.standby})
 	ctx, cancel := context.WithCancel(w.ctx)
 	cand := &election.Elector{Node: name, Incarnation: fmt.Sprint(time.Now().UnixNano()), Store: st,
 		Lease: pol.LeaderLease, Renew: 3 * time.Second, Observer: c, Log: log, StepDowns: c.StepDowns(), Resignations: c.Resignations()}
@@ -329,22 +329,22 @@
 type worker struct {
 	w   *cluster
 	mu  sync.Mutex
-	rep api.Report
+	rep api.Heartbeat
 }
 
 func (w *cluster) worker(name, zone string, spot bool) *worker {
-	k := &worker{w: w, rep: api.Report{Machine: name, Addr: name, Type: "small", Zone: zone, Spot: spot, Session: 1}}
+	k := &worker{w: w, rep: api.Heartbeat{Machine: name, Addr: name, Type: "small", Zone: zone, Spot: spot, AgentEpoch: 1}}
 	w.machines.Store(name, k)
 	return k
 }
 
 // reporter is a node of any version as workers reach it.
 type reporter interface {
-	Report(ctx context.Context, rep *api.Report) (api.ReportAnswer, error)
+	Heartbeat(ctx context.Context, rep *api.Heartbeat) (api.HeartbeatResponse, error)
 }
 
 // report sends a report and carries the orders out, as a worker does.
-func (k *worker) report(n reporter) []api.Order {
+func (k *worker) report(n reporter) []api.Command {
 	orders, err := k.send(n)
 	if err != nil {
 		return nil
@@ -354,7 +354,7 @@
 }
 
 // send sends a report; its orders are lost unless obeyed.
-func (k *worker) send(n reporter) ([]api.Order, error) {
+func (k *worker) send(n reporter) ([]api.Command, error) {
 	k.mu.Lock()
 	k.rep.Seq++
 	rep := k.rep
@@ -363,31 +363,31 @@
 	return k.deliver(n, &rep)
 }
 
-func (k *worker) deliver(n reporter, rep *api.Report) ([]api.Order, error) {
+func (k *worker) deliver(n reporter, rep *api.Heartbeat) ([]api.Command, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
-	ans, err := n.Report(ctx, rep)
+	ans, err := n.Heartbeat(ctx, rep)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err == nil && ans.Term >= k.rep.Term {
 		k.rep.Term = ans.Term
-		return ans.Orders, nil
+		return ans.Commands, nil
 	}
 	return nil, errors.Join(err, errors.New("dropped"))
 }
 
-func (k *worker) obey(orders []api.Order) {
+func (k *worker) obey(orders []api.Command) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.carryOut(orders)
 }
 
-func (k *worker) carryOut(orders []api.Order) {
+func (k *worker) carryOut(orders []api.Command) {
 	for _, o := range orders {
-		i := slices.IndexFunc(k.rep.Tasks, func(t api.TaskReport) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
+		i := slices.IndexFunc(k.rep.Tasks, func(t api.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
 		switch {
 		case o.Verb == api.VerbStart && i < 0:
-			k.rep.Tasks = append(k.rep.Tasks, api.TaskReport{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
+			k.rep.Tasks = append(k.rep.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
 		case o.Verb == api.VerbStop && i >= 0:
 			k.rep.Tasks[i].Phase, k.rep.Tasks[i].Cause = api.TaskExited, api.CauseHalted
 		case o.Verb == api.VerbReap && i >= 0:
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -124,7 +124,7 @@
 	lt.forget(j)
 	lt.c.recordCancellation(j.spec.ID)
 	for _, a := range j.live {
-		lt.settleUnconfirmed(a)
+		lt.resolveOutcome(a)
 	}
 	for first := range j.chunks {
 		lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
--- a/internal/controller/lag_test.go
+++ b/internal/controller/lag_test.go
@@ -81,11 +81,11 @@
 		k.serve(n, 2)
 		w.submit(n, spec("job-1", 1))
 		held := make(chan struct{})
-		go func() { n.hold(reportLife + 100*time.Millisecond); close(held) }()
+		go func() { n.hold(heartbeatMaxAge + 100*time.Millisecond); close(held) }()
 		time.Sleep(time.Millisecond)
 		k.rep.Seq++
 		rep := k.rep
-		_, err := n.Report(context.Background(), &rep)
+		_, err := n.Heartbeat(context.Background(), &rep)
 		<-held
 		if !errors.Is(err, api.ErrUnavailable) {
 			t.Errorf("answered: %v", err)
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -25,11 +25,11 @@
 	now := time.Unix(1_000_000, 0)
 	u := newRelayUp(config.Limits{RAMMB: 3})
 	for i := range largeFleet {
-		rep := &api.Report{Machine: hostName(i), Addr: "10.0.0.1:9000", Type: "small", Zone: "b", Session: 1, Seq: 1, Term: 3}
+		rep := &api.Heartbeat{Machine: hostName(i), Addr: "10.0.0.1:9000", Type: "small", Zone: "b", AgentEpoch: 1, Seq: 1, Term: 3}
 		for task := range 8 {
-			rep.Tasks = append(rep.Tasks, api.TaskReport{Task: fmt.Sprintf("job-%06d/%d", i, task), Attempt: uint64(i), Phase: api.TaskRunning})
+			rep.Tasks = append(rep.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%06d/%d", i, task), Attempt: uint64(i), Phase: api.TaskRunning})
 		}
-		u.note(nil, rep, &api.ReportAnswer{Term: 3}, now)
+		u.note(nil, rep, &api.HeartbeatResponse{Term: 3}, now)
 	}
 	sent := map[string]bool{}
 	rounds := 0
@@ -71,7 +71,7 @@
 		}
 		n := w.start("n0")
 		time.Sleep(time.Second)
-		n.look(func(c *Controller) { w.same("unheard", c.leaderTerm.unheard, largeFleet) })
+		n.look(func(c *Controller) { w.same("unheard", c.leaderTerm.unfenced, largeFleet) })
 		for i := range largeFleet {
 			k := w.worker(hostName(i), "a", false)
 			k.report(n) // it learns the term
@@ -79,7 +79,7 @@
 		}
 		n.look(func(c *Controller) {
 			lt := c.leaderTerm
-			w.same("heard", []int{lt.unheard, len(lt.machines)}, []int{0, largeFleet})
+			w.same("heard", []int{lt.unfenced, len(lt.machines)}, []int{0, largeFleet})
 			for i := range jobs {
 				raw, err := json.Marshal(store.ActiveRecord{Spec: *spec(fmt.Sprintf("job-%06d", i), 1), Accepted: time.Now()})
 				if err != nil {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -44,11 +44,11 @@
 	// arrive.
 	returned *lru.Cache[string, bool]
 
-	// unheard are the machines on the roster that may still carry out orders
+	// unfenced are the machines on the roster that may still carry out orders
 	// of earlier terms.
-	unheard     int
-	unheardCPUs float64
-	unheardGPUs float64
+	unfenced     int
+	unfencedCPUs float64
+	unfencedGPUs float64
 	// foreignCPUs is the whole capacity of machines that hold tasks of jobs
 	// that are over: whose team they count for is not known.
 	foreignCPUs float64
@@ -69,12 +69,12 @@
 	counts         counters
 	// dispatchUntil is until when free machines are looked for that could be
 	// given work directly; ordering is to how many such orders are on the way.
-	dispatchUntil time.Time
-	ordering      int
-	// directFails is how many direct orders in a row have failed, and
-	// directFrom from when on the next may be sent.
-	directFails int
-	directFrom  time.Time
+	dispatchUntil    time.Time
+	commandsInFlight int
+	// directFailures is how many direct orders in a row have failed, and
+	// nextDirectCommand from when on the next may be sent.
+	directFailures    int
+	nextDirectCommand time.Time
 	// startWithin is within what time work within a guarantee should start.
 	startWithin time.Duration
 	// grace is how long what waits is left to better machines.
@@ -94,8 +94,8 @@
 	// heldUp is when it last noticed that it was late.
 	heldUp  time.Time
 	probing int
-	// dials bounds each of probing, resyncing and ordering.
-	dials int
+	// maxDials bounds each of probing, resyncing and ordering.
+	maxDials int
 	// toResync are the machines that a new leader has yet to resync.
 	toResync  []*machine
 	resyncing int
@@ -127,7 +127,7 @@
 	lt.holders = map[string]float64{}
 	lt.counts = newCounters()
 	lt.fetches = manyFetches
-	lt.dials = dials(c.Settings.Site.Limits.FDLimit)
+	lt.maxDials = maxConcurrentDials(c.Settings.Site.Limits.FDLimit)
 	lt.readIndex.leaderTerm = lt
 	lt.recorder.init(lt)
 	lt.pipeline.init(lt)
--- a/internal/controller/leaseextension.go
+++ b/internal/controller/leaseextension.go
@@ -58,13 +58,13 @@
 }
 
 // extendLease answers a report in the leader's stead, if this node may.
-func (c *Controller) extendLease(rep *api.Report, leader string, unreached bool, now time.Time) (api.ReportAnswer, bool) {
+func (c *Controller) extendLease(rep *api.Heartbeat, leader string, unreached bool, now time.Time) (api.HeartbeatResponse, bool) {
 	k := &c.extender
 	if !(k.away || unreached) || leader == "" || leader != k.leader || now.Sub(k.verified) > c.extensionPeriod() || k.term == 0 || !k.mayTell(rep.Term, now) {
-		return api.ReportAnswer{}, false
+		return api.HeartbeatResponse{}, false
 	}
 	over := func(id string) bool { return k.active != nil && !k.active[id] }
-	ans := api.ReportAnswer{Term: k.term, Orders: c.stopCancelled(rep, over)}
+	ans := api.HeartbeatResponse{Term: k.term, Commands: c.stopCancelled(rep, over)}
 	if k.hosts == nil {
 		k.hosts = map[string]time.Time{}
 	}
@@ -318,7 +318,7 @@
 		}
 		for _, name := range rec.Hosts {
 			if mc := lt.machines[name]; mc != nil {
-				mc.extendedUntil = now.Add(extensionLife)
+				mc.leaseRenewedUntil = now.Add(extensionLife)
 			}
 		}
 	}
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -16,7 +16,7 @@
 	lt := l.leaderTerm
 	waits := l.predictedStarts(now)
 	l.recall(waits, now)
-	if !l.enabled() || lt.unheard > 0 || !lt.mayStart(now) {
+	if !l.enabled() || lt.unfenced > 0 || !lt.mayStart(now) {
 		return
 	}
 	for _, n := range l.neighbours {
@@ -132,7 +132,7 @@
 	lt := l.leaderTerm
 	tasks := 0
 	for tasks < s.Tasks && float64(tasks+1)*s.CPUs <= spare+slack &&
-		j.team.Allowed(float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs, lt.unheardCPUs+lt.foreignCPUs, lt.unheardGPUs) {
+		j.team.Allowed(float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs, lt.unfencedCPUs+lt.foreignCPUs, lt.unfencedGPUs) {
 		tasks++
 		if s.CPUs <= 0 {
 			break
@@ -170,7 +170,7 @@
 			return
 		}
 		wants := float64(j.spec.Tasks) * j.spec.CPUs
-		if j.lent == nil || j.wantBack || j.remote.Phase != loan.PhaseAccepted || wants > free || lt.unheard > 0 {
+		if j.lent == nil || j.wantBack || j.remote.Phase != loan.PhaseAccepted || wants > free || lt.unfenced > 0 {
 			continue
 		}
 		j.wantBack = true
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -38,7 +38,7 @@
 	time.Sleep(100 * time.Millisecond)
 	a.look(func(c *Controller) {
 		for _, m := range c.leaderTerm.machines {
-			if m.extendedUntil.After(time.Now()) {
+			if m.leaseRenewedUntil.After(time.Now()) {
 				kept++
 			}
 		}
@@ -180,12 +180,12 @@
 		_, a, b, _, _, far := w.beyondTheCut()
 		other := w.worker("i-3", "b", false)
 		for i := range mostAttempts {
-			far.rep.Tasks = append(far.rep.Tasks, api.TaskReport{Task: fmt.Sprintf("job-%d/%d", i*i*7919%99991, i), Attempt: uint64(i * 104729), Phase: api.TaskRunning})
+			far.rep.Tasks = append(far.rep.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%d/%d", i*i*7919%99991, i), Attempt: uint64(i * 104729), Phase: api.TaskRunning})
 		}
 		heard := func() (n int) {
 			a.look(func(c *Controller) {
 				if m := c.leaderTerm.machines["i-3"]; m != nil {
-					n = m.reports
+					n = m.heartbeats
 				}
 			})
 			return n
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -25,7 +25,7 @@
 type linked interface {
 	PeerJob(ctx context.Context, id string) (api.JobState, error)
 	PeerStatus(ctx context.Context, from cancellation.Position) (PeerStatus, error)
-	PassedReport(ctx context.Context, rep *api.Report) (api.ReportAnswer, error)
+	ForwardedHeartbeat(ctx context.Context, rep *api.Heartbeat) (api.HeartbeatResponse, error)
 	LeaderResigned(ctx context.Context, node string, term uint64) error
 }
 
@@ -57,15 +57,15 @@
 	return n.PeerStatus(ctx, from)
 }
 
-func (l *links) Report(ctx context.Context, name string, rep *api.Report) (api.ReportAnswer, error) {
+func (l *links) ForwardHeartbeat(ctx context.Context, name string, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
 	n, err := l.to(name)
 	if err != nil {
 		if l.refuse.Load() {
 			err = ErrRefused
 		}
-		return api.ReportAnswer{}, err
+		return api.HeartbeatResponse{}, err
 	}
-	return n.PassedReport(ctx, rep)
+	return n.ForwardedHeartbeat(ctx, rep)
 }
 
 func (l *links) Resign(ctx context.Context, name, self string, term uint64) error {
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -117,7 +117,7 @@
 	if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Home == home {
 		h.Guest = j.guest.Epoch
 		// A machine that is not heard may hold tasks of it.
-		h.Begun = j.begun() || lt.unheard > 0 && j.mark <= lt.term.Mark
+		h.Begun = j.begun() || lt.unfenced > 0 && j.mark <= lt.term.Mark
 		return h
 	}
 	if e.Want == loan.WantRun && e.Offer != nil && h.End == nil {
@@ -170,7 +170,7 @@
 // onMachines tells whether tasks of a job may be on machines, whatever is known of it.
 func (l *loans) onMachines(id string) bool {
 	lt := l.leaderTerm
-	if lt.unheard > 0 {
+	if lt.unfenced > 0 {
 		return true
 	}
 	prefix := id + "/"
@@ -336,7 +336,7 @@
 		}
 	}
 	for _, a := range j.live {
-		lt.settleUnconfirmed(a)
+		lt.resolveOutcome(a)
 	}
 	for first := range j.chunks {
 		lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -45,7 +45,7 @@
 	m.gone = true
 	lt.returned.Add(m.name, true)
 	delete(lt.machines, m.name)
-	lt.countHeard(m)
+	lt.markFenced(m)
 	for _, a := range m.attempts {
 		lt.offMachine(a)
 	}
@@ -56,16 +56,16 @@
 	lt.c.Log.Info("machine gone", "machine", m.name, "why", m.why)
 }
 
-// countHeard notes that a machine can no longer surprise this term.
-func (lt *leaderTerm) countHeard(m *machine) {
-	if m.heard || m.roster != rosterDurable {
+// markFenced notes that a machine can no longer surprise this term.
+func (lt *leaderTerm) markFenced(m *machine) {
+	if m.fenced || m.roster != rosterDurable {
 		return
 	}
-	m.heard = true
-	lt.unheard--
-	lt.unheardCPUs -= m.cpus
-	lt.unheardGPUs -= m.gpus
-	if lt.unheard == 0 {
+	m.fenced = true
+	lt.unfenced--
+	lt.unfencedCPUs -= m.cpus
+	lt.unfencedGPUs -= m.gpus
+	if lt.unfenced == 0 {
 		lt.c.Log.Info("takeover: all machines heard or gone", "term", lt.term.Number,
 			"after", time.Since(lt.startedAt).Round(time.Millisecond))
 	}
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -157,7 +157,7 @@
 
 // replay brings copies of a machine's reports to every controller, latest first.
 // Their answers reach nobody.
-func (k *host) replay(reports []api.Report) {
+func (k *host) replay(reports []api.Heartbeat) {
 	for i := range reports {
 		rep := reports[len(reports)-1-i]
 		for _, name := range k.s.names {
@@ -167,7 +167,7 @@
 				k.s.tasks.Go(func() {
 					ctx, cancel := context.WithTimeout(k.s.ctx, 4*time.Second)
 					defer cancel()
-					n.Report(ctx, &own) // whatever it says, the machine has gone on
+					n.Heartbeat(ctx, &own) // whatever it says, the machine has gone on
 				})
 			}
 		}
@@ -176,7 +176,7 @@
 }
 
 // sentSoFar are copies of the reports that a machine has sent.
-func (k *host) sentSoFar() []api.Report {
+func (k *host) sentSoFar() []api.Heartbeat {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.reports)
@@ -194,7 +194,7 @@
 			s.order(25*time.Second, job1("job-1", "red", 4))
 			s.order(3*time.Minute, job1("job-2", "red", 4))
 			time.Sleep(3 * time.Second)
-			late := map[*host][]api.Report{}
+			late := map[*host][]api.Heartbeat{}
 			// The first machine's session ends, and its tasks begin anew.
 			first := s.holders("job-2")[0]
 			first.trouble(func(k *host) { k.mute = true })
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -15,7 +15,7 @@
 // callers are the calls that wait for the owner's reply.
 var callers = map[string]func(ctx context.Context, n *node) error{
 	"report": func(ctx context.Context, n *node) error {
-		_, err := n.Report(ctx, &api.Report{Machine: "i-1", Addr: "i-1", Type: "small", Zone: "a", Session: 1, Seq: 1})
+		_, err := n.Heartbeat(ctx, &api.Heartbeat{Machine: "i-1", Addr: "i-1", Type: "small", Zone: "a", AgentEpoch: 1, Seq: 1})
 		return err
 	},
 	"job":         func(ctx context.Context, n *node) error { _, err := n.Job(ctx, "job-1"); return err },
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -213,26 +213,26 @@
 	task int
 	// phase is the worker's, or "" while only the order has been sent.
 	phase string
-	// sentSession is the session in which the start was ordered.
-	sentSession uint64
-	sentAt      time.Time
-	runningAt   time.Time
+	// sentAgentEpoch is the session in which the start was ordered.
+	sentAgentEpoch uint64
+	sentAt         time.Time
+	runningAt      time.Time
 	// unmeasured is set if the machine was out of hearing during the run.
 	unmeasured bool
 	stop       *stopOrder
 	// direct is set if the start was sent straight to the machine.
-	direct *directStart
+	direct *directCommand
 	exited bool
-	// seen is the last of the machine's reports that showed the attempt.
-	seen int
-	// noted is set once the exit has been handled.
-	noted bool
+	// lastSeenIn is the last of the machine's reports that showed the attempt.
+	lastSeenIn int
+	// exitHandled is set once the exit has been handled.
+	exitHandled bool
 }
 
-// onItsWay tells whether the answer with the start may still be on its way to
+// startInFlight tells whether the answer with the start may still be on its way to
 // the worker. Only a report of its own shows that it is not, or a new session.
-func (a *attempt) onItsWay(rep *api.Report) bool {
-	return a.seen == 0 && a.sentSession == rep.Session
+func (a *attempt) startInFlight(rep *api.Heartbeat) bool {
+	return a.lastSeenIn == 0 && a.sentAgentEpoch == rep.AgentEpoch
 }
 
 type stopOrder struct {
@@ -259,41 +259,41 @@
 
 	usedCPUs, usedGPUs, usedMemory float64
 
-	session, seq uint64
-	// reports counts the reports processed.
-	reports int
-	// asked are the orders of the last answer. unheeded counts the reports in
+	agentEpoch, heartbeatSeq uint64
+	// heartbeats counts the reports processed.
+	heartbeats int
+	// lastCommands are the orders of the last answer. unheeded counts the reports in
 	// a row that showed none of their orders carried out, and the sessions
 	// that ended although the machine was answered: answers do not reach it.
-	asked    []api.Order
-	askedAt  time.Time
-	unheeded int
-	roster   rosterState
-	shard    *shard
-	// heard is set once the machine reports with this term: from then on it
+	lastCommands       []api.Command
+	lastCommandsAt     time.Time
+	unappliedResponses int
+	roster             rosterState
+	shard              *shard
+	// fenced is set once the machine reports with this term: from then on it
 	// carries out no earlier leader's orders.
-	heard    bool
+	fenced   bool
 	lastSeen time.Time
-	// lastReport is when the last report came.
-	lastReport time.Time
+	// lastHeartbeat is when the last report came.
+	lastHeartbeat time.Time
 	// nextProbe and probeFails belong to the watch over silent machines.
 	nextProbe  time.Time
 	probeFails int
-	// ordering is set while orders are on their way straight to the machine.
-	ordering bool
-	// held keeps new tasks off while orders for it are on their way through the
+	// commandInFlight is set while orders are on their way straight to the machine.
+	commandInFlight bool
+	// relayPending keeps new tasks off while orders for it are on their way through the
 	// state service.
-	held bool
-	// passed is set if its last report was passed on by another node: it may
+	relayPending bool
+	// lastForwarded is set if its last report was passed on by another node: it may
 	// be out of this node's reach.
-	passed bool
-	// sentOn is when the machine was last told to report to a nearer node.
-	sentOn time.Time
-	// extendedUntil is until when another node is known to extend its leases.
-	extendedUntil time.Time
-	since         time.Time
-	idle          time.Time
-	reclaim       time.Time
+	lastForwarded bool
+	// redirectedAt is when the machine was last told to report to a nearer node.
+	redirectedAt time.Time
+	// leaseRenewedUntil is until when another node is known to extend its leases.
+	leaseRenewedUntil time.Time
+	since             time.Time
+	idle              time.Time
+	preemptAt         time.Time
 
 	attempts map[attemptKey]*attempt
 	// foreign counts tasks whose team is not known; foreignHeld is what the
@@ -370,8 +370,8 @@
 
 // open tells whether the machine may be given tasks.
 func (m *machine) open(now time.Time) bool {
-	return m.heard && m.roster == rosterDurable && !m.draining && !m.leaving && !m.gone && !m.held && m.cpus > 0 &&
-		m.reclaim.IsZero() && m.foreign == 0 && !now.Before(m.pauseUntil)
+	return m.fenced && m.roster == rosterDurable && !m.draining && !m.leaving && !m.gone && !m.relayPending && m.cpus > 0 &&
+		m.preemptAt.IsZero() && m.foreign == 0 && !now.Before(m.pauseUntil)
 }
 
 // countForeign counts tasks whose team is not known, and keeps the sum of the
--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -120,7 +120,7 @@
 	mark     uint64
 	active   map[string]bool
 	kept     map[string]time.Time
-	relayed  map[string]*api.Report
+	relayed  map[string]*api.Heartbeat
 	orders   map[string]*peer.RelayOrders
 	outcomes []*peer.RelayOutcome
 	batch    uint64
@@ -132,7 +132,7 @@
 // startOld starts a scripted node of the version in production.
 func (w *cluster) startOld(name string, st *gate, l *links) *oldNode {
 	o := &oldNode{w: w, name: name, st: st, links: l, began: time.Now(), incarnation: fmt.Sprint("old", time.Now().UnixNano()),
-		read: map[string]cancellation.Position{}, kept: map[string]time.Time{}, relayed: map[string]*api.Report{}, orders: map[string]*peer.RelayOrders{}, parts: 1}
+		read: map[string]cancellation.Position{}, kept: map[string]time.Time{}, relayed: map[string]*api.Heartbeat{}, orders: map[string]*peer.RelayOrders{}, parts: 1}
 	l.nodes.Store(name, o)
 	w.running.Go(func() {
 		for w.ctx.Err() == nil && o.running() {
@@ -558,8 +558,8 @@
 	return err == nil && res.OK
 }
 
-// Report takes a worker's report in.
-func (o *oldNode) Report(ctx context.Context, rep *api.Report) (api.ReportAnswer, error) {
+// Heartbeat takes a worker's report in.
+func (o *oldNode) Heartbeat(ctx context.Context, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
 	o.mu.Lock()
 	r, leader, l := o.leadership, o.leader, o.links
 	if l != nil && r == nil {
@@ -568,23 +568,23 @@
 	}
 	o.mu.Unlock()
 	if l == nil {
-		return api.ReportAnswer{}, errors.New("no connection")
+		return api.HeartbeatResponse{}, errors.New("no connection")
 	}
 	if r == nil {
-		return api.ReportAnswer{}, &api.NotLeaderError{Leader: leader}
+		return api.HeartbeatResponse{}, &api.NotLeaderError{Leader: leader}
 	}
-	return o.PassedReport(ctx, rep)
+	return o.ForwardedHeartbeat(ctx, rep)
 }
 
-// PassedReport implements linked.
-func (o *oldNode) PassedReport(_ context.Context, rep *api.Report) (api.ReportAnswer, error) {
+// ForwardedHeartbeat implements linked.
+func (o *oldNode) ForwardedHeartbeat(_ context.Context, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r := o.leadership
 	if r == nil || rep.Term > r.term {
-		return api.ReportAnswer{}, &api.NotLeaderError{Leader: o.leader}
+		return api.HeartbeatResponse{}, &api.NotLeaderError{Leader: o.leader}
 	}
-	ans := api.ReportAnswer{Term: r.term, Orders: []api.Order{}}
+	ans := api.HeartbeatResponse{Term: r.term, Commands: []api.Command{}}
 	m := r.machines[rep.Machine]
 	if rep.Term < r.term {
 		return ans, nil // so that it learns the term
@@ -596,11 +596,11 @@
 		}
 		r.machines[rep.Machine] = m
 	}
-	if rep.Session < m.session || rep.Session == m.session && rep.Seq <= m.seq {
+	if rep.AgentEpoch < m.session || rep.AgentEpoch == m.session && rep.Seq <= m.seq {
 		return ans, nil
 	}
-	m.session, m.seq, m.heard = rep.Session, rep.Seq, true
-	ans.Orders = r.place(m, rep, r.reconcile(rep))
+	m.session, m.seq, m.heard = rep.AgentEpoch, rep.Seq, true
+	ans.Commands = r.place(m, rep, r.reconcile(rep))
 	return ans, nil
 }
 
@@ -631,7 +631,7 @@
 }
 
 // reconcile takes in what a machine's tasks do.
-func (r *oldLeadership) reconcile(rep *api.Report) (orders []api.Order) {
+func (r *oldLeadership) reconcile(rep *api.Heartbeat) (orders []api.Command) {
 	shown := map[string]bool{}
 	zero := 0.0
 	for _, t := range rep.Tasks {
@@ -640,14 +640,14 @@
 		j := r.jobs[id]
 		switch {
 		case j == nil && t.Phase == api.TaskExited:
-			orders = append(orders, api.Order{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
+			orders = append(orders, api.Command{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
 		case j == nil:
-			orders = append(orders, api.Order{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
+			orders = append(orders, api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
 		case t.Phase != api.TaskExited:
 			j.on[i] = rep.Machine
 		case t.Cause != api.CauseDone || r.completed(j, i):
 			delete(j.on, i)
-			orders = append(orders, api.Order{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
+			orders = append(orders, api.Command{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
 	for id, j := range r.jobs {
@@ -697,7 +697,7 @@
 
 // place starts what waits, of any active job, within machine and team. Work of
 // earlier terms waits until all machines on the roster are heard.
-func (r *oldLeadership) place(m *oldMachine, rep *api.Report, orders []api.Order) []api.Order {
+func (r *oldLeadership) place(m *oldMachine, rep *api.Heartbeat, orders []api.Command) []api.Command {
 	free, used := m.rec.CPUs, map[string]float64{}
 	for _, t := range rep.Tasks {
 		if id, _, _ := splitRef(t.Task); t.Phase != api.TaskExited && r.jobs[id] != nil {
@@ -730,7 +730,7 @@
 			used[j.spec.Team] += j.spec.CPUs
 			j.on[i] = m.rec.Name
 			r.attempts++
-			orders = append(orders, api.Order{Verb: api.VerbStart, Task: fmt.Sprint(j.spec.ID, "/", i), Attempt: r.term<<32 | r.attempts})
+			orders = append(orders, api.Command{Verb: api.VerbStart, Task: fmt.Sprint(j.spec.ID, "/", i), Attempt: r.term<<32 | r.attempts})
 		}
 	}
 	return orders
@@ -807,22 +807,22 @@
 
 // extendLease answers a report in the leader's stead, for a bounded time. It starts
 // nothing but what the leader has ordered through the store.
-func (o *oldNode) extendLease(rep *api.Report) (api.ReportAnswer, error) {
+func (o *oldNode) extendLease(rep *api.Heartbeat) (api.HeartbeatResponse, error) {
 	if o.lost <= 2 || time.Since(o.verified) > 13*time.Second || rep.Term > o.term {
-		return api.ReportAnswer{}, &api.NotLeaderError{Leader: o.leader}
+		return api.HeartbeatResponse{}, &api.NotLeaderError{Leader: o.leader}
 	}
 	own := *rep
 	own.Tasks = slices.Clone(rep.Tasks)
 	o.kept[rep.Machine], o.relayed[rep.Machine] = time.Now(), &own
-	ans := api.ReportAnswer{Term: o.term, Orders: []api.Order{}}
+	ans := api.HeartbeatResponse{Term: o.term, Commands: []api.Command{}}
 	zero := 0.0
 	for _, t := range rep.Tasks {
 		if id, _, _ := splitRef(t.Task); t.Phase != api.TaskExited && !o.active[id] {
-			ans.Orders = append(ans.Orders, api.Order{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
+			ans.Commands = append(ans.Commands, api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
 		}
 	}
-	if p := o.orders[rep.Machine]; p != nil && p.Session == rep.Session && rep.Seq > p.Base {
-		ans.Orders = append(ans.Orders, peer.UnpackOrders(p.Orders)...)
+	if p := o.orders[rep.Machine]; p != nil && p.Session == rep.AgentEpoch && rep.Seq > p.Base {
+		ans.Commands = append(ans.Commands, peer.UnpackOrders(p.Orders)...)
 		o.outcomes = append(o.outcomes, &peer.RelayOutcome{Machine: rep.Machine, Session: p.Session, Base: p.Base, Handed: rep.Seq})
 		delete(o.orders, rep.Machine)
 	}
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -8,12 +8,12 @@
 )
 
 // place pulls tasks for a machine with free room.
-func (lt *leaderTerm) place(m *machine, orders []api.Order, now time.Time) []api.Order {
+func (lt *leaderTerm) place(m *machine, orders []api.Command, now time.Time) []api.Command {
 	if !m.open(now) || !lt.mayStart(now) {
 		return orders
 	}
 	m.lookFetches()
-	for len(orders) < maxOrders {
+	for len(orders) < maxCommands {
 		j := lt.pick(m, now)
 		if j == nil {
 			break
@@ -24,7 +24,7 @@
 			break
 		}
 		a := &attempt{key: attemptKey{j.taskRef(task), lt.nextAttempt()}, machine: m, job: j, task: task,
-			sentSession: m.session, sentAt: now}
+			sentAgentEpoch: m.agentEpoch, sentAt: now}
 		m.attempts[a.key] = a
 		if !m.images.has(j.spec.Image) {
 			m.fetching[j.spec.Image] = true
@@ -33,7 +33,7 @@
 		j.live[task] = a
 		a.charge(1)
 		lt.counts.started++
-		orders = append(orders, api.Order{Verb: api.VerbStart, Task: a.key.ref, Attempt: a.key.id})
+		orders = append(orders, api.Command{Verb: api.VerbStart, Task: a.key.ref, Attempt: a.key.id})
 	}
 	return orders
 }
@@ -126,13 +126,13 @@
 		return false
 	case j.guest != nil && !j.withinGrant():
 		return false
-	case lt.unheard > 0 && j.mark <= lt.term.Mark:
+	case lt.unfenced > 0 && j.mark <= lt.term.Mark:
 		// A machine not heard in this term may hold any task that was
 		// accepted before it.
 		return false
 	case !m.fits(s) || !typeAllowed(s, m.typ) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.Spot):
 		return false
-	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unheardCPUs+lt.foreignCPUs, lt.unheardGPUs):
+	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.foreignCPUs, lt.unfencedGPUs):
 		return false
 	case j.errors[m.name] >= 2 || j.onlyBarred(m) || !(m.canFetch(s.Image, lt.fetches) || lt.quickFetch(j, m)):
 		return false
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -117,7 +117,7 @@
 	want := max(f.demand()*(1+lt.c.Policy.Headroom), lt.c.Policy.MinCPUs)
 	f.surplus = total - f.peak.add(now, want, lt.c.Policy.Hold)
 	f.drain(now)
-	if lt.unheard > 0 {
+	if lt.unfenced > 0 {
 		return
 	}
 	offers := f.offers(now)
@@ -328,7 +328,7 @@
 func (f *provisioner) idle(now time.Time) []*machine {
 	var out []*machine
 	for _, m := range f.leaderTerm.machines {
-		if m.leaving || m.gone || !m.heard || m.cpus == 0 || len(m.attempts) > 0 ||
+		if m.leaving || m.gone || !m.fenced || m.cpus == 0 || len(m.attempts) > 0 ||
 			(!m.draining && now.Sub(m.idle) < f.leaderTerm.c.Policy.IdleReturn) || now.Sub(m.since) < minimumStay {
 			continue
 		}
--- a/internal/controller/reaps_test.go
+++ b/internal/controller/reaps_test.go
@@ -20,8 +20,8 @@
 		w.same("running", k.running(), []string{"job-1/0"})
 		// Starts that nobody can serve end at once; such tasks stay in the reports
 		// until they are reaped.
-		for i := range 3 * maxOrders {
-			k.rep.Tasks = append(k.rep.Tasks, api.TaskReport{Task: "job-2/" + string(rune('0'+i%10)), Attempt: uint64(1000 + i),
+		for i := range 3 * maxCommands {
+			k.rep.Tasks = append(k.rep.Tasks, api.TaskStatus{Task: "job-2/" + string(rune('0'+i%10)), Attempt: uint64(1000 + i),
 				Phase: api.TaskExited, Cause: api.CauseNoSuch})
 		}
 		if _, err := n.Abort(context.Background(), "job-1"); err != nil {
@@ -29,7 +29,7 @@
 		}
 		time.Sleep(time.Second)
 		orders := k.report(n)
-		w.same("orders of one answer", len(orders), maxOrders)
+		w.same("orders of one answer", len(orders), maxCommands)
 		w.same("first order", orders[0].Verb+" "+orders[0].Task, "stop job-1/0")
 		w.same("stopped", len(k.running()), 0)
 		k.serve(n, 4)
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -75,11 +75,11 @@
 
 // relayed is one machine whose reports are relayed.
 type relayed struct {
-	rep    *api.Report
+	rep    *api.Heartbeat
 	dirty  bool
 	sentAt time.Time
 	// orders wait to be handed out; they answer the report base.
-	orders  []api.Order
+	orders  []api.Command
 	session uint64
 	base    uint64
 	since   time.Time
@@ -95,7 +95,7 @@
 
 // note stores a report that is answered here in place of the leader, and adds the
 // leader's orders to the answer.
-func (u *relayUp) note(c *Controller, rep *api.Report, ans *api.ReportAnswer, now time.Time) {
+func (u *relayUp) note(c *Controller, rep *api.Heartbeat, ans *api.HeartbeatResponse, now time.Time) {
 	m := u.machines[rep.Machine]
 	if m == nil {
 		if len(u.machines) >= u.maxMachines {
@@ -104,8 +104,8 @@
 		m = &relayed{}
 		u.machines[strings.Clone(rep.Machine)] = m
 	}
-	changed := m.rep == nil || m.rep.Session != rep.Session || !slices.Equal(m.rep.Tasks, rep.Tasks)
-	if m.rep != nil && (rep.Session < m.rep.Session || rep.Session == m.rep.Session && rep.Seq <= m.rep.Seq) {
+	changed := m.rep == nil || m.rep.AgentEpoch != rep.AgentEpoch || !slices.Equal(m.rep.Tasks, rep.Tasks)
+	if m.rep != nil && (rep.AgentEpoch < m.rep.AgentEpoch || rep.AgentEpoch == m.rep.AgentEpoch && rep.Seq <= m.rep.Seq) {
 		return // a copy that comes late
 	}
 	m.rep = rep
@@ -113,11 +113,11 @@
 	if m.orders == nil {
 		return
 	}
-	if rep.Session != m.session || rep.Seq <= m.base || ans.Term != m.term || now.Sub(m.since) > relayOrderLife {
+	if rep.AgentEpoch != m.session || rep.Seq <= m.base || ans.Term != m.term || now.Sub(m.since) > relayOrderLife {
 		m.settle(0)
 		return
 	}
-	ans.Orders = append(ans.Orders, m.orders...)
+	ans.Commands = append(ans.Commands, m.orders...)
 	m.settle(rep.Seq)
 }
 
@@ -342,11 +342,11 @@
 	for _, o := range d.Orders {
 		m := u.machines[o.Machine]
 		if m == nil {
-			m = &relayed{rep: &api.Report{Machine: o.Machine}}
+			m = &relayed{rep: &api.Heartbeat{Machine: o.Machine}}
 			u.machines[o.Machine] = m
 		}
 		m.orders, m.session, m.base, m.term, m.since = peer.UnpackOrders(o.Orders), o.Session, o.Base, d.Term, now
-		if d.Term != c.extender.term || o.Session != m.rep.Session {
+		if d.Term != c.extender.term || o.Session != m.rep.AgentEpoch {
 			m.settle(0)
 		}
 	}
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -26,12 +26,12 @@
 		"the report they meet": {1, 11, 3, time.Second, 11},
 	} {
 		u := newRelayUp(config.Limits{})
-		u.machines["i-1"] = &relayed{rep: &api.Report{Machine: "i-1", Session: 1, Seq: 10}, session: 1, base: 10, term: 3, since: t0,
-			orders: []api.Order{{Verb: api.VerbStart, Task: "job-1/0", Attempt: 5}}}
+		u.machines["i-1"] = &relayed{rep: &api.Heartbeat{Machine: "i-1", AgentEpoch: 1, Seq: 10}, session: 1, base: 10, term: 3, since: t0,
+			orders: []api.Command{{Verb: api.VerbStart, Task: "job-1/0", Attempt: 5}}}
 		for i := range 2 {
-			ans := api.ReportAnswer{Term: c.term}
-			u.note(nil, &api.Report{Machine: "i-1", Session: c.session, Seq: c.seq + uint64(i)}, &ans, t0.Add(c.after))
-			if handed := len(ans.Orders) > 0; handed != (c.want > 0 && i == 0) {
+			ans := api.HeartbeatResponse{Term: c.term}
+			u.note(nil, &api.Heartbeat{Machine: "i-1", AgentEpoch: c.session, Seq: c.seq + uint64(i)}, &ans, t0.Add(c.after))
+			if handed := len(ans.Commands) > 0; handed != (c.want > 0 && i == 0) {
 				t.Errorf("%s, report %d: handed out %v", name, i, handed)
 			}
 		}
@@ -58,7 +58,7 @@
 					node.pending["i-2"] = &relayedOrders{}
 				}
 				rep := far.rep
-				rep.Seq = c.leaderTerm.machines["i-2"].seq + 1
+				rep.Seq = c.leaderTerm.machines["i-2"].heartbeatSeq + 1
 				var down peer.RelayDown
 				c.leaderTerm.relayedReport(node, &rep, &down, i != 1, time.Now())
 				w.same("held", len(down.Orders) == 0, held)
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -97,11 +97,11 @@
 		}
 		delete(n.pending, name)
 		for _, a := range p.starts {
-			if a.direct.waiting = false; a.seen == 0 && a.machine.attempts[a.key] == a {
-				a.direct.unconfirmed = true
+			if a.direct.inFlight = false; a.lastSeenIn == 0 && a.machine.attempts[a.key] == a {
+				a.direct.outcomeUnknown = true
 				lt.leave(a.machine, "order unanswered")
 				if a.job.over {
-					lt.settleUnconfirmed(a)
+					lt.resolveOutcome(a)
 				}
 			}
 		}
@@ -173,39 +173,39 @@
 }
 
 // relayedReport takes a relayed report in and adds its orders to the answer.
-func (lt *leaderTerm) relayedReport(node *relayNode, rep *api.Report, answer *peer.RelayDown, confirmed bool, now time.Time) {
+func (lt *leaderTerm) relayedReport(node *relayNode, rep *api.Heartbeat, answer *peer.RelayDown, confirmed bool, now time.Time) {
 	mc := lt.machines[rep.Machine]
 	hold := !confirmed || node.pending[rep.Machine] != nil
 	if mc != nil {
-		mc.held = hold
+		mc.relayPending = hold
 	}
-	ans, err := lt.report(rep, now)
+	ans, err := lt.handleOwnHeartbeat(rep, now)
 	if mc = lt.machines[rep.Machine]; mc == nil {
 		return
 	}
-	mc.held, mc.asked = false, nil
-	if err != nil || hold || len(ans.Orders) == 0 || mc.seq != rep.Seq {
+	mc.relayPending, mc.lastCommands = false, nil
+	if err != nil || hold || len(ans.Commands) == 0 || mc.heartbeatSeq != rep.Seq {
 		return
 	}
 	p := &relayedOrders{base: rep.Seq, since: now}
-	for _, o := range ans.Orders {
+	for _, o := range ans.Commands {
 		if a := mc.attempts[attemptKey{o.Task, o.Attempt}]; a != nil && o.Verb == api.VerbStart {
-			a.direct = &directStart{session: rep.Session, waiting: true}
+			a.direct = &directCommand{agentEpoch: rep.AgentEpoch, inFlight: true}
 			p.starts = append(p.starts, a)
 		}
 	}
 	node.pending[rep.Machine] = p
-	answer.Orders = append(answer.Orders, &peer.RelayOrders{Machine: rep.Machine, Session: rep.Session, Base: rep.Seq, Orders: peer.PackOrders(ans.Orders)})
+	answer.Orders = append(answer.Orders, &peer.RelayOrders{Machine: rep.Machine, Session: rep.AgentEpoch, Base: rep.Seq, Orders: peer.PackOrders(ans.Commands)})
 }
 
 // settled records the outcome of orders: handed is the report in whose answer
 // they were handed out, or 0.
 func (p *relayedOrders) settled(lt *leaderTerm, handed uint64) {
 	for _, a := range p.starts {
-		a.direct.waiting = false
+		a.direct.inFlight = false
 		if handed > 0 {
 			a.direct.seq = handed + 1
-		} else if a.seen == 0 && a.machine.attempts[a.key] == a {
+		} else if a.lastSeenIn == 0 && a.machine.attempts[a.key] == a {
 			lt.offMachine(a)
 		}
 	}
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -67,12 +67,12 @@
 	return n.PeerStatus(ctx, from)
 }
 
-func (e meshEnd) Report(ctx context.Context, name string, rep *api.Report) (api.ReportAnswer, error) {
+func (e meshEnd) ForwardHeartbeat(ctx context.Context, name string, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
 	n, err := e.to(name)
 	if err != nil {
-		return api.ReportAnswer{}, err
+		return api.HeartbeatResponse{}, err
 	}
-	return n.PassedReport(ctx, rep)
+	return n.ForwardedHeartbeat(ctx, rep)
 }
 
 func (e meshEnd) Resign(ctx context.Context, name, self string, term uint64) error {
@@ -250,7 +250,7 @@
 }
 
 // ordered notes the starts that a machine was ordered in a term.
-func (s *standbyCluster) ordered(term uint64, orders []api.Order) {
+func (s *standbyCluster) ordered(term uint64, orders []api.Command) {
 	s.state.Lock()
 	defer s.state.Unlock()
 	for _, o := range orders {
@@ -445,7 +445,7 @@
 		time.Sleep(12 * time.Second)
 		sessions := 0
 		for _, k := range s.ks {
-			sessions += int(k.rep.Session)
+			sessions += int(k.rep.AgentEpoch)
 		}
 		s.same("sessions of the machines", sessions, len(s.ks))
 		s.store.SetDown(false)
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -13,23 +13,23 @@
 // orders: it may come late, or twice, and only raises the machine's token. Its
 // answer is the machine's report, with this term.
 
-// dials is how many machines a leader speaks to directly at a time, for each of resyncs,
+// maxConcurrentDials is how many machines a leader speaks to directly at a time, for each of resyncs,
 // probes and starts. It is a part of the node's sockets: where many machines fall
 // together, each holds one until its time is up, and those that live must not wait for
 // their turn behind them.
-func dials(sockets int) int { return min(max(sockets/24, leastDials), mostDials) }
+func maxConcurrentDials(sockets int) int { return min(max(sockets/24, minDials), mostDials) }
 
 const (
-	leastDials = 16
-	mostDials  = 256
+	minDials  = 16
+	mostDials = 256
 )
 
 // resyncNext resyncs the machines that are still to be resynced.
 func (lt *leaderTerm) resyncNext(now time.Time) {
-	for len(lt.toResync) > 0 && lt.resyncing < lt.dials {
+	for len(lt.toResync) > 0 && lt.resyncing < lt.maxDials {
 		m := lt.toResync[0]
 		lt.toResync = lt.toResync[1:]
-		if m.heard || m.gone || m.returning || m.addr == "" {
+		if m.fenced || m.gone || m.returning || m.addr == "" {
 			continue
 		}
 		lt.resync(m, now)
@@ -45,7 +45,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
 		defer cancel()
-		rep, err := lt.c.Director.Resync(ctx, addr, term)
+		rep, err := lt.c.CommandSender.Resync(ctx, addr, term)
 		lt.sendToOwner(resyncedMsg{lt, m, now, rep, err})
 	}()
 }
@@ -54,7 +54,7 @@
 	leaderTerm *leaderTerm
 	machine    *machine
 	asked      time.Time
-	rep        *api.Report
+	rep        *api.Heartbeat
 	err        error
 }
 
@@ -69,11 +69,11 @@
 	case g.machine.gone:
 	case g.err != nil:
 		c.Log.Debug("resync", "machine", g.machine.name, "err", g.err)
-		if !g.machine.heard && lt.punctual(g.asked) {
+		if !g.machine.fenced && lt.punctual(g.asked) {
 			g.machine.probeFails++
 		}
 	case c.holdsLease() && g.rep.Machine == g.machine.name:
-		if _, err := lt.processReport(g.rep, drawnReport, now); err != nil {
+		if _, err := lt.handleHeartbeat(g.rep, solicited, now); err != nil {
 			c.Log.Debug("resync", "machine", g.machine.name, "err", err)
 		}
 	}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -177,7 +177,7 @@
 		w.submit(n, s)
 		k1.serve(n, 3)
 		left := 9.0
-		k1.rep.NoticeS = &left
+		k1.rep.PreemptionNoticeS = &left
 		orders := k1.report(n)
 		if len(orders) == 0 {
 			orders = k1.report(n)
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -10,7 +10,7 @@
 
 // Prober asks a machine directly for its report, to learn whether it is alive.
 type Prober interface {
-	Probe(ctx context.Context, addr string) (*api.Report, error)
+	Probe(ctx context.Context, addr string) (*api.Heartbeat, error)
 }
 
 const (
@@ -53,7 +53,7 @@
 			continue
 		}
 		why := "silent"
-		if m.unheeded > 0 {
+		if m.unappliedResponses > 0 {
 			why = "deaf"
 		}
 		lt.leave(m, why)
@@ -63,10 +63,10 @@
 
 // suspect tells whether a machine may be dead or deaf.
 func (lt *leaderTerm) suspect(m *machine, now time.Time) bool {
-	if !m.heard {
+	if !m.fenced {
 		return now.Sub(m.lastSeen) > settleIn // not heard of in this term
 	}
-	return m.unheeded > 0 || now.Sub(m.lastSeen) > lt.c.Settings.Site.Workers.Report()*5/4+time.Second
+	return m.unappliedResponses > 0 || now.Sub(m.lastSeen) > lt.c.Settings.Site.Workers.Report()*5/4+time.Second
 }
 
 // zoneCount counts a zone's machines: all, those that are suspect, and those that
@@ -84,7 +84,7 @@
 		if lt.suspect(m, now) {
 			n.suspect++
 		}
-		if now.Sub(m.lastReport) < freshFor {
+		if now.Sub(m.lastHeartbeat) < freshFor {
 			n.fresh++
 		}
 		zones[m.zone] = n
@@ -101,37 +101,37 @@
 	// The first to be missed when all fall silent at once are not dead: nearly
 	// nobody has reported since. So many should have reported just now.
 	due := min(1, freshFor.Seconds()/lt.c.Settings.Site.Workers.ReportS)
-	return m.heard && float64(zone.fresh) < due*float64(zone.all)/5 && zone.all >= fewMachines
+	return m.fenced && float64(zone.fresh) < due*float64(zone.all)/5 && zone.all >= fewMachines
 }
 
 // givenUp tells whether a suspect machine is to be returned.
 func (lt *leaderTerm) givenUp(m *machine, cut bool, now time.Time) bool {
 	w := lt.c.Settings.Site.Workers
 	switch silent := now.Sub(m.lastSeen); {
-	case !m.heard && now.Sub(lt.listening) > w.Lease()+2*w.Report():
+	case !m.fenced && now.Sub(lt.listening) > w.Lease()+2*w.Report():
 		// It holds every earlier job back. A deaf one shows the old token
 		// in report after report and may even answer probes, but its
 		// lease has ended by now. One whose lease another node extends would
 		// have been heard through the store.
 		return true
-	case now.Before(m.extendedUntil):
+	case now.Before(m.leaseRenewedUntil):
 		return false
 	case silent > config.Seconds(w.CancelS):
 		return true
 	case cut:
 		return false
 	default:
-		return silent > w.Lease()+2*w.Report() || m.probeFails >= deadAfter || m.unheeded >= deafAfter
+		return silent > w.Lease()+2*w.Report() || m.probeFails >= deadAfter || m.unappliedResponses >= deafAfter
 	}
 }
 
 // probe asks a silent machine, unless it was asked just now.
 func (lt *leaderTerm) probe(m *machine, now time.Time) {
-	if now.Before(m.nextProbe) || lt.probing >= lt.dials {
+	if now.Before(m.nextProbe) || lt.probing >= lt.maxDials {
 		return
 	}
-	if !m.heard && lt.c.Director != nil && m.addr != "" {
-		if lt.resyncing < lt.dials {
+	if !m.fenced && lt.c.CommandSender != nil && m.addr != "" {
+		if lt.resyncing < lt.maxDials {
 			lt.resync(m, now)
 		}
 		return
@@ -144,7 +144,7 @@
 	}
 	lt.probing++
 	// The machine is the owner's.
-	msg := probedMsg{leaderTerm: lt, machine: m, asked: now, session: m.session, seq: m.seq}
+	msg := probedMsg{leaderTerm: lt, machine: m, asked: now, session: m.agentEpoch, seq: m.heartbeatSeq}
 	addr := m.addr
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
@@ -160,7 +160,7 @@
 	asked      time.Time
 	// session and seq are of the machine's last report when it was asked.
 	session, seq uint64
-	rep          *api.Report
+	rep          *api.Heartbeat
 	err          error
 }
 
@@ -173,12 +173,12 @@
 		return
 	}
 	if p.err != nil || p.rep.Machine != p.machine.name {
-		if (p.machine.lastSeen.Before(p.asked) || p.machine.unheeded > 0) && p.leaderTerm.punctual(p.asked) {
+		if (p.machine.lastSeen.Before(p.asked) || p.machine.unappliedResponses > 0) && p.leaderTerm.punctual(p.asked) {
 			p.machine.probeFails++
 		}
 		return
 	}
-	if p.rep.Session < p.session || p.rep.Session == p.session && p.rep.Seq < p.seq {
+	if p.rep.AgentEpoch < p.session || p.rep.AgentEpoch == p.session && p.rep.Seq < p.seq {
 		// It answers, and says less than it did: it was started anew, back
 		// before anybody missed it. All its reports would be taken for older
 		// ones, and its tasks for running, without end. Nothing shows that
@@ -189,10 +189,10 @@
 		}
 		return
 	}
-	if p.machine.heard && p.rep.Session > p.machine.session && c.holdsLease() {
+	if p.machine.fenced && p.rep.AgentEpoch > p.machine.agentEpoch && c.holdsLease() {
 		// Its lease has ended while it reached no controller, and its tasks
 		// with that. Its reports may not come for long.
-		if _, err := p.leaderTerm.processReport(p.rep, drawnReport, time.Now()); err != nil {
+		if _, err := p.leaderTerm.handleHeartbeat(p.rep, solicited, time.Now()); err != nil {
 			c.Log.Debug("probe", "machine", p.machine.name, "err", err)
 		}
 		return
--- a/internal/controller/simulatedhost_test.go
+++ b/internal/controller/simulatedhost_test.go
@@ -27,7 +27,7 @@
 	// linkDelay the answers to reports.
 	orderDelay, answerDelay, linkDelay time.Duration
 	// reports are copies of all that it sent.
-	reports []api.Report
+	reports []api.Heartbeat
 }
 
 // live is what a machine does at a tick, until it is returned.
@@ -61,7 +61,7 @@
 	}
 	k.rep.Tasks = nil
 	clear(k.left)
-	k.rep.Session++
+	k.rep.AgentEpoch++
 	k.heard, k.changed = now, true
 }
 
@@ -84,7 +84,7 @@
 	}
 }
 
-func (k *host) exitTask(t *api.TaskReport, cause string) {
+func (k *host) exitTask(t *api.TaskStatus, cause string) {
 	t.Phase, t.Cause = api.TaskExited, cause
 	k.changed = true
 	k.s.h.end(k, t.Task, t.Attempt, cause)
@@ -104,20 +104,20 @@
 		n = nil
 	}
 	k.s.tasks.Go(func() {
-		ans, err := api.ReportAnswer{}, errors.New("no connection")
+		ans, err := api.HeartbeatResponse{}, errors.New("no connection")
 		if n != nil {
 			ctx, cancel := context.WithTimeout(k.s.ctx, 4*time.Second)
 			own := rep
 			own.Tasks = slices.Clone(rep.Tasks)
-			ans, err = n.Report(ctx, &own)
+			ans, err = n.Heartbeat(ctx, &own)
 			cancel()
 		}
-		k.answered(now, rep.Session, ans, err)
+		k.answered(now, rep.AgentEpoch, ans, err)
 	})
 }
 
 // answered takes in what became of a report.
-func (k *host) answered(sent time.Time, session uint64, ans api.ReportAnswer, err error) {
+func (k *host) answered(sent time.Time, session uint64, ans api.HeartbeatResponse, err error) {
 	k.mu.Lock()
 	delay := k.linkDelay
 	k.mu.Unlock()
@@ -135,12 +135,12 @@
 	k.inFlight = false
 	switch {
 	case err == nil:
-		if session != k.rep.Session || ans.Term < k.rep.Term {
+		if session != k.rep.AgentEpoch || ans.Term < k.rep.Term {
 			return
 		}
 		k.changed = k.changed || ans.Term > k.rep.Term
 		k.rep.Term, k.heard = ans.Term, sent
-		k.obey(ans.Orders)
+		k.obey(ans.Commands)
 	case errors.As(err, &other) && slices.Contains(k.s.names, other.Leader) && other.Leader != k.s.names[k.at]:
 		k.at = slices.Index(k.s.names, other.Leader)
 		k.next = time.Now()
@@ -173,12 +173,12 @@
 }
 
 // obey carries orders out as a worker does.
-func (k *host) obey(orders []api.Order) {
+func (k *host) obey(orders []api.Command) {
 	if k.s.cloud.gone(k.rep.Machine) {
 		return
 	}
 	for _, o := range orders {
-		i := slices.IndexFunc(k.rep.Tasks, func(t api.TaskReport) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
+		i := slices.IndexFunc(k.rep.Tasks, func(t api.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
 		r := run{k.rep.Machine, o.Task, o.Attempt}
 		switch {
 		case o.Verb == api.VerbStart && i < 0:
@@ -200,7 +200,7 @@
 
 // begin starts a task, or refuses it.
 func (k *host) begin(r run) {
-	t := api.TaskReport{Task: r.task, Attempt: r.attempt, Phase: api.TaskRunning}
+	t := api.TaskStatus{Task: r.task, Attempt: r.attempt, Phase: api.TaskRunning}
 	k.s.h.mu.Lock()
 	p := k.s.h.jobs[r.job()]
 	used := 0.0
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -147,7 +147,7 @@
 			m := a.machine
 			took := now.Sub(a.runningAt)
 			// A machine out of hearing may have ended the run long ago.
-			if now.Sub(m.lastReport) > lt.hearable() || a.exited || a.stop != nil || a.runningAt.IsZero() || took <= limit || j.restarted[a.task] {
+			if now.Sub(m.lastHeartbeat) > lt.hearable() || a.exited || a.stop != nil || a.runningAt.IsZero() || took <= limit || j.restarted[a.task] {
 				continue
 			}
 			others := j.elsewhere(m)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -22,7 +22,7 @@
 	Term     uint64       `json:"term"`
 	ValidS   float64      `json:"valid_s"`
 	Machines int          `json:"machines"`
-	Unheard  int          `json:"unheard"`
+	Unfenced int          `json:"unheard"`
 	Draining int          `json:"draining"`
 	Leaving  int          `json:"leaving"`
 	Booting  int          `json:"booting"`
@@ -116,7 +116,7 @@
 
 func (lt *leaderTerm) status(now time.Time) *LeaderStatus {
 	s := &LeaderStatus{Term: lt.term.Number, ValidS: max(0, lt.leaseExpiry.Sub(now).Seconds()), Machines: len(lt.machines),
-		Unheard: lt.unheard, Booting: len(lt.expected), Started: lt.counts.started, Lost: lt.counts.lost,
+		Unfenced: lt.unfenced, Booting: len(lt.expected), Started: lt.counts.started, Lost: lt.counts.lost,
 		Done: lt.counts.done, FirstStart: latency(lt.counts.firstStart), Recorded: latency(lt.counts.recorded)}
 	s.Waits, _ = lt.waits(now)
 	s.Cells = lt.loans.status(now)
@@ -158,9 +158,9 @@
 		return "awaits others"
 	case now.Before(j.heldUntil):
 		return "fails everywhere"
-	case lt.unheard > 0 && j.mark <= lt.term.Mark:
+	case lt.unfenced > 0 && j.mark <= lt.term.Mark:
 		return "takeover"
-	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unheardCPUs+lt.foreignCPUs, lt.unheardGPUs):
+	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.foreignCPUs, lt.unfencedGPUs):
 		return "team limit"
 	case j.load.Defer || j.hopeless:
 		return "gives way"
@@ -243,7 +243,7 @@
 	for _, j := range lt.jobs {
 		waiting[j.spec.Class] += float64(j.flight.Untaken()) * j.spec.CPUs
 	}
-	lt.c.Log.Debug("fleet use", "machines", len(lt.machines), "unheard", lt.unheard, "expected", len(lt.expected), "cpus", total, "open", open,
+	lt.c.Log.Debug("fleet use", "machines", len(lt.machines), "unheard", lt.unfenced, "expected", len(lt.expected), "cpus", total, "open", open,
 		"running", running, "pulling", pulling, "ordered", ordered, "saving", saving, "kept", kept, "jobs", len(lt.jobs), "waiting", waiting)
 }
 
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -117,10 +117,10 @@
 	}
 	lt.loaded, lt.listening, lt.cancellationsConfirmedAt = true, now, m.snapshot.asked
 	go lt.awaitsLists.sweep()
-	if c.Director != nil {
+	if c.CommandSender != nil {
 		lt.resyncNext(now)
 	}
-	c.Log.Info("takeover: read", "term", lt.term.Number, "jobs", len(lt.jobs), "machines", lt.unheard)
+	c.Log.Info("takeover: read", "term", lt.term.Number, "jobs", len(lt.jobs), "machines", lt.unfenced)
 }
 
 // addShard adds the machines of a shard of the roster.
@@ -141,9 +141,9 @@
 		m.roster, m.shard = rosterDurable, s
 		s.members = append(s.members, m)
 		lt.toResync = append(lt.toResync, m)
-		lt.unheard++
-		lt.unheardCPUs += m.cpus
-		lt.unheardGPUs += m.gpus
+		lt.unfenced++
+		lt.unfencedCPUs += m.cpus
+		lt.unfencedGPUs += m.gpus
 	}
 	if len(s.members) < len(rec.Machines) {
 		s.stale = true
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -75,7 +75,7 @@
 			if w.cloud.gone("i-1") {
 				return
 			}
-			k.rep.Session++
+			k.rep.AgentEpoch++
 			if _, err := k.send(n); err != nil {
 				break
 			}
@@ -165,7 +165,7 @@
 		a.crash()
 		b := w.start("n0")
 		for i := range 12 {
-			for _, rep := range []api.Report{fresh, copied} {
+			for _, rep := range []api.Heartbeat{fresh, copied} {
 				rep.Seq += uint64(i % 2)
 				if orders, err := gone.deliver(b, &rep); err == nil {
 					w.same("orders for a copy", len(orders), 0)
@@ -453,7 +453,7 @@
 					t.Errorf("ends over a report: %v", p)
 				}
 			}()
-			m := reportMsg{rep: &rep, reply: make(chan reportReply, 1), came: time.Now()}
+			m := heartbeatMsg{heartbeat: &rep, reply: make(chan heartbeatReply, 1), receivedAt: time.Now()}
 			m.apply(c)
 			w.same("refused", (<-m.reply).err, &api.NotLeaderError{})
 			w.same("leads", c.leaderTerm != nil, false)
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -267,7 +267,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.rep.Session++
+	h.rep.AgentEpoch++
 	h.rep.Tasks, h.leased = nil, now
 	clear(h.began)
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -155,7 +155,7 @@
 	defer k.mu.Unlock()
 	if len(k.rep.Tasks) > 0 {
 		k.rep.Tasks = nil
-		k.rep.Session++
+		k.rep.AgentEpoch++
 	}
 }
 
--- a/internal/controller/waits_test.go
+++ b/internal/controller/waits_test.go
@@ -37,10 +37,10 @@
 			got, oldest := c.leaderTerm.waits(time.Now())
 			w.same("waits", got, map[string]int{"team limit": 1, "no room": 1})
 			w.same("oldest", oldest.spec.ID, "job-2")
-			c.leaderTerm.unheard++
+			c.leaderTerm.unfenced++
 			oldest.mark = c.leaderTerm.term.Mark // accepted before this term
 			w.same("before a takeover is over", c.leaderTerm.whyWaits(oldest, time.Now()), "takeover")
-			c.leaderTerm.unheard--
+			c.leaderTerm.unfenced--
 			oldest.heldUntil = time.Now().Add(time.Second)
 			w.same("held", c.leaderTerm.whyWaits(oldest, time.Now()), "fails everywhere")
 		})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -110,7 +110,7 @@
 	machines := worker.NewClient()
 	cfg := controller.Config{
 		Settings: s, Policy: p, Standby: parts.Standby, Store: st, Cloud: cloud.NewClient(s.Outside.Cloud, s.Site.Cloud),
-		UserStore: st.ForUsers(), Peers: peers, Prober: machines, Director: machines, Log: log,
+		UserStore: st.ForUsers(), Peers: peers, Prober: machines, CommandSender: machines, Log: log,
 	}
 	if others != nil {
 		cfg.Cells, cfg.Link = others, newCellLinks(others)
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -56,11 +56,11 @@
 func (h peerHandler) Report(ctx context.Context, r *peer.Report) (*peer.ReportAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerWait)
 	defer cancel()
-	ans, err := h.c.PassedReport(ctx, r.Unpack())
+	ans, err := h.c.ForwardedHeartbeat(ctx, r.Unpack())
 	if err != nil {
 		return nil, err
 	}
-	return &peer.ReportAnswer{Term: ans.Term, Orders: peer.PackOrders(ans.Orders)}, nil
+	return &peer.ReportAnswer{Term: ans.Term, Orders: peer.PackOrders(ans.Commands)}, nil
 }
 
 // Resigned implements peer.Handler.
@@ -140,23 +140,23 @@
 	return out, nil
 }
 
-// Report implements controller.PeerClient.
-func (p peers) Report(ctx context.Context, node string, rep *api.Report) (api.ReportAnswer, error) {
+// ForwardHeartbeat implements controller.PeerClient.
+func (p peers) ForwardHeartbeat(ctx context.Context, node string, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
 	cl := p[node]
 	if cl == nil {
-		return api.ReportAnswer{}, api.ErrUnavailable
+		return api.HeartbeatResponse{}, api.ErrUnavailable
 	}
 	ans, err := cl.Report(ctx, peer.PackReport(rep))
 	if errors.Is(err, peer.ErrRefused) {
-		return api.ReportAnswer{}, controller.ErrRefused
+		return api.HeartbeatResponse{}, controller.ErrRefused
 	}
 	if errors.Is(err, peer.ErrUnable) {
-		return api.ReportAnswer{}, &api.NotLeaderError{}
+		return api.HeartbeatResponse{}, &api.NotLeaderError{}
 	}
 	if err != nil {
-		return api.ReportAnswer{}, err
+		return api.HeartbeatResponse{}, err
 	}
-	return api.ReportAnswer{Term: ans.Term, Orders: peer.UnpackOrders(ans.Orders)}, nil
+	return api.HeartbeatResponse{Term: ans.Term, Commands: peer.UnpackOrders(ans.Orders)}, nil
 }
 
 // Resign implements controller.PeerClient.
--- a/internal/loadtest/cellsload/machine.go
+++ b/internal/loadtest/cellsload/machine.go
@@ -29,7 +29,7 @@
 	cell   *cell
 	client *http.Client
 	mu     sync.Mutex
-	rep    api.Report
+	rep    api.Heartbeat
 	ends   map[string]time.Time
 	// answered is when the last answered report was sent.
 	answered time.Time
@@ -39,7 +39,7 @@
 
 func newMachine(c *cell, name string) (*machine, error) {
 	m := &machine{cell: c, client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{}}, ends: map[string]time.Time{}, answered: time.Now(),
-		rep: api.Report{Machine: name, Type: machineType.Name, Zone: zone, Session: 1, Tasks: []api.TaskReport{}}}
+		rep: api.Heartbeat{Machine: name, Type: machineType.Name, Zone: zone, AgentEpoch: 1, Tasks: []api.TaskStatus{}}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	m.age()
 	m.rep.Seq++
 	body, err := json.Marshal(m.rep)
-	session, sent := m.rep.Session, time.Now()
+	session, sent := m.rep.AgentEpoch, time.Now()
 	m.mu.Unlock()
 	if err != nil {
 		panic(err) // plain values
@@ -79,14 +79,14 @@
 	}
 	defer resp.Body.Close()
 	raw, _ := io.ReadAll(resp.Body)
-	var answer api.ReportAnswer
+	var answer api.HeartbeatResponse
 	switch {
 	case resp.StatusCode == http.StatusOK && json.Unmarshal(raw, &answer) == nil:
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if answer.Term >= m.rep.Term && session == m.rep.Session {
+		if answer.Term >= m.rep.Term && session == m.rep.AgentEpoch {
 			m.answered = sent
-			m.obey(answer.Term, answer.Orders)
+			m.obey(answer.Term, answer.Commands)
 		}
 	case resp.StatusCode == http.StatusMisdirectedRequest:
 		var other struct{ Gardener string }
@@ -109,8 +109,8 @@
 				m.off(t.Task, false)
 			}
 		}
-		m.rep.Tasks, m.ends = []api.TaskReport{}, map[string]time.Time{}
-		m.rep.Session++
+		m.rep.Tasks, m.ends = []api.TaskStatus{}, map[string]time.Time{}
+		m.rep.AgentEpoch++
 		m.answered = time.Now()
 		return
 	}
@@ -129,14 +129,14 @@
 	m.cell.world.ledger.off(task, done)
 }
 
-func (m *machine) obey(term uint64, orders []api.Order) {
+func (m *machine) obey(term uint64, orders []api.Command) {
 	m.rep.Term = max(m.rep.Term, term)
 	m.cell.world.ledger.answered(term)
 	for _, o := range orders {
-		at := slices.IndexFunc(m.rep.Tasks, func(t api.TaskReport) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
+		at := slices.IndexFunc(m.rep.Tasks, func(t api.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
 		switch {
 		case o.Verb == api.VerbStart && at < 0:
-			m.rep.Tasks = append(m.rep.Tasks, api.TaskReport{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
+			m.rep.Tasks = append(m.rep.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
 			m.ends[o.Task] = time.Now().Add(time.Duration(float64(taskTime) * (0.5 + rand.Float64())))
 			m.used.Add(taskCPUs)
 			m.cell.world.ledger.on(o.Task, m.cell, m.rep.Machine)
@@ -158,11 +158,11 @@
 	defer m.mu.Unlock()
 	m.rep.Seq++
 	if r.URL.Path == "/orders" {
-		var in api.DirectOrders
-		if json.NewDecoder(r.Body).Decode(&in) != nil || in.Term < m.rep.Term || in.Session != m.rep.Session {
+		var in api.CommandBatch
+		if json.NewDecoder(r.Body).Decode(&in) != nil || in.Term < m.rep.Term || in.AgentEpoch != m.rep.AgentEpoch {
 			w.WriteHeader(http.StatusConflict)
 		} else {
-			m.obey(in.Term, in.Orders)
+			m.obey(in.Term, in.Commands)
 		}
 	}
 	json.NewEncoder(w).Encode(m.rep)
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -155,7 +155,7 @@
 type machine struct {
 	w       *Environment
 	mu      sync.Mutex
-	rep     api.Report
+	rep     api.Heartbeat
 	ends    map[string]time.Time
 	changed chan struct{}
 	// gone is set once the machine is returned.
@@ -165,7 +165,7 @@
 func newMachine(w *Environment, name, typ, zone string) *machine {
 	return &machine{
 		w:       w,
-		rep:     api.Report{Machine: name, Type: typ, Zone: zone, Session: 1, Tasks: []api.TaskReport{}},
+		rep:     api.Heartbeat{Machine: name, Type: typ, Zone: zone, AgentEpoch: 1, Tasks: []api.TaskStatus{}},
 		ends:    map[string]time.Time{},
 		changed: make(chan struct{}, 1),
 	}
@@ -211,10 +211,10 @@
 		if err != nil {
 			return err
 		}
-		var ans api.ReportAnswer
+		var ans api.HeartbeatResponse
 		if resp.StatusCode == http.StatusOK && json.Unmarshal(raw, &ans) == nil {
 			m.mu.Lock()
-			m.obey(ans.Term, ans.Orders)
+			m.obey(ans.Term, ans.Commands)
 			m.mu.Unlock()
 			m.w.counts.reports.Add(1)
 		} else {
@@ -255,7 +255,7 @@
 	}
 }
 
-func (m *machine) obey(term uint64, orders []api.Order) {
+func (m *machine) obey(term uint64, orders []api.Command) {
 	m.rep.Term = max(m.rep.Term, term)
 	for _, o := range orders {
 		at := -1
@@ -266,7 +266,7 @@
 		}
 		switch {
 		case o.Verb == api.VerbStart && at < 0:
-			m.rep.Tasks = append(m.rep.Tasks, api.TaskReport{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
+			m.rep.Tasks = append(m.rep.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
 			m.ends[o.Task] = time.Now().Add(time.Duration(float64(m.w.plan.Run) * (0.5 + rand.Float64())))
 			m.w.counts.started.Add(1)
 		case o.Verb == api.VerbStop && at >= 0:
@@ -290,11 +290,11 @@
 	defer m.mu.Unlock()
 	m.rep.Seq++
 	if r.URL.Path == "/orders" {
-		var in api.DirectOrders
-		if json.NewDecoder(r.Body).Decode(&in) != nil || in.Term < m.rep.Term || in.Session != m.rep.Session {
+		var in api.CommandBatch
+		if json.NewDecoder(r.Body).Decode(&in) != nil || in.Term < m.rep.Term || in.AgentEpoch != m.rep.AgentEpoch {
 			w.WriteHeader(http.StatusConflict)
 		} else {
-			m.obey(in.Term, in.Orders)
+			m.obey(in.Term, in.Commands)
 		}
 	}
 	json.NewEncoder(w).Encode(m.rep)
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -3,9 +3,9 @@
 import "example.org/ivytrestle/internal/api"
 
 // PackReport makes a message of a machine's report.
-func PackReport(rep *api.Report) *Report {
+func PackReport(rep *api.Heartbeat) *Report {
 	r := &Report{Machine: rep.Machine, Addr: rep.Addr, Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot,
-		Session: rep.Session, Seq: rep.Seq, Term: rep.Term, NoticeS: rep.NoticeS, Tasks: make([]*TaskReport, len(rep.Tasks))}
+		Session: rep.AgentEpoch, Seq: rep.Seq, Term: rep.Term, NoticeS: rep.PreemptionNoticeS, Tasks: make([]*TaskReport, len(rep.Tasks))}
 	for i, t := range rep.Tasks {
 		r.Tasks[i] = &TaskReport{Task: t.Task, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Saved: t.Saved}
 	}
@@ -13,17 +13,17 @@
 }
 
 // Unpack is the reverse of PackReport.
-func (r *Report) Unpack() *api.Report {
-	rep := &api.Report{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Session: r.Session, Seq: r.Seq, Term: r.Term, NoticeS: r.NoticeS, Tasks: make([]api.TaskReport, len(r.Tasks))}
+func (r *Report) Unpack() *api.Heartbeat {
+	rep := &api.Heartbeat{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
+		AgentEpoch: r.Session, Seq: r.Seq, Term: r.Term, PreemptionNoticeS: r.NoticeS, Tasks: make([]api.TaskStatus, len(r.Tasks))}
 	for i, t := range r.Tasks {
-		rep.Tasks[i] = api.TaskReport{Task: t.Task, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Saved: t.Saved}
+		rep.Tasks[i] = api.TaskStatus{Task: t.Task, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Saved: t.Saved}
 	}
 	return rep
 }
 
 // PackOrders makes messages of orders.
-func PackOrders(orders []api.Order) []*Order {
+func PackOrders(orders []api.Command) []*Order {
 	out := make([]*Order, len(orders))
 	for i, o := range orders {
 		out[i] = &Order{Verb: o.Verb, Task: o.Task, Attempt: o.Attempt, GraceS: o.GraceS}
@@ -32,10 +32,10 @@
 }
 
 // UnpackOrders is the reverse of PackOrders.
-func UnpackOrders(orders []*Order) []api.Order {
-	out := make([]api.Order, len(orders))
+func UnpackOrders(orders []*Order) []api.Command {
+	out := make([]api.Command, len(orders))
 	for i, o := range orders {
-		out[i] = api.Order{Verb: o.Verb, Task: o.Task, Attempt: o.Attempt, GraceS: o.GraceS}
+		out[i] = api.Command{Verb: o.Verb, Task: o.Task, Attempt: o.Attempt, GraceS: o.GraceS}
 	}
 	return out
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -31,7 +31,7 @@
 }
 
 // Probe asks a machine for its report, to learn whether it is alive.
-func (c *Client) Probe(ctx context.Context, addr string) (*api.Report, error) {
+func (c *Client) Probe(ctx context.Context, addr string) (*api.Heartbeat, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/inspect", nil)
 	if err != nil {
 		return nil, fmt.Errorf("probe: %w", err)
@@ -41,7 +41,7 @@
 		return nil, fmt.Errorf("probe: %w", err)
 	}
 	defer resp.Body.Close()
-	var rep api.Report
+	var rep api.Heartbeat
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&rep); err != nil {
 		return nil, fmt.Errorf("probe: %w", err)
 	}
@@ -55,32 +55,32 @@
 
 // Resync tells a machine of a term, and returns the report that shows that it
 // has heard. It carries no orders, so it may come at any time.
-func (c *Client) Resync(ctx context.Context, addr string, term uint64) (*api.Report, error) {
+func (c *Client) Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error) {
 	session := uint64(1) // most machines have never lost theirs
 	for range 2 {
-		rep, status, err := c.post(ctx, addr, &api.DirectOrders{Term: term, Session: session, Orders: []api.Order{}})
+		rep, status, err := c.post(ctx, addr, &api.CommandBatch{Term: term, AgentEpoch: session, Commands: []api.Command{}})
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("resync: %w", err)
 		case status == http.StatusOK:
 			return rep, nil
-		case status != http.StatusConflict || rep.Term > term || rep.Session == session:
+		case status != http.StatusConflict || rep.Term > term || rep.AgentEpoch == session:
 			return nil, fmt.Errorf("resync: status %d, term %d", status, rep.Term)
 		}
-		session = rep.Session
+		session = rep.AgentEpoch
 	}
 	return nil, errors.New("resync: the session changes")
 }
 
 // post sends orders, and returns the report that answers them.
-func (c *Client) post(ctx context.Context, addr string, orders *api.DirectOrders) (*api.Report, int, error) {
+func (c *Client) post(ctx context.Context, addr string, orders *api.CommandBatch) (*api.Heartbeat, int, error) {
 	raw, err := json.Marshal(orders)
 	if err != nil {
-		return nil, 0, fmt.Errorf("%w: %w", api.ErrNotDone, err)
+		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsNotApplied, err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/orders", bytes.NewReader(raw))
 	if err != nil {
-		return nil, 0, fmt.Errorf("%w: %w", api.ErrNotDone, err)
+		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsNotApplied, err)
 	}
 	req.GetBody = nil // never sent twice
 	// Without a connection nothing was sent, and an attempt to connect that
@@ -90,21 +90,21 @@
 	resp, err := c.http.Do(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
 		if !connected {
-			return nil, 0, fmt.Errorf("%w: %w", api.ErrNotDone, err)
+			return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsNotApplied, err)
 		}
-		return nil, 0, fmt.Errorf("%w: %w", api.ErrUnconfirmed, err)
+		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsOutcomeUnknown, err)
 	}
 	defer resp.Body.Close()
-	var rep api.Report
+	var rep api.Heartbeat
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&rep); err != nil && resp.StatusCode == http.StatusOK {
-		return nil, 0, fmt.Errorf("%w: %w", api.ErrUnconfirmed, err)
+		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsOutcomeUnknown, err)
 	}
 	return &rep, resp.StatusCode, nil
 }
 
-// Order brings orders to a machine, once. It returns the number of the report
+// SendCommands brings orders to a machine, once. It returns the number of the report
 // that shows them carried out.
-func (c *Client) Order(ctx context.Context, addr string, orders *api.DirectOrders) (seq uint64, err error) {
+func (c *Client) SendCommands(ctx context.Context, addr string, orders *api.CommandBatch) (seq uint64, err error) {
 	rep, status, err := c.post(ctx, addr, orders)
 	switch {
 	case err != nil:
@@ -112,7 +112,7 @@
 	case status == http.StatusOK:
 		return rep.Seq, nil
 	case status == http.StatusConflict || status == http.StatusBadRequest:
-		return 0, fmt.Errorf("%w: status %d", api.ErrNotDone, status)
+		return 0, fmt.Errorf("%w: status %d", api.ErrCommandsNotApplied, status)
 	}
-	return 0, fmt.Errorf("%w: status %d", api.ErrUnconfirmed, status)
+	return 0, fmt.Errorf("%w: status %d", api.ErrCommandsOutcomeUnknown, status)
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -41,16 +41,16 @@
 		want error
 	}{
 		"carried out":      {machine(200, `{"Host":"i-1","Tally":7}`), nil},
-		"refused":          {machine(409, `{}`), api.ErrNotDone},
-		"malformed":        {machine(400, `{}`), api.ErrNotDone},
-		"no connection":    {refused, api.ErrNotDone},
-		"no answer":        {machine(0, ""), api.ErrUnconfirmed},
-		"another status":   {machine(500, ""), api.ErrUnconfirmed},
-		"senseless answer": {machine(200, `{"Host"`), api.ErrUnconfirmed},
+		"refused":          {machine(409, `{}`), api.ErrCommandsNotApplied},
+		"malformed":        {machine(400, `{}`), api.ErrCommandsNotApplied},
+		"no connection":    {refused, api.ErrCommandsNotApplied},
+		"no answer":        {machine(0, ""), api.ErrCommandsOutcomeUnknown},
+		"another status":   {machine(500, ""), api.ErrCommandsOutcomeUnknown},
+		"senseless answer": {machine(200, `{"Host"`), api.ErrCommandsOutcomeUnknown},
 	} {
 		client := NewClient()
 		client.http.Transport.(*http.Transport).DialContext = c.dial
-		seq, err := client.Order(t.Context(), "10.0.0.1:1", &api.DirectOrders{Term: 1, Session: 1})
+		seq, err := client.SendCommands(t.Context(), "10.0.0.1:1", &api.CommandBatch{Term: 1, AgentEpoch: 1})
 		if !errors.Is(err, c.want) || (err == nil) != (seq == 7) {
 			t.Errorf("%s: %d, %v", name, seq, err)
 		}
@@ -90,7 +90,7 @@
 		client := NewClient()
 		client.http.Transport.(*http.Transport).DialContext = c.dial
 		rep, err := client.Probe(t.Context(), "10.0.0.1:1")
-		if (err == nil) != c.good || c.good && (rep.Session != 2 || rep.Seq != 7) {
+		if (err == nil) != c.good || c.good && (rep.AgentEpoch != 2 || rep.Seq != 7) {
 			t.Errorf("%s: %+v, %v", name, rep, err)
 		}
 	}
