--- a/internal/controller/apart_test.go
+++ b/internal/controller/apart_test.go
@@ -209,7 +209,7 @@
 		l.cut.Store(true)
 		for i := range 30 {
 			if _, err := far.send(b); err != nil {
-				b.look(func(c *Controller) { t.Logf("%+v", c.extender) })
+				b.look(func(c *Controller) { t.Logf("%+v", c.leaseRenewer) })
 				t.Fatalf("not kept alive after %d s: %v", i, err)
 			}
 			near.report(a)
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -75,7 +75,7 @@
 		}
 		lt.taskDone(j, a.task, now)
 		j.faulty = 0
-		m.pause = 0
+		m.cordonDuration = 0
 		clear(m.errorJobs)
 		lt.hasImage(m, &j.spec, now)
 	}
@@ -85,7 +85,7 @@
 		lt.failed(a, now)
 	case api.CauseNoRoom, api.CauseBusy, api.CauseNoSuch:
 		lt.c.Log.Debug("start refused", "machine", m.name, "task", a.key.ref, "why", t.Cause)
-		m.pauseUntil = now.Add(time.Second)
+		m.cordonedUntil = now.Add(time.Second)
 	}
 }
 
@@ -142,12 +142,12 @@
 		return
 	}
 	m.errorJobs[j.spec.ID]++
-	m.pause = min(max(2*m.pause, time.Second), 30*time.Second)
-	m.pauseUntil = now.Add(m.pause)
+	m.cordonDuration = min(max(2*m.cordonDuration, time.Second), 30*time.Second)
+	m.cordonedUntil = now.Add(m.cordonDuration)
 	if len(m.errorJobs) >= 2 || (j.doneCount > 0 && m.errorJobs[j.spec.ID] >= 2) {
-		if !m.leaving {
+		if !m.evacuating {
 			lt.c.Log.Info("machine quarantined", "machine", m.name, "jobs", len(m.errorJobs))
-			lt.leave(m, "fails tasks")
+			lt.evacuate(m, "fails tasks")
 			for _, o := range m.attempts {
 				if !o.exited && o.job != nil {
 					lt.stop(o, o.job.spec.Save()*2, now)
--- a/internal/controller/constrained.go
+++ b/internal/controller/constrained.go
@@ -100,15 +100,15 @@
 	lack = demand.cpus
 	for _, m := range f.leaderTerm.machines {
 		switch {
-		case m.leaving || m.gone || m.cpus == 0 || !mayUse(demand.spec, m.typ, m.zone, m.spot):
+		case m.evacuating || m.terminated || m.cpus == 0 || !mayUse(demand.spec, m.typ, m.zone, m.spot):
 		case m.draining:
 			draining = append(draining, m)
 		default:
 			lack -= float64(m.slots(demand.spec)) * demand.spec.CPUs
 		}
 	}
-	for _, e := range f.leaderTerm.expected {
-		if !e.returning && mayUse(demand.spec, e.typ, e.zone, e.spot) {
+	for _, e := range f.leaderTerm.provisioning {
+		if !e.terminating && mayUse(demand.spec, e.typ, e.zone, e.spot) {
 			lack -= e.cpus
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -83,11 +83,11 @@
 	unready atomic.Bool
 
 	// The rest belongs to the owner goroutine.
-	leader     string
-	leaderTerm *leaderTerm
-	extender   leaseExtender
-	up         relayUp
-	membership membership
+	leader       string
+	leaderTerm   *leaderTerm
+	leaseRenewer leaseRenewer
+	up           relayUp
+	membership   membership
 	// redirectedAt is when machines were sent on to the leader, past this node.
 	redirectedAt map[string]time.Time
 	// redirects is to whom machines were last told to report.
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -95,8 +95,8 @@
 	}
 	var ms []*machine
 	for _, m := range lt.machines {
-		if m.open(now) && !m.commandInFlight && !m.lastForwarded && m.unappliedResponses == 0 && m.freeCPUs() > slack && m.addr != "" &&
-			now.Sub(m.lastHeartbeat) <= lt.hearable() {
+		if m.isSchedulable(now) && !m.commandInFlight && !m.lastForwarded && m.unappliedResponses == 0 && m.freeCPUs() > slack && m.addr != "" &&
+			now.Sub(m.lastHeartbeat) <= lt.heartbeatTimeout() {
 			ms = append(ms, m)
 		}
 	}
@@ -135,7 +135,7 @@
 	lt.commandsInFlight++
 	addr, req := m.addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.agentEpoch, Commands: orders}
 	wait := directTimeout
-	if !lt.punctual(time.Now().Add(-recentPause)) {
+	if !lt.notPausedSince(time.Now().Add(-recentPause)) {
 		wait = slowDirectTimeout
 	}
 	go func() {
@@ -154,48 +154,48 @@
 	err        error
 }
 
-func (o commandsSentMsg) apply(c *Controller) {
-	if c.leaderTerm != o.leaderTerm {
+func (m commandsSentMsg) apply(c *Controller) {
+	if c.leaderTerm != m.leaderTerm {
 		return
 	}
-	o.machine.commandInFlight = false
-	o.leaderTerm.commandsInFlight--
-	if o.err == nil {
-		o.leaderTerm.directFailures = 0
-	} else if o.leaderTerm.directFailures++; o.leaderTerm.directFailures >= maxDirectFailures {
-		o.leaderTerm.nextDirectCommand = time.Now().Add(directBackoff)
+	m.machine.commandInFlight = false
+	m.leaderTerm.commandsInFlight--
+	if m.err == nil {
+		m.leaderTerm.directFailures = 0
+	} else if m.leaderTerm.directFailures++; m.leaderTerm.directFailures >= maxDirectFailures {
+		m.leaderTerm.nextDirectCommand = time.Now().Add(directBackoff)
 	}
-	if o.machine.gone {
+	if m.machine.terminated {
 		return
 	}
-	for _, a := range o.batch {
+	for _, a := range m.batch {
 		a.direct.inFlight = false
 		switch {
-		case o.err == nil:
-			a.direct.seq = o.seq
-		case errors.Is(o.err, api.ErrCommandsNotApplied):
-			if a.lastSeenIn == 0 && o.machine.attempts[a.key] == a {
-				o.leaderTerm.offMachine(a)
+		case m.err == nil:
+			a.direct.seq = m.seq
+		case errors.Is(m.err, api.ErrCommandsNotApplied):
+			if a.lastSeenIn == 0 && m.machine.attempts[a.key] == a {
+				m.leaderTerm.offMachine(a)
 			}
-		case o.machine.agentEpoch == a.direct.agentEpoch:
+		case m.machine.agentEpoch == a.direct.agentEpoch:
 			a.direct.outcomeUnknown = true
-			o.leaderTerm.leave(o.machine, "order unanswered")
+			m.leaderTerm.evacuate(m.machine, "order unanswered")
 			if a.job.over {
-				o.leaderTerm.resolveOutcome(a)
+				m.leaderTerm.resolveOutcome(a)
 			}
 		}
 	}
-	if o.err != nil {
-		c.Log.Debug("direct orders", "machine", o.machine.name, "orders", len(o.batch), "err", o.err)
-		o.machine.pauseUntil = time.Now().Add(c.Settings.Site.Workers.Report())
+	if m.err != nil {
+		c.Log.Debug("direct orders", "machine", m.machine.name, "orders", len(m.batch), "err", m.err)
+		m.machine.cordonedUntil = time.Now().Add(c.Settings.Site.Workers.Report())
 	}
 }
 
 // resolveOutcome returns a machine on which a task of a job that is over might
 // still begin: nothing else keeps it from doing so in time.
 func (lt *leaderTerm) resolveOutcome(a *attempt) {
-	if m := a.machine; a.direct != nil && a.direct.outcomeUnknown && a.lastSeenIn == 0 && !m.gone && !m.returning {
-		lt.leave(m, "order unanswered")
+	if m := a.machine; a.direct != nil && a.direct.outcomeUnknown && a.lastSeenIn == 0 && !m.terminated && !m.terminating {
+		lt.evacuate(m, "order unanswered")
 		lt.provisioner.giveBack(m)
 	}
 }
--- a/internal/controller/direct_test.go
+++ b/internal/controller/direct_test.go
@@ -336,7 +336,7 @@
 			rep := idle[5].rep
 			rep.Seq, rep.AgentEpoch = m.heartbeatSeq+1, m.agentEpoch
 			c.leaderTerm.resyncing++
-			resyncedMsg{c.leaderTerm, m, time.Now(), &rep, nil}.apply(c)
+			resyncResultMsg{c.leaderTerm, m, time.Now(), &rep, nil}.apply(c)
 			w.same("given in a resync", len(m.attempts), 0)
 		})
 	})
@@ -369,7 +369,7 @@
 					t.Fatal(err)
 				}
 				c.leaderTerm.resyncing++
-				resyncedMsg{c.leaderTerm, m, time.Now(), rep, nil}.apply(c)
+				resyncResultMsg{c.leaderTerm, m, time.Now(), rep, nil}.apply(c)
 			})
 		}
 		resynced(ks[0])
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -133,7 +133,7 @@
 		return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 	}
 	unreached := m.unreachableLeader == leader || !c.membership.members[leader].isReachable(now)
-	if ans, ok := c.extendLease(m.heartbeat, leader, unreached, now); ok {
+	if ans, ok := c.renewOnBehalf(m.heartbeat, leader, unreached, now); ok {
 		c.up.note(c, m.heartbeat, &ans, now)
 		return heartbeatReply{response: ans}
 	}
--- a/internal/controller/guests.go
+++ b/internal/controller/guests.go
@@ -177,7 +177,7 @@
 	}
 	l.room = openRoom{at: now}
 	for _, m := range l.leaderTerm.machines {
-		if m.open(now) {
+		if m.isSchedulable(now) {
 			l.room.cpus += m.cpus
 			l.room.freeCPUs += m.freeCPUs()
 			l.room.freeGPUs += m.gpus - m.usedGPUs
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -45,7 +45,7 @@
 func (lt *leaderTerm) countHolders(now time.Time) {
 	clear(lt.holders)
 	for _, m := range lt.machines {
-		if !m.open(now) {
+		if !m.isSchedulable(now) {
 			continue
 		}
 		for image := range m.images.used {
--- a/internal/controller/lag.go
+++ b/internal/controller/lag.go
@@ -4,30 +4,30 @@
 	"time"
 )
 
-// A tick that comes lateTick late shows that this process was held up, and one
-// that comes lostTicks late that it cannot have heard its machines.
+// A tick that comes pauseThreshold late shows that this process was held up, and one
+// that comes longPauseTicks late that it cannot have heard its machines.
 const (
-	lateTick  = 400 * time.Millisecond
-	lostTicks = 2 * time.Second
+	pauseThreshold = 400 * time.Millisecond
+	longPauseTicks = 2 * time.Second
 )
 
-// deaf notices that this node could not hear its machines for a while: it may
+// commandsUndelivered notices that this node could not hear its machines for a while: it may
 // not have been entitled to answer them, or it was held up itself. None of them
 // is silent on that account, or the first thing after an outage of the state
 // service would be to give the whole fleet back. On a controller with too little
 // processor time that happens in small: what it was late by is no silence either,
 // and no answer that it waited for meanwhile is missing.
-func (lt *leaderTerm) deaf(now time.Time) bool {
+func (lt *leaderTerm) commandsUndelivered(now time.Time) bool {
 	gap := now.Sub(lt.lastTick)
 	first := lt.lastTick.IsZero()
 	lt.lastTick = now
-	if first || gap < lateTick {
+	if first || gap < pauseThreshold {
 		return false
 	}
-	lt.heldUp = now
-	lost := gap >= lostTicks
+	lt.lastPause = now
+	lost := gap >= longPauseTicks
 	if lost {
-		lt.listening = now
+		lt.heartbeatsSince = now
 	}
 	for _, m := range lt.machines {
 		if m.lastSeen = m.lastSeen.Add(gap); lost || m.lastSeen.After(now) {
@@ -37,8 +37,8 @@
 	return lost
 }
 
-// punctual tells whether this node has not been held up since it asked something.
+// notPausedSince tells whether this node has not been held up since it asked something.
 // If it was, an answer may wait to be read although the time for it has passed.
-func (lt *leaderTerm) punctual(asked time.Time) bool {
-	return !lt.heldUp.After(asked) && time.Since(lt.lastTick) < lateTick
+func (lt *leaderTerm) notPausedSince(asked time.Time) bool {
+	return !lt.lastPause.After(asked) && time.Since(lt.lastTick) < pauseThreshold
 }
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -36,7 +36,7 @@
 	for ; len(sent) < largeFleet && rounds < largeFleet; rounds++ {
 		now = now.Add(relayEvery)
 		u.batch++
-		up, _ := u.compose(&leaseExtender{term: 3}, true, size*parts*relayRaw)
+		up, _ := u.compose(&leaseRenewer{term: 3}, true, size*parts*relayRaw)
 		packed, err := relay.Pack(up, u.batch, parts, size)
 		if err != nil {
 			t.Fatalf("round %d, %d reports: %v", rounds, len(up.Reports), err)
@@ -96,9 +96,9 @@
 			}
 			w.same("jobs looked at", looked, jobs)
 			for i := range largeFleet {
-				lt.returned.Add(hostName(i), true)
+				lt.terminated.Add(hostName(i), true)
 			}
-			w.same("returned are known", lt.returned.Len(), largeFleet)
+			w.same("returned are known", lt.terminated.Len(), largeFleet)
 		})
 	})
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -38,20 +38,20 @@
 	teams    map[string]*queue.Team[*job]
 	turns    []*queue.Team[*job]
 	machines map[string]*machine
-	// expected are machines that were rented or listed but have not reported.
-	expected map[string]*expected
-	// returned remembers machines that are gone, whose reports may still
+	// provisioning are machines that were rented or listed but have not reported.
+	provisioning map[string]*provisioning
+	// terminated remembers machines that are gone, whose reports may still
 	// arrive.
-	returned *lru.Cache[string, bool]
+	terminated *lru.Cache[string, bool]
 
 	// unfenced are the machines on the roster that may still carry out orders
 	// of earlier terms.
 	unfenced     int
 	unfencedCPUs float64
 	unfencedGPUs float64
-	// foreignCPUs is the whole capacity of machines that hold tasks of jobs
+	// unattributedCPUs is the whole capacity of machines that hold tasks of jobs
 	// that are over: whose team they count for is not known.
-	foreignCPUs float64
+	unattributedCPUs float64
 
 	readIndex readIndexer
 	pipeline  pipeline
@@ -89,41 +89,41 @@
 	nextUse    time.Time
 	nextWaits  time.Time
 	lastTick   time.Time
-	// listening is since when this node can hear its machines.
-	listening time.Time
-	// heldUp is when it last noticed that it was late.
-	heldUp  time.Time
-	probing int
+	// heartbeatsSince is since when this node can hear its machines.
+	heartbeatsSince time.Time
+	// lastPause is when it last noticed that it was late.
+	lastPause time.Time
+	probing   int
 	// maxDials bounds each of probing, resyncing and ordering.
 	maxDials int
 	// toResync are the machines that a new leader has yet to resync.
 	toResync  []*machine
 	resyncing int
-	// Whose leases other nodes extend was last read at extensionsRead, at extensionMarks.
-	extensionsRead time.Time
-	extensionMarks map[string]uint64
+	// Whose leases other nodes extend was last read at renewalsReadAt, at renewalRevisions.
+	renewalsReadAt   time.Time
+	renewalRevisions map[string]uint64
 }
 
-// returnedMemory is the part of the memory that the names of machines that are gone
-// may take, and returnedBytes about what one of them takes.
+// terminatedMemory is the part of the memory that the names of machines that are gone
+// may take, and terminatedBytes about what one of them takes.
 const (
-	returnedMemory = 1.0 / 32
-	returnedBytes  = 256
+	terminatedMemory = 1.0 / 32
+	terminatedBytes  = 256
 )
 
 func newLeaderTerm(c *Controller, term election.Term, until time.Time) *leaderTerm {
 	ctx, cancel := context.WithCancel(context.Background())
-	returned, err := lru.New[string, bool](c.Settings.Site.Limits.Entries(returnedMemory, returnedBytes))
+	returned, err := lru.New[string, bool](c.Settings.Site.Limits.Entries(terminatedMemory, terminatedBytes))
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
 	lt := &leaderTerm{
 		c: c, ctx: ctx, cancel: cancel, term: term, leaseExpiry: until, startedAt: time.Now(),
 		jobs: map[string]*job{}, teams: map[string]*queue.Team[*job]{},
-		machines: map[string]*machine{}, expected: map[string]*expected{}, returned: returned,
+		machines: map[string]*machine{}, provisioning: map[string]*provisioning{}, terminated: returned,
 	}
 	lt.down.nodes = map[string]*relayNode{}
-	lt.extensionMarks = map[string]uint64{}
+	lt.renewalRevisions = map[string]uint64{}
 	lt.holders = map[string]float64{}
 	lt.counts = newCounters()
 	lt.fetches = manyFetches
@@ -279,7 +279,7 @@
 		return
 	}
 	lt.loans.tick(now)
-	if !lt.mayRenewLeases(now) || lt.deaf(now) {
+	if !lt.mayRenewLeases(now) || lt.commandsUndelivered(now) {
 		return
 	}
 	lt.dispatch(now)
--- a/internal/controller/leaseextension.go
+++ b/internal/controller/leaseextension.go
@@ -15,7 +15,7 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// leaseExtender answers reports in the leader's stead while the leader cannot be
+// leaseRenewer answers reports in the leader's stead while the leader cannot be
 // reached from here, so that the machines on this side of a cut, or those of a
 // leader that restarts, do not kill their tasks. It starts nothing: its
 // answers renew the lease under the leader's term, and stop the tasks of jobs
@@ -27,73 +27,73 @@
 // jobs are active: a job that is cancelled later than that is still gone from
 // the machines in time, because their leases have ended by then. A later leader treats the
 // machines as unheard until they report to it, so nothing is started twice.
-type leaseExtender struct {
-	leader   string
-	term     uint64
-	verified time.Time
-	// mark is the version of the term key, if the store has shown it.
-	mark uint64
-	// away is set while the leader cannot be reached.
-	away bool
-	// active are the active jobs as the store last showed; nil: not known.
-	active map[string]bool
-	hosts  map[string]time.Time
+type leaseRenewer struct {
+	leader     string
+	term       uint64
+	verifiedAt time.Time
+	// termRevision is the version of the term key, if the store has shown it.
+	termRevision uint64
+	// leaderAway is set while the leader cannot be reached.
+	leaderAway bool
+	// activeJobs are the active jobs as the store last showed; nil: not known.
+	activeJobs map[string]bool
+	machines   map[string]time.Time
 }
 
 const (
-	// justShown is how recently the store must have shown a term for machines
+	// recentlyVerified is how recently the store must have shown a term for machines
 	// to be told of it.
-	justShown = 5 * time.Second
-	// extensionLife is how long the leader relies on what another node published.
-	extensionLife = 8 * time.Second
-	// extensionMargin is kept back of the time that a cancellation has, besides two
+	recentlyVerified = 5 * time.Second
+	// renewalLifetime is how long the leader relies on what another node published.
+	renewalLifetime = 8 * time.Second
+	// renewalMargin is kept back of the time that a cancellation has, besides two
 	// reports: what is told of a cancellation may be late by one watch.
-	extensionMargin = watchTimeout + time.Second
+	renewalMargin = watchTimeout + time.Second
 )
 
-// extensionPeriod is how long after it was last verified leases may be extended here.
-func (c *Controller) extensionPeriod() time.Duration {
+// renewalPeriod is how long after it was last verified leases may be extended here.
+func (c *Controller) renewalPeriod() time.Duration {
 	w := c.Settings.Site.Workers
-	return config.Seconds(w.CancelS) - w.Lease() - 2*w.Report() - extensionMargin
+	return config.Seconds(w.CancelS) - w.Lease() - 2*w.Report() - renewalMargin
 }
 
-// extendLease answers a report in the leader's stead, if this node may.
-func (c *Controller) extendLease(rep *api.Heartbeat, leader string, unreached bool, now time.Time) (api.HeartbeatResponse, bool) {
-	k := &c.extender
-	if !(k.away || unreached) || leader == "" || leader != k.leader || now.Sub(k.verified) > c.extensionPeriod() || k.term == 0 || !k.mayTell(rep.Term, now) {
+// renewOnBehalf answers a report in the leader's stead, if this node may.
+func (c *Controller) renewOnBehalf(rep *api.Heartbeat, leader string, unreached bool, now time.Time) (api.HeartbeatResponse, bool) {
+	lr := &c.leaseRenewer
+	if !(lr.leaderAway || unreached) || leader == "" || leader != lr.leader || now.Sub(lr.verifiedAt) > c.renewalPeriod() || lr.term == 0 || !lr.mayRespond(rep.Term, now) {
 		return api.HeartbeatResponse{}, false
 	}
-	over := func(id string) bool { return k.active != nil && !k.active[id] }
-	ans := api.HeartbeatResponse{Term: k.term, Commands: c.stopCancelled(rep, over)}
-	if k.hosts == nil {
-		k.hosts = map[string]time.Time{}
+	over := func(id string) bool { return lr.activeJobs != nil && !lr.activeJobs[id] }
+	ans := api.HeartbeatResponse{Term: lr.term, Commands: c.stopCancelled(rep, over)}
+	if lr.machines == nil {
+		lr.machines = map[string]time.Time{}
 	}
-	k.hosts[strings.Clone(rep.Machine)] = now
+	lr.machines[strings.Clone(rep.Machine)] = now
 	return ans, true
 }
 
-// mayTell tells whether a machine may be answered in the present term. One that
+// mayRespond tells whether a machine may be answered in the present term. One that
 // has not heard of it learns it here, if the store has just shown it: the new
 // leader, out of its reach, takes it for unheard until its next report arrives
 // through the store.
-func (k *leaseExtender) mayTell(term uint64, now time.Time) bool {
-	return term == k.term || (term < k.term && k.active != nil && now.Sub(k.verified) < justShown)
+func (lr *leaseRenewer) mayRespond(term uint64, now time.Time) bool {
+	return term == lr.term || (term < lr.term && lr.activeJobs != nil && now.Sub(lr.verifiedAt) < recentlyVerified)
 }
 
 // verify processes the leader's answer to a ping.
-func (k *leaseExtender) verify(leader string, term uint64, at time.Time) {
-	*k = leaseExtender{leader: leader, term: term, verified: at}
+func (lr *leaseRenewer) verify(leader string, term uint64, at time.Time) {
+	*lr = leaseRenewer{leader: leader, term: term, verifiedAt: at}
 }
 
-// extendLeases is called while a node cannot be reached: if it leads, the leases of its machines
+// renewOnBehalfLoop is called while a node cannot be reached: if it leads, the leases of its machines
 // are extended from here.
-func (c *Controller) extendLeases(ctx context.Context, node string) {
-	ask := askLeaderMsg{reply: make(chan followedLeader, 1)}
+func (c *Controller) renewOnBehalfLoop(ctx context.Context, node string) {
+	ask := followedLeaderRequestMsg{reply: make(chan followedLeader, 1)}
 	if c.send(ctx, ask) != nil {
 		return
 	}
 	a, err := await(ctx, c, ask.reply)
-	if err != nil || a.leader != node || c.send(ctx, awayMsg{node}) != nil {
+	if err != nil || a.leader != node || c.send(ctx, leaderAwayMsg{node}) != nil {
 		return
 	}
 	m, err := c.verifyTerm(ctx, a)
@@ -106,10 +106,10 @@
 
 // verifyTerm reads from the store whether a leader still leads and which jobs
 // are active, and publishes whose leases are extended here.
-func (c *Controller) verifyTerm(ctx context.Context, a followedLeader) (m verifiedMsg, err error) {
+func (c *Controller) verifyTerm(ctx context.Context, a followedLeader) (m termVerifiedMsg, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	m = verifiedMsg{leader: a.leader, at: time.Now(), active: map[string]bool{}}
+	m = termVerifiedMsg{leader: a.leader, verifiedAt: time.Now(), activeJobs: map[string]bool{}}
 	lead, err := c.Store.Get(ctx, election.LeaderKey)
 	if err != nil {
 		return m, err
@@ -126,14 +126,14 @@
 	if err := json.Unmarshal(term.Value, &tv); err != nil {
 		return m, fmt.Errorf("term key: %w", err)
 	}
-	m.term, m.mark = tv.Number, term.Mark
+	m.term, m.termRevision = tv.Number, term.Mark
 	for from := ""; ; {
 		p, err := c.Store.Range(ctx, store.ActivePrefix, from, 500)
 		if err != nil {
 			return m, err
 		}
 		for _, e := range p.Rows {
-			m.active[strings.TrimPrefix(e.Key, store.ActivePrefix)] = true
+			m.activeJobs[strings.TrimPrefix(e.Key, store.ActivePrefix)] = true
 			from = e.Key
 		}
 		if !p.More || len(p.Rows) == 0 {
@@ -141,32 +141,32 @@
 		}
 	}
 	if len(a.hosts) > 0 {
-		c.publishExtensions(ctx, a.hosts, m.term, term.Mark)
+		c.publishRenewals(ctx, a.hosts, m.term, term.Mark)
 	}
 	return m, nil
 }
 
-// extensionRows is how many records of extended leases a leader reads. One of a version
+// maxRenewalRecords is how many records of extended leases a leader reads. One of a version
 // before it read more than a hundred reads only those; values of 2 KiB and more hold
 // some 4,000 machines in fewer.
-const extensionRows = 1000
+const maxRenewalRecords = 1000
 
-// publishExtensions writes whose leases are extended here. A list that does not fit
+// publishRenewals writes whose leases are extended here. A list that does not fit
 // one record goes on under further keys: leaders take in every record under the
 // prefix by itself, whatever follows the node's name. A record that is not renewed
 // with the others says nothing any more.
-func (c *Controller) publishExtensions(ctx context.Context, hosts []string, term, mark uint64) {
+func (c *Controller) publishRenewals(ctx context.Context, hosts []string, term, mark uint64) {
 	lim := c.Settings.Site.State
 	for room := min(int(lim.ValueKB*1024), store.MaxTxnBytes/2); room > 0; room /= 2 {
-		recs := extensionRecords(hosts, term, room)
-		if most := max(1, extensionRows/(len(c.Settings.Peers)+1)); len(recs) > most {
+		recs := renewalRecords(hosts, term, room)
+		if most := max(1, maxRenewalRecords/(len(c.Settings.Peers)+1)); len(recs) > most {
 			// No leader would read the rest. Which are left out is left to
 			// chance, by the order of the list: the same ones would be asked
 			// for, and perhaps returned.
 			c.Log.Warn("extended leases left out", "machines", len(hosts), "records", len(recs), "most", most)
 			recs = recs[:most]
 		}
-		err := c.writeExtensions(ctx, recs, mark, max(1, min(lim.TxnOps, store.MaxTxnBytes*3/4/(room+200))))
+		err := c.writeRenewals(ctx, recs, mark, max(1, min(lim.TxnOps, store.MaxTxnBytes*3/4/(room+200))))
 		if err == nil {
 			return
 		}
@@ -178,8 +178,8 @@
 	}
 }
 
-// writeExtensions writes records of extended leases, so many in a transaction.
-func (c *Controller) writeExtensions(ctx context.Context, recs []store.LeaseExtensionRecord, mark uint64, ops int) error {
+// writeRenewals writes records of extended leases, so many in a transaction.
+func (c *Controller) writeRenewals(ctx context.Context, recs []store.LeaseExtensionRecord, mark uint64, ops int) error {
 	txn := store.Txn{Guards: []store.Guard{{Key: election.TermKey, Mark: mark}}}
 	for i, rec := range recs {
 		key := store.LeaseExtensionPrefix + c.Settings.Node
@@ -199,8 +199,8 @@
 	return nil
 }
 
-// extensionRecords spreads machines over records of at most so many bytes.
-func extensionRecords(hosts []string, term uint64, room int) (recs []store.LeaseExtensionRecord) {
+// renewalRecords spreads machines over records of at most so many bytes.
+func renewalRecords(hosts []string, term uint64, room int) (recs []store.LeaseExtensionRecord) {
 	const frame = 48 // of a record, beside the names
 	size := 0
 	for _, name := range hosts {
@@ -218,20 +218,20 @@
 	return recs
 }
 
-// askLeaderMsg asks the owner whom it follows and whose leases it extends.
-type askLeaderMsg struct{ reply chan followedLeader }
+// followedLeaderRequestMsg asks the owner whom it follows and whose leases it extends.
+type followedLeaderRequestMsg struct{ reply chan followedLeader }
 
 type followedLeader struct {
 	leader string
 	hosts  []string
 }
 
-func (m askLeaderMsg) apply(c *Controller) {
+func (m followedLeaderRequestMsg) apply(c *Controller) {
 	a := followedLeader{leader: c.leader}
 	now := time.Now()
-	for name, seen := range c.extender.hosts {
-		if now.Sub(seen) > extensionLife {
-			delete(c.extender.hosts, name)
+	for name, seen := range c.leaseRenewer.machines {
+		if now.Sub(seen) > renewalLifetime {
+			delete(c.leaseRenewer.machines, name)
 			continue
 		}
 		a.hosts = append(a.hosts, name)
@@ -239,55 +239,55 @@
 	m.reply <- a
 }
 
-// awayMsg says that the leader cannot be reached.
-type awayMsg struct{ leader string }
+// leaderAwayMsg says that the leader cannot be reached.
+type leaderAwayMsg struct{ leader string }
 
-func (m awayMsg) apply(c *Controller) {
-	k := &c.extender
-	if k.leader == m.leader && !k.away {
-		c.Log.Info("leader not reached, keeping its machines alive", "leader", m.leader, "term", k.term)
-		k.away = true
+func (m leaderAwayMsg) apply(c *Controller) {
+	lr := &c.leaseRenewer
+	if lr.leader == m.leader && !lr.leaderAway {
+		c.Log.Info("leader not reached, keeping its machines alive", "leader", m.leader, "term", lr.term)
+		lr.leaderAway = true
 	}
 }
 
-// verifiedMsg brings what the store showed of the term and the active jobs.
-type verifiedMsg struct {
-	leader string
-	term   uint64
-	active map[string]bool
-	at     time.Time
-	mark   uint64
+// termVerifiedMsg brings what the store showed of the term and the active jobs.
+type termVerifiedMsg struct {
+	leader       string
+	term         uint64
+	activeJobs   map[string]bool
+	verifiedAt   time.Time
+	termRevision uint64
 }
 
-func (m verifiedMsg) apply(c *Controller) {
-	k := &c.extender
+func (m termVerifiedMsg) apply(c *Controller) {
+	lr := &c.leaseRenewer
 	if m.leader != c.leader {
 		return
 	}
-	if k.leader != m.leader || k.term != m.term {
+	if lr.leader != m.leader || lr.term != m.term {
 		// Another term has begun, or this node was started anew beyond a cut.
-		*k = leaseExtender{leader: m.leader, term: m.term, away: true}
+		*lr = leaseRenewer{leader: m.leader, term: m.term, leaderAway: true}
 	}
-	k.active, k.verified, k.mark = m.active, m.at, m.mark
+	lr.activeJobs, lr.verifiedAt, lr.termRevision = m.activeJobs, m.verifiedAt, m.termRevision
 }
 
-// readExtensions reads whose leases other nodes extend, every few seconds.
-func (lt *leaderTerm) readExtensions(now time.Time) {
-	if now.Sub(lt.extensionsRead) < 2*time.Second {
+// readRenewals reads whose leases other nodes extend, every few seconds.
+func (lt *leaderTerm) readRenewals(now time.Time) {
+	if now.Sub(lt.renewalsReadAt) < 2*time.Second {
 		return
 	}
-	lt.extensionsRead = now
+	lt.renewalsReadAt = now
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, 2*time.Second)
 		defer cancel()
 		// An answer holds no more than the service allows, so there may be several.
-		for from, left := "", extensionRows; left > 0; {
+		for from, left := "", maxRenewalRecords; left > 0; {
 			p, err := lt.c.Store.Range(ctx, store.LeaseExtensionPrefix, from, left)
 			if err != nil {
 				lt.c.Log.Debug("extended leases not read", "err", err)
 				return
 			}
-			lt.sendToOwner(extensionsMsg{lt, p.Rows})
+			lt.sendToOwner(renewalsReadMsg{lt, p.Rows})
 			if !p.More || len(p.Rows) == 0 {
 				return
 			}
@@ -296,29 +296,29 @@
 	}()
 }
 
-type extensionsMsg struct {
+type renewalsReadMsg struct {
 	leaderTerm *leaderTerm
-	rows       []store.Entry
+	entries    []store.Entry
 }
 
-func (m extensionsMsg) apply(c *Controller) {
+func (m renewalsReadMsg) apply(c *Controller) {
 	lt := m.leaderTerm
 	if c.leaderTerm != lt {
 		return
 	}
 	now := time.Now()
-	for _, e := range m.rows {
-		if lt.extensionMarks[e.Key] == e.Mark {
+	for _, e := range m.entries {
+		if lt.renewalRevisions[e.Key] == e.Mark {
 			continue // not renewed since it was last read
 		}
-		lt.extensionMarks[e.Key] = e.Mark
+		lt.renewalRevisions[e.Key] = e.Mark
 		var rec store.LeaseExtensionRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil || rec.Term != lt.term.Number {
 			continue
 		}
 		for _, name := range rec.Hosts {
 			if mc := lt.machines[name]; mc != nil {
-				mc.leaseRenewedUntil = now.Add(extensionLife)
+				mc.leaseRenewedUntil = now.Add(renewalLifetime)
 			}
 		}
 	}
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -132,7 +132,7 @@
 	lt := l.leaderTerm
 	tasks := 0
 	for tasks < s.Tasks && float64(tasks+1)*s.CPUs <= spare+slack &&
-		j.team.Allowed(float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs, lt.unfencedCPUs+lt.foreignCPUs, lt.unfencedGPUs) {
+		j.team.Allowed(float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs) {
 		tasks++
 		if s.CPUs <= 0 {
 			break
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -32,7 +32,7 @@
 			return
 		}
 		for name, m := range c.leaderTerm.machines {
-			if m.roster == rosterDurable && !m.gone {
+			if m.roster == rosterDurable && !m.terminated {
 				names = append(names, name)
 			}
 		}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -4,46 +4,46 @@
 	"time"
 )
 
-type expected struct {
+type provisioning struct {
 	typ   string
 	zone  string
 	spot  bool
 	since time.Time
 	boot  time.Duration
 	cpus  float64
-	// returning is set while the machine is being given back unused.
-	returning bool
+	// terminating is set while the machine is being given back unused.
+	terminating bool
 }
 
 // scanMachines gives back the machines that are silent, bad or idle.
 func (lt *leaderTerm) scanMachines(now time.Time) {
-	lt.silences(now)
+	lt.detectFailures(now)
 	for _, m := range lt.machines {
-		if m.leaving && !m.returning && !m.gone && m.empty() {
+		if m.evacuating && !m.terminating && !m.terminated && m.empty() {
 			lt.provisioner.giveBack(m)
 		}
 	}
 	idle := lt.provisioner.idle(now)
 	for _, m := range idle {
-		lt.leave(m, "idle")
+		lt.evacuate(m, "idle")
 		lt.provisioner.giveBack(m)
 	}
 }
 
-// leave stops giving a machine tasks.
-func (lt *leaderTerm) leave(m *machine, why string) {
-	if m.leaving {
+// evacuate stops giving a machine tasks.
+func (lt *leaderTerm) evacuate(m *machine, why string) {
+	if m.evacuating {
 		return
 	}
-	m.leaving, m.why = true, why
+	m.evacuating, m.reason = true, why
 	lt.c.Log.Info("machine leaves", "machine", m.name, "type", m.typ, "why", why, "tasks", len(m.attempts))
 }
 
-// machineGone removes a machine whose return the cloud has confirmed.
+// machineTerminated removes a machine whose return the cloud has confirmed.
 // Only this, or a newer report, shows that a task is off its machine.
-func (lt *leaderTerm) machineGone(m *machine) {
-	m.gone = true
-	lt.returned.Add(m.name, true)
+func (lt *leaderTerm) machineTerminated(m *machine) {
+	m.terminated = true
+	lt.terminated.Add(m.name, true)
 	delete(lt.machines, m.name)
 	lt.markFenced(m)
 	for _, a := range m.attempts {
@@ -53,7 +53,7 @@
 		j.flight.Leave(m.name)
 	}
 	lt.recorder.dropMember(m)
-	lt.c.Log.Info("machine gone", "machine", m.name, "why", m.why)
+	lt.c.Log.Info("machine gone", "machine", m.name, "why", m.reason)
 }
 
 // markFenced notes that a machine can no longer surprise this term.
@@ -72,12 +72,12 @@
 }
 
 func (lt *leaderTerm) addMachine(name, typ, zone string, spot bool, now time.Time) *machine {
-	m := &machine{name: name, foreignSum: &lt.foreignCPUs, typ: typ, zone: zone, spot: spot, lastSeen: now, since: now, idle: now,
+	m := &machine{name: name, unattributedTotal: &lt.unattributedCPUs, typ: typ, zone: zone, spot: spot, lastSeen: now, addedAt: now, idleSince: now,
 		attempts: map[attemptKey]*attempt{}, errorJobs: map[string]int{}}
 	if mt, ok := lt.c.types.load()[typ]; ok {
 		m.cpus, m.gpus, m.memory = mt.CPUs, mt.GPUs, mt.MemoryGB
 	}
 	lt.machines[name] = m
-	delete(lt.expected, name)
+	delete(lt.provisioning, name)
 	return m
 }
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -291,35 +291,35 @@
 	redirectedAt time.Time
 	// leaseRenewedUntil is until when another node is known to extend its leases.
 	leaseRenewedUntil time.Time
-	since             time.Time
-	idle              time.Time
+	addedAt           time.Time
+	idleSince         time.Time
 	preemptAt         time.Time
 
 	attempts map[attemptKey]*attempt
-	// foreign counts tasks whose team is not known; foreignHeld is what the
-	// machine adds to foreignSum for them.
-	foreign     int
-	foreignHeld float64
-	foreignSum  *float64
-	images      imageCache
+	// unattributed counts tasks whose team is not known; unattributedCPUs is what the
+	// machine adds to unattributedTotal for them.
+	unattributed      int
+	unattributedCPUs  float64
+	unattributedTotal *float64
+	images            imageCache
 	// fetching are the images that tasks on the machine wait for.
 	fetching map[string]bool
 
 	// draining machines get no tasks while there is room elsewhere; unlike
 	// leaving ones they are taken back into use when that room is needed.
-	draining  bool
-	leaving   bool
-	returning bool
-	why       string
+	draining    bool
+	evacuating  bool
+	terminating bool
+	reason      string
 
 	// slowness is how long runs take here against elsewhere, over slowRuns.
 	slowness float64
 	slowRuns int
 
-	errorJobs  map[string]int
-	pauseUntil time.Time
-	pause      time.Duration
-	gone       bool
+	errorJobs      map[string]int
+	cordonedUntil  time.Time
+	cordonDuration time.Duration
+	terminated     bool
 }
 
 func (m *machine) freeCPUs() float64 { return m.cpus - m.usedCPUs }
@@ -368,29 +368,29 @@
 	return m.images.has(image) || m.fetching[image] || len(m.fetching) < most
 }
 
-// open tells whether the machine may be given tasks.
-func (m *machine) open(now time.Time) bool {
-	return m.fenced && m.roster == rosterDurable && !m.draining && !m.leaving && !m.gone && !m.relayPending && m.cpus > 0 &&
-		m.preemptAt.IsZero() && m.foreign == 0 && !now.Before(m.pauseUntil)
+// isSchedulable tells whether the machine may be given tasks.
+func (m *machine) isSchedulable(now time.Time) bool {
+	return m.fenced && m.roster == rosterDurable && !m.draining && !m.evacuating && !m.terminated && !m.relayPending && m.cpus > 0 &&
+		m.preemptAt.IsZero() && m.unattributed == 0 && !now.Before(m.cordonedUntil)
 }
 
-// countForeign counts tasks whose team is not known, and keeps the sum of the
+// countUnattributed counts tasks whose team is not known, and keeps the sum of the
 // capacity that they may use.
-func (m *machine) countForeign(n int) {
-	m.foreign += n
+func (m *machine) countUnattributed(n int) {
+	m.unattributed += n
 	held := 0.0
-	if m.foreign > 0 {
+	if m.unattributed > 0 {
 		held = m.cpus
 	}
-	*m.foreignSum += held - m.foreignHeld
-	m.foreignHeld = held
+	*m.unattributedTotal += held - m.unattributedCPUs
+	m.unattributedCPUs = held
 }
 
 // charge adds an attempt's resources to its machine, team and job, or takes
 // them off again with sign -1.
 func (a *attempt) charge(sign float64) {
 	if a.job == nil {
-		a.machine.countForeign(int(sign))
+		a.machine.countUnattributed(int(sign))
 		return
 	}
 	s, m, t := &a.job.spec, a.machine, a.job.team
--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -805,7 +805,7 @@
 	}
 }
 
-// extendLease answers a report in the leader's stead, for a bounded time. It starts
+// renewOnBehalf answers a report in the leader's stead, for a bounded time. It starts
 // nothing but what the leader has ordered through the store.
 func (o *oldNode) extendLease(rep *api.Heartbeat) (api.HeartbeatResponse, error) {
 	if o.lost <= 2 || time.Since(o.verified) > 13*time.Second || rep.Term > o.term {
--- a/internal/controller/peertable.go
+++ b/internal/controller/peertable.go
@@ -152,7 +152,7 @@
 			from = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancellations.LastNumber()}
 		}
 		if failed >= unreachedAfter {
-			c.extendLeases(ctx, node)
+			c.renewOnBehalfLoop(ctx, node)
 		}
 		sleep(ctx, pingInterval)
 	}
@@ -198,7 +198,7 @@
 		if w := c.Settings.Site.Workers; m.status.CancellationsKnownAge < 0 || m.status.Term > 1 && now.Sub(mb.termSeenAt) < w.Lease()+2*w.Report() {
 			known = time.Time{}
 		}
-		c.extender.verify(m.node, m.status.Term, known)
+		c.leaseRenewer.verify(m.node, m.status.Term, known)
 	}
 }
 
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -9,7 +9,7 @@
 
 // place pulls tasks for a machine with free room.
 func (lt *leaderTerm) place(m *machine, orders []api.Command, now time.Time) []api.Command {
-	if !m.open(now) || !lt.mayStart(now) {
+	if !m.isSchedulable(now) || !lt.mayStart(now) {
 		return orders
 	}
 	m.lookFetches()
@@ -132,7 +132,7 @@
 		return false
 	case !m.fits(s) || !typeAllowed(s, m.typ) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.Spot):
 		return false
-	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.foreignCPUs, lt.unfencedGPUs):
+	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return false
 	case j.errors[m.name] >= 2 || j.onlyBarred(m) || !(m.canFetch(s.Image, lt.fetches) || lt.quickFetch(j, m)):
 		return false
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -104,13 +104,13 @@
 	used, total := 0.0, 0.0
 	for _, m := range lt.machines {
 		used += m.usedCPUs
-		if !m.leaving && !m.gone {
+		if !m.evacuating && !m.terminated {
 			total += m.cpus
 		}
 	}
 	booting := f.asked
-	for _, e := range lt.expected {
-		if !e.returning {
+	for _, e := range lt.provisioning {
+		if !e.terminating {
 			booting += e.cpus
 		}
 	}
@@ -173,11 +173,11 @@
 	var draining, rest []*machine
 	for _, m := range f.leaderTerm.machines {
 		switch {
-		case m.leaving || m.gone:
+		case m.evacuating || m.terminated:
 		case m.draining:
 			draining = append(draining, m)
 			spare -= m.cpus
-		case m.open(now) && now.Sub(m.since) > minimumStay:
+		case m.isSchedulable(now) && now.Sub(m.addedAt) > minimumStay:
 			rest = append(rest, m)
 		}
 	}
@@ -223,7 +223,7 @@
 func (f *provisioner) move(now time.Time) {
 	room := 0.0
 	for _, m := range f.leaderTerm.machines {
-		if m.open(now) {
+		if m.isSchedulable(now) {
 			room += m.freeCPUs()
 		}
 	}
@@ -314,8 +314,8 @@
 			"asked", m.req.Count, "got", len(m.hosts))
 	}
 	for _, h := range m.hosts {
-		if lt.machines[h] == nil && !lt.returned.Contains(h) {
-			lt.expected[h] = &expected{typ: m.req.Type, zone: m.req.Zone, spot: m.req.Spot, since: now, boot: m.o.Boot, cpus: m.o.CPUs}
+		if lt.machines[h] == nil && !lt.terminated.Contains(h) {
+			lt.provisioning[h] = &provisioning{typ: m.req.Type, zone: m.req.Zone, spot: m.req.Spot, since: now, boot: m.o.Boot, cpus: m.o.CPUs}
 		}
 	}
 	if c.holdsLease() {
@@ -328,8 +328,8 @@
 func (f *provisioner) idle(now time.Time) []*machine {
 	var out []*machine
 	for _, m := range f.leaderTerm.machines {
-		if m.leaving || m.gone || !m.fenced || m.cpus == 0 || len(m.attempts) > 0 ||
-			(!m.draining && now.Sub(m.idle) < f.leaderTerm.c.Policy.IdleReturn) || now.Sub(m.since) < minimumStay {
+		if m.evacuating || m.terminated || !m.fenced || m.cpus == 0 || len(m.attempts) > 0 ||
+			(!m.draining && now.Sub(m.idleSince) < f.leaderTerm.c.Policy.IdleReturn) || now.Sub(m.addedAt) < minimumStay {
 			continue
 		}
 		out = append(out, m)
@@ -374,7 +374,7 @@
 
 // giveBack returns a machine to the cloud.
 func (f *provisioner) giveBack(m *machine) {
-	m.returning = true
+	m.terminating = true
 	f.returns = append(f.returns, m.name)
 	f.sendReturns()
 }
@@ -414,10 +414,10 @@
 		return
 	}
 	for _, name := range m.names {
-		delete(lt.expected, name)
-		lt.returned.Add(name, true)
+		delete(lt.provisioning, name)
+		lt.terminated.Add(name, true)
 		if mc := lt.machines[name]; mc != nil {
-			lt.machineGone(mc)
+			lt.machineTerminated(mc)
 		}
 	}
 	lt.provisioner.sendReturns()
@@ -464,12 +464,12 @@
 
 // listed processes one machine of the cloud's list, which lags.
 func (lt *leaderTerm) listed(h *cloud.Machine, now time.Time) {
-	if lt.returned.Contains(h.Name) {
+	if lt.terminated.Contains(h.Name) {
 		return
 	}
 	if m := lt.machines[h.Name]; m != nil {
-		if h.Phase == cloud.PhaseFailed && !m.returning && now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.Report() {
-			lt.leave(m, "stopped")
+		if h.Phase == cloud.PhaseFailed && !m.terminating && now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.Report() {
+			lt.evacuate(m, "stopped")
 			lt.provisioner.giveBack(m)
 		}
 		return
@@ -477,19 +477,19 @@
 	mt := lt.c.types.load()[h.Type]
 	boot := time.Duration(mt.BootS * float64(time.Second))
 	age := time.Duration(h.AgeS * float64(time.Second))
-	e := lt.expected[h.Name]
+	e := lt.provisioning[h.Name]
 	if e == nil {
-		e = &expected{typ: h.Type, zone: h.Zone, spot: h.Spot, since: now.Add(-age), boot: boot, cpus: mt.CPUs}
-		lt.expected[h.Name] = e
+		e = &provisioning{typ: h.Type, zone: h.Zone, spot: h.Spot, since: now.Add(-age), boot: boot, cpus: mt.CPUs}
+		lt.provisioning[h.Name] = e
 	}
-	if e.returning {
+	if e.terminating {
 		return
 	}
 	// A machine that is up reports within seconds; one that boots may take
 	// several times as long as usual.
 	if h.Phase == cloud.PhaseFailed || (now.Sub(e.since) > 4*boot+lt.c.Settings.Site.Workers.Lease()) {
 		lt.c.Log.Info("machine never reported", "machine", h.Name, "phase", h.Phase, "age", age.Round(time.Second))
-		e.returning = true
+		e.terminating = true
 		lt.provisioner.returns = append(lt.provisioner.returns, h.Name)
 	}
 }
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -166,7 +166,7 @@
 
 // addEnrolled adds new machines to the roster.
 func (w *recorder) addEnrolled(b *batch, allowed int) {
-	w.enrolling = slices.DeleteFunc(w.enrolling, func(m *machine) bool { return m.gone })
+	w.enrolling = slices.DeleteFunc(w.enrolling, func(m *machine) bool { return m.terminated })
 	for len(w.enrolling) > 0 && len(b.txn.Ops) < allowed && b.bytes < w.maxBytes {
 		n, size := w.fitting(w.enrolling)
 		if n == 0 {
@@ -300,7 +300,7 @@
 // not know of it, so it is never given a task.
 func (w *recorder) unfit(m *machine) {
 	w.leaderTerm.c.Log.Error("machine's entry does not fit the roster", "machine", m.name)
-	w.leaderTerm.leave(m, "does not fit the roster")
+	w.leaderTerm.evacuate(m, "does not fit the roster")
 }
 
 // recorded updates the state of what a written batch has put on record.
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -154,15 +154,15 @@
 
 // write writes new reports and outcomes to the store.
 func (u *relayUp) write(c *Controller, now time.Time) {
-	extender := &c.extender
+	extender := &c.leaseRenewer
 	leader := c.membership.members[extender.leader]
-	carrying := leader.isUnreachable() && extender.mark != 0 && now.Sub(extender.verified) < c.extensionPeriod()
+	carrying := leader.isUnreachable() && extender.termRevision != 0 && now.Sub(extender.verifiedAt) < c.renewalPeriod()
 	for _, m := range u.machines {
 		if m.orders != nil && (now.Sub(m.since) > relayOrderLife || !carrying) {
 			m.settle(0)
 		}
 	}
-	if extender.mark == 0 && !carrying {
+	if extender.termRevision == 0 && !carrying {
 		// The leader is reached again or another leads: what is left to tell
 		// is told under the term that the orders belong to.
 		u.forget(now)
@@ -189,7 +189,7 @@
 	}
 	txn := u.transaction(store.RelayPrefix+c.Settings.Node, parts, most)
 	if carrying {
-		txn.Guards = []store.Guard{{Key: election.TermKey, Mark: extender.mark}}
+		txn.Guards = []store.Guard{{Key: election.TermKey, Mark: extender.termRevision}}
 	}
 	// Where few changes are allowed, relaying must leave room for submissions.
 	if next := now.Add(config.Seconds(float64(len(txn.Ops)) / (lim.WriteRPS * store.RecordShare))); next.After(u.next) {
@@ -200,7 +200,7 @@
 
 // compose builds a batch of outcomes and, while the leader cannot be reached, of
 // about room bytes of reports. It returns with it the machines of the outcomes.
-func (u *relayUp) compose(extender *leaseExtender, carrying bool, room int) (up *peer.RelayUp, told []*relayed) {
+func (u *relayUp) compose(extender *leaseRenewer, carrying bool, room int) (up *peer.RelayUp, told []*relayed) {
 	up = &peer.RelayUp{Incarnation: u.incarnation, Batch: u.batch, Got: u.got}
 	for _, m := range u.oldestFirst() {
 		if m.outcome != nil {
@@ -318,11 +318,11 @@
 // relayedMsg brings what the leader has written; nil: nothing.
 type relayedMsg struct{ down *peer.RelayDown }
 
-func (r relayedMsg) apply(c *Controller) {
+func (m relayedMsg) apply(c *Controller) {
 	u := &c.up
 	u.busy = false
 	now := time.Now()
-	if d := r.down; d != nil && d.Incarnation == u.incarnation {
+	if d := m.down; d != nil && d.Incarnation == u.incarnation {
 		u.take(c, d, now)
 	}
 	u.write(c, now)
@@ -346,7 +346,7 @@
 			u.machines[o.Machine] = m
 		}
 		m.orders, m.session, m.base, m.term, m.since = peer.UnpackOrders(o.Orders), o.Session, o.Base, d.Term, now
-		if d.Term != c.extender.term || o.Session != m.rep.AgentEpoch {
+		if d.Term != c.leaseRenewer.term || o.Session != m.rep.AgentEpoch {
 			m.settle(0)
 		}
 	}
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -99,7 +99,7 @@
 		for _, a := range p.starts {
 			if a.direct.inFlight = false; a.lastSeenIn == 0 && a.machine.attempts[a.key] == a {
 				a.direct.outcomeUnknown = true
-				lt.leave(a.machine, "order unanswered")
+				lt.evacuate(a.machine, "order unanswered")
 				if a.job.over {
 					lt.resolveOutcome(a)
 				}
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -46,11 +46,11 @@
 		ans.Commands = lt.c.stopCancelled(rep, nil)
 		return ans, nil
 	}
-	if lt.returned.Contains(rep.Machine) {
+	if lt.terminated.Contains(rep.Machine) {
 		return ans, api.ErrUnavailable // given back; this was held up on its way
 	}
 	m := lt.machines[rep.Machine]
-	if rep.Term < lt.term.Number && (m != nil || lt.expected[rep.Machine] == nil) {
+	if rep.Term < lt.term.Number && (m != nil || lt.provisioning[rep.Machine] == nil) {
 		// A token never falls, so this is the first report of a machine that
 		// has yet to hear of this term, one of a machine that no answer
 		// reaches, or a copy of an old report that comes late. These look
@@ -90,7 +90,7 @@
 		m.lastCommands, m.lastCommandsAt = orders, now
 	}
 	if m.usedCPUs > slack || len(m.attempts) > 0 {
-		m.idle = now
+		m.idleSince = now
 	}
 	return orders
 }
@@ -98,13 +98,13 @@
 // updateMachine records what a new report says of the machine itself.
 func (lt *leaderTerm) updateMachine(m *machine, rep *api.Heartbeat, now time.Time) {
 	if m.agentEpoch != 0 && rep.AgentEpoch > m.agentEpoch {
-		if lt.punctual(now.Add(-lt.c.Settings.Site.Workers.Lease() - lt.hearable())) {
+		if lt.notPausedSince(now.Add(-lt.c.Settings.Site.Workers.Lease() - lt.heartbeatTimeout())) {
 			m.unappliedResponses++ // its lease has ended although it was answered
 		}
 		m.lastCommands = nil
 	}
 	m.heartbeats++
-	if now.Sub(m.lastHeartbeat) > lt.hearable() {
+	if now.Sub(m.lastHeartbeat) > lt.heartbeatTimeout() {
 		m.markUnmeasured()
 	}
 	m.lastHeartbeat = now
@@ -125,7 +125,7 @@
 // registerUnregistered has a machine written to the roster if it is not on it. No
 // earlier leader has started anything there, so it counts as heard.
 func (lt *leaderTerm) registerUnregistered(m *machine) {
-	if m.roster != rosterNone || m.cpus <= 0 || m.leaving {
+	if m.roster != rosterNone || m.cpus <= 0 || m.evacuating {
 		return
 	}
 	m.roster = rosterWriting
@@ -152,12 +152,12 @@
 			return
 		}
 	}
-	if !lt.punctual(m.lastCommandsAt.Add(-lateResponse)) {
+	if !lt.notPausedSince(m.lastCommandsAt.Add(-lateResponse)) {
 		return // the answer may have come too late, by this node's fault
 	}
 	// One answer may be lost; after a second, the machine is asked first.
 	if m.unappliedResponses++; m.unappliedResponses > 1 {
-		m.pauseUntil = now.Add(min(lt.c.Settings.Site.Workers.Report()<<min(m.unappliedResponses, 5), 30*time.Second))
+		m.cordonedUntil = now.Add(min(lt.c.Settings.Site.Workers.Report()<<min(m.unappliedResponses, 5), 30*time.Second))
 	}
 	m.nextProbe = now
 	lt.c.Log.Debug("orders not carried out", "machine", m.name, "orders", len(m.lastCommands), "times", m.unappliedResponses)
@@ -171,7 +171,7 @@
 	if !first {
 		return
 	}
-	lt.leave(m, "taken by the cloud")
+	lt.evacuate(m, "taken by the cloud")
 	for _, a := range m.attempts {
 		if a.exited || a.job == nil {
 			continue
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -29,7 +29,7 @@
 	for len(lt.toResync) > 0 && lt.resyncing < lt.maxDials {
 		m := lt.toResync[0]
 		lt.toResync = lt.toResync[1:]
-		if m.fenced || m.gone || m.returning || m.addr == "" {
+		if m.fenced || m.terminated || m.terminating || m.addr == "" {
 			continue
 		}
 		lt.resync(m, now)
@@ -40,41 +40,41 @@
 // again like any silent machine.
 func (lt *leaderTerm) resync(m *machine, now time.Time) {
 	lt.resyncing++
-	m.nextProbe = now.Add(probeEvery)
+	m.nextProbe = now.Add(probeInterval)
 	addr, term := m.addr, lt.term.Number
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
 		defer cancel()
 		rep, err := lt.c.CommandSender.Resync(ctx, addr, term)
-		lt.sendToOwner(resyncedMsg{lt, m, now, rep, err})
+		lt.sendToOwner(resyncResultMsg{lt, m, now, rep, err})
 	}()
 }
 
-type resyncedMsg struct {
+type resyncResultMsg struct {
 	leaderTerm *leaderTerm
 	machine    *machine
-	asked      time.Time
-	rep        *api.Heartbeat
+	sentAt     time.Time
+	heartbeat  *api.Heartbeat
 	err        error
 }
 
-func (g resyncedMsg) apply(c *Controller) {
-	lt := g.leaderTerm
+func (m resyncResultMsg) apply(c *Controller) {
+	lt := m.leaderTerm
 	if c.leaderTerm != lt {
 		return
 	}
 	lt.resyncing--
 	now := time.Now()
 	switch {
-	case g.machine.gone:
-	case g.err != nil:
-		c.Log.Debug("resync", "machine", g.machine.name, "err", g.err)
-		if !g.machine.fenced && lt.punctual(g.asked) {
-			g.machine.probeFails++
+	case m.machine.terminated:
+	case m.err != nil:
+		c.Log.Debug("resync", "machine", m.machine.name, "err", m.err)
+		if !m.machine.fenced && lt.notPausedSince(m.sentAt) {
+			m.machine.probeFails++
 		}
-	case c.holdsLease() && g.rep.Machine == g.machine.name:
-		if _, err := lt.handleHeartbeat(g.rep, solicited, now); err != nil {
-			c.Log.Debug("resync", "machine", g.machine.name, "err", err)
+	case c.holdsLease() && m.heartbeat.Machine == m.machine.name:
+		if _, err := lt.handleHeartbeat(m.heartbeat, solicited, now); err != nil {
+			c.Log.Debug("resync", "machine", m.machine.name, "err", err)
 		}
 	}
 	if c.leaderTerm == lt {
--- a/internal/controller/room.go
+++ b/internal/controller/room.go
@@ -37,7 +37,7 @@
 	}
 	var places []place
 	for _, m := range lt.machines {
-		if m.open(now) && m.fits(&j.spec) && (!m.spot || j.spec.Spot) {
+		if m.isSchedulable(now) && m.fits(&j.spec) && (!m.spot || j.spec.Spot) {
 			places = append(places, place{lt.placementCost(j, m), m.slots(&j.spec)})
 		}
 	}
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -172,7 +172,7 @@
 		s.replaces, s.part = nil, false
 		for _, m := range slices.Clone(s.members) {
 			m.roster, m.shard = rosterDurable, s
-			if m.gone {
+			if m.terminated {
 				w.dropMember(m)
 			}
 		}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -284,7 +284,7 @@
 			}
 			l.cut.Store(false)
 			time.Sleep(3 * time.Second)
-			b.look(func(c *Controller) { w.same("still keeps them after the cut", c.extender.away, false) })
+			b.look(func(c *Controller) { w.same("still keeps them after the cut", c.leaseRenewer.leaderAway, false) })
 		})
 	}
 }
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -14,23 +14,23 @@
 }
 
 const (
-	probeTimeout = time.Second
-	probeEvery   = time.Second
-	// deadAfter is how many probes in a row must fail.
-	deadAfter = 2
-	// deafAfter is how many times in a row a machine may carry out no orders
+	probeTimeout  = time.Second
+	probeInterval = time.Second
+	// deadAfterProbes is how many probes in a row must fail.
+	deadAfterProbes = 2
+	// undeliveredAfter is how many times in a row a machine may carry out no orders
 	// while it answers probes.
-	deafAfter = 4
-	// freshFor is how recent a report is that came just now. Among fewMachines
+	undeliveredAfter = 4
+	// freshHeartbeatAge is how recent a report is that came just now. Among minZoneMachines
 	// nothing is read from how many of those there are.
-	freshFor    = 2 * time.Second
-	fewMachines = 10
-	// settleIn is what machines are given to find a new leader before they
+	freshHeartbeatAge = 2 * time.Second
+	minZoneMachines   = 10
+	// takeoverGrace is what machines are given to find a new leader before they
 	// are probed.
-	settleIn = 1500 * time.Millisecond
+	takeoverGrace = 1500 * time.Millisecond
 )
 
-// silences gives back the machines that have fallen silent or deaf. A machine
+// detectFailures gives back the machines that have fallen silent or deaf. A machine
 // that is dead is noticed after a missed report and two probes that failed;
 // waiting for its lease would cost its tasks that much more, and a new leader
 // that waits for it to be heard can start nothing old. One whose reports arrive
@@ -38,33 +38,33 @@
 // most of a zone is silent or deaf at once, the network is the more likely
 // cause, and a node on the other side may extend the machines' leases: they are
 // given the time in which even that ends.
-func (lt *leaderTerm) silences(now time.Time) {
+func (lt *leaderTerm) detectFailures(now time.Time) {
 	zones := lt.zoneCounts(now)
 	for _, m := range lt.machines {
-		if m.gone || m.returning || !lt.suspect(m, now) {
+		if m.terminated || m.terminating || !lt.isSuspect(m, now) {
 			continue
 		}
 		lt.probe(m, now)
-		cut := lt.likelyCut(m, zones[m.zone])
+		cut := lt.likelyPartition(m, zones[m.zone])
 		if cut {
-			lt.readExtensions(now)
+			lt.readRenewals(now)
 		}
-		if !lt.givenUp(m, cut, now) {
+		if !lt.confirmedDead(m, cut, now) {
 			continue
 		}
 		why := "silent"
 		if m.unappliedResponses > 0 {
 			why = "deaf"
 		}
-		lt.leave(m, why)
+		lt.evacuate(m, why)
 		lt.provisioner.giveBack(m)
 	}
 }
 
-// suspect tells whether a machine may be dead or deaf.
-func (lt *leaderTerm) suspect(m *machine, now time.Time) bool {
+// isSuspect tells whether a machine may be dead or deaf.
+func (lt *leaderTerm) isSuspect(m *machine, now time.Time) bool {
 	if !m.fenced {
-		return now.Sub(m.lastSeen) > settleIn // not heard of in this term
+		return now.Sub(m.lastSeen) > takeoverGrace // not heard of in this term
 	}
 	return m.unappliedResponses > 0 || now.Sub(m.lastSeen) > lt.c.Settings.Site.Workers.Report()*5/4+time.Second
 }
@@ -76,15 +76,15 @@
 func (lt *leaderTerm) zoneCounts(now time.Time) map[string]zoneCount {
 	zones := map[string]zoneCount{}
 	for _, m := range lt.machines {
-		if m.gone || m.returning {
+		if m.terminated || m.terminating {
 			continue
 		}
 		n := zones[m.zone]
 		n.all++
-		if lt.suspect(m, now) {
+		if lt.isSuspect(m, now) {
 			n.suspect++
 		}
-		if now.Sub(m.lastHeartbeat) < freshFor {
+		if now.Sub(m.lastHeartbeat) < freshHeartbeatAge {
 			n.fresh++
 		}
 		zones[m.zone] = n
@@ -92,23 +92,23 @@
 	return zones
 }
 
-// likelyCut tells whether a suspect machine is more likely cut off, with others of
+// likelyPartition tells whether a suspect machine is more likely cut off, with others of
 // its zone, than dead.
-func (lt *leaderTerm) likelyCut(m *machine, zone zoneCount) bool {
+func (lt *leaderTerm) likelyPartition(m *machine, zone zoneCount) bool {
 	if zone.suspect >= 3 && zone.suspect*5 > zone.all*3 {
 		return true
 	}
 	// The first to be missed when all fall silent at once are not dead: nearly
 	// nobody has reported since. So many should have reported just now.
-	due := min(1, freshFor.Seconds()/lt.c.Settings.Site.Workers.ReportS)
-	return m.fenced && float64(zone.fresh) < due*float64(zone.all)/5 && zone.all >= fewMachines
+	due := min(1, freshHeartbeatAge.Seconds()/lt.c.Settings.Site.Workers.ReportS)
+	return m.fenced && float64(zone.fresh) < due*float64(zone.all)/5 && zone.all >= minZoneMachines
 }
 
-// givenUp tells whether a suspect machine is to be returned.
-func (lt *leaderTerm) givenUp(m *machine, cut bool, now time.Time) bool {
+// confirmedDead tells whether a suspect machine is to be returned.
+func (lt *leaderTerm) confirmedDead(m *machine, cut bool, now time.Time) bool {
 	w := lt.c.Settings.Site.Workers
 	switch silent := now.Sub(m.lastSeen); {
-	case !m.fenced && now.Sub(lt.listening) > w.Lease()+2*w.Report():
+	case !m.fenced && now.Sub(lt.heartbeatsSince) > w.Lease()+2*w.Report():
 		// It holds every earlier job back. A deaf one shows the old token
 		// in report after report and may even answer probes, but its
 		// lease has ended by now. One whose lease another node extends would
@@ -121,7 +121,7 @@
 	case cut:
 		return false
 	default:
-		return silent > w.Lease()+2*w.Report() || m.probeFails >= deadAfter || m.unappliedResponses >= deafAfter
+		return silent > w.Lease()+2*w.Report() || m.probeFails >= deadAfterProbes || m.unappliedResponses >= undeliveredAfter
 	}
 }
 
@@ -136,7 +136,7 @@
 		}
 		return
 	}
-	m.nextProbe = now.Add(probeEvery)
+	m.nextProbe = now.Add(probeInterval)
 	p := lt.c.Prober
 	if p == nil || m.addr == "" {
 		m.probeFails++
@@ -144,61 +144,61 @@
 	}
 	lt.probing++
 	// The machine is the owner's.
-	msg := probedMsg{leaderTerm: lt, machine: m, asked: now, session: m.agentEpoch, seq: m.heartbeatSeq}
+	msg := probeResultMsg{leaderTerm: lt, machine: m, sentAt: now, agentEpoch: m.agentEpoch, heartbeatSeq: m.heartbeatSeq}
 	addr := m.addr
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
 		defer cancel()
-		msg.rep, msg.err = p.Probe(ctx, addr)
+		msg.heartbeat, msg.err = p.Probe(ctx, addr)
 		lt.sendToOwner(msg)
 	}()
 }
 
-type probedMsg struct {
+type probeResultMsg struct {
 	leaderTerm *leaderTerm
 	machine    *machine
-	asked      time.Time
-	// session and seq are of the machine's last report when it was asked.
-	session, seq uint64
-	rep          *api.Heartbeat
-	err          error
+	sentAt     time.Time
+	// agentEpoch and seq are of the machine's last report when it was asked.
+	agentEpoch, heartbeatSeq uint64
+	heartbeat                *api.Heartbeat
+	err                      error
 }
 
-func (p probedMsg) apply(c *Controller) {
-	if c.leaderTerm != p.leaderTerm {
+func (m probeResultMsg) apply(c *Controller) {
+	if c.leaderTerm != m.leaderTerm {
 		return
 	}
-	p.leaderTerm.probing--
-	if p.machine.gone {
+	m.leaderTerm.probing--
+	if m.machine.terminated {
 		return
 	}
-	if p.err != nil || p.rep.Machine != p.machine.name {
-		if (p.machine.lastSeen.Before(p.asked) || p.machine.unappliedResponses > 0) && p.leaderTerm.punctual(p.asked) {
-			p.machine.probeFails++
+	if m.err != nil || m.heartbeat.Machine != m.machine.name {
+		if (m.machine.lastSeen.Before(m.sentAt) || m.machine.unappliedResponses > 0) && m.leaderTerm.notPausedSince(m.sentAt) {
+			m.machine.probeFails++
 		}
 		return
 	}
-	if p.rep.AgentEpoch < p.session || p.rep.AgentEpoch == p.session && p.rep.Seq < p.seq {
+	if m.heartbeat.AgentEpoch < m.agentEpoch || m.heartbeat.AgentEpoch == m.agentEpoch && m.heartbeat.Seq < m.heartbeatSeq {
 		// It answers, and says less than it did: it was started anew, back
 		// before anybody missed it. All its reports would be taken for older
 		// ones, and its tasks for running, without end. Nothing shows that
 		// they are off the machine but its return.
-		p.leaderTerm.leave(p.machine, "started anew")
-		if !p.machine.returning {
-			p.leaderTerm.provisioner.giveBack(p.machine)
+		m.leaderTerm.evacuate(m.machine, "started anew")
+		if !m.machine.terminating {
+			m.leaderTerm.provisioner.giveBack(m.machine)
 		}
 		return
 	}
-	if p.machine.fenced && p.rep.AgentEpoch > p.machine.agentEpoch && c.holdsLease() {
+	if m.machine.fenced && m.heartbeat.AgentEpoch > m.machine.agentEpoch && c.holdsLease() {
 		// Its lease has ended while it reached no controller, and its tasks
 		// with that. Its reports may not come for long.
-		if _, err := p.leaderTerm.handleHeartbeat(p.rep, solicited, time.Now()); err != nil {
-			c.Log.Debug("probe", "machine", p.machine.name, "err", err)
+		if _, err := m.leaderTerm.handleHeartbeat(m.heartbeat, solicited, time.Now()); err != nil {
+			c.Log.Debug("probe", "machine", m.machine.name, "err", err)
 		}
 		return
 	}
 	// Alive, but its reports do not get here; what they would say is not
 	// known, so only the silence is taken back.
-	p.machine.probeFails = 0
-	p.machine.lastSeen = time.Now()
+	m.machine.probeFails = 0
+	m.machine.lastSeen = time.Now()
 }
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -91,9 +91,9 @@
 	ratio := float64(took) * float64(others.count) / float64(max(others.sum, time.Second))
 	m.slowRuns++
 	m.slowness += (ratio - m.slowness) / float64(min(m.slowRuns, slowRuns))
-	if m.slowRuns >= slowRuns && m.slowness > slowRatio && !m.leaving && lt.fewSlow() {
+	if m.slowRuns >= slowRuns && m.slowness > slowRatio && !m.evacuating && lt.fewSlow() {
 		lt.c.Log.Info("machine quarantined", "machine", m.name, "slowness", m.slowness)
-		lt.leave(m, "slow")
+		lt.evacuate(m, "slow")
 		for _, o := range m.attempts {
 			if !o.exited && o.job != nil && o.job.spec.CheckpointS > 0 {
 				lt.stop(o, 2*o.job.spec.Save()+time.Second, now)
@@ -107,7 +107,7 @@
 func (lt *leaderTerm) fewSlow() bool {
 	n := 0
 	for _, m := range lt.machines {
-		if m.why == "slow" {
+		if m.reason == "slow" {
 			n++
 		}
 	}
@@ -123,8 +123,8 @@
 	}
 }
 
-// hearable is the longest time between two reports of a machine in order.
-func (lt *leaderTerm) hearable() time.Duration {
+// heartbeatTimeout is the longest time between two reports of a machine in order.
+func (lt *leaderTerm) heartbeatTimeout() time.Duration {
 	return 2*lt.c.Settings.Site.Workers.Report() + time.Second
 }
 
@@ -147,7 +147,7 @@
 			m := a.machine
 			took := now.Sub(a.runningAt)
 			// A machine out of hearing may have ended the run long ago.
-			if now.Sub(m.lastHeartbeat) > lt.hearable() || a.exited || a.stop != nil || a.runningAt.IsZero() || took <= limit || j.restarted[a.task] {
+			if now.Sub(m.lastHeartbeat) > lt.heartbeatTimeout() || a.exited || a.stop != nil || a.runningAt.IsZero() || took <= limit || j.restarted[a.task] {
 				continue
 			}
 			others := j.elsewhere(m)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -19,19 +19,19 @@
 
 // LeaderStatus is what only the leader knows.
 type LeaderStatus struct {
-	Term     uint64       `json:"term"`
-	ValidS   float64      `json:"valid_s"`
-	Machines int          `json:"machines"`
-	Unfenced int          `json:"unheard"`
-	Draining int          `json:"draining"`
-	Leaving  int          `json:"leaving"`
-	Booting  int          `json:"booting"`
-	CPUs     float64      `json:"cpus"`
-	UsedCPUs float64      `json:"used_cpus"`
-	Teams    []TeamStatus `json:"teams"`
-	Started  int64        `json:"started"`
-	Lost     int64        `json:"lost"`
-	Done     int64        `json:"done"`
+	Term       uint64       `json:"term"`
+	ValidS     float64      `json:"valid_s"`
+	Machines   int          `json:"machines"`
+	Unfenced   int          `json:"unheard"`
+	Draining   int          `json:"draining"`
+	Evacuating int          `json:"leaving"`
+	Booting    int          `json:"booting"`
+	CPUs       float64      `json:"cpus"`
+	UsedCPUs   float64      `json:"used_cpus"`
+	Teams      []TeamStatus `json:"teams"`
+	Started    int64        `json:"started"`
+	Lost       int64        `json:"lost"`
+	Done       int64        `json:"done"`
 	// Waits is how many jobs wait for their first start, by why.
 	Waits      map[string]int `json:"waits"`
 	FirstStart Latency        `json:"first_start_ms"`
@@ -116,7 +116,7 @@
 
 func (lt *leaderTerm) status(now time.Time) *LeaderStatus {
 	s := &LeaderStatus{Term: lt.term.Number, ValidS: max(0, lt.leaseExpiry.Sub(now).Seconds()), Machines: len(lt.machines),
-		Unfenced: lt.unfenced, Booting: len(lt.expected), Started: lt.counts.started, Lost: lt.counts.lost,
+		Unfenced: lt.unfenced, Booting: len(lt.provisioning), Started: lt.counts.started, Lost: lt.counts.lost,
 		Done: lt.counts.done, FirstStart: latency(lt.counts.firstStart), Recorded: latency(lt.counts.recorded)}
 	s.Waits, _ = lt.waits(now)
 	s.Cells = lt.loans.status(now)
@@ -127,8 +127,8 @@
 		s.CPUs += m.cpus
 		s.UsedCPUs += m.usedCPUs
 		switch {
-		case m.leaving:
-			s.Leaving++
+		case m.evacuating:
+			s.Evacuating++
 		case m.draining:
 			s.Draining++
 		}
@@ -160,7 +160,7 @@
 		return "fails everywhere"
 	case lt.unfenced > 0 && j.mark <= lt.term.Mark:
 		return "takeover"
-	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.foreignCPUs, lt.unfencedGPUs):
+	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return "team limit"
 	case j.load.Defer || j.hopeless:
 		return "gives way"
@@ -220,7 +220,7 @@
 	var total, open, running, pulling, ordered, saving, kept float64
 	for _, m := range lt.machines {
 		total += m.cpus
-		if m.open(now) {
+		if m.isSchedulable(now) {
 			open += m.cpus
 		}
 		for _, a := range m.attempts {
@@ -243,7 +243,7 @@
 	for _, j := range lt.jobs {
 		waiting[j.spec.Class] += float64(j.flight.Untaken()) * j.spec.CPUs
 	}
-	lt.c.Log.Debug("fleet use", "machines", len(lt.machines), "unheard", lt.unfenced, "expected", len(lt.expected), "cpus", total, "open", open,
+	lt.c.Log.Debug("fleet use", "machines", len(lt.machines), "unheard", lt.unfenced, "expected", len(lt.provisioning), "cpus", total, "open", open,
 		"running", running, "pulling", pulling, "ordered", ordered, "saving", saving, "kept", kept, "jobs", len(lt.jobs), "waiting", waiting)
 }
 
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -115,7 +115,7 @@
 	for _, e := range m.snapshot.machines {
 		lt.addShard(e, now)
 	}
-	lt.loaded, lt.listening, lt.cancellationsConfirmedAt = true, now, m.snapshot.asked
+	lt.loaded, lt.heartbeatsSince, lt.cancellationsConfirmedAt = true, now, m.snapshot.asked
 	go lt.awaitsLists.sweep()
 	if c.CommandSender != nil {
 		lt.resyncNext(now)
--- a/internal/controller/triage.go
+++ b/internal/controller/triage.go
@@ -18,7 +18,7 @@
 func (lt *leaderTerm) triage(now time.Time) {
 	cpus, free, waiting := 0.0, 0.0, 0.0
 	for _, m := range lt.machines {
-		if m.open(now) {
+		if m.isSchedulable(now) {
 			cpus += m.cpus
 			free += m.freeCPUs()
 		}
