--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -54,11 +54,11 @@
 
 // Team is a share of the cluster: a guarantee and a limit.
 type Team struct {
-	Name    string  `json:"name"`
-	CPUs    float64 `json:"cpus"`
-	CPUsMax float64 `json:"cpus_max"`
-	GPUs    float64 `json:"gpus"`
-	GPUsMax float64 `json:"gpus_max"`
+	Name      string  `json:"name"`
+	CPUs      float64 `json:"cpus"`
+	LimitCPUs float64 `json:"cpus_max"`
+	GPUs      float64 `json:"gpus"`
+	LimitGPUs float64 `json:"gpus_max"`
 }
 
 // Objective is one of the users' aims.
@@ -272,10 +272,10 @@
 			return fmt.Errorf("%s.name: %q is empty or named twice", at, t.Name)
 		}
 		names[t.Name] = true
-		if !notNegative(t.CPUs) || !notNegative(t.CPUsMax) || !notNegative(t.GPUs) || !notNegative(t.GPUsMax) {
+		if !notNegative(t.CPUs) || !notNegative(t.LimitCPUs) || !notNegative(t.GPUs) || !notNegative(t.LimitGPUs) {
 			return fmt.Errorf("%s: amounts must be finite and not negative", at)
 		}
-		if t.CPUs > t.CPUsMax || t.GPUs > t.GPUsMax {
+		if t.CPUs > t.LimitCPUs || t.GPUs > t.LimitGPUs {
 			return fmt.Errorf("%s: the guarantee is above the limit", at)
 		}
 	}
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -7,8 +7,8 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// adopt adds an attempt that this leader did not start.
-func (lt *leaderTerm) adopt(m *machine, key attemptKey, t *api.TaskStatus, now time.Time) *attempt {
+// adoptAttempt adds an attempt that this leader did not start.
+func (lt *leaderTerm) adoptAttempt(m *machine, key attemptKey, t *api.TaskStatus, now time.Time) *attempt {
 	key.ref = strings.Clone(key.ref)
 	a := &attempt{key: key, machine: m, phase: t.Phase, sentAt: now}
 	m.attempts[key] = a
@@ -17,25 +17,25 @@
 		a.job, a.task = j, task
 	}
 	if a.job != nil && (t.Phase == api.TaskRunning || t.Phase == api.TaskSaving || t.Cause == api.CauseDone) {
-		lt.hasImage(m, &a.job.spec, now)
+		lt.recordImage(m, &a.job.spec, now)
 	}
 	if t.Phase == api.TaskExited {
 		a.exited = true
 		return a
 	}
-	a.charge(1)
-	if a.job != nil && (a.job.live[task] == nil || a.job.live[task].key.id < key.id) {
+	a.reserve(1)
+	if a.job != nil && (a.job.activeAttempts[task] == nil || a.job.activeAttempts[task].key.id < key.id) {
 		// Of two attempts the later one is kept: it was begun only when the
 		// earlier one was known to be off its machine.
-		a.job.live[task] = a
+		a.job.activeAttempts[task] = a
 		a.job.flight.Take(task)
 		a.job.flight.Join(m.name)
 	}
 	return a
 }
 
-// update applies what a report says of an attempt.
-func (lt *leaderTerm) update(a *attempt, t *api.TaskStatus, now time.Time) {
+// updateAttempt applies what a report says of an attempt.
+func (lt *leaderTerm) updateAttempt(a *attempt, t *api.TaskStatus, now time.Time) {
 	was := a.phase
 	a.phase = t.Phase
 	if a.phase == api.TaskRunning && was != api.TaskRunning {
@@ -43,10 +43,10 @@
 		if a.job != nil {
 			if a.job.firstStart.IsZero() {
 				a.job.firstStart = now
-				record(lt.counts.firstStart, now.Sub(a.job.since))
+				record(lt.counts.firstStart, now.Sub(a.job.runnableSince))
 			}
 			a.job.lastStart = now
-			lt.hasImage(a.machine, &a.job.spec, now)
+			lt.recordImage(a.machine, &a.job.spec, now)
 		}
 	}
 	if t.Phase != api.TaskExited {
@@ -54,35 +54,35 @@
 	}
 	if !a.exited {
 		a.exited = true
-		a.charge(-1)
+		a.reserve(-1)
 	}
 	if a.exitHandled {
 		return
 	}
 	a.exitHandled = true
-	lt.exit(a, t, now)
+	lt.handleExit(a, t, now)
 }
 
-// exit handles the end of an attempt by its cause.
-func (lt *leaderTerm) exit(a *attempt, t *api.TaskStatus, now time.Time) {
+// handleExit handles the end of an attempt by its cause.
+func (lt *leaderTerm) handleExit(a *attempt, t *api.TaskStatus, now time.Time) {
 	j, m := a.job, a.machine
 	if j == nil {
 		return
 	}
 	if t.Cause == api.CauseDone {
 		if !a.runningAt.IsZero() {
-			lt.ran(a, now.Sub(a.runningAt), now)
+			lt.recordRun(a, now.Sub(a.runningAt), now)
 		}
 		lt.taskDone(j, a.task, now)
-		j.faulty = 0
+		j.failureRounds = 0
 		m.cordonDuration = 0
 		clear(m.errorJobs)
-		lt.hasImage(m, &j.spec, now)
+		lt.recordImage(m, &j.spec, now)
 	}
 	lt.release(a)
 	switch t.Cause {
 	case api.CauseError:
-		lt.failed(a, now)
+		lt.taskFailed(a, now)
 	case api.CauseNoRoom, api.CauseBusy, api.CauseNoSuch:
 		lt.c.Log.Debug("start refused", "machine", m.name, "task", a.key.ref, "why", t.Cause)
 		m.cordonedUntil = now.Add(time.Second)
@@ -93,12 +93,12 @@
 // by another attempt.
 func (lt *leaderTerm) release(a *attempt) {
 	j := a.job
-	if j == nil || j.live[a.task] != a {
+	if j == nil || j.activeAttempts[a.task] != a {
 		return
 	}
-	delete(j.live, a.task)
+	delete(j.activeAttempts, a.task)
 	if !j.done.Test(uint(a.task)) {
-		j.lost++
+		j.lostTasks++
 		lt.counts.lost++
 		j.flight.Release(a.task)
 	}
@@ -109,7 +109,7 @@
 	delete(a.machine.attempts, a.key)
 	if !a.exited {
 		a.exited = true
-		a.charge(-1)
+		a.reserve(-1)
 	}
 	lt.release(a)
 }
@@ -118,22 +118,22 @@
 // completed one only once that is on record, so that a new leader finds it.
 func (lt *leaderTerm) reapable(a *attempt) bool {
 	j := a.job
-	return j == nil || j.over || !j.done.Test(uint(a.task)) || j.durable.Test(uint(a.task))
+	return j == nil || j.ended || !j.done.Test(uint(a.task)) || j.recorded.Test(uint(a.task))
 }
 
-// failed handles a task that ended with an error. Mostly the machine is at
+// taskFailed handles a task that ended with an error. Mostly the machine is at
 // fault; a job whose tasks fail on several machines and complete on none is.
-func (lt *leaderTerm) failed(a *attempt, now time.Time) {
+func (lt *leaderTerm) taskFailed(a *attempt, now time.Time) {
 	j, m := a.job, a.machine
-	j.errors[m.name]++
-	j.barred[a.task] = m.name
-	if j.doneCount == 0 && len(j.errors) >= 3 {
-		j.faulty++
-		hold := min(5*time.Second<<min(j.faulty, 4), time.Minute)
-		j.heldUntil = now.Add(hold)
-		if j.faulty == 1 {
-			lt.c.Log.Info("job fails on every machine", "job", j.spec.ID, "machines", len(j.errors))
-			for name := range j.errors {
+	j.failuresByMachine[m.name]++
+	j.excluded[a.task] = m.name
+	if j.doneCount == 0 && len(j.failuresByMachine) >= 3 {
+		j.failureRounds++
+		hold := min(5*time.Second<<min(j.failureRounds, 4), time.Minute)
+		j.backoffUntil = now.Add(hold)
+		if j.failureRounds == 1 {
+			lt.c.Log.Info("job fails on every machine", "job", j.spec.ID, "machines", len(j.failuresByMachine))
+			for name := range j.failuresByMachine {
 				if o := lt.machines[name]; o != nil {
 					delete(o.errorJobs, j.spec.ID)
 				}
--- a/internal/controller/awaitslist.go
+++ b/internal/controller/awaitslist.go
@@ -26,7 +26,7 @@
 }
 
 func (l *awaitsLists) readNext() {
-	l.unread = slices.DeleteFunc(l.unread, func(j *job) bool { return j.over })
+	l.unread = slices.DeleteFunc(l.unread, func(j *job) bool { return j.ended })
 	if l.reading || len(l.unread) == 0 {
 		return
 	}
@@ -61,7 +61,7 @@
 	l := &m.leaderTerm.awaitsLists
 	l.reading = false
 	switch {
-	case m.job.over:
+	case m.job.ended:
 	case m.err != nil:
 		l.unread = append(l.unread, m.job)
 	default:
--- a/internal/controller/awaitslist_test.go
+++ b/internal/controller/awaitslist_test.go
@@ -127,14 +127,14 @@
 		time.Sleep(3 * time.Second)
 		n.look(func(c *Controller) {
 			j := c.leaderTerm.jobs["job-2"]
-			if d := j.since.Sub(done); len(j.awaits) > 0 || d < 0 || d > 2*time.Second {
+			if d := j.runnableSince.Sub(done); len(j.awaits) > 0 || d < 0 || d > 2*time.Second {
 				t.Errorf("counts from %v after the end of what it awaited", d)
 			}
-			if d := j.aims[0].Sub(done); d < 88*time.Second || d > 92*time.Second {
+			if d := j.objectives[0].Sub(done); d < 88*time.Second || d > 92*time.Second {
 				t.Errorf("should be complete %v after the end of what it awaited", d)
 			}
-			if j := c.leaderTerm.jobs["job-3"]; len(j.awaits) > 0 || j.since.Sub(j.accepted) > 2*time.Second || j.since.Before(j.accepted) {
-				t.Errorf("submitted when all was done: counts from %v after its acceptance", j.since.Sub(j.accepted))
+			if j := c.leaderTerm.jobs["job-3"]; len(j.awaits) > 0 || j.runnableSince.Sub(j.accepted) > 2*time.Second || j.runnableSince.Before(j.accepted) {
+				t.Errorf("submitted when all was done: counts from %v after its acceptance", j.runnableSince.Sub(j.accepted))
 			}
 		})
 	})
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -128,8 +128,8 @@
 		api.MachineType{Name: "wide", CPUs: 8, MemoryGB: 16, Price: 2, SpotPrice: 1, BootS: 20, Zones: []string{"a"}},
 		api.MachineType{Name: "cards", CPUs: 2, GPUs: 2, MemoryGB: 8, Price: 4, SpotPrice: 2, BootS: 20, Zones: []string{"b"}},
 		api.MachineType{Name: "gone", CPUs: 64, GPUs: 64, MemoryGB: 512, Price: 4, SpotPrice: 2, BootS: 20})
-	w.teams[0].GPUs, w.teams[0].GPUsMax = 4, 4
-	w.teams[1].CPUs, w.teams[1].CPUsMax = 6, 6
+	w.teams[0].GPUs, w.teams[0].LimitGPUs = 4, 4
+	w.teams[1].CPUs, w.teams[1].LimitCPUs = 6, 6
 }
 
 type change = map[string]any
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -22,7 +22,7 @@
 		b.Fatal(err)
 	}
 	s := &config.Settings{Node: "n0", Site: config.SiteInfo{
-		Teams:   []config.Team{{Name: "red", CPUs: 1e4, CPUsMax: 1e5}, {Name: "blue", CPUs: 1e4, CPUsMax: 1e5}},
+		Teams:   []config.Team{{Name: "red", CPUs: 1e4, LimitCPUs: 1e5}, {Name: "blue", CPUs: 1e4, LimitCPUs: 1e5}},
 		Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
 		State:   config.StateLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}}}
 	c := New(Config{Settings: s, Policy: pol, Store: storetest.New(), Cloud: &fakeCloud{}, Log: slog.New(slog.DiscardHandler)})
@@ -113,10 +113,10 @@
 				for _, m := range lt.machines {
 					m.lastSeen, m.lastHeartbeat = now, now
 				}
-				lt.triage(now)
-				lt.countHolders(now)
+				lt.deferInfeasible(now)
+				lt.countImageLocations(now)
 				lt.scanMachines(now)
-				lt.scanOverdue(now)
+				lt.restartStragglers(now)
 				lt.provisioner.drain(now)
 				lt.provisioner.move(now)
 			}
@@ -141,7 +141,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				m := lt.machines[reports[i%len(reports)].Machine]
-				if j := lt.pick(m, now); j != nil {
+				if j := lt.nextJob(m, now); j != nil {
 					j.flight.Join(m.name)
 				}
 			}
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -34,7 +34,7 @@
 	c.cancellations.Add(id, time.Now())
 	if c.leaderTerm != nil {
 		if j := c.leaderTerm.jobs[id]; j != nil && !j.cancelPending {
-			c.leaderTerm.withdraw(j)
+			c.leaderTerm.cancelJob(j)
 		}
 		// One whose cancellation follows from another's is dropped only once its
 		// own end is on record: else nobody would write that.
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -97,7 +97,7 @@
 
 func (g *cellGroup) add(name string, of, machines int) {
 	w := newCluster(g.t)
-	w.teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}, {Name: "blue", CPUs: 4, CPUsMax: 12}}
+	w.teams = []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 16}, {Name: "blue", CPUs: 4, LimitCPUs: 12}}
 	c := &cell{cluster: w, group: g, name: name, began: map[string]time.Time{}}
 	w.cells = &cells.Settings{Cell: name, MaxLoans: 50}
 	for i := range of {
@@ -312,8 +312,8 @@
 	}
 	for _, c := range g.cells {
 		for _, team := range c.teams {
-			if used[c.name+" "+team.Name] > team.CPUsMax {
-				g.t.Errorf("team %s of %s uses %v of %v", team.Name, c.name, used[c.name+" "+team.Name], team.CPUsMax)
+			if used[c.name+" "+team.Name] > team.LimitCPUs {
+				g.t.Errorf("team %s of %s uses %v of %v", team.Name, c.name, used[c.name+" "+team.Name], team.LimitCPUs)
 			}
 		}
 	}
--- a/internal/controller/constrained.go
+++ b/internal/controller/constrained.go
@@ -45,10 +45,10 @@
 	}
 	patience := 2 * f.leaderTerm.c.Settings.Site.Workers.Report()
 	for _, team := range f.leaderTerm.allTeams() {
-		room := team.CPUsMax - team.UsedCPUs
+		room := team.LimitCPUs - team.UsedCPUs
 		for _, j := range team.Items() {
 			cpus := min(float64(j.flight.Untaken())*j.spec.CPUs, room)
-			if cpus > 0 && restricted(&j.spec) && !j.finishing && j.faulty == 0 && now.Sub(j.since) > patience {
+			if cpus > 0 && restricted(&j.spec) && !j.finishing && j.failureRounds == 0 && now.Sub(j.runnableSince) > patience {
 				add(j, cpus)
 				room -= cpus
 			}
@@ -56,7 +56,7 @@
 	}
 	for _, j := range f.leaderTerm.jobs {
 		if len(j.awaits) > 0 && !j.cancelPending && restricted(&j.spec) && f.leaderTerm.pipeline.allBegun(j) {
-			add(j, min(float64(j.spec.Tasks)*j.spec.CPUs, j.team.CPUsMax))
+			add(j, min(float64(j.spec.Tasks)*j.spec.CPUs, j.team.LimitCPUs))
 		}
 	}
 	var out []*constrainedDemand
@@ -70,7 +70,7 @@
 // allBegun tells whether all that a job waits for has begun.
 func (p *pipeline) allBegun(j *job) bool {
 	for id := range j.awaits {
-		if o := p.leaderTerm.jobs[id]; o == nil || !o.begun() {
+		if o := p.leaderTerm.jobs[id]; o == nil || !o.started() {
 			return false
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -263,7 +263,7 @@
 	if types == nil {
 		return api.JobState{}, false, api.ErrUnavailable
 	}
-	reason := neverRuns(spec, c.Settings.Site.Teams, types)
+	reason := unschedulableReason(spec, c.Settings.Site.Teams, types)
 	if reason == "" && !store.Fits(spec, c.Settings.Site.State.ValueKB) {
 		// The state service would refuse it each time the user comes back.
 		reason = "more names than a record holds"
@@ -282,13 +282,13 @@
 	return st, created, err
 }
 
-// neverRuns says why a job can never run, or "".
-func neverRuns(s *api.JobSpec, teams []config.Team, types map[string]api.MachineType) string {
+// unschedulableReason says why a job can never run, or "".
+func unschedulableReason(s *api.JobSpec, teams []config.Team, types map[string]api.MachineType) string {
 	for _, t := range teams {
 		if t.Name != s.Team {
 			continue
 		}
-		if s.CPUs > t.CPUsMax+slack || (s.GPUs > 0 && s.GPUs > t.GPUsMax+slack) {
+		if s.CPUs > t.LimitCPUs+epsilon || (s.GPUs > 0 && s.GPUs > t.LimitGPUs+epsilon) {
 			return "a task needs more than the team's limit"
 		}
 		for _, mt := range types {
@@ -304,7 +304,7 @@
 // taskFits tells whether a task of a job may run on machines of a type, and fits them.
 func taskFits(s *api.JobSpec, t api.MachineType) bool {
 	return typeAllowed(s, t.Name) && zoneAllowed(s, t.Zones) &&
-		s.CPUs <= t.CPUs+slack && s.GPUs <= t.GPUs+slack && s.MemoryGB <= t.MemoryGB+slack
+		s.CPUs <= t.CPUs+epsilon && s.GPUs <= t.GPUs+epsilon && s.MemoryGB <= t.MemoryGB+epsilon
 }
 
 func typeAllowed(s *api.JobSpec, typ string) bool {
@@ -426,7 +426,7 @@
 	}
 	if c.leaderTerm != nil {
 		if j := c.leaderTerm.jobs[m.st.ID]; j != nil {
-			c.leaderTerm.finished(j)
+			c.leaderTerm.jobFinished(j)
 		}
 	}
 	c.final.Add(m.st.ID, m.st)
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -95,7 +95,7 @@
 	}
 	var ms []*machine
 	for _, m := range lt.machines {
-		if m.isSchedulable(now) && !m.commandInFlight && !m.lastForwarded && m.unappliedResponses == 0 && m.freeCPUs() > slack && m.addr != "" &&
+		if m.isSchedulable(now) && !m.commandInFlight && !m.lastForwarded && m.unappliedResponses == 0 && m.freeCPUs() > epsilon && m.addr != "" &&
 			now.Sub(m.lastHeartbeat) <= lt.heartbeatTimeout() {
 			ms = append(ms, m)
 		}
@@ -107,7 +107,7 @@
 		if lt.commandsInFlight >= most {
 			return
 		}
-		if orders := lt.place(m, nil, now); len(orders) > 0 {
+		if orders := lt.assignTasks(m, nil, now); len(orders) > 0 {
 			lt.sendCommands(m, orders)
 		}
 	}
@@ -180,7 +180,7 @@
 		case m.machine.agentEpoch == a.direct.agentEpoch:
 			a.direct.outcomeUnknown = true
 			m.leaderTerm.evacuate(m.machine, "order unanswered")
-			if a.job.over {
+			if a.job.ended {
 				m.leaderTerm.resolveOutcome(a)
 			}
 		}
--- a/internal/controller/direct_test.go
+++ b/internal/controller/direct_test.go
@@ -202,7 +202,7 @@
 		d.set(false, false)
 		victim := k
 		n.look(func(c *Controller) {
-			for _, a := range c.leaderTerm.jobs["job-3"].live {
+			for _, a := range c.leaderTerm.jobs["job-3"].activeAttempts {
 				victim = d.machines[a.machine.name]
 			}
 		})
@@ -401,7 +401,7 @@
 func TestTakeoverOfALargeFleet(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		const fleet, fallen = 1100, 100
-		w.teams[0].CPUs, w.teams[0].CPUsMax = 5000, 5000
+		w.teams[0].CPUs, w.teams[0].LimitCPUs = 5000, 5000
 		d := &wire{machines: map[string]*worker{}}
 		w.director, w.reportS = d, 5
 		a := w.start("n0")
@@ -462,7 +462,7 @@
 func TestLeaderWithoutAWayToItsMachines(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		const fleet = 50
-		w.teams[0].CPUs, w.teams[0].CPUsMax = 500, 500
+		w.teams[0].CPUs, w.teams[0].LimitCPUs = 500, 500
 		d := &wire{machines: map[string]*worker{}}
 		w.director, w.reportS = d, 5
 		a := w.start("n0")
--- a/internal/controller/guests.go
+++ b/internal/controller/guests.go
@@ -17,9 +17,9 @@
 	if t == nil {
 		// What it may use is bounded by the grants; the guarantees of the cell's own
 		// teams go before it.
-		t = &queue.Team[*job]{Name: "guests of " + home, CPUsMax: math.MaxFloat64, GPUsMax: math.MaxFloat64}
+		t = &queue.Team[*job]{Name: "guests of " + home, LimitCPUs: math.MaxFloat64, LimitGPUs: math.MaxFloat64}
 		l.guestTeams[home] = t
-		l.guestTurns = append(l.guestTurns, t)
+		l.guestFairShareOrder = append(l.guestFairShareOrder, t)
 	}
 	return t
 }
@@ -32,16 +32,16 @@
 		running += n
 	}
 	s, grant := &j.spec, &j.guest.Grant
-	return float64(running+1)*s.CPUs <= grant.CPUs+slack && (s.GPUs == 0 || float64(running+1)*s.GPUs <= grant.GPUs+slack)
+	return float64(running+1)*s.CPUs <= grant.CPUs+epsilon && (s.GPUs == 0 || float64(running+1)*s.GPUs <= grant.GPUs+epsilon)
 }
 
 // pickGuest chooses the guest that a machine serves next, when no own job can use it.
 func (l *loans) pickGuest(m *machine, now time.Time) *job {
-	if len(l.guestTurns) == 0 {
+	if len(l.guestFairShareOrder) == 0 {
 		return nil
 	}
-	queue.Turns(l.guestTurns)
-	for _, t := range l.guestTurns {
+	queue.SortByShare(l.guestFairShareOrder)
+	for _, t := range l.guestFairShareOrder {
 		for _, j := range t.Items() {
 			if j.flight.Untaken() > 0 && l.leaderTerm.eligible(j, m, now) {
 				return j
@@ -66,7 +66,7 @@
 		cpus := float64(j.flight.Untaken()) * j.spec.CPUs
 		if j.guest != nil {
 			cpus = min(cpus, j.guest.Grant.CPUs)
-			guests += float64(len(j.live))*j.spec.CPUs + cpus
+			guests += float64(len(j.activeAttempts))*j.spec.CPUs + cpus
 		}
 		a.CPUs -= cpus
 		a.GPUs -= float64(j.flight.Untaken()) * j.spec.GPUs
@@ -87,13 +87,13 @@
 // scanHost looks once a second after the guests.
 func (l *loans) scanHost(now time.Time) {
 	lt := l.leaderTerm
-	for _, t := range l.guestTurns {
+	for _, t := range l.guestFairShareOrder {
 		for _, j := range t.Items() {
 			switch {
 			case j.handover || lt.unfenced > 0:
 			case j.doneCount == j.spec.Tasks:
 				l.guestDone(j) // it was not recorded yet
-			case now.Sub(j.waiting) > giveBackAfter && !j.begun():
+			case now.Sub(j.waitingSince) > giveBackAfter && !j.started():
 				l.giveBack(j)
 			}
 		}
@@ -106,7 +106,7 @@
 
 // makeRoom stops guests whose room a team's guarantee needs, those that began last first.
 func (l *loans) makeRoom(now time.Time) {
-	if len(l.guestTurns) == 0 {
+	if len(l.guestFairShareOrder) == 0 {
 		return
 	}
 	lack := l.lackOfGuarantees(now)
@@ -121,9 +121,9 @@
 		return
 	}
 	var running []*attempt
-	for _, t := range l.guestTurns {
+	for _, t := range l.guestFairShareOrder {
 		for _, j := range t.Items() {
-			for _, a := range j.live {
+			for _, a := range j.activeAttempts {
 				if a.stop != nil {
 					lack -= j.spec.CPUs // its room is about to be free
 				} else {
@@ -147,13 +147,13 @@
 func (l *loans) lackOfGuarantees(now time.Time) float64 {
 	lt := l.leaderTerm
 	lack := -l.openRoom(now).freeCPUs
-	for _, t := range lt.turns {
+	for _, t := range lt.fairShareOrder {
 		left := t.CPUs - t.UsedCPUs
 		for _, j := range t.Items() {
 			if left <= 0 {
 				break
 			}
-			if j.finishing || j.faulty > 0 || now.Before(j.heldUntil) {
+			if j.finishing || j.failureRounds > 0 || now.Before(j.backoffUntil) {
 				continue
 			}
 			cpus := min(left, float64(j.flight.Untaken())*j.spec.CPUs)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -146,7 +146,7 @@
 	w := &cluster{t: t, ctx: ctx, store: storetest.New(),
 		cloud: &fakeCloud{types: []api.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.4,
 			BootS: 20, Zones: []string{"a", "b"}}}, made: map[string][]string{}},
-		teams: []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}, {Name: "blue", CPUs: 8, CPUsMax: 8}}}
+		teams: []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 16}, {Name: "blue", CPUs: 8, LimitCPUs: 8}}}
 	t.Cleanup(func() {
 		cancel()
 		w.running.Wait()
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -42,14 +42,14 @@
 }
 
 // hold counts the CPUs of the open machines that have each image.
-func (lt *leaderTerm) countHolders(now time.Time) {
-	clear(lt.holders)
+func (lt *leaderTerm) countImageLocations(now time.Time) {
+	clear(lt.imageLocations)
 	for _, m := range lt.machines {
 		if !m.isSchedulable(now) {
 			continue
 		}
 		for image := range m.images.used {
-			lt.holders[image] += m.cpus
+			lt.imageLocations[image] += m.cpus
 		}
 	}
 }
@@ -63,29 +63,29 @@
 	return time.Duration(j.spec.ImageGB / rate * float64(time.Second))
 }
 
-// suits tells whether a machine should serve a job before others because it
+// prefers tells whether a machine should serve a job before others because it
 // has the image, or because waiting for machines that have it would take longer
 // than the fetch. Room on a full fleet comes free where tasks end; fetching
 // images everywhere would hold much of it idle.
-func (lt *leaderTerm) suits(j *job, m *machine, now time.Time) bool {
+func (lt *leaderTerm) prefers(j *job, m *machine, now time.Time) bool {
 	fetch := lt.fetchTime(j, m)
 	if fetch == 0 {
 		return true
 	}
-	if j.passed.IsZero() {
-		j.passed = now
+	if j.skippedSince.IsZero() {
+		j.skippedSince = now
 	}
 	// What the holders free in the time of the fetch, if their CPUs come free
 	// once in an estimated run of this job.
-	freed := lt.holders[j.spec.Image] * fetch.Seconds() / max(j.spec.EstimateS, 1)
-	return freed < float64(j.flight.Untaken())*j.spec.CPUs || now.Sub(j.passed) > lt.passFor(fetch)
+	freed := lt.imageLocations[j.spec.Image] * fetch.Seconds() / max(j.spec.EstimateS, 1)
+	return freed < float64(j.flight.Untaken())*j.spec.CPUs || now.Sub(j.skippedSince) > lt.skipWindow(fetch)
 }
 
-// passFor is for how long a job may be passed over by machines that would take
+// skipWindow is for how long a job may be passed over by machines that would take
 // a time to fetch its image: twice that, but no longer than leaves time to fetch
 // it and still start within what the guarantee allows.
-func (lt *leaderTerm) passFor(fetch time.Duration) time.Duration {
-	limit := passFetches * fetch
+func (lt *leaderTerm) skipWindow(fetch time.Duration) time.Duration {
+	limit := skipFetches * fetch
 	switch {
 	case lt.startWithin == 0:
 	case fetch < lt.startWithin:
@@ -96,11 +96,11 @@
 	return limit
 }
 
-// hurries tells whether a job's tasks should start sooner than a fetch takes:
+// isUrgent tells whether a job's tasks should start sooner than a fetch takes:
 // then not even a machine with nothing better to do should fetch its image, as
 // long as those that have it may still serve it in time.
-func (j *job) hurries(now time.Time) bool { return now.Before(j.startBy) }
+func (j *job) isUrgent(now time.Time) bool { return now.Before(j.startBy) }
 
-// passFetches is for how many times the fetch a job may be passed over by
+// skipFetches is for how many times the fetch a job may be passed over by
 // machines without its image.
-const passFetches = 2
+const skipFetches = 2
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -32,7 +32,7 @@
 		{0, 6, 12}, {10, 6, 4}, {5, 2, 3}, {60, 6, 12}, {5, 6, 5},
 	} {
 		lt := &leaderTerm{startWithin: time.Duration(c.within) * time.Second}
-		if got := lt.passFor(time.Duration(c.fetch) * time.Second); got != time.Duration(c.want)*time.Second {
+		if got := lt.skipWindow(time.Duration(c.fetch) * time.Second); got != time.Duration(c.want)*time.Second {
 			t.Errorf("within %d s, fetch of %d s: %v", c.within, c.fetch, got)
 		}
 	}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -19,7 +19,7 @@
 func (lt *leaderTerm) addJob(key string, value []byte, mark uint64) {
 	id := key[len(store.ActivePrefix):]
 	j := lt.jobs[id]
-	if _, ok := lt.c.final.Get(id); ok || j != nil && j.mark >= mark {
+	if _, ok := lt.c.final.Get(id); ok || j != nil && j.modRevision >= mark {
 		return
 	}
 	var rec store.ActiveRecord
@@ -49,11 +49,11 @@
 		return
 	}
 	j := newJob(spec, team)
-	j.mark, j.accepted, j.since = mark, rec.Accepted, since
+	j.modRevision, j.accepted, j.runnableSince = mark, rec.Accepted, since
 	j.awaitsList, j.guest, j.lends = rec.Awaits, rec.Guest, rec.Lends
 	j.preference = lt.c.Policy.Preferences[spec.Class]
-	j.aims = lt.aims(j)
-	j.look(time.Now())
+	j.objectives = lt.objectives(j)
+	j.updateFeasibility(time.Now())
 	lt.jobs[id] = j
 	switch {
 	case rec.Lent != nil:
@@ -73,30 +73,30 @@
 func newJob(spec api.JobSpec, team *queue.Team[*job]) *job {
 	tasks := uint(spec.Tasks)
 	return &job{
-		spec: spec, team: team, rank: api.PriorityRank(spec.Priority), waiting: time.Now(),
-		flight: flight.New(spec.Tasks), live: map[int]*attempt{},
-		done: bitset.New(tasks), durable: bitset.New(tasks), chunks: map[int]bool{},
-		runs: jobRuns{by: map[string]*runs{}}, zones: map[string]int{}, restarted: map[int]bool{},
-		barred: map[int]string{}, errors: map[string]int{},
+		spec: spec, team: team, rank: api.PriorityRank(spec.Priority), waitingSince: time.Now(),
+		flight: flight.New(spec.Tasks), activeAttempts: map[int]*attempt{},
+		done: bitset.New(tasks), recorded: bitset.New(tasks), completionChunks: map[int]bool{},
+		runs: jobRuns{byMachine: map[string]*runStats{}}, zones: map[string]int{}, restarted: map[int]bool{},
+		excluded: map[int]string{}, failuresByMachine: map[string]int{},
 	}
 }
 
-// aims are the times by which a job should be complete: its deadline and the
+// objectives are the times by which a job should be complete: its deadline and the
 // multiples of it that the objectives name, or the times that they name for
 // its class.
-func (lt *leaderTerm) aims(j *job) []time.Time {
+func (lt *leaderTerm) objectives(j *job) []time.Time {
 	out := slices.Concat(lt.deadlines(j), j.due)
 	for _, o := range lt.c.Settings.Site.Objectives {
 		switch {
 		case o.Class != j.spec.Class:
 		case o.Kind == "wait":
-			j.startBy = j.since.Add(config.Seconds(o.WithinS))
+			j.startBy = j.runnableSince.Add(config.Seconds(o.WithinS))
 		case o.Kind == "finished":
-			out = append(out, j.since.Add(config.Seconds(o.WithinS)))
+			out = append(out, j.runnableSince.Add(config.Seconds(o.WithinS)))
 		}
 	}
 	if len(out) == 0 {
-		out = append(out, j.since.Add(config.Seconds(10*j.spec.EstimateS)))
+		out = append(out, j.runnableSince.Add(config.Seconds(10*j.spec.EstimateS)))
 	}
 	slices.SortFunc(out, time.Time.Compare)
 	return slices.CompactFunc(out, time.Time.Equal)
@@ -118,15 +118,15 @@
 	return out
 }
 
-// withdraw removes a job that was cancelled. What runs of it is stopped by
+// cancelJob removes a job that was cancelled. What runs of it is stopped by
 // the answers to its machines' reports.
-func (lt *leaderTerm) withdraw(j *job) {
+func (lt *leaderTerm) cancelJob(j *job) {
 	lt.forget(j)
 	lt.c.recordCancellation(j.spec.ID)
-	for _, a := range j.live {
+	for _, a := range j.activeAttempts {
 		lt.resolveOutcome(a)
 	}
-	for first := range j.chunks {
+	for first := range j.completionChunks {
 		lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
 	}
 	lt.awaitsLists.drop(j)
@@ -134,8 +134,8 @@
 
 // forget drops a job that is over.
 func (lt *leaderTerm) forget(j *job) {
-	j.over = true
-	j.dirty = false
+	j.ended = true
+	j.completionDirty = false
 	delete(lt.jobs, j.spec.ID)
 	lt.pipeline.forget(j)
 	lt.loans.release(j)
@@ -151,10 +151,10 @@
 	j.doneCount++
 	lt.counts.done++
 	j.flight.Take(task)
-	if a := j.live[task]; a != nil && !a.exited {
+	if a := j.activeAttempts[task]; a != nil && !a.exited {
 		lt.stop(a, 0, now)
 	}
-	if j.over {
+	if j.ended {
 		return
 	}
 	if j.doneCount == j.spec.Tasks && j.guest != nil {
@@ -165,7 +165,7 @@
 		lt.recorder.finish(j)
 		return
 	}
-	if !j.durable.Test(uint(task)) {
+	if !j.recorded.Test(uint(task)) {
 		lt.recorder.progress(j)
 	}
 }
--- a/internal/controller/lag_test.go
+++ b/internal/controller/lag_test.go
@@ -91,7 +91,7 @@
 			t.Errorf("answered: %v", err)
 		}
 		started := 0
-		n.look(func(c *Controller) { started = len(c.leaderTerm.jobs["job-1"].live) })
+		n.look(func(c *Controller) { started = len(c.leaderTerm.jobs["job-1"].activeAttempts) })
 		w.same("starts ordered", started, 0)
 		k.serve(n, 2)
 		w.same("runs after the next report", len(k.running()), 1)
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -87,10 +87,10 @@
 				}
 				lt.addJob(store.ActivePrefix+fmt.Sprintf("job-%06d", i), raw, uint64(1000+i))
 			}
-			lt.triage(time.Now())
+			lt.deferInfeasible(time.Now())
 			looked := 0
 			for _, j := range lt.jobs {
-				if !j.load.Aim.IsZero() {
+				if !j.load.Deadline.IsZero() {
 					looked++
 				}
 			}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -34,10 +34,10 @@
 	cancelRevision           uint64
 	attemptCount             uint32
 
-	jobs     map[string]*job
-	teams    map[string]*queue.Team[*job]
-	turns    []*queue.Team[*job]
-	machines map[string]*machine
+	jobs           map[string]*job
+	teams          map[string]*queue.Team[*job]
+	fairShareOrder []*queue.Team[*job]
+	machines       map[string]*machine
 	// provisioning are machines that were rented or listed but have not reported.
 	provisioning map[string]*provisioning
 	// terminated remembers machines that are gone, whose reports may still
@@ -79,16 +79,16 @@
 	startWithin time.Duration
 	// grace is how long what waits is left to better machines.
 	grace time.Duration
-	// holders are the CPUs of open machines by the images that they have.
-	holders map[string]float64
-	// fetches is how many images a machine may fetch at the same time now.
-	fetches int
-	// overlooked is how many jobs have had no start for too long.
-	overlooked int
-	nextScan   time.Time
-	nextUse    time.Time
-	nextWaits  time.Time
-	lastTick   time.Time
+	// imageLocations are the CPUs of open machines by the images that they have.
+	imageLocations map[string]float64
+	// maxFetches is how many images a machine may fetch at the same time now.
+	maxFetches int
+	// starved is how many jobs have had no start for too long.
+	starved        int
+	nextScan       time.Time
+	nextUsageLog   time.Time
+	nextPendingLog time.Time
+	lastTick       time.Time
 	// heartbeatsSince is since when this node can hear its machines.
 	heartbeatsSince time.Time
 	// lastPause is when it last noticed that it was late.
@@ -124,9 +124,9 @@
 	}
 	lt.down.nodes = map[string]*relayNode{}
 	lt.renewalRevisions = map[string]uint64{}
-	lt.holders = map[string]float64{}
+	lt.imageLocations = map[string]float64{}
 	lt.counts = newCounters()
-	lt.fetches = manyFetches
+	lt.maxFetches = unlimitedFetches
 	lt.maxDials = maxConcurrentDials(c.Settings.Site.Limits.FDLimit)
 	lt.readIndex.leaderTerm = lt
 	lt.recorder.init(lt)
@@ -138,10 +138,10 @@
 		lt.votes = grant.NewVoteSet(c.Standby.VoteLifetime())
 	}
 	for _, t := range c.Settings.Site.Teams {
-		q := &queue.Team[*job]{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax,
+		q := &queue.Team[*job]{Name: t.Name, CPUs: t.CPUs, LimitCPUs: t.LimitCPUs, GPUs: t.GPUs, LimitGPUs: t.LimitGPUs,
 			Share: c.Policy.Share(t.Name, max(t.CPUs, t.GPUs, 1))}
 		lt.teams[t.Name] = q
-		lt.turns = append(lt.turns, q)
+		lt.fairShareOrder = append(lt.fairShareOrder, q)
 	}
 	// Half a round of reports, but no more than a small part of the time in
 	// which work within a guarantee should start.
@@ -261,7 +261,7 @@
 			// was ended by another leader, of which the election has not yet
 			// told: how it ended is not known here.
 			id := e.Delete[len(store.ActivePrefix):]
-			if j := lt.jobs[id]; j != nil && !j.finishing && !j.cancelPending && !j.handover && e.Mark > j.mark {
+			if j := lt.jobs[id]; j != nil && !j.finishing && !j.cancelPending && !j.handover && e.Mark > j.modRevision {
 				lt.stepDown()
 				return
 			}
@@ -288,15 +288,15 @@
 		return
 	}
 	lt.nextScan = now.Add(time.Second)
-	lt.triage(now)
-	lt.countHolders(now)
+	lt.deferInfeasible(now)
+	lt.countImageLocations(now)
 	lt.scanMachines(now)
-	lt.scanOverdue(now)
+	lt.restartStragglers(now)
 	if lt.hasLeaseQuorum(now) {
 		lt.provisioner.tick(now)
 	}
-	lt.logUse(now)
-	lt.logWaits(now)
+	lt.logUsage(now)
+	lt.logPending(now)
 }
 
 func (lt *leaderTerm) nextAttempt() uint64 {
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -41,10 +41,10 @@
 	free, work := room.freeCPUs, 0.0
 	for _, j := range lt.jobs {
 		// What runs is about half through.
-		work += float64(len(j.live)) * j.spec.CPUs * j.spec.EstimateS / 2
+		work += float64(len(j.activeAttempts)) * j.spec.CPUs * j.spec.EstimateS / 2
 	}
 	var jobs []*job
-	for _, t := range lt.turns {
+	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
 			if j.flight.Untaken() > 0 && !j.finishing {
 				jobs = append(jobs, j)
@@ -92,7 +92,7 @@
 	for i := len(waits) - 1; i >= 0 && out < l.leaderTerm.c.Cells.MaxLoans && offers < mostOffers; i-- {
 		j := waits[i].job
 		there := n.delay + transferTime + fetchTime(&j.spec, n.advert.Types)
-		if waits[i].wait-there < policy.Gain || now.Sub(j.since) < policy.After || spare < j.spec.CPUs || !l.lendable(j, n, now) {
+		if waits[i].wait-there < policy.Gain || now.Sub(j.runnableSince) < policy.After || spare < j.spec.CPUs || !l.lendable(j, n, now) {
 			continue
 		}
 		grant := l.grant(j, spare)
@@ -111,11 +111,11 @@
 	lt := l.leaderTerm
 	policy := &lt.c.Policy.Spill
 	switch {
-	case j.lent != nil || j.guest != nil || j.handover || j.over || j.finishing || j.cancelPending || len(j.awaits) > 0:
+	case j.lent != nil || j.guest != nil || j.handover || j.ended || j.finishing || j.cancelPending || len(j.awaits) > 0:
 		return false
 	case l.changing[loanName(lt.c.Cells.Cell, j.spec.ID)]:
 		return false // what the watch has shown already is yet to be answered
-	case j.begun() || j.lost > 0 || j.done.Any() || len(j.chunks) > 0:
+	case j.started() || j.lostTasks > 0 || j.done.Any() || len(j.completionChunks) > 0:
 		return false
 	case !store.FitsRecord(store.ActiveRecord{Lent: &loan.Lent{Host: n.cell, Spec: j.spec}}, lt.c.Settings.Site.State.ValueKB):
 		return false
@@ -131,7 +131,7 @@
 	s := &j.spec
 	lt := l.leaderTerm
 	tasks := 0
-	for tasks < s.Tasks && float64(tasks+1)*s.CPUs <= spare+slack &&
+	for tasks < s.Tasks && float64(tasks+1)*s.CPUs <= spare+epsilon &&
 		j.team.Allowed(float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs) {
 		tasks++
 		if s.CPUs <= 0 {
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -205,7 +205,7 @@
 	for _, real := range []limits{{2, 1, 25}, {3, 1, 25}, {12, 1, 25}} {
 		t.Run(real.String(), func(t *testing.T) {
 			simulate(t, func(w *cluster) {
-				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
+				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
 				w.state = limits{20, 16, 100}.settings()
 				w.enforce(real)
 				a := w.start("n0")
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -95,7 +95,7 @@
 	for _, l := range append([]limits{{2, 1, 8}, {3, 1, 2}}, small...) {
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *cluster) {
-				w.teams[0].CPUs, w.teams[0].CPUsMax = 16, 16
+				w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
 				w.state = l.settings()
 				w.enforce(l)
 				_, a, b, _, near, far := w.beyondTheCut()
@@ -139,7 +139,7 @@
 // on beyond the cut although the service is smaller than the settings say.
 func TestRelayRefusedForSize(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.teams[0].CPUs, w.teams[0].CPUsMax = 16, 16
+		w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
 		w.state = limits{20, 16, 100}.settings()
 		_, a, b, _, near, far := w.beyondTheCut()
 		w.enforce(limits{20, 1, 100})
@@ -179,7 +179,7 @@
 		w.enforce(l)
 		_, a, b, _, _, far := w.beyondTheCut()
 		other := w.worker("i-3", "b", false)
-		for i := range mostAttempts {
+		for i := range maxAttempts {
 			far.rep.Tasks = append(far.rep.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%d/%d", i*i*7919%99991, i), Attempt: uint64(i * 104729), Phase: api.TaskRunning})
 		}
 		heard := func() (n int) {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -77,7 +77,7 @@
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *cluster) {
-				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
+				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
 				w.state = l.settings()
 				w.enforce(l)
 				a := w.start("n0")
@@ -139,7 +139,7 @@
 	for _, when := range []string{"while jobs run", "during a takeover"} {
 		t.Run(when, func(t *testing.T) {
 			simulate(t, func(w *cluster) {
-				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
+				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
 				w.state = to.settings() // the smaller of both
 				w.enforce(from)
 				w.oldShard(store.MachinePrefix+"0-1", 24)
@@ -183,7 +183,7 @@
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *cluster) {
-				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 200
+				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
 				w.state = l.settings()
 				w.enforce(l)
 				a := w.start("n0")
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -113,7 +113,7 @@
 				c.leader().look(func(o *Controller) {
 					l := &o.leaderTerm.loans
 					for _, id := range ids {
-						if j := o.leaderTerm.jobs[id]; j != nil && !j.begun() && j.lends == 0 && !j.handover {
+						if j := o.leaderTerm.jobs[id]; j != nil && !j.started() && j.lends == 0 && !j.handover {
 							l.lend(j, l.neighbours[n.name], loan.Grant{CPUs: j.spec.CPUs})
 							lent = true
 						}
@@ -155,7 +155,7 @@
 // leave, of CPUs and of GPUs; a guest never uses more than it.
 func TestGrantsInWholeTasks(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.teams[0].GPUsMax = 3
+		w.teams[0].LimitGPUs = 3
 		n := w.start("n0")
 		n.look(func(c *Controller) {
 			l := &c.leaderTerm.loans
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -33,10 +33,10 @@
 	// floors and ends are this cell's records about the guests of each home cell.
 	floors map[string]loanFloor
 	ends   *iradix.Tree[loanEnd]
-	// guestTeams are the queues of guests, one for each home cell, and guestTurns the
+	// guestTeams are the queues of guests, one for each home cell, and guestFairShareOrder the
 	// same in the order in which they are served.
-	guestTeams map[string]*queue.Team[*job]
-	guestTurns []*queue.Team[*job]
+	guestTeams          map[string]*queue.Team[*job]
+	guestFairShareOrder []*queue.Team[*job]
 
 	counts  LoanCounts
 	room    openRoom
@@ -289,9 +289,9 @@
 	case j.guest != nil:
 		l.guestOver(j, m.end)
 	case m.isFinal && m.final.Phase == api.JobDone:
-		lt.finished(j)
+		lt.jobFinished(j)
 	case m.isFinal:
-		lt.withdraw(j)
+		lt.cancelJob(j)
 	}
 	l.writeNext(time.Now())
 }
@@ -321,10 +321,10 @@
 // applyLoan takes in what a job's record says of loans. It is called for each newer
 // version of the record, whoever wrote it.
 func (lt *leaderTerm) applyLoan(j *job, rec store.ActiveRecord, mark uint64) {
-	if mark <= j.mark {
+	if mark <= j.modRevision {
 		return
 	}
-	j.mark, j.lends = mark, rec.Lends
+	j.modRevision, j.lends = mark, rec.Lends
 	switch {
 	case rec.Lent != nil:
 		lt.loans.lent(j, rec.Lent)
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -70,10 +70,10 @@
 
 // requeue puts a job that this cell owns back into its team's queue.
 func (l *loans) requeue(j *job) {
-	j.waiting = time.Now()
+	j.waitingSince = time.Now()
 	j.team.Remove(j)
 	j.team.Add(j)
-	l.leaderTerm.dispatchUntil = j.waiting.Add(dispatchFor)
+	l.leaderTerm.dispatchUntil = j.waitingSince.Add(dispatchFor)
 }
 
 // reserve counts a loan's grant as used by its team, and release no more.
@@ -97,7 +97,7 @@
 	l.counts.Lent++
 	spec := j.spec
 	spec.Awaits = nil
-	record := &loan.Lent{Host: n.cell, Epoch: loan.NewEpoch(lt.term.Number, l.count), Spec: spec, Grant: grant, Since: j.since.UTC()}
+	record := &loan.Lent{Host: n.cell, Epoch: loan.NewEpoch(lt.term.Number, l.count), Spec: spec, Grant: grant, Since: j.runnableSince.UTC()}
 	j.team.Remove(j)
 	l.reserve(j, grant)
 	lt.c.Log.Info("loan", "job", spec.ID, "class", spec.Class, "to", n.cell, "epoch", record.Epoch, "cpus", grant.CPUs)
@@ -110,8 +110,8 @@
 	key := store.ActivePrefix + j.spec.ID
 	j.handover = l.change(&loanChange{home: l.leaderTerm.c.Cells.Cell, job: j.spec.ID,
 		build: func() (store.Txn, bool) {
-			return store.Txn{Guards: []store.Guard{l.leaderTerm.termCompare(), {Key: key, Mark: j.mark}},
-				Ops: []store.Op{{Put: key, Value: rec}}}, !j.over
+			return store.Txn{Guards: []store.Guard{l.leaderTerm.termCompare(), {Key: key, Mark: j.modRevision}},
+				Ops: []store.Op{{Put: key, Value: rec}}}, !j.ended
 		},
 		done: func(ring uint64) {
 			j.handover = false
@@ -267,7 +267,7 @@
 	active := store.ActivePrefix + id
 	j.handover = l.change(&loanChange{home: lt.c.Cells.Cell, job: id,
 		build: func() (store.Txn, bool) {
-			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.mark}}}
+			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.modRevision}}}
 			if final.Phase == api.JobWithdrawn {
 				// As with a user's own cancellation, a watch sees why the record goes.
 				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: id})
@@ -275,18 +275,18 @@
 			txn.Ops = append(txn.Ops, store.Op{Put: store.FinalPrefix + id, Value: final}, store.Op{Delete: active})
 			// From now on others may read of its end before this node knows of it.
 			j.ending = true
-			return txn, !j.over
+			return txn, !j.ended
 		},
 		done: func(uint64) {
 			switch {
-			case j.over:
+			case j.ended:
 			case final.Phase == api.JobDone:
 				j.doneCount = j.spec.Tasks
 				l.counts.Done++
-				lt.finished(j)
+				lt.jobFinished(j)
 			default:
 				l.counts.Withdrawn++
-				lt.withdraw(j)
+				lt.cancelJob(j)
 			}
 			if n := l.neighbours[j.lent.Host]; n != nil {
 				n.next = time.Time{} // it names the loan once more, and is told to forget it
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -117,7 +117,7 @@
 	if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Home == home {
 		h.Guest = j.guest.Epoch
 		// A machine that is not heard may hold tasks of it.
-		h.Begun = j.begun() || lt.unfenced > 0 && j.mark <= lt.term.Mark
+		h.Begun = j.started() || lt.unfenced > 0 && j.modRevision <= lt.term.Mark
 		return h
 	}
 	if e.Want == loan.WantRun && e.Offer != nil && h.End == nil {
@@ -164,7 +164,7 @@
 // progress tells how a guest stands.
 func (l *loans) progress(j *job, s *loan.State) {
 	st := j.state()
-	s.Done, s.Running, s.Held = st.Done, st.Running, len(j.live) > 0
+	s.Done, s.Running, s.Held = st.Done, st.Running, len(j.activeAttempts) > 0
 }
 
 // onMachines tells whether tasks of a job may be on machines, whatever is known of it.
@@ -192,7 +192,7 @@
 			continue
 		}
 		s := loan.State{Job: id, Epoch: j.guest.Epoch, Phase: loan.PhaseAccepted}
-		if j.begun() {
+		if j.started() {
 			s.Phase = loan.PhaseBegun
 		}
 		l.progress(j, &s)
@@ -275,11 +275,11 @@
 	active := store.ActivePrefix + j.spec.ID
 	l.change(&loanChange{home: home, job: j.spec.ID,
 		build: func() (store.Txn, bool) {
-			if j.over || j.begun() {
+			if j.ended || j.started() {
 				return store.Txn{}, false
 			}
 			j.handover = true
-			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.mark}}, Ops: []store.Op{{Delete: active}}}
+			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.modRevision}}, Ops: []store.Op{{Delete: active}}}
 			l.floorOp(&txn, home, epoch)
 			return txn, true
 		},
@@ -301,14 +301,14 @@
 	active, key := store.ActivePrefix+id, loan.EndKey(home, id)
 	l.change(&loanChange{home: home, job: id,
 		build: func() (store.Txn, bool) {
-			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.mark}}}
+			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.modRevision}}}
 			if end.Phase == api.JobWithdrawn {
 				// All nodes of this cell must know before they renew leases.
 				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: loan.GuestMark + id})
 			}
 			txn.Ops = append(txn.Ops, store.Op{Put: key, Value: end}, store.Op{Delete: active})
 			j.handover = true
-			return txn, !j.over
+			return txn, !j.ended
 		},
 		done: func(ring uint64) {
 			raw, err := json.Marshal(end)
@@ -324,7 +324,7 @@
 // guestOver drops a guest whose active record is gone. What of it is on machines is
 // stopped by the answers to their reports.
 func (l *loans) guestOver(j *job, end store.Entry) {
-	if j.over {
+	if j.ended {
 		return
 	}
 	lt := l.leaderTerm
@@ -335,10 +335,10 @@
 			lt.c.recordCancellation(loan.GuestMark + j.spec.ID)
 		}
 	}
-	for _, a := range j.live {
+	for _, a := range j.activeAttempts {
 		lt.resolveOutcome(a)
 	}
-	for first := range j.chunks {
+	for first := range j.completionChunks {
 		lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
 	}
 	lt.c.Log.Info("guest over", "job", j.spec.ID, "home", j.guest.Home, "done", j.doneCount, "tasks", j.spec.Tasks)
--- a/internal/controller/loansstatus.go
+++ b/internal/controller/loansstatus.go
@@ -123,7 +123,7 @@
 	st := j.state()
 	s := LoanStatus{Job: j.spec.ID, Cell: j.guest.Home, Epoch: j.guest.Epoch.String(), Phase: loan.PhaseAccepted.String(),
 		CPUs: j.guest.Grant.CPUs, Done: st.Done, Running: st.Running}
-	if j.begun() {
+	if j.started() {
 		s.Phase = loan.PhaseBegun.String()
 	}
 	return s
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -17,12 +17,12 @@
 
 // job is an active job in the leader's memory.
 type job struct {
-	spec     api.JobSpec
-	mark     uint64
-	accepted time.Time
-	// since is from when on its user expects it to run: when it was accepted, or
+	spec        api.JobSpec
+	modRevision uint64
+	accepted    time.Time
+	// runnableSince is from when on its user expects it to run: when it was accepted, or
 	// when the last job that it needs was done.
-	since time.Time
+	runnableSince time.Time
 	// awaits are the jobs that are to be done before it starts; while there are
 	// any, or while its cancellation with one of them is pending, it is in no queue.
 	awaits        map[string]bool
@@ -35,52 +35,52 @@
 	lastEnd time.Time
 	// due is when it should be complete for those that need it.
 	due []time.Time
-	// aims are when the job should be complete, by the aims of its class;
+	// objectives are when the job should be complete, by the aims of its class;
 	// latest is when to begin to meet the next that can still be met.
-	aims     []time.Time
-	latest   time.Time
-	hopeless bool
+	objectives  []time.Time
+	latestStart time.Time
+	infeasible  bool
 	// startBy is when its tasks should have started, if the aims say so.
 	startBy time.Time
-	// overlooked is set while none of its tasks has begun for too long.
-	overlooked bool
+	// starved is set while none of its tasks has begun for too long.
+	starved    bool
 	load       queue.Load
 	rank       int
 	preference float64
 	team       *queue.Team[*job]
 
 	flight *flight.Flight
-	// live holds for each task that may be on a machine its current attempt.
-	live map[int]*attempt
+	// activeAttempts holds for each task that may be on a machine its current attempt.
+	activeAttempts map[int]*attempt
 	// done is what has completed; durable is the part of it on record.
 	done      *bitset.BitSet
 	doneCount int
-	durable   *bitset.BitSet
-	// chunks are the progress records written, by their first task.
-	chunks map[int]bool
-	// extents is how many tasks they may speak of, and moving what has to be on
+	recorded  *bitset.BitSet
+	// completionChunks are the progress records written, by their first task.
+	completionChunks map[int]bool
+	// chunkSizes is how many tasks they may speak of, and moving what has to be on
 	// record elsewhere before one is written over by a shorter one.
-	extents map[int]int
-	moving  map[int]*bitset.BitSet
-	dirty   bool
+	chunkSizes      map[int]int
+	moving          map[int]*bitset.BitSet
+	completionDirty bool
 
 	runs      jobRuns
 	zones     map[string]int
 	restarted map[int]bool
-	barred    map[int]string
-	// errors counts failures by machine; heldUntil keeps a job that fails
+	excluded  map[int]string
+	// failuresByMachine counts failures by machine; backoffUntil keeps a job that fails
 	// everywhere from eating the machines.
-	errors    map[string]int
-	faulty    int
-	heldUntil time.Time
+	failuresByMachine map[string]int
+	failureRounds     int
+	backoffUntil      time.Time
 
-	// waiting is when tasks of the job last began to wait, and passed when a
+	// waitingSince is when tasks of the job last began to wait, and passed when a
 	// machine without its image first passed it over since its last start.
-	waiting, passed time.Time
-	// room is where the fleet has room for it, as last looked at.
-	room room
+	waitingSince, skippedSince time.Time
+	// capacity is where the fleet has room for it, as last looked at.
+	capacity capacity
 	// What the log says of a job at its end.
-	lost                  int
+	lostTasks             int
 	firstStart, lastStart time.Time
 	longest               time.Duration
 
@@ -101,67 +101,69 @@
 	finishing bool
 	// ending is set once a transaction that records its end may be on its way.
 	ending bool
-	over   bool
+	ended  bool
 }
 
 // Rank, Latest and ID make a job an item of its team's queue.
-func (j *job) Rank() int         { return j.rank }
-func (j *job) Latest() time.Time { return j.latest }
+func (j *job) Rank() int              { return j.rank }
+func (j *job) LatestStart() time.Time { return j.latestStart }
 
 // Preference makes a job an item of its team's queue.
 func (j *job) Preference() float64 { return j.preference }
 
-// Prospect makes a job an item of its team's queue.
-func (j *job) Prospect() queue.Prospect {
+// Feasibility makes a job an item of its team's queue.
+func (j *job) Feasibility() queue.Feasibility {
 	switch {
-	case j.hopeless:
-		return queue.Hopeless
+	case j.infeasible:
+		return queue.Infeasible
 	case j.load.Defer:
 		return queue.Deferred
 	}
-	return queue.InTime
+	return queue.Feasible
 }
 func (j *job) ID() string { return j.spec.ID }
 
-// look finds the next aim that can still be met by starting now.
-func (j *job) look(now time.Time) {
+// updateFeasibility finds the next aim that can still be met by starting now.
+func (j *job) updateFeasibility(now time.Time) {
 	est := j.spec.Estimate()
-	for _, aim := range j.aims {
-		j.latest = aim.Add(-est)
-		if !now.After(j.latest) {
-			j.hopeless = false
+	for _, aim := range j.objectives {
+		j.latestStart = aim.Add(-est)
+		if !now.After(j.latestStart) {
+			j.infeasible = false
 			return
 		}
 	}
-	j.hopeless = true
+	j.infeasible = true
 }
 
-// rounds is how many tasks of the job a CPU could run one after the other from some
+// runsPerCPU is how many tasks of the job a CPU could run one after the other from some
 // time on, so that the last still ends by the job's next aim. It is 1 where there is
 // no time for a second, and where the aims say when every task should have started.
-func (j *job) rounds(from time.Time) float64 {
+func (j *job) runsPerCPU(from time.Time) float64 {
 	estimate := j.spec.Estimate()
 	if !j.startBy.IsZero() || estimate <= 0 {
 		return 1
 	}
-	return 1 + max(0, j.latest.Sub(from).Seconds()/estimate.Seconds())
+	return 1 + max(0, j.latestStart.Sub(from).Seconds()/estimate.Seconds())
 }
 
-// begun tells whether any task has begun or is about to.
-func (j *job) begun() bool { return len(j.live) > 0 || j.doneCount > 0 || !j.firstStart.IsZero() }
+// started tells whether any task has begun or is about to.
+func (j *job) started() bool {
+	return len(j.activeAttempts) > 0 || j.doneCount > 0 || !j.firstStart.IsZero()
+}
 
-// after is how long after its acceptance something happened to the job, for the
+// sinceRunnable is how long after its acceptance something happened to the job, for the
 // log; 0 if this leader has not seen it.
-func (j *job) after(at time.Time) time.Duration {
+func (j *job) sinceRunnable(at time.Time) time.Duration {
 	if at.IsZero() {
 		return 0
 	}
-	return at.Sub(j.since).Round(time.Second / 10)
+	return at.Sub(j.runnableSince).Round(time.Second / 10)
 }
 
-// behind tells whether the job gives way to others although it has waited long.
-func (j *job) behind(now time.Time) bool {
-	return (j.hopeless || j.load.Defer) && now.Sub(j.since) > longWait
+// starving tells whether the job gives way to others although it has waited long.
+func (j *job) starving(now time.Time) bool {
+	return (j.infeasible || j.load.Defer) && now.Sub(j.runnableSince) > starvingAfter
 }
 
 func (j *job) taskRef(task int) string { return j.spec.ID + "/" + strconv.Itoa(task) }
@@ -185,7 +187,7 @@
 		return st
 	}
 	st := api.JobState{ID: j.spec.ID, Phase: api.JobPending, Done: j.doneCount}
-	for _, a := range j.live {
+	for _, a := range j.activeAttempts {
 		if a.phase == api.TaskRunning || a.phase == api.TaskSaving {
 			st.Running++
 		}
@@ -312,9 +314,9 @@
 	terminating bool
 	reason      string
 
-	// slowness is how long runs take here against elsewhere, over slowRuns.
-	slowness float64
-	slowRuns int
+	// slowdown is how long runs take here against elsewhere, over minMeasuredRuns.
+	slowdown     float64
+	measuredRuns int
 
 	errorJobs      map[string]int
 	cordonedUntil  time.Time
@@ -324,33 +326,33 @@
 
 func (m *machine) freeCPUs() float64 { return m.cpus - m.usedCPUs }
 
-const slack = 1e-6
+const epsilon = 1e-6
 
 func (m *machine) fits(s *api.JobSpec) bool {
-	return len(m.attempts) < mostAttempts && m.usedCPUs+s.CPUs <= m.cpus+slack && m.usedGPUs+s.GPUs <= m.gpus+slack &&
-		m.usedMemory+s.MemoryGB <= m.memory+slack
+	return len(m.attempts) < maxAttempts && m.usedCPUs+s.CPUs <= m.cpus+epsilon && m.usedGPUs+s.GPUs <= m.gpus+epsilon &&
+		m.usedMemory+s.MemoryGB <= m.memory+epsilon
 }
 
-// mostAttempts bounds what is on a machine, and so its report: one that does not
+// maxAttempts bounds what is on a machine, and so its report: one that does not
 // fit a request's body of 64 KiB cannot be sent, and all tasks would end with the
 // lease. Only tasks that take next to nothing of a machine come that many.
-const mostAttempts = 450
+const maxAttempts = 450
 
 // slots is how many more tasks of a job the machine has room for.
 func (m *machine) slots(s *api.JobSpec) int {
-	n := float64(max(0, mostAttempts-len(m.attempts)))
+	n := float64(max(0, maxAttempts-len(m.attempts)))
 	for _, f := range []struct{ free, each float64 }{
 		{m.cpus - m.usedCPUs, s.CPUs}, {m.gpus - m.usedGPUs, s.GPUs}, {m.memory - m.usedMemory, s.MemoryGB},
 	} {
 		if f.each > 0 {
-			n = min(n, math.Floor(f.free/f.each+slack))
+			n = min(n, math.Floor(f.free/f.each+epsilon))
 		}
 	}
 	return int(min(n, api.MaxTasks))
 }
 
-// lookFetches finds the images that the machine is fetching.
-func (m *machine) lookFetches() {
+// updateFetching finds the images that the machine is fetching.
+func (m *machine) updateFetching() {
 	m.fetching = map[string]bool{}
 	for _, a := range m.attempts {
 		if a.exited || a.job == nil || (a.phase != "" && a.phase != api.TaskPulling) {
@@ -386,9 +388,9 @@
 	m.unattributedCPUs = held
 }
 
-// charge adds an attempt's resources to its machine, team and job, or takes
+// reserve adds an attempt's resources to its machine, team and job, or takes
 // them off again with sign -1.
-func (a *attempt) charge(sign float64) {
+func (a *attempt) reserve(sign float64) {
 	if a.job == nil {
 		a.machine.countUnattributed(int(sign))
 		return
--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -716,7 +716,7 @@
 		most := 0.0
 		for _, t := range r.o.w.teams {
 			if t.Name == j.spec.Team {
-				most = t.CPUsMax
+				most = t.LimitCPUs
 			}
 		}
 		for i := range j.spec.Tasks {
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -116,13 +116,13 @@
 // was submitted later.
 func (p *pipeline) ready(j *job) {
 	now := time.Now()
-	j.awaits, j.since, j.waiting = nil, j.accepted, now
+	j.awaits, j.runnableSince, j.waitingSince = nil, j.accepted, now
 	j.spec.Awaits = nil // perhaps thousands, all over
-	if j.lastEnd.After(j.since) {
-		j.since = j.lastEnd
+	if j.lastEnd.After(j.runnableSince) {
+		j.runnableSince = j.lastEnd
 	}
-	j.aims = p.leaderTerm.aims(j)
-	j.look(now)
+	j.objectives = p.leaderTerm.objectives(j)
+	j.updateFeasibility(now)
 	j.team.Add(j)
 	p.leaderTerm.dispatchUntil = now.Add(dispatchFor)
 }
@@ -135,7 +135,7 @@
 		j.awaitedEnded(at)
 		delete(j.awaits, id)
 		j.dropEnded()
-		if len(j.awaits) == 0 && !j.cancelPending && !j.over {
+		if len(j.awaits) == 0 && !j.cancelPending && !j.ended {
 			p.ready(j)
 		}
 	}
@@ -154,7 +154,7 @@
 func (p *pipeline) cancelWithDependents(j *job) {
 	for todo := []*job{j}; len(todo) > 0; {
 		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		if j.cancelPending || j.over {
+		if j.cancelPending || j.ended {
 			continue
 		}
 		j.cancelPending = true
@@ -186,7 +186,7 @@
 
 // add writes pending cancellations in a batch of their own, if the write rate allows.
 func (p *pipeline) add(b *batch, now time.Time) {
-	p.pendingCancels = slices.DeleteFunc(p.pendingCancels, func(j *job) bool { return j.over })
+	p.pendingCancels = slices.DeleteFunc(p.pendingCancels, func(j *job) bool { return j.ended })
 	w := &p.leaderTerm.recorder
 	allowed := min(w.maxOps, int(p.limiter.TokensAt(now)))
 	if len(p.pendingCancels) == 0 || allowed < cancelOps {
@@ -196,7 +196,7 @@
 	for n < len(p.pendingCancels) && len(b.txn.Ops)+cancelOps <= allowed && b.bytes < w.maxBytes {
 		j := p.pendingCancels[n]
 		active := store.ActivePrefix + j.spec.ID
-		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: active, Mark: j.mark})
+		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: active, Mark: j.modRevision})
 		b.put(store.FinalPrefix+j.spec.ID, store.FinalRecord{Phase: api.JobWithdrawn, Tasks: j.spec.Tasks})
 		b.delete(active)
 		j.ending = true
@@ -212,7 +212,7 @@
 // was accepted after all that it needs, so going back in the order of acceptance
 // each is looked at once, after all that need it; and only where anything changes.
 func (p *pipeline) propagateDeadlines(jobs ...*job) {
-	byMark := func(a, b *job) int { return cmp.Compare(a.mark, b.mark) }
+	byMark := func(a, b *job) int { return cmp.Compare(a.modRevision, b.modRevision) }
 	todo := slices.Clone(jobs)
 	slices.SortFunc(todo, byMark)
 	for len(todo) > 0 {
@@ -248,8 +248,8 @@
 	for _, at := range due {
 		o.due = append(o.due, at.Add(-takes))
 	}
-	o.aims = p.leaderTerm.aims(o)
-	o.look(time.Now())
+	o.objectives = p.leaderTerm.objectives(o)
+	o.updateFeasibility(time.Now())
 	return true
 }
 
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -241,8 +241,8 @@
 			lt := c.leaderTerm
 			w.same("demand", lt.provisioner.demand(), 1.0)
 			w.same("in the queue", len(lt.teams["red"].Items()), 1)
-			w.same("overlooked", lt.overlooked, 0)
-			counts, _ := lt.waits(time.Now())
+			w.same("overlooked", lt.starved, 0)
+			counts, _ := lt.pendingReasons(time.Now())
 			w.same("why it waits", counts, map[string]int{"awaits others": 1})
 		})
 		st, err := n.Job(context.Background(), "job-2")
@@ -256,8 +256,8 @@
 		w.same("begun", len(k.running()), 4)
 		n.look(func(c *Controller) {
 			j := c.leaderTerm.jobs["job-2"]
-			w.same("since it could run", time.Since(j.since) < 5*time.Second, true)
-			w.same("its aim", time.Until(j.aims[0]) > 80*time.Second, true)
+			w.same("since it could run", time.Since(j.runnableSince) < 5*time.Second, true)
+			w.same("its aim", time.Until(j.objectives[0]) > 80*time.Second, true)
 			w.same("demand", c.leaderTerm.provisioner.demand(), 16.0)
 		})
 	})
@@ -284,7 +284,7 @@
 			for id, stages := range map[string]int{"job-4": 0, "job-2": 1, "job-3": 1, "job-1": 2} {
 				j := lt.jobs[id]
 				want := accepted.Add(300*time.Second - time.Duration(stages)*takes)
-				if d := j.aims[0].Sub(want); d < -time.Second || d > time.Second {
+				if d := j.objectives[0].Sub(want); d < -time.Second || d > time.Second {
 					t.Errorf("%s should be complete %v from the wanted time", id, d)
 				}
 				w.same(id+" rank", j.rank, api.PriorityRank("urgent"))
@@ -356,7 +356,7 @@
 		for i := range 20 {
 			w.submit(n, after(fmt.Sprint("job-2", i), "red", 1, "job-1"))
 		}
-		n.look(func(c *Controller) { c.leaderTerm.teams["blue"].CPUsMax = 1000 })
+		n.look(func(c *Controller) { c.leaderTerm.teams["blue"].LimitCPUs = 1000 })
 		var ks []*worker
 		for i := range 30 {
 			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
@@ -378,7 +378,7 @@
 			}
 		}
 		work(3)
-		n.look(func(c *Controller) { c.leaderTerm.jobs["job-1"].heldUntil = time.Now().Add(time.Hour) })
+		n.look(func(c *Controller) { c.leaderTerm.jobs["job-1"].backoffUntil = time.Now().Add(time.Hour) })
 		if _, err := n.Abort(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
@@ -534,7 +534,7 @@
 						}
 						w.same("cancelled, each once", []int{len(pending), len(lt.pipeline.pendingCancels)}, []int{jobs, jobs})
 						for j := range pending {
-							lt.withdraw(j)
+							lt.cancelJob(j)
 						}
 						w.same("left", len(lt.jobs)+len(lt.pipeline.dependents), 0)
 						lt.pipeline.pendingCancels = nil
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -7,19 +7,19 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// place pulls tasks for a machine with free room.
-func (lt *leaderTerm) place(m *machine, orders []api.Command, now time.Time) []api.Command {
+// assignTasks pulls tasks for a machine with free room.
+func (lt *leaderTerm) assignTasks(m *machine, orders []api.Command, now time.Time) []api.Command {
 	if !m.isSchedulable(now) || !lt.mayStart(now) {
 		return orders
 	}
-	m.lookFetches()
+	m.updateFetching()
 	for len(orders) < maxCommands {
-		j := lt.pick(m, now)
+		j := lt.nextJob(m, now)
 		if j == nil {
 			break
 		}
 		j.flight.Join(m.name)
-		task, ok := j.flight.PullExcept(m.name, func(t int) bool { return j.barred[t] == m.name })
+		task, ok := j.flight.PullExcept(m.name, func(t int) bool { return j.excluded[t] == m.name })
 		if !ok {
 			break
 		}
@@ -29,30 +29,30 @@
 		if !m.images.has(j.spec.Image) {
 			m.fetching[j.spec.Image] = true
 		}
-		j.passed = time.Time{}
-		j.live[task] = a
-		a.charge(1)
+		j.skippedSince = time.Time{}
+		j.activeAttempts[task] = a
+		a.reserve(1)
 		lt.counts.started++
 		orders = append(orders, api.Command{Verb: api.VerbStart, Task: a.key.ref, Attempt: a.key.id})
 	}
 	return orders
 }
 
-// pick chooses the job whose flight this machine serves next. What the teams'
+// nextJob chooses the job whose flight this machine serves next. What the teams'
 // guarantees cover comes first: no team waits for another there, so the job
 // that must begin soonest is taken. What they borrow is served by the teams in
 // turn by shares, urgent work before the rest.
-func (lt *leaderTerm) pick(m *machine, now time.Time) *job {
-	if m.freeCPUs() < slack && m.gpus <= m.usedGPUs {
+func (lt *leaderTerm) nextJob(m *machine, now time.Time) *job {
+	if m.freeCPUs() < epsilon && m.gpus <= m.usedGPUs {
 		return nil
 	}
-	if j := lt.behindFirst(m, now); j != nil {
+	if j := lt.nextStarved(m, now); j != nil {
 		return j
 	}
 	for _, suited := range []bool{true, false} {
 		var best *job
-		for _, t := range lt.turns {
-			j := lt.first(t, m, true, suited, now)
+		for _, t := range lt.fairShareOrder {
+			j := lt.nextJobOfTeam(t, m, true, suited, now)
 			if j != nil && (best == nil || queue.Before(j, best)) {
 				best = j
 			}
@@ -60,10 +60,10 @@
 		if best != nil {
 			return best
 		}
-		queue.Turns(lt.turns)
-		for _, t := range lt.turns {
-			j := lt.first(t, m, false, suited, now)
-			if j != nil && (best == nil || queue.Urgency(j) < queue.Urgency(best)) {
+		queue.SortByShare(lt.fairShareOrder)
+		for _, t := range lt.fairShareOrder {
+			j := lt.nextJobOfTeam(t, m, false, suited, now)
+			if j != nil && (best == nil || queue.UrgencyRank(j) < queue.UrgencyRank(best)) {
 				best = j
 			}
 		}
@@ -77,27 +77,27 @@
 // Jobs that cannot be in time give way to those that can, but not without
 // end, or under lasting overload the largest would never run. One that has had
 // no start for a part of the time in which every job must begin goes before
-// all; and of all starts, one in behindShare goes to the job that has waited
+// all; and of all starts, one in starvedShare goes to the job that has waited
 // longest, once that is long.
 const (
-	beginWithin = 90 * time.Second
-	longWait    = 2 * time.Minute
-	behindShare = 8
+	starvedAfter  = 90 * time.Second
+	starvingAfter = 2 * time.Minute
+	starvedShare  = 8
 )
 
-// behindFirst is the job that goes before all others on a machine, if any.
-func (lt *leaderTerm) behindFirst(m *machine, now time.Time) *job {
+// nextStarved is the job that goes before all others on a machine, if any.
+func (lt *leaderTerm) nextStarved(m *machine, now time.Time) *job {
 	var best *job
-	turn := lt.attemptCount%behindShare == 0
-	if !turn && lt.overlooked == 0 {
+	turn := lt.attemptCount%starvedShare == 0
+	if !turn && lt.starved == 0 {
 		return nil
 	}
-	for _, t := range lt.turns {
+	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
-			if j.flight.Untaken() == 0 || !(j.overlooked && !j.begun() || turn && j.behind(now)) {
+			if j.flight.Untaken() == 0 || !(j.starved && !j.started() || turn && j.starving(now)) {
 				continue
 			}
-			if (best == nil || j.since.Before(best.since)) && lt.eligible(j, m, now) {
+			if (best == nil || j.runnableSince.Before(best.runnableSince)) && lt.eligible(j, m, now) {
 				best = j
 			}
 		}
@@ -105,13 +105,13 @@
 	return best
 }
 
-// first is the first job of a team's queue that this machine may serve, among
+// nextJobOfTeam is the first job of a team's queue that this machine may serve, among
 // those whose next task is within the guarantee or among the others, and among
 // those that the machine suits or among all.
-func (lt *leaderTerm) first(t *queue.Team[*job], m *machine, guaranteed, suited bool, now time.Time) *job {
+func (lt *leaderTerm) nextJobOfTeam(t *queue.Team[*job], m *machine, guaranteed, suited bool, now time.Time) *job {
 	for _, j := range t.Items() {
 		if j.flight.Untaken() > 0 && t.Guaranteed(j.spec.CPUs, j.spec.GPUs) == guaranteed &&
-			lt.eligible(j, m, now) && (!(suited || j.hurries(now)) || lt.suits(j, m, now)) && !lt.betterElsewhere(j, m, now) {
+			lt.eligible(j, m, now) && (!(suited || j.isUrgent(now)) || lt.prefers(j, m, now)) && !lt.betterElsewhere(j, m, now) {
 			return j
 		}
 	}
@@ -122,11 +122,11 @@
 func (lt *leaderTerm) eligible(j *job, m *machine, now time.Time) bool {
 	s := &j.spec
 	switch {
-	case j.over || j.finishing || j.handover || j.lent != nil || now.Before(j.heldUntil):
+	case j.ended || j.finishing || j.handover || j.lent != nil || now.Before(j.backoffUntil):
 		return false
 	case j.guest != nil && !j.withinGrant():
 		return false
-	case lt.unfenced > 0 && j.mark <= lt.term.Mark:
+	case lt.unfenced > 0 && j.modRevision <= lt.term.Mark:
 		// A machine not heard in this term may hold any task that was
 		// accepted before it.
 		return false
@@ -134,7 +134,7 @@
 		return false
 	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return false
-	case j.errors[m.name] >= 2 || j.onlyBarred(m) || !(m.canFetch(s.Image, lt.fetches) || lt.quickFetch(j, m)):
+	case j.failuresByMachine[m.name] >= 2 || j.onlyExcluded(m) || !(m.canFetch(s.Image, lt.maxFetches) || lt.quickFetch(j, m)):
 		return false
 	}
 	if s.OneZone {
@@ -153,11 +153,11 @@
 // the others become empty and go back to the cloud. A job that has waited
 // for its grace is taken by anybody.
 func (lt *leaderTerm) betterElsewhere(j *job, m *machine, now time.Time) bool {
-	if now.Sub(j.waiting) > lt.grace {
+	if now.Sub(j.waitingSince) > lt.grace {
 		return false
 	}
-	if now.Sub(j.room.at) >= tickInterval {
-		lt.findRoom(j, now)
+	if now.Sub(j.capacity.computedAt) >= tickInterval {
+		lt.findCapacity(j, now)
 	}
-	return j.room.below(lt.placementCost(j, m)-0.5) >= j.flight.Untaken()
+	return j.capacity.below(lt.placementCost(j, m)-0.5) >= j.flight.Untaken()
 }
--- a/internal/controller/placement_test.go
+++ b/internal/controller/placement_test.go
@@ -11,7 +11,7 @@
 
 func TestTeamLimitHolds(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.teams = []config.Team{{Name: "red", CPUs: 2, CPUsMax: 6}}
+		w.teams = []config.Team{{Name: "red", CPUs: 2, LimitCPUs: 6}}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 20))
 		total := 0
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -14,14 +14,14 @@
 	size := (w.perChunk/8+2)/3*4 + 100
 	for len(w.dirty) > 0 && len(b.txn.Ops) < allowed && (b.bytes+size < w.maxBytes || len(b.txn.Ops) == 0) {
 		j := w.dirty[0]
-		if !j.dirty || j.finishing || j.over {
+		if !j.completionDirty || j.finishing || j.ended {
 			w.dirty = w.dirty[1:]
-			j.dirty = false
+			j.completionDirty = false
 			continue
 		}
 		first, ok := j.unrecorded(w.perChunk)
 		if !ok {
-			j.dirty = false
+			j.completionDirty = false
 			w.dirty = w.dirty[1:]
 			continue
 		}
@@ -29,13 +29,13 @@
 		b.put(store.ProgressKey(j.spec.ID, first), store.ProgressRecord{Done: words})
 		// The record must not outlive its job: once that is over, another
 		// node has dropped the key guarded on here.
-		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: store.ActivePrefix + j.spec.ID, Mark: j.mark})
-		j.chunks[first] = true
+		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: store.ActivePrefix + j.spec.ID, Mark: j.modRevision})
+		j.completionChunks[first] = true
 		j.holds(first, 8*len(words))
 		b.progressed = append(b.progressed, progressed{j, first, words})
 		// One record of a job at a time: the next is looked for when this
 		// one is on record.
-		j.dirty = false
+		j.completionDirty = false
 		w.dirty = w.dirty[1:]
 	}
 }
@@ -44,7 +44,7 @@
 // record may be written.
 func (j *job) unrecorded(per int) (first int, ok bool) {
 	for from := 0; per > 0; from = first + per {
-		t, ok := j.done.Difference(j.durable).NextSet(uint(from))
+		t, ok := j.done.Difference(j.recorded).NextSet(uint(from))
 		if !ok {
 			return 0, false
 		}
@@ -58,10 +58,10 @@
 // holds notes that the store may have a record that begins at first and covers
 // so many tasks.
 func (j *job) holds(first, tasks int) {
-	if j.extents == nil {
-		j.extents = map[int]int{}
+	if j.chunkSizes == nil {
+		j.chunkSizes = map[int]int{}
 	}
-	j.extents[first] = max(j.extents[first], tasks)
+	j.chunkSizes[first] = max(j.chunkSizes[first], tasks)
 }
 
 // replaceable tells whether the record that begins at first may be written with
@@ -69,23 +69,23 @@
 // tasks beyond would no longer count as done for the next leader. They are first put on
 // record under keys of their own, which all lie further on.
 func (j *job) replaceable(first, per int) bool {
-	extent := j.extents[first]
+	extent := j.chunkSizes[first]
 	if extent <= per {
 		return true
 	}
 	moving := j.moving[first]
 	if moving == nil {
 		moving = bitset.New(uint(j.spec.Tasks))
-		for t, ok := j.durable.NextSet(uint(first + per)); ok && t < uint(first+extent); t, ok = j.durable.NextSet(t + 1) {
+		for t, ok := j.recorded.NextSet(uint(first + per)); ok && t < uint(first+extent); t, ok = j.recorded.NextSet(t + 1) {
 			moving.Set(t)
 		}
-		j.durable.InPlaceDifference(moving)
+		j.recorded.InPlaceDifference(moving)
 		if j.moving == nil {
 			j.moving = map[int]*bitset.BitSet{}
 		}
 		j.moving[first] = moving
 	}
-	return moving.DifferenceCardinality(j.durable) == 0
+	return moving.DifferenceCardinality(j.recorded) == 0
 }
 
 func (j *job) doneBytes(first, per int) []byte {
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -68,25 +68,25 @@
 	for _, t := range f.leaderTerm.allTeams() {
 		atOnce, inTime := t.UsedCPUs, t.UsedCPUs
 		for _, j := range t.Items() {
-			if j.finishing || j.faulty > 0 {
+			if j.finishing || j.failureRounds > 0 {
 				continue
 			}
 			cpus := float64(j.flight.Untaken()) * j.spec.CPUs
 			atOnce += cpus
-			inTime += cpus / j.rounds(bootedAt)
+			inTime += cpus / j.runsPerCPU(bootedAt)
 		}
 		guaranteed := min(atOnce, t.CPUs)
-		sum += min(max(inTime, guaranteed), t.CPUsMax)
+		sum += min(max(inTime, guaranteed), t.LimitCPUs)
 	}
 	return sum
 }
 
 // allTeams are the cell's own teams and those of guests: what was accepted is to run.
 func (lt *leaderTerm) allTeams() []*queue.Team[*job] {
-	if len(lt.loans.guestTurns) == 0 {
-		return lt.turns
+	if len(lt.loans.guestFairShareOrder) == 0 {
+		return lt.fairShareOrder
 	}
-	return slices.Concat(lt.turns, lt.loans.guestTurns)
+	return slices.Concat(lt.fairShareOrder, lt.loans.guestFairShareOrder)
 }
 
 // longestBoot is how long the slowest type of machine usually takes to boot.
@@ -232,15 +232,15 @@
 			continue
 		}
 		for _, a := range m.attempts {
-			if a.exited || a.job == nil || a.stop != nil || a.job.over || a.job.spec.CheckpointS == 0 || a.phase != api.TaskRunning {
+			if a.exited || a.job == nil || a.stop != nil || a.job.ended || a.job.spec.CheckpointS == 0 || a.phase != api.TaskRunning {
 				continue
 			}
 			s := &a.job.spec
 			ran := now.Sub(a.runningAt)
 			left := s.Estimate() - ran
-			aim := a.job.latest.Add(s.Estimate())
+			aim := a.job.latestStart.Add(s.Estimate())
 			if ran > moveAfter && left > moveUnless+s.Save() &&
-				(a.job.hopeless || now.Add(left*5/4+s.Save()+3*f.leaderTerm.c.Settings.Site.Workers.Report()+moveMargin).Before(aim)) {
+				(a.job.infeasible || now.Add(left*5/4+s.Save()+3*f.leaderTerm.c.Settings.Site.Workers.Report()+moveMargin).Before(aim)) {
 				room -= s.CPUs
 				f.leaderTerm.stop(a, 2*s.Save()+time.Second, now)
 			}
--- a/internal/controller/provisioner_test.go
+++ b/internal/controller/provisioner_test.go
@@ -36,7 +36,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulate(t, func(w *cluster) {
-				w.teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 64}}
+				w.teams = []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 64}}
 				n := w.start("n0")
 				n.look(func(c *Controller) {
 					c.Policy.MinCPUs, c.Policy.Headroom = 0, 0
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -68,8 +68,8 @@
 }
 
 func (w *recorder) progress(j *job) {
-	if !j.dirty {
-		j.dirty = true
+	if !j.completionDirty {
+		j.completionDirty = true
 		w.dirty = append(w.dirty, j)
 	}
 }
@@ -146,7 +146,7 @@
 func (w *recorder) addFinished(b *batch, allowed int, now time.Time) {
 	for len(w.finishing) > 0 && b.bytes < w.maxBytes {
 		j := w.finishing[0]
-		if j.over {
+		if j.ended {
 			w.finishing = w.finishing[1:]
 			continue
 		}
@@ -155,7 +155,7 @@
 		}
 		w.finishing = w.finishing[1:]
 		active := store.ActivePrefix + j.spec.ID
-		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: active, Mark: j.mark})
+		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: active, Mark: j.modRevision})
 		b.put(store.FinalPrefix+j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now.UTC()})
 		b.delete(active)
 		b.finished = append(b.finished, j)
@@ -250,9 +250,9 @@
 		}
 		w.verify(changed)
 		for _, p := range m.batch.progressed {
-			if !p.job.over && slices.Contains(m.res.Failed, store.ActivePrefix+p.job.spec.ID) {
-				p.job.dirty = false // cancelled; the watch will say so
-				p.job.chunks[p.first] = false
+			if !p.job.ended && slices.Contains(m.res.Failed, store.ActivePrefix+p.job.spec.ID) {
+				p.job.completionDirty = false // cancelled; the watch will say so
+				p.job.completionChunks[p.first] = false
 				w.dirty = slices.DeleteFunc(w.dirty, func(j *job) bool { return j == p.job })
 			}
 		}
@@ -307,46 +307,46 @@
 func (w *recorder) recorded(b *batch) {
 	lt := w.leaderTerm
 	for _, j := range b.finished {
-		lt.finished(j)
+		lt.jobFinished(j)
 	}
 	for _, j := range b.derivedCancels {
-		if !j.over {
-			lt.withdraw(j)
+		if !j.ended {
+			lt.cancelJob(j)
 		}
 	}
 	w.written(b)
 	for _, p := range b.progressed {
-		p.job.extents[p.first] = 8 * len(p.words)
+		p.job.chunkSizes[p.first] = 8 * len(p.words)
 		delete(p.job.moving, p.first)
 		for i, by := range p.words {
 			for bit := range 8 {
 				if by&(1<<bit) != 0 {
-					p.job.durable.Set(uint(p.first + i*8 + bit))
+					p.job.recorded.Set(uint(p.first + i*8 + bit))
 				}
 			}
 		}
-		if _, more := p.job.unrecorded(w.perChunk); more && !p.job.over && !p.job.finishing {
+		if _, more := p.job.unrecorded(w.perChunk); more && !p.job.ended && !p.job.finishing {
 			w.progress(p.job)
 		}
 	}
 }
 
-// finished removes a job whose end is on record.
-func (lt *leaderTerm) finished(j *job) {
-	if j.over {
+// jobFinished removes a job whose end is on record.
+func (lt *leaderTerm) jobFinished(j *job) {
+	if j.ended {
 		return
 	}
 	lt.forget(j)
 	now := time.Now()
 	lt.c.final.Add(j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}.FinalState(j.spec.ID))
 	lt.pipeline.done(j.spec.ID, now)
-	for first, written := range j.chunks {
+	for first, written := range j.completionChunks {
 		if written {
 			lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
 		}
 	}
 	lt.awaitsLists.drop(j)
 	lt.c.Log.Debug("job done", "job", j.spec.ID, "class", j.spec.Class, "tasks", j.spec.Tasks,
-		"lost", j.lost, "firstStart", j.after(j.firstStart), "lastStart", j.after(j.lastStart), "estimate", j.spec.EstimateS, "longest", j.longest.Round(time.Second/10),
-		"late", math.Round(time.Since(j.aims[0]).Seconds()))
+		"lost", j.lostTasks, "firstStart", j.sinceRunnable(j.firstStart), "lastStart", j.sinceRunnable(j.lastStart), "estimate", j.spec.EstimateS, "longest", j.longest.Round(time.Second/10),
+		"late", math.Round(time.Since(j.objectives[0]).Seconds()))
 }
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -100,7 +100,7 @@
 			if a.direct.inFlight = false; a.lastSeenIn == 0 && a.machine.attempts[a.key] == a {
 				a.direct.outcomeUnknown = true
 				lt.evacuate(a.machine, "order unanswered")
-				if a.job.over {
+				if a.job.ended {
 					lt.resolveOutcome(a)
 				}
 			}
--- a/internal/controller/replacement_test.go
+++ b/internal/controller/replacement_test.go
@@ -127,7 +127,7 @@
 	t.Helper()
 	simulate(t, func(w *cluster) {
 		w.zones = map[string]string{"n0": "a", "n1": "a", "n2": "a"}
-		w.teams[0].CPUsMax = 100
+		w.teams[0].LimitCPUs = 100
 		s := &standbyCluster{cluster: w, mesh: &mesh{nodes: map[string]*node{}, cut: map[string]bool{}}, ran: map[string]int{}, firstStart: map[uint64]time.Time{}, only: map[string]string{}, never: map[string]string{}, gates: map[string]*gate{}, grant: grantS}
 		ctx, cancel := context.WithCancel(context.Background())
 		for i := range 3 {
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -83,13 +83,13 @@
 	if rep.Term == lt.term.Number {
 		lt.markFenced(m)
 		if from == agentInitiated {
-			orders = lt.place(m, orders, now)
+			orders = lt.assignTasks(m, orders, now)
 		}
 	}
 	if from == agentInitiated {
 		m.lastCommands, m.lastCommandsAt = orders, now
 	}
-	if m.usedCPUs > slack || len(m.attempts) > 0 {
+	if m.usedCPUs > epsilon || len(m.attempts) > 0 {
 		m.idleSince = now
 	}
 	return orders
@@ -215,7 +215,7 @@
 		// A version that knows nothing of jobs that await others may have started
 		// one too early; one that is to be cancelled is stopped, also while the
 		// store cannot be written; so is one that another cell owns.
-		if a.job == nil || a.job.over || a.job.cancelPending || a.job.lent != nil || a.job.live[a.task] != a {
+		if a.job == nil || a.job.ended || a.job.cancelPending || a.job.lent != nil || a.job.activeAttempts[a.task] != a {
 			lt.stop(a, 0, now)
 		}
 		if a.stop != nil {
@@ -235,10 +235,10 @@
 		key := attemptKey{t.Task, t.Attempt}
 		a := m.attempts[key]
 		if a == nil {
-			a = lt.adopt(m, key, t, now)
+			a = lt.adoptAttempt(m, key, t, now)
 		}
 		a.lastSeenIn = m.heartbeats
-		lt.update(a, t, now)
+		lt.updateAttempt(a, t, now)
 		if a.exited && lt.reapable(a) && len(reaps) < maxCommands {
 			reaps = append(reaps, api.Command{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
 		}
@@ -255,7 +255,7 @@
 	lt.offMachine(a)
 }
 
-// hasImage notes that a machine has a job's image.
-func (lt *leaderTerm) hasImage(m *machine, s *api.JobSpec, now time.Time) {
+// recordImage notes that a machine has a job's image.
+func (lt *leaderTerm) recordImage(m *machine, s *api.JobSpec, now time.Time) {
 	m.images.use(s, lt.c.types.load()[m.typ].CacheGB, now)
 }
--- a/internal/controller/room.go
+++ b/internal/controller/room.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// room is how many tasks of a job the open machines have room for, by how well
+// capacity is how many tasks of a job the open machines have room for, by how well
 // they suit it. It is looked at by each machine that might take the job, so it
 // is found once a tick: looking through the whole fleet each time took a
 // leader of 700 machines most of its processor when a job came.
-type room struct {
-	at    time.Time
-	costs []float64
+type capacity struct {
+	computedAt time.Time
+	costs      []float64
 	// slots are sums: what the machines up to each cost have room for.
 	slots []int
 }
 
 // below is the room on machines of at most a cost.
-func (o *room) below(cost float64) int {
-	n, found := slices.BinarySearch(o.costs, cost)
-	for found && n < len(o.costs) && o.costs[n] == cost {
+func (cp *capacity) below(cost float64) int {
+	n, found := slices.BinarySearch(cp.costs, cost)
+	for found && n < len(cp.costs) && cp.costs[n] == cost {
 		n++
 	}
 	if n == 0 {
 		return 0
 	}
-	return o.slots[n-1]
+	return cp.slots[n-1]
 }
 
-// findRoom looks through the fleet for room for a job.
-func (lt *leaderTerm) findRoom(j *job, now time.Time) {
+// findCapacity looks through the fleet for room for a job.
+func (lt *leaderTerm) findCapacity(j *job, now time.Time) {
 	type place struct {
 		cost  float64
 		slots int
@@ -42,12 +42,12 @@
 		}
 	}
 	slices.SortFunc(places, func(a, b place) int { return cmp.Compare(a.cost, b.cost) })
-	j.room = room{at: now, costs: j.room.costs[:0], slots: j.room.slots[:0]}
+	j.capacity = capacity{computedAt: now, costs: j.capacity.costs[:0], slots: j.capacity.slots[:0]}
 	sum := 0
 	for _, p := range places {
 		sum += p.slots
-		j.room.costs = append(j.room.costs, p.cost)
-		j.room.slots = append(j.room.slots, sum)
+		j.capacity.costs = append(j.capacity.costs, p.cost)
+		j.capacity.slots = append(j.capacity.slots, sum)
 	}
 }
 
@@ -58,11 +58,11 @@
 	return rate > 0 && j.spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.ReportS
 }
 
-// misplaced is what it counts for, in seconds, if work that saves nothing is on a
+// spotMismatchPenalty is what it counts for, in seconds, if work that saves nothing is on a
 // machine that the cloud may take back, or work that does on one of the others,
 // where it takes the room of that which does not. Nearly all jobs that were late
 // while the fleet had room had lost tasks to machines taken.
-const misplaced = 8
+const spotMismatchPenalty = 8
 
 // placementCost is how badly a machine suits a job, in seconds lost: the time to
 // fetch the image, and a measure of what it costs to keep the machine.
@@ -72,26 +72,26 @@
 	if !m.images.has(j.spec.Image) && mt.FetchGBs > 0 {
 		lost += j.spec.ImageGB / mt.FetchGBs
 	}
-	if m.usedCPUs < slack {
+	if m.usedCPUs < epsilon {
 		lost += 4
 	}
 	if p := lt.provisioner.cpuPrice(m); p > 0 {
 		lost += p/lt.provisioner.cheapest() - 1
 	}
 	if m.spot != (j.spec.CheckpointS > 0) {
-		lost += misplaced
+		lost += spotMismatchPenalty
 	}
 	return lost + m.freeCPUs()/m.cpus
 }
 
-// onlyBarred tells whether every untaken task of a job failed on a machine.
-func (j *job) onlyBarred(m *machine) bool {
-	if len(j.barred) == 0 {
+// onlyExcluded tells whether every untaken task of a job failed on a machine.
+func (j *job) onlyExcluded(m *machine) bool {
+	if len(j.excluded) == 0 {
 		return false
 	}
 	n := 0
-	for task, name := range j.barred {
-		if name == m.name && !j.done.Test(uint(task)) && j.live[task] == nil {
+	for task, name := range j.excluded {
+		if name == m.name && !j.done.Test(uint(task)) && j.activeAttempts[task] == nil {
 			n++
 		}
 	}
--- a/internal/controller/room_test.go
+++ b/internal/controller/room_test.go
@@ -16,7 +16,7 @@
 // What other members did is known without going through them: the sums must
 // come out as if they had been.
 func TestRunsElsewhere(t *testing.T) {
-	j := &job{runs: jobRuns{by: map[string]*runs{}}}
+	j := &job{runs: jobRuns{byMachine: map[string]*runStats{}}}
 	took := map[string][]int{"i-1": {5, 9, 2}, "i-2": {7}, "i-3": {8, 9}, "i-4": {3}}
 	for _, name := range []string{"i-2", "i-1", "i-3", "i-4"} {
 		for _, s := range took[name] {
@@ -24,7 +24,7 @@
 		}
 	}
 	for _, name := range []string{"i-1", "i-2", "i-3", "i-4", "i-5"} {
-		var want runs
+		var want runStats
 		for other, list := range took {
 			for _, s := range list {
 				if other != name {
@@ -42,7 +42,7 @@
 // for all that waits of it, and takes it when they have not.
 func TestBetterMachinesFirst(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.teams[0].CPUsMax = 100
+		w.teams[0].LimitCPUs = 100
 		w.cloud.types[0].FetchGBs = 1
 		a := w.start("n0")
 		var ks []*worker
@@ -66,7 +66,7 @@
 		a.look(func(c *Controller) {
 			j, now := c.leaderTerm.jobs["job-2"], time.Now()
 			better := func() bool {
-				j.room.at = time.Time{}
+				j.capacity.computedAt = time.Time{}
 				return c.leaderTerm.betterElsewhere(j, c.leaderTerm.machines["i-2"], now)
 			}
 			w.same("more waits than the better have room for", better(), false)
@@ -74,7 +74,7 @@
 			j.flight.Take(1)
 			w.same("as much waits as the better have room for", better(), true)
 			w.same("one of the better", c.leaderTerm.betterElsewhere(j, c.leaderTerm.machines["i-0"], now), false)
-			j.waiting = now.Add(-c.leaderTerm.grace - time.Second)
+			j.waitingSince = now.Add(-c.leaderTerm.grace - time.Second)
 			w.same("it has waited for long enough", better(), false)
 		})
 	})
@@ -84,7 +84,7 @@
 // that the cloud may take back, as long as there is room.
 func TestSpotMachinesForWorkThatSaves(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.teams[0].CPUsMax = 100
+		w.teams[0].LimitCPUs = 100
 		a := w.start("n0")
 		stays, spot := w.worker("i-1", "a", false), w.worker("i-2", "a", true)
 		both := func(n int) {
@@ -121,15 +121,15 @@
 		for range 60 {
 			k.report(n)
 			most = max(most, len(k.rep.Tasks))
-			if most > mostAttempts {
+			if most > maxAttempts {
 				t.Fatalf("%d tasks on a machine", most)
 			}
 			time.Sleep(time.Second)
-			if len(k.rep.Tasks) == mostAttempts {
+			if len(k.rep.Tasks) == maxAttempts {
 				k.exit(api.CauseDone)
 			}
 		}
-		w.same("fills the machine", most, mostAttempts)
+		w.same("fills the machine", most, maxAttempts)
 		k.exit(api.CauseDone)
 		k.serve(n, 4)
 		w.same("phase", w.phase(n, s.ID), api.JobDone)
@@ -137,8 +137,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if size := (len(line) + 1) * mostAttempts; size > 64<<10-1024 {
-			t.Errorf("a report of %d tasks takes %d bytes", mostAttempts, size)
+		if size := (len(line) + 1) * maxAttempts; size > 64<<10-1024 {
+			t.Errorf("a report of %d tasks takes %d bytes", maxAttempts, size)
 		}
 	})
 }
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, t := range h.w.teams {
-		if t.Name == s.Team && used+s.CPUs > t.CPUsMax+slack {
+		if t.Name == s.Team && used+s.CPUs > t.LimitCPUs+epsilon {
 			h.fail("%s starts on %s: team %s uses %v CPUs", task, r.machine, s.Team, used+s.CPUs)
 		}
 	}
@@ -213,7 +213,7 @@
 				(s.Zone == "" || s.Zone == k.rep.Zone) && (s.Spot || !k.rep.Spot)
 		}
 		for _, t := range h.w.teams {
-			room = room && (t.Name != s.Team || used[s.Team]+s.CPUs <= t.CPUsMax)
+			room = room && (t.Name != s.Team || used[s.Team]+s.CPUs <= t.LimitCPUs)
 		}
 		if p.waits += since; !room || s.OneZone || s.Spread {
 			p.waits = 0 // where those may start depends on their other tasks
--- a/internal/controller/settle.go
+++ b/internal/controller/settle.go
@@ -62,14 +62,14 @@
 	lt.recorder.settling = false
 	defer lt.recorder.settleNext()
 	j := lt.jobs[m.id]
-	if j == nil || j.over {
+	if j == nil || j.ended {
 		return
 	}
 	switch {
 	case m.found && m.st.Phase == api.JobDone:
-		lt.finished(j)
+		lt.jobFinished(j)
 	case m.found && m.st.Phase == api.JobWithdrawn && !m.st.Derived:
-		lt.withdraw(j)
+		lt.cancelJob(j)
 	case j.cancelPending:
 		lt.pipeline.pendingCancels = append(lt.pipeline.pendingCancels, j)
 	default:
--- a/internal/controller/settle_test.go
+++ b/internal/controller/settle_test.go
@@ -46,7 +46,7 @@
 		for i := range 15 {
 			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
 		}
-		n.look(func(c *Controller) { c.leaderTerm.teams["red"].CPUsMax = 1000 })
+		n.look(func(c *Controller) { c.leaderTerm.teams["red"].LimitCPUs = 1000 })
 		all := func(seconds int) {
 			for range seconds {
 				for _, k := range ks {
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// overdueTimes is how many estimates a run may take and not count for a slow
+	// overrunFactor is how many estimates a run may take and not count for a slow
 	// one; how many it may take before it is restarted is the operators' choice.
-	overdueTimes = 2
-	// beyondOthers is by how much an overdue run must exceed the longest run
+	overrunFactor = 2
+	// stragglerFactor is by how much an overdue run must exceed the longest run
 	// of the job's other members.
-	beyondOthers = 1.5
-	// sampleRuns is how many runs elsewhere a comparison needs.
-	sampleRuns = 3
-	// slowRatio marks a machine whose runs take this many times as long as
-	// the same jobs' runs elsewhere, over at least slowRuns of them.
-	slowRatio = 1.7
-	slowRuns  = 8
+	stragglerFactor = 1.5
+	// minSampleRuns is how many runs elsewhere a comparison needs.
+	minSampleRuns = 3
+	// slowdownThreshold marks a machine whose runs take this many times as long as
+	// the same jobs' runs elsewhere, over at least minMeasuredRuns of them.
+	slowdownThreshold = 1.7
+	minMeasuredRuns   = 8
 )
 
-// runs is what a member has completed of a job.
-type runs struct {
+// runStats is what a member has completed of a job.
+type runStats struct {
 	count   int
 	sum     time.Duration
 	longest time.Duration
@@ -26,12 +26,12 @@
 }
 
 // add records a completed run.
-func (o *runs) add(took time.Duration, overran bool) {
-	o.count++
-	o.sum += took
-	o.longest = max(o.longest, took)
+func (rs *runStats) add(took time.Duration, overran bool) {
+	rs.count++
+	rs.sum += took
+	rs.longest = max(rs.longest, took)
 	if overran {
-		o.overran++
+		rs.overran++
 	}
 }
 
@@ -39,32 +39,32 @@
 // the longest run with the longest of the members other than its own. What the
 // others did is so known without going through them at each run.
 type jobRuns struct {
-	by            map[string]*runs
-	all           runs
+	byMachine     map[string]*runStats
+	all           runStats
 	longestOn     string
 	longestBeside time.Duration
 }
 
 // add records a completed run on a machine.
-func (o *jobRuns) add(machine string, took time.Duration, overran bool) {
-	if o.by[machine] == nil {
-		o.by[machine] = &runs{}
+func (jr *jobRuns) add(machine string, took time.Duration, overran bool) {
+	if jr.byMachine[machine] == nil {
+		jr.byMachine[machine] = &runStats{}
 	}
 	switch {
-	case machine == o.longestOn:
-	case took > o.all.longest:
-		o.longestOn, o.longestBeside = machine, o.all.longest
+	case machine == jr.longestOn:
+	case took > jr.all.longest:
+		jr.longestOn, jr.longestBeside = machine, jr.all.longest
 	default:
-		o.longestBeside = max(o.longestBeside, took)
+		jr.longestBeside = max(jr.longestBeside, took)
 	}
-	o.by[machine].add(took, overran)
-	o.all.add(took, overran)
+	jr.byMachine[machine].add(took, overran)
+	jr.all.add(took, overran)
 }
 
 // elsewhere is what the job's other members have completed.
-func (j *job) elsewhere(m *machine) runs {
+func (j *job) elsewhere(m *machine) runStats {
 	out := j.runs.all
-	if mine := j.runs.by[m.name]; mine != nil {
+	if mine := j.runs.byMachine[m.name]; mine != nil {
 		out.count -= mine.count
 		out.sum -= mine.sum
 		out.overran -= mine.overran
@@ -75,24 +75,24 @@
 	return out
 }
 
-// ran records how long a completed run took, and quarantines a machine whose
+// recordRun records how long a completed run took, and quarantines a machine whose
 // runs take much longer than the same jobs' elsewhere.
-func (lt *leaderTerm) ran(a *attempt, took time.Duration, now time.Time) {
+func (lt *leaderTerm) recordRun(a *attempt, took time.Duration, now time.Time) {
 	j, m := a.job, a.machine
 	if a.unmeasured {
 		return
 	}
 	j.longest = max(j.longest, took)
-	j.runs.add(m.name, took, took > overdueTimes*j.spec.Estimate())
+	j.runs.add(m.name, took, took > overrunFactor*j.spec.Estimate())
 	others := j.elsewhere(m)
-	if others.count < sampleRuns || took < time.Second {
+	if others.count < minSampleRuns || took < time.Second {
 		return // a result that was kept comes at once and says nothing
 	}
 	ratio := float64(took) * float64(others.count) / float64(max(others.sum, time.Second))
-	m.slowRuns++
-	m.slowness += (ratio - m.slowness) / float64(min(m.slowRuns, slowRuns))
-	if m.slowRuns >= slowRuns && m.slowness > slowRatio && !m.evacuating && lt.fewSlow() {
-		lt.c.Log.Info("machine quarantined", "machine", m.name, "slowness", m.slowness)
+	m.measuredRuns++
+	m.slowdown += (ratio - m.slowdown) / float64(min(m.measuredRuns, minMeasuredRuns))
+	if m.measuredRuns >= minMeasuredRuns && m.slowdown > slowdownThreshold && !m.evacuating && lt.belowSlowLimit() {
+		lt.c.Log.Info("machine quarantined", "machine", m.name, "slowness", m.slowdown)
 		lt.evacuate(m, "slow")
 		for _, o := range m.attempts {
 			if !o.exited && o.job != nil && o.job.spec.CheckpointS > 0 {
@@ -102,9 +102,9 @@
 	}
 }
 
-// fewSlow tells whether slow machines are the exception: where many seem slow
+// belowSlowLimit tells whether slow machines are the exception: where many seem slow
 // at once, something else is the matter, and quarantine would take the fleet.
-func (lt *leaderTerm) fewSlow() bool {
+func (lt *leaderTerm) belowSlowLimit() bool {
 	n := 0
 	for _, m := range lt.machines {
 		if m.reason == "slow" {
@@ -128,22 +128,22 @@
 	return 2*lt.c.Settings.Site.Workers.Report() + time.Second
 }
 
-// scanOverdue restarts, once, a run past twice its estimate when its machine's
+// restartStragglers restarts, once, a run past twice its estimate when its machine's
 // other tasks of the job overran as well and those on other machines did not.
 // Estimates are often too low for the whole job, and then all its tasks cross
 // the limit together: so the run must also exceed by half the longest that any
 // other member took, or it would be thrown away near its end.
-func (lt *leaderTerm) scanOverdue(now time.Time) {
+func (lt *leaderTerm) restartStragglers(now time.Time) {
 	times := lt.c.Policy.RestartLimit
 	if times == 0 {
 		return
 	}
 	for _, j := range lt.jobs {
 		limit := time.Duration(times * float64(j.spec.Estimate()))
-		if limit <= 0 || len(j.live) == 0 || j.runs.all.count == 0 {
+		if limit <= 0 || len(j.activeAttempts) == 0 || j.runs.all.count == 0 {
 			continue
 		}
-		for _, a := range j.live {
+		for _, a := range j.activeAttempts {
 			m := a.machine
 			took := now.Sub(a.runningAt)
 			// A machine out of hearing may have ended the run long ago.
@@ -151,12 +151,12 @@
 				continue
 			}
 			others := j.elsewhere(m)
-			if others.count < sampleRuns || others.overran > 0 || float64(took) < beyondOthers*float64(others.longest) ||
+			if others.count < minSampleRuns || others.overran > 0 || float64(took) < stragglerFactor*float64(others.longest) ||
 				j.overranOn(m, limit, now) < 2 {
 				continue
 			}
 			j.restarted[a.task] = true
-			j.barred[a.task] = m.name
+			j.excluded[a.task] = m.name
 			lt.c.Log.Debug("slow run restarted", "task", a.key.ref, "machine", m.name)
 			lt.stop(a, j.spec.Save()*2, now)
 		}
@@ -167,10 +167,10 @@
 // included.
 func (j *job) overranOn(m *machine, limit time.Duration, now time.Time) int {
 	n := 0
-	if done := j.runs.by[m.name]; done != nil {
+	if done := j.runs.byMachine[m.name]; done != nil {
 		n = done.overran
 	}
-	for _, a := range j.live {
+	for _, a := range j.activeAttempts {
 		if a.machine == m && !a.exited && !a.runningAt.IsZero() && now.Sub(a.runningAt) > limit {
 			n++
 		}
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -148,7 +148,7 @@
 			given := false
 			host.nodes[0].look(func(c *Controller) {
 				for _, j := range c.leaderTerm.jobs {
-					if j.guest != nil && !j.begun() {
+					if j.guest != nil && !j.started() {
 						c.leaderTerm.loans.giveBack(j)
 						given = true
 					}
@@ -479,8 +479,8 @@
 		for range 200 {
 			host.nodes[0].look(func(c *Controller) {
 				for id, j := range c.leaderTerm.jobs {
-					if held == "" && j.guest != nil && !j.begun() {
-						j.heldUntil = time.Now().Add(time.Hour)
+					if held == "" && j.guest != nil && !j.started() {
+						j.backoffUntil = time.Now().Add(time.Hour)
 						held = id
 					}
 				}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -51,12 +51,12 @@
 
 // TeamStatus is one team's queue and use.
 type TeamStatus struct {
-	Name     string  `json:"name"`
-	Jobs     int     `json:"jobs"`
-	Waiting  int     `json:"waiting_tasks"`
-	UsedCPUs float64 `json:"used_cpus"`
-	CPUs     float64 `json:"guaranteed_cpus"`
-	CPUsMax  float64 `json:"limit_cpus"`
+	Name      string  `json:"name"`
+	Jobs      int     `json:"jobs"`
+	Waiting   int     `json:"waiting_tasks"`
+	UsedCPUs  float64 `json:"used_cpus"`
+	CPUs      float64 `json:"guaranteed_cpus"`
+	LimitCPUs float64 `json:"limit_cpus"`
 }
 
 // Latency sums up a histogram, in milliseconds.
@@ -118,7 +118,7 @@
 	s := &LeaderStatus{Term: lt.term.Number, ValidS: max(0, lt.leaseExpiry.Sub(now).Seconds()), Machines: len(lt.machines),
 		Unfenced: lt.unfenced, Booting: len(lt.provisioning), Started: lt.counts.started, Lost: lt.counts.lost,
 		Done: lt.counts.done, FirstStart: latency(lt.counts.firstStart), Recorded: latency(lt.counts.recorded)}
-	s.Waits, _ = lt.waits(now)
+	s.Waits, _ = lt.pendingReasons(now)
 	s.Cells = lt.loans.status(now)
 	if lt.c.Standby != nil {
 		s.Quorum = &QuorumStatus{Required: lt.quorumRequired, Held: lt.voteQuorum(now)}
@@ -135,7 +135,7 @@
 	}
 	for _, t := range lt.c.Settings.Site.Teams {
 		q := lt.teams[t.Name]
-		ts := TeamStatus{Name: t.Name, Jobs: len(q.Items()), UsedCPUs: q.UsedCPUs, CPUs: q.CPUs, CPUsMax: q.CPUsMax}
+		ts := TeamStatus{Name: t.Name, Jobs: len(q.Items()), UsedCPUs: q.UsedCPUs, CPUs: q.CPUs, LimitCPUs: q.LimitCPUs}
 		for _, j := range q.Items() {
 			ts.Waiting += j.flight.Untaken()
 		}
@@ -144,8 +144,8 @@
 	return s
 }
 
-// whyWaits says why a job's next task is on no machine.
-func (lt *leaderTerm) whyWaits(j *job, now time.Time) string {
+// pendingReason says why a job's next task is on no machine.
+func (lt *leaderTerm) pendingReason(j *job, now time.Time) string {
 	s := &j.spec
 	switch {
 	case j.lent != nil || j.handover:
@@ -156,67 +156,67 @@
 		return "cancelled with another"
 	case len(j.awaits) > 0:
 		return "awaits others"
-	case now.Before(j.heldUntil):
+	case now.Before(j.backoffUntil):
 		return "fails everywhere"
-	case lt.unfenced > 0 && j.mark <= lt.term.Mark:
+	case lt.unfenced > 0 && j.modRevision <= lt.term.Mark:
 		return "takeover"
 	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return "team limit"
-	case j.load.Defer || j.hopeless:
+	case j.load.Defer || j.infeasible:
 		return "gives way"
 	}
 	return "no room"
 }
 
-// waits counts the jobs that wait for their first start, by why, and returns the
+// pendingReasons counts the jobs that wait for their first start, by why, and returns the
 // one that has waited longest.
-func (lt *leaderTerm) waits(now time.Time) (counts map[string]int, oldest *job) {
+func (lt *leaderTerm) pendingReasons(now time.Time) (counts map[string]int, oldest *job) {
 	counts = map[string]int{}
 	for _, j := range lt.jobs {
-		if j.finishing || j.begun() || j.flight.Untaken() == 0 {
+		if j.finishing || j.started() || j.flight.Untaken() == 0 {
 			continue
 		}
-		counts[lt.whyWaits(j, now)]++
+		counts[lt.pendingReason(j, now)]++
 		if len(j.awaits) > 0 || j.lent != nil || j.guest != nil {
 			continue // not for room
 		}
-		if oldest == nil || j.since.Before(oldest.since) {
+		if oldest == nil || j.runnableSince.Before(oldest.runnableSince) {
 			oldest = j
 		}
 	}
 	return counts, oldest
 }
 
-// The log tells why work waits every waitsInterval while a job has waited for
-// longer than waitsLong.
+// The log tells why work waits every pendingLogInterval while a job has waited for
+// longer than longPending.
 const (
-	waitsInterval = 15 * time.Second
-	waitsLong     = 20 * time.Second
+	pendingLogInterval = 15 * time.Second
+	longPending        = 20 * time.Second
 )
 
-// logWaits tells why work waits.
-func (lt *leaderTerm) logWaits(now time.Time) {
-	if now.Before(lt.nextWaits) {
+// logPending tells why work waits.
+func (lt *leaderTerm) logPending(now time.Time) {
+	if now.Before(lt.nextPendingLog) {
 		return
 	}
-	lt.nextWaits = now.Add(waitsInterval)
-	counts, oldest := lt.waits(now)
-	if oldest == nil || now.Sub(oldest.since) < waitsLong {
+	lt.nextPendingLog = now.Add(pendingLogInterval)
+	counts, oldest := lt.pendingReasons(now)
+	if oldest == nil || now.Sub(oldest.runnableSince) < longPending {
 		return
 	}
 	lt.c.Log.Info("work waits", "jobs", counts, "longest", oldest.spec.ID, "class", oldest.spec.Class, "team", oldest.spec.Team,
-		"for", now.Sub(oldest.since).Round(time.Second), "why", lt.whyWaits(oldest, now))
+		"for", now.Sub(oldest.runnableSince).Round(time.Second), "why", lt.pendingReason(oldest, now))
 }
 
-// useInterval is how often the log tells how the fleet is used.
-const useInterval = 5 * time.Second
+// usageLogInterval is how often the log tells how the fleet is used.
+const usageLogInterval = 5 * time.Second
 
-// logUse tells at debug what the fleet's CPUs are doing and how much waits.
-func (lt *leaderTerm) logUse(now time.Time) {
-	if now.Before(lt.nextUse) || !lt.c.Log.Enabled(lt.ctx, slog.LevelDebug) {
+// logUsage tells at debug what the fleet's CPUs are doing and how much waits.
+func (lt *leaderTerm) logUsage(now time.Time) {
+	if now.Before(lt.nextUsageLog) || !lt.c.Log.Enabled(lt.ctx, slog.LevelDebug) {
 		return
 	}
-	lt.nextUse = now.Add(useInterval)
+	lt.nextUsageLog = now.Add(usageLogInterval)
 	var total, open, running, pulling, ordered, saving, kept float64
 	for _, m := range lt.machines {
 		total += m.cpus
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -166,12 +166,12 @@
 		lt.c.Log.Error("progress record", "key", e.Key, "err", err)
 		return
 	}
-	j.chunks[first] = true
+	j.completionChunks[first] = true
 	j.holds(first, 8*len(rec.Done))
 	for i, b := range rec.Done {
 		for bit := range 8 {
 			if task := first + i*8 + bit; b&(1<<bit) != 0 && task < j.spec.Tasks {
-				j.durable.Set(uint(task))
+				j.recorded.Set(uint(task))
 				lt.taskDone(j, task, now)
 			}
 		}
--- a/internal/controller/triage.go
+++ b/internal/controller/triage.go
@@ -6,16 +6,16 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// manyFetches bounds the images that a machine fetches at the same time.
-const manyFetches = 4
+// unlimitedFetches bounds the images that a machine fetches at the same time.
+const unlimitedFetches = 4
 
-// leastTriaged bounds the work of the triage: it looks at that many jobs, or at one for
+// minDeferredLoads bounds the work of the triage: it looks at that many jobs, or at one for
 // each machine of a larger fleet.
-const leastTriaged = 500
+const minDeferredLoads = 500
 
-// triage looks again at which jobs can be in time, and puts the queues in that
+// deferInfeasible looks again at which jobs can be in time, and puts the queues in that
 // order.
-func (lt *leaderTerm) triage(now time.Time) {
+func (lt *leaderTerm) deferInfeasible(now time.Time) {
 	cpus, free, waiting := 0.0, 0.0, 0.0
 	for _, m := range lt.machines {
 		if m.isSchedulable(now) {
@@ -24,40 +24,40 @@
 		}
 	}
 	var loads []*queue.Load
-	most := max(leastTriaged, len(lt.machines))
-	lt.overlooked = 0
-	for _, t := range lt.turns {
+	most := max(minDeferredLoads, len(lt.machines))
+	lt.starved = 0
+	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
-			j.look(now)
-			if j.overlooked = !j.begun() && now.Sub(j.since) > beginWithin; j.overlooked {
-				lt.overlooked++
+			j.updateFeasibility(now)
+			if j.starved = !j.started() && now.Sub(j.runnableSince) > starvedAfter; j.starved {
+				lt.starved++
 			}
 			waiting += float64(j.flight.Untaken()) * j.spec.CPUs
 			j.load = queue.Load{}
-			if j.hopeless || j.finishing || len(loads) == most {
+			if j.infeasible || j.finishing || len(loads) == most {
 				continue
 			}
-			j.load.Aim = j.latest.Add(j.spec.Estimate())
-			j.load.Work = float64(j.flight.Untaken()) * j.spec.CPUs * j.spec.EstimateS
-			for _, a := range j.live {
+			j.load.Deadline = j.latestStart.Add(j.spec.Estimate())
+			j.load.CPUSeconds = float64(j.flight.Untaken()) * j.spec.CPUs * j.spec.EstimateS
+			for _, a := range j.activeAttempts {
 				left := j.spec.Estimate()
 				if !a.runningAt.IsZero() {
 					left -= now.Sub(a.runningAt)
 				}
-				j.load.Work += max(0, left.Seconds()) * j.spec.CPUs
+				j.load.CPUSeconds += max(0, left.Seconds()) * j.spec.CPUs
 			}
 			loads = append(loads, &j.load)
 		}
 	}
-	queue.Triage(loads, cpus, now)
+	queue.DeferInfeasible(loads, cpus, now)
 	// Images that are fetched at the same time share the machine's rate. While
 	// there is too little room, one after the other is better: the first
 	// tasks begin sooner, and no room is held for those whose image comes last.
-	lt.fetches = manyFetches
+	lt.maxFetches = unlimitedFetches
 	if waiting > free {
-		lt.fetches = 1
+		lt.maxFetches = 1
 	}
-	for _, t := range lt.turns {
+	for _, t := range lt.fairShareOrder {
 		t.Resort()
 	}
 }
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -272,7 +272,7 @@
 		for i := range 12 {
 			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
 		}
-		w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 100
+		w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 100
 		n := w.start("n0")
 		s := spec("job-1", 400)
 		s.EstimateS = 60
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -129,7 +129,7 @@
 
 func newUserCluster(w *cluster, hosts int) *userCluster {
 	w.zones = map[string]string{"n0": "a", "n1": "a", "n2": "a"}
-	w.teams[0].CPUsMax = 1000
+	w.teams[0].LimitCPUs = 1000
 	tn := &userCluster{cluster: w, checker: newAnswerChecker(w.t), links: &links{}, nodes: make([]*node, 3),
 		tally: &tally{requests: map[int64]int{}, writes: map[int64]int{}, watches: map[int64]int{}}}
 	for i := range 3 {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -750,7 +750,7 @@
 		t.Run(fmt.Sprintf("old leads first %v", oldLeads), func(t *testing.T) {
 			prepare := func(w *cluster) {
 				w.state = next.settings()
-				w.teams[0].CPUs, w.teams[0].CPUsMax = 100, 100
+				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 100
 				w.store.SetLimits(16<<10, 20)
 			}
 			playMixedIn(t, prepare, machines, oldLeads, func(v *mixed) {
--- a/internal/controller/waits_test.go
+++ b/internal/controller/waits_test.go
@@ -10,7 +10,7 @@
 // An operator is told why jobs wait: each reason by itself.
 func TestWhyWorkWaits(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.teams[0].CPUsMax = 100
+		w.teams[0].LimitCPUs = 100
 		n := w.start("n0")
 		large := spec("job-1", 8)
 		large.Team = "blue" // whose limit is 8
@@ -34,15 +34,15 @@
 		}
 		w.submit(n, spec("job-4", 1)) // all machines are in use
 		n.look(func(c *Controller) {
-			got, oldest := c.leaderTerm.waits(time.Now())
+			got, oldest := c.leaderTerm.pendingReasons(time.Now())
 			w.same("waits", got, map[string]int{"team limit": 1, "no room": 1})
 			w.same("oldest", oldest.spec.ID, "job-2")
 			c.leaderTerm.unfenced++
-			oldest.mark = c.leaderTerm.term.Mark // accepted before this term
-			w.same("before a takeover is over", c.leaderTerm.whyWaits(oldest, time.Now()), "takeover")
+			oldest.modRevision = c.leaderTerm.term.Mark // accepted before this term
+			w.same("before a takeover is over", c.leaderTerm.pendingReason(oldest, time.Now()), "takeover")
 			c.leaderTerm.unfenced--
-			oldest.heldUntil = time.Now().Add(time.Second)
-			w.same("held", c.leaderTerm.whyWaits(oldest, time.Now()), "fails everywhere")
+			oldest.backoffUntil = time.Now().Add(time.Second)
+			w.same("held", c.leaderTerm.pendingReason(oldest, time.Now()), "fails everywhere")
 		})
 	})
 }
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -100,7 +100,7 @@
 	defer func() { stdin.Close(); cmd.Wait() }()
 	out, in := json.NewDecoder(bufio.NewReader(stdout)), json.NewEncoder(stdin)
 	s := &config.Settings{Node: "n0", Zone: "a", APIAddr: "127.0.0.1:18080", PeerListen: "127.0.0.1:0", Site: config.SiteInfo{
-		Teams:   []config.Team{{Name: "red", CPUs: 1e4, CPUsMax: 1e5}},
+		Teams:   []config.Team{{Name: "red", CPUs: 1e4, LimitCPUs: 1e5}},
 		Workers: config.Workers{ReportS: plan.Report.Seconds(), LeaseS: 24, CancelS: 49},
 		State:   config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20}, Cloud: config.CloudLimits{RPS: 5, ListLagS: 4},
 		Limits: config.Limits{Cores: cores, RAMMB: 65, FDLimit: 800}}}
--- a/internal/loadtest/cellsload/world.go
+++ b/internal/loadtest/cellsload/world.go
@@ -165,7 +165,7 @@
 		s := config.Settings{Node: p.name, Zone: zone, APIAddr: p.api, PeerListen: peers[p.name],
 			Outside: config.Outside{Cloud: env.Cloud, State: env.State},
 			Site: config.SiteInfo{Nodes: controllers, Zones: []string{zone},
-				Teams:   []config.Team{{Name: "red", CPUs: 24, CPUsMax: 128}, {Name: "blue", CPUs: 24, CPUsMax: 128}},
+				Teams:   []config.Team{{Name: "red", CPUs: 24, LimitCPUs: 128}, {Name: "blue", CPUs: 24, LimitCPUs: 128}},
 				Workers: config.Workers{ReportS: reportEvery.Seconds(), LeaseS: leaseTime.Seconds(), CancelS: 30},
 				State:   config.StateLimits{RPS: 400, WriteRPS: 100, ValueKB: 16, TxnOps: 20},
 				Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
--- a/internal/loadtest/localcluster/main.go
+++ b/internal/loadtest/localcluster/main.go
@@ -30,7 +30,7 @@
 	settings := config.Settings{
 		Node: "local-0", Zone: zone, APIAddr: c.API, PeerListen: c.Peers,
 		Site: config.SiteInfo{
-			Teams:   []config.Team{{Name: "demo", CPUs: 16, CPUsMax: 64}},
+			Teams:   []config.Team{{Name: "demo", CPUs: 16, LimitCPUs: 64}},
 			Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
 			State:   config.StateLimits{RPS: 80, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
 			Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -10,10 +10,10 @@
 
 // Item is a job that waits.
 type Item interface {
-	// Prospect tells whether the job's aims can be met.
-	Prospect() Prospect
-	// Latest is the latest time to begin and still meet the next aim.
-	Latest() time.Time
+	// Feasibility tells whether the job's aims can be met.
+	Feasibility() Feasibility
+	// LatestStart is the latest time to begin and still meet the next aim.
+	LatestStart() time.Time
 	// Rank is the job's priority, the highest first.
 	Rank() int
 	// Preference is the operators' for its class, the highest first.
@@ -21,23 +21,23 @@
 	ID() string
 }
 
-// Prospect is what can be hoped for a job. Jobs are served in this order.
-type Prospect int
+// Feasibility is what can be hoped for a job. Jobs are served in this order.
+type Feasibility int
 
 // The prospects of a job.
 const (
-	InTime   Prospect = iota // its next aim can be met
-	Deferred                 // it gave way to others that can be met instead
-	Hopeless                 // none of its aims can be met any more
+	Feasible   Feasibility = iota // its next aim can be met
+	Deferred                      // it gave way to others that can be met instead
+	Infeasible                    // none of its aims can be met any more
 )
 
 // Team is the queue of one team, with its use of the cluster.
 type Team[T Item] struct {
 	Name  string
 	Share float64
-	// CPUs and GPUs are guaranteed; CPUsMax and GPUsMax are the limit.
-	CPUs, CPUsMax float64
-	GPUs, GPUsMax float64
+	// CPUs and GPUs are guaranteed; LimitCPUs and LimitGPUs are the limit.
+	CPUs, LimitCPUs float64
+	GPUs, LimitGPUs float64
 	// UsedCPUs and UsedGPUs count every task that may be on a machine.
 	UsedCPUs, UsedGPUs float64
 
@@ -63,13 +63,13 @@
 }
 
 func compare[T Item](a, b T) int {
-	return cmp.Or(cmp.Compare(a.Prospect(), b.Prospect()), cmp.Compare(Urgency(a), Urgency(b)), -cmp.Compare(a.Preference(), b.Preference()),
-		a.Latest().Compare(b.Latest()), cmp.Compare(a.Rank(), b.Rank()), cmp.Compare(a.ID(), b.ID()))
+	return cmp.Or(cmp.Compare(a.Feasibility(), b.Feasibility()), cmp.Compare(UrgencyRank(a), UrgencyRank(b)), -cmp.Compare(a.Preference(), b.Preference()),
+		a.LatestStart().Compare(b.LatestStart()), cmp.Compare(a.Rank(), b.Rank()), cmp.Compare(a.ID(), b.ID()))
 }
 
-// Urgency orders work that goes before the rest whatever its aims: the ranks
+// UrgencyRank orders work that goes before the rest whatever its aims: the ranks
 // above the ordinary ones.
-func Urgency[T Item](a T) int { return min(a.Rank(), 2) }
+func UrgencyRank[T Item](a T) int { return min(a.Rank(), 2) }
 
 // Before tells whether a is served before b where no shares decide.
 func Before[T Item](a, b T) bool { return compare(a, b) < 0 }
@@ -77,31 +77,31 @@
 // Resort makes the next look at the queue put it in order again.
 func (t *Team[T]) Resort() { t.sorted = false }
 
-const slack = 1e-6
+const epsilon = 1e-6
 
 // Guaranteed tells whether a task would be within the team's guarantee.
 func (t *Team[T]) Guaranteed(cpus, gpus float64) bool {
-	return t.UsedCPUs+cpus <= t.CPUs+slack && t.UsedGPUs+gpus <= t.GPUs+slack
+	return t.UsedCPUs+cpus <= t.CPUs+epsilon && t.UsedGPUs+gpus <= t.GPUs+epsilon
 }
 
 // Allowed tells whether a task would be within the team's limit, when
 // uncertain amounts may be in use by any team besides.
 func (t *Team[T]) Allowed(cpus, gpus, uncertainCPUs, uncertainGPUs float64) bool {
-	return t.UsedCPUs+uncertainCPUs+cpus <= t.CPUsMax+slack &&
-		(gpus == 0 || t.UsedGPUs+uncertainGPUs+gpus <= t.GPUsMax+slack)
+	return t.UsedCPUs+uncertainCPUs+cpus <= t.LimitCPUs+epsilon &&
+		(gpus == 0 || t.UsedGPUs+uncertainGPUs+gpus <= t.LimitGPUs+epsilon)
 }
 
-// Load is the team's use by its share.
-func (t *Team[T]) Load() float64 {
+// Utilization is the team's use by its share.
+func (t *Team[T]) Utilization() float64 {
 	if t.Share <= 0 {
 		return t.UsedCPUs + t.UsedGPUs
 	}
 	return max(t.UsedCPUs, t.UsedGPUs) / t.Share
 }
 
-// Turns orders teams by whose turn it is.
-func Turns[T Item](teams []*Team[T]) {
+// SortByShare orders teams by whose turn it is.
+func SortByShare[T Item](teams []*Team[T]) {
 	slices.SortStableFunc(teams, func(a, b *Team[T]) int {
-		return cmp.Or(cmp.Compare(a.Load(), b.Load()), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.Utilization(), b.Utilization()), cmp.Compare(a.Name, b.Name))
 	})
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -9,22 +9,22 @@
 	id       string
 	rank     int
 	latest   time.Time
-	prospect Prospect
+	prospect Feasibility
 	prefer   float64
 }
 
-func (i item) ID() string          { return i.id }
-func (i item) Rank() int           { return i.rank }
-func (i item) Latest() time.Time   { return i.latest }
-func (i item) Prospect() Prospect  { return i.prospect }
-func (i item) Preference() float64 { return i.prefer }
+func (i item) ID() string               { return i.id }
+func (i item) Rank() int                { return i.rank }
+func (i item) LatestStart() time.Time   { return i.latest }
+func (i item) Feasibility() Feasibility { return i.prospect }
+func (i item) Preference() float64      { return i.prefer }
 
 func TestOrderWithinATeam(t *testing.T) {
 	t0 := time.Unix(0, 0)
 	var q Team[item]
 	for _, i := range []item{
-		{"hopeless", 0, t0, Hopeless, 0}, {"deferred", 0, t0, Deferred, 9}, {"later", 2, t0.Add(2), InTime, 0},
-		{"low", 3, t0.Add(1), InTime, 0}, {"urgent", 1, t0.Add(3), InTime, 0}, {"preferred", 3, t0.Add(9), InTime, 0.5},
+		{"hopeless", 0, t0, Infeasible, 0}, {"deferred", 0, t0, Deferred, 9}, {"later", 2, t0.Add(2), Feasible, 0},
+		{"low", 3, t0.Add(1), Feasible, 0}, {"urgent", 1, t0.Add(3), Feasible, 0}, {"preferred", 3, t0.Add(9), Feasible, 0.5},
 	} {
 		q.Add(i)
 	}
@@ -46,7 +46,7 @@
 	served := map[string]int{}
 	for range 40 {
 		teams := []*Team[item]{b, a}
-		Turns(teams)
+		SortByShare(teams)
 		teams[0].UsedCPUs++
 		served[teams[0].Name]++
 	}
@@ -56,7 +56,7 @@
 }
 
 func TestGuaranteeAndLimit(t *testing.T) {
-	q := Team[item]{CPUs: 4, CPUsMax: 8, UsedCPUs: 3}
+	q := Team[item]{CPUs: 4, LimitCPUs: 8, UsedCPUs: 3}
 	if !q.Guaranteed(1, 0) || q.Guaranteed(2, 0) || !q.Allowed(5, 0, 0, 0) || q.Allowed(6, 0, 0, 0) {
 		t.Error("bounds are wrong")
 	}
@@ -69,14 +69,14 @@
 func TestTriageDefersTheLargest(t *testing.T) {
 	now := time.Unix(0, 0)
 	load := func(aim int, work float64) *Load {
-		return &Load{Aim: now.Add(time.Duration(aim) * time.Second), Work: work}
+		return &Load{Deadline: now.Add(time.Duration(aim) * time.Second), CPUSeconds: work}
 	}
 	big, a, b, c := load(10, 80), load(10, 20), load(12, 30), load(20, 40)
-	Triage([]*Load{c, b, a, big}, 10, now)
+	DeferInfeasible([]*Load{c, b, a, big}, 10, now)
 	if !big.Defer || a.Defer || b.Defer || c.Defer {
 		t.Errorf("deferred: big %v, others %v %v %v", big.Defer, a.Defer, b.Defer, c.Defer)
 	}
-	Triage([]*Load{c, b, a, big}, 100, now)
+	DeferInfeasible([]*Load{c, b, a, big}, 100, now)
 	if big.Defer {
 		t.Error("deferred although all can be in time")
 	}
