--- a/cmd/ivytrestle/main.go
+++ b/cmd/ivytrestle/main.go
@@ -155,7 +155,7 @@
 	if len(raw) > api.MaxBody {
 		return fmt.Errorf("job: larger than %d bytes", api.MaxBody)
 	}
-	if raw, err = client.AddAwaits(raw, c.Await); err != nil {
+	if raw, err = client.AddDependencies(raw, c.Await); err != nil {
 		return fmt.Errorf("job: %w", err)
 	}
 	st, err := client.New(c.Addr).Submit(context.Background(), raw)
@@ -218,8 +218,8 @@
 	if st.Cell != "" {
 		line += ", lent to cell " + st.Cell
 	}
-	if len(st.Awaits) > 0 {
-		line += ", waits for " + strings.Join(st.Awaits, ", ")
+	if len(st.DependsOn) > 0 {
+		line += ", waits for " + strings.Join(st.DependsOn, ", ")
 	}
 	return line
 }
--- a/cmd/ivytrestle/main_test.go
+++ b/cmd/ivytrestle/main_test.go
@@ -18,8 +18,8 @@
 	for want, st := range map[string]api.JobState{
 		"job-2 running: 3 done, 13 running":                               {ID: "job-2", Phase: api.JobRunning, Done: 3, Running: 13},
 		"job-2 running: 0 done, 4 running, lent to cell b":                {ID: "job-2", Phase: api.JobRunning, Running: 4, Cell: "b"},
-		"job-2 pending: 0 done, 0 running, waits for job-1":               {ID: "job-2", Phase: api.JobPending, Awaits: []string{"job-1"}},
-		"job-2 pending: 0 done, 0 running, waits for job-1, job-3, job-9": {ID: "job-2", Phase: api.JobPending, Awaits: []string{"job-1", "job-3", "job-9"}},
+		"job-2 pending: 0 done, 0 running, waits for job-1":               {ID: "job-2", Phase: api.JobPending, DependsOn: []string{"job-1"}},
+		"job-2 pending: 0 done, 0 running, waits for job-1, job-3, job-9": {ID: "job-2", Phase: api.JobPending, DependsOn: []string{"job-1", "job-3", "job-9"}},
 	} {
 		if got := stateLine(st); got != want {
 			t.Errorf("%q, want %q", got, want)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -25,13 +25,13 @@
 		return JobState{}, false, ErrUnavailable
 	}
 	if spec.Team == "nobody" {
-		return JobState{}, false, &NeverRunsError{"unknown team"}
+		return JobState{}, false, &UnschedulableError{"unknown team"}
 	}
 	s.submitted = append(s.submitted, spec)
 	return JobState{ID: spec.ID, Phase: JobPending}, true, nil
 }
 
-func (s *stub) Known(ctx context.Context, id string) (JobState, error) { return s.Job(ctx, id) }
+func (s *stub) RecordedJob(ctx context.Context, id string) (JobState, error) { return s.Job(ctx, id) }
 
 func (s *stub) Job(_ context.Context, id string) (JobState, error) {
 	switch {
@@ -43,7 +43,7 @@
 	return JobState{}, ErrUnknownJob
 }
 
-func (s *stub) Abort(ctx context.Context, id string) (JobState, error) { return s.Job(ctx, id) }
+func (s *stub) Cancel(ctx context.Context, id string) (JobState, error) { return s.Job(ctx, id) }
 
 func (s *stub) Heartbeat(context.Context, *Heartbeat) (HeartbeatResponse, error) {
 	if s.leader != "" {
@@ -169,10 +169,10 @@
 		return w
 	}
 	var served sync.WaitGroup
-	for range maxAsks {
+	for range maxPolls {
 		served.Go(func() { ask("GET", "/api/jobs/job-000001", "") })
 	}
-	for stuck.waiting.Load() < maxAsks {
+	for stuck.waiting.Load() < maxPolls {
 		runtime.Gosched()
 	}
 	if w := ask("GET", "/api/jobs/job-000001", ""); w.Code != 429 || w.Header().Get("Retry-After") == "" {
--- a/internal/api/awaits_test.go
+++ b/internal/api/awaits_test.go
@@ -24,12 +24,12 @@
 	} {
 		s := &stub{}
 		w := call(t, s, "POST", "/api/jobs", raw("job-000412", "Awaits", literal))
-		if w.Code != 201 || len(s.submitted) != 1 || !reflect.DeepEqual(s.submitted[0].Awaits, want) {
+		if w.Code != 201 || len(s.submitted) != 1 || !reflect.DeepEqual(s.submitted[0].DependsOn, want) {
 			t.Errorf("%s: %d (%s), %+v", literal, w.Code, w.Body, s.submitted)
 		}
 	}
 	s := &stub{}
-	if w := call(t, s, "POST", "/api/jobs", body(nil)); w.Code != 201 || len(s.submitted) != 1 || s.submitted[0].Awaits != nil {
+	if w := call(t, s, "POST", "/api/jobs", body(nil)); w.Code != 201 || len(s.submitted) != 1 || s.submitted[0].DependsOn != nil {
 		t.Errorf("left out: %d (%s), %+v", w.Code, w.Body, s.submitted)
 	}
 }
@@ -84,8 +84,8 @@
 			t.Errorf("%s: %d (%s)", c.more, w.Code, w.Body)
 		}
 		for _, got := range s.submitted {
-			if !reflect.DeepEqual(got.Awaits, c.ids) {
-				t.Errorf("%s: %v", c.more, got.Awaits)
+			if !reflect.DeepEqual(got.DependsOn, c.ids) {
+				t.Errorf("%s: %v", c.more, got.DependsOn)
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 	}
 	s := &stub{}
 	if w := call(t, s, "POST", "/api/jobs", raw("job-000412", "Awaits", list())); w.Code != 201 || len(s.submitted) != 1 ||
-		!reflect.DeepEqual(s.submitted[0].Awaits, ids) {
+		!reflect.DeepEqual(s.submitted[0].DependsOn, ids) {
 		t.Errorf("%d jobs: %d (%s)", len(ids), w.Code, w.Body)
 	}
 	ids = append(ids, "job-2000000", "job-2000001")
@@ -139,7 +139,7 @@
 		state: nil, strings.TrimSuffix(state, "}") + waits: {"job-000398", "job-000405"},
 	} {
 		for name, marshal := range marshals {
-			if got, err := marshal(JobState{ID: "job-000412", Phase: JobPending, Awaits: ids}); err != nil || string(got) != want {
+			if got, err := marshal(JobState{ID: "job-000412", Phase: JobPending, DependsOn: ids}); err != nil || string(got) != want {
 				t.Errorf("%s: %s, %v; want %s", name, got, err, want)
 			}
 		}
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -20,10 +20,10 @@
 	ErrUnknownJob = errors.New("unknown job")
 )
 
-// NeverRunsError says why a job can never run.
-type NeverRunsError struct{ Reason string }
+// UnschedulableError says why a job can never run.
+type UnschedulableError struct{ Reason string }
 
-func (e *NeverRunsError) Error() string { return "the job can never run: " + e.Reason }
+func (e *UnschedulableError) Error() string { return "the job can never run: " + e.Reason }
 
 // NotLeaderError names the node that workers should report to, if known.
 type NotLeaderError struct{ Leader string }
@@ -33,10 +33,10 @@
 // Backend is the service behind the handlers.
 type Backend interface {
 	Submit(ctx context.Context, spec *JobSpec) (st JobState, created bool, err error)
-	// Known looks a job up whose repeated submission is invalid.
-	Known(ctx context.Context, id string) (JobState, error)
+	// RecordedJob looks a job up whose repeated submission is invalid.
+	RecordedJob(ctx context.Context, id string) (JobState, error)
 	Job(ctx context.Context, id string) (JobState, error)
-	Abort(ctx context.Context, id string) (JobState, error)
+	Cancel(ctx context.Context, id string) (JobState, error)
 	Heartbeat(ctx context.Context, hb *Heartbeat) (HeartbeatResponse, error)
 	Ready() bool
 	// Status is the operators' view of the node.
@@ -45,18 +45,18 @@
 
 // Times by which the senders give up, less what the answer's way takes.
 const (
-	submitWait = 2500 * time.Millisecond
-	pollWait   = 1500 * time.Millisecond
-	abortWait  = 3 * time.Second
+	submitTimeout = 2500 * time.Millisecond
+	pollTimeout   = 1500 * time.Millisecond
+	cancelTimeout = 3 * time.Second
 )
 
 // Handler serves users, workers and health checks.
 func Handler(b Backend, log *slog.Logger) http.Handler {
-	s := &server{backend: b, log: log, submits: make(chan struct{}, maxSubmits), asks: make(chan struct{}, maxAsks)}
+	s := &server{backend: b, log: log, submitSlots: make(chan struct{}, maxSubmits), pollSlots: make(chan struct{}, maxPolls)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /api/jobs", s.limited(s.submits, s.submit))
-	mux.HandleFunc("GET /api/jobs/{id}", s.limited(s.asks, s.job))
-	mux.HandleFunc("POST /api/jobs/{id}/abort", s.limited(s.submits, s.abort))
+	mux.HandleFunc("POST /api/jobs", s.limited(s.submitSlots, s.submit))
+	mux.HandleFunc("GET /api/jobs/{id}", s.limited(s.pollSlots, s.job))
+	mux.HandleFunc("POST /api/jobs/{id}/abort", s.limited(s.submitSlots, s.cancel))
 	mux.HandleFunc("POST /v1/report", s.heartbeat)
 	mux.HandleFunc("GET /ready", s.ready)
 	mux.HandleFunc("GET /status", s.status)
@@ -66,9 +66,9 @@
 type server struct {
 	backend Backend
 	log     *slog.Logger
-	// submits and asks bound the users' requests that are being served: what
+	// submitSlots and asks bound the users' requests that are being served: what
 	// cannot be is refused at once, with a time to come back.
-	submits, asks chan struct{}
+	submitSlots, pollSlots chan struct{}
 }
 
 // At most so many submissions and questions are served at the same time. Each
@@ -76,12 +76,12 @@
 // questions wait for the leader or the store.
 const (
 	maxSubmits = 48
-	maxAsks    = 160
+	maxPolls   = 160
 )
 
-// MostHeld is about how many bytes requests that are being served hold: a body
+// MaxHeldRequests is about how many bytes requests that are being served hold: a body
 // as it came and as it was read, or a question.
-const MostHeld = maxSubmits*(2*MaxBody) + maxAsks*(8<<10)
+const MaxHeldRequests = maxSubmits*(2*MaxBody) + maxPolls*(8<<10)
 
 // limited serves a request if there is a slot for it.
 func (s *server) limited(slots chan struct{}, serve http.HandlerFunc) http.HandlerFunc {
@@ -106,7 +106,7 @@
 }
 
 func (s *server) status(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), pollWait)
+	ctx, cancel := context.WithTimeout(r.Context(), pollTimeout)
 	defer cancel()
 	st, err := s.backend.Status(ctx)
 	if err != nil {
@@ -122,7 +122,7 @@
 		s.fail(w, http.StatusBadRequest, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), submitWait)
+	ctx, cancel := context.WithTimeout(r.Context(), submitTimeout)
 	defer cancel()
 	spec, id, err := ParseSubmission(body)
 	if err != nil {
@@ -130,7 +130,7 @@
 		return
 	}
 	st, created, err := s.backend.Submit(ctx, spec)
-	var never *NeverRunsError
+	var never *UnschedulableError
 	switch {
 	case errors.As(err, &never):
 		s.refuse(ctx, w, spec.ID, http.StatusUnprocessableEntity, err)
@@ -150,7 +150,7 @@
 		s.fail(w, status, cause)
 		return
 	}
-	st, err := s.backend.Known(ctx, id)
+	st, err := s.backend.RecordedJob(ctx, id)
 	switch {
 	case errors.Is(err, ErrUnknownJob):
 		s.fail(w, status, cause)
@@ -162,7 +162,7 @@
 }
 
 func (s *server) job(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), pollWait)
+	ctx, cancel := context.WithTimeout(r.Context(), pollTimeout)
 	defer cancel()
 	id := r.PathValue("id")
 	if !ValidID(id) {
@@ -173,15 +173,15 @@
 	s.state(w, st, err)
 }
 
-func (s *server) abort(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), abortWait)
+func (s *server) cancel(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), cancelTimeout)
 	defer cancel()
 	id := r.PathValue("id")
 	if !ValidID(id) {
 		s.fail(w, http.StatusNotFound, ErrUnknownJob)
 		return
 	}
-	st, err := s.backend.Abort(ctx, id)
+	st, err := s.backend.Cancel(ctx, id)
 	s.state(w, st, err)
 }
 
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -24,7 +24,7 @@
 	JobPending   = "pending"
 	JobRunning   = "running"
 	JobDone      = "done"
-	JobWithdrawn = "withdrawn"
+	JobCancelled = "withdrawn"
 )
 
 // Phases of a task on a worker.
@@ -80,9 +80,9 @@
 	CheckpointS float64  `json:"GraftS,omitempty"`
 	SaveS       float64  `json:"PressS,omitempty"`
 	DeadlineS   float64  `json:"DueS,omitempty"`
-	// Awaits are the jobs that must be done before a task of this one starts, each
+	// DependsOn are the jobs that must be done before a task of this one starts, each
 	// named once.
-	Awaits []string `json:"Awaits,omitempty"`
+	DependsOn []string `json:"Awaits,omitempty"`
 }
 
 // Estimate is the owner's estimate of a task's run time.
@@ -113,7 +113,7 @@
 	CheckpointS *float64  `json:"GraftS"`
 	SaveS       *float64  `json:"PressS"`
 	DeadlineS   *float64  `json:"DueS"`
-	Awaits      []*string `json:"Awaits"`
+	DependsOn   []*string `json:"Awaits"`
 }
 
 var idForm = regexp.MustCompile(`^job-[0-9]{1,20}$`)
@@ -218,17 +218,17 @@
 	if err := s.check(); err != nil {
 		return s, err
 	}
-	awaits, err := in.awaits()
-	s.Awaits = awaits
+	awaits, err := in.dependencies()
+	s.DependsOn = awaits
 	return s, err
 }
 
-// awaits are the jobs that a submission names, each once, in the order in which
+// dependencies are the jobs that a submission names, each once, in the order in which
 // they are first named.
-func (in *submission) awaits() ([]string, error) {
+func (in *submission) dependencies() ([]string, error) {
 	var ids []string
-	seen := make(map[string]bool, len(in.Awaits))
-	for _, id := range in.Awaits {
+	seen := make(map[string]bool, len(in.DependsOn))
+	for _, id := range in.DependsOn {
 		switch {
 		case id == nil:
 			return nil, errors.New("field Awaits holds null")
@@ -300,8 +300,8 @@
 	Phase   string `json:"Phase"`
 	Done    int    `json:"done"`
 	Running int    `json:"running"`
-	// Awaits are the jobs that an unfinished job waits for.
-	Awaits []string `json:"Awaits,omitempty"`
+	// DependsOn are the jobs that an unfinished job waits for.
+	DependsOn []string `json:"Awaits,omitempty"`
 	// Cell is the cell that the job is lent to, if it is.
 	Cell string `json:"Cell,omitempty"`
 	// Ended is when the job was done, if that is known. Users are not told.
@@ -312,7 +312,7 @@
 }
 
 // Final tells whether the job is over.
-func (s JobState) Final() bool { return s.Phase == JobDone || s.Phase == JobWithdrawn }
+func (s JobState) Final() bool { return s.Phase == JobDone || s.Phase == JobCancelled }
 
 // Heartbeat is a worker's report.
 type Heartbeat struct {
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -59,7 +59,7 @@
 	} {
 		cl := New("10.0.0.1:80")
 		cl.http.Transport = &answers{status: 200, body: body}
-		if st, err := cl.Show(context.Background(), "job-2"); err != nil || st.ID != "job-2" || !slices.Equal(st.Awaits, want) {
+		if st, err := cl.Show(context.Background(), "job-2"); err != nil || st.ID != "job-2" || !slices.Equal(st.DependsOn, want) {
 			t.Errorf("%s: %+v, %v", body, st, err)
 		}
 	}
--- a/internal/client/job.go
+++ b/internal/client/job.go
@@ -16,9 +16,9 @@
 	return nil
 }
 
-// AddAwaits adds jobs to those that a job, as JSON, awaits. What else it holds is
+// AddDependencies adds jobs to those that a job, as JSON, awaits. What else it holds is
 // left to the controller to judge.
-func AddAwaits(job []byte, ids []string) ([]byte, error) {
+func AddDependencies(job []byte, ids []string) ([]byte, error) {
 	if len(ids) == 0 {
 		return job, nil
 	}
--- a/internal/client/job_test.go
+++ b/internal/client/job_test.go
@@ -25,7 +25,7 @@
 		{"numbers as written", `{"Cores":8.00,"Shoots":18446744073709551616}`, "job-1",
 			`{"Awaits":["job-1"],"Cores":8.00,"Shoots":18446744073709551616}`},
 	} {
-		got, err := AddAwaits([]byte(c.job), strings.Fields(c.ids))
+		got, err := AddDependencies([]byte(c.job), strings.Fields(c.ids))
 		if err != nil || string(got) != c.want {
 			t.Errorf("%s: %s, %v; want %s", c.name, got, err, c.want)
 		}
@@ -41,7 +41,7 @@
 		{"no id", "{}", "job-1 train", `"train" is no job id (job-NUMBER)`},
 		{"id with a quote", "{}", `job-1","job-2`, `"job-1\",\"job-2" is no job id (job-NUMBER)`},
 	} {
-		if got, err := AddAwaits([]byte(c.job), strings.Fields(c.ids)); err == nil || err.Error() != c.want || got != nil {
+		if got, err := AddDependencies([]byte(c.job), strings.Fields(c.ids)); err == nil || err.Error() != c.want || got != nil {
 			t.Errorf("%s: %s, %v; want %s", c.name, got, err, c.want)
 		}
 	}
@@ -51,7 +51,7 @@
 func TestAddAwaitsLeavesTheJob(t *testing.T) {
 	job := []byte(`{"Awaits": ["job-9"], "NameId": "job-3"}`)
 	before := bytes.Clone(job)
-	got, err := AddAwaits(job, []string{"job-1"})
+	got, err := AddDependencies(job, []string{"job-1"})
 	if err != nil || !bytes.Equal(job, before) {
 		t.Fatalf("%s, %v", job, err)
 	}
--- a/internal/controller/answerchecker_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -143,7 +143,7 @@
 		return "accepted once more"
 	case a.st.Final() && j.end != "" && j.end != a.st.Phase:
 		return "told another end than before"
-	case a.st.Phase == api.JobWithdrawn && !j.cancelled:
+	case a.st.Phase == api.JobCancelled && !j.cancelled:
 		return "withdrawn though nobody has cancelled it"
 	case a.st.Phase == api.JobDone && len(j.done) < j.tasks:
 		return "done before its tasks are"
@@ -181,7 +181,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
 	a := reply{asked: h.question(id, nil), verb: "invalid repeat", node: n.Settings.Node}
-	a.st, a.err = n.Known(ctx, id)
+	a.st, a.err = n.RecordedJob(ctx, id)
 	h.answer(id, a)
 }
 
@@ -190,7 +190,7 @@
 	defer cancel()
 	a := reply{verb: "cancel", node: n.Settings.Node}
 	a.asked = h.question(id, func(j *answerLog) { j.cancelled = true })
-	a.st, a.err = n.Abort(ctx, id)
+	a.st, a.err = n.Cancel(ctx, id)
 	h.answer(id, a)
 	return a.st, a.err
 }
--- a/internal/controller/apart_test.go
+++ b/internal/controller/apart_test.go
@@ -54,7 +54,7 @@
 		w.same("refused node ready", a.Ready(), false)
 		w.same("other node ready", b.Ready(), true)
 		w.same("poll at the refused node", w.phase(a, "job-1"), "running")
-		if _, err := b.Abort(context.Background(), "job-1"); err != nil {
+		if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 			t.Error(err)
 		}
 		w.same("cancelled, at the refused node", w.phase(a, "job-1"), "withdrawn")
@@ -114,7 +114,7 @@
 				k.obey(orders)
 				last = time.Now()
 			}
-			if _, err := b.Abort(context.Background(), "job-1"); err != nil {
+			if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 				t.Error(err)
 			}
 			if got := w.phase(a, "job-1"); got == "running" || got == "pending" || got == "done" {
@@ -340,7 +340,7 @@
 			far.report(b)
 			time.Sleep(time.Second)
 		}
-		if _, err := b.Abort(context.Background(), "job-2"); err != nil {
+		if _, err := b.Cancel(context.Background(), "job-2"); err != nil {
 			t.Error(err)
 		}
 		for range 6 {
--- a/internal/controller/awaitslist_test.go
+++ b/internal/controller/awaitslist_test.go
@@ -37,7 +37,7 @@
 // last in the list and under the next leader; it is cancelled with one of them, and
 // nothing is left of its list once it is over.
 func TestJobWithALongList(t *testing.T) {
-	for _, end := range []string{api.JobDone, api.JobWithdrawn} {
+	for _, end := range []string{api.JobDone, api.JobCancelled} {
 		for _, newLeader := range []bool{false, true} {
 			t.Run(fmt.Sprint(end, " ", newLeader), func(t *testing.T) {
 				simulate(t, func(w *cluster) {
@@ -56,24 +56,24 @@
 					k.serve(n, 6)
 					w.same("begun", k.running(), []string{"job-1/0"})
 					n.look(func(c *Controller) {
-						if held := len(c.leaderTerm.jobs["job-2"].spec.Awaits); held > fewNames+2 {
+						if held := len(c.leaderTerm.jobs["job-2"].spec.DependsOn); held > maxSingleLookups+2 {
 							t.Errorf("%d names held while one job is waited for", held)
 						}
 					})
 					w.same("told", w.phase(n, "job-2"), api.JobPending)
 					st, _ := n.Job(context.Background(), "job-2")
-					w.same("waits for", st.Awaits, []string{"job-1"})
+					w.same("waits for", st.DependsOn, []string{"job-1"})
 					if end == api.JobDone {
 						k.exit(api.CauseDone)
 						k.serve(n, 4)
 						w.same("begun when done", k.running(), []string{"job-2/0"})
 						k.exit(api.CauseDone)
-					} else if _, err := n.Abort(context.Background(), "job-1"); err != nil {
+					} else if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 						t.Fatal(err)
 					}
 					k.serve(n, 8)
 					w.same("its end", w.phase(n, "job-2"), end)
-					w.same("left of its list", w.keysUnder(store.AwaitsPrefix), []string(nil))
+					w.same("left of its list", w.keysUnder(store.DependencyPrefix), []string(nil))
 					w.same("refused", w.store.TooLarge(), []string(nil))
 				})
 			})
@@ -89,15 +89,15 @@
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, after("job-2", "red", 1, append(w.manyDone(300), "job-1")...))
-		own := w.keysUnder(store.AwaitsPrefix)
-		w.put(store.AwaitsPrefix+"job-2/other/00000", store.AwaitsRecord{Jobs: []string{"job-1"}})
-		w.put(store.AwaitsPrefix+"job-1000/left/00000", store.AwaitsRecord{Jobs: []string{"job-1"}})
-		w.put(store.AwaitsPrefix+"job-7/coming/00000", store.AwaitsRecord{Jobs: []string{"job-1"}})
+		own := w.keysUnder(store.DependencyPrefix)
+		w.put(store.DependencyPrefix+"job-2/other/00000", store.DependencyRecord{Jobs: []string{"job-1"}})
+		w.put(store.DependencyPrefix+"job-1000/left/00000", store.DependencyRecord{Jobs: []string{"job-1"}})
+		w.put(store.DependencyPrefix+"job-7/coming/00000", store.DependencyRecord{Jobs: []string{"job-1"}})
 		n.crash()
 		w.start("n0")
 		time.Sleep(5 * time.Second)
-		want := append(slices.Clone(own), store.AwaitsPrefix+"job-7/coming/00000")
-		w.same("kept", w.keysUnder(store.AwaitsPrefix), want)
+		want := append(slices.Clone(own), store.DependencyPrefix+"job-7/coming/00000")
+		w.same("kept", w.keysUnder(store.DependencyPrefix), want)
 	})
 }
 
@@ -127,13 +127,13 @@
 		time.Sleep(3 * time.Second)
 		n.look(func(c *Controller) {
 			j := c.leaderTerm.jobs["job-2"]
-			if d := j.runnableSince.Sub(done); len(j.awaits) > 0 || d < 0 || d > 2*time.Second {
+			if d := j.runnableSince.Sub(done); len(j.dependsOn) > 0 || d < 0 || d > 2*time.Second {
 				t.Errorf("counts from %v after the end of what it awaited", d)
 			}
 			if d := j.objectives[0].Sub(done); d < 88*time.Second || d > 92*time.Second {
 				t.Errorf("should be complete %v after the end of what it awaited", d)
 			}
-			if j := c.leaderTerm.jobs["job-3"]; len(j.awaits) > 0 || j.runnableSince.Sub(j.accepted) > 2*time.Second || j.runnableSince.Before(j.accepted) {
+			if j := c.leaderTerm.jobs["job-3"]; len(j.dependsOn) > 0 || j.runnableSince.Sub(j.accepted) > 2*time.Second || j.runnableSince.Before(j.accepted) {
 				t.Errorf("submitted when all was done: counts from %v after its acceptance", j.runnableSince.Sub(j.accepted))
 			}
 		})
@@ -206,13 +206,13 @@
 				w.submit(other, after("job-2", "red", 1, "job-1"))
 				w.submit(other, after("job-3", "blue", 1, "job-2"))
 				trouble(w)
-				if _, err := other.Abort(context.Background(), "job-1"); err != nil {
+				if _, err := other.Cancel(context.Background(), "job-1"); err != nil {
 					t.Fatal(err)
 				}
 				for i, n := range []*node{other, leader} {
 					id := fmt.Sprint("job-", 4+i)
 					st, created, err := n.Submit(context.Background(), after(id, "red", 1, "job-3"))
-					if err != nil || !created || st.Phase != api.JobWithdrawn {
+					if err != nil || !created || st.Phase != api.JobCancelled {
 						t.Errorf("%s: %+v, %v, %v", id, st, created, err)
 					}
 				}
@@ -224,7 +224,7 @@
 				for _, n := range []*node{leader, other} {
 					for i := range 5 {
 						id := fmt.Sprint("job-", 1+i)
-						w.same(id, w.phase(n, id), api.JobWithdrawn)
+						w.same(id, w.phase(n, id), api.JobCancelled)
 					}
 				}
 			})
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -73,7 +73,7 @@
 	k.exit(api.CauseDone)
 	k.serve(n, 3)
 	w.submit(n, spec("job-2", 1))
-	if _, err := n.Abort(context.Background(), "job-2"); err != nil {
+	if _, err := n.Cancel(context.Background(), "job-2"); err != nil {
 		w.t.Fatal(err)
 	}
 	w.submit(n, spec("job-3", 1))
@@ -348,7 +348,7 @@
 				s := spec("job-1", 1)
 				set(s)
 				_, _, err := n.Submit(context.Background(), s)
-				if _, never := err.(*api.NeverRunsError); !never {
+				if _, never := err.(*api.UnschedulableError); !never {
 					t.Errorf("%v %s: %v", v, name, err)
 				}
 			}
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -24,8 +24,8 @@
 		time.Sleep(300 * time.Millisecond)
 		w.same("held", w.store.Held(), 1)
 		w.store.Hold(nil)
-		st, err := n.Abort(context.Background(), "job-1")
-		if err != nil || st.Phase != api.JobWithdrawn {
+		st, err := n.Cancel(context.Background(), "job-1")
+		if err != nil || st.Phase != api.JobCancelled {
 			t.Fatalf("abort: %v %v", st, err)
 		}
 		for _, res := range w.store.Release() {
@@ -35,7 +35,7 @@
 			k.serve(n, 1)
 			w.same("phase", w.phase(n, "job-1"), "withdrawn")
 		}
-		st, err = n.Abort(context.Background(), "job-2")
+		st, err = n.Cancel(context.Background(), "job-2")
 		if err != nil || st.Phase != api.JobDone {
 			t.Errorf("abort of a done job: %v %v", st, err)
 		}
@@ -52,7 +52,7 @@
 		k.serve(a, 3)
 		w.same("running", len(k.running()), 2)
 		w.store.SetBlind(true)
-		if st, err := b.Abort(context.Background(), "job-1"); err != nil || st.Phase != api.JobWithdrawn {
+		if st, err := b.Cancel(context.Background(), "job-1"); err != nil || st.Phase != api.JobCancelled {
 			t.Fatalf("abort: %v %v", st, err)
 		}
 		if got := w.phase(a, "job-1"); got == api.JobRunning || got == api.JobPending {
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -30,7 +30,7 @@
 
 // recordCancellation handles a job that is cancelled on record.
 func (c *Controller) recordCancellation(id string) {
-	c.final.Add(id, api.JobState{ID: id, Phase: api.JobWithdrawn})
+	c.final.Add(id, api.JobState{ID: id, Phase: api.JobCancelled})
 	c.cancellations.Add(id, time.Now())
 	if c.leaderTerm != nil {
 		if j := c.leaderTerm.jobs[id]; j != nil && !j.cancelPending {
@@ -38,14 +38,14 @@
 		}
 		// One whose cancellation follows from another's is dropped only once its
 		// own end is on record: else nobody would write that.
-		c.leaderTerm.pipeline.cancelled(id)
+		c.leaderTerm.dependencies.jobCancelled(id)
 	}
 }
 
 // isCancelled tells whether a job, or a guest under its mark, is known to be cancelled.
 func (c *Controller) isCancelled(id string) bool {
 	st, ok := c.final.Peek(id)
-	return ok && st.Phase == api.JobWithdrawn
+	return ok && st.Phase == api.JobCancelled
 }
 
 // stopCancelled are the orders that stop the tasks in a report whose jobs are
--- a/internal/controller/cascade_test.go
+++ b/internal/controller/cascade_test.go
@@ -18,7 +18,7 @@
 		id := fmt.Sprint("job-", i)
 		s := spec(id, 1)
 		if i > 0 {
-			s.Awaits = need(i)
+			s.DependsOn = need(i)
 		}
 		w.put(store.ActivePrefix+id, store.ActiveRecord{Spec: *s, Accepted: time.Now()})
 		ids = append(ids, id)
@@ -68,22 +68,22 @@
 				some := []string{ids[1], ids[2], ids[jobs/2], ids[jobs-2], ids[jobs-1]}
 				leader, other := w.start("n0"), w.start("n1")
 				w.same("before", w.told(leader, some), map[string]int{api.JobPending: len(some)})
-				if _, err := other.Abort(context.Background(), ids[0]); err != nil {
+				if _, err := other.Cancel(context.Background(), ids[0]); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(time.Second)
-				all := map[string]int{api.JobWithdrawn: jobs}
+				all := map[string]int{api.JobCancelled: jobs}
 				w.same("told by the leader", w.told(leader, ids), all)
-				w.same("told by the other node", w.told(other, some), map[string]int{api.JobWithdrawn: len(some)})
+				w.same("told by the other node", w.told(other, some), map[string]int{api.JobCancelled: len(some)})
 				if left := w.activeJobs(); left < jobs*9/10 {
 					t.Errorf("only %d records left: the write rate is not kept to", left)
 				}
 				leader.crash()
-				w.same("while nobody leads", w.told(other, some), map[string]int{api.JobWithdrawn: len(some)})
+				w.same("while nobody leads", w.told(other, some), map[string]int{api.JobCancelled: len(some)})
 				leader = w.start("n0")
 				for range 20 {
 					for phase, count := range w.told(leader, some) {
-						if phase != api.JobWithdrawn && phase != api.ErrUnavailable.Error() {
+						if phase != api.JobCancelled && phase != api.ErrUnavailable.Error() {
 							t.Errorf("%d called %s by the next leader", count, phase)
 						}
 					}
@@ -94,7 +94,7 @@
 				w.same("records left", w.activeJobs(), 0)
 				w.same("told at last", w.told(leader, ids), all)
 				leader.look(func(c *Controller) {
-					w.same("in memory", len(c.leaderTerm.jobs)+len(c.leaderTerm.pipeline.pendingCancels)+len(c.leaderTerm.pipeline.dependents), 0)
+					w.same("in memory", len(c.leaderTerm.jobs)+len(c.leaderTerm.dependencies.pendingCancels)+len(c.leaderTerm.dependencies.dependents), 0)
 				})
 			})
 		})
@@ -107,19 +107,19 @@
 	simulate(t, func(w *cluster) {
 		ids := w.awaiting(3, func(i int) []string { return []string{fmt.Sprint("job-", i-1)} })
 		n := w.start("n0")
-		if _, err := n.Abort(context.Background(), ids[0]); err != nil {
+		if _, err := n.Cancel(context.Background(), ids[0]); err != nil {
 			t.Fatal(err)
 		}
 		w.store.Hold(touches(store.FinalPrefix)) // what follows is not recorded
 		n.look(func(c *Controller) {
-			p := &c.leaderTerm.pipeline
+			dg := &c.leaderTerm.dependencies
 			for _, j := range c.leaderTerm.jobs {
 				j.cancelPending = false // as a leader has it that has not read the end yet
 			}
-			p.pendingCancels, p.lookingUp = nil, true
+			dg.pendingCancels, dg.lookingUp = nil, true
 		})
-		w.same("called", w.told(n, ids[1:]), map[string]int{api.JobWithdrawn: 2})
-		n.look(func(c *Controller) { c.leaderTerm.pipeline.lookingUp = false })
+		w.same("called", w.told(n, ids[1:]), map[string]int{api.JobCancelled: 2})
+		n.look(func(c *Controller) { c.leaderTerm.dependencies.lookingUp = false })
 		time.Sleep(2 * time.Second) // what is held is given up
 	})
 }
@@ -131,7 +131,7 @@
 		ids := w.awaiting(3, func(i int) []string { return []string{fmt.Sprint("job-", i-1)} })
 		n := w.start("n0")
 		w.store.Hold(func(txn store.Txn) bool { return txn.Records && touches(store.FinalPrefix)(txn) })
-		if _, err := n.Abort(context.Background(), ids[0]); err != nil {
+		if _, err := n.Cancel(context.Background(), ids[0]); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -333,10 +333,10 @@
 	if j.over != "" && phase != j.over {
 		g.t.Errorf("%s was called %s, and now %s", j.spec.ID, j.over, phase)
 	}
-	if phase == api.JobDone || phase == api.JobWithdrawn {
+	if phase == api.JobDone || phase == api.JobCancelled {
 		j.over = phase
 	}
-	if phase == api.JobWithdrawn && j.cancelled.IsZero() {
+	if phase == api.JobCancelled && j.cancelled.IsZero() {
 		j.cancelled = time.Now()
 	}
 }
@@ -369,7 +369,7 @@
 	for _, n := range j.home.at() {
 		phase := j.home.phase(n, id)
 		switch phase {
-		case api.JobPending, api.JobRunning, api.JobDone, api.JobWithdrawn:
+		case api.JobPending, api.JobRunning, api.JobDone, api.JobCancelled:
 		case api.ErrUnknownJob.Error():
 			g.t.Errorf("%s is forgotten", id)
 		default:
@@ -386,7 +386,7 @@
 	j := g.job(id)
 	for i := range seconds {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		st, err := j.home.at()[i%2].Abort(ctx, id)
+		st, err := j.home.at()[i%2].Cancel(ctx, id)
 		cancel()
 		if err == nil {
 			g.told(j, st.Phase)
@@ -403,7 +403,7 @@
 	for until := time.Now().Add(most); time.Now().Before(until); time.Sleep(2 * time.Second) {
 		left := []string{}
 		for id := range g.jobs {
-			if p := g.poll(id); p != api.JobDone && p != api.JobWithdrawn {
+			if p := g.poll(id); p != api.JobDone && p != api.JobCancelled {
 				left = append(left, id)
 			}
 		}
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -186,7 +186,7 @@
 		s.h.mu.Unlock()
 		s.tasks.Go(func() {
 			s.users("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
-				st, err := n.Abort(ctx, id)
+				st, err := n.Cancel(ctx, id)
 				if err == nil {
 					s.h.observed(id, st.Phase)
 				}
@@ -212,7 +212,7 @@
 		for last := ""; ; {
 			if n := s.node(s.names[0]); n != nil {
 				last = s.phase(n, id)
-				if last == api.JobDone || last == api.JobWithdrawn {
+				if last == api.JobDone || last == api.JobCancelled {
 					s.h.observed(id, last)
 					break
 				}
--- a/internal/controller/constrained.go
+++ b/internal/controller/constrained.go
@@ -55,7 +55,7 @@
 		}
 	}
 	for _, j := range f.leaderTerm.jobs {
-		if len(j.awaits) > 0 && !j.cancelPending && restricted(&j.spec) && f.leaderTerm.pipeline.allBegun(j) {
+		if len(j.dependsOn) > 0 && !j.cancelPending && restricted(&j.spec) && f.leaderTerm.dependencies.dependenciesStarted(j) {
 			add(j, min(float64(j.spec.Tasks)*j.spec.CPUs, j.team.LimitCPUs))
 		}
 	}
@@ -67,10 +67,10 @@
 	return out
 }
 
-// allBegun tells whether all that a job waits for has begun.
-func (p *pipeline) allBegun(j *job) bool {
-	for id := range j.awaits {
-		if o := p.leaderTerm.jobs[id]; o == nil || !o.started() {
+// dependenciesStarted tells whether all that a job waits for has begun.
+func (dg *dependencyGraph) dependenciesStarted(j *job) bool {
+	for id := range j.dependsOn {
+		if o := dg.leaderTerm.jobs[id]; o == nil || !o.started() {
 			return false
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -269,12 +269,12 @@
 		reason = "more names than a record holds"
 	}
 	if reason != "" {
-		return api.JobState{}, false, &api.NeverRunsError{Reason: reason}
+		return api.JobState{}, false, &api.UnschedulableError{Reason: reason}
 	}
 	st, created, err := c.records.Accept(ctx, spec, time.Now())
-	var never *store.NeverAcceptedError
+	var never *store.UnknownDependencyError
 	if errors.As(err, &never) {
-		err = &api.NeverRunsError{Reason: never.Error()}
+		err = &api.UnschedulableError{Reason: never.Error()}
 	}
 	if err == nil && st.Final() {
 		err = c.tellFinal(ctx, st)
@@ -318,13 +318,13 @@
 	return slices.Contains(zones, s.Zone)
 }
 
-// Known implements api.Backend.
-func (c *Controller) Known(ctx context.Context, id string) (api.JobState, error) {
+// RecordedJob implements api.Backend.
+func (c *Controller) RecordedJob(ctx context.Context, id string) (api.JobState, error) {
 	return c.lookup(ctx, id)
 }
 
-// Abort implements api.Backend.
-func (c *Controller) Abort(ctx context.Context, id string) (api.JobState, error) {
+// Cancel implements api.Backend.
+func (c *Controller) Cancel(ctx context.Context, id string) (api.JobState, error) {
 	st, found, err := c.records.Cancel(ctx, id)
 	if err != nil {
 		return st, err
@@ -420,7 +420,7 @@
 	if m.st.Derived {
 		return // the leader finds it by itself, and has yet to write it
 	}
-	if m.st.Phase == api.JobWithdrawn {
+	if m.st.Phase == api.JobCancelled {
 		c.recordCancellation(m.st.ID)
 		return
 	}
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -116,7 +116,7 @@
 // anyUnassigned tells whether any task waits for a machine.
 func (lt *leaderTerm) anyUnassigned() bool {
 	for _, j := range lt.jobs {
-		if j.flight.Untaken() > 0 && !j.finishing && !j.cancelPending && len(j.awaits) == 0 {
+		if j.flight.Untaken() > 0 && !j.finishing && !j.cancelPending && len(j.dependsOn) == 0 {
 			return true
 		}
 	}
--- a/internal/controller/direct_test.go
+++ b/internal/controller/direct_test.go
@@ -257,7 +257,7 @@
 				time.Sleep(3 * time.Second)
 				w.same("waits", w.cloud.gone("i-0"), false)
 			}
-			if _, err := n.Abort(context.Background(), "job-1"); err != nil {
+			if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 				t.Fatal(err)
 			}
 			for range 4 {
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -99,11 +99,11 @@
 }
 
 func (g *gapCluster) cancelAt(n *node) {
-	st, err := n.Abort(context.Background(), "job-1")
+	st, err := n.Cancel(context.Background(), "job-1")
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.same("cancelled", st.Phase, api.JobWithdrawn)
+	g.same("cancelled", st.Phase, api.JobCancelled)
 	g.confirmed = time.Now()
 }
 
@@ -120,7 +120,7 @@
 	// Cancelled by a node that has ended since, without a word.
 	elsewhere := func(g *gapCluster) {
 		other := g.startWith("n9", g.store, nil)
-		if _, err := other.Abort(context.Background(), "job-1"); err != nil {
+		if _, err := other.Cancel(context.Background(), "job-1"); err != nil {
 			g.t.Fatal(err)
 		}
 		other.crash()
@@ -148,7 +148,7 @@
 		{"apart for a while", map[int]func(*gapCluster){1000: refuse, 1050: apart, 2000: cancel, 3000: down,
 			5000: func(g *gapCluster) { g.l.cut.Store(false) }}, true},
 		{"told by a node that only read it", map[int]func(*gapCluster){1000: refuse, 2000: elsewhere, 2550: func(g *gapCluster) {
-			g.same("asked", g.phase(g.b, "job-1"), api.JobWithdrawn)
+			g.same("asked", g.phase(g.b, "job-1"), api.JobCancelled)
 			g.confirmed = time.Now()
 		}, 2600: down}, true},
 		{"told to a repeated submission", map[int]func(*gapCluster){1000: refuse, 2000: elsewhere, 2550: func(g *gapCluster) {
@@ -156,7 +156,7 @@
 			if err != nil {
 				g.t.Fatal(err)
 			}
-			g.same("repeated", st.Phase, api.JobWithdrawn)
+			g.same("repeated", st.Phase, api.JobCancelled)
 			g.confirmed = time.Now()
 		}, 2600: down}, true},
 		{"told by the leader itself, whose watch is dead", map[int]func(*gapCluster){1000: func(g *gapCluster) {
@@ -213,7 +213,7 @@
 				if alone {
 					ga.set(true)
 					l.cut.Store(true)
-					if _, err := b.Abort(context.Background(), "job-1"); err != nil {
+					if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 						t.Fatal(err)
 					}
 				} else {
@@ -250,7 +250,7 @@
 			}
 			k.serve(a, 3)
 			w.same("running", len(k.running()), 2)
-			if _, err := b.Abort(context.Background(), "job-1"); err != nil {
+			if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 				t.Fatal(err)
 			}
 			k.serve(a, 3)
@@ -274,7 +274,7 @@
 			gone := w.startWith("n9", w.store, nil) // tells the user, and then nobody
 			k.report(a)
 			a.crash()
-			if _, err := gone.Abort(context.Background(), "job-1"); err != nil {
+			if _, err := gone.Cancel(context.Background(), "job-1"); err != nil {
 				t.Fatal(err)
 			}
 			confirmed := time.Now()
--- a/internal/controller/guests.go
+++ b/internal/controller/guests.go
@@ -60,7 +60,7 @@
 	a.CPUs, a.GPUs = room.freeCPUs, room.freeGPUs
 	guests := 0.0
 	for _, j := range lt.jobs {
-		if j.lent != nil || j.cancelPending || len(j.awaits) > 0 {
+		if j.lent != nil || j.cancelPending || len(j.dependsOn) > 0 {
 			continue
 		}
 		cpus := float64(j.flight.Untaken()) * j.spec.CPUs
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -50,7 +50,7 @@
 	}
 	j := newJob(spec, team)
 	j.modRevision, j.accepted, j.runnableSince = mark, rec.Accepted, since
-	j.awaitsList, j.guest, j.lends = rec.Awaits, rec.Guest, rec.Lends
+	j.dependencyList, j.guest, j.lends = rec.DependencyList, rec.Guest, rec.Lends
 	j.preference = lt.c.Policy.Preferences[spec.Class]
 	j.objectives = lt.objectives(j)
 	j.updateFeasibility(time.Now())
@@ -58,12 +58,12 @@
 	switch {
 	case rec.Lent != nil:
 		lt.loans.lent(j, rec.Lent)
-	case len(j.spec.Awaits) == 0:
+	case len(j.spec.DependsOn) == 0:
 		team.Add(j)
 		lt.dispatchUntil = time.Now().Add(dispatchFor)
 	case lt.loaded:
-		lt.pipeline.awaitJobs(j)
-		lt.pipeline.propagateDeadlines(j)
+		lt.dependencies.resolveDependencies(j)
+		lt.dependencies.propagateDeadlines(j)
 	default: // once all are read
 	}
 	lt.c.Log.Debug("job", "job", id, "class", j.spec.Class, "team", j.spec.Team, "tasks", j.spec.Tasks)
@@ -85,7 +85,7 @@
 // multiples of it that the objectives name, or the times that they name for
 // its class.
 func (lt *leaderTerm) objectives(j *job) []time.Time {
-	out := slices.Concat(lt.deadlines(j), j.due)
+	out := slices.Concat(lt.deadlines(j), j.dependentDeadlines)
 	for _, o := range lt.c.Settings.Site.Objectives {
 		switch {
 		case o.Class != j.spec.Class:
@@ -129,7 +129,7 @@
 	for first := range j.completionChunks {
 		lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
 	}
-	lt.awaitsLists.drop(j)
+	lt.dependencyLists.drop(j)
 }
 
 // forget drops a job that is over.
@@ -137,7 +137,7 @@
 	j.ended = true
 	j.completionDirty = false
 	delete(lt.jobs, j.spec.ID)
-	lt.pipeline.forget(j)
+	lt.dependencies.forget(j)
 	lt.loans.release(j)
 	j.team.Remove(j)
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -53,11 +53,11 @@
 	// that are over: whose team they count for is not known.
 	unattributedCPUs float64
 
-	readIndex readIndexer
-	pipeline  pipeline
-	// awaitsLists are the records that list awaited jobs.
-	awaitsLists awaitsLists
-	loans       loans
+	readIndex    readIndexer
+	dependencies dependencyGraph
+	// dependencyLists are the records that list awaited jobs.
+	dependencyLists dependencyLists
+	loans           loans
 	// votes are what the other nodes let this one decide by, and bound is set once it
 	// decides only with enough of them; ungranted is since when it lacks them.
 	votes          *grant.VoteSet
@@ -130,8 +130,8 @@
 	lt.maxDials = maxConcurrentDials(c.Settings.Site.Limits.FDLimit)
 	lt.readIndex.leaderTerm = lt
 	lt.recorder.init(lt)
-	lt.pipeline.init(lt)
-	lt.awaitsLists.leaderTerm = lt
+	lt.dependencies.init(lt)
+	lt.dependencyLists.leaderTerm = lt
 	lt.loans.init(lt)
 	lt.provisioner.init(lt)
 	if c.Standby != nil {
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -111,7 +111,7 @@
 	lt := l.leaderTerm
 	policy := &lt.c.Policy.Spill
 	switch {
-	case j.lent != nil || j.guest != nil || j.handover || j.ended || j.finishing || j.cancelPending || len(j.awaits) > 0:
+	case j.lent != nil || j.guest != nil || j.handover || j.ended || j.finishing || j.cancelPending || len(j.dependsOn) > 0:
 		return false
 	case l.changing[loanName(lt.c.Cells.Cell, j.spec.ID)]:
 		return false // what the watch has shown already is yet to be answered
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -95,8 +95,8 @@
 				}
 				exitAll(ks[:8])
 				reportAll(ks, a, 6)
-				st, err := a.Abort(context.Background(), "job-2")
-				w.same("cancelled", []any{st.Phase, err}, []any{api.JobWithdrawn, nil})
+				st, err := a.Cancel(context.Background(), "job-2")
+				w.same("cancelled", []any{st.Phase, err}, []any{api.JobCancelled, nil})
 				reportAll(ks, a, 6)
 				w.same("of the cancelled job", runningOf(ks, "job-2"), []string(nil))
 				a.crash()
@@ -107,7 +107,7 @@
 					reportAll(ks, b, 5)
 				}
 				w.same("after a takeover", w.phase(b, "job-1"), "done")
-				w.same("cancelled still", w.phase(b, "job-2"), api.JobWithdrawn)
+				w.same("cancelled still", w.phase(b, "job-2"), api.JobCancelled)
 				w.dead.Store(ks[0].rep.Machine, true)
 				w.dead.Store(ks[1].rep.Machine, true)
 				reportAll(ks[2:], b, 40)
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -96,7 +96,7 @@
 	l.count++
 	l.counts.Lent++
 	spec := j.spec
-	spec.Awaits = nil
+	spec.DependsOn = nil
 	record := &loan.Lent{Host: n.cell, Epoch: loan.NewEpoch(lt.term.Number, l.count), Spec: spec, Grant: grant, Since: j.runnableSince.UTC()}
 	j.team.Remove(j)
 	l.reserve(j, grant)
@@ -257,7 +257,7 @@
 	case loan.ActionDone:
 		l.end(j, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: time.Now().UTC()})
 	case loan.ActionWithdraw:
-		l.end(j, store.FinalRecord{Phase: api.JobWithdrawn, Tasks: j.spec.Tasks})
+		l.end(j, store.FinalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
 	}
 }
 
@@ -268,7 +268,7 @@
 	j.handover = l.change(&loanChange{home: lt.c.Cells.Cell, job: id,
 		build: func() (store.Txn, bool) {
 			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.modRevision}}}
-			if final.Phase == api.JobWithdrawn {
+			if final.Phase == api.JobCancelled {
 				// As with a user's own cancellation, a watch sees why the record goes.
 				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: id})
 			}
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -220,7 +220,7 @@
 	case loan.StepClose:
 		l.giveBack(j)
 	case loan.StepWithdraw:
-		l.endGuest(j, loan.End{Epoch: e.Epoch, Phase: api.JobWithdrawn, Tasks: j.spec.Tasks})
+		l.endGuest(j, loan.End{Epoch: e.Epoch, Phase: api.JobCancelled, Tasks: j.spec.Tasks})
 	case loan.StepForget:
 		l.forgetEnd(home, e)
 	}
@@ -302,7 +302,7 @@
 	l.change(&loanChange{home: home, job: id,
 		build: func() (store.Txn, bool) {
 			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.modRevision}}}
-			if end.Phase == api.JobWithdrawn {
+			if end.Phase == api.JobCancelled {
 				// All nodes of this cell must know before they renew leases.
 				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: loan.GuestMark + id})
 			}
@@ -331,7 +331,7 @@
 	lt.forget(j)
 	if end.Mark != 0 {
 		var e loan.End
-		if err := json.Unmarshal(end.Value, &e); err == nil && e.Phase == api.JobWithdrawn {
+		if err := json.Unmarshal(end.Value, &e); err == nil && e.Phase == api.JobCancelled {
 			lt.c.recordCancellation(loan.GuestMark + j.spec.ID)
 		}
 	}
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -19,7 +19,7 @@
 		return err
 	},
 	"job":         func(ctx context.Context, n *node) error { _, err := n.Job(ctx, "job-1"); return err },
-	"known":       func(ctx context.Context, n *node) error { _, err := n.Known(ctx, "job-1"); return err },
+	"known":       func(ctx context.Context, n *node) error { _, err := n.RecordedJob(ctx, "job-1"); return err },
 	"status":      func(ctx context.Context, n *node) error { _, err := n.Status(ctx); return err },
 	"loans":       func(ctx context.Context, n *node) error { _, err := n.Loans(ctx, nil); return err },
 	"peer grant":  func(ctx context.Context, n *node) error { _, err := n.PeerVote(ctx, 1); return err },
@@ -103,8 +103,8 @@
 		n.crash()
 		time.Sleep(time.Second)
 		for range 2 * cap(n.mailbox) {
-			st, err := n.Abort(context.Background(), "job-1")
-			if err != nil || st.Phase != api.JobWithdrawn {
+			st, err := n.Cancel(context.Background(), "job-1")
+			if err != nil || st.Phase != api.JobCancelled {
 				t.Fatalf("cancellation: %v, %v", st.Phase, err)
 			}
 		}
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -53,7 +53,7 @@
 		for i := range jobs {
 			id := fmt.Sprint("job-", i)
 			end, at := tn.checker.end(id)
-			if want[id] = end; end == api.JobWithdrawn {
+			if want[id] = end; end == api.JobCancelled {
 				cancelled++
 			} else if at.Sub(tn.checker.doneAt(id)) > 3*time.Second+700*time.Millisecond {
 				late++
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -23,18 +23,18 @@
 	// runnableSince is from when on its user expects it to run: when it was accepted, or
 	// when the last job that it needs was done.
 	runnableSince time.Time
-	// awaits are the jobs that are to be done before it starts; while there are
+	// dependsOn are the jobs that are to be done before it starts; while there are
 	// any, or while its cancellation with one of them is pending, it is in no queue.
-	awaits        map[string]bool
+	dependsOn     map[string]bool
 	cancelPending bool
-	// awaitsList tells which records list what it awaits, if its own does not;
-	// awaitsRead is set once they are read.
-	awaitsList *store.AwaitsList
-	awaitsRead bool
-	// lastEnd is when the last of the awaited jobs that are done was done.
-	lastEnd time.Time
-	// due is when it should be complete for those that need it.
-	due []time.Time
+	// dependencyList tells which records list what it awaits, if its own does not;
+	// dependenciesRead is set once they are read.
+	dependencyList   *store.DependencyList
+	dependenciesRead bool
+	// lastDependencyEnd is when the last of the awaited jobs that are done was done.
+	lastDependencyEnd time.Time
+	// dependentDeadlines is when it should be complete for those that need it.
+	dependentDeadlines []time.Time
 	// objectives are when the job should be complete, by the aims of its class;
 	// latest is when to begin to meet the next that can still be met.
 	objectives  []time.Time
@@ -192,7 +192,7 @@
 			st.Running++
 		}
 	}
-	st.Awaits = j.waitsFor()
+	st.DependsOn = j.unfinishedDependencies()
 	if st.Running > 0 || st.Done > 0 {
 		st.Phase = api.JobRunning
 	}
--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -345,7 +345,7 @@
 			if err := json.Unmarshal(e.Value, &f); err != nil {
 				return api.JobState{}, err
 			}
-			if f.Phase == api.JobWithdrawn {
+			if f.Phase == api.JobCancelled {
 				o.mu.Lock()
 				o.cancelled(id)
 				o.mu.Unlock()
@@ -391,7 +391,7 @@
 			o.mu.Lock()
 			o.cancelled(id)
 			o.mu.Unlock()
-			return api.JobWithdrawn
+			return api.JobCancelled
 		}
 	}
 }
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -17,7 +17,7 @@
 // after is a job that awaits others.
 func after(id, team string, tasks int, awaits ...string) *api.JobSpec {
 	s := job1(id, team, tasks)
-	s.Awaits = awaits
+	s.DependsOn = awaits
 	return s
 }
 
@@ -120,7 +120,7 @@
 					for _, id := range append(diamondJobs, "job-6", "job-7", "job-9") {
 						want := api.JobDone
 						if slices.Contains(gone, id) || id == victim {
-							want = api.JobWithdrawn
+							want = api.JobCancelled
 						}
 						s.same("end of "+id, s.phase(s.node("n0"), id), want)
 					}
@@ -148,7 +148,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
 			st, created, err := n.Submit(ctx, after(id, "red", 1, awaits...))
-			var never *api.NeverRunsError
+			var never *api.UnschedulableError
 			switch {
 			case errors.As(err, &never):
 				return "422 " + never.Reason
@@ -171,14 +171,14 @@
 		}
 		w.same("many", submit("job-13", many...), "201 pending")
 		w.same("many, one of them never", submit("job-14", append(many, "job-98")...), "422 awaits job-98, which was never accepted")
-		if _, err := n.Abort(context.Background(), "job-2"); err != nil {
+		if _, err := n.Cancel(context.Background(), "job-2"); err != nil {
 			t.Fatal(err)
 		}
 		w.same("names a cancelled one", submit("job-15", "job-2"), "201 withdrawn")
 		w.same("and one that needs it", submit("job-16", "job-12"), "201 withdrawn")
 		time.Sleep(2 * time.Second)
 		for _, id := range []string{"job-3", "job-12", "job-15", "job-16"} {
-			w.same(id, w.phase(n, id), api.JobWithdrawn)
+			w.same(id, w.phase(n, id), api.JobCancelled)
 		}
 		w.same("again", submit("job-15", "job-2"), "200 withdrawn")
 		w.store.SetDown(true)
@@ -186,7 +186,7 @@
 		w.store.SetDown(false)
 		time.Sleep(4 * time.Second)
 		n.look(func(c *Controller) {
-			w.same("may run", len(c.leaderTerm.jobs["job-11"].awaits), 0)
+			w.same("may run", len(c.leaderTerm.jobs["job-11"].dependsOn), 0)
 			w.same("in the queue", slices.Contains(c.leaderTerm.teams["red"].Items(), c.leaderTerm.jobs["job-11"]), true)
 		})
 	})
@@ -216,15 +216,15 @@
 		w.submit(leader, after("job-2", "red", 1, "job-1"))
 		w.submit(leader, after("job-3", "red", 1, "job-2"))
 		leader.crash()
-		if _, err := b.Abort(context.Background(), "job-1"); err != nil {
+		if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
-		w.same("needs another that needs it", w.phase(b, "job-3"), api.JobWithdrawn)
-		w.same("needs it", w.phase(b, "job-2"), api.JobWithdrawn)
+		w.same("needs another that needs it", w.phase(b, "job-3"), api.JobCancelled)
+		w.same("needs it", w.phase(b, "job-2"), api.JobCancelled)
 		if _, created, err := b.Submit(context.Background(), after("job-4", "red", 1, "job-3")); err != nil || !created {
 			t.Errorf("submitted after: %v", err)
 		}
-		w.same("after the last", w.phase(b, "job-4"), api.JobWithdrawn)
+		w.same("after the last", w.phase(b, "job-4"), api.JobCancelled)
 	})
 }
 
@@ -246,7 +246,7 @@
 			w.same("why it waits", counts, map[string]int{"awaits others": 1})
 		})
 		st, err := n.Job(context.Background(), "job-2")
-		w.same("waits for", st.Awaits, []string{"job-1"})
+		w.same("waits for", st.DependsOn, []string{"job-1"})
 		w.same("phase", st.Phase, api.JobPending)
 		if err != nil {
 			t.Error(err)
@@ -325,7 +325,7 @@
 				n = w.start("n0")
 				time.Sleep(2 * time.Second)
 				n.look(func(c *Controller) { w.same("in the queue", len(c.leaderTerm.teams["red"].Items()), 1) })
-				if _, err := n.Abort(context.Background(), "job-0"); err != nil {
+				if _, err := n.Cancel(context.Background(), "job-0"); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(30 * time.Second)
@@ -334,12 +334,12 @@
 					t.Errorf("%d jobs left, %v", len(p.Rows), err)
 				}
 				for i := range jobs {
-					if got := w.phase(n, fmt.Sprint("job-", i)); got != api.JobWithdrawn {
+					if got := w.phase(n, fmt.Sprint("job-", i)); got != api.JobCancelled {
 						t.Fatalf("job-%d: %s", i, got)
 					}
 				}
 				n.look(func(c *Controller) {
-					w.same("left in memory", len(c.leaderTerm.jobs)+len(c.leaderTerm.pipeline.dependents)+len(c.leaderTerm.pipeline.pendingCancels), 0)
+					w.same("left in memory", len(c.leaderTerm.jobs)+len(c.leaderTerm.dependencies.dependents)+len(c.leaderTerm.dependencies.pendingCancels), 0)
 				})
 			})
 		})
@@ -379,13 +379,13 @@
 		}
 		work(3)
 		n.look(func(c *Controller) { c.leaderTerm.jobs["job-1"].backoffUntil = time.Now().Add(time.Hour) })
-		if _, err := n.Abort(context.Background(), "job-1"); err != nil {
+		if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
 		work(20)
 		n.look(func(c *Controller) { w.same("ends wait", len(c.leaderTerm.recorder.finishing) > 20, true) })
 		for i := range 20 {
-			w.same("needs it", w.phase(n, fmt.Sprint("job-2", i)), api.JobWithdrawn)
+			w.same("needs it", w.phase(n, fmt.Sprint("job-2", i)), api.JobCancelled)
 		}
 	})
 }
@@ -409,7 +409,7 @@
 					w.submit(n, s)
 				}
 				trouble(w)
-				if _, err := n.Abort(context.Background(), "job-1"); err != nil {
+				if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(12 * time.Second)
@@ -423,10 +423,10 @@
 				}
 				for i := range 4 { // not before: who asks for them ends them, too
 					id := fmt.Sprint("job-", i+1)
-					w.same(id, w.phase(n, id), api.JobWithdrawn)
+					w.same(id, w.phase(n, id), api.JobCancelled)
 				}
 				n.look(func(c *Controller) {
-					w.same("still to do", len(c.leaderTerm.jobs)+len(c.leaderTerm.pipeline.pendingCancels)+len(c.leaderTerm.pipeline.dependents), 0)
+					w.same("still to do", len(c.leaderTerm.jobs)+len(c.leaderTerm.dependencies.pendingCancels)+len(c.leaderTerm.dependencies.dependents), 0)
 				})
 			})
 		})
@@ -515,7 +515,7 @@
 						add := func(id, awaits int, dueS float64) {
 							s := spec(fmt.Sprint("job-", id), 1)
 							if awaits > 0 {
-								s.Awaits = need(awaits)
+								s.DependsOn = need(awaits)
 							}
 							s.Class, s.DeadlineS, s.EstimateS = "stage", dueS, float64(10+20*(id%2))
 							lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s, Accepted: time.Now()}, uint64(1000+id))
@@ -524,20 +524,20 @@
 							add(i, i, 0)
 						}
 						deadline = work(func() { add(jobs, jobs, 600) })
-						if len(lt.jobs["job-0"].due) == 0 {
+						if len(lt.jobs["job-0"].dependentDeadlines) == 0 {
 							t.Error("the deadline did not reach the first job")
 						}
 						cancel = work(func() { c.recordCancellation("job-0") })
 						pending := map[*job]bool{}
-						for _, j := range lt.pipeline.pendingCancels {
+						for _, j := range lt.dependencies.pendingCancels {
 							pending[j] = true
 						}
-						w.same("cancelled, each once", []int{len(pending), len(lt.pipeline.pendingCancels)}, []int{jobs, jobs})
+						w.same("cancelled, each once", []int{len(pending), len(lt.dependencies.pendingCancels)}, []int{jobs, jobs})
 						for j := range pending {
 							lt.cancelJob(j)
 						}
-						w.same("left", len(lt.jobs)+len(lt.pipeline.dependents), 0)
-						lt.pipeline.pendingCancels = nil
+						w.same("left", len(lt.jobs)+len(lt.dependencies.dependents), 0)
+						lt.dependencies.pendingCancels = nil
 						c.final.Purge()
 					})
 					return deadline, cancel
@@ -570,7 +570,7 @@
 				for i := range jobs {
 					w.submit(n, after(fmt.Sprint("job-", 1+i), "red", 1, "job-0"))
 				}
-				if _, err := n.Abort(context.Background(), "job-0"); err != nil {
+				if _, err := n.Cancel(context.Background(), "job-0"); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(cancelS * time.Second)
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -232,8 +232,8 @@
 		// One that it needs is cancelled on record, and that stays so. However many
 		// jobs follow from one cancellation, their users need not wait for the
 		// write rate.
-		return pollReply{state: api.JobState{ID: id, Phase: api.JobWithdrawn, Derived: true}, answered: true}
-	case j.ending, len(j.awaits) > 0 && lt.pipeline.unresolved():
+		return pollReply{state: api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}, answered: true}
+	case j.ending, len(j.dependsOn) > 0 && lt.dependencies.unresolved():
 		// In the second case one that it needs may be cancelled, and an earlier
 		// leader or another node may have told so.
 		return pollReply{}
--- a/internal/controller/reads_test.go
+++ b/internal/controller/reads_test.go
@@ -49,10 +49,10 @@
 			w.submit(leader, spec(id, 1))
 			all.Go(func() { w.phase(n, id) }) // may be told either
 			time.Sleep(time.Duration(after) * time.Millisecond)
-			if _, err := leader.Abort(context.Background(), id); err != nil {
+			if _, err := leader.Cancel(context.Background(), id); err != nil {
 				t.Fatal(err)
 			}
-			w.same("asked once it was told", w.phase(n, id), api.JobWithdrawn)
+			w.same("asked once it was told", w.phase(n, id), api.JobCancelled)
 			all.Wait()
 		}
 	})
--- a/internal/controller/reaps_test.go
+++ b/internal/controller/reaps_test.go
@@ -24,7 +24,7 @@
 			k.rep.Tasks = append(k.rep.Tasks, api.TaskStatus{Task: "job-2/" + string(rune('0'+i%10)), Attempt: uint64(1000 + i),
 				Phase: api.TaskExited, Cause: api.CauseNoSuch})
 		}
-		if _, err := n.Abort(context.Background(), "job-1"); err != nil {
+		if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -126,7 +126,7 @@
 // write rate allows at this moment.
 func (w *recorder) next(now time.Time) *batch {
 	b := w.newBatch()
-	if w.leaderTerm.pipeline.add(b, now); len(b.txn.Ops) > 0 {
+	if w.leaderTerm.dependencies.addCancellations(b, now); len(b.txn.Ops) > 0 {
 		return b
 	}
 	allowed := min(w.maxOps, int(w.limiter.TokensAt(now)))
@@ -263,7 +263,7 @@
 // again queues the changes of a batch that was not carried out, or may not have been.
 func (w *recorder) again(b *batch) {
 	w.finishing = append(slices.Clone(b.finished), w.finishing...)
-	w.leaderTerm.pipeline.pendingCancels = append(slices.Clone(b.derivedCancels), w.leaderTerm.pipeline.pendingCancels...)
+	w.leaderTerm.dependencies.pendingCancels = append(slices.Clone(b.derivedCancels), w.leaderTerm.dependencies.pendingCancels...)
 	w.unwritten(b)
 	w.drops = append(slices.Clone(b.drops), w.drops...)
 	for _, p := range b.progressed {
@@ -339,13 +339,13 @@
 	lt.forget(j)
 	now := time.Now()
 	lt.c.final.Add(j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}.FinalState(j.spec.ID))
-	lt.pipeline.done(j.spec.ID, now)
+	lt.dependencies.jobDone(j.spec.ID, now)
 	for first, written := range j.completionChunks {
 		if written {
 			lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
 		}
 	}
-	lt.awaitsLists.drop(j)
+	lt.dependencyLists.drop(j)
 	lt.c.Log.Debug("job done", "job", j.spec.ID, "class", j.spec.Class, "tasks", j.spec.Tasks,
 		"lost", j.lostTasks, "firstStart", j.sinceRunnable(j.firstStart), "lastStart", j.sinceRunnable(j.lastStart), "estimate", j.spec.EstimateS, "longest", j.longest.Round(time.Second/10),
 		"late", math.Round(time.Since(j.objectives[0]).Seconds()))
--- a/internal/controller/room_test.go
+++ b/internal/controller/room_test.go
@@ -158,7 +158,7 @@
 			}
 			s.Types = append(s.Types, "small")
 			_, _, err := n.Submit(context.Background(), s)
-			var never *api.NeverRunsError
+			var never *api.UnschedulableError
 			if errors.As(err, &never) == c.fits {
 				t.Errorf("%d names: %v", c.names, err)
 			}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -228,7 +228,7 @@
 			s := spec("job-1", 1)
 			change(s)
 			_, _, err := n.Submit(context.Background(), s)
-			var never *api.NeverRunsError
+			var never *api.UnschedulableError
 			w.same(name, errors.As(err, &never), true)
 		}
 		w.same("not accepted", w.phase(n, "job-1"), api.ErrUnknownJob.Error())
@@ -274,7 +274,7 @@
 				t.Errorf("store out of reach %v: kept for %d s", storeToo, kept)
 			}
 			if !storeToo {
-				if _, err := a.Abort(context.Background(), "job-1"); err != nil {
+				if _, err := a.Cancel(context.Background(), "job-1"); err != nil {
 					t.Error(err)
 				}
 				k.serve(b, 5)
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -113,7 +113,7 @@
 		s.OneZone && elsewhere > 0, s.Spread && here+1 > (s.Tasks+1)/2:
 		h.fail("%s starts on %s in zone %s (%d of the job there, %d elsewhere)", task, r.machine, k.rep.Zone, here, elsewhere)
 	}
-	for _, id := range s.Awaits {
+	for _, id := range s.DependsOn {
 		if a := h.jobs[id]; a == nil || len(a.done) < a.spec.Tasks || !h.w.store.Has(store.FinalPrefix+id) {
 			h.fail("%s starts on %s too early: %s is not done on record", task, r.machine, id)
 		}
@@ -154,7 +154,7 @@
 		if p == nil {
 			continue
 		}
-		for _, a := range p.spec.Awaits {
+		for _, a := range p.spec.DependsOn {
 			if !slices.Contains(ids, a) {
 				ids = append(ids, a)
 			}
@@ -202,7 +202,7 @@
 	}
 	for id, p := range h.jobs {
 		s := p.spec
-		early := slices.ContainsFunc(s.Awaits, func(a string) bool { return !h.w.store.Has(store.FinalPrefix + a) })
+		early := slices.ContainsFunc(s.DependsOn, func(a string) bool { return !h.w.store.Has(store.FinalPrefix + a) })
 		if early || !p.asked.IsZero() || len(p.done)+taken[id] >= s.Tasks {
 			p.waits = 0
 			continue
@@ -245,15 +245,15 @@
 // tell is observed with the lock held.
 func (h *runChecker) tell(id, phase string) {
 	p := h.jobs[id]
-	if at := h.withdrawnBefore(id); phase != api.JobWithdrawn && !at.IsZero() && time.Since(at) > h.cancelTime() {
+	if at := h.withdrawnBefore(id); phase != api.JobCancelled && !at.IsZero() && time.Since(at) > h.cancelTime() {
 		h.fail("%s is orphaned: called %s %v after the cancellation of a job that it needs", id, phase, time.Since(at))
 	}
 	switch {
-	case !p.withdrawn.IsZero() && phase != api.JobWithdrawn, !p.finished.IsZero() && phase != api.JobDone:
+	case !p.withdrawn.IsZero() && phase != api.JobCancelled, !p.finished.IsZero() && phase != api.JobDone:
 		h.fail("%s is called %s after its end", id, phase)
-	case phase == api.JobWithdrawn && !slices.ContainsFunc(h.before(id), func(a string) bool { return h.jobs[a] != nil && !h.jobs[a].asked.IsZero() }):
+	case phase == api.JobCancelled && !slices.ContainsFunc(h.before(id), func(a string) bool { return h.jobs[a] != nil && !h.jobs[a].asked.IsZero() }):
 		h.fail("%s is called withdrawn, and nobody cancelled it", id)
-	case phase == api.JobWithdrawn && p.withdrawn.IsZero():
+	case phase == api.JobCancelled && p.withdrawn.IsZero():
 		p.withdrawn = time.Now()
 	case phase == api.JobDone:
 		if p.finished.IsZero() {
--- a/internal/controller/settle.go
+++ b/internal/controller/settle.go
@@ -14,7 +14,7 @@
 func (w *recorder) verify(jobs []*job) {
 	for _, j := range jobs {
 		w.finishing = slices.DeleteFunc(w.finishing, func(o *job) bool { return o == j })
-		w.leaderTerm.pipeline.pendingCancels = slices.DeleteFunc(w.leaderTerm.pipeline.pendingCancels, func(o *job) bool { return o == j })
+		w.leaderTerm.dependencies.pendingCancels = slices.DeleteFunc(w.leaderTerm.dependencies.pendingCancels, func(o *job) bool { return o == j })
 		w.unsettled = append(w.unsettled, j.spec.ID)
 	}
 	w.settleNext()
@@ -68,10 +68,10 @@
 	switch {
 	case m.found && m.st.Phase == api.JobDone:
 		lt.jobFinished(j)
-	case m.found && m.st.Phase == api.JobWithdrawn && !m.st.Derived:
+	case m.found && m.st.Phase == api.JobCancelled && !m.st.Derived:
 		lt.cancelJob(j)
 	case j.cancelPending:
-		lt.pipeline.pendingCancels = append(lt.pipeline.pendingCancels, j)
+		lt.dependencies.pendingCancels = append(lt.dependencies.pendingCancels, j)
 	default:
 		lt.recorder.finishing = append(lt.recorder.finishing, j)
 	}
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -361,7 +361,7 @@
 						g.tasks.Go(func() { g.cells[crash].crash(0, 200*time.Millisecond) })
 					}
 					told := g.cancel(id, 60)
-					if told != api.JobWithdrawn && !(told == api.JobDone && name == "as it ends") {
+					if told != api.JobCancelled && !(told == api.JobDone && name == "as it ends") {
 						t.Errorf("told %s", told)
 					}
 					e, err := g.cells[1].store.Get(context.Background(), store.CancelKey)
@@ -378,13 +378,13 @@
 			id := g.lentOut(g.burst(g.cells[0], 100, 6, 12*time.Second))
 			g.setCut("cell-a", "cell-b", true)
 			began := time.Now()
-			_, err := g.cells[0].nodes[0].Abort(context.Background(), id)
+			_, err := g.cells[0].nodes[0].Cancel(context.Background(), id)
 			if err == nil || time.Since(began) > time.Second {
 				t.Errorf("answered %v after %v", err, time.Since(began))
 			}
 			g.cells[0].same("meanwhile", g.cancel(id, 5), "not confirmed")
 			g.setCut("cell-a", "cell-b", false)
-			if told := g.cancel(id, 20); told != api.JobWithdrawn && told != api.JobDone {
+			if told := g.cancel(id, 20); told != api.JobCancelled && told != api.JobDone {
 				t.Errorf("told %s", told)
 			}
 			g.settle(4 * time.Minute)
@@ -427,7 +427,7 @@
 		if _, _, err := host.nodes[0].Submit(ctx, spec(id, 1)); err == nil {
 			t.Error("accepted at the host while the guest is there")
 		}
-		if _, err := host.nodes[0].Abort(context.Background(), id); err == nil {
+		if _, err := host.nodes[0].Cancel(context.Background(), id); err == nil {
 			t.Error("the guest was cancelled at the host")
 		}
 		g.settle(4 * time.Minute)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -154,7 +154,7 @@
 		return "guest"
 	case j.cancelPending:
 		return "cancelled with another"
-	case len(j.awaits) > 0:
+	case len(j.dependsOn) > 0:
 		return "awaits others"
 	case now.Before(j.backoffUntil):
 		return "fails everywhere"
@@ -177,7 +177,7 @@
 			continue
 		}
 		counts[lt.pendingReason(j, now)]++
-		if len(j.awaits) > 0 || j.lent != nil || j.guest != nil {
+		if len(j.dependsOn) > 0 || j.lent != nil || j.guest != nil {
 			continue // not for room
 		}
 		if oldest == nil || j.runnableSince.Before(oldest.runnableSince) {
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -106,17 +106,17 @@
 	}
 	var waiting []*job
 	for _, j := range lt.jobs {
-		if len(j.spec.Awaits) > 0 {
-			lt.pipeline.awaitJobs(j)
+		if len(j.spec.DependsOn) > 0 {
+			lt.dependencies.resolveDependencies(j)
 			waiting = append(waiting, j)
 		}
 	}
-	lt.pipeline.propagateDeadlines(waiting...)
+	lt.dependencies.propagateDeadlines(waiting...)
 	for _, e := range m.snapshot.machines {
 		lt.addShard(e, now)
 	}
 	lt.loaded, lt.heartbeatsSince, lt.cancellationsConfirmedAt = true, now, m.snapshot.asked
-	go lt.awaitsLists.sweep()
+	go lt.dependencyLists.sweep()
 	if c.CommandSender != nil {
 		lt.resyncNext(now)
 	}
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -362,7 +362,7 @@
 		deaf.serve(n, 3)
 		w.same("running", len(deaf.running()), 2)
 		w.dead.Store("i-1", true)
-		if _, err := n.Abort(context.Background(), "job-1"); err != nil {
+		if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
 		t0 := time.Now()
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -205,7 +205,7 @@
 		}
 		for _, ref := range h.running() {
 			id, _, _ := strings.Cut(ref, "/")
-			if end, at := tn.checker.end(id); end == api.JobWithdrawn && now.Sub(at) > 30*time.Second {
+			if end, at := tn.checker.end(id); end == api.JobCancelled && now.Sub(at) > 30*time.Second {
 				tn.stays(ref)
 			}
 		}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -291,8 +291,8 @@
 // cancelNew cancels a job at the node of this version.
 func (v *mixed) cancelNew(id string) {
 	v.t.Helper()
-	st, err := v.new.Abort(context.Background(), id)
-	v.same("cancelled "+id, []any{st.Phase, err}, []any{api.JobWithdrawn, nil})
+	st, err := v.new.Cancel(context.Background(), id)
+	v.same("cancelled "+id, []any{st.Phase, err}, []any{api.JobCancelled, nil})
 }
 
 // The leadership goes to and fro between the versions while jobs of either are
@@ -504,7 +504,7 @@
 						// Users are told what the old leader knows.
 						v.bothTell("job-2", "pending")
 						v.bothTell("job-3", "pending")
-						st, err := v.new.Known(context.Background(), "job-2")
+						st, err := v.new.RecordedJob(context.Background(), "job-2")
 						v.same("read at the new node", []any{st.Phase, err}, []any{"withdrawn", nil})
 						v.seconds(3)
 						v.bothTell("job-2", "withdrawn")
@@ -540,7 +540,7 @@
 func TestOldNodeVouchesForCancellations(t *testing.T) {
 	elsewhere := func(v *mixed) {
 		other := v.startWith("n9", v.store, nil)
-		_, err := other.Abort(context.Background(), "job-1")
+		_, err := other.Cancel(context.Background(), "job-1")
 		v.same("cancelled by a node that ends", err, nil)
 		other.crash()
 	}
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -27,7 +27,7 @@
 		if n != c.want {
 			t.Errorf("%v MB, %d sockets: %d connections, want %d", c.lim.RAMMB, c.lim.FDLimit, n, c.want)
 		}
-		held := float64(n*perConnection) + api.MostHeld + c.fleet
+		held := float64(n*perConnection) + api.MaxHeldRequests + c.fleet
 		if held > c.lim.RAMMB*mb {
 			t.Errorf("%v MB, %d sockets: up to %.0f MB held", c.lim.RAMMB, c.lim.FDLimit, held/mb)
 		}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &peer.JobStatus{Known: true, Phase: st.Phase, Done: uint32(st.Done), Running: uint32(st.Running), Awaits: st.Awaits, Derived: st.Derived, Cell: st.Cell}, nil
+	return &peer.JobStatus{Known: true, Phase: st.Phase, Done: uint32(st.Done), Running: uint32(st.Running), Awaits: st.DependsOn, Derived: st.Derived, Cell: st.Cell}, nil
 }
 
 // Ping implements peer.Handler.
@@ -114,7 +114,7 @@
 	if !st.Known {
 		return api.JobState{}, api.ErrUnknownJob
 	}
-	return api.JobState{ID: id, Phase: st.Phase, Done: int(st.Done), Running: int(st.Running), Awaits: st.Awaits, Derived: st.Derived, Cell: st.Cell}, nil
+	return api.JobState{ID: id, Phase: st.Phase, Done: int(st.Done), Running: int(st.Running), DependsOn: st.Awaits, Derived: st.Derived, Cell: st.Cell}, nil
 }
 
 // Ping implements controller.PeerClient.
--- a/internal/store/awaits.go
+++ b/internal/store/awaits.go
@@ -15,44 +15,46 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// AwaitsPrefix is the prefix of the records that list the awaited jobs of those
+// DependencyPrefix is the prefix of the records that list the awaited jobs of those
 // whose active record has no room for them.
-const AwaitsPrefix = "awaits/"
+const DependencyPrefix = "awaits/"
 
-// AwaitsElsewhere stands for the awaited jobs in an active record that has no room
+// DependenciesElsewhere stands for the awaited jobs in an active record that has no room
 // for them. It is no job's name, so a reader that does not know of lists waits for
 // it and never starts the job.
-const AwaitsElsewhere = "job-"
+const DependenciesElsewhere = "job-"
 
-// AwaitsList tells which records list a job's awaited jobs. Its digest makes the
+// DependencyList tells which records list a job's awaited jobs. Its digest makes the
 // keys depend on the names: two submissions of one job that name others never
 // write the same keys, and a repeated submission finds what the first has written.
-type AwaitsList struct {
+type DependencyList struct {
 	Digest  string `json:"digest"`
 	Records int    `json:"records"`
 }
 
-// AwaitsRecord is a part of a list of awaited jobs.
-type AwaitsRecord struct {
+// DependencyRecord is a part of a list of awaited jobs.
+type DependencyRecord struct {
 	Jobs []string `json:"jobs"`
 }
 
 // digestBytes is how much of a hash a list's keys hold.
 const digestBytes = 16
 
-// longestAwaitsList has the longest form that a list can have.
-var longestAwaitsList = &AwaitsList{Digest: strings.Repeat("0", 2*digestBytes), Records: api.MaxBody}
+// longestDependencyList has the longest form that a list can have.
+var longestDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), Records: api.MaxBody}
 
 // listedElsewhere is the record with a list in place of the names.
-func (rec ActiveRecord) listedElsewhere(list *AwaitsList) ActiveRecord {
-	rec.Spec.Awaits, rec.Awaits = []string{AwaitsElsewhere}, list
+func (rec ActiveRecord) listedElsewhere(list *DependencyList) ActiveRecord {
+	rec.Spec.DependsOn, rec.DependencyList = []string{DependenciesElsewhere}, list
 	return rec
 }
 
-func (l *AwaitsList) prefix(id string) string { return AwaitsPrefix + id + "/" + l.Digest + "/" }
+func (l *DependencyList) prefix(id string) string {
+	return DependencyPrefix + id + "/" + l.Digest + "/"
+}
 
 // Keys are the keys of the records of a job's list, in order.
-func (l *AwaitsList) Keys(id string) []string {
+func (l *DependencyList) Keys(id string) []string {
 	keys := make([]string, l.Records)
 	for i := range keys {
 		keys[i] = fmt.Sprintf("%s%05d", l.prefix(id), i)
@@ -60,28 +62,28 @@
 	return keys
 }
 
-// ParseAwaitsKey tells whose list a record belongs to.
-func ParseAwaitsKey(key string) (id, digest string, ok bool) {
-	parts := strings.Split(strings.TrimPrefix(key, AwaitsPrefix), "/")
+// ParseDependencyKey tells whose list a record belongs to.
+func ParseDependencyKey(key string) (id, digest string, ok bool) {
+	parts := strings.Split(strings.TrimPrefix(key, DependencyPrefix), "/")
 	if len(parts) != 3 {
 		return "", "", false
 	}
 	return parts[0], parts[1], true
 }
 
-// splitAwaits divides awaited jobs into records for values of so many KiB.
-func splitAwaits(ids []string, valueKB float64) (*AwaitsList, []AwaitsRecord) {
+// splitDependencies divides awaited jobs into records for values of so many KiB.
+func splitDependencies(ids []string, valueKB float64) (*DependencyList, []DependencyRecord) {
 	room := MaxTxnBytes / 2
 	if valueKB > 0 {
 		room = min(room, int(valueKB*1024))
 	}
 	room -= len(`{"jobs":[]}`)
-	var parts []AwaitsRecord
+	var parts []DependencyRecord
 	left := 0
 	for _, id := range ids {
 		size := len(id) + len(`"",`)
 		if len(parts) == 0 || size > left {
-			parts, left = append(parts, AwaitsRecord{}), room
+			parts, left = append(parts, DependencyRecord{}), room
 		}
 		last := &parts[len(parts)-1]
 		last.Jobs = append(last.Jobs, id)
@@ -91,17 +93,17 @@
 	for _, part := range parts {
 		fmt.Fprintln(hash, strings.Join(part.Jobs, " "))
 	}
-	return &AwaitsList{Digest: hex.EncodeToString(hash.Sum(nil)[:digestBytes]), Records: len(parts)}, parts
+	return &DependencyList{Digest: hex.EncodeToString(hash.Sum(nil)[:digestBytes]), Records: len(parts)}, parts
 }
 
 // listOps bounds the changes of a transaction that writes a list: a node's write
 // budget lets no more through at once, however small its part.
 const listOps = leastBurst
 
-// writeAwaits writes the records of a job's list that are not written yet. The job
+// writeDependencies writes the records of a job's list that are not written yet. The job
 // is accepted only afterwards; what is left of a submission that is never repeated
 // is found by the next leader. It returns false if the job is known meanwhile.
-func (r *Records) writeAwaits(ctx context.Context, id string, list *AwaitsList, parts []AwaitsRecord) (bool, error) {
+func (r *Records) writeDependencies(ctx context.Context, id string, list *DependencyList, parts []DependencyRecord) (bool, error) {
 	written := map[string]bool{}
 	rows, err := r.readRange(ctx, list.prefix(id))
 	if err != nil {
@@ -136,7 +138,7 @@
 }
 
 // partBytes is about how much of a transaction a part of a list takes.
-func partBytes(part AwaitsRecord) int {
+func partBytes(part DependencyRecord) int {
 	size := 200
 	for _, id := range part.Jobs {
 		size += len(id) + len(`"",`)
@@ -177,17 +179,17 @@
 	}
 }
 
-// pageRows is how many keys a range is asked for at a time.
-const pageRows = 1000
+// pageEntries is how many keys a range is asked for at a time.
+const pageEntries = 1000
 
 func (r *Records) page(ctx context.Context, prefix, from string) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*tryTimeout)
 	defer cancel()
-	return r.Store.Range(ctx, prefix, from, pageRows)
+	return r.Store.Range(ctx, prefix, from, pageEntries)
 }
 
-// ReadAwaits reads the list of a job's awaited jobs. It never returns a part of it.
-func (r *Records) ReadAwaits(ctx context.Context, id string, list *AwaitsList) ([]string, error) {
+// ReadDependencies reads the list of a job's awaited jobs. It never returns a part of it.
+func (r *Records) ReadDependencies(ctx context.Context, id string, list *DependencyList) ([]string, error) {
 	rows, err := r.readRange(ctx, list.prefix(id))
 	if err != nil {
 		return nil, err
@@ -198,7 +200,7 @@
 	}
 	var ids []string
 	for i, e := range rows {
-		var part AwaitsRecord
+		var part DependencyRecord
 		if err := json.Unmarshal(e.Value, &part); err != nil || e.Key != keys[i] {
 			return nil, fmt.Errorf("%w: record %s: %w", ErrUnknown, e.Key, err)
 		}
@@ -207,41 +209,43 @@
 	return ids, nil
 }
 
-// errNeverAccepted means that a job names one that nobody has accepted.
-var errNeverAccepted = errors.New("state service: never accepted")
+// errUnknownDependency means that a job names one that nobody has accepted.
+var errUnknownDependency = errors.New("state service: never accepted")
 
-// NeverAcceptedError names a job that another one awaits and nobody has accepted.
-type NeverAcceptedError struct{ ID string }
+// UnknownDependencyError names a job that another one awaits and nobody has accepted.
+type UnknownDependencyError struct{ ID string }
 
-func (e *NeverAcceptedError) Error() string { return "awaits " + e.ID + ", which was never accepted" }
+func (e *UnknownDependencyError) Error() string {
+	return "awaits " + e.ID + ", which was never accepted"
+}
 
-// Is makes it an errNeverAccepted.
-func (e *NeverAcceptedError) Is(target error) bool { return target == errNeverAccepted }
+// Is makes it an errUnknownDependency.
+func (e *UnknownDependencyError) Is(target error) bool { return target == errUnknownDependency }
 
-// mostSingleReads is how many jobs are read one by one; more are looked for in
+// maxSingleReads is how many jobs are read one by one; more are looked for in
 // ranges, which take few requests however many jobs there are.
-const mostSingleReads = 24
+const maxSingleReads = 24
 
-// awaitedSearch follows what jobs await, directly or through others.
-type awaitedSearch struct {
+// dependencySearch follows what jobs await, directly or through others.
+type dependencySearch struct {
 	records *Records
 	reads   int
 	// active is what all active jobs await, once it is read.
-	active map[string]awaited
+	active map[string]dependencySet
 	// ended are the jobs found that are not active.
 	ended []string
 }
 
-// awaited is what an active job awaits: names, or a list of them.
-type awaited struct {
+// dependencySet is what an active job awaits: names, or a list of them.
+type dependencySet struct {
 	ids  []string
-	list *AwaitsList
+	list *DependencyList
 }
 
 // run looks at jobs and at all that they await and that is active.
-func (s *awaitedSearch) run(ctx context.Context, ids []string) error {
-	if len(ids) > mostSingleReads {
-		s.reads = mostSingleReads
+func (s *dependencySearch) run(ctx context.Context, ids []string) error {
+	if len(ids) > maxSingleReads {
+		s.reads = maxSingleReads
 	}
 	seen := make(map[string]bool, len(ids))
 	for todo := slices.Clone(ids); len(todo) > 0; {
@@ -263,15 +267,15 @@
 }
 
 // job reads what a job awaits, and whether it is active.
-func (s *awaitedSearch) job(ctx context.Context, id string) (ids []string, isActive bool, err error) {
-	var a awaited
-	if s.active == nil && s.reads < mostSingleReads {
+func (s *dependencySearch) job(ctx context.Context, id string) (ids []string, isActive bool, err error) {
+	var a dependencySet
+	if s.active == nil && s.reads < maxSingleReads {
 		s.reads++
 		e, err := s.records.get(ctx, ActivePrefix+id)
 		if err != nil || e.Mark == 0 || isGuest(e) {
 			return nil, false, err
 		}
-		a = awaitsOf(e)
+		a = dependenciesOf(e)
 	} else {
 		if s.active == nil {
 			if s.active, err = s.records.allActive(ctx); err != nil {
@@ -284,15 +288,15 @@
 		}
 	}
 	if a.list != nil {
-		a.ids, err = s.records.ReadAwaits(ctx, id, a.list)
+		a.ids, err = s.records.ReadDependencies(ctx, id, a.list)
 	}
 	return a.ids, true, err
 }
 
-// awaited looks whether jobs were accepted and whether one of them is cancelled, or
+// dependenciesAccepted looks whether jobs were accepted and whether one of them is cancelled, or
 // is to be with one that it needs itself.
-func (r *Records) awaited(ctx context.Context, ids []string) (withdrawn bool, err error) {
-	s := awaitedSearch{records: r}
+func (r *Records) dependenciesAccepted(ctx context.Context, ids []string) (withdrawn bool, err error) {
+	s := dependencySearch{records: r}
 	if err := s.run(ctx, ids); err != nil {
 		return false, err
 	}
@@ -303,9 +307,9 @@
 	for _, id := range s.ended {
 		end, found := ends[id]
 		if !found && slices.Contains(ids, id) {
-			return false, &NeverAcceptedError{id}
+			return false, &UnknownDependencyError{id}
 		}
-		withdrawn = withdrawn || end.Phase == api.JobWithdrawn
+		withdrawn = withdrawn || end.Phase == api.JobCancelled
 	}
 	return withdrawn, nil
 }
@@ -313,43 +317,43 @@
 // cancelPending tells whether an active job needs one, directly or through others,
 // that is cancelled.
 func (r *Records) cancelPending(ctx context.Context, e Entry) (bool, error) {
-	a := awaitsOf(e)
+	a := dependenciesOf(e)
 	if a.list != nil {
 		var err error
-		if a.ids, err = r.ReadAwaits(ctx, strings.TrimPrefix(e.Key, ActivePrefix), a.list); err != nil {
+		if a.ids, err = r.ReadDependencies(ctx, strings.TrimPrefix(e.Key, ActivePrefix), a.list); err != nil {
 			return false, err
 		}
 	}
-	s := awaitedSearch{records: r}
+	s := dependencySearch{records: r}
 	if err := s.run(ctx, a.ids); err != nil {
 		return false, err
 	}
 	ends, err := r.Ends(ctx, s.ended)
 	for _, end := range ends {
-		if end.Phase == api.JobWithdrawn {
+		if end.Phase == api.JobCancelled {
 			return true, err
 		}
 	}
 	return false, err
 }
 
-// awaitsOf is what an active job needs.
-func awaitsOf(e Entry) awaited {
+// dependenciesOf is what an active job needs.
+func dependenciesOf(e Entry) dependencySet {
 	if !bytes.Contains(e.Value, []byte(`"Awaits"`)) {
-		return awaited{} // most need none
+		return dependencySet{} // most need none
 	}
 	var rec ActiveRecord
 	if json.Unmarshal(e.Value, &rec) != nil {
-		return awaited{}
+		return dependencySet{}
 	}
-	return awaited{rec.Spec.Awaits, rec.Awaits}
+	return dependencySet{rec.Spec.DependsOn, rec.DependencyList}
 }
 
-// mostScans bounds the ranges over all active jobs, and mostLongLists the
+// maxScans bounds the ranges over all active jobs, and maxLongLists the
 // submissions that name many jobs, that are held in memory at the same time.
 const (
-	mostScans     = 2
-	mostLongLists = 4
+	maxScans     = 2
+	maxLongLists = 4
 )
 
 // acquire waits for one of some slots; without any there is no bound.
@@ -366,13 +370,13 @@
 }
 
 // allActive reads what all active jobs await.
-func (r *Records) allActive(ctx context.Context) (map[string]awaited, error) {
+func (r *Records) allActive(ctx context.Context) (map[string]dependencySet, error) {
 	release, err := acquire(ctx, r.scans)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	all := map[string]awaited{}
+	all := map[string]dependencySet{}
 	for from := ""; ; {
 		p, err := r.page(ctx, ActivePrefix, from)
 		if err != nil {
@@ -380,7 +384,7 @@
 		}
 		for _, e := range p.Rows {
 			if from = e.Key; !isGuest(e) {
-				all[strings.Clone(strings.TrimPrefix(e.Key, ActivePrefix))] = awaitsOf(e)
+				all[strings.Clone(strings.TrimPrefix(e.Key, ActivePrefix))] = dependenciesOf(e)
 			}
 		}
 		if !p.More || len(p.Rows) == 0 {
@@ -402,7 +406,7 @@
 			unread = append(unread, id)
 		}
 	}
-	if len(unread) > mostSingleReads {
+	if len(unread) > maxSingleReads {
 		return ends, r.rangeEnds(ctx, unread, ends)
 	}
 	for _, id := range unread {
@@ -480,14 +484,14 @@
 	// record becomes the job's active record; list and parts are set if its
 	// awaited jobs are listed elsewhere.
 	record ActiveRecord
-	list   *AwaitsList
-	parts  []AwaitsRecord
+	list   *DependencyList
+	parts  []DependencyRecord
 }
 
 func (r *Records) newAcceptance(spec *api.JobSpec, now time.Time) *acceptance {
 	a := &acceptance{spec: spec, record: ActiveRecord{Spec: *spec, Accepted: now.UTC()}}
-	if len(spec.Awaits) > 0 && !a.record.fits(r.Limits.ValueKB) {
-		a.list, a.parts = splitAwaits(spec.Awaits, r.Limits.ValueKB)
+	if len(spec.DependsOn) > 0 && !a.record.fits(r.Limits.ValueKB) {
+		a.list, a.parts = splitDependencies(spec.DependsOn, r.Limits.ValueKB)
 		a.record = a.record.listedElsewhere(a.list)
 	}
 	return a
@@ -496,7 +500,7 @@
 // accept tries once to make a job's record.
 func (r *Records) accept(ctx context.Context, a *acceptance) (st api.JobState, created bool, err error) {
 	id := a.spec.ID
-	if len(a.spec.Awaits) > mostSingleReads || a.list != nil {
+	if len(a.spec.DependsOn) > maxSingleReads || a.list != nil {
 		release, err := acquire(ctx, r.longLists)
 		if err != nil {
 			return st, false, err
@@ -508,8 +512,8 @@
 			return st, false, err
 		}
 	}
-	withdrawn, err := r.awaited(ctx, a.spec.Awaits)
-	if errors.Is(err, errNeverAccepted) {
+	withdrawn, err := r.dependenciesAccepted(ctx, a.spec.DependsOn)
+	if errors.Is(err, errUnknownDependency) {
 		// What is known already keeps its state whatever it names.
 		if st, found, lerr := r.lookup(ctx, id); lerr != nil || found {
 			return st, false, lerr
@@ -521,7 +525,7 @@
 	// One that is cancelled from now on finds the job among those that need it,
 	// whoever leads then.
 	if !withdrawn && a.list != nil {
-		if ok, err := r.writeAwaits(ctx, id, a.list, a.parts); err != nil {
+		if ok, err := r.writeDependencies(ctx, id, a.list, a.parts); err != nil {
 			return st, false, err
 		} else if !ok {
 			return r.changed(ctx, id)
@@ -544,7 +548,7 @@
 	id := a.spec.ID
 	txn := Txn{Guards: []Guard{{ActivePrefix + id, 0}, {FinalPrefix + id, 0}}}
 	if withdrawn {
-		final := FinalRecord{Phase: api.JobWithdrawn, Tasks: a.spec.Tasks}
+		final := FinalRecord{Phase: api.JobCancelled, Tasks: a.spec.Tasks}
 		txn.Ops = []Op{{Put: FinalPrefix + id, Value: final}}
 		return txn, final.FinalState(id)
 	}
--- a/internal/store/awaits_test.go
+++ b/internal/store/awaits_test.go
@@ -63,7 +63,7 @@
 	t.Helper()
 	op := store.Op{Put: store.FinalPrefix + id, Value: store.FinalRecord{Phase: phase, Tasks: 1}}
 	if phase == api.JobPending {
-		op = store.Op{Put: store.ActivePrefix + id, Value: store.ActiveRecord{Spec: api.JobSpec{ID: id, Tasks: 1, Awaits: awaits}}}
+		op = store.Op{Put: store.ActivePrefix + id, Value: store.ActiveRecord{Spec: api.JobSpec{ID: id, Tasks: 1, DependsOn: awaits}}}
 	}
 	if _, err := s.Txn(t.Context(), store.Txn{Ops: []store.Op{op}}); err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 			ids := fullBody(t, st)
 			st.SetLimits(int(lim.ValueKB*1024), lim.TxnOps)
 			records := store.NewRecords(st, lim)
-			spec := &api.JobSpec{ID: "job-1", Tasks: 1, Awaits: ids}
+			spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
 			if !store.Fits(spec, lim.ValueKB) {
 				t.Fatal("does not fit")
 			}
@@ -116,30 +116,30 @@
 				}
 			}
 			accept("first", api.JobPending, true)
-			if parts := len(keysUnder(t, st, store.AwaitsPrefix)); int(st.requests.Load()) > 20+parts {
+			if parts := len(keysUnder(t, st, store.DependencyPrefix)); int(st.requests.Load()) > 20+parts {
 				t.Errorf("%d jobs in %d records: %d requests", len(ids), parts, int(st.requests.Load()))
 			}
 			a := activeRecord(t, st, "job-1")
-			if got, err := records.ReadAwaits(t.Context(), "job-1", a.Awaits); err != nil || !slices.Equal(got, ids) {
+			if got, err := records.ReadDependencies(t.Context(), "job-1", a.DependencyList); err != nil || !slices.Equal(got, ids) {
 				t.Errorf("%d of %d names, %v", len(got), len(ids), err)
 			}
-			if !slices.Equal(a.Spec.Awaits, []string{store.AwaitsElsewhere}) {
-				t.Errorf("a version that knows of no lists reads %d names", len(a.Spec.Awaits))
+			if !slices.Equal(a.Spec.DependsOn, []string{store.DependenciesElsewhere}) {
+				t.Errorf("a version that knows of no lists reads %d names", len(a.Spec.DependsOn))
 			}
 			st.writes.Store(0)
 			accept("repeated", api.JobPending, false)
-			spec.Awaits = append(slices.Clone(ids), "job-999999")
+			spec.DependsOn = append(slices.Clone(ids), "job-999999")
 			accept("repeated, naming what was never accepted", api.JobPending, false)
 			spec.ID = "job-2"
-			if _, _, err := records.Accept(t.Context(), spec, time.Unix(1, 0)); !errors.As(err, new(*store.NeverAcceptedError)) {
+			if _, _, err := records.Accept(t.Context(), spec, time.Unix(1, 0)); !errors.As(err, new(*store.UnknownDependencyError)) {
 				t.Errorf("never accepted: %v", err)
 			}
 			if int(st.writes.Load()) > 0 {
 				t.Errorf("%d changes for repeats and refusals", int(st.writes.Load()))
 			}
-			putJob(t, st, "job-999999", api.JobWithdrawn)
-			accept("one of them is cancelled", api.JobWithdrawn, true)
-			if keys := keysUnder(t, st, store.AwaitsPrefix+"job-2/"); len(keys) > 0 {
+			putJob(t, st, "job-999999", api.JobCancelled)
+			accept("one of them is cancelled", api.JobCancelled, true)
+			if keys := keysUnder(t, st, store.DependencyPrefix+"job-2/"); len(keys) > 0 {
 				t.Errorf("left of a job that is over: %v", keys)
 			}
 			if refused := st.TooLarge(); len(refused) > 0 {
@@ -174,7 +174,7 @@
 						ids = append(ids, fmt.Sprint("job-", 1000+i))
 						putJob(t, st, ids[i], api.JobDone)
 					}
-					spec := &api.JobSpec{ID: "job-1", Tasks: 1, Awaits: ids}
+					spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
 					records := store.NewRecords(st, lim)
 					n := 0
 					set(st.Fake, func(store.Txn) bool { n++; return n > cut })
@@ -194,8 +194,8 @@
 						t.Fatal(err)
 					}
 					whole(t, &other, ids)
-					list := activeRecord(t, st, "job-1").Awaits
-					if keys := len(keysUnder(t, st, store.AwaitsPrefix)); keys != list.Records {
+					list := activeRecord(t, st, "job-1").DependencyList
+					if keys := len(keysUnder(t, st, store.DependencyPrefix)); keys != list.Records {
 						t.Errorf("%d records", keys)
 					}
 					// The job ends, its list is removed, and then what was late comes.
@@ -206,7 +206,7 @@
 						st.Txn(ctx, store.Txn{Ops: []store.Op{{Delete: key}}})
 					}
 					st.Release()
-					if keys := keysUnder(t, st, store.AwaitsPrefix); len(keys) > 0 {
+					if keys := keysUnder(t, st, store.DependencyPrefix); len(keys) > 0 {
 						t.Errorf("written after its end: %v", keys)
 					}
 				})
@@ -218,8 +218,8 @@
 // whole checks that job-1 is read with all names, or not at all once a record lacks.
 func whole(t *testing.T, records *store.Records, ids []string) {
 	t.Helper()
-	list := activeRecord(t, records.Store, "job-1").Awaits
-	if got, err := records.ReadAwaits(t.Context(), "job-1", list); err != nil || !slices.Equal(got, ids) {
+	list := activeRecord(t, records.Store, "job-1").DependencyList
+	if got, err := records.ReadDependencies(t.Context(), "job-1", list); err != nil || !slices.Equal(got, ids) {
 		t.Errorf("%d of %d names, %v", len(got), len(ids), err)
 	}
 }
@@ -229,15 +229,15 @@
 	st := newCountedStore()
 	ids := fullBody(t, st)
 	records := store.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 12})
-	if _, _, err := records.Accept(t.Context(), &api.JobSpec{ID: "job-1", Tasks: 1, Awaits: ids}, time.Unix(1, 0)); err != nil {
+	if _, _, err := records.Accept(t.Context(), &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	list := activeRecord(t, st, "job-1").Awaits
+	list := activeRecord(t, st, "job-1").DependencyList
 	for _, i := range []int{0, 3, list.Records - 1} {
 		key := list.Keys("job-1")[i]
 		e, _ := st.Get(t.Context(), key)
 		st.Txn(t.Context(), store.Txn{Ops: []store.Op{{Delete: key}}})
-		if got, err := records.ReadAwaits(t.Context(), "job-1", list); err == nil {
+		if got, err := records.ReadDependencies(t.Context(), "job-1", list); err == nil {
 			t.Errorf("without record %d: %d names", i, len(got))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
@@ -279,7 +279,7 @@
 			accept := func(id, want string) {
 				t.Helper()
 				st.requests.Store(0)
-				spec := &api.JobSpec{ID: id, Tasks: 1, Awaits: need(jobs)}
+				spec := &api.JobSpec{ID: id, Tasks: 1, DependsOn: need(jobs)}
 				if got, _, err := records.Accept(t.Context(), spec, time.Unix(1, 0)); err != nil || got.Phase != want {
 					t.Errorf("%s: %+v, %v", id, got, err)
 				}
@@ -291,9 +291,9 @@
 			if _, _, err := records.Cancel(t.Context(), "job-0"); err != nil {
 				t.Fatal(err)
 			}
-			accept("job-9002", api.JobWithdrawn)
+			accept("job-9002", api.JobCancelled)
 			st.requests.Store(0)
-			if got, _, err := records.Lookup(t.Context(), "job-9001"); err != nil || got.Phase != api.JobWithdrawn || int(st.requests.Load()) > mostRequests {
+			if got, _, err := records.Lookup(t.Context(), "job-9001"); err != nil || got.Phase != api.JobCancelled || int(st.requests.Load()) > mostRequests {
 				t.Errorf("asked for: %+v, %v, %d requests", got, err, int(st.requests.Load()))
 			}
 		})
@@ -318,7 +318,7 @@
 			st.requests.Store(0)
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
-			_, _, err := records.Accept(ctx, &api.JobSpec{ID: id, Tasks: 1, Awaits: awaits}, time.Unix(1, 0))
+			_, _, err := records.Accept(ctx, &api.JobSpec{ID: id, Tasks: 1, DependsOn: awaits}, time.Unix(1, 0))
 			return err
 		}
 		tries := 1
@@ -338,7 +338,7 @@
 		}
 		t.Logf("%d names in one try: %d requests", len(ids), int(st.requests.Load()))
 		for _, missing := range []string{"job-000000000", "job-0001", "job-020000000", "job-9", "job-0"} {
-			var never *store.NeverAcceptedError
+			var never *store.UnknownDependencyError
 			if err := submit("job-3", append(slices.Clone(ids[:100]), missing)); !errors.As(err, &never) || !strings.HasSuffix(never.ID, missing) {
 				t.Errorf("%s: %v", missing, err)
 			}
@@ -375,7 +375,7 @@
 			all.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				defer cancel()
-				switch _, _, err := records.Accept(ctx, &api.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1, Awaits: ids}, time.Unix(1, 0)); {
+				switch _, _, err := records.Accept(ctx, &api.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); {
 				case err == nil:
 					accepted.Add(1)
 				case errors.Is(err, store.ErrRefused):
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -138,7 +138,7 @@
 		store.FinalRecord{Phase: api.JobDone, Tasks: 80},
 		oldFinal{"done", 80}},
 	{"cancelled job", `{"phase":"withdrawn","tasks":3}`,
-		store.FinalRecord{Phase: api.JobWithdrawn, Tasks: 3},
+		store.FinalRecord{Phase: api.JobCancelled, Tasks: 3},
 		oldFinal{"withdrawn", 3}},
 	{"progress", `{"done":"/wEAgA=="}`,
 		store.ProgressRecord{Done: []byte{0xff, 0x01, 0, 0x80}},
@@ -224,8 +224,8 @@
 	for _, c := range []struct{ got, want string }{
 		{store.ActivePrefix, "a/"}, {store.FinalPrefix, "f/"}, {store.ProgressPrefix, "p/"}, {store.MachinePrefix, "m/"},
 		{store.LeaseExtensionPrefix, "keep/"}, {store.RelayPrefix, "relay/"}, {store.TypesKey, "types"}, {store.CancelKey, "a/!cancel"},
-		{store.AwaitsPrefix, "awaits/"},
-		{(&store.AwaitsList{Digest: "ab", Records: 3}).Keys("job-1")[2], "awaits/job-1/ab/00002"}, {store.AwaitsElsewhere, "job-"},
+		{store.DependencyPrefix, "awaits/"},
+		{(&store.DependencyList{Digest: "ab", Records: 3}).Keys("job-1")[2], "awaits/job-1/ab/00002"}, {store.DependenciesElsewhere, "job-"},
 		{election.LeaderKey, "leader"}, {election.TermKey, "term"}, {store.ProgressKey("job-1", 4096), "p/job-1/4096"},
 	} {
 		if c.got != c.want {
--- a/internal/store/jobcache.go
+++ b/internal/store/jobcache.go
@@ -26,15 +26,15 @@
 // cachedJob is an accepted job that is not cancelled as far as this node knows.
 type cachedJob struct {
 	// mark is the version of the active record, or 0 if the job is done.
-	mark   uint64
-	awaits []string
+	mark      uint64
+	dependsOn []string
 }
 
 const (
-	// jobsCached bounds the jobs in a cache, and awaitsCached the names that each
+	// jobsCached bounds the jobs in a cache, and maxCachedDependencies the names that each
 	// of them awaits.
-	jobsCached   = 2048
-	awaitsCached = 32
+	jobsCached            = 2048
+	maxCachedDependencies = 32
 	// guardsPerOp is how many conditions a transaction may have for each change
 	// that the limits allow.
 	guardsPerOp = 4
@@ -70,7 +70,7 @@
 			continue // done, and with it all that it needed
 		}
 		guards = append(guards, Guard{Key: ActivePrefix + id, Mark: job.mark})
-		todo = append(todo, job.awaits...)
+		todo = append(todo, job.dependsOn...)
 	}
 	return guards, true
 }
@@ -82,7 +82,7 @@
 	case strings.HasPrefix(e.Key, ActivePrefix):
 		id := strings.TrimPrefix(e.Key, ActivePrefix)
 		if e.Mark != 0 && !isGuest(e) {
-			c.add(id, e.Mark, awaitsOf(e))
+			c.add(id, e.Mark, dependenciesOf(e))
 		} else {
 			c.jobs.Remove(id) // it is over; its final record tells more
 		}
@@ -98,7 +98,7 @@
 // not remembered.
 func (c *jobCache) ended(id string, end FinalRecord) {
 	if c != nil && end.Phase == api.JobDone {
-		c.add(id, 0, awaited{})
+		c.add(id, 0, dependencySet{})
 	}
 }
 
@@ -109,20 +109,20 @@
 	}
 	for _, op := range txn.Ops {
 		if rec, ok := op.Value.(ActiveRecord); ok && rec.Spec.ID != "" {
-			c.add(rec.Spec.ID, ring, awaited{rec.Spec.Awaits, rec.Awaits})
+			c.add(rec.Spec.ID, ring, dependencySet{rec.Spec.DependsOn, rec.DependencyList})
 		}
 	}
 }
 
 // add remembers a job, unless it awaits so many that they are listed elsewhere or
 // would take much memory.
-func (c *jobCache) add(id string, mark uint64, needs awaited) {
-	if needs.list != nil || len(needs.ids) > awaitsCached {
+func (c *jobCache) add(id string, mark uint64, needs dependencySet) {
+	if needs.list != nil || len(needs.ids) > maxCachedDependencies {
 		return
 	}
 	job := cachedJob{mark: mark}
 	for _, a := range needs.ids {
-		job.awaits = append(job.awaits, strings.Clone(a))
+		job.dependsOn = append(job.dependsOn, strings.Clone(a))
 	}
 	c.jobs.Add(strings.Clone(id), job)
 }
--- a/internal/store/jobcache_test.go
+++ b/internal/store/jobcache_test.go
@@ -50,7 +50,7 @@
 
 func awaiting(id string, awaits ...string) *api.JobSpec {
 	s := plainSpec
-	s.ID, s.Awaits = id, awaits
+	s.ID, s.DependsOn = id, awaits
 	return &s
 }
 
@@ -106,7 +106,7 @@
 func TestRememberedJobsChangeMeanwhile(t *testing.T) {
 	cancel := func(id string) func(*testing.T, *store.Records) {
 		return func(t *testing.T, other *store.Records) {
-			if st, found, err := other.Cancel(context.Background(), id); !found || err != nil || st.Phase != api.JobWithdrawn {
+			if st, found, err := other.Cancel(context.Background(), id); !found || err != nil || st.Phase != api.JobCancelled {
 				t.Fatal(st, found, err)
 			}
 		}
@@ -182,11 +182,11 @@
 		"cancelled": {func(r *store.Records) error {
 			_, _, err := r.Cancel(context.Background(), "job-5")
 			return err
-		}, api.JobWithdrawn, false},
+		}, api.JobCancelled, false},
 		"one that it needs cancelled": {func(r *store.Records) error {
 			_, _, err := r.Cancel(context.Background(), "job-1")
 			return err
-		}, api.JobWithdrawn, false},
+		}, api.JobCancelled, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -252,7 +252,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	st, created, err := r.Accept(ctx, s, accepted)
-	var never *store.NeverAcceptedError
+	var never *store.UnknownDependencyError
 	switch {
 	case errors.As(err, &never):
 		return "422"
@@ -319,7 +319,7 @@
 	if got := answer(r, awaiting("job-2", ids...)); got != "201 pending" {
 		t.Fatal(got)
 	}
-	if rec := activeRecord(t, st, "job-2"); rec.Awaits == nil || len(rec.Spec.Awaits) != 1 {
+	if rec := activeRecord(t, st, "job-2"); rec.DependencyList == nil || len(rec.Spec.DependsOn) != 1 {
 		t.Fatalf("the record holds the names: %+v", rec)
 	}
 	if got := answer(r, awaiting("job-3", "job-2")); got != "201 pending" {
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -37,9 +37,9 @@
 type ActiveRecord struct {
 	Spec     api.JobSpec `json:"spec"`
 	Accepted time.Time   `json:"accepted"`
-	// Awaits tells where the awaited jobs are listed if this record has no room for
-	// them. Spec.Awaits then holds only AwaitsElsewhere.
-	Awaits *AwaitsList `json:"awaits_list,omitempty"`
+	// DependencyList tells where the awaited jobs are listed if this record has no room for
+	// them. Spec.Awaits then holds only DependenciesElsewhere.
+	DependencyList *DependencyList `json:"awaits_list,omitempty"`
 	// Lent is set while the job is lent to another cell, and Guest if it runs here for
 	// one. Spec is then empty, and the job's description is there.
 	Lent  *loan.Lent  `json:"lent,omitempty"`
@@ -66,7 +66,7 @@
 // that it awaits need not: they may be listed in records of their own.
 func Fits(spec *api.JobSpec, valueKB float64) bool {
 	rec := ActiveRecord{Spec: *spec, Accepted: time.Unix(0, 1).UTC()}
-	return rec.fits(valueKB) || len(spec.Awaits) > 0 && rec.listedElsewhere(longestAwaitsList).fits(valueKB)
+	return rec.fits(valueKB) || len(spec.DependsOn) > 0 && rec.listedElsewhere(longestDependencyList).fits(valueKB)
 }
 
 // fits tells whether the record fits a value of so many KiB; 0: of any size.
@@ -74,7 +74,7 @@
 	spec := &rec.Spec
 	// Everything else in a record is bounded, and short.
 	long := len(spec.Class) + len(spec.Image) + len(spec.Zone) + len(spec.Team)
-	for _, names := range [][]string{spec.Types, spec.Awaits} {
+	for _, names := range [][]string{spec.Types, spec.DependsOn} {
 		for _, name := range names {
 			long += len(name) + 3
 		}
@@ -188,7 +188,7 @@
 		panic(err) // only for a size that is not positive
 	}
 	return Records{Store: s, Limits: lim, ends: ends,
-		scans: make(chan struct{}, mostScans), longLists: make(chan struct{}, mostLongLists),
+		scans: make(chan struct{}, maxScans), longLists: make(chan struct{}, maxLongLists),
 		derivedWrites: make(chan struct{}, 1), cache: newJobCache(lim)}
 }
 
@@ -236,10 +236,10 @@
 // is looked at one by one.
 func (r *Records) acceptAtOnce(ctx context.Context, a *acceptance) bool {
 	id := a.spec.ID
-	if r.cache == nil || len(a.spec.Awaits) == 0 || a.list != nil {
+	if r.cache == nil || len(a.spec.DependsOn) == 0 || a.list != nil {
 		return false
 	}
-	awaited, ok := r.cache.guards(a.spec.Awaits)
+	awaited, ok := r.cache.guards(a.spec.DependsOn)
 	if !ok {
 		return false
 	}
@@ -299,7 +299,7 @@
 		}()
 	default:
 	}
-	return api.JobState{ID: id, Phase: api.JobWithdrawn, Derived: true}
+	return api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}
 }
 
 // stillWaits tells whether a job that awaits others is active and nothing that it needs
@@ -359,7 +359,7 @@
 		if rec.Lent != nil {
 			return r.cancelLent(ctx, e, rec)
 		}
-		final := FinalRecord{Phase: api.JobWithdrawn, Tasks: rec.Spec.Tasks}
+		final := FinalRecord{Phase: api.JobCancelled, Tasks: rec.Spec.Tasks}
 		res, err := r.txn(ctx, Txn{
 			Guards: []Guard{{e.Key, e.Mark}},
 			// The cancel key comes first: a watch then tells why the record
