--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -26,14 +26,14 @@
 
 // Limits of single requests.
 const (
-	MaxRent   = 50
-	MaxReturn = 100
-	maxList   = 500
-	maxAnswer = 4 << 20
+	MaxLaunch    = 50
+	MaxTerminate = 100
+	maxList      = 500
+	maxAnswer    = 4 << 20
 )
 
-// Rental asks for machines. A name is never used for two different requests.
-type Rental struct {
+// LaunchRequest asks for machines. A name is never used for two different requests.
+type LaunchRequest struct {
 	Name  string `json:"Hire"`
 	Type  string `json:"Frame"`
 	Zone  string `json:"Bed"`
@@ -58,8 +58,8 @@
 // Service is the cloud as the rest of the program sees it.
 type Service interface {
 	Types(ctx context.Context) ([]api.MachineType, error)
-	Rent(ctx context.Context, r Rental) ([]string, error)
-	Return(ctx context.Context, names []string) error
+	Launch(ctx context.Context, r LaunchRequest) ([]string, error)
+	Terminate(ctx context.Context, names []string) error
 	List(ctx context.Context) ([]Machine, error)
 }
 
@@ -99,8 +99,8 @@
 	return body.Types, nil
 }
 
-// Rent rents machines.
-func (c *Client) Rent(ctx context.Context, r Rental) ([]string, error) {
+// Launch rents machines.
+func (c *Client) Launch(ctx context.Context, r LaunchRequest) ([]string, error) {
 	var body struct {
 		Hosts []string `json:"Hosts"`
 	}
@@ -108,9 +108,9 @@
 	return body.Hosts, err
 }
 
-// Return gives machines back. When it succeeds they are gone, with all that
+// Terminate gives machines back. When it succeeds they are gone, with all that
 // was on them.
-func (c *Client) Return(ctx context.Context, names []string) error {
+func (c *Client) Terminate(ctx context.Context, names []string) error {
 	return c.call(ctx, http.MethodPost, "/machines/return", map[string][]string{"Hosts": names}, nil)
 }
 
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -51,7 +51,7 @@
 		{answer{200, `not JSON`}, 0, true, false},
 	} {
 		cl, _ := scripted(c.a)
-		hosts, err := cl.Rent(ctx, Rental{Name: "r-1", Count: 2})
+		hosts, err := cl.Launch(ctx, LaunchRequest{Name: "r-1", Count: 2})
 		if len(hosts) != c.hosts || (err != nil) != c.fails || errors.Is(err, ErrNoCapacity) != c.noCapacity {
 			t.Errorf("%v: %v, %v", c.a, hosts, err)
 		}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -117,8 +117,8 @@
 				lt.countImageLocations(now)
 				lt.scanMachines(now)
 				lt.restartStragglers(now)
-				lt.provisioner.drain(now)
-				lt.provisioner.move(now)
+				lt.autoscaler.drain(now)
+				lt.autoscaler.moveCheckpointed(now)
 			}
 		})
 	}
--- a/internal/controller/constrained.go
+++ b/internal/controller/constrained.go
@@ -20,8 +20,8 @@
 	cpus float64
 }
 
-// restricted tells whether a job may not use every machine.
-func restricted(s *api.JobSpec) bool { return !s.Spot || s.Zone != "" || s.Types != nil }
+// isConstrained tells whether a job may not use every machine.
+func isConstrained(s *api.JobSpec) bool { return !s.Spot || s.Zone != "" || s.Types != nil }
 
 func mayUse(s *api.JobSpec, typ, zone string, spot bool) bool {
 	return typeAllowed(s, typ) && (s.Zone == "" || s.Zone == zone) && (!spot || s.Spot)
@@ -29,7 +29,7 @@
 
 // constrainedDemands sums up what waits, by what machines it may use. A job that awaits
 // others counts once all of them have begun: a machine boots meanwhile.
-func (f *provisioner) constrainedDemands(now time.Time) []*constrainedDemand {
+func (as *autoscaler) constrainedDemands(now time.Time) []*constrainedDemand {
 	byKind := map[string]*constrainedDemand{}
 	add := func(j *job, cpus float64) {
 		key := j.spec.Zone + "|" + strings.Join(j.spec.Types, ",")
@@ -43,19 +43,19 @@
 		}
 		demand.cpus += cpus
 	}
-	patience := 2 * f.leaderTerm.c.Settings.Site.Workers.Report()
-	for _, team := range f.leaderTerm.allTeams() {
+	patience := 2 * as.leaderTerm.c.Settings.Site.Workers.Report()
+	for _, team := range as.leaderTerm.allTeams() {
 		room := team.LimitCPUs - team.UsedCPUs
 		for _, j := range team.Items() {
 			cpus := min(float64(j.flight.Untaken())*j.spec.CPUs, room)
-			if cpus > 0 && restricted(&j.spec) && !j.finishing && j.failureRounds == 0 && now.Sub(j.runnableSince) > patience {
+			if cpus > 0 && isConstrained(&j.spec) && !j.finishing && j.failureRounds == 0 && now.Sub(j.runnableSince) > patience {
 				add(j, cpus)
 				room -= cpus
 			}
 		}
 	}
-	for _, j := range f.leaderTerm.jobs {
-		if len(j.dependsOn) > 0 && !j.cancelPending && restricted(&j.spec) && f.leaderTerm.dependencies.dependenciesStarted(j) {
+	for _, j := range as.leaderTerm.jobs {
+		if len(j.dependsOn) > 0 && !j.cancelPending && isConstrained(&j.spec) && as.leaderTerm.dependencies.dependenciesStarted(j) {
 			add(j, min(float64(j.spec.Tasks)*j.spec.CPUs, j.team.LimitCPUs))
 		}
 	}
@@ -77,11 +77,11 @@
 	return true
 }
 
-// rentConstrained covers what is lacking for jobs that may not use every machine: by
+// scaleOutConstrained covers what is lacking for jobs that may not use every machine: by
 // machines that were to be drained, or by new ones.
-func (f *provisioner) rentConstrained(offers []fleet.Offer, now time.Time) {
-	for _, demand := range f.constrainedDemands(now) {
-		lack, draining := f.uncovered(demand)
+func (as *autoscaler) scaleOutConstrained(offers []fleet.Offer, now time.Time) {
+	for _, demand := range as.constrainedDemands(now) {
+		lack, draining := as.uncovered(demand)
 		for _, m := range draining {
 			if lack <= 0 {
 				break
@@ -89,16 +89,16 @@
 			m.draining = false
 			lack -= float64(m.slots(demand.spec)) * demand.spec.CPUs
 		}
-		f.cover(lack, slices.DeleteFunc(slices.Clone(offers), func(o fleet.Offer) bool { return !mayUse(demand.spec, o.Type, o.Zone, o.Spot) }))
+		as.launch(lack, slices.DeleteFunc(slices.Clone(offers), func(o fleet.Offer) bool { return !mayUse(demand.spec, o.Type, o.Zone, o.Spot) }))
 	}
 }
 
 // uncovered is how many CPUs a demand lacks on the machines at hand, on those that
 // are expected and on those being rented. With it come the draining machines that
 // could serve the demand, by name.
-func (f *provisioner) uncovered(demand *constrainedDemand) (lack float64, draining []*machine) {
+func (as *autoscaler) uncovered(demand *constrainedDemand) (lack float64, draining []*machine) {
 	lack = demand.cpus
-	for _, m := range f.leaderTerm.machines {
+	for _, m := range as.leaderTerm.machines {
 		switch {
 		case m.evacuating || m.terminated || m.cpus == 0 || !mayUse(demand.spec, m.typ, m.zone, m.spot):
 		case m.draining:
@@ -107,12 +107,12 @@
 			lack -= float64(m.slots(demand.spec)) * demand.spec.CPUs
 		}
 	}
-	for _, e := range f.leaderTerm.provisioning {
+	for _, e := range as.leaderTerm.provisioning {
 		if !e.terminating && mayUse(demand.spec, e.typ, e.zone, e.spot) {
 			lack -= e.cpus
 		}
 	}
-	for _, rental := range f.pendingRentals {
+	for _, rental := range as.pendingLaunches {
 		if mayUse(demand.spec, rental.Type, rental.Zone, rental.Spot) {
 			lack -= float64(rental.Count) * rental.CPUs
 		}
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -101,7 +101,7 @@
 		}
 	}
 	slices.SortFunc(ms, func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(lt.provisioner.cpuPrice(a), lt.provisioner.cpuPrice(b)), cmp.Compare(a.freeCPUs(), b.freeCPUs()), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(lt.autoscaler.cpuPrice(a), lt.autoscaler.cpuPrice(b)), cmp.Compare(a.freeCPUs(), b.freeCPUs()), cmp.Compare(a.name, b.name))
 	})
 	for _, m := range ms {
 		if lt.commandsInFlight >= most {
@@ -196,6 +196,6 @@
 func (lt *leaderTerm) resolveOutcome(a *attempt) {
 	if m := a.machine; a.direct != nil && a.direct.outcomeUnknown && a.lastSeenIn == 0 && !m.terminated && !m.terminating {
 		lt.evacuate(m, "order unanswered")
-		lt.provisioner.giveBack(m)
+		lt.autoscaler.scaleIn(m)
 	}
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -28,7 +28,7 @@
 type fakeCloud struct {
 	mu       sync.Mutex
 	types    []api.MachineType
-	rentals  []cloud.Rental
+	rentals  []cloud.LaunchRequest
 	returned []string
 	hosts    []cloud.Machine
 	// capacity is how many machines each rental gets.
@@ -40,7 +40,7 @@
 
 func (f *fakeCloud) Types(context.Context) ([]api.MachineType, error) { return f.types, nil }
 
-func (f *fakeCloud) Rent(_ context.Context, r cloud.Rental) ([]string, error) {
+func (f *fakeCloud) Launch(_ context.Context, r cloud.LaunchRequest) ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rentals = append(f.rentals, r)
@@ -59,7 +59,7 @@
 	return f.made[r.Name], nil
 }
 
-func (f *fakeCloud) Return(_ context.Context, names []string) error {
+func (f *fakeCloud) Terminate(_ context.Context, names []string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.refuseTurns {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -65,7 +65,7 @@
 	quorumLostAt   time.Time
 	down           relayDown
 	recorder       recorder
-	provisioner    provisioner
+	autoscaler     autoscaler
 	counts         counters
 	// dispatchUntil is until when free machines are looked for that could be
 	// given work directly; ordering is to how many such orders are on the way.
@@ -133,7 +133,7 @@
 	lt.dependencies.init(lt)
 	lt.dependencyLists.leaderTerm = lt
 	lt.loans.init(lt)
-	lt.provisioner.init(lt)
+	lt.autoscaler.init(lt)
 	if c.Standby != nil {
 		lt.votes = grant.NewVoteSet(c.Standby.VoteLifetime())
 	}
@@ -293,7 +293,7 @@
 	lt.scanMachines(now)
 	lt.restartStragglers(now)
 	if lt.hasLeaseQuorum(now) {
-		lt.provisioner.tick(now)
+		lt.autoscaler.tick(now)
 	}
 	lt.logUsage(now)
 	lt.logPending(now)
@@ -304,4 +304,4 @@
 	return lt.term.Number<<32 | uint64(lt.attemptCount)
 }
 
-func (lt *leaderTerm) rentalName(n int) string { return fmt.Sprintf("r-%d-%d", lt.term.Number, n) }
+func (lt *leaderTerm) launchName(n int) string { return fmt.Sprintf("r-%d-%d", lt.term.Number, n) }
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -61,8 +61,8 @@
 		return 0
 	})
 	latest := time.Duration(1<<62 - 1)
-	if len(lt.provisioner.offers(now)) > 0 {
-		latest = lt.provisioner.longestBoot() + lt.c.Settings.Site.Workers.Report()
+	if len(lt.autoscaler.offers(now)) > 0 {
+		latest = lt.autoscaler.longestBoot() + lt.c.Settings.Site.Workers.Report()
 	}
 	out := make([]predictedStart, 0, len(jobs))
 	for _, j := range jobs {
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -269,7 +269,7 @@
 		done: func(ring uint64) { l.floorRaised(home, epoch, ring) }})
 }
 
-// giveBack removes a guest that has not begun.
+// scaleIn removes a guest that has not begun.
 func (l *loans) giveBack(j *job) {
 	lt, home, epoch := l.leaderTerm, j.guest.Home, j.guest.Epoch
 	active := store.ActivePrefix + j.spec.ID
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -20,13 +20,13 @@
 	lt.detectFailures(now)
 	for _, m := range lt.machines {
 		if m.evacuating && !m.terminating && !m.terminated && m.empty() {
-			lt.provisioner.giveBack(m)
+			lt.autoscaler.scaleIn(m)
 		}
 	}
-	idle := lt.provisioner.idle(now)
+	idle := lt.autoscaler.idleMachines(now)
 	for _, m := range idle {
 		lt.evacuate(m, "idle")
-		lt.provisioner.giveBack(m)
+		lt.autoscaler.scaleIn(m)
 	}
 }
 
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -239,7 +239,7 @@
 		k.serve(n, 100)
 		n.look(func(c *Controller) {
 			lt := c.leaderTerm
-			w.same("demand", lt.provisioner.demand(), 1.0)
+			w.same("demand", lt.autoscaler.demand(), 1.0)
 			w.same("in the queue", len(lt.teams["red"].Items()), 1)
 			w.same("overlooked", lt.starved, 0)
 			counts, _ := lt.pendingReasons(time.Now())
@@ -258,7 +258,7 @@
 			j := c.leaderTerm.jobs["job-2"]
 			w.same("since it could run", time.Since(j.runnableSince) < 5*time.Second, true)
 			w.same("its aim", time.Until(j.objectives[0]) > 80*time.Second, true)
-			w.same("demand", c.leaderTerm.provisioner.demand(), 16.0)
+			w.same("demand", c.leaderTerm.autoscaler.demand(), 16.0)
 		})
 	})
 }
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -15,57 +15,57 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// provisioner rents machines for what waits and gives back what is not needed. It
+// autoscaler rents machines for what waits and gives back what is not needed. It
 // is a part of the leadership and speaks to the cloud through goroutines that
 // answer by messages.
-type provisioner struct {
-	leaderTerm *leaderTerm
-	named      int
-	renting    int
-	asked      float64 // CPUs of rentals whose outcome is not known yet
-	// pendingRentals are the rentals that are not answered yet, by name.
-	pendingRentals map[string]fleet.Purchase
-	blocked        map[fleet.Kind]time.Time
-	returns        []string
-	sending        bool
-	nextList       time.Time
-	listing        bool
-	peak           peak
-	surplus        float64
-	// roomSince is since when there has been room to spare.
-	roomSince time.Time
+type autoscaler struct {
+	leaderTerm       *leaderTerm
+	launchCount      int
+	launchesInFlight int
+	launchingCPUs    float64 // CPUs of rentals whose outcome is not known yet
+	// pendingLaunches are the rentals that are not answered yet, by name.
+	pendingLaunches      map[string]fleet.LaunchRequest
+	unavailableUntil     map[fleet.Kind]time.Time
+	terminations         []string
+	terminationsInFlight bool
+	nextList             time.Time
+	listing              bool
+	peak                 demandPeak
+	surplus              float64
+	// ampleSince is since when there has been room to spare.
+	ampleSince time.Time
 }
 
 const (
-	// minimumStay is what the cloud charges at the least.
-	minimumStay  = 30 * time.Second
-	maxRenting   = 3
-	listInterval = 5 * time.Second
-	// blockedFor is how long a kind of machine that was refused is left alone.
-	blockedFor = 15 * time.Second
+	// minUptime is what the cloud charges at the least.
+	minUptime           = 30 * time.Second
+	maxLaunchesInFlight = 3
+	listInterval        = 5 * time.Second
+	// unavailableFor is how long a kind of machine that was refused is left alone.
+	unavailableFor = 15 * time.Second
 )
 
-func (f *provisioner) init(lt *leaderTerm) {
-	f.leaderTerm = lt
-	f.blocked = map[fleet.Kind]time.Time{}
-	f.pendingRentals = map[string]fleet.Purchase{}
+func (as *autoscaler) init(lt *leaderTerm) {
+	as.leaderTerm = lt
+	as.unavailableUntil = map[fleet.Kind]time.Time{}
+	as.pendingLaunches = map[string]fleet.LaunchRequest{}
 }
 
-func (f *provisioner) tick(now time.Time) {
-	f.sendReturns()
-	f.list(now)
-	f.rent(now)
-	f.move(now)
+func (as *autoscaler) tick(now time.Time) {
+	as.terminateMachines()
+	as.listMachines(now)
+	as.scaleOut(now)
+	as.moveCheckpointed(now)
 }
 
 // demand is the CPUs that the teams need now to be in time, each within its limit.
 // What is within a team's guarantee should start at once and counts in full; beyond
 // it, a job whose tasks can run one after the other counts for the part of its
 // tasks that have to run at the same time.
-func (f *provisioner) demand() float64 {
-	bootedAt := time.Now().Add(f.longestBoot())
+func (as *autoscaler) demand() float64 {
+	bootedAt := time.Now().Add(as.longestBoot())
 	sum := 0.0
-	for _, t := range f.leaderTerm.allTeams() {
+	for _, t := range as.leaderTerm.allTeams() {
 		atOnce, inTime := t.UsedCPUs, t.UsedCPUs
 		for _, j := range t.Items() {
 			if j.finishing || j.failureRounds > 0 {
@@ -90,17 +90,17 @@
 }
 
 // longestBoot is how long the slowest type of machine usually takes to boot.
-func (f *provisioner) longestBoot() time.Duration {
+func (as *autoscaler) longestBoot() time.Duration {
 	boot := 0.0
-	for _, mt := range f.leaderTerm.c.types.load() {
+	for _, mt := range as.leaderTerm.c.types.load() {
 		boot = max(boot, mt.BootS)
 	}
 	return config.Seconds(boot)
 }
 
-// rent covers what is lacking.
-func (f *provisioner) rent(now time.Time) {
-	lt := f.leaderTerm
+// scaleOut covers what is lacking.
+func (as *autoscaler) scaleOut(now time.Time) {
+	lt := as.leaderTerm
 	used, total := 0.0, 0.0
 	for _, m := range lt.machines {
 		used += m.usedCPUs
@@ -108,48 +108,48 @@
 			total += m.cpus
 		}
 	}
-	booting := f.asked
+	booting := as.launchingCPUs
 	for _, e := range lt.provisioning {
 		if !e.terminating {
 			booting += e.cpus
 		}
 	}
-	want := max(f.demand()*(1+lt.c.Policy.Headroom), lt.c.Policy.MinCPUs)
-	f.surplus = total - f.peak.add(now, want, lt.c.Policy.Hold)
-	f.drain(now)
+	want := max(as.demand()*(1+lt.c.Policy.Headroom), lt.c.Policy.MinCPUs)
+	as.surplus = total - as.peak.add(now, want, lt.c.Policy.Hold)
+	as.drain(now)
 	if lt.unfenced > 0 {
 		return
 	}
-	offers := f.offers(now)
-	f.cover(want-total-booting, offers)
-	f.rentConstrained(offers, now)
+	offers := as.offers(now)
+	as.launch(want-total-booting, offers)
+	as.scaleOutConstrained(offers, now)
 }
 
-// cover rents what is lacking of some offers.
-func (f *provisioner) cover(lack float64, offers []fleet.Offer) {
-	if lack <= 0 || f.renting >= maxRenting {
+// launch rents what is lacking of some offers.
+func (as *autoscaler) launch(lack float64, offers []fleet.Offer) {
+	if lack <= 0 || as.launchesInFlight >= maxLaunchesInFlight {
 		return
 	}
-	for _, p := range fleet.Plan(lack, offers, cloud.MaxRent, maxRenting-f.renting) {
-		f.named++
-		f.renting++
-		f.asked += float64(p.Count) * p.CPUs
-		req := cloud.Rental{Name: f.leaderTerm.rentalName(f.named), Type: p.Type, Zone: p.Zone, Spot: p.Spot, Count: p.Count}
-		f.pendingRentals[req.Name] = p
-		go f.leaderTerm.sendRental(req, p.Offer)
+	for _, p := range fleet.Plan(lack, offers, cloud.MaxLaunch, maxLaunchesInFlight-as.launchesInFlight) {
+		as.launchCount++
+		as.launchesInFlight++
+		as.launchingCPUs += float64(p.Count) * p.CPUs
+		req := cloud.LaunchRequest{Name: as.leaderTerm.launchName(as.launchCount), Type: p.Type, Zone: p.Zone, Spot: p.Spot, Count: p.Count}
+		as.pendingLaunches[req.Name] = p
+		go as.leaderTerm.sendLaunch(req, p.Offer)
 	}
 }
 
-// peak is the highest demand of the last while. Jobs come in bursts that fill
+// demandPeak is the highest demand of the last while. Jobs come in bursts that fill
 // the fleet for less time than a machine takes to boot, so machines are kept
 // for the last burst's like.
-type peak struct {
+type demandPeak struct {
 	at   []time.Time
 	want []float64
 }
 
 // add records the present demand and returns the highest since hold ago.
-func (p *peak) add(now time.Time, want float64, hold time.Duration) float64 {
+func (p *demandPeak) add(now time.Time, want float64, hold time.Duration) float64 {
 	// Only falling values are kept: a lower one before a higher one can never
 	// be the highest again.
 	for len(p.want) > 0 && p.want[len(p.want)-1] <= want {
@@ -168,21 +168,21 @@
 
 // drain empties the machines that are worth least while there is room to spare,
 // and takes them back into use when there is not.
-func (f *provisioner) drain(now time.Time) {
-	spare := f.surplus
+func (as *autoscaler) drain(now time.Time) {
+	spare := as.surplus
 	var draining, rest []*machine
-	for _, m := range f.leaderTerm.machines {
+	for _, m := range as.leaderTerm.machines {
 		switch {
 		case m.evacuating || m.terminated:
 		case m.draining:
 			draining = append(draining, m)
 			spare -= m.cpus
-		case m.isSchedulable(now) && now.Sub(m.addedAt) > minimumStay:
+		case m.isSchedulable(now) && now.Sub(m.addedAt) > minUptime:
 			rest = append(rest, m)
 		}
 	}
 	byWorth := func(a, b *machine) int {
-		return cmp.Or(-cmp.Compare(f.cpuPrice(a), f.cpuPrice(b)), cmp.Compare(a.usedCPUs, b.usedCPUs), cmp.Compare(a.name, b.name))
+		return cmp.Or(-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)), cmp.Compare(a.usedCPUs, b.usedCPUs), cmp.Compare(a.name, b.name))
 	}
 	slices.SortFunc(draining, byWorth)
 	for i := len(draining) - 1; i >= 0 && spare < 0; i-- {
@@ -190,11 +190,11 @@
 		spare += draining[i].cpus
 	}
 	if spare <= 0 {
-		f.roomSince = now
+		as.ampleSince = now
 		return
 	}
 	slices.SortFunc(rest, byWorth)
-	if now.Sub(f.roomSince) < drainAfter || len(rest) == 0 || spare < rest[0].cpus {
+	if now.Sub(as.ampleSince) < drainAfter || len(rest) == 0 || spare < rest[0].cpus {
 		return
 	}
 	for _, m := range rest {
@@ -203,31 +203,31 @@
 		}
 		spare -= m.cpus
 		m.draining = true
-		f.leaderTerm.c.Log.Debug("machine drained", "machine", m.name, "tasks", len(m.attempts), "spare", spare)
+		as.leaderTerm.c.Log.Debug("machine drained", "machine", m.name, "tasks", len(m.attempts), "spare", spare)
 	}
 }
 
-// moveAfter keeps tasks that have just begun, and those that will soon end,
+// moveInterval keeps tasks that have just begun, and those that will soon end,
 // where they are.
 const (
-	moveAfter  = 30 * time.Second
-	moveUnless = 20 * time.Second
-	moveMargin = 5 * time.Second
+	moveInterval = 30 * time.Second
+	moveMaxQueue = 20 * time.Second
+	moveMargin   = 5 * time.Second
 	// ampleRoom is how many times what a machine holds must be free
 	// elsewhere, so that what is moved need not wait there.
 	ampleRoom = 3
 )
 
-// move stops the tasks on draining machines that can go on elsewhere from
+// moveCheckpointed stops the tasks on draining machines that can go on elsewhere from
 // where they were.
-func (f *provisioner) move(now time.Time) {
+func (as *autoscaler) moveCheckpointed(now time.Time) {
 	room := 0.0
-	for _, m := range f.leaderTerm.machines {
+	for _, m := range as.leaderTerm.machines {
 		if m.isSchedulable(now) {
 			room += m.freeCPUs()
 		}
 	}
-	for _, m := range f.leaderTerm.machines {
+	for _, m := range as.leaderTerm.machines {
 		if !m.draining || room < ampleRoom*m.usedCPUs {
 			continue
 		}
@@ -239,30 +239,30 @@
 			ran := now.Sub(a.runningAt)
 			left := s.Estimate() - ran
 			aim := a.job.latestStart.Add(s.Estimate())
-			if ran > moveAfter && left > moveUnless+s.Save() &&
-				(a.job.infeasible || now.Add(left*5/4+s.Save()+3*f.leaderTerm.c.Settings.Site.Workers.Report()+moveMargin).Before(aim)) {
+			if ran > moveInterval && left > moveMaxQueue+s.Save() &&
+				(a.job.infeasible || now.Add(left*5/4+s.Save()+3*as.leaderTerm.c.Settings.Site.Workers.Report()+moveMargin).Before(aim)) {
 				room -= s.CPUs
-				f.leaderTerm.stop(a, 2*s.Save()+time.Second, now)
+				as.leaderTerm.stop(a, 2*s.Save()+time.Second, now)
 			}
 		}
 	}
 }
 
 // offers are the kinds of machine that were not refused lately.
-func (f *provisioner) offers(now time.Time) []fleet.Offer {
+func (as *autoscaler) offers(now time.Time) []fleet.Offer {
 	var all []fleet.Offer
-	for _, mt := range f.leaderTerm.c.types.load() {
+	for _, mt := range as.leaderTerm.c.types.load() {
 		for _, z := range mt.Zones {
 			for _, spot := range []bool{true, false} {
 				o := fleet.Offer{Type: mt.Name, Zone: z, Spot: spot, CPUs: mt.CPUs, Price: mt.Price,
 					Boot: time.Duration(mt.BootS * float64(time.Second))}
 				if spot {
-					if !f.leaderTerm.c.Policy.UseSpot || mt.SpotPrice <= 0 {
+					if !as.leaderTerm.c.Policy.UseSpot || mt.SpotPrice <= 0 {
 						continue
 					}
 					o.Price = mt.SpotPrice
 				}
-				if mt.CPUs > 0 && now.After(f.blocked[o.Kind()]) {
+				if mt.CPUs > 0 && now.After(as.unavailableUntil[o.Kind()]) {
 					all = append(all, o)
 				}
 			}
@@ -271,15 +271,15 @@
 	return all
 }
 
-// sendRental sends a rental until its outcome is known. The name makes repeats safe.
-func (lt *leaderTerm) sendRental(req cloud.Rental, o fleet.Offer) {
+// sendLaunch sends a rental until its outcome is known. The name makes repeats safe.
+func (lt *leaderTerm) sendLaunch(req cloud.LaunchRequest, o fleet.Offer) {
 	wait := time.Second
 	for range 6 {
 		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
-		hosts, err := lt.c.Cloud.Rent(ctx, req)
+		hosts, err := lt.c.Cloud.Launch(ctx, req)
 		cancel()
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-			lt.sendToOwner(rentedMsg{lt, req, o, hosts})
+			lt.sendToOwner(launchedMsg{lt, req, o, hosts})
 			return
 		}
 		lt.c.Log.Debug("rental", "name", req.Name, "err", err)
@@ -287,71 +287,71 @@
 		wait = min(2*wait, 8*time.Second)
 	}
 	// If it was carried out after all, the list or a report shows it.
-	lt.sendToOwner(rentedMsg{leaderTerm: lt, req: req, o: o})
+	lt.sendToOwner(launchedMsg{leaderTerm: lt, request: req, offer: o})
 }
 
-type rentedMsg struct {
+type launchedMsg struct {
 	leaderTerm *leaderTerm
-	req        cloud.Rental
-	o          fleet.Offer
-	hosts      []string
+	request    cloud.LaunchRequest
+	offer      fleet.Offer
+	machines   []string
 }
 
-func (m rentedMsg) apply(c *Controller) {
+func (m launchedMsg) apply(c *Controller) {
 	lt := m.leaderTerm
 	if c.leaderTerm != lt {
 		return
 	}
 	now := time.Now()
-	lt.provisioner.renting--
-	delete(lt.provisioner.pendingRentals, m.req.Name)
-	lt.provisioner.asked -= float64(m.req.Count) * m.o.CPUs
-	if len(m.hosts) < m.req.Count {
-		lt.provisioner.blocked[m.o.Kind()] = now.Add(blockedFor)
+	lt.autoscaler.launchesInFlight--
+	delete(lt.autoscaler.pendingLaunches, m.request.Name)
+	lt.autoscaler.launchingCPUs -= float64(m.request.Count) * m.offer.CPUs
+	if len(m.machines) < m.request.Count {
+		lt.autoscaler.unavailableUntil[m.offer.Kind()] = now.Add(unavailableFor)
 	}
-	if len(m.hosts) > 0 {
-		c.Log.Info("machines rented", "type", m.req.Type, "zone", m.req.Zone, "spot", m.req.Spot,
-			"asked", m.req.Count, "got", len(m.hosts))
+	if len(m.machines) > 0 {
+		c.Log.Info("machines rented", "type", m.request.Type, "zone", m.request.Zone, "spot", m.request.Spot,
+			"asked", m.request.Count, "got", len(m.machines))
 	}
-	for _, h := range m.hosts {
+	for _, h := range m.machines {
 		if lt.machines[h] == nil && !lt.terminated.Contains(h) {
-			lt.provisioning[h] = &provisioning{typ: m.req.Type, zone: m.req.Zone, spot: m.req.Spot, since: now, boot: m.o.Boot, cpus: m.o.CPUs}
+			lt.provisioning[h] = &provisioning{typ: m.request.Type, zone: m.request.Zone, spot: m.request.Spot, since: now, boot: m.offer.Boot, cpus: m.offer.CPUs}
 		}
 	}
 	if c.holdsLease() {
-		lt.provisioner.rent(now) // what is still lacking is asked for at once
+		lt.autoscaler.scaleOut(now) // what is still lacking is asked for at once
 	}
 }
 
-// idle picks the machines to give back: empty for long enough, the dearest
+// idleMachines picks the machines to give back: empty for long enough, the dearest
 // first, as far as what remains covers the demand.
-func (f *provisioner) idle(now time.Time) []*machine {
+func (as *autoscaler) idleMachines(now time.Time) []*machine {
 	var out []*machine
-	for _, m := range f.leaderTerm.machines {
+	for _, m := range as.leaderTerm.machines {
 		if m.evacuating || m.terminated || !m.fenced || m.cpus == 0 || len(m.attempts) > 0 ||
-			(!m.draining && now.Sub(m.idleSince) < f.leaderTerm.c.Policy.IdleReturn) || now.Sub(m.addedAt) < minimumStay {
+			(!m.draining && now.Sub(m.idleSince) < as.leaderTerm.c.Policy.IdleReturn) || now.Sub(m.addedAt) < minUptime {
 			continue
 		}
 		out = append(out, m)
 	}
 	slices.SortFunc(out, func(a, b *machine) int {
-		return cmp.Or(-cmp.Compare(f.cpuPrice(a), f.cpuPrice(b)), cmp.Compare(a.name, b.name))
+		return cmp.Or(-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)), cmp.Compare(a.name, b.name))
 	})
 	n := 0
 	for _, m := range out {
-		if f.surplus < m.cpus {
+		if as.surplus < m.cpus {
 			break
 		}
-		f.surplus -= m.cpus
+		as.surplus -= m.cpus
 		n++
 	}
 	return out[:n]
 }
 
 // cheapest is the lowest price of a CPU.
-func (f *provisioner) cheapest() float64 {
+func (as *autoscaler) cheapest() float64 {
 	best := math.Inf(1)
-	for _, mt := range f.leaderTerm.c.types.load() {
+	for _, mt := range as.leaderTerm.c.types.load() {
 		for _, p := range []float64{mt.Price, mt.SpotPrice} {
 			if p > 0 && mt.CPUs > 0 {
 				best = min(best, p/mt.CPUs)
@@ -361,8 +361,8 @@
 	return best
 }
 
-func (f *provisioner) cpuPrice(m *machine) float64 {
-	mt, ok := f.leaderTerm.c.types.load()[m.typ]
+func (as *autoscaler) cpuPrice(m *machine) float64 {
+	mt, ok := as.leaderTerm.c.types.load()[m.typ]
 	if !ok || mt.CPUs == 0 {
 		return 0
 	}
@@ -372,45 +372,45 @@
 	return mt.Price / mt.CPUs
 }
 
-// giveBack returns a machine to the cloud.
-func (f *provisioner) giveBack(m *machine) {
+// scaleIn returns a machine to the cloud.
+func (as *autoscaler) scaleIn(m *machine) {
 	m.terminating = true
-	f.returns = append(f.returns, m.name)
-	f.sendReturns()
+	as.terminations = append(as.terminations, m.name)
+	as.terminateMachines()
 }
 
-func (f *provisioner) sendReturns() {
-	if f.sending || len(f.returns) == 0 {
+func (as *autoscaler) terminateMachines() {
+	if as.terminationsInFlight || len(as.terminations) == 0 {
 		return
 	}
-	n := min(len(f.returns), cloud.MaxReturn)
-	names := slices.Clone(f.returns[:n])
-	f.returns = f.returns[n:]
-	f.sending = true
-	lt := f.leaderTerm
+	n := min(len(as.terminations), cloud.MaxTerminate)
+	names := slices.Clone(as.terminations[:n])
+	as.terminations = as.terminations[n:]
+	as.terminationsInFlight = true
+	lt := as.leaderTerm
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
 		defer cancel()
-		err := lt.c.Cloud.Return(ctx, names)
-		lt.sendToOwner(returnedMsg{lt, names, err})
+		err := lt.c.Cloud.Terminate(ctx, names)
+		lt.sendToOwner(terminatedMsg{lt, names, err})
 	}()
 }
 
-type returnedMsg struct {
+type terminatedMsg struct {
 	leaderTerm *leaderTerm
 	names      []string
 	err        error
 }
 
-func (m returnedMsg) apply(c *Controller) {
+func (m terminatedMsg) apply(c *Controller) {
 	lt := m.leaderTerm
 	if c.leaderTerm != lt {
 		return
 	}
-	lt.provisioner.sending = false
+	lt.autoscaler.terminationsInFlight = false
 	if m.err != nil {
 		c.Log.Debug("machines not returned", "machines", m.names, "err", m.err)
-		lt.provisioner.returns = append(lt.provisioner.returns, m.names...)
+		lt.autoscaler.terminations = append(lt.autoscaler.terminations, m.names...)
 		return
 	}
 	for _, name := range m.names {
@@ -420,57 +420,57 @@
 			lt.machineTerminated(mc)
 		}
 	}
-	lt.provisioner.sendReturns()
+	lt.autoscaler.terminateMachines()
 }
 
-// list reads the cloud's list from time to time: for machines that nobody
+// listMachines reads the cloud's list from time to time: for machines that nobody
 // expected, that never came up, or that have stopped.
-func (f *provisioner) list(now time.Time) {
-	if f.listing || now.Before(f.nextList) {
+func (as *autoscaler) listMachines(now time.Time) {
+	if as.listing || now.Before(as.nextList) {
 		return
 	}
-	f.listing = true
-	lt := f.leaderTerm
+	as.listing = true
+	lt := as.leaderTerm
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
 		defer cancel()
 		hosts, err := lt.c.Cloud.List(ctx)
-		lt.sendToOwner(listedMsg{lt, hosts, err})
+		lt.sendToOwner(machinesListedMsg{lt, hosts, err})
 	}()
 }
 
-type listedMsg struct {
+type machinesListedMsg struct {
 	leaderTerm *leaderTerm
-	hosts      []cloud.Machine
+	machines   []cloud.Machine
 	err        error
 }
 
-func (m listedMsg) apply(c *Controller) {
+func (m machinesListedMsg) apply(c *Controller) {
 	lt := m.leaderTerm
 	if c.leaderTerm != lt {
 		return
 	}
-	f := &lt.provisioner
+	as := &lt.autoscaler
 	now := time.Now()
-	f.listing, f.nextList = false, now.Add(listInterval)
+	as.listing, as.nextList = false, now.Add(listInterval)
 	if m.err != nil {
 		c.Log.Debug("machines not listed", "err", m.err)
 		return
 	}
-	for i := range m.hosts {
-		lt.listed(&m.hosts[i], now)
+	for i := range m.machines {
+		lt.machineListed(&m.machines[i], now)
 	}
 }
 
-// listed processes one machine of the cloud's list, which lags.
-func (lt *leaderTerm) listed(h *cloud.Machine, now time.Time) {
+// machineListed processes one machine of the cloud's list, which lags.
+func (lt *leaderTerm) machineListed(h *cloud.Machine, now time.Time) {
 	if lt.terminated.Contains(h.Name) {
 		return
 	}
 	if m := lt.machines[h.Name]; m != nil {
 		if h.Phase == cloud.PhaseFailed && !m.terminating && now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.Report() {
 			lt.evacuate(m, "stopped")
-			lt.provisioner.giveBack(m)
+			lt.autoscaler.scaleIn(m)
 		}
 		return
 	}
@@ -490,6 +490,6 @@
 	if h.Phase == cloud.PhaseFailed || (now.Sub(e.since) > 4*boot+lt.c.Settings.Site.Workers.Lease()) {
 		lt.c.Log.Info("machine never reported", "machine", h.Name, "phase", h.Phase, "age", age.Round(time.Second))
 		e.terminating = true
-		lt.provisioner.returns = append(lt.provisioner.returns, h.Name)
+		lt.autoscaler.terminations = append(lt.autoscaler.terminations, h.Name)
 	}
 }
--- a/internal/controller/room.go
+++ b/internal/controller/room.go
@@ -75,8 +75,8 @@
 	if m.usedCPUs < epsilon {
 		lost += 4
 	}
-	if p := lt.provisioner.cpuPrice(m); p > 0 {
-		lost += p/lt.provisioner.cheapest() - 1
+	if p := lt.autoscaler.cpuPrice(m); p > 0 {
+		lost += p/lt.autoscaler.cheapest() - 1
 	}
 	if m.spot != (j.spec.CheckpointS > 0) {
 		lost += spotMismatchPenalty
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -57,7 +57,7 @@
 			why = "deaf"
 		}
 		lt.evacuate(m, why)
-		lt.provisioner.giveBack(m)
+		lt.autoscaler.scaleIn(m)
 	}
 }
 
@@ -185,7 +185,7 @@
 		// they are off the machine but its return.
 		m.leaderTerm.evacuate(m.machine, "started anew")
 		if !m.machine.terminating {
-			m.leaderTerm.provisioner.giveBack(m.machine)
+			m.leaderTerm.autoscaler.scaleIn(m.machine)
 		}
 		return
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -18,8 +18,8 @@
 	Boot  time.Duration
 }
 
-// Purchase is a number of machines of an offer.
-type Purchase struct {
+// LaunchRequest is a number of machines of an offer.
+type LaunchRequest struct {
 	Offer
 	Count int
 }
@@ -29,19 +29,19 @@
 // lately. At most most machines are asked for at once. How many an offer can
 // give is not known, so what remains waits for its answer, and dearer offers
 // are asked at the same time only while much remains: at most asks in all.
-func Plan(lack float64, offers []Offer, most, asks int) []Purchase {
+func Plan(lack float64, offers []Offer, most, asks int) []LaunchRequest {
 	offers = slices.Clone(offers)
 	slices.SortFunc(offers, func(a, b Offer) int {
 		return cmp.Or(cmp.Compare(a.Price/a.CPUs, b.Price/b.CPUs), cmp.Compare(a.CPUs, b.CPUs),
 			cmp.Compare(a.Zone, b.Zone))
 	})
-	var out []Purchase
+	var out []LaunchRequest
 	for _, o := range offers {
 		if len(out) == asks || lack <= 0 || (len(out) > 0 && lack < float64(most)*o.CPUs) {
 			break
 		}
 		n := min(int(math.Ceil(lack/o.CPUs)), most)
-		out = append(out, Purchase{o, n})
+		out = append(out, LaunchRequest{o, n})
 		lack -= float64(n) * o.CPUs
 	}
 	return out
