--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -26,7 +26,7 @@
 	return &Client{base: "http://" + addr, http: &http.Client{Timeout: 5 * time.Second}}
 }
 
-// maxAnswer bounds what is read of an answer.
+// maxResponseBytes bounds what is read of an answer.
 const maxAnswer = 1 << 20
 
 // Submit submits a job, as JSON.
--- a/internal/controller/awaitslist.go
+++ b/internal/controller/awaitslist.go
@@ -78,7 +78,7 @@
 		return
 	}
 	for _, key := range j.dependencyList.Keys(j.spec.ID) {
-		dl.leaderTerm.recorder.drop(key)
+		dl.leaderTerm.recordWriter.deleteKey(key)
 	}
 }
 
@@ -89,7 +89,7 @@
 	records := store.Records{Store: dl.leaderTerm.c.Store}
 	for id, of := range keys {
 		ctx, cancel := context.WithTimeout(dl.leaderTerm.ctx, 4*time.Second)
-		_, over, err := records.Final(ctx, id)
+		_, over, err := records.TerminalState(ctx, id)
 		cancel()
 		if err != nil {
 			continue // the next term's sweep finds it
@@ -138,7 +138,7 @@
 		// Of a job that is accepted only its own list is of use. One that is not
 		// may be about to be accepted, unless it is over.
 		if m.over || j != nil && (j.dependencyList == nil || j.dependencyList.Digest != digest) {
-			m.leaderTerm.recorder.drop(key)
+			m.leaderTerm.recordWriter.deleteKey(key)
 		}
 	}
 }
--- a/internal/controller/awaitslist_test.go
+++ b/internal/controller/awaitslist_test.go
@@ -20,7 +20,7 @@
 	w.t.Helper()
 	for i := range n {
 		ids = append(ids, fmt.Sprint("job-", 1000+i))
-		w.put(store.FinalPrefix+ids[i], store.FinalRecord{Phase: api.JobDone, Tasks: 1})
+		w.put(store.TerminalPrefix+ids[i], store.TerminalRecord{Phase: api.JobDone, Tasks: 1})
 	}
 	return ids
 }
@@ -115,13 +115,13 @@
 		k.report(n)
 		done := time.Now()
 		for range 10 {
-			if time.Sleep(100 * time.Millisecond); w.store.Has(store.FinalPrefix + "job-1") {
+			if time.Sleep(100 * time.Millisecond); w.store.Has(store.TerminalPrefix + "job-1") {
 				n.crash()
 				break
 			}
 		}
 		time.Sleep(30 * time.Second)
-		w.put(store.FinalPrefix+"job-8", map[string]any{"phase": "done", "tasks": 1}) // of an earlier version
+		w.put(store.TerminalPrefix+"job-8", map[string]any{"phase": "done", "tasks": 1}) // of an earlier version
 		n = w.start("n0")
 		w.submit(n, after("job-3", "red", 1, "job-1", "job-8"))
 		time.Sleep(3 * time.Second)
@@ -148,17 +148,17 @@
 }
 
 func (s *unreadableEnds) Get(ctx context.Context, key string) (store.Entry, error) {
-	if s.closed.Load() && strings.HasPrefix(key, store.FinalPrefix) {
+	if s.closed.Load() && strings.HasPrefix(key, store.TerminalPrefix) {
 		s.asked.Add(1)
-		return store.Entry{}, store.ErrRefused
+		return store.Entry{}, store.ErrNotApplied
 	}
 	return s.Fake.Get(ctx, key)
 }
 
 func (s *unreadableEnds) Range(ctx context.Context, prefix, from string, most int) (store.Page, error) {
-	if s.closed.Load() && prefix == store.FinalPrefix {
+	if s.closed.Load() && prefix == store.TerminalPrefix {
 		s.asked.Add(1)
-		return store.Page{}, store.ErrRefused
+		return store.Page{}, store.ErrNotApplied
 	}
 	return s.Fake.Range(ctx, prefix, from, most)
 }
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -47,10 +47,10 @@
 // is written again goes unseen.
 func (w *cluster) stored() map[string]uint64 {
 	marks := map[string]uint64{}
-	for _, prefix := range []string{store.ActivePrefix, store.FinalPrefix, store.ProgressPrefix} {
+	for _, prefix := range []string{store.ActivePrefix, store.TerminalPrefix, store.CompletionPrefix} {
 		p, _ := w.store.Range(context.Background(), prefix, "", 1<<20) // in an outage as well
-		for _, e := range p.Rows {
-			marks[e.Key] = e.Mark
+		for _, e := range p.Entries {
+			marks[e.Key] = e.ModRevision
 		}
 	}
 	return marks
@@ -61,7 +61,7 @@
 
 func (stalled) Range(ctx context.Context, _, _ string, _ int) (store.Page, error) {
 	<-ctx.Done()
-	return store.Page{}, store.ErrUnknown
+	return store.Page{}, store.ErrOutcomeUnknown
 }
 
 // seedJobs makes job-1 done, job-2 cancelled and job-3 wait.
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -28,7 +28,7 @@
 	c := New(Config{Settings: s, Policy: pol, Store: storetest.New(), Cloud: &fakeCloud{}, Log: slog.New(slog.DiscardHandler)})
 	c.types.set([]api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Price: 1, Zones: []string{"a"}}})
 	now := time.Now()
-	lt := newLeaderTerm(c, election.Term{Number: 1, Mark: 1}, now.Add(time.Hour))
+	lt := newLeaderTerm(c, election.Term{Number: 1, ModRevision: 1}, now.Add(time.Hour))
 	lt.cancel() // nothing of it runs by itself
 	lt.loaded, c.leaderTerm = true, lt
 	for i := range jobs {
@@ -40,7 +40,7 @@
 	for i := range reports {
 		k := &worker{rep: api.Heartbeat{Machine: fmt.Sprint("i-", i), Addr: "x", Type: "small", Zone: "a", AgentEpoch: 1, Term: 1}}
 		m := lt.addMachine(k.rep.Machine, "small", "a", false, now)
-		m.fenced, m.roster = true, rosterDurable
+		m.fenced, m.registration = true, registered
 		for range 3 {
 			k.rep.Seq++
 			ans, err := lt.handleOwnHeartbeat(&k.rep, now.Add(time.Minute))
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -18,7 +18,7 @@
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, spec("job-2", 1))
 		k.serve(n, 3)
-		w.store.Hold(touches(store.FinalPrefix + "job-1"))
+		w.store.Hold(touches(store.TerminalPrefix + "job-1"))
 		k.exit(api.CauseDone)
 		k.report(n)
 		time.Sleep(300 * time.Millisecond)
@@ -29,7 +29,7 @@
 			t.Fatalf("abort: %v %v", st, err)
 		}
 		for _, res := range w.store.Release() {
-			w.same("late end", res.OK, false)
+			w.same("late end", res.Succeeded, false)
 		}
 		for range 8 {
 			k.serve(n, 1)
--- a/internal/controller/cascade_test.go
+++ b/internal/controller/cascade_test.go
@@ -110,7 +110,7 @@
 		if _, err := n.Cancel(context.Background(), ids[0]); err != nil {
 			t.Fatal(err)
 		}
-		w.store.Hold(touches(store.FinalPrefix)) // what follows is not recorded
+		w.store.Hold(touches(store.TerminalPrefix)) // what follows is not recorded
 		n.look(func(c *Controller) {
 			dg := &c.leaderTerm.dependencies
 			for _, j := range c.leaderTerm.jobs {
@@ -130,7 +130,7 @@
 	simulate(t, func(w *cluster) {
 		ids := w.awaiting(3, func(i int) []string { return []string{fmt.Sprint("job-", i-1)} })
 		n := w.start("n0")
-		w.store.Hold(func(txn store.Txn) bool { return txn.Records && touches(store.FinalPrefix)(txn) })
+		w.store.Hold(func(txn store.Txn) bool { return txn.Records && touches(store.TerminalPrefix)(txn) })
 		if _, err := n.Cancel(context.Background(), ids[0]); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -25,7 +25,7 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// ErrRefused means that a node refuses connections from here, although the
+// ErrNotApplied means that a node refuses connections from here, although the
 // network to its host works.
 var ErrRefused = errors.New("connection refused")
 
@@ -37,7 +37,7 @@
 	// What it knows of cancellations beyond a position comes with it.
 	Ping(ctx context.Context, node string, from cancellation.Position) (PeerStatus, error)
 	// ForwardHeartbeat passes a machine's report on to the leader. NotLeaderError means
-	// that the node does not lead, ErrRefused that connections are refused.
+	// that the node does not lead, ErrNotApplied that connections are refused.
 	ForwardHeartbeat(ctx context.Context, node string, rep *api.Heartbeat) (api.HeartbeatResponse, error)
 	// Resign tells a node that self has stopped to act in a term.
 	Resign(ctx context.Context, node, self string, term uint64) error
@@ -466,8 +466,8 @@
 func (c *Controller) storedTypes(ctx context.Context) {
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	e, err := c.Store.Get(cctx, store.TypesKey)
-	if err != nil || e.Mark == 0 {
+	e, err := c.Store.Get(cctx, store.MachineTypesKey)
+	if err != nil || e.ModRevision == 0 {
 		return
 	}
 	var types []api.MachineType
@@ -489,8 +489,8 @@
 		c.Log.Warn("machine types do not fit a record", "bytes", len(raw), "err", err)
 		return
 	}
-	txn := store.Txn{Ops: []store.Op{{Put: store.TypesKey, Value: json.RawMessage(raw)}}}
-	if _, err := c.Store.Txn(cctx, txn); errors.Is(err, store.ErrMalformed) {
+	txn := store.Txn{Ops: []store.Op{{Put: store.MachineTypesKey, Value: json.RawMessage(raw)}}}
+	if _, err := c.Store.Txn(cctx, txn); errors.Is(err, store.ErrInvalid) {
 		c.Log.Warn("machine types not stored", "err", err)
 	} else if err != nil && !errors.Is(err, context.Canceled) {
 		c.Log.Debug("machine types not stored", "err", err)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -172,7 +172,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
-		return store.ErrRefused
+		return store.ErrNotApplied
 	}
 	return nil
 }
@@ -198,18 +198,18 @@
 	return g.Fake.Range(ctx, prefix, from, most)
 }
 
-func (g *gate) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+func (g *gate) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
 	if err := g.err(); err != nil {
 		return 0, err
 	}
-	return g.Fake.Grant(ctx, life)
+	return g.Fake.GrantLease(ctx, life)
 }
 
-func (g *gate) Extend(ctx context.Context, lease uint64) error {
+func (g *gate) RenewLease(ctx context.Context, lease uint64) error {
 	if err := g.err(); err != nil {
 		return err
 	}
-	return g.Fake.Extend(ctx, lease)
+	return g.Fake.RenewLease(ctx, lease)
 }
 
 // Watch hangs while the gate is closed, also one that was open before: what it
@@ -219,7 +219,7 @@
 	for g.err() != nil {
 		select {
 		case <-ctx.Done():
-			return store.Changes{}, store.ErrUnknown
+			return store.Changes{}, store.ErrOutcomeUnknown
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -50,7 +50,7 @@
 	}
 	j := newJob(spec, team)
 	j.modRevision, j.accepted, j.runnableSince = mark, rec.Accepted, since
-	j.dependencyList, j.guest, j.lends = rec.DependencyList, rec.Guest, rec.Lends
+	j.dependencyList, j.guest, j.lends = rec.DependencyList, rec.Guest, rec.LoanCount
 	j.preference = lt.c.Policy.Preferences[spec.Class]
 	j.objectives = lt.objectives(j)
 	j.updateFeasibility(time.Now())
@@ -127,7 +127,7 @@
 		lt.resolveOutcome(a)
 	}
 	for first := range j.completionChunks {
-		lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
+		lt.recordWriter.deleteKey(store.CompletionKey(j.spec.ID, first))
 	}
 	lt.dependencyLists.drop(j)
 }
@@ -162,10 +162,10 @@
 		return
 	}
 	if j.doneCount == j.spec.Tasks {
-		lt.recorder.finish(j)
+		lt.recordWriter.finishJob(j)
 		return
 	}
 	if !j.recorded.Test(uint(task)) {
-		lt.recorder.progress(j)
+		lt.recordWriter.queueCompletion(j)
 	}
 }
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -63,7 +63,7 @@
 	simulate(t, func(w *cluster) {
 		const perShard, jobs = 40, 900
 		for first := 0; first < largeFleet; first += perShard {
-			var rec store.RosterRecord
+			var rec store.RegistryShardRecord
 			for i := first; i < first+perShard; i++ {
 				rec.Machines = append(rec.Machines, store.MachineRecord{Name: hostName(i), Addr: hostName(i), Type: "small", Zone: "a", CPUs: 4, MemoryGB: 16})
 			}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -64,7 +64,7 @@
 	quorumRequired bool
 	quorumLostAt   time.Time
 	down           relayDown
-	recorder       recorder
+	recordWriter   recordWriter
 	autoscaler     autoscaler
 	counts         counters
 	// dispatchUntil is until when free machines are looked for that could be
@@ -129,7 +129,7 @@
 	lt.maxFetches = unlimitedFetches
 	lt.maxDials = maxConcurrentDials(c.Settings.Site.Limits.FDLimit)
 	lt.readIndex.leaderTerm = lt
-	lt.recorder.init(lt)
+	lt.recordWriter.init(lt)
 	lt.dependencies.init(lt)
 	lt.dependencyLists.leaderTerm = lt
 	lt.loans.init(lt)
@@ -158,8 +158,8 @@
 	return lt
 }
 
-func (lt *leaderTerm) termCompare() store.Guard {
-	return store.Guard{Key: election.TermKey, Mark: lt.term.Mark}
+func (lt *leaderTerm) termCompare() store.Compare {
+	return store.Compare{Key: election.TermKey, ModRevision: lt.term.ModRevision}
 }
 
 // sendToOwner sends a message unless the term has ended.
@@ -173,7 +173,7 @@
 // checkTermConflict ends the leadership if a failed transaction shows that another term
 // has begun.
 func (lt *leaderTerm) checkTermConflict(res store.Result) bool {
-	if !slices.Contains(res.Failed, election.TermKey) {
+	if !slices.Contains(res.FailedKeys, election.TermKey) {
 		return false
 	}
 	lt.stepDown()
@@ -214,7 +214,7 @@
 			sleep(lt.ctx, 300*time.Millisecond)
 			continue
 		}
-		from = max(from, ch.Ring)
+		from = max(from, ch.Revision)
 		if len(ch.Events) > 0 {
 			lt.sendToOwner(activeJobsChangedMsg{lt, ch.Events})
 			sleep(lt.ctx, 40*time.Millisecond)
@@ -247,7 +247,7 @@
 	for _, e := range m.events {
 		switch {
 		case e.Put == store.CancelKey:
-			lt.cancelRevision = max(lt.cancelRevision, e.Mark)
+			lt.cancelRevision = max(lt.cancelRevision, e.ModRevision)
 			var id string
 			if err := json.Unmarshal(e.Value, &id); err != nil {
 				c.Log.Error("cancel record", "err", err)
@@ -255,13 +255,13 @@
 			}
 			c.recordCancellation(id)
 		case e.Put != "":
-			lt.addJob(e.Put, e.Value, e.Mark)
+			lt.addJob(e.Put, e.Value, e.ModRevision)
 		default:
 			// A record that went neither by a cancellation nor by this leader
 			// was ended by another leader, of which the election has not yet
 			// told: how it ended is not known here.
 			id := e.Delete[len(store.ActivePrefix):]
-			if j := lt.jobs[id]; j != nil && !j.finishing && !j.cancelPending && !j.handover && e.Mark > j.modRevision {
+			if j := lt.jobs[id]; j != nil && !j.finishing && !j.cancelPending && !j.handover && e.ModRevision > j.modRevision {
 				lt.stepDown()
 				return
 			}
@@ -274,7 +274,7 @@
 		return
 	}
 	lt.readIndex.start()
-	lt.recorder.flush(now)
+	lt.recordWriter.writeBatch(now)
 	if lt.checkLeaseQuorum(now); lt.c.leaderTerm != lt {
 		return
 	}
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -23,7 +23,7 @@
 		a.crash()
 		w.start("n0")
 		for _, res := range w.store.Release() {
-			w.same("late transaction carried out", res.OK, false)
+			w.same("late transaction carried out", res.Succeeded, false)
 		}
 		w.same("roster", w.roster(), []string(nil))
 	})
--- a/internal/controller/leaseextension.go
+++ b/internal/controller/leaseextension.go
@@ -115,7 +115,7 @@
 		return m, err
 	}
 	var h election.LeaderRecord
-	if err := json.Unmarshal(lead.Value, &h); lead.Mark == 0 || err != nil || h.Node != a.leader {
+	if err := json.Unmarshal(lead.Value, &h); lead.ModRevision == 0 || err != nil || h.Node != a.leader {
 		return m, fmt.Errorf("%s does not lead: %w", a.leader, api.ErrUnavailable)
 	}
 	term, err := c.Store.Get(ctx, election.TermKey)
@@ -126,22 +126,22 @@
 	if err := json.Unmarshal(term.Value, &tv); err != nil {
 		return m, fmt.Errorf("term key: %w", err)
 	}
-	m.term, m.termRevision = tv.Number, term.Mark
+	m.term, m.termRevision = tv.Number, term.ModRevision
 	for from := ""; ; {
 		p, err := c.Store.Range(ctx, store.ActivePrefix, from, 500)
 		if err != nil {
 			return m, err
 		}
-		for _, e := range p.Rows {
+		for _, e := range p.Entries {
 			m.activeJobs[strings.TrimPrefix(e.Key, store.ActivePrefix)] = true
 			from = e.Key
 		}
-		if !p.More || len(p.Rows) == 0 {
+		if !p.More || len(p.Entries) == 0 {
 			break
 		}
 	}
 	if len(a.hosts) > 0 {
-		c.publishRenewals(ctx, a.hosts, m.term, term.Mark)
+		c.publishRenewals(ctx, a.hosts, m.term, term.ModRevision)
 	}
 	return m, nil
 }
@@ -170,7 +170,7 @@
 		if err == nil {
 			return
 		}
-		if !errors.Is(err, store.ErrMalformed) {
+		if !errors.Is(err, store.ErrInvalid) {
 			c.Log.Debug("extended leases not published", "err", err)
 			return
 		}
@@ -179,10 +179,10 @@
 }
 
 // writeRenewals writes records of extended leases, so many in a transaction.
-func (c *Controller) writeRenewals(ctx context.Context, recs []store.LeaseExtensionRecord, mark uint64, ops int) error {
-	txn := store.Txn{Guards: []store.Guard{{Key: election.TermKey, Mark: mark}}}
+func (c *Controller) writeRenewals(ctx context.Context, recs []store.LeaseRenewalRecord, mark uint64, ops int) error {
+	txn := store.Txn{Compares: []store.Compare{{Key: election.TermKey, ModRevision: mark}}}
 	for i, rec := range recs {
-		key := store.LeaseExtensionPrefix + c.Settings.Node
+		key := store.LeaseRenewalPrefix + c.Settings.Node
 		if i > 0 {
 			key += "/" + strconv.Itoa(i+1)
 		}
@@ -191,7 +191,7 @@
 			continue
 		}
 		res, err := c.Store.Txn(ctx, txn)
-		if err != nil || !res.OK {
+		if err != nil || !res.Succeeded {
 			return err
 		}
 		txn.Ops = nil
@@ -200,7 +200,7 @@
 }
 
 // renewalRecords spreads machines over records of at most so many bytes.
-func renewalRecords(hosts []string, term uint64, room int) (recs []store.LeaseExtensionRecord) {
+func renewalRecords(hosts []string, term uint64, room int) (recs []store.LeaseRenewalRecord) {
 	const frame = 48 // of a record, beside the names
 	size := 0
 	for _, name := range hosts {
@@ -209,7 +209,7 @@
 			continue // such a name is on no roster either
 		}
 		if len(recs) == 0 || size+len(raw)+1 > room {
-			recs, size = append(recs, store.LeaseExtensionRecord{Term: term}), frame
+			recs, size = append(recs, store.LeaseRenewalRecord{Term: term}), frame
 		}
 		last := &recs[len(recs)-1]
 		last.Hosts = append(last.Hosts, name)
@@ -282,16 +282,16 @@
 		defer cancel()
 		// An answer holds no more than the service allows, so there may be several.
 		for from, left := "", maxRenewalRecords; left > 0; {
-			p, err := lt.c.Store.Range(ctx, store.LeaseExtensionPrefix, from, left)
+			p, err := lt.c.Store.Range(ctx, store.LeaseRenewalPrefix, from, left)
 			if err != nil {
 				lt.c.Log.Debug("extended leases not read", "err", err)
 				return
 			}
-			lt.sendToOwner(renewalsReadMsg{lt, p.Rows})
-			if !p.More || len(p.Rows) == 0 {
+			lt.sendToOwner(renewalsReadMsg{lt, p.Entries})
+			if !p.More || len(p.Entries) == 0 {
 				return
 			}
-			from, left = p.Rows[len(p.Rows)-1].Key, left-len(p.Rows)
+			from, left = p.Entries[len(p.Entries)-1].Key, left-len(p.Entries)
 		}
 	}()
 }
@@ -308,11 +308,11 @@
 	}
 	now := time.Now()
 	for _, e := range m.entries {
-		if lt.renewalRevisions[e.Key] == e.Mark {
+		if lt.renewalRevisions[e.Key] == e.ModRevision {
 			continue // not renewed since it was last read
 		}
-		lt.renewalRevisions[e.Key] = e.Mark
-		var rec store.LeaseExtensionRecord
+		lt.renewalRevisions[e.Key] = e.ModRevision
+		var rec store.LeaseRenewalRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil || rec.Term != lt.term.Number {
 			continue
 		}
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -15,7 +15,7 @@
 // oldShard is a shard as an earlier version writes it under larger limits.
 func (w *cluster) oldShard(key string, n int) {
 	w.t.Helper()
-	var rec store.RosterRecord
+	var rec store.RegistryShardRecord
 	for i := range n {
 		name := fmt.Sprintf("i-%06d", i)
 		rec.Machines = append(rec.Machines, store.MachineRecord{Name: name, Addr: name, Type: "small", Zone: "a", CPUs: 4, MemoryGB: 16})
@@ -32,7 +32,7 @@
 			return
 		}
 		for name, m := range c.leaderTerm.machines {
-			if m.roster == rosterDurable && !m.terminated {
+			if m.registration == registered && !m.terminated {
 				names = append(names, name)
 			}
 		}
@@ -110,13 +110,13 @@
 func (w *cluster) doneOnRecord(id string) map[int]bool {
 	w.t.Helper()
 	done := map[int]bool{}
-	p, err := w.store.Range(context.Background(), store.ProgressPrefix+id+"/", "", 1000)
+	p, err := w.store.Range(context.Background(), store.CompletionPrefix+id+"/", "", 1000)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	for _, e := range p.Rows {
-		_, first, ok := store.ParseProgressKey(e.Key)
-		var rec store.ProgressRecord
+	for _, e := range p.Entries {
+		_, first, ok := store.ParseCompletionKey(e.Key)
+		var rec store.CompletionRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil || !ok {
 			w.t.Fatal(e.Key, err)
 		}
@@ -150,7 +150,7 @@
 				}
 				if _, err := w.store.Txn(context.Background(), store.Txn{Ops: []store.Op{
 					{Put: store.ActivePrefix + s.ID, Value: store.ActiveRecord{Spec: *s, Accepted: time.Now()}},
-					{Put: store.ProgressKey(s.ID, 0), Value: store.ProgressRecord{Done: bits}},
+					{Put: store.CompletionKey(s.ID, 0), Value: store.CompletionRecord{Done: bits}},
 				}}); err != nil {
 					w.t.Fatal(err)
 				}
@@ -163,7 +163,7 @@
 				for i := range 12 {
 					switch {
 					case trouble == "answers lost" && i%2 == 0:
-						w.store.Lose(touches(store.ProgressPrefix))
+						w.store.Lose(touches(store.CompletionPrefix))
 					case trouble == "leader crashes" && i%4 == 3:
 						a.crash()
 						a = w.start("n0")
@@ -189,7 +189,7 @@
 				if len(was) < before-before/7+1000 {
 					w.t.Errorf("%d tasks are on record", len(was))
 				}
-				if p, err := w.store.Get(context.Background(), store.ProgressKey(s.ID, 0)); err != nil || len(p.Value) > 1<<10 {
+				if p, err := w.store.Get(context.Background(), store.CompletionKey(s.ID, 0)); err != nil || len(p.Value) > 1<<10 {
 					w.t.Errorf("the long record was never written again: %d bytes, %v", len(p.Value), err)
 				}
 				w.neverTooLarge()
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -30,7 +30,7 @@
 	}
 	b := New(Config{Settings: &config.Settings{Node: "n1", Peers: []config.Peer{{Node: "n0"}, {Node: "n2"}}, Site: config.SiteInfo{State: w.state}},
 		Store: w.store, Log: a.Log})
-	b.publishRenewals(context.Background(), hosts, 1, e.Mark)
+	b.publishRenewals(context.Background(), hosts, 1, e.ModRevision)
 	a.look(func(c *Controller) {
 		c.leaderTerm.renewalsReadAt = time.Time{}
 		c.leaderTerm.readRenewals(time.Now())
@@ -70,7 +70,7 @@
 	})
 	simulate(t, func(w *cluster) {
 		w.same("extended of a large fleet", extendedBy(w, limits{3, 1, 8}, names(5000)), 5000)
-		if n := len(w.keysUnder(store.LeaseExtensionPrefix)); 3*n > maxRenewalRecords || n < 5000/100 {
+		if n := len(w.keysUnder(store.LeaseRenewalPrefix)); 3*n > maxRenewalRecords || n < 5000/100 {
 			w.t.Errorf("%d records of one node of three", n)
 		}
 		w.neverTooLarge()
@@ -81,8 +81,8 @@
 		a := w.start("n0")
 		w.enforce(limits{12, 1, 25})
 		e, _ := w.store.Get(context.Background(), election.TermKey)
-		a.publishRenewals(context.Background(), names(200), 1, e.Mark)
-		w.same("records", len(w.keysUnder(store.LeaseExtensionPrefix)) > 2, true)
+		a.publishRenewals(context.Background(), names(200), 1, e.ModRevision)
+		w.same("records", len(w.keysUnder(store.LeaseRenewalPrefix)) > 2, true)
 		if n := len(w.store.TooLarge()); n == 0 || n > 3 {
 			w.t.Errorf("refused %d times", n)
 		}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -112,7 +112,7 @@
 				w.dead.Store(ks[1].rep.Machine, true)
 				reportAll(ks[2:], b, 40)
 				w.same("on the roster at last", len(w.roster()), 22)
-				w.same("progress left", w.keysUnder(store.ProgressPrefix), []string(nil))
+				w.same("progress left", w.keysUnder(store.CompletionPrefix), []string(nil))
 				w.neverTooLarge()
 			})
 		})
@@ -126,7 +126,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	for _, e := range p.Rows {
+	for _, e := range p.Entries {
 		keys = append(keys, e.Key)
 	}
 	return keys
@@ -200,7 +200,7 @@
 				exitAll(ks)
 				reportAll(ks, a, 90)
 				w.same("still active", w.keysUnder(store.ActivePrefix), []string(nil))
-				w.same("ends", len(w.keysUnder(store.FinalPrefix)), 60)
+				w.same("ends", len(w.keysUnder(store.TerminalPrefix)), 60)
 				w.neverTooLarge()
 			})
 		})
@@ -223,7 +223,7 @@
 			}
 			w.start("n0")
 			time.Sleep(time.Second)
-			w.same("stored", w.store.Has(store.TypesKey), c.stored)
+			w.same("stored", w.store.Has(store.MachineTypesKey), c.stored)
 			w.neverTooLarge()
 		})
 	}
@@ -242,11 +242,11 @@
 		var txns []store.Txn
 		a.look(func(c *Controller) {
 			lt := c.leaderTerm
-			rec := &lt.recorder
+			rec := &lt.recordWriter
 			for i := range 700 {
 				m := lt.addMachine(fmt.Sprintf("i-%06d", i), "small", "a", false, time.Now())
 				m.addr = strings.Repeat("x", 10+i)
-				rec.enroll(m)
+				rec.register(m)
 			}
 			for i := range 8 {
 				s := spec(fmt.Sprintf("large-%d", i), api.MaxTasks)
@@ -254,21 +254,21 @@
 				for task := range api.MaxTasks - 1 {
 					lt.jobs[s.ID].done.Set(uint(task))
 				}
-				rec.progress(lt.jobs[s.ID])
+				rec.queueCompletion(lt.jobs[s.ID])
 			}
 			for i := range 500 {
 				s := spec(fmt.Sprintf("%s-%d", strings.Repeat("j", 150), i), 1)
 				lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s}, 1)
-				rec.finish(lt.jobs[s.ID])
+				rec.finishJob(lt.jobs[s.ID])
 			}
 			now := time.Now()
 			for range 400 {
 				now = now.Add(time.Second)
-				b := rec.next(now)
-				rec.recorded(b)
+				b := rec.nextBatch(now)
+				rec.batchWritten(b)
 				txns = append(txns, b.txn)
 			}
-			w.same("left", []int{len(rec.enrolling), len(rec.dirty), len(rec.finishing)}, []int{0, 0, 0})
+			w.same("left", []int{len(rec.registering), len(rec.dirtyJobs), len(rec.finishing)}, []int{0, 0, 0})
 		})
 		most := 0
 		for _, txn := range txns {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -57,15 +57,15 @@
 
 // loanFloor is the floor of a home cell's loans with the version of its record.
 type loanFloor struct {
-	epoch loan.Epoch
-	mark  uint64
+	epoch       loan.Epoch
+	modRevision uint64
 }
 
 // loanEnd is how a guest ended, with the version of its record.
 type loanEnd struct {
 	loan.End
-	home, job string
-	mark      uint64
+	home, job   string
+	modRevision uint64
 }
 
 // loanWriteShare is the part of the write rate that changes of loans may take.
@@ -178,7 +178,7 @@
 			return
 		}
 		lt.c.Log.Debug("loan not written", "job", c.job, "home", c.home, "err", err)
-		if errors.Is(err, store.ErrMalformed) {
+		if errors.Is(err, store.ErrInvalid) {
 			lt.sendToOwner(loanWrittenMsg{lt, c, store.Result{}})
 			return
 		}
@@ -199,10 +199,10 @@
 	}
 	l := &lt.loans
 	switch {
-	case m.res.OK:
+	case m.res.Succeeded:
 		l.finished(m.change)
 		l.counts.Written++
-		m.change.done(m.res.Ring)
+		m.change.done(m.res.Revision)
 	case lt.checkTermConflict(m.res):
 		return
 	default:
@@ -231,7 +231,7 @@
 		var final api.JobState
 		var isFinal bool
 		if err == nil {
-			final, isFinal, err = records.Final(ctx, c.job)
+			final, isFinal, err = records.TerminalState(ctx, c.job)
 		}
 		cancel()
 		if err == nil {
@@ -270,7 +270,7 @@
 	l := &lt.loans
 	l.finished(m.change)
 	l.addRecord(m.floor)
-	if m.end.Mark == 0 {
+	if m.end.ModRevision == 0 {
 		l.ends, _, _ = l.ends.Delete([]byte(loanName(m.change.home, m.change.job)))
 	} else {
 		l.addRecord(m.end)
@@ -283,8 +283,8 @@
 		j.handover = false
 	}
 	switch {
-	case m.active.Mark != 0:
-		lt.addJob(m.active.Key, m.active.Value, m.active.Mark)
+	case m.active.ModRevision != 0:
+		lt.addJob(m.active.Key, m.active.Value, m.active.ModRevision)
 	case j == nil:
 	case j.guest != nil:
 		l.guestOver(j, m.end)
@@ -298,17 +298,17 @@
 
 // addRecord takes in one of the cell's records about guests.
 func (l *loans) addRecord(e store.Entry) {
-	if e.Mark == 0 {
+	if e.ModRevision == 0 {
 		return
 	}
 	var err error
 	if home, ok := strings.CutPrefix(e.Key, loan.FloorKey("")); ok {
 		var floor loan.Floor
-		if err = json.Unmarshal(e.Value, &floor); err == nil && e.Mark >= l.floors[home].mark {
-			l.floors[home] = loanFloor{floor.Epoch, e.Mark}
+		if err = json.Unmarshal(e.Value, &floor); err == nil && e.ModRevision >= l.floors[home].modRevision {
+			l.floors[home] = loanFloor{floor.Epoch, e.ModRevision}
 		}
 	} else if home, job, ok := strings.Cut(strings.TrimPrefix(e.Key, loan.Prefix+"end/"), "/"); ok {
-		end := loanEnd{home: home, job: job, mark: e.Mark}
+		end := loanEnd{home: home, job: job, modRevision: e.ModRevision}
 		if err = json.Unmarshal(e.Value, &end.End); err == nil {
 			l.ends, _, _ = l.ends.Insert([]byte(loanName(home, job)), end)
 		}
@@ -324,7 +324,7 @@
 	if mark <= j.modRevision {
 		return
 	}
-	j.modRevision, j.lends = mark, rec.Lends
+	j.modRevision, j.lends = mark, rec.LoanCount
 	switch {
 	case rec.Lent != nil:
 		lt.loans.lent(j, rec.Lent)
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -101,7 +101,7 @@
 	j.team.Remove(j)
 	l.reserve(j, grant)
 	lt.c.Log.Info("loan", "job", spec.ID, "class", spec.Class, "to", n.cell, "epoch", record.Epoch, "cpus", grant.CPUs)
-	active := store.ActiveRecord{Accepted: j.accepted, Lent: record, Lends: j.lends + 1}
+	active := store.ActiveRecord{Accepted: j.accepted, Lent: record, LoanCount: j.lends + 1}
 	l.changeActive(j, active)
 }
 
@@ -110,7 +110,7 @@
 	key := store.ActivePrefix + j.spec.ID
 	j.handover = l.change(&loanChange{home: l.leaderTerm.c.Cells.Cell, job: j.spec.ID,
 		build: func() (store.Txn, bool) {
-			return store.Txn{Guards: []store.Guard{l.leaderTerm.termCompare(), {Key: key, Mark: j.modRevision}},
+			return store.Txn{Compares: []store.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: j.modRevision}},
 				Ops: []store.Op{{Put: key, Value: rec}}}, !j.ended
 		},
 		done: func(ring uint64) {
@@ -253,26 +253,26 @@
 	switch loan.HomeStep(j.lent, s) {
 	case loan.ActionTakeBack:
 		j.remote.Reason = s.Reason
-		l.changeActive(j, store.ActiveRecord{Spec: j.lent.Spec, Accepted: j.accepted, Lends: j.lends})
+		l.changeActive(j, store.ActiveRecord{Spec: j.lent.Spec, Accepted: j.accepted, LoanCount: j.lends})
 	case loan.ActionDone:
-		l.end(j, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: time.Now().UTC()})
+		l.end(j, store.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: time.Now().UTC()})
 	case loan.ActionWithdraw:
-		l.end(j, store.FinalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
+		l.end(j, store.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
 	}
 }
 
 // end records how a lent job ended.
-func (l *loans) end(j *job, final store.FinalRecord) {
+func (l *loans) end(j *job, final store.TerminalRecord) {
 	lt, id := l.leaderTerm, j.spec.ID
 	active := store.ActivePrefix + id
 	j.handover = l.change(&loanChange{home: lt.c.Cells.Cell, job: id,
 		build: func() (store.Txn, bool) {
-			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.modRevision}}}
+			txn := store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
 			if final.Phase == api.JobCancelled {
 				// As with a user's own cancellation, a watch sees why the record goes.
 				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: id})
 			}
-			txn.Ops = append(txn.Ops, store.Op{Put: store.FinalPrefix + id, Value: final}, store.Op{Delete: active})
+			txn.Ops = append(txn.Ops, store.Op{Put: store.TerminalPrefix + id, Value: final}, store.Op{Delete: active})
 			// From now on others may read of its end before this node knows of it.
 			j.ending = true
 			return txn, !j.ended
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -117,7 +117,7 @@
 	if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Home == home {
 		h.Guest = j.guest.Epoch
 		// A machine that is not heard may hold tasks of it.
-		h.Begun = j.started() || lt.unfenced > 0 && j.modRevision <= lt.term.Mark
+		h.Begun = j.started() || lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision
 		return h
 	}
 	if e.Want == loan.WantRun && e.Offer != nil && h.End == nil {
@@ -233,8 +233,8 @@
 	rec := store.ActiveRecord{Accepted: time.Now().UTC(), Guest: &loan.Guest{Home: home, Epoch: e.Epoch, Spec: e.Offer.Spec, Grant: e.Offer.Grant, Since: e.Offer.Since}}
 	l.change(&loanChange{home: home, job: e.Job,
 		build: func() (store.Txn, bool) {
-			return store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: loan.FloorKey(home), Mark: l.floors[home].mark},
-				{Key: active}, {Key: store.FinalPrefix + e.Job}, {Key: loan.EndKey(home, e.Job)}},
+			return store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: loan.FloorKey(home), ModRevision: l.floors[home].modRevision},
+				{Key: active}, {Key: store.TerminalPrefix + e.Job}, {Key: loan.EndKey(home, e.Job)}},
 				Ops: []store.Op{{Put: active, Value: rec}}}, e.Epoch > l.floors[home].epoch && lt.jobs[e.Job] == nil
 		},
 		done: func(ring uint64) {
@@ -250,7 +250,7 @@
 func (l *loans) floorOp(txn *store.Txn, home string, epoch loan.Epoch) {
 	floor := l.floors[home]
 	key := loan.FloorKey(home)
-	txn.Guards = append(txn.Guards, store.Guard{Key: key, Mark: floor.mark})
+	txn.Compares = append(txn.Compares, store.Compare{Key: key, ModRevision: floor.modRevision})
 	txn.Ops = append(txn.Ops, store.Op{Put: key, Value: loan.Floor{Epoch: max(epoch, floor.epoch)}})
 }
 
@@ -262,7 +262,7 @@
 func (l *loans) raiseFloor(home string, epoch loan.Epoch) {
 	l.change(&loanChange{home: home, job: "floor",
 		build: func() (store.Txn, bool) {
-			txn := store.Txn{Guards: []store.Guard{l.leaderTerm.termCompare()}}
+			txn := store.Txn{Compares: []store.Compare{l.leaderTerm.termCompare()}}
 			l.floorOp(&txn, home, epoch)
 			return txn, epoch > l.floors[home].epoch
 		},
@@ -279,7 +279,7 @@
 				return store.Txn{}, false
 			}
 			j.handover = true
-			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.modRevision}}, Ops: []store.Op{{Delete: active}}}
+			txn := store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}, Ops: []store.Op{{Delete: active}}}
 			l.floorOp(&txn, home, epoch)
 			return txn, true
 		},
@@ -301,7 +301,7 @@
 	active, key := store.ActivePrefix+id, loan.EndKey(home, id)
 	l.change(&loanChange{home: home, job: id,
 		build: func() (store.Txn, bool) {
-			txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: active, Mark: j.modRevision}}}
+			txn := store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
 			if end.Phase == api.JobCancelled {
 				// All nodes of this cell must know before they renew leases.
 				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: loan.GuestMark + id})
@@ -315,7 +315,7 @@
 			if err != nil {
 				panic(err) // it holds only plain values
 			}
-			e := store.Entry{Key: key, Value: raw, Mark: ring}
+			e := store.Entry{Key: key, Value: raw, ModRevision: ring}
 			l.addRecord(e)
 			l.guestOver(j, e)
 		}})
@@ -329,7 +329,7 @@
 	}
 	lt := l.leaderTerm
 	lt.forget(j)
-	if end.Mark != 0 {
+	if end.ModRevision != 0 {
 		var e loan.End
 		if err := json.Unmarshal(end.Value, &e); err == nil && e.Phase == api.JobCancelled {
 			lt.c.recordCancellation(loan.GuestMark + j.spec.ID)
@@ -339,7 +339,7 @@
 		lt.resolveOutcome(a)
 	}
 	for first := range j.completionChunks {
-		lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
+		lt.recordWriter.deleteKey(store.CompletionKey(j.spec.ID, first))
 	}
 	lt.c.Log.Info("guest over", "job", j.spec.ID, "home", j.guest.Home, "done", j.doneCount, "tasks", j.spec.Tasks)
 }
@@ -351,7 +351,7 @@
 	l.change(&loanChange{home: home, job: e.Job,
 		build: func() (store.Txn, bool) {
 			end, ok := l.ends.Get(name)
-			txn := store.Txn{Guards: []store.Guard{l.leaderTerm.termCompare(), {Key: key, Mark: end.mark}}, Ops: []store.Op{{Delete: key}}}
+			txn := store.Txn{Compares: []store.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: end.modRevision}}, Ops: []store.Op{{Delete: key}}}
 			l.floorOp(&txn, home, e.Epoch)
 			return txn, ok
 		},
--- a/internal/controller/lostanswers_test.go
+++ b/internal/controller/lostanswers_test.go
@@ -16,11 +16,11 @@
 }
 
 func cancels(id string) func(store.Txn) bool {
-	return func(txn store.Txn) bool { return !txn.Records && touches(store.FinalPrefix+id)(txn) }
+	return func(txn store.Txn) bool { return !txn.Records && touches(store.TerminalPrefix+id)(txn) }
 }
 
 func ends(id string) func(store.Txn) bool {
-	return func(txn store.Txn) bool { return txn.Records && touches(store.FinalPrefix+id)(txn) }
+	return func(txn store.Txn) bool { return txn.Records && touches(store.TerminalPrefix+id)(txn) }
 }
 
 // once matches the first transaction only.
@@ -54,11 +54,11 @@
 			_, err := tn.checker.submit(tn.at(by), spec("job-1", 2))
 			return err
 		}, "running", 2, 2},
-		{"cancellation", store.FinalPrefix + "job-1", cancels("job-1"), []int{0, 2}, func(tn *userCluster, by int) error {
+		{"cancellation", store.TerminalPrefix + "job-1", cancels("job-1"), []int{0, 2}, func(tn *userCluster, by int) error {
 			_, err := tn.checker.cancel(tn.at(by), "job-1")
 			return err
 		}, "withdrawn", 2, 0},
-		{"end", store.FinalPrefix + "job-1", ends("job-1"), []int{0}, func(tn *userCluster, _ int) error {
+		{"end", store.TerminalPrefix + "job-1", ends("job-1"), []int{0}, func(tn *userCluster, _ int) error {
 			tn.finish("job-1")
 			return nil
 		}, "done", 2, 0},
@@ -166,13 +166,13 @@
 						}
 					})
 					time.Sleep(release)
-					final, before := store.FinalPrefix+"job-1", uint64(0)
+					final, before := store.TerminalPrefix+"job-1", uint64(0)
 					if before = tn.written(final); before != 0 {
 						late++
 					}
 					w.same("held back", w.store.Held() > 0, true)
 					for _, res := range w.store.Release() {
-						w.same("carried out over an end", before != 0 && res.OK, false)
+						w.same("carried out over an end", before != 0 && res.Succeeded, false)
 					}
 					time.Sleep(13*time.Second - release)
 					w.store.SetBlind(false)
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -52,13 +52,13 @@
 	for _, j := range lt.jobs {
 		j.flight.Leave(m.name)
 	}
-	lt.recorder.dropMember(m)
+	lt.recordWriter.deregister(m)
 	lt.c.Log.Info("machine gone", "machine", m.name, "why", m.reason)
 }
 
 // markFenced notes that a machine can no longer surprise this term.
 func (lt *leaderTerm) markFenced(m *machine) {
-	if m.fenced || m.roster != rosterDurable {
+	if m.fenced || m.registration != registered {
 		return
 	}
 	m.fenced = true
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -140,7 +140,7 @@
 					}
 					s.restart(0)
 					for _, res := range s.store.Release() {
-						s.same("late record carried out", res.OK, false)
+						s.same("late record carried out", res.Succeeded, false)
 					}
 					s.add("i-5", "a", false)
 					s.add("i-6", "b", false)
@@ -254,7 +254,7 @@
 				}
 				if lag {
 					time.Sleep(2 * time.Second)
-					s.store.Hold(touches(store.ProgressPrefix))
+					s.store.Hold(touches(store.CompletionPrefix))
 				}
 				time.Sleep(off)
 				change(s)
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -44,7 +44,7 @@
 						return
 					}
 					inMemory = max(inMemory, len(lt.jobs))
-					lists = max(lists, len(lt.recorder.finishing)+len(lt.recorder.drops)+len(lt.recorder.dirty)+len(lt.recorder.unsettled))
+					lists = max(lists, len(lt.recordWriter.finishing)+len(lt.recordWriter.pendingDeletes)+len(lt.recordWriter.dirtyJobs)+len(lt.recordWriter.outcomeUnknown))
 				})
 			}
 		}
@@ -94,10 +94,10 @@
 				w.same("attempts left", len(m.attempts), 0)
 			}
 		})
-		for _, prefix := range []string{store.ActivePrefix + "job-", store.ProgressPrefix} {
+		for _, prefix := range []string{store.ActivePrefix + "job-", store.CompletionPrefix} {
 			p, err := w.store.Range(context.Background(), prefix, "", 10)
-			if err != nil || len(p.Rows) > 0 {
-				t.Errorf("records left under %s: %v, %v", prefix, p.Rows, err)
+			if err != nil || len(p.Entries) > 0 {
+				t.Errorf("records left under %s: %v, %v", prefix, p.Entries, err)
 			}
 		}
 	})
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -242,12 +242,12 @@
 	since time.Time
 }
 
-type rosterState int
+type registrationState int
 
 const (
-	rosterNone rosterState = iota
-	rosterWriting
-	rosterDurable
+	unregistered registrationState = iota
+	registering
+	registered
 )
 
 // machine is a rented machine that has reported or is on the roster.
@@ -270,7 +270,7 @@
 	lastCommands       []api.Command
 	lastCommandsAt     time.Time
 	unappliedResponses int
-	roster             rosterState
+	registration       registrationState
 	shard              *shard
 	// fenced is set once the machine reports with this term: from then on it
 	// carries out no earlier leader's orders.
@@ -372,7 +372,7 @@
 
 // isSchedulable tells whether the machine may be given tasks.
 func (m *machine) isSchedulable(now time.Time) bool {
-	return m.fenced && m.roster == rosterDurable && !m.draining && !m.evacuating && !m.terminated && !m.relayPending && m.cpus > 0 &&
+	return m.fenced && m.registration == registered && !m.draining && !m.evacuating && !m.terminated && !m.relayPending && m.cpus > 0 &&
 		m.preemptAt.IsZero() && m.unattributed == 0 && !now.Before(m.cordonedUntil)
 }
 
--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -197,13 +197,13 @@
 		return
 	}
 	var h oldHolder
-	if e.Mark != 0 && json.Unmarshal(e.Value, &h) != nil {
+	if e.ModRevision != 0 && json.Unmarshal(e.Value, &h) != nil {
 		o.w.t.Error("leader key cannot be read")
 	}
 	o.leader = h.Node
 	switch {
-	case e.Mark == 0 || h.Node == o.name && (o.leadership == nil || h.Incarnation != o.incarnation):
-		o.takeOver(ctx, e.Mark)
+	case e.ModRevision == 0 || h.Node == o.name && (o.leadership == nil || h.Incarnation != o.incarnation):
+		o.takeOver(ctx, e.ModRevision)
 	case h.Node != o.name:
 		o.leadership = nil
 		if o.lost > 2 {
@@ -306,7 +306,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if e, err := o.st.Get(ctx, "leader"); err == nil && o.links != nil && o.leader == node {
-		o.takeOver(ctx, e.Mark)
+		o.takeOver(ctx, e.ModRevision)
 	}
 	return nil
 }
@@ -338,7 +338,7 @@
 		}
 		var f oldFinal
 		switch {
-		case e.Mark == 0:
+		case e.ModRevision == 0:
 		case prefix == "a/":
 			return api.JobState{ID: id, Phase: "pending"}, nil
 		default:
@@ -361,9 +361,9 @@
 	o.w.t.Helper()
 	rec := oldActive{oldSpec{ID: s.ID, Class: s.Class, Team: s.Team, Shape: s.Shape, Rank: s.Priority, Tasks: s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs,
 		Mem: s.MemoryGB, Image: s.Image, Pull: s.ImageGB, Spot: s.Spot, Takes: s.EstimateS}, time.Now().UTC()}
-	res, err := o.st.Txn(context.Background(), store.Txn{Guards: []store.Guard{{Key: "a/" + s.ID}, {Key: "f/" + s.ID}},
+	res, err := o.st.Txn(context.Background(), store.Txn{Compares: []store.Compare{{Key: "a/" + s.ID}, {Key: "f/" + s.ID}},
 		Ops: []store.Op{{Put: "a/" + s.ID, Value: rec}}})
-	if err != nil || !res.OK {
+	if err != nil || !res.Succeeded {
 		o.w.t.Fatal("submit", s.ID, res, err)
 	}
 	time.Sleep(200 * time.Millisecond)
@@ -377,7 +377,7 @@
 		if err != nil {
 			o.w.t.Fatal("cancel", id, err)
 		}
-		if e.Mark == 0 {
+		if e.ModRevision == 0 {
 			st, _ := o.Job(ctx, id)
 			return st.Phase
 		}
@@ -385,9 +385,9 @@
 		if err := json.Unmarshal(e.Value, &rec); err != nil {
 			o.w.t.Fatal(err)
 		}
-		res, err := o.st.Txn(ctx, store.Txn{Guards: []store.Guard{{Key: e.Key, Mark: e.Mark}},
+		res, err := o.st.Txn(ctx, store.Txn{Compares: []store.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
 			Ops: []store.Op{{Put: "a/!cancel", Value: id}, {Put: "f/" + id, Value: oldFinal{"withdrawn", rec.Spec.Tasks}}, {Delete: e.Key}}})
-		if err == nil && res.OK {
+		if err == nil && res.Succeeded {
 			o.mu.Lock()
 			o.cancelled(id)
 			o.mu.Unlock()
@@ -433,20 +433,20 @@
 func (o *oldNode) takeOver(ctx context.Context, leaderMark uint64) {
 	e, err := o.st.Get(ctx, "term")
 	var t oldTerm
-	if err != nil || e.Mark != 0 && json.Unmarshal(e.Value, &t) != nil {
+	if err != nil || e.ModRevision != 0 && json.Unmarshal(e.Value, &t) != nil {
 		return
 	}
 	t.Number++
-	lease, err := o.st.Grant(ctx, 30*time.Second)
+	lease, err := o.st.GrantLease(ctx, 30*time.Second)
 	if err != nil {
 		return
 	}
-	res, err := o.st.Txn(ctx, store.Txn{Guards: []store.Guard{{Key: "leader", Mark: leaderMark}, {Key: "term", Mark: e.Mark}},
+	res, err := o.st.Txn(ctx, store.Txn{Compares: []store.Compare{{Key: "leader", ModRevision: leaderMark}, {Key: "term", ModRevision: e.ModRevision}},
 		Ops: []store.Op{{Put: "leader", Value: oldHolder{o.name, o.incarnation}, Lease: lease}, {Put: "term", Value: t}}})
-	if err != nil || !res.OK {
+	if err != nil || !res.Succeeded {
 		return
 	}
-	r := &oldLeadership{o: o, term: t.Number, mark: res.Ring, lease: lease, jobs: map[string]*oldJob{}, machines: map[string]*oldMachine{}, shards: map[string][]string{}}
+	r := &oldLeadership{o: o, term: t.Number, mark: res.Revision, lease: lease, jobs: map[string]*oldJob{}, machines: map[string]*oldMachine{}, shards: map[string][]string{}}
 	if r.load(ctx) {
 		o.leadership, o.leader = r, o.name
 	}
@@ -460,16 +460,16 @@
 	if errors.Join(err1, err2, err3) != nil {
 		return false
 	}
-	r.from = active.Ring
-	for _, e := range active.Rows {
+	r.from = active.Revision
+	for _, e := range active.Entries {
 		if e.Key != "a/!cancel" { // all else under a/ is taken for a job
-			r.addJob(e.Key, e.Value, e.Mark)
+			r.addJob(e.Key, e.Value, e.ModRevision)
 		}
 	}
-	for _, e := range progress.Rows {
+	for _, e := range progress.Entries {
 		r.addProgress(e)
 	}
-	for _, e := range shards.Rows {
+	for _, e := range shards.Entries {
 		var s oldShard
 		if err := json.Unmarshal(e.Value, &s); err != nil {
 			r.o.w.t.Error(e.Key, err)
@@ -497,7 +497,7 @@
 	}
 }
 
-// addProgress takes a progress record in, which may begin at any task and have any
+// addCompletion takes a progress record in, which may begin at any task and have any
 // length.
 func (r *oldLeadership) addProgress(e store.Entry) {
 	id, first, _ := strings.Cut(strings.TrimPrefix(e.Key, "p/"), "/")
@@ -522,13 +522,13 @@
 
 // tick renews the leadership and follows the active jobs.
 func (r *oldLeadership) tick(ctx context.Context, ch store.Changes) {
-	if time.Since(r.renewed) > 3*time.Second && r.o.st.Extend(ctx, r.lease) == nil {
+	if time.Since(r.renewed) > 3*time.Second && r.o.st.RenewLease(ctx, r.lease) == nil {
 		r.renewed = time.Now()
 	}
 	if len(r.drops) > 0 && r.write(store.Txn{Ops: r.drops}) {
 		r.drops = nil
 	}
-	r.from = max(r.from, ch.Ring)
+	r.from = max(r.from, ch.Revision)
 	for _, e := range ch.Events {
 		var id string
 		switch {
@@ -538,7 +538,7 @@
 			}
 			r.o.cancelled(id)
 		case e.Put != "":
-			r.addJob(e.Put, e.Value, e.Mark)
+			r.addJob(e.Put, e.Value, e.ModRevision)
 		case r.jobs[strings.TrimPrefix(e.Delete, "a/")] != nil:
 			// It takes it that another leads, and begins a term anew.
 			r.o.w.t.Errorf("%s goes without a cancellation under the old leader of term %d", e.Delete, r.term)
@@ -550,12 +550,12 @@
 
 // write writes under its term, or ends its leadership.
 func (r *oldLeadership) write(txn store.Txn) bool {
-	txn.Guards = append(txn.Guards, store.Guard{Key: "term", Mark: r.mark})
+	txn.Compares = append(txn.Compares, store.Compare{Key: "term", ModRevision: r.mark})
 	res, err := r.o.st.Txn(context.Background(), txn)
-	if err == nil && slices.Contains(res.Failed, "term") {
+	if err == nil && slices.Contains(res.FailedKeys, "term") {
 		r.o.leadership = nil
 	}
-	return err == nil && res.OK
+	return err == nil && res.Succeeded
 }
 
 // Heartbeat takes a worker's report in.
@@ -666,21 +666,21 @@
 		return true
 	}
 	j.done[task] = true
-	guard := []store.Guard{{Key: "a/" + j.spec.ID, Mark: j.mark}}
+	guard := []store.Compare{{Key: "a/" + j.spec.ID, ModRevision: j.mark}}
 	if len(j.done) < j.spec.Tasks {
 		key := "p/" + j.spec.ID + "/0"
 		bits := make([]byte, (j.spec.Tasks+7)/8)
 		for i := range j.done {
 			bits[i/8] |= 1 << (i % 8)
 		}
-		if !r.write(store.Txn{Guards: guard, Ops: []store.Op{{Put: key, Value: oldProgress{bits}}}}) {
+		if !r.write(store.Txn{Compares: guard, Ops: []store.Op{{Put: key, Value: oldProgress{bits}}}}) {
 			delete(j.done, task)
 			return false
 		}
 		j.progress[key] = true
 		return true
 	}
-	txn := store.Txn{Guards: guard, Ops: []store.Op{{Put: "f/" + j.spec.ID, Value: oldFinal{"done", j.spec.Tasks}}, {Delete: "a/" + j.spec.ID}}}
+	txn := store.Txn{Compares: guard, Ops: []store.Op{{Put: "f/" + j.spec.ID, Value: oldFinal{"done", j.spec.Tasks}}, {Delete: "a/" + j.spec.ID}}}
 	for key := range j.progress {
 		txn.Ops = append(txn.Ops, store.Op{Delete: key})
 	}
@@ -747,11 +747,11 @@
 	if errors.Join(err1, err2, json.Unmarshal(e.Value, &t)) != nil {
 		return
 	}
-	o.term, o.mark, o.verified, o.active = t.Number, e.Mark, now, map[string]bool{}
-	for _, row := range page.Rows {
+	o.term, o.mark, o.verified, o.active = t.Number, e.ModRevision, now, map[string]bool{}
+	for _, row := range page.Entries {
 		o.active[strings.TrimPrefix(row.Key, "a/")] = true
 	}
-	guard := []store.Guard{{Key: "term", Mark: o.mark}}
+	guard := []store.Compare{{Key: "term", ModRevision: o.mark}}
 	k := oldLeaseExtension{Term: o.term}
 	for name, seen := range o.kept {
 		if now.Sub(seen) < 8*time.Second {
@@ -759,7 +759,7 @@
 		}
 	}
 	if len(k.Hosts) > 0 {
-		o.st.Txn(ctx, store.Txn{Guards: guard, Ops: []store.Op{{Put: "keep/" + o.name, Value: k}}})
+		o.st.Txn(ctx, store.Txn{Compares: guard, Ops: []store.Op{{Put: "keep/" + o.name, Value: k}}})
 	}
 	o.takeOrders(ctx)
 	if len(o.relayed)+len(o.outcomes) == 0 || o.parts == 0 {
@@ -775,7 +775,7 @@
 		o.w.t.Error(err)
 		return
 	}
-	data, txn := parts[0].Data, store.Txn{Guards: guard}
+	data, txn := parts[0].Data, store.Txn{Compares: guard}
 	for i := range o.parts {
 		piece := data[len(data)*i/o.parts : len(data)*(i+1)/o.parts]
 		txn.Ops = append(txn.Ops, store.Op{Put: fmt.Sprint("relay/", o.name, "/up/", i), Value: oldPart{o.batch, i, o.parts, piece}})
@@ -790,7 +790,7 @@
 	e, err := o.st.Get(ctx, "relay/"+o.name+"/down")
 	var p relay.Part
 	var down peer.RelayDown
-	if err != nil || e.Mark == 0 || json.Unmarshal(e.Value, &p) != nil {
+	if err != nil || e.ModRevision == 0 || json.Unmarshal(e.Value, &p) != nil {
 		return
 	}
 	if err := relay.Unpack([]relay.Part{p}, &down); err != nil {
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -187,17 +187,17 @@
 // addCancellations writes pending cancellations in a batch of their own, if the write rate allows.
 func (dg *dependencyGraph) addCancellations(b *batch, now time.Time) {
 	dg.pendingCancels = slices.DeleteFunc(dg.pendingCancels, func(j *job) bool { return j.ended })
-	w := &dg.leaderTerm.recorder
-	allowed := min(w.maxOps, int(dg.limiter.TokensAt(now)))
+	rw := &dg.leaderTerm.recordWriter
+	allowed := min(rw.maxOps, int(dg.limiter.TokensAt(now)))
 	if len(dg.pendingCancels) == 0 || allowed < cancelBatchOps {
 		return
 	}
 	n := 0
-	for n < len(dg.pendingCancels) && len(b.txn.Ops)+cancelBatchOps <= allowed && b.bytes < w.maxBytes {
+	for n < len(dg.pendingCancels) && len(b.txn.Ops)+cancelBatchOps <= allowed && b.bytes < rw.maxBytes {
 		j := dg.pendingCancels[n]
 		active := store.ActivePrefix + j.spec.ID
-		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: active, Mark: j.modRevision})
-		b.put(store.FinalPrefix+j.spec.ID, store.FinalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
+		b.txn.Compares = append(b.txn.Compares, store.Compare{Key: active, ModRevision: j.modRevision})
+		b.put(store.TerminalPrefix+j.spec.ID, store.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
 		b.delete(active)
 		j.ending = true
 		n++
@@ -289,9 +289,9 @@
 	dg.lookups = nil
 	go func() {
 		records := store.Records{Store: lt.c.Store}
-		ends := map[string]store.FinalRecord{}
+		ends := map[string]store.TerminalRecord{}
 		for unread := ids; lt.ctx.Err() == nil; sleep(lt.ctx, 300*time.Millisecond) {
-			found, err := records.Ends(lt.ctx, unread)
+			found, err := records.TerminalRecords(lt.ctx, unread)
 			maps.Copy(ends, found)
 			if err == nil {
 				lt.sendToOwner(endsLookedUpMsg{lt, ids, ends})
@@ -307,7 +307,7 @@
 type endsLookedUpMsg struct {
 	leaderTerm *leaderTerm
 	ids        []string
-	ends       map[string]store.FinalRecord
+	ends       map[string]store.TerminalRecord
 }
 
 func (m endsLookedUpMsg) apply(c *Controller) {
@@ -335,8 +335,8 @@
 }
 
 // dependencyEnded processes the final record of a job.
-func (dg *dependencyGraph) dependencyEnded(id string, end store.FinalRecord) {
-	finalMsg{end.FinalState(id)}.apply(dg.leaderTerm.c)
+func (dg *dependencyGraph) dependencyEnded(id string, end store.TerminalRecord) {
+	finalMsg{end.JobState(id)}.apply(dg.leaderTerm.c)
 	if end.Phase != api.JobDone {
 		return
 	}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -58,8 +58,8 @@
 func TestPipelineRunsInOrder(t *testing.T) {
 	troubles := map[string]func(s *checkedCluster){
 		"none":         func(*checkedCluster) {},
-		"ends late":    func(s *checkedCluster) { s.store.Hold(touches(store.FinalPrefix)) },
-		"answers lost": func(s *checkedCluster) { s.store.Lose(touches(store.FinalPrefix)) },
+		"ends late":    func(s *checkedCluster) { s.store.Hold(touches(store.TerminalPrefix)) },
+		"answers lost": func(s *checkedCluster) { s.store.Lose(touches(store.TerminalPrefix)) },
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
@@ -330,8 +330,8 @@
 				}
 				time.Sleep(30 * time.Second)
 				p, err := w.store.Range(context.Background(), store.ActivePrefix+"job-", "", 500)
-				if err != nil || len(p.Rows) > 0 {
-					t.Errorf("%d jobs left, %v", len(p.Rows), err)
+				if err != nil || len(p.Entries) > 0 {
+					t.Errorf("%d jobs left, %v", len(p.Entries), err)
 				}
 				for i := range jobs {
 					if got := w.phase(n, fmt.Sprint("job-", i)); got != api.JobCancelled {
@@ -383,7 +383,7 @@
 			t.Fatal(err)
 		}
 		work(20)
-		n.look(func(c *Controller) { w.same("ends wait", len(c.leaderTerm.recorder.finishing) > 20, true) })
+		n.look(func(c *Controller) { w.same("ends wait", len(c.leaderTerm.recordWriter.finishing) > 20, true) })
 		for i := range 20 {
 			w.same("needs it", w.phase(n, fmt.Sprint("job-2", i)), api.JobCancelled)
 		}
@@ -394,7 +394,7 @@
 // lost, or it is carried out late: they are cancelled in time all the same.
 func TestCancellationsPassOnWhenRecordsFail(t *testing.T) {
 	derived := func(txn store.Txn) bool {
-		return touches(store.FinalPrefix)(txn) && !touches(store.CancelKey)(txn)
+		return touches(store.TerminalPrefix)(txn) && !touches(store.CancelKey)(txn)
 	}
 	for name, trouble := range map[string]func(w *cluster){
 		"answers lost": func(w *cluster) { w.store.Lose(derived) },
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -126,7 +126,7 @@
 		return false
 	case j.guest != nil && !j.withinGrant():
 		return false
-	case lt.unfenced > 0 && j.modRevision <= lt.term.Mark:
+	case lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision:
 		// A machine not heard in this term may hold any task that was
 		// accepted before it.
 		return false
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -151,7 +151,7 @@
 	ri.busy = true
 	lt, batch, sent := ri.leaderTerm, ri.waiting, ri.lastStarted
 	ri.waiting = nil
-	txn := store.Txn{Guards: []store.Guard{lt.termCompare(), {Key: store.CancelKey, Mark: lt.cancelRevision}}}
+	txn := store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: store.CancelKey, ModRevision: lt.cancelRevision}}}
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, 700*time.Millisecond)
 		defer cancel()
@@ -179,7 +179,7 @@
 		for _, p := range m.batch {
 			p.reply <- pollReply{err: api.ErrUnavailable}
 		}
-	case m.res.OK:
+	case m.res.Succeeded:
 		m.leaderTerm.cancellationsConfirmedAt = m.sent
 		for _, p := range m.batch {
 			p.reply <- m.leaderTerm.jobState(p.id)
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -6,37 +6,37 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// addProgress adds the done tasks of changed jobs.
-func (w *recorder) addProgress(b *batch, allowed int) {
-	if w.perChunk == 0 {
+// addCompletions adds the done tasks of changed jobs.
+func (rw *recordWriter) addCompletions(b *batch, allowed int) {
+	if rw.tasksPerChunk == 0 {
 		return
 	}
-	size := (w.perChunk/8+2)/3*4 + 100
-	for len(w.dirty) > 0 && len(b.txn.Ops) < allowed && (b.bytes+size < w.maxBytes || len(b.txn.Ops) == 0) {
-		j := w.dirty[0]
+	size := (rw.tasksPerChunk/8+2)/3*4 + 100
+	for len(rw.dirtyJobs) > 0 && len(b.txn.Ops) < allowed && (b.bytes+size < rw.maxBytes || len(b.txn.Ops) == 0) {
+		j := rw.dirtyJobs[0]
 		if !j.completionDirty || j.finishing || j.ended {
-			w.dirty = w.dirty[1:]
+			rw.dirtyJobs = rw.dirtyJobs[1:]
 			j.completionDirty = false
 			continue
 		}
-		first, ok := j.unrecorded(w.perChunk)
+		first, ok := j.unrecorded(rw.tasksPerChunk)
 		if !ok {
 			j.completionDirty = false
-			w.dirty = w.dirty[1:]
+			rw.dirtyJobs = rw.dirtyJobs[1:]
 			continue
 		}
-		words := j.doneBytes(first, w.perChunk)
-		b.put(store.ProgressKey(j.spec.ID, first), store.ProgressRecord{Done: words})
+		words := j.completionBytes(first, rw.tasksPerChunk)
+		b.put(store.CompletionKey(j.spec.ID, first), store.CompletionRecord{Done: words})
 		// The record must not outlive its job: once that is over, another
 		// node has dropped the key guarded on here.
-		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: store.ActivePrefix + j.spec.ID, Mark: j.modRevision})
+		b.txn.Compares = append(b.txn.Compares, store.Compare{Key: store.ActivePrefix + j.spec.ID, ModRevision: j.modRevision})
 		j.completionChunks[first] = true
 		j.holds(first, 8*len(words))
-		b.progressed = append(b.progressed, progressed{j, first, words})
+		b.completions = append(b.completions, completionWrite{j, first, words})
 		// One record of a job at a time: the next is looked for when this
 		// one is on record.
 		j.completionDirty = false
-		w.dirty = w.dirty[1:]
+		rw.dirtyJobs = rw.dirtyJobs[1:]
 	}
 }
 
@@ -48,7 +48,7 @@
 		if !ok {
 			return 0, false
 		}
-		if first = int(t) / per * per; j.replaceable(first, per) {
+		if first = int(t) / per * per; j.replaceableBy(first, per) {
 			return first, true
 		}
 	}
@@ -64,11 +64,11 @@
 	j.chunkSizes[first] = max(j.chunkSizes[first], tasks)
 }
 
-// replaceable tells whether the record that begins at first may be written with
+// replaceableBy tells whether the record that begins at first may be written with
 // per tasks. One written under larger limits covers more: written over, the
 // tasks beyond would no longer count as done for the next leader. They are first put on
 // record under keys of their own, which all lie further on.
-func (j *job) replaceable(first, per int) bool {
+func (j *job) replaceableBy(first, per int) bool {
 	extent := j.chunkSizes[first]
 	if extent <= per {
 		return true
@@ -88,7 +88,7 @@
 	return moving.DifferenceCardinality(j.recorded) == 0
 }
 
-func (j *job) doneBytes(first, per int) []byte {
+func (j *job) completionBytes(first, per int) []byte {
 	n := min(per, j.spec.Tasks-first)
 	words := make([]byte, (n+7)/8)
 	for i, ok := j.done.NextSet(uint(first)); ok && i < uint(first+n); i, ok = j.done.NextSet(i + 1) {
--- a/internal/controller/reads_test.go
+++ b/internal/controller/reads_test.go
@@ -20,7 +20,7 @@
 
 func (s *slowAnswers) Get(ctx context.Context, key string) (store.Entry, error) {
 	e, err := s.Fake.Get(ctx, key)
-	if len(key) > 2 && (key[:2] == store.ActivePrefix || key[:2] == store.FinalPrefix) {
+	if len(key) > 2 && (key[:2] == store.ActivePrefix || key[:2] == store.TerminalPrefix) {
 		s.gets.Add(1)
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -14,69 +14,69 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// recorder writes the leader's changes to the store: batched, one transaction
+// recordWriter writes the leader's changes to the store: batched, one transaction
 // at a time, within a part of the write rate that leaves submissions theirs.
-type recorder struct {
+type recordWriter struct {
 	leaderTerm *leaderTerm
 	limiter    *rate.Limiter
 	maxOps     int
 	maxBytes   int
-	// perChunk is how many tasks a progress record holds; 0: none is written.
-	perChunk int
+	// tasksPerChunk is how many tasks a progress record holds; 0: none is written.
+	tasksPerChunk int
 
-	finishing []*job
-	enrolling []*machine
-	drops     []string
-	dirty     []*job
-	// stale are the shards of the roster on which machines are gone; shards
+	finishing      []*job
+	registering    []*machine
+	pendingDeletes []string
+	dirtyJobs      []*job
+	// staleShards are the shards of the roster on which machines are gone; shards
 	// counts those written, since none has the name of an earlier one.
-	stale     []*shard
-	shards    int
-	perShard  int
-	shardRoom int
-	nextShard time.Time
-	busy      bool
-	// unsettled are the jobs whose end is to be read, one at a time.
-	unsettled []string
-	settling  bool
-	waitUntil time.Time
+	staleShards      []*shard
+	shardCount       int
+	machinesPerShard int
+	maxShardBytes    int
+	nextShard        time.Time
+	busy             bool
+	// outcomeUnknown are the jobs whose end is to be read, one at a time.
+	outcomeUnknown []string
+	resolving      bool
+	waitUntil      time.Time
 	// lastProgress keeps progress records behind everything else.
-	nextProgress time.Time
+	nextCompletion time.Time
 }
 
-const progressInterval = 500 * time.Millisecond
+const completionInterval = 500 * time.Millisecond
 
-func (w *recorder) init(lt *leaderTerm) {
+func (rw *recordWriter) init(lt *leaderTerm) {
 	lim := lt.c.Settings.Site.State
-	w.leaderTerm = lt
-	w.maxOps = lim.TxnOps
+	rw.leaderTerm = lt
+	rw.maxOps = lim.TxnOps
 	records := lim.WriteRPS * store.RecordShare
 	// A burst of records leaves room for submissions in the service's own.
-	w.limiter = rate.NewLimiter(rate.Limit(records), max(2, min(lim.TxnOps, int(records))))
-	w.maxBytes = store.MaxTxnBytes * 3 / 4
-	w.shardRoom = min(int(lim.ValueKB*1024), w.maxBytes)
-	w.perShard = max(1, w.shardRoom/2/shardEntryBytes)
+	rw.limiter = rate.NewLimiter(rate.Limit(records), max(2, min(lim.TxnOps, int(records))))
+	rw.maxBytes = store.MaxTxnBytes * 3 / 4
+	rw.maxShardBytes = min(int(lim.ValueKB*1024), rw.maxBytes)
+	rw.machinesPerShard = max(1, rw.maxShardBytes/2/shardEntryBytes)
 	// The bit set is written as base64; half the value's size leaves room.
-	w.perChunk = w.shardRoom / 2 * 8
+	rw.tasksPerChunk = rw.maxShardBytes / 2 * 8
 }
 
-func (w *recorder) finish(j *job) {
+func (rw *recordWriter) finishJob(j *job) {
 	if !j.finishing {
 		j.finishing = true
-		w.finishing = append(w.finishing, j)
+		rw.finishing = append(rw.finishing, j)
 	}
 }
 
-func (w *recorder) progress(j *job) {
+func (rw *recordWriter) queueCompletion(j *job) {
 	if !j.completionDirty {
 		j.completionDirty = true
-		w.dirty = append(w.dirty, j)
+		rw.dirtyJobs = append(rw.dirtyJobs, j)
 	}
 }
 
-func (w *recorder) enroll(m *machine) { w.enrolling = append(w.enrolling, m) }
+func (rw *recordWriter) register(m *machine) { rw.registering = append(rw.registering, m) }
 
-func (w *recorder) drop(key string) { w.drops = append(w.drops, key) }
+func (rw *recordWriter) deleteKey(key string) { rw.pendingDeletes = append(rw.pendingDeletes, key) }
 
 // batch is one transaction with what it stands for.
 type batch struct {
@@ -88,75 +88,75 @@
 	shards         []*shard
 	// replaced are shards that go with this batch.
 	replaced []*shard
-	drops    []string
-	// progressed are the jobs whose done tasks the transaction records.
-	progressed []progressed
+	deletes  []string
+	// completions are the jobs whose done tasks the transaction records.
+	completions []completionWrite
 }
 
-type progressed struct {
+type completionWrite struct {
 	job   *job
 	first int
 	words []byte
 }
 
-// flush starts the next transaction if there is anything to write.
-func (w *recorder) flush(now time.Time) {
-	if w.busy || now.Before(w.waitUntil) {
+// writeBatch starts the next transaction if there is anything to write.
+func (rw *recordWriter) writeBatch(now time.Time) {
+	if rw.busy || now.Before(rw.waitUntil) {
 		return
 	}
-	b := w.next(now)
+	b := rw.nextBatch(now)
 	if len(b.txn.Ops) == 0 {
 		return
 	}
-	w.busy = true
-	lt := w.leaderTerm
+	rw.busy = true
+	lt := rw.leaderTerm
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, 2*time.Second)
 		defer cancel()
 		res, err := lt.c.Store.Txn(ctx, b.txn)
-		lt.sendToOwner(recordedMsg{lt, b, now, res, err})
+		lt.sendToOwner(batchWrittenMsg{lt, b, now, res, err})
 	}()
 }
 
-func (w *recorder) newBatch() *batch {
-	return &batch{txn: store.Txn{Records: true, Guards: []store.Guard{w.leaderTerm.termCompare()}}}
+func (rw *recordWriter) newBatch() *batch {
+	return &batch{txn: store.Txn{Records: true, Compares: []store.Compare{rw.leaderTerm.termCompare()}}}
 }
 
-// next builds the next batch, the most urgent changes first, within what the
+// nextBatch builds the next batch, the most urgent changes first, within what the
 // write rate allows at this moment.
-func (w *recorder) next(now time.Time) *batch {
-	b := w.newBatch()
-	if w.leaderTerm.dependencies.addCancellations(b, now); len(b.txn.Ops) > 0 {
+func (rw *recordWriter) nextBatch(now time.Time) *batch {
+	b := rw.newBatch()
+	if rw.leaderTerm.dependencies.addCancellations(b, now); len(b.txn.Ops) > 0 {
 		return b
 	}
-	allowed := min(w.maxOps, int(w.limiter.TokensAt(now)))
-	w.addFinished(b, allowed, now)
-	w.addEnrolled(b, allowed)
-	w.addDrops(b, allowed)
-	if !now.Before(w.nextProgress) {
-		w.nextProgress = now.Add(progressInterval)
-		w.addProgress(b, allowed/2)
+	allowed := min(rw.maxOps, int(rw.limiter.TokensAt(now)))
+	rw.addFinished(b, allowed, now)
+	rw.addRegistrations(b, allowed)
+	rw.addDeletes(b, allowed)
+	if !now.Before(rw.nextCompletion) {
+		rw.nextCompletion = now.Add(completionInterval)
+		rw.addCompletions(b, allowed/2)
 	}
-	w.rewriteStale(b, allowed, now)
-	w.limiter.AllowN(now, len(b.txn.Ops))
+	rw.rewriteStale(b, allowed, now)
+	rw.limiter.AllowN(now, len(b.txn.Ops))
 	return b
 }
 
 // addFinished adds the ends of jobs whose tasks are all done.
-func (w *recorder) addFinished(b *batch, allowed int, now time.Time) {
-	for len(w.finishing) > 0 && b.bytes < w.maxBytes {
-		j := w.finishing[0]
+func (rw *recordWriter) addFinished(b *batch, allowed int, now time.Time) {
+	for len(rw.finishing) > 0 && b.bytes < rw.maxBytes {
+		j := rw.finishing[0]
 		if j.ended {
-			w.finishing = w.finishing[1:]
+			rw.finishing = rw.finishing[1:]
 			continue
 		}
 		if len(b.txn.Ops)+2 > allowed {
 			return
 		}
-		w.finishing = w.finishing[1:]
+		rw.finishing = rw.finishing[1:]
 		active := store.ActivePrefix + j.spec.ID
-		b.txn.Guards = append(b.txn.Guards, store.Guard{Key: active, Mark: j.modRevision})
-		b.put(store.FinalPrefix+j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now.UTC()})
+		b.txn.Compares = append(b.txn.Compares, store.Compare{Key: active, ModRevision: j.modRevision})
+		b.put(store.TerminalPrefix+j.spec.ID, store.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now.UTC()})
 		b.delete(active)
 		b.finished = append(b.finished, j)
 		// From now on others may read of its end before this node knows of it.
@@ -164,30 +164,30 @@
 	}
 }
 
-// addEnrolled adds new machines to the roster.
-func (w *recorder) addEnrolled(b *batch, allowed int) {
-	w.enrolling = slices.DeleteFunc(w.enrolling, func(m *machine) bool { return m.terminated })
-	for len(w.enrolling) > 0 && len(b.txn.Ops) < allowed && b.bytes < w.maxBytes {
-		n, size := w.fitting(w.enrolling)
+// addRegistrations adds new machines to the roster.
+func (rw *recordWriter) addRegistrations(b *batch, allowed int) {
+	rw.registering = slices.DeleteFunc(rw.registering, func(m *machine) bool { return m.terminated })
+	for len(rw.registering) > 0 && len(b.txn.Ops) < allowed && b.bytes < rw.maxBytes {
+		n, size := rw.shardPrefix(rw.registering)
 		if n == 0 {
-			w.unfit(w.enrolling[0])
-			w.enrolling = w.enrolling[1:]
+			rw.rejectMachine(rw.registering[0])
+			rw.registering = rw.registering[1:]
 			continue
 		}
-		if len(b.txn.Ops) > 0 && b.bytes+size > w.maxBytes {
+		if len(b.txn.Ops) > 0 && b.bytes+size > rw.maxBytes {
 			return
 		}
-		b.shard(w.newShard(w.enrolling[:n]))
-		w.enrolling = w.enrolling[n:]
+		b.shard(rw.newShard(rw.registering[:n]))
+		rw.registering = rw.registering[n:]
 	}
 }
 
-// addDrops adds the deletion of records that are no longer needed.
-func (w *recorder) addDrops(b *batch, allowed int) {
-	for len(w.drops) > 0 && len(b.txn.Ops) < allowed {
-		b.delete(w.drops[0])
-		b.drops = append(b.drops, w.drops[0])
-		w.drops = w.drops[1:]
+// addDeletes adds the deletion of records that are no longer needed.
+func (rw *recordWriter) addDeletes(b *batch, allowed int) {
+	for len(rw.pendingDeletes) > 0 && len(b.txn.Ops) < allowed {
+		b.delete(rw.pendingDeletes[0])
+		b.deletes = append(b.deletes, rw.pendingDeletes[0])
+		rw.pendingDeletes = rw.pendingDeletes[1:]
 	}
 }
 
@@ -205,107 +205,107 @@
 	b.bytes += 2*len(key) + 100
 }
 
-type recordedMsg struct {
+type batchWrittenMsg struct {
 	leaderTerm *leaderTerm
 	batch      *batch
 	sent       time.Time
-	res        store.Result
+	result     store.Result
 	err        error
 }
 
-func (m recordedMsg) apply(c *Controller) {
+func (m batchWrittenMsg) apply(c *Controller) {
 	if c.leaderTerm != m.leaderTerm {
 		return
 	}
-	w := &m.leaderTerm.recorder
-	w.busy = false
+	rw := &m.leaderTerm.recordWriter
+	rw.busy = false
 	now := time.Now()
 	switch {
-	case errors.Is(m.err, store.ErrMalformed):
-		w.waitUntil = now.Add(250 * time.Millisecond)
-		w.again(m.batch)
-		w.lower(m.batch, now)
+	case errors.Is(m.err, store.ErrInvalid):
+		rw.waitUntil = now.Add(250 * time.Millisecond)
+		rw.requeue(m.batch)
+		rw.shrinkLimits(m.batch, now)
 	case m.err != nil:
-		w.waitUntil = now.Add(250 * time.Millisecond)
+		rw.waitUntil = now.Add(250 * time.Millisecond)
 		// If it was carried out all the same, or is yet to be, the next try
 		// fails by its guards, and tells which jobs to look at.
-		w.again(m.batch)
+		rw.requeue(m.batch)
 		c.Log.Debug("records not written", "err", m.err)
-	case m.res.OK:
+	case m.result.Succeeded:
 		record(m.leaderTerm.counts.recorded, now.Sub(m.sent))
-		w.recorded(m.batch)
-	case m.leaderTerm.checkTermConflict(m.res):
+		rw.batchWritten(m.batch)
+	case m.leaderTerm.checkTermConflict(m.result):
 	default:
-		w.again(m.batch)
+		rw.requeue(m.batch)
 		var changed []*job
 		for _, j := range m.batch.finished {
-			if slices.Contains(m.res.Failed, store.ActivePrefix+j.spec.ID) {
+			if slices.Contains(m.result.FailedKeys, store.ActivePrefix+j.spec.ID) {
 				changed = append(changed, j)
 			}
 		}
 		for _, j := range m.batch.derivedCancels {
-			if slices.Contains(m.res.Failed, store.ActivePrefix+j.spec.ID) {
+			if slices.Contains(m.result.FailedKeys, store.ActivePrefix+j.spec.ID) {
 				changed = append(changed, j)
 			}
 		}
-		w.verify(changed)
-		for _, p := range m.batch.progressed {
-			if !p.job.ended && slices.Contains(m.res.Failed, store.ActivePrefix+p.job.spec.ID) {
+		rw.verify(changed)
+		for _, p := range m.batch.completions {
+			if !p.job.ended && slices.Contains(m.result.FailedKeys, store.ActivePrefix+p.job.spec.ID) {
 				p.job.completionDirty = false // cancelled; the watch will say so
 				p.job.completionChunks[p.first] = false
-				w.dirty = slices.DeleteFunc(w.dirty, func(j *job) bool { return j == p.job })
+				rw.dirtyJobs = slices.DeleteFunc(rw.dirtyJobs, func(j *job) bool { return j == p.job })
 			}
 		}
 	}
-	w.flush(now)
+	rw.writeBatch(now)
 }
 
-// again queues the changes of a batch that was not carried out, or may not have been.
-func (w *recorder) again(b *batch) {
-	w.finishing = append(slices.Clone(b.finished), w.finishing...)
-	w.leaderTerm.dependencies.pendingCancels = append(slices.Clone(b.derivedCancels), w.leaderTerm.dependencies.pendingCancels...)
-	w.unwritten(b)
-	w.drops = append(slices.Clone(b.drops), w.drops...)
-	for _, p := range b.progressed {
-		w.progress(p.job)
+// requeue queues the changes of a batch that was not carried out, or may not have been.
+func (rw *recordWriter) requeue(b *batch) {
+	rw.finishing = append(slices.Clone(b.finished), rw.finishing...)
+	rw.leaderTerm.dependencies.pendingCancels = append(slices.Clone(b.derivedCancels), rw.leaderTerm.dependencies.pendingCancels...)
+	rw.requeueShards(b)
+	rw.pendingDeletes = append(slices.Clone(b.deletes), rw.pendingDeletes...)
+	for _, p := range b.completions {
+		rw.queueCompletion(p.job)
 	}
 }
 
-// lower reduces what a batch may hold after one was refused for good, although it
+// shrinkLimits reduces what a batch may hold after one was refused for good, although it
 // kept to the limits as this node knows them: a retry would be refused too.
-func (w *recorder) lower(b *batch, now time.Time) {
-	log := w.leaderTerm.c.Log
+func (rw *recordWriter) shrinkLimits(b *batch, now time.Time) {
+	log := rw.leaderTerm.c.Log
 	log.Error("records refused as too large", "changes", len(b.txn.Ops), "bytes", b.bytes)
 	switch {
 	case len(b.txn.Ops) > 2:
-		w.maxOps = max(2, len(b.txn.Ops)/2)
-	case len(b.shards) > 0 && len(b.shards[0].members) > 1:
-		w.perShard = max(1, len(b.shards[0].members)/2)
+		rw.maxOps = max(2, len(b.txn.Ops)/2)
+	case len(b.shards) > 0 && len(b.shards[0].machines) > 1:
+		rw.machinesPerShard = max(1, len(b.shards[0].machines)/2)
 	case len(b.shards) > 0 && b.shards[0].replaces != nil:
-		w.keepStale(b.shards[0].replaces)
+		rw.keepStale(b.shards[0].replaces)
 	case len(b.shards) > 0:
-		m := b.shards[0].members[0]
-		w.enrolling = slices.DeleteFunc(w.enrolling, func(o *machine) bool { return o == m })
-		w.unfit(m)
-	case len(b.progressed) > 0:
+		m := b.shards[0].machines[0]
+		rw.registering = slices.DeleteFunc(rw.registering, func(o *machine) bool { return o == m })
+		rw.rejectMachine(m)
+	case len(b.completions) > 0:
 		// Below eight tasks nothing is left to halve: what is done is then
 		// known to this leader only.
-		w.perChunk = w.perChunk / 16 * 8
+		rw.tasksPerChunk = rw.tasksPerChunk / 16 * 8
 	default:
-		w.waitUntil = now.Add(5 * time.Second) // an end: it has no size to lower
+		rw.waitUntil = now.Add(5 * time.Second) // an end: it has no size to lower
 	}
 }
 
-// unfit takes out of use a machine whose entry no shard can hold: the next leader would
+// rejectMachine takes out of use a machine whose entry no shard can hold: the next leader would
 // not know of it, so it is never given a task.
-func (w *recorder) unfit(m *machine) {
-	w.leaderTerm.c.Log.Error("machine's entry does not fit the roster", "machine", m.name)
-	w.leaderTerm.evacuate(m, "does not fit the roster")
+func (rw *recordWriter) rejectMachine(m *machine) {
+	rw.leaderTerm.c.Log.Error("machine's entry does not fit the roster", "machine", m.name)
+	rw.leaderTerm.evacuate(m, "does not fit the roster")
 }
 
-// recorded updates the state of what a written batch has put on record.
-func (w *recorder) recorded(b *batch) {
-	lt := w.leaderTerm
+// batchWritten updates the state of what a written batch has put on record.
+func (rw *recordWriter) batchWritten(b *batch) {
+	lt := rw.leaderTerm
 	for _, j := range b.finished {
 		lt.jobFinished(j)
 	}
@@ -314,8 +314,8 @@
 			lt.cancelJob(j)
 		}
 	}
-	w.written(b)
-	for _, p := range b.progressed {
+	rw.shardsWritten(b)
+	for _, p := range b.completions {
 		p.job.chunkSizes[p.first] = 8 * len(p.words)
 		delete(p.job.moving, p.first)
 		for i, by := range p.words {
@@ -325,8 +325,8 @@
 				}
 			}
 		}
-		if _, more := p.job.unrecorded(w.perChunk); more && !p.job.ended && !p.job.finishing {
-			w.progress(p.job)
+		if _, more := p.job.unrecorded(rw.tasksPerChunk); more && !p.job.ended && !p.job.finishing {
+			rw.queueCompletion(p.job)
 		}
 	}
 }
@@ -338,11 +338,11 @@
 	}
 	lt.forget(j)
 	now := time.Now()
-	lt.c.final.Add(j.spec.ID, store.FinalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}.FinalState(j.spec.ID))
+	lt.c.final.Add(j.spec.ID, store.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}.JobState(j.spec.ID))
 	lt.dependencies.jobDone(j.spec.ID, now)
 	for first, written := range j.completionChunks {
 		if written {
-			lt.recorder.drop(store.ProgressKey(j.spec.ID, first))
+			lt.recordWriter.deleteKey(store.CompletionKey(j.spec.ID, first))
 		}
 	}
 	lt.dependencyLists.drop(j)
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -189,7 +189,7 @@
 	}
 	txn := u.transaction(store.RelayPrefix+c.Settings.Node, parts, most)
 	if carrying {
-		txn.Guards = []store.Guard{{Key: election.TermKey, Mark: extender.termRevision}}
+		txn.Compares = []store.Compare{{Key: election.TermKey, ModRevision: extender.termRevision}}
 	}
 	// Where few changes are allowed, relaying must leave room for submissions.
 	if next := now.Add(config.Seconds(float64(len(txn.Ops)) / (lim.WriteRPS * store.RecordShare))); next.After(u.next) {
@@ -267,7 +267,7 @@
 		if err != nil {
 			c.Log.Debug("reports not relayed", "err", err)
 		}
-		c.send(context.Background(), relaySentMsg{tooLarge: errors.Is(err, store.ErrMalformed), written: err == nil && res.OK})
+		c.send(context.Background(), relaySentMsg{tooLarge: errors.Is(err, store.ErrInvalid), written: err == nil && res.Succeeded})
 	}()
 }
 
@@ -304,7 +304,7 @@
 
 func readDown(ctx context.Context, st store.Service, prefix string) (*peer.RelayDown, error) {
 	e, err := st.Get(ctx, prefix+"/down")
-	if err != nil || e.Mark == 0 {
+	if err != nil || e.ModRevision == 0 {
 		return nil, err
 	}
 	var p relay.Part
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -110,11 +110,11 @@
 
 func readUp(ctx context.Context, st store.Service, prefix string) (*peer.RelayUp, error) {
 	page, err := st.Range(ctx, prefix, "", 2*relayParts)
-	if err != nil || len(page.Rows) == 0 {
+	if err != nil || len(page.Entries) == 0 {
 		return nil, err
 	}
 	var parts []relay.Part
-	for _, e := range page.Rows {
+	for _, e := range page.Entries {
 		var p relay.Part
 		if err := json.Unmarshal(e.Value, &p); err != nil || !strings.HasPrefix(e.Key, prefix) {
 			return nil, fmt.Errorf("relay: record %s: %w", e.Key, err)
@@ -258,7 +258,7 @@
 		return
 	}
 	// Until it is confirmed the same batch is written again.
-	txn := store.Txn{Records: true, Guards: []store.Guard{lt.termCompare()},
+	txn := store.Txn{Records: true, Compares: []store.Compare{lt.termCompare()},
 		Ops: []store.Op{{Put: store.RelayPrefix + name + "/down", Value: node.last[0]}}}
 	node.busy = true
 	go func() {
@@ -284,7 +284,7 @@
 	}
 	node := m.leaderTerm.down.nodes[m.node]
 	node.busy = false
-	if !errors.Is(m.err, store.ErrMalformed) {
+	if !errors.Is(m.err, store.ErrInvalid) {
 		node.unconfirmed = true
 		return
 	}
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -59,7 +59,7 @@
 		e, err := c.Store.Get(rctx, election.TermKey)
 		cancel()
 		var term election.TermRecord
-		if err == nil && e.Mark != 0 {
+		if err == nil && e.ModRevision != 0 {
 			err = json.Unmarshal(e.Value, &term)
 		}
 		if err == nil {
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -125,12 +125,12 @@
 // registerUnregistered has a machine written to the roster if it is not on it. No
 // earlier leader has started anything there, so it counts as heard.
 func (lt *leaderTerm) registerUnregistered(m *machine) {
-	if m.roster != rosterNone || m.cpus <= 0 || m.evacuating {
+	if m.registration != unregistered || m.cpus <= 0 || m.evacuating {
 		return
 	}
-	m.roster = rosterWriting
+	m.registration = registering
 	m.fenced = true
-	lt.recorder.enroll(m)
+	lt.recordWriter.register(m)
 }
 
 // lateResponse is how long before an answer this node may have been held up and the
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -17,38 +17,38 @@
 // Whatever appears late only names machines that are on another shard too, or
 // are gone.
 type shard struct {
-	key     string
-	members []*machine
-	stale   bool
+	key      string
+	machines []*machine
+	stale    bool
 	// replaces is the shard whose place it takes, and perhaps are the names of
 	// those that should have taken its own, with outcomes unknown. They go
 	// only together with it, when the next is written: one of them may be all
 	// that is left.
-	replaces *shard
-	perhaps  []string
-	// part is set if it takes over only some of those on the shard that it
+	replaces        *shard
+	possiblyWritten []string
+	// partial is set if it takes over only some of those on the shard that it
 	// replaces, which stays until the rest of them is on record elsewhere too.
-	part bool
+	partial bool
 }
 
 // shardEntryBytes is about how long a machine's entry is, in bytes.
 const shardEntryBytes = 150
 
-func (w *recorder) newShard(members []*machine) *shard {
-	w.shards++
-	return &shard{key: fmt.Sprintf("%s%d-%d", store.MachinePrefix, w.leaderTerm.term.Number, w.shards), members: slices.Clone(members)}
+func (rw *recordWriter) newShard(members []*machine) *shard {
+	rw.shardCount++
+	return &shard{key: fmt.Sprintf("%s%d-%d", store.MachinePrefix, rw.leaderTerm.term.Number, rw.shardCount), machines: slices.Clone(members)}
 }
 
-// fitting is how many of the first machines a new shard holds, and its size.
-func (w *recorder) fitting(members []*machine) (n, size int) {
+// shardPrefix is how many of the first machines a new shard holds, and its size.
+func (rw *recordWriter) shardPrefix(members []*machine) (n, size int) {
 	const frame = 32 // of a shard, beside its entries
 	size = frame
-	for n < min(w.perShard, len(members)) {
+	for n < min(rw.machinesPerShard, len(members)) {
 		raw, err := json.Marshal(members[n].entry())
 		if err != nil {
 			panic(err) // records hold only plain values
 		}
-		if size+len(raw)+1 > w.shardRoom {
+		if size+len(raw)+1 > rw.maxShardBytes {
 			break
 		}
 		n, size = n+1, size+len(raw)+1
@@ -64,27 +64,27 @@
 
 // shard adds a shard to a batch.
 func (b *batch) shard(s *shard) {
-	var rec store.RosterRecord
-	for _, m := range s.members {
+	var rec store.RegistryShardRecord
+	for _, m := range s.machines {
 		rec.Machines = append(rec.Machines, m.entry())
 	}
 	b.put(s.key, rec)
 	b.shards = append(b.shards, s)
 }
 
-// dropMember removes a machine that is gone. Its shard is dropped with the last of
+// deregister removes a machine that is gone. Its shard is dropped with the last of
 // its machines, and otherwise rewritten when there is time: an entry too many
 // costs the next leader a question, one too few would be a task run twice.
-func (w *recorder) dropMember(m *machine) {
+func (rw *recordWriter) deregister(m *machine) {
 	s := m.shard
 	if s == nil {
 		return
 	}
 	m.shard = nil
-	s.members = slices.DeleteFunc(s.members, func(o *machine) bool { return o == m })
+	s.machines = slices.DeleteFunc(s.machines, func(o *machine) bool { return o == m })
 	if !s.stale {
 		s.stale = true
-		w.stale = append(w.stale, s)
+		rw.staleShards = append(rw.staleShards, s)
 	}
 }
 
@@ -95,48 +95,48 @@
 // which nobody is left. A shard written under larger limits may hold more than a
 // new one: it then stays until all of them are on new ones, one after the other.
 // Whatever is cut off between, each machine is on one of them.
-func (w *recorder) rewriteStale(b *batch, allowed int, now time.Time) {
-	w.stale = slices.DeleteFunc(w.stale, func(s *shard) bool {
-		if len(s.members) > 0 || len(b.txn.Ops) >= allowed {
+func (rw *recordWriter) rewriteStale(b *batch, allowed int, now time.Time) {
+	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(s *shard) bool {
+		if len(s.machines) > 0 || len(b.txn.Ops) >= allowed {
 			return false
 		}
 		b.replace(s, allowed)
 		return true
 	})
-	if len(w.stale) == 0 || now.Before(w.nextShard) || len(b.txn.Ops)+2 > allowed || b.bytes >= w.maxBytes {
+	if len(rw.staleShards) == 0 || now.Before(rw.nextShard) || len(b.txn.Ops)+2 > allowed || b.bytes >= rw.maxBytes {
 		return
 	}
-	s := w.stale[0]
-	n, size := w.fitting(s.members)
+	s := rw.staleShards[0]
+	n, size := rw.shardPrefix(s.machines)
 	if n == 0 {
-		w.keepStale(s)
+		rw.keepStale(s)
 		return
 	}
-	if len(b.txn.Ops) > 0 && b.bytes+size > w.maxBytes {
+	if len(b.txn.Ops) > 0 && b.bytes+size > rw.maxBytes {
 		return
 	}
-	w.nextShard = now.Add(rewriteInterval)
-	w.stale = w.stale[1:]
-	next := w.newShard(s.members[:n])
+	rw.nextShard = now.Add(rewriteInterval)
+	rw.staleShards = rw.staleShards[1:]
+	next := rw.newShard(s.machines[:n])
 	next.replaces = s
 	b.shard(next)
-	if next.part = n < len(s.members); !next.part {
+	if next.partial = n < len(s.machines); !next.partial {
 		b.replace(s, allowed)
 	}
 }
 
 // keepStale leaves a shard as it is that no new one can replace, until another of
 // its machines goes.
-func (w *recorder) keepStale(s *shard) {
-	w.leaderTerm.c.Log.Error("shard of the roster cannot be written again", "key", s.key)
+func (rw *recordWriter) keepStale(s *shard) {
+	rw.leaderTerm.c.Log.Error("shard of the roster cannot be written again", "key", s.key)
 	s.stale = false
-	w.stale = slices.DeleteFunc(w.stale, func(o *shard) bool { return o == s })
+	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(o *shard) bool { return o == s })
 }
 
 // replace drops a shard in a batch. What finds no place stays behind.
 func (b *batch) replace(s *shard, allowed int) {
 	b.delete(s.key)
-	for _, key := range s.perhaps {
+	for _, key := range s.possiblyWritten {
 		if len(b.txn.Ops) < allowed {
 			b.delete(key)
 		}
@@ -144,38 +144,38 @@
 	b.replaced = append(b.replaced, s)
 }
 
-// unwritten handles a batch whose shards were not written, or may not have
+// requeueShards handles a batch whose shards were not written, or may not have
 // been.
-func (w *recorder) unwritten(b *batch) {
+func (rw *recordWriter) requeueShards(b *batch) {
 	for _, s := range b.shards {
 		if s.replaces != nil {
-			s.replaces.perhaps = append(s.replaces.perhaps, s.key)
-			if s.part {
-				w.stale = append(w.stale, s.replaces)
+			s.replaces.possiblyWritten = append(s.replaces.possiblyWritten, s.key)
+			if s.partial {
+				rw.staleShards = append(rw.staleShards, s.replaces)
 			}
 			continue
 		}
 		// Nothing was started on these machines yet.
-		w.drops = append(w.drops, s.key)
-		w.enrolling = append(w.enrolling, s.members...)
+		rw.pendingDeletes = append(rw.pendingDeletes, s.key)
+		rw.registering = append(rw.registering, s.machines...)
 	}
-	w.stale = append(w.stale, b.replaced...)
+	rw.staleShards = append(rw.staleShards, b.replaced...)
 }
 
-// written handles a batch whose shards are on record.
-func (w *recorder) written(b *batch) {
+// shardsWritten handles a batch whose shards are on record.
+func (rw *recordWriter) shardsWritten(b *batch) {
 	for _, s := range b.shards {
-		if old := s.replaces; s.part {
-			old.members = slices.DeleteFunc(old.members, func(m *machine) bool { return slices.Contains(s.members, m) })
-			w.stale = append(w.stale, old)
+		if old := s.replaces; s.partial {
+			old.machines = slices.DeleteFunc(old.machines, func(m *machine) bool { return slices.Contains(s.machines, m) })
+			rw.staleShards = append(rw.staleShards, old)
 		}
-		s.replaces, s.part = nil, false
-		for _, m := range slices.Clone(s.members) {
-			m.roster, m.shard = rosterDurable, s
+		s.replaces, s.partial = nil, false
+		for _, m := range slices.Clone(s.machines) {
+			m.registration, m.shard = registered, s
 			if m.terminated {
-				w.dropMember(m)
+				rw.deregister(m)
 			}
 		}
-		w.leaderTerm.dispatchUntil = time.Now().Add(dispatchFor)
+		rw.leaderTerm.dispatchUntil = time.Now().Add(dispatchFor)
 	}
 }
--- a/internal/controller/roster_test.go
+++ b/internal/controller/roster_test.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	for _, e := range p.Rows {
-		var rec store.RosterRecord
+	for _, e := range p.Entries {
+		var rec store.RegistryShardRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil {
 			w.t.Fatal(err)
 		}
@@ -113,7 +113,7 @@
 					names, inUse := w.roster(), []string(nil)
 					a.look(func(c *Controller) {
 						for name, m := range c.leaderTerm.machines {
-							if m.roster == rosterDurable {
+							if m.registration == registered {
 								inUse = append(inUse, name)
 							}
 						}
@@ -140,12 +140,12 @@
 		a := w.start("n0")
 		w.worker("i-1", "a", false).serve(a, 3)
 		a.look(func(c *Controller) {
-			rec := &c.leaderTerm.recorder
+			rec := &c.leaderTerm.recordWriter
 			old := c.leaderTerm.machines["i-1"].shard
-			next := rec.newShard(old.members)
+			next := rec.newShard(old.machines)
 			next.replaces, old.stale = old, true
-			rec.unwritten(&batch{shards: []*shard{next}, replaced: []*shard{old}})
-			w.same("dropped by themselves", len(rec.drops), 0)
+			rec.requeueShards(&batch{shards: []*shard{next}, replaced: []*shard{old}})
+			w.same("dropped by themselves", len(rec.pendingDeletes), 0)
 			b := &batch{}
 			rec.rewriteStale(b, 10, time.Now())
 			w.same("put", b.txn.Ops[0].Put != "" && b.txn.Ops[0].Put != next.key, true)
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -56,7 +56,7 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
 		k.serve(n, 3)
-		w.store.Hold(touches(store.FinalPrefix))
+		w.store.Hold(touches(store.TerminalPrefix))
 		k.exit(api.CauseDone)
 		k.serve(n, 2)
 		if got := w.phase(n, "job-1"); got == api.JobDone {
@@ -303,7 +303,7 @@
 	}
 	if hang {
 		<-ctx.Done()
-		return store.Changes{}, store.ErrUnknown
+		return store.Changes{}, store.ErrOutcomeUnknown
 	}
 	return d.Fake.Watch(ctx, prefix, from, block)
 }
--- a/internal/controller/settle.go
+++ b/internal/controller/settle.go
@@ -11,68 +11,68 @@
 
 // verify reads how jobs ended whose record had changed when their end was written:
 // mostly by this leader's own transaction, whose answer was lost.
-func (w *recorder) verify(jobs []*job) {
+func (rw *recordWriter) verify(jobs []*job) {
 	for _, j := range jobs {
-		w.finishing = slices.DeleteFunc(w.finishing, func(o *job) bool { return o == j })
-		w.leaderTerm.dependencies.pendingCancels = slices.DeleteFunc(w.leaderTerm.dependencies.pendingCancels, func(o *job) bool { return o == j })
-		w.unsettled = append(w.unsettled, j.spec.ID)
+		rw.finishing = slices.DeleteFunc(rw.finishing, func(o *job) bool { return o == j })
+		rw.leaderTerm.dependencies.pendingCancels = slices.DeleteFunc(rw.leaderTerm.dependencies.pendingCancels, func(o *job) bool { return o == j })
+		rw.outcomeUnknown = append(rw.outcomeUnknown, j.spec.ID)
 	}
-	w.settleNext()
+	rw.resolveNext()
 }
 
-// settleNext looks at one job at a time. After a while of lost answers there are
+// resolveNext looks at one job at a time. After a while of lost answers there are
 // many, and looked at side by side they used up each other's turns in the request
 // budget: none was ever read to its end, and the fleet was kept for work long done.
-func (w *recorder) settleNext() {
-	if w.settling || len(w.unsettled) == 0 {
+func (rw *recordWriter) resolveNext() {
+	if rw.resolving || len(rw.outcomeUnknown) == 0 {
 		return
 	}
-	w.settling = true
-	go w.leaderTerm.settle(w.unsettled[0])
-	w.unsettled = w.unsettled[1:]
+	rw.resolving = true
+	go rw.leaderTerm.resolveOutcomeOf(rw.outcomeUnknown[0])
+	rw.outcomeUnknown = rw.outcomeUnknown[1:]
 }
 
-// settle reads how a job ended, within the leader's own request budget.
-func (lt *leaderTerm) settle(id string) {
+// resolveOutcomeOf reads how a job ended, within the leader's own request budget.
+func (lt *leaderTerm) resolveOutcomeOf(id string) {
 	records := store.Records{Store: lt.c.Store}
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
 		st, found, err := records.Lookup(ctx, id)
 		cancel()
 		if err == nil {
-			lt.sendToOwner(settledMsg{lt, id, st, found})
+			lt.sendToOwner(outcomeResolvedMsg{lt, id, st, found})
 			return
 		}
 		sleep(lt.ctx, 300*time.Millisecond)
 	}
 }
 
-type settledMsg struct {
+type outcomeResolvedMsg struct {
 	leaderTerm *leaderTerm
 	id         string
-	st         api.JobState
+	state      api.JobState
 	found      bool
 }
 
-func (m settledMsg) apply(c *Controller) {
+func (m outcomeResolvedMsg) apply(c *Controller) {
 	lt := m.leaderTerm
 	if c.leaderTerm != lt {
 		return
 	}
-	lt.recorder.settling = false
-	defer lt.recorder.settleNext()
+	lt.recordWriter.resolving = false
+	defer lt.recordWriter.resolveNext()
 	j := lt.jobs[m.id]
 	if j == nil || j.ended {
 		return
 	}
 	switch {
-	case m.found && m.st.Phase == api.JobDone:
+	case m.found && m.state.Phase == api.JobDone:
 		lt.jobFinished(j)
-	case m.found && m.st.Phase == api.JobCancelled && !m.st.Derived:
+	case m.found && m.state.Phase == api.JobCancelled && !m.state.Derived:
 		lt.cancelJob(j)
 	case j.cancelPending:
 		lt.dependencies.pendingCancels = append(lt.dependencies.pendingCancels, j)
 	default:
-		lt.recorder.finishing = append(lt.recorder.finishing, j)
+		lt.recordWriter.finishing = append(lt.recordWriter.finishing, j)
 	}
 }
--- a/internal/controller/settle_test.go
+++ b/internal/controller/settle_test.go
@@ -26,10 +26,10 @@
 
 func (s *thrifty) Get(ctx context.Context, key string) (store.Entry, error) {
 	if s.closed.Load() && strings.HasPrefix(key, store.ActivePrefix) {
-		return store.Entry{}, store.ErrRefused
+		return store.Entry{}, store.ErrNotApplied
 	}
 	if err := s.reads.Wait(ctx); err != nil {
-		return store.Entry{}, fmt.Errorf("%w: %w", store.ErrRefused, err)
+		return store.Entry{}, fmt.Errorf("%w: %w", store.ErrNotApplied, err)
 	}
 	return s.Fake.Get(ctx, key)
 }
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -23,7 +23,7 @@
 			}
 			switch rec := op.Value.(type) {
 			case store.ActiveRecord:
-				if text == "lent" && rec.Lent != nil || text == "guest" && rec.Guest != nil || text == "plain" && rec.Spec.ID != "" && rec.Lends > 0 {
+				if text == "lent" && rec.Lent != nil || text == "guest" && rec.Guest != nil || text == "plain" && rec.Spec.ID != "" && rec.LoanCount > 0 {
 					return true
 				}
 			default:
@@ -60,7 +60,7 @@
 		"close":     {1, has(loan.FloorKey(""), "")},
 		"take back": {0, has(store.ActivePrefix, "plain")},
 		"end there": {1, has(loan.EndKey("", "")[:len("loan/end/")], "")},
-		"end here":  {0, has(store.FinalPrefix, "")},
+		"end here":  {0, has(store.TerminalPrefix, "")},
 		"forget":    {1, drops("loan/end/")},
 	}
 	troubles := map[string]func(c *cell, match func(store.Txn) bool){
@@ -125,7 +125,7 @@
 			t.Error("nothing was held")
 		}
 		for _, res := range late {
-			host.same("carried out late", res.OK, false)
+			host.same("carried out late", res.Succeeded, false)
 		}
 		g.settle(5 * time.Minute)
 	})
@@ -165,7 +165,7 @@
 			t.Errorf("%d held", len(late))
 		}
 		for _, res := range late {
-			host.same("carried out again", res.OK, false)
+			host.same("carried out again", res.Succeeded, false)
 		}
 		g.settle(5 * time.Minute)
 		host.same("jobs", len(ids), 6)
@@ -435,7 +435,7 @@
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		for i := range 6 { // over, and known, at the host
-			host.put(store.FinalPrefix+fmt.Sprint("job-10", i), store.FinalRecord{Phase: api.JobDone, Tasks: 1})
+			host.put(store.TerminalPrefix+fmt.Sprint("job-10", i), store.TerminalRecord{Phase: api.JobDone, Tasks: 1})
 		}
 		g.burst(home, 100, 6, 6*time.Second)
 		g.settle(4 * time.Minute)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -158,7 +158,7 @@
 		return "awaits others"
 	case now.Before(j.backoffUntil):
 		return "fails everywhere"
-	case lt.unfenced > 0 && j.modRevision <= lt.term.Mark:
+	case lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision:
 		return "takeover"
 	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return "team limit"
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -12,13 +12,13 @@
 
 // snapshot is what a new leader reads of the store.
 type snapshot struct {
-	asked      time.Time
-	ring       uint64
-	cancelMark uint64
-	active     []store.Entry
-	progress   []store.Entry
-	machines   []store.Entry
-	loans      []store.Entry
+	readAt         time.Time
+	revision       uint64
+	cancelRevision uint64
+	active         []store.Entry
+	completions    []store.Entry
+	machines       []store.Entry
+	loans          []store.Entry
 }
 
 // load reads the store until it succeeds.
@@ -27,7 +27,7 @@
 		snap, err := lt.read()
 		if err == nil {
 			lt.sendToOwner(loadedMsg{lt, snap})
-			lt.watch(snap.ring)
+			lt.watch(snap.revision)
 			return
 		}
 		lt.c.Log.Debug("takeover: read", "err", err)
@@ -36,13 +36,13 @@
 }
 
 func (lt *leaderTerm) read() (*snapshot, error) {
-	s := snapshot{asked: time.Now()}
+	s := snapshot{readAt: time.Now()}
 	var err error
 	// The active jobs come first: their revision is where the watch begins.
-	if s.active, s.ring, err = lt.readAll(store.ActivePrefix); err != nil {
+	if s.active, s.revision, err = lt.readAll(store.ActivePrefix); err != nil {
 		return nil, err
 	}
-	if s.progress, _, err = lt.readAll(store.ProgressPrefix); err != nil {
+	if s.completions, _, err = lt.readAll(store.CompletionPrefix); err != nil {
 		return nil, err
 	}
 	if s.machines, _, err = lt.readAll(store.MachinePrefix); err != nil {
@@ -55,7 +55,7 @@
 	}
 	s.active = slices.DeleteFunc(s.active, func(e store.Entry) bool {
 		if e.Key == store.CancelKey {
-			s.cancelMark = e.Mark
+			s.cancelRevision = e.ModRevision
 			return true
 		}
 		return false
@@ -73,13 +73,13 @@
 			return nil, 0, err
 		}
 		if ring == 0 {
-			ring = p.Ring
+			ring = p.Revision
 		}
-		rows = append(rows, p.Rows...)
-		if !p.More || len(p.Rows) == 0 {
+		rows = append(rows, p.Entries...)
+		if !p.More || len(p.Entries) == 0 {
 			return rows, ring, nil
 		}
-		from = p.Rows[len(p.Rows)-1].Key
+		from = p.Entries[len(p.Entries)-1].Key
 	}
 }
 
@@ -94,15 +94,15 @@
 		return
 	}
 	now := time.Now()
-	lt.cancelRevision = m.snapshot.cancelMark
+	lt.cancelRevision = m.snapshot.cancelRevision
 	for _, e := range m.snapshot.loans {
 		lt.loans.addRecord(e)
 	}
 	for _, e := range m.snapshot.active {
-		lt.addJob(e.Key, e.Value, e.Mark)
+		lt.addJob(e.Key, e.Value, e.ModRevision)
 	}
-	for _, e := range m.snapshot.progress {
-		lt.addProgress(e, now)
+	for _, e := range m.snapshot.completions {
+		lt.addCompletion(e, now)
 	}
 	var waiting []*job
 	for _, j := range lt.jobs {
@@ -115,7 +115,7 @@
 	for _, e := range m.snapshot.machines {
 		lt.addShard(e, now)
 	}
-	lt.loaded, lt.heartbeatsSince, lt.cancellationsConfirmedAt = true, now, m.snapshot.asked
+	lt.loaded, lt.heartbeatsSince, lt.cancellationsConfirmedAt = true, now, m.snapshot.readAt
 	go lt.dependencyLists.sweep()
 	if c.CommandSender != nil {
 		lt.resyncNext(now)
@@ -125,7 +125,7 @@
 
 // addShard adds the machines of a shard of the roster.
 func (lt *leaderTerm) addShard(e store.Entry, now time.Time) {
-	var rec store.RosterRecord
+	var rec store.RegistryShardRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
 		lt.c.Log.Error("roster record", "key", e.Key, "err", err)
 		return
@@ -138,30 +138,30 @@
 		m := lt.addMachine(one.Name, one.Type, one.Zone, one.Spot, now)
 		m.addr = one.Addr
 		m.cpus, m.gpus, m.memory = one.CPUs, one.GPUs, one.MemoryGB
-		m.roster, m.shard = rosterDurable, s
-		s.members = append(s.members, m)
+		m.registration, m.shard = registered, s
+		s.machines = append(s.machines, m)
 		lt.toResync = append(lt.toResync, m)
 		lt.unfenced++
 		lt.unfencedCPUs += m.cpus
 		lt.unfencedGPUs += m.gpus
 	}
-	if len(s.members) < len(rec.Machines) {
+	if len(s.machines) < len(rec.Machines) {
 		s.stale = true
-		lt.recorder.stale = append(lt.recorder.stale, s)
+		lt.recordWriter.staleShards = append(lt.recordWriter.staleShards, s)
 	}
 }
 
-func (lt *leaderTerm) addProgress(e store.Entry, now time.Time) {
-	id, first, ok := store.ParseProgressKey(e.Key)
+func (lt *leaderTerm) addCompletion(e store.Entry, now time.Time) {
+	id, first, ok := store.ParseCompletionKey(e.Key)
 	if !ok {
 		return
 	}
 	j := lt.jobs[id]
 	if j == nil {
-		lt.recorder.drop(e.Key)
+		lt.recordWriter.deleteKey(e.Key)
 		return
 	}
-	var rec store.ProgressRecord
+	var rec store.CompletionRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
 		lt.c.Log.Error("progress record", "key", e.Key, "err", err)
 		return
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -309,7 +309,7 @@
 		term := k.rep.Term
 		w.same("new incarnation leads", term > 0, true)
 		for _, res := range w.store.Release() {
-			w.same("late takeover carried out", res.OK, false)
+			w.same("late takeover carried out", res.Succeeded, false)
 		}
 		k.serve(b, 8)
 		w.same("term", k.rep.Term, term)
@@ -330,7 +330,7 @@
 		k.serve(c, 4)
 		w.same("phase", w.phase(c, "job-1"), "done")
 		for _, res := range w.store.Release() {
-			w.same("late record carried out", res.OK, false)
+			w.same("late record carried out", res.Succeeded, false)
 		}
 		w.same("phase", w.phase(c, "job-1"), "done")
 		k.serve(c, 3)
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -61,7 +61,7 @@
 	for _, leg := range []time.Duration{y.there, y.back} {
 		select {
 		case <-ctx.Done():
-			return none, store.ErrUnknown
+			return none, store.ErrOutcomeUnknown
 		case <-time.After(leg):
 		}
 		if leg == y.there && f != nil {
@@ -375,7 +375,7 @@
 	if err != nil {
 		tn.t.Error(err)
 	}
-	return e.Mark
+	return e.ModRevision
 }
 
 // starts is how many starts the machines were ordered.
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -324,7 +324,7 @@
 						v.bothTell(fmt.Sprint("job-4", i), "withdrawn")
 					}
 					v.same("terms", v.term(), changes+1) // nobody had to begin anew
-					v.same("progress left", v.keysUnder(store.ProgressPrefix), []string(nil))
+					v.same("progress left", v.keysUnder(store.CompletionPrefix), []string(nil))
 				})
 			})
 		}
@@ -368,8 +368,8 @@
 				v.seconds(8)
 				done := len(v.doneOnRecord("job-1"))
 				v.same("some are done", done > 0, true)
-				res, err := v.store.Txn(context.Background(), store.Txn{Guards: []store.Guard{{Key: "term", Mark: mark}}, Ops: late.ops(v)})
-				v.same("carried out late", []any{res.OK, err}, []any{false, nil})
+				res, err := v.store.Txn(context.Background(), store.Txn{Compares: []store.Compare{{Key: "term", ModRevision: mark}}, Ops: late.ops(v)})
+				v.same("carried out late", []any{res.Succeeded, err}, []any{false, nil})
 				v.beginOld()
 				v.seconds(10)
 				v.same("leads", []bool{v.old.leads(), v.newLeads()}, []bool{false, true})
@@ -384,7 +384,7 @@
 // What a leader of this version has written is carried out late, under an old leader
 // that has written since: none of it counts.
 func TestLateRecordsUnderAnOldLeader(t *testing.T) {
-	for _, prefix := range []string{store.ProgressPrefix, store.FinalPrefix, store.MachinePrefix} {
+	for _, prefix := range []string{store.CompletionPrefix, store.TerminalPrefix, store.MachinePrefix} {
 		t.Run(prefix, func(t *testing.T) {
 			playMixed(t, 3, false, func(v *mixed) {
 				v.submit(v.new, spec("job-2", 2))
@@ -399,7 +399,7 @@
 				results := v.store.Release()
 				v.same("some are late", len(results) > 0, true)
 				for _, res := range results {
-					v.same("carried out late", res.OK, false)
+					v.same("carried out late", res.Succeeded, false)
 				}
 				v.seconds(3)
 				v.handOver()
@@ -484,7 +484,7 @@
 					v.pipeline()
 					v.seconds(4)
 					if late {
-						v.store.Hold(func(txn store.Txn) bool { return txn.Records && touches(store.FinalPrefix)(txn) })
+						v.store.Hold(func(txn store.Txn) bool { return txn.Records && touches(store.TerminalPrefix)(txn) })
 					}
 					if atOld {
 						v.same("cancelled", v.old.cancel("job-1"), "withdrawn")
@@ -497,7 +497,7 @@
 					v.store.Hold(nil)
 					v.seconds(4)
 					for _, res := range v.store.Release() {
-						v.same("carried out late", res.OK, false)
+						v.same("carried out late", res.Succeeded, false)
 					}
 					v.seconds(2)
 					if late {
@@ -647,7 +647,7 @@
 	v.t.Helper()
 	page, err := v.store.Range(context.Background(), "relay/"+name+"/up/", "", 6)
 	var parts []oldPart
-	for _, e := range page.Rows {
+	for _, e := range page.Entries {
 		var p oldPart
 		err = errors.Join(err, json.Unmarshal(e.Value, &p))
 		parts = append(parts, p)
@@ -732,7 +732,7 @@
 	if err != nil {
 		v.t.Fatal(err)
 	}
-	for _, e := range page.Rows {
+	for _, e := range page.Entries {
 		size = max(size, len(e.Value))
 	}
 	return size
@@ -778,7 +778,7 @@
 							v.same("knows all that is done", len(o.leadership.jobs["job-1"].done) >= done, true)
 						})
 						more(4)
-						v.same("too large to come", v.largest(store.MachinePrefix) > 1024 && v.largest(store.ProgressPrefix) > 1024, true)
+						v.same("too large to come", v.largest(store.MachinePrefix) > 1024 && v.largest(store.CompletionPrefix) > 1024, true)
 					}
 					v.same("on the roster", len(v.roster()), machines)
 					v.handOver()
@@ -822,9 +822,9 @@
 		v.seconds(20)
 		v.same("go on", len(v.running("job-1"))+len(v.running("job-2")), 16)
 		page, err := v.store.Range(context.Background(), "keep/", "", 100) // no more are read
-		v.same("kept machines in several records", []any{len(page.Rows) > 1, page.More, err}, []any{true, false, nil})
+		v.same("kept machines in several records", []any{len(page.Entries) > 1, page.More, err}, []any{true, false, nil})
 		var kept []string
-		for _, e := range page.Rows {
+		for _, e := range page.Entries {
 			var k oldLeaseExtension
 			v.same(e.Key, []any{json.Unmarshal(e.Value, &k), k.Term}, []any{nil, v.term()})
 			kept = append(kept, k.Hosts...)
@@ -850,7 +850,7 @@
 	playMixed(t, 2, true, func(v *mixed) {
 		v.old.passesOver = []string{store.ActivePrefix + "job-1", store.ActivePrefix + "job-2"}
 		lent, guest := spec("job-1", 2), spec("job-2", 2)
-		v.put(store.ActivePrefix+"job-1", store.ActiveRecord{Accepted: time.Now(), Lends: 1,
+		v.put(store.ActivePrefix+"job-1", store.ActiveRecord{Accepted: time.Now(), LoanCount: 1,
 			Lent: &loan.Lent{Host: "cell-b", Epoch: 5, Spec: *lent, Grant: loan.Grant{CPUs: 2}, Since: time.Now()}})
 		v.put(store.ActivePrefix+"job-2", store.ActiveRecord{Accepted: time.Now(),
 			Guest: &loan.Guest{Home: "cell-b", Epoch: 6, Spec: *guest, Grant: loan.Grant{CPUs: 2}, Since: time.Now()}})
--- a/internal/controller/waits_test.go
+++ b/internal/controller/waits_test.go
@@ -38,7 +38,7 @@
 			w.same("waits", got, map[string]int{"team limit": 1, "no room": 1})
 			w.same("oldest", oldest.spec.ID, "job-2")
 			c.leaderTerm.unfenced++
-			oldest.modRevision = c.leaderTerm.term.Mark // accepted before this term
+			oldest.modRevision = c.leaderTerm.term.ModRevision // accepted before this term
 			w.same("before a takeover is over", c.leaderTerm.pendingReason(oldest, time.Now()), "takeover")
 			c.leaderTerm.unfenced--
 			oldest.backoffUntil = time.Now().Add(time.Second)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -25,9 +25,9 @@
 // Term is one leadership of this process.
 type Term struct {
 	Number uint64
-	// Mark is the version of the term key, on which the leader's
+	// ModRevision is the version of the term key, on which the leader's
 	// transactions guard.
-	Mark uint64
+	ModRevision uint64
 }
 
 // LeaderRecord is the value of the leader key.
@@ -103,9 +103,9 @@
 	if err != nil {
 		return err
 	}
-	if cur.Mark == 0 {
+	if cur.ModRevision == 0 {
 		e.Observer.LeaderChanged("")
-		return e.campaign(ctx, cur.Mark, anyTerm)
+		return e.campaign(ctx, cur.ModRevision, anyTerm)
 	}
 	var h LeaderRecord
 	if err := json.Unmarshal(cur.Value, &h); err != nil {
@@ -115,14 +115,14 @@
 		// Whatever incarnation wrote it is over, or lost the answer to its
 		// transaction: a new term is taken at once, without waiting for the
 		// lease to end.
-		return e.campaign(ctx, cur.Mark, anyTerm)
+		return e.campaign(ctx, cur.ModRevision, anyTerm)
 	}
 	e.Observer.LeaderChanged(h.Node)
-	resigned, err := e.follow(ctx, h.Node, cur.Mark)
+	resigned, err := e.follow(ctx, h.Node, cur.ModRevision)
 	if resigned != anyTerm {
 		// It acts for nobody any more in that term. Should it have begun a new one
 		// since, this does nothing: the notice may have come late.
-		return e.campaign(ctx, cur.Mark, resigned)
+		return e.campaign(ctx, cur.ModRevision, resigned)
 	}
 	return err
 }
@@ -163,7 +163,7 @@
 		if s.err != nil || len(s.ch.Events) > 0 {
 			return anyTerm, s.err
 		}
-		from = max(from, s.ch.Ring)
+		from = max(from, s.ch.Revision)
 	}
 }
 
@@ -175,7 +175,7 @@
 		return err
 	}
 	var tv TermRecord
-	if old.Mark != 0 {
+	if old.ModRevision != 0 {
 		if err := json.Unmarshal(old.Value, &tv); err != nil {
 			return fmt.Errorf("term key: %w", err)
 		}
@@ -186,14 +186,14 @@
 	tv.Number++
 	sent := time.Now()
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
-	lease, err := e.Store.Grant(cctx, e.Lease)
+	lease, err := e.Store.GrantLease(cctx, e.Lease)
 	cancel()
 	if err != nil {
 		return err
 	}
 	cctx, cancel = context.WithTimeout(ctx, callTimeout)
 	res, err := e.Store.Txn(cctx, store.Txn{
-		Guards: []store.Guard{{Key: LeaderKey, Mark: leaderMark}, {Key: TermKey, Mark: old.Mark}},
+		Compares: []store.Compare{{Key: LeaderKey, ModRevision: leaderMark}, {Key: TermKey, ModRevision: old.ModRevision}},
 		Ops: []store.Op{
 			{Put: LeaderKey, Value: LeaderRecord{Node: e.Node, Incarnation: e.Incarnation}, Lease: lease},
 			{Put: TermKey, Value: tv},
@@ -203,10 +203,10 @@
 	if err != nil {
 		return err
 	}
-	if !res.OK {
+	if !res.Succeeded {
 		return nil
 	}
-	e.lead(ctx, Term{Number: tv.Number, Mark: res.Ring}, lease, sent.Add(leaseValidity(e.Lease)))
+	e.lead(ctx, Term{Number: tv.Number, ModRevision: res.Revision}, lease, sent.Add(leaseValidity(e.Lease)))
 	return nil
 }
 
@@ -230,7 +230,7 @@
 		}
 		sent := time.Now()
 		cctx, cancel := context.WithTimeout(ctx, callTimeout)
-		err := e.Store.Extend(cctx, lease)
+		err := e.Store.RenewLease(cctx, lease)
 		cancel()
 		switch {
 		case err == nil:
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -339,7 +339,7 @@
 
 func (s stateService) get(w http.ResponseWriter, r *http.Request) {
 	e, _ := s.fake.Get(r.Context(), r.PathValue("key"))
-	if e.Mark == 0 {
+	if e.ModRevision == 0 {
 		answer(w, 404, map[string]int{"Ring": 1})
 		return
 	}
@@ -363,23 +363,23 @@
 	switch {
 	case err != nil:
 		answer(w, 400, map[string]string{"error": "no such lease"})
-	case res.OK:
-		answer(w, 200, map[string]uint64{"Ring": res.Ring})
+	case res.Succeeded:
+		answer(w, 200, map[string]uint64{"Ring": res.Revision})
 	default:
-		answer(w, 409, map[string]any{"Ring": res.Ring, "failed": res.Failed})
+		answer(w, 409, map[string]any{"Ring": res.Revision, "failed": res.FailedKeys})
 	}
 }
 
 func (s stateService) grant(w http.ResponseWriter, r *http.Request) {
 	var in struct{ LifeMs int64 }
 	json.NewDecoder(r.Body).Decode(&in)
-	id, _ := s.fake.Grant(r.Context(), time.Duration(in.LifeMs)*time.Millisecond)
+	id, _ := s.fake.GrantLease(r.Context(), time.Duration(in.LifeMs)*time.Millisecond)
 	answer(w, 200, map[string]uint64{"Tenure": id})
 }
 
 func (s stateService) extend(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
-	if s.fake.Extend(r.Context(), id) != nil {
+	if s.fake.RenewLease(r.Context(), id) != nil {
 		answer(w, 404, map[string]int{})
 		return
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -25,7 +25,7 @@
 // ErrUnable means that the peer is not entitled to answer.
 var ErrUnable = errors.New("peer: not entitled to answer")
 
-// ErrRefused means that the peer's connections are refused: by a packet filter,
+// ErrNotApplied means that the peer's connections are refused: by a packet filter,
 // or since no process is there. Either way the network to its host works.
 var ErrRefused = errors.New("peer: connection refused")
 
--- a/internal/store/awaits.go
+++ b/internal/store/awaits.go
@@ -98,7 +98,7 @@
 
 // listOps bounds the changes of a transaction that writes a list: a node's write
 // budget lets no more through at once, however small its part.
-const listOps = leastBurst
+const listOps = MinWriteBurst
 
 // writeDependencies writes the records of a job's list that are not written yet. The job
 // is accepted only afterwards; what is left of a submission that is never repeated
@@ -117,8 +117,8 @@
 		most = min(most, r.Limits.TxnOps)
 	}
 	// Once the job is known no record is written any more, however late.
-	unknown := []Guard{{ActivePrefix + id, 0}, {FinalPrefix + id, 0}}
-	txn, size := Txn{Guards: unknown}, 0
+	unknown := []Compare{{ActivePrefix + id, 0}, {TerminalPrefix + id, 0}}
+	txn, size := Txn{Compares: unknown}, 0
 	for i, key := range list.Keys(id) {
 		if !written[key] {
 			txn.Ops = append(txn.Ops, Op{Put: key, Value: parts[i]})
@@ -129,10 +129,10 @@
 			continue
 		}
 		res, err := r.txn(ctx, txn)
-		if err != nil || !res.OK {
+		if err != nil || !res.Succeeded {
 			return false, err
 		}
-		txn, size = Txn{Guards: unknown}, 0
+		txn, size = Txn{Compares: unknown}, 0
 	}
 	return true, nil
 }
@@ -154,11 +154,11 @@
 		if err != nil {
 			return nil, err
 		}
-		rows = append(rows, p.Rows...)
-		if !p.More || len(p.Rows) == 0 {
+		rows = append(rows, p.Entries...)
+		if !p.More || len(p.Entries) == 0 {
 			return rows, nil
 		}
-		from = p.Rows[len(p.Rows)-1].Key
+		from = p.Entries[len(p.Entries)-1].Key
 	}
 }
 
@@ -169,11 +169,11 @@
 		if err != nil {
 			return err
 		}
-		for _, e := range p.Rows {
+		for _, e := range p.Entries {
 			from = e.Key
 			tell(from)
 		}
-		if !p.More || len(p.Rows) == 0 {
+		if !p.More || len(p.Entries) == 0 {
 			return nil
 		}
 	}
@@ -196,13 +196,13 @@
 	}
 	keys := list.Keys(id)
 	if len(rows) != len(keys) {
-		return nil, fmt.Errorf("%w: %d of %d records list what %s awaits", ErrUnknown, len(rows), len(keys), id)
+		return nil, fmt.Errorf("%w: %d of %d records list what %s awaits", ErrOutcomeUnknown, len(rows), len(keys), id)
 	}
 	var ids []string
 	for i, e := range rows {
 		var part DependencyRecord
 		if err := json.Unmarshal(e.Value, &part); err != nil || e.Key != keys[i] {
-			return nil, fmt.Errorf("%w: record %s: %w", ErrUnknown, e.Key, err)
+			return nil, fmt.Errorf("%w: record %s: %w", ErrOutcomeUnknown, e.Key, err)
 		}
 		ids = append(ids, part.Jobs...)
 	}
@@ -272,7 +272,7 @@
 	if s.active == nil && s.reads < maxSingleReads {
 		s.reads++
 		e, err := s.records.get(ctx, ActivePrefix+id)
-		if err != nil || e.Mark == 0 || isGuest(e) {
+		if err != nil || e.ModRevision == 0 || isGuestRecord(e) {
 			return nil, false, err
 		}
 		a = dependenciesOf(e)
@@ -300,7 +300,7 @@
 	if err := s.run(ctx, ids); err != nil {
 		return false, err
 	}
-	ends, err := r.Ends(ctx, s.ended)
+	ends, err := r.TerminalRecords(ctx, s.ended)
 	if err != nil {
 		return false, err
 	}
@@ -328,7 +328,7 @@
 	if err := s.run(ctx, a.ids); err != nil {
 		return false, err
 	}
-	ends, err := r.Ends(ctx, s.ended)
+	ends, err := r.TerminalRecords(ctx, s.ended)
 	for _, end := range ends {
 		if end.Phase == api.JobCancelled {
 			return true, err
@@ -365,7 +365,7 @@
 	case slots <- struct{}{}:
 		return func() { <-slots }, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("%w: too many at a time", ErrRefused)
+		return nil, fmt.Errorf("%w: too many at a time", ErrNotApplied)
 	}
 }
 
@@ -382,89 +382,89 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, e := range p.Rows {
-			if from = e.Key; !isGuest(e) {
+		for _, e := range p.Entries {
+			if from = e.Key; !isGuestRecord(e) {
 				all[strings.Clone(strings.TrimPrefix(e.Key, ActivePrefix))] = dependenciesOf(e)
 			}
 		}
-		if !p.More || len(p.Rows) == 0 {
+		if !p.More || len(p.Entries) == 0 {
 			return all, nil
 		}
 	}
 }
 
-// Ends reads how jobs ended that are not active. What never ended is left out. What
+// TerminalRecords reads how jobs ended that are not active. What never ended is left out. What
 // was read before a failure is returned with it.
-func (r *Records) Ends(ctx context.Context, ids []string) (map[string]FinalRecord, error) {
-	ends := make(map[string]FinalRecord, len(ids))
+func (r *Records) TerminalRecords(ctx context.Context, ids []string) (map[string]TerminalRecord, error) {
+	ends := make(map[string]TerminalRecord, len(ids))
 	var unread []string
 	for _, id := range ids {
-		if end, ok := r.rememberedEnd(id); ok {
+		if end, ok := r.cachedTerminal(id); ok {
 			ends[id] = end
-			r.cache.ended(id, end)
+			r.cache.jobEnded(id, end)
 		} else {
 			unread = append(unread, id)
 		}
 	}
 	if len(unread) > maxSingleReads {
-		return ends, r.rangeEnds(ctx, unread, ends)
+		return ends, r.rangeTerminalRecords(ctx, unread, ends)
 	}
 	for _, id := range unread {
-		end, found, err := r.end(ctx, id)
+		end, found, err := r.terminalRecord(ctx, id)
 		if err != nil {
 			return ends, err
 		}
 		if found {
 			ends[id] = end
-			r.rememberEnd(id, end)
+			r.cacheTerminal(id, end)
 		}
 	}
 	return ends, nil
 }
 
-// rememberEnd notes how a job ended. That never changes, so what one try has read
+// cacheTerminal notes how a job ended. That never changes, so what one try has read
 // the next need not.
-func (r *Records) rememberEnd(id string, end FinalRecord) {
-	if r.ends != nil {
-		r.ends.Add(strings.Clone(id), end)
+func (r *Records) cacheTerminal(id string, end TerminalRecord) {
+	if r.terminalCache != nil {
+		r.terminalCache.Add(strings.Clone(id), end)
 	}
-	r.cache.ended(id, end)
+	r.cache.jobEnded(id, end)
 }
 
-func (r *Records) rememberedEnd(id string) (FinalRecord, bool) {
-	if r.ends == nil {
-		return FinalRecord{}, false
+func (r *Records) cachedTerminal(id string) (TerminalRecord, bool) {
+	if r.terminalCache == nil {
+		return TerminalRecord{}, false
 	}
-	return r.ends.Get(id)
+	return r.terminalCache.Get(id)
 }
 
-// rangeEnds reads how jobs ended, in ranges that each begin at one of them:
+// rangeTerminalRecords reads how jobs ended, in ranges that each begin at one of them:
 // it takes at most a request for each job, and one for each page of final records.
-func (r *Records) rangeEnds(ctx context.Context, ids []string, ends map[string]FinalRecord) error {
+func (r *Records) rangeTerminalRecords(ctx context.Context, ids []string, ends map[string]TerminalRecord) error {
 	ids = slices.Clone(ids)
 	slices.Sort(ids)
 	for len(ids) > 0 {
-		p, err := r.page(ctx, FinalPrefix, FinalPrefix+justBefore(ids[0]))
+		p, err := r.page(ctx, TerminalPrefix, TerminalPrefix+justBefore(ids[0]))
 		if err != nil {
 			return err
 		}
-		for _, e := range p.Rows {
-			id := strings.TrimPrefix(e.Key, FinalPrefix)
+		for _, e := range p.Entries {
+			id := strings.TrimPrefix(e.Key, TerminalPrefix)
 			for len(ids) > 0 && ids[0] < id {
 				ids = ids[1:] // never ended
 			}
 			if len(ids) == 0 || ids[0] != id {
 				continue
 			}
-			var f FinalRecord
+			var f TerminalRecord
 			if err := json.Unmarshal(e.Value, &f); err != nil {
 				return fmt.Errorf("record %s: %w", e.Key, err)
 			}
 			ends[id] = f
-			r.rememberEnd(id, f)
+			r.cacheTerminal(id, f)
 			ids = ids[1:]
 		}
-		if !p.More || len(p.Rows) == 0 {
+		if !p.More || len(p.Entries) == 0 {
 			return nil
 		}
 	}
@@ -528,7 +528,7 @@
 		if ok, err := r.writeDependencies(ctx, id, a.list, a.parts); err != nil {
 			return st, false, err
 		} else if !ok {
-			return r.changed(ctx, id)
+			return r.retryAfterConflict(ctx, id)
 		}
 	}
 	txn, first := a.transaction(withdrawn)
@@ -536,32 +536,32 @@
 	if err != nil {
 		return st, false, err
 	}
-	if res.OK {
+	if res.Succeeded {
 		return first, true, nil
 	}
-	return r.changed(ctx, id)
+	return r.retryAfterConflict(ctx, id)
 }
 
 // transaction returns the transaction that makes the job's record, and the state
 // that the job then has: withdrawn if a job that it awaits is.
 func (a *acceptance) transaction(withdrawn bool) (Txn, api.JobState) {
 	id := a.spec.ID
-	txn := Txn{Guards: []Guard{{ActivePrefix + id, 0}, {FinalPrefix + id, 0}}}
+	txn := Txn{Compares: []Compare{{ActivePrefix + id, 0}, {TerminalPrefix + id, 0}}}
 	if withdrawn {
-		final := FinalRecord{Phase: api.JobCancelled, Tasks: a.spec.Tasks}
-		txn.Ops = []Op{{Put: FinalPrefix + id, Value: final}}
-		return txn, final.FinalState(id)
+		final := TerminalRecord{Phase: api.JobCancelled, Tasks: a.spec.Tasks}
+		txn.Ops = []Op{{Put: TerminalPrefix + id, Value: final}}
+		return txn, final.JobState(id)
 	}
 	txn.Ops = []Op{{Put: ActivePrefix + id, Value: a.record}}
 	return txn, api.JobState{ID: id, Phase: api.JobPending}
 }
 
-// changed looks up a job that turned out to be known; perhaps by a transaction of
+// retryAfterConflict looks up a job that turned out to be known; perhaps by a transaction of
 // this very submission, whose answer was lost.
-func (r *Records) changed(ctx context.Context, id string) (api.JobState, bool, error) {
+func (r *Records) retryAfterConflict(ctx context.Context, id string) (api.JobState, bool, error) {
 	st, found, err := r.lookup(ctx, id)
 	if err == nil && !found {
-		err = fmt.Errorf("%w: job %s changed meanwhile", ErrUnknown, id)
+		err = fmt.Errorf("%w: job %s changed meanwhile", ErrOutcomeUnknown, id)
 	}
 	return st, false, err
 }
--- a/internal/store/awaits_test.go
+++ b/internal/store/awaits_test.go
@@ -29,7 +29,7 @@
 
 func (c *countedStore) count() error {
 	if n := c.requests.Add(1); c.most > 0 && int(n) > c.most {
-		return store.ErrRefused
+		return store.ErrNotApplied
 	}
 	return nil
 }
@@ -61,7 +61,7 @@
 // putJob writes a job's record as some node would: an active one, or a final one.
 func putJob(t *testing.T, s store.Service, id, phase string, awaits ...string) {
 	t.Helper()
-	op := store.Op{Put: store.FinalPrefix + id, Value: store.FinalRecord{Phase: phase, Tasks: 1}}
+	op := store.Op{Put: store.TerminalPrefix + id, Value: store.TerminalRecord{Phase: phase, Tasks: 1}}
 	if phase == api.JobPending {
 		op = store.Op{Put: store.ActivePrefix + id, Value: store.ActiveRecord{Spec: api.JobSpec{ID: id, Tasks: 1, DependsOn: awaits}}}
 	}
@@ -153,7 +153,7 @@
 func activeRecord(t *testing.T, s store.Service, id string) (rec store.ActiveRecord) {
 	t.Helper()
 	e, err := s.Get(t.Context(), store.ActivePrefix+id)
-	if err != nil || e.Mark == 0 {
+	if err != nil || e.ModRevision == 0 {
 		t.Fatalf("%s is not active: %v", id, err)
 	}
 	return decode(t, e.Key, e.Value, rec).(store.ActiveRecord)
@@ -378,7 +378,7 @@
 				switch _, _, err := records.Accept(ctx, &api.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); {
 				case err == nil:
 					accepted.Add(1)
-				case errors.Is(err, store.ErrRefused):
+				case errors.Is(err, store.ErrNotApplied):
 					refused.Add(1)
 				default:
 					t.Error(err)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -135,20 +135,20 @@
 		store.ActiveRecord{Spec: plainSpec, Accepted: accepted},
 		oldActive{oldPlainSpec, accepted}},
 	{"done job", `{"phase":"done","tasks":80}`,
-		store.FinalRecord{Phase: api.JobDone, Tasks: 80},
+		store.TerminalRecord{Phase: api.JobDone, Tasks: 80},
 		oldFinal{"done", 80}},
 	{"cancelled job", `{"phase":"withdrawn","tasks":3}`,
-		store.FinalRecord{Phase: api.JobCancelled, Tasks: 3},
+		store.TerminalRecord{Phase: api.JobCancelled, Tasks: 3},
 		oldFinal{"withdrawn", 3}},
 	{"progress", `{"done":"/wEAgA=="}`,
-		store.ProgressRecord{Done: []byte{0xff, 0x01, 0, 0x80}},
+		store.CompletionRecord{Done: []byte{0xff, 0x01, 0, 0x80}},
 		oldProgress{[]byte{0xff, 0x01, 0, 0x80}}},
 	{"shard", `{"machines":[{"name":"i-000001","addr":"10.1.0.1:9000","type":"nod-sexton","zone":"norrland","spot":true,"cpus":16,"gpus":1.5,"memory_gb":128},{"name":"i-000002","addr":"10.1.0.2:9000","type":"nod-sexton","zone":"norrland","spot":false,"cpus":16,"gpus":0,"memory_gb":128}]}`,
-		store.RosterRecord{Machines: []store.MachineRecord{{Name: "i-000001", Addr: "10.1.0.1:9000", Type: "nod-sexton", Zone: "norrland", Spot: true, CPUs: 16, GPUs: 1.5, MemoryGB: 128},
+		store.RegistryShardRecord{Machines: []store.MachineRecord{{Name: "i-000001", Addr: "10.1.0.1:9000", Type: "nod-sexton", Zone: "norrland", Spot: true, CPUs: 16, GPUs: 1.5, MemoryGB: 128},
 			{Name: "i-000002", Addr: "10.1.0.2:9000", Type: "nod-sexton", Zone: "norrland", CPUs: 16, MemoryGB: 128}}},
 		oldRoster{[]oldMachine{{"i-000001", "10.1.0.1:9000", "nod-sexton", "norrland", true, 16, 1.5, 128}, {"i-000002", "10.1.0.2:9000", "nod-sexton", "norrland", false, 16, 0, 128}}}},
 	{"kept machines", `{"term":7,"hosts":["i-000001","i-000002"]}`,
-		store.LeaseExtensionRecord{Term: 7, Hosts: []string{"i-000001", "i-000002"}},
+		store.LeaseRenewalRecord{Term: 7, Hosts: []string{"i-000001", "i-000002"}},
 		oldLeaseExtension{7, []string{"i-000001", "i-000002"}}},
 	{"relayed part", `{"batch":12,"index":1,"of":2,"data":"Af9kYXRh"}`,
 		relay.Part{Batch: 12, Index: 1, Of: 2, Data: []byte("\x01\xffdata")},
@@ -222,17 +222,17 @@
 // The keys are part of what versions share.
 func TestKeysOfEarlierVersions(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
-		{store.ActivePrefix, "a/"}, {store.FinalPrefix, "f/"}, {store.ProgressPrefix, "p/"}, {store.MachinePrefix, "m/"},
-		{store.LeaseExtensionPrefix, "keep/"}, {store.RelayPrefix, "relay/"}, {store.TypesKey, "types"}, {store.CancelKey, "a/!cancel"},
+		{store.ActivePrefix, "a/"}, {store.TerminalPrefix, "f/"}, {store.CompletionPrefix, "p/"}, {store.MachinePrefix, "m/"},
+		{store.LeaseRenewalPrefix, "keep/"}, {store.RelayPrefix, "relay/"}, {store.MachineTypesKey, "types"}, {store.CancelKey, "a/!cancel"},
 		{store.DependencyPrefix, "awaits/"},
 		{(&store.DependencyList{Digest: "ab", Records: 3}).Keys("job-1")[2], "awaits/job-1/ab/00002"}, {store.DependenciesElsewhere, "job-"},
-		{election.LeaderKey, "leader"}, {election.TermKey, "term"}, {store.ProgressKey("job-1", 4096), "p/job-1/4096"},
+		{election.LeaderKey, "leader"}, {election.TermKey, "term"}, {store.CompletionKey("job-1", 4096), "p/job-1/4096"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s, was %s", c.got, c.want)
 		}
 	}
-	if id, first, ok := store.ParseProgressKey("p/job-1/4096"); id != "job-1" || first != 4096 || !ok {
+	if id, first, ok := store.ParseCompletionKey("p/job-1/4096"); id != "job-1" || first != 4096 || !ok {
 		t.Errorf("p/job-1/4096 is read as %s, %d, %v", id, first, ok)
 	}
 }
@@ -257,7 +257,7 @@
 	if got := decode(t, "f/", e.Value, oldFinal{}); !reflect.DeepEqual(got, oldFinal{"withdrawn", 80}) {
 		t.Errorf("cancelled: %+v", got)
 	}
-	ch, err := st.Watch(ctx, "a/", e.Mark-1, time.Second)
+	ch, err := st.Watch(ctx, "a/", e.ModRevision-1, time.Second)
 	if err != nil || len(ch.Events) != 2 {
 		t.Fatalf("%+v, %v", ch, err)
 	}
--- a/internal/store/jobcache.go
+++ b/internal/store/jobcache.go
@@ -19,15 +19,15 @@
 // a pipeline are submitted within a second or two.
 type jobCache struct {
 	jobs *lru.Cache[string, cachedJob]
-	// maxGuards is how many conditions a transaction may have.
-	maxGuards int
+	// maxCompares is how many conditions a transaction may have.
+	maxCompares int
 }
 
 // cachedJob is an accepted job that is not cancelled as far as this node knows.
 type cachedJob struct {
-	// mark is the version of the active record, or 0 if the job is done.
-	mark      uint64
-	dependsOn []string
+	// modRevision is the version of the active record, or 0 if the job is done.
+	modRevision uint64
+	dependsOn   []string
 }
 
 const (
@@ -35,11 +35,11 @@
 	// of them awaits.
 	jobsCached            = 2048
 	maxCachedDependencies = 32
-	// guardsPerOp is how many conditions a transaction may have for each change
+	// comparesPerOp is how many conditions a transaction may have for each change
 	// that the limits allow.
-	guardsPerOp = 4
-	// ownGuards are the conditions that a new job itself takes.
-	ownGuards = 2
+	comparesPerOp = 4
+	// reservedCompares are the conditions that a new job itself takes.
+	reservedCompares = 2
 )
 
 // newJobCache makes an empty cache.
@@ -48,13 +48,13 @@
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
-	return &jobCache{jobs: jobs, maxGuards: guardsPerOp * lim.TxnOps}
+	return &jobCache{jobs: jobs, maxCompares: comparesPerOp * lim.TxnOps}
 }
 
-// guards returns the conditions under which jobs are accepted and neither they nor any
+// compares returns the conditions under which jobs are accepted and neither they nor any
 // that they need is cancelled. It returns false if this node cannot tell.
-func (c *jobCache) guards(ids []string) ([]Guard, bool) {
-	var guards []Guard
+func (c *jobCache) compares(ids []string) ([]Compare, bool) {
+	var guards []Compare
 	seen := map[string]bool{}
 	for todo := slices.Clone(ids); len(todo) > 0; {
 		id := todo[len(todo)-1]
@@ -63,47 +63,47 @@
 		}
 		seen[id] = true
 		job, ok := c.jobs.Get(id)
-		if !ok || len(guards) >= c.maxGuards-ownGuards {
+		if !ok || len(guards) >= c.maxCompares-reservedCompares {
 			return nil, false
 		}
-		if job.mark == 0 {
+		if job.modRevision == 0 {
 			continue // done, and with it all that it needed
 		}
-		guards = append(guards, Guard{Key: ActivePrefix + id, Mark: job.mark})
+		guards = append(guards, Compare{Key: ActivePrefix + id, ModRevision: job.modRevision})
 		todo = append(todo, job.dependsOn...)
 	}
 	return guards, true
 }
 
-// read caches a record that was read.
-func (c *jobCache) read(e Entry) {
+// applyRead caches a record that was read.
+func (c *jobCache) applyRead(e Entry) {
 	switch {
 	case c == nil || e.Key == CancelKey:
 	case strings.HasPrefix(e.Key, ActivePrefix):
 		id := strings.TrimPrefix(e.Key, ActivePrefix)
-		if e.Mark != 0 && !isGuest(e) {
-			c.add(id, e.Mark, dependenciesOf(e))
+		if e.ModRevision != 0 && !isGuestRecord(e) {
+			c.add(id, e.ModRevision, dependenciesOf(e))
 		} else {
 			c.jobs.Remove(id) // it is over; its final record tells more
 		}
-	case strings.HasPrefix(e.Key, FinalPrefix):
-		var f FinalRecord
+	case strings.HasPrefix(e.Key, TerminalPrefix):
+		var f TerminalRecord
 		if json.Unmarshal(e.Value, &f) == nil {
-			c.ended(strings.TrimPrefix(e.Key, FinalPrefix), f)
+			c.jobEnded(strings.TrimPrefix(e.Key, TerminalPrefix), f)
 		}
 	}
 }
 
-// ended caches how a job ended. One that is done stays so; one that is cancelled is
+// jobEnded caches how a job ended. One that is done stays so; one that is cancelled is
 // not remembered.
-func (c *jobCache) ended(id string, end FinalRecord) {
+func (c *jobCache) jobEnded(id string, end TerminalRecord) {
 	if c != nil && end.Phase == api.JobDone {
 		c.add(id, 0, dependencySet{})
 	}
 }
 
-// wrote updates the cache by a transaction that was carried out at a revision.
-func (c *jobCache) wrote(txn Txn, ring uint64) {
+// applyWrite updates the cache by a transaction that was carried out at a revision.
+func (c *jobCache) applyWrite(txn Txn, ring uint64) {
 	if c == nil {
 		return
 	}
@@ -120,7 +120,7 @@
 	if needs.list != nil || len(needs.ids) > maxCachedDependencies {
 		return
 	}
-	job := cachedJob{mark: mark}
+	job := cachedJob{modRevision: mark}
 	for _, a := range needs.ids {
 		job.dependsOn = append(job.dependsOn, strings.Clone(a))
 	}
--- a/internal/store/jobcache_test.go
+++ b/internal/store/jobcache_test.go
@@ -30,7 +30,7 @@
 func (c *counted) Txn(ctx context.Context, txn store.Txn) (store.Result, error) {
 	c.requests.Add(1)
 	res, err := c.Fake.Txn(ctx, txn)
-	if err == nil && !res.OK {
+	if err == nil && !res.Succeeded {
 		c.conflicts.Add(1)
 	}
 	return res, err
@@ -115,10 +115,10 @@
 		return func(t *testing.T, other *store.Records) {
 			for _, id := range ids {
 				txn := store.Txn{Ops: []store.Op{
-					{Put: store.FinalPrefix + id, Value: store.FinalRecord{Phase: api.JobDone, Tasks: 1}},
+					{Put: store.TerminalPrefix + id, Value: store.TerminalRecord{Phase: api.JobDone, Tasks: 1}},
 					{Delete: store.ActivePrefix + id},
 				}}
-				if res, err := other.Store.Txn(context.Background(), txn); !res.OK || err != nil {
+				if res, err := other.Store.Txn(context.Background(), txn); !res.Succeeded || err != nil {
 					t.Fatal(res, err)
 				}
 			}
@@ -214,10 +214,10 @@
 	r := newRecords(fake, config.StateLimits{TxnOps: 20})
 	urval(t, r)
 	txn := store.Txn{Ops: []store.Op{
-		{Put: store.FinalPrefix + "job-1", Value: store.FinalRecord{Phase: api.JobDone, Tasks: 1}},
+		{Put: store.TerminalPrefix + "job-1", Value: store.TerminalRecord{Phase: api.JobDone, Tasks: 1}},
 		{Delete: store.ActivePrefix + "job-1"},
 	}}
-	if res, err := fake.Txn(context.Background(), txn); !res.OK || err != nil {
+	if res, err := fake.Txn(context.Background(), txn); !res.Succeeded || err != nil {
 		t.Fatal(res, err)
 	}
 	for range 3 {
@@ -293,7 +293,7 @@
 			}
 			// Held are this one and the repeats of one by one, which guard on less: only
 			// the first is let through.
-			if res := fake.Release(); len(res) == 0 || res[0].OK {
+			if res := fake.Release(); len(res) == 0 || res[0].Succeeded {
 				t.Errorf("carried out after a job that it awaits was cancelled: %+v", res)
 			}
 		})
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -21,13 +21,13 @@
 // Prefixes of the service's keys. Active and final jobs are apart, so that a
 // new leader reads only what still matters.
 const (
-	ActivePrefix         = "a/"
-	FinalPrefix          = "f/"
-	ProgressPrefix       = "p/"
-	MachinePrefix        = "m/"
-	LeaseExtensionPrefix = "keep/"
-	RelayPrefix          = "relay/"
-	TypesKey             = "types"
+	ActivePrefix       = "a/"
+	TerminalPrefix     = "f/"
+	CompletionPrefix   = "p/"
+	MachinePrefix      = "m/"
+	LeaseRenewalPrefix = "keep/"
+	RelayPrefix        = "relay/"
+	MachineTypesKey    = "types"
 	// CancelKey changes in every transaction that cancels a job. It lies under
 	// ActivePrefix, so a watch shows it together with the jobs cancelled.
 	CancelKey = ActivePrefix + "!cancel"
@@ -44,13 +44,13 @@
 	// one. Spec is then empty, and the job's description is there.
 	Lent  *loan.Lent  `json:"lent,omitempty"`
 	Guest *loan.Guest `json:"guest,omitempty"`
-	// Lends is how often the job has been lent.
-	Lends int `json:"lends,omitempty"`
+	// LoanCount is how often the job has been lent.
+	LoanCount int `json:"lends,omitempty"`
 }
 
-// isGuest tells whether an active record is of a job that runs for another cell. For
+// isGuestRecord tells whether an active record is of a job that runs for another cell. For
 // the users of this one no such job was accepted.
-func isGuest(e Entry) bool {
+func isGuestRecord(e Entry) bool {
 	if !bytes.Contains(e.Value, []byte(`"guest"`)) {
 		return false // nearly all
 	}
@@ -97,8 +97,8 @@
 	return err == nil && float64(len(raw)+margin) <= min(valueKB*1024, MaxTxnBytes/2)
 }
 
-// FinalRecord is a job that is over.
-type FinalRecord struct {
+// TerminalRecord is a job that is over.
+type TerminalRecord struct {
 	Phase string `json:"phase"`
 	Tasks int    `json:"tasks"`
 	// Ended is when the job was done; zero if it is cancelled, or if a version
@@ -106,15 +106,15 @@
 	Ended time.Time `json:"ended,omitzero"`
 }
 
-// ProgressRecord holds the done tasks of a part of a job as a bit set.
-type ProgressRecord struct {
+// CompletionRecord holds the done tasks of a part of a job as a bit set.
+type CompletionRecord struct {
 	Done []byte `json:"done"`
 }
 
-// RosterRecord is a shard of the roster: machines that may hold tasks. Machines
+// RegistryShardRecord is a shard of the roster: machines that may hold tasks. Machines
 // that come together share one, or a large fleet would wait for its turn within
 // the write rate, one record each.
-type RosterRecord struct {
+type RegistryShardRecord struct {
 	Machines []MachineRecord `json:"machines"`
 }
 
@@ -130,21 +130,21 @@
 	MemoryGB float64 `json:"memory_gb"`
 }
 
-// LeaseExtensionRecord names the machines whose leases a node extends for a leader
+// LeaseRenewalRecord names the machines whose leases a node extends for a leader
 // that cannot reach them.
-type LeaseExtensionRecord struct {
+type LeaseRenewalRecord struct {
 	Term  uint64   `json:"term"`
 	Hosts []string `json:"hosts"`
 }
 
-// ProgressKey is the key of the part of a job's progress that begins at task.
-func ProgressKey(id string, task int) string {
-	return ProgressPrefix + id + "/" + strconv.Itoa(task)
+// CompletionKey is the key of the part of a job's progress that begins at task.
+func CompletionKey(id string, task int) string {
+	return CompletionPrefix + id + "/" + strconv.Itoa(task)
 }
 
-// ParseProgressKey is the reverse of ProgressKey.
-func ParseProgressKey(key string) (id string, task int, ok bool) {
-	id, first, ok := strings.Cut(strings.TrimPrefix(key, ProgressPrefix), "/")
+// ParseCompletionKey is the reverse of CompletionKey.
+func ParseCompletionKey(key string) (id string, task int, ok bool) {
+	id, first, ok := strings.Cut(strings.TrimPrefix(key, CompletionPrefix), "/")
 	if !ok {
 		return "", 0, false
 	}
@@ -152,8 +152,8 @@
 	return id, task, err == nil && task >= 0
 }
 
-// FinalState is the state reported to users of a job that is over.
-func (f FinalRecord) FinalState(id string) api.JobState {
+// JobState is the state reported to users of a job that is over.
+func (f TerminalRecord) JobState(id string) api.JobState {
 	st := api.JobState{ID: id, Phase: f.Phase}
 	if f.Phase == api.JobDone {
 		st.Done, st.Ended = f.Tasks, f.Ended
@@ -167,9 +167,9 @@
 	Store Service
 	// Limits are the service's; zero: none are known.
 	Limits config.StateLimits
-	// ends remembers how jobs ended that others await; scans and longLists bound
+	// terminalCache remembers how jobs ended that others await; scans and longLists bound
 	// what takes much memory. All may be nil.
-	ends             *lru.Cache[string, FinalRecord]
+	terminalCache    *lru.Cache[string, TerminalRecord]
 	scans, longLists chan struct{}
 	// derivedWrites bounds the cancellations that are written as they follow from
 	// others; nil: none is.
@@ -178,16 +178,16 @@
 	cache *jobCache
 }
 
-// endsKept is how many ends are remembered: more than one submission can name.
-const endsKept = 8192
+// maxCachedTerminal is how many ends are remembered: more than one submission can name.
+const maxCachedTerminal = 8192
 
 // NewRecords makes the Records that serve a node's users.
 func NewRecords(s Service, lim config.StateLimits) Records {
-	ends, err := lru.New[string, FinalRecord](endsKept)
+	ends, err := lru.New[string, TerminalRecord](maxCachedTerminal)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
-	return Records{Store: s, Limits: lim, ends: ends,
+	return Records{Store: s, Limits: lim, terminalCache: ends,
 		scans: make(chan struct{}, maxScans), longLists: make(chan struct{}, maxLongLists),
 		derivedWrites: make(chan struct{}, 1), cache: newJobCache(lim)}
 }
@@ -202,7 +202,7 @@
 	defer cancel()
 	e, err := r.Store.Get(ctx, key)
 	if err == nil {
-		r.cache.read(e)
+		r.cache.applyRead(e)
 	}
 	return e, err
 }
@@ -211,8 +211,8 @@
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	res, err := r.Store.Txn(ctx, txn)
-	if err == nil && res.OK {
-		r.cache.wrote(txn, res.Ring)
+	if err == nil && res.Succeeded {
+		r.cache.applyWrite(txn, res.Revision)
 	}
 	return res, err
 }
@@ -239,15 +239,15 @@
 	if r.cache == nil || len(a.spec.DependsOn) == 0 || a.list != nil {
 		return false
 	}
-	awaited, ok := r.cache.guards(a.spec.DependsOn)
+	awaited, ok := r.cache.compares(a.spec.DependsOn)
 	if !ok {
 		return false
 	}
 	res, err := r.txn(ctx, Txn{
-		Guards: append([]Guard{{ActivePrefix + id, 0}, {FinalPrefix + id, 0}}, awaited...),
-		Ops:    []Op{{Put: ActivePrefix + id, Value: a.record}},
+		Compares: append([]Compare{{ActivePrefix + id, 0}, {TerminalPrefix + id, 0}}, awaited...),
+		Ops:      []Op{{Put: ActivePrefix + id, Value: a.record}},
 	})
-	return err == nil && res.OK
+	return err == nil && res.Succeeded
 }
 
 // Lookup reads a job's record. A job that is active is reported as pending, since
@@ -270,8 +270,8 @@
 	if err != nil {
 		return api.JobState{}, false, err
 	}
-	if e.Mark == 0 || isGuest(e) {
-		return r.Final(ctx, id)
+	if e.ModRevision == 0 || isGuestRecord(e) {
+		return r.TerminalState(ctx, id)
 	}
 	pending, err := r.cancelPending(ctx, e)
 	if err != nil {
@@ -309,26 +309,26 @@
 	if r.cache == nil {
 		return false
 	}
-	guards, ok := r.cache.guards([]string{id})
+	guards, ok := r.cache.compares([]string{id})
 	if !ok || len(guards) < 2 {
 		return false // one read tells as much
 	}
-	res, err := r.txn(ctx, Txn{Guards: guards})
-	return err == nil && res.OK
+	res, err := r.txn(ctx, Txn{Compares: guards})
+	return err == nil && res.Succeeded
 }
 
-// Final reads a job's final record.
-func (r *Records) Final(ctx context.Context, id string) (api.JobState, bool, error) {
-	end, found, err := r.end(ctx, id)
+// TerminalState reads a job's final record.
+func (r *Records) TerminalState(ctx context.Context, id string) (api.JobState, bool, error) {
+	end, found, err := r.terminalRecord(ctx, id)
 	if err != nil || !found {
 		return api.JobState{}, false, err
 	}
-	return end.FinalState(id), true, nil
+	return end.JobState(id), true, nil
 }
 
-func (r *Records) end(ctx context.Context, id string) (end FinalRecord, found bool, err error) {
-	e, err := r.get(ctx, FinalPrefix+id)
-	if err != nil || e.Mark == 0 {
+func (r *Records) terminalRecord(ctx context.Context, id string) (end TerminalRecord, found bool, err error) {
+	e, err := r.get(ctx, TerminalPrefix+id)
+	if err != nil || e.ModRevision == 0 {
 		return end, false, err
 	}
 	if err := json.Unmarshal(e.Value, &end); err != nil {
@@ -344,8 +344,8 @@
 		if err != nil {
 			return err
 		}
-		if e.Mark == 0 {
-			st, found, err = r.Final(ctx, id)
+		if e.ModRevision == 0 {
+			st, found, err = r.TerminalState(ctx, id)
 			return err
 		}
 		var rec ActiveRecord
@@ -353,30 +353,30 @@
 			return fmt.Errorf("record %s: %w", e.Key, err)
 		}
 		if rec.Guest != nil {
-			st, found, err = r.Final(ctx, id)
+			st, found, err = r.TerminalState(ctx, id)
 			return err
 		}
 		if rec.Lent != nil {
 			return r.cancelLent(ctx, e, rec)
 		}
-		final := FinalRecord{Phase: api.JobCancelled, Tasks: rec.Spec.Tasks}
+		final := TerminalRecord{Phase: api.JobCancelled, Tasks: rec.Spec.Tasks}
 		res, err := r.txn(ctx, Txn{
-			Guards: []Guard{{e.Key, e.Mark}},
+			Compares: []Compare{{e.Key, e.ModRevision}},
 			// The cancel key comes first: a watch then tells why the record
 			// goes before it tells that it is gone.
 			Ops: []Op{
 				{Put: CancelKey, Value: id},
-				{Put: FinalPrefix + id, Value: final},
+				{Put: TerminalPrefix + id, Value: final},
 				{Delete: e.Key},
 			},
 		})
 		if err != nil {
 			return err
 		}
-		if !res.OK {
-			return fmt.Errorf("%w: job %s changed meanwhile", ErrUnknown, id)
+		if !res.Succeeded {
+			return fmt.Errorf("%w: job %s changed meanwhile", ErrOutcomeUnknown, id)
 		}
-		st, found = final.FinalState(id), true
+		st, found = final.JobState(id), true
 		return nil
 	})
 	return st, found, err
@@ -391,12 +391,12 @@
 	asked := *rec.Lent
 	asked.Cancel = true
 	rec.Lent = &asked
-	res, err := r.txn(ctx, Txn{Guards: []Guard{{e.Key, e.Mark}}, Ops: []Op{{Put: e.Key, Value: rec}}})
+	res, err := r.txn(ctx, Txn{Compares: []Compare{{e.Key, e.ModRevision}}, Ops: []Op{{Put: e.Key, Value: rec}}})
 	if err != nil {
 		return err
 	}
-	if !res.OK {
-		return fmt.Errorf("%w: %s changed meanwhile", ErrUnknown, e.Key)
+	if !res.Succeeded {
+		return fmt.Errorf("%w: %s changed meanwhile", ErrOutcomeUnknown, e.Key)
 	}
 	return ErrLent
 }
@@ -406,7 +406,7 @@
 	wait := 40 * time.Millisecond
 	for {
 		err := f()
-		if err == nil || !(errors.Is(err, ErrRefused) || errors.Is(err, ErrUnknown)) {
+		if err == nil || !(errors.Is(err, ErrNotApplied) || errors.Is(err, ErrOutcomeUnknown)) {
 			return err
 		}
 		t := time.NewTimer(wait + rand.N(wait))
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -20,15 +20,15 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// ErrRefused means that the service did not carry the request out.
-var ErrRefused = errors.New("state service: not carried out")
+// ErrNotApplied means that the service did not carry the request out.
+var ErrNotApplied = errors.New("state service: not carried out")
 
-// ErrUnknown means that the request may have been, or may yet be, carried out.
-var ErrUnknown = errors.New("state service: outcome unknown")
+// ErrOutcomeUnknown means that the request may have been, or may yet be, carried out.
+var ErrOutcomeUnknown = errors.New("state service: outcome unknown")
 
-// ErrMalformed means that the service did not carry the request out and never
+// ErrInvalid means that the service did not carry the request out and never
 // will: it is malformed, or larger than the service's limits allow.
-var ErrMalformed = errors.New("state service: malformed or too large")
+var ErrInvalid = errors.New("state service: malformed or too large")
 
 // MaxTxnBytes bounds a transaction in all, as the service counts it.
 const MaxTxnBytes = 64 << 10
@@ -41,16 +41,16 @@
 
 // Entry is a key with its value.
 type Entry struct {
-	Key   string          `json:"Path"`
-	Value json.RawMessage `json:"Value"`
-	Mark  uint64          `json:"Mark"`
-	Lease uint64          `json:"Tenure"`
+	Key         string          `json:"Path"`
+	Value       json.RawMessage `json:"Value"`
+	ModRevision uint64          `json:"Mark"`
+	Lease       uint64          `json:"Tenure"`
 }
 
-// Guard requires a key to have a version; 0 requires that it does not exist.
-type Guard struct {
-	Key  string `json:"Path"`
-	Mark uint64 `json:"Mark"`
+// Compare requires a key to have a version; 0 requires that it does not exist.
+type Compare struct {
+	Key         string `json:"Path"`
+	ModRevision uint64 `json:"Mark"`
 }
 
 // Op is a put or a delete.
@@ -63,8 +63,8 @@
 
 // Txn is an atomic transaction.
 type Txn struct {
-	Guards []Guard `json:"Guards"`
-	Ops    []Op    `json:"Apply,omitempty"`
+	Compares []Compare `json:"Guards"`
+	Ops      []Op      `json:"Apply,omitempty"`
 	// Records marks the leader's records, which keep to a part of the write
 	// rate of their own: no submission waits behind them.
 	Records bool `json:"-"`
@@ -72,30 +72,30 @@
 
 // Result tells how a transaction ended.
 type Result struct {
-	OK     bool
-	Ring   uint64
-	Failed []string
+	Succeeded  bool
+	Revision   uint64
+	FailedKeys []string
 }
 
 // Page is a part of a range of keys.
 type Page struct {
-	Rows []Entry `json:"Rows"`
-	More bool    `json:"Truncated"`
-	Ring uint64  `json:"Ring"`
+	Entries  []Entry `json:"Rows"`
+	More     bool    `json:"Truncated"`
+	Revision uint64  `json:"Ring"`
 }
 
 // Event is a change seen by a watch.
 type Event struct {
-	Put    string          `json:"Put"`
-	Value  json.RawMessage `json:"Value"`
-	Delete string          `json:"Drop"`
-	Mark   uint64          `json:"Mark"`
+	Put         string          `json:"Put"`
+	Value       json.RawMessage `json:"Value"`
+	Delete      string          `json:"Drop"`
+	ModRevision uint64          `json:"Mark"`
 }
 
 // Changes is what a watch returns.
 type Changes struct {
-	Ring   uint64  `json:"Ring"`
-	Events []Event `json:"Events"`
+	Revision uint64  `json:"Ring"`
+	Events   []Event `json:"Events"`
 }
 
 // Service is the state service as the rest of the program sees it.
@@ -104,14 +104,14 @@
 	Get(ctx context.Context, key string) (Entry, error)
 	Range(ctx context.Context, prefix, from string, most int) (Page, error)
 	Txn(ctx context.Context, txn Txn) (Result, error)
-	Grant(ctx context.Context, life time.Duration) (uint64, error)
-	Extend(ctx context.Context, lease uint64) error
+	GrantLease(ctx context.Context, life time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, lease uint64) error
 	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (Changes, error)
 }
 
-// maxAnswer bounds what is read of an answer. A range holds at most 512 KiB;
+// maxResponseBytes bounds what is read of an answer. A range holds at most 512 KiB;
 // a watch has no limit of its own, but is asked again long before this.
-const maxAnswer = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // Client speaks to the state service over HTTP.
 type Client struct {
@@ -134,8 +134,8 @@
 const (
 	nodeShare   = 0.45
 	RecordShare = 0.4
-	// leastBurst lets a node cancel two jobs at once however small its part.
-	leastBurst = 8
+	// MinWriteBurst lets a node cancel two jobs at once however small its part.
+	MinWriteBurst = 8
 )
 
 // NewClient makes the client of a state service.
@@ -153,7 +153,7 @@
 	return &Client{
 		base: "http://" + addr, http: transport(12), watches: transport(4), renewals: transport(2),
 		requests: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
-		writes:   rate.NewLimiter(rate.Limit(wps), max(leastBurst, int(wps))),
+		writes:   rate.NewLimiter(rate.Limit(wps), max(MinWriteBurst, int(wps))),
 	}
 }
 
@@ -179,7 +179,7 @@
 	if status == http.StatusNotFound {
 		return Entry{Key: key}, nil
 	}
-	return e, expect(status, http.StatusOK)
+	return e, checkStatus(status, http.StatusOK)
 }
 
 // Range reads the keys with a prefix, beginning after from.
@@ -193,18 +193,18 @@
 	if err != nil {
 		return Page{}, err
 	}
-	return p, expect(status, http.StatusOK)
+	return p, checkStatus(status, http.StatusOK)
 }
 
 // Txn carries out a transaction.
 func (c *Client) Txn(ctx context.Context, txn Txn) (Result, error) {
 	if n := len(txn.Ops); n > 0 && !txn.Records {
 		if err := c.writes.WaitN(ctx, n); err != nil {
-			return Result{}, fmt.Errorf("%w: write budget: %w", ErrRefused, err)
+			return Result{}, fmt.Errorf("%w: write budget: %w", ErrNotApplied, err)
 		}
 	}
-	if txn.Guards == nil {
-		txn.Guards = []Guard{}
+	if txn.Compares == nil {
+		txn.Compares = []Compare{}
 	}
 	var body struct {
 		Ring   uint64   `json:"Ring"`
@@ -217,15 +217,15 @@
 	}
 	switch {
 	case status == http.StatusConflict:
-		return Result{Ring: body.Ring, Failed: body.Failed}, nil
+		return Result{Revision: body.Ring, FailedKeys: body.Failed}, nil
 	case status == http.StatusBadRequest && body.Error == "no such lease":
 		return Result{}, ErrNoLease
 	}
-	return Result{OK: true, Ring: body.Ring}, expect(status, http.StatusOK)
+	return Result{Succeeded: true, Revision: body.Ring}, checkStatus(status, http.StatusOK)
 }
 
-// Grant makes a lease.
-func (c *Client) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+// GrantLease makes a lease.
+func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
 	var body struct {
 		Lease uint64 `json:"Tenure"`
 	}
@@ -234,11 +234,11 @@
 	if err != nil {
 		return 0, err
 	}
-	return body.Lease, expect(status, http.StatusOK)
+	return body.Lease, checkStatus(status, http.StatusOK)
 }
 
-// Extend renews a lease.
-func (c *Client) Extend(ctx context.Context, lease uint64) error {
+// RenewLease renews a lease.
+func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	path := "/leases/" + strconv.FormatUint(lease, 10) + "/extend"
 	// Renewals wait for nobody: what they use is missing to the others later.
 	c.requests.Reserve()
@@ -249,7 +249,7 @@
 	if status == http.StatusNotFound {
 		return ErrNoLease
 	}
-	return expect(status, http.StatusOK)
+	return checkStatus(status, http.StatusOK)
 }
 
 // Watch waits for changes after a revision.
@@ -264,30 +264,30 @@
 	if status == http.StatusGone {
 		return Changes{}, ErrCompacted
 	}
-	return ch, expect(status, http.StatusOK)
+	return ch, checkStatus(status, http.StatusOK)
 }
 
-func expect(status, want int) error {
+func checkStatus(status, want int) error {
 	switch status {
 	case want:
 		return nil
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return fmt.Errorf("%w: status %d", ErrRefused, status)
+		return fmt.Errorf("%w: status %d", ErrNotApplied, status)
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-		return fmt.Errorf("%w: status %d", ErrMalformed, status)
+		return fmt.Errorf("%w: status %d", ErrInvalid, status)
 	}
-	return fmt.Errorf("%w: unexpected status %d", ErrUnknown, status)
+	return fmt.Errorf("%w: unexpected status %d", ErrOutcomeUnknown, status)
 }
 
 // call sends one request within the budget.
 func (c *Client) call(ctx context.Context, hc *http.Client, method, path string, in, out any) (int, error) {
 	if c.users != nil {
 		if err := c.users.Wait(ctx); err != nil {
-			return 0, fmt.Errorf("%w: users' request budget: %w", ErrRefused, err)
+			return 0, fmt.Errorf("%w: users' request budget: %w", ErrNotApplied, err)
 		}
 	}
 	if err := c.requests.Wait(ctx); err != nil {
-		return 0, fmt.Errorf("%w: request budget: %w", ErrRefused, err)
+		return 0, fmt.Errorf("%w: request budget: %w", ErrNotApplied, err)
 	}
 	return c.send(ctx, hc, method, path, in, out)
 }
@@ -308,19 +308,19 @@
 	}
 	resp, err := hc.Do(req)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	if out != nil && len(raw) > 0 && resp.StatusCode < 500 {
 		if err := json.Unmarshal(raw, out); err != nil {
-			if errors.Is(expect(resp.StatusCode, http.StatusOK), ErrMalformed) {
+			if errors.Is(checkStatus(resp.StatusCode, http.StatusOK), ErrInvalid) {
 				return resp.StatusCode, nil // whatever it says, nothing was done
 			}
-			return 0, fmt.Errorf("%w: malformed answer: %w", ErrUnknown, err)
+			return 0, fmt.Errorf("%w: malformed answer: %w", ErrOutcomeUnknown, err)
 		}
 	}
 	return resp.StatusCode, nil
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -57,15 +57,15 @@
 	}{
 		{"carried out", &script{status: 200, body: `{"Ring":7}`}, nil},
 		{"conditions failed", &script{status: 409, body: `{"failed":["term"],"Ring":7}`}, nil},
-		{"over the rate", &script{status: 429, body: `{}`}, ErrRefused},
-		{"outage", &script{status: 503, body: `trouble`}, ErrRefused},
+		{"over the rate", &script{status: 429, body: `{}`}, ErrNotApplied},
+		{"outage", &script{status: 503, body: `trouble`}, ErrNotApplied},
 		{"lease ended", &script{status: 400, body: `{"error":"no such lease"}`}, ErrNoLease},
-		{"too large", &script{status: 400, body: `{"error":"value too large"}`}, ErrMalformed},
-		{"too large, without a word", &script{status: 400}, ErrMalformed},
-		{"too large, in other words", &script{status: 413, body: `too large`}, ErrMalformed},
-		{"malformed", &script{status: 200, body: `<html>`}, ErrUnknown},
-		{"reset", &script{err: io.ErrUnexpectedEOF}, ErrUnknown},
-		{"anything else", &script{status: 418, body: `{}`}, ErrUnknown},
+		{"too large", &script{status: 400, body: `{"error":"value too large"}`}, ErrInvalid},
+		{"too large, without a word", &script{status: 400}, ErrInvalid},
+		{"too large, in other words", &script{status: 413, body: `too large`}, ErrInvalid},
+		{"malformed", &script{status: 200, body: `<html>`}, ErrOutcomeUnknown},
+		{"reset", &script{err: io.ErrUnexpectedEOF}, ErrOutcomeUnknown},
+		{"anything else", &script{status: 418, body: `{}`}, ErrOutcomeUnknown},
 	} {
 		_, err := scripted(c.s).Txn(ctx, Txn{Ops: []Op{{Put: "a", Value: 1}}})
 		if !errors.Is(err, c.want) {
@@ -74,14 +74,14 @@
 	}
 	s := &script{status: 409, body: `{"failed":["term"],"Ring":7}`}
 	res, err := scripted(s).Txn(ctx, Txn{})
-	if err != nil || res.OK || len(res.Failed) != 1 || s.sent != `{"Guards":[]}` {
+	if err != nil || res.Succeeded || len(res.FailedKeys) != 1 || s.sent != `{"Guards":[]}` {
 		t.Errorf("%v, %v, sent %s", res, err, s.sent)
 	}
 	s = &script{status: 404, body: `{"Ring":3}`}
-	if e, err := scripted(s).Get(ctx, "a/job-1"); err != nil || e.Mark != 0 || s.path != "/kv/a/job-1" {
+	if e, err := scripted(s).Get(ctx, "a/job-1"); err != nil || e.ModRevision != 0 || s.path != "/kv/a/job-1" {
 		t.Errorf("missing key: %v, %v, asked %s", e, err, s.path)
 	}
-	if err := scripted(&script{status: 404}).Extend(ctx, 7); !errors.Is(err, ErrNoLease) {
+	if err := scripted(&script{status: 404}).RenewLease(ctx, 7); !errors.Is(err, ErrNoLease) {
 		t.Errorf("ended lease: %v", err)
 	}
 	if _, err := scripted(&script{status: 410}).Watch(ctx, "a/", 1, time.Second); !errors.Is(err, ErrCompacted) {
@@ -90,11 +90,11 @@
 }
 
 func TestProgressKeys(t *testing.T) {
-	if id, first, ok := ParseProgressKey(ProgressKey("job-1", 32768)); id != "job-1" || first != 32768 || !ok {
+	if id, first, ok := ParseCompletionKey(CompletionKey("job-1", 32768)); id != "job-1" || first != 32768 || !ok {
 		t.Errorf("%s %d %v", id, first, ok)
 	}
 	for _, bad := range []string{"p/job-1", "p/job-1/x", "p/job-1/-1", ""} {
-		if _, _, ok := ParseProgressKey(bad); ok {
+		if _, _, ok := ParseCompletionKey(bad); ok {
 			t.Errorf("%q was taken", bad)
 		}
 	}
@@ -115,7 +115,7 @@
 				t.Fatal(err)
 			}
 		}
-		for range leastBurst {
+		for range MinWriteBurst {
 			if _, err := c.Txn(t.Context(), Txn{Ops: ops[:1]}); err != nil {
 				t.Fatal(err)
 			}
@@ -144,7 +144,7 @@
 		synctest.Wait()
 		t0 := time.Now()
 		for range 5 {
-			c.Extend(t.Context(), 7)
+			c.RenewLease(t.Context(), 7)
 			time.Sleep(time.Second)
 		}
 		if waited := time.Since(t0) - 5*time.Second; waited > 100*time.Millisecond {
@@ -163,7 +163,7 @@
 			status int
 			want   error
 			most   int
-		}{{400, ErrMalformed, 1}, {503, ErrRefused, 100}} {
+		}{{400, ErrInvalid, 1}, {503, ErrNotApplied, 100}} {
 			asked := 0
 			err := retry(ctx, func() error {
 				asked++
--- a/internal/store/storetest/storetest.go
+++ b/internal/store/storetest/storetest.go
@@ -15,9 +15,9 @@
 )
 
 type value struct {
-	raw   json.RawMessage
-	mark  uint64
-	lease uint64
+	raw         json.RawMessage
+	modRevision uint64
+	lease       uint64
 }
 
 type change struct {
@@ -27,16 +27,16 @@
 
 // Fake is a state service in memory.
 type Fake struct {
-	mu      sync.Mutex
-	keys    map[string]value
-	ring    uint64
-	log     []change
-	changed chan struct{}
-	leases  map[uint64]*time.Timer
-	lives   map[uint64]time.Duration
-	last    uint64
-	down    bool
-	held    []store.Txn
+	mu             sync.Mutex
+	keys           map[string]value
+	revision       uint64
+	log            []change
+	changed        chan struct{}
+	leases         map[uint64]*time.Timer
+	leaseLifetimes map[uint64]time.Duration
+	lastLease      uint64
+	down           bool
+	held           []store.Txn
 	// hold decides which transactions are kept back.
 	hold func(store.Txn) bool
 	// lose decides whose answers are lost after they are carried out.
@@ -51,8 +51,8 @@
 
 // New makes an empty store.
 func New() *Fake {
-	return &Fake{keys: map[string]value{}, changed: make(chan struct{}), ring: 1,
-		leases: map[uint64]*time.Timer{}, lives: map[uint64]time.Duration{}}
+	return &Fake{keys: map[string]value{}, changed: make(chan struct{}), revision: 1,
+		leases: map[uint64]*time.Timer{}, leaseLifetimes: map[uint64]time.Duration{}}
 }
 
 // SetDown makes an outage begin or end. During an outage leases do not run;
@@ -63,7 +63,7 @@
 	f.down = down
 	for id, t := range f.leases {
 		if t.Stop(); !down {
-			t.Reset(f.lives[id])
+			t.Reset(f.leaseLifetimes[id])
 		}
 	}
 }
@@ -135,8 +135,8 @@
 	if len(txn.Ops) > f.ops {
 		why = fmt.Sprintf("%d changes", len(txn.Ops))
 	}
-	if len(txn.Guards) > 4*f.ops {
-		why = fmt.Sprintf("%d conditions", len(txn.Guards))
+	if len(txn.Compares) > 4*f.ops {
+		why = fmt.Sprintf("%d conditions", len(txn.Compares))
 	}
 	for _, op := range txn.Ops {
 		raw, err := json.Marshal(op.Value)
@@ -158,7 +158,7 @@
 		return nil
 	}
 	f.tooLarge = append(f.tooLarge, why)
-	return fmt.Errorf("%w: %s", store.ErrMalformed, why)
+	return fmt.Errorf("%w: %s", store.ErrInvalid, why)
 }
 
 // Has tells whether a key exists.
@@ -176,7 +176,7 @@
 
 func (f *Fake) refused() error {
 	if f.down {
-		return store.ErrRefused
+		return store.ErrNotApplied
 	}
 	return nil
 }
@@ -186,22 +186,22 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := f.keys[key]
-	return store.Entry{Key: key, Value: v.raw, Mark: v.mark, Lease: v.lease}, f.refused()
+	return store.Entry{Key: key, Value: v.raw, ModRevision: v.modRevision, Lease: v.lease}, f.refused()
 }
 
 // Range implements store.Service.
 func (f *Fake) Range(_ context.Context, prefix, from string, most int) (store.Page, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := store.Page{Ring: f.ring}
+	p := store.Page{Revision: f.revision}
 	for k, v := range f.keys {
 		if strings.HasPrefix(k, prefix) && k > from {
-			p.Rows = append(p.Rows, store.Entry{Key: k, Value: v.raw, Mark: v.mark})
+			p.Entries = append(p.Entries, store.Entry{Key: k, Value: v.raw, ModRevision: v.modRevision})
 		}
 	}
-	slices.SortFunc(p.Rows, func(a, b store.Entry) int { return strings.Compare(a.Key, b.Key) })
-	if len(p.Rows) > most {
-		p.Rows, p.More = p.Rows[:most], true
+	slices.SortFunc(p.Entries, func(a, b store.Entry) int { return strings.Compare(a.Key, b.Key) })
+	if len(p.Entries) > most {
+		p.Entries, p.More = p.Entries[:most], true
 	}
 	return p, f.refused()
 }
@@ -217,14 +217,14 @@
 		f.held = append(f.held, txn)
 		f.mu.Unlock()
 		<-ctx.Done()
-		return store.Result{}, store.ErrUnknown
+		return store.Result{}, store.ErrOutcomeUnknown
 	}
 	res, err := f.apply(txn)
-	lost := res.OK && f.lose != nil && f.lose(txn)
+	lost := res.Succeeded && f.lose != nil && f.lose(txn)
 	f.mu.Unlock()
 	if lost {
 		<-ctx.Done()
-		return store.Result{}, store.ErrUnknown
+		return store.Result{}, store.ErrOutcomeUnknown
 	}
 	return res, err
 }
@@ -233,16 +233,16 @@
 	if err := f.check(txn); err != nil {
 		return store.Result{}, err
 	}
-	res := store.Result{Ring: f.ring}
-	for _, g := range txn.Guards {
-		if f.keys[g.Key].mark != g.Mark {
-			res.Failed = append(res.Failed, g.Key)
+	res := store.Result{Revision: f.revision}
+	for _, g := range txn.Compares {
+		if f.keys[g.Key].modRevision != g.ModRevision {
+			res.FailedKeys = append(res.FailedKeys, g.Key)
 		}
 	}
-	if len(res.Failed) > 0 {
+	if len(res.FailedKeys) > 0 {
 		return res, nil
 	}
-	res.OK = true
+	res.Succeeded = true
 	if len(txn.Ops) == 0 {
 		return res, nil
 	}
@@ -251,8 +251,8 @@
 			return store.Result{}, store.ErrNoLease
 		}
 	}
-	f.ring++
-	res.Ring = f.ring
+	f.revision++
+	res.Revision = f.revision
 	for _, op := range txn.Ops {
 		if op.Delete != "" {
 			f.remove(op.Delete)
@@ -262,8 +262,8 @@
 		if err != nil {
 			return store.Result{}, err
 		}
-		f.keys[op.Put] = value{raw, f.ring, op.Lease}
-		f.log = append(f.log, change{store.Event{Put: op.Put, Value: raw, Mark: f.ring}, op.Put})
+		f.keys[op.Put] = value{raw, f.revision, op.Lease}
+		f.log = append(f.log, change{store.Event{Put: op.Put, Value: raw, ModRevision: f.revision}, op.Put})
 	}
 	f.wake()
 	return res, nil
@@ -272,25 +272,25 @@
 func (f *Fake) remove(key string) {
 	if _, ok := f.keys[key]; ok {
 		delete(f.keys, key)
-		f.log = append(f.log, change{store.Event{Delete: key, Mark: f.ring}, key})
+		f.log = append(f.log, change{store.Event{Delete: key, ModRevision: f.revision}, key})
 	}
 }
 
-// Grant implements store.Service.
-func (f *Fake) Grant(_ context.Context, life time.Duration) (uint64, error) {
+// GrantLease implements store.Service.
+func (f *Fake) GrantLease(_ context.Context, life time.Duration) (uint64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.refused(); err != nil {
 		return 0, err
 	}
-	f.last++
-	id := f.last
-	f.lives[id] = life
+	f.lastLease++
+	id := f.lastLease
+	f.leaseLifetimes[id] = life
 	f.leases[id] = time.AfterFunc(life, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		delete(f.leases, id)
-		f.ring++
+		f.revision++
 		for k, v := range f.keys {
 			if v.lease == id {
 				f.remove(k)
@@ -301,8 +301,8 @@
 	return id, nil
 }
 
-// Extend implements store.Service.
-func (f *Fake) Extend(_ context.Context, lease uint64) error {
+// RenewLease implements store.Service.
+func (f *Fake) RenewLease(_ context.Context, lease uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.refused(); err != nil {
@@ -312,7 +312,7 @@
 	if t == nil {
 		return store.ErrNoLease
 	}
-	t.Reset(f.lives[lease])
+	t.Reset(f.leaseLifetimes[lease])
 	return nil
 }
 
@@ -322,9 +322,9 @@
 	defer timeout.Stop()
 	for {
 		f.mu.Lock()
-		out := store.Changes{Ring: f.ring}
+		out := store.Changes{Revision: f.revision}
 		for _, c := range f.log {
-			if c.Mark > from && strings.HasPrefix(c.key, prefix) {
+			if c.ModRevision > from && strings.HasPrefix(c.key, prefix) {
 				out.Events = append(out.Events, c.Event)
 			}
 		}
@@ -337,9 +337,9 @@
 		select {
 		case <-changed:
 		case <-timeout.C:
-			return store.Changes{Ring: from}, nil
+			return store.Changes{Revision: from}, nil
 		case <-ctx.Done():
-			return store.Changes{}, store.ErrUnknown
+			return store.Changes{}, store.ErrOutcomeUnknown
 		}
 	}
 }
--- a/internal/store/storetest/storetest_test.go
+++ b/internal/store/storetest/storetest_test.go
@@ -33,14 +33,14 @@
 		want       error
 	}{
 		{"changes", 100, store.Txn{Ops: ops(3)}, nil},
-		{"too many changes", 100, store.Txn{Ops: ops(4)}, store.ErrMalformed},
-		{"conditions", 100, store.Txn{Guards: make([]store.Guard, 12)}, nil},
-		{"too many conditions", 100, store.Txn{Guards: make([]store.Guard, 13)}, store.ErrMalformed},
+		{"too many changes", 100, store.Txn{Ops: ops(4)}, store.ErrInvalid},
+		{"conditions", 100, store.Txn{Compares: make([]store.Compare, 12)}, nil},
+		{"too many conditions", 100, store.Txn{Compares: make([]store.Compare, 13)}, store.ErrInvalid},
 		{"value", 100, store.Txn{Ops: value(100)}, nil},
-		{"too large a value", 100, store.Txn{Ops: value(101)}, store.ErrMalformed},
-		{"too large whatever the conditions", 100, store.Txn{Guards: []store.Guard{{Key: "none", Mark: 7}}, Ops: value(101)}, store.ErrMalformed},
+		{"too large a value", 100, store.Txn{Ops: value(101)}, store.ErrInvalid},
+		{"too large whatever the conditions", 100, store.Txn{Compares: []store.Compare{{Key: "none", ModRevision: 7}}, Ops: value(101)}, store.ErrInvalid},
 		{"in all", 1 << 20, store.Txn{Ops: large(21000)}, nil},
-		{"too large in all", 1 << 20, store.Txn{Ops: large(22000)}, store.ErrMalformed},
+		{"too large in all", 1 << 20, store.Txn{Ops: large(22000)}, store.ErrInvalid},
 	} {
 		f := New()
 		f.SetLimits(c.valueBytes, 3)
@@ -64,7 +64,7 @@
 	if e, err := f.Get(ctx, "k"); err != nil || len(e.Value) != 502 {
 		t.Errorf("%d bytes, %v", len(e.Value), err)
 	}
-	if res, err := f.Txn(ctx, store.Txn{Ops: []store.Op{{Delete: "k"}}}); err != nil || !res.OK || f.Has("k") {
+	if res, err := f.Txn(ctx, store.Txn{Ops: []store.Op{{Delete: "k"}}}); err != nil || !res.Succeeded || f.Has("k") {
 		t.Errorf("not dropped: %v, %v", res, err)
 	}
 }
