--- a/internal/cells/cells.go
+++ b/internal/cells/cells.go
@@ -27,9 +27,9 @@
 	Cell string `json:"cell"`
 	// Addresses are those of its controllers' listeners for other cells.
 	Addresses []string `json:"addresses"`
-	// Lost says that the cell is gone for good, with all its machines: what was lent
+	// Unreachable says that the cell is gone for good, with all its machines: what was lent
 	// to it is taken back without its word.
-	Lost bool `json:"lost"`
+	Unreachable bool `json:"lost"`
 }
 
 // defaultMaxLoans is MaxLoans where the file does not say.
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Cell != "norrland" || s.MaxLoans != 100 || s.Listen["trellis-1"] != "10.0.0.2:8082" || s.Neighbour("gdynia") == nil || len(s.Neighbours[0].Addresses) != 3 || s.Neighbours[0].Lost {
+	if s.Cell != "norrland" || s.MaxLoans != 100 || s.Listen["trellis-1"] != "10.0.0.2:8082" || s.Neighbour("gdynia") == nil || len(s.Neighbours[0].Addresses) != 3 || s.Neighbours[0].Unreachable {
 		t.Errorf("%+v", s)
 	}
 	if s, err = Parse([]byte(good), "n0"); err != nil || s.MaxLoans != defaultMaxLoans {
--- a/internal/controller/apart_test.go
+++ b/internal/controller/apart_test.go
@@ -375,7 +375,7 @@
 		w.submit(a, spec("job-1", 2))
 		time.Sleep(3 * time.Second) // ordered through the store, not handed out yet
 		pending := false
-		a.look(func(c *Controller) { pending = len(c.leaderTerm.down.nodes["n1"].pending) > 0 })
+		a.look(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
 		far.report(b) // hands them out, if they came by now
 		if !pending && len(far.running()) == 0 {
 			far.report(b)
@@ -420,8 +420,8 @@
 			near.serve(a, 2)
 			w.submit(a, spec("job-1", 2))
 			given := func(c *Controller) int {
-				if m := c.up.machines["i-2"]; m != nil {
-					return len(m.orders)
+				if m := c.uplink.machines["i-2"]; m != nil {
+					return len(m.commands)
 				}
 				return 0
 			}
@@ -439,7 +439,7 @@
 				time.Sleep(200 * time.Millisecond)
 				b = l.add("n1", w.startWith("n1", gb, l))
 			} else {
-				time.Sleep(relayOrderLife + 2*time.Second)
+				time.Sleep(relayCommandLifetime + 2*time.Second)
 			}
 			orders, _ := far.send(b)
 			for _, o := range orders {
@@ -473,7 +473,7 @@
 				far.report(b)
 			}
 			time.Sleep(200 * time.Millisecond)
-			a.look(func(c *Controller) { pending = len(c.leaderTerm.down.nodes["n1"].pending) > 0 })
+			a.look(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
 		}
 		w.same("ordered", pending, true)
 		b.crash()
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		id, _, _ := splitRef(t.Task)
-		if !c.isCancelled(id) && !c.isCancelled(loan.GuestMark+id) && (over == nil || !over(id)) {
+		if !c.isCancelled(id) && !c.isCancelled(loan.GuestMarker+id) && (over == nil || !over(id)) {
 			continue
 		}
 		grace := 0.0
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -157,7 +157,7 @@
 var errCut = errors.New("cut")
 
 // Loans implements CellLink.
-func (k cellLink) Loans(ctx context.Context, to string, req *loan.Request) (*loan.Answer, error) {
+func (k cellLink) Loans(ctx context.Context, to string, req *loan.Request) (*loan.Response, error) {
 	g := k.group
 	g.mu.Lock()
 	delay := g.delay
@@ -186,7 +186,7 @@
 }
 
 // take has the cell's leader take a request in.
-func (c *cell) take(req *loan.Request) (*loan.Answer, error) {
+func (c *cell) take(req *loan.Request) (*loan.Response, error) {
 	for _, n := range c.at() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		answer, err := n.Loans(ctx, req)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -86,7 +86,7 @@
 	leader       string
 	leaderTerm   *leaderTerm
 	leaseRenewer leaseRenewer
-	up           relayUp
+	uplink       relayUplink
 	membership   membership
 	// redirectedAt is when machines were sent on to the leader, past this node.
 	redirectedAt map[string]time.Time
@@ -119,7 +119,7 @@
 	return &Controller{
 		Config: cfg, records: store.NewRecords(cfg.UserStore, cfg.Settings.Site.State),
 		mailbox: make(chan message, 256), ended: make(chan struct{}), stepDowns: make(chan uint64, 4), resignations: make(chan election.Resignation, 4), final: final,
-		redirectedAt: map[string]time.Time{}, redirects: map[string]redirect{}, up: newRelayUp(cfg.Settings.Site.Limits),
+		redirectedAt: map[string]time.Time{}, redirects: map[string]redirect{}, uplink: newRelayUp(cfg.Settings.Site.Limits),
 		reads: map[string]*readRound{}, cancellations: cancellation.NewLog(cfg.Settings.Site.Workers, cfg.Settings.Site.Limits, time.Now()), membership: newMembership(cfg.Settings.Peers, time.Now()),
 	}
 }
@@ -168,7 +168,7 @@
 		case <-tick.C:
 			now := time.Now()
 			c.checkKVAccess(now)
-			c.up.tick(c, now)
+			c.uplink.tick(c, now)
 			if c.leaderTerm != nil {
 				c.leaderTerm.tick(now)
 			} else {
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -114,7 +114,7 @@
 	leader := c.currentLeader(now)
 	if c.shouldForward(m, leader, now) {
 		if c.membership.members[leader].isReachable(now) {
-			c.up.dropOrders(m.heartbeat.Machine)
+			c.uplink.dropCommands(m.heartbeat.Machine)
 		}
 		return heartbeatReply{forwardTo: leader}
 	}
@@ -134,7 +134,7 @@
 	}
 	unreached := m.unreachableLeader == leader || !c.membership.members[leader].isReachable(now)
 	if ans, ok := c.renewOnBehalf(m.heartbeat, leader, unreached, now); ok {
-		c.up.note(c, m.heartbeat, &ans, now)
+		c.uplink.recordHeartbeat(c, m.heartbeat, &ans, now)
 		return heartbeatReply{response: ans}
 	}
 	return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
--- a/internal/controller/guests.go
+++ b/internal/controller/guests.go
@@ -24,14 +24,14 @@
 	return t
 }
 
-// withinGrant tells whether a guest may start one more task. All that may be on a machine
+// withinBudget tells whether a guest may start one more task. All that may be on a machine
 // counts.
-func (j *job) withinGrant() bool {
+func (j *job) withinBudget() bool {
 	running := 0
 	for _, n := range j.zones {
 		running += n
 	}
-	s, grant := &j.spec, &j.guest.Grant
+	s, grant := &j.spec, &j.guest.Budget
 	return float64(running+1)*s.CPUs <= grant.CPUs+epsilon && (s.GPUs == 0 || float64(running+1)*s.GPUs <= grant.GPUs+epsilon)
 }
 
@@ -51,12 +51,12 @@
 	return nil
 }
 
-// advert is what this cell has to spare: the free room on its machines, less what waits
+// advertise is what this cell has to spare: the free room on its machines, less what waits
 // of its own jobs and of guests.
-func (l *loans) advert(now time.Time) loan.Advert {
+func (l *loans) advertise(now time.Time) loan.Advert {
 	lt := l.leaderTerm
 	a := loan.Advert{CancelS: lt.c.Settings.Site.Workers.CancelS}
-	room := l.openRoom(now)
+	room := l.findOpenCapacity(now)
 	a.CPUs, a.GPUs = room.freeCPUs, room.freeGPUs
 	guests := 0.0
 	for _, j := range lt.jobs {
@@ -65,7 +65,7 @@
 		}
 		cpus := float64(j.flight.Untaken()) * j.spec.CPUs
 		if j.guest != nil {
-			cpus = min(cpus, j.guest.Grant.CPUs)
+			cpus = min(cpus, j.guest.Budget.CPUs)
 			guests += float64(len(j.activeAttempts))*j.spec.CPUs + cpus
 		}
 		a.CPUs -= cpus
@@ -81,8 +81,8 @@
 	return a
 }
 
-// giveBackAfter is how long a guest may wait here for its first start.
-const giveBackAfter = 20 * time.Second
+// returnGuestAfter is how long a guest may wait here for its first start.
+const returnGuestAfter = 20 * time.Second
 
 // scanHost looks once a second after the guests.
 func (l *loans) scanHost(now time.Time) {
@@ -93,19 +93,19 @@
 			case j.handover || lt.unfenced > 0:
 			case j.doneCount == j.spec.Tasks:
 				l.guestDone(j) // it was not recorded yet
-			case now.Sub(j.waitingSince) > giveBackAfter && !j.started():
-				l.giveBack(j)
+			case now.Sub(j.waitingSince) > returnGuestAfter && !j.started():
+				l.returnGuest(j)
 			}
 		}
 	}
-	l.makeRoom(now)
+	l.preemptGuests(now)
 }
 
-// shortFor is how long a guarantee must lack room before guests are stopped for it.
-const shortFor = time.Second
+// shortageDuration is how long a guarantee must lack room before guests are stopped for it.
+const shortageDuration = time.Second
 
-// makeRoom stops guests whose room a team's guarantee needs, those that began last first.
-func (l *loans) makeRoom(now time.Time) {
+// preemptGuests stops guests whose room a team's guarantee needs, those that began last first.
+func (l *loans) preemptGuests(now time.Time) {
 	if len(l.guestFairShareOrder) == 0 {
 		return
 	}
@@ -117,7 +117,7 @@
 	if l.shortSince.IsZero() {
 		l.shortSince = now
 	}
-	if now.Sub(l.shortSince) < shortFor {
+	if now.Sub(l.shortSince) < shortageDuration {
 		return
 	}
 	var running []*attempt
@@ -146,7 +146,7 @@
 // lackOfGuarantees is how many CPUs waiting work within the teams' guarantees lacks.
 func (l *loans) lackOfGuarantees(now time.Time) float64 {
 	lt := l.leaderTerm
-	lack := -l.openRoom(now).freeCPUs
+	lack := -l.findOpenCapacity(now).freeCPUs
 	for _, t := range lt.fairShareOrder {
 		left := t.CPUs - t.UsedCPUs
 		for _, j := range t.Items() {
@@ -164,24 +164,24 @@
 	return lack
 }
 
-// openRoom is what the open machines have, and have free.
-type openRoom struct {
+// openCapacity is what the open machines have, and have free.
+type openCapacity struct {
 	at                       time.Time
 	cpus, freeCPUs, freeGPUs float64
 }
 
-// openRoom sums up the open machines, once a tick.
-func (l *loans) openRoom(now time.Time) openRoom {
-	if now.Sub(l.room.at) < tickInterval {
-		return l.room
+// findOpenCapacity sums up the open machines, once a tick.
+func (l *loans) findOpenCapacity(now time.Time) openCapacity {
+	if now.Sub(l.openCapacity.at) < tickInterval {
+		return l.openCapacity
 	}
-	l.room = openRoom{at: now}
+	l.openCapacity = openCapacity{at: now}
 	for _, m := range l.leaderTerm.machines {
 		if m.isSchedulable(now) {
-			l.room.cpus += m.cpus
-			l.room.freeCPUs += m.freeCPUs()
-			l.room.freeGPUs += m.gpus - m.usedGPUs
+			l.openCapacity.cpus += m.cpus
+			l.openCapacity.freeCPUs += m.freeCPUs()
+			l.openCapacity.freeGPUs += m.gpus - m.usedGPUs
 		}
 	}
-	return l.room
+	return l.openCapacity
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -50,14 +50,14 @@
 	}
 	j := newJob(spec, team)
 	j.modRevision, j.accepted, j.runnableSince = mark, rec.Accepted, since
-	j.dependencyList, j.guest, j.lends = rec.DependencyList, rec.Guest, rec.LoanCount
+	j.dependencyList, j.guest, j.loanCount = rec.DependencyList, rec.Guest, rec.LoanCount
 	j.preference = lt.c.Policy.Preferences[spec.Class]
 	j.objectives = lt.objectives(j)
 	j.updateFeasibility(time.Now())
 	lt.jobs[id] = j
 	switch {
 	case rec.Lent != nil:
-		lt.loans.lent(j, rec.Lent)
+		lt.loans.jobLent(j, rec.Lent)
 	case len(j.spec.DependsOn) == 0:
 		team.Add(j)
 		lt.dispatchUntil = time.Now().Add(dispatchFor)
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -23,21 +23,21 @@
 func TestLargeFleetIsRelayed(t *testing.T) {
 	const parts, size = 3, 8 << 10
 	now := time.Unix(1_000_000, 0)
-	u := newRelayUp(config.Limits{RAMMB: 3})
+	ul := newRelayUp(config.Limits{RAMMB: 3})
 	for i := range largeFleet {
 		rep := &api.Heartbeat{Machine: hostName(i), Addr: "10.0.0.1:9000", Type: "small", Zone: "b", AgentEpoch: 1, Seq: 1, Term: 3}
 		for task := range 8 {
 			rep.Tasks = append(rep.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%06d/%d", i, task), Attempt: uint64(i), Phase: api.TaskRunning})
 		}
-		u.note(nil, rep, &api.HeartbeatResponse{Term: 3}, now)
+		ul.recordHeartbeat(nil, rep, &api.HeartbeatResponse{Term: 3}, now)
 	}
 	sent := map[string]bool{}
 	rounds := 0
 	for ; len(sent) < largeFleet && rounds < largeFleet; rounds++ {
-		now = now.Add(relayEvery)
-		u.batch++
-		up, _ := u.compose(&leaseRenewer{term: 3}, true, size*parts*relayRaw)
-		packed, err := relay.Pack(up, u.batch, parts, size)
+		now = now.Add(relayInterval)
+		ul.batch++
+		up, _ := ul.buildBatch(&leaseRenewer{term: 3}, true, size*parts*relayCompression)
+		packed, err := relay.Pack(up, ul.batch, parts, size)
 		if err != nil {
 			t.Fatalf("round %d, %d reports: %v", rounds, len(up.Reports), err)
 		}
@@ -47,7 +47,7 @@
 		}
 		for _, rep := range got.Reports {
 			sent[rep.Machine] = true
-			m := u.machines[rep.Machine]
+			m := ul.machines[rep.Machine]
 			m.dirty, m.sentAt = false, now
 		}
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -63,7 +63,7 @@
 	votes          *grant.VoteSet
 	quorumRequired bool
 	quorumLostAt   time.Time
-	down           relayDown
+	downlink       relayDownlink
 	recordWriter   recordWriter
 	autoscaler     autoscaler
 	counts         counters
@@ -122,7 +122,7 @@
 		jobs: map[string]*job{}, teams: map[string]*queue.Team[*job]{},
 		machines: map[string]*machine{}, provisioning: map[string]*provisioning{}, terminated: returned,
 	}
-	lt.down.nodes = map[string]*relayNode{}
+	lt.downlink.nodes = map[string]*relayNode{}
 	lt.renewalRevisions = map[string]uint64{}
 	lt.imageLocations = map[string]float64{}
 	lt.counts = newCounters()
@@ -283,7 +283,7 @@
 		return
 	}
 	lt.dispatch(now)
-	lt.down.tick(lt, now)
+	lt.downlink.tick(lt, now)
 	if now.Before(lt.nextScan) {
 		return
 	}
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -15,12 +15,12 @@
 func (l *loans) scanHome(now time.Time) {
 	lt := l.leaderTerm
 	waits := l.predictedStarts(now)
-	l.recall(waits, now)
+	l.requestReclaim(waits, now)
 	if !l.enabled() || lt.unfenced > 0 || !lt.mayStart(now) {
 		return
 	}
 	for _, n := range l.neighbours {
-		if n.lost || now.Sub(n.heard) > advertLife || !n.advert.Accepting || n.advert.CancelS > lt.c.Settings.Site.Workers.CancelS {
+		if n.unreachable || now.Sub(n.lastResponse) > advertLifetime || !n.advert.Accepting || n.advert.CancelS > lt.c.Settings.Site.Workers.CancelS {
 			continue
 		}
 		l.lendTo(n, waits, now)
@@ -37,7 +37,7 @@
 // the work before each job by the CPUs there are.
 func (l *loans) predictedStarts(now time.Time) []predictedStart {
 	lt := l.leaderTerm
-	room := l.openRoom(now)
+	room := l.findOpenCapacity(now)
 	free, work := room.freeCPUs, 0.0
 	for _, j := range lt.jobs {
 		// What runs is about half through.
@@ -89,20 +89,20 @@
 	}
 	policy := &l.leaderTerm.c.Policy.Spill
 	spare := n.advert.CPUs
-	for i := len(waits) - 1; i >= 0 && out < l.leaderTerm.c.Cells.MaxLoans && offers < mostOffers; i-- {
+	for i := len(waits) - 1; i >= 0 && out < l.leaderTerm.c.Cells.MaxLoans && offers < maxOffers; i-- {
 		j := waits[i].job
 		there := n.delay + transferTime + fetchTime(&j.spec, n.advert.Types)
 		if waits[i].wait-there < policy.Gain || now.Sub(j.runnableSince) < policy.After || spare < j.spec.CPUs || !l.lendable(j, n, now) {
 			continue
 		}
-		grant := l.grant(j, spare)
+		grant := l.budget(j, spare)
 		if grant.CPUs < j.spec.CPUs {
 			continue
 		}
 		spare -= grant.CPUs
 		out++
 		offers++
-		l.lend(j, n, grant)
+		l.lendJob(j, n, grant)
 	}
 }
 
@@ -119,15 +119,15 @@
 		return false
 	case !store.FitsRecord(store.ActiveRecord{Lent: &loan.Lent{Host: n.cell, Spec: j.spec}}, lt.c.Settings.Site.State.ValueKB):
 		return false
-	case j.lends >= policy.Lends || now.Sub(j.lentBefore[n.cell]) < policy.Cooldown:
+	case j.loanCount >= policy.Lends || now.Sub(j.lastReclaimed[n.cell]) < policy.Cooldown:
 		return false
 	}
 	return slices.ContainsFunc(n.advert.Types, func(t api.MachineType) bool { return taskFits(&j.spec, t) })
 }
 
-// grant is what a loan may use at a time: what the job wants, what its team may have, and
+// budget is what a loan may use at a time: what the job wants, what its team may have, and
 // what there is to spare, in whole tasks.
-func (l *loans) grant(j *job, spare float64) loan.Grant {
+func (l *loans) budget(j *job, spare float64) loan.Budget {
 	s := &j.spec
 	lt := l.leaderTerm
 	tasks := 0
@@ -138,7 +138,7 @@
 			break
 		}
 	}
-	return loan.Grant{CPUs: float64(tasks) * s.CPUs, GPUs: float64(tasks) * s.GPUs}
+	return loan.Budget{CPUs: float64(tasks) * s.CPUs, GPUs: float64(tasks) * s.GPUs}
 }
 
 // fetchTime is how long the slowest type of machine needs to fetch a job's image.
@@ -152,28 +152,28 @@
 	return config.Seconds(longest)
 }
 
-// recall wants back what could start here at once and has not begun there.
-func (l *loans) recall(waits []predictedStart, now time.Time) {
+// requestReclaim wants back what could start here at once and has not begun there.
+func (l *loans) requestReclaim(waits []predictedStart, now time.Time) {
 	lt := l.leaderTerm
-	free, recalled := l.openRoom(now).freeCPUs, 0
+	free, recalled := l.findOpenCapacity(now).freeCPUs, 0
 	for _, w := range waits {
 		free -= float64(w.job.flight.Untaken()) * w.job.spec.CPUs
 	}
 	for _, j := range lt.jobs {
-		if j.wantBack {
+		if j.reclaimRequested {
 			recalled++
 			free -= float64(j.spec.Tasks) * j.spec.CPUs
 		}
 	}
 	for _, j := range lt.jobs {
-		if recalled >= mostRecalls {
+		if recalled >= maxReclaims {
 			return
 		}
 		wants := float64(j.spec.Tasks) * j.spec.CPUs
-		if j.lent == nil || j.wantBack || j.remote.Phase != loan.PhaseAccepted || wants > free || lt.unfenced > 0 {
+		if j.lent == nil || j.reclaimRequested || j.remote.Phase != loan.PhaseAccepted || wants > free || lt.unfenced > 0 {
 			continue
 		}
-		j.wantBack = true
+		j.reclaimRequested = true
 		free -= wants
 		recalled++
 		lt.c.Log.Info("loan called back", "job", j.spec.ID, "from", j.lent.Host)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -282,7 +282,7 @@
 			w.t.Errorf("transactions of up to %d bytes", most)
 		}
 	})
-	if room := relayRoom(limits{400, 128, 2000}.settings(), relayParts); relayParts*(room+200) > store.MaxTxnBytes {
+	if room := maxRelayRecordBytes(limits{400, 128, 2000}.settings(), maxRelayParts); maxRelayParts*(room+200) > store.MaxTxnBytes {
 		t.Errorf("relayed records of %d bytes", room)
 	}
 }
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -23,7 +23,7 @@
 			return s
 		}
 		out, in := counts(home).Counts, counts(host).Counts
-		if out.Lent == 0 || out.Done+out.TakenBack != out.Lent || in.Accepted != out.Lent {
+		if out.Lent == 0 || out.Done+out.Reclaimed != out.Lent || in.Accepted != out.Lent {
 			t.Fatalf("home %+v, host %+v of %d jobs", out, in, len(ids))
 		}
 		// Each is lent and ended or taken back, accepted, ended and forgotten.
@@ -43,7 +43,7 @@
 	c.Policy.Spill.After = time.Hour // it looks, and lends nothing
 	lt.loans.init(lt)
 	n := lt.loans.neighbours["cell-b"]
-	n.heard = time.Now().Add(time.Hour)
+	n.lastResponse = time.Now().Add(time.Hour)
 	n.advert = loan.Advert{Accepting: true, CPUs: 1e4, CancelS: 30, Types: []api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Zones: []string{"a"}}}}
 	now := time.Now()
 	for i := range jobs {
@@ -54,7 +54,7 @@
 	for i := range 100 {
 		s := spec(fmt.Sprint("job-8", i), 10)
 		s.Team = "guest"
-		lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Guest: &loan.Guest{Home: "cell-b", Epoch: 1, Spec: *s, Grant: loan.Grant{CPUs: 10}}, Accepted: now}, uint64(50_000+i))
+		lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Guest: &loan.Guest{Home: "cell-b", Epoch: 1, Spec: *s, Budget: loan.Budget{CPUs: 10}}, Accepted: now}, uint64(50_000+i))
 	}
 	return lt
 }
@@ -69,7 +69,7 @@
 				now := time.Now()
 				lt.loans.scanHome(now)
 				lt.loans.scanHost(now)
-				lt.loans.answer(&loan.Request{Home: "cell-b", Term: 1}, now)
+				lt.loans.respond(&loan.Request{Home: "cell-b", Term: 1}, now)
 			}
 		})
 	}
@@ -113,8 +113,8 @@
 				c.leader().look(func(o *Controller) {
 					l := &o.leaderTerm.loans
 					for _, id := range ids {
-						if j := o.leaderTerm.jobs[id]; j != nil && !j.started() && j.lends == 0 && !j.handover {
-							l.lend(j, l.neighbours[n.name], loan.Grant{CPUs: j.spec.CPUs})
+						if j := o.leaderTerm.jobs[id]; j != nil && !j.started() && j.loanCount == 0 && !j.handover {
+							l.lendJob(j, l.neighbours[n.name], loan.Budget{CPUs: j.spec.CPUs})
 							lent = true
 						}
 					}
@@ -164,25 +164,25 @@
 				cpus, gpus float64
 				used       float64
 				spare      float64
-				want       loan.Grant
+				want       loan.Budget
 			}{
-				{10, 3, 0, 0, 100, loan.Grant{CPUs: 15}},         // the limit is 16
-				{10, 3, 0, 8, 100, loan.Grant{CPUs: 6}},          // of which 8 are in use
-				{10, 3, 0, 0, 7, loan.Grant{CPUs: 6}},            // the neighbour spares 7
-				{2, 3, 0, 0, 100, loan.Grant{CPUs: 6}},           // it has two tasks
-				{10, 1, 1, 0, 100, loan.Grant{CPUs: 3, GPUs: 3}}, // three GPUs are allowed
-				{10, 3, 0, 14, 100, loan.Grant{}},
+				{10, 3, 0, 0, 100, loan.Budget{CPUs: 15}},         // the limit is 16
+				{10, 3, 0, 8, 100, loan.Budget{CPUs: 6}},          // of which 8 are in use
+				{10, 3, 0, 0, 7, loan.Budget{CPUs: 6}},            // the neighbour spares 7
+				{2, 3, 0, 0, 100, loan.Budget{CPUs: 6}},           // it has two tasks
+				{10, 1, 1, 0, 100, loan.Budget{CPUs: 3, GPUs: 3}}, // three GPUs are allowed
+				{10, 3, 0, 14, 100, loan.Budget{}},
 			} {
 				s := spec("job-1", g.tasks)
 				s.CPUs, s.GPUs = g.cpus, g.gpus
 				team := c.leaderTerm.teams["red"]
 				team.UsedCPUs = g.used
 				j := newJob(*s, team)
-				got := l.grant(j, g.spare)
+				got := l.budget(j, g.spare)
 				w.same(fmt.Sprint(g), got, g.want)
-				j.guest = &loan.Guest{Grant: got}
+				j.guest = &loan.Guest{Budget: got}
 				begun := 0
-				for j.withinGrant() && begun < 100 {
+				for j.withinBudget() && begun < 100 {
 					begun++
 					j.zones["a"]++
 				}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -19,7 +19,7 @@
 // CellLink is the way to other cells.
 type CellLink interface {
 	// Loans tells a cell's leader of the loans to that cell.
-	Loans(ctx context.Context, cell string, req *loan.Request) (*loan.Answer, error)
+	Loans(ctx context.Context, cell string, req *loan.Request) (*loan.Response, error)
 }
 
 // loans are the jobs that the leader's cell has lent to others, and those that it runs
@@ -30,24 +30,24 @@
 	count uint32
 	// neighbours are the cells that jobs may be lent to.
 	neighbours map[string]*neighbour
-	// floors and ends are this cell's records about the guests of each home cell.
-	floors map[string]loanFloor
-	ends   *iradix.Tree[loanEnd]
+	// minEpochs and ends are this cell's records about the guests of each home cell.
+	minEpochs map[string]minEpoch
+	ends      *iradix.Tree[loanEnd]
 	// guestTeams are the queues of guests, one for each home cell, and guestFairShareOrder the
 	// same in the order in which they are served.
 	guestTeams          map[string]*queue.Team[*job]
 	guestFairShareOrder []*queue.Team[*job]
 
-	counts  LoanCounts
-	room    openRoom
-	queue   []*loanChange
-	busy    bool
-	limiter *rate.Limiter
+	counts       LoanCounts
+	openCapacity openCapacity
+	queue        []*loanChange
+	busy         bool
+	limiter      *rate.Limiter
 	// changing are the jobs, by home cell and name, with a change that is queued or on
 	// its way.
 	changing map[string]bool
-	// taken are names that this cell's records were found to know.
-	taken map[string]bool
+	// reclaiming are names that this cell's records were found to know.
+	reclaiming map[string]bool
 	// logged holds what was said of refused requests, each once.
 	logged map[string]bool
 	// shortSince is since when a team's guarantee lacks room that guests use.
@@ -55,8 +55,8 @@
 	nextScan   time.Time
 }
 
-// loanFloor is the floor of a home cell's loans with the version of its record.
-type loanFloor struct {
+// minEpoch is the floor of a home cell's loans with the version of its record.
+type minEpoch struct {
 	epoch       loan.Epoch
 	modRevision uint64
 }
@@ -72,22 +72,22 @@
 const loanWriteShare = 0.1
 
 func (l *loans) init(lt *leaderTerm) {
-	*l = loans{leaderTerm: lt, neighbours: map[string]*neighbour{}, floors: map[string]loanFloor{}, ends: iradix.New[loanEnd](),
-		guestTeams: map[string]*queue.Team[*job]{}, changing: map[string]bool{}, taken: map[string]bool{}, logged: map[string]bool{},
-		limiter: rate.NewLimiter(rate.Limit(lt.c.Settings.Site.State.WriteRPS*loanWriteShare), mostLoanOps)}
+	*l = loans{leaderTerm: lt, neighbours: map[string]*neighbour{}, minEpochs: map[string]minEpoch{}, ends: iradix.New[loanEnd](),
+		guestTeams: map[string]*queue.Team[*job]{}, changing: map[string]bool{}, reclaiming: map[string]bool{}, logged: map[string]bool{},
+		limiter: rate.NewLimiter(rate.Limit(lt.c.Settings.Site.State.WriteRPS*loanWriteShare), maxLoanOps)}
 	if lt.c.Cells == nil {
 		return
 	}
 	for _, n := range lt.c.Cells.Neighbours {
-		l.neighbours[n.Cell] = &neighbour{cell: n.Cell, lost: n.Lost, forget: map[string]loan.Epoch{}}
+		l.neighbours[n.Cell] = &neighbour{cell: n.Cell, unreachable: n.Unreachable, forget: map[string]loan.Epoch{}}
 	}
 }
 
-// mostLoanNames bounds what is remembered of refused loans.
-const mostLoanNames = 4096
+// maxLoanNames bounds what is remembered of refused loans.
+const maxLoanNames = 4096
 
-// mostLoanOps is what the largest change of a loan takes.
-const mostLoanOps = 3
+// maxLoanOps is what the largest change of a loan takes.
+const maxLoanOps = 3
 
 // enabled tells whether new loans may be made and accepted: only once every node of the
 // cell has told that it knows of them.
@@ -130,9 +130,9 @@
 
 func loanName(home, job string) string { return home + "/" + job }
 
-// change queues a change. It returns false if there is one of that job already, whose
+// enqueueChange queues a change. It returns false if there is one of that job already, whose
 // outcome decides what comes next.
-func (l *loans) change(c *loanChange) bool {
+func (l *loans) enqueueChange(c *loanChange) bool {
 	name := loanName(c.home, c.job)
 	if l.changing[name] {
 		return false
@@ -223,7 +223,7 @@
 // read reads all records that a change is about.
 func (l *loans) read(c *loanChange) {
 	lt := l.leaderTerm
-	keys := []string{store.ActivePrefix + c.job, loan.EndKey(c.home, c.job), loan.FloorKey(c.home)}
+	keys := []string{store.ActivePrefix + c.job, loan.EndKey(c.home, c.job), loan.MinEpochKey(c.home)}
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
 		entries, err := getAll(ctx, lt.c.Store, keys)
@@ -255,11 +255,11 @@
 
 // loanReadMsg brings the records that a change is about.
 type loanReadMsg struct {
-	leaderTerm         *leaderTerm
-	change             *loanChange
-	active, end, floor store.Entry
-	final              api.JobState
-	isFinal            bool
+	leaderTerm            *leaderTerm
+	change                *loanChange
+	active, end, minEpoch store.Entry
+	final                 api.JobState
+	isFinal               bool
 }
 
 func (m loanReadMsg) apply(c *Controller) {
@@ -269,14 +269,14 @@
 	}
 	l := &lt.loans
 	l.finished(m.change)
-	l.addRecord(m.floor)
+	l.addRecord(m.minEpoch)
 	if m.end.ModRevision == 0 {
 		l.ends, _, _ = l.ends.Delete([]byte(loanName(m.change.home, m.change.job)))
 	} else {
 		l.addRecord(m.end)
 	}
-	if m.isFinal && len(l.taken) < mostLoanNames {
-		l.taken[m.change.job] = true
+	if m.isFinal && len(l.reclaiming) < maxLoanNames {
+		l.reclaiming[m.change.job] = true
 	}
 	j := lt.jobs[m.change.job]
 	if j != nil {
@@ -302,10 +302,10 @@
 		return
 	}
 	var err error
-	if home, ok := strings.CutPrefix(e.Key, loan.FloorKey("")); ok {
-		var floor loan.Floor
-		if err = json.Unmarshal(e.Value, &floor); err == nil && e.ModRevision >= l.floors[home].modRevision {
-			l.floors[home] = loanFloor{floor.Epoch, e.ModRevision}
+	if home, ok := strings.CutPrefix(e.Key, loan.MinEpochKey("")); ok {
+		var floor loan.MinEpochRecord
+		if err = json.Unmarshal(e.Value, &floor); err == nil && e.ModRevision >= l.minEpochs[home].modRevision {
+			l.minEpochs[home] = minEpoch{floor.Epoch, e.ModRevision}
 		}
 	} else if home, job, ok := strings.Cut(strings.TrimPrefix(e.Key, loan.Prefix+"end/"), "/"); ok {
 		end := loanEnd{home: home, job: job, modRevision: e.ModRevision}
@@ -324,11 +324,11 @@
 	if mark <= j.modRevision {
 		return
 	}
-	j.modRevision, j.lends = mark, rec.LoanCount
+	j.modRevision, j.loanCount = mark, rec.LoanCount
 	switch {
 	case rec.Lent != nil:
-		lt.loans.lent(j, rec.Lent)
+		lt.loans.jobLent(j, rec.Lent)
 	case j.lent != nil:
-		lt.loans.takenBack(j)
+		lt.loans.reclaimed(j)
 	}
 }
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -12,58 +12,58 @@
 // neighbour is a cell that jobs may be lent to, as its last answer has it.
 type neighbour struct {
 	cell string
-	// lost says that the operators have given the cell up.
-	lost bool
-	busy bool
-	next time.Time
-	// heard is when it last answered, and delay how long that took.
-	heard  time.Time
-	delay  time.Duration
-	advert loan.Advert
+	// unreachable says that the operators have given the cell up.
+	unreachable  bool
+	busy         bool
+	nextExchange time.Time
+	// lastResponse is when it last answered, and delay how long that took.
+	lastResponse time.Time
+	delay        time.Duration
+	advert       loan.Advert
 	// lastError is why it did not, and refused why it would not; failing is since when.
-	lastError string
-	failing   time.Time
+	lastError    string
+	failingSince time.Time
 	// forget are loans that it names and that are settled here.
 	forget map[string]loan.Epoch
 }
 
 const (
-	exchangeEvery   = time.Second
-	exchangeTimeout = 2 * time.Second
-	// advertLife is how long a cell's word on what it has to spare is relied on.
-	advertLife = 4 * time.Second
-	// mostOffers bounds the offers to a cell that are not answered, and mostRecalls the
+	exchangeInterval = time.Second
+	exchangeTimeout  = 2 * time.Second
+	// advertLifetime is how long a cell's word on what it has to spare is relied on.
+	advertLifetime = 4 * time.Second
+	// maxOffers bounds the offers to a cell that are not answered, and maxReclaims the
 	// loans that are wanted back at a time.
-	mostOffers  = 4
-	mostRecalls = 4
+	maxOffers   = 4
+	maxReclaims = 4
 	// transferTime is what the transactions on both sides take.
 	transferTime = time.Second
 )
 
-// lent takes in that a job is lent, by its record.
-func (l *loans) lent(j *job, record *loan.Lent) {
+// jobLent takes in that a job is lent, by its record.
+func (l *loans) jobLent(j *job, record *loan.Lent) {
 	if j.lent == nil || j.lent.Epoch != record.Epoch {
 		j.remote = loan.State{}
-		j.wantBack = false
+		j.reclaimRequested = false
 	}
 	j.handover = false
-	l.reserve(j, record.Grant)
+	l.reserve(j, record.Budget)
 	j.lent = record
 	j.team.Remove(j)
 	if n := l.neighbours[record.Host]; n != nil {
-		n.next = time.Time{}
+		n.nextExchange = time.Time{}
 	}
 }
 
-// takenBack takes in that a job is this cell's own again.
-func (l *loans) takenBack(j *job) {
+// reclaimed takes in that a job is this cell's own again.
+func (l *loans) reclaimed(j *job) {
 	l.leaderTerm.c.Log.Info("loan taken back", "job", j.spec.ID, "from", j.lent.Host, "reason", j.remote.Reason)
-	if j.lentBefore == nil {
-		j.lentBefore = map[string]time.Time{}
+	if j.lastReclaimed == nil {
+		j.lastReclaimed = map[string]time.Time{}
 	}
-	j.lentBefore[j.lent.Host] = time.Now()
-	j.lent, j.handover, j.wantBack = nil, false, false
-	l.counts.TakenBack++
+	j.lastReclaimed[j.lent.Host] = time.Now()
+	j.lent, j.handover, j.reclaimRequested = nil, false, false
+	l.counts.Reclaimed++
 	l.release(j)
 	l.requeue(j)
 }
@@ -77,38 +77,38 @@
 }
 
 // reserve counts a loan's grant as used by its team, and release no more.
-func (l *loans) reserve(j *job, grant loan.Grant) {
+func (l *loans) reserve(j *job, grant loan.Budget) {
 	l.release(j)
-	j.reserved = grant
+	j.reservedBudget = grant
 	j.team.UsedCPUs += grant.CPUs
 	j.team.UsedGPUs += grant.GPUs
 }
 
 func (l *loans) release(j *job) {
-	j.team.UsedCPUs -= j.reserved.CPUs
-	j.team.UsedGPUs -= j.reserved.GPUs
-	j.reserved = loan.Grant{}
+	j.team.UsedCPUs -= j.reservedBudget.CPUs
+	j.team.UsedGPUs -= j.reservedBudget.GPUs
+	j.reservedBudget = loan.Budget{}
 }
 
-// lend puts on record that a job is lent. From now on nothing of it starts here.
-func (l *loans) lend(j *job, n *neighbour, grant loan.Grant) {
+// lendJob puts on record that a job is lent. From now on nothing of it starts here.
+func (l *loans) lendJob(j *job, n *neighbour, grant loan.Budget) {
 	lt := l.leaderTerm
 	l.count++
 	l.counts.Lent++
 	spec := j.spec
 	spec.DependsOn = nil
-	record := &loan.Lent{Host: n.cell, Epoch: loan.NewEpoch(lt.term.Number, l.count), Spec: spec, Grant: grant, Since: j.runnableSince.UTC()}
+	record := &loan.Lent{Host: n.cell, Epoch: loan.NewEpoch(lt.term.Number, l.count), Spec: spec, Budget: grant, Since: j.runnableSince.UTC()}
 	j.team.Remove(j)
 	l.reserve(j, grant)
 	lt.c.Log.Info("loan", "job", spec.ID, "class", spec.Class, "to", n.cell, "epoch", record.Epoch, "cpus", grant.CPUs)
-	active := store.ActiveRecord{Accepted: j.accepted, Lent: record, LoanCount: j.lends + 1}
+	active := store.ActiveRecord{Accepted: j.accepted, Lent: record, LoanCount: j.loanCount + 1}
 	l.changeActive(j, active)
 }
 
 // changeActive puts another record in the place of a job's active one.
 func (l *loans) changeActive(j *job, rec store.ActiveRecord) {
 	key := store.ActivePrefix + j.spec.ID
-	j.handover = l.change(&loanChange{home: l.leaderTerm.c.Cells.Cell, job: j.spec.ID,
+	j.handover = l.enqueueChange(&loanChange{home: l.leaderTerm.c.Cells.Cell, job: j.spec.ID,
 		build: func() (store.Txn, bool) {
 			return store.Txn{Compares: []store.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: j.modRevision}},
 				Ops: []store.Op{{Put: key, Value: rec}}}, !j.ended
@@ -123,41 +123,41 @@
 func (l *loans) exchange(now time.Time) {
 	lt := l.leaderTerm
 	for _, n := range l.neighbours {
-		if n.lost {
-			l.takeFromLost(n)
+		if n.unreachable {
+			l.reclaimFromUnreachable(n)
 			continue
 		}
-		if n.busy || now.Before(n.next) || lt.c.Link == nil {
+		if n.busy || now.Before(n.nextExchange) || lt.c.Link == nil {
 			continue
 		}
-		n.busy, n.next = true, now.Add(exchangeEvery)
+		n.busy, n.nextExchange = true, now.Add(exchangeInterval)
 		req := l.request(n)
 		go func() {
 			ctx, cancel := context.WithTimeout(lt.ctx, exchangeTimeout)
 			defer cancel()
 			answer, err := lt.c.Link.Loans(ctx, n.cell, req)
-			lt.sendToOwner(loanAnswerMsg{lt, n, now, answer, err})
+			lt.sendToOwner(loanResponseMsg{lt, n, now, answer, err})
 		}()
 	}
 }
 
-// takeFromLost takes back what was lent to a cell that the operators have given up.
-func (l *loans) takeFromLost(n *neighbour) {
+// reclaimFromUnreachable takes back what was lent to a cell that the operators have given up.
+func (l *loans) reclaimFromUnreachable(n *neighbour) {
 	for _, j := range l.leaderTerm.jobs {
 		if j.lent != nil && j.lent.Host == n.cell && !j.handover {
-			l.act(j, loan.State{Job: j.spec.ID, Epoch: j.lent.Epoch, Phase: loan.PhaseClosed, Reason: "the cell is lost"})
+			l.applyAction(j, loan.State{Job: j.spec.ID, Epoch: j.lent.Epoch, Phase: loan.PhaseClosed, Reason: "the cell is lost"})
 		}
 	}
 }
 
-// mostOfferBytes bounds the descriptions of jobs in a request.
-const mostOfferBytes = 64 << 10
+// maxOfferBytes bounds the descriptions of jobs in a request.
+const maxOfferBytes = 64 << 10
 
 // request says what is wanted of each loan to a neighbour.
 func (l *loans) request(n *neighbour) *loan.Request {
 	lt := l.leaderTerm
 	req := &loan.Request{Home: lt.c.Cells.Cell, Term: lt.term.Number}
-	room := mostOfferBytes
+	room := maxOfferBytes
 	for id, j := range lt.jobs {
 		if j.lent == nil || j.lent.Host != n.cell || j.handover {
 			continue
@@ -165,18 +165,18 @@
 		e := loan.Entry{Job: id, Epoch: j.lent.Epoch}
 		switch {
 		case j.lent.Cancel:
-			e.Want = loan.WantCancel
-		case j.wantBack:
-			e.Want = loan.WantBack
+			e.Desired = loan.DesiredCancel
+		case j.reclaimRequested:
+			e.Desired = loan.DesiredReclaim
 		}
-		if j.remote.Phase == loan.PhaseUnknown && e.Want == loan.WantRun && room > 0 {
-			e.Offer = &loan.Offer{Spec: j.lent.Spec, Grant: j.lent.Grant, Since: j.lent.Since}
+		if j.remote.Phase == loan.PhaseUnknown && e.Desired == loan.DesiredRun && room > 0 {
+			e.Offer = &loan.Offer{Spec: j.lent.Spec, Budget: j.lent.Budget, Since: j.lent.Since}
 			room -= offerBytes + len(j.lent.Spec.Class) + len(j.lent.Spec.Image) + 16*len(j.lent.Spec.Types)
 		}
 		req.Entries = append(req.Entries, e)
 	}
 	for job, epoch := range n.forget {
-		req.Entries = append(req.Entries, loan.Entry{Job: job, Epoch: epoch, Want: loan.WantForget})
+		req.Entries = append(req.Entries, loan.Entry{Job: job, Epoch: epoch, Desired: loan.DesiredForget})
 	}
 	return req
 }
@@ -184,16 +184,16 @@
 // offerBytes is about what the description of a job takes, besides long names.
 const offerBytes = 400
 
-// loanAnswerMsg brings a neighbour's answer.
-type loanAnswerMsg struct {
+// loanResponseMsg brings a neighbour's answer.
+type loanResponseMsg struct {
 	leaderTerm *leaderTerm
 	neighbour  *neighbour
 	sent       time.Time
-	answer     *loan.Answer
+	answer     *loan.Response
 	err        error
 }
 
-func (m loanAnswerMsg) apply(c *Controller) {
+func (m loanResponseMsg) apply(c *Controller) {
 	if c.leaderTerm != m.leaderTerm {
 		return
 	}
@@ -204,19 +204,19 @@
 	}
 	if m.err != nil {
 		if n.lastError == "" {
-			n.failing = now
+			n.failingSince = now
 			c.Log.Info("cell does not answer", "cell", n.cell, "err", m.err)
 		}
 		n.lastError = m.err.Error()
 		return
 	}
 	if n.lastError != "" {
-		c.Log.Info("cell answers again", "cell", n.cell, "after", now.Sub(n.failing).Round(time.Second))
+		c.Log.Info("cell answers again", "cell", n.cell, "after", now.Sub(n.failingSince).Round(time.Second))
 	}
-	n.lastError, n.heard, n.delay, n.advert = "", now, now.Sub(m.sent), m.answer.Advert
+	n.lastError, n.lastResponse, n.delay, n.advert = "", now, now.Sub(m.sent), m.answer.Advert
 	clear(n.forget)
 	for _, s := range m.answer.States {
-		l.takeState(n, s)
+		l.applyState(n, s)
 	}
 }
 
@@ -225,47 +225,47 @@
 
 func (e *RefusedError) Error() string { return "cell " + e.Cell + " refuses: " + e.Reason }
 
-// takeState takes in how a loan stands at its host.
-func (l *loans) takeState(n *neighbour, s loan.State) {
+// applyState takes in how a loan stands at its host.
+func (l *loans) applyState(n *neighbour, s loan.State) {
 	lt := l.leaderTerm
 	j := lt.jobs[s.Job]
 	if j != nil && j.handover {
 		return // what is on its way decides
 	}
 	if j == nil || j.lent == nil || j.lent.Host != n.cell || j.lent.Epoch != s.Epoch {
-		if s.Phase != loan.PhaseClosed && s.Phase != loan.PhaseUnknown && loan.SettledBy(lt.term.Number, s.Epoch) {
+		if s.Phase != loan.PhaseClosed && s.Phase != loan.PhaseUnknown && loan.ConfirmedBy(lt.term.Number, s.Epoch) {
 			n.forget[s.Job] = s.Epoch
-			n.next = time.Time{}
+			n.nextExchange = time.Time{}
 		}
 		return
 	}
-	if s.Phase == loan.PhaseBegun {
-		j.wantBack = false // it stays where it runs
+	if s.Phase == loan.PhaseStarted {
+		j.reclaimRequested = false // it stays where it runs
 	}
 	if s.Phase >= j.remote.Phase {
 		j.remote = s
 	}
-	l.act(j, s)
+	l.applyAction(j, s)
 }
 
-// act carries out what follows from how a loan stands.
-func (l *loans) act(j *job, s loan.State) {
+// applyAction carries out what follows from how a loan stands.
+func (l *loans) applyAction(j *job, s loan.State) {
 	switch loan.HomeStep(j.lent, s) {
-	case loan.ActionTakeBack:
+	case loan.ActionReclaim:
 		j.remote.Reason = s.Reason
-		l.changeActive(j, store.ActiveRecord{Spec: j.lent.Spec, Accepted: j.accepted, LoanCount: j.lends})
+		l.changeActive(j, store.ActiveRecord{Spec: j.lent.Spec, Accepted: j.accepted, LoanCount: j.loanCount})
 	case loan.ActionDone:
-		l.end(j, store.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: time.Now().UTC()})
-	case loan.ActionWithdraw:
-		l.end(j, store.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
+		l.recordLentEnd(j, store.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: time.Now().UTC()})
+	case loan.ActionCancel:
+		l.recordLentEnd(j, store.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
 	}
 }
 
-// end records how a lent job ended.
-func (l *loans) end(j *job, final store.TerminalRecord) {
+// recordLentEnd records how a lent job ended.
+func (l *loans) recordLentEnd(j *job, final store.TerminalRecord) {
 	lt, id := l.leaderTerm, j.spec.ID
 	active := store.ActivePrefix + id
-	j.handover = l.change(&loanChange{home: lt.c.Cells.Cell, job: id,
+	j.handover = l.enqueueChange(&loanChange{home: lt.c.Cells.Cell, job: id,
 		build: func() (store.Txn, bool) {
 			txn := store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
 			if final.Phase == api.JobCancelled {
@@ -285,11 +285,11 @@
 				l.counts.Done++
 				lt.jobFinished(j)
 			default:
-				l.counts.Withdrawn++
+				l.counts.Cancelled++
 				lt.cancelJob(j)
 			}
 			if n := l.neighbours[j.lent.Host]; n != nil {
-				n.next = time.Time{} // it names the loan once more, and is told to forget it
+				n.nextExchange = time.Time{} // it names the loan once more, and is told to forget it
 			}
 		}})
 }
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -15,8 +15,8 @@
 
 // Loans takes in what the leader of another cell says of the jobs that it lends to this
 // one. Only the leader answers.
-func (c *Controller) Loans(ctx context.Context, req *loan.Request) (*loan.Answer, error) {
-	m := loanRequestMsg{req, make(chan *loan.Answer, 1)}
+func (c *Controller) Loans(ctx context.Context, req *loan.Request) (*loan.Response, error) {
+	m := loanRequestMsg{req, make(chan *loan.Response, 1)}
 	if err := c.send(ctx, m); err != nil {
 		return nil, err
 	}
@@ -29,7 +29,7 @@
 
 type loanRequestMsg struct {
 	req   *loan.Request
-	reply chan *loan.Answer
+	reply chan *loan.Response
 }
 
 func (m loanRequestMsg) apply(c *Controller) {
@@ -37,41 +37,41 @@
 		m.reply <- nil
 		return
 	}
-	m.reply <- c.leaderTerm.loans.answer(m.req, time.Now())
+	m.reply <- c.leaderTerm.loans.respond(m.req, time.Now())
 }
 
-// answer takes a request in and says how all loans of its cell stand.
-func (l *loans) answer(req *loan.Request, now time.Time) *loan.Answer {
+// respond takes a request in and says how all loans of its cell stand.
+func (l *loans) respond(req *loan.Request, now time.Time) *loan.Response {
 	lt := l.leaderTerm
 	if reason := l.refusal(req); reason != "" {
 		l.logOnce("loans refused", req.Home, reason)
-		return &loan.Answer{Refused: reason}
+		return &loan.Response{Refused: reason}
 	}
-	answer := &loan.Answer{Host: lt.c.Cells.Cell, Term: lt.term.Number, Advert: l.advert(now)}
+	answer := &loan.Response{Host: lt.c.Cells.Cell, Term: lt.term.Number, Advert: l.advertise(now)}
 	named := map[string]bool{}
 	raise := loan.Epoch(0)
 	for _, e := range req.Entries {
 		named[e.Job] = true
-		held := l.held(req.Home, e, &answer.Advert)
+		held := l.hostView(req.Home, e, &answer.Advert)
 		phase, step := loan.HostStep(e, held)
-		state := loan.State{Job: e.Job, Epoch: e.Epoch, Phase: phase, Reason: held.Refuse}
+		state := loan.State{Job: e.Job, Epoch: e.Epoch, Phase: phase, Reason: held.RefusalReason}
 		if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Epoch == e.Epoch {
 			l.progress(j, &state)
 		} else {
-			state.Held = l.onMachines(e.Job)
+			state.Pending = l.onMachines(e.Job)
 		}
-		if step == loan.StepRaise {
+		if step == loan.StepRaiseMinEpoch {
 			raise = max(raise, e.Epoch)
-			l.logOnce("loan not accepted", loanName(req.Home, e.Job), held.Refuse)
+			l.logOnce("loan not accepted", loanName(req.Home, e.Job), held.RefusalReason)
 		} else {
-			l.carryOut(req.Home, e, step)
+			l.applyStep(req.Home, e, step)
 		}
 		answer.States = append(answer.States, state)
 	}
-	if raise > l.floors[req.Home].epoch {
-		l.raiseFloor(req.Home, raise)
+	if raise > l.minEpochs[req.Home].epoch {
+		l.raiseMinEpoch(req.Home, raise)
 	}
-	answer.States = append(answer.States, l.unnamed(req.Home, named)...)
+	answer.States = append(answer.States, l.unlistedGuests(req.Home, named)...)
 	return answer
 }
 
@@ -88,7 +88,7 @@
 		switch {
 		case !api.ValidID(e.Job):
 			return fmt.Sprintf("%q is no job id", e.Job)
-		case e.Epoch == 0 || e.Want < loan.WantRun || e.Want > loan.WantForget:
+		case e.Epoch == 0 || e.Desired < loan.DesiredRun || e.Desired > loan.DesiredForget:
 			return fmt.Sprintf("the loan of %s is malformed", e.Job)
 		case e.Offer != nil && (e.Offer.Spec.ID != e.Job || e.Offer.Spec.Tasks < 1 || e.Offer.Spec.Tasks > api.MaxTasks || e.Offer.Spec.CPUs < 0):
 			return fmt.Sprintf("the description of %s is malformed", e.Job)
@@ -100,35 +100,35 @@
 // logOnce says something of a cell or job once.
 func (l *loans) logOnce(what, of, reason string) {
 	key := what + " " + of + " " + reason
-	if l.logged[key] || len(l.logged) >= mostLoanNames {
+	if l.logged[key] || len(l.logged) >= maxLoanNames {
 		return
 	}
 	l.logged[key] = true
 	l.leaderTerm.c.Log.Warn(what, "of", of, "reason", reason)
 }
 
-// held is what this cell's records say of a job of a home cell.
-func (l *loans) held(home string, e loan.Entry, advert *loan.Advert) loan.Held {
+// hostView is what this cell's records say of a job of a home cell.
+func (l *loans) hostView(home string, e loan.Entry, advert *loan.Advert) loan.HostView {
 	lt := l.leaderTerm
-	h := loan.Held{Floor: l.floors[home].epoch}
+	h := loan.HostView{MinEpoch: l.minEpochs[home].epoch}
 	if end, ok := l.ends.Get([]byte(loanName(home, e.Job))); ok {
 		h.End = &end.End
 	}
 	if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Home == home {
-		h.Guest = j.guest.Epoch
+		h.GuestEpoch = j.guest.Epoch
 		// A machine that is not heard may hold tasks of it.
-		h.Begun = j.started() || lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision
+		h.Started = j.started() || lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision
 		return h
 	}
-	if e.Want == loan.WantRun && e.Offer != nil && h.End == nil {
-		h.Refuse = l.refuses(home, e.Offer, advert)
+	if e.Desired == loan.DesiredRun && e.Offer != nil && h.End == nil {
+		h.RefusalReason = l.refusalOf(home, e.Offer, advert)
 	}
 	return h
 }
 
-// refuses says why an offer is not accepted, or "", and takes what it needs off what
+// refusalOf says why an offer is not accepted, or "", and takes what it needs off what
 // there is to spare.
-func (l *loans) refuses(home string, o *loan.Offer, advert *loan.Advert) string {
+func (l *loans) refusalOf(home string, o *loan.Offer, advert *loan.Advert) string {
 	lt, s := l.leaderTerm, &o.Spec
 	if l.changing[loanName(home, s.ID)] {
 		return "" // it is being accepted
@@ -143,13 +143,13 @@
 	switch {
 	case !l.enabled():
 		return "a controller here does not know of loans"
-	case lt.jobs[s.ID] != nil || l.taken[s.ID]:
+	case lt.jobs[s.ID] != nil || l.reclaiming[s.ID]:
 		return "a job of that name is here"
 	case guests+len(l.changing) >= lt.c.Cells.MaxLoans:
 		return "too many loans"
 	case !advert.Accepting || advert.CPUs < s.CPUs || advert.GPUs < s.GPUs:
 		return "nothing to spare"
-	case o.Grant.CPUs < s.CPUs || o.Grant.GPUs < s.GPUs:
+	case o.Budget.CPUs < s.CPUs || o.Budget.GPUs < s.GPUs:
 		return "the grant holds no task"
 	case !store.FitsRecord(rec, lt.c.Settings.Site.State.ValueKB):
 		return "larger than a record"
@@ -157,14 +157,14 @@
 	if !slices.ContainsFunc(advert.Types, func(t api.MachineType) bool { return taskFits(s, t) }) {
 		return "a task fits no machine type"
 	}
-	advert.CPUs -= min(o.Grant.CPUs, float64(s.Tasks)*s.CPUs)
+	advert.CPUs -= min(o.Budget.CPUs, float64(s.Tasks)*s.CPUs)
 	return ""
 }
 
 // progress tells how a guest stands.
 func (l *loans) progress(j *job, s *loan.State) {
 	st := j.state()
-	s.Done, s.Running, s.Held = st.Done, st.Running, len(j.activeAttempts) > 0
+	s.Done, s.Running, s.Pending = st.Done, st.Running, len(j.activeAttempts) > 0
 }
 
 // onMachines tells whether tasks of a job may be on machines, whatever is known of it.
@@ -184,23 +184,23 @@
 	return false
 }
 
-// unnamed are the loans of a cell that are here and that its request does not name. It is
+// unlistedGuests are the loans of a cell that are here and that its request does not name. It is
 // told of them, and says what is to become of them.
-func (l *loans) unnamed(home string, named map[string]bool) (states []loan.State) {
+func (l *loans) unlistedGuests(home string, named map[string]bool) (states []loan.State) {
 	for id, j := range l.leaderTerm.jobs {
 		if j.guest == nil || j.guest.Home != home || named[id] {
 			continue
 		}
 		s := loan.State{Job: id, Epoch: j.guest.Epoch, Phase: loan.PhaseAccepted}
 		if j.started() {
-			s.Phase = loan.PhaseBegun
+			s.Phase = loan.PhaseStarted
 		}
 		l.progress(j, &s)
 		states = append(states, s)
 	}
 	l.ends.Root().WalkPrefix([]byte(home+"/"), func(_ []byte, end loanEnd) bool {
 		if !named[end.job] {
-			s := loan.State{Job: end.job, Epoch: end.Epoch, Phase: loan.PhaseWithdrawn, Ended: end.Ended, Held: l.onMachines(end.job)}
+			s := loan.State{Job: end.job, Epoch: end.Epoch, Phase: loan.PhaseCancelled, Ended: end.Ended, Pending: l.onMachines(end.job)}
 			if end.Phase == api.JobDone {
 				s.Phase = loan.PhaseDone
 			}
@@ -211,15 +211,15 @@
 	return states
 }
 
-// carryOut changes this cell's records as a step says.
-func (l *loans) carryOut(home string, e loan.Entry, step loan.Step) {
+// applyStep changes this cell's records as a step says.
+func (l *loans) applyStep(home string, e loan.Entry, step loan.Step) {
 	j := l.leaderTerm.jobs[e.Job]
 	switch step {
 	case loan.StepAccept:
 		l.accept(home, e)
 	case loan.StepClose:
-		l.giveBack(j)
-	case loan.StepWithdraw:
+		l.returnGuest(j)
+	case loan.StepCancel:
 		l.endGuest(j, loan.End{Epoch: e.Epoch, Phase: api.JobCancelled, Tasks: j.spec.Tasks})
 	case loan.StepForget:
 		l.forgetEnd(home, e)
@@ -230,62 +230,62 @@
 func (l *loans) accept(home string, e loan.Entry) {
 	lt := l.leaderTerm
 	active := store.ActivePrefix + e.Job
-	rec := store.ActiveRecord{Accepted: time.Now().UTC(), Guest: &loan.Guest{Home: home, Epoch: e.Epoch, Spec: e.Offer.Spec, Grant: e.Offer.Grant, Since: e.Offer.Since}}
-	l.change(&loanChange{home: home, job: e.Job,
+	rec := store.ActiveRecord{Accepted: time.Now().UTC(), Guest: &loan.Guest{Home: home, Epoch: e.Epoch, Spec: e.Offer.Spec, Budget: e.Offer.Budget, Since: e.Offer.Since}}
+	l.enqueueChange(&loanChange{home: home, job: e.Job,
 		build: func() (store.Txn, bool) {
-			return store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: loan.FloorKey(home), ModRevision: l.floors[home].modRevision},
+			return store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: loan.MinEpochKey(home), ModRevision: l.minEpochs[home].modRevision},
 				{Key: active}, {Key: store.TerminalPrefix + e.Job}, {Key: loan.EndKey(home, e.Job)}},
-				Ops: []store.Op{{Put: active, Value: rec}}}, e.Epoch > l.floors[home].epoch && lt.jobs[e.Job] == nil
+				Ops: []store.Op{{Put: active, Value: rec}}}, e.Epoch > l.minEpochs[home].epoch && lt.jobs[e.Job] == nil
 		},
 		done: func(ring uint64) {
 			l.counts.Accepted++
-			lt.c.Log.Info("guest accepted", "job", e.Job, "home", home, "epoch", e.Epoch, "cpus", e.Offer.Grant.CPUs)
+			lt.c.Log.Info("guest accepted", "job", e.Job, "home", home, "epoch", e.Epoch, "cpus", e.Offer.Budget.CPUs)
 			if lt.jobs[e.Job] == nil {
 				lt.addRecord(active, rec, ring)
 			}
 		}})
 }
 
-// floorOp raises a floor in a transaction, and guards on its present version.
-func (l *loans) floorOp(txn *store.Txn, home string, epoch loan.Epoch) {
-	floor := l.floors[home]
-	key := loan.FloorKey(home)
+// minEpochOp raises a floor in a transaction, and guards on its present version.
+func (l *loans) minEpochOp(txn *store.Txn, home string, epoch loan.Epoch) {
+	floor := l.minEpochs[home]
+	key := loan.MinEpochKey(home)
 	txn.Compares = append(txn.Compares, store.Compare{Key: key, ModRevision: floor.modRevision})
-	txn.Ops = append(txn.Ops, store.Op{Put: key, Value: loan.Floor{Epoch: max(epoch, floor.epoch)}})
+	txn.Ops = append(txn.Ops, store.Op{Put: key, Value: loan.MinEpochRecord{Epoch: max(epoch, floor.epoch)}})
 }
 
-func (l *loans) floorRaised(home string, epoch loan.Epoch, ring uint64) {
-	l.floors[home] = loanFloor{max(epoch, l.floors[home].epoch), ring}
+func (l *loans) minEpochRaised(home string, epoch loan.Epoch, ring uint64) {
+	l.minEpochs[home] = minEpoch{max(epoch, l.minEpochs[home].epoch), ring}
 }
 
-// raiseFloor closes all loans of a home cell up to an epoch that are not here.
-func (l *loans) raiseFloor(home string, epoch loan.Epoch) {
-	l.change(&loanChange{home: home, job: "floor",
+// raiseMinEpoch closes all loans of a home cell up to an epoch that are not here.
+func (l *loans) raiseMinEpoch(home string, epoch loan.Epoch) {
+	l.enqueueChange(&loanChange{home: home, job: "floor",
 		build: func() (store.Txn, bool) {
 			txn := store.Txn{Compares: []store.Compare{l.leaderTerm.termCompare()}}
-			l.floorOp(&txn, home, epoch)
-			return txn, epoch > l.floors[home].epoch
+			l.minEpochOp(&txn, home, epoch)
+			return txn, epoch > l.minEpochs[home].epoch
 		},
-		done: func(ring uint64) { l.floorRaised(home, epoch, ring) }})
+		done: func(ring uint64) { l.minEpochRaised(home, epoch, ring) }})
 }
 
 // scaleIn removes a guest that has not begun.
-func (l *loans) giveBack(j *job) {
+func (l *loans) returnGuest(j *job) {
 	lt, home, epoch := l.leaderTerm, j.guest.Home, j.guest.Epoch
 	active := store.ActivePrefix + j.spec.ID
-	l.change(&loanChange{home: home, job: j.spec.ID,
+	l.enqueueChange(&loanChange{home: home, job: j.spec.ID,
 		build: func() (store.Txn, bool) {
 			if j.ended || j.started() {
 				return store.Txn{}, false
 			}
 			j.handover = true
 			txn := store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}, Ops: []store.Op{{Delete: active}}}
-			l.floorOp(&txn, home, epoch)
+			l.minEpochOp(&txn, home, epoch)
 			return txn, true
 		},
 		done: func(ring uint64) {
-			l.floorRaised(home, epoch, ring)
-			l.counts.GivenBack++
+			l.minEpochRaised(home, epoch, ring)
+			l.counts.Returned++
 			l.guestOver(j, store.Entry{})
 		}})
 }
@@ -299,12 +299,12 @@
 func (l *loans) endGuest(j *job, end loan.End) {
 	lt, home, id := l.leaderTerm, j.guest.Home, j.spec.ID
 	active, key := store.ActivePrefix+id, loan.EndKey(home, id)
-	l.change(&loanChange{home: home, job: id,
+	l.enqueueChange(&loanChange{home: home, job: id,
 		build: func() (store.Txn, bool) {
 			txn := store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
 			if end.Phase == api.JobCancelled {
 				// All nodes of this cell must know before they renew leases.
-				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: loan.GuestMark + id})
+				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: loan.GuestMarker + id})
 			}
 			txn.Ops = append(txn.Ops, store.Op{Put: key, Value: end}, store.Op{Delete: active})
 			j.handover = true
@@ -332,7 +332,7 @@
 	if end.ModRevision != 0 {
 		var e loan.End
 		if err := json.Unmarshal(end.Value, &e); err == nil && e.Phase == api.JobCancelled {
-			lt.c.recordCancellation(loan.GuestMark + j.spec.ID)
+			lt.c.recordCancellation(loan.GuestMarker + j.spec.ID)
 		}
 	}
 	for _, a := range j.activeAttempts {
@@ -348,15 +348,15 @@
 func (l *loans) forgetEnd(home string, e loan.Entry) {
 	name := []byte(loanName(home, e.Job))
 	key := loan.EndKey(home, e.Job)
-	l.change(&loanChange{home: home, job: e.Job,
+	l.enqueueChange(&loanChange{home: home, job: e.Job,
 		build: func() (store.Txn, bool) {
 			end, ok := l.ends.Get(name)
 			txn := store.Txn{Compares: []store.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: end.modRevision}}, Ops: []store.Op{{Delete: key}}}
-			l.floorOp(&txn, home, e.Epoch)
+			l.minEpochOp(&txn, home, e.Epoch)
 			return txn, ok
 		},
 		done: func(ring uint64) {
-			l.floorRaised(home, e.Epoch, ring)
+			l.minEpochRaised(home, e.Epoch, ring)
 			l.ends, _, _ = l.ends.Delete(name)
 		}})
 }
--- a/internal/controller/loansstatus.go
+++ b/internal/controller/loansstatus.go
@@ -13,7 +13,7 @@
 	Cell       string            `json:"cell"`
 	Enabled    bool              `json:"enabled"`
 	Neighbours []NeighbourStatus `json:"neighbours"`
-	// Lent and Guests are the loans out and in; no more than mostLoansShown of each.
+	// Lent and Guests are the loans out and in; no more than maxLoansShown of each.
 	Lent   []LoanStatus `json:"lent"`
 	Guests []LoanStatus `json:"guests"`
 	// Ended is how many guests have ended whose home has yet to record it.
@@ -50,18 +50,18 @@
 // LoanCounts are the leader's counts of loans since its term began.
 type LoanCounts struct {
 	Lent      int64 `json:"lent"`
-	TakenBack int64 `json:"taken_back"`
+	Reclaimed int64 `json:"taken_back"`
 	Done      int64 `json:"done_away"`
-	Withdrawn int64 `json:"withdrawn_away"`
+	Cancelled int64 `json:"withdrawn_away"`
 	Accepted  int64 `json:"guests_accepted"`
-	GivenBack int64 `json:"guests_given_back"`
+	Returned  int64 `json:"guests_given_back"`
 	Stopped   int64 `json:"guest_tasks_stopped"`
 	// Written is how many changes of loans were put on record.
 	Written int64 `json:"records_changed"`
 }
 
-// mostLoansShown bounds the loans in a status.
-const mostLoansShown = 50
+// maxLoansShown bounds the loans in a status.
+const maxLoansShown = 50
 
 // status is the operators' view, or nil where there are no other cells.
 func (l *loans) status(now time.Time) *CellsStatus {
@@ -83,10 +83,10 @@
 	}
 	s.Lent, s.Guests = firstLoans(s.Lent), firstLoans(s.Guests)
 	for _, n := range l.neighbours {
-		ns := NeighbourStatus{Cell: n.cell, Lost: n.lost, HeardS: -1, DelayMs: n.delay.Milliseconds(), SpareCPUs: n.advert.CPUs,
+		ns := NeighbourStatus{Cell: n.cell, Lost: n.unreachable, HeardS: -1, DelayMs: n.delay.Milliseconds(), SpareCPUs: n.advert.CPUs,
 			Accepting: n.advert.Accepting, LastError: n.lastError, Lent: lent[n.cell], Guests: guests[n.cell]}
-		if !n.heard.IsZero() {
-			ns.HeardS = now.Sub(n.heard).Seconds()
+		if !n.lastResponse.IsZero() {
+			ns.HeardS = now.Sub(n.lastResponse).Seconds()
 		}
 		s.Neighbours = append(s.Neighbours, ns)
 	}
@@ -97,12 +97,12 @@
 // firstLoans are the first of some loans by name.
 func firstLoans(all []LoanStatus) []LoanStatus {
 	slices.SortFunc(all, func(a, b LoanStatus) int { return strings.Compare(a.Job, b.Job) })
-	return all[:min(len(all), mostLoansShown)]
+	return all[:min(len(all), maxLoansShown)]
 }
 
 func (l *loans) lentStatus(j *job) LoanStatus {
 	s := LoanStatus{Job: j.spec.ID, Cell: j.lent.Host, Epoch: j.lent.Epoch.String(), Phase: j.remote.Phase.String(),
-		CPUs: j.lent.Grant.CPUs, Done: j.remote.Done, Running: j.remote.Running}
+		CPUs: j.lent.Budget.CPUs, Done: j.remote.Done, Running: j.remote.Running}
 	n := l.neighbours[j.lent.Host]
 	switch {
 	case n == nil:
@@ -111,7 +111,7 @@
 		s.Waits = "its cell does not answer: " + n.lastError
 	case j.lent.Cancel:
 		s.Waits = "to be cancelled there"
-	case j.wantBack:
+	case j.reclaimRequested:
 		s.Waits = "called back"
 	case j.remote.Phase == loan.PhaseUnknown:
 		s.Waits = "not accepted yet"
@@ -122,9 +122,9 @@
 func guestStatus(j *job) LoanStatus {
 	st := j.state()
 	s := LoanStatus{Job: j.spec.ID, Cell: j.guest.Home, Epoch: j.guest.Epoch.String(), Phase: loan.PhaseAccepted.String(),
-		CPUs: j.guest.Grant.CPUs, Done: st.Done, Running: st.Running}
+		CPUs: j.guest.Budget.CPUs, Done: st.Done, Running: st.Running}
 	if j.started() {
-		s.Phase = loan.PhaseBegun.String()
+		s.Phase = loan.PhaseStarted.String()
 	}
 	return s
 }
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -89,14 +89,14 @@
 	lent     *loan.Lent
 	guest    *loan.Guest
 	handover bool
-	// remote is how a lent job stands, wantBack is set while it is called back, and
+	// remote is how a lent job stands, reclaimRequested is set while it is called back, and
 	// reserved is what it counts for in its team's limit.
-	remote   loan.State
-	wantBack bool
-	reserved loan.Grant
-	// lends is how often it was lent, and lentBefore when cells last gave it back.
-	lends      int
-	lentBefore map[string]time.Time
+	remote           loan.State
+	reclaimRequested bool
+	reservedBudget   loan.Budget
+	// loanCount is how often it was lent, and lastReclaimed when cells last gave it back.
+	loanCount     int
+	lastReclaimed map[string]time.Time
 
 	finishing bool
 	// ending is set once a transaction that records its end may be on its way.
@@ -181,7 +181,7 @@
 func (j *job) state() api.JobState {
 	if j.lent != nil {
 		st := api.JobState{ID: j.spec.ID, Phase: api.JobPending, Done: j.remote.Done, Running: j.remote.Running, Cell: j.lent.Host}
-		if j.remote.Phase == loan.PhaseBegun {
+		if j.remote.Phase == loan.PhaseStarted {
 			st.Phase = api.JobRunning
 		}
 		return st
--- a/internal/controller/peertable.go
+++ b/internal/controller/peertable.go
@@ -187,7 +187,7 @@
 	m.status.Cancellations = cancellation.Delta{}
 	mb.PeerStatus, mb.lastPong = m.status, m.sent
 	if c.leaderTerm != nil {
-		c.leaderTerm.down.restarted(c.leaderTerm, m.node, m.status.Incarnation)
+		c.leaderTerm.downlink.restarted(c.leaderTerm, m.node, m.status.Incarnation)
 	}
 	if m.node == c.leader {
 		// What the leader knows of cancellations it says itself. Those of
@@ -279,7 +279,7 @@
 
 func (m pingMsg) apply(c *Controller) {
 	now := time.Now()
-	st := PeerStatus{Leader: c.leader, Incarnation: c.up.incarnation, CancellationsKnownAge: -1, SupportsLoans: c.Cells != nil, SupportsLeaseQuorum: c.Standby != nil}
+	st := PeerStatus{Leader: c.leader, Incarnation: c.uplink.incarnation, CancellationsKnownAge: -1, SupportsLoans: c.Cells != nil, SupportsLeaseQuorum: c.Standby != nil}
 	if m.from.Incarnation != st.Incarnation {
 		m.from.Number = 0
 	}
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -124,7 +124,7 @@
 	switch {
 	case j.ended || j.finishing || j.handover || j.lent != nil || now.Before(j.backoffUntil):
 		return false
-	case j.guest != nil && !j.withinGrant():
+	case j.guest != nil && !j.withinBudget():
 		return false
 	case lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision:
 		// A machine not heard in this term may hold any task that was
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -26,7 +26,7 @@
 //
 //   - The leader decides all; the node only carries.
 //   - Orders that answer one report are handed out at most once, in the answer
-//     to a later report of the same session, within relayOrderLife, and only
+//     to a later report of the same session, within relayCommandLifetime, and only
 //     while the node may answer in the leader's term at all.
 //   - A start stays on its machine in the leader's mind, whatever reports show,
 //     until the node has told in the answer to which report it was handed out,
@@ -35,182 +35,182 @@
 //   - Each side repeats what the other has not confirmed, by batch numbers. A
 //     node that was started anew has forgotten its orders, so it hands none out.
 const (
-	relayEvery     = 700 * time.Millisecond
-	relayOrderLife = 4 * time.Second
-	// relayParts bounds the records of a batch of reports.
-	relayParts = 3
-	// relayRaw is about how many bytes of reports fit one byte of a record.
-	relayRaw = 3
-	// reportAgain is when a report is relayed again that shows nothing new.
-	reportAgain = time.Second
-	relayWait   = 1500 * time.Millisecond
-	// outcomeWithin is how long the outcome of orders is waited for.
-	outcomeWithin = 20 * time.Second
+	relayInterval        = 700 * time.Millisecond
+	relayCommandLifetime = 4 * time.Second
+	// maxRelayParts bounds the records of a batch of reports.
+	maxRelayParts = 3
+	// relayCompression is about how many bytes of reports fit one byte of a record.
+	relayCompression = 3
+	// heartbeatRepeatInterval is when a report is relayed again that shows nothing new.
+	heartbeatRepeatInterval = time.Second
+	relayTimeout            = 1500 * time.Millisecond
+	// outcomeTimeout is how long the outcome of orders is waited for.
+	outcomeTimeout = 20 * time.Second
 	// relayMemory is the part of the memory that the machines whose reports are
-	// relayed may take, and relayedBytes about what one of them takes.
-	relayMemory  = 1.0 / 8
-	relayedBytes = 2 << 10
+	// relayed may take, and relayedMachineBytes about what one of them takes.
+	relayMemory         = 1.0 / 8
+	relayedMachineBytes = 2 << 10
 )
 
-// relayUp is the node's side.
-type relayUp struct {
-	incarnation string
-	batch       uint64
-	got         uint64
-	busy        bool
-	next        time.Time
-	machines    map[string]*relayed
+// relayUplink is the node's side.
+type relayUplink struct {
+	incarnation  string
+	batch        uint64
+	acknowledged uint64
+	busy         bool
+	next         time.Time
+	machines     map[string]*relayedMachine
 	// maxMachines bounds the machines that are remembered.
 	maxMachines int
-	// halved is how often a batch was refused as too large.
-	halved int
+	// sizeHalvings is how often a batch was refused as too large.
+	sizeHalvings int
 	// cleared is set once no record of an earlier process can stand beside a batch.
 	cleared bool
 }
 
-// relayRoom is the size of a record, of so many in a transaction.
-func relayRoom(lim config.StateLimits, parts int) int {
+// maxRelayRecordBytes is the size of a record, of so many in a transaction.
+func maxRelayRecordBytes(lim config.StateLimits, parts int) int {
 	return min(int(lim.ValueKB*1024), store.MaxTxnBytes*3/4/parts)
 }
 
-// relayed is one machine whose reports are relayed.
-type relayed struct {
-	rep    *api.Heartbeat
-	dirty  bool
-	sentAt time.Time
-	// orders wait to be handed out; they answer the report base.
-	orders  []api.Command
-	session uint64
-	base    uint64
-	since   time.Time
-	term    uint64
-	// outcome is what became of them, told in toldIn until that is confirmed.
-	outcome *peer.RelayOutcome
-	toldIn  uint64
+// relayedMachine is one machine whose reports are relayed.
+type relayedMachine struct {
+	heartbeat *api.Heartbeat
+	dirty     bool
+	sentAt    time.Time
+	// commands wait to be handed out; they answer the report base.
+	commands   []api.Command
+	agentEpoch uint64
+	baseSeq    uint64
+	receivedAt time.Time
+	term       uint64
+	// outcome is what became of them, told in acknowledgedIn until that is confirmed.
+	outcome        *peer.RelayOutcome
+	acknowledgedIn uint64
 }
 
-func newRelayUp(lim config.Limits) relayUp {
-	return relayUp{incarnation: rand.Text(), machines: map[string]*relayed{}, maxMachines: lim.Entries(relayMemory, relayedBytes)}
+func newRelayUp(lim config.Limits) relayUplink {
+	return relayUplink{incarnation: rand.Text(), machines: map[string]*relayedMachine{}, maxMachines: lim.Entries(relayMemory, relayedMachineBytes)}
 }
 
-// note stores a report that is answered here in place of the leader, and adds the
+// recordHeartbeat stores a report that is answered here in place of the leader, and adds the
 // leader's orders to the answer.
-func (u *relayUp) note(c *Controller, rep *api.Heartbeat, ans *api.HeartbeatResponse, now time.Time) {
-	m := u.machines[rep.Machine]
+func (ul *relayUplink) recordHeartbeat(c *Controller, rep *api.Heartbeat, ans *api.HeartbeatResponse, now time.Time) {
+	m := ul.machines[rep.Machine]
 	if m == nil {
-		if len(u.machines) >= u.maxMachines {
+		if len(ul.machines) >= ul.maxMachines {
 			return
 		}
-		m = &relayed{}
-		u.machines[strings.Clone(rep.Machine)] = m
+		m = &relayedMachine{}
+		ul.machines[strings.Clone(rep.Machine)] = m
 	}
-	changed := m.rep == nil || m.rep.AgentEpoch != rep.AgentEpoch || !slices.Equal(m.rep.Tasks, rep.Tasks)
-	if m.rep != nil && (rep.AgentEpoch < m.rep.AgentEpoch || rep.AgentEpoch == m.rep.AgentEpoch && rep.Seq <= m.rep.Seq) {
+	changed := m.heartbeat == nil || m.heartbeat.AgentEpoch != rep.AgentEpoch || !slices.Equal(m.heartbeat.Tasks, rep.Tasks)
+	if m.heartbeat != nil && (rep.AgentEpoch < m.heartbeat.AgentEpoch || rep.AgentEpoch == m.heartbeat.AgentEpoch && rep.Seq <= m.heartbeat.Seq) {
 		return // a copy that comes late
 	}
-	m.rep = rep
-	m.dirty = m.dirty || changed || now.Sub(m.sentAt) > reportAgain
-	if m.orders == nil {
+	m.heartbeat = rep
+	m.dirty = m.dirty || changed || now.Sub(m.sentAt) > heartbeatRepeatInterval
+	if m.commands == nil {
 		return
 	}
-	if rep.AgentEpoch != m.session || rep.Seq <= m.base || ans.Term != m.term || now.Sub(m.since) > relayOrderLife {
-		m.settle(0)
+	if rep.AgentEpoch != m.agentEpoch || rep.Seq <= m.baseSeq || ans.Term != m.term || now.Sub(m.receivedAt) > relayCommandLifetime {
+		m.recordOutcome(0)
 		return
 	}
-	ans.Commands = append(ans.Commands, m.orders...)
-	m.settle(rep.Seq)
+	ans.Commands = append(ans.Commands, m.commands...)
+	m.recordOutcome(rep.Seq)
 }
 
-// settle notes what became of the orders.
-func (m *relayed) settle(handed uint64) {
-	m.outcome = &peer.RelayOutcome{Machine: m.rep.Machine, Session: m.session, Base: m.base, Handed: handed}
-	m.orders, m.toldIn = nil, 0
+// recordOutcome notes what became of the orders.
+func (m *relayedMachine) recordOutcome(handed uint64) {
+	m.outcome = &peer.RelayOutcome{Machine: m.heartbeat.Machine, Session: m.agentEpoch, Base: m.baseSeq, Handed: handed}
+	m.commands, m.acknowledgedIn = nil, 0
 	m.dirty = true
 }
 
-// dropOrders gives up the orders of a machine whose reports reach the leader.
-func (u *relayUp) dropOrders(machine string) {
-	if m := u.machines[machine]; m != nil && m.orders != nil {
-		m.settle(0)
+// dropCommands gives up the orders of a machine whose reports reach the leader.
+func (ul *relayUplink) dropCommands(machine string) {
+	if m := ul.machines[machine]; m != nil && m.commands != nil {
+		m.recordOutcome(0)
 	}
 }
 
 // tick reads what the leader has written, if anything is relayed.
-func (u *relayUp) tick(c *Controller, now time.Time) {
-	if u.busy || now.Before(u.next) || len(u.machines) == 0 {
+func (ul *relayUplink) tick(c *Controller, now time.Time) {
+	if ul.busy || now.Before(ul.next) || len(ul.machines) == 0 {
 		return
 	}
-	u.next, u.busy = now.Add(relayEvery), true
+	ul.next, ul.busy = now.Add(relayInterval), true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), relayWait)
+		ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 		defer cancel()
-		down, err := readDown(ctx, c.Store, store.RelayPrefix+c.Settings.Node)
+		down, err := readDownlink(ctx, c.Store, store.RelayPrefix+c.Settings.Node)
 		if err != nil {
 			c.Log.Debug("relayed orders not read", "err", err)
 		}
-		c.send(context.Background(), relayedMsg{down})
+		c.send(context.Background(), downlinkReadMsg{down})
 	}()
 }
 
 // write writes new reports and outcomes to the store.
-func (u *relayUp) write(c *Controller, now time.Time) {
+func (ul *relayUplink) write(c *Controller, now time.Time) {
 	extender := &c.leaseRenewer
 	leader := c.membership.members[extender.leader]
 	carrying := leader.isUnreachable() && extender.termRevision != 0 && now.Sub(extender.verifiedAt) < c.renewalPeriod()
-	for _, m := range u.machines {
-		if m.orders != nil && (now.Sub(m.since) > relayOrderLife || !carrying) {
-			m.settle(0)
+	for _, m := range ul.machines {
+		if m.commands != nil && (now.Sub(m.receivedAt) > relayCommandLifetime || !carrying) {
+			m.recordOutcome(0)
 		}
 	}
 	if extender.termRevision == 0 && !carrying {
 		// The leader is reached again or another leads: what is left to tell
 		// is told under the term that the orders belong to.
-		u.forget(now)
-		if len(u.machines) == 0 {
+		ul.forget(now)
+		if len(ul.machines) == 0 {
 			return
 		}
 	}
-	u.batch++
+	ul.batch++
 	lim := c.Settings.Site.State
-	most := min(relayParts, lim.TxnOps)
-	size := max(relayRoom(lim, most)>>u.halved, 256)
-	up, told := u.compose(extender, carrying, size*most*relayRaw)
-	parts, err := u.pack(c, up, most, size, now)
+	most := min(maxRelayParts, lim.TxnOps)
+	size := max(maxRelayRecordBytes(lim, most)>>ul.sizeHalvings, 256)
+	up, told := ul.buildBatch(extender, carrying, size*most*relayCompression)
+	parts, err := ul.pack(c, up, most, size, now)
 	if err != nil {
 		c.Log.Error("relay", "err", err)
 		return
 	}
 	for _, m := range told[:len(up.Outcomes)] {
-		m.toldIn = u.batch
+		m.acknowledgedIn = ul.batch
 	}
 	for _, rep := range up.Reports {
-		m := u.machines[rep.Machine]
+		m := ul.machines[rep.Machine]
 		m.dirty, m.sentAt = false, now
 	}
-	txn := u.transaction(store.RelayPrefix+c.Settings.Node, parts, most)
+	txn := ul.transaction(store.RelayPrefix+c.Settings.Node, parts, most)
 	if carrying {
 		txn.Compares = []store.Compare{{Key: election.TermKey, ModRevision: extender.termRevision}}
 	}
 	// Where few changes are allowed, relaying must leave room for submissions.
-	if next := now.Add(config.Seconds(float64(len(txn.Ops)) / (lim.WriteRPS * store.RecordShare))); next.After(u.next) {
-		u.next = next
+	if next := now.Add(config.Seconds(float64(len(txn.Ops)) / (lim.WriteRPS * store.RecordShare))); next.After(ul.next) {
+		ul.next = next
 	}
-	u.send(c, txn)
+	ul.send(c, txn)
 }
 
-// compose builds a batch of outcomes and, while the leader cannot be reached, of
+// buildBatch builds a batch of outcomes and, while the leader cannot be reached, of
 // about room bytes of reports. It returns with it the machines of the outcomes.
-func (u *relayUp) compose(extender *leaseRenewer, carrying bool, room int) (up *peer.RelayUp, told []*relayed) {
-	up = &peer.RelayUp{Incarnation: u.incarnation, Batch: u.batch, Got: u.got}
-	for _, m := range u.oldestFirst() {
+func (ul *relayUplink) buildBatch(extender *leaseRenewer, carrying bool, room int) (up *peer.RelayUp, told []*relayedMachine) {
+	up = &peer.RelayUp{Incarnation: ul.incarnation, Batch: ul.batch, Got: ul.acknowledged}
+	for _, m := range ul.oldestFirst() {
 		if m.outcome != nil {
 			told = append(told, m)
 			up.Outcomes = append(up.Outcomes, m.outcome)
 			up.Term = m.term
 		}
-		if carrying && m.dirty && room > 0 && m.rep.Term == extender.term {
-			room -= 100 + 40*len(m.rep.Tasks)
-			up.Reports = append(up.Reports, peer.PackReport(m.rep))
+		if carrying && m.dirty && room > 0 && m.heartbeat.Term == extender.term {
+			room -= 100 + 40*len(m.heartbeat.Tasks)
+			up.Reports = append(up.Reports, peer.PackReport(m.heartbeat))
 		}
 	}
 	if carrying {
@@ -221,33 +221,33 @@
 
 // pack divides a batch into at most so many records of a size. Of a batch that is
 // too large, it leaves out reports first, then outcomes.
-func (u *relayUp) pack(c *Controller, up *peer.RelayUp, most, size int, now time.Time) ([]relay.Part, error) {
-	parts, err := relay.Pack(up, u.batch, most, size)
+func (ul *relayUplink) pack(c *Controller, up *peer.RelayUp, most, size int, now time.Time) ([]relay.Part, error) {
+	parts, err := relay.Pack(up, ul.batch, most, size)
 	for errors.Is(err, relay.ErrTooLarge) && len(up.Reports)+len(up.Outcomes) > 0 {
 		// Outcomes are told until they are confirmed: what is left out comes
 		// with a later batch.
 		if len(up.Reports) > 0 {
 			if len(up.Reports) == 1 {
 				// One that fits no batch must not keep the others from theirs.
-				u.machines[up.Reports[0].Machine].sentAt = now
+				ul.machines[up.Reports[0].Machine].sentAt = now
 				c.Log.Warn("report too large to relay", "machine", up.Reports[0].Machine, "tasks", len(up.Reports[0].Tasks))
 			}
 			up.Reports = up.Reports[:len(up.Reports)/2]
 		} else {
 			up.Outcomes = up.Outcomes[:len(up.Outcomes)/2]
 		}
-		parts, err = relay.Pack(up, u.batch, most, size)
+		parts, err = relay.Pack(up, ul.batch, most, size)
 	}
 	return parts, err
 }
 
 // transaction puts the parts of a batch in place of the last one's.
-func (u *relayUp) transaction(prefix string, parts []relay.Part, most int) store.Txn {
+func (ul *relayUplink) transaction(prefix string, parts []relay.Part, most int) store.Txn {
 	txn := store.Txn{Records: true}
 	for _, p := range parts {
 		txn.Ops = append(txn.Ops, store.Op{Put: prefix + "/up/" + strconv.Itoa(p.Index), Value: p})
 	}
-	if !u.cleared {
+	if !ul.cleared {
 		// A leader of an earlier version takes the highest number for the present
 		// batch. What an earlier process has left would hide this one's from it.
 		for i := len(parts); i < most; i++ {
@@ -258,51 +258,51 @@
 }
 
 // send carries out a batch's transaction and posts its result.
-func (u *relayUp) send(c *Controller, txn store.Txn) {
-	u.busy = true
+func (ul *relayUplink) send(c *Controller, txn store.Txn) {
+	ul.busy = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), relayWait)
+		ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 		defer cancel()
 		res, err := c.Store.Txn(ctx, txn)
 		if err != nil {
 			c.Log.Debug("reports not relayed", "err", err)
 		}
-		c.send(context.Background(), relaySentMsg{tooLarge: errors.Is(err, store.ErrInvalid), written: err == nil && res.Succeeded})
+		c.send(context.Background(), uplinkWrittenMsg{tooLarge: errors.Is(err, store.ErrInvalid), written: err == nil && res.Succeeded})
 	}()
 }
 
-type relaySentMsg struct{ tooLarge, written bool }
+type uplinkWrittenMsg struct{ tooLarge, written bool }
 
 // The reports of a batch that was refused come again with the next, which is
 // half as large.
-func (m relaySentMsg) apply(c *Controller) {
-	c.up.busy = false
-	c.up.cleared = c.up.cleared || m.written
+func (m uplinkWrittenMsg) apply(c *Controller) {
+	c.uplink.busy = false
+	c.uplink.cleared = c.uplink.cleared || m.written
 	if m.tooLarge {
 		c.Log.Error("reports refused as too large")
-		c.up.halved = min(c.up.halved+1, 8)
+		c.uplink.sizeHalvings = min(c.uplink.sizeHalvings+1, 8)
 	}
 }
 
 // forget drops the machines about which nothing is left to tell.
-func (u *relayUp) forget(now time.Time) {
-	for name, m := range u.machines {
-		if m.outcome == nil || now.Sub(m.since) > time.Minute {
-			delete(u.machines, name)
+func (ul *relayUplink) forget(now time.Time) {
+	for name, m := range ul.machines {
+		if m.outcome == nil || now.Sub(m.receivedAt) > time.Minute {
+			delete(ul.machines, name)
 		}
 	}
 }
 
-func (u *relayUp) oldestFirst() []*relayed {
-	ms := make([]*relayed, 0, len(u.machines))
-	for _, m := range u.machines {
+func (ul *relayUplink) oldestFirst() []*relayedMachine {
+	ms := make([]*relayedMachine, 0, len(ul.machines))
+	for _, m := range ul.machines {
 		ms = append(ms, m)
 	}
-	slices.SortFunc(ms, func(a, b *relayed) int { return a.sentAt.Compare(b.sentAt) })
+	slices.SortFunc(ms, func(a, b *relayedMachine) int { return a.sentAt.Compare(b.sentAt) })
 	return ms
 }
 
-func readDown(ctx context.Context, st store.Service, prefix string) (*peer.RelayDown, error) {
+func readDownlink(ctx context.Context, st store.Service, prefix string) (*peer.RelayDown, error) {
 	e, err := st.Get(ctx, prefix+"/down")
 	if err != nil || e.ModRevision == 0 {
 		return nil, err
@@ -315,39 +315,39 @@
 	return &down, relay.Unpack([]relay.Part{p}, &down)
 }
 
-// relayedMsg brings what the leader has written; nil: nothing.
-type relayedMsg struct{ down *peer.RelayDown }
+// downlinkReadMsg brings what the leader has written; nil: nothing.
+type downlinkReadMsg struct{ down *peer.RelayDown }
 
-func (m relayedMsg) apply(c *Controller) {
-	u := &c.up
-	u.busy = false
+func (m downlinkReadMsg) apply(c *Controller) {
+	ul := &c.uplink
+	ul.busy = false
 	now := time.Now()
-	if d := m.down; d != nil && d.Incarnation == u.incarnation {
-		u.take(c, d, now)
+	if d := m.down; d != nil && d.Incarnation == ul.incarnation {
+		ul.applyDownlink(c, d, now)
 	}
-	u.write(c, now)
+	ul.write(c, now)
 }
 
-// take processes what the leader has written.
-func (u *relayUp) take(c *Controller, d *peer.RelayDown, now time.Time) {
-	for _, m := range u.machines {
-		if m.outcome != nil && m.toldIn != 0 && m.toldIn <= d.Seen {
+// applyDownlink processes what the leader has written.
+func (ul *relayUplink) applyDownlink(c *Controller, d *peer.RelayDown, now time.Time) {
+	for _, m := range ul.machines {
+		if m.outcome != nil && m.acknowledgedIn != 0 && m.acknowledgedIn <= d.Seen {
 			m.outcome = nil
 		}
 	}
-	if d.Batch <= u.got {
+	if d.Batch <= ul.acknowledged {
 		return
 	}
-	u.got = d.Batch
+	ul.acknowledged = d.Batch
 	for _, o := range d.Orders {
-		m := u.machines[o.Machine]
+		m := ul.machines[o.Machine]
 		if m == nil {
-			m = &relayed{rep: &api.Heartbeat{Machine: o.Machine}}
-			u.machines[o.Machine] = m
+			m = &relayedMachine{heartbeat: &api.Heartbeat{Machine: o.Machine}}
+			ul.machines[o.Machine] = m
 		}
-		m.orders, m.session, m.base, m.term, m.since = peer.UnpackOrders(o.Orders), o.Session, o.Base, d.Term, now
-		if d.Term != c.leaseRenewer.term || o.Session != m.rep.AgentEpoch {
-			m.settle(0)
+		m.commands, m.agentEpoch, m.baseSeq, m.term, m.receivedAt = peer.UnpackOrders(o.Orders), o.Session, o.Base, d.Term, now
+		if d.Term != c.leaseRenewer.term || o.Session != m.heartbeat.AgentEpoch {
+			m.recordOutcome(0)
 		}
 	}
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -22,20 +22,20 @@
 		"due":                  {1, 12, 3, time.Second, 12},
 		"a new session":        {2, 12, 3, time.Second, 0},
 		"another term":         {1, 12, 4, time.Second, 0},
-		"too old":              {1, 12, 3, relayOrderLife + time.Millisecond, 0},
+		"too old":              {1, 12, 3, relayCommandLifetime + time.Millisecond, 0},
 		"the report they meet": {1, 11, 3, time.Second, 11},
 	} {
-		u := newRelayUp(config.Limits{})
-		u.machines["i-1"] = &relayed{rep: &api.Heartbeat{Machine: "i-1", AgentEpoch: 1, Seq: 10}, session: 1, base: 10, term: 3, since: t0,
-			orders: []api.Command{{Verb: api.VerbStart, Task: "job-1/0", Attempt: 5}}}
+		ul := newRelayUp(config.Limits{})
+		ul.machines["i-1"] = &relayedMachine{heartbeat: &api.Heartbeat{Machine: "i-1", AgentEpoch: 1, Seq: 10}, agentEpoch: 1, baseSeq: 10, term: 3, receivedAt: t0,
+			commands: []api.Command{{Verb: api.VerbStart, Task: "job-1/0", Attempt: 5}}}
 		for i := range 2 {
 			ans := api.HeartbeatResponse{Term: c.term}
-			u.note(nil, &api.Heartbeat{Machine: "i-1", AgentEpoch: c.session, Seq: c.seq + uint64(i)}, &ans, t0.Add(c.after))
+			ul.recordHeartbeat(nil, &api.Heartbeat{Machine: "i-1", AgentEpoch: c.session, Seq: c.seq + uint64(i)}, &ans, t0.Add(c.after))
 			if handed := len(ans.Commands) > 0; handed != (c.want > 0 && i == 0) {
 				t.Errorf("%s, report %d: handed out %v", name, i, handed)
 			}
 		}
-		if o := u.machines["i-1"].outcome; o == nil || o.Handed != c.want || o.Base != 10 {
+		if o := ul.machines["i-1"].outcome; o == nil || o.Handed != c.want || o.Base != 10 {
 			t.Errorf("%s: told %v", name, o)
 		}
 	}
@@ -51,16 +51,16 @@
 		w.submit(a, busy)
 		w.submit(a, spec("job-1", 2))
 		a.look(func(c *Controller) {
-			node := c.leaderTerm.down.nodes["n1"]
+			node := c.leaderTerm.downlink.nodes["n1"]
 			for i, held := range []bool{true, true, false} {
 				delete(node.pending, "i-2")
 				if i == 0 {
-					node.pending["i-2"] = &relayedOrders{}
+					node.pending["i-2"] = &relayedCommands{}
 				}
 				rep := far.rep
 				rep.Seq = c.leaderTerm.machines["i-2"].heartbeatSeq + 1
 				var down peer.RelayDown
-				c.leaderTerm.relayedReport(node, &rep, &down, i != 1, time.Now())
+				c.leaderTerm.handleRelayedHeartbeat(node, &rep, &down, i != 1, time.Now())
 				w.same("held", len(down.Orders) == 0, held)
 			}
 		})
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -15,8 +15,8 @@
 	"example.org/ivytrestle/internal/store"
 )
 
-// relayDown is the leader's side.
-type relayDown struct {
+// relayDownlink is the leader's side.
+type relayDownlink struct {
 	nodes map[string]*relayNode
 	next  time.Time
 }
@@ -24,52 +24,52 @@
 // relayNode is one node that relays reports.
 type relayNode struct {
 	incarnation string
-	// seen is the last batch of its reports, batch the last of orders, and
+	// lastBatch is the last batch of its reports, batch the last of orders, and
 	// got whether it has taken that in.
-	seen, batch, got uint64
-	last             []relay.Part
-	busy             bool
+	lastBatch, batch, acknowledged uint64
+	last                           []relay.Part
+	busy                           bool
 	// pending are the machines whose orders have no outcome yet.
-	pending map[string]*relayedOrders
-	// halved is how often a batch was refused as too large, and unconfirmed is set
+	pending map[string]*relayedCommands
+	// sizeHalvings is how often a batch was refused as too large, and unconfirmed is set
 	// if the present one may have been written all the same.
-	halved      int
-	unconfirmed bool
+	sizeHalvings   int
+	outcomeUnknown bool
 	// given are the machines with orders in the last batch.
 	given []string
 }
 
-type relayedOrders struct {
-	base   uint64
-	since  time.Time
-	starts []*attempt
+type relayedCommands struct {
+	baseSeq uint64
+	sentAt  time.Time
+	starts  []*attempt
 }
 
 // tick reads what nodes out of reach have written.
-func (d *relayDown) tick(lt *leaderTerm, now time.Time) {
-	if now.Before(d.next) {
+func (dl *relayDownlink) tick(lt *leaderTerm, now time.Time) {
+	if now.Before(dl.next) {
 		return
 	}
-	d.next = now.Add(relayEvery / 2)
+	dl.next = now.Add(relayInterval / 2)
 	for name, mb := range lt.c.membership.members {
-		node := d.nodes[name]
+		node := dl.nodes[name]
 		if node == nil {
-			node = &relayNode{pending: map[string]*relayedOrders{}}
-			d.nodes[name] = node
+			node = &relayNode{pending: map[string]*relayedCommands{}}
+			dl.nodes[name] = node
 		}
-		node.giveUp(lt, now)
+		node.abandon(lt, now)
 		if node.busy || !(mb.isUnreachable() || len(node.pending) > 0) {
 			continue
 		}
 		node.busy = true
 		go func() {
-			ctx, cancel := context.WithTimeout(lt.ctx, relayWait)
+			ctx, cancel := context.WithTimeout(lt.ctx, relayTimeout)
 			defer cancel()
-			up, err := readUp(ctx, lt.c.Store, store.RelayPrefix+name+"/up/")
+			up, err := readUplink(ctx, lt.c.Store, store.RelayPrefix+name+"/up/")
 			if err != nil {
 				lt.c.Log.Debug("relayed reports not read", "node", name, "err", err)
 			}
-			lt.sendToOwner(relayReadMsg{lt, name, up})
+			lt.sendToOwner(uplinkReadMsg{lt, name, up})
 		}()
 	}
 }
@@ -77,22 +77,22 @@
 // restarted handles the incarnation under which a node is seen. One that was
 // started anew hands nothing out that it was given before: the next reports
 // decide.
-func (d *relayDown) restarted(lt *leaderTerm, name, incarnation string) {
-	node := d.nodes[name]
+func (dl *relayDownlink) restarted(lt *leaderTerm, name, incarnation string) {
+	node := dl.nodes[name]
 	if node == nil || incarnation == "" || node.incarnation == incarnation {
 		return
 	}
 	for machine, p := range node.pending {
-		p.settled(lt, 1)
+		p.applyOutcome(lt, 1)
 		delete(node.pending, machine)
 	}
 }
 
-// giveUp bounds how long a machine is held for a node that tells nothing any
+// abandon bounds how long a machine is held for a node that tells nothing any
 // more: it gets no more work, and its return settles what became of its orders.
-func (n *relayNode) giveUp(lt *leaderTerm, now time.Time) {
+func (n *relayNode) abandon(lt *leaderTerm, now time.Time) {
 	for name, p := range n.pending {
-		if now.Sub(p.since) < outcomeWithin {
+		if now.Sub(p.sentAt) < outcomeTimeout {
 			continue
 		}
 		delete(n.pending, name)
@@ -108,8 +108,8 @@
 	}
 }
 
-func readUp(ctx context.Context, st store.Service, prefix string) (*peer.RelayUp, error) {
-	page, err := st.Range(ctx, prefix, "", 2*relayParts)
+func readUplink(ctx context.Context, st store.Service, prefix string) (*peer.RelayUp, error) {
+	page, err := st.Range(ctx, prefix, "", 2*maxRelayParts)
 	if err != nil || len(page.Entries) == 0 {
 		return nil, err
 	}
@@ -128,52 +128,52 @@
 	return &up, nil
 }
 
-// relayReadMsg brings what a node has written; nil: nothing.
-type relayReadMsg struct {
+// uplinkReadMsg brings what a node has written; nil: nothing.
+type uplinkReadMsg struct {
 	leaderTerm *leaderTerm
 	node       string
 	up         *peer.RelayUp
 }
 
-func (m relayReadMsg) apply(c *Controller) {
+func (m uplinkReadMsg) apply(c *Controller) {
 	lt := m.leaderTerm
 	if c.leaderTerm != lt {
 		return
 	}
-	node := lt.down.nodes[m.node]
+	node := lt.downlink.nodes[m.node]
 	node.busy = false
 	up := m.up
 	if up == nil || up.Term != lt.term.Number || !c.holdsLease() || !lt.loaded {
 		return
 	}
-	if lt.down.restarted(lt, m.node, up.Incarnation); node.incarnation != up.Incarnation {
-		*node = relayNode{incarnation: up.Incarnation, batch: up.Got, pending: map[string]*relayedOrders{}}
+	if lt.downlink.restarted(lt, m.node, up.Incarnation); node.incarnation != up.Incarnation {
+		*node = relayNode{incarnation: up.Incarnation, batch: up.Got, pending: map[string]*relayedCommands{}}
 	}
-	if up.Batch <= node.seen {
+	if up.Batch <= node.lastBatch {
 		return
 	}
-	node.seen, node.got = up.Batch, up.Got
+	node.lastBatch, node.acknowledged = up.Batch, up.Got
 	for _, o := range up.Outcomes {
-		if p := node.pending[o.Machine]; p != nil && p.base == o.Base {
-			p.settled(lt, o.Handed)
+		if p := node.pending[o.Machine]; p != nil && p.baseSeq == o.Base {
+			p.applyOutcome(lt, o.Handed)
 			delete(node.pending, o.Machine)
 		}
 	}
 	now := time.Now()
-	answer := &peer.RelayDown{Term: lt.term.Number, Incarnation: node.incarnation, Seen: node.seen}
-	confirmed := node.got == node.batch
+	answer := &peer.RelayDown{Term: lt.term.Number, Incarnation: node.incarnation, Seen: node.lastBatch}
+	confirmed := node.acknowledged == node.batch
 	for _, rep := range up.Reports {
-		lt.relayedReport(node, rep.Unpack(), answer, confirmed, now)
+		lt.handleRelayedHeartbeat(node, rep.Unpack(), answer, confirmed, now)
 	}
 	if confirmed {
 		node.batch++
 	}
 	answer.Batch = node.batch
-	lt.writeDown(m.node, node, answer, confirmed)
+	lt.writeDownlink(m.node, node, answer, confirmed)
 }
 
-// relayedReport takes a relayed report in and adds its orders to the answer.
-func (lt *leaderTerm) relayedReport(node *relayNode, rep *api.Heartbeat, answer *peer.RelayDown, confirmed bool, now time.Time) {
+// handleRelayedHeartbeat takes a relayed report in and adds its orders to the answer.
+func (lt *leaderTerm) handleRelayedHeartbeat(node *relayNode, rep *api.Heartbeat, answer *peer.RelayDown, confirmed bool, now time.Time) {
 	mc := lt.machines[rep.Machine]
 	hold := !confirmed || node.pending[rep.Machine] != nil
 	if mc != nil {
@@ -187,7 +187,7 @@
 	if err != nil || hold || len(ans.Commands) == 0 || mc.heartbeatSeq != rep.Seq {
 		return
 	}
-	p := &relayedOrders{base: rep.Seq, since: now}
+	p := &relayedCommands{baseSeq: rep.Seq, sentAt: now}
 	for _, o := range ans.Commands {
 		if a := mc.attempts[attemptKey{o.Task, o.Attempt}]; a != nil && o.Verb == api.VerbStart {
 			a.direct = &directCommand{agentEpoch: rep.AgentEpoch, inFlight: true}
@@ -198,9 +198,9 @@
 	answer.Orders = append(answer.Orders, &peer.RelayOrders{Machine: rep.Machine, Session: rep.AgentEpoch, Base: rep.Seq, Orders: peer.PackOrders(ans.Commands)})
 }
 
-// settled records the outcome of orders: handed is the report in whose answer
+// applyOutcome records the outcome of orders: handed is the report in whose answer
 // they were handed out, or 0.
-func (p *relayedOrders) settled(lt *leaderTerm, handed uint64) {
+func (p *relayedCommands) applyOutcome(lt *leaderTerm, handed uint64) {
 	for _, a := range p.starts {
 		a.direct.inFlight = false
 		if handed > 0 {
@@ -211,10 +211,10 @@
 	}
 }
 
-// cut takes back the latter half of a machine's orders.
-func (p *relayedOrders) cut(lt *leaderTerm, o *peer.RelayOrders) {
+// abandon takes back the latter half of a machine's orders.
+func (p *relayedCommands) abandon(lt *leaderTerm, o *peer.RelayOrders) {
 	o.Orders = o.Orders[:len(o.Orders)/2]
-	back := &relayedOrders{}
+	back := &relayedCommands{}
 	p.starts = slices.DeleteFunc(p.starts, func(a *attempt) bool {
 		left := slices.ContainsFunc(o.Orders, func(o *peer.Order) bool { return o.Verb == api.VerbStart && attemptKey{o.Task, o.Attempt} == a.key })
 		if !left {
@@ -222,25 +222,25 @@
 		}
 		return !left
 	})
-	back.settled(lt, 0)
+	back.applyOutcome(lt, 0)
 }
 
-// writeDown writes the answer. What does not fit the record is taken back.
-func (lt *leaderTerm) writeDown(name string, node *relayNode, answer *peer.RelayDown, fresh bool) {
-	size := max(relayRoom(lt.c.Settings.Site.State, 1)>>node.halved, 256)
+// writeDownlink writes the answer. What does not fit the record is taken back.
+func (lt *leaderTerm) writeDownlink(name string, node *relayNode, answer *peer.RelayDown, fresh bool) {
+	size := max(maxRelayRecordBytes(lt.c.Settings.Site.State, 1)>>node.sizeHalvings, 256)
 	if fresh {
 		parts, err := relay.Pack(answer, answer.Batch, 1, size)
 		for errors.Is(err, relay.ErrTooLarge) && len(answer.Orders) > 0 {
 			if one := answer.Orders[0]; len(answer.Orders) == 1 && len(one.Orders) > 1 {
 				// Taken back whole, they would be the same again next time.
-				node.pending[one.Machine].cut(lt, one)
+				node.pending[one.Machine].abandon(lt, one)
 				parts, err = relay.Pack(answer, answer.Batch, 1, size)
 				continue
 			}
 			cut := answer.Orders[len(answer.Orders)*3/4:]
 			answer.Orders = answer.Orders[:len(answer.Orders)*3/4]
 			for _, o := range cut {
-				node.pending[o.Machine].settled(lt, 0)
+				node.pending[o.Machine].applyOutcome(lt, 0)
 				delete(node.pending, o.Machine)
 			}
 			parts, err = relay.Pack(answer, answer.Batch, 1, size)
@@ -249,7 +249,7 @@
 			lt.c.Log.Error("relay", "err", err)
 			return
 		}
-		node.last, node.unconfirmed, node.given = parts, false, nil
+		node.last, node.outcomeUnknown, node.given = parts, false, nil
 		for _, o := range answer.Orders {
 			node.given = append(node.given, o.Machine)
 		}
@@ -262,42 +262,42 @@
 		Ops: []store.Op{{Put: store.RelayPrefix + name + "/down", Value: node.last[0]}}}
 	node.busy = true
 	go func() {
-		ctx, cancel := context.WithTimeout(lt.ctx, relayWait)
+		ctx, cancel := context.WithTimeout(lt.ctx, relayTimeout)
 		defer cancel()
 		_, err := lt.c.Store.Txn(ctx, txn)
 		if err != nil {
 			lt.c.Log.Debug("relayed orders not written", "err", err)
 		}
-		lt.sendToOwner(relayWrittenMsg{lt, name, err})
+		lt.sendToOwner(downlinkWrittenMsg{lt, name, err})
 	}()
 }
 
-type relayWrittenMsg struct {
+type downlinkWrittenMsg struct {
 	leaderTerm *leaderTerm
 	node       string
 	err        error
 }
 
-func (m relayWrittenMsg) apply(c *Controller) {
+func (m downlinkWrittenMsg) apply(c *Controller) {
 	if c.leaderTerm != m.leaderTerm {
 		return
 	}
-	node := m.leaderTerm.down.nodes[m.node]
+	node := m.leaderTerm.downlink.nodes[m.node]
 	node.busy = false
 	if !errors.Is(m.err, store.ErrInvalid) {
-		node.unconfirmed = true
+		node.outcomeUnknown = true
 		return
 	}
 	c.Log.Error("relayed orders refused as too large", "node", m.node)
-	node.halved = min(node.halved+1, 8)
-	if len(node.last) == 0 || node.unconfirmed {
-		return // it may be known to the node: its outcome, or giveUp, decides
+	node.sizeHalvings = min(node.sizeHalvings+1, 8)
+	if len(node.last) == 0 || node.outcomeUnknown {
+		return // it may be known to the node: its outcome, or abandon, decides
 	}
 	// It was never written, so nothing of it was handed out: it is as if the
 	// batch had not been.
 	for _, machine := range node.given {
 		if p := node.pending[machine]; p != nil {
-			p.settled(m.leaderTerm, 0)
+			p.applyOutcome(m.leaderTerm, 0)
 			delete(node.pending, machine)
 		}
 	}
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -57,7 +57,7 @@
 	}{
 		"lend":      {0, has(store.ActivePrefix, "lent")},
 		"accept":    {1, has(store.ActivePrefix, "guest")},
-		"close":     {1, has(loan.FloorKey(""), "")},
+		"close":     {1, has(loan.MinEpochKey(""), "")},
 		"take back": {0, has(store.ActivePrefix, "plain")},
 		"end there": {1, has(loan.EndKey("", "")[:len("loan/end/")], "")},
 		"end here":  {0, has(store.TerminalPrefix, "")},
@@ -149,7 +149,7 @@
 			host.nodes[0].look(func(c *Controller) {
 				for _, j := range c.leaderTerm.jobs {
 					if j.guest != nil && !j.started() {
-						c.leaderTerm.loans.giveBack(j)
+						c.leaderTerm.loans.returnGuest(j)
 						given = true
 					}
 				}
@@ -182,7 +182,7 @@
 			home.leader().look(func(c *Controller) {
 				for _, j := range c.leaderTerm.jobs {
 					if j.lent != nil {
-						grants += j.lent.Grant.CPUs
+						grants += j.lent.Budget.CPUs
 					}
 				}
 				for _, team := range c.leaderTerm.teams {
@@ -343,7 +343,7 @@
 			id := g.onRecord(ids)
 			g.cells[0].leader().look(func(c *Controller) {
 				if j := c.leaderTerm.jobs[id]; j != nil {
-					j.wantBack = true
+					j.reclaimRequested = true
 				}
 			})
 			return id
@@ -365,7 +365,7 @@
 						t.Errorf("told %s", told)
 					}
 					e, err := g.cells[1].store.Get(context.Background(), store.CancelKey)
-					if marked := err == nil && strings.Contains(string(e.Value), loan.GuestMark+id); strings.HasPrefix(name, "while") && !marked {
+					if marked := err == nil && strings.Contains(string(e.Value), loan.GuestMarker+id); strings.HasPrefix(name, "while") && !marked {
 						t.Errorf("the host's cancel key says %s", e.Value)
 					}
 					g.settle(10 * time.Minute)
@@ -490,7 +490,7 @@
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		time.Sleep(giveBackAfter + 5*time.Second)
+		time.Sleep(returnGuestAfter + 5*time.Second)
 		host.same("still a guest", host.store.Has(store.ActivePrefix+held), false)
 		host.same("was one", held != "", true)
 		g.settle(5 * time.Minute)
@@ -519,7 +519,7 @@
 		for _, n := range home.nodes {
 			n.crash()
 		}
-		home.cells = &cells.Settings{Cell: "cell-a", MaxLoans: 50, Neighbours: []cells.Neighbour{{Cell: "cell-b", Lost: true}}}
+		home.cells = &cells.Settings{Cell: "cell-a", MaxLoans: 50, Neighbours: []cells.Neighbour{{Cell: "cell-b", Unreachable: true}}}
 		home.begin()
 		for range 90 {
 			if g.poll(id) == api.JobDone {
@@ -537,7 +537,7 @@
 	simulateCells(t, []int{1, 1}, func(g *cellGroup) {
 		host := g.cells[1]
 		offer := func(change func(o *loan.Offer)) *loan.Offer {
-			o := &loan.Offer{Spec: *spec("job-1", 2), Grant: loan.Grant{CPUs: 2}, Since: time.Now()}
+			o := &loan.Offer{Spec: *spec("job-1", 2), Budget: loan.Budget{CPUs: 2}, Since: time.Now()}
 			change(o)
 			return o
 		}
@@ -550,9 +550,9 @@
 			"unknown cell": {loan.Request{Home: "cell-x", Entries: []loan.Entry{{Job: "job-1", Epoch: 1, Offer: offer(none)}}}, `cell "cell-x" is not configured here`, ""},
 			"no job":       {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "../job-1", Epoch: 1}}}, `"../job-1" is no job id`, ""},
 			"no epoch":     {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1"}}}, "the loan of job-1 is malformed", ""},
-			"no such wish": {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1", Epoch: 1, Want: 9}}}, "the loan of job-1 is malformed", ""},
+			"no such wish": {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1", Epoch: 1, Desired: 9}}}, "the loan of job-1 is malformed", ""},
 			"another job":  {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-2", Epoch: 1, Offer: offer(none)}}}, "the description of job-2 is malformed", ""},
-			"no grant": {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1", Epoch: 1, Offer: offer(func(o *loan.Offer) { o.Grant.CPUs = 0.5 })}}},
+			"no grant": {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1", Epoch: 1, Offer: offer(func(o *loan.Offer) { o.Budget.CPUs = 0.5 })}}},
 				"", "the grant holds no task"},
 			"too large": {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1", Epoch: 2, Offer: offer(func(o *loan.Offer) { o.Spec.Class = strings.Repeat("c", 9000) })}}},
 				"", "larger than a record"},
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -851,9 +851,9 @@
 		v.old.passesOver = []string{store.ActivePrefix + "job-1", store.ActivePrefix + "job-2"}
 		lent, guest := spec("job-1", 2), spec("job-2", 2)
 		v.put(store.ActivePrefix+"job-1", store.ActiveRecord{Accepted: time.Now(), LoanCount: 1,
-			Lent: &loan.Lent{Host: "cell-b", Epoch: 5, Spec: *lent, Grant: loan.Grant{CPUs: 2}, Since: time.Now()}})
+			Lent: &loan.Lent{Host: "cell-b", Epoch: 5, Spec: *lent, Budget: loan.Budget{CPUs: 2}, Since: time.Now()}})
 		v.put(store.ActivePrefix+"job-2", store.ActiveRecord{Accepted: time.Now(),
-			Guest: &loan.Guest{Home: "cell-b", Epoch: 6, Spec: *guest, Grant: loan.Grant{CPUs: 2}, Since: time.Now()}})
+			Guest: &loan.Guest{Home: "cell-b", Epoch: 6, Spec: *guest, Budget: loan.Budget{CPUs: 2}, Since: time.Now()}})
 		v.seconds(8)
 		v.same("begun under the old leader", len(v.running("job-1"))+len(v.running("job-2")), 0)
 		v.bothTell("job-1", "pending")
--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -86,7 +86,7 @@
 const cellTry = 900 * time.Millisecond
 
 // Loans implements controller.CellLink.
-func (l *cellLinks) Loans(ctx context.Context, cell string, req *loan.Request) (*loan.Answer, error) {
+func (l *cellLinks) Loans(ctx context.Context, cell string, req *loan.Request) (*loan.Response, error) {
 	link := l.cells[cell]
 	if link == nil {
 		return nil, api.ErrUnavailable
--- a/internal/loan/home.go
+++ b/internal/loan/home.go
@@ -7,11 +7,11 @@
 const (
 	// ActionNone leaves it lent.
 	ActionNone Action = iota
-	// ActionTakeBack puts the job's plain record back.
-	ActionTakeBack
-	// ActionDone and ActionWithdraw record the job's end.
+	// ActionReclaim puts the job's plain record back.
+	ActionReclaim
+	// ActionDone and ActionCancel record the job's end.
 	ActionDone
-	ActionWithdraw
+	ActionCancel
 )
 
 // HomeStep decides what home does about a loan by what its host says. A cancelled job
@@ -24,21 +24,21 @@
 	switch s.Phase {
 	case PhaseDone:
 		return ActionDone
-	case PhaseWithdrawn:
-		if s.Held {
+	case PhaseCancelled:
+		if s.Pending {
 			return ActionNone
 		}
-		return ActionWithdraw
+		return ActionCancel
 	case PhaseClosed:
 		if l.Cancel {
-			return ActionWithdraw
+			return ActionCancel
 		}
-		return ActionTakeBack
+		return ActionReclaim
 	}
 	return ActionNone
 }
 
-// SettledBy tells whether home can say of a loan that its host names and home does not
+// ConfirmedBy tells whether home can say of a loan that its host names and home does not
 // know as lent that it is settled. A leader knows all loans of earlier terms from the
 // records, and its own; a later one's it cannot know.
-func SettledBy(term uint64, e Epoch) bool { return uint64(e>>32) <= term }
+func ConfirmedBy(term uint64, e Epoch) bool { return uint64(e>>32) <= term }
--- a/internal/loan/loan.go
+++ b/internal/loan/loan.go
@@ -15,19 +15,19 @@
 const Prefix = "loan/"
 
 const (
-	endPrefix   = Prefix + "end/"
-	floorPrefix = Prefix + "floor/"
+	endPrefix      = Prefix + "end/"
+	minEpochPrefix = Prefix + "floor/"
 )
 
 // EndKey is the key of the record that tells how a guest ended.
 func EndKey(home, job string) string { return endPrefix + home + "/" + job }
 
-// FloorKey is the key of the floor of a home cell's loans.
-func FloorKey(home string) string { return floorPrefix + home }
+// MinEpochKey is the key of the floor of a home cell's loans.
+func MinEpochKey(home string) string { return minEpochPrefix + home }
 
-// GuestMark distinguishes the name of a cancelled guest from that of a cell's own job
+// GuestMarker distinguishes the name of a cancelled guest from that of a cell's own job
 // where cancellations are named.
-const GuestMark = "guest:"
+const GuestMarker = "guest:"
 
 // Epoch numbers the loans of a home cell. Epochs only grow: the upper half is the term
 // of the home leader that made the loan.
@@ -41,8 +41,8 @@
 	return strconv.FormatUint(uint64(e>>32), 10) + "." + strconv.FormatUint(uint64(uint32(e)), 10)
 }
 
-// Grant is what a loan may use at a time of its team's limit at home.
-type Grant struct {
+// Budget is what a loan may use at a time of its team's limit at home.
+type Budget struct {
 	CPUs float64 `json:"cpus"`
 	GPUs float64 `json:"gpus,omitempty"`
 }
@@ -51,10 +51,10 @@
 // job's description is only here, so that a version that does not know of loans finds
 // nothing that it could start.
 type Lent struct {
-	Host  string      `json:"host"`
-	Epoch Epoch       `json:"epoch"`
-	Spec  api.JobSpec `json:"spec"`
-	Grant Grant       `json:"grant"`
+	Host   string      `json:"host"`
+	Epoch  Epoch       `json:"epoch"`
+	Spec   api.JobSpec `json:"spec"`
+	Budget Budget      `json:"grant"`
 	// Since is from when on its user expects the job to run.
 	Since time.Time `json:"since"`
 	// Cancel is set once a user has asked to cancel the job.
@@ -63,16 +63,16 @@
 
 // Guest is the part of an active record at the host that says for whom the job runs.
 type Guest struct {
-	Home  string      `json:"home"`
-	Epoch Epoch       `json:"epoch"`
-	Spec  api.JobSpec `json:"spec"`
-	Grant Grant       `json:"grant"`
-	Since time.Time   `json:"since"`
+	Home   string      `json:"home"`
+	Epoch  Epoch       `json:"epoch"`
+	Spec   api.JobSpec `json:"spec"`
+	Budget Budget      `json:"grant"`
+	Since  time.Time   `json:"since"`
 }
 
-// Floor says that no loan of a home cell with this epoch or a lower one is accepted any
+// MinEpochRecord says that no loan of a home cell with this epoch or a lower one is accepted any
 // more.
-type Floor struct {
+type MinEpochRecord struct {
 	Epoch Epoch `json:"epoch"`
 }
 
@@ -84,35 +84,35 @@
 	Ended time.Time `json:"ended,omitzero"`
 }
 
-// Want is what home wants of a loan.
-type Want int
+// DesiredState is what home wants of a loan.
+type DesiredState int
 
 // What home wants of a loan.
 const (
-	// WantRun wants it to be accepted, and to run.
-	WantRun Want = iota
-	// WantBack wants it back if it has not begun.
-	WantBack
-	// WantCancel wants it cancelled.
-	WantCancel
-	// WantForget says that home has recorded its end, or has no such loan.
-	WantForget
+	// DesiredRun wants it to be accepted, and to run.
+	DesiredRun DesiredState = iota
+	// DesiredReclaim wants it back if it has not begun.
+	DesiredReclaim
+	// DesiredCancel wants it cancelled.
+	DesiredCancel
+	// DesiredForget says that home has recorded its end, or has no such loan.
+	DesiredForget
 )
 
 // Offer is what a host must know to accept a loan.
 type Offer struct {
-	Spec  api.JobSpec
-	Grant Grant
-	Since time.Time
+	Spec   api.JobSpec
+	Budget Budget
+	Since  time.Time
 }
 
 // Entry is what home says of one of its loans. The offer comes with it until the host
 // has told how the loan stands.
 type Entry struct {
-	Job   string
-	Epoch Epoch
-	Want  Want
-	Offer *Offer
+	Job     string
+	Epoch   Epoch
+	Desired DesiredState
+	Offer   *Offer
 }
 
 // Request is all that a home leader says to a host at a time.
@@ -131,11 +131,11 @@
 	PhaseUnknown Phase = iota
 	// PhaseAccepted: on record, and not begun.
 	PhaseAccepted
-	// PhaseBegun: tasks have been started.
-	PhaseBegun
-	// PhaseDone and PhaseWithdrawn: over, on record.
+	// PhaseStarted: tasks have been started.
+	PhaseStarted
+	// PhaseDone and PhaseCancelled: over, on record.
 	PhaseDone
-	PhaseWithdrawn
+	PhaseCancelled
 	// PhaseClosed: not on record, and never will be.
 	PhaseClosed
 )
@@ -155,9 +155,9 @@
 	Epoch         Epoch
 	Phase         Phase
 	Done, Running int
-	// Held is set while tasks of it may be on machines of the host.
-	Held  bool
-	Ended time.Time
+	// Pending is set while tasks of it may be on machines of the host.
+	Pending bool
+	Ended   time.Time
 	// Reason says why it was not accepted.
 	Reason string
 }
@@ -171,8 +171,8 @@
 	Types     []api.MachineType
 }
 
-// Answer is what a host says of all loans of a home cell, and of what it has to spare.
-type Answer struct {
+// Response is what a host says of all loans of a home cell, and of what it has to spare.
+type Response struct {
 	Host   string
 	Term   uint64
 	States []State
--- a/internal/loan/model_test.go
+++ b/internal/loan/model_test.go
@@ -185,12 +185,12 @@
 	case l.view.final != "":
 		l.view = m.home
 	case l.view.lent != nil:
-		e := Entry{Job: "job-1", Epoch: l.view.lent.Epoch, Want: WantRun}
+		e := Entry{Job: "job-1", Epoch: l.view.lent.Epoch, Desired: DesiredRun}
 		if m.one(6) {
-			e.Want = WantBack
+			e.Desired = DesiredReclaim
 		}
 		if l.view.lent.Cancel {
-			e.Want = WantCancel
+			e.Desired = DesiredCancel
 		}
 		if m.one(2) {
 			e.Offer = &Offer{}
@@ -240,17 +240,17 @@
 		return
 	}
 	if l.view.lent == nil || l.view.lent.Epoch != a.state.Epoch && m.one(2) {
-		if SettledBy(l.term, a.state.Epoch) && a.state.Phase != PhaseClosed && a.state.Phase != PhaseUnknown {
-			m.requests = append(m.requests, modelRequest{l.term, Entry{Job: "job-1", Epoch: a.state.Epoch, Want: WantForget}})
+		if ConfirmedBy(l.term, a.state.Epoch) && a.state.Phase != PhaseClosed && a.state.Phase != PhaseUnknown {
+			m.requests = append(m.requests, modelRequest{l.term, Entry{Job: "job-1", Epoch: a.state.Epoch, Desired: DesiredForget}})
 		}
 		return
 	}
 	switch HomeStep(l.view.lent, a.state) {
-	case ActionTakeBack:
+	case ActionReclaim:
 		m.homeTxn(l, fmt.Sprint("take back ", a.state.Epoch), func(r *homeRecord) { r.lent = nil })
 	case ActionDone:
 		m.homeTxn(l, "record done", func(r *homeRecord) { r.lent, r.final = nil, "done" })
-	case ActionWithdraw:
+	case ActionCancel:
 		m.homeTxn(l, "record withdrawn", func(r *homeRecord) { r.lent, r.final = nil, "withdrawn" })
 	}
 }
@@ -268,20 +268,20 @@
 	}
 	v := l.view
 	e := q.entry
-	phase, step := HostStep(e, Held{Floor: v.floor, Guest: v.guest, Begun: v.begun || m.runsAtHost, End: v.end, Refuse: refuse})
-	m.answers = append(m.answers, modelAnswer{State{Job: e.Job, Epoch: e.Epoch, Phase: phase, Held: m.runsAtHost}})
+	phase, step := HostStep(e, HostView{MinEpoch: v.floor, GuestEpoch: v.guest, Started: v.begun || m.runsAtHost, End: v.end, RefusalReason: refuse})
+	m.answers = append(m.answers, modelAnswer{State{Job: e.Job, Epoch: e.Epoch, Phase: phase, Pending: m.runsAtHost}})
 	switch step {
 	case StepAccept:
 		m.hostTxn(l, fmt.Sprint("accept ", e.Epoch), func(r *hostRecords) { r.guest = e.Epoch })
 	case StepClose:
 		m.hostTxn(l, fmt.Sprint("close ", e.Epoch), func(r *hostRecords) { r.guest, r.begun = 0, false; r.floor = max(r.floor, e.Epoch) })
-	case StepWithdraw:
+	case StepCancel:
 		m.hostTxn(l, fmt.Sprint("withdraw ", e.Epoch), func(r *hostRecords) {
 			r.guest, r.begun, r.end = 0, false, &End{Epoch: e.Epoch, Phase: "withdrawn"}
 		})
 	case StepForget:
 		m.hostTxn(l, fmt.Sprint("forget ", e.Epoch), func(r *hostRecords) { r.end = nil; r.floor = max(r.floor, e.Epoch) })
-	case StepRaise:
+	case StepRaiseMinEpoch:
 		m.hostTxn(l, fmt.Sprint("raise ", e.Epoch), func(r *hostRecords) { r.floor = max(r.floor, e.Epoch) })
 	}
 }
@@ -405,12 +405,12 @@
 			e := h.guest
 			phase := PhaseAccepted
 			if h.end != nil {
-				e, phase = h.end.Epoch, PhaseWithdrawn
+				e, phase = h.end.Epoch, PhaseCancelled
 				if h.end.Phase == "done" {
 					phase = PhaseDone
 				}
 			}
-			m.homeHears(modelAnswer{State{Job: "job-1", Epoch: e, Phase: phase, Held: m.runsAtHost}})
+			m.homeHears(modelAnswer{State{Job: "job-1", Epoch: e, Phase: phase, Pending: m.runsAtHost}})
 		}
 		m.check()
 	}
