--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -45,7 +45,7 @@
 // NewLog makes the log of a process that begins now. Entries are retained until no
 // worker can have a task of theirs any more.
 func NewLog(w config.Workers, lim config.Limits, now time.Time) *Log {
-	return &Log{known: map[string]bool{}, startedAt: now, retention: config.Seconds(w.CancelS) + 2*w.Lease(),
+	return &Log{known: map[string]bool{}, startedAt: now, retention: config.Duration(w.CancelS) + 2*w.Lease(),
 		maxEntries: lim.Entries(memoryShare, entryBytes)}
 }
 
--- a/internal/ci/knownred/judge.go
+++ b/internal/ci/knownred/judge.go
@@ -19,8 +19,8 @@
 // line is one of a package's output; test is "" if no test printed it.
 type line struct{ test, text string }
 
-// suite is what is known of one package's tests.
-type suite struct {
+// packageRun is what is known of one package's tests.
+type packageRun struct {
 	name string
 	// started lists the tests in order, and results how each ended.
 	started []string
@@ -29,12 +29,12 @@
 	ended   bool
 }
 
-// judge reads the events of go test, shows them as go test without -json would
+// verdictReader reads the events of go test, shows them as go test without -json would
 // and decides whether what failed may be passed over.
-type judge struct {
+type verdictReader struct {
 	list   []entry
 	out    io.Writer
-	suites map[string]*suite
+	suites map[string]*packageRun
 	// failed is set once a package failed, for whatever reason.
 	failed bool
 	// passed are the packages whose failures are passed over: their closing
@@ -43,17 +43,17 @@
 	problems []string
 }
 
-func newJudge(list []entry, out io.Writer) *judge {
-	return &judge{list: list, out: out, suites: map[string]*suite{}}
+func newJudge(list []entry, out io.Writer) *verdictReader {
+	return &verdictReader{list: list, out: out, suites: map[string]*packageRun{}}
 }
 
 // read takes the events in as they come.
-func (j *judge) read(events io.Reader) error {
+func (j *verdictReader) read(events io.Reader) error {
 	in := bufio.NewReader(events)
 	for {
 		raw, err := in.ReadBytes('\n')
 		if len(raw) > 0 {
-			j.take(raw)
+			j.handleEvent(raw)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -64,7 +64,7 @@
 	}
 }
 
-func (j *judge) take(raw []byte) {
+func (j *verdictReader) handleEvent(raw []byte) {
 	var e event
 	if !bytes.HasPrefix(raw, []byte("{")) || json.Unmarshal(raw, &e) != nil {
 		j.out.Write(raw) // what is no event is shown as it is
@@ -76,7 +76,7 @@
 	}
 	s := j.suites[e.Package]
 	if s == nil {
-		s = &suite{name: e.Package, results: map[string]string{}}
+		s = &packageRun{name: e.Package, results: map[string]string{}}
 		j.suites[e.Package] = s
 	}
 	switch e.Action {
@@ -95,9 +95,9 @@
 }
 
 // end shows a package that has ended, and judges it if it failed.
-func (j *judge) end(s *suite, failed bool) {
+func (j *verdictReader) end(s *packageRun, failed bool) {
 	for _, l := range s.output {
-		if s.shows(l, failed) && !(failed && s.closing(l) && j.excused(s)) {
+		if s.isShown(l, failed) && !(failed && s.closing(l) && j.isListed(s)) {
 			io.WriteString(j.out, l.text)
 		}
 	}
@@ -107,8 +107,8 @@
 	s.output = nil
 }
 
-// shows tells whether go test without -v shows a line.
-func (s *suite) shows(l line, failed bool) bool {
+// isShown tells whether go test without -v shows a line.
+func (s *packageRun) isShown(l line, failed bool) bool {
 	switch {
 	case !failed:
 		return l.test == "" && (strings.HasPrefix(l.text, "ok  \t") || strings.HasPrefix(l.text, "?   \t"))
@@ -127,13 +127,13 @@
 }
 
 // closing tells whether a line is the last of a package that failed.
-func (s *suite) closing(l line) bool {
+func (s *packageRun) closing(l line) bool {
 	return l.test == "" && strings.HasPrefix(l.text, "FAIL\t"+s.name+"\t")
 }
 
-func (j *judge) fail(s *suite) {
+func (j *verdictReader) fail(s *packageRun) {
 	j.failed = true
-	if j.excused(s) {
+	if j.isListed(s) {
 		for _, l := range s.output {
 			if s.closing(l) {
 				took := strings.TrimSpace(strings.TrimPrefix(l.text, "FAIL\t"+s.name+"\t"))
@@ -147,7 +147,7 @@
 		switch r := s.results[test]; {
 		case r == "":
 			j.problem("%s %s did not end", s.name, test)
-		case r == "fail" && !j.forgiven(s, test):
+		case r == "fail" && !j.isAllowed(s, test):
 			j.problem("%s %s failed and is not listed", s.name, test)
 		}
 	}
@@ -158,15 +158,15 @@
 	}
 }
 
-// excused tells whether only listed tests made a package fail.
-func (j *judge) excused(s *suite) bool {
+// isListed tells whether only listed tests made a package fail.
+func (j *verdictReader) isListed(s *packageRun) bool {
 	failures := 0
 	for _, test := range s.started {
 		switch s.results[test] {
 		case "":
 			return false
 		case "fail":
-			if !j.forgiven(s, test) {
+			if !j.isAllowed(s, test) {
 				return false
 			}
 			failures++
@@ -177,9 +177,9 @@
 	return failures > 0 && slices.Contains(s.output, line{"", "FAIL\n"})
 }
 
-// forgiven tells whether a failed test is listed, or failed only since subtests
+// isAllowed tells whether a failed test is listed, or failed only since subtests
 // did, which are looked at by themselves.
-func (j *judge) forgiven(s *suite, test string) bool {
+func (j *verdictReader) isAllowed(s *packageRun, test string) bool {
 	if slices.ContainsFunc(j.list, func(e entry) bool { return e.testName == testName{s.name, test} }) {
 		return true
 	}
@@ -193,13 +193,13 @@
 	})
 }
 
-func (j *judge) problem(format string, args ...any) {
+func (j *verdictReader) problem(format string, args ...any) {
 	j.problems = append(j.problems, fmt.Sprintf(format, args...))
 }
 
 // verdict says at the end what was passed over and what was not, and tells
 // whether the tests pass. Clean is set if go test itself was content.
-func (j *judge) verdict(clean bool) bool {
+func (j *verdictReader) verdict(clean bool) bool {
 	for _, s := range j.suites {
 		if !s.ended {
 			j.problem("%s did not end", s.name)
--- a/internal/ci/knownred/list.go
+++ b/internal/ci/knownred/list.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// mostListed is how many tests may be known to fail at a time.
-const mostListed = 3
+// maxListed is how many tests may be known to fail at a time.
+const maxListed = 3
 
 // testName is one test of a package.
 type testName struct{ pkg, test string }
@@ -47,8 +47,8 @@
 		seen[e.testName] = true
 		list = append(list, e)
 	}
-	if len(list) > mostListed {
-		return nil, fmt.Errorf("%d tests are listed, and at most %d may be", len(list), mostListed)
+	if len(list) > maxListed {
+		return nil, fmt.Errorf("%d tests are listed, and at most %d may be", len(list), maxListed)
 	}
 	return list, nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -73,9 +73,9 @@
 
 // Workers holds the workers' intervals.
 type Workers struct {
-	ReportS float64 `json:"report_s"`
-	LeaseS  float64 `json:"lease_s"`
-	CancelS float64 `json:"cancel_s"`
+	HeartbeatS float64 `json:"report_s"`
+	LeaseS     float64 `json:"lease_s"`
+	CancelS    float64 `json:"cancel_s"`
 }
 
 // StateLimits bounds the use of the state service. Once the settings are parsed
@@ -127,11 +127,11 @@
 			return fmt.Errorf("field %s.%s: must be above 0, found %v", field, p.field, p.v)
 		}
 	}
-	if l.TxnOps < leastTxnOps {
-		return fmt.Errorf("field %s.txn_ops: at least %d are needed, found %d", field, leastTxnOps, l.TxnOps)
+	if l.TxnOps < minTxnOps {
+		return fmt.Errorf("field %s.txn_ops: at least %d are needed, found %d", field, minTxnOps, l.TxnOps)
 	}
-	if l.ValueKB < leastValueKB {
-		return fmt.Errorf("field %s.value_kb: at least %v is needed for one record, found %v", field, leastValueKB, l.ValueKB)
+	if l.ValueKB < minValueKB {
+		return fmt.Errorf("field %s.value_kb: at least %v is needed for one record, found %v", field, minValueKB, l.ValueKB)
 	}
 	return nil
 }
@@ -167,23 +167,23 @@
 	FDLimit int     `json:"fd_limit"`
 }
 
-// leastEntries is what a table of machines or of what concerns them holds at the
+// minEntries is what a table of machines or of what concerns them holds at the
 // least, however little memory there is: a cell may have some 4,000 machines.
-const leastEntries = 4096
+const minEntries = 4096
 
 // Entries is how many entries of so many bytes each fit a share of the memory.
 func (l Limits) Entries(share float64, bytes int) int {
-	return max(leastEntries, int(l.RAMMB*(1<<20)*share)/bytes)
+	return max(minEntries, int(l.RAMMB*(1<<20)*share)/bytes)
 }
 
-// Seconds turns a number of seconds into a duration.
-func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// Duration turns a number of seconds into a duration.
+func Duration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Report is the interval at which workers report.
-func (w Workers) Report() time.Duration { return Seconds(w.ReportS) }
+// HeartbeatInterval is the interval at which workers report.
+func (w Workers) HeartbeatInterval() time.Duration { return Duration(w.HeartbeatS) }
 
 // Lease is how long a worker keeps its tasks without an answer.
-func (w Workers) Lease() time.Duration { return Seconds(w.LeaseS) }
+func (w Workers) Lease() time.Duration { return Duration(w.LeaseS) }
 
 // Load reads and checks a settings file.
 func Load(path string) (*Settings, error) {
@@ -252,8 +252,8 @@
 	if err := s.Limits.check(); err != nil {
 		return err
 	}
-	if s.Workers.LeaseS <= s.Workers.ReportS {
-		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v", s.Workers.LeaseS, s.Workers.ReportS)
+	if s.Workers.LeaseS <= s.Workers.HeartbeatS {
+		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v", s.Workers.LeaseS, s.Workers.HeartbeatS)
 	}
 	if s.Cloud.ListLagS < 0 || s.ClockOffMs < 0 {
 		return errors.New("field settings: cloud.list_lag_s and clock_off_ms must not be negative")
@@ -288,7 +288,7 @@
 		field string
 		value float64
 	}{
-		{"workers.report_s", s.Workers.ReportS},
+		{"workers.report_s", s.Workers.HeartbeatS},
 		{"workers.lease_s", s.Workers.LeaseS},
 		{"workers.cancel_s", s.Workers.CancelS},
 		{"cloud.rps", s.Cloud.RPS},
@@ -305,31 +305,31 @@
 
 // check refuses a process too small to work.
 func (l Limits) check() error {
-	if l.FDLimit < leastSockets {
-		return fmt.Errorf("field settings.limits.fd_limit: at least %d are needed, found %d", leastSockets, l.FDLimit)
+	if l.FDLimit < minSockets {
+		return fmt.Errorf("field settings.limits.fd_limit: at least %d are needed, found %d", minSockets, l.FDLimit)
 	}
-	if l.Cores < leastCores {
-		return fmt.Errorf("field settings.limits.cores: at least %v are needed to answer anybody, found %v", leastCores, l.Cores)
+	if l.Cores < minCores {
+		return fmt.Errorf("field settings.limits.cores: at least %v are needed to answer anybody, found %v", minCores, l.Cores)
 	}
-	if l.RAMMB < leastRAMMB {
-		return fmt.Errorf("field settings.limits.ram_mb: at least %v are needed to start, found %v", leastRAMMB, l.RAMMB)
+	if l.RAMMB < minRAMMB {
+		return fmt.Errorf("field settings.limits.ram_mb: at least %v are needed to start, found %v", minRAMMB, l.RAMMB)
 	}
 	return nil
 }
 
 const (
-	// leastValueKB holds the record of one job.
-	leastValueKB = 1.0
-	// leastTxnOps is what a cancellation takes.
-	leastTxnOps = 3
-	// leastSockets are those for the outside services, the other controllers
+	// minValueKB holds the record of one job.
+	minValueKB = 1.0
+	// minTxnOps is what a cancellation takes.
+	minTxnOps = 3
+	// minSockets are those for the outside services, the other controllers
 	// and a few users and workers.
-	leastSockets = 64
-	// leastCores was measured with five machines: at half of it nothing was ever
+	minSockets = 64
+	// minCores was measured with five machines: at half of it nothing was ever
 	// accepted, with it little. What a fleet needs is in docs/operations.md.
-	leastCores = 0.0005
-	// leastRAMMB is less than what a controller that has nothing to do holds.
-	leastRAMMB = 3.0
+	minCores = 0.0005
+	// minRAMMB is less than what a controller that has nothing to do holds.
+	minRAMMB = 3.0
 )
 
 func notNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -23,7 +23,7 @@
 	}
 	s := &config.Settings{Node: "n0", Site: config.SiteInfo{
 		Teams:   []config.Team{{Name: "red", CPUs: 1e4, LimitCPUs: 1e5}, {Name: "blue", CPUs: 1e4, LimitCPUs: 1e5}},
-		Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
+		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 		State:   config.StateLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}}}
 	c := New(Config{Settings: s, Policy: pol, Store: storetest.New(), Cloud: &fakeCloud{}, Log: slog.New(slog.DiscardHandler)})
 	c.types.set([]api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Price: 1, Zones: []string{"a"}}})
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -88,7 +88,7 @@
 // cancel_s after that moment.
 func (c *Controller) leaseRenewalWindow() time.Duration {
 	w := c.Settings.Site.Workers
-	cancel := config.Seconds(w.CancelS)
+	cancel := config.Duration(w.CancelS)
 	return cancel - w.Lease() - leaseRenewalMargin - cancel/500
 }
 
--- a/internal/controller/constrained.go
+++ b/internal/controller/constrained.go
@@ -43,7 +43,7 @@
 		}
 		demand.cpus += cpus
 	}
-	patience := 2 * as.leaderTerm.c.Settings.Site.Workers.Report()
+	patience := 2 * as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()
 	for _, team := range as.leaderTerm.allTeams() {
 		room := team.LimitCPUs - team.UsedCPUs
 		for _, j := range team.Items() {
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -83,7 +83,7 @@
 
 // dispatch brings waiting work to machines with free room.
 func (lt *leaderTerm) dispatch(now time.Time) {
-	if lt.c.CommandSender == nil || lt.c.Settings.Site.Workers.Report() <= directHeartbeatThreshold || now.After(lt.dispatchUntil) {
+	if lt.c.CommandSender == nil || lt.c.Settings.Site.Workers.HeartbeatInterval() <= directHeartbeatThreshold || now.After(lt.dispatchUntil) {
 		return
 	}
 	if !lt.anyUnassigned() || now.Before(lt.nextDirectCommand) {
@@ -187,7 +187,7 @@
 	}
 	if m.err != nil {
 		c.Log.Debug("direct orders", "machine", m.machine.name, "orders", len(m.batch), "err", m.err)
-		m.machine.cordonedUntil = time.Now().Add(c.Settings.Site.Workers.Report())
+		m.machine.cordonedUntil = time.Now().Add(c.Settings.Site.Workers.HeartbeatInterval())
 	}
 }
 
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -270,7 +270,7 @@
 	pol.MinCPUs = 100 // no machine is spare
 	s := &config.Settings{Node: name, Zone: w.zones[name], Site: config.SiteInfo{Teams: w.teams,
 		Objectives: []config.Objective{{Kind: "finished", Class: "c", WithinS: 90}},
-		Workers:    config.Workers{ReportS: max(1, w.reportS), LeaseS: max(10, 5*w.reportS), CancelS: cmp.Or(w.cancelS, 30)},
+		Workers:    config.Workers{HeartbeatS: max(1, w.reportS), LeaseS: max(10, 5*w.reportS), CancelS: cmp.Or(w.cancelS, 30)},
 		State:      cmp.Or(w.state, config.StateLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}),
 		Cloud:      config.CloudLimits{RPS: 5, ListLagS: 4},
 		Limits:     config.Limits{FDLimit: 2400}}}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -90,13 +90,13 @@
 		switch {
 		case o.Class != j.spec.Class:
 		case o.Kind == "wait":
-			j.startBy = j.runnableSince.Add(config.Seconds(o.WithinS))
+			j.startBy = j.runnableSince.Add(config.Duration(o.WithinS))
 		case o.Kind == "finished":
-			out = append(out, j.runnableSince.Add(config.Seconds(o.WithinS)))
+			out = append(out, j.runnableSince.Add(config.Duration(o.WithinS)))
 		}
 	}
 	if len(out) == 0 {
-		out = append(out, j.runnableSince.Add(config.Seconds(10*j.spec.EstimateS)))
+		out = append(out, j.runnableSince.Add(config.Duration(10*j.spec.EstimateS)))
 	}
 	slices.SortFunc(out, time.Time.Compare)
 	return slices.CompactFunc(out, time.Time.Equal)
@@ -108,10 +108,10 @@
 	if j.spec.DeadlineS <= 0 {
 		return nil
 	}
-	out := []time.Time{j.accepted.Add(config.Seconds(j.spec.DeadlineS))}
+	out := []time.Time{j.accepted.Add(config.Duration(j.spec.DeadlineS))}
 	for _, o := range lt.c.Settings.Site.Objectives {
 		if o.Kind == "deadline" && o.Class == j.spec.Class && o.Times > 1 {
-			out = append(out, j.accepted.Add(config.Seconds(j.spec.DeadlineS*o.Times)))
+			out = append(out, j.accepted.Add(config.Duration(j.spec.DeadlineS*o.Times)))
 		}
 	}
 	slices.SortFunc(out, time.Time.Compare)
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -145,11 +145,11 @@
 	}
 	// Half a round of reports, but no more than a small part of the time in
 	// which work within a guarantee should start.
-	lt.grace = c.Settings.Site.Workers.Report() / 2
+	lt.grace = c.Settings.Site.Workers.HeartbeatInterval() / 2
 	for _, o := range c.Settings.Site.Objectives {
 		if o.Kind == "guarantee" && o.WithinS > 0 {
-			lt.grace = min(lt.grace, config.Seconds(o.WithinS/5))
-			if within := config.Seconds(o.WithinS); lt.startWithin == 0 || within < lt.startWithin {
+			lt.grace = min(lt.grace, config.Duration(o.WithinS/5))
+			if within := config.Duration(o.WithinS); lt.startWithin == 0 || within < lt.startWithin {
 				lt.startWithin = within
 			}
 		}
--- a/internal/controller/leaseextension.go
+++ b/internal/controller/leaseextension.go
@@ -54,7 +54,7 @@
 // renewalPeriod is how long after it was last verified leases may be extended here.
 func (c *Controller) renewalPeriod() time.Duration {
 	w := c.Settings.Site.Workers
-	return config.Seconds(w.CancelS) - w.Lease() - 2*w.Report() - renewalMargin
+	return config.Duration(w.CancelS) - w.Lease() - 2*w.HeartbeatInterval() - renewalMargin
 }
 
 // renewOnBehalf answers a report in the leader's stead, if this node may.
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -62,7 +62,7 @@
 	})
 	latest := time.Duration(1<<62 - 1)
 	if len(lt.autoscaler.offers(now)) > 0 {
-		latest = lt.autoscaler.longestBoot() + lt.c.Settings.Site.Workers.Report()
+		latest = lt.autoscaler.longestBoot() + lt.c.Settings.Site.Workers.HeartbeatInterval()
 	}
 	out := make([]predictedStart, 0, len(jobs))
 	for _, j := range jobs {
@@ -149,7 +149,7 @@
 			longest = max(longest, s.ImageGB/t.FetchGBs)
 		}
 	}
-	return config.Seconds(longest)
+	return config.Duration(longest)
 }
 
 // requestReclaim wants back what could start here at once and has not begun there.
--- a/internal/controller/peertable.go
+++ b/internal/controller/peertable.go
@@ -195,7 +195,7 @@
 		// which jobs are left, and has told it to each machine that is still
 		// alive when a lease has passed.
 		known := m.sent.Add(-m.status.CancellationsKnownAge)
-		if w := c.Settings.Site.Workers; m.status.CancellationsKnownAge < 0 || m.status.Term > 1 && now.Sub(mb.termSeenAt) < w.Lease()+2*w.Report() {
+		if w := c.Settings.Site.Workers; m.status.CancellationsKnownAge < 0 || m.status.Term > 1 && now.Sub(mb.termSeenAt) < w.Lease()+2*w.HeartbeatInterval() {
 			known = time.Time{}
 		}
 		c.leaseRenewer.verify(m.node, m.status.Term, known)
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -272,7 +272,7 @@
 			fetch = max(fetch, j.spec.ImageGB/t.FetchGBs)
 		}
 	}
-	return j.spec.Estimate() + config.Seconds(fetch) + dg.leaderTerm.c.Settings.Site.Workers.Report() + stageLag
+	return j.spec.Estimate() + config.Duration(fetch) + dg.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval() + stageLag
 }
 
 // stageLag is about how long it takes until a job's end is on record and those that
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -95,7 +95,7 @@
 	for _, mt := range as.leaderTerm.c.types.load() {
 		boot = max(boot, mt.BootS)
 	}
-	return config.Seconds(boot)
+	return config.Duration(boot)
 }
 
 // scaleOut covers what is lacking.
@@ -115,7 +115,7 @@
 		}
 	}
 	want := max(as.demand()*(1+lt.c.Policy.Headroom), lt.c.Policy.MinCPUs)
-	as.surplus = total - as.peak.add(now, want, lt.c.Policy.Hold)
+	as.surplus = total - as.peak.add(now, want, lt.c.Policy.DrainDelay)
 	as.drain(now)
 	if lt.unfenced > 0 {
 		return
@@ -240,7 +240,7 @@
 			left := s.Estimate() - ran
 			aim := a.job.latestStart.Add(s.Estimate())
 			if ran > moveInterval && left > moveMaxQueue+s.Save() &&
-				(a.job.infeasible || now.Add(left*5/4+s.Save()+3*as.leaderTerm.c.Settings.Site.Workers.Report()+moveMargin).Before(aim)) {
+				(a.job.infeasible || now.Add(left*5/4+s.Save()+3*as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()+moveMargin).Before(aim)) {
 				room -= s.CPUs
 				as.leaderTerm.stop(a, 2*s.Save()+time.Second, now)
 			}
@@ -468,7 +468,7 @@
 		return
 	}
 	if m := lt.machines[h.Name]; m != nil {
-		if h.Phase == cloud.PhaseFailed && !m.terminating && now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.Report() {
+		if h.Phase == cloud.PhaseFailed && !m.terminating && now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.HeartbeatInterval() {
 			lt.evacuate(m, "stopped")
 			lt.autoscaler.scaleIn(m)
 		}
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -192,7 +192,7 @@
 		txn.Compares = []store.Compare{{Key: election.TermKey, ModRevision: extender.termRevision}}
 	}
 	// Where few changes are allowed, relaying must leave room for submissions.
-	if next := now.Add(config.Seconds(float64(len(txn.Ops)) / (lim.WriteRPS * store.RecordShare))); next.After(ul.next) {
+	if next := now.Add(config.Duration(float64(len(txn.Ops)) / (lim.WriteRPS * store.RecordShare))); next.After(ul.next) {
 		ul.next = next
 	}
 	ul.send(c, txn)
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -157,7 +157,7 @@
 	}
 	// One answer may be lost; after a second, the machine is asked first.
 	if m.unappliedResponses++; m.unappliedResponses > 1 {
-		m.cordonedUntil = now.Add(min(lt.c.Settings.Site.Workers.Report()<<min(m.unappliedResponses, 5), 30*time.Second))
+		m.cordonedUntil = now.Add(min(lt.c.Settings.Site.Workers.HeartbeatInterval()<<min(m.unappliedResponses, 5), 30*time.Second))
 	}
 	m.nextProbe = now
 	lt.c.Log.Debug("orders not carried out", "machine", m.name, "orders", len(m.lastCommands), "times", m.unappliedResponses)
--- a/internal/controller/room.go
+++ b/internal/controller/room.go
@@ -55,7 +55,7 @@
 // report again.
 func (lt *leaderTerm) quickFetch(j *job, m *machine) bool {
 	rate := lt.c.types.load()[m.typ].FetchGBs
-	return rate > 0 && j.spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.ReportS
+	return rate > 0 && j.spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.HeartbeatS
 }
 
 // spotMismatchPenalty is what it counts for, in seconds, if work that saves nothing is on a
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -66,7 +66,7 @@
 	if !m.fenced {
 		return now.Sub(m.lastSeen) > takeoverGrace // not heard of in this term
 	}
-	return m.unappliedResponses > 0 || now.Sub(m.lastSeen) > lt.c.Settings.Site.Workers.Report()*5/4+time.Second
+	return m.unappliedResponses > 0 || now.Sub(m.lastSeen) > lt.c.Settings.Site.Workers.HeartbeatInterval()*5/4+time.Second
 }
 
 // zoneCount counts a zone's machines: all, those that are suspect, and those that
@@ -100,7 +100,7 @@
 	}
 	// The first to be missed when all fall silent at once are not dead: nearly
 	// nobody has reported since. So many should have reported just now.
-	due := min(1, freshHeartbeatAge.Seconds()/lt.c.Settings.Site.Workers.ReportS)
+	due := min(1, freshHeartbeatAge.Seconds()/lt.c.Settings.Site.Workers.HeartbeatS)
 	return m.fenced && float64(zone.fresh) < due*float64(zone.all)/5 && zone.all >= minZoneMachines
 }
 
@@ -108,7 +108,7 @@
 func (lt *leaderTerm) confirmedDead(m *machine, cut bool, now time.Time) bool {
 	w := lt.c.Settings.Site.Workers
 	switch silent := now.Sub(m.lastSeen); {
-	case !m.fenced && now.Sub(lt.heartbeatsSince) > w.Lease()+2*w.Report():
+	case !m.fenced && now.Sub(lt.heartbeatsSince) > w.Lease()+2*w.HeartbeatInterval():
 		// It holds every earlier job back. A deaf one shows the old token
 		// in report after report and may even answer probes, but its
 		// lease has ended by now. One whose lease another node extends would
@@ -116,12 +116,12 @@
 		return true
 	case now.Before(m.leaseRenewedUntil):
 		return false
-	case silent > config.Seconds(w.CancelS):
+	case silent > config.Duration(w.CancelS):
 		return true
 	case cut:
 		return false
 	default:
-		return silent > w.Lease()+2*w.Report() || m.probeFails >= deadAfterProbes || m.unappliedResponses >= undeliveredAfter
+		return silent > w.Lease()+2*w.HeartbeatInterval() || m.probeFails >= deadAfterProbes || m.unappliedResponses >= undeliveredAfter
 	}
 }
 
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -125,7 +125,7 @@
 
 // heartbeatTimeout is the longest time between two reports of a machine in order.
 func (lt *leaderTerm) heartbeatTimeout() time.Duration {
-	return 2*lt.c.Settings.Site.Workers.Report() + time.Second
+	return 2*lt.c.Settings.Site.Workers.HeartbeatInterval() + time.Second
 }
 
 // restartStragglers restarts, once, a run past twice its estimate when its machine's
--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -18,27 +18,31 @@
 type cellHandler struct{ c *controller.Controller }
 
 // Job implements peer.Handler.
-func (cellHandler) Job(context.Context, string) (*peer.JobStatus, error) { return nil, peer.ErrUnable }
+func (cellHandler) Job(context.Context, string) (*peer.JobStatus, error) {
+	return nil, peer.ErrUnavailable
+}
 
 // Ping implements peer.Handler.
-func (cellHandler) Ping(context.Context, *peer.Ping) (*peer.Pong, error) { return nil, peer.ErrUnable }
+func (cellHandler) Ping(context.Context, *peer.Ping) (*peer.Pong, error) {
+	return nil, peer.ErrUnavailable
+}
 
 // Report implements peer.Handler.
 func (cellHandler) Report(context.Context, *peer.Report) (*peer.ReportAnswer, error) {
-	return nil, peer.ErrUnable
+	return nil, peer.ErrUnavailable
 }
 
 // Resigned implements peer.Handler.
-func (cellHandler) Resigned(context.Context, *peer.Resignation) error { return peer.ErrUnable }
+func (cellHandler) Resigned(context.Context, *peer.Resignation) error { return peer.ErrUnavailable }
 
 // Grant implements peer.Handler.
 func (cellHandler) Grant(context.Context, *peer.GrantRequest) (*peer.GrantAnswer, error) {
-	return nil, peer.ErrUnable
+	return nil, peer.ErrUnavailable
 }
 
 // Promise implements peer.Handler.
 func (cellHandler) Promise(context.Context, *peer.PromiseRequest) (*peer.PromiseAnswer, error) {
-	return nil, peer.ErrUnable
+	return nil, peer.ErrUnavailable
 }
 
 // Loans implements peer.Handler.
@@ -47,7 +51,7 @@
 	if err != nil {
 		return &peer.LoanAnswer{Refused: err.Error()}, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerWait)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	answer, err := h.c.Loans(ctx, req)
 	if err != nil {
@@ -82,8 +86,8 @@
 	return l
 }
 
-// cellTry bounds the question to one controller of another cell.
-const cellTry = 900 * time.Millisecond
+// cellAttemptTimeout bounds the question to one controller of another cell.
+const cellAttemptTimeout = 900 * time.Millisecond
 
 // Loans implements controller.CellLink.
 func (l *cellLinks) Loans(ctx context.Context, cell string, req *loan.Request) (*loan.Response, error) {
@@ -101,7 +105,7 @@
 	failed := []error{}
 	for i := range link.clients {
 		at := (first + i) % len(link.clients)
-		tctx, cancel := context.WithTimeout(ctx, cellTry)
+		tctx, cancel := context.WithTimeout(ctx, cellAttemptTimeout)
 		answer, err := link.clients[at].Loans(tctx, msg)
 		cancel()
 		if err == nil {
--- a/internal/daemon/connlimiter.go
+++ b/internal/daemon/connlimiter.go
@@ -17,28 +17,28 @@
 	mu   sync.Mutex
 	open map[net.Conn]bool
 	// idle holds the connections without a request, the longest idle first.
-	idle *list.List
-	at   map[net.Conn]*list.Element
+	idle     *list.List
+	elements map[net.Conn]*list.Element
 }
 
 func newConnLimiter(limit int) *connLimiter {
-	return &connLimiter{limit: limit, open: map[net.Conn]bool{}, idle: list.New(), at: map[net.Conn]*list.Element{}}
+	return &connLimiter{limit: limit, open: map[net.Conn]bool{}, idle: list.New(), elements: map[net.Conn]*list.Element{}}
 }
 
 // watch is an http.Server's ConnState.
 func (c *connLimiter) watch(conn net.Conn, state http.ConnState) {
-	if out := c.note(conn, state); out != nil {
+	if out := c.connStateChanged(conn, state); out != nil {
 		out.Close()
 	}
 }
 
-// note takes a change in, and returns the connection to close, if any.
-func (c *connLimiter) note(conn net.Conn, state http.ConnState) net.Conn {
+// connStateChanged takes a change in, and returns the connection to close, if any.
+func (c *connLimiter) connStateChanged(conn net.Conn, state http.ConnState) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e := c.at[conn]; e != nil {
+	if e := c.elements[conn]; e != nil {
 		c.idle.Remove(e)
-		delete(c.at, conn)
+		delete(c.elements, conn)
 	}
 	switch state {
 	case http.StateClosed, http.StateHijacked:
@@ -48,14 +48,14 @@
 		return nil
 	}
 	c.open[conn] = true
-	c.at[conn] = c.idle.PushBack(conn)
+	c.elements[conn] = c.idle.PushBack(conn)
 	if len(c.open) <= c.limit {
 		return nil
 	}
 	// The newest is last: it goes only if all others are busy.
 	e := c.idle.Front()
 	out := c.idle.Remove(e).(net.Conn)
-	delete(c.at, out)
+	delete(c.elements, out)
 	delete(c.open, out)
 	return out
 }
--- a/internal/daemon/connlimiter_test.go
+++ b/internal/daemon/connlimiter_test.go
@@ -16,7 +16,7 @@
 	}
 	step := func(i int, s http.ConnState, want int) {
 		t.Helper()
-		out := c.note(conns[i], s)
+		out := c.connStateChanged(conns[i], s)
 		if want < 0 && out != nil || want >= 0 && out != conns[want] {
 			t.Errorf("connection %d %v: closed the wrong one", i, s)
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -51,19 +51,19 @@
 }
 
 // A connection of a worker or user may hold a part of a request, and holds a
-// goroutine. All of them together may take memoryForThem of the memory: what is
+// goroutine. All of them together may take connectionMemoryShare of the memory: what is
 // left holds the process itself, the fleet and the jobs.
 const (
-	perConnection = 26 << 10
-	memoryForThem = 0.3
-	leastOpen     = 16
+	bytesPerConnection    = 26 << 10
+	connectionMemoryShare = 0.3
+	minOpenConnections    = 16
 )
 
 // connections is how many connections of workers and users may be open: sockets
 // are kept for the outside services and the peers.
 func connections(lim config.Limits) int {
-	byMemory := int(lim.RAMMB * (1 << 20) * memoryForThem / perConnection)
-	return max(leastOpen, min(lim.FDLimit*7/10, byMemory))
+	byMemory := int(lim.RAMMB * (1 << 20) * connectionMemoryShare / bytesPerConnection)
+	return max(minOpenConnections, min(lim.FDLimit*7/10, byMemory))
 }
 
 // tune fits the process to the machine: one processor's share, and a memory
@@ -74,8 +74,8 @@
 	debug.SetGCPercent(300)
 }
 
-// leaveWithin is what a controller that is told to stop has to hand the leadership over.
-const leaveWithin = 2 * time.Second
+// drainTimeout is what a controller that is told to stop has to hand the leadership over.
+const drainTimeout = 2 * time.Second
 
 // Parts are those that files of their own switch on; nil: off.
 type Parts struct {
@@ -137,7 +137,7 @@
 	log.Info("started", "node", s.Node, "zone", s.Zone, "api", s.APIAddr, "pid", os.Getpid())
 	select {
 	case <-stopped:
-		lctx, done := context.WithTimeout(ctx, leaveWithin)
+		lctx, done := context.WithTimeout(ctx, drainTimeout)
 		c.Drain(lctx)
 		done()
 		apiLn.Close()
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -27,12 +27,12 @@
 		if n != c.want {
 			t.Errorf("%v MB, %d sockets: %d connections, want %d", c.lim.RAMMB, c.lim.FDLimit, n, c.want)
 		}
-		held := float64(n*perConnection) + api.MaxHeldRequests + c.fleet
+		held := float64(n*bytesPerConnection) + api.MaxHeldRequests + c.fleet
 		if held > c.lim.RAMMB*mb {
 			t.Errorf("%v MB, %d sockets: up to %.0f MB held", c.lim.RAMMB, c.lim.FDLimit, held/mb)
 		}
 	}
-	if n := connections(config.Limits{RAMMB: 3, FDLimit: 64}); n < leastOpen {
+	if n := connections(config.Limits{RAMMB: 3, FDLimit: 64}); n < minOpenConnections {
 		t.Errorf("smallest: %d connections", n)
 	}
 }
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -36,13 +36,13 @@
 // outside simulates the environment: each line of its input is a plan to start or asks for
 // the counts, until its input ends.
 func outside() error {
-	w, err := loadtest.New(api.MachineType{Name: "m", CPUs: 32, MemoryGB: 128, CacheGB: 80, FetchGBs: 1, Price: 1, SpotPrice: 0.4,
+	env, err := loadtest.New(api.MachineType{Name: "m", CPUs: 32, MemoryGB: 128, CacheGB: 80, FetchGBs: 1, Price: 1, SpotPrice: 0.4,
 		BootS: 20, Zones: []string{"a"}})
 	if err != nil {
 		return err
 	}
 	out := json.NewEncoder(os.Stdout)
-	if err := out.Encode(config.Outside{Cloud: w.Cloud, State: w.State}); err != nil {
+	if err := out.Encode(config.Outside{Cloud: env.Cloud, State: env.State}); err != nil {
 		return err
 	}
 	in := json.NewDecoder(os.Stdin)
@@ -52,9 +52,9 @@
 			return nil // the parent has ended
 		}
 		if p != nil {
-			w.Start(*p)
+			env.Start(*p)
 		}
-		if err := out.Encode(w.Counts()); err != nil {
+		if err := out.Encode(env.Counts()); err != nil {
 			return err
 		}
 	}
@@ -71,8 +71,8 @@
 		plan  loadtest.Plan
 		cores float64
 	}{
-		{"220machines-1s", loadtest.Plan{Machines: 220, Report: time.Second, JobEvery: 700 * time.Millisecond, Tasks: 90, Run: 25 * time.Second, Polls: 20}, 1},
-		{"190machines-5s", loadtest.Plan{Machines: 190, Report: 5 * time.Second, JobEvery: 2 * time.Second, Tasks: 70, Run: 35 * time.Second, Polls: 8}, 1},
+		{"220machines-1s", loadtest.Plan{Machines: 220, HeartbeatInterval: time.Second, JobEvery: 700 * time.Millisecond, Tasks: 90, Run: 25 * time.Second, Polls: 20}, 1},
+		{"190machines-5s", loadtest.Plan{Machines: 190, HeartbeatInterval: 5 * time.Second, JobEvery: 2 * time.Second, Tasks: 70, Run: 35 * time.Second, Polls: 8}, 1},
 	} {
 		b.Run(c.name, func(b *testing.B) { second(b, c.plan, c.cores) })
 	}
@@ -101,7 +101,7 @@
 	out, in := json.NewDecoder(bufio.NewReader(stdout)), json.NewEncoder(stdin)
 	s := &config.Settings{Node: "n0", Zone: "a", APIAddr: "127.0.0.1:18080", PeerListen: "127.0.0.1:0", Site: config.SiteInfo{
 		Teams:   []config.Team{{Name: "red", CPUs: 1e4, LimitCPUs: 1e5}},
-		Workers: config.Workers{ReportS: plan.Report.Seconds(), LeaseS: 24, CancelS: 49},
+		Workers: config.Workers{HeartbeatS: plan.HeartbeatInterval.Seconds(), LeaseS: 24, CancelS: 49},
 		State:   config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20}, Cloud: config.CloudLimits{RPS: 5, ListLagS: 4},
 		Limits: config.Limits{Cores: cores, RAMMB: 65, FDLimit: 800}}}
 	if err := out.Decode(&s.Outside); err != nil {
@@ -138,7 +138,7 @@
 	runtime.ReadMemStats(&m1)
 	per := func(v int64) float64 { return float64(v) / float64(b.N) }
 	b.ReportMetric(float64(used.Microseconds())/1000/float64(b.N), "cpu-ms/s")
-	b.ReportMetric(per(after.Reports-before.Reports), "reports/s")
+	b.ReportMetric(per(after.Heartbeats-before.Heartbeats), "reports/s")
 	b.ReportMetric(per(after.Started-before.Started), "starts/s")
 	b.ReportMetric(per(after.Polls-before.Polls), "polls/s")
 	b.ReportMetric(per(after.Failed-before.Failed), "failed/s")
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -17,12 +17,12 @@
 // peerHandler answers other nodes' questions from the controller.
 type peerHandler struct{ c *controller.Controller }
 
-// peerWait bounds what another node waits for here.
-const peerWait = 1200 * time.Millisecond
+// peerTimeout bounds what another node waits for here.
+const peerTimeout = 1200 * time.Millisecond
 
 // Job implements peer.Handler.
 func (h peerHandler) Job(ctx context.Context, id string) (*peer.JobStatus, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerWait)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	st, err := h.c.PeerJob(ctx, id)
 	if errors.Is(err, api.ErrUnknownJob) {
@@ -36,7 +36,7 @@
 
 // Ping implements peer.Handler.
 func (h peerHandler) Ping(ctx context.Context, p *peer.Ping) (*peer.Pong, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerWait)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	st, err := h.c.PeerStatus(ctx, cancellation.Position{Incarnation: p.GetIncarnation(), Number: p.GetCancelNumber()})
 	if err != nil {
@@ -54,7 +54,7 @@
 
 // Report implements peer.Handler.
 func (h peerHandler) Report(ctx context.Context, r *peer.Report) (*peer.ReportAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerWait)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	ans, err := h.c.ForwardedHeartbeat(ctx, r.Unpack())
 	if err != nil {
@@ -70,12 +70,12 @@
 
 // Loans implements peer.Handler: other cells have a listener of their own.
 func (h peerHandler) Loans(context.Context, *peer.LoanRequest) (*peer.LoanAnswer, error) {
-	return nil, peer.ErrUnable
+	return nil, peer.ErrUnavailable
 }
 
 // Grant implements peer.Handler.
 func (h peerHandler) Grant(ctx context.Context, r *peer.GrantRequest) (*peer.GrantAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerWait)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	granted, err := h.c.PeerVote(ctx, r.GetTerm())
 	return &peer.GrantAnswer{Granted: granted}, err
@@ -83,7 +83,7 @@
 
 // Promise implements peer.Handler.
 func (h peerHandler) Promise(ctx context.Context, r *peer.PromiseRequest) (*peer.PromiseAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerWait)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	wait, err := h.c.PeerPromise(ctx, r.GetTerm())
 	// Rounded up: what was granted must not seem to end sooner.
@@ -150,7 +150,7 @@
 	if errors.Is(err, peer.ErrRefused) {
 		return api.HeartbeatResponse{}, controller.ErrRefused
 	}
-	if errors.Is(err, peer.ErrUnable) {
+	if errors.Is(err, peer.ErrUnavailable) {
 		return api.HeartbeatResponse{}, &api.NotLeaderError{}
 	}
 	if err != nil {
@@ -184,7 +184,7 @@
 		return 0, api.ErrUnavailable
 	}
 	wait, err := cl.Promise(ctx, term)
-	if errors.Is(err, peer.ErrUnable) {
+	if errors.Is(err, peer.ErrUnavailable) {
 		err = api.ErrUnavailable
 	}
 	return wait, err
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -28,13 +28,13 @@
 	// bufferSize holds any plain request; larger ones are passed on.
 	bufferSize = 16 << 10
 	maxHead    = 8 << 10
-	// idleFor is how long a connection may be silent between requests, and
-	// arriveIn how long a request may take to arrive. Deadlines are set anew
-	// only when refreshAfter has passed, or each request would set two.
-	idleFor      = 90 * time.Second
-	arriveIn     = 15 * time.Second
-	writeIn      = 30 * time.Second
-	refreshAfter = 15 * time.Second
+	// idleTimeout is how long a connection may be silent between requests, and
+	// readTimeout how long a request may take to arrive. Deadlines are set anew
+	// only when deadlineRefresh has passed, or each request would set two.
+	idleTimeout     = 90 * time.Second
+	readTimeout     = 15 * time.Second
+	writeTimeout    = 30 * time.Second
+	deadlineRefresh = 15 * time.Second
 )
 
 // Server serves a handler.
@@ -52,14 +52,14 @@
 func (s *Server) Serve(ln net.Listener) error {
 	s.buffers.New = func() any { return new([bufferSize]byte) }
 	s.readers.New = func() any { return bufio.NewReader(nil) }
-	rest := newHandover(ln.Addr())
+	rest := newListener(ln.Addr())
 	defer rest.Close()
 	std := &http.Server{
 		Handler:           s.Handler,
 		ReadHeaderTimeout: 10 * time.Second,
-		ReadTimeout:       arriveIn,
+		ReadTimeout:       readTimeout,
 		WriteTimeout:      15 * time.Second,
-		IdleTimeout:       idleFor,
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHead,
 		ConnState:         s.ConnState,
 		ErrorLog:          slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug),
@@ -85,26 +85,26 @@
 	}
 }
 
-// served is one connection.
-type served struct {
+// connection is one connection.
+type connection struct {
 	s      *Server
 	conn   *netio.Conn
 	remote string
-	// partial is the part of a request that has arrived, passOn is set if it is
+	// partial is the part of a request that has arrived, handOver is set if it is
 	// not plain.
-	partial []byte
-	passOn  bool
+	partial  []byte
+	handOver bool
 	// until are the deadlines set.
 	readUntil, writeUntil time.Time
 }
 
-func (s *Server) serve(conn *netio.Conn, rest *handover) {
-	c := &served{s: s, conn: conn, remote: conn.RemoteAddr().String()}
+func (s *Server) serve(conn *netio.Conn, rest *listener) {
+	c := &connection{s: s, conn: conn, remote: conn.RemoteAddr().String()}
 	s.state(conn, http.StateNew)
-	c.extend(idleFor)
+	c.extend(idleTimeout)
 	err := conn.Each(c.step)
 	s.state(conn, http.StateClosed)
-	if err == nil && c.passOn {
+	if err == nil && c.handOver {
 		conn.SetDeadline(time.Time{})
 		rest.pass(conn, c.partial)
 		return
@@ -119,15 +119,15 @@
 }
 
 // extend sets the read deadline if the one set would come much sooner.
-func (c *served) extend(d time.Duration) {
-	if until := time.Now().Add(d); until.Sub(c.readUntil) > refreshAfter || c.readUntil.After(until) {
+func (c *connection) extend(d time.Duration) {
+	if until := time.Now().Add(d); until.Sub(c.readUntil) > deadlineRefresh || c.readUntil.After(until) {
 		c.readUntil = until
 		c.conn.SetReadDeadline(until)
 	}
 }
 
 // step reads what has arrived and serves it.
-func (c *served) step(read func(p []byte) (int, error)) netio.Next {
+func (c *connection) step(read func(p []byte) (int, error)) netio.Next {
 	buf := c.s.buffers.Get().(*[bufferSize]byte)
 	n, err := read(buf[:])
 	if err != nil {
@@ -152,14 +152,14 @@
 	for {
 		switch {
 		case !plain:
-			c.passOn = true
+			c.handOver = true
 			return netio.Stop
 		case req == nil && c.partial != nil:
-			c.extend(arriveIn)
+			c.extend(readTimeout)
 			return netio.Again // the rest may be there
 		case req == nil:
 			c.s.state(c.conn, http.StateIdle)
-			c.extend(idleFor)
+			c.extend(idleTimeout)
 		}
 		if req == nil {
 			// Nothing follows a request before its answer.
@@ -212,14 +212,14 @@
 }
 
 // answer serves a request, and tells whether the connection goes on.
-func (c *served) answer(req *http.Request) (goesOn bool) {
+func (c *connection) answer(req *http.Request) (goesOn bool) {
 	req.RemoteAddr = c.remote
 	w := &response{header: http.Header{}}
 	if !c.handle(w, req) {
 		return false
 	}
-	if now := time.Now(); c.writeUntil.Sub(now) < writeIn-refreshAfter {
-		c.writeUntil = now.Add(writeIn)
+	if now := time.Now(); c.writeUntil.Sub(now) < writeTimeout-deadlineRefresh {
+		c.writeUntil = now.Add(writeTimeout)
 		c.conn.SetWriteDeadline(c.writeUntil)
 	}
 	ends := req.Close || w.header.Get("Connection") == "close"
@@ -231,7 +231,7 @@
 
 // handle calls the handler. One that panics costs its connection, like that of
 // an http.Server.
-func (c *served) handle(w http.ResponseWriter, req *http.Request) (ok bool) {
+func (c *connection) handle(w http.ResponseWriter, req *http.Request) (ok bool) {
 	defer func() {
 		if v := recover(); v != nil && v != http.ErrAbortHandler {
 			c.s.Log.Error("request", "path", req.URL.Path, "panic", v, "stack", string(debug.Stack()))
@@ -294,29 +294,29 @@
 	return append(out, w.body...)
 }
 
-// handover is the listener of the server that serves what is not plain.
-type handover struct {
+// listener is the listener of the server that serves what is not plain.
+type listener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func newHandover(addr net.Addr) *handover {
-	return &handover{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
+func newListener(addr net.Addr) *listener {
+	return &listener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
 // pass passes a connection on, with what was read of it.
-func (h *handover) pass(conn net.Conn, read []byte) {
+func (h *listener) pass(conn net.Conn, read []byte) {
 	select {
-	case h.conns <- &replayed{Conn: conn, read: read}:
+	case h.conns <- &prefixedConn{Conn: conn, read: read}:
 	case <-h.done:
 		conn.Close()
 	}
 }
 
 // Accept implements net.Listener.
-func (h *handover) Accept() (net.Conn, error) {
+func (h *listener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-h.conns:
 		return conn, nil
@@ -326,22 +326,22 @@
 }
 
 // Close implements net.Listener.
-func (h *handover) Close() error {
+func (h *listener) Close() error {
 	h.once.Do(func() { close(h.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *handover) Addr() net.Addr { return h.addr }
+func (h *listener) Addr() net.Addr { return h.addr }
 
-// replayed is a connection of which something has been read already.
-type replayed struct {
+// prefixedConn is a connection of which something has been read already.
+type prefixedConn struct {
 	net.Conn
 	read []byte
 }
 
 // Read implements net.Conn.
-func (r *replayed) Read(p []byte) (int, error) {
+func (r *prefixedConn) Read(p []byte) (int, error) {
 	if len(r.read) > 0 {
 		n := copy(p, r.read)
 		r.read = r.read[n:]
--- a/internal/loadtest/cellsload/machine.go
+++ b/internal/loadtest/cellsload/machine.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	reportEvery = time.Second
-	leaseTime   = 10 * time.Second
-	machineCPUs = 16.0
+	heartbeatInterval = time.Second
+	leaseTime         = 10 * time.Second
+	machineCPUs       = 16.0
 )
 
 // machine is a worker: it reports to one of its cell's controllers, and runs what it is
 // told to.
 type machine struct {
-	cell   *cell
-	client *http.Client
-	mu     sync.Mutex
-	rep    api.Heartbeat
-	ends   map[string]time.Time
+	cell      *cell
+	client    *http.Client
+	mu        sync.Mutex
+	heartbeat api.Heartbeat
+	ends      map[string]time.Time
 	// answered is when the last answered report was sent.
 	answered time.Time
 	node     int
@@ -39,13 +39,13 @@
 
 func newMachine(c *cell, name string) (*machine, error) {
 	m := &machine{cell: c, client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{}}, ends: map[string]time.Time{}, answered: time.Now(),
-		rep: api.Heartbeat{Machine: name, Type: machineType.Name, Zone: zone, AgentEpoch: 1, Tasks: []api.TaskStatus{}}}
+		heartbeat: api.Heartbeat{Machine: name, Type: machineType.Name, Zone: zone, AgentEpoch: 1, Tasks: []api.TaskStatus{}}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	m.rep.Addr = ln.Addr().String()
-	c.world.closers = append(c.world.closers, func() { ln.Close() })
+	m.heartbeat.Addr = ln.Addr().String()
+	c.testbed.closers = append(c.testbed.closers, func() { ln.Close() })
 	go http.Serve(ln, m) // until the listener is closed
 	return m, nil
 }
@@ -55,19 +55,19 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(float64(reportEvery) * (0.75 + rand.Float64()/2))):
+		case <-time.After(time.Duration(float64(heartbeatInterval) * (0.75 + rand.Float64()/2))):
 		}
-		m.report()
+		m.sendHeartbeat()
 	}
 }
 
-// report sends a report, and carries out what the answer says.
-func (m *machine) report() {
+// sendHeartbeat sends a report, and carries out what the answer says.
+func (m *machine) sendHeartbeat() {
 	m.mu.Lock()
-	m.age()
-	m.rep.Seq++
-	body, err := json.Marshal(m.rep)
-	session, sent := m.rep.AgentEpoch, time.Now()
+	m.completeTasks()
+	m.heartbeat.Seq++
+	body, err := json.Marshal(m.heartbeat)
+	session, sent := m.heartbeat.AgentEpoch, time.Now()
 	m.mu.Unlock()
 	if err != nil {
 		panic(err) // plain values
@@ -84,9 +84,9 @@
 	case resp.StatusCode == http.StatusOK && json.Unmarshal(raw, &answer) == nil:
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if answer.Term >= m.rep.Term && session == m.rep.AgentEpoch {
+		if answer.Term >= m.heartbeat.Term && session == m.heartbeat.AgentEpoch {
 			m.answered = sent
-			m.obey(answer.Term, answer.Commands)
+			m.applyCommands(answer.Term, answer.Commands)
 		}
 	case resp.StatusCode == http.StatusMisdirectedRequest:
 		var other struct{ Gardener string }
@@ -101,53 +101,53 @@
 	}
 }
 
-// age ends the tasks whose time has come, and all of them with the lease.
-func (m *machine) age() {
+// completeTasks ends the tasks whose time has come, and all of them with the lease.
+func (m *machine) completeTasks() {
 	if time.Since(m.answered) > leaseTime {
-		for _, t := range m.rep.Tasks {
+		for _, t := range m.heartbeat.Tasks {
 			if t.Phase != api.TaskExited {
-				m.off(t.Task, false)
+				m.removeTask(t.Task, false)
 			}
 		}
-		m.rep.Tasks, m.ends = []api.TaskStatus{}, map[string]time.Time{}
-		m.rep.AgentEpoch++
+		m.heartbeat.Tasks, m.ends = []api.TaskStatus{}, map[string]time.Time{}
+		m.heartbeat.AgentEpoch++
 		m.answered = time.Now()
 		return
 	}
-	for i := range m.rep.Tasks {
-		t := &m.rep.Tasks[i]
+	for i := range m.heartbeat.Tasks {
+		t := &m.heartbeat.Tasks[i]
 		if end, ok := m.ends[t.Task]; ok && time.Now().After(end) {
 			t.Phase, t.Cause = api.TaskExited, api.CauseDone
-			m.off(t.Task, true)
+			m.removeTask(t.Task, true)
 		}
 	}
 }
 
-func (m *machine) off(task string, done bool) {
+func (m *machine) removeTask(task string, done bool) {
 	delete(m.ends, task)
 	m.used.Add(-taskCPUs)
-	m.cell.world.ledger.off(task, done)
+	m.cell.testbed.ledger.off(task, done)
 }
 
-func (m *machine) obey(term uint64, orders []api.Command) {
-	m.rep.Term = max(m.rep.Term, term)
-	m.cell.world.ledger.answered(term)
+func (m *machine) applyCommands(term uint64, orders []api.Command) {
+	m.heartbeat.Term = max(m.heartbeat.Term, term)
+	m.cell.testbed.ledger.answered(term)
 	for _, o := range orders {
-		at := slices.IndexFunc(m.rep.Tasks, func(t api.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
+		at := slices.IndexFunc(m.heartbeat.Tasks, func(t api.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
 		switch {
 		case o.Verb == api.VerbStart && at < 0:
-			m.rep.Tasks = append(m.rep.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
+			m.heartbeat.Tasks = append(m.heartbeat.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
 			m.ends[o.Task] = time.Now().Add(time.Duration(float64(taskTime) * (0.5 + rand.Float64())))
 			m.used.Add(taskCPUs)
-			m.cell.world.ledger.on(o.Task, m.cell, m.rep.Machine)
-			m.cell.world.ledger.decided(term)
+			m.cell.testbed.ledger.on(o.Task, m.cell, m.heartbeat.Machine)
+			m.cell.testbed.ledger.decided(term)
 		case o.Verb == api.VerbStop && at >= 0:
-			if m.rep.Tasks[at].Phase != api.TaskExited {
-				m.off(o.Task, false)
+			if m.heartbeat.Tasks[at].Phase != api.TaskExited {
+				m.removeTask(o.Task, false)
 			}
-			m.rep.Tasks[at].Phase, m.rep.Tasks[at].Cause = api.TaskExited, api.CauseHalted
+			m.heartbeat.Tasks[at].Phase, m.heartbeat.Tasks[at].Cause = api.TaskExited, api.CauseHalted
 		case o.Verb == api.VerbReap && at >= 0:
-			m.rep.Tasks = slices.Delete(m.rep.Tasks, at, at+1)
+			m.heartbeat.Tasks = slices.Delete(m.heartbeat.Tasks, at, at+1)
 		}
 	}
 }
@@ -156,16 +156,16 @@
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.rep.Seq++
+	m.heartbeat.Seq++
 	if r.URL.Path == "/orders" {
 		var in api.CommandBatch
-		if json.NewDecoder(r.Body).Decode(&in) != nil || in.Term < m.rep.Term || in.AgentEpoch != m.rep.AgentEpoch {
+		if json.NewDecoder(r.Body).Decode(&in) != nil || in.Term < m.heartbeat.Term || in.AgentEpoch != m.heartbeat.AgentEpoch {
 			w.WriteHeader(http.StatusConflict)
 		} else {
-			m.obey(in.Term, in.Commands)
+			m.applyCommands(in.Term, in.Commands)
 		}
 	}
-	json.NewEncoder(w).Encode(m.rep)
+	json.NewEncoder(w).Encode(m.heartbeat)
 }
 
 // ledger knows where each task is, in all cells.
@@ -173,8 +173,8 @@
 	mu sync.Mutex
 	at map[string]string
 	// begun is when jobs began, away those that began in another cell than theirs.
-	begun map[string]time.Time
-	away  map[string]bool
+	begun       map[string]time.Time
+	unavailable map[string]bool
 	// twice are the starts of tasks that were on a machine, and doneTwice those that
 	// completed and completed again.
 	twice, doneTwice int
@@ -187,7 +187,7 @@
 }
 
 func newLedger() *ledger {
-	return &ledger{at: map[string]string{}, begun: map[string]time.Time{}, away: map[string]bool{}, done: map[string]bool{}, home: map[string]*cell{},
+	return &ledger{at: map[string]string{}, begun: map[string]time.Time{}, unavailable: map[string]bool{}, done: map[string]bool{}, home: map[string]*cell{},
 		firstAnswer: map[uint64]time.Time{}, firstStart: map[uint64]time.Time{}}
 }
 
@@ -226,7 +226,7 @@
 		l.begun[id] = time.Now()
 	}
 	if l.home[id] != c {
-		l.away[id] = true
+		l.unavailable[id] = true
 	}
 }
 
--- a/internal/loadtest/cellsload/main.go
+++ b/internal/loadtest/cellsload/main.go
@@ -48,7 +48,7 @@
 		return c.measureTakeovers()
 	}
 	for i := range c.Repeat {
-		result, err := c.play(c.Seed + uint64(i))
+		result, err := c.runOnce(c.Seed + uint64(i))
 		if err != nil {
 			return err
 		}
@@ -57,13 +57,13 @@
 	return nil
 }
 
-func (c *cli) play(seed uint64) (*result, error) {
+func (c *cli) runOnce(seed uint64) (*result, error) {
 	dir, err := os.MkdirTemp("", "cellsload")
 	if err != nil {
 		return nil, err
 	}
 	random := rand.New(rand.NewPCG(seed, 1))
-	world, err := newWorld(c, dir)
+	world, err := newTestbed(c, dir)
 	if err != nil {
 		return nil, err
 	}
@@ -71,14 +71,14 @@
 	time.Sleep(5 * time.Second) // leaders are elected, machines heard
 	began := time.Now()
 	stop := make(chan struct{})
-	go world.trouble(c, random, stop)
+	go world.injectFaults(c, random, stop)
 	go world.sample(stop)
 	world.load(c)
 	close(stop)
-	world.mend()
-	world.settle(4 * time.Minute)
+	world.heal()
+	world.awaitResults(4 * time.Minute)
 	r := world.result(seed, time.Since(began))
-	if r.wrong() {
+	if r.hasViolations() {
 		fmt.Println("files and logs are left in", dir)
 	} else {
 		os.RemoveAll(dir)
--- a/internal/loadtest/cellsload/takeover.go
+++ b/internal/loadtest/cellsload/takeover.go
@@ -18,17 +18,17 @@
 	}
 	defer os.RemoveAll(dir)
 	c.Cells, c.Alone, c.High, c.Load, c.Phase = 1, true, 1.2, 24*time.Hour, 24*time.Hour
-	w, err := newWorld(c, dir)
+	tb, err := newTestbed(c, dir)
 	if err != nil {
 		return err
 	}
-	defer w.end()
+	defer tb.end()
 	time.Sleep(8 * time.Second)
-	go w.load(c)
+	go tb.load(c)
 	time.Sleep(5 * time.Second)
 	var answers, starts []time.Duration
 	for range c.Takeovers {
-		answer, start, err := w.takeover(c)
+		answer, start, err := tb.takeover(c)
 		if err != nil {
 			return err
 		}
@@ -36,7 +36,7 @@
 		answers, starts = append(answers, answer), append(starts, start)
 	}
 	fmt.Printf("%d takeovers: first answer after %.2f s (median), %.2f s (longest); first start after %.2f s, %.2f s; %d tasks on two machines, %d done twice\n", len(answers),
-		quantile(answers, 0.5).Seconds(), quantile(answers, 1).Seconds(), quantile(starts, 0.5).Seconds(), quantile(starts, 1).Seconds(), w.ledger.twice, w.ledger.doneTwice)
+		quantile(answers, 0.5).Seconds(), quantile(answers, 1).Seconds(), quantile(starts, 0.5).Seconds(), quantile(starts, 1).Seconds(), tb.ledger.twice, tb.ledger.doneTwice)
 	return nil
 }
 
@@ -63,9 +63,9 @@
 }
 
 // takeover ends the leader, and waits for the next one's first answer and start.
-func (w *world) takeover(c *cli) (answer, start time.Duration, err error) {
-	l := w.ledger
-	leader := w.cells[0].leader()
+func (tb *testbed) takeover(c *cli) (answer, start time.Duration, err error) {
+	l := tb.ledger
+	leader := tb.cells[0].leader()
 	if leader == nil {
 		return 0, 0, errors.New("nobody leads")
 	}
--- a/internal/loadtest/cellsload/users.go
+++ b/internal/loadtest/cellsload/users.go
@@ -23,18 +23,18 @@
 	accepted  bool
 	// finals are the final states that the user was told, one after the other, and lost
 	// is set if he was told that there is no such job.
-	finals []string
-	lost   bool
-	over   time.Time
+	finals  []string
+	lost    bool
+	endedAt time.Time
 }
 
 // load crowds on one cell after the other, for so long each.
-func (w *world) load(c *cli) {
+func (tb *testbed) load(c *cli) {
 	began := time.Now()
-	next := make([]time.Time, len(w.cells))
+	next := make([]time.Time, len(tb.cells))
 	for n := 0; time.Since(began) < c.Load; {
-		crowded := int(time.Since(began)/c.Phase) % len(w.cells)
-		for i, cell := range w.cells {
+		crowded := int(time.Since(began)/c.Phase) % len(tb.cells)
+		for i, cell := range tb.cells {
 			rate := c.Low
 			if i == crowded {
 				rate = c.High
@@ -45,24 +45,24 @@
 			next[i] = time.Now().Add(time.Duration(float64(time.Second) / rate * (0.5 + rand.Float64())))
 			n++
 			j := &userJob{id: fmt.Sprintf("job-%06d", n), home: cell, submitted: time.Now()}
-			w.mu.Lock()
-			w.jobs = append(w.jobs, j)
-			w.mu.Unlock()
-			w.ledger.mu.Lock()
-			w.ledger.home[j.id] = cell
-			w.ledger.mu.Unlock()
-			w.users.Add(1)
-			go w.user(j)
+			tb.mu.Lock()
+			tb.jobs = append(tb.jobs, j)
+			tb.mu.Unlock()
+			tb.ledger.mu.Lock()
+			tb.ledger.home[j.id] = cell
+			tb.ledger.mu.Unlock()
+			tb.users.Add(1)
+			go tb.user(j)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
 // user submits a job, and asks for it until it is over.
-func (w *world) user(j *userJob) {
-	defer w.users.Done()
-	w.waiting.Add(1)
-	defer w.waiting.Add(-1)
+func (tb *testbed) user(j *userJob) {
+	defer tb.users.Done()
+	tb.waiting.Add(1)
+	defer tb.waiting.Add(-1)
 	client := &http.Client{Timeout: 3 * time.Second}
 	body, err := json.Marshal(map[string]any{"NameId": j.id, "Jobclass": "c", "Owner": []string{"red", "blue"}[rand.IntN(2)], "Shape": "array", "Precedence": "standard",
 		"Shoots": jobTasks, "Cores": float64(taskCPUs), "Cards": 0.0, "MemoryGb": 1.0, "Rootstock": "img-1", "PullGb": 0.1,
@@ -85,12 +85,12 @@
 	}
 	for until := time.Now().Add(8 * time.Minute); time.Now().Before(until) && len(j.finals) == 0 && !j.lost; {
 		time.Sleep(time.Duration(1500+rand.IntN(1000)) * time.Millisecond)
-		w.ask(client, j, rand.IntN(controllers))
+		tb.ask(client, j, rand.IntN(controllers))
 	}
 }
 
 // ask asks one controller for a job.
-func (w *world) ask(client *http.Client, j *userJob, node int) {
+func (tb *testbed) ask(client *http.Client, j *userJob, node int) {
 	resp, err := client.Get("http://" + j.home.nodes[node].api + "/api/jobs/" + j.id)
 	if err != nil {
 		return
@@ -105,7 +105,7 @@
 	case resp.StatusCode != http.StatusOK || json.Unmarshal(raw, &st) != nil:
 	case st.Final() || len(j.finals) > 0:
 		if len(j.finals) == 0 {
-			j.over = time.Now()
+			j.endedAt = time.Now()
 		}
 		if len(j.finals) == 0 || j.finals[len(j.finals)-1] != st.Phase {
 			j.finals = append(j.finals, st.Phase)
@@ -113,20 +113,20 @@
 	}
 }
 
-// settle waits until all users have their answers, and asks each controller once more.
-func (w *world) settle(most time.Duration) {
+// awaitResults waits until all users have their answers, and asks each controller once more.
+func (tb *testbed) awaitResults(most time.Duration) {
 	done := make(chan struct{})
-	go func() { w.users.Wait(); close(done) }()
+	go func() { tb.users.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(most):
 		return
 	}
 	client := &http.Client{Timeout: 3 * time.Second}
-	for _, j := range w.jobs {
+	for _, j := range tb.jobs {
 		if j.accepted {
 			for node := range controllers {
-				w.ask(client, j, node)
+				tb.ask(client, j, node)
 			}
 		}
 	}
@@ -134,39 +134,39 @@
 
 // result is what was counted.
 type result struct {
-	seed                               uint64
-	took                               time.Duration
-	jobs, refused, away                int
-	lent, takenBack                    int
-	twice, doneTwice, lost, none, many int
-	kills, cuts                        int
-	wait50, wait95, wait99             time.Duration
-	over50, over95                     time.Duration
-	idle                               float64
-	byItself                           int64
+	seed                                              uint64
+	took                                              time.Duration
+	jobs, refused, unavailable                        int
+	lent, takenBack                                   int
+	twice, doneTwice, lost, unanswered, answeredTwice int
+	kills, cuts                                       int
+	wait50, wait95, wait99                            time.Duration
+	over50, over95                                    time.Duration
+	idle                                              float64
+	unexpectedExits                                   int64
 }
 
-// wrong tells whether anything happened that must not.
-func (r *result) wrong() bool {
-	return r.twice+r.doneTwice+r.lost+r.none+r.many > 0 || r.byItself > 0
+// hasViolations tells whether anything happened that must not.
+func (r *result) hasViolations() bool {
+	return r.twice+r.doneTwice+r.lost+r.unanswered+r.answeredTwice > 0 || r.unexpectedExits > 0
 }
 
 func (r *result) String() string {
 	return fmt.Sprintf("seed %d: %d jobs in %.0f s (%d not accepted), %d ran in another cell, %d loans, %d taken back, %d kills, %d cuts; "+
 		"wrong: %d tasks on two machines, %d done twice, %d jobs lost, %d without and %d with two final answers, %d controllers ended by themselves; "+
 		"first start after %.1f s (median), %.1f s (95%%), %.1f s (99%%); done after %.1f s, %.1f s (95%%); idle while jobs waited %.0f%%",
-		r.seed, r.jobs, r.took.Seconds(), r.refused, r.away, r.lent, r.takenBack, r.kills, r.cuts,
-		r.twice, r.doneTwice, r.lost, r.none, r.many, r.byItself,
+		r.seed, r.jobs, r.took.Seconds(), r.refused, r.unavailable, r.lent, r.takenBack, r.kills, r.cuts,
+		r.twice, r.doneTwice, r.lost, r.unanswered, r.answeredTwice, r.unexpectedExits,
 		r.wait50.Seconds(), r.wait95.Seconds(), r.wait99.Seconds(), r.over50.Seconds(), r.over95.Seconds(), 100*r.idle)
 }
 
-func (w *world) result(seed uint64, took time.Duration) *result {
-	l := w.ledger
+func (tb *testbed) result(seed uint64, took time.Duration) *result {
+	l := tb.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := &result{seed: seed, took: took, jobs: len(w.jobs), away: len(l.away), twice: l.twice, doneTwice: l.doneTwice, kills: w.kills, cuts: w.cuts, idle: w.idle / max(1, w.samples)}
+	r := &result{seed: seed, took: took, jobs: len(tb.jobs), unavailable: len(l.unavailable), twice: l.twice, doneTwice: l.doneTwice, kills: tb.kills, cuts: tb.cuts, idle: tb.idle / max(1, tb.samples)}
 	var waits, overs []time.Duration
-	for _, j := range w.jobs {
+	for _, j := range tb.jobs {
 		switch {
 		case !j.accepted:
 			r.refused++
@@ -174,23 +174,23 @@
 		case j.lost:
 			r.lost++
 		case len(j.finals) == 0:
-			r.none++
+			r.unanswered++
 		case len(j.finals) > 1:
-			r.many++
+			r.answeredTwice++
 		}
 		if begun := l.begun[j.id]; !begun.IsZero() {
 			waits = append(waits, begun.Sub(j.submitted))
 		}
-		if !j.over.IsZero() {
-			overs = append(overs, j.over.Sub(j.submitted))
+		if !j.endedAt.IsZero() {
+			overs = append(overs, j.endedAt.Sub(j.submitted))
 		}
 	}
 	r.wait50, r.wait95, r.wait99 = quantile(waits, 0.5), quantile(waits, 0.95), quantile(waits, 0.99)
 	r.over50, r.over95 = quantile(overs, 0.5), quantile(overs, 0.95)
-	r.lent, r.takenBack = w.logged("msg=loan job="), w.logged(`msg="loan taken back"`)
-	for _, c := range w.cells {
+	r.lent, r.takenBack = tb.logged("msg=loan job="), tb.logged(`msg="loan taken back"`)
+	for _, c := range tb.cells {
 		for _, p := range c.nodes {
-			r.byItself += p.byItself.Load()
+			r.unexpectedExits += p.unexpectedExits.Load()
 		}
 	}
 	for _, p := range l.problems {
@@ -208,8 +208,8 @@
 }
 
 // logged counts the lines of all controllers' logs that hold a text.
-func (w *world) logged(text string) (count int) {
-	for _, c := range w.cells {
+func (tb *testbed) logged(text string) (count int) {
+	for _, c := range tb.cells {
 		for _, p := range c.nodes {
 			raw, err := os.ReadFile(p.log)
 			if err != nil {
--- a/internal/loadtest/cellsload/world.go
+++ b/internal/loadtest/cellsload/world.go
@@ -30,8 +30,8 @@
 
 var machineType = api.MachineType{Name: "local-16", CPUs: machineCPUs, MemoryGB: 64, CacheGB: 80, FetchGBs: 100, Price: 1, SpotPrice: 0.4, BootS: 2, Zones: []string{zone}}
 
-// world is all cells with their users.
-type world struct {
+// testbed is all cells with their users.
+type testbed struct {
 	cells   []*cell
 	ledger  *ledger
 	links   []*link
@@ -53,7 +53,7 @@
 
 // cell is one cell: its controllers, its machines and its state service.
 type cell struct {
-	world    *world
+	testbed  *testbed
 	name     string
 	nodes    []*process
 	machines []*machine
@@ -66,11 +66,11 @@
 	log              string
 	mu               sync.Mutex
 	cmd              *exec.Cmd
-	// ended is closed once the process has; told is set if it was told to, and byItself
+	// ended is closed once the process has; told is set if it was told to, and unexpectedExits
 	// counts the times it was not.
-	ended    chan struct{}
-	told     atomic.Bool
-	byItself atomic.Int64
+	ended           chan struct{}
+	stopRequested   atomic.Bool
+	unexpectedExits atomic.Int64
 }
 
 // host is a loopback address of this process's own, and firstPort the first that it gives a
@@ -86,22 +86,22 @@
 const firstPort = 20000
 
 // newAddr is an address for a controller that none has yet.
-func (w *world) newAddr() string {
-	w.ports++
-	return fmt.Sprintf("%s:%d", host(), firstPort+w.ports)
+func (tb *testbed) newAddr() string {
+	tb.ports++
+	return fmt.Sprintf("%s:%d", host(), firstPort+tb.ports)
 }
 
-func newWorld(c *cli, dir string) (*world, error) {
-	w := &world{ledger: newLedger(), stop: make(chan struct{}), verbose: c.Direct}
+func newTestbed(c *cli, dir string) (*testbed, error) {
+	tb := &testbed{ledger: newLedger(), stop: make(chan struct{}), verbose: c.Direct}
 	for i := range c.Cells {
-		cell, err := w.newCell(fmt.Sprintf("cell-%d", i), c.Machines)
+		cell, err := tb.newCell(fmt.Sprintf("cell-%d", i), c.Machines)
 		if err != nil {
 			return nil, err
 		}
-		w.cells = append(w.cells, cell)
+		tb.cells = append(tb.cells, cell)
 	}
-	for _, cell := range w.cells {
-		if err := w.writeFiles(c, dir, cell); err != nil {
+	for _, cell := range tb.cells {
+		if err := tb.writeFiles(c, dir, cell); err != nil {
 			return nil, err
 		}
 		for _, p := range cell.nodes {
@@ -110,16 +110,16 @@
 			}
 		}
 		for _, m := range cell.machines {
-			go m.run(w.stop)
+			go m.run(tb.stop)
 		}
 	}
-	return w, nil
+	return tb, nil
 }
 
-func (w *world) newCell(name string, machines int) (*cell, error) {
-	c := &cell{world: w, name: name}
+func (tb *testbed) newCell(name string, machines int) (*cell, error) {
+	c := &cell{testbed: tb, name: name}
 	for i := range controllers {
-		c.nodes = append(c.nodes, &process{name: fmt.Sprintf("%s-n%d", name, i), api: w.newAddr(), cells: w.newAddr()})
+		c.nodes = append(c.nodes, &process{name: fmt.Sprintf("%s-n%d", name, i), api: tb.newAddr(), cells: tb.newAddr()})
 	}
 	for i := range machines {
 		m, err := newMachine(c, fmt.Sprintf("i-%s-%03d", name, i))
@@ -142,18 +142,18 @@
 `
 
 // writeFiles writes the files that a cell's controllers start from.
-func (w *world) writeFiles(c *cli, dir string, cell *cell) error {
+func (tb *testbed) writeFiles(c *cli, dir string, cell *cell) error {
 	env, err := loadtest.New(machineType)
 	if err != nil {
 		return err
 	}
 	peers := map[string]string{}
 	for _, p := range cell.nodes {
-		peers[p.name] = w.newAddr()
+		peers[p.name] = tb.newAddr()
 	}
 	cellsFile := ""
 	if !c.Alone {
-		if cellsFile, err = w.cellsFile(dir, cell); err != nil {
+		if cellsFile, err = tb.cellsFile(dir, cell); err != nil {
 			return err
 		}
 	}
@@ -166,7 +166,7 @@
 			Outside: config.Outside{Cloud: env.Cloud, State: env.State},
 			Site: config.SiteInfo{Nodes: controllers, Zones: []string{zone},
 				Teams:   []config.Team{{Name: "red", CPUs: 24, LimitCPUs: 128}, {Name: "blue", CPUs: 24, LimitCPUs: 128}},
-				Workers: config.Workers{ReportS: reportEvery.Seconds(), LeaseS: leaseTime.Seconds(), CancelS: 30},
+				Workers: config.Workers{HeartbeatS: heartbeatInterval.Seconds(), LeaseS: leaseTime.Seconds(), CancelS: 30},
 				State:   config.StateLimits{RPS: 400, WriteRPS: 100, ValueKB: 16, TxnOps: 20},
 				Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
 				Limits:  config.Limits{Cores: 0.5, RAMMB: 98, FDLimit: 800}}}
@@ -195,13 +195,13 @@
 
 // cellsFile writes the file of cells as one of them sees them, with each way to another
 // cell's controller through a link that can be cut.
-func (w *world) cellsFile(dir string, cell *cell) (string, error) {
+func (tb *testbed) cellsFile(dir string, cell *cell) (string, error) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "cell = %q\n[listen]\n", cell.name)
 	for _, p := range cell.nodes {
 		fmt.Fprintf(&text, "%s = %q\n", p.name, p.cells)
 	}
-	for _, other := range w.cells {
+	for _, other := range tb.cells {
 		if other == cell {
 			continue
 		}
@@ -212,8 +212,8 @@
 				return "", err
 			}
 			k.from, k.to = cell.name, other.name
-			w.links = append(w.links, k)
-			w.closers = append(w.closers, func() { k.ln.Close() })
+			tb.links = append(tb.links, k)
+			tb.closers = append(tb.closers, func() { k.ln.Close() })
 			if i > 0 {
 				text.WriteString(", ")
 			}
@@ -246,8 +246,8 @@
 func (p *process) await(cmd *exec.Cmd, ended chan struct{}) {
 	err := cmd.Wait()
 	close(ended)
-	if !p.told.Swap(false) {
-		p.byItself.Add(1)
+	if !p.stopRequested.Swap(false) {
+		p.unexpectedExits.Add(1)
 		fmt.Fprintf(os.Stderr, "cellsload: %s ended by itself: %v\n", p.name, err)
 	}
 }
@@ -256,7 +256,7 @@
 func (p *process) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told.Store(true)
+	p.stopRequested.Store(true)
 	p.cmd.Process.Kill()
 	<-p.ended
 }
@@ -265,7 +265,7 @@
 func (p *process) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told.Store(true)
+	p.stopRequested.Store(true)
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	<-p.ended
 }
@@ -333,13 +333,13 @@
 	}
 }
 
-// trouble kills controllers and cuts links until it is stopped.
-func (w *world) trouble(c *cli, random *rand.Rand, stop <-chan struct{}) {
+// injectFaults kills controllers and cuts links until it is stopped.
+func (tb *testbed) injectFaults(c *cli, random *rand.Rand, stop <-chan struct{}) {
 	every := func(mean time.Duration, what func()) {
 		for mean > 0 {
-			w.mu.Lock()
+			tb.mu.Lock()
 			wait := time.Duration(float64(mean) * (0.5 + random.Float64()))
-			w.mu.Unlock()
+			tb.mu.Unlock()
 			select {
 			case <-stop:
 				return
@@ -349,16 +349,16 @@
 		}
 	}
 	pick := func(n int) int {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		tb.mu.Lock()
+		defer tb.mu.Unlock()
 		return random.IntN(n)
 	}
 	go every(c.Kills, func() {
-		cell := w.cells[pick(len(w.cells))]
+		cell := tb.cells[pick(len(tb.cells))]
 		p := cell.nodes[pick(len(cell.nodes))]
 		away := time.Duration(200+pick(6000)) * time.Millisecond
-		w.kills++
-		w.say("kill %s for %v", p.name, away)
+		tb.kills++
+		tb.logf("kill %s for %v", p.name, away)
 		p.kill()
 		time.Sleep(away)
 		if err := p.begin(c.Binary); err != nil {
@@ -366,15 +366,15 @@
 		}
 	})
 	every(c.Cuts, func() {
-		if len(w.links) == 0 {
+		if len(tb.links) == 0 {
 			return
 		}
-		one := w.links[pick(len(w.links))]
+		one := tb.links[pick(len(tb.links))]
 		lasting := time.Duration(1000+pick(9000)) * time.Millisecond
-		w.cuts++
-		w.say("cut %s to %s for %v", one.from, one.to, lasting)
+		tb.cuts++
+		tb.logf("cut %s to %s for %v", one.from, one.to, lasting)
 		for _, cut := range []bool{true, false} {
-			for _, k := range w.links {
+			for _, k := range tb.links {
 				if k.from == one.from && k.to == one.to {
 					k.set(cut)
 				}
@@ -386,54 +386,54 @@
 	})
 }
 
-func (w *world) say(format string, args ...any) {
-	if w.verbose {
+func (tb *testbed) logf(format string, args ...any) {
+	if tb.verbose {
 		fmt.Printf(format+"\n", args...)
 	}
 }
 
-// mend lets all troubles end.
-func (w *world) mend() {
+// heal lets all troubles end.
+func (tb *testbed) heal() {
 	time.Sleep(7 * time.Second) // what is away comes back
-	for _, k := range w.links {
+	for _, k := range tb.links {
 		k.set(false)
 	}
 }
 
 // sample looks twice a second at how much room is idle while jobs wait.
-func (w *world) sample(stop <-chan struct{}) {
+func (tb *testbed) sample(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		case <-time.After(500 * time.Millisecond):
 		}
-		if w.waiting.Load() == 0 {
+		if tb.waiting.Load() == 0 {
 			continue
 		}
 		used, total := 0.0, 0.0
-		for _, c := range w.cells {
+		for _, c := range tb.cells {
 			for _, m := range c.machines {
 				used += float64(m.used.Load())
 				total += machineCPUs
 			}
 		}
-		w.mu.Lock()
-		w.idle += 1 - used/total
-		w.samples++
-		w.mu.Unlock()
+		tb.mu.Lock()
+		tb.idle += 1 - used/total
+		tb.samples++
+		tb.mu.Unlock()
 	}
 }
 
 // end stops all that was started.
-func (w *world) end() {
-	close(w.stop)
-	for _, c := range w.cells {
+func (tb *testbed) end() {
+	close(tb.stop)
+	for _, c := range tb.cells {
 		for _, p := range c.nodes {
 			p.kill()
 		}
 	}
-	for _, f := range w.closers {
+	for _, f := range tb.closers {
 		f()
 	}
 }
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -28,10 +28,10 @@
 // Plan is what the environment does.
 type Plan struct {
 	// API is the controller's address for users and machines.
-	API      string
-	Machines int
-	CPUs     float64
-	Report   time.Duration
+	API               string
+	Machines          int
+	CPUs              float64
+	HeartbeatInterval time.Duration
 	// JobEvery is how often a job is submitted, of Tasks tasks that run for
 	// about Run each.
 	JobEvery time.Duration
@@ -43,7 +43,7 @@
 
 // Counts is what the environment has seen.
 type Counts struct {
-	Reports, Started, Done, Jobs, Polls, Failed int64
+	Heartbeats, Started, Done, Jobs, Polls, Failed int64
 }
 
 // Environment is the outside of a controller.
@@ -58,13 +58,13 @@
 
 // New starts the state service and the cloud on loopback.
 func New(typ api.MachineType) (*Environment, error) {
-	w := &Environment{}
+	env := &Environment{}
 	var err error
-	if w.State, err = serve(stateHandler(storetest.New())); err != nil {
+	if env.State, err = serve(stateHandler(storetest.New())); err != nil {
 		return nil, err
 	}
-	w.Cloud, err = serve(cloudHandler(typ))
-	return w, err
+	env.Cloud, err = serve(cloudHandler(typ))
+	return env, err
 }
 
 func serve(h http.Handler) (string, error) {
@@ -77,105 +77,105 @@
 }
 
 // Start lets machines and users loose on a controller.
-func (w *Environment) Start(p Plan) {
-	w.plan = p
+func (env *Environment) Start(p Plan) {
+	env.plan = p
 	for i := range p.Machines {
-		m := newMachine(w, fmt.Sprintf("i-%06d", i), "m", "a")
+		m := newMachine(env, fmt.Sprintf("i-%06d", i), "m", "a")
 		addr, err := serve(m)
 		if err != nil {
-			w.counts.failed.Add(1)
+			env.counts.failed.Add(1)
 			continue
 		}
-		m.rep.Addr = addr
+		m.heartbeat.Addr = addr
 		go m.run()
 	}
-	go w.submit()
+	go env.submit()
 	for range 16 {
-		go w.poll()
+		go env.poll()
 	}
 }
 
 // Counts is what has happened so far.
-func (w *Environment) Counts() Counts {
-	c := &w.counts
+func (env *Environment) Counts() Counts {
+	c := &env.counts
 	return Counts{c.reports.Load(), c.started.Load(), c.done.Load(), c.jobs.Load(), c.polls.Load(), c.failed.Load()}
 }
 
-func (w *Environment) submit() {
+func (env *Environment) submit() {
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("job-%06d", i)
 		body, err := json.Marshal(map[string]any{"NameId": id, "Jobclass": "c", "Owner": "red", "Shape": "array", "Precedence": "standard",
-			"Shoots": w.plan.Tasks, "Cores": 1.0, "Cards": 0.0, "MemoryGb": 1.0, "Rootstock": fmt.Sprint("img-", i%5), "PullGb": 1.5,
-			"SamePlace": false, "Scatter": false, "Windfall": true, "ExpectS": w.plan.Run.Seconds(), "GraftS": 0.0, "PressS": 0.0, "DueS": 300.0})
+			"Shoots": env.plan.Tasks, "Cores": 1.0, "Cards": 0.0, "MemoryGb": 1.0, "Rootstock": fmt.Sprint("img-", i%5), "PullGb": 1.5,
+			"SamePlace": false, "Scatter": false, "Windfall": true, "ExpectS": env.plan.Run.Seconds(), "GraftS": 0.0, "PressS": 0.0, "DueS": 300.0})
 		if err != nil {
 			panic(err) // plain values
 		}
-		resp, err := http.Post("http://"+w.plan.API+"/api/jobs", "application/json", bytes.NewReader(body))
+		resp, err := http.Post("http://"+env.plan.API+"/api/jobs", "application/json", bytes.NewReader(body))
 		if err == nil {
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 		}
 		if err != nil || resp.StatusCode >= 300 {
-			w.counts.failed.Add(1)
+			env.counts.failed.Add(1)
 		} else {
-			w.counts.jobs.Add(1)
-			w.ids.Lock()
-			w.known = append(w.known, id)
-			w.ids.Unlock()
+			env.counts.jobs.Add(1)
+			env.ids.Lock()
+			env.known = append(env.known, id)
+			env.ids.Unlock()
 		}
-		time.Sleep(w.plan.JobEvery)
+		time.Sleep(env.plan.JobEvery)
 	}
 }
 
-func (w *Environment) poll() {
+func (env *Environment) poll() {
 	c := &http.Client{Transport: &http.Transport{}}
 	for {
-		time.Sleep(time.Duration(float64(16*time.Second) / max(w.plan.Polls, 0.1) * (0.5 + rand.Float64())))
-		w.ids.Lock()
+		time.Sleep(time.Duration(float64(16*time.Second) / max(env.plan.Polls, 0.1) * (0.5 + rand.Float64())))
+		env.ids.Lock()
 		id := ""
-		if n := len(w.known); n > 0 {
-			id = w.known[max(0, n-1-rand.IntN(40))]
+		if n := len(env.known); n > 0 {
+			id = env.known[max(0, n-1-rand.IntN(40))]
 		}
-		w.ids.Unlock()
+		env.ids.Unlock()
 		if id == "" {
 			continue
 		}
-		resp, err := c.Get("http://" + w.plan.API + "/api/jobs/" + id)
+		resp, err := c.Get("http://" + env.plan.API + "/api/jobs/" + id)
 		if err != nil {
-			w.counts.failed.Add(1)
+			env.counts.failed.Add(1)
 			continue
 		}
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
-		w.counts.polls.Add(1)
+		env.counts.polls.Add(1)
 	}
 }
 
 // machine reports, and runs what it is told to.
 type machine struct {
-	w       *Environment
-	mu      sync.Mutex
-	rep     api.Heartbeat
-	ends    map[string]time.Time
-	changed chan struct{}
-	// gone is set once the machine is returned.
-	gone atomic.Bool
+	environment *Environment
+	mu          sync.Mutex
+	heartbeat   api.Heartbeat
+	ends        map[string]time.Time
+	changed     chan struct{}
+	// terminated is set once the machine is returned.
+	terminated atomic.Bool
 }
 
-func newMachine(w *Environment, name, typ, zone string) *machine {
+func newMachine(env *Environment, name, typ, zone string) *machine {
 	return &machine{
-		w:       w,
-		rep:     api.Heartbeat{Machine: name, Type: typ, Zone: zone, AgentEpoch: 1, Tasks: []api.TaskStatus{}},
-		ends:    map[string]time.Time{},
-		changed: make(chan struct{}, 1),
+		environment: env,
+		heartbeat:   api.Heartbeat{Machine: name, Type: typ, Zone: zone, AgentEpoch: 1, Tasks: []api.TaskStatus{}},
+		ends:        map[string]time.Time{},
+		changed:     make(chan struct{}, 1),
 	}
 }
 
 func (m *machine) run() {
-	time.Sleep(rand.N(m.w.plan.Report))
-	for !m.gone.Load() {
+	time.Sleep(rand.N(m.environment.plan.HeartbeatInterval))
+	for !m.terminated.Load() {
 		if err := m.connect(); err != nil {
-			m.w.counts.failed.Add(1)
+			m.environment.counts.failed.Add(1)
 			time.Sleep(time.Second)
 		}
 	}
@@ -183,22 +183,22 @@
 
 // connect reports over one connection until it fails.
 func (m *machine) connect() error {
-	conn, err := net.Dial("tcp", m.w.plan.API)
+	conn, err := net.Dial("tcp", m.environment.plan.API)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	r := bufio.NewReader(conn)
-	for !m.gone.Load() {
+	for !m.terminated.Load() {
 		m.mu.Lock()
-		m.age()
-		m.rep.Seq++
-		body, err := json.Marshal(m.rep)
+		m.completeTasks()
+		m.heartbeat.Seq++
+		body, err := json.Marshal(m.heartbeat)
 		m.mu.Unlock()
 		if err != nil {
 			return err
 		}
-		head := "POST /v1/report HTTP/1.1\r\nHost: " + m.w.plan.API + "\r\nContent-Type: application/json\r\nContent-Length: " +
+		head := "POST /v1/report HTTP/1.1\r\nHost: " + m.environment.plan.API + "\r\nContent-Type: application/json\r\nContent-Length: " +
 			strconv.Itoa(len(body)) + "\r\n\r\n"
 		if _, err := conn.Write(append([]byte(head), body...)); err != nil {
 			return err
@@ -214,14 +214,14 @@
 		var ans api.HeartbeatResponse
 		if resp.StatusCode == http.StatusOK && json.Unmarshal(raw, &ans) == nil {
 			m.mu.Lock()
-			m.obey(ans.Term, ans.Commands)
+			m.applyCommands(ans.Term, ans.Commands)
 			m.mu.Unlock()
-			m.w.counts.reports.Add(1)
+			m.environment.counts.reports.Add(1)
 		} else {
-			m.w.counts.failed.Add(1)
+			m.environment.counts.failed.Add(1)
 		}
 		time.Sleep(500 * time.Millisecond)
-		m.wait(time.Duration(float64(m.w.plan.Report)*(0.75+rand.Float64()/2)) - 500*time.Millisecond)
+		m.wait(time.Duration(float64(m.environment.plan.HeartbeatInterval)*(0.75+rand.Float64()/2)) - 500*time.Millisecond)
 	}
 	return nil
 }
@@ -242,38 +242,38 @@
 	}
 }
 
-// age ends the tasks whose time has come.
-func (m *machine) age() {
+// completeTasks ends the tasks whose time has come.
+func (m *machine) completeTasks() {
 	now := time.Now()
-	for i := range m.rep.Tasks {
-		t := &m.rep.Tasks[i]
+	for i := range m.heartbeat.Tasks {
+		t := &m.heartbeat.Tasks[i]
 		if end, ok := m.ends[t.Task]; ok && now.After(end) {
 			delete(m.ends, t.Task)
 			t.Phase, t.Cause = api.TaskExited, api.CauseDone
-			m.w.counts.done.Add(1)
+			m.environment.counts.done.Add(1)
 		}
 	}
 }
 
-func (m *machine) obey(term uint64, orders []api.Command) {
-	m.rep.Term = max(m.rep.Term, term)
+func (m *machine) applyCommands(term uint64, orders []api.Command) {
+	m.heartbeat.Term = max(m.heartbeat.Term, term)
 	for _, o := range orders {
 		at := -1
-		for i, t := range m.rep.Tasks {
+		for i, t := range m.heartbeat.Tasks {
 			if t.Task == o.Task && t.Attempt == o.Attempt {
 				at = i
 			}
 		}
 		switch {
 		case o.Verb == api.VerbStart && at < 0:
-			m.rep.Tasks = append(m.rep.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
-			m.ends[o.Task] = time.Now().Add(time.Duration(float64(m.w.plan.Run) * (0.5 + rand.Float64())))
-			m.w.counts.started.Add(1)
+			m.heartbeat.Tasks = append(m.heartbeat.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
+			m.ends[o.Task] = time.Now().Add(time.Duration(float64(m.environment.plan.Run) * (0.5 + rand.Float64())))
+			m.environment.counts.started.Add(1)
 		case o.Verb == api.VerbStop && at >= 0:
 			delete(m.ends, o.Task)
-			m.rep.Tasks[at].Phase, m.rep.Tasks[at].Cause = api.TaskExited, api.CauseHalted
+			m.heartbeat.Tasks[at].Phase, m.heartbeat.Tasks[at].Cause = api.TaskExited, api.CauseHalted
 		case o.Verb == api.VerbReap && at >= 0:
-			m.rep.Tasks = append(m.rep.Tasks[:at], m.rep.Tasks[at+1:]...)
+			m.heartbeat.Tasks = append(m.heartbeat.Tasks[:at], m.heartbeat.Tasks[at+1:]...)
 		}
 	}
 	if len(orders) > 0 {
@@ -288,16 +288,16 @@
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.rep.Seq++
+	m.heartbeat.Seq++
 	if r.URL.Path == "/orders" {
 		var in api.CommandBatch
-		if json.NewDecoder(r.Body).Decode(&in) != nil || in.Term < m.rep.Term || in.AgentEpoch != m.rep.AgentEpoch {
+		if json.NewDecoder(r.Body).Decode(&in) != nil || in.Term < m.heartbeat.Term || in.AgentEpoch != m.heartbeat.AgentEpoch {
 			w.WriteHeader(http.StatusConflict)
 		} else {
-			m.obey(in.Term, in.Commands)
+			m.applyCommands(in.Term, in.Commands)
 		}
 	}
-	json.NewEncoder(w).Encode(m.rep)
+	json.NewEncoder(w).Encode(m.heartbeat)
 }
 
 // cloudHandler is a cloud with one type of machine, of which none are to be had.
--- a/internal/loadtest/localcluster/main.go
+++ b/internal/loadtest/localcluster/main.go
@@ -31,7 +31,7 @@
 		Node: "local-0", Zone: zone, APIAddr: c.API, PeerListen: c.Peers,
 		Site: config.SiteInfo{
 			Teams:   []config.Team{{Name: "demo", CPUs: 16, LimitCPUs: 64}},
-			Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
+			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 			State:   config.StateLimits{RPS: 80, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
 			Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
 			Limits:  config.Limits{Cores: 1, RAMMB: 98, FDLimit: 800},
@@ -39,8 +39,8 @@
 	}
 	machineType := api.MachineType{Name: "local-16", CPUs: 16, MemoryGB: 64, CacheGB: 80, FetchGBs: 1, Price: 1, SpotPrice: 0.4,
 		BootS: 2, Zones: []string{zone}}
-	simulated, err := loadtest.NewRenting(machineType, c.Machines, loadtest.Plan{
-		API: c.API, Report: settings.Site.Workers.Report(), Run: c.TaskTime,
+	simulated, err := loadtest.NewLaunching(machineType, c.Machines, loadtest.Plan{
+		API: c.API, HeartbeatInterval: settings.Site.Workers.HeartbeatInterval(), Run: c.TaskTime,
 	})
 	if err != nil {
 		return err
--- a/internal/loadtest/rental.go
+++ b/internal/loadtest/rental.go
@@ -13,18 +13,18 @@
 	"example.org/ivytrestle/internal/store/storetest"
 )
 
-// rentalCloud is a cloud of one machine type that rents simulated machines.
-type rentalCloud struct {
+// launchingCloud is a cloud of one machine type that rents simulated machines.
+type launchingCloud struct {
 	environment *Environment
 	typ         api.MachineType
-	most        int
+	maxMachines int
 
 	mu       sync.Mutex
-	machines map[string]rentedMachine
+	machines map[string]launchedMachine
 	created  int
-	// rentals holds the answer to each request name, which is given again when
+	// launches holds the answer to each request name, which is given again when
 	// the request is repeated.
-	rentals map[string][]string
+	launches map[string][]string
 }
 
 // Phases of a machine in the cloud's list.
@@ -33,33 +33,33 @@
 	phaseRunning  = "running"
 )
 
-type rentedMachine struct {
+type launchedMachine struct {
 	*machine
-	spot   bool
-	rented time.Time
+	spot       bool
+	launchedAt time.Time
 }
 
-// NewRenting starts the state service and a cloud that rents up to most machines of
+// NewLaunching starts the state service and a cloud that rents up to most machines of
 // a type on loopback. The machines report to the plan's controller.
-func NewRenting(typ api.MachineType, most int, plan Plan) (*Environment, error) {
-	w := &Environment{plan: plan}
+func NewLaunching(typ api.MachineType, most int, plan Plan) (*Environment, error) {
+	env := &Environment{plan: plan}
 	var err error
-	if w.State, err = serve(stateHandler(storetest.New())); err != nil {
+	if env.State, err = serve(stateHandler(storetest.New())); err != nil {
 		return nil, err
 	}
-	cloud := &rentalCloud{environment: w, typ: typ, most: most, machines: map[string]rentedMachine{}, rentals: map[string][]string{}}
-	w.Cloud, err = serve(cloud.handler())
-	return w, err
+	cloud := &launchingCloud{environment: env, typ: typ, maxMachines: most, machines: map[string]launchedMachine{}, launches: map[string][]string{}}
+	env.Cloud, err = serve(cloud.handler())
+	return env, err
 }
 
-func (c *rentalCloud) handler() http.Handler {
+func (c *launchingCloud) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, map[string]any{"Frames": []api.MachineType{c.typ}})
 	})
 	mux.HandleFunc("GET /machines", c.list)
-	mux.HandleFunc("POST /machines", c.rent)
-	mux.HandleFunc("POST /machines/return", c.giveBack)
+	mux.HandleFunc("POST /machines", c.launch)
+	mux.HandleFunc("POST /machines/return", c.terminate)
 	return mux
 }
 
@@ -68,7 +68,7 @@
 	json.NewEncoder(w).Encode(body) // the connection's error is the client's to notice
 }
 
-func (c *rentalCloud) rent(w http.ResponseWriter, r *http.Request) {
+func (c *launchingCloud) launch(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Name  string `json:"Hire"`
 		Zone  string `json:"Bed"`
@@ -81,9 +81,9 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	names, repeated := c.rentals[request.Name]
+	names, repeated := c.launches[request.Name]
 	if !repeated {
-		for range min(request.Count, c.most-len(c.machines)) {
+		for range min(request.Count, c.maxMachines-len(c.machines)) {
 			names = append(names, c.boot(request.Zone, request.Spot))
 		}
 	}
@@ -91,17 +91,17 @@
 		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 		return
 	}
-	c.rentals[request.Name] = names
+	c.launches[request.Name] = names
 	writeJSON(w, http.StatusOK, map[string]any{"Hosts": names})
 }
 
 // boot starts a machine, which reports once its boot time is over.
-func (c *rentalCloud) boot(zone string, spot bool) string {
+func (c *launchingCloud) boot(zone string, spot bool) string {
 	c.created++
 	name := fmt.Sprintf("i-%06d", c.created)
 	m := newMachine(c.environment, name, c.typ.Name, zone)
-	m.rep.Spot = spot
-	c.machines[name] = rentedMachine{machine: m, spot: spot, rented: time.Now()}
+	m.heartbeat.Spot = spot
+	c.machines[name] = launchedMachine{machine: m, spot: spot, launchedAt: time.Now()}
 	go func() {
 		time.Sleep(time.Duration(c.typ.BootS * float64(time.Second)))
 		addr, err := serve(m)
@@ -110,14 +110,14 @@
 			return
 		}
 		m.mu.Lock()
-		m.rep.Addr = addr
+		m.heartbeat.Addr = addr
 		m.mu.Unlock()
 		m.run()
 	}()
 	return name
 }
 
-func (c *rentalCloud) giveBack(w http.ResponseWriter, r *http.Request) {
+func (c *launchingCloud) terminate(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Machines []string `json:"Hosts"`
 	}
@@ -129,7 +129,7 @@
 	defer c.mu.Unlock()
 	for _, name := range request.Machines {
 		if m, ok := c.machines[name]; ok {
-			m.gone.Store(true)
+			m.terminated.Store(true)
 			delete(c.machines, name)
 		}
 	}
@@ -148,7 +148,7 @@
 }
 
 // list answers with all machines in one part, whatever the caller asks for at most.
-func (c *rentalCloud) list(w http.ResponseWriter, r *http.Request) {
+func (c *launchingCloud) list(w http.ResponseWriter, r *http.Request) {
 	from := r.URL.Query().Get("From")
 	hosts := []listedMachine{}
 	c.mu.Lock()
@@ -159,8 +159,8 @@
 		}
 		m.mu.Lock()
 		host := listedMachine{
-			Name: name, Addr: m.rep.Addr, Type: c.typ.Name, Zone: m.rep.Zone, Spot: m.spot,
-			Phase: phaseStarting, AgeS: time.Since(m.rented).Seconds(),
+			Name: name, Addr: m.heartbeat.Addr, Type: c.typ.Name, Zone: m.heartbeat.Zone, Spot: m.spot,
+			Phase: phaseStarting, AgeS: time.Since(m.launchedAt).Seconds(),
 		}
 		m.mu.Unlock()
 		if host.Addr != "" {
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -25,14 +25,14 @@
 
 	// What a read and a write work on: kept here, so that the functions handed
 	// to the runtime's poller are made once and not for each call.
-	in      []byte
-	inN     int
-	inErr   syscall.Errno
-	readFD  func(fd uintptr) bool
-	out     []byte
-	outN    int
-	outErr  syscall.Errno
-	writeFD func(fd uintptr) bool
+	in       []byte
+	inCount  int
+	inErr    syscall.Errno
+	readFD   func(fd uintptr) bool
+	out      []byte
+	outCount int
+	outErr   syscall.Errno
+	writeFD  func(fd uintptr) bool
 }
 
 // Wrap makes a Conn of a connection, or returns it as it is if that is no TCP
@@ -48,25 +48,25 @@
 	}
 	c := &Conn{Conn: conn, raw: raw}
 	c.readFD = func(fd uintptr) bool {
-		c.inN, c.inErr = call(syscall.SYS_READ, fd, c.in)
+		c.inCount, c.inErr = retryingSyscall(syscall.SYS_READ, fd, c.in)
 		return c.inErr != syscall.EAGAIN
 	}
 	c.writeFD = func(fd uintptr) bool {
-		for c.outN < len(c.out) {
+		for c.outCount < len(c.out) {
 			var n int
-			if n, c.outErr = call(syscall.SYS_WRITE, fd, c.out[c.outN:]); c.outErr != 0 {
+			if n, c.outErr = retryingSyscall(syscall.SYS_WRITE, fd, c.out[c.outCount:]); c.outErr != 0 {
 				return c.outErr != syscall.EAGAIN
 			}
-			c.outN += n
+			c.outCount += n
 		}
 		return true
 	}
 	return c
 }
 
-// call makes a system call on a socket that does not block, and again if a
+// retryingSyscall makes a system call on a socket that does not block, and again if a
 // signal came between.
-func call(trap, fd uintptr, p []byte) (int, syscall.Errno) {
+func retryingSyscall(trap, fd uintptr, p []byte) (int, syscall.Errno) {
 	for {
 		n, _, err := syscall.RawSyscall(trap, fd, uintptr(unsafe.Pointer(unsafe.SliceData(p))), uintptr(len(p)))
 		if err == syscall.EINTR {
@@ -92,10 +92,10 @@
 		return 0, err
 	case c.inErr != 0:
 		return 0, c.failed("read", c.inErr)
-	case c.inN == 0:
+	case c.inCount == 0:
 		return 0, io.EOF
 	}
-	return c.inN, nil
+	return c.inCount, nil
 }
 
 // Next is what a step of Each asks for.
@@ -122,7 +122,7 @@
 func (c *Conn) Each(step func(read func(p []byte) (int, error)) Next) error {
 	var at uintptr
 	read := func(p []byte) (int, error) {
-		n, errno := call(syscall.SYS_READ, at, p)
+		n, errno := retryingSyscall(syscall.SYS_READ, at, p)
 		switch {
 		case errno == syscall.EAGAIN:
 			return 0, ErrNothing
@@ -148,16 +148,16 @@
 
 // Write implements net.Conn.
 func (c *Conn) Write(p []byte) (int, error) {
-	c.out, c.outN, c.outErr = p, 0, 0
+	c.out, c.outCount, c.outErr = p, 0, 0
 	err := c.raw.Write(c.writeFD)
 	c.out = nil
 	if err != nil {
-		return c.outN, err
+		return c.outCount, err
 	}
 	if c.outErr != 0 {
-		return c.outN, c.failed("write", c.outErr)
+		return c.outCount, c.failed("write", c.outErr)
 	}
-	return c.outN, nil
+	return c.outCount, nil
 }
 
 func (c *Conn) failed(op string, err syscall.Errno) error {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -22,8 +22,8 @@
 // maxMessage bounds a message between controllers.
 const maxMessage = 256 << 10
 
-// ErrUnable means that the peer is not entitled to answer.
-var ErrUnable = errors.New("peer: not entitled to answer")
+// ErrUnavailable means that the peer is not entitled to answer.
+var ErrUnavailable = errors.New("peer: not entitled to answer")
 
 // ErrNotApplied means that the peer's connections are refused: by a packet filter,
 // or since no process is there. Either way the network to its host works.
@@ -94,11 +94,11 @@
 	defer conn.Close()
 	out := &outbox{conn: conn}
 	slots, jobs := make(chan struct{}, maxInFlight), make(chan struct{}, maxJobs)
-	until := time.Now().Add(2 * silentFor)
+	until := time.Now().Add(2 * idleTimeout)
 	conn.SetReadDeadline(until)
-	each(conn, func(raw []byte) error {
-		if now := time.Now(); until.Sub(now) < silentFor {
-			until = now.Add(2 * silentFor)
+	readFrames(conn, func(raw []byte) error {
+		if now := time.Now(); until.Sub(now) < idleTimeout {
+			until = now.Add(2 * idleTimeout)
 			conn.SetReadDeadline(until)
 		}
 		var req Request
@@ -128,9 +128,9 @@
 	})
 }
 
-// silentFor is after how long at the least a connection on which nothing arrives
+// idleTimeout is after how long at the least a connection on which nothing arrives
 // is given up; its peer pings every second.
-const silentFor = time.Minute
+const idleTimeout = time.Minute
 
 func respond(ctx context.Context, h Handler, req *Request) *Response {
 	resp, err := &Response{}, error(nil)
@@ -150,7 +150,7 @@
 	case *Request_Promise:
 		resp.Promise, err = h.Promise(ctx, k.Promise)
 	default:
-		err = ErrUnable // a question of a later version
+		err = ErrUnavailable // a question of a later version
 	}
 	if err != nil {
 		return &Response{Unable: true}
@@ -158,17 +158,17 @@
 	return resp
 }
 
-// each hands over the messages that arrive until the connection fails or take
+// readFrames hands over the messages that arrive until the connection fails or take
 // does. What take is given is only its until it returns.
-func each(conn net.Conn, take func(raw []byte) error) error {
-	f := frames{take: take}
+func readFrames(conn net.Conn, take func(raw []byte) error) error {
+	f := frameReader{handle: take}
 	buf := make([]byte, 16<<10)
 	quiet, ok := conn.(*netio.Conn)
 	if !ok {
 		for {
 			n, err := conn.Read(buf)
 			if err == nil {
-				err = f.add(buf[:n])
+				err = f.feed(buf[:n])
 			}
 			if err != nil {
 				return err
@@ -182,7 +182,7 @@
 			return netio.Wait
 		}
 		if err == nil {
-			err = f.add(buf[:n])
+			err = f.feed(buf[:n])
 		}
 		if err != nil {
 			failed = err
@@ -195,15 +195,15 @@
 	return errors.Join(err, failed)
 }
 
-// frames takes messages out of what is read from a connection.
-type frames struct {
-	take func(raw []byte) error
+// frameReader takes messages out of what is read from a connection.
+type frameReader struct {
+	handle func(raw []byte) error
 	// pending is the beginning of a message that is not complete.
 	pending []byte
 }
 
-// add takes in what was read, and hands on the messages that are complete.
-func (f *frames) add(p []byte) error {
+// feed takes in what was read, and hands on the messages that are complete.
+func (f *frameReader) feed(p []byte) error {
 	if len(f.pending) > 0 {
 		f.pending = append(f.pending, p...)
 		p = f.pending
@@ -216,7 +216,7 @@
 		if len(p)-4 < int(n) {
 			break
 		}
-		if err := f.take(p[4 : 4+n]); err != nil {
+		if err := f.handle(p[4 : 4+n]); err != nil {
 			return err
 		}
 		p = p[4+n:]
@@ -279,15 +279,15 @@
 
 	mu sync.Mutex
 	// out is the connection, nil while there is none.
-	out     *outbox
-	seq     uint64
-	waiting map[uint64]chan *Response
-	dialing bool
-	downTil time.Time
+	out       *outbox
+	seq       uint64
+	waiting   map[uint64]chan *Response
+	dialing   bool
+	downUntil time.Time
 	// refused is set if the last connection was refused, not left hanging.
 	refused bool
-	// heard is when the peer last answered anything.
-	heard time.Time
+	// lastResponse is when the peer last answered anything.
+	lastResponse time.Time
 }
 
 // NewClient makes a client of the peer at an address.
@@ -297,61 +297,61 @@
 
 // Job asks the peer about a job.
 func (c *Client) Job(ctx context.Context, id string) (*JobStatus, error) {
-	resp, err := c.ask(ctx, &Request{Kind: &Request_Job{Job: &JobQuery{Id: id}}})
+	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Job{Job: &JobQuery{Id: id}}})
 	if err != nil {
 		return nil, err
 	}
 	if resp.Job == nil {
-		return nil, ErrUnable
+		return nil, ErrUnavailable
 	}
 	return resp.Job, nil
 }
 
 // Ping asks how the peer stands, if it can be reached.
 func (c *Client) Ping(ctx context.Context, p *Ping) (*Pong, error) {
-	resp, err := c.ask(ctx, &Request{Kind: &Request_Ping{Ping: p}})
+	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Ping{Ping: p}})
 	if err != nil {
 		return nil, err
 	}
 	if resp.Pong == nil {
-		return nil, ErrUnable
+		return nil, ErrUnavailable
 	}
 	return resp.Pong, nil
 }
 
 // Report passes a machine's report on.
 func (c *Client) Report(ctx context.Context, r *Report) (*ReportAnswer, error) {
-	resp, err := c.ask(ctx, &Request{Kind: &Request_Report{Report: r}})
+	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Report{Report: r}})
 	if err != nil {
 		return nil, err
 	}
 	if resp.Report == nil {
-		return nil, ErrUnable
+		return nil, ErrUnavailable
 	}
 	return resp.Report, nil
 }
 
 // Resign tells the peer that this node has stopped to lead.
 func (c *Client) Resign(ctx context.Context, r *Resignation) error {
-	_, err := c.ask(ctx, &Request{Kind: &Request_Resignation{Resignation: r}})
+	_, err := c.roundTrip(ctx, &Request{Kind: &Request_Resignation{Resignation: r}})
 	return err
 }
 
 // Loans tells the leader of another cell of the jobs lent to it.
 func (c *Client) Loans(ctx context.Context, r *LoanRequest) (*LoanAnswer, error) {
-	resp, err := c.ask(ctx, &Request{Kind: &Request_Loans{Loans: r}})
+	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Loans{Loans: r}})
 	if err != nil {
 		return nil, err
 	}
 	if resp.Loans == nil {
-		return nil, ErrUnable
+		return nil, ErrUnavailable
 	}
 	return resp.Loans, nil
 }
 
 // Grant asks the peer to let this node decide as leader of a term.
 func (c *Client) Grant(ctx context.Context, term uint64) (bool, error) {
-	resp, err := c.ask(ctx, &Request{Kind: &Request_Grant{Grant: &GrantRequest{Term: term}}})
+	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Grant{Grant: &GrantRequest{Term: term}}})
 	if err != nil {
 		return false, err
 	}
@@ -360,17 +360,17 @@
 
 // Promise asks the peer to grant a term nothing more.
 func (c *Client) Promise(ctx context.Context, term uint64) (time.Duration, error) {
-	resp, err := c.ask(ctx, &Request{Kind: &Request_Promise{Promise: &PromiseRequest{Term: term}}})
+	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Promise{Promise: &PromiseRequest{Term: term}}})
 	if err != nil {
 		return 0, err
 	}
 	if resp.Promise == nil {
-		return 0, ErrUnable
+		return 0, ErrUnavailable
 	}
 	return time.Duration(resp.Promise.WaitMs) * time.Millisecond, nil
 }
 
-func (c *Client) ask(ctx context.Context, req *Request) (*Response, error) {
+func (c *Client) roundTrip(ctx context.Context, req *Request) (*Response, error) {
 	ch := make(chan *Response, 1)
 	out, seq, err := c.register(ctx, ch)
 	if err != nil {
@@ -389,7 +389,7 @@
 			return nil, errors.New("peer: connection lost")
 		}
 		if resp.Unable {
-			return nil, ErrUnable
+			return nil, ErrUnavailable
 		}
 		return resp, nil
 	case <-ctx.Done():
@@ -397,9 +397,9 @@
 		// that users do not wait for it one after the other. One that has
 		// answered others meanwhile is only slow with this.
 		c.mu.Lock()
-		dead := c.heard.Before(sent)
+		dead := c.lastResponse.Before(sent)
 		if dead {
-			c.downTil = time.Now().Add(time.Second)
+			c.downUntil = time.Now().Add(time.Second)
 		}
 		c.mu.Unlock()
 		if dead {
@@ -412,7 +412,7 @@
 func (c *Client) register(ctx context.Context, ch chan *Response) (*outbox, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.downTil) || c.dialing {
+	if time.Now().Before(c.downUntil) || c.dialing {
 		if c.refused {
 			return nil, 0, ErrRefused
 		}
@@ -426,7 +426,7 @@
 		c.dialing = false
 		c.refused = errors.Is(err, syscall.ECONNREFUSED)
 		if err != nil {
-			c.downTil = time.Now().Add(500 * time.Millisecond)
+			c.downUntil = time.Now().Add(500 * time.Millisecond)
 			if c.refused {
 				return nil, 0, ErrRefused
 			}
@@ -447,13 +447,13 @@
 }
 
 func (c *Client) receive(conn net.Conn) {
-	each(conn, func(raw []byte) error {
+	readFrames(conn, func(raw []byte) error {
 		var resp Response
 		if err := proto.Unmarshal(raw, &resp); err != nil {
 			return err
 		}
 		c.mu.Lock()
-		c.heard = time.Now()
+		c.lastResponse = time.Now()
 		ch := c.waiting[resp.Seq]
 		delete(c.waiting, resp.Seq)
 		c.mu.Unlock()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -36,7 +36,9 @@
 	return &ReportAnswer{Term: a.term, Orders: []*Order{{Verb: "reap", Task: r.Tasks[0].Task, Attempt: 7}}}, nil
 }
 
-func (a answers) Loans(context.Context, *LoanRequest) (*LoanAnswer, error) { return nil, ErrUnable }
+func (a answers) Loans(context.Context, *LoanRequest) (*LoanAnswer, error) {
+	return nil, ErrUnavailable
+}
 
 func (a answers) Grant(_ context.Context, r *GrantRequest) (*GrantAnswer, error) {
 	return &GrantAnswer{Granted: r.Term == a.term}, nil
@@ -44,7 +46,7 @@
 
 func (a answers) Promise(_ context.Context, r *PromiseRequest) (*PromiseAnswer, error) {
 	if r.Term != a.term {
-		return nil, ErrUnable
+		return nil, ErrUnavailable
 	}
 	return &PromiseAnswer{WaitMs: 1500}, nil
 }
@@ -78,7 +80,7 @@
 	if st, err := c.Job(ctx, "job-2"); err != nil || st.Known {
 		t.Errorf("unknown job: %v, %v", st, err)
 	}
-	if _, err := c.Job(ctx, "job-3"); !errors.Is(err, ErrUnable) {
+	if _, err := c.Job(ctx, "job-3"); !errors.Is(err, ErrUnavailable) {
 		t.Errorf("no leader: %v", err)
 	}
 	if p, err := c.Ping(ctx, &Ping{}); err != nil || p.Term != 9 || p.Leader != "n1" {
@@ -89,13 +91,13 @@
 		t.Errorf("report: %v, %v", a, err)
 	}
 	rep.Term = 10
-	if _, err := c.Report(ctx, rep); !errors.Is(err, ErrUnable) {
+	if _, err := c.Report(ctx, rep); !errors.Is(err, ErrUnavailable) {
 		t.Errorf("report with a later term: %v", err)
 	}
 	if err := c.Resign(ctx, &Resignation{Node: "n1", Term: 9}); err != nil {
 		t.Errorf("resign: %v", err)
 	}
-	if err := c.Resign(ctx, &Resignation{Node: "n1", Term: 8}); !errors.Is(err, ErrUnable) {
+	if err := c.Resign(ctx, &Resignation{Node: "n1", Term: 8}); !errors.Is(err, ErrUnavailable) {
 		t.Errorf("resign from another term: %v", err)
 	}
 	if granted, err := c.Grant(ctx, 9); err != nil || !granted {
@@ -107,7 +109,7 @@
 	if wait, err := c.Promise(ctx, 9); err != nil || wait != 1500*time.Millisecond {
 		t.Errorf("promise: %v, %v", wait, err)
 	}
-	if _, err := c.Promise(ctx, 8); !errors.Is(err, ErrUnable) {
+	if _, err := c.Promise(ctx, 8); !errors.Is(err, ErrUnavailable) {
 		t.Errorf("promise of another term: %v", err)
 	}
 }
@@ -151,7 +153,7 @@
 	refused := make(chan error, more)
 	for range maxJobs + more {
 		go func() {
-			if _, err := c.Job(ctx, "job-1"); errors.Is(err, ErrUnable) {
+			if _, err := c.Job(ctx, "job-1"); errors.Is(err, ErrUnavailable) {
 				refused <- err
 			}
 		}()
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -27,7 +27,7 @@
 	Headroom    float64
 	MinCPUs     float64
 	IdleReturn  time.Duration
-	Hold        time.Duration
+	DrainDelay  time.Duration
 	LeaderLease time.Duration
 	// Preferences order the classes of jobs, the highest first.
 	Preferences map[string]float64
@@ -97,7 +97,7 @@
 		}
 		if _, ok := values[k]; !ok {
 			sort.Strings(known)
-			return nil, fmt.Errorf("policy %s: unknown setting %s (known: %s)", place(name, lines, k), k, strings.Join(known, ", "))
+			return nil, fmt.Errorf("policy %s: unknown setting %s (known: %s)", lineOf(name, lines, k), k, strings.Join(known, ", "))
 		}
 		values[k] = own[k]
 	}
@@ -129,8 +129,8 @@
 	return lines
 }
 
-// place says where a script sets a name: the file, and the line if it is known.
-func place(file string, lines map[string]int32, setting string) string {
+// lineOf says where a script sets a name: the file, and the line if it is known.
+func lineOf(file string, lines map[string]int32, setting string) string {
 	if line, ok := lines[setting]; ok {
 		return fmt.Sprintf("%s:%d", file, line)
 	}
@@ -158,7 +158,7 @@
 func check(v starlark.StringDict, lines map[string]int32, file string) (*Policy, error) {
 	p := &Policy{}
 	fail := func(key, want string) (*Policy, error) {
-		return nil, fmt.Errorf("policy %s: %s must be %s, found %s", place(file, lines, key), key, want, v[key])
+		return nil, fmt.Errorf("policy %s: %s must be %s, found %s", lineOf(file, lines, key), key, want, v[key])
 	}
 	spot, ok := v["use_spot"].(starlark.Bool)
 	if !ok {
@@ -187,22 +187,22 @@
 	p.Spill.After, p.Spill.Gain = time.Duration(after*float64(time.Second)), time.Duration(gain*float64(time.Second))
 	p.Spill.Lends, p.Spill.Cooldown = int(lends), time.Duration(cooldown*float64(time.Second))
 	p.IdleReturn = time.Duration(idle * float64(time.Second))
-	p.Hold = time.Duration(hold * float64(time.Second))
+	p.DrainDelay = time.Duration(hold * float64(time.Second))
 	p.LeaderLease = time.Duration(lease * float64(time.Second))
 	if p.RestartLimit > 0 && p.RestartLimit < 1 {
 		return fail("restart_limit", "0 or a number from 1 to 1000")
 	}
-	if p.Shares, err = numbers(v["team_shares"], 0); err != nil {
+	if p.Shares, err = numberDict(v["team_shares"], 0); err != nil {
 		return fail("team_shares", "a dict of team names and shares above 0")
 	}
-	if p.Preferences, err = numbers(v["class_preference"], math.Inf(-1)); err != nil {
+	if p.Preferences, err = numberDict(v["class_preference"], math.Inf(-1)); err != nil {
 		return fail("class_preference", "a dict of class names and numbers")
 	}
 	return p, nil
 }
 
-// numbers reads a dict of names and finite numbers above a bound.
-func numbers(v starlark.Value, above float64) (map[string]float64, error) {
+// numberDict reads a dict of names and finite numbers above a bound.
+func numberDict(v starlark.Value, above float64) (map[string]float64, error) {
 	dict, ok := v.(*starlark.Dict)
 	if !ok {
 		return nil, errors.New("not a dict")
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -17,7 +17,7 @@
 }
 
 // VoteLifetime is how long a grant lasts.
-func (s *Settings) VoteLifetime() time.Duration { return config.Seconds(s.VoteLifetimeS) }
+func (s *Settings) VoteLifetime() time.Duration { return config.Duration(s.VoteLifetimeS) }
 
 //go:embed schema.json
 var schema []byte
