--- a/internal/controller/awaitslist.go
+++ b/internal/controller/awaitslist.go
@@ -86,10 +86,10 @@
 // come to their end, have left of lists.
 func (dl *dependencyLists) sweep() {
 	keys := dl.leftKeys()
-	records := store.Records{Store: dl.leaderTerm.c.Store}
+	recordStore := store.Records{Store: dl.leaderTerm.c.Store}
 	for id, of := range keys {
 		ctx, cancel := context.WithTimeout(dl.leaderTerm.ctx, 4*time.Second)
-		_, over, err := records.TerminalState(ctx, id)
+		_, over, err := recordStore.TerminalState(ctx, id)
 		cancel()
 		if err != nil {
 			continue // the next term's sweep finds it
@@ -106,8 +106,8 @@
 func (dl *dependencyLists) leftKeys() map[string][]string {
 	for dl.leaderTerm.ctx.Err() == nil {
 		keys := map[string][]string{}
-		records := store.Records{Store: dl.leaderTerm.c.Store}
-		err := records.EachKey(dl.leaderTerm.ctx, store.DependencyPrefix, func(key string) {
+		recordStore := store.Records{Store: dl.leaderTerm.c.Store}
+		err := recordStore.EachKey(dl.leaderTerm.ctx, store.DependencyPrefix, func(key string) {
 			if id, _, ok := store.ParseDependencyKey(key); ok {
 				keys[id] = append(keys[id], key)
 			}
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -288,10 +288,10 @@
 	lt, ids := dg.leaderTerm, dg.lookups
 	dg.lookups = nil
 	go func() {
-		records := store.Records{Store: lt.c.Store}
+		recordStore := store.Records{Store: lt.c.Store}
 		ends := map[string]store.TerminalRecord{}
 		for unread := ids; lt.ctx.Err() == nil; sleep(lt.ctx, 300*time.Millisecond) {
-			found, err := records.TerminalRecords(lt.ctx, unread)
+			found, err := recordStore.TerminalRecords(lt.ctx, unread)
 			maps.Copy(ends, found)
 			if err == nil {
 				lt.sendToOwner(endsLookedUpMsg{lt, ids, ends})
