--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -12,7 +12,7 @@
 
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
-	"example.org/ivytrestle/internal/grant"
+	"example.org/ivytrestle/internal/leasequorum"
 	"example.org/ivytrestle/internal/queue"
 	"example.org/ivytrestle/internal/store"
 )
@@ -60,7 +60,7 @@
 	loans           loans
 	// votes are what the other nodes let this one decide by, and bound is set once it
 	// decides only with enough of them; ungranted is since when it lacks them.
-	votes          *grant.VoteSet
+	votes          *leasequorum.VoteSet
 	quorumRequired bool
 	quorumLostAt   time.Time
 	downlink       relayDownlink
@@ -135,7 +135,7 @@
 	lt.loans.init(lt)
 	lt.autoscaler.init(lt)
 	if c.Standby != nil {
-		lt.votes = grant.NewVoteSet(c.Standby.VoteLifetime())
+		lt.votes = leasequorum.NewVoteSet(c.Standby.VoteLifetime())
 	}
 	for _, t := range c.Settings.Site.Teams {
 		q := &queue.Team[*job]{Name: t.Name, CPUs: t.CPUs, LimitCPUs: t.LimitCPUs, GPUs: t.GPUs, LimitGPUs: t.LimitGPUs,
--- a/internal/controller/replacement.go
+++ b/internal/controller/replacement.go
@@ -8,7 +8,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/election"
-	"example.org/ivytrestle/internal/grant"
+	"example.org/ivytrestle/internal/leasequorum"
 )
 
 // failover is a node's part in replacing a leader that is gone without waiting for its
@@ -18,7 +18,7 @@
 // the leader no longer acts. docs/standby.md says why that is safe.
 type failover struct {
 	// voter is nil where this is switched off.
-	voter       *grant.Voter
+	voter       *leasequorum.Voter
 	busy        bool
 	nextAttempt time.Time
 	// lastNewTerm is when this node last gave up a term to be granted the next.
@@ -41,7 +41,7 @@
 	if c.Standby == nil {
 		return
 	}
-	f.voter = grant.NewVoter(c.Standby.VoteLifetime(), time.Now())
+	f.voter = leasequorum.NewVoter(c.Standby.VoteLifetime(), time.Now())
 	go c.readVoterTerm(ctx)
 	if c.Peers == nil {
 		return
@@ -125,7 +125,7 @@
 
 // voteQuorum tells whether the leader holds enough grants.
 func (lt *leaderTerm) voteQuorum(now time.Time) bool {
-	return lt.votes.HasQuorum(grant.RequiredVotes(len(lt.c.Settings.Peers)+1), now)
+	return lt.votes.HasQuorum(leasequorum.RequiredVotes(len(lt.c.Settings.Peers)+1), now)
 }
 
 // hasLeaseQuorum tells whether the leader may start tasks, and rent and return machines. One
@@ -249,7 +249,7 @@
 func (m promisesCollectedMsg) apply(c *Controller) {
 	f, now := &c.failover, time.Now()
 	mb := c.membership.members[m.leader]
-	if m.promises+1 < grant.RequiredPromises(len(c.Settings.Peers)+1) || c.leader != m.leader || c.leaderTerm != nil || mb.failedPings < unreachedAfter || mb.Term != m.term {
+	if m.promises+1 < leasequorum.RequiredPromises(len(c.Settings.Peers)+1) || c.leader != m.leader || c.leaderTerm != nil || mb.failedPings < unreachedAfter || mb.Term != m.term {
 		f.busy, f.nextAttempt = false, now.Add(failoverRetryInterval)
 		return
 	}
--- a/internal/grant/grant.go
+++ b/internal/leasequorum/leasequorum.go
@@ -3,7 +3,7 @@
 // enough of the others grant it that, each for a short time. Those who want to replace it
 // get promises of enough of them to grant its term nothing more, and wait until what was
 // granted has run out. The package is pure; docs/standby.md explains the protocol.
-package grant
+package leasequorum
 
 import "time"
 
--- a/internal/grant/grant_test.go
+++ b/internal/leasequorum/leasequorum_test.go
@@ -1,4 +1,4 @@
-package grant
+package leasequorum
 
 import (
 	"math/rand/v2"
