--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"strconv"
 	"strings"
 	"time"
@@ -224,7 +223,7 @@
 	if r.acceptAtOnce(ctx, a) {
 		return api.JobState{ID: spec.ID, Phase: api.JobPending}, true, nil
 	}
-	err = retry(ctx, func() error {
+	err = Retry(ctx, func() error {
 		st, created, err = r.accept(ctx, a)
 		return err
 	})
@@ -253,7 +252,7 @@
 // Lookup reads a job's record. A job that is active is reported as pending, since
 // the record does not hold what runs.
 func (r *Records) Lookup(ctx context.Context, id string) (st api.JobState, found bool, err error) {
-	err = retry(ctx, func() error {
+	err = Retry(ctx, func() error {
 		st, found, err = r.lookup(ctx, id)
 		return err
 	})
@@ -339,7 +338,7 @@
 
 // Cancel ends a job unless it is over. It returns the job's final state.
 func (r *Records) Cancel(ctx context.Context, id string) (st api.JobState, found bool, err error) {
-	err = retry(ctx, func() error {
+	err = Retry(ctx, func() error {
 		e, err := r.get(ctx, ActivePrefix+id)
 		if err != nil {
 			return err
@@ -400,22 +399,3 @@
 	}
 	return ErrLent
 }
-
-// retry repeats a request that failed until the context ends.
-func retry(ctx context.Context, f func() error) error {
-	wait := 40 * time.Millisecond
-	for {
-		err := f()
-		if err == nil || !(errors.Is(err, ErrNotApplied) || errors.Is(err, ErrOutcomeUnknown)) {
-			return err
-		}
-		t := time.NewTimer(wait + rand.N(wait))
-		select {
-		case <-ctx.Done():
-			t.Stop()
-			return err
-		case <-t.C:
-		}
-		wait = min(2*wait, 400*time.Millisecond)
-	}
-}
