--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -227,11 +227,11 @@
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
 		entries, err := getAll(ctx, lt.c.Store, keys)
-		records := store.Records{Store: lt.c.Store}
+		recordStore := store.Records{Store: lt.c.Store}
 		var final api.JobState
 		var isFinal bool
 		if err == nil {
-			final, isFinal, err = records.TerminalState(ctx, c.job)
+			final, isFinal, err = recordStore.TerminalState(ctx, c.job)
 		}
 		cancel()
 		if err == nil {
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -50,9 +50,9 @@
 	lim := lt.c.Settings.Site.State
 	rw.leaderTerm = lt
 	rw.maxOps = lim.TxnOps
-	records := lim.WriteRPS * store.RecordShare
+	recordStore := lim.WriteRPS * store.RecordShare
 	// A burst of records leaves room for submissions in the service's own.
-	rw.limiter = rate.NewLimiter(rate.Limit(records), max(2, min(lim.TxnOps, int(records))))
+	rw.limiter = rate.NewLimiter(rate.Limit(recordStore), max(2, min(lim.TxnOps, int(recordStore))))
 	rw.maxBytes = store.MaxTxnBytes * 3 / 4
 	rw.maxShardBytes = min(int(lim.ValueKB*1024), rw.maxBytes)
 	rw.machinesPerShard = max(1, rw.maxShardBytes/2/shardEntryBytes)
--- a/internal/controller/settle.go
+++ b/internal/controller/settle.go
@@ -34,10 +34,10 @@
 
 // resolveOutcomeOf reads how a job ended, within the leader's own request budget.
 func (lt *leaderTerm) resolveOutcomeOf(id string) {
-	records := store.Records{Store: lt.c.Store}
+	recordStore := store.Records{Store: lt.c.Store}
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
-		st, found, err := records.Lookup(ctx, id)
+		st, found, err := recordStore.Lookup(ctx, id)
 		cancel()
 		if err == nil {
 			lt.sendToOwner(outcomeResolvedMsg{lt, id, st, found})
--- a/internal/store/awaits_test.go
+++ b/internal/store/awaits_test.go
@@ -73,8 +73,8 @@
 // keysUnder are the keys with a prefix.
 func keysUnder(t *testing.T, s store.Service, prefix string) (keys []string) {
 	t.Helper()
-	records := store.Records{Store: s}
-	if err := records.EachKey(t.Context(), prefix, func(key string) { keys = append(keys, key) }); err != nil {
+	recordStore := store.Records{Store: s}
+	if err := recordStore.EachKey(t.Context(), prefix, func(key string) { keys = append(keys, key) }); err != nil {
 		t.Fatal(err)
 	}
 	return keys
@@ -102,7 +102,7 @@
 			st := newCountedStore()
 			ids := fullBody(t, st)
 			st.SetLimits(int(lim.ValueKB*1024), lim.TxnOps)
-			records := store.NewRecords(st, lim)
+			recordStore := store.NewRecords(st, lim)
 			spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
 			if !store.Fits(spec, lim.ValueKB) {
 				t.Fatal("does not fit")
@@ -110,7 +110,7 @@
 			st.requests.Store(0)
 			accept := func(what, phase string, created bool) {
 				t.Helper()
-				got, isNew, err := records.Accept(t.Context(), spec, time.Unix(1, 0))
+				got, isNew, err := recordStore.Accept(t.Context(), spec, time.Unix(1, 0))
 				if err != nil || got.Phase != phase || isNew != created {
 					t.Errorf("%s: %+v, %v, %v", what, got, isNew, err)
 				}
@@ -120,7 +120,7 @@
 				t.Errorf("%d jobs in %d records: %d requests", len(ids), parts, int(st.requests.Load()))
 			}
 			a := activeRecord(t, st, "job-1")
-			if got, err := records.ReadDependencies(t.Context(), "job-1", a.DependencyList); err != nil || !slices.Equal(got, ids) {
+			if got, err := recordStore.ReadDependencies(t.Context(), "job-1", a.DependencyList); err != nil || !slices.Equal(got, ids) {
 				t.Errorf("%d of %d names, %v", len(got), len(ids), err)
 			}
 			if !slices.Equal(a.Spec.DependsOn, []string{store.DependenciesElsewhere}) {
@@ -131,7 +131,7 @@
 			spec.DependsOn = append(slices.Clone(ids), "job-999999")
 			accept("repeated, naming what was never accepted", api.JobPending, false)
 			spec.ID = "job-2"
-			if _, _, err := records.Accept(t.Context(), spec, time.Unix(1, 0)); !errors.As(err, new(*store.UnknownDependencyError)) {
+			if _, _, err := recordStore.Accept(t.Context(), spec, time.Unix(1, 0)); !errors.As(err, new(*store.UnknownDependencyError)) {
 				t.Errorf("never accepted: %v", err)
 			}
 			if int(st.writes.Load()) > 0 {
@@ -175,14 +175,14 @@
 						putJob(t, st, ids[i], api.JobDone)
 					}
 					spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
-					records := store.NewRecords(st, lim)
+					recordStore := store.NewRecords(st, lim)
 					n := 0
 					set(st.Fake, func(store.Txn) bool { n++; return n > cut })
 					ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
-					_, _, err := records.Accept(ctx, spec, time.Unix(1, 0))
+					_, _, err := recordStore.Accept(ctx, spec, time.Unix(1, 0))
 					cancel()
 					if st.Has(store.ActivePrefix + "job-1") {
-						whole(t, &records, ids)
+						whole(t, &recordStore, ids)
 					} else if err == nil {
 						t.Error("accepted without a record")
 					}
@@ -216,10 +216,10 @@
 }
 
 // whole checks that job-1 is read with all names, or not at all once a record lacks.
-func whole(t *testing.T, records *store.Records, ids []string) {
+func whole(t *testing.T, recordStore *store.Records, ids []string) {
 	t.Helper()
-	list := activeRecord(t, records.Store, "job-1").DependencyList
-	if got, err := records.ReadDependencies(t.Context(), "job-1", list); err != nil || !slices.Equal(got, ids) {
+	list := activeRecord(t, recordStore.Store, "job-1").DependencyList
+	if got, err := recordStore.ReadDependencies(t.Context(), "job-1", list); err != nil || !slices.Equal(got, ids) {
 		t.Errorf("%d of %d names, %v", len(got), len(ids), err)
 	}
 }
@@ -228,8 +228,8 @@
 func TestListWithoutARecord(t *testing.T) {
 	st := newCountedStore()
 	ids := fullBody(t, st)
-	records := store.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 12})
-	if _, _, err := records.Accept(t.Context(), &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); err != nil {
+	recordStore := store.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 12})
+	if _, _, err := recordStore.Accept(t.Context(), &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
 	list := activeRecord(t, st, "job-1").DependencyList
@@ -237,17 +237,17 @@
 		key := list.Keys("job-1")[i]
 		e, _ := st.Get(t.Context(), key)
 		st.Txn(t.Context(), store.Txn{Ops: []store.Op{{Delete: key}}})
-		if got, err := records.ReadDependencies(t.Context(), "job-1", list); err == nil {
+		if got, err := recordStore.ReadDependencies(t.Context(), "job-1", list); err == nil {
 			t.Errorf("without record %d: %d names", i, len(got))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
-		if got, _, err := records.Lookup(ctx, "job-1"); err == nil {
+		if got, _, err := recordStore.Lookup(ctx, "job-1"); err == nil {
 			t.Errorf("without record %d: told %+v", i, got)
 		}
 		cancel()
 		st.Txn(t.Context(), store.Txn{Ops: []store.Op{{Put: key, Value: e.Value}}})
 	}
-	whole(t, &records, ids)
+	whole(t, &recordStore, ids)
 }
 
 // pipelineShapes are what the job with a number awaits, by the form of the pipeline.
@@ -275,12 +275,12 @@
 			for i := 1; i < jobs; i++ {
 				putJob(t, st, fmt.Sprint("job-", i), api.JobPending, need(i)...)
 			}
-			records := store.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 3})
+			recordStore := store.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 3})
 			accept := func(id, want string) {
 				t.Helper()
 				st.requests.Store(0)
 				spec := &api.JobSpec{ID: id, Tasks: 1, DependsOn: need(jobs)}
-				if got, _, err := records.Accept(t.Context(), spec, time.Unix(1, 0)); err != nil || got.Phase != want {
+				if got, _, err := recordStore.Accept(t.Context(), spec, time.Unix(1, 0)); err != nil || got.Phase != want {
 					t.Errorf("%s: %+v, %v", id, got, err)
 				}
 				if int(st.requests.Load()) > mostRequests {
@@ -288,12 +288,12 @@
 				}
 			}
 			accept("job-9001", api.JobPending)
-			if _, _, err := records.Cancel(t.Context(), "job-0"); err != nil {
+			if _, _, err := recordStore.Cancel(t.Context(), "job-0"); err != nil {
 				t.Fatal(err)
 			}
 			accept("job-9002", api.JobCancelled)
 			st.requests.Store(0)
-			if got, _, err := records.Lookup(t.Context(), "job-9001"); err != nil || got.Phase != api.JobCancelled || int(st.requests.Load()) > mostRequests {
+			if got, _, err := recordStore.Lookup(t.Context(), "job-9001"); err != nil || got.Phase != api.JobCancelled || int(st.requests.Load()) > mostRequests {
 				t.Errorf("asked for: %+v, %v, %d requests", got, err, int(st.requests.Load()))
 			}
 		})
@@ -313,12 +313,12 @@
 				ids = append(ids, id)
 			}
 		}
-		records := store.NewRecords(st, config.StateLimits{ValueKB: 16, TxnOps: 12})
+		recordStore := store.NewRecords(st, config.StateLimits{ValueKB: 16, TxnOps: 12})
 		submit := func(id string, awaits []string) error {
 			st.requests.Store(0)
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
-			_, _, err := records.Accept(ctx, &api.JobSpec{ID: id, Tasks: 1, DependsOn: awaits}, time.Unix(1, 0))
+			_, _, err := recordStore.Accept(ctx, &api.JobSpec{ID: id, Tasks: 1, DependsOn: awaits}, time.Unix(1, 0))
 			return err
 		}
 		tries := 1
@@ -332,7 +332,7 @@
 			t.Errorf("again: %d requests, %v", int(st.requests.Load()), err)
 		}
 		st.most = 0
-		records = store.NewRecords(st, records.Limits) // that remembers nothing
+		recordStore = store.NewRecords(st, recordStore.Limits) // that remembers nothing
 		if err := submit("job-4", ids); err != nil || int(st.requests.Load()) > 50 {
 			t.Errorf("in one try: %d requests, %v", int(st.requests.Load()), err)
 		}
@@ -368,14 +368,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		st := &slowRanges{Fake: storetest.New()}
 		ids := fullBody(t, st.Fake)
-		records := store.NewRecords(st, config.StateLimits{ValueKB: 128, TxnOps: 12})
+		recordStore := store.NewRecords(st, config.StateLimits{ValueKB: 128, TxnOps: 12})
 		var accepted, refused atomic.Int32
 		var all sync.WaitGroup
 		for i := range 20 {
 			all.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				defer cancel()
-				switch _, _, err := records.Accept(ctx, &api.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); {
+				switch _, _, err := recordStore.Accept(ctx, &api.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); {
 				case err == nil:
 					accepted.Add(1)
 				case errors.Is(err, store.ErrNotApplied):
