--- a/internal/controller/awaitslist.go
+++ b/internal/controller/awaitslist.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // dependencyLists reads and removes the records that list the awaited jobs of those
@@ -36,7 +36,7 @@
 	id, list := j.spec.ID, j.dependencyList
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
-		ids, err := (&store.Records{Store: lt.c.Store}).ReadDependencies(ctx, id, list)
+		ids, err := (&records.Records{Store: lt.c.Store}).ReadDependencies(ctx, id, list)
 		cancel()
 		if err != nil {
 			lt.c.Log.Debug("awaited jobs not read", "job", id, "err", err)
@@ -86,7 +86,7 @@
 // come to their end, have left of lists.
 func (dl *dependencyLists) sweep() {
 	keys := dl.leftKeys()
-	recordStore := store.Records{Store: dl.leaderTerm.c.Store}
+	recordStore := records.Records{Store: dl.leaderTerm.c.Store}
 	for id, of := range keys {
 		ctx, cancel := context.WithTimeout(dl.leaderTerm.ctx, 4*time.Second)
 		_, over, err := recordStore.TerminalState(ctx, id)
@@ -106,9 +106,9 @@
 func (dl *dependencyLists) leftKeys() map[string][]string {
 	for dl.leaderTerm.ctx.Err() == nil {
 		keys := map[string][]string{}
-		recordStore := store.Records{Store: dl.leaderTerm.c.Store}
-		err := recordStore.EachKey(dl.leaderTerm.ctx, store.DependencyPrefix, func(key string) {
-			if id, _, ok := store.ParseDependencyKey(key); ok {
+		recordStore := records.Records{Store: dl.leaderTerm.c.Store}
+		err := recordStore.EachKey(dl.leaderTerm.ctx, records.DependencyPrefix, func(key string) {
+			if id, _, ok := records.ParseDependencyKey(key); ok {
 				keys[id] = append(keys[id], key)
 			}
 		})
@@ -134,7 +134,7 @@
 	}
 	j := m.leaderTerm.jobs[m.id]
 	for _, key := range m.keys {
-		_, digest, _ := store.ParseDependencyKey(key)
+		_, digest, _ := records.ParseDependencyKey(key)
 		// Of a job that is accepted only its own list is of use. One that is not
 		// may be about to be accepted, unless it is over.
 		if m.over || j != nil && (j.dependencyList == nil || j.dependencyList.Digest != digest) {
--- a/internal/controller/awaitslist_test.go
+++ b/internal/controller/awaitslist_test.go
@@ -11,8 +11,9 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
-	"example.org/ivytrestle/internal/store"
-	"example.org/ivytrestle/internal/store/storetest"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/kv/kvtest"
+	"example.org/ivytrestle/internal/records"
 )
 
 // manyDone are the names of so many jobs that are done.
@@ -20,7 +21,7 @@
 	w.t.Helper()
 	for i := range n {
 		ids = append(ids, fmt.Sprint("job-", 1000+i))
-		w.put(store.TerminalPrefix+ids[i], store.TerminalRecord{Phase: api.JobDone, Tasks: 1})
+		w.put(records.TerminalPrefix+ids[i], records.TerminalRecord{Phase: api.JobDone, Tasks: 1})
 	}
 	return ids
 }
@@ -28,7 +29,7 @@
 // put writes a key as some node would.
 func (w *cluster) put(key string, value any) {
 	w.t.Helper()
-	if _, err := w.store.Txn(context.Background(), store.Txn{Ops: []store.Op{{Put: key, Value: value}}}); err != nil {
+	if _, err := w.store.Txn(context.Background(), kv.Txn{Ops: []kv.Op{{Put: key, Value: value}}}); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -73,7 +74,7 @@
 					}
 					k.serve(n, 8)
 					w.same("its end", w.phase(n, "job-2"), end)
-					w.same("left of its list", w.keysUnder(store.DependencyPrefix), []string(nil))
+					w.same("left of its list", w.keysUnder(records.DependencyPrefix), []string(nil))
 					w.same("refused", w.store.TooLarge(), []string(nil))
 				})
 			})
@@ -89,15 +90,15 @@
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, after("job-2", "red", 1, append(w.manyDone(300), "job-1")...))
-		own := w.keysUnder(store.DependencyPrefix)
-		w.put(store.DependencyPrefix+"job-2/other/00000", store.DependencyRecord{Jobs: []string{"job-1"}})
-		w.put(store.DependencyPrefix+"job-1000/left/00000", store.DependencyRecord{Jobs: []string{"job-1"}})
-		w.put(store.DependencyPrefix+"job-7/coming/00000", store.DependencyRecord{Jobs: []string{"job-1"}})
+		own := w.keysUnder(records.DependencyPrefix)
+		w.put(records.DependencyPrefix+"job-2/other/00000", records.DependencyRecord{Jobs: []string{"job-1"}})
+		w.put(records.DependencyPrefix+"job-1000/left/00000", records.DependencyRecord{Jobs: []string{"job-1"}})
+		w.put(records.DependencyPrefix+"job-7/coming/00000", records.DependencyRecord{Jobs: []string{"job-1"}})
 		n.crash()
 		w.start("n0")
 		time.Sleep(5 * time.Second)
-		want := append(slices.Clone(own), store.DependencyPrefix+"job-7/coming/00000")
-		w.same("kept", w.keysUnder(store.DependencyPrefix), want)
+		want := append(slices.Clone(own), records.DependencyPrefix+"job-7/coming/00000")
+		w.same("kept", w.keysUnder(records.DependencyPrefix), want)
 	})
 }
 
@@ -115,13 +116,13 @@
 		k.report(n)
 		done := time.Now()
 		for range 10 {
-			if time.Sleep(100 * time.Millisecond); w.store.Has(store.TerminalPrefix + "job-1") {
+			if time.Sleep(100 * time.Millisecond); w.store.Has(records.TerminalPrefix + "job-1") {
 				n.crash()
 				break
 			}
 		}
 		time.Sleep(30 * time.Second)
-		w.put(store.TerminalPrefix+"job-8", map[string]any{"phase": "done", "tasks": 1}) // of an earlier version
+		w.put(records.TerminalPrefix+"job-8", map[string]any{"phase": "done", "tasks": 1}) // of an earlier version
 		n = w.start("n0")
 		w.submit(n, after("job-3", "red", 1, "job-1", "job-8"))
 		time.Sleep(3 * time.Second)
@@ -142,23 +143,23 @@
 
 // unreadableEnds is a store that does not tell how jobs ended while it is closed.
 type unreadableEnds struct {
-	*storetest.Fake
+	*kvtest.Fake
 	closed atomic.Bool
 	asked  atomic.Int32
 }
 
-func (s *unreadableEnds) Get(ctx context.Context, key string) (store.Entry, error) {
-	if s.closed.Load() && strings.HasPrefix(key, store.TerminalPrefix) {
+func (s *unreadableEnds) Get(ctx context.Context, key string) (kv.Entry, error) {
+	if s.closed.Load() && strings.HasPrefix(key, records.TerminalPrefix) {
 		s.asked.Add(1)
-		return store.Entry{}, store.ErrNotApplied
+		return kv.Entry{}, kv.ErrNotApplied
 	}
 	return s.Fake.Get(ctx, key)
 }
 
-func (s *unreadableEnds) Range(ctx context.Context, prefix, from string, most int) (store.Page, error) {
-	if s.closed.Load() && prefix == store.TerminalPrefix {
+func (s *unreadableEnds) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
+	if s.closed.Load() && prefix == records.TerminalPrefix {
 		s.asked.Add(1)
-		return store.Page{}, store.ErrNotApplied
+		return kv.Page{}, kv.ErrNotApplied
 	}
 	return s.Fake.Range(ctx, prefix, from, most)
 }
@@ -196,7 +197,7 @@
 func TestSubmittedDuringACascadeAtANodeCutOff(t *testing.T) {
 	for name, trouble := range map[string]func(w *cluster){
 		"the leader sees no change":     func(w *cluster) { w.store.SetBlind(true) },
-		"the cascade is not written":    func(w *cluster) { w.store.Hold(func(txn store.Txn) bool { return txn.Records }) },
+		"the cascade is not written":    func(w *cluster) { w.store.Hold(func(txn kv.Txn) bool { return txn.Records }) },
 		"the leader does both in order": func(*cluster) {},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -220,7 +221,7 @@
 				w.store.SetBlind(false)
 				w.store.Release()
 				time.Sleep(10 * time.Second)
-				w.same("still active", w.keysUnder(store.ActivePrefix+"job-"), []string(nil))
+				w.same("still active", w.keysUnder(records.ActivePrefix+"job-"), []string(nil))
 				for _, n := range []*node{leader, other} {
 					for i := range 5 {
 						id := fmt.Sprint("job-", 1+i)
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -13,8 +13,9 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
-	"example.org/ivytrestle/internal/store/storetest"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/kv/kvtest"
+	"example.org/ivytrestle/internal/records"
 )
 
 // ask sends a node a user's request.
@@ -47,7 +48,7 @@
 // is written again goes unseen.
 func (w *cluster) stored() map[string]uint64 {
 	marks := map[string]uint64{}
-	for _, prefix := range []string{store.ActivePrefix, store.TerminalPrefix, store.CompletionPrefix} {
+	for _, prefix := range []string{records.ActivePrefix, records.TerminalPrefix, records.CompletionPrefix} {
 		p, _ := w.store.Range(context.Background(), prefix, "", 1<<20) // in an outage as well
 		for _, e := range p.Entries {
 			marks[e.Key] = e.ModRevision
@@ -57,11 +58,11 @@
 }
 
 // stalled is a store in which a new leader never comes to the end of its reading.
-type stalled struct{ *storetest.Fake }
+type stalled struct{ *kvtest.Fake }
 
-func (stalled) Range(ctx context.Context, _, _ string, _ int) (store.Page, error) {
+func (stalled) Range(ctx context.Context, _, _ string, _ int) (kv.Page, error) {
 	<-ctx.Done()
-	return store.Page{}, store.ErrOutcomeUnknown
+	return kv.Page{}, kv.ErrOutcomeUnknown
 }
 
 // seedJobs makes job-1 done, job-2 cancelled and job-3 wait.
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -9,9 +9,9 @@
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
+	"example.org/ivytrestle/internal/kv/kvtest"
 	"example.org/ivytrestle/internal/policy"
-	"example.org/ivytrestle/internal/store"
-	"example.org/ivytrestle/internal/store/storetest"
+	"example.org/ivytrestle/internal/records"
 )
 
 // full is a leader whose machines are all busy, with jobs that wait.
@@ -25,7 +25,7 @@
 		Teams:   []config.Team{{Name: "red", CPUs: 1e4, LimitCPUs: 1e5}, {Name: "blue", CPUs: 1e4, LimitCPUs: 1e5}},
 		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 		State:   config.StateLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}}}
-	c := New(Config{Settings: s, Policy: pol, Store: storetest.New(), Cloud: &fakeCloud{}, Log: slog.New(slog.DiscardHandler)})
+	c := New(Config{Settings: s, Policy: pol, Store: kvtest.New(), Cloud: &fakeCloud{}, Log: slog.New(slog.DiscardHandler)})
 	c.types.set([]api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Price: 1, Zones: []string{"a"}}})
 	now := time.Now()
 	lt := newLeaderTerm(c, election.Term{Number: 1, ModRevision: 1}, now.Add(time.Hour))
@@ -34,7 +34,7 @@
 	for i := range jobs {
 		sp := spec(fmt.Sprint("job-", i), max(100, 40*machines/jobs)) // more than fits
 		sp.Team = []string{"red", "blue"}[i%2]
-		lt.addRecord(store.ActivePrefix+sp.ID, store.ActiveRecord{Spec: *sp, Accepted: now}, uint64(i+2))
+		lt.addRecord(records.ActivePrefix+sp.ID, records.ActiveRecord{Spec: *sp, Accepted: now}, uint64(i+2))
 	}
 	reports := make([]*api.Heartbeat, machines)
 	for i := range reports {
@@ -135,7 +135,7 @@
 				sp := spec(fmt.Sprint("job-w", i), 20_000)
 				sp.Types = nil
 				sp.Team = "red"
-				lt.addRecord(store.ActivePrefix+sp.ID, store.ActiveRecord{Spec: *sp, Accepted: now}, uint64(i+2))
+				lt.addRecord(records.ActivePrefix+sp.ID, records.ActiveRecord{Spec: *sp, Accepted: now}, uint64(i+2))
 			}
 			lt.grace = time.Hour
 			b.ReportAllocs()
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // A cancellation and the end of a job race: whichever transaction comes first
@@ -18,7 +18,7 @@
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, spec("job-2", 1))
 		k.serve(n, 3)
-		w.store.Hold(touches(store.TerminalPrefix + "job-1"))
+		w.store.Hold(touches(records.TerminalPrefix + "job-1"))
 		k.exit(api.CauseDone)
 		k.report(n)
 		time.Sleep(300 * time.Millisecond)
--- a/internal/controller/cascade_test.go
+++ b/internal/controller/cascade_test.go
@@ -8,7 +8,8 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
 // awaiting puts a first job on record, and others of which each awaits what need says.
@@ -20,7 +21,7 @@
 		if i > 0 {
 			s.DependsOn = need(i)
 		}
-		w.put(store.ActivePrefix+id, store.ActiveRecord{Spec: *s, Accepted: time.Now()})
+		w.put(records.ActivePrefix+id, records.ActiveRecord{Spec: *s, Accepted: time.Now()})
 		ids = append(ids, id)
 	}
 	return ids
@@ -43,7 +44,7 @@
 func (w *cluster) activeJobs() int {
 	w.t.Helper()
 	count := 0
-	err := (&store.Records{Store: w.store}).EachKey(context.Background(), store.ActivePrefix+"job-", func(string) { count++ })
+	err := (&records.Records{Store: w.store}).EachKey(context.Background(), records.ActivePrefix+"job-", func(string) { count++ })
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -110,7 +111,7 @@
 		if _, err := n.Cancel(context.Background(), ids[0]); err != nil {
 			t.Fatal(err)
 		}
-		w.store.Hold(touches(store.TerminalPrefix)) // what follows is not recorded
+		w.store.Hold(touches(records.TerminalPrefix)) // what follows is not recorded
 		n.look(func(c *Controller) {
 			dg := &c.leaderTerm.dependencies
 			for _, j := range c.leaderTerm.jobs {
@@ -130,7 +131,7 @@
 	simulate(t, func(w *cluster) {
 		ids := w.awaiting(3, func(i int) []string { return []string{fmt.Sprint("job-", i-1)} })
 		n := w.start("n0")
-		w.store.Hold(func(txn store.Txn) bool { return txn.Records && touches(store.TerminalPrefix)(txn) })
+		w.store.Hold(func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix)(txn) })
 		if _, err := n.Cancel(context.Background(), ids[0]); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -16,7 +16,7 @@
 	"example.org/ivytrestle/internal/cells"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/loan"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // cellGroup is some cells that lend each other capacity, with machines that run tasks, and
@@ -427,7 +427,7 @@
 // loanRecords are the records of active jobs, and of guests that have ended, in all cells.
 func (g *cellGroup) loanRecords() (keys []string) {
 	for _, c := range g.cells {
-		for _, prefix := range []string{store.ActivePrefix + "job-", loan.EndKey("", "")[:len("loan/end/")]} {
+		for _, prefix := range []string{records.ActivePrefix + "job-", loan.EndKey("", "")[:len("loan/end/")]} {
 			for _, key := range c.keysUnder(prefix) {
 				keys = append(keys, c.name+" "+key)
 			}
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
 )
 
 // checkedCluster is a deployment whose machines and controllers act by themselves.
@@ -34,7 +34,7 @@
 // slowGate is a way to the store over which a page takes a while.
 type slowGate struct{ *gate }
 
-func (g *slowGate) Range(ctx context.Context, prefix, from string, most int) (store.Page, error) {
+func (g *slowGate) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
 	page, err := g.gate.Range(ctx, prefix, from, most)
 	idle(ctx, 150*time.Millisecond)
 	return page, err
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -20,9 +20,10 @@
 	"example.org/ivytrestle/internal/cloud"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/policy"
+	"example.org/ivytrestle/internal/records"
 	"example.org/ivytrestle/internal/standby"
-	"example.org/ivytrestle/internal/store"
 )
 
 // ErrNotApplied means that a node refuses connections from here, although the
@@ -53,9 +54,9 @@
 type Config struct {
 	Settings *config.Settings
 	Policy   *policy.Policy
-	Store    store.Service
+	Store    kv.Service
 	// UserStore is Store for what users ask; nil: Store itself.
-	UserStore     store.Service
+	UserStore     kv.Service
 	Cloud         cloud.Service
 	Peers         PeerClient
 	Prober        Prober
@@ -72,7 +73,7 @@
 // Controller is one node's state and its owner.
 type Controller struct {
 	Config
-	records store.Records
+	records records.Records
 	mailbox chan message
 	// ended is closed when Run has returned: nothing in the mailbox is applied any more.
 	ended        chan struct{}
@@ -117,7 +118,7 @@
 		cfg.UserStore = cfg.Store
 	}
 	return &Controller{
-		Config: cfg, records: store.NewRecords(cfg.UserStore, cfg.Settings.Site.State),
+		Config: cfg, records: records.NewRecords(cfg.UserStore, cfg.Settings.Site.State),
 		mailbox: make(chan message, 256), ended: make(chan struct{}), stepDowns: make(chan uint64, 4), resignations: make(chan election.Resignation, 4), final: final,
 		redirectedAt: map[string]time.Time{}, redirects: map[string]redirect{}, uplink: newRelayUp(cfg.Settings.Site.Limits),
 		reads: map[string]*readRound{}, cancellations: cancellation.NewLog(cfg.Settings.Site.Workers, cfg.Settings.Site.Limits, time.Now()), membership: newMembership(cfg.Settings.Peers, time.Now()),
@@ -264,7 +265,7 @@
 		return api.JobState{}, false, api.ErrUnavailable
 	}
 	reason := unschedulableReason(spec, c.Settings.Site.Teams, types)
-	if reason == "" && !store.Fits(spec, c.Settings.Site.State.ValueKB) {
+	if reason == "" && !records.Fits(spec, c.Settings.Site.State.ValueKB) {
 		// The state service would refuse it each time the user comes back.
 		reason = "more names than a record holds"
 	}
@@ -272,7 +273,7 @@
 		return api.JobState{}, false, &api.UnschedulableError{Reason: reason}
 	}
 	st, created, err := c.records.Accept(ctx, spec, time.Now())
-	var never *store.UnknownDependencyError
+	var never *records.UnknownDependencyError
 	if errors.As(err, &never) {
 		err = &api.UnschedulableError{Reason: never.Error()}
 	}
@@ -466,7 +467,7 @@
 func (c *Controller) storedTypes(ctx context.Context) {
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	e, err := c.Store.Get(cctx, store.MachineTypesKey)
+	e, err := c.Store.Get(cctx, records.MachineTypesKey)
 	if err != nil || e.ModRevision == 0 {
 		return
 	}
@@ -485,12 +486,12 @@
 	// told that they never run. So one that does not fit is not stored: a node
 	// that starts while the cloud is away then waits for it.
 	raw, err := json.Marshal(types)
-	if room := min(c.Settings.Site.State.ValueKB*1024, store.MaxTxnBytes*3/4); err != nil || float64(len(raw)) > room {
+	if room := min(c.Settings.Site.State.ValueKB*1024, kv.MaxTxnBytes*3/4); err != nil || float64(len(raw)) > room {
 		c.Log.Warn("machine types do not fit a record", "bytes", len(raw), "err", err)
 		return
 	}
-	txn := store.Txn{Ops: []store.Op{{Put: store.MachineTypesKey, Value: json.RawMessage(raw)}}}
-	if _, err := c.Store.Txn(cctx, txn); errors.Is(err, store.ErrInvalid) {
+	txn := kv.Txn{Ops: []kv.Op{{Put: records.MachineTypesKey, Value: json.RawMessage(raw)}}}
+	if _, err := c.Store.Txn(cctx, txn); errors.Is(err, kv.ErrInvalid) {
 		c.Log.Warn("machine types not stored", "err", err)
 	} else if err != nil && !errors.Is(err, context.Canceled) {
 		c.Log.Debug("machine types not stored", "err", err)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -18,10 +18,10 @@
 	"example.org/ivytrestle/internal/cloud"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/kv/kvtest"
 	"example.org/ivytrestle/internal/policy"
 	"example.org/ivytrestle/internal/standby"
-	"example.org/ivytrestle/internal/store"
-	"example.org/ivytrestle/internal/store/storetest"
 )
 
 // fakeCloud rents nothing by itself; tests script what it answers.
@@ -84,7 +84,7 @@
 // cluster is a simulated deployment of scripted peers on a fake clock.
 type cluster struct {
 	t     *testing.T
-	store *storetest.Fake
+	store *kvtest.Fake
 	cloud *fakeCloud
 	teams []config.Team
 	// director takes the orders sent straight to machines; nil: none are sent.
@@ -143,7 +143,7 @@
 // goroutine has returned, and whoever waits for time then is reported as a deadlock.
 func newCluster(t *testing.T) *cluster {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &cluster{t: t, ctx: ctx, store: storetest.New(),
+	w := &cluster{t: t, ctx: ctx, store: kvtest.New(),
 		cloud: &fakeCloud{types: []api.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.4,
 			BootS: 20, Zones: []string{"a", "b"}}}, made: map[string][]string{}},
 		teams: []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 16}, {Name: "blue", CPUs: 8, LimitCPUs: 8}}}
@@ -157,7 +157,7 @@
 
 // gate is one node's way to the store, which can refuse that node alone.
 type gate struct {
-	*storetest.Fake
+	*kvtest.Fake
 	mu     sync.Mutex
 	closed bool
 }
@@ -172,28 +172,28 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
-		return store.ErrNotApplied
+		return kv.ErrNotApplied
 	}
 	return nil
 }
 
-func (g *gate) Get(ctx context.Context, key string) (store.Entry, error) {
+func (g *gate) Get(ctx context.Context, key string) (kv.Entry, error) {
 	if err := g.err(); err != nil {
-		return store.Entry{}, err
+		return kv.Entry{}, err
 	}
 	return g.Fake.Get(ctx, key)
 }
 
-func (g *gate) Txn(ctx context.Context, txn store.Txn) (store.Result, error) {
+func (g *gate) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	if err := g.err(); err != nil {
-		return store.Result{}, err
+		return kv.Result{}, err
 	}
 	return g.Fake.Txn(ctx, txn)
 }
 
-func (g *gate) Range(ctx context.Context, prefix, from string, most int) (store.Page, error) {
+func (g *gate) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
 	if err := g.err(); err != nil {
-		return store.Page{}, err
+		return kv.Page{}, err
 	}
 	return g.Fake.Range(ctx, prefix, from, most)
 }
@@ -214,12 +214,12 @@
 
 // Watch hangs while the gate is closed, also one that was open before: what it
 // sees meanwhile is told when the gate is open again.
-func (g *gate) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (store.Changes, error) {
+func (g *gate) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
 	ch, err := g.Fake.Watch(ctx, prefix, from, block)
 	for g.err() != nil {
 		select {
 		case <-ctx.Done():
-			return store.Changes{}, store.ErrOutcomeUnknown
+			return kv.Changes{}, kv.ErrOutcomeUnknown
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
@@ -261,7 +261,7 @@
 	return w.startWith(name, w.store, nil)
 }
 
-func (w *cluster) startWith(name string, st store.Service, peers PeerClient) *node {
+func (w *cluster) startWith(name string, st kv.Service, peers PeerClient) *node {
 	w.t.Helper()
 	pol, err := policy.Parse("", "")
 	if err != nil {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -11,18 +11,18 @@
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/flight"
 	"example.org/ivytrestle/internal/queue"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // addJob takes in an active record: of a job that is new, or of one that was lent or taken
 // back.
 func (lt *leaderTerm) addJob(key string, value []byte, mark uint64) {
-	id := key[len(store.ActivePrefix):]
+	id := key[len(records.ActivePrefix):]
 	j := lt.jobs[id]
 	if _, ok := lt.c.final.Get(id); ok || j != nil && j.modRevision >= mark {
 		return
 	}
-	var rec store.ActiveRecord
+	var rec records.ActiveRecord
 	if err := json.Unmarshal(value, &rec); err != nil {
 		lt.c.Log.Error("job record", "key", key, "err", err)
 		return
@@ -35,7 +35,7 @@
 }
 
 // addRecord adds the job of an active record.
-func (lt *leaderTerm) addRecord(key string, rec store.ActiveRecord, mark uint64) {
+func (lt *leaderTerm) addRecord(key string, rec records.ActiveRecord, mark uint64) {
 	spec, since, team := rec.Spec, rec.Accepted, lt.teams[rec.Spec.Team]
 	switch {
 	case rec.Lent != nil:
@@ -127,7 +127,7 @@
 		lt.resolveOutcome(a)
 	}
 	for first := range j.completionChunks {
-		lt.recordWriter.deleteKey(store.CompletionKey(j.spec.ID, first))
+		lt.recordWriter.deleteKey(records.CompletionKey(j.spec.ID, first))
 	}
 	lt.dependencyLists.drop(j)
 }
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -9,8 +9,8 @@
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/peer"
+	"example.org/ivytrestle/internal/records"
 	"example.org/ivytrestle/internal/relay"
-	"example.org/ivytrestle/internal/store"
 )
 
 // largeFleet is how many machines a cell may have.
@@ -63,11 +63,11 @@
 	simulate(t, func(w *cluster) {
 		const perShard, jobs = 40, 900
 		for first := 0; first < largeFleet; first += perShard {
-			var rec store.RegistryShardRecord
+			var rec records.RegistryShardRecord
 			for i := first; i < first+perShard; i++ {
-				rec.Machines = append(rec.Machines, store.MachineRecord{Name: hostName(i), Addr: hostName(i), Type: "small", Zone: "a", CPUs: 4, MemoryGB: 16})
+				rec.Machines = append(rec.Machines, records.MachineRecord{Name: hostName(i), Addr: hostName(i), Type: "small", Zone: "a", CPUs: 4, MemoryGB: 16})
 			}
-			w.put(fmt.Sprintf("%s1-%d", store.MachinePrefix, first), rec)
+			w.put(fmt.Sprintf("%s1-%d", records.MachinePrefix, first), rec)
 		}
 		n := w.start("n0")
 		time.Sleep(time.Second)
@@ -81,11 +81,11 @@
 			lt := c.leaderTerm
 			w.same("heard", []int{lt.unfenced, len(lt.machines)}, []int{0, largeFleet})
 			for i := range jobs {
-				raw, err := json.Marshal(store.ActiveRecord{Spec: *spec(fmt.Sprintf("job-%06d", i), 1), Accepted: time.Now()})
+				raw, err := json.Marshal(records.ActiveRecord{Spec: *spec(fmt.Sprintf("job-%06d", i), 1), Accepted: time.Now()})
 				if err != nil {
 					t.Fatal(err)
 				}
-				lt.addJob(store.ActivePrefix+fmt.Sprintf("job-%06d", i), raw, uint64(1000+i))
+				lt.addJob(records.ActivePrefix+fmt.Sprintf("job-%06d", i), raw, uint64(1000+i))
 			}
 			lt.deferInfeasible(time.Now())
 			looked := 0
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -12,9 +12,10 @@
 
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/leasequorum"
 	"example.org/ivytrestle/internal/queue"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // leaderTerm is everything a node knows as leader of one term. It is dropped whole
@@ -158,8 +159,8 @@
 	return lt
 }
 
-func (lt *leaderTerm) termCompare() store.Compare {
-	return store.Compare{Key: election.TermKey, ModRevision: lt.term.ModRevision}
+func (lt *leaderTerm) termCompare() kv.Compare {
+	return kv.Compare{Key: election.TermKey, ModRevision: lt.term.ModRevision}
 }
 
 // sendToOwner sends a message unless the term has ended.
@@ -172,7 +173,7 @@
 
 // checkTermConflict ends the leadership if a failed transaction shows that another term
 // has begun.
-func (lt *leaderTerm) checkTermConflict(res store.Result) bool {
+func (lt *leaderTerm) checkTermConflict(res kv.Result) bool {
 	if !slices.Contains(res.FailedKeys, election.TermKey) {
 		return false
 	}
@@ -202,10 +203,10 @@
 func (lt *leaderTerm) watch(from uint64) {
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, watchTimeout)
-		ch, err := lt.c.Store.Watch(ctx, store.ActivePrefix, from, watchBlock)
+		ch, err := lt.c.Store.Watch(ctx, records.ActivePrefix, from, watchBlock)
 		cancel()
 		switch {
-		case errors.Is(err, store.ErrCompacted):
+		case errors.Is(err, kv.ErrCompacted):
 			// Too far behind: a new term reads everything again.
 			lt.sendToOwner(stepDownMsg{lt})
 			return
@@ -236,7 +237,7 @@
 // activeJobsChangedMsg brings what the watch saw.
 type activeJobsChangedMsg struct {
 	leaderTerm *leaderTerm
-	events     []store.Event
+	events     []kv.Event
 }
 
 func (m activeJobsChangedMsg) apply(c *Controller) {
@@ -246,7 +247,7 @@
 	}
 	for _, e := range m.events {
 		switch {
-		case e.Put == store.CancelKey:
+		case e.Put == records.CancelKey:
 			lt.cancelRevision = max(lt.cancelRevision, e.ModRevision)
 			var id string
 			if err := json.Unmarshal(e.Value, &id); err != nil {
@@ -260,7 +261,7 @@
 			// A record that went neither by a cancellation nor by this leader
 			// was ended by another leader, of which the election has not yet
 			// told: how it ended is not known here.
-			id := e.Delete[len(store.ActivePrefix):]
+			id := e.Delete[len(records.ActivePrefix):]
 			if j := lt.jobs[id]; j != nil && !j.finishing && !j.cancelPending && !j.handover && e.ModRevision > j.modRevision {
 				lt.stepDown()
 				return
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // A transaction of an earlier leader that is carried out late must fail, or it
@@ -14,7 +14,7 @@
 func TestLateTransactionOfAnEarlierLeaderFails(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		a := w.start("n0")
-		w.store.Hold(touches(store.MachinePrefix))
+		w.store.Hold(touches(records.MachinePrefix))
 		k := w.worker("i-1", "a", false)
 		w.submit(a, spec("job-1", 1))
 		k.serve(a, 2)
--- a/internal/controller/leaseextension.go
+++ b/internal/controller/leaseextension.go
@@ -12,7 +12,8 @@
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
 // leaseRenewer answers reports in the leader's stead while the leader cannot be
@@ -128,12 +129,12 @@
 	}
 	m.term, m.termRevision = tv.Number, term.ModRevision
 	for from := ""; ; {
-		p, err := c.Store.Range(ctx, store.ActivePrefix, from, 500)
+		p, err := c.Store.Range(ctx, records.ActivePrefix, from, 500)
 		if err != nil {
 			return m, err
 		}
 		for _, e := range p.Entries {
-			m.activeJobs[strings.TrimPrefix(e.Key, store.ActivePrefix)] = true
+			m.activeJobs[strings.TrimPrefix(e.Key, records.ActivePrefix)] = true
 			from = e.Key
 		}
 		if !p.More || len(p.Entries) == 0 {
@@ -157,7 +158,7 @@
 // with the others says nothing any more.
 func (c *Controller) publishRenewals(ctx context.Context, hosts []string, term, mark uint64) {
 	lim := c.Settings.Site.State
-	for room := min(int(lim.ValueKB*1024), store.MaxTxnBytes/2); room > 0; room /= 2 {
+	for room := min(int(lim.ValueKB*1024), kv.MaxTxnBytes/2); room > 0; room /= 2 {
 		recs := renewalRecords(hosts, term, room)
 		if most := max(1, maxRenewalRecords/(len(c.Settings.Peers)+1)); len(recs) > most {
 			// No leader would read the rest. Which are left out is left to
@@ -166,11 +167,11 @@
 			c.Log.Warn("extended leases left out", "machines", len(hosts), "records", len(recs), "most", most)
 			recs = recs[:most]
 		}
-		err := c.writeRenewals(ctx, recs, mark, max(1, min(lim.TxnOps, store.MaxTxnBytes*3/4/(room+200))))
+		err := c.writeRenewals(ctx, recs, mark, max(1, min(lim.TxnOps, kv.MaxTxnBytes*3/4/(room+200))))
 		if err == nil {
 			return
 		}
-		if !errors.Is(err, store.ErrInvalid) {
+		if !errors.Is(err, kv.ErrInvalid) {
 			c.Log.Debug("extended leases not published", "err", err)
 			return
 		}
@@ -179,14 +180,14 @@
 }
 
 // writeRenewals writes records of extended leases, so many in a transaction.
-func (c *Controller) writeRenewals(ctx context.Context, recs []store.LeaseRenewalRecord, mark uint64, ops int) error {
-	txn := store.Txn{Compares: []store.Compare{{Key: election.TermKey, ModRevision: mark}}}
+func (c *Controller) writeRenewals(ctx context.Context, recs []records.LeaseRenewalRecord, mark uint64, ops int) error {
+	txn := kv.Txn{Compares: []kv.Compare{{Key: election.TermKey, ModRevision: mark}}}
 	for i, rec := range recs {
-		key := store.LeaseRenewalPrefix + c.Settings.Node
+		key := records.LeaseRenewalPrefix + c.Settings.Node
 		if i > 0 {
 			key += "/" + strconv.Itoa(i+1)
 		}
-		txn.Ops = append(txn.Ops, store.Op{Put: key, Value: rec})
+		txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: rec})
 		if len(txn.Ops) < ops && i < len(recs)-1 {
 			continue
 		}
@@ -200,7 +201,7 @@
 }
 
 // renewalRecords spreads machines over records of at most so many bytes.
-func renewalRecords(hosts []string, term uint64, room int) (recs []store.LeaseRenewalRecord) {
+func renewalRecords(hosts []string, term uint64, room int) (recs []records.LeaseRenewalRecord) {
 	const frame = 48 // of a record, beside the names
 	size := 0
 	for _, name := range hosts {
@@ -209,7 +210,7 @@
 			continue // such a name is on no roster either
 		}
 		if len(recs) == 0 || size+len(raw)+1 > room {
-			recs, size = append(recs, store.LeaseRenewalRecord{Term: term}), frame
+			recs, size = append(recs, records.LeaseRenewalRecord{Term: term}), frame
 		}
 		last := &recs[len(recs)-1]
 		last.Hosts = append(last.Hosts, name)
@@ -282,7 +283,7 @@
 		defer cancel()
 		// An answer holds no more than the service allows, so there may be several.
 		for from, left := "", maxRenewalRecords; left > 0; {
-			p, err := lt.c.Store.Range(ctx, store.LeaseRenewalPrefix, from, left)
+			p, err := lt.c.Store.Range(ctx, records.LeaseRenewalPrefix, from, left)
 			if err != nil {
 				lt.c.Log.Debug("extended leases not read", "err", err)
 				return
@@ -298,7 +299,7 @@
 
 type renewalsReadMsg struct {
 	leaderTerm *leaderTerm
-	entries    []store.Entry
+	entries    []kv.Entry
 }
 
 func (m renewalsReadMsg) apply(c *Controller) {
@@ -312,7 +313,7 @@
 			continue // not renewed since it was last read
 		}
 		lt.renewalRevisions[e.Key] = e.ModRevision
-		var rec store.LeaseRenewalRecord
+		var rec records.LeaseRenewalRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil || rec.Term != lt.term.Number {
 			continue
 		}
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -8,7 +8,7 @@
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/loan"
 	"example.org/ivytrestle/internal/queue"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // scanHome looks once a second at what to lend and what to take back.
@@ -117,7 +117,7 @@
 		return false // what the watch has shown already is yet to be answered
 	case j.started() || j.lostTasks > 0 || j.done.Any() || len(j.completionChunks) > 0:
 		return false
-	case !store.FitsRecord(store.ActiveRecord{Lent: &loan.Lent{Host: n.cell, Spec: j.spec}}, lt.c.Settings.Site.State.ValueKB):
+	case !records.FitsRecord(records.ActiveRecord{Lent: &loan.Lent{Host: n.cell, Spec: j.spec}}, lt.c.Settings.Site.State.ValueKB):
 		return false
 	case j.loanCount >= policy.Lends || now.Sub(j.lastReclaimed[n.cell]) < policy.Cooldown:
 		return false
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -9,18 +9,19 @@
 	"testing"
 	"time"
 
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
 // oldShard is a shard as an earlier version writes it under larger limits.
 func (w *cluster) oldShard(key string, n int) {
 	w.t.Helper()
-	var rec store.RegistryShardRecord
+	var rec records.RegistryShardRecord
 	for i := range n {
 		name := fmt.Sprintf("i-%06d", i)
-		rec.Machines = append(rec.Machines, store.MachineRecord{Name: name, Addr: name, Type: "small", Zone: "a", CPUs: 4, MemoryGB: 16})
+		rec.Machines = append(rec.Machines, records.MachineRecord{Name: name, Addr: name, Type: "small", Zone: "a", CPUs: 4, MemoryGB: 16})
 	}
-	if _, err := w.store.Txn(context.Background(), store.Txn{Ops: []store.Op{{Put: key, Value: rec}}}); err != nil {
+	if _, err := w.store.Txn(context.Background(), kv.Txn{Ops: []kv.Op{{Put: key, Value: rec}}}); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -48,7 +49,7 @@
 		for _, trouble := range []string{"none", "answers lost", "late", "leader crashes"} {
 			t.Run(l.String()+" "+trouble, func(t *testing.T) {
 				simulate(t, func(w *cluster) {
-					w.oldShard(store.MachinePrefix+"0-1", 26)
+					w.oldShard(records.MachinePrefix+"0-1", 26)
 					w.state = l.settings()
 					w.enforce(l) // from now on
 					a := w.start("n0")
@@ -58,14 +59,14 @@
 					}
 					reportAll(ks, a, 3)
 					w.same("read", len(inUse(a)), 26)
-					w.same("not written without need", w.keysUnder(store.MachinePrefix), []string{store.MachinePrefix + "0-1"})
+					w.same("not written without need", w.keysUnder(records.MachinePrefix), []string{records.MachinePrefix + "0-1"})
 					w.dead.Store(ks[0].rep.Machine, true)
 					for i := range 100 {
 						switch {
 						case trouble == "answers lost" && i%3 == 0:
-							w.store.Lose(touches(store.MachinePrefix))
+							w.store.Lose(touches(records.MachinePrefix))
 						case trouble == "late" && i%4 == 0:
-							w.store.Hold(touches(store.MachinePrefix))
+							w.store.Hold(touches(records.MachinePrefix))
 						case trouble == "late" && i%4 == 3:
 							w.store.Release()
 						case trouble == "leader crashes" && i%25 == 22:
@@ -92,8 +93,8 @@
 					w.store.Release()
 					reportAll(ks[1:], a, 10)
 					w.same("in use", len(inUse(a)), 25)
-					if w.store.Has(store.MachinePrefix + "0-1") {
-						w.t.Errorf("the large shard is still there: %v", w.keysUnder(store.MachinePrefix))
+					if w.store.Has(records.MachinePrefix + "0-1") {
+						w.t.Errorf("the large shard is still there: %v", w.keysUnder(records.MachinePrefix))
 					}
 					a.crash()
 					b := w.start("n0")
@@ -110,13 +111,13 @@
 func (w *cluster) doneOnRecord(id string) map[int]bool {
 	w.t.Helper()
 	done := map[int]bool{}
-	p, err := w.store.Range(context.Background(), store.CompletionPrefix+id+"/", "", 1000)
+	p, err := w.store.Range(context.Background(), records.CompletionPrefix+id+"/", "", 1000)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	for _, e := range p.Entries {
-		_, first, ok := store.ParseCompletionKey(e.Key)
-		var rec store.CompletionRecord
+		_, first, ok := records.ParseCompletionKey(e.Key)
+		var rec records.CompletionRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil || !ok {
 			w.t.Fatal(e.Key, err)
 		}
@@ -148,9 +149,9 @@
 						was[i] = true
 					}
 				}
-				if _, err := w.store.Txn(context.Background(), store.Txn{Ops: []store.Op{
-					{Put: store.ActivePrefix + s.ID, Value: store.ActiveRecord{Spec: *s, Accepted: time.Now()}},
-					{Put: store.CompletionKey(s.ID, 0), Value: store.CompletionRecord{Done: bits}},
+				if _, err := w.store.Txn(context.Background(), kv.Txn{Ops: []kv.Op{
+					{Put: records.ActivePrefix + s.ID, Value: records.ActiveRecord{Spec: *s, Accepted: time.Now()}},
+					{Put: records.CompletionKey(s.ID, 0), Value: records.CompletionRecord{Done: bits}},
 				}}); err != nil {
 					w.t.Fatal(err)
 				}
@@ -163,7 +164,7 @@
 				for i := range 12 {
 					switch {
 					case trouble == "answers lost" && i%2 == 0:
-						w.store.Lose(touches(store.CompletionPrefix))
+						w.store.Lose(touches(records.CompletionPrefix))
 					case trouble == "leader crashes" && i%4 == 3:
 						a.crash()
 						a = w.start("n0")
@@ -189,7 +190,7 @@
 				if len(was) < before-before/7+1000 {
 					w.t.Errorf("%d tasks are on record", len(was))
 				}
-				if p, err := w.store.Get(context.Background(), store.CompletionKey(s.ID, 0)); err != nil || len(p.Value) > 1<<10 {
+				if p, err := w.store.Get(context.Background(), records.CompletionKey(s.ID, 0)); err != nil || len(p.Value) > 1<<10 {
 					w.t.Errorf("the long record was never written again: %d bytes, %v", len(p.Value), err)
 				}
 				w.neverTooLarge()
@@ -224,7 +225,7 @@
 					exitAll(ks)
 				}
 				reportAll(ks, a, 20)
-				w.same("still active", w.keysUnder(store.ActivePrefix), []string(nil))
+				w.same("still active", w.keysUnder(records.ActivePrefix), []string(nil))
 				if n := len(w.store.TooLarge()); n == 0 || n > 12 {
 					w.t.Errorf("refused for size %d times: %v", n, w.store.TooLarge())
 				}
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -10,7 +10,8 @@
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
 // extendedBy has a node publish machines, and tells which of them a leader takes to have
@@ -70,7 +71,7 @@
 	})
 	simulate(t, func(w *cluster) {
 		w.same("extended of a large fleet", extendedBy(w, limits{3, 1, 8}, names(5000)), 5000)
-		if n := len(w.keysUnder(store.LeaseRenewalPrefix)); 3*n > maxRenewalRecords || n < 5000/100 {
+		if n := len(w.keysUnder(records.LeaseRenewalPrefix)); 3*n > maxRenewalRecords || n < 5000/100 {
 			w.t.Errorf("%d records of one node of three", n)
 		}
 		w.neverTooLarge()
@@ -82,7 +83,7 @@
 		w.enforce(limits{12, 1, 25})
 		e, _ := w.store.Get(context.Background(), election.TermKey)
 		a.publishRenewals(context.Background(), names(200), 1, e.ModRevision)
-		w.same("records", len(w.keysUnder(store.LeaseRenewalPrefix)) > 2, true)
+		w.same("records", len(w.keysUnder(records.LeaseRenewalPrefix)) > 2, true)
 		if n := len(w.store.TooLarge()); n == 0 || n > 3 {
 			w.t.Errorf("refused %d times", n)
 		}
@@ -103,7 +104,7 @@
 				s.CPUs, s.MemoryGB = 0.02, 0.02
 				w.submit(a, s)
 				ran, began := 0, time.Now()
-				ch, err := w.store.Watch(context.Background(), store.RelayPrefix+"n1/up/", 0, time.Second)
+				ch, err := w.store.Watch(context.Background(), records.RelayPrefix+"n1/up/", 0, time.Second)
 				if err != nil {
 					w.t.Fatal(err)
 				}
@@ -123,8 +124,8 @@
 					far.report(b)
 					time.Sleep(time.Second)
 				}
-				ch, err = w.store.Watch(context.Background(), store.RelayPrefix+"n1/up/", 0, time.Second)
-				if rate := float64(len(ch.Events)-before) / time.Since(began).Seconds(); err != nil || rate > l.writes*store.RecordShare {
+				ch, err = w.store.Watch(context.Background(), records.RelayPrefix+"n1/up/", 0, time.Second)
+				if rate := float64(len(ch.Events)-before) / time.Since(began).Seconds(); err != nil || rate > l.writes*kv.RecordShare {
 					w.t.Errorf("%v changes a second for relayed reports, %v", rate, err)
 				}
 				w.same("phase", w.phase(a, "job-1"), "done")
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -11,7 +11,8 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
 // limits are those of the service that a test plays with.
@@ -112,7 +113,7 @@
 				w.dead.Store(ks[1].rep.Machine, true)
 				reportAll(ks[2:], b, 40)
 				w.same("on the roster at last", len(w.roster()), 22)
-				w.same("progress left", w.keysUnder(store.CompletionPrefix), []string(nil))
+				w.same("progress left", w.keysUnder(records.CompletionPrefix), []string(nil))
 				w.neverTooLarge()
 			})
 		})
@@ -142,7 +143,7 @@
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
 				w.state = to.settings() // the smaller of both
 				w.enforce(from)
-				w.oldShard(store.MachinePrefix+"0-1", 24)
+				w.oldShard(records.MachinePrefix+"0-1", 24)
 				a := w.start("n0")
 				var ks []*worker
 				for i := range 26 {
@@ -168,7 +169,7 @@
 				}
 				w.same("phase", w.phase(a, "job-1"), "done")
 				w.same("on the roster", len(w.roster()), 25)
-				if w.store.Has(store.MachinePrefix + "0-1") {
+				if w.store.Has(records.MachinePrefix + "0-1") {
 					w.t.Error("the large shard is still there")
 				}
 				w.neverTooLarge()
@@ -199,8 +200,8 @@
 				reportAll(ks, a, 10)
 				exitAll(ks)
 				reportAll(ks, a, 90)
-				w.same("still active", w.keysUnder(store.ActivePrefix), []string(nil))
-				w.same("ends", len(w.keysUnder(store.TerminalPrefix)), 60)
+				w.same("still active", w.keysUnder(records.ActivePrefix), []string(nil))
+				w.same("ends", len(w.keysUnder(records.TerminalPrefix)), 60)
 				w.neverTooLarge()
 			})
 		})
@@ -223,7 +224,7 @@
 			}
 			w.start("n0")
 			time.Sleep(time.Second)
-			w.same("stored", w.store.Has(store.MachineTypesKey), c.stored)
+			w.same("stored", w.store.Has(records.MachineTypesKey), c.stored)
 			w.neverTooLarge()
 		})
 	}
@@ -239,7 +240,7 @@
 		w.enforce(l)
 		a := w.start("n0")
 		time.Sleep(time.Second)
-		var txns []store.Txn
+		var txns []kv.Txn
 		a.look(func(c *Controller) {
 			lt := c.leaderTerm
 			rec := &lt.recordWriter
@@ -250,7 +251,7 @@
 			}
 			for i := range 8 {
 				s := spec(fmt.Sprintf("large-%d", i), api.MaxTasks)
-				lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s}, 1)
+				lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
 				for task := range api.MaxTasks - 1 {
 					lt.jobs[s.ID].done.Set(uint(task))
 				}
@@ -258,7 +259,7 @@
 			}
 			for i := range 500 {
 				s := spec(fmt.Sprintf("%s-%d", strings.Repeat("j", 150), i), 1)
-				lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s}, 1)
+				lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
 				rec.finishJob(lt.jobs[s.ID])
 			}
 			now := time.Now()
@@ -278,11 +279,11 @@
 			}
 			most = max(most, len(raw))
 		}
-		if most > store.MaxTxnBytes || most < store.MaxTxnBytes/4 {
+		if most > kv.MaxTxnBytes || most < kv.MaxTxnBytes/4 {
 			w.t.Errorf("transactions of up to %d bytes", most)
 		}
 	})
-	if room := maxRelayRecordBytes(limits{400, 128, 2000}.settings(), maxRelayParts); maxRelayParts*(room+200) > store.MaxTxnBytes {
+	if room := maxRelayRecordBytes(limits{400, 128, 2000}.settings(), maxRelayParts); maxRelayParts*(room+200) > kv.MaxTxnBytes {
 		t.Errorf("relayed records of %d bytes", room)
 	}
 }
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -8,7 +8,7 @@
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cells"
 	"example.org/ivytrestle/internal/loan"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // What a loan costs the two state services is bounded: at home one change more than a job
@@ -49,12 +49,12 @@
 	for i := range jobs {
 		s := spec(fmt.Sprint("job-9", i), 10)
 		s.Team = []string{"red", "blue"}[i%2]
-		lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s, Accepted: now}, uint64(10_000+i))
+		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: now}, uint64(10_000+i))
 	}
 	for i := range 100 {
 		s := spec(fmt.Sprint("job-8", i), 10)
 		s.Team = "guest"
-		lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Guest: &loan.Guest{Home: "cell-b", Epoch: 1, Spec: *s, Budget: loan.Budget{CPUs: 10}}, Accepted: now}, uint64(50_000+i))
+		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Guest: &loan.Guest{Home: "cell-b", Epoch: 1, Spec: *s, Budget: loan.Budget{CPUs: 10}}, Accepted: now}, uint64(50_000+i))
 	}
 	return lt
 }
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -11,9 +11,10 @@
 	"golang.org/x/time/rate"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
 	"example.org/ivytrestle/internal/queue"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // CellLink is the way to other cells.
@@ -123,7 +124,7 @@
 	home, job string
 	// build makes the transaction, when its turn has come, from what is known then; it
 	// returns false if the change has become needless.
-	build func() (store.Txn, bool)
+	build func() (kv.Txn, bool)
 	// done takes in that it was carried out, at a revision.
 	done func(ring uint64)
 }
@@ -167,7 +168,7 @@
 
 // write sends a transaction until its outcome is known. One that may yet be carried out
 // is never left alone: what is decided next would rest on its not being so.
-func (l *loans) write(c *loanChange, txn store.Txn) {
+func (l *loans) write(c *loanChange, txn kv.Txn) {
 	lt := l.leaderTerm
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, 2*time.Second)
@@ -178,8 +179,8 @@
 			return
 		}
 		lt.c.Log.Debug("loan not written", "job", c.job, "home", c.home, "err", err)
-		if errors.Is(err, store.ErrInvalid) {
-			lt.sendToOwner(loanWrittenMsg{lt, c, store.Result{}})
+		if errors.Is(err, kv.ErrInvalid) {
+			lt.sendToOwner(loanWrittenMsg{lt, c, kv.Result{}})
 			return
 		}
 		sleep(lt.ctx, loanRetry)
@@ -189,7 +190,7 @@
 type loanWrittenMsg struct {
 	leaderTerm *leaderTerm
 	change     *loanChange
-	res        store.Result
+	res        kv.Result
 }
 
 func (m loanWrittenMsg) apply(c *Controller) {
@@ -223,11 +224,11 @@
 // read reads all records that a change is about.
 func (l *loans) read(c *loanChange) {
 	lt := l.leaderTerm
-	keys := []string{store.ActivePrefix + c.job, loan.EndKey(c.home, c.job), loan.MinEpochKey(c.home)}
+	keys := []string{records.ActivePrefix + c.job, loan.EndKey(c.home, c.job), loan.MinEpochKey(c.home)}
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
 		entries, err := getAll(ctx, lt.c.Store, keys)
-		recordStore := store.Records{Store: lt.c.Store}
+		recordStore := records.Records{Store: lt.c.Store}
 		var final api.JobState
 		var isFinal bool
 		if err == nil {
@@ -242,7 +243,7 @@
 	}
 }
 
-func getAll(ctx context.Context, st store.Service, keys []string) (entries []store.Entry, err error) {
+func getAll(ctx context.Context, st kv.Service, keys []string) (entries []kv.Entry, err error) {
 	for _, key := range keys {
 		e, err := st.Get(ctx, key)
 		if err != nil {
@@ -257,7 +258,7 @@
 type loanReadMsg struct {
 	leaderTerm            *leaderTerm
 	change                *loanChange
-	active, end, minEpoch store.Entry
+	active, end, minEpoch kv.Entry
 	final                 api.JobState
 	isFinal               bool
 }
@@ -297,7 +298,7 @@
 }
 
 // addRecord takes in one of the cell's records about guests.
-func (l *loans) addRecord(e store.Entry) {
+func (l *loans) addRecord(e kv.Entry) {
 	if e.ModRevision == 0 {
 		return
 	}
@@ -320,7 +321,7 @@
 
 // applyLoan takes in what a job's record says of loans. It is called for each newer
 // version of the record, whoever wrote it.
-func (lt *leaderTerm) applyLoan(j *job, rec store.ActiveRecord, mark uint64) {
+func (lt *leaderTerm) applyLoan(j *job, rec records.ActiveRecord, mark uint64) {
 	if mark <= j.modRevision {
 		return
 	}
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -5,8 +5,9 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // neighbour is a cell that jobs may be lent to, as its last answer has it.
@@ -101,17 +102,17 @@
 	j.team.Remove(j)
 	l.reserve(j, grant)
 	lt.c.Log.Info("loan", "job", spec.ID, "class", spec.Class, "to", n.cell, "epoch", record.Epoch, "cpus", grant.CPUs)
-	active := store.ActiveRecord{Accepted: j.accepted, Lent: record, LoanCount: j.loanCount + 1}
+	active := records.ActiveRecord{Accepted: j.accepted, Lent: record, LoanCount: j.loanCount + 1}
 	l.changeActive(j, active)
 }
 
 // changeActive puts another record in the place of a job's active one.
-func (l *loans) changeActive(j *job, rec store.ActiveRecord) {
-	key := store.ActivePrefix + j.spec.ID
+func (l *loans) changeActive(j *job, rec records.ActiveRecord) {
+	key := records.ActivePrefix + j.spec.ID
 	j.handover = l.enqueueChange(&loanChange{home: l.leaderTerm.c.Cells.Cell, job: j.spec.ID,
-		build: func() (store.Txn, bool) {
-			return store.Txn{Compares: []store.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: j.modRevision}},
-				Ops: []store.Op{{Put: key, Value: rec}}}, !j.ended
+		build: func() (kv.Txn, bool) {
+			return kv.Txn{Compares: []kv.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: j.modRevision}},
+				Ops: []kv.Op{{Put: key, Value: rec}}}, !j.ended
 		},
 		done: func(ring uint64) {
 			j.handover = false
@@ -253,26 +254,26 @@
 	switch loan.HomeStep(j.lent, s) {
 	case loan.ActionReclaim:
 		j.remote.Reason = s.Reason
-		l.changeActive(j, store.ActiveRecord{Spec: j.lent.Spec, Accepted: j.accepted, LoanCount: j.loanCount})
+		l.changeActive(j, records.ActiveRecord{Spec: j.lent.Spec, Accepted: j.accepted, LoanCount: j.loanCount})
 	case loan.ActionDone:
-		l.recordLentEnd(j, store.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: time.Now().UTC()})
+		l.recordLentEnd(j, records.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: time.Now().UTC()})
 	case loan.ActionCancel:
-		l.recordLentEnd(j, store.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
+		l.recordLentEnd(j, records.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
 	}
 }
 
 // recordLentEnd records how a lent job ended.
-func (l *loans) recordLentEnd(j *job, final store.TerminalRecord) {
+func (l *loans) recordLentEnd(j *job, final records.TerminalRecord) {
 	lt, id := l.leaderTerm, j.spec.ID
-	active := store.ActivePrefix + id
+	active := records.ActivePrefix + id
 	j.handover = l.enqueueChange(&loanChange{home: lt.c.Cells.Cell, job: id,
-		build: func() (store.Txn, bool) {
-			txn := store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
+		build: func() (kv.Txn, bool) {
+			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
 			if final.Phase == api.JobCancelled {
 				// As with a user's own cancellation, a watch sees why the record goes.
-				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: id})
+				txn.Ops = append(txn.Ops, kv.Op{Put: records.CancelKey, Value: id})
 			}
-			txn.Ops = append(txn.Ops, store.Op{Put: store.TerminalPrefix + id, Value: final}, store.Op{Delete: active})
+			txn.Ops = append(txn.Ops, kv.Op{Put: records.TerminalPrefix + id, Value: final}, kv.Op{Delete: active})
 			// From now on others may read of its end before this node knows of it.
 			j.ending = true
 			return txn, !j.ended
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -9,8 +9,9 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // Loans takes in what the leader of another cell says of the jobs that it lends to this
@@ -139,7 +140,7 @@
 			guests++
 		}
 	}
-	rec := store.ActiveRecord{Guest: &loan.Guest{Home: home, Spec: *s}}
+	rec := records.ActiveRecord{Guest: &loan.Guest{Home: home, Spec: *s}}
 	switch {
 	case !l.enabled():
 		return "a controller here does not know of loans"
@@ -151,7 +152,7 @@
 		return "nothing to spare"
 	case o.Budget.CPUs < s.CPUs || o.Budget.GPUs < s.GPUs:
 		return "the grant holds no task"
-	case !store.FitsRecord(rec, lt.c.Settings.Site.State.ValueKB):
+	case !records.FitsRecord(rec, lt.c.Settings.Site.State.ValueKB):
 		return "larger than a record"
 	}
 	if !slices.ContainsFunc(advert.Types, func(t api.MachineType) bool { return taskFits(s, t) }) {
@@ -229,13 +230,13 @@
 // accept puts a guest's record, unless this cell knows the job or the floor has risen.
 func (l *loans) accept(home string, e loan.Entry) {
 	lt := l.leaderTerm
-	active := store.ActivePrefix + e.Job
-	rec := store.ActiveRecord{Accepted: time.Now().UTC(), Guest: &loan.Guest{Home: home, Epoch: e.Epoch, Spec: e.Offer.Spec, Budget: e.Offer.Budget, Since: e.Offer.Since}}
+	active := records.ActivePrefix + e.Job
+	rec := records.ActiveRecord{Accepted: time.Now().UTC(), Guest: &loan.Guest{Home: home, Epoch: e.Epoch, Spec: e.Offer.Spec, Budget: e.Offer.Budget, Since: e.Offer.Since}}
 	l.enqueueChange(&loanChange{home: home, job: e.Job,
-		build: func() (store.Txn, bool) {
-			return store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: loan.MinEpochKey(home), ModRevision: l.minEpochs[home].modRevision},
-				{Key: active}, {Key: store.TerminalPrefix + e.Job}, {Key: loan.EndKey(home, e.Job)}},
-				Ops: []store.Op{{Put: active, Value: rec}}}, e.Epoch > l.minEpochs[home].epoch && lt.jobs[e.Job] == nil
+		build: func() (kv.Txn, bool) {
+			return kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: loan.MinEpochKey(home), ModRevision: l.minEpochs[home].modRevision},
+				{Key: active}, {Key: records.TerminalPrefix + e.Job}, {Key: loan.EndKey(home, e.Job)}},
+				Ops: []kv.Op{{Put: active, Value: rec}}}, e.Epoch > l.minEpochs[home].epoch && lt.jobs[e.Job] == nil
 		},
 		done: func(ring uint64) {
 			l.counts.Accepted++
@@ -247,11 +248,11 @@
 }
 
 // minEpochOp raises a floor in a transaction, and guards on its present version.
-func (l *loans) minEpochOp(txn *store.Txn, home string, epoch loan.Epoch) {
+func (l *loans) minEpochOp(txn *kv.Txn, home string, epoch loan.Epoch) {
 	floor := l.minEpochs[home]
 	key := loan.MinEpochKey(home)
-	txn.Compares = append(txn.Compares, store.Compare{Key: key, ModRevision: floor.modRevision})
-	txn.Ops = append(txn.Ops, store.Op{Put: key, Value: loan.MinEpochRecord{Epoch: max(epoch, floor.epoch)}})
+	txn.Compares = append(txn.Compares, kv.Compare{Key: key, ModRevision: floor.modRevision})
+	txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: loan.MinEpochRecord{Epoch: max(epoch, floor.epoch)}})
 }
 
 func (l *loans) minEpochRaised(home string, epoch loan.Epoch, ring uint64) {
@@ -261,8 +262,8 @@
 // raiseMinEpoch closes all loans of a home cell up to an epoch that are not here.
 func (l *loans) raiseMinEpoch(home string, epoch loan.Epoch) {
 	l.enqueueChange(&loanChange{home: home, job: "floor",
-		build: func() (store.Txn, bool) {
-			txn := store.Txn{Compares: []store.Compare{l.leaderTerm.termCompare()}}
+		build: func() (kv.Txn, bool) {
+			txn := kv.Txn{Compares: []kv.Compare{l.leaderTerm.termCompare()}}
 			l.minEpochOp(&txn, home, epoch)
 			return txn, epoch > l.minEpochs[home].epoch
 		},
@@ -272,21 +273,21 @@
 // scaleIn removes a guest that has not begun.
 func (l *loans) returnGuest(j *job) {
 	lt, home, epoch := l.leaderTerm, j.guest.Home, j.guest.Epoch
-	active := store.ActivePrefix + j.spec.ID
+	active := records.ActivePrefix + j.spec.ID
 	l.enqueueChange(&loanChange{home: home, job: j.spec.ID,
-		build: func() (store.Txn, bool) {
+		build: func() (kv.Txn, bool) {
 			if j.ended || j.started() {
-				return store.Txn{}, false
+				return kv.Txn{}, false
 			}
 			j.handover = true
-			txn := store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}, Ops: []store.Op{{Delete: active}}}
+			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}, Ops: []kv.Op{{Delete: active}}}
 			l.minEpochOp(&txn, home, epoch)
 			return txn, true
 		},
 		done: func(ring uint64) {
 			l.minEpochRaised(home, epoch, ring)
 			l.counts.Returned++
-			l.guestOver(j, store.Entry{})
+			l.guestOver(j, kv.Entry{})
 		}})
 }
 
@@ -298,15 +299,15 @@
 // endGuest records how a guest ended, for its home cell.
 func (l *loans) endGuest(j *job, end loan.End) {
 	lt, home, id := l.leaderTerm, j.guest.Home, j.spec.ID
-	active, key := store.ActivePrefix+id, loan.EndKey(home, id)
+	active, key := records.ActivePrefix+id, loan.EndKey(home, id)
 	l.enqueueChange(&loanChange{home: home, job: id,
-		build: func() (store.Txn, bool) {
-			txn := store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
+		build: func() (kv.Txn, bool) {
+			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
 			if end.Phase == api.JobCancelled {
 				// All nodes of this cell must know before they renew leases.
-				txn.Ops = append(txn.Ops, store.Op{Put: store.CancelKey, Value: loan.GuestMarker + id})
+				txn.Ops = append(txn.Ops, kv.Op{Put: records.CancelKey, Value: loan.GuestMarker + id})
 			}
-			txn.Ops = append(txn.Ops, store.Op{Put: key, Value: end}, store.Op{Delete: active})
+			txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: end}, kv.Op{Delete: active})
 			j.handover = true
 			return txn, !j.ended
 		},
@@ -315,7 +316,7 @@
 			if err != nil {
 				panic(err) // it holds only plain values
 			}
-			e := store.Entry{Key: key, Value: raw, ModRevision: ring}
+			e := kv.Entry{Key: key, Value: raw, ModRevision: ring}
 			l.addRecord(e)
 			l.guestOver(j, e)
 		}})
@@ -323,7 +324,7 @@
 
 // guestOver drops a guest whose active record is gone. What of it is on machines is
 // stopped by the answers to their reports.
-func (l *loans) guestOver(j *job, end store.Entry) {
+func (l *loans) guestOver(j *job, end kv.Entry) {
 	if j.ended {
 		return
 	}
@@ -339,7 +340,7 @@
 		lt.resolveOutcome(a)
 	}
 	for first := range j.completionChunks {
-		lt.recordWriter.deleteKey(store.CompletionKey(j.spec.ID, first))
+		lt.recordWriter.deleteKey(records.CompletionKey(j.spec.ID, first))
 	}
 	lt.c.Log.Info("guest over", "job", j.spec.ID, "home", j.guest.Home, "done", j.doneCount, "tasks", j.spec.Tasks)
 }
@@ -349,9 +350,9 @@
 	name := []byte(loanName(home, e.Job))
 	key := loan.EndKey(home, e.Job)
 	l.enqueueChange(&loanChange{home: home, job: e.Job,
-		build: func() (store.Txn, bool) {
+		build: func() (kv.Txn, bool) {
 			end, ok := l.ends.Get(name)
-			txn := store.Txn{Compares: []store.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: end.modRevision}}, Ops: []store.Op{{Delete: key}}}
+			txn := kv.Txn{Compares: []kv.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: end.modRevision}}, Ops: []kv.Op{{Delete: key}}}
 			l.minEpochOp(&txn, home, e.Epoch)
 			return txn, ok
 		},
--- a/internal/controller/lostanswers_test.go
+++ b/internal/controller/lostanswers_test.go
@@ -6,27 +6,28 @@
 	"testing"
 	"time"
 
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
-func accepts(id string) func(store.Txn) bool {
-	return func(txn store.Txn) bool {
-		return slices.ContainsFunc(txn.Ops, func(op store.Op) bool { return op.Put == store.ActivePrefix+id })
+func accepts(id string) func(kv.Txn) bool {
+	return func(txn kv.Txn) bool {
+		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool { return op.Put == records.ActivePrefix+id })
 	}
 }
 
-func cancels(id string) func(store.Txn) bool {
-	return func(txn store.Txn) bool { return !txn.Records && touches(store.TerminalPrefix+id)(txn) }
+func cancels(id string) func(kv.Txn) bool {
+	return func(txn kv.Txn) bool { return !txn.Records && touches(records.TerminalPrefix+id)(txn) }
 }
 
-func ends(id string) func(store.Txn) bool {
-	return func(txn store.Txn) bool { return txn.Records && touches(store.TerminalPrefix+id)(txn) }
+func ends(id string) func(kv.Txn) bool {
+	return func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix+id)(txn) }
 }
 
 // once matches the first transaction only.
-func once(match func(store.Txn) bool) func(store.Txn) bool {
+func once(match func(kv.Txn) bool) func(kv.Txn) bool {
 	done := false
-	return func(txn store.Txn) bool {
+	return func(txn kv.Txn) bool {
 		if done {
 			return false
 		}
@@ -41,7 +42,7 @@
 func TestLostAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name, key string
-		lose      func(store.Txn) bool
+		lose      func(kv.Txn) bool
 		// by are the nodes that may write it; n0 leads.
 		by   []int
 		act  func(tn *userCluster, by int) error
@@ -50,15 +51,15 @@
 		starts int64
 		held   int
 	}{
-		{"acceptance", store.ActivePrefix + "job-1", accepts("job-1"), []int{0, 1}, func(tn *userCluster, by int) error {
+		{"acceptance", records.ActivePrefix + "job-1", accepts("job-1"), []int{0, 1}, func(tn *userCluster, by int) error {
 			_, err := tn.checker.submit(tn.at(by), spec("job-1", 2))
 			return err
 		}, "running", 2, 2},
-		{"cancellation", store.TerminalPrefix + "job-1", cancels("job-1"), []int{0, 2}, func(tn *userCluster, by int) error {
+		{"cancellation", records.TerminalPrefix + "job-1", cancels("job-1"), []int{0, 2}, func(tn *userCluster, by int) error {
 			_, err := tn.checker.cancel(tn.at(by), "job-1")
 			return err
 		}, "withdrawn", 2, 0},
-		{"end", store.TerminalPrefix + "job-1", ends("job-1"), []int{0}, func(tn *userCluster, _ int) error {
+		{"end", records.TerminalPrefix + "job-1", ends("job-1"), []int{0}, func(tn *userCluster, _ int) error {
 			tn.finish("job-1")
 			return nil
 		}, "done", 2, 0},
@@ -123,7 +124,7 @@
 	end := func(tn *userCluster) { tn.finish("job-1") }
 	for _, c := range []struct {
 		name    string
-		hold    func(store.Txn) bool
+		hold    func(kv.Txn) bool
 		every   bool // held back until the release, not only the first
 		running bool // to begin with
 		blind   bool // the watches show nothing meanwhile
@@ -166,7 +167,7 @@
 						}
 					})
 					time.Sleep(release)
-					final, before := store.TerminalPrefix+"job-1", uint64(0)
+					final, before := records.TerminalPrefix+"job-1", uint64(0)
 					if before = tn.written(final); before != 0 {
 						late++
 					}
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // job1 is a job of a team that may use all machines.
@@ -131,7 +131,7 @@
 				simulate(t, 2, func(s *checkedCluster) {
 					s.order(2*time.Minute, job1("job-1", "red", 14))
 					time.Sleep(3 * time.Second)
-					s.store.Hold(touches(store.MachinePrefix))
+					s.store.Hold(touches(records.MachinePrefix))
 					fresh := []*host{s.add("i-8", "a", false), s.add("i-9", "b", false)}
 					time.Sleep(off)
 					for _, k := range fresh {
@@ -254,7 +254,7 @@
 				}
 				if lag {
 					time.Sleep(2 * time.Second)
-					s.store.Hold(touches(store.CompletionPrefix))
+					s.store.Hold(touches(records.CompletionPrefix))
 				}
 				time.Sleep(off)
 				change(s)
@@ -525,7 +525,7 @@
 					case 10:
 						s.tasks.Go(func() { k.replay(k.sentSoFar()) })
 					case 11:
-						s.store.Hold(touches(store.MachinePrefix))
+						s.store.Hold(touches(records.MachinePrefix))
 						s.tasks.Go(func() {
 							idle(s.ctx, 5*time.Second)
 							s.store.Release()
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -7,7 +7,8 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
 // Small jobs come four a second for minutes, a quarter of them cancelled. What that
@@ -94,7 +95,7 @@
 				w.same("attempts left", len(m.attempts), 0)
 			}
 		})
-		for _, prefix := range []string{store.ActivePrefix + "job-", store.CompletionPrefix} {
+		for _, prefix := range []string{records.ActivePrefix + "job-", records.CompletionPrefix} {
 			p, err := w.store.Range(context.Background(), prefix, "", 10)
 			if err != nil || len(p.Entries) > 0 {
 				t.Errorf("records left under %s: %v, %v", prefix, p.Entries, err)
@@ -114,7 +115,7 @@
 				time.Sleep(10 * time.Second)
 				// Every fifth transaction's answer is lost.
 				writes, lost := 0, 0
-				w.store.Lose(func(txn store.Txn) bool {
+				w.store.Lose(func(txn kv.Txn) bool {
 					if len(txn.Ops) == 0 {
 						return false
 					}
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -12,7 +12,7 @@
 	"example.org/ivytrestle/internal/flight"
 	"example.org/ivytrestle/internal/loan"
 	"example.org/ivytrestle/internal/queue"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // job is an active job in the leader's memory.
@@ -29,7 +29,7 @@
 	cancelPending bool
 	// dependencyList tells which records list what it awaits, if its own does not;
 	// dependenciesRead is set once they are read.
-	dependencyList   *store.DependencyList
+	dependencyList   *records.DependencyList
 	dependenciesRead bool
 	// lastDependencyEnd is when the last of the awaited jobs that are done was done.
 	lastDependencyEnd time.Time
--- a/internal/controller/oldnode_test.go
+++ b/internal/controller/oldnode_test.go
@@ -14,9 +14,9 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cancellation"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/peer"
 	"example.org/ivytrestle/internal/relay"
-	"example.org/ivytrestle/internal/store"
 )
 
 // The records as the first version that others had to work beside knows them, as
@@ -216,7 +216,7 @@
 
 // watch is what has changed of the active jobs for the present leadership. The lock must
 // not be held while time passes: others would wait for it outside the fake clock.
-func (o *oldNode) watch(ctx context.Context) (*oldLeadership, store.Changes) {
+func (o *oldNode) watch(ctx context.Context) (*oldLeadership, kv.Changes) {
 	o.mu.Lock()
 	r, from := o.leadership, uint64(0)
 	if r != nil {
@@ -224,13 +224,13 @@
 	}
 	o.mu.Unlock()
 	if r == nil {
-		return nil, store.Changes{}
+		return nil, kv.Changes{}
 	}
 	wctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
 	ch, err := o.st.Watch(wctx, "a/", from, 50*time.Millisecond)
 	if err != nil {
-		return r, store.Changes{}
+		return r, kv.Changes{}
 	}
 	return r, ch
 }
@@ -276,7 +276,7 @@
 	}
 	if j := o.leadership.jobs[id]; j != nil {
 		for key := range j.progress {
-			o.leadership.drops = append(o.leadership.drops, store.Op{Delete: key})
+			o.leadership.drops = append(o.leadership.drops, kv.Op{Delete: key})
 		}
 		delete(o.leadership.jobs, id)
 	}
@@ -361,8 +361,8 @@
 	o.w.t.Helper()
 	rec := oldActive{oldSpec{ID: s.ID, Class: s.Class, Team: s.Team, Shape: s.Shape, Rank: s.Priority, Tasks: s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs,
 		Mem: s.MemoryGB, Image: s.Image, Pull: s.ImageGB, Spot: s.Spot, Takes: s.EstimateS}, time.Now().UTC()}
-	res, err := o.st.Txn(context.Background(), store.Txn{Compares: []store.Compare{{Key: "a/" + s.ID}, {Key: "f/" + s.ID}},
-		Ops: []store.Op{{Put: "a/" + s.ID, Value: rec}}})
+	res, err := o.st.Txn(context.Background(), kv.Txn{Compares: []kv.Compare{{Key: "a/" + s.ID}, {Key: "f/" + s.ID}},
+		Ops: []kv.Op{{Put: "a/" + s.ID, Value: rec}}})
 	if err != nil || !res.Succeeded {
 		o.w.t.Fatal("submit", s.ID, res, err)
 	}
@@ -385,8 +385,8 @@
 		if err := json.Unmarshal(e.Value, &rec); err != nil {
 			o.w.t.Fatal(err)
 		}
-		res, err := o.st.Txn(ctx, store.Txn{Compares: []store.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
-			Ops: []store.Op{{Put: "a/!cancel", Value: id}, {Put: "f/" + id, Value: oldFinal{"withdrawn", rec.Spec.Tasks}}, {Delete: e.Key}}})
+		res, err := o.st.Txn(ctx, kv.Txn{Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
+			Ops: []kv.Op{{Put: "a/!cancel", Value: id}, {Put: "f/" + id, Value: oldFinal{"withdrawn", rec.Spec.Tasks}}, {Delete: e.Key}}})
 		if err == nil && res.Succeeded {
 			o.mu.Lock()
 			o.cancelled(id)
@@ -409,7 +409,7 @@
 	attempts uint64
 	renewed  time.Time
 	// drops are progress records of jobs that are over.
-	drops []store.Op
+	drops []kv.Op
 }
 
 type oldJob struct {
@@ -441,8 +441,8 @@
 	if err != nil {
 		return
 	}
-	res, err := o.st.Txn(ctx, store.Txn{Compares: []store.Compare{{Key: "leader", ModRevision: leaderMark}, {Key: "term", ModRevision: e.ModRevision}},
-		Ops: []store.Op{{Put: "leader", Value: oldHolder{o.name, o.incarnation}, Lease: lease}, {Put: "term", Value: t}}})
+	res, err := o.st.Txn(ctx, kv.Txn{Compares: []kv.Compare{{Key: "leader", ModRevision: leaderMark}, {Key: "term", ModRevision: e.ModRevision}},
+		Ops: []kv.Op{{Put: "leader", Value: oldHolder{o.name, o.incarnation}, Lease: lease}, {Put: "term", Value: t}}})
 	if err != nil || !res.Succeeded {
 		return
 	}
@@ -499,7 +499,7 @@
 
 // addCompletion takes a progress record in, which may begin at any task and have any
 // length.
-func (r *oldLeadership) addProgress(e store.Entry) {
+func (r *oldLeadership) addProgress(e kv.Entry) {
 	id, first, _ := strings.Cut(strings.TrimPrefix(e.Key, "p/"), "/")
 	from, err := strconv.Atoi(first)
 	var p oldProgress
@@ -509,7 +509,7 @@
 	}
 	j := r.jobs[id]
 	if j == nil {
-		r.drops = append(r.drops, store.Op{Delete: e.Key})
+		r.drops = append(r.drops, kv.Op{Delete: e.Key})
 		return
 	}
 	j.progress[e.Key] = true
@@ -521,11 +521,11 @@
 }
 
 // tick renews the leadership and follows the active jobs.
-func (r *oldLeadership) tick(ctx context.Context, ch store.Changes) {
+func (r *oldLeadership) tick(ctx context.Context, ch kv.Changes) {
 	if time.Since(r.renewed) > 3*time.Second && r.o.st.RenewLease(ctx, r.lease) == nil {
 		r.renewed = time.Now()
 	}
-	if len(r.drops) > 0 && r.write(store.Txn{Ops: r.drops}) {
+	if len(r.drops) > 0 && r.write(kv.Txn{Ops: r.drops}) {
 		r.drops = nil
 	}
 	r.from = max(r.from, ch.Revision)
@@ -549,8 +549,8 @@
 }
 
 // write writes under its term, or ends its leadership.
-func (r *oldLeadership) write(txn store.Txn) bool {
-	txn.Compares = append(txn.Compares, store.Compare{Key: "term", ModRevision: r.mark})
+func (r *oldLeadership) write(txn kv.Txn) bool {
+	txn.Compares = append(txn.Compares, kv.Compare{Key: "term", ModRevision: r.mark})
 	res, err := r.o.st.Txn(context.Background(), txn)
 	if err == nil && slices.Contains(res.FailedKeys, "term") {
 		r.o.leadership = nil
@@ -591,7 +591,7 @@
 	}
 	if m == nil {
 		m = &oldMachine{rec: oldMachineRecord{rep.Machine, rep.Addr, rep.Type, rep.Zone, rep.Spot, 4, 0, 16}}
-		if !r.write(store.Txn{Ops: []store.Op{r.newShard([]oldMachineRecord{m.rec})}}) {
+		if !r.write(kv.Txn{Ops: []kv.Op{r.newShard([]oldMachineRecord{m.rec})}}) {
 			return ans, nil
 		}
 		r.machines[rep.Machine] = m
@@ -605,21 +605,21 @@
 }
 
 // newShard is a shard of the roster under a name of its own.
-func (r *oldLeadership) newShard(machines []oldMachineRecord) store.Op {
+func (r *oldLeadership) newShard(machines []oldMachineRecord) kv.Op {
 	r.written++
 	key := fmt.Sprintf("m/%d-%d", r.term, r.written)
 	for _, m := range machines {
 		r.shards[key] = append(r.shards[key], m.Name)
 	}
-	return store.Op{Put: key, Value: oldShard{machines}}
+	return kv.Op{Put: key, Value: oldShard{machines}}
 }
 
 // merge writes all machines on one shard that has room for them under its limits,
 // and drops the others.
 func (r *oldLeadership) merge() bool {
-	var txn store.Txn
+	var txn kv.Txn
 	for key := range r.shards {
-		txn.Ops = append(txn.Ops, store.Op{Delete: key})
+		txn.Ops = append(txn.Ops, kv.Op{Delete: key})
 	}
 	r.shards = map[string][]string{}
 	var all []oldMachineRecord
@@ -666,23 +666,23 @@
 		return true
 	}
 	j.done[task] = true
-	guard := []store.Compare{{Key: "a/" + j.spec.ID, ModRevision: j.mark}}
+	guard := []kv.Compare{{Key: "a/" + j.spec.ID, ModRevision: j.mark}}
 	if len(j.done) < j.spec.Tasks {
 		key := "p/" + j.spec.ID + "/0"
 		bits := make([]byte, (j.spec.Tasks+7)/8)
 		for i := range j.done {
 			bits[i/8] |= 1 << (i % 8)
 		}
-		if !r.write(store.Txn{Compares: guard, Ops: []store.Op{{Put: key, Value: oldProgress{bits}}}}) {
+		if !r.write(kv.Txn{Compares: guard, Ops: []kv.Op{{Put: key, Value: oldProgress{bits}}}}) {
 			delete(j.done, task)
 			return false
 		}
 		j.progress[key] = true
 		return true
 	}
-	txn := store.Txn{Compares: guard, Ops: []store.Op{{Put: "f/" + j.spec.ID, Value: oldFinal{"done", j.spec.Tasks}}, {Delete: "a/" + j.spec.ID}}}
+	txn := kv.Txn{Compares: guard, Ops: []kv.Op{{Put: "f/" + j.spec.ID, Value: oldFinal{"done", j.spec.Tasks}}, {Delete: "a/" + j.spec.ID}}}
 	for key := range j.progress {
-		txn.Ops = append(txn.Ops, store.Op{Delete: key})
+		txn.Ops = append(txn.Ops, kv.Op{Delete: key})
 	}
 	if !r.write(txn) {
 		delete(j.done, task)
@@ -751,7 +751,7 @@
 	for _, row := range page.Entries {
 		o.active[strings.TrimPrefix(row.Key, "a/")] = true
 	}
-	guard := []store.Compare{{Key: "term", ModRevision: o.mark}}
+	guard := []kv.Compare{{Key: "term", ModRevision: o.mark}}
 	k := oldLeaseExtension{Term: o.term}
 	for name, seen := range o.kept {
 		if now.Sub(seen) < 8*time.Second {
@@ -759,7 +759,7 @@
 		}
 	}
 	if len(k.Hosts) > 0 {
-		o.st.Txn(ctx, store.Txn{Compares: guard, Ops: []store.Op{{Put: "keep/" + o.name, Value: k}}})
+		o.st.Txn(ctx, kv.Txn{Compares: guard, Ops: []kv.Op{{Put: "keep/" + o.name, Value: k}}})
 	}
 	o.takeOrders(ctx)
 	if len(o.relayed)+len(o.outcomes) == 0 || o.parts == 0 {
@@ -775,10 +775,10 @@
 		o.w.t.Error(err)
 		return
 	}
-	data, txn := parts[0].Data, store.Txn{Compares: guard}
+	data, txn := parts[0].Data, kv.Txn{Compares: guard}
 	for i := range o.parts {
 		piece := data[len(data)*i/o.parts : len(data)*(i+1)/o.parts]
-		txn.Ops = append(txn.Ops, store.Op{Put: fmt.Sprint("relay/", o.name, "/up/", i), Value: oldPart{o.batch, i, o.parts, piece}})
+		txn.Ops = append(txn.Ops, kv.Op{Put: fmt.Sprint("relay/", o.name, "/up/", i), Value: oldPart{o.batch, i, o.parts, piece}})
 	}
 	if _, err := o.st.Txn(ctx, txn); err == nil {
 		clear(o.relayed)
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -10,7 +10,8 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
 // A job may await others: none of its tasks starts before they are done, on
@@ -49,7 +50,7 @@
 	j.dependsOn = map[string]bool{}
 	if j.dependencyList != nil && !j.dependenciesRead {
 		// Not all is known that it awaits, so nothing of it may start.
-		j.dependsOn[store.DependenciesElsewhere] = true
+		j.dependsOn[records.DependenciesElsewhere] = true
 		dg.leaderTerm.dependencyLists.read(j)
 		return
 	}
@@ -195,9 +196,9 @@
 	n := 0
 	for n < len(dg.pendingCancels) && len(b.txn.Ops)+cancelBatchOps <= allowed && b.bytes < rw.maxBytes {
 		j := dg.pendingCancels[n]
-		active := store.ActivePrefix + j.spec.ID
-		b.txn.Compares = append(b.txn.Compares, store.Compare{Key: active, ModRevision: j.modRevision})
-		b.put(store.TerminalPrefix+j.spec.ID, store.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
+		active := records.ActivePrefix + j.spec.ID
+		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: active, ModRevision: j.modRevision})
+		b.put(records.TerminalPrefix+j.spec.ID, records.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
 		b.delete(active)
 		j.ending = true
 		n++
@@ -288,8 +289,8 @@
 	lt, ids := dg.leaderTerm, dg.lookups
 	dg.lookups = nil
 	go func() {
-		recordStore := store.Records{Store: lt.c.Store}
-		ends := map[string]store.TerminalRecord{}
+		recordStore := records.Records{Store: lt.c.Store}
+		ends := map[string]records.TerminalRecord{}
 		for unread := ids; lt.ctx.Err() == nil; sleep(lt.ctx, 300*time.Millisecond) {
 			found, err := recordStore.TerminalRecords(lt.ctx, unread)
 			maps.Copy(ends, found)
@@ -307,7 +308,7 @@
 type endsLookedUpMsg struct {
 	leaderTerm *leaderTerm
 	ids        []string
-	ends       map[string]store.TerminalRecord
+	ends       map[string]records.TerminalRecord
 }
 
 func (m endsLookedUpMsg) apply(c *Controller) {
@@ -335,7 +336,7 @@
 }
 
 // dependencyEnded processes the final record of a job.
-func (dg *dependencyGraph) dependencyEnded(id string, end store.TerminalRecord) {
+func (dg *dependencyGraph) dependencyEnded(id string, end records.TerminalRecord) {
 	finalMsg{end.JobState(id)}.apply(dg.leaderTerm.c)
 	if end.Phase != api.JobDone {
 		return
@@ -378,7 +379,7 @@
 func (j *job) unfinishedDependencies() []string {
 	var ids []string
 	for _, id := range j.spec.DependsOn {
-		if j.dependsOn[id] && id != store.DependenciesElsewhere && len(ids) < maxDependenciesShown {
+		if j.dependsOn[id] && id != records.DependenciesElsewhere && len(ids) < maxDependenciesShown {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -11,7 +11,8 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
 // after is a job that awaits others.
@@ -58,8 +59,8 @@
 func TestPipelineRunsInOrder(t *testing.T) {
 	troubles := map[string]func(s *checkedCluster){
 		"none":         func(*checkedCluster) {},
-		"ends late":    func(s *checkedCluster) { s.store.Hold(touches(store.TerminalPrefix)) },
-		"answers lost": func(s *checkedCluster) { s.store.Lose(touches(store.TerminalPrefix)) },
+		"ends late":    func(s *checkedCluster) { s.store.Hold(touches(records.TerminalPrefix)) },
+		"answers lost": func(s *checkedCluster) { s.store.Lose(touches(records.TerminalPrefix)) },
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
@@ -160,7 +161,7 @@
 			return "201 " + st.Phase
 		}
 		w.same("never accepted", submit("job-10", "job-1", "job-99"), "422 awaits job-99, which was never accepted")
-		w.same("nothing stored", w.store.Has(store.ActivePrefix+"job-10"), false)
+		w.same("nothing stored", w.store.Has(records.ActivePrefix+"job-10"), false)
 		w.same("known, whatever it names", submit("job-3", "job-99"), "200 pending")
 		w.same("all done", submit("job-11", "job-1"), "201 pending")
 		w.same("in any state", submit("job-12", "job-1", "job-2", "job-3"), "201 pending")
@@ -329,7 +330,7 @@
 					t.Fatal(err)
 				}
 				time.Sleep(30 * time.Second)
-				p, err := w.store.Range(context.Background(), store.ActivePrefix+"job-", "", 500)
+				p, err := w.store.Range(context.Background(), records.ActivePrefix+"job-", "", 500)
 				if err != nil || len(p.Entries) > 0 {
 					t.Errorf("%d jobs left, %v", len(p.Entries), err)
 				}
@@ -393,8 +394,8 @@
 // What cancels the jobs that need a cancelled one is not written, or its answer is
 // lost, or it is carried out late: they are cancelled in time all the same.
 func TestCancellationsPassOnWhenRecordsFail(t *testing.T) {
-	derived := func(txn store.Txn) bool {
-		return touches(store.TerminalPrefix)(txn) && !touches(store.CancelKey)(txn)
+	derived := func(txn kv.Txn) bool {
+		return touches(records.TerminalPrefix)(txn) && !touches(records.CancelKey)(txn)
 	}
 	for name, trouble := range map[string]func(w *cluster){
 		"answers lost": func(w *cluster) { w.store.Lose(derived) },
@@ -419,7 +420,7 @@
 				time.Sleep(10 * time.Second)
 				for i := range 4 {
 					id := fmt.Sprint("job-", i+1)
-					w.same(id+" active", w.store.Has(store.ActivePrefix+id), false)
+					w.same(id+" active", w.store.Has(records.ActivePrefix+id), false)
 				}
 				for i := range 4 { // not before: who asks for them ends them, too
 					id := fmt.Sprint("job-", i+1)
@@ -518,7 +519,7 @@
 								s.DependsOn = need(awaits)
 							}
 							s.Class, s.DeadlineS, s.EstimateS = "stage", dueS, float64(10+20*(id%2))
-							lt.addRecord(store.ActivePrefix+s.ID, store.ActiveRecord{Spec: *s, Accepted: time.Now()}, uint64(1000+id))
+							lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: time.Now()}, uint64(1000+id))
 						}
 						for i := range jobs {
 							add(i, i, 0)
@@ -574,7 +575,7 @@
 					t.Fatal(err)
 				}
 				time.Sleep(cancelS * time.Second)
-				left := w.keysUnder(store.ActivePrefix + "job-")
+				left := w.keysUnder(records.ActivePrefix + "job-")
 				if len(left) > 0 {
 					t.Errorf("%d of %d jobs left", len(left), jobs)
 				}
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -6,7 +6,8 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
 const (
@@ -151,7 +152,7 @@
 	ri.busy = true
 	lt, batch, sent := ri.leaderTerm, ri.waiting, ri.lastStarted
 	ri.waiting = nil
-	txn := store.Txn{Compares: []store.Compare{lt.termCompare(), {Key: store.CancelKey, ModRevision: lt.cancelRevision}}}
+	txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: records.CancelKey, ModRevision: lt.cancelRevision}}}
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, 700*time.Millisecond)
 		defer cancel()
@@ -168,7 +169,7 @@
 	leaderTerm *leaderTerm
 	batch      []*pollMsg
 	sent       time.Time
-	res        store.Result
+	res        kv.Result
 	err        error
 }
 
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -3,7 +3,8 @@
 import (
 	"github.com/bits-and-blooms/bitset"
 
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
 // addCompletions adds the done tasks of changed jobs.
@@ -26,10 +27,10 @@
 			continue
 		}
 		words := j.completionBytes(first, rw.tasksPerChunk)
-		b.put(store.CompletionKey(j.spec.ID, first), store.CompletionRecord{Done: words})
+		b.put(records.CompletionKey(j.spec.ID, first), records.CompletionRecord{Done: words})
 		// The record must not outlive its job: once that is over, another
 		// node has dropped the key guarded on here.
-		b.txn.Compares = append(b.txn.Compares, store.Compare{Key: store.ActivePrefix + j.spec.ID, ModRevision: j.modRevision})
+		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: records.ActivePrefix + j.spec.ID, ModRevision: j.modRevision})
 		j.completionChunks[first] = true
 		j.holds(first, 8*len(words))
 		b.completions = append(b.completions, completionWrite{j, first, words})
--- a/internal/controller/reads_test.go
+++ b/internal/controller/reads_test.go
@@ -8,19 +8,20 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
-	"example.org/ivytrestle/internal/store/storetest"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/kv/kvtest"
+	"example.org/ivytrestle/internal/records"
 )
 
 // slowAnswers is a store whose answers take a while on their way back.
 type slowAnswers struct {
-	*storetest.Fake
+	*kvtest.Fake
 	gets atomic.Int32
 }
 
-func (s *slowAnswers) Get(ctx context.Context, key string) (store.Entry, error) {
+func (s *slowAnswers) Get(ctx context.Context, key string) (kv.Entry, error) {
 	e, err := s.Fake.Get(ctx, key)
-	if len(key) > 2 && (key[:2] == store.ActivePrefix || key[:2] == store.TerminalPrefix) {
+	if len(key) > 2 && (key[:2] == records.ActivePrefix || key[:2] == records.TerminalPrefix) {
 		s.gets.Add(1)
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/internal/controller/recorder.go
+++ b/internal/controller/recorder.go
@@ -11,7 +11,8 @@
 	"golang.org/x/time/rate"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
 )
 
 // recordWriter writes the leader's changes to the store: batched, one transaction
@@ -50,10 +51,10 @@
 	lim := lt.c.Settings.Site.State
 	rw.leaderTerm = lt
 	rw.maxOps = lim.TxnOps
-	recordStore := lim.WriteRPS * store.RecordShare
+	recordStore := lim.WriteRPS * kv.RecordShare
 	// A burst of records leaves room for submissions in the service's own.
 	rw.limiter = rate.NewLimiter(rate.Limit(recordStore), max(2, min(lim.TxnOps, int(recordStore))))
-	rw.maxBytes = store.MaxTxnBytes * 3 / 4
+	rw.maxBytes = kv.MaxTxnBytes * 3 / 4
 	rw.maxShardBytes = min(int(lim.ValueKB*1024), rw.maxBytes)
 	rw.machinesPerShard = max(1, rw.maxShardBytes/2/shardEntryBytes)
 	// The bit set is written as base64; half the value's size leaves room.
@@ -80,7 +81,7 @@
 
 // batch is one transaction with what it stands for.
 type batch struct {
-	txn      store.Txn
+	txn      kv.Txn
 	bytes    int
 	finished []*job
 	// derivedCancels are cancelled with a job that they need.
@@ -119,7 +120,7 @@
 }
 
 func (rw *recordWriter) newBatch() *batch {
-	return &batch{txn: store.Txn{Records: true, Compares: []store.Compare{rw.leaderTerm.termCompare()}}}
+	return &batch{txn: kv.Txn{Records: true, Compares: []kv.Compare{rw.leaderTerm.termCompare()}}}
 }
 
 // nextBatch builds the next batch, the most urgent changes first, within what the
@@ -154,9 +155,9 @@
 			return
 		}
 		rw.finishing = rw.finishing[1:]
-		active := store.ActivePrefix + j.spec.ID
-		b.txn.Compares = append(b.txn.Compares, store.Compare{Key: active, ModRevision: j.modRevision})
-		b.put(store.TerminalPrefix+j.spec.ID, store.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now.UTC()})
+		active := records.ActivePrefix + j.spec.ID
+		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: active, ModRevision: j.modRevision})
+		b.put(records.TerminalPrefix+j.spec.ID, records.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now.UTC()})
 		b.delete(active)
 		b.finished = append(b.finished, j)
 		// From now on others may read of its end before this node knows of it.
@@ -196,12 +197,12 @@
 	if err != nil {
 		panic(err) // records hold only plain values
 	}
-	b.txn.Ops = append(b.txn.Ops, store.Op{Put: key, Value: json.RawMessage(raw)})
+	b.txn.Ops = append(b.txn.Ops, kv.Op{Put: key, Value: json.RawMessage(raw)})
 	b.bytes += len(raw) + 2*len(key) + 100
 }
 
 func (b *batch) delete(key string) {
-	b.txn.Ops = append(b.txn.Ops, store.Op{Delete: key})
+	b.txn.Ops = append(b.txn.Ops, kv.Op{Delete: key})
 	b.bytes += 2*len(key) + 100
 }
 
@@ -209,7 +210,7 @@
 	leaderTerm *leaderTerm
 	batch      *batch
 	sent       time.Time
-	result     store.Result
+	result     kv.Result
 	err        error
 }
 
@@ -221,7 +222,7 @@
 	rw.busy = false
 	now := time.Now()
 	switch {
-	case errors.Is(m.err, store.ErrInvalid):
+	case errors.Is(m.err, kv.ErrInvalid):
 		rw.waitUntil = now.Add(250 * time.Millisecond)
 		rw.requeue(m.batch)
 		rw.shrinkLimits(m.batch, now)
@@ -239,18 +240,18 @@
 		rw.requeue(m.batch)
 		var changed []*job
 		for _, j := range m.batch.finished {
-			if slices.Contains(m.result.FailedKeys, store.ActivePrefix+j.spec.ID) {
+			if slices.Contains(m.result.FailedKeys, records.ActivePrefix+j.spec.ID) {
 				changed = append(changed, j)
 			}
 		}
 		for _, j := range m.batch.derivedCancels {
-			if slices.Contains(m.result.FailedKeys, store.ActivePrefix+j.spec.ID) {
+			if slices.Contains(m.result.FailedKeys, records.ActivePrefix+j.spec.ID) {
 				changed = append(changed, j)
 			}
 		}
 		rw.verify(changed)
 		for _, p := range m.batch.completions {
-			if !p.job.ended && slices.Contains(m.result.FailedKeys, store.ActivePrefix+p.job.spec.ID) {
+			if !p.job.ended && slices.Contains(m.result.FailedKeys, records.ActivePrefix+p.job.spec.ID) {
 				p.job.completionDirty = false // cancelled; the watch will say so
 				p.job.completionChunks[p.first] = false
 				rw.dirtyJobs = slices.DeleteFunc(rw.dirtyJobs, func(j *job) bool { return j == p.job })
@@ -338,11 +339,11 @@
 	}
 	lt.forget(j)
 	now := time.Now()
-	lt.c.final.Add(j.spec.ID, store.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}.JobState(j.spec.ID))
+	lt.c.final.Add(j.spec.ID, records.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}.JobState(j.spec.ID))
 	lt.dependencies.jobDone(j.spec.ID, now)
 	for first, written := range j.completionChunks {
 		if written {
-			lt.recordWriter.deleteKey(store.CompletionKey(j.spec.ID, first))
+			lt.recordWriter.deleteKey(records.CompletionKey(j.spec.ID, first))
 		}
 	}
 	lt.dependencyLists.drop(j)
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -14,9 +14,10 @@
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/peer"
+	"example.org/ivytrestle/internal/records"
 	"example.org/ivytrestle/internal/relay"
-	"example.org/ivytrestle/internal/store"
 )
 
 // While two zones cannot reach each other, both still reach the state service.
@@ -70,7 +71,7 @@
 
 // maxRelayRecordBytes is the size of a record, of so many in a transaction.
 func maxRelayRecordBytes(lim config.StateLimits, parts int) int {
-	return min(int(lim.ValueKB*1024), store.MaxTxnBytes*3/4/parts)
+	return min(int(lim.ValueKB*1024), kv.MaxTxnBytes*3/4/parts)
 }
 
 // relayedMachine is one machine whose reports are relayed.
@@ -144,7 +145,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 		defer cancel()
-		down, err := readDownlink(ctx, c.Store, store.RelayPrefix+c.Settings.Node)
+		down, err := readDownlink(ctx, c.Store, records.RelayPrefix+c.Settings.Node)
 		if err != nil {
 			c.Log.Debug("relayed orders not read", "err", err)
 		}
@@ -187,12 +188,12 @@
 		m := ul.machines[rep.Machine]
 		m.dirty, m.sentAt = false, now
 	}
-	txn := ul.transaction(store.RelayPrefix+c.Settings.Node, parts, most)
+	txn := ul.transaction(records.RelayPrefix+c.Settings.Node, parts, most)
 	if carrying {
-		txn.Compares = []store.Compare{{Key: election.TermKey, ModRevision: extender.termRevision}}
+		txn.Compares = []kv.Compare{{Key: election.TermKey, ModRevision: extender.termRevision}}
 	}
 	// Where few changes are allowed, relaying must leave room for submissions.
-	if next := now.Add(config.Duration(float64(len(txn.Ops)) / (lim.WriteRPS * store.RecordShare))); next.After(ul.next) {
+	if next := now.Add(config.Duration(float64(len(txn.Ops)) / (lim.WriteRPS * kv.RecordShare))); next.After(ul.next) {
 		ul.next = next
 	}
 	ul.send(c, txn)
@@ -242,23 +243,23 @@
 }
 
 // transaction puts the parts of a batch in place of the last one's.
-func (ul *relayUplink) transaction(prefix string, parts []relay.Part, most int) store.Txn {
-	txn := store.Txn{Records: true}
+func (ul *relayUplink) transaction(prefix string, parts []relay.Part, most int) kv.Txn {
+	txn := kv.Txn{Records: true}
 	for _, p := range parts {
-		txn.Ops = append(txn.Ops, store.Op{Put: prefix + "/up/" + strconv.Itoa(p.Index), Value: p})
+		txn.Ops = append(txn.Ops, kv.Op{Put: prefix + "/up/" + strconv.Itoa(p.Index), Value: p})
 	}
 	if !ul.cleared {
 		// A leader of an earlier version takes the highest number for the present
 		// batch. What an earlier process has left would hide this one's from it.
 		for i := len(parts); i < most; i++ {
-			txn.Ops = append(txn.Ops, store.Op{Delete: prefix + "/up/" + strconv.Itoa(i)})
+			txn.Ops = append(txn.Ops, kv.Op{Delete: prefix + "/up/" + strconv.Itoa(i)})
 		}
 	}
 	return txn
 }
 
 // send carries out a batch's transaction and posts its result.
-func (ul *relayUplink) send(c *Controller, txn store.Txn) {
+func (ul *relayUplink) send(c *Controller, txn kv.Txn) {
 	ul.busy = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
@@ -267,7 +268,7 @@
 		if err != nil {
 			c.Log.Debug("reports not relayed", "err", err)
 		}
-		c.send(context.Background(), uplinkWrittenMsg{tooLarge: errors.Is(err, store.ErrInvalid), written: err == nil && res.Succeeded})
+		c.send(context.Background(), uplinkWrittenMsg{tooLarge: errors.Is(err, kv.ErrInvalid), written: err == nil && res.Succeeded})
 	}()
 }
 
@@ -302,7 +303,7 @@
 	return ms
 }
 
-func readDownlink(ctx context.Context, st store.Service, prefix string) (*peer.RelayDown, error) {
+func readDownlink(ctx context.Context, st kv.Service, prefix string) (*peer.RelayDown, error) {
 	e, err := st.Get(ctx, prefix+"/down")
 	if err != nil || e.ModRevision == 0 {
 		return nil, err
--- a/internal/controller/relaydown.go
+++ b/internal/controller/relaydown.go
@@ -10,9 +10,10 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/peer"
+	"example.org/ivytrestle/internal/records"
 	"example.org/ivytrestle/internal/relay"
-	"example.org/ivytrestle/internal/store"
 )
 
 // relayDownlink is the leader's side.
@@ -65,7 +66,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(lt.ctx, relayTimeout)
 			defer cancel()
-			up, err := readUplink(ctx, lt.c.Store, store.RelayPrefix+name+"/up/")
+			up, err := readUplink(ctx, lt.c.Store, records.RelayPrefix+name+"/up/")
 			if err != nil {
 				lt.c.Log.Debug("relayed reports not read", "node", name, "err", err)
 			}
@@ -108,7 +109,7 @@
 	}
 }
 
-func readUplink(ctx context.Context, st store.Service, prefix string) (*peer.RelayUp, error) {
+func readUplink(ctx context.Context, st kv.Service, prefix string) (*peer.RelayUp, error) {
 	page, err := st.Range(ctx, prefix, "", 2*maxRelayParts)
 	if err != nil || len(page.Entries) == 0 {
 		return nil, err
@@ -258,8 +259,8 @@
 		return
 	}
 	// Until it is confirmed the same batch is written again.
-	txn := store.Txn{Records: true, Compares: []store.Compare{lt.termCompare()},
-		Ops: []store.Op{{Put: store.RelayPrefix + name + "/down", Value: node.last[0]}}}
+	txn := kv.Txn{Records: true, Compares: []kv.Compare{lt.termCompare()},
+		Ops: []kv.Op{{Put: records.RelayPrefix + name + "/down", Value: node.last[0]}}}
 	node.busy = true
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, relayTimeout)
@@ -284,7 +285,7 @@
 	}
 	node := m.leaderTerm.downlink.nodes[m.node]
 	node.busy = false
-	if !errors.Is(m.err, store.ErrInvalid) {
+	if !errors.Is(m.err, kv.ErrInvalid) {
 		node.outcomeUnknown = true
 		return
 	}
--- a/internal/controller/room_test.go
+++ b/internal/controller/room_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // What other members did is known without going through them: the sums must
@@ -162,7 +162,7 @@
 			if errors.As(err, &never) == c.fits {
 				t.Errorf("%d names: %v", c.names, err)
 			}
-			w.same("stored", w.store.Has(store.ActivePrefix+s.ID), c.fits)
+			w.same("stored", w.store.Has(records.ActivePrefix+s.ID), c.fits)
 		}
 	})
 }
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // shard is one record of the roster.
@@ -36,7 +36,7 @@
 
 func (rw *recordWriter) newShard(members []*machine) *shard {
 	rw.shardCount++
-	return &shard{key: fmt.Sprintf("%s%d-%d", store.MachinePrefix, rw.leaderTerm.term.Number, rw.shardCount), machines: slices.Clone(members)}
+	return &shard{key: fmt.Sprintf("%s%d-%d", records.MachinePrefix, rw.leaderTerm.term.Number, rw.shardCount), machines: slices.Clone(members)}
 }
 
 // shardPrefix is how many of the first machines a new shard holds, and its size.
@@ -57,14 +57,14 @@
 }
 
 // entry is a machine's entry on a shard.
-func (m *machine) entry() store.MachineRecord {
-	return store.MachineRecord{Name: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot,
+func (m *machine) entry() records.MachineRecord {
+	return records.MachineRecord{Name: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot,
 		CPUs: m.cpus, GPUs: m.gpus, MemoryGB: m.memory}
 }
 
 // shard adds a shard to a batch.
 func (b *batch) shard(s *shard) {
-	var rec store.RegistryShardRecord
+	var rec records.RegistryShardRecord
 	for _, m := range s.machines {
 		rec.Machines = append(rec.Machines, m.entry())
 	}
--- a/internal/controller/roster_test.go
+++ b/internal/controller/roster_test.go
@@ -9,18 +9,18 @@
 	"testing"
 	"time"
 
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // shardsOf reads the roster: the machines on each of its shards.
 func (w *cluster) shardsOf() (shards [][]string) {
 	w.t.Helper()
-	p, err := w.store.Range(context.Background(), store.MachinePrefix, "", 1000)
+	p, err := w.store.Range(context.Background(), records.MachinePrefix, "", 1000)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	for _, e := range p.Entries {
-		var rec store.RegistryShardRecord
+		var rec records.RegistryShardRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil {
 			w.t.Fatal(err)
 		}
@@ -85,7 +85,7 @@
 	simulate(t, func(w *cluster) {
 		rnd := rand.New(rand.NewPCG(1, 2))
 		a := w.start("n0")
-		shards := touches(store.MachinePrefix)
+		shards := touches(records.MachinePrefix)
 		var ks []*worker
 		for round := range 60 {
 			switch rnd.IntN(4) {
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -9,12 +9,13 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
-	"example.org/ivytrestle/internal/store/storetest"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/kv/kvtest"
+	"example.org/ivytrestle/internal/records"
 )
 
-func touches(prefix string) func(store.Txn) bool {
-	return func(txn store.Txn) bool {
+func touches(prefix string) func(kv.Txn) bool {
+	return func(txn kv.Txn) bool {
 		for _, op := range txn.Ops {
 			if strings.HasPrefix(op.Put, prefix) || strings.HasPrefix(op.Delete, prefix) {
 				return true
@@ -56,7 +57,7 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
 		k.serve(n, 3)
-		w.store.Hold(touches(store.TerminalPrefix))
+		w.store.Hold(touches(records.TerminalPrefix))
 		k.exit(api.CauseDone)
 		k.serve(n, 2)
 		if got := w.phase(n, "job-1"); got == api.JobDone {
@@ -204,7 +205,7 @@
 			t.Error("accepted during an outage")
 		}
 		w.store.SetDown(false)
-		w.store.Lose(touches(store.ActivePrefix))
+		w.store.Lose(touches(records.ActivePrefix))
 		st, _, err := n.Submit(context.Background(), spec("job-2", 1))
 		if err != nil || st.Phase != api.JobPending {
 			t.Errorf("lost answer: %v %v", st, err)
@@ -292,18 +293,18 @@
 // deaf is a store whose first watch of the jobs never answers, as over a
 // connection that died without a word.
 type deaf struct {
-	*storetest.Fake
+	*kvtest.Fake
 	once sync.Once
 }
 
-func (d *deaf) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (store.Changes, error) {
+func (d *deaf) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
 	hang := false
-	if prefix == store.ActivePrefix {
+	if prefix == records.ActivePrefix {
 		d.once.Do(func() { hang = true })
 	}
 	if hang {
 		<-ctx.Done()
-		return store.Changes{}, store.ErrOutcomeUnknown
+		return kv.Changes{}, kv.ErrOutcomeUnknown
 	}
 	return d.Fake.Watch(ctx, prefix, from, block)
 }
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // runChecker follows what the machines of a test really run, from outside. It fails
@@ -114,7 +114,7 @@
 		h.fail("%s starts on %s in zone %s (%d of the job there, %d elsewhere)", task, r.machine, k.rep.Zone, here, elsewhere)
 	}
 	for _, id := range s.DependsOn {
-		if a := h.jobs[id]; a == nil || len(a.done) < a.spec.Tasks || !h.w.store.Has(store.TerminalPrefix+id) {
+		if a := h.jobs[id]; a == nil || len(a.done) < a.spec.Tasks || !h.w.store.Has(records.TerminalPrefix+id) {
 			h.fail("%s starts on %s too early: %s is not done on record", task, r.machine, id)
 		}
 	}
@@ -202,7 +202,7 @@
 	}
 	for id, p := range h.jobs {
 		s := p.spec
-		early := slices.ContainsFunc(s.DependsOn, func(a string) bool { return !h.w.store.Has(store.TerminalPrefix + a) })
+		early := slices.ContainsFunc(s.DependsOn, func(a string) bool { return !h.w.store.Has(records.TerminalPrefix + a) })
 		if early || !p.asked.IsZero() || len(p.done)+taken[id] >= s.Tasks {
 			p.waits = 0
 			continue
--- a/internal/controller/settle.go
+++ b/internal/controller/settle.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // verify reads how jobs ended whose record had changed when their end was written:
@@ -34,7 +34,7 @@
 
 // resolveOutcomeOf reads how a job ended, within the leader's own request budget.
 func (lt *leaderTerm) resolveOutcomeOf(id string) {
-	recordStore := store.Records{Store: lt.c.Store}
+	recordStore := records.Records{Store: lt.c.Store}
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
 		st, found, err := recordStore.Lookup(ctx, id)
--- a/internal/controller/settle_test.go
+++ b/internal/controller/settle_test.go
@@ -11,25 +11,26 @@
 	"golang.org/x/time/rate"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
-	"example.org/ivytrestle/internal/store/storetest"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/kv/kvtest"
+	"example.org/ivytrestle/internal/records"
 )
 
 // thrifty reads within a rate, as the client does: a read that would have to wait
 // for its turn for longer than it has time is refused.
 type thrifty struct {
-	*storetest.Fake
+	*kvtest.Fake
 	reads *rate.Limiter
 	// closed is set while no reads are served.
 	closed atomic.Bool
 }
 
-func (s *thrifty) Get(ctx context.Context, key string) (store.Entry, error) {
-	if s.closed.Load() && strings.HasPrefix(key, store.ActivePrefix) {
-		return store.Entry{}, store.ErrNotApplied
+func (s *thrifty) Get(ctx context.Context, key string) (kv.Entry, error) {
+	if s.closed.Load() && strings.HasPrefix(key, records.ActivePrefix) {
+		return kv.Entry{}, kv.ErrNotApplied
 	}
 	if err := s.reads.Wait(ctx); err != nil {
-		return store.Entry{}, fmt.Errorf("%w: %w", store.ErrNotApplied, err)
+		return kv.Entry{}, fmt.Errorf("%w: %w", kv.ErrNotApplied, err)
 	}
 	return s.Fake.Get(ctx, key)
 }
@@ -60,7 +61,7 @@
 			w.submit(n, spec(fmt.Sprintf("job-%d", i), 1))
 		}
 		all(4)
-		w.store.Lose(func(txn store.Txn) bool { return txn.Records })
+		w.store.Lose(func(txn kv.Txn) bool { return txn.Records })
 		st.closed.Store(true)
 		for _, k := range ks {
 			k.exit(api.CauseDone)
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -10,19 +10,20 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cells"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // has tells whether a transaction puts a record under a prefix that holds some text.
-func has(prefix, text string) func(store.Txn) bool {
-	return func(txn store.Txn) bool {
+func has(prefix, text string) func(kv.Txn) bool {
+	return func(txn kv.Txn) bool {
 		for _, op := range txn.Ops {
 			if !strings.HasPrefix(op.Put, prefix) {
 				continue
 			}
 			switch rec := op.Value.(type) {
-			case store.ActiveRecord:
+			case records.ActiveRecord:
 				if text == "lent" && rec.Lent != nil || text == "guest" && rec.Guest != nil || text == "plain" && rec.Spec.ID != "" && rec.LoanCount > 0 {
 					return true
 				}
@@ -37,8 +38,8 @@
 }
 
 // drops tells whether a transaction removes a record under a prefix.
-func drops(prefix string) func(store.Txn) bool {
-	return func(txn store.Txn) bool {
+func drops(prefix string) func(kv.Txn) bool {
+	return func(txn kv.Txn) bool {
 		for _, op := range txn.Ops {
 			if strings.HasPrefix(op.Delete, prefix) {
 				return true
@@ -53,20 +54,20 @@
 func TestLoanStepsThatFail(t *testing.T) {
 	steps := map[string]struct {
 		cell  int
-		match func(store.Txn) bool
+		match func(kv.Txn) bool
 	}{
-		"lend":      {0, has(store.ActivePrefix, "lent")},
-		"accept":    {1, has(store.ActivePrefix, "guest")},
+		"lend":      {0, has(records.ActivePrefix, "lent")},
+		"accept":    {1, has(records.ActivePrefix, "guest")},
 		"close":     {1, has(loan.MinEpochKey(""), "")},
-		"take back": {0, has(store.ActivePrefix, "plain")},
+		"take back": {0, has(records.ActivePrefix, "plain")},
 		"end there": {1, has(loan.EndKey("", "")[:len("loan/end/")], "")},
-		"end here":  {0, has(store.TerminalPrefix, "")},
+		"end here":  {0, has(records.TerminalPrefix, "")},
 		"forget":    {1, drops("loan/end/")},
 	}
-	troubles := map[string]func(c *cell, match func(store.Txn) bool){
-		"lost": func(c *cell, match func(store.Txn) bool) { c.store.Lose(match) },
-		"late": func(c *cell, match func(store.Txn) bool) { c.store.Hold(match) },
-		"outage": func(c *cell, _ func(store.Txn) bool) {
+	troubles := map[string]func(c *cell, match func(kv.Txn) bool){
+		"lost": func(c *cell, match func(kv.Txn) bool) { c.store.Lose(match) },
+		"late": func(c *cell, match func(kv.Txn) bool) { c.store.Hold(match) },
+		"outage": func(c *cell, _ func(kv.Txn) bool) {
 			time.AfterFunc(2500*time.Millisecond, func() { c.store.SetDown(true) })
 		},
 	}
@@ -109,7 +110,7 @@
 func TestAcceptanceMinutesLate(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
-		host.store.Hold(has(store.ActivePrefix, "guest"))
+		host.store.Hold(has(records.ActivePrefix, "guest"))
 		g.burst(home, 100, 6, 8*time.Second)
 		time.Sleep(6 * time.Second)
 		// The next leader of the host refuses what it is offered.
@@ -137,8 +138,8 @@
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		held := false
-		host.store.Hold(func(txn store.Txn) bool {
-			hold := !held && has(store.ActivePrefix, "guest")(txn)
+		host.store.Hold(func(txn kv.Txn) bool {
+			hold := !held && has(records.ActivePrefix, "guest")(txn)
 			held = held || hold
 			return hold
 		})
@@ -265,10 +266,10 @@
 		c.crash(0, 100*time.Millisecond)
 		c.crash(1, 100*time.Millisecond)
 	case 5:
-		c.store.Lose(func(store.Txn) bool { return g.chance(4) })
+		c.store.Lose(func(kv.Txn) bool { return g.chance(4) })
 		time.AfterFunc(lasting, func() { c.store.Lose(nil) })
 	case 6:
-		c.store.Hold(func(txn store.Txn) bool { return txn.Records && g.chance(4) })
+		c.store.Hold(func(txn kv.Txn) bool { return txn.Records && g.chance(4) })
 		time.AfterFunc(lasting, func() { c.store.Hold(nil); c.store.Release() })
 	}
 }
@@ -321,7 +322,7 @@
 func TestCancellationOfALentJob(t *testing.T) {
 	for name, when := range map[string]func(g *cellGroup, ids []string) string{
 		"before acceptance": func(g *cellGroup, ids []string) string {
-			g.cells[1].store.Hold(has(store.ActivePrefix, "guest"))
+			g.cells[1].store.Hold(has(records.ActivePrefix, "guest"))
 			id := g.onRecord(ids)
 			time.AfterFunc(4*time.Second, func() { g.cells[1].store.Hold(nil); g.cells[1].store.Release() })
 			return id
@@ -364,7 +365,7 @@
 					if told != api.JobCancelled && !(told == api.JobDone && name == "as it ends") {
 						t.Errorf("told %s", told)
 					}
-					e, err := g.cells[1].store.Get(context.Background(), store.CancelKey)
+					e, err := g.cells[1].store.Get(context.Background(), records.CancelKey)
 					if marked := err == nil && strings.Contains(string(e.Value), loan.GuestMarker+id); strings.HasPrefix(name, "while") && !marked {
 						t.Errorf("the host's cancel key says %s", e.Value)
 					}
@@ -435,7 +436,7 @@
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		for i := range 6 { // over, and known, at the host
-			host.put(store.TerminalPrefix+fmt.Sprint("job-10", i), store.TerminalRecord{Phase: api.JobDone, Tasks: 1})
+			host.put(records.TerminalPrefix+fmt.Sprint("job-10", i), records.TerminalRecord{Phase: api.JobDone, Tasks: 1})
 		}
 		g.burst(home, 100, 6, 6*time.Second)
 		g.settle(4 * time.Minute)
@@ -491,7 +492,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		time.Sleep(returnGuestAfter + 5*time.Second)
-		host.same("still a guest", host.store.Has(store.ActivePrefix+held), false)
+		host.same("still a guest", host.store.Has(records.ActivePrefix+held), false)
 		host.same("was one", held != "", true)
 		g.settle(5 * time.Minute)
 	})
@@ -570,7 +571,7 @@
 			host.same(name, []string{answer.Refused, reason}, []string{c.refused, c.reason})
 		}
 		time.Sleep(2 * time.Second)
-		host.same("records", host.keysUnder(store.ActivePrefix+"job-"), []string(nil))
+		host.same("records", host.keysUnder(records.ActivePrefix+"job-"), []string(nil))
 	})
 }
 
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -6,8 +6,9 @@
 	"slices"
 	"time"
 
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // snapshot is what a new leader reads of the store.
@@ -15,10 +16,10 @@
 	readAt         time.Time
 	revision       uint64
 	cancelRevision uint64
-	active         []store.Entry
-	completions    []store.Entry
-	machines       []store.Entry
-	loans          []store.Entry
+	active         []kv.Entry
+	completions    []kv.Entry
+	machines       []kv.Entry
+	loans          []kv.Entry
 }
 
 // load reads the store until it succeeds.
@@ -39,13 +40,13 @@
 	s := snapshot{readAt: time.Now()}
 	var err error
 	// The active jobs come first: their revision is where the watch begins.
-	if s.active, s.revision, err = lt.readAll(store.ActivePrefix); err != nil {
+	if s.active, s.revision, err = lt.readAll(records.ActivePrefix); err != nil {
 		return nil, err
 	}
-	if s.completions, _, err = lt.readAll(store.CompletionPrefix); err != nil {
+	if s.completions, _, err = lt.readAll(records.CompletionPrefix); err != nil {
 		return nil, err
 	}
-	if s.machines, _, err = lt.readAll(store.MachinePrefix); err != nil {
+	if s.machines, _, err = lt.readAll(records.MachinePrefix); err != nil {
 		return nil, err
 	}
 	if lt.c.Cells != nil {
@@ -53,8 +54,8 @@
 			return nil, err
 		}
 	}
-	s.active = slices.DeleteFunc(s.active, func(e store.Entry) bool {
-		if e.Key == store.CancelKey {
+	s.active = slices.DeleteFunc(s.active, func(e kv.Entry) bool {
+		if e.Key == records.CancelKey {
 			s.cancelRevision = e.ModRevision
 			return true
 		}
@@ -63,7 +64,7 @@
 	return &s, nil
 }
 
-func (lt *leaderTerm) readAll(prefix string) (rows []store.Entry, ring uint64, err error) {
+func (lt *leaderTerm) readAll(prefix string) (rows []kv.Entry, ring uint64, err error) {
 	from := ""
 	for {
 		ctx, cancel := context.WithTimeout(lt.ctx, 3*time.Second)
@@ -124,8 +125,8 @@
 }
 
 // addShard adds the machines of a shard of the roster.
-func (lt *leaderTerm) addShard(e store.Entry, now time.Time) {
-	var rec store.RegistryShardRecord
+func (lt *leaderTerm) addShard(e kv.Entry, now time.Time) {
+	var rec records.RegistryShardRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
 		lt.c.Log.Error("roster record", "key", e.Key, "err", err)
 		return
@@ -151,8 +152,8 @@
 	}
 }
 
-func (lt *leaderTerm) addCompletion(e store.Entry, now time.Time) {
-	id, first, ok := store.ParseCompletionKey(e.Key)
+func (lt *leaderTerm) addCompletion(e kv.Entry, now time.Time) {
+	id, first, ok := records.ParseCompletionKey(e.Key)
 	if !ok {
 		return
 	}
@@ -161,7 +162,7 @@
 		lt.recordWriter.deleteKey(e.Key)
 		return
 	}
-	var rec store.CompletionRecord
+	var rec records.CompletionRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
 		lt.c.Log.Error("progress record", "key", e.Key, "err", err)
 		return
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // A machine that shows no order carried out in report after report gets no
@@ -314,7 +314,7 @@
 		k.serve(b, 8)
 		w.same("term", k.rep.Term, term)
 
-		w.store.Hold(touches(store.ActivePrefix))
+		w.store.Hold(touches(records.ActivePrefix))
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if _, _, err := b.Submit(ctx, spec("job-1", 1)); err == nil {
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -11,7 +11,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cancellation"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
 )
 
 // way is one node's way to the store. Requests take a while there and back, so
@@ -61,7 +61,7 @@
 	for _, leg := range []time.Duration{y.there, y.back} {
 		select {
 		case <-ctx.Done():
-			return none, store.ErrOutcomeUnknown
+			return none, kv.ErrOutcomeUnknown
 		case <-time.After(leg):
 		}
 		if leg == y.there && f != nil {
@@ -75,20 +75,20 @@
 	return none, nil
 }
 
-func (y *way) Get(ctx context.Context, key string) (store.Entry, error) {
-	return trip(ctx, y, func() (store.Entry, error) { return y.gate.Get(ctx, key) })
+func (y *way) Get(ctx context.Context, key string) (kv.Entry, error) {
+	return trip(ctx, y, func() (kv.Entry, error) { return y.gate.Get(ctx, key) })
 }
 
-func (y *way) Txn(ctx context.Context, txn store.Txn) (store.Result, error) {
+func (y *way) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	y.tally.add(y.tally.writes, len(txn.Ops))
-	return trip(ctx, y, func() (store.Result, error) { return y.gate.Txn(ctx, txn) })
+	return trip(ctx, y, func() (kv.Result, error) { return y.gate.Txn(ctx, txn) })
 }
 
-func (y *way) Range(ctx context.Context, prefix, from string, most int) (store.Page, error) {
-	return trip(ctx, y, func() (store.Page, error) { return y.gate.Range(ctx, prefix, from, most) })
+func (y *way) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
+	return trip(ctx, y, func() (kv.Page, error) { return y.gate.Range(ctx, prefix, from, most) })
 }
 
-func (y *way) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (store.Changes, error) {
+func (y *way) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
 	y.tally.add(y.tally.requests, 1)
 	y.tally.add(y.tally.watches, 1)
 	return y.gate.Watch(ctx, prefix, from, block)
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -11,8 +11,9 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cancellation"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/records"
 )
 
 // mixed is a deployment of two nodes, one of the version in production and one of
@@ -324,7 +325,7 @@
 						v.bothTell(fmt.Sprint("job-4", i), "withdrawn")
 					}
 					v.same("terms", v.term(), changes+1) // nobody had to begin anew
-					v.same("progress left", v.keysUnder(store.CompletionPrefix), []string(nil))
+					v.same("progress left", v.keysUnder(records.CompletionPrefix), []string(nil))
 				})
 			})
 		}
@@ -337,21 +338,21 @@
 func TestOldProcessReturns(t *testing.T) {
 	for _, late := range []struct {
 		name string
-		ops  func(v *mixed) []store.Op
+		ops  func(v *mixed) []kv.Op
 	}{
-		{"progress", func(*mixed) []store.Op { return []store.Op{{Put: "p/job-1/0", Value: oldProgress{[]byte{1}}}} }},
-		{"end", func(*mixed) []store.Op {
-			return []store.Op{{Put: "f/job-1", Value: oldFinal{"done", 30}}, {Delete: "a/job-1"}}
+		{"progress", func(*mixed) []kv.Op { return []kv.Op{{Put: "p/job-1/0", Value: oldProgress{[]byte{1}}}} }},
+		{"end", func(*mixed) []kv.Op {
+			return []kv.Op{{Put: "f/job-1", Value: oldFinal{"done", 30}}, {Delete: "a/job-1"}}
 		}},
-		{"shard", func(v *mixed) []store.Op {
-			var ops []store.Op
+		{"shard", func(v *mixed) []kv.Op {
+			var ops []kv.Op
 			for _, key := range v.keysUnder("m/") {
-				ops = append(ops, store.Op{Delete: key})
+				ops = append(ops, kv.Op{Delete: key})
 			}
-			return append(ops, store.Op{Put: "m/1-9", Value: oldShard{}})
+			return append(ops, kv.Op{Put: "m/1-9", Value: oldShard{}})
 		}},
-		{"leadership", func(v *mixed) []store.Op {
-			return []store.Op{{Put: "leader", Value: oldHolder{"n0", v.old.incarnation}}}
+		{"leadership", func(v *mixed) []kv.Op {
+			return []kv.Op{{Put: "leader", Value: oldHolder{"n0", v.old.incarnation}}}
 		}},
 	} {
 		t.Run(late.name, func(t *testing.T) {
@@ -368,7 +369,7 @@
 				v.seconds(8)
 				done := len(v.doneOnRecord("job-1"))
 				v.same("some are done", done > 0, true)
-				res, err := v.store.Txn(context.Background(), store.Txn{Compares: []store.Compare{{Key: "term", ModRevision: mark}}, Ops: late.ops(v)})
+				res, err := v.store.Txn(context.Background(), kv.Txn{Compares: []kv.Compare{{Key: "term", ModRevision: mark}}, Ops: late.ops(v)})
 				v.same("carried out late", []any{res.Succeeded, err}, []any{false, nil})
 				v.beginOld()
 				v.seconds(10)
@@ -384,13 +385,13 @@
 // What a leader of this version has written is carried out late, under an old leader
 // that has written since: none of it counts.
 func TestLateRecordsUnderAnOldLeader(t *testing.T) {
-	for _, prefix := range []string{store.CompletionPrefix, store.TerminalPrefix, store.MachinePrefix} {
+	for _, prefix := range []string{records.CompletionPrefix, records.TerminalPrefix, records.MachinePrefix} {
 		t.Run(prefix, func(t *testing.T) {
 			playMixed(t, 3, false, func(v *mixed) {
 				v.submit(v.new, spec("job-2", 2))
 				v.submit(v.new, spec("job-1", 20))
 				v.seconds(4)
-				v.store.Hold(func(txn store.Txn) bool { return txn.Records && touches(prefix)(txn) })
+				v.store.Hold(func(txn kv.Txn) bool { return txn.Records && touches(prefix)(txn) })
 				v.ks = append(v.ks, v.worker("i-9", "a", false)) // for the roster
 				v.seconds(8)
 				v.handOver()
@@ -484,7 +485,7 @@
 					v.pipeline()
 					v.seconds(4)
 					if late {
-						v.store.Hold(func(txn store.Txn) bool { return txn.Records && touches(store.TerminalPrefix)(txn) })
+						v.store.Hold(func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix)(txn) })
 					}
 					if atOld {
 						v.same("cancelled", v.old.cancel("job-1"), "withdrawn")
@@ -778,7 +779,7 @@
 							v.same("knows all that is done", len(o.leadership.jobs["job-1"].done) >= done, true)
 						})
 						more(4)
-						v.same("too large to come", v.largest(store.MachinePrefix) > 1024 && v.largest(store.CompletionPrefix) > 1024, true)
+						v.same("too large to come", v.largest(records.MachinePrefix) > 1024 && v.largest(records.CompletionPrefix) > 1024, true)
 					}
 					v.same("on the roster", len(v.roster()), machines)
 					v.handOver()
@@ -794,7 +795,7 @@
 				v.bothTell("job-1", "done")
 				v.seconds(20)
 				v.same("on the roster at last", len(v.roster()), machines-1)
-				v.same("still too large", v.largest(store.MachinePrefix) > 1024, false)
+				v.same("still too large", v.largest(records.MachinePrefix) > 1024, false)
 				v.neverTooLarge()
 			})
 		})
@@ -848,11 +849,11 @@
 // version finds the loan as it was.
 func TestLoansUnderAnOldLeader(t *testing.T) {
 	playMixed(t, 2, true, func(v *mixed) {
-		v.old.passesOver = []string{store.ActivePrefix + "job-1", store.ActivePrefix + "job-2"}
+		v.old.passesOver = []string{records.ActivePrefix + "job-1", records.ActivePrefix + "job-2"}
 		lent, guest := spec("job-1", 2), spec("job-2", 2)
-		v.put(store.ActivePrefix+"job-1", store.ActiveRecord{Accepted: time.Now(), LoanCount: 1,
+		v.put(records.ActivePrefix+"job-1", records.ActiveRecord{Accepted: time.Now(), LoanCount: 1,
 			Lent: &loan.Lent{Host: "cell-b", Epoch: 5, Spec: *lent, Budget: loan.Budget{CPUs: 2}, Since: time.Now()}})
-		v.put(store.ActivePrefix+"job-2", store.ActiveRecord{Accepted: time.Now(),
+		v.put(records.ActivePrefix+"job-2", records.ActiveRecord{Accepted: time.Now(),
 			Guest: &loan.Guest{Home: "cell-b", Epoch: 6, Spec: *guest, Budget: loan.Budget{CPUs: 2}, Since: time.Now()}})
 		v.seconds(8)
 		v.same("begun under the old leader", len(v.running("job-1"))+len(v.running("job-2")), 0)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,11 +21,11 @@
 	"example.org/ivytrestle/internal/controller"
 	"example.org/ivytrestle/internal/election"
 	"example.org/ivytrestle/internal/httpd"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/netio"
 	"example.org/ivytrestle/internal/peer"
 	"example.org/ivytrestle/internal/policy"
 	"example.org/ivytrestle/internal/standby"
-	"example.org/ivytrestle/internal/store"
 	"example.org/ivytrestle/internal/worker"
 )
 
@@ -105,7 +105,7 @@
 			return fmt.Errorf("cells: %w", err)
 		}
 	}
-	st := store.NewClient(s.Outside.State, s.Site.State)
+	st := kv.NewClient(s.Outside.State, s.Site.State)
 	peers := newPeers(s.Peers)
 	machines := worker.NewClient()
 	cfg := controller.Config{
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -13,7 +13,7 @@
 	"math/rand/v2"
 	"time"
 
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
 )
 
 // Keys of the election.
@@ -57,7 +57,7 @@
 type Elector struct {
 	Node        string
 	Incarnation string
-	Store       store.Service
+	Store       kv.Service
 	Lease       time.Duration
 	Renew       time.Duration
 	Observer    Observer
@@ -135,7 +135,7 @@
 func (e *Elector) follow(ctx context.Context, holder string, from uint64) (resigned uint64, err error) {
 	const block = 20 * time.Second
 	type seen struct {
-		ch  store.Changes
+		ch  kv.Changes
 		err error
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -192,9 +192,9 @@
 		return err
 	}
 	cctx, cancel = context.WithTimeout(ctx, callTimeout)
-	res, err := e.Store.Txn(cctx, store.Txn{
-		Compares: []store.Compare{{Key: LeaderKey, ModRevision: leaderMark}, {Key: TermKey, ModRevision: old.ModRevision}},
-		Ops: []store.Op{
+	res, err := e.Store.Txn(cctx, kv.Txn{
+		Compares: []kv.Compare{{Key: LeaderKey, ModRevision: leaderMark}, {Key: TermKey, ModRevision: old.ModRevision}},
+		Ops: []kv.Op{
 			{Put: LeaderKey, Value: LeaderRecord{Node: e.Node, Incarnation: e.Incarnation}, Lease: lease},
 			{Put: TermKey, Value: tv},
 		},
@@ -235,7 +235,7 @@
 		switch {
 		case err == nil:
 			e.Observer.LeaseRenewed(term, sent.Add(leaseValidity(e.Lease)))
-		case errors.Is(err, store.ErrNoLease):
+		case errors.Is(err, kv.ErrNoLease):
 			e.Log.Info("leadership lost", "term", term.Number, "why", "lease ended")
 			return
 		default:
@@ -244,7 +244,7 @@
 	}
 }
 
-func (e *Elector) get(ctx context.Context, key string) (store.Entry, error) {
+func (e *Elector) get(ctx context.Context, key string) (kv.Entry, error) {
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return e.Store.Get(cctx, key)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"example.org/ivytrestle/internal/store/storetest"
+	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
 // observer notes the terms that a candidate has won.
@@ -23,7 +23,7 @@
 // when the same node leads in a later term changes nothing.
 func TestResignationOfAnEarlierTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := storetest.New()
+		st := kvtest.New()
 		var a, b observer
 		begin := func(node string, o *observer) (chan<- Resignation, context.CancelFunc) {
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/store/store.go
+++ b/internal/kv/kv.go
@@ -1,6 +1,6 @@
-// Package store is the client of the state service. One client owns the
+// Package kv is the client of the consensus-backed key-value store. One client owns the
 // process's share of the service's request and write budgets.
-package store
+package kv
 
 import (
 	"bytes"
--- a/internal/store/storetest/storetest.go
+++ b/internal/kv/kvtest/kvtest.go
@@ -1,6 +1,6 @@
-// Package storetest is a stand-in for the state service that tests script:
+// Package kvtest is a stand-in for the state service that tests script:
 // it can refuse, lose answers, and carry transactions out late.
-package storetest
+package kvtest
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"example.org/ivytrestle/internal/store"
+	"example.org/ivytrestle/internal/kv"
 )
 
 type value struct {
@@ -21,7 +21,7 @@
 }
 
 type change struct {
-	store.Event
+	kv.Event
 	key string
 }
 
@@ -36,11 +36,11 @@
 	leaseLifetimes map[uint64]time.Duration
 	lastLease      uint64
 	down           bool
-	held           []store.Txn
+	held           []kv.Txn
 	// hold decides which transactions are kept back.
-	hold func(store.Txn) bool
+	hold func(kv.Txn) bool
 	// lose decides whose answers are lost after they are carried out.
-	lose func(store.Txn) bool
+	lose func(kv.Txn) bool
 	// blind keeps watches from seeing anything.
 	blind bool
 	// valueBytes and ops are the service's limits; 0: none. tooLarge tells what
@@ -77,24 +77,24 @@
 }
 
 // Hold keeps back the transactions that match; their callers get no answer.
-func (f *Fake) Hold(match func(store.Txn) bool) {
+func (f *Fake) Hold(match func(kv.Txn) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hold = match
 }
 
 // Lose carries matching transactions out but loses their answers.
-func (f *Fake) Lose(match func(store.Txn) bool) {
+func (f *Fake) Lose(match func(kv.Txn) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lose = match
 }
 
 // Release carries out what was held back, late, and tells the results.
-func (f *Fake) Release() []store.Result {
+func (f *Fake) Release() []kv.Result {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []store.Result
+	var out []kv.Result
 	for _, txn := range f.held {
 		res, _ := f.apply(txn)
 		out = append(out, res)
@@ -127,7 +127,7 @@
 }
 
 // check refuses what is beyond the limits, whatever its conditions.
-func (f *Fake) check(txn store.Txn) error {
+func (f *Fake) check(txn kv.Txn) error {
 	if f.ops == 0 {
 		return nil
 	}
@@ -151,14 +151,14 @@
 	if err != nil {
 		return err
 	}
-	if len(all) > store.MaxTxnBytes {
+	if len(all) > kv.MaxTxnBytes {
 		why = fmt.Sprintf("%d bytes in all", len(all))
 	}
 	if why == "" {
 		return nil
 	}
 	f.tooLarge = append(f.tooLarge, why)
-	return fmt.Errorf("%w: %s", store.ErrInvalid, why)
+	return fmt.Errorf("%w: %s", kv.ErrInvalid, why)
 }
 
 // Has tells whether a key exists.
@@ -176,30 +176,30 @@
 
 func (f *Fake) refused() error {
 	if f.down {
-		return store.ErrNotApplied
+		return kv.ErrNotApplied
 	}
 	return nil
 }
 
 // Get implements store.Service.
-func (f *Fake) Get(_ context.Context, key string) (store.Entry, error) {
+func (f *Fake) Get(_ context.Context, key string) (kv.Entry, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := f.keys[key]
-	return store.Entry{Key: key, Value: v.raw, ModRevision: v.modRevision, Lease: v.lease}, f.refused()
+	return kv.Entry{Key: key, Value: v.raw, ModRevision: v.modRevision, Lease: v.lease}, f.refused()
 }
 
 // Range implements store.Service.
-func (f *Fake) Range(_ context.Context, prefix, from string, most int) (store.Page, error) {
+func (f *Fake) Range(_ context.Context, prefix, from string, most int) (kv.Page, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := store.Page{Revision: f.revision}
+	p := kv.Page{Revision: f.revision}
 	for k, v := range f.keys {
 		if strings.HasPrefix(k, prefix) && k > from {
-			p.Entries = append(p.Entries, store.Entry{Key: k, Value: v.raw, ModRevision: v.modRevision})
+			p.Entries = append(p.Entries, kv.Entry{Key: k, Value: v.raw, ModRevision: v.modRevision})
 		}
 	}
-	slices.SortFunc(p.Entries, func(a, b store.Entry) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(p.Entries, func(a, b kv.Entry) int { return strings.Compare(a.Key, b.Key) })
 	if len(p.Entries) > most {
 		p.Entries, p.More = p.Entries[:most], true
 	}
@@ -207,33 +207,33 @@
 }
 
 // Txn implements store.Service.
-func (f *Fake) Txn(ctx context.Context, txn store.Txn) (store.Result, error) {
+func (f *Fake) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	f.mu.Lock()
 	if err := f.refused(); err != nil {
 		f.mu.Unlock()
-		return store.Result{}, err
+		return kv.Result{}, err
 	}
 	if f.hold != nil && f.hold(txn) {
 		f.held = append(f.held, txn)
 		f.mu.Unlock()
 		<-ctx.Done()
-		return store.Result{}, store.ErrOutcomeUnknown
+		return kv.Result{}, kv.ErrOutcomeUnknown
 	}
 	res, err := f.apply(txn)
 	lost := res.Succeeded && f.lose != nil && f.lose(txn)
 	f.mu.Unlock()
 	if lost {
 		<-ctx.Done()
-		return store.Result{}, store.ErrOutcomeUnknown
+		return kv.Result{}, kv.ErrOutcomeUnknown
 	}
 	return res, err
 }
 
-func (f *Fake) apply(txn store.Txn) (store.Result, error) {
+func (f *Fake) apply(txn kv.Txn) (kv.Result, error) {
 	if err := f.check(txn); err != nil {
-		return store.Result{}, err
+		return kv.Result{}, err
 	}
-	res := store.Result{Revision: f.revision}
+	res := kv.Result{Revision: f.revision}
 	for _, g := range txn.Compares {
 		if f.keys[g.Key].modRevision != g.ModRevision {
 			res.FailedKeys = append(res.FailedKeys, g.Key)
@@ -248,7 +248,7 @@
 	}
 	for _, op := range txn.Ops {
 		if op.Lease != 0 && f.leases[op.Lease] == nil {
-			return store.Result{}, store.ErrNoLease
+			return kv.Result{}, kv.ErrNoLease
 		}
 	}
 	f.revision++
@@ -260,10 +260,10 @@
 		}
 		raw, err := json.Marshal(op.Value)
 		if err != nil {
-			return store.Result{}, err
+			return kv.Result{}, err
 		}
 		f.keys[op.Put] = value{raw, f.revision, op.Lease}
-		f.log = append(f.log, change{store.Event{Put: op.Put, Value: raw, ModRevision: f.revision}, op.Put})
+		f.log = append(f.log, change{kv.Event{Put: op.Put, Value: raw, ModRevision: f.revision}, op.Put})
 	}
 	f.wake()
 	return res, nil
@@ -272,7 +272,7 @@
 func (f *Fake) remove(key string) {
 	if _, ok := f.keys[key]; ok {
 		delete(f.keys, key)
-		f.log = append(f.log, change{store.Event{Delete: key, ModRevision: f.revision}, key})
+		f.log = append(f.log, change{kv.Event{Delete: key, ModRevision: f.revision}, key})
 	}
 }
 
@@ -310,19 +310,19 @@
 	}
 	t := f.leases[lease]
 	if t == nil {
-		return store.ErrNoLease
+		return kv.ErrNoLease
 	}
 	t.Reset(f.leaseLifetimes[lease])
 	return nil
 }
 
 // Watch implements store.Service.
-func (f *Fake) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (store.Changes, error) {
+func (f *Fake) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
 	timeout := time.NewTimer(block)
 	defer timeout.Stop()
 	for {
 		f.mu.Lock()
-		out := store.Changes{Revision: f.revision}
+		out := kv.Changes{Revision: f.revision}
 		for _, c := range f.log {
 			if c.ModRevision > from && strings.HasPrefix(c.key, prefix) {
 				out.Events = append(out.Events, c.Event)
@@ -337,9 +337,9 @@
 		select {
 		case <-changed:
 		case <-timeout.C:
-			return store.Changes{Revision: from}, nil
+			return kv.Changes{Revision: from}, nil
 		case <-ctx.Done():
-			return store.Changes{}, store.ErrOutcomeUnknown
+			return kv.Changes{}, kv.ErrOutcomeUnknown
 		}
 	}
 }
--- a/internal/store/retry.go
+++ b/internal/kv/retry.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"context"
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -21,8 +21,8 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store"
-	"example.org/ivytrestle/internal/store/storetest"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
 // Plan is what the environment does.
@@ -60,7 +60,7 @@
 func New(typ api.MachineType) (*Environment, error) {
 	env := &Environment{}
 	var err error
-	if env.State, err = serve(stateHandler(storetest.New())); err != nil {
+	if env.State, err = serve(stateHandler(kvtest.New())); err != nil {
 		return nil, err
 	}
 	env.Cloud, err = serve(cloudHandler(typ))
@@ -317,7 +317,7 @@
 }
 
 // stateHandler is the state service's protocol over the scripted one.
-func stateHandler(f *storetest.Fake) http.Handler {
+func stateHandler(f *kvtest.Fake) http.Handler {
 	s := stateService{f}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /kv/{key...}", s.get)
@@ -330,7 +330,7 @@
 }
 
 // stateService answers a controller's requests to the state service.
-type stateService struct{ fake *storetest.Fake }
+type stateService struct{ fake *kvtest.Fake }
 
 func answer(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
@@ -354,7 +354,7 @@
 }
 
 func (s stateService) txn(w http.ResponseWriter, r *http.Request) {
-	var txn store.Txn
+	var txn kv.Txn
 	if err := json.NewDecoder(r.Body).Decode(&txn); err != nil {
 		answer(w, 400, map[string]string{"error": err.Error()})
 		return
--- a/internal/loadtest/rental.go
+++ b/internal/loadtest/rental.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/store/storetest"
+	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
 // launchingCloud is a cloud of one machine type that rents simulated machines.
@@ -44,7 +44,7 @@
 func NewLaunching(typ api.MachineType, most int, plan Plan) (*Environment, error) {
 	env := &Environment{plan: plan}
 	var err error
-	if env.State, err = serve(stateHandler(storetest.New())); err != nil {
+	if env.State, err = serve(stateHandler(kvtest.New())); err != nil {
 		return nil, err
 	}
 	cloud := &launchingCloud{environment: env, typ: typ, maxMachines: most, machines: map[string]launchedMachine{}, launches: map[string][]string{}}
--- a/internal/store/awaits.go
+++ b/internal/records/dependencies.go
@@ -1,4 +1,4 @@
-package store
+package records
 
 import (
 	"bytes"
@@ -13,6 +13,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/kv"
 )
 
 // DependencyPrefix is the prefix of the records that list the awaited jobs of those
@@ -73,7 +74,7 @@
 
 // splitDependencies divides awaited jobs into records for values of so many KiB.
 func splitDependencies(ids []string, valueKB float64) (*DependencyList, []DependencyRecord) {
-	room := MaxTxnBytes / 2
+	room := kv.MaxTxnBytes / 2
 	if valueKB > 0 {
 		room = min(room, int(valueKB*1024))
 	}
@@ -98,7 +99,7 @@
 
 // listOps bounds the changes of a transaction that writes a list: a node's write
 // budget lets no more through at once, however small its part.
-const listOps = MinWriteBurst
+const listOps = kv.MinWriteBurst
 
 // writeDependencies writes the records of a job's list that are not written yet. The job
 // is accepted only afterwards; what is left of a submission that is never repeated
@@ -117,22 +118,22 @@
 		most = min(most, r.Limits.TxnOps)
 	}
 	// Once the job is known no record is written any more, however late.
-	unknown := []Compare{{ActivePrefix + id, 0}, {TerminalPrefix + id, 0}}
-	txn, size := Txn{Compares: unknown}, 0
+	unknown := []kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}
+	txn, size := kv.Txn{Compares: unknown}, 0
 	for i, key := range list.Keys(id) {
 		if !written[key] {
-			txn.Ops = append(txn.Ops, Op{Put: key, Value: parts[i]})
+			txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: parts[i]})
 			size += partBytes(parts[i])
 		}
 		last := i == len(parts)-1
-		if len(txn.Ops) == 0 || !last && len(txn.Ops) < most && size+partBytes(parts[i+1]) <= MaxTxnBytes*3/4 {
+		if len(txn.Ops) == 0 || !last && len(txn.Ops) < most && size+partBytes(parts[i+1]) <= kv.MaxTxnBytes*3/4 {
 			continue
 		}
 		res, err := r.txn(ctx, txn)
 		if err != nil || !res.Succeeded {
 			return false, err
 		}
-		txn, size = Txn{Compares: unknown}, 0
+		txn, size = kv.Txn{Compares: unknown}, 0
 	}
 	return true, nil
 }
@@ -147,8 +148,8 @@
 }
 
 // readRange reads all keys with a prefix.
-func (r *Records) readRange(ctx context.Context, prefix string) ([]Entry, error) {
-	var rows []Entry
+func (r *Records) readRange(ctx context.Context, prefix string) ([]kv.Entry, error) {
+	var rows []kv.Entry
 	for from := ""; ; {
 		p, err := r.page(ctx, prefix, from)
 		if err != nil {
@@ -182,7 +183,7 @@
 // pageEntries is how many keys a range is asked for at a time.
 const pageEntries = 1000
 
-func (r *Records) page(ctx context.Context, prefix, from string) (Page, error) {
+func (r *Records) page(ctx context.Context, prefix, from string) (kv.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*tryTimeout)
 	defer cancel()
 	return r.Store.Range(ctx, prefix, from, pageEntries)
@@ -196,13 +197,13 @@
 	}
 	keys := list.Keys(id)
 	if len(rows) != len(keys) {
-		return nil, fmt.Errorf("%w: %d of %d records list what %s awaits", ErrOutcomeUnknown, len(rows), len(keys), id)
+		return nil, fmt.Errorf("%w: %d of %d records list what %s awaits", kv.ErrOutcomeUnknown, len(rows), len(keys), id)
 	}
 	var ids []string
 	for i, e := range rows {
 		var part DependencyRecord
 		if err := json.Unmarshal(e.Value, &part); err != nil || e.Key != keys[i] {
-			return nil, fmt.Errorf("%w: record %s: %w", ErrOutcomeUnknown, e.Key, err)
+			return nil, fmt.Errorf("%w: record %s: %w", kv.ErrOutcomeUnknown, e.Key, err)
 		}
 		ids = append(ids, part.Jobs...)
 	}
@@ -316,7 +317,7 @@
 
 // cancelPending tells whether an active job needs one, directly or through others,
 // that is cancelled.
-func (r *Records) cancelPending(ctx context.Context, e Entry) (bool, error) {
+func (r *Records) cancelPending(ctx context.Context, e kv.Entry) (bool, error) {
 	a := dependenciesOf(e)
 	if a.list != nil {
 		var err error
@@ -338,7 +339,7 @@
 }
 
 // dependenciesOf is what an active job needs.
-func dependenciesOf(e Entry) dependencySet {
+func dependenciesOf(e kv.Entry) dependencySet {
 	if !bytes.Contains(e.Value, []byte(`"Awaits"`)) {
 		return dependencySet{} // most need none
 	}
@@ -365,7 +366,7 @@
 	case slots <- struct{}{}:
 		return func() { <-slots }, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("%w: too many at a time", ErrNotApplied)
+		return nil, fmt.Errorf("%w: too many at a time", kv.ErrNotApplied)
 	}
 }
 
@@ -544,15 +545,15 @@
 
 // transaction returns the transaction that makes the job's record, and the state
 // that the job then has: withdrawn if a job that it awaits is.
-func (a *acceptance) transaction(withdrawn bool) (Txn, api.JobState) {
+func (a *acceptance) transaction(withdrawn bool) (kv.Txn, api.JobState) {
 	id := a.spec.ID
-	txn := Txn{Compares: []Compare{{ActivePrefix + id, 0}, {TerminalPrefix + id, 0}}}
+	txn := kv.Txn{Compares: []kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}}
 	if withdrawn {
 		final := TerminalRecord{Phase: api.JobCancelled, Tasks: a.spec.Tasks}
-		txn.Ops = []Op{{Put: TerminalPrefix + id, Value: final}}
+		txn.Ops = []kv.Op{{Put: TerminalPrefix + id, Value: final}}
 		return txn, final.JobState(id)
 	}
-	txn.Ops = []Op{{Put: ActivePrefix + id, Value: a.record}}
+	txn.Ops = []kv.Op{{Put: ActivePrefix + id, Value: a.record}}
 	return txn, api.JobState{ID: id, Phase: api.JobPending}
 }
 
@@ -561,7 +562,7 @@
 func (r *Records) retryAfterConflict(ctx context.Context, id string) (api.JobState, bool, error) {
 	st, found, err := r.lookup(ctx, id)
 	if err == nil && !found {
-		err = fmt.Errorf("%w: job %s changed meanwhile", ErrOutcomeUnknown, id)
+		err = fmt.Errorf("%w: job %s changed meanwhile", kv.ErrOutcomeUnknown, id)
 	}
 	return st, false, err
 }
--- a/internal/store/awaits_test.go
+++ b/internal/records/dependencies_test.go
@@ -1,4 +1,4 @@
-package store_test
+package records_test
 
 import (
 	"context"
@@ -14,14 +14,15 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
-	"example.org/ivytrestle/internal/store"
-	"example.org/ivytrestle/internal/store/storetest"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/kv/kvtest"
+	"example.org/ivytrestle/internal/records"
 )
 
 // countedStore counts the requests that reach the state service, and refuses those
 // beyond a number.
 type countedStore struct {
-	*storetest.Fake
+	*kvtest.Fake
 	requests, writes atomic.Int64
 	// most is how many requests are answered; 0: all.
 	most int
@@ -29,51 +30,51 @@
 
 func (c *countedStore) count() error {
 	if n := c.requests.Add(1); c.most > 0 && int(n) > c.most {
-		return store.ErrNotApplied
+		return kv.ErrNotApplied
 	}
 	return nil
 }
 
-func (c *countedStore) Get(ctx context.Context, key string) (store.Entry, error) {
+func (c *countedStore) Get(ctx context.Context, key string) (kv.Entry, error) {
 	if err := c.count(); err != nil {
-		return store.Entry{}, err
+		return kv.Entry{}, err
 	}
 	return c.Fake.Get(ctx, key)
 }
 
-func (c *countedStore) Range(ctx context.Context, prefix, from string, most int) (store.Page, error) {
+func (c *countedStore) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
 	if err := c.count(); err != nil {
-		return store.Page{}, err
+		return kv.Page{}, err
 	}
 	return c.Fake.Range(ctx, prefix, from, most)
 }
 
-func (c *countedStore) Txn(ctx context.Context, txn store.Txn) (store.Result, error) {
+func (c *countedStore) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	if err := c.count(); err != nil {
-		return store.Result{}, err
+		return kv.Result{}, err
 	}
 	c.writes.Add(int64(len(txn.Ops)))
 	return c.Fake.Txn(ctx, txn)
 }
 
-func newCountedStore() *countedStore { return &countedStore{Fake: storetest.New()} }
+func newCountedStore() *countedStore { return &countedStore{Fake: kvtest.New()} }
 
 // putJob writes a job's record as some node would: an active one, or a final one.
-func putJob(t *testing.T, s store.Service, id, phase string, awaits ...string) {
+func putJob(t *testing.T, s kv.Service, id, phase string, awaits ...string) {
 	t.Helper()
-	op := store.Op{Put: store.TerminalPrefix + id, Value: store.TerminalRecord{Phase: phase, Tasks: 1}}
+	op := kv.Op{Put: records.TerminalPrefix + id, Value: records.TerminalRecord{Phase: phase, Tasks: 1}}
 	if phase == api.JobPending {
-		op = store.Op{Put: store.ActivePrefix + id, Value: store.ActiveRecord{Spec: api.JobSpec{ID: id, Tasks: 1, DependsOn: awaits}}}
+		op = kv.Op{Put: records.ActivePrefix + id, Value: records.ActiveRecord{Spec: api.JobSpec{ID: id, Tasks: 1, DependsOn: awaits}}}
 	}
-	if _, err := s.Txn(t.Context(), store.Txn{Ops: []store.Op{op}}); err != nil {
+	if _, err := s.Txn(t.Context(), kv.Txn{Ops: []kv.Op{op}}); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // keysUnder are the keys with a prefix.
-func keysUnder(t *testing.T, s store.Service, prefix string) (keys []string) {
+func keysUnder(t *testing.T, s kv.Service, prefix string) (keys []string) {
 	t.Helper()
-	recordStore := store.Records{Store: s}
+	recordStore := records.Records{Store: s}
 	if err := recordStore.EachKey(t.Context(), prefix, func(key string) { keys = append(keys, key) }); err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +82,7 @@
 }
 
 // fullBody are as many names as a submission has room for, all of jobs that are done.
-func fullBody(t *testing.T, s store.Service) (ids []string) {
+func fullBody(t *testing.T, s kv.Service) (ids []string) {
 	t.Helper()
 	for size := 400; size+len(`"job-1000",`) <= api.MaxBody; size += len(`"job-1000",`) {
 		ids = append(ids, fmt.Sprint("job-", 1000+len(ids)))
@@ -102,9 +103,9 @@
 			st := newCountedStore()
 			ids := fullBody(t, st)
 			st.SetLimits(int(lim.ValueKB*1024), lim.TxnOps)
-			recordStore := store.NewRecords(st, lim)
+			recordStore := records.NewRecords(st, lim)
 			spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
-			if !store.Fits(spec, lim.ValueKB) {
+			if !records.Fits(spec, lim.ValueKB) {
 				t.Fatal("does not fit")
 			}
 			st.requests.Store(0)
@@ -116,14 +117,14 @@
 				}
 			}
 			accept("first", api.JobPending, true)
-			if parts := len(keysUnder(t, st, store.DependencyPrefix)); int(st.requests.Load()) > 20+parts {
+			if parts := len(keysUnder(t, st, records.DependencyPrefix)); int(st.requests.Load()) > 20+parts {
 				t.Errorf("%d jobs in %d records: %d requests", len(ids), parts, int(st.requests.Load()))
 			}
 			a := activeRecord(t, st, "job-1")
 			if got, err := recordStore.ReadDependencies(t.Context(), "job-1", a.DependencyList); err != nil || !slices.Equal(got, ids) {
 				t.Errorf("%d of %d names, %v", len(got), len(ids), err)
 			}
-			if !slices.Equal(a.Spec.DependsOn, []string{store.DependenciesElsewhere}) {
+			if !slices.Equal(a.Spec.DependsOn, []string{records.DependenciesElsewhere}) {
 				t.Errorf("a version that knows of no lists reads %d names", len(a.Spec.DependsOn))
 			}
 			st.writes.Store(0)
@@ -131,7 +132,7 @@
 			spec.DependsOn = append(slices.Clone(ids), "job-999999")
 			accept("repeated, naming what was never accepted", api.JobPending, false)
 			spec.ID = "job-2"
-			if _, _, err := recordStore.Accept(t.Context(), spec, time.Unix(1, 0)); !errors.As(err, new(*store.UnknownDependencyError)) {
+			if _, _, err := recordStore.Accept(t.Context(), spec, time.Unix(1, 0)); !errors.As(err, new(*records.UnknownDependencyError)) {
 				t.Errorf("never accepted: %v", err)
 			}
 			if int(st.writes.Load()) > 0 {
@@ -139,7 +140,7 @@
 			}
 			putJob(t, st, "job-999999", api.JobCancelled)
 			accept("one of them is cancelled", api.JobCancelled, true)
-			if keys := keysUnder(t, st, store.DependencyPrefix+"job-2/"); len(keys) > 0 {
+			if keys := keysUnder(t, st, records.DependencyPrefix+"job-2/"); len(keys) > 0 {
 				t.Errorf("left of a job that is over: %v", keys)
 			}
 			if refused := st.TooLarge(); len(refused) > 0 {
@@ -150,13 +151,13 @@
 }
 
 // activeRecord reads a job's active record.
-func activeRecord(t *testing.T, s store.Service, id string) (rec store.ActiveRecord) {
+func activeRecord(t *testing.T, s kv.Service, id string) (rec records.ActiveRecord) {
 	t.Helper()
-	e, err := s.Get(t.Context(), store.ActivePrefix+id)
+	e, err := s.Get(t.Context(), records.ActivePrefix+id)
 	if err != nil || e.ModRevision == 0 {
 		t.Fatalf("%s is not active: %v", id, err)
 	}
-	return decode(t, e.Key, e.Value, rec).(store.ActiveRecord)
+	return decode(t, e.Key, e.Value, rec).(records.ActiveRecord)
 }
 
 // Whichever transaction of a long list is not carried out, or only late, or its
@@ -165,7 +166,7 @@
 func TestLongListCutAnywhere(t *testing.T) {
 	lim := config.StateLimits{ValueKB: 1, TxnOps: 3}
 	for cut := range 6 {
-		for trouble, set := range map[string]func(*storetest.Fake, func(store.Txn) bool){"held": (*storetest.Fake).Hold, "lost": (*storetest.Fake).Lose} {
+		for trouble, set := range map[string]func(*kvtest.Fake, func(kv.Txn) bool){"held": (*kvtest.Fake).Hold, "lost": (*kvtest.Fake).Lose} {
 			t.Run(fmt.Sprint(trouble, " ", cut), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					st := newCountedStore()
@@ -175,19 +176,19 @@
 						putJob(t, st, ids[i], api.JobDone)
 					}
 					spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
-					recordStore := store.NewRecords(st, lim)
+					recordStore := records.NewRecords(st, lim)
 					n := 0
-					set(st.Fake, func(store.Txn) bool { n++; return n > cut })
+					set(st.Fake, func(kv.Txn) bool { n++; return n > cut })
 					ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 					_, _, err := recordStore.Accept(ctx, spec, time.Unix(1, 0))
 					cancel()
-					if st.Has(store.ActivePrefix + "job-1") {
+					if st.Has(records.ActivePrefix + "job-1") {
 						whole(t, &recordStore, ids)
 					} else if err == nil {
 						t.Error("accepted without a record")
 					}
 					set(st.Fake, nil)
-					other := store.NewRecords(st, lim) // at another node
+					other := records.NewRecords(st, lim) // at another node
 					ctx, cancel = context.WithTimeout(t.Context(), 5*time.Second)
 					defer cancel()
 					if _, _, err := other.Accept(ctx, spec, time.Unix(2, 0)); err != nil {
@@ -195,7 +196,7 @@
 					}
 					whole(t, &other, ids)
 					list := activeRecord(t, st, "job-1").DependencyList
-					if keys := len(keysUnder(t, st, store.DependencyPrefix)); keys != list.Records {
+					if keys := len(keysUnder(t, st, records.DependencyPrefix)); keys != list.Records {
 						t.Errorf("%d records", keys)
 					}
 					// The job ends, its list is removed, and then what was late comes.
@@ -203,10 +204,10 @@
 						t.Fatal(err)
 					}
 					for _, key := range list.Keys("job-1") {
-						st.Txn(ctx, store.Txn{Ops: []store.Op{{Delete: key}}})
+						st.Txn(ctx, kv.Txn{Ops: []kv.Op{{Delete: key}}})
 					}
 					st.Release()
-					if keys := keysUnder(t, st, store.DependencyPrefix); len(keys) > 0 {
+					if keys := keysUnder(t, st, records.DependencyPrefix); len(keys) > 0 {
 						t.Errorf("written after its end: %v", keys)
 					}
 				})
@@ -216,7 +217,7 @@
 }
 
 // whole checks that job-1 is read with all names, or not at all once a record lacks.
-func whole(t *testing.T, recordStore *store.Records, ids []string) {
+func whole(t *testing.T, recordStore *records.Records, ids []string) {
 	t.Helper()
 	list := activeRecord(t, recordStore.Store, "job-1").DependencyList
 	if got, err := recordStore.ReadDependencies(t.Context(), "job-1", list); err != nil || !slices.Equal(got, ids) {
@@ -228,7 +229,7 @@
 func TestListWithoutARecord(t *testing.T) {
 	st := newCountedStore()
 	ids := fullBody(t, st)
-	recordStore := store.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 12})
+	recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 12})
 	if _, _, err := recordStore.Accept(t.Context(), &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
@@ -236,7 +237,7 @@
 	for _, i := range []int{0, 3, list.Records - 1} {
 		key := list.Keys("job-1")[i]
 		e, _ := st.Get(t.Context(), key)
-		st.Txn(t.Context(), store.Txn{Ops: []store.Op{{Delete: key}}})
+		st.Txn(t.Context(), kv.Txn{Ops: []kv.Op{{Delete: key}}})
 		if got, err := recordStore.ReadDependencies(t.Context(), "job-1", list); err == nil {
 			t.Errorf("without record %d: %d names", i, len(got))
 		}
@@ -245,7 +246,7 @@
 			t.Errorf("without record %d: told %+v", i, got)
 		}
 		cancel()
-		st.Txn(t.Context(), store.Txn{Ops: []store.Op{{Put: key, Value: e.Value}}})
+		st.Txn(t.Context(), kv.Txn{Ops: []kv.Op{{Put: key, Value: e.Value}}})
 	}
 	whole(t, &recordStore, ids)
 }
@@ -275,7 +276,7 @@
 			for i := 1; i < jobs; i++ {
 				putJob(t, st, fmt.Sprint("job-", i), api.JobPending, need(i)...)
 			}
-			recordStore := store.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 3})
+			recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 3})
 			accept := func(id, want string) {
 				t.Helper()
 				st.requests.Store(0)
@@ -313,7 +314,7 @@
 				ids = append(ids, id)
 			}
 		}
-		recordStore := store.NewRecords(st, config.StateLimits{ValueKB: 16, TxnOps: 12})
+		recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 16, TxnOps: 12})
 		submit := func(id string, awaits []string) error {
 			st.requests.Store(0)
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
@@ -332,13 +333,13 @@
 			t.Errorf("again: %d requests, %v", int(st.requests.Load()), err)
 		}
 		st.most = 0
-		recordStore = store.NewRecords(st, recordStore.Limits) // that remembers nothing
+		recordStore = records.NewRecords(st, recordStore.Limits) // that remembers nothing
 		if err := submit("job-4", ids); err != nil || int(st.requests.Load()) > 50 {
 			t.Errorf("in one try: %d requests, %v", int(st.requests.Load()), err)
 		}
 		t.Logf("%d names in one try: %d requests", len(ids), int(st.requests.Load()))
 		for _, missing := range []string{"job-000000000", "job-0001", "job-020000000", "job-9", "job-0"} {
-			var never *store.UnknownDependencyError
+			var never *records.UnknownDependencyError
 			if err := submit("job-3", append(slices.Clone(ids[:100]), missing)); !errors.As(err, &never) || !strings.HasSuffix(never.ID, missing) {
 				t.Errorf("%s: %v", missing, err)
 			}
@@ -349,11 +350,11 @@
 // slowRanges is a store whose ranges take a second, and which counts how many are
 // asked for at the same time.
 type slowRanges struct {
-	*storetest.Fake
+	*kvtest.Fake
 	now, most atomic.Int32
 }
 
-func (s *slowRanges) Range(ctx context.Context, prefix, from string, most int) (store.Page, error) {
+func (s *slowRanges) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
 	if n := s.now.Add(1); n > s.most.Load() {
 		s.most.Store(n)
 	}
@@ -366,9 +367,9 @@
 // same time with all that is read for them; the others wait, or are refused for now.
 func TestManyLongSubmissionsAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := &slowRanges{Fake: storetest.New()}
+		st := &slowRanges{Fake: kvtest.New()}
 		ids := fullBody(t, st.Fake)
-		recordStore := store.NewRecords(st, config.StateLimits{ValueKB: 128, TxnOps: 12})
+		recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 128, TxnOps: 12})
 		var accepted, refused atomic.Int32
 		var all sync.WaitGroup
 		for i := range 20 {
@@ -378,7 +379,7 @@
 				switch _, _, err := recordStore.Accept(ctx, &api.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); {
 				case err == nil:
 					accepted.Add(1)
-				case errors.Is(err, store.ErrNotApplied):
+				case errors.Is(err, kv.ErrNotApplied):
 					refused.Add(1)
 				default:
 					t.Error(err)
--- a/internal/store/golden_test.go
+++ b/internal/records/golden_test.go
@@ -1,4 +1,4 @@
-package store_test
+package records_test
 
 import (
 	"bytes"
@@ -10,9 +10,9 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/election"
+	"example.org/ivytrestle/internal/kv/kvtest"
+	"example.org/ivytrestle/internal/records"
 	"example.org/ivytrestle/internal/relay"
-	"example.org/ivytrestle/internal/store"
-	"example.org/ivytrestle/internal/store/storetest"
 )
 
 // The shapes below are those of the first version that others had to work beside.
@@ -129,26 +129,26 @@
 
 var goldens = []golden{
 	{"active job", `{"spec":{"NameId":"job-000398","Jobclass":"merit","Owner":"antagning","Shape":"array","Precedence":"standard","Shoots":80,"Cores":1.5,"Cards":2,"MemoryGb":6.6,"Rootstock":"merit:7","PullGb":2.5,"Frames":["nod-sexton","nod-tio"],"Bed":"norrland","SamePlace":true,"Scatter":true,"Windfall":true,"ExpectS":20.5,"GraftS":25.5,"PressS":30.5,"DueS":35.5},"accepted":"2026-03-01T12:00:05.25Z"}`,
-		store.ActiveRecord{Spec: fullSpec, Accepted: accepted},
+		records.ActiveRecord{Spec: fullSpec, Accepted: accepted},
 		oldActive{oldFullSpec, accepted}},
 	{"plain active job", `{"spec":{"NameId":"job-1","Jobclass":"betyg","Owner":"antagning","Shape":"array","Precedence":"low","Shoots":1,"Cores":2,"Cards":0,"MemoryGb":14,"Rootstock":"betyg","PullGb":1.5,"ExpectS":50},"accepted":"2026-03-01T12:00:05.25Z"}`,
-		store.ActiveRecord{Spec: plainSpec, Accepted: accepted},
+		records.ActiveRecord{Spec: plainSpec, Accepted: accepted},
 		oldActive{oldPlainSpec, accepted}},
 	{"done job", `{"phase":"done","tasks":80}`,
-		store.TerminalRecord{Phase: api.JobDone, Tasks: 80},
+		records.TerminalRecord{Phase: api.JobDone, Tasks: 80},
 		oldFinal{"done", 80}},
 	{"cancelled job", `{"phase":"withdrawn","tasks":3}`,
-		store.TerminalRecord{Phase: api.JobCancelled, Tasks: 3},
+		records.TerminalRecord{Phase: api.JobCancelled, Tasks: 3},
 		oldFinal{"withdrawn", 3}},
 	{"progress", `{"done":"/wEAgA=="}`,
-		store.CompletionRecord{Done: []byte{0xff, 0x01, 0, 0x80}},
+		records.CompletionRecord{Done: []byte{0xff, 0x01, 0, 0x80}},
 		oldProgress{[]byte{0xff, 0x01, 0, 0x80}}},
 	{"shard", `{"machines":[{"name":"i-000001","addr":"10.1.0.1:9000","type":"nod-sexton","zone":"norrland","spot":true,"cpus":16,"gpus":1.5,"memory_gb":128},{"name":"i-000002","addr":"10.1.0.2:9000","type":"nod-sexton","zone":"norrland","spot":false,"cpus":16,"gpus":0,"memory_gb":128}]}`,
-		store.RegistryShardRecord{Machines: []store.MachineRecord{{Name: "i-000001", Addr: "10.1.0.1:9000", Type: "nod-sexton", Zone: "norrland", Spot: true, CPUs: 16, GPUs: 1.5, MemoryGB: 128},
+		records.RegistryShardRecord{Machines: []records.MachineRecord{{Name: "i-000001", Addr: "10.1.0.1:9000", Type: "nod-sexton", Zone: "norrland", Spot: true, CPUs: 16, GPUs: 1.5, MemoryGB: 128},
 			{Name: "i-000002", Addr: "10.1.0.2:9000", Type: "nod-sexton", Zone: "norrland", CPUs: 16, MemoryGB: 128}}},
 		oldRoster{[]oldMachine{{"i-000001", "10.1.0.1:9000", "nod-sexton", "norrland", true, 16, 1.5, 128}, {"i-000002", "10.1.0.2:9000", "nod-sexton", "norrland", false, 16, 0, 128}}}},
 	{"kept machines", `{"term":7,"hosts":["i-000001","i-000002"]}`,
-		store.LeaseRenewalRecord{Term: 7, Hosts: []string{"i-000001", "i-000002"}},
+		records.LeaseRenewalRecord{Term: 7, Hosts: []string{"i-000001", "i-000002"}},
 		oldLeaseExtension{7, []string{"i-000001", "i-000002"}}},
 	{"relayed part", `{"batch":12,"index":1,"of":2,"data":"Af9kYXRh"}`,
 		relay.Part{Batch: 12, Index: 1, Of: 2, Data: []byte("\x01\xffdata")},
@@ -222,17 +222,17 @@
 // The keys are part of what versions share.
 func TestKeysOfEarlierVersions(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
-		{store.ActivePrefix, "a/"}, {store.TerminalPrefix, "f/"}, {store.CompletionPrefix, "p/"}, {store.MachinePrefix, "m/"},
-		{store.LeaseRenewalPrefix, "keep/"}, {store.RelayPrefix, "relay/"}, {store.MachineTypesKey, "types"}, {store.CancelKey, "a/!cancel"},
-		{store.DependencyPrefix, "awaits/"},
-		{(&store.DependencyList{Digest: "ab", Records: 3}).Keys("job-1")[2], "awaits/job-1/ab/00002"}, {store.DependenciesElsewhere, "job-"},
-		{election.LeaderKey, "leader"}, {election.TermKey, "term"}, {store.CompletionKey("job-1", 4096), "p/job-1/4096"},
+		{records.ActivePrefix, "a/"}, {records.TerminalPrefix, "f/"}, {records.CompletionPrefix, "p/"}, {records.MachinePrefix, "m/"},
+		{records.LeaseRenewalPrefix, "keep/"}, {records.RelayPrefix, "relay/"}, {records.MachineTypesKey, "types"}, {records.CancelKey, "a/!cancel"},
+		{records.DependencyPrefix, "awaits/"},
+		{(&records.DependencyList{Digest: "ab", Records: 3}).Keys("job-1")[2], "awaits/job-1/ab/00002"}, {records.DependenciesElsewhere, "job-"},
+		{election.LeaderKey, "leader"}, {election.TermKey, "term"}, {records.CompletionKey("job-1", 4096), "p/job-1/4096"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s, was %s", c.got, c.want)
 		}
 	}
-	if id, first, ok := store.ParseCompletionKey("p/job-1/4096"); id != "job-1" || first != 4096 || !ok {
+	if id, first, ok := records.ParseCompletionKey("p/job-1/4096"); id != "job-1" || first != 4096 || !ok {
 		t.Errorf("p/job-1/4096 is read as %s, %d, %v", id, first, ok)
 	}
 }
@@ -241,8 +241,8 @@
 // order in which watches tell it.
 func TestAcceptAndCancelAsBefore(t *testing.T) {
 	ctx := context.Background()
-	st := storetest.New()
-	r := store.Records{Store: st}
+	st := kvtest.New()
+	r := records.Records{Store: st}
 	if _, created, err := r.Accept(ctx, &fullSpec, accepted); !created || err != nil {
 		t.Fatal(created, err)
 	}
--- a/internal/store/jobcache.go
+++ b/internal/records/jobcache.go
@@ -1,4 +1,4 @@
-package store
+package records
 
 import (
 	"encoding/json"
@@ -9,6 +9,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
+	"example.org/ivytrestle/internal/kv"
 )
 
 // jobCache remembers the jobs whose records this node has read or written. An active
@@ -53,8 +54,8 @@
 
 // compares returns the conditions under which jobs are accepted and neither they nor any
 // that they need is cancelled. It returns false if this node cannot tell.
-func (c *jobCache) compares(ids []string) ([]Compare, bool) {
-	var guards []Compare
+func (c *jobCache) compares(ids []string) ([]kv.Compare, bool) {
+	var guards []kv.Compare
 	seen := map[string]bool{}
 	for todo := slices.Clone(ids); len(todo) > 0; {
 		id := todo[len(todo)-1]
@@ -69,14 +70,14 @@
 		if job.modRevision == 0 {
 			continue // done, and with it all that it needed
 		}
-		guards = append(guards, Compare{Key: ActivePrefix + id, ModRevision: job.modRevision})
+		guards = append(guards, kv.Compare{Key: ActivePrefix + id, ModRevision: job.modRevision})
 		todo = append(todo, job.dependsOn...)
 	}
 	return guards, true
 }
 
 // applyRead caches a record that was read.
-func (c *jobCache) applyRead(e Entry) {
+func (c *jobCache) applyRead(e kv.Entry) {
 	switch {
 	case c == nil || e.Key == CancelKey:
 	case strings.HasPrefix(e.Key, ActivePrefix):
@@ -103,7 +104,7 @@
 }
 
 // applyWrite updates the cache by a transaction that was carried out at a revision.
-func (c *jobCache) applyWrite(txn Txn, ring uint64) {
+func (c *jobCache) applyWrite(txn kv.Txn, ring uint64) {
 	if c == nil {
 		return
 	}
--- a/internal/store/jobcache_test.go
+++ b/internal/records/jobcache_test.go
@@ -1,4 +1,4 @@
-package store_test
+package records_test
 
 import (
 	"context"
@@ -11,23 +11,24 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
-	"example.org/ivytrestle/internal/store"
-	"example.org/ivytrestle/internal/store/storetest"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/kv/kvtest"
+	"example.org/ivytrestle/internal/records"
 )
 
 // counted counts the requests to a state service, and those of them that failed by
 // their conditions.
 type counted struct {
-	*storetest.Fake
+	*kvtest.Fake
 	requests, conflicts atomic.Int64
 }
 
-func (c *counted) Get(ctx context.Context, key string) (store.Entry, error) {
+func (c *counted) Get(ctx context.Context, key string) (kv.Entry, error) {
 	c.requests.Add(1)
 	return c.Fake.Get(ctx, key)
 }
 
-func (c *counted) Txn(ctx context.Context, txn store.Txn) (store.Result, error) {
+func (c *counted) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	c.requests.Add(1)
 	res, err := c.Fake.Txn(ctx, txn)
 	if err == nil && !res.Succeeded {
@@ -38,7 +39,7 @@
 
 // urval submits a pipeline of six jobs: job-1, then job-2 to job-4, then job-5 and,
 // unless it is left to the test, job-6.
-func urval(t *testing.T, r *store.Records) {
+func urval(t *testing.T, r *records.Records) {
 	t.Helper()
 	for _, s := range []*api.JobSpec{awaiting("job-1"), awaiting("job-2", "job-1"), awaiting("job-3", "job-1"),
 		awaiting("job-4", "job-1"), awaiting("job-5", "job-2", "job-3", "job-4")} {
@@ -67,7 +68,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := &counted{Fake: storetest.New()}
+			st := &counted{Fake: kvtest.New()}
 			r := newRecords(st, config.StateLimits{TxnOps: c.ops})
 			urval(t, r)
 			if _, created, err := r.Accept(context.Background(), awaiting("job-6", "job-5"), accepted); !created || err != nil {
@@ -83,7 +84,7 @@
 // A job that awaits many is not remembered, so that the cache stays small; it is read.
 func TestJobThatAwaitsManyIsNotRemembered(t *testing.T) {
 	for awaited, remembered := range map[int]bool{32: true, 33: false} {
-		st := &counted{Fake: storetest.New()}
+		st := &counted{Fake: kvtest.New()}
 		r := newRecords(st, config.StateLimits{TxnOps: 20})
 		var ids []string
 		for i := range awaited {
@@ -104,19 +105,19 @@
 // What a node remembers of jobs may be old: the job is accepted or refused as if all
 // had been read.
 func TestRememberedJobsChangeMeanwhile(t *testing.T) {
-	cancel := func(id string) func(*testing.T, *store.Records) {
-		return func(t *testing.T, other *store.Records) {
+	cancel := func(id string) func(*testing.T, *records.Records) {
+		return func(t *testing.T, other *records.Records) {
 			if st, found, err := other.Cancel(context.Background(), id); !found || err != nil || st.Phase != api.JobCancelled {
 				t.Fatal(st, found, err)
 			}
 		}
 	}
-	finish := func(ids ...string) func(*testing.T, *store.Records) {
-		return func(t *testing.T, other *store.Records) {
+	finish := func(ids ...string) func(*testing.T, *records.Records) {
+		return func(t *testing.T, other *records.Records) {
 			for _, id := range ids {
-				txn := store.Txn{Ops: []store.Op{
-					{Put: store.TerminalPrefix + id, Value: store.TerminalRecord{Phase: api.JobDone, Tasks: 1}},
-					{Delete: store.ActivePrefix + id},
+				txn := kv.Txn{Ops: []kv.Op{
+					{Put: records.TerminalPrefix + id, Value: records.TerminalRecord{Phase: api.JobDone, Tasks: 1}},
+					{Delete: records.ActivePrefix + id},
 				}}
 				if res, err := other.Store.Txn(context.Background(), txn); !res.Succeeded || err != nil {
 					t.Fatal(res, err)
@@ -124,16 +125,16 @@
 			}
 		}
 	}
-	accept := func(s *api.JobSpec) func(*testing.T, *store.Records) {
-		return func(t *testing.T, other *store.Records) {
+	accept := func(s *api.JobSpec) func(*testing.T, *records.Records) {
+		return func(t *testing.T, other *records.Records) {
 			if _, created, err := other.Accept(context.Background(), s, accepted); !created || err != nil {
 				t.Fatal(created, err)
 			}
 		}
 	}
-	down := func(t *testing.T, other *store.Records) { other.Store.(*storetest.Fake).SetDown(true) }
+	down := func(t *testing.T, other *records.Records) { other.Store.(*kvtest.Fake).SetDown(true) }
 	cases := map[string]struct {
-		meanwhile func(t *testing.T, other *store.Records)
+		meanwhile func(t *testing.T, other *records.Records)
 		spec      *api.JobSpec
 		want      string
 	}{
@@ -152,16 +153,16 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				fake := storetest.New()
+				fake := kvtest.New()
 				r := newRecords(fake, config.StateLimits{TxnOps: 20})
 				urval(t, r)
 				if c.meanwhile != nil {
-					c.meanwhile(t, &store.Records{Store: fake})
+					c.meanwhile(t, &records.Records{Store: fake})
 				}
 				if got := answer(r, c.spec); got != c.want {
 					t.Errorf("answer %s, want %s", got, c.want)
 				}
-				if pending := c.want == "201 pending" || c.want == "200 pending"; fake.Has(store.ActivePrefix+c.spec.ID) != pending {
+				if pending := c.want == "201 pending" || c.want == "200 pending"; fake.Has(records.ActivePrefix+c.spec.ID) != pending {
 					t.Errorf("active on record: %v", !pending)
 				}
 			})
@@ -174,26 +175,26 @@
 // them, unless something has changed.
 func TestQuestionAboutAWaitingJob(t *testing.T) {
 	cases := map[string]struct {
-		change func(*store.Records) error
+		change func(*records.Records) error
 		want   string
 		once   bool
 	}{
-		"unchanged": {func(*store.Records) error { return nil }, api.JobPending, true},
-		"cancelled": {func(r *store.Records) error {
+		"unchanged": {func(*records.Records) error { return nil }, api.JobPending, true},
+		"cancelled": {func(r *records.Records) error {
 			_, _, err := r.Cancel(context.Background(), "job-5")
 			return err
 		}, api.JobCancelled, false},
-		"one that it needs cancelled": {func(r *store.Records) error {
+		"one that it needs cancelled": {func(r *records.Records) error {
 			_, _, err := r.Cancel(context.Background(), "job-1")
 			return err
 		}, api.JobCancelled, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := &counted{Fake: storetest.New()}
+			st := &counted{Fake: kvtest.New()}
 			r := newRecords(st, config.StateLimits{TxnOps: 20})
 			urval(t, r)
-			if err := c.change(&store.Records{Store: st.Fake}); err != nil {
+			if err := c.change(&records.Records{Store: st.Fake}); err != nil {
 				t.Fatal(err)
 			}
 			st.requests.Store(0)
@@ -210,12 +211,12 @@
 
 // A job that is remembered as done stays so, also for those who ask again.
 func TestRememberedAsDone(t *testing.T) {
-	fake := storetest.New()
+	fake := kvtest.New()
 	r := newRecords(fake, config.StateLimits{TxnOps: 20})
 	urval(t, r)
-	txn := store.Txn{Ops: []store.Op{
-		{Put: store.TerminalPrefix + "job-1", Value: store.TerminalRecord{Phase: api.JobDone, Tasks: 1}},
-		{Delete: store.ActivePrefix + "job-1"},
+	txn := kv.Txn{Ops: []kv.Op{
+		{Put: records.TerminalPrefix + "job-1", Value: records.TerminalRecord{Phase: api.JobDone, Tasks: 1}},
+		{Delete: records.ActivePrefix + "job-1"},
 	}}
 	if res, err := fake.Txn(context.Background(), txn); !res.Succeeded || err != nil {
 		t.Fatal(res, err)
@@ -230,10 +231,10 @@
 // A transaction that fails counts towards the service's limits: what it has shown to
 // be old is not guarded on again.
 func TestOldVersionsAreTriedOnce(t *testing.T) {
-	st := &counted{Fake: storetest.New()}
+	st := &counted{Fake: kvtest.New()}
 	r := newRecords(st, config.StateLimits{TxnOps: 20})
 	urval(t, r)
-	other := store.Records{Store: st.Fake}
+	other := records.Records{Store: st.Fake}
 	if _, _, err := other.Cancel(context.Background(), "job-5"); err != nil {
 		t.Fatal(err)
 	}
@@ -248,11 +249,11 @@
 }
 
 // answer submits a job as a user sees it.
-func answer(r *store.Records, s *api.JobSpec) string {
+func answer(r *records.Records, s *api.JobSpec) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	st, created, err := r.Accept(ctx, s, accepted)
-	var never *store.UnknownDependencyError
+	var never *records.UnknownDependencyError
 	switch {
 	case errors.As(err, &never):
 		return "422"
@@ -267,10 +268,10 @@
 // The answer to the one transaction is lost, or it is carried out late, after a job
 // that it guards on was cancelled.
 func TestAcceptedAtOnceWithoutAnAnswer(t *testing.T) {
-	submission := func(txn store.Txn) bool { return len(txn.Ops) > 0 && txn.Ops[0].Put == store.ActivePrefix+"job-6" }
+	submission := func(txn kv.Txn) bool { return len(txn.Ops) > 0 && txn.Ops[0].Put == records.ActivePrefix+"job-6" }
 	t.Run("lost", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			fake := storetest.New()
+			fake := kvtest.New()
 			r := newRecords(fake, config.StateLimits{TxnOps: 20})
 			urval(t, r)
 			fake.Lose(submission)
@@ -281,7 +282,7 @@
 	})
 	t.Run("late", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			fake := storetest.New()
+			fake := kvtest.New()
 			r := newRecords(fake, config.StateLimits{TxnOps: 20})
 			urval(t, r)
 			fake.Hold(submission)
@@ -300,8 +301,8 @@
 	})
 }
 
-func newRecords(s store.Service, limits config.StateLimits) *store.Records {
-	r := store.NewRecords(s, limits)
+func newRecords(s kv.Service, limits config.StateLimits) *records.Records {
+	r := records.NewRecords(s, limits)
 	return &r
 }
 
@@ -309,7 +310,7 @@
 // active record does not say what it awaits, so a cancellation among those would be
 // overlooked. Nor is one accepted at once whose record has no room for its names.
 func TestJobsWithAwaitsListsAreRead(t *testing.T) {
-	st := &counted{Fake: storetest.New()}
+	st := &counted{Fake: kvtest.New()}
 	r := newRecords(st, config.StateLimits{TxnOps: 20, ValueKB: 1})
 	var ids []string
 	for i := range 32 {
@@ -337,7 +338,7 @@
 // The end of a job is read once. A later search, which finds its active record gone,
 // must leave it remembered, or each submission after that would read again.
 func TestEndReadEarlierIsRemembered(t *testing.T) {
-	st := &counted{Fake: storetest.New()}
+	st := &counted{Fake: kvtest.New()}
 	putJob(t, st, "job-1", api.JobDone)
 	putJob(t, st, "job-3", api.JobDone)
 	r := newRecords(st, config.StateLimits{TxnOps: 20})
--- a/internal/store/keys_test.go
+++ b/internal/records/keys_test.go
@@ -1,4 +1,4 @@
-package store
+package records
 
 import "testing"
 
--- a/internal/store/records.go
+++ b/internal/records/records.go
@@ -1,4 +1,7 @@
-package store
+// Package records holds what ivytrestle keeps in the key-value store: the keys, the values with
+// their JSON names, and the transactions by which any node accepts, looks up and cancels jobs.
+// What earlier versions wrote stays readable; golden_test.go holds it.
+package records
 
 import (
 	"bytes"
@@ -14,6 +17,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
+	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
 )
 
@@ -49,7 +53,7 @@
 
 // isGuestRecord tells whether an active record is of a job that runs for another cell. For
 // the users of this one no such job was accepted.
-func isGuestRecord(e Entry) bool {
+func isGuestRecord(e kv.Entry) bool {
 	if !bytes.Contains(e.Value, []byte(`"guest"`)) {
 		return false // nearly all
 	}
@@ -78,7 +82,7 @@
 			long += len(name) + 3
 		}
 	}
-	room := float64(MaxTxnBytes - 2048) // its keys are in the transaction, too
+	room := float64(kv.MaxTxnBytes - 2048) // its keys are in the transaction, too
 	if valueKB > 0 {
 		room = min(room, valueKB*1024)
 	}
@@ -93,7 +97,7 @@
 func FitsRecord(rec ActiveRecord, valueKB float64) bool {
 	raw, err := json.Marshal(rec)
 	const margin = 256 // for numbers that may grow
-	return err == nil && float64(len(raw)+margin) <= min(valueKB*1024, MaxTxnBytes/2)
+	return err == nil && float64(len(raw)+margin) <= min(valueKB*1024, kv.MaxTxnBytes/2)
 }
 
 // TerminalRecord is a job that is over.
@@ -163,7 +167,7 @@
 // Records accepts, cancels and looks up jobs. Every node may do so, whoever
 // leads: each change is one guarded transaction.
 type Records struct {
-	Store Service
+	Store kv.Service
 	// Limits are the service's; zero: none are known.
 	Limits config.StateLimits
 	// terminalCache remembers how jobs ended that others await; scans and longLists bound
@@ -181,7 +185,7 @@
 const maxCachedTerminal = 8192
 
 // NewRecords makes the Records that serve a node's users.
-func NewRecords(s Service, lim config.StateLimits) Records {
+func NewRecords(s kv.Service, lim config.StateLimits) Records {
 	ends, err := lru.New[string, TerminalRecord](maxCachedTerminal)
 	if err != nil {
 		panic(err) // only for a size that is not positive
@@ -196,7 +200,7 @@
 // vain because there is no time left for the second.
 const tryTimeout = 800 * time.Millisecond
 
-func (r *Records) get(ctx context.Context, key string) (Entry, error) {
+func (r *Records) get(ctx context.Context, key string) (kv.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	e, err := r.Store.Get(ctx, key)
@@ -206,7 +210,7 @@
 	return e, err
 }
 
-func (r *Records) txn(ctx context.Context, txn Txn) (Result, error) {
+func (r *Records) txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	res, err := r.Store.Txn(ctx, txn)
@@ -223,7 +227,7 @@
 	if r.acceptAtOnce(ctx, a) {
 		return api.JobState{ID: spec.ID, Phase: api.JobPending}, true, nil
 	}
-	err = Retry(ctx, func() error {
+	err = kv.Retry(ctx, func() error {
 		st, created, err = r.accept(ctx, a)
 		return err
 	})
@@ -242,9 +246,9 @@
 	if !ok {
 		return false
 	}
-	res, err := r.txn(ctx, Txn{
-		Compares: append([]Compare{{ActivePrefix + id, 0}, {TerminalPrefix + id, 0}}, awaited...),
-		Ops:      []Op{{Put: ActivePrefix + id, Value: a.record}},
+	res, err := r.txn(ctx, kv.Txn{
+		Compares: append([]kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}, awaited...),
+		Ops:      []kv.Op{{Put: ActivePrefix + id, Value: a.record}},
 	})
 	return err == nil && res.Succeeded
 }
@@ -252,7 +256,7 @@
 // Lookup reads a job's record. A job that is active is reported as pending, since
 // the record does not hold what runs.
 func (r *Records) Lookup(ctx context.Context, id string) (st api.JobState, found bool, err error) {
-	err = Retry(ctx, func() error {
+	err = kv.Retry(ctx, func() error {
 		st, found, err = r.lookup(ctx, id)
 		return err
 	})
@@ -312,7 +316,7 @@
 	if !ok || len(guards) < 2 {
 		return false // one read tells as much
 	}
-	res, err := r.txn(ctx, Txn{Compares: guards})
+	res, err := r.txn(ctx, kv.Txn{Compares: guards})
 	return err == nil && res.Succeeded
 }
 
@@ -338,7 +342,7 @@
 
 // Cancel ends a job unless it is over. It returns the job's final state.
 func (r *Records) Cancel(ctx context.Context, id string) (st api.JobState, found bool, err error) {
-	err = Retry(ctx, func() error {
+	err = kv.Retry(ctx, func() error {
 		e, err := r.get(ctx, ActivePrefix+id)
 		if err != nil {
 			return err
@@ -359,11 +363,11 @@
 			return r.cancelLent(ctx, e, rec)
 		}
 		final := TerminalRecord{Phase: api.JobCancelled, Tasks: rec.Spec.Tasks}
-		res, err := r.txn(ctx, Txn{
-			Compares: []Compare{{e.Key, e.ModRevision}},
+		res, err := r.txn(ctx, kv.Txn{
+			Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
 			// The cancel key comes first: a watch then tells why the record
 			// goes before it tells that it is gone.
-			Ops: []Op{
+			Ops: []kv.Op{
 				{Put: CancelKey, Value: id},
 				{Put: TerminalPrefix + id, Value: final},
 				{Delete: e.Key},
@@ -373,7 +377,7 @@
 			return err
 		}
 		if !res.Succeeded {
-			return fmt.Errorf("%w: job %s changed meanwhile", ErrOutcomeUnknown, id)
+			return fmt.Errorf("%w: job %s changed meanwhile", kv.ErrOutcomeUnknown, id)
 		}
 		st, found = final.JobState(id), true
 		return nil
@@ -383,19 +387,19 @@
 
 // cancelLent notes that a lent job is to be cancelled. Its user is told only once the cell
 // that has it has recorded that, and its tasks are gone there.
-func (r *Records) cancelLent(ctx context.Context, e Entry, rec ActiveRecord) error {
+func (r *Records) cancelLent(ctx context.Context, e kv.Entry, rec ActiveRecord) error {
 	if rec.Lent.Cancel {
 		return ErrLent
 	}
 	asked := *rec.Lent
 	asked.Cancel = true
 	rec.Lent = &asked
-	res, err := r.txn(ctx, Txn{Compares: []Compare{{e.Key, e.ModRevision}}, Ops: []Op{{Put: e.Key, Value: rec}}})
+	res, err := r.txn(ctx, kv.Txn{Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}}, Ops: []kv.Op{{Put: e.Key, Value: rec}}})
 	if err != nil {
 		return err
 	}
 	if !res.Succeeded {
-		return fmt.Errorf("%w: %s changed meanwhile", ErrOutcomeUnknown, e.Key)
+		return fmt.Errorf("%w: %s changed meanwhile", kv.ErrOutcomeUnknown, e.Key)
 	}
 	return ErrLent
 }
