--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -202,12 +202,12 @@
 		s.fail(w, http.StatusBadRequest, err)
 		return
 	}
-	rep, err := ParseHeartbeat(body)
+	hb, err := ParseHeartbeat(body)
 	if err != nil {
 		s.fail(w, http.StatusBadRequest, err)
 		return
 	}
-	ans, err := s.backend.Heartbeat(r.Context(), rep)
+	response, err := s.backend.Heartbeat(r.Context(), hb)
 	var other *NotLeaderError
 	switch {
 	case errors.As(err, &other) && other.Leader != "":
@@ -215,7 +215,7 @@
 	case err != nil:
 		s.fail(w, http.StatusServiceUnavailable, err)
 	default:
-		s.answer(w, http.StatusOK, ans)
+		s.answer(w, http.StatusOK, response)
 	}
 }
 
--- a/internal/api/report_test.go
+++ b/internal/api/report_test.go
@@ -60,12 +60,12 @@
 // whole body there.
 func TestPhasesShareNoMemoryWithTheReport(t *testing.T) {
 	body := []byte(`{"Host":"i-1","Shoots":[{"Shoot":"job-1/3","Phase":"running","Cause":"odd"}]}`)
-	rep, err := ParseHeartbeat(body)
+	hb, err := ParseHeartbeat(body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	clear(body)
-	if task := rep.Tasks[0]; task.Phase != TaskRunning || task.Cause != "odd" {
+	if task := hb.Tasks[0]; task.Phase != TaskRunning || task.Cause != "odd" {
 		t.Errorf("%+v", task)
 	}
 }
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -218,8 +218,8 @@
 	if err := s.check(); err != nil {
 		return s, err
 	}
-	awaits, err := in.dependencies()
-	s.DependsOn = awaits
+	dependencies, err := in.dependencies()
+	s.DependsOn = dependencies
 	return s, err
 }
 
@@ -349,15 +349,15 @@
 // ParseHeartbeat reads a report. Its strings share the memory of body, which must
 // not be changed afterwards; what is kept for long is to be cloned.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
-	var rep Heartbeat
+	var hb Heartbeat
 	var err error
 	if bytes.Count(body, []byte("[")) > maxArrays || bytes.Count(body, []byte("{")) > maxObjects {
-		err = json.Unmarshal(body, &rep)
+		err = json.Unmarshal(body, &hb)
 	} else {
 		// Reports are most of what a leader reads, and this decoder takes a
 		// quarter of the standard library's time for them.
 		var rest []byte
-		rest, err = fast.Parse(body, &rep, fast.ZeroCopy)
+		rest, err = fast.Parse(body, &hb, fast.ZeroCopy)
 		if err == nil && len(rest) > 0 {
 			err = errors.New("more than one value")
 		}
@@ -365,14 +365,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("not a valid report: %w", err)
 	}
-	if rep.Machine == "" {
+	if hb.Machine == "" {
 		return nil, errors.New("field Host is missing")
 	}
-	for i := range rep.Tasks {
-		t := &rep.Tasks[i]
+	for i := range hb.Tasks {
+		t := &hb.Tasks[i]
 		t.Phase, t.Cause = cloneString(t.Phase), cloneString(t.Cause)
 	}
-	return &rep, nil
+	return &hb, nil
 }
 
 // cloneString is a string that shares no memory with a report: the constants for the
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -8,12 +8,12 @@
 )
 
 // assignTasks pulls tasks for a machine with free room.
-func (lt *leaderTerm) assignTasks(m *machine, orders []api.Command, now time.Time) []api.Command {
+func (lt *leaderTerm) assignTasks(m *machine, commands []api.Command, now time.Time) []api.Command {
 	if !m.isSchedulable(now) || !lt.mayStart(now) {
-		return orders
+		return commands
 	}
 	m.updateFetching()
-	for len(orders) < maxCommands {
+	for len(commands) < maxCommands {
 		j := lt.nextJob(m, now)
 		if j == nil {
 			break
@@ -33,9 +33,9 @@
 		j.activeAttempts[task] = a
 		a.reserve(1)
 		lt.counts.started++
-		orders = append(orders, api.Command{Verb: api.VerbStart, Task: a.key.ref, Attempt: a.key.id})
+		commands = append(commands, api.Command{Verb: api.VerbStart, Task: a.key.ref, Attempt: a.key.id})
 	}
-	return orders
+	return commands
 }
 
 // nextJob chooses the job whose flight this machine serves next. What the teams'
--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -165,11 +165,11 @@
 		w.submit(n, a)
 		w.submit(n, b)
 		time.Sleep(2 * time.Second)
-		orders, err := k.send(n)
+		commands, err := k.send(n)
 		if err != nil {
 			t.Fatal(err)
 		}
-		k.obey(orders)
+		k.obey(commands)
 		w.same("first image", k.running(), []string{"job-1/0", "job-1/1"})
 		for i := range k.rep.Tasks {
 			k.rep.Tasks[i].Phase = api.TaskPulling
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -43,11 +43,11 @@
 		m.fenced, m.registration = true, registered
 		for range 3 {
 			k.rep.Seq++
-			ans, err := lt.handleOwnHeartbeat(&k.rep, now.Add(time.Minute))
+			response, err := lt.handleOwnHeartbeat(&k.rep, now.Add(time.Minute))
 			if err != nil {
 				b.Fatal(err)
 			}
-			k.carryOut(ans.Commands)
+			k.carryOut(response.Commands)
 		}
 		reports[i] = &k.rep
 	}
@@ -63,9 +63,9 @@
 			now := time.Now().Add(2 * time.Minute)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				rep := reports[i%len(reports)]
-				rep.Seq++
-				if _, err := lt.handleOwnHeartbeat(rep, now); err != nil {
+				hb := reports[i%len(reports)]
+				hb.Seq++
+				if _, err := lt.handleOwnHeartbeat(hb, now); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -81,17 +81,17 @@
 			now := time.Now().Add(2 * time.Minute)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				rep := reports[i%len(reports)]
-				rep.Seq++
-				rep.Tasks[0].Phase, rep.Tasks[0].Cause = api.TaskExited, api.CauseHalted
-				ans, err := lt.handleOwnHeartbeat(rep, now)
+				hb := reports[i%len(reports)]
+				hb.Seq++
+				hb.Tasks[0].Phase, hb.Tasks[0].Cause = api.TaskExited, api.CauseHalted
+				response, err := lt.handleOwnHeartbeat(hb, now)
 				if err != nil {
 					b.Fatal(err)
 				}
-				rep.Tasks = rep.Tasks[1:]
-				for _, o := range ans.Commands {
+				hb.Tasks = hb.Tasks[1:]
+				for _, o := range response.Commands {
 					if o.Verb == api.VerbStart {
-						rep.Tasks = append(rep.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
+						hb.Tasks = append(hb.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
 					}
 				}
 			}
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -50,10 +50,10 @@
 
 // stopCancelled are the orders that stop the tasks in a report whose jobs are
 // over as far as this node knows.
-func (c *Controller) stopCancelled(rep *api.Heartbeat, over func(id string) bool) []api.Command {
-	orders := []api.Command{}
-	for _, t := range rep.Tasks {
-		if t.Phase == api.TaskExited || len(orders) >= maxCommands {
+func (c *Controller) stopCancelled(hb *api.Heartbeat, over func(id string) bool) []api.Command {
+	commands := []api.Command{}
+	for _, t := range hb.Tasks {
+		if t.Phase == api.TaskExited || len(commands) >= maxCommands {
 			continue
 		}
 		id, _, _ := splitRef(t.Task)
@@ -61,9 +61,9 @@
 			continue
 		}
 		grace := 0.0
-		orders = append(orders, api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &grace})
+		commands = append(commands, api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &grace})
 	}
-	return orders
+	return commands
 }
 
 const (
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -273,8 +273,8 @@
 	}
 	k.mu.Unlock()
 	for _, n := range c.at() {
-		if orders, err := k.send(n); err == nil {
-			k.obey(orders)
+		if commands, err := k.send(n); err == nil {
+			k.obey(commands)
 			return
 		}
 	}
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -268,7 +268,7 @@
 
 // SendCommands implements Director: the way of orders straight to machines.
 func (s *checkedCluster) SendCommands(ctx context.Context, addr string, o *api.CommandBatch) (uint64, error) {
-	rep, err := s.direct(ctx, addr, func(k *host) bool {
+	hb, err := s.direct(ctx, addr, func(k *host) bool {
 		if o.Term < k.rep.Term || o.AgentEpoch != k.rep.AgentEpoch {
 			return false
 		}
@@ -280,7 +280,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return rep.Seq, nil
+	return hb.Seq, nil
 }
 
 // Resync implements Director.
@@ -317,23 +317,23 @@
 	go func() {
 		idle(s.ctx, orderDelay)
 		k.awake()
-		var rep *api.Heartbeat
+		var hb *api.Heartbeat
 		if s.ctx.Err() == nil && !s.cloud.gone(addr) && do(k) {
 			k.rep.Seq++
 			own := k.rep
 			own.Tasks = slices.Clone(k.rep.Tasks)
-			rep = &own
+			hb = &own
 		}
 		k.mu.Unlock()
 		idle(s.ctx, answerDelay)
-		out <- rep
+		out <- hb
 	}()
 	select {
-	case rep := <-out:
-		if rep == nil {
+	case hb := <-out:
+		if hb == nil {
 			return nil, api.ErrCommandsNotApplied
 		}
-		return rep, nil
+		return hb, nil
 	case <-ctx.Done():
 		return nil, api.ErrCommandsOutcomeUnknown
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -28,7 +28,7 @@
 
 // ErrNotApplied means that a node refuses connections from here, although the
 // network to its host works.
-var ErrRefused = errors.New("connection refused")
+var ErrConnectionRefused = errors.New("connection refused")
 
 // PeerClient speaks to the other nodes.
 type PeerClient interface {
@@ -39,7 +39,7 @@
 	Ping(ctx context.Context, node string, from cancellation.Position) (PeerStatus, error)
 	// ForwardHeartbeat passes a machine's report on to the leader. NotLeaderError means
 	// that the node does not lead, ErrNotApplied that connections are refused.
-	ForwardHeartbeat(ctx context.Context, node string, rep *api.Heartbeat) (api.HeartbeatResponse, error)
+	ForwardHeartbeat(ctx context.Context, node string, hb *api.Heartbeat) (api.HeartbeatResponse, error)
 	// Resign tells a node that self has stopped to act in a term.
 	Resign(ctx context.Context, node, self string, term uint64) error
 	// Vote asks a node to let this one decide as leader of a term for a while.
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -102,14 +102,14 @@
 	if len(j.spec.DependsOn) <= 2*len(j.dependsOn)+maxSingleLookups {
 		return
 	}
-	left, awaits := make([]string, 0, len(j.dependsOn)), make(map[string]bool, len(j.dependsOn))
+	left, dependsOn := make([]string, 0, len(j.dependsOn)), make(map[string]bool, len(j.dependsOn))
 	for _, id := range j.spec.DependsOn {
 		if j.dependsOn[id] {
 			left = append(left, id)
-			awaits[id] = true
+			dependsOn[id] = true
 		}
 	}
-	j.spec.DependsOn, j.dependsOn = left, awaits
+	j.spec.DependsOn, j.dependsOn = left, dependsOn
 }
 
 // jobReady queues a job once all that it awaits is done. Its times count from when the
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -16,9 +16,9 @@
 )
 
 // after is a job that awaits others.
-func after(id, team string, tasks int, awaits ...string) *api.JobSpec {
+func after(id, team string, tasks int, dependsOn ...string) *api.JobSpec {
 	s := job1(id, team, tasks)
-	s.DependsOn = awaits
+	s.DependsOn = dependsOn
 	return s
 }
 
@@ -41,9 +41,9 @@
 			for s.ctx.Err() == nil {
 				for _, name := range s.names {
 					if n := s.node(name); n != nil {
-						asked := time.Now()
+						sentAt := time.Now()
 						if p := s.phase(n, id); slices.Contains([]string{"pending", "running", "done", "withdrawn"}, p) {
-							s.h.answered(id, p, asked)
+							s.h.answered(id, p, sentAt)
 						}
 					}
 				}
@@ -145,10 +145,10 @@
 		w.same("first", w.phase(n, "job-1"), api.JobDone)
 		w.submit(n, spec("job-2", 1))
 		w.submit(n, after("job-3", "red", 1, "job-2"))
-		submit := func(id string, awaits ...string) string {
+		submit := func(id string, dependsOn ...string) string {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
-			st, created, err := n.Submit(ctx, after(id, "red", 1, awaits...))
+			st, created, err := n.Submit(ctx, after(id, "red", 1, dependsOn...))
 			var never *api.UnschedulableError
 			switch {
 			case errors.As(err, &never):
@@ -513,10 +513,10 @@
 				measure := func(jobs int) (deadline, cancel uint64) {
 					n.look(func(c *Controller) {
 						lt := c.leaderTerm
-						add := func(id, awaits int, dueS float64) {
+						add := func(id, dependsOn int, dueS float64) {
 							s := spec(fmt.Sprint("job-", id), 1)
-							if awaits > 0 {
-								s.DependsOn = need(awaits)
+							if dependsOn > 0 {
+								s.DependsOn = need(dependsOn)
 							}
 							s.Class, s.DeadlineS, s.EstimateS = "stage", dueS, float64(10+20*(id%2))
 							lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: time.Now()}, uint64(1000+id))
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -180,8 +180,8 @@
 				n = w.startWith("n0", st, nil)
 				k.serve(n, 30)
 				w.same("begun", k.running(), []string(nil))
-				if asked := st.asked.Load(); asked < 5 || asked > 150 {
-					t.Errorf("asked %d times", asked)
+				if sentAt := st.asked.Load(); sentAt < 5 || sentAt > 150 {
+					t.Errorf("asked %d times", sentAt)
 				}
 				st.closed.Store(false)
 				k.serve(n, 5)
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -13,7 +13,7 @@
 // CommandSender brings orders straight to a machine. Its errors are
 // api.ErrCommandsNotApplied and api.ErrCommandsOutcomeUnknown.
 type CommandSender interface {
-	SendCommands(ctx context.Context, addr string, orders *api.CommandBatch) (seq uint64, err error)
+	SendCommands(ctx context.Context, addr string, commands *api.CommandBatch) (seq uint64, err error)
 	// Resync tells a machine of a term and returns the report that shows it.
 	Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error)
 }
@@ -63,12 +63,12 @@
 // mayStillStart tells whether a start may still be carried out although a report
 // does not show it. One that an earlier report showed was carried out, and is
 // not a second time: it has left its machine.
-func (a *attempt) mayStillStart(rep *api.Heartbeat) bool {
+func (a *attempt) mayStillStart(hb *api.Heartbeat) bool {
 	d := a.direct
-	if d == nil || a.lastSeenIn != 0 || rep.AgentEpoch > d.agentEpoch {
+	if d == nil || a.lastSeenIn != 0 || hb.AgentEpoch > d.agentEpoch {
 		return false
 	}
-	return d.inFlight || d.outcomeUnknown || rep.Seq < d.seq
+	return d.inFlight || d.outcomeUnknown || hb.Seq < d.seq
 }
 
 // empty tells whether nothing holds the machine but orders without an answer.
@@ -107,8 +107,8 @@
 		if lt.commandsInFlight >= most {
 			return
 		}
-		if orders := lt.assignTasks(m, nil, now); len(orders) > 0 {
-			lt.sendCommands(m, orders)
+		if commands := lt.assignTasks(m, nil, now); len(commands) > 0 {
+			lt.sendCommands(m, commands)
 		}
 	}
 }
@@ -124,16 +124,16 @@
 }
 
 // sendCommands sends starts that were just placed on a machine.
-func (lt *leaderTerm) sendCommands(m *machine, orders []api.Command) {
-	batch := make([]*attempt, 0, len(orders))
-	for _, o := range orders {
+func (lt *leaderTerm) sendCommands(m *machine, commands []api.Command) {
+	batch := make([]*attempt, 0, len(commands))
+	for _, o := range commands {
 		a := m.attempts[attemptKey{o.Task, o.Attempt}]
 		a.direct = &directCommand{agentEpoch: m.agentEpoch, inFlight: true}
 		batch = append(batch, a)
 	}
 	m.commandInFlight = true
 	lt.commandsInFlight++
-	addr, req := m.addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.agentEpoch, Commands: orders}
+	addr, req := m.addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.agentEpoch, Commands: commands}
 	wait := directTimeout
 	if !lt.notPausedSince(time.Now().Add(-recentPause)) {
 		wait = slowDirectTimeout
--- a/internal/controller/directcommands_test.go
+++ b/internal/controller/directcommands_test.go
@@ -69,9 +69,9 @@
 	}
 	k.rep.Term = term
 	k.rep.Seq++
-	rep := k.rep
-	rep.Tasks = slices.Clone(k.rep.Tasks)
-	return &rep, nil
+	hb := k.rep
+	hb.Tasks = slices.Clone(k.rep.Tasks)
+	return &hb, nil
 }
 
 func (d *wire) set(refuse, hold bool) {
@@ -333,10 +333,10 @@
 		time.Sleep(4 * time.Second)
 		b.look(func(c *Controller) {
 			m := c.leaderTerm.machines[idle[5].rep.Machine]
-			rep := idle[5].rep
-			rep.Seq, rep.AgentEpoch = m.heartbeatSeq+1, m.agentEpoch
+			hb := idle[5].rep
+			hb.Seq, hb.AgentEpoch = m.heartbeatSeq+1, m.agentEpoch
 			c.leaderTerm.resyncing++
-			resyncResultMsg{c.leaderTerm, m, time.Now(), &rep, nil}.apply(c)
+			resyncResultMsg{c.leaderTerm, m, time.Now(), &hb, nil}.apply(c)
 			w.same("given in a resync", len(m.attempts), 0)
 		})
 	})
@@ -357,25 +357,25 @@
 		ks[1].serve(b, 2)
 		w.submit(b, spec("job-1", 4))
 		time.Sleep(6 * time.Second) // the refused orders keep the machines back
-		orders, err := ks[0].send(b)
-		if err != nil || len(orders) != 4 {
-			t.Fatalf("orders %v, error %v", orders, err)
+		commands, err := ks[0].send(b)
+		if err != nil || len(commands) != 4 {
+			t.Fatalf("orders %v, error %v", commands, err)
 		}
 		resynced := func(k *worker) {
 			b.look(func(c *Controller) {
 				m := c.leaderTerm.machines[k.rep.Machine]
-				rep, err := d.Resync(context.Background(), m.addr, c.leaderTerm.term.Number)
+				hb, err := d.Resync(context.Background(), m.addr, c.leaderTerm.term.Number)
 				if err != nil {
 					t.Fatal(err)
 				}
 				c.leaderTerm.resyncing++
-				resyncResultMsg{c.leaderTerm, m, time.Now(), rep, nil}.apply(c)
+				resyncResultMsg{c.leaderTerm, m, time.Now(), hb, nil}.apply(c)
 			})
 		}
 		resynced(ks[0])
 		ks[1].serve(b, 3)
 		w.same("begun elsewhere", ks[1].running(), []string(nil))
-		ks[0].obey(orders)
+		ks[0].obey(commands)
 		ks[0].serve(b, 2)
 		w.same("begun", len(ks[0].running()), 4)
 
@@ -496,13 +496,13 @@
 		d.set(false, false)
 		pass := func(k *worker) {
 			k.rep.Seq++
-			rep := k.rep
-			rep.Tasks = slices.Clone(k.rep.Tasks)
-			ans, err := a.ForwardedHeartbeat(context.Background(), &rep)
+			hb := k.rep
+			hb.Tasks = slices.Clone(k.rep.Tasks)
+			response, err := a.ForwardedHeartbeat(context.Background(), &hb)
 			if err != nil {
 				t.Fatal(err)
 			}
-			k.obey(ans.Commands)
+			k.obey(response.Commands)
 		}
 		d.taken()
 		for range 3 {
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -87,12 +87,12 @@
 			return
 		}
 		if term != 0 {
-			asked := time.Now()
+			sentAt := time.Now()
 			gctx, cancel := context.WithTimeout(ctx, voteTimeout)
 			granted, err := c.Peers.Vote(gctx, node, term)
 			cancel()
 			if err == nil && granted {
-				c.send(ctx, voteGrantedMsg{node, term, asked})
+				c.send(ctx, voteGrantedMsg{node, term, sentAt})
 			}
 		}
 		sleep(ctx, voteInterval)
@@ -208,7 +208,7 @@
 func (c *Controller) collectPromises(leader string, term uint64, others []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), voteTimeout)
 	defer cancel()
-	asked := time.Now()
+	sentAt := time.Now()
 	waits := make(chan time.Duration, len(others))
 	for _, node := range others {
 		go func() {
@@ -226,7 +226,7 @@
 	for range others {
 		if wait := <-waits; wait != noPromise {
 			m.promises++
-			if until := asked.Add(voteTimeout + wait); until.After(m.until) {
+			if until := sentAt.Add(voteTimeout + wait); until.After(m.until) {
 				m.until = until
 			}
 		}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -67,12 +67,12 @@
 	return n.PeerStatus(ctx, from)
 }
 
-func (e meshEnd) ForwardHeartbeat(ctx context.Context, name string, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
+func (e meshEnd) ForwardHeartbeat(ctx context.Context, name string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	n, err := e.to(name)
 	if err != nil {
 		return api.HeartbeatResponse{}, err
 	}
-	return n.ForwardedHeartbeat(ctx, rep)
+	return n.ForwardedHeartbeat(ctx, hb)
 }
 
 func (e meshEnd) Resign(ctx context.Context, name, self string, term uint64) error {
@@ -239,21 +239,21 @@
 		if only != "" && only != name || never == name {
 			continue
 		}
-		orders, err := k.send(n)
+		commands, err := k.send(n)
 		if err != nil {
 			continue
 		}
-		s.ordered(k.rep.Term, orders)
-		k.obey(orders)
+		s.ordered(k.rep.Term, commands)
+		k.obey(commands)
 		return
 	}
 }
 
 // ordered notes the starts that a machine was ordered in a term.
-func (s *standbyCluster) ordered(term uint64, orders []api.Command) {
+func (s *standbyCluster) ordered(term uint64, commands []api.Command) {
 	s.state.Lock()
 	defer s.state.Unlock()
-	for _, o := range orders {
+	for _, o := range commands {
 		if o.Verb != api.VerbStart {
 			continue
 		}
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -27,11 +27,11 @@
 			}
 			starts, reports := 0, 0
 			for ; reports < 60 && !w.cloud.gone("i-1"); reports++ {
-				orders, err := deaf.send(n)
+				commands, err := deaf.send(n)
 				if err != nil {
 					break
 				}
-				for _, o := range orders {
+				for _, o := range commands {
 					if o.Verb == api.VerbStart {
 						starts++
 					}
@@ -105,8 +105,8 @@
 			old := deaf.rep
 			for range 20 {
 				old.Seq++
-				rep := old
-				deaf.deliver(b, &rep)
+				hb := old
+				deaf.deliver(b, &hb)
 				well.report(b)
 				time.Sleep(time.Second)
 			}
@@ -130,9 +130,9 @@
 		k.serve(n, 2)
 		w.dead.Store("i-1", true) // dies; copies of its reports go on
 		for range 12 {
-			rep := copied
-			if orders, err := k.deliver(n, &rep); err == nil {
-				w.same("orders for a copy", len(orders), 0)
+			hb := copied
+			if commands, err := k.deliver(n, &hb); err == nil {
+				w.same("orders for a copy", len(commands), 0)
 			}
 			other.report(n)
 			time.Sleep(time.Second)
@@ -165,10 +165,10 @@
 		a.crash()
 		b := w.start("n0")
 		for i := range 12 {
-			for _, rep := range []api.Heartbeat{fresh, copied} {
-				rep.Seq += uint64(i % 2)
-				if orders, err := gone.deliver(b, &rep); err == nil {
-					w.same("orders for a copy", len(orders), 0)
+			for _, hb := range []api.Heartbeat{fresh, copied} {
+				hb.Seq += uint64(i % 2)
+				if commands, err := gone.deliver(b, &hb); err == nil {
+					w.same("orders for a copy", len(commands), 0)
 				}
 			}
 			for _, o := range append(k.report(b), other.report(b)...) {
@@ -445,15 +445,15 @@
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
-		rep := k.rep
-		rep.Term, rep.Seq = rep.Term+1, rep.Seq+1
+		hb := k.rep
+		hb.Term, hb.Seq = hb.Term+1, hb.Seq+1
 		n.look(func(c *Controller) {
 			defer func() {
 				if p := recover(); p != nil {
 					t.Errorf("ends over a report: %v", p)
 				}
 			}()
-			m := heartbeatMsg{heartbeat: &rep, reply: make(chan heartbeatReply, 1), receivedAt: time.Now()}
+			m := heartbeatMsg{heartbeat: &hb, reply: make(chan heartbeatReply, 1), receivedAt: time.Now()}
 			m.apply(c)
 			w.same("refused", (<-m.reply).err, &api.NotLeaderError{})
 			w.same("leads", c.leaderTerm != nil, false)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -130,9 +130,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.rep.Seq++
-	rep := m.rep
-	rep.Tasks = slices.Clone(m.rep.Tasks)
-	return &rep, nil
+	hb := m.rep
+	hb.Tasks = slices.Clone(m.rep.Tasks)
+	return &hb, nil
 }
 
 // requestsEnd is longer than any request of a node lasts that has its own time limit.
@@ -340,50 +340,50 @@
 
 // reporter is a node of any version as workers reach it.
 type reporter interface {
-	Heartbeat(ctx context.Context, rep *api.Heartbeat) (api.HeartbeatResponse, error)
+	Heartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error)
 }
 
 // report sends a report and carries the orders out, as a worker does.
 func (k *worker) report(n reporter) []api.Command {
-	orders, err := k.send(n)
+	commands, err := k.send(n)
 	if err != nil {
 		return nil
 	}
-	k.obey(orders)
-	return orders
+	k.obey(commands)
+	return commands
 }
 
 // send sends a report; its orders are lost unless obeyed.
 func (k *worker) send(n reporter) ([]api.Command, error) {
 	k.mu.Lock()
 	k.rep.Seq++
-	rep := k.rep
-	rep.Tasks = slices.Clone(k.rep.Tasks)
+	hb := k.rep
+	hb.Tasks = slices.Clone(k.rep.Tasks)
 	k.mu.Unlock()
-	return k.deliver(n, &rep)
+	return k.deliver(n, &hb)
 }
 
-func (k *worker) deliver(n reporter, rep *api.Heartbeat) ([]api.Command, error) {
+func (k *worker) deliver(n reporter, hb *api.Heartbeat) ([]api.Command, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
-	ans, err := n.Heartbeat(ctx, rep)
+	response, err := n.Heartbeat(ctx, hb)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err == nil && ans.Term >= k.rep.Term {
-		k.rep.Term = ans.Term
-		return ans.Commands, nil
+	if err == nil && response.Term >= k.rep.Term {
+		k.rep.Term = response.Term
+		return response.Commands, nil
 	}
 	return nil, errors.Join(err, errors.New("dropped"))
 }
 
-func (k *worker) obey(orders []api.Command) {
+func (k *worker) obey(commands []api.Command) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.carryOut(orders)
+	k.carryOut(commands)
 }
 
-func (k *worker) carryOut(orders []api.Command) {
-	for _, o := range orders {
+func (k *worker) carryOut(commands []api.Command) {
+	for _, o := range commands {
 		i := slices.IndexFunc(k.rep.Tasks, func(t api.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
 		switch {
 		case o.Verb == api.VerbStart && i < 0:
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -14,8 +14,8 @@
 // handleOwnHeartbeat processes a worker's report and answers with its orders. Orders go in
 // answers only: an answer that comes late is dropped by the worker, while an
 // order sent by itself could be carried out minutes later.
-func (lt *leaderTerm) handleOwnHeartbeat(rep *api.Heartbeat, now time.Time) (api.HeartbeatResponse, error) {
-	return lt.handleHeartbeat(rep, agentInitiated, now)
+func (lt *leaderTerm) handleOwnHeartbeat(hb *api.Heartbeat, now time.Time) (api.HeartbeatResponse, error) {
+	return lt.handleHeartbeat(hb, agentInitiated, now)
 }
 
 // heartbeatOrigin is how a report came about.
@@ -33,71 +33,71 @@
 )
 
 // handleHeartbeat updates the leader's state by a report and returns the answer to it.
-func (lt *leaderTerm) handleHeartbeat(rep *api.Heartbeat, from heartbeatOrigin, now time.Time) (api.HeartbeatResponse, error) {
-	ans := api.HeartbeatResponse{Term: lt.term.Number, Commands: []api.Command{}}
-	if rep.Term > lt.term.Number {
+func (lt *leaderTerm) handleHeartbeat(hb *api.Heartbeat, from heartbeatOrigin, now time.Time) (api.HeartbeatResponse, error) {
+	response := api.HeartbeatResponse{Term: lt.term.Number, Commands: []api.Command{}}
+	if hb.Term > lt.term.Number {
 		// The machine has seen a later term than this one.
 		lt.stepDown()
-		return ans, &api.NotLeaderError{}
+		return response, &api.NotLeaderError{}
 	}
 	if !lt.loaded {
 		// This keeps the lease and makes the machine heard. What is known to be
 		// cancelled must not live on by it.
-		ans.Commands = lt.c.stopCancelled(rep, nil)
-		return ans, nil
+		response.Commands = lt.c.stopCancelled(hb, nil)
+		return response, nil
 	}
-	if lt.terminated.Contains(rep.Machine) {
-		return ans, api.ErrUnavailable // given back; this was held up on its way
+	if lt.terminated.Contains(hb.Machine) {
+		return response, api.ErrUnavailable // given back; this was held up on its way
 	}
-	m := lt.machines[rep.Machine]
-	if rep.Term < lt.term.Number && (m != nil || lt.provisioning[rep.Machine] == nil) {
+	m := lt.machines[hb.Machine]
+	if hb.Term < lt.term.Number && (m != nil || lt.provisioning[hb.Machine] == nil) {
 		// A token never falls, so this is the first report of a machine that
 		// has yet to hear of this term, one of a machine that no answer
 		// reaches, or a copy of an old report that comes late. These look
 		// alike: it is answered, so that the machine learns the term, and
 		// otherwise changes nothing. Above all it is no sign of life, and
 		// brings no machine back that an earlier leader returned.
-		return ans, nil
+		return response, nil
 	}
 	if m == nil {
 		// The report's strings share its body's memory.
-		m = lt.addMachine(strings.Clone(rep.Machine), strings.Clone(rep.Type), strings.Clone(rep.Zone), rep.Spot, now)
+		m = lt.addMachine(strings.Clone(hb.Machine), strings.Clone(hb.Type), strings.Clone(hb.Zone), hb.Spot, now)
 		lt.c.Log.Info("machine up", "machine", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot)
 	}
-	if rep.AgentEpoch < m.agentEpoch || (rep.AgentEpoch == m.agentEpoch && rep.Seq <= m.heartbeatSeq) {
-		return ans, nil // older than what is known
+	if hb.AgentEpoch < m.agentEpoch || (hb.AgentEpoch == m.agentEpoch && hb.Seq <= m.heartbeatSeq) {
+		return response, nil // older than what is known
 	}
-	ans.Commands = lt.applyHeartbeat(m, rep, from, ans.Commands, now)
-	return ans, nil
+	response.Commands = lt.applyHeartbeat(m, hb, from, response.Commands, now)
+	return response, nil
 }
 
 // applyHeartbeat updates the state of a machine by a report that is newer than all
 // before it, and adds the orders that answer it.
-func (lt *leaderTerm) applyHeartbeat(m *machine, rep *api.Heartbeat, from heartbeatOrigin, orders []api.Command, now time.Time) []api.Command {
-	lt.updateMachine(m, rep, now)
-	orders = lt.reconcile(m, rep, from, orders, now)
+func (lt *leaderTerm) applyHeartbeat(m *machine, hb *api.Heartbeat, from heartbeatOrigin, commands []api.Command, now time.Time) []api.Command {
+	lt.updateMachine(m, hb, now)
+	commands = lt.reconcile(m, hb, from, commands, now)
 	if m.unappliedResponses == 0 {
 		m.probeFails = 0
 	}
 	lt.registerUnregistered(m)
-	if rep.Term == lt.term.Number {
+	if hb.Term == lt.term.Number {
 		lt.markFenced(m)
 		if from == agentInitiated {
-			orders = lt.assignTasks(m, orders, now)
+			commands = lt.assignTasks(m, commands, now)
 		}
 	}
 	if from == agentInitiated {
-		m.lastCommands, m.lastCommandsAt = orders, now
+		m.lastCommands, m.lastCommandsAt = commands, now
 	}
 	if m.usedCPUs > epsilon || len(m.attempts) > 0 {
 		m.idleSince = now
 	}
-	return orders
+	return commands
 }
 
 // updateMachine records what a new report says of the machine itself.
-func (lt *leaderTerm) updateMachine(m *machine, rep *api.Heartbeat, now time.Time) {
-	if m.agentEpoch != 0 && rep.AgentEpoch > m.agentEpoch {
+func (lt *leaderTerm) updateMachine(m *machine, hb *api.Heartbeat, now time.Time) {
+	if m.agentEpoch != 0 && hb.AgentEpoch > m.agentEpoch {
 		if lt.notPausedSince(now.Add(-lt.c.Settings.Site.Workers.Lease() - lt.heartbeatTimeout())) {
 			m.unappliedResponses++ // its lease has ended although it was answered
 		}
@@ -108,17 +108,17 @@
 		m.markUnmeasured()
 	}
 	m.lastHeartbeat = now
-	m.agentEpoch, m.heartbeatSeq, m.lastSeen = rep.AgentEpoch, rep.Seq, now
-	if m.addr != rep.Addr {
-		m.addr = strings.Clone(rep.Addr)
+	m.agentEpoch, m.heartbeatSeq, m.lastSeen = hb.AgentEpoch, hb.Seq, now
+	if m.addr != hb.Addr {
+		m.addr = strings.Clone(hb.Addr)
 	}
 	if m.cpus == 0 {
 		if mt, ok := lt.c.types.load()[m.typ]; ok {
 			m.cpus, m.gpus, m.memory = mt.CPUs, mt.GPUs, mt.MemoryGB
 		}
 	}
-	if rep.PreemptionNoticeS != nil {
-		lt.handlePreemptionNotice(m, *rep.PreemptionNoticeS, now)
+	if hb.PreemptionNoticeS != nil {
+		lt.handlePreemptionNotice(m, *hb.PreemptionNoticeS, now)
 	}
 }
 
@@ -195,21 +195,21 @@
 }
 
 // reconcile brings the machine's attempts in line with its report.
-func (lt *leaderTerm) reconcile(m *machine, rep *api.Heartbeat, from heartbeatOrigin, orders []api.Command, now time.Time) []api.Command {
+func (lt *leaderTerm) reconcile(m *machine, hb *api.Heartbeat, from heartbeatOrigin, commands []api.Command, now time.Time) []api.Command {
 	// Stops go before reaps: a machine that has ended more tasks than an answer
 	// holds orders would run what is cancelled on, while its lease is renewed.
-	reaps := lt.updateAttempts(m, rep, now)
+	reaps := lt.updateAttempts(m, hb, now)
 	if from == agentInitiated {
 		lt.checkApplied(m, now)
 	}
 	for key, a := range m.attempts {
 		if a.lastSeenIn != m.heartbeats {
-			if !a.mayStillStart(rep) && !(from == solicited && a.startInFlight(rep)) {
+			if !a.mayStillStart(hb) && !(from == solicited && a.startInFlight(hb)) {
 				lt.handleMissing(a)
 			}
 			continue
 		}
-		if a.exited || len(orders) >= maxCommands {
+		if a.exited || len(commands) >= maxCommands {
 			continue
 		}
 		// A version that knows nothing of jobs that await others may have started
@@ -220,18 +220,18 @@
 		}
 		if a.stop != nil {
 			grace := max(0, a.stop.grace-now.Sub(a.stop.since)).Seconds()
-			orders = append(orders, api.Command{Verb: api.VerbStop, Task: key.ref, Attempt: key.id, GraceS: &grace})
+			commands = append(commands, api.Command{Verb: api.VerbStop, Task: key.ref, Attempt: key.id, GraceS: &grace})
 		}
 	}
-	return append(orders, reaps[:min(len(reaps), maxCommands-len(orders))]...)
+	return append(commands, reaps[:min(len(reaps), maxCommands-len(commands))]...)
 }
 
 // updateAttempts updates the attempts that a report names, and returns the
 // orders to reap those that have ended.
-func (lt *leaderTerm) updateAttempts(m *machine, rep *api.Heartbeat, now time.Time) []api.Command {
+func (lt *leaderTerm) updateAttempts(m *machine, hb *api.Heartbeat, now time.Time) []api.Command {
 	var reaps []api.Command
-	for i := range rep.Tasks {
-		t := &rep.Tasks[i]
+	for i := range hb.Tasks {
+		t := &hb.Tasks[i]
 		key := attemptKey{t.Task, t.Attempt}
 		a := m.attempts[key]
 		if a == nil {
--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -14,26 +14,26 @@
 const forwardTimeout = 1200 * time.Millisecond
 
 // Heartbeat implements api.Backend.
-func (c *Controller) Heartbeat(ctx context.Context, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
-	r, err := c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: rep})
+func (c *Controller) Heartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
+	r, err := c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: hb})
 	if err != nil || r.forwardTo == "" {
 		return r.response, err
 	}
 	pctx, cancel := context.WithTimeout(ctx, forwardTimeout)
-	ans, err := c.Peers.ForwardHeartbeat(pctx, r.forwardTo, rep)
+	response, err := c.Peers.ForwardHeartbeat(pctx, r.forwardTo, hb)
 	cancel()
 	var other *api.NotLeaderError
 	if err == nil || errors.As(err, &other) {
-		return ans, err
+		return response, err
 	}
 	// The leader cannot be reached from here: its machines' leases are extended.
-	r, err = c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: rep, unreachableLeader: r.forwardTo, connectionRefused: errors.Is(err, ErrRefused)})
+	r, err = c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: hb, unreachableLeader: r.forwardTo, connectionRefused: errors.Is(err, ErrConnectionRefused)})
 	return r.response, err
 }
 
 // ForwardedHeartbeat takes a report that came to another node.
-func (c *Controller) ForwardedHeartbeat(ctx context.Context, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
-	r, err := c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: rep, forwarded: true})
+func (c *Controller) ForwardedHeartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
+	r, err := c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: hb, forwarded: true})
 	return r.response, err
 }
 
@@ -98,14 +98,14 @@
 	if !c.leaderTerm.mayRenewLeases(now) && m.heartbeat.Term <= c.leaderTerm.term.Number {
 		return heartbeatReply{err: api.ErrUnavailable}
 	}
-	ans, err := c.leaderTerm.handleOwnHeartbeat(m.heartbeat, now)
+	response, err := c.leaderTerm.handleOwnHeartbeat(m.heartbeat, now)
 	// A report that shows a later term has ended this node's own.
 	if c.leaderTerm != nil {
 		if mc := c.leaderTerm.machines[m.heartbeat.Machine]; mc != nil {
 			mc.lastForwarded = m.forwarded
 		}
 	}
-	return heartbeatReply{response: ans, err: err}
+	return heartbeatReply{response: response, err: err}
 }
 
 // answerAsFollower passes a report on to the leader, sends its machine there, or
@@ -133,9 +133,9 @@
 		return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 	}
 	unreached := m.unreachableLeader == leader || !c.membership.members[leader].isReachable(now)
-	if ans, ok := c.renewOnBehalf(m.heartbeat, leader, unreached, now); ok {
-		c.uplink.recordHeartbeat(c, m.heartbeat, &ans, now)
-		return heartbeatReply{response: ans}
+	if response, ok := c.renewOnBehalf(m.heartbeat, leader, unreached, now); ok {
+		c.uplink.recordHeartbeat(c, m.heartbeat, &response, now)
+		return heartbeatReply{response: response}
 	}
 	return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -16,10 +16,10 @@
 
 // addJob takes in an active record: of a job that is new, or of one that was lent or taken
 // back.
-func (lt *leaderTerm) addJob(key string, value []byte, mark uint64) {
+func (lt *leaderTerm) addJob(key string, value []byte, modRevision uint64) {
 	id := key[len(records.ActivePrefix):]
 	j := lt.jobs[id]
-	if _, ok := lt.c.final.Get(id); ok || j != nil && j.modRevision >= mark {
+	if _, ok := lt.c.final.Get(id); ok || j != nil && j.modRevision >= modRevision {
 		return
 	}
 	var rec records.ActiveRecord
@@ -28,14 +28,14 @@
 		return
 	}
 	if j != nil {
-		lt.applyLoan(j, rec, mark)
+		lt.applyLoan(j, rec, modRevision)
 		return
 	}
-	lt.addRecord(key, rec, mark)
+	lt.addRecord(key, rec, modRevision)
 }
 
 // addRecord adds the job of an active record.
-func (lt *leaderTerm) addRecord(key string, rec records.ActiveRecord, mark uint64) {
+func (lt *leaderTerm) addRecord(key string, rec records.ActiveRecord, modRevision uint64) {
 	spec, since, team := rec.Spec, rec.Accepted, lt.teams[rec.Spec.Team]
 	switch {
 	case rec.Lent != nil:
@@ -49,7 +49,7 @@
 		return
 	}
 	j := newJob(spec, team)
-	j.modRevision, j.accepted, j.runnableSince = mark, rec.Accepted, since
+	j.modRevision, j.accepted, j.runnableSince = modRevision, rec.Accepted, since
 	j.dependencyList, j.guest, j.loanCount = rec.DependencyList, rec.Guest, rec.LoanCount
 	j.preference = lt.c.Policy.Preferences[spec.Class]
 	j.objectives = lt.objectives(j)
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -25,11 +25,11 @@
 	now := time.Unix(1_000_000, 0)
 	ul := newRelayUp(config.Limits{RAMMB: 3})
 	for i := range largeFleet {
-		rep := &api.Heartbeat{Machine: hostName(i), Addr: "10.0.0.1:9000", Type: "small", Zone: "b", AgentEpoch: 1, Seq: 1, Term: 3}
+		hb := &api.Heartbeat{Machine: hostName(i), Addr: "10.0.0.1:9000", Type: "small", Zone: "b", AgentEpoch: 1, Seq: 1, Term: 3}
 		for task := range 8 {
-			rep.Tasks = append(rep.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%06d/%d", i, task), Attempt: uint64(i), Phase: api.TaskRunning})
+			hb.Tasks = append(hb.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%06d/%d", i, task), Attempt: uint64(i), Phase: api.TaskRunning})
 		}
-		ul.recordHeartbeat(nil, rep, &api.HeartbeatResponse{Term: 3}, now)
+		ul.recordHeartbeat(nil, hb, &api.HeartbeatResponse{Term: 3}, now)
 	}
 	sent := map[string]bool{}
 	rounds := 0
@@ -45,9 +45,9 @@
 		if err := relay.Unpack(packed, &got); err != nil {
 			t.Fatal(err)
 		}
-		for _, rep := range got.Reports {
-			sent[rep.Machine] = true
-			m := ul.machines[rep.Machine]
+		for _, hb := range got.Reports {
+			sent[hb.Machine] = true
+			m := ul.machines[hb.Machine]
 			m.dirty, m.sentAt = false, now
 		}
 	}
--- a/internal/controller/leaderterm_test.go
+++ b/internal/controller/leaderterm_test.go
@@ -70,18 +70,18 @@
 		k := w.worker("i-1", "a", false)
 		k.serve(a, 2)
 		w.submit(a, spec("job-1", 2))
-		orders, err := k.send(a) // on its way when the leader crashes
-		if err != nil || len(orders) != 2 {
-			t.Fatalf("orders %v, %v", orders, err)
+		commands, err := k.send(a) // on its way when the leader crashes
+		if err != nil || len(commands) != 2 {
+			t.Fatalf("orders %v, %v", commands, err)
 		}
 		a.crash()
 		b := w.start("n0")
 		k2 := w.worker("i-2", "a", false)
 		k2.serve(b, 3)
 		w.same("nothing elsewhere", len(k2.running()), 0)
-		rep := k.rep
-		rep.Seq++
-		if _, err := k.deliver(b, &rep); err != nil {
+		hb := k.rep
+		hb.Seq++
+		if _, err := k.deliver(b, &hb); err != nil {
 			t.Fatal(err)
 		}
 		k2.serve(b, 2)
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -59,18 +59,18 @@
 }
 
 // renewOnBehalf answers a report in the leader's stead, if this node may.
-func (c *Controller) renewOnBehalf(rep *api.Heartbeat, leader string, unreached bool, now time.Time) (api.HeartbeatResponse, bool) {
+func (c *Controller) renewOnBehalf(hb *api.Heartbeat, leader string, unreached bool, now time.Time) (api.HeartbeatResponse, bool) {
 	lr := &c.leaseRenewer
-	if !(lr.leaderAway || unreached) || leader == "" || leader != lr.leader || now.Sub(lr.verifiedAt) > c.renewalPeriod() || lr.term == 0 || !lr.mayRespond(rep.Term, now) {
+	if !(lr.leaderAway || unreached) || leader == "" || leader != lr.leader || now.Sub(lr.verifiedAt) > c.renewalPeriod() || lr.term == 0 || !lr.mayRespond(hb.Term, now) {
 		return api.HeartbeatResponse{}, false
 	}
 	over := func(id string) bool { return lr.activeJobs != nil && !lr.activeJobs[id] }
-	ans := api.HeartbeatResponse{Term: lr.term, Commands: c.stopCancelled(rep, over)}
+	response := api.HeartbeatResponse{Term: lr.term, Commands: c.stopCancelled(hb, over)}
 	if lr.machines == nil {
 		lr.machines = map[string]time.Time{}
 	}
-	lr.machines[strings.Clone(rep.Machine)] = now
-	return ans, true
+	lr.machines[strings.Clone(hb.Machine)] = now
+	return response, true
 }
 
 // mayRespond tells whether a machine may be answered in the present term. One that
@@ -156,7 +156,7 @@
 // one record goes on under further keys: leaders take in every record under the
 // prefix by itself, whatever follows the node's name. A record that is not renewed
 // with the others says nothing any more.
-func (c *Controller) publishRenewals(ctx context.Context, hosts []string, term, mark uint64) {
+func (c *Controller) publishRenewals(ctx context.Context, hosts []string, term, modRevision uint64) {
 	lim := c.Settings.Site.State
 	for room := min(int(lim.ValueKB*1024), kv.MaxTxnBytes/2); room > 0; room /= 2 {
 		recs := renewalRecords(hosts, term, room)
@@ -167,7 +167,7 @@
 			c.Log.Warn("extended leases left out", "machines", len(hosts), "records", len(recs), "most", most)
 			recs = recs[:most]
 		}
-		err := c.writeRenewals(ctx, recs, mark, max(1, min(lim.TxnOps, kv.MaxTxnBytes*3/4/(room+200))))
+		err := c.writeRenewals(ctx, recs, modRevision, max(1, min(lim.TxnOps, kv.MaxTxnBytes*3/4/(room+200))))
 		if err == nil {
 			return
 		}
@@ -180,8 +180,8 @@
 }
 
 // writeRenewals writes records of extended leases, so many in a transaction.
-func (c *Controller) writeRenewals(ctx context.Context, recs []records.LeaseRenewalRecord, mark uint64, ops int) error {
-	txn := kv.Txn{Compares: []kv.Compare{{Key: election.TermKey, ModRevision: mark}}}
+func (c *Controller) writeRenewals(ctx context.Context, recs []records.LeaseRenewalRecord, modRevision uint64, ops int) error {
+	txn := kv.Txn{Compares: []kv.Compare{{Key: election.TermKey, ModRevision: modRevision}}}
 	for i, rec := range recs {
 		key := records.LeaseRenewalPrefix + c.Settings.Node
 		if i > 0 {
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -25,7 +25,7 @@
 type linked interface {
 	PeerJob(ctx context.Context, id string) (api.JobState, error)
 	PeerStatus(ctx context.Context, from cancellation.Position) (PeerStatus, error)
-	ForwardedHeartbeat(ctx context.Context, rep *api.Heartbeat) (api.HeartbeatResponse, error)
+	ForwardedHeartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error)
 	LeaderResigned(ctx context.Context, node string, term uint64) error
 }
 
@@ -50,22 +50,22 @@
 	n, err := l.to(name)
 	if err != nil {
 		if l.refuse.Load() {
-			err = ErrRefused
+			err = ErrConnectionRefused
 		}
 		return PeerStatus{}, err
 	}
 	return n.PeerStatus(ctx, from)
 }
 
-func (l *links) ForwardHeartbeat(ctx context.Context, name string, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
+func (l *links) ForwardHeartbeat(ctx context.Context, name string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	n, err := l.to(name)
 	if err != nil {
 		if l.refuse.Load() {
-			err = ErrRefused
+			err = ErrConnectionRefused
 		}
 		return api.HeartbeatResponse{}, err
 	}
-	return n.ForwardedHeartbeat(ctx, rep)
+	return n.ForwardedHeartbeat(ctx, hb)
 }
 
 func (l *links) Resign(ctx context.Context, name, self string, term uint64) error {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -126,7 +126,7 @@
 	// returns false if the change has become needless.
 	build func() (kv.Txn, bool)
 	// done takes in that it was carried out, at a revision.
-	done func(ring uint64)
+	done func(revision uint64)
 }
 
 func loanName(home, job string) string { return home + "/" + job }
@@ -321,11 +321,11 @@
 
 // applyLoan takes in what a job's record says of loans. It is called for each newer
 // version of the record, whoever wrote it.
-func (lt *leaderTerm) applyLoan(j *job, rec records.ActiveRecord, mark uint64) {
-	if mark <= j.modRevision {
+func (lt *leaderTerm) applyLoan(j *job, rec records.ActiveRecord, modRevision uint64) {
+	if modRevision <= j.modRevision {
 		return
 	}
-	j.modRevision, j.loanCount = mark, rec.LoanCount
+	j.modRevision, j.loanCount = modRevision, rec.LoanCount
 	switch {
 	case rec.Lent != nil:
 		lt.loans.jobLent(j, rec.Lent)
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -114,9 +114,9 @@
 			return kv.Txn{Compares: []kv.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: j.modRevision}},
 				Ops: []kv.Op{{Put: key, Value: rec}}}, !j.ended
 		},
-		done: func(ring uint64) {
+		done: func(revision uint64) {
 			j.handover = false
-			l.leaderTerm.applyLoan(j, rec, ring)
+			l.leaderTerm.applyLoan(j, rec, revision)
 		}})
 }
 
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -238,11 +238,11 @@
 				{Key: active}, {Key: records.TerminalPrefix + e.Job}, {Key: loan.EndKey(home, e.Job)}},
 				Ops: []kv.Op{{Put: active, Value: rec}}}, e.Epoch > l.minEpochs[home].epoch && lt.jobs[e.Job] == nil
 		},
-		done: func(ring uint64) {
+		done: func(revision uint64) {
 			l.counts.Accepted++
 			lt.c.Log.Info("guest accepted", "job", e.Job, "home", home, "epoch", e.Epoch, "cpus", e.Offer.Budget.CPUs)
 			if lt.jobs[e.Job] == nil {
-				lt.addRecord(active, rec, ring)
+				lt.addRecord(active, rec, revision)
 			}
 		}})
 }
@@ -255,8 +255,8 @@
 	txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: loan.MinEpochRecord{Epoch: max(epoch, floor.epoch)}})
 }
 
-func (l *loans) minEpochRaised(home string, epoch loan.Epoch, ring uint64) {
-	l.minEpochs[home] = minEpoch{max(epoch, l.minEpochs[home].epoch), ring}
+func (l *loans) minEpochRaised(home string, epoch loan.Epoch, revision uint64) {
+	l.minEpochs[home] = minEpoch{max(epoch, l.minEpochs[home].epoch), revision}
 }
 
 // raiseMinEpoch closes all loans of a home cell up to an epoch that are not here.
@@ -267,7 +267,7 @@
 			l.minEpochOp(&txn, home, epoch)
 			return txn, epoch > l.minEpochs[home].epoch
 		},
-		done: func(ring uint64) { l.minEpochRaised(home, epoch, ring) }})
+		done: func(revision uint64) { l.minEpochRaised(home, epoch, revision) }})
 }
 
 // scaleIn removes a guest that has not begun.
@@ -284,8 +284,8 @@
 			l.minEpochOp(&txn, home, epoch)
 			return txn, true
 		},
-		done: func(ring uint64) {
-			l.minEpochRaised(home, epoch, ring)
+		done: func(revision uint64) {
+			l.minEpochRaised(home, epoch, revision)
 			l.counts.Returned++
 			l.guestOver(j, kv.Entry{})
 		}})
@@ -311,12 +311,12 @@
 			j.handover = true
 			return txn, !j.ended
 		},
-		done: func(ring uint64) {
+		done: func(revision uint64) {
 			raw, err := json.Marshal(end)
 			if err != nil {
 				panic(err) // it holds only plain values
 			}
-			e := kv.Entry{Key: key, Value: raw, ModRevision: ring}
+			e := kv.Entry{Key: key, Value: raw, ModRevision: revision}
 			l.addRecord(e)
 			l.guestOver(j, e)
 		}})
@@ -356,8 +356,8 @@
 			l.minEpochOp(&txn, home, e.Epoch)
 			return txn, ok
 		},
-		done: func(ring uint64) {
-			l.minEpochRaised(home, e.Epoch, ring)
+		done: func(revision uint64) {
+			l.minEpochRaised(home, e.Epoch, revision)
 			l.ends, _, _ = l.ends.Delete(name)
 		}})
 }
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -159,11 +159,11 @@
 // Their answers reach nobody.
 func (k *host) replay(reports []api.Heartbeat) {
 	for i := range reports {
-		rep := reports[len(reports)-1-i]
+		hb := reports[len(reports)-1-i]
 		for _, name := range k.s.names {
 			if n := k.s.node(name); n != nil {
-				own := rep
-				own.Tasks = slices.Clone(rep.Tasks)
+				own := hb
+				own.Tasks = slices.Clone(hb.Tasks)
 				k.s.tasks.Go(func() {
 					ctx, cancel := context.WithTimeout(k.s.ctx, 4*time.Second)
 					defer cancel()
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -145,7 +145,7 @@
 		if err == nil || errors.Is(err, api.ErrUnavailable) {
 			failed = 0
 		}
-		if c.send(ctx, pingResultMsg{node, st, sent, failed, errors.Is(err, ErrRefused)}) != nil {
+		if c.send(ctx, pingResultMsg{node, st, sent, failed, errors.Is(err, ErrConnectionRefused)}) != nil {
 			return
 		}
 		if err == nil {
@@ -215,31 +215,31 @@
 		}
 		return
 	}
-	reached, heir := 0, ""
+	reached, successor := 0, ""
 	for name, mb := range a.members {
 		if !mb.isReachable(now) {
 			continue
 		}
 		reached++
 		if mb.KVReachableFor >= kvHealthyAfter {
-			heir = name
+			successor = name
 		}
 	}
 	// With no other node in reach it cannot be told whether it is an outage;
 	// then, too, users are better served elsewhere, if they are anywhere.
-	if shut := heir != "" || (reached == 0 && len(a.members) > 0); shut != c.unready.Load() {
+	if shut := successor != "" || (reached == 0 && len(a.members) > 0); shut != c.unready.Load() {
 		c.unready.Store(shut)
-		c.Log.Info("state service lost here", "answersOthers", heir != "", "nodesReached", reached)
+		c.Log.Info("state service lost here", "answersOthers", successor != "", "nodesReached", reached)
 	}
-	if lt := c.leaderTerm; lt != nil && heir != "" {
-		c.Log.Info("leadership resigned", "term", lt.term.Number, "to", heir)
+	if lt := c.leaderTerm; lt != nil && successor != "" {
+		c.Log.Info("leadership resigned", "term", lt.term.Number, "to", successor)
 		term := lt.term.Number
 		lt.stepDown() // from here on this node acts for nobody
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 			defer cancel()
-			if err := c.Peers.Resign(ctx, heir, c.Settings.Node, term); err != nil {
-				c.Log.Debug("resignation not taken", "to", heir, "err", err)
+			if err := c.Peers.Resign(ctx, successor, c.Settings.Node, term); err != nil {
+				c.Log.Debug("resignation not taken", "to", successor, "err", err)
 			}
 		}()
 	}
--- a/internal/controller/model.go
+++ b/internal/controller/model.go
@@ -233,8 +233,8 @@
 
 // startInFlight tells whether the answer with the start may still be on its way to
 // the worker. Only a report of its own shows that it is not, or a new session.
-func (a *attempt) startInFlight(rep *api.Heartbeat) bool {
-	return a.lastSeenIn == 0 && a.sentAgentEpoch == rep.AgentEpoch
+func (a *attempt) startInFlight(hb *api.Heartbeat) bool {
+	return a.lastSeenIn == 0 && a.sentAgentEpoch == hb.AgentEpoch
 }
 
 type stopOrder struct {
--- a/internal/controller/pauses.go
+++ b/internal/controller/pauses.go
@@ -39,6 +39,6 @@
 
 // notPausedSince tells whether this node has not been held up since it asked something.
 // If it was, an answer may wait to be read although the time for it has passed.
-func (lt *leaderTerm) notPausedSince(asked time.Time) bool {
-	return !lt.lastPause.After(asked) && time.Since(lt.lastTick) < pauseThreshold
+func (lt *leaderTerm) notPausedSince(sentAt time.Time) bool {
+	return !lt.lastPause.After(sentAt) && time.Since(lt.lastTick) < pauseThreshold
 }
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -64,10 +64,10 @@
 		held := make(chan struct{})
 		go func() { n.hold(500 * time.Millisecond); close(held) }()
 		time.Sleep(time.Millisecond)
-		orders, err := k.send(n) // queued in time, looked at too late
+		commands, err := k.send(n) // queued in time, looked at too late
 		<-held
-		if err == nil || len(orders) > 0 {
-			t.Errorf("answered with %v after the entitlement had ended", orders)
+		if err == nil || len(commands) > 0 {
+			t.Errorf("answered with %v after the entitlement had ended", commands)
 		}
 	})
 }
@@ -84,8 +84,8 @@
 		go func() { n.hold(heartbeatMaxAge + 100*time.Millisecond); close(held) }()
 		time.Sleep(time.Millisecond)
 		k.rep.Seq++
-		rep := k.rep
-		_, err := n.Heartbeat(context.Background(), &rep)
+		hb := k.rep
+		_, err := n.Heartbeat(context.Background(), &hb)
 		<-held
 		if !errors.Is(err, api.ErrUnavailable) {
 			t.Errorf("answered: %v", err)
--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -482,7 +482,7 @@
 	return true
 }
 
-func (r *oldLeadership) addJob(key string, value []byte, mark uint64) {
+func (r *oldLeadership) addJob(key string, value []byte, modRevision uint64) {
 	var rec oldActive
 	err := json.Unmarshal(value, &rec)
 	if err == nil && rec.Spec.Tasks < 1 && rec.Spec.Team == "" && slices.Contains(r.o.passesOver, key) {
@@ -493,7 +493,7 @@
 		return
 	}
 	if r.jobs[rec.Spec.ID] == nil && !slices.Contains(r.o.cancels, rec.Spec.ID) {
-		r.jobs[rec.Spec.ID] = &oldJob{spec: rec.Spec, mark: mark, done: map[int]bool{}, on: map[int]string{}, progress: map[string]bool{}}
+		r.jobs[rec.Spec.ID] = &oldJob{spec: rec.Spec, mark: modRevision, done: map[int]bool{}, on: map[int]string{}, progress: map[string]bool{}}
 	}
 }
 
@@ -559,12 +559,12 @@
 }
 
 // Heartbeat takes a worker's report in.
-func (o *oldNode) Heartbeat(ctx context.Context, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
+func (o *oldNode) Heartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	o.mu.Lock()
 	r, leader, l := o.leadership, o.leader, o.links
 	if l != nil && r == nil {
 		defer o.mu.Unlock()
-		return o.extendLease(rep)
+		return o.extendLease(hb)
 	}
 	o.mu.Unlock()
 	if l == nil {
@@ -573,35 +573,35 @@
 	if r == nil {
 		return api.HeartbeatResponse{}, &api.NotLeaderError{Leader: leader}
 	}
-	return o.ForwardedHeartbeat(ctx, rep)
+	return o.ForwardedHeartbeat(ctx, hb)
 }
 
 // ForwardedHeartbeat implements linked.
-func (o *oldNode) ForwardedHeartbeat(_ context.Context, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
+func (o *oldNode) ForwardedHeartbeat(_ context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r := o.leadership
-	if r == nil || rep.Term > r.term {
+	if r == nil || hb.Term > r.term {
 		return api.HeartbeatResponse{}, &api.NotLeaderError{Leader: o.leader}
 	}
-	ans := api.HeartbeatResponse{Term: r.term, Commands: []api.Command{}}
-	m := r.machines[rep.Machine]
-	if rep.Term < r.term {
-		return ans, nil // so that it learns the term
+	response := api.HeartbeatResponse{Term: r.term, Commands: []api.Command{}}
+	m := r.machines[hb.Machine]
+	if hb.Term < r.term {
+		return response, nil // so that it learns the term
 	}
 	if m == nil {
-		m = &oldMachine{rec: oldMachineRecord{rep.Machine, rep.Addr, rep.Type, rep.Zone, rep.Spot, 4, 0, 16}}
+		m = &oldMachine{rec: oldMachineRecord{hb.Machine, hb.Addr, hb.Type, hb.Zone, hb.Spot, 4, 0, 16}}
 		if !r.write(kv.Txn{Ops: []kv.Op{r.newShard([]oldMachineRecord{m.rec})}}) {
-			return ans, nil
+			return response, nil
 		}
-		r.machines[rep.Machine] = m
+		r.machines[hb.Machine] = m
 	}
-	if rep.AgentEpoch < m.session || rep.AgentEpoch == m.session && rep.Seq <= m.seq {
-		return ans, nil
+	if hb.AgentEpoch < m.session || hb.AgentEpoch == m.session && hb.Seq <= m.seq {
+		return response, nil
 	}
-	m.session, m.seq, m.heard = rep.AgentEpoch, rep.Seq, true
-	ans.Commands = r.place(m, rep, r.reconcile(rep))
-	return ans, nil
+	m.session, m.seq, m.heard = hb.AgentEpoch, hb.Seq, true
+	response.Commands = r.place(m, hb, r.reconcile(hb))
+	return response, nil
 }
 
 // newShard is a shard of the roster under a name of its own.
@@ -631,33 +631,33 @@
 }
 
 // reconcile takes in what a machine's tasks do.
-func (r *oldLeadership) reconcile(rep *api.Heartbeat) (orders []api.Command) {
+func (r *oldLeadership) reconcile(hb *api.Heartbeat) (commands []api.Command) {
 	shown := map[string]bool{}
 	zero := 0.0
-	for _, t := range rep.Tasks {
+	for _, t := range hb.Tasks {
 		shown[t.Task] = true
 		id, i, _ := splitRef(t.Task)
 		j := r.jobs[id]
 		switch {
 		case j == nil && t.Phase == api.TaskExited:
-			orders = append(orders, api.Command{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
+			commands = append(commands, api.Command{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
 		case j == nil:
-			orders = append(orders, api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
+			commands = append(commands, api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
 		case t.Phase != api.TaskExited:
-			j.on[i] = rep.Machine
+			j.on[i] = hb.Machine
 		case t.Cause != api.CauseDone || r.completed(j, i):
 			delete(j.on, i)
-			orders = append(orders, api.Command{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
+			commands = append(commands, api.Command{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
 	for id, j := range r.jobs {
 		for i, machine := range j.on {
-			if machine == rep.Machine && !shown[fmt.Sprint(id, "/", i)] {
+			if machine == hb.Machine && !shown[fmt.Sprint(id, "/", i)] {
 				delete(j.on, i)
 			}
 		}
 	}
-	return orders
+	return commands
 }
 
 // completed records that a task is done: its result is dropped only then.
@@ -697,9 +697,9 @@
 
 // place starts what waits, of any active job, within machine and team. Work of
 // earlier terms waits until all machines on the roster are heard.
-func (r *oldLeadership) place(m *oldMachine, rep *api.Heartbeat, orders []api.Command) []api.Command {
+func (r *oldLeadership) place(m *oldMachine, hb *api.Heartbeat, commands []api.Command) []api.Command {
 	free, used := m.rec.CPUs, map[string]float64{}
-	for _, t := range rep.Tasks {
+	for _, t := range hb.Tasks {
 		if id, _, _ := splitRef(t.Task); t.Phase != api.TaskExited && r.jobs[id] != nil {
 			free -= r.jobs[id].spec.CPUs
 		}
@@ -720,8 +720,8 @@
 			}
 		}
 		for i := range j.spec.Tasks {
-			if len(orders) >= mostOrders {
-				return orders
+			if len(commands) >= mostOrders {
+				return commands
 			}
 			if j.done[i] || j.on[i] != "" || free < j.spec.CPUs || used[j.spec.Team]+j.spec.CPUs > most || !all && j.mark <= r.mark {
 				continue
@@ -730,10 +730,10 @@
 			used[j.spec.Team] += j.spec.CPUs
 			j.on[i] = m.rec.Name
 			r.attempts++
-			orders = append(orders, api.Command{Verb: api.VerbStart, Task: fmt.Sprint(j.spec.ID, "/", i), Attempt: r.term<<32 | r.attempts})
+			commands = append(commands, api.Command{Verb: api.VerbStart, Task: fmt.Sprint(j.spec.ID, "/", i), Attempt: r.term<<32 | r.attempts})
 		}
 	}
-	return orders
+	return commands
 }
 
 // keep is what it does beyond a cut: it reads whether the leader still leads and
@@ -767,8 +767,8 @@
 	}
 	o.batch++
 	up := &peer.RelayUp{Term: o.term, Incarnation: o.incarnation, Batch: o.batch, Got: o.got, Outcomes: o.outcomes}
-	for _, rep := range o.relayed {
-		up.Reports = append(up.Reports, peer.PackReport(rep))
+	for _, hb := range o.relayed {
+		up.Reports = append(up.Reports, peer.PackReport(hb))
 	}
 	parts, err := relay.Pack(up, o.batch, 1, 8<<10)
 	if err != nil {
@@ -800,31 +800,31 @@
 		return
 	}
 	o.got, o.outcomes = down.Batch, nil
-	for _, orders := range down.Orders {
-		o.orders[orders.Machine] = orders
+	for _, commands := range down.Orders {
+		o.orders[commands.Machine] = commands
 	}
 }
 
 // renewOnBehalf answers a report in the leader's stead, for a bounded time. It starts
 // nothing but what the leader has ordered through the store.
-func (o *oldNode) extendLease(rep *api.Heartbeat) (api.HeartbeatResponse, error) {
-	if o.lost <= 2 || time.Since(o.verified) > 13*time.Second || rep.Term > o.term {
+func (o *oldNode) extendLease(hb *api.Heartbeat) (api.HeartbeatResponse, error) {
+	if o.lost <= 2 || time.Since(o.verified) > 13*time.Second || hb.Term > o.term {
 		return api.HeartbeatResponse{}, &api.NotLeaderError{Leader: o.leader}
 	}
-	own := *rep
-	own.Tasks = slices.Clone(rep.Tasks)
-	o.kept[rep.Machine], o.relayed[rep.Machine] = time.Now(), &own
-	ans := api.HeartbeatResponse{Term: o.term, Commands: []api.Command{}}
+	own := *hb
+	own.Tasks = slices.Clone(hb.Tasks)
+	o.kept[hb.Machine], o.relayed[hb.Machine] = time.Now(), &own
+	response := api.HeartbeatResponse{Term: o.term, Commands: []api.Command{}}
 	zero := 0.0
-	for _, t := range rep.Tasks {
+	for _, t := range hb.Tasks {
 		if id, _, _ := splitRef(t.Task); t.Phase != api.TaskExited && !o.active[id] {
-			ans.Commands = append(ans.Commands, api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
+			response.Commands = append(response.Commands, api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
 		}
 	}
-	if p := o.orders[rep.Machine]; p != nil && p.Session == rep.AgentEpoch && rep.Seq > p.Base {
-		ans.Commands = append(ans.Commands, peer.UnpackOrders(p.Orders)...)
-		o.outcomes = append(o.outcomes, &peer.RelayOutcome{Machine: rep.Machine, Session: p.Session, Base: p.Base, Handed: rep.Seq})
-		delete(o.orders, rep.Machine)
+	if p := o.orders[hb.Machine]; p != nil && p.Session == hb.AgentEpoch && hb.Seq > p.Base {
+		response.Commands = append(response.Commands, peer.UnpackOrders(p.Orders)...)
+		o.outcomes = append(o.outcomes, &peer.RelayOutcome{Machine: hb.Machine, Session: p.Session, Base: p.Base, Handed: hb.Seq})
+		delete(o.orders, hb.Machine)
 	}
-	return ans, nil
+	return response, nil
 }
--- a/internal/controller/reaps_test.go
+++ b/internal/controller/reaps_test.go
@@ -28,9 +28,9 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		orders := k.report(n)
-		w.same("orders of one answer", len(orders), maxCommands)
-		w.same("first order", orders[0].Verb+" "+orders[0].Task, "stop job-1/0")
+		commands := k.report(n)
+		w.same("orders of one answer", len(commands), maxCommands)
+		w.same("first order", commands[0].Verb+" "+commands[0].Task, "stop job-1/0")
 		w.same("stopped", len(k.running()), 0)
 		k.serve(n, 4)
 		w.same("reaped", len(k.rep.Tasks), 0)
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -29,9 +29,9 @@
 		ul.machines["i-1"] = &relayedMachine{heartbeat: &api.Heartbeat{Machine: "i-1", AgentEpoch: 1, Seq: 10}, agentEpoch: 1, baseSeq: 10, term: 3, receivedAt: t0,
 			commands: []api.Command{{Verb: api.VerbStart, Task: "job-1/0", Attempt: 5}}}
 		for i := range 2 {
-			ans := api.HeartbeatResponse{Term: c.term}
-			ul.recordHeartbeat(nil, &api.Heartbeat{Machine: "i-1", AgentEpoch: c.session, Seq: c.seq + uint64(i)}, &ans, t0.Add(c.after))
-			if handed := len(ans.Commands) > 0; handed != (c.want > 0 && i == 0) {
+			response := api.HeartbeatResponse{Term: c.term}
+			ul.recordHeartbeat(nil, &api.Heartbeat{Machine: "i-1", AgentEpoch: c.session, Seq: c.seq + uint64(i)}, &response, t0.Add(c.after))
+			if handed := len(response.Commands) > 0; handed != (c.want > 0 && i == 0) {
 				t.Errorf("%s, report %d: handed out %v", name, i, handed)
 			}
 		}
@@ -57,10 +57,10 @@
 				if i == 0 {
 					node.pending["i-2"] = &relayedCommands{}
 				}
-				rep := far.rep
-				rep.Seq = c.leaderTerm.machines["i-2"].heartbeatSeq + 1
+				hb := far.rep
+				hb.Seq = c.leaderTerm.machines["i-2"].heartbeatSeq + 1
 				var down peer.RelayDown
-				c.leaderTerm.handleRelayedHeartbeat(node, &rep, &down, i != 1, time.Now())
+				c.leaderTerm.handleRelayedHeartbeat(node, &hb, &down, i != 1, time.Now())
 				w.same("held", len(down.Orders) == 0, held)
 			}
 		})
--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -163,8 +163,8 @@
 	now := time.Now()
 	answer := &peer.RelayDown{Term: lt.term.Number, Incarnation: node.incarnation, Seen: node.lastBatch}
 	confirmed := node.acknowledged == node.batch
-	for _, rep := range up.Reports {
-		lt.handleRelayedHeartbeat(node, rep.Unpack(), answer, confirmed, now)
+	for _, hb := range up.Reports {
+		lt.handleRelayedHeartbeat(node, hb.Unpack(), answer, confirmed, now)
 	}
 	if confirmed {
 		node.batch++
@@ -174,29 +174,29 @@
 }
 
 // handleRelayedHeartbeat takes a relayed report in and adds its orders to the answer.
-func (lt *leaderTerm) handleRelayedHeartbeat(node *relayNode, rep *api.Heartbeat, answer *peer.RelayDown, confirmed bool, now time.Time) {
-	mc := lt.machines[rep.Machine]
-	hold := !confirmed || node.pending[rep.Machine] != nil
+func (lt *leaderTerm) handleRelayedHeartbeat(node *relayNode, hb *api.Heartbeat, answer *peer.RelayDown, confirmed bool, now time.Time) {
+	mc := lt.machines[hb.Machine]
+	hold := !confirmed || node.pending[hb.Machine] != nil
 	if mc != nil {
 		mc.relayPending = hold
 	}
-	ans, err := lt.handleOwnHeartbeat(rep, now)
-	if mc = lt.machines[rep.Machine]; mc == nil {
+	response, err := lt.handleOwnHeartbeat(hb, now)
+	if mc = lt.machines[hb.Machine]; mc == nil {
 		return
 	}
 	mc.relayPending, mc.lastCommands = false, nil
-	if err != nil || hold || len(ans.Commands) == 0 || mc.heartbeatSeq != rep.Seq {
+	if err != nil || hold || len(response.Commands) == 0 || mc.heartbeatSeq != hb.Seq {
 		return
 	}
-	p := &relayedCommands{baseSeq: rep.Seq, sentAt: now}
-	for _, o := range ans.Commands {
+	p := &relayedCommands{baseSeq: hb.Seq, sentAt: now}
+	for _, o := range response.Commands {
 		if a := mc.attempts[attemptKey{o.Task, o.Attempt}]; a != nil && o.Verb == api.VerbStart {
-			a.direct = &directCommand{agentEpoch: rep.AgentEpoch, inFlight: true}
+			a.direct = &directCommand{agentEpoch: hb.AgentEpoch, inFlight: true}
 			p.starts = append(p.starts, a)
 		}
 	}
-	node.pending[rep.Machine] = p
-	answer.Orders = append(answer.Orders, &peer.RelayOrders{Machine: rep.Machine, Session: rep.AgentEpoch, Base: rep.Seq, Orders: peer.PackOrders(ans.Commands)})
+	node.pending[hb.Machine] = p
+	answer.Orders = append(answer.Orders, &peer.RelayOrders{Machine: hb.Machine, Session: hb.AgentEpoch, Base: hb.Seq, Orders: peer.PackOrders(response.Commands)})
 }
 
 // applyOutcome records the outcome of orders: handed is the report in whose answer
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -96,30 +96,30 @@
 
 // recordHeartbeat stores a report that is answered here in place of the leader, and adds the
 // leader's orders to the answer.
-func (ul *relayUplink) recordHeartbeat(c *Controller, rep *api.Heartbeat, ans *api.HeartbeatResponse, now time.Time) {
-	m := ul.machines[rep.Machine]
+func (ul *relayUplink) recordHeartbeat(c *Controller, hb *api.Heartbeat, response *api.HeartbeatResponse, now time.Time) {
+	m := ul.machines[hb.Machine]
 	if m == nil {
 		if len(ul.machines) >= ul.maxMachines {
 			return
 		}
 		m = &relayedMachine{}
-		ul.machines[strings.Clone(rep.Machine)] = m
+		ul.machines[strings.Clone(hb.Machine)] = m
 	}
-	changed := m.heartbeat == nil || m.heartbeat.AgentEpoch != rep.AgentEpoch || !slices.Equal(m.heartbeat.Tasks, rep.Tasks)
-	if m.heartbeat != nil && (rep.AgentEpoch < m.heartbeat.AgentEpoch || rep.AgentEpoch == m.heartbeat.AgentEpoch && rep.Seq <= m.heartbeat.Seq) {
+	changed := m.heartbeat == nil || m.heartbeat.AgentEpoch != hb.AgentEpoch || !slices.Equal(m.heartbeat.Tasks, hb.Tasks)
+	if m.heartbeat != nil && (hb.AgentEpoch < m.heartbeat.AgentEpoch || hb.AgentEpoch == m.heartbeat.AgentEpoch && hb.Seq <= m.heartbeat.Seq) {
 		return // a copy that comes late
 	}
-	m.heartbeat = rep
+	m.heartbeat = hb
 	m.dirty = m.dirty || changed || now.Sub(m.sentAt) > heartbeatRepeatInterval
 	if m.commands == nil {
 		return
 	}
-	if rep.AgentEpoch != m.agentEpoch || rep.Seq <= m.baseSeq || ans.Term != m.term || now.Sub(m.receivedAt) > relayCommandLifetime {
+	if hb.AgentEpoch != m.agentEpoch || hb.Seq <= m.baseSeq || response.Term != m.term || now.Sub(m.receivedAt) > relayCommandLifetime {
 		m.recordOutcome(0)
 		return
 	}
-	ans.Commands = append(ans.Commands, m.commands...)
-	m.recordOutcome(rep.Seq)
+	response.Commands = append(response.Commands, m.commands...)
+	m.recordOutcome(hb.Seq)
 }
 
 // recordOutcome notes what became of the orders.
@@ -184,8 +184,8 @@
 	for _, m := range told[:len(up.Outcomes)] {
 		m.acknowledgedIn = ul.batch
 	}
-	for _, rep := range up.Reports {
-		m := ul.machines[rep.Machine]
+	for _, hb := range up.Reports {
+		m := ul.machines[hb.Machine]
 		m.dirty, m.sentAt = false, now
 	}
 	txn := ul.transaction(records.RelayPrefix+c.Settings.Node, parts, most)
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -45,8 +45,8 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
 		defer cancel()
-		rep, err := lt.c.CommandSender.Resync(ctx, addr, term)
-		lt.sendToOwner(resyncResultMsg{lt, m, now, rep, err})
+		hb, err := lt.c.CommandSender.Resync(ctx, addr, term)
+		lt.sendToOwner(resyncResultMsg{lt, m, now, hb, err})
 	}()
 }
 
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -109,9 +109,9 @@
 		w.submit(n, spec("job-1", 1))
 		k1.serve(n, 2)
 		w.same("running", len(k1.running()), 1)
-		orders, err := k1.deliver(n, &old)
-		if err != nil || len(orders) != 0 {
-			t.Errorf("an old report got %v, %v", orders, err)
+		commands, err := k1.deliver(n, &old)
+		if err != nil || len(commands) != 0 {
+			t.Errorf("an old report got %v, %v", commands, err)
 		}
 		k2.serve(n, 3)
 		w.same("started once", len(k2.running()), 0)
@@ -179,12 +179,12 @@
 		k1.serve(n, 3)
 		left := 9.0
 		k1.rep.PreemptionNoticeS = &left
-		orders := k1.report(n)
-		if len(orders) == 0 {
-			orders = k1.report(n)
+		commands := k1.report(n)
+		if len(commands) == 0 {
+			commands = k1.report(n)
 		}
-		if len(orders) != 2 || orders[0].Verb != api.VerbStop || *orders[0].GraceS < 2 {
-			t.Fatalf("orders %v", orders)
+		if len(commands) != 2 || commands[0].Verb != api.VerbStop || *commands[0].GraceS < 2 {
+			t.Fatalf("orders %v", commands)
 		}
 		k1.serve(n, 2)
 		k2.serve(n, 3)
@@ -259,11 +259,11 @@
 			time.Sleep(4 * time.Second)
 			kept := 0
 			for range 40 {
-				orders, err := k.send(b)
+				commands, err := k.send(b)
 				if err != nil {
 					break
 				}
-				for _, o := range orders {
+				for _, o := range commands {
 					// Only the leader starts anything, through the store.
 					w.same("started", o.Verb == api.VerbStart && storeToo, false)
 				}
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -234,10 +234,10 @@
 
 // answered is observed for a question asked at some time. If another user was told of
 // the job's end since, or at that instant, the answer may be older.
-func (h *runChecker) answered(id, phase string, asked time.Time) {
+func (h *runChecker) answered(id, phase string, sentAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if p := h.jobs[id]; p.withdrawn.Before(asked) && p.finished.Before(asked) {
+	if p := h.jobs[id]; p.withdrawn.Before(sentAt) && p.finished.Before(sentAt) {
 		h.tell(id, phase)
 	}
 }
--- a/internal/controller/simulatedhost_test.go
+++ b/internal/controller/simulatedhost_test.go
@@ -93,31 +93,31 @@
 // post sends a report to the machine's controller.
 func (k *host) post(now time.Time) {
 	k.rep.Seq++
-	rep := k.rep
-	rep.Tasks = slices.Clone(k.rep.Tasks)
-	k.reports = append(k.reports, rep)
+	hb := k.rep
+	hb.Tasks = slices.Clone(k.rep.Tasks)
+	k.reports = append(k.reports, hb)
 	k.sent, k.inFlight, k.changed = now, true, false
 	every := time.Duration(max(1, k.s.reportS) * float64(time.Second))
-	k.next = now.Add(every - every/4 + every/2*time.Duration(rep.Seq*7%10)/10)
+	k.next = now.Add(every - every/4 + every/2*time.Duration(hb.Seq*7%10)/10)
 	n := k.s.node(k.s.names[k.at])
 	if k.cut || k.mute {
 		n = nil
 	}
 	k.s.tasks.Go(func() {
-		ans, err := api.HeartbeatResponse{}, errors.New("no connection")
+		response, err := api.HeartbeatResponse{}, errors.New("no connection")
 		if n != nil {
 			ctx, cancel := context.WithTimeout(k.s.ctx, 4*time.Second)
-			own := rep
-			own.Tasks = slices.Clone(rep.Tasks)
-			ans, err = n.Heartbeat(ctx, &own)
+			own := hb
+			own.Tasks = slices.Clone(hb.Tasks)
+			response, err = n.Heartbeat(ctx, &own)
 			cancel()
 		}
-		k.answered(now, rep.AgentEpoch, ans, err)
+		k.answered(now, hb.AgentEpoch, response, err)
 	})
 }
 
 // answered takes in what became of a report.
-func (k *host) answered(sent time.Time, session uint64, ans api.HeartbeatResponse, err error) {
+func (k *host) answered(sent time.Time, agentEpoch uint64, response api.HeartbeatResponse, err error) {
 	k.mu.Lock()
 	delay := k.linkDelay
 	k.mu.Unlock()
@@ -135,12 +135,12 @@
 	k.inFlight = false
 	switch {
 	case err == nil:
-		if session != k.rep.AgentEpoch || ans.Term < k.rep.Term {
+		if agentEpoch != k.rep.AgentEpoch || response.Term < k.rep.Term {
 			return
 		}
-		k.changed = k.changed || ans.Term > k.rep.Term
-		k.rep.Term, k.heard = ans.Term, sent
-		k.obey(ans.Commands)
+		k.changed = k.changed || response.Term > k.rep.Term
+		k.rep.Term, k.heard = response.Term, sent
+		k.obey(response.Commands)
 	case errors.As(err, &other) && slices.Contains(k.s.names, other.Leader) && other.Leader != k.s.names[k.at]:
 		k.at = slices.Index(k.s.names, other.Leader)
 		k.next = time.Now()
@@ -173,11 +173,11 @@
 }
 
 // obey carries orders out as a worker does.
-func (k *host) obey(orders []api.Command) {
+func (k *host) obey(commands []api.Command) {
 	if k.s.cloud.gone(k.rep.Machine) {
 		return
 	}
-	for _, o := range orders {
+	for _, o := range commands {
 		i := slices.IndexFunc(k.rep.Tasks, func(t api.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
 		r := run{k.rep.Machine, o.Task, o.Attempt}
 		switch {
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -64,7 +64,7 @@
 	return &s, nil
 }
 
-func (lt *leaderTerm) readAll(prefix string) (rows []kv.Entry, ring uint64, err error) {
+func (lt *leaderTerm) readAll(prefix string) (rows []kv.Entry, revision uint64, err error) {
 	from := ""
 	for {
 		ctx, cancel := context.WithTimeout(lt.ctx, 3*time.Second)
@@ -73,12 +73,12 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		if ring == 0 {
-			ring = p.Revision
+		if revision == 0 {
+			revision = p.Revision
 		}
 		rows = append(rows, p.Entries...)
 		if !p.More || len(p.Entries) == 0 {
-			return rows, ring, nil
+			return rows, revision, nil
 		}
 		from = p.Entries[len(p.Entries)-1].Key
 	}
--- a/internal/controller/twofaults_test.go
+++ b/internal/controller/twofaults_test.go
@@ -64,8 +64,8 @@
 func (g *gapCluster) round() {
 	for _, n := range []*node{g.a, g.b} {
 		sent := time.Now()
-		if orders, err := g.k.send(n); err == nil {
-			g.k.obey(orders)
+		if commands, err := g.k.send(n); err == nil {
+			g.k.obey(commands)
 			g.heard = sent
 			break
 		}
@@ -241,11 +241,11 @@
 			k := w.worker("i-1", "", false)
 			w.submit(a, spec("job-1", 2))
 			for range 30 {
-				orders, err := k.send(a)
+				commands, err := k.send(a)
 				if err != nil {
 					t.Fatalf("cancel_s %v: not answered: %v", cancel, err)
 				}
-				k.obey(orders)
+				k.obey(commands)
 				time.Sleep(time.Second)
 			}
 			k.serve(a, 3)
@@ -287,8 +287,8 @@
 			gb.set(true)
 			var heard time.Time
 			for range 300 {
-				if orders, err := k.send(b); err == nil {
-					k.obey(orders)
+				if commands, err := k.send(b); err == nil {
+					k.obey(commands)
 					heard = time.Now()
 				}
 				time.Sleep(100 * time.Millisecond)
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -238,13 +238,13 @@
 	h.sent = time.Now()
 	sent := h.sent
 	for _, n := range tn.all() {
-		orders, err := h.send(n)
+		commands, err := h.send(n)
 		if err != nil {
 			continue
 		}
 		h.leased = sent
-		h.obey(orders)
-		for _, o := range orders {
+		h.obey(commands)
+		for _, o := range commands {
 			if o.Verb == api.VerbStart {
 				h.starts.Add(1)
 			}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -142,8 +142,8 @@
 // tryAll sends one report, to each node in turn until one answers.
 func (k *worker) tryAll(nodes ...reporter) bool {
 	for _, n := range nodes {
-		if orders, err := k.send(n); err == nil {
-			k.obey(orders)
+		if commands, err := k.send(n); err == nil {
+			k.obey(commands)
 			return true
 		}
 	}
@@ -360,8 +360,8 @@
 				v.takes = 12
 				v.old.submit(spec("job-1", 30))
 				v.seconds(15)
-				var mark uint64
-				v.old.look(func(o *oldNode) { mark = o.leadership.mark })
+				var modRevision uint64
+				v.old.look(func(o *oldNode) { modRevision = o.leadership.mark })
 				v.old.crash()
 				for i := 0; i < 40 && !v.newLeads(); i++ {
 					v.seconds(1)
@@ -369,7 +369,7 @@
 				v.seconds(8)
 				done := len(v.doneOnRecord("job-1"))
 				v.same("some are done", done > 0, true)
-				res, err := v.store.Txn(context.Background(), kv.Txn{Compares: []kv.Compare{{Key: "term", ModRevision: mark}}, Ops: late.ops(v)})
+				res, err := v.store.Txn(context.Background(), kv.Txn{Compares: []kv.Compare{{Key: "term", ModRevision: modRevision}}, Ops: late.ops(v)})
 				v.same("carried out late", []any{res.Succeeded, err}, []any{false, nil})
 				v.beginOld()
 				v.seconds(10)
--- a/internal/controller/zonepartition_test.go
+++ b/internal/controller/zonepartition_test.go
@@ -25,8 +25,8 @@
 // answered is a worker's report to whichever node answers it.
 func (k *worker) either(nodes ...*node) {
 	for _, n := range nodes {
-		if orders, err := k.send(n); err == nil {
-			k.obey(orders)
+		if commands, err := k.send(n); err == nil {
+			k.obey(commands)
 			return
 		}
 	}
@@ -110,8 +110,8 @@
 		l.cut.Store(true)
 		last := time.Now()
 		for range 60 {
-			if orders, err := k.send(a); err == nil {
-				k.obey(orders)
+			if commands, err := k.send(a); err == nil {
+				k.obey(commands)
 				last = time.Now()
 			}
 			if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
@@ -386,8 +386,8 @@
 		blank.Tasks = nil
 		blank.Seq++
 		far.rep.Seq++
-		if orders, err := far.deliver(a, &blank); err == nil {
-			far.obey(orders)
+		if commands, err := far.deliver(a, &blank); err == nil {
+			far.obey(commands)
 		}
 		near.exit(api.CauseDone)
 		starts := map[string]int{}
@@ -441,8 +441,8 @@
 			} else {
 				time.Sleep(relayCommandLifetime + 2*time.Second)
 			}
-			orders, _ := far.send(b)
-			for _, o := range orders {
+			commands, _ := far.send(b)
+			for _, o := range commands {
 				w.same("handed out late", o.Verb == api.VerbStart, false)
 			}
 			l.cut.Store(false)
@@ -512,8 +512,8 @@
 				far.rep.AgentEpoch++
 				far.rep.Tasks = nil
 				far.mu.Unlock()
-				orders, _ := far.send(b)
-				for _, o := range orders {
+				commands, _ := far.send(b)
+				for _, o := range commands {
 					w.same("handed to a new session", o.Verb == api.VerbStart, false)
 				}
 			}
--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -27,16 +27,18 @@
 	return nil, peer.ErrUnavailable
 }
 
-// Report implements peer.Handler.
-func (cellHandler) Report(context.Context, *peer.Report) (*peer.ReportAnswer, error) {
+// ForwardHeartbeat implements peer.Handler.
+func (cellHandler) ForwardHeartbeat(context.Context, *peer.Report) (*peer.ReportAnswer, error) {
 	return nil, peer.ErrUnavailable
 }
 
-// Resigned implements peer.Handler.
-func (cellHandler) Resigned(context.Context, *peer.Resignation) error { return peer.ErrUnavailable }
+// LeaderResigned implements peer.Handler.
+func (cellHandler) LeaderResigned(context.Context, *peer.Resignation) error {
+	return peer.ErrUnavailable
+}
 
-// Grant implements peer.Handler.
-func (cellHandler) Grant(context.Context, *peer.GrantRequest) (*peer.GrantAnswer, error) {
+// Vote implements peer.Handler.
+func (cellHandler) Vote(context.Context, *peer.GrantRequest) (*peer.GrantAnswer, error) {
 	return nil, peer.ErrUnavailable
 }
 
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -52,19 +52,19 @@
 	return pong, nil
 }
 
-// Report implements peer.Handler.
-func (h peerHandler) Report(ctx context.Context, r *peer.Report) (*peer.ReportAnswer, error) {
+// ForwardHeartbeat implements peer.Handler.
+func (h peerHandler) ForwardHeartbeat(ctx context.Context, r *peer.Report) (*peer.ReportAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	ans, err := h.c.ForwardedHeartbeat(ctx, r.Unpack())
+	response, err := h.c.ForwardedHeartbeat(ctx, r.Unpack())
 	if err != nil {
 		return nil, err
 	}
-	return &peer.ReportAnswer{Term: ans.Term, Orders: peer.PackOrders(ans.Commands)}, nil
+	return &peer.ReportAnswer{Term: response.Term, Orders: peer.PackOrders(response.Commands)}, nil
 }
 
-// Resigned implements peer.Handler.
-func (h peerHandler) Resigned(ctx context.Context, r *peer.Resignation) error {
+// LeaderResigned implements peer.Handler.
+func (h peerHandler) LeaderResigned(ctx context.Context, r *peer.Resignation) error {
 	return h.c.LeaderResigned(ctx, r.Node, r.Term)
 }
 
@@ -73,8 +73,8 @@
 	return nil, peer.ErrUnavailable
 }
 
-// Grant implements peer.Handler.
-func (h peerHandler) Grant(ctx context.Context, r *peer.GrantRequest) (*peer.GrantAnswer, error) {
+// Vote implements peer.Handler.
+func (h peerHandler) Vote(ctx context.Context, r *peer.GrantRequest) (*peer.GrantAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	granted, err := h.c.PeerVote(ctx, r.GetTerm())
@@ -124,8 +124,8 @@
 		return controller.PeerStatus{}, api.ErrUnavailable
 	}
 	st, err := cl.Ping(ctx, &peer.Ping{Incarnation: from.Incarnation, CancelNumber: from.Number})
-	if errors.Is(err, peer.ErrRefused) {
-		err = controller.ErrRefused
+	if errors.Is(err, peer.ErrConnectionRefused) {
+		err = controller.ErrConnectionRefused
 	}
 	if err != nil {
 		return controller.PeerStatus{}, err
@@ -141,14 +141,14 @@
 }
 
 // ForwardHeartbeat implements controller.PeerClient.
-func (p peers) ForwardHeartbeat(ctx context.Context, node string, rep *api.Heartbeat) (api.HeartbeatResponse, error) {
+func (p peers) ForwardHeartbeat(ctx context.Context, node string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	cl := p[node]
 	if cl == nil {
 		return api.HeartbeatResponse{}, api.ErrUnavailable
 	}
-	ans, err := cl.Report(ctx, peer.PackReport(rep))
-	if errors.Is(err, peer.ErrRefused) {
-		return api.HeartbeatResponse{}, controller.ErrRefused
+	response, err := cl.ForwardHeartbeat(ctx, peer.PackReport(hb))
+	if errors.Is(err, peer.ErrConnectionRefused) {
+		return api.HeartbeatResponse{}, controller.ErrConnectionRefused
 	}
 	if errors.Is(err, peer.ErrUnavailable) {
 		return api.HeartbeatResponse{}, &api.NotLeaderError{}
@@ -156,7 +156,7 @@
 	if err != nil {
 		return api.HeartbeatResponse{}, err
 	}
-	return api.HeartbeatResponse{Term: ans.Term, Commands: peer.UnpackOrders(ans.Orders)}, nil
+	return api.HeartbeatResponse{Term: response.Term, Commands: peer.UnpackOrders(response.Orders)}, nil
 }
 
 // Resign implements controller.PeerClient.
@@ -174,7 +174,7 @@
 	if cl == nil {
 		return false, api.ErrUnavailable
 	}
-	return cl.Grant(ctx, term)
+	return cl.Vote(ctx, term)
 }
 
 // Promise implements controller.PeerClient.
--- a/internal/loadtest/cellsload/machine.go
+++ b/internal/loadtest/cellsload/machine.go
@@ -67,7 +67,7 @@
 	m.completeTasks()
 	m.heartbeat.Seq++
 	body, err := json.Marshal(m.heartbeat)
-	session, sent := m.heartbeat.AgentEpoch, time.Now()
+	agentEpoch, sent := m.heartbeat.AgentEpoch, time.Now()
 	m.mu.Unlock()
 	if err != nil {
 		panic(err) // plain values
@@ -84,7 +84,7 @@
 	case resp.StatusCode == http.StatusOK && json.Unmarshal(raw, &answer) == nil:
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if answer.Term >= m.heartbeat.Term && session == m.heartbeat.AgentEpoch {
+		if answer.Term >= m.heartbeat.Term && agentEpoch == m.heartbeat.AgentEpoch {
 			m.answered = sent
 			m.applyCommands(answer.Term, answer.Commands)
 		}
--- a/internal/loadtest/cellsload/users.go
+++ b/internal/loadtest/cellsload/users.go
@@ -134,29 +134,29 @@
 
 // result is what was counted.
 type result struct {
-	seed                                              uint64
-	took                                              time.Duration
-	jobs, refused, unavailable                        int
-	lent, takenBack                                   int
-	twice, doneTwice, lost, unanswered, answeredTwice int
-	kills, cuts                                       int
-	wait50, wait95, wait99                            time.Duration
-	over50, over95                                    time.Duration
-	idle                                              float64
-	unexpectedExits                                   int64
+	seed                                                 uint64
+	took                                                 time.Duration
+	jobs, refused, unavailable                           int
+	lent, reclaimed                                      int
+	ranTwice, doneTwice, lost, unanswered, answeredTwice int
+	kills, cuts                                          int
+	wait50, wait95, wait99                               time.Duration
+	over50, over95                                       time.Duration
+	idle                                                 float64
+	unexpectedExits                                      int64
 }
 
 // hasViolations tells whether anything happened that must not.
 func (r *result) hasViolations() bool {
-	return r.twice+r.doneTwice+r.lost+r.unanswered+r.answeredTwice > 0 || r.unexpectedExits > 0
+	return r.ranTwice+r.doneTwice+r.lost+r.unanswered+r.answeredTwice > 0 || r.unexpectedExits > 0
 }
 
 func (r *result) String() string {
 	return fmt.Sprintf("seed %d: %d jobs in %.0f s (%d not accepted), %d ran in another cell, %d loans, %d taken back, %d kills, %d cuts; "+
 		"wrong: %d tasks on two machines, %d done twice, %d jobs lost, %d without and %d with two final answers, %d controllers ended by themselves; "+
 		"first start after %.1f s (median), %.1f s (95%%), %.1f s (99%%); done after %.1f s, %.1f s (95%%); idle while jobs waited %.0f%%",
-		r.seed, r.jobs, r.took.Seconds(), r.refused, r.unavailable, r.lent, r.takenBack, r.kills, r.cuts,
-		r.twice, r.doneTwice, r.lost, r.unanswered, r.answeredTwice, r.unexpectedExits,
+		r.seed, r.jobs, r.took.Seconds(), r.refused, r.unavailable, r.lent, r.reclaimed, r.kills, r.cuts,
+		r.ranTwice, r.doneTwice, r.lost, r.unanswered, r.answeredTwice, r.unexpectedExits,
 		r.wait50.Seconds(), r.wait95.Seconds(), r.wait99.Seconds(), r.over50.Seconds(), r.over95.Seconds(), 100*r.idle)
 }
 
@@ -164,7 +164,7 @@
 	l := tb.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := &result{seed: seed, took: took, jobs: len(tb.jobs), unavailable: len(l.unavailable), twice: l.twice, doneTwice: l.doneTwice, kills: tb.kills, cuts: tb.cuts, idle: tb.idle / max(1, tb.samples)}
+	r := &result{seed: seed, took: took, jobs: len(tb.jobs), unavailable: len(l.unavailable), ranTwice: l.twice, doneTwice: l.doneTwice, kills: tb.kills, cuts: tb.cuts, idle: tb.idle / max(1, tb.samples)}
 	var waits, overs []time.Duration
 	for _, j := range tb.jobs {
 		switch {
@@ -187,7 +187,7 @@
 	}
 	r.wait50, r.wait95, r.wait99 = quantile(waits, 0.5), quantile(waits, 0.95), quantile(waits, 0.99)
 	r.over50, r.over95 = quantile(overs, 0.5), quantile(overs, 0.95)
-	r.lent, r.takenBack = tb.logged("msg=loan job="), tb.logged(`msg="loan taken back"`)
+	r.lent, r.reclaimed = tb.logged("msg=loan job="), tb.logged(`msg="loan taken back"`)
 	for _, c := range tb.cells {
 		for _, p := range c.nodes {
 			r.unexpectedExits += p.unexpectedExits.Load()
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -211,10 +211,10 @@
 		if err != nil {
 			return err
 		}
-		var ans api.HeartbeatResponse
-		if resp.StatusCode == http.StatusOK && json.Unmarshal(raw, &ans) == nil {
+		var response api.HeartbeatResponse
+		if resp.StatusCode == http.StatusOK && json.Unmarshal(raw, &response) == nil {
 			m.mu.Lock()
-			m.applyCommands(ans.Term, ans.Commands)
+			m.applyCommands(response.Term, response.Commands)
 			m.mu.Unlock()
 			m.environment.counts.reports.Add(1)
 		} else {
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -3,10 +3,10 @@
 import "example.org/ivytrestle/internal/api"
 
 // PackReport makes a message of a machine's report.
-func PackReport(rep *api.Heartbeat) *Report {
-	r := &Report{Machine: rep.Machine, Addr: rep.Addr, Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot,
-		Session: rep.AgentEpoch, Seq: rep.Seq, Term: rep.Term, NoticeS: rep.PreemptionNoticeS, Tasks: make([]*TaskReport, len(rep.Tasks))}
-	for i, t := range rep.Tasks {
+func PackReport(hb *api.Heartbeat) *Report {
+	r := &Report{Machine: hb.Machine, Addr: hb.Addr, Type: hb.Type, Zone: hb.Zone, Spot: hb.Spot,
+		Session: hb.AgentEpoch, Seq: hb.Seq, Term: hb.Term, NoticeS: hb.PreemptionNoticeS, Tasks: make([]*TaskReport, len(hb.Tasks))}
+	for i, t := range hb.Tasks {
 		r.Tasks[i] = &TaskReport{Task: t.Task, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Saved: t.Saved}
 	}
 	return r
@@ -14,12 +14,12 @@
 
 // Unpack is the reverse of PackReport.
 func (r *Report) Unpack() *api.Heartbeat {
-	rep := &api.Heartbeat{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
+	hb := &api.Heartbeat{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
 		AgentEpoch: r.Session, Seq: r.Seq, Term: r.Term, PreemptionNoticeS: r.NoticeS, Tasks: make([]api.TaskStatus, len(r.Tasks))}
 	for i, t := range r.Tasks {
-		rep.Tasks[i] = api.TaskStatus{Task: t.Task, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Saved: t.Saved}
+		hb.Tasks[i] = api.TaskStatus{Task: t.Task, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Saved: t.Saved}
 	}
-	return rep
+	return hb
 }
 
 // PackOrders makes messages of orders.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -27,7 +27,7 @@
 
 // ErrNotApplied means that the peer's connections are refused: by a packet filter,
 // or since no process is there. Either way the network to its host works.
-var ErrRefused = errors.New("peer: connection refused")
+var ErrConnectionRefused = errors.New("peer: connection refused")
 
 // Handler answers a peer's questions. An error tells the peer that this node is
 // unable to answer.
@@ -35,14 +35,14 @@
 	Job(ctx context.Context, id string) (*JobStatus, error)
 	// Ping tells how this node stands.
 	Ping(ctx context.Context, p *Ping) (*Pong, error)
-	// Report answers a machine's report in the leader's name.
-	Report(ctx context.Context, r *Report) (*ReportAnswer, error)
-	// Resigned takes in that the leader of a term has stopped to act.
-	Resigned(ctx context.Context, r *Resignation) error
+	// ForwardHeartbeat answers a machine's report in the leader's name.
+	ForwardHeartbeat(ctx context.Context, r *Report) (*ReportAnswer, error)
+	// LeaderResigned takes in that the leader of a term has stopped to act.
+	LeaderResigned(ctx context.Context, r *Resignation) error
 	// Loans takes in what the leader of another cell says of the jobs that it lends.
 	Loans(ctx context.Context, r *LoanRequest) (*LoanAnswer, error)
-	// Grant lets the leader of a term decide for a while.
-	Grant(ctx context.Context, r *GrantRequest) (*GrantAnswer, error)
+	// Vote lets the leader of a term decide for a while.
+	Vote(ctx context.Context, r *GrantRequest) (*GrantAnswer, error)
 	// Promise grants a term nothing more.
 	Promise(ctx context.Context, r *PromiseRequest) (*PromiseAnswer, error)
 }
@@ -140,13 +140,13 @@
 	case *Request_Job:
 		resp.Job, err = h.Job(ctx, k.Job.GetId())
 	case *Request_Report:
-		resp.Report, err = h.Report(ctx, k.Report)
+		resp.Report, err = h.ForwardHeartbeat(ctx, k.Report)
 	case *Request_Resignation:
-		err = h.Resigned(ctx, k.Resignation)
+		err = h.LeaderResigned(ctx, k.Resignation)
 	case *Request_Loans:
 		resp.Loans, err = h.Loans(ctx, k.Loans)
 	case *Request_Grant:
-		resp.Grant, err = h.Grant(ctx, k.Grant)
+		resp.Grant, err = h.Vote(ctx, k.Grant)
 	case *Request_Promise:
 		resp.Promise, err = h.Promise(ctx, k.Promise)
 	default:
@@ -319,8 +319,8 @@
 	return resp.Pong, nil
 }
 
-// Report passes a machine's report on.
-func (c *Client) Report(ctx context.Context, r *Report) (*ReportAnswer, error) {
+// ForwardHeartbeat passes a machine's report on.
+func (c *Client) ForwardHeartbeat(ctx context.Context, r *Report) (*ReportAnswer, error) {
 	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Report{Report: r}})
 	if err != nil {
 		return nil, err
@@ -349,8 +349,8 @@
 	return resp.Loans, nil
 }
 
-// Grant asks the peer to let this node decide as leader of a term.
-func (c *Client) Grant(ctx context.Context, term uint64) (bool, error) {
+// Vote asks the peer to let this node decide as leader of a term.
+func (c *Client) Vote(ctx context.Context, term uint64) (bool, error) {
 	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Grant{Grant: &GrantRequest{Term: term}}})
 	if err != nil {
 		return false, err
@@ -414,7 +414,7 @@
 	defer c.mu.Unlock()
 	if time.Now().Before(c.downUntil) || c.dialing {
 		if c.refused {
-			return nil, 0, ErrRefused
+			return nil, 0, ErrConnectionRefused
 		}
 		return nil, 0, errors.New("peer: not reachable just now")
 	}
@@ -428,7 +428,7 @@
 		if err != nil {
 			c.downUntil = time.Now().Add(500 * time.Millisecond)
 			if c.refused {
-				return nil, 0, ErrRefused
+				return nil, 0, ErrConnectionRefused
 			}
 			return nil, 0, fmt.Errorf("peer: %w", err)
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -29,7 +29,7 @@
 	return &Pong{Term: a.term, Leader: "n1"}, nil
 }
 
-func (a answers) Report(_ context.Context, r *Report) (*ReportAnswer, error) {
+func (a answers) ForwardHeartbeat(_ context.Context, r *Report) (*ReportAnswer, error) {
 	if r.Term > a.term {
 		return nil, errors.New("not the leader")
 	}
@@ -40,7 +40,7 @@
 	return nil, ErrUnavailable
 }
 
-func (a answers) Grant(_ context.Context, r *GrantRequest) (*GrantAnswer, error) {
+func (a answers) Vote(_ context.Context, r *GrantRequest) (*GrantAnswer, error) {
 	return &GrantAnswer{Granted: r.Term == a.term}, nil
 }
 
@@ -51,7 +51,7 @@
 	return &PromiseAnswer{WaitMs: 1500}, nil
 }
 
-func (a answers) Resigned(_ context.Context, r *Resignation) error {
+func (a answers) LeaderResigned(_ context.Context, r *Resignation) error {
 	if r.Term != a.term {
 		return errors.New("another term")
 	}
@@ -86,12 +86,12 @@
 	if p, err := c.Ping(ctx, &Ping{}); err != nil || p.Term != 9 || p.Leader != "n1" {
 		t.Errorf("ping: %v, %v", p, err)
 	}
-	rep := &Report{Machine: "i-1", Term: 9, Tasks: []*TaskReport{{Task: "job-1/2"}}}
-	if a, err := c.Report(ctx, rep); err != nil || a.Term != 9 || a.Orders[0].Task != "job-1/2" {
+	hb := &Report{Machine: "i-1", Term: 9, Tasks: []*TaskReport{{Task: "job-1/2"}}}
+	if a, err := c.ForwardHeartbeat(ctx, hb); err != nil || a.Term != 9 || a.Orders[0].Task != "job-1/2" {
 		t.Errorf("report: %v, %v", a, err)
 	}
-	rep.Term = 10
-	if _, err := c.Report(ctx, rep); !errors.Is(err, ErrUnavailable) {
+	hb.Term = 10
+	if _, err := c.ForwardHeartbeat(ctx, hb); !errors.Is(err, ErrUnavailable) {
 		t.Errorf("report with a later term: %v", err)
 	}
 	if err := c.Resign(ctx, &Resignation{Node: "n1", Term: 9}); err != nil {
@@ -100,10 +100,10 @@
 	if err := c.Resign(ctx, &Resignation{Node: "n1", Term: 8}); !errors.Is(err, ErrUnavailable) {
 		t.Errorf("resign from another term: %v", err)
 	}
-	if granted, err := c.Grant(ctx, 9); err != nil || !granted {
+	if granted, err := c.Vote(ctx, 9); err != nil || !granted {
 		t.Errorf("grant: %v, %v", granted, err)
 	}
-	if granted, err := c.Grant(ctx, 8); err != nil || granted {
+	if granted, err := c.Vote(ctx, 8); err != nil || granted {
 		t.Errorf("grant of another term: %v, %v", granted, err)
 	}
 	if wait, err := c.Promise(ctx, 9); err != nil || wait != 1500*time.Millisecond {
@@ -164,8 +164,8 @@
 	if _, err := c.Ping(ctx, &Ping{}); err != nil {
 		t.Errorf("ping: %v", err)
 	}
-	rep := &Report{Machine: "i-1", Term: 9, Tasks: []*TaskReport{{Task: "job-1/2"}}}
-	if _, err := c.Report(ctx, rep); err != nil {
+	hb := &Report{Machine: "i-1", Term: 9, Tasks: []*TaskReport{{Task: "job-1/2"}}}
+	if _, err := c.ForwardHeartbeat(ctx, hb); err != nil {
 		t.Errorf("report: %v", err)
 	}
 }
@@ -184,12 +184,12 @@
 	if _, err := c.Job(ctx, "job-1"); err != nil {
 		t.Fatal(err)
 	}
-	rep := &Report{Term: 9, Tasks: []*TaskReport{{Task: strings.Repeat("job-1/", 900)}}}
+	hb := &Report{Term: 9, Tasks: []*TaskReport{{Task: strings.Repeat("job-1/", 900)}}}
 	var all sync.WaitGroup
 	for range 200 {
 		all.Go(func() {
-			ans, err := c.Report(ctx, rep)
-			if err != nil || ans.Orders[0].Task != rep.Tasks[0].Task {
+			ans, err := c.ForwardHeartbeat(ctx, hb)
+			if err != nil || ans.Orders[0].Task != hb.Tasks[0].Task {
 				t.Errorf("%v, %v", len(ans.GetOrders()), err)
 			}
 		})
--- a/internal/records/dependencies_test.go
+++ b/internal/records/dependencies_test.go
@@ -60,11 +60,11 @@
 func newCountedStore() *countedStore { return &countedStore{Fake: kvtest.New()} }
 
 // putJob writes a job's record as some node would: an active one, or a final one.
-func putJob(t *testing.T, s kv.Service, id, phase string, awaits ...string) {
+func putJob(t *testing.T, s kv.Service, id, phase string, dependsOn ...string) {
 	t.Helper()
 	op := kv.Op{Put: records.TerminalPrefix + id, Value: records.TerminalRecord{Phase: phase, Tasks: 1}}
 	if phase == api.JobPending {
-		op = kv.Op{Put: records.ActivePrefix + id, Value: records.ActiveRecord{Spec: api.JobSpec{ID: id, Tasks: 1, DependsOn: awaits}}}
+		op = kv.Op{Put: records.ActivePrefix + id, Value: records.ActiveRecord{Spec: api.JobSpec{ID: id, Tasks: 1, DependsOn: dependsOn}}}
 	}
 	if _, err := s.Txn(t.Context(), kv.Txn{Ops: []kv.Op{op}}); err != nil {
 		t.Fatal(err)
@@ -315,11 +315,11 @@
 			}
 		}
 		recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 16, TxnOps: 12})
-		submit := func(id string, awaits []string) error {
+		submit := func(id string, dependsOn []string) error {
 			st.requests.Store(0)
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
-			_, _, err := recordStore.Accept(ctx, &api.JobSpec{ID: id, Tasks: 1, DependsOn: awaits}, time.Unix(1, 0))
+			_, _, err := recordStore.Accept(ctx, &api.JobSpec{ID: id, Tasks: 1, DependsOn: dependsOn}, time.Unix(1, 0))
 			return err
 		}
 		tries := 1
--- a/internal/records/jobcache.go
+++ b/internal/records/jobcache.go
@@ -104,24 +104,24 @@
 }
 
 // applyWrite updates the cache by a transaction that was carried out at a revision.
-func (c *jobCache) applyWrite(txn kv.Txn, ring uint64) {
+func (c *jobCache) applyWrite(txn kv.Txn, revision uint64) {
 	if c == nil {
 		return
 	}
 	for _, op := range txn.Ops {
 		if rec, ok := op.Value.(ActiveRecord); ok && rec.Spec.ID != "" {
-			c.add(rec.Spec.ID, ring, dependencySet{rec.Spec.DependsOn, rec.DependencyList})
+			c.add(rec.Spec.ID, revision, dependencySet{rec.Spec.DependsOn, rec.DependencyList})
 		}
 	}
 }
 
 // add remembers a job, unless it awaits so many that they are listed elsewhere or
 // would take much memory.
-func (c *jobCache) add(id string, mark uint64, needs dependencySet) {
+func (c *jobCache) add(id string, modRevision uint64, needs dependencySet) {
 	if needs.list != nil || len(needs.ids) > maxCachedDependencies {
 		return
 	}
-	job := cachedJob{modRevision: mark}
+	job := cachedJob{modRevision: modRevision}
 	for _, a := range needs.ids {
 		job.dependsOn = append(job.dependsOn, strings.Clone(a))
 	}
--- a/internal/records/jobcache_test.go
+++ b/internal/records/jobcache_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-func awaiting(id string, awaits ...string) *api.JobSpec {
+func awaiting(id string, dependsOn ...string) *api.JobSpec {
 	s := plainSpec
-	s.ID, s.DependsOn = id, awaits
+	s.ID, s.DependsOn = id, dependsOn
 	return &s
 }
 
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -41,14 +41,14 @@
 		return nil, fmt.Errorf("probe: %w", err)
 	}
 	defer resp.Body.Close()
-	var rep api.Heartbeat
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&rep); err != nil {
+	var hb api.Heartbeat
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&hb); err != nil {
 		return nil, fmt.Errorf("probe: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("probe: status %d", resp.StatusCode)
 	}
-	return &rep, nil
+	return &hb, nil
 }
 
 const maxAnswer = 1 << 20
@@ -58,16 +58,16 @@
 func (c *Client) Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error) {
 	session := uint64(1) // most machines have never lost theirs
 	for range 2 {
-		rep, status, err := c.post(ctx, addr, &api.CommandBatch{Term: term, AgentEpoch: session, Commands: []api.Command{}})
+		hb, status, err := c.post(ctx, addr, &api.CommandBatch{Term: term, AgentEpoch: session, Commands: []api.Command{}})
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("resync: %w", err)
 		case status == http.StatusOK:
-			return rep, nil
-		case status != http.StatusConflict || rep.Term > term || rep.AgentEpoch == session:
-			return nil, fmt.Errorf("resync: status %d, term %d", status, rep.Term)
+			return hb, nil
+		case status != http.StatusConflict || hb.Term > term || hb.AgentEpoch == session:
+			return nil, fmt.Errorf("resync: status %d, term %d", status, hb.Term)
 		}
-		session = rep.AgentEpoch
+		session = hb.AgentEpoch
 	}
 	return nil, errors.New("resync: the session changes")
 }
@@ -95,22 +95,22 @@
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsOutcomeUnknown, err)
 	}
 	defer resp.Body.Close()
-	var rep api.Heartbeat
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&rep); err != nil && resp.StatusCode == http.StatusOK {
+	var hb api.Heartbeat
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&hb); err != nil && resp.StatusCode == http.StatusOK {
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsOutcomeUnknown, err)
 	}
-	return &rep, resp.StatusCode, nil
+	return &hb, resp.StatusCode, nil
 }
 
 // SendCommands brings orders to a machine, once. It returns the number of the report
 // that shows them carried out.
 func (c *Client) SendCommands(ctx context.Context, addr string, orders *api.CommandBatch) (seq uint64, err error) {
-	rep, status, err := c.post(ctx, addr, orders)
+	hb, status, err := c.post(ctx, addr, orders)
 	switch {
 	case err != nil:
 		return 0, err
 	case status == http.StatusOK:
-		return rep.Seq, nil
+		return hb.Seq, nil
 	case status == http.StatusConflict || status == http.StatusBadRequest:
 		return 0, fmt.Errorf("%w: status %d", api.ErrCommandsNotApplied, status)
 	}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -68,8 +68,8 @@
 		answers = answers[1:]
 		return next(ctx, network, addr)
 	}
-	if rep, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err != nil || rep.Seq != 9 || rep.Term != 5 {
-		t.Errorf("%v, %v", rep, err)
+	if hb, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err != nil || hb.Seq != 9 || hb.Term != 5 {
+		t.Errorf("%v, %v", hb, err)
 	}
 	client.http.Transport.(*http.Transport).DialContext = machine(409, `{"Host":"i-1","Season":1,"Warrant":6}`)
 	if _, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err == nil {
@@ -89,9 +89,9 @@
 	} {
 		client := NewClient()
 		client.http.Transport.(*http.Transport).DialContext = c.dial
-		rep, err := client.Probe(t.Context(), "10.0.0.1:1")
-		if (err == nil) != c.good || c.good && (rep.AgentEpoch != 2 || rep.Seq != 7) {
-			t.Errorf("%s: %+v, %v", name, rep, err)
+		hb, err := client.Probe(t.Context(), "10.0.0.1:1")
+		if (err == nil) != c.good || c.good && (hb.AgentEpoch != 2 || hb.Seq != 7) {
+			t.Errorf("%s: %+v, %v", name, hb, err)
 		}
 	}
 }
