--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -39,8 +39,8 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	j := newJudge(list, out)
-	readErr := j.read(events)
+	v := newVerdictReader(list, out)
+	readErr := v.read(events)
 	waitErr := cmd.Wait()
 	if readErr != nil {
 		return readErr
@@ -49,7 +49,7 @@
 	if waitErr != nil && !errors.As(waitErr, &exit) {
 		return waitErr
 	}
-	if !j.verdict(waitErr == nil) {
+	if !v.verdict(waitErr == nil) {
 		os.Exit(1) // said already, as go test says it
 	}
 	return nil
--- a/internal/ci/knownred/verdict.go
+++ b/internal/ci/knownred/verdict.go
@@ -32,28 +32,28 @@
 // verdictReader reads the events of go test, shows them as go test without -json would
 // and decides whether what failed may be passed over.
 type verdictReader struct {
-	list   []entry
-	out    io.Writer
-	suites map[string]*packageRun
+	list     []entry
+	out      io.Writer
+	packages map[string]*packageRun
 	// failed is set once a package failed, for whatever reason.
 	failed bool
-	// passed are the packages whose failures are passed over: their closing
+	// passedOver are the packages whose failures are passed over: their closing
 	// lines, to be printed last.
-	passed   []string
-	problems []string
+	passedOver []string
+	problems   []string
 }
 
-func newJudge(list []entry, out io.Writer) *verdictReader {
-	return &verdictReader{list: list, out: out, suites: map[string]*packageRun{}}
+func newVerdictReader(list []entry, out io.Writer) *verdictReader {
+	return &verdictReader{list: list, out: out, packages: map[string]*packageRun{}}
 }
 
 // read takes the events in as they come.
-func (j *verdictReader) read(events io.Reader) error {
+func (v *verdictReader) read(events io.Reader) error {
 	in := bufio.NewReader(events)
 	for {
 		raw, err := in.ReadBytes('\n')
 		if len(raw) > 0 {
-			j.handleEvent(raw)
+			v.handleEvent(raw)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -64,109 +64,109 @@
 	}
 }
 
-func (j *verdictReader) handleEvent(raw []byte) {
+func (v *verdictReader) handleEvent(raw []byte) {
 	var e event
 	if !bytes.HasPrefix(raw, []byte("{")) || json.Unmarshal(raw, &e) != nil {
-		j.out.Write(raw) // what is no event is shown as it is
+		v.out.Write(raw) // what is no event is shown as it is
 		return
 	}
 	if e.Package == "" {
-		io.WriteString(j.out, e.Output) // of a build
+		io.WriteString(v.out, e.Output) // of a build
 		return
 	}
-	s := j.suites[e.Package]
-	if s == nil {
-		s = &packageRun{name: e.Package, results: map[string]string{}}
-		j.suites[e.Package] = s
+	p := v.packages[e.Package]
+	if p == nil {
+		p = &packageRun{name: e.Package, results: map[string]string{}}
+		v.packages[e.Package] = p
 	}
 	switch e.Action {
 	case "run":
-		s.started = append(s.started, e.Test)
+		p.started = append(p.started, e.Test)
 	case "output":
-		s.output = append(s.output, line{e.Test, e.Output})
+		p.output = append(p.output, line{e.Test, e.Output})
 	case "pass", "fail", "skip":
 		if e.Test != "" {
-			s.results[e.Test] = e.Action
+			p.results[e.Test] = e.Action
 			return
 		}
-		s.ended = true
-		j.end(s, e.Action == "fail")
+		p.ended = true
+		v.endPackage(p, e.Action == "fail")
 	}
 }
 
-// end shows a package that has ended, and judges it if it failed.
-func (j *verdictReader) end(s *packageRun, failed bool) {
-	for _, l := range s.output {
-		if s.isShown(l, failed) && !(failed && s.closing(l) && j.isListed(s)) {
-			io.WriteString(j.out, l.text)
+// endPackage shows a package that has ended, and judges it if it failed.
+func (v *verdictReader) endPackage(p *packageRun, failed bool) {
+	for _, l := range p.output {
+		if p.isShown(l, failed) && !(failed && p.isFailLine(l) && v.onlyListedFailed(p)) {
+			io.WriteString(v.out, l.text)
 		}
 	}
 	if failed {
-		j.fail(s)
+		v.judgeFailure(p)
 	}
-	s.output = nil
+	p.output = nil
 }
 
 // isShown tells whether go test without -v shows a line.
-func (s *packageRun) isShown(l line, failed bool) bool {
+func (p *packageRun) isShown(l line, failed bool) bool {
 	switch {
 	case !failed:
 		return l.test == "" && (strings.HasPrefix(l.text, "ok  \t") || strings.HasPrefix(l.text, "?   \t"))
 	case l.test == "":
 		return true
-	case framing(l.text):
+	case isFraming(l.text):
 		return false
 	}
 	// A test that never ended may be what ended the others.
-	return s.results[l.test] != "pass" && s.results[l.test] != "skip"
+	return p.results[l.test] != "pass" && p.results[l.test] != "skip"
 }
 
-// framing tells whether a line only says which test prints next.
-func framing(text string) bool {
+// isFraming tells whether a line only says which test prints next.
+func isFraming(text string) bool {
 	return strings.HasPrefix(text, "=== ")
 }
 
-// closing tells whether a line is the last of a package that failed.
-func (s *packageRun) closing(l line) bool {
-	return l.test == "" && strings.HasPrefix(l.text, "FAIL\t"+s.name+"\t")
+// isFailLine tells whether a line is the last of a package that failed.
+func (p *packageRun) isFailLine(l line) bool {
+	return l.test == "" && strings.HasPrefix(l.text, "FAIL\t"+p.name+"\t")
 }
 
-func (j *verdictReader) fail(s *packageRun) {
-	j.failed = true
-	if j.isListed(s) {
-		for _, l := range s.output {
-			if s.closing(l) {
-				took := strings.TrimSpace(strings.TrimPrefix(l.text, "FAIL\t"+s.name+"\t"))
-				j.passed = append(j.passed, fmt.Sprintf("ok  \t%s\t%s [known failures passed over]", s.name, took))
+func (v *verdictReader) judgeFailure(p *packageRun) {
+	v.failed = true
+	if v.onlyListedFailed(p) {
+		for _, l := range p.output {
+			if p.isFailLine(l) {
+				took := strings.TrimSpace(strings.TrimPrefix(l.text, "FAIL\t"+p.name+"\t"))
+				v.passedOver = append(v.passedOver, fmt.Sprintf("ok  \t%s\t%s [known failures passed over]", p.name, took))
 			}
 		}
 		return
 	}
-	n := len(j.problems)
-	for _, test := range s.started {
-		switch r := s.results[test]; {
+	n := len(v.problems)
+	for _, test := range p.started {
+		switch r := p.results[test]; {
 		case r == "":
-			j.problem("%s %s did not end", s.name, test)
-		case r == "fail" && !j.isAllowed(s, test):
-			j.problem("%s %s failed and is not listed", s.name, test)
+			v.addProblem("%s %s did not end", p.name, test)
+		case r == "fail" && !v.mayFail(p, test):
+			v.addProblem("%s %s failed and is not listed", p.name, test)
 		}
 	}
-	if len(j.problems) == n {
+	if len(v.problems) == n {
 		// Not built, ended by a panic, a time limit or os.Exit, or failed by
 		// something else than a test: whatever is listed, tests were not run.
-		j.problem("%s failed by more than listed tests", s.name)
+		v.addProblem("%s failed by more than listed tests", p.name)
 	}
 }
 
-// isListed tells whether only listed tests made a package fail.
-func (j *verdictReader) isListed(s *packageRun) bool {
+// onlyListedFailed tells whether only listed tests made a package fail.
+func (v *verdictReader) onlyListedFailed(p *packageRun) bool {
 	failures := 0
-	for _, test := range s.started {
-		switch s.results[test] {
+	for _, test := range p.started {
+		switch p.results[test] {
 		case "":
 			return false
 		case "fail":
-			if !j.isAllowed(s, test) {
+			if !v.mayFail(p, test) {
 				return false
 			}
 			failures++
@@ -174,73 +174,73 @@
 	}
 	// This line alone shows that the run came to its end: after a panic or
 	// os.Exit, tests that did not begin leave no other trace.
-	return failures > 0 && slices.Contains(s.output, line{"", "FAIL\n"})
+	return failures > 0 && slices.Contains(p.output, line{"", "FAIL\n"})
 }
 
-// isAllowed tells whether a failed test is listed, or failed only since subtests
+// mayFail tells whether a failed test is listed, or failed only since subtests
 // did, which are looked at by themselves.
-func (j *verdictReader) isAllowed(s *packageRun, test string) bool {
-	if slices.ContainsFunc(j.list, func(e entry) bool { return e.testName == testName{s.name, test} }) {
+func (v *verdictReader) mayFail(p *packageRun, test string) bool {
+	if slices.ContainsFunc(v.list, func(e entry) bool { return e.testName == testName{p.name, test} }) {
 		return true
 	}
-	subtests := slices.ContainsFunc(s.started, func(other string) bool {
-		return strings.HasPrefix(other, test+"/") && s.results[other] == "fail"
+	subtests := slices.ContainsFunc(p.started, func(other string) bool {
+		return strings.HasPrefix(other, test+"/") && p.results[other] == "fail"
 	})
 	// The events do not tell whether a parent failed by itself as well; but it
 	// would have said why.
-	return subtests && !slices.ContainsFunc(s.output, func(l line) bool {
-		return l.test == test && !framing(l.text) && !strings.HasPrefix(strings.TrimLeft(l.text, " "), "--- FAIL: "+test+" ")
+	return subtests && !slices.ContainsFunc(p.output, func(l line) bool {
+		return l.test == test && !isFraming(l.text) && !strings.HasPrefix(strings.TrimLeft(l.text, " "), "--- FAIL: "+test+" ")
 	})
 }
 
-func (j *verdictReader) problem(format string, args ...any) {
-	j.problems = append(j.problems, fmt.Sprintf(format, args...))
+func (v *verdictReader) addProblem(format string, args ...any) {
+	v.problems = append(v.problems, fmt.Sprintf(format, args...))
 }
 
 // verdict says at the end what was passed over and what was not, and tells
 // whether the tests pass. Clean is set if go test itself was content.
-func (j *verdictReader) verdict(clean bool) bool {
-	for _, s := range j.suites {
-		if !s.ended {
-			j.problem("%s did not end", s.name)
-			for _, l := range s.output {
-				io.WriteString(j.out, l.text)
+func (v *verdictReader) verdict(clean bool) bool {
+	for _, p := range v.packages {
+		if !p.ended {
+			v.addProblem("%s did not end", p.name)
+			for _, l := range p.output {
+				io.WriteString(v.out, l.text)
 			}
 		}
 	}
-	if len(j.suites) == 0 {
-		j.problem("no test was run")
+	if len(v.packages) == 0 {
+		v.addProblem("no test was run")
 	}
-	if clean == j.failed {
-		j.problem("go test ended otherwise than its tests")
+	if clean == v.failed {
+		v.addProblem("go test ended otherwise than its tests")
 	}
-	for _, e := range j.list {
+	for _, e := range v.list {
 		result := ""
-		if s := j.suites[e.pkg]; s != nil {
-			result = s.results[e.test]
+		if p := v.packages[e.pkg]; p != nil {
+			result = p.results[e.test]
 		}
 		switch result {
 		case "fail":
-			fmt.Fprintf(j.out, "known failure: %s | %s | %s\n", e.testName, e.cause, e.issue)
+			fmt.Fprintf(v.out, "known failure: %s | %s | %s\n", e.testName, e.cause, e.issue)
 		case "":
-			j.problem("%s is listed but did not run to its end", e.testName)
+			v.addProblem("%s is listed but did not run to its end", e.testName)
 		default:
-			j.problem("%s is listed but does not fail: %s", e.testName, result)
+			v.addProblem("%s is listed but does not fail: %s", e.testName, result)
 		}
 	}
-	slices.Sort(j.problems)
-	for _, p := range j.problems {
-		fmt.Fprintln(j.out, "not passed over:", p)
+	slices.Sort(v.problems)
+	for _, p := range v.problems {
+		fmt.Fprintln(v.out, "not passed over:", p)
 	}
-	if len(j.problems) > 0 {
-		for _, p := range j.passed {
-			fmt.Fprintln(j.out, strings.Replace(p, "ok  \t", "FAIL\t", 1))
+	if len(v.problems) > 0 {
+		for _, p := range v.passedOver {
+			fmt.Fprintln(v.out, strings.Replace(p, "ok  \t", "FAIL\t", 1))
 		}
-		fmt.Fprintln(j.out, "FAIL")
+		fmt.Fprintln(v.out, "FAIL")
 		return false
 	}
-	for _, p := range j.passed {
-		fmt.Fprintln(j.out, p)
+	for _, p := range v.passedOver {
+		fmt.Fprintln(v.out, p)
 	}
 	return true
 }
--- a/internal/ci/knownred/verdict_test.go
+++ b/internal/ci/knownred/verdict_test.go
@@ -96,11 +96,11 @@
 				t.Fatal(err)
 			}
 			var out strings.Builder
-			j := newJudge(list, &out)
-			if err := j.read(strings.NewReader(stream(c.events))); err != nil {
+			v := newVerdictReader(list, &out)
+			if err := v.read(strings.NewReader(stream(c.events))); err != nil {
 				t.Fatal(err)
 			}
-			if got := j.verdict(strings.HasSuffix(c.events, "ok")); got != c.passes {
+			if got := v.verdict(strings.HasSuffix(c.events, "ok")); got != c.passes {
 				t.Errorf("passes: %v, want %v\n%s", got, c.passes, out.String())
 			}
 			if !strings.Contains(out.String(), c.says) {
@@ -120,14 +120,14 @@
 		events string
 		clean  bool
 	}{{"TestA:pass ok", false}, {"TestA:fail FAIL", true}} {
-		j := newJudge([]entry{{testName{"m/p", "TestA"}, "c", "issue 1"}}, new(strings.Builder))
+		v := newVerdictReader([]entry{{testName{"m/p", "TestA"}, "c", "issue 1"}}, new(strings.Builder))
 		if !c.clean {
-			j.list = nil
+			v.list = nil
 		}
-		if err := j.read(strings.NewReader(stream(c.events))); err != nil {
+		if err := v.read(strings.NewReader(stream(c.events))); err != nil {
 			t.Fatal(err)
 		}
-		if j.verdict(c.clean) {
+		if v.verdict(c.clean) {
 			t.Errorf("%s: passes although go test's own result is %v", c.events, c.clean)
 		}
 	}
@@ -149,11 +149,11 @@
 			t.Fatal(err)
 		}
 		var out strings.Builder
-		j := newJudge(l, &out)
-		if err := j.read(strings.NewReader("no event\n" + stream(c.events))); err != nil {
+		v := newVerdictReader(l, &out)
+		if err := v.read(strings.NewReader("no event\n" + stream(c.events))); err != nil {
 			t.Fatal(err)
 		}
-		j.verdict(strings.HasSuffix(c.events, "ok"))
+		v.verdict(strings.HasSuffix(c.events, "ok"))
 		if want := "no event\n" + c.want; out.String() != want {
 			t.Errorf("%s:\n%s\nwant\n%s", c.events, out.String(), want)
 		}
--- a/internal/loadtest/cellsload/machine.go
+++ b/internal/loadtest/cellsload/machine.go
@@ -19,7 +19,7 @@
 
 const (
 	heartbeatInterval = time.Second
-	leaseTime         = 10 * time.Second
+	taskLease         = 10 * time.Second
 	machineCPUs       = 16.0
 )
 
@@ -30,15 +30,15 @@
 	client    *http.Client
 	mu        sync.Mutex
 	heartbeat api.Heartbeat
-	ends      map[string]time.Time
-	// answered is when the last answered report was sent.
-	answered time.Time
-	node     int
-	used     atomic.Int64
+	taskEnds  map[string]time.Time
+	// lastResponse is when the last answered report was sent.
+	lastResponse time.Time
+	node         int
+	usedCPUs     atomic.Int64
 }
 
 func newMachine(c *cell, name string) (*machine, error) {
-	m := &machine{cell: c, client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{}}, ends: map[string]time.Time{}, answered: time.Now(),
+	m := &machine{cell: c, client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{}}, taskEnds: map[string]time.Time{}, lastResponse: time.Now(),
 		heartbeat: api.Heartbeat{Machine: name, Type: machineType.Name, Zone: zone, AgentEpoch: 1, Tasks: []api.TaskStatus{}}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,7 +72,7 @@
 	if err != nil {
 		panic(err) // plain values
 	}
-	resp, err := m.client.Post("http://"+m.cell.nodes[m.node].api+"/v1/report", "application/json", bytes.NewReader(body))
+	resp, err := m.client.Post("http://"+m.cell.nodes[m.node].apiAddr+"/v1/report", "application/json", bytes.NewReader(body))
 	if err != nil {
 		m.node = (m.node + 1) % len(m.cell.nodes)
 		return
@@ -85,7 +85,7 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		if answer.Term >= m.heartbeat.Term && agentEpoch == m.heartbeat.AgentEpoch {
-			m.answered = sent
+			m.lastResponse = sent
 			m.applyCommands(answer.Term, answer.Commands)
 		}
 	case resp.StatusCode == http.StatusMisdirectedRequest:
@@ -103,20 +103,20 @@
 
 // completeTasks ends the tasks whose time has come, and all of them with the lease.
 func (m *machine) completeTasks() {
-	if time.Since(m.answered) > leaseTime {
+	if time.Since(m.lastResponse) > taskLease {
 		for _, t := range m.heartbeat.Tasks {
 			if t.Phase != api.TaskExited {
 				m.removeTask(t.Task, false)
 			}
 		}
-		m.heartbeat.Tasks, m.ends = []api.TaskStatus{}, map[string]time.Time{}
+		m.heartbeat.Tasks, m.taskEnds = []api.TaskStatus{}, map[string]time.Time{}
 		m.heartbeat.AgentEpoch++
-		m.answered = time.Now()
+		m.lastResponse = time.Now()
 		return
 	}
 	for i := range m.heartbeat.Tasks {
 		t := &m.heartbeat.Tasks[i]
-		if end, ok := m.ends[t.Task]; ok && time.Now().After(end) {
+		if end, ok := m.taskEnds[t.Task]; ok && time.Now().After(end) {
 			t.Phase, t.Cause = api.TaskExited, api.CauseDone
 			m.removeTask(t.Task, true)
 		}
@@ -124,23 +124,23 @@
 }
 
 func (m *machine) removeTask(task string, done bool) {
-	delete(m.ends, task)
-	m.used.Add(-taskCPUs)
-	m.cell.testbed.ledger.off(task, done)
+	delete(m.taskEnds, task)
+	m.usedCPUs.Add(-taskCPUs)
+	m.cell.testbed.ledger.taskRemoved(task, done)
 }
 
 func (m *machine) applyCommands(term uint64, orders []api.Command) {
 	m.heartbeat.Term = max(m.heartbeat.Term, term)
-	m.cell.testbed.ledger.answered(term)
+	m.cell.testbed.ledger.responseApplied(term)
 	for _, o := range orders {
 		at := slices.IndexFunc(m.heartbeat.Tasks, func(t api.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
 		switch {
 		case o.Verb == api.VerbStart && at < 0:
 			m.heartbeat.Tasks = append(m.heartbeat.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
-			m.ends[o.Task] = time.Now().Add(time.Duration(float64(taskTime) * (0.5 + rand.Float64())))
-			m.used.Add(taskCPUs)
-			m.cell.testbed.ledger.on(o.Task, m.cell, m.heartbeat.Machine)
-			m.cell.testbed.ledger.decided(term)
+			m.taskEnds[o.Task] = time.Now().Add(time.Duration(float64(taskDuration) * (0.5 + rand.Float64())))
+			m.usedCPUs.Add(taskCPUs)
+			m.cell.testbed.ledger.taskStarted(o.Task, m.cell, m.heartbeat.Machine)
+			m.cell.testbed.ledger.startApplied(term)
 		case o.Verb == api.VerbStop && at >= 0:
 			if m.heartbeat.Tasks[at].Phase != api.TaskExited {
 				m.removeTask(o.Task, false)
@@ -170,32 +170,32 @@
 
 // ledger knows where each task is, in all cells.
 type ledger struct {
-	mu sync.Mutex
-	at map[string]string
-	// begun is when jobs began, away those that began in another cell than theirs.
-	begun       map[string]time.Time
-	unavailable map[string]bool
-	// twice are the starts of tasks that were on a machine, and doneTwice those that
+	mu        sync.Mutex
+	machineOf map[string]string
+	// jobStarts is when jobs began, away those that began in another cell than theirs.
+	jobStarts    map[string]time.Time
+	ranElsewhere map[string]bool
+	// startedTwice are the starts of tasks that were on a machine, and doneTwice those that
 	// completed and completed again.
-	twice, doneTwice int
-	done             map[string]bool
-	// firstAnswer and firstStart are when a machine was first answered, and told to
+	startedTwice, doneTwice int
+	doneTasks               map[string]bool
+	// firstResponses and firstStarts are when a machine was first answered, and told to
 	// start a task, in each term.
-	firstAnswer, firstStart map[uint64]time.Time
-	home                    map[string]*cell
-	problems                []string
+	firstResponses, firstStarts map[uint64]time.Time
+	homeCells                   map[string]*cell
+	problems                    []string
 }
 
 func newLedger() *ledger {
-	return &ledger{at: map[string]string{}, begun: map[string]time.Time{}, unavailable: map[string]bool{}, done: map[string]bool{}, home: map[string]*cell{},
-		firstAnswer: map[uint64]time.Time{}, firstStart: map[uint64]time.Time{}}
+	return &ledger{machineOf: map[string]string{}, jobStarts: map[string]time.Time{}, ranElsewhere: map[string]bool{}, doneTasks: map[string]bool{}, homeCells: map[string]*cell{},
+		firstResponses: map[uint64]time.Time{}, firstStarts: map[uint64]time.Time{}}
 }
 
-// answered notes an answer in a term, and decided an order to start a task.
-func (l *ledger) answered(term uint64) { l.first(l.firstAnswer, term) }
-func (l *ledger) decided(term uint64)  { l.first(l.firstStart, term) }
+// responseApplied notes an answer in a term, and decided an order to start a task.
+func (l *ledger) responseApplied(term uint64) { l.setFirst(l.firstResponses, term) }
+func (l *ledger) startApplied(term uint64)    { l.setFirst(l.firstStarts, term) }
 
-func (l *ledger) first(of map[uint64]time.Time, term uint64) {
+func (l *ledger) setFirst(of map[uint64]time.Time, term uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if of[term].IsZero() {
@@ -203,42 +203,42 @@
 	}
 }
 
-// term is the latest one that a machine has heard of.
-func (l *ledger) term() (latest uint64) {
+// latestTerm is the latest one that a machine has heard of.
+func (l *ledger) latestTerm() (latest uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for term := range l.firstAnswer {
+	for term := range l.firstResponses {
 		latest = max(latest, term)
 	}
 	return latest
 }
 
-func (l *ledger) on(task string, c *cell, machine string) {
+func (l *ledger) taskStarted(task string, c *cell, machine string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if was := l.at[task]; was != "" {
-		l.twice++
+	if was := l.machineOf[task]; was != "" {
+		l.startedTwice++
 		l.problems = append(l.problems, fmt.Sprintf("%s begins on %s while it is on %s", task, machine, was))
 	}
-	l.at[task] = machine
+	l.machineOf[task] = machine
 	id, _, _ := strings.Cut(task, "/")
-	if l.begun[id].IsZero() {
-		l.begun[id] = time.Now()
+	if l.jobStarts[id].IsZero() {
+		l.jobStarts[id] = time.Now()
 	}
-	if l.home[id] != c {
-		l.unavailable[id] = true
+	if l.homeCells[id] != c {
+		l.ranElsewhere[id] = true
 	}
 }
 
-func (l *ledger) off(task string, done bool) {
+func (l *ledger) taskRemoved(task string, done bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.at, task)
+	delete(l.machineOf, task)
 	if !done {
 		return
 	}
-	if l.done[task] {
+	if l.doneTasks[task] {
 		l.doneTwice++
 	}
-	l.done[task] = true
+	l.doneTasks[task] = true
 }
--- a/internal/loadtest/cellsload/main.go
+++ b/internal/loadtest/cellsload/main.go
@@ -67,13 +67,13 @@
 	if err != nil {
 		return nil, err
 	}
-	defer world.end()
+	defer world.close()
 	time.Sleep(5 * time.Second) // leaders are elected, machines heard
 	began := time.Now()
 	stop := make(chan struct{})
 	go world.injectFaults(c, random, stop)
-	go world.sample(stop)
-	world.load(c)
+	go world.sampleIdle(stop)
+	world.submitJobs(c)
 	close(stop)
 	world.heal()
 	world.awaitResults(4 * time.Minute)
--- a/internal/loadtest/cellsload/takeover.go
+++ b/internal/loadtest/cellsload/takeover.go
@@ -22,9 +22,9 @@
 	if err != nil {
 		return err
 	}
-	defer tb.end()
+	defer tb.close()
 	time.Sleep(8 * time.Second)
-	go tb.load(c)
+	go tb.submitJobs(c)
 	time.Sleep(5 * time.Second)
 	var answers, starts []time.Duration
 	for range c.Takeovers {
@@ -36,7 +36,7 @@
 		answers, starts = append(answers, answer), append(starts, start)
 	}
 	fmt.Printf("%d takeovers: first answer after %.2f s (median), %.2f s (longest); first start after %.2f s, %.2f s; %d tasks on two machines, %d done twice\n", len(answers),
-		quantile(answers, 0.5).Seconds(), quantile(answers, 1).Seconds(), quantile(starts, 0.5).Seconds(), quantile(starts, 1).Seconds(), tb.ledger.twice, tb.ledger.doneTwice)
+		quantile(answers, 0.5).Seconds(), quantile(answers, 1).Seconds(), quantile(starts, 0.5).Seconds(), quantile(starts, 1).Seconds(), tb.ledger.startedTwice, tb.ledger.doneTwice)
 	return nil
 }
 
@@ -44,7 +44,7 @@
 func (c *cell) leader() *process {
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range c.nodes {
-		resp, err := client.Get("http://" + p.api + "/status")
+		resp, err := client.Get("http://" + p.apiAddr + "/status")
 		if err != nil {
 			continue
 		}
@@ -69,7 +69,7 @@
 	if leader == nil {
 		return 0, 0, errors.New("nobody leads")
 	}
-	term, killed := l.term(), time.Now()
+	term, killed := l.latestTerm(), time.Now()
 	if c.Orderly {
 		leader.stop()
 	} else {
@@ -78,12 +78,12 @@
 	for time.Since(killed) < 2*time.Minute {
 		time.Sleep(5 * time.Millisecond)
 		l.mu.Lock()
-		for t, at := range l.firstAnswer {
+		for t, at := range l.firstResponses {
 			if t > term {
 				answer = at.Sub(killed)
 			}
 		}
-		for t, at := range l.firstStart {
+		for t, at := range l.firstStarts {
 			if t > term {
 				start = at.Sub(killed)
 			}
@@ -97,7 +97,7 @@
 		return 0, 0, errors.New("nobody took over")
 	}
 	time.Sleep(max(0, c.Away-time.Since(killed)))
-	if err := leader.begin(c.Binary); err != nil {
+	if err := leader.start(c.Binary); err != nil {
 		return 0, 0, err
 	}
 	time.Sleep(6 * time.Second)
--- a/internal/loadtest/cellsload/testbed.go
+++ b/internal/loadtest/cellsload/testbed.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	zone        = "local"
-	controllers = 3
-	taskCPUs    = 2
-	taskTime    = 4 * time.Second
-	jobTasks    = 4
+	zone               = "local"
+	controllersPerCell = 3
+	taskCPUs           = 2
+	taskDuration       = 4 * time.Second
+	tasksPerJob        = 4
 )
 
 var machineType = api.MachineType{Name: "local-16", CPUs: machineCPUs, MemoryGB: 64, CacheGB: 80, FetchGBs: 100, Price: 1, SpotPrice: 0.4, BootS: 2, Zones: []string{zone}}
@@ -43,12 +43,12 @@
 
 	mu   sync.Mutex
 	jobs []*userJob
-	// idle sums up, of what was sampled while jobs waited anywhere, the part of all
+	// idleSum sums up, of what was sampled while jobs waited anywhere, the part of all
 	// CPUs that was idle.
-	idle, samples float64
-	waiting       atomic.Int64
-	kills, cuts   int
-	verbose       bool
+	idleSum, idleSamples float64
+	waitingUsers         atomic.Int64
+	kills, cuts          int
+	verbose              bool
 }
 
 // cell is one cell: its controllers, its machines and its state service.
@@ -61,14 +61,14 @@
 
 // process is a controller.
 type process struct {
-	name, api, cells string
-	args             []string
-	log              string
-	mu               sync.Mutex
-	cmd              *exec.Cmd
-	// ended is closed once the process has; told is set if it was told to, and unexpectedExits
+	name, apiAddr, cellsAddr string
+	args                     []string
+	logPath                  string
+	mu                       sync.Mutex
+	cmd                      *exec.Cmd
+	// exited is closed once the process has; told is set if it was told to, and unexpectedExits
 	// counts the times it was not.
-	ended           chan struct{}
+	exited          chan struct{}
 	stopRequested   atomic.Bool
 	unexpectedExits atomic.Int64
 }
@@ -85,8 +85,8 @@
 
 const firstPort = 20000
 
-// newAddr is an address for a controller that none has yet.
-func (tb *testbed) newAddr() string {
+// nextAddr is an address for a controller that none has yet.
+func (tb *testbed) nextAddr() string {
 	tb.ports++
 	return fmt.Sprintf("%s:%d", host(), firstPort+tb.ports)
 }
@@ -105,7 +105,7 @@
 			return nil, err
 		}
 		for _, p := range cell.nodes {
-			if err := p.begin(c.Binary); err != nil {
+			if err := p.start(c.Binary); err != nil {
 				return nil, err
 			}
 		}
@@ -118,8 +118,8 @@
 
 func (tb *testbed) newCell(name string, machines int) (*cell, error) {
 	c := &cell{testbed: tb, name: name}
-	for i := range controllers {
-		c.nodes = append(c.nodes, &process{name: fmt.Sprintf("%s-n%d", name, i), api: tb.newAddr(), cells: tb.newAddr()})
+	for i := range controllersPerCell {
+		c.nodes = append(c.nodes, &process{name: fmt.Sprintf("%s-n%d", name, i), apiAddr: tb.nextAddr(), cellsAddr: tb.nextAddr()})
 	}
 	for i := range machines {
 		m, err := newMachine(c, fmt.Sprintf("i-%s-%03d", name, i))
@@ -131,9 +131,9 @@
 	return c, nil
 }
 
-// policy keeps the machines rented, since there are no others, and lends soon, since the
+// lendingPolicy keeps the machines rented, since there are no others, and lends soon, since the
 // tasks are short.
-const policy = `
+const lendingPolicy = `
 min_cpus = 100000.0
 spill_after_s = 1.5
 spill_gain_s = 1.0
@@ -149,24 +149,24 @@
 	}
 	peers := map[string]string{}
 	for _, p := range cell.nodes {
-		peers[p.name] = tb.newAddr()
+		peers[p.name] = tb.nextAddr()
 	}
 	cellsFile := ""
 	if !c.Alone {
-		if cellsFile, err = tb.cellsFile(dir, cell); err != nil {
+		if cellsFile, err = tb.writeCellsFile(dir, cell); err != nil {
 			return err
 		}
 	}
 	policyFile := filepath.Join(dir, "policy.star")
-	if err := os.WriteFile(policyFile, []byte(policy), 0o644); err != nil {
+	if err := os.WriteFile(policyFile, []byte(lendingPolicy), 0o644); err != nil {
 		return err
 	}
 	for _, p := range cell.nodes {
-		s := config.Settings{Node: p.name, Zone: zone, APIAddr: p.api, PeerListen: peers[p.name],
+		s := config.Settings{Node: p.name, Zone: zone, APIAddr: p.apiAddr, PeerListen: peers[p.name],
 			Outside: config.Outside{Cloud: env.Cloud, State: env.State},
-			Site: config.SiteInfo{Nodes: controllers, Zones: []string{zone},
+			Site: config.SiteInfo{Nodes: controllersPerCell, Zones: []string{zone},
 				Teams:   []config.Team{{Name: "red", CPUs: 24, LimitCPUs: 128}, {Name: "blue", CPUs: 24, LimitCPUs: 128}},
-				Workers: config.Workers{HeartbeatS: heartbeatInterval.Seconds(), LeaseS: leaseTime.Seconds(), CancelS: 30},
+				Workers: config.Workers{HeartbeatS: heartbeatInterval.Seconds(), LeaseS: taskLease.Seconds(), CancelS: 30},
 				State:   config.StateLimits{RPS: 400, WriteRPS: 100, ValueKB: 16, TxnOps: 20},
 				Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
 				Limits:  config.Limits{Cores: 0.5, RAMMB: 98, FDLimit: 800}}}
@@ -188,18 +188,18 @@
 			p.args = append(p.args, "--cells", cellsFile)
 		}
 		p.args = append(append(p.args, c.Extra...), "--config", path)
-		p.log = filepath.Join(dir, p.name+".log")
+		p.logPath = filepath.Join(dir, p.name+".log")
 	}
 	return nil
 }
 
-// cellsFile writes the file of cells as one of them sees them, with each way to another
+// writeCellsFile writes the file of cells as one of them sees them, with each way to another
 // cell's controller through a link that can be cut.
-func (tb *testbed) cellsFile(dir string, cell *cell) (string, error) {
+func (tb *testbed) writeCellsFile(dir string, cell *cell) (string, error) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "cell = %q\n[listen]\n", cell.name)
 	for _, p := range cell.nodes {
-		fmt.Fprintf(&text, "%s = %q\n", p.name, p.cells)
+		fmt.Fprintf(&text, "%s = %q\n", p.name, p.cellsAddr)
 	}
 	for _, other := range tb.cells {
 		if other == cell {
@@ -207,17 +207,17 @@
 		}
 		fmt.Fprintf(&text, "[[neighbour]]\ncell = %q\naddresses = [", other.name)
 		for i, p := range other.nodes {
-			k, err := newLink(p.cells)
+			l, err := newLink(p.cellsAddr)
 			if err != nil {
 				return "", err
 			}
-			k.from, k.to = cell.name, other.name
-			tb.links = append(tb.links, k)
-			tb.closers = append(tb.closers, func() { k.ln.Close() })
+			l.from, l.to = cell.name, other.name
+			tb.links = append(tb.links, l)
+			tb.closers = append(tb.closers, func() { l.ln.Close() })
 			if i > 0 {
 				text.WriteString(", ")
 			}
-			fmt.Fprintf(&text, "%q", k.ln.Addr())
+			fmt.Fprintf(&text, "%q", l.ln.Addr())
 		}
 		text.WriteString("]\n")
 	}
@@ -225,25 +225,25 @@
 	return path, os.WriteFile(path, []byte(text.String()), 0o644)
 }
 
-func (p *process) begin(binary string) error {
+func (p *process) start(binary string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	p.cmd, p.ended = exec.Command(binary, p.args...), make(chan struct{})
+	p.cmd, p.exited = exec.Command(binary, p.args...), make(chan struct{})
 	p.cmd.Stderr = log
 	if err := p.cmd.Start(); err != nil {
 		return err
 	}
-	go p.await(p.cmd, p.ended)
+	go p.waitForExit(p.cmd, p.exited)
 	return nil
 }
 
-// await waits for a controller to end, and notes one that ended by itself.
-func (p *process) await(cmd *exec.Cmd, ended chan struct{}) {
+// waitForExit waits for a controller to end, and notes one that ended by itself.
+func (p *process) waitForExit(cmd *exec.Cmd, ended chan struct{}) {
 	err := cmd.Wait()
 	close(ended)
 	if !p.stopRequested.Swap(false) {
@@ -258,7 +258,7 @@
 	defer p.mu.Unlock()
 	p.stopRequested.Store(true)
 	p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 }
 
 // stop tells the controller to end, and waits until it has.
@@ -267,7 +267,7 @@
 	defer p.mu.Unlock()
 	p.stopRequested.Store(true)
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	<-p.ended
+	<-p.exited
 }
 
 // link passes connections on to a controller's listener, until it is cut.
@@ -285,49 +285,49 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &link{ln: ln, target: target, conns: map[net.Conn]bool{}}
-	go k.accept()
-	return k, nil
+	l := &link{ln: ln, target: target, conns: map[net.Conn]bool{}}
+	go l.accept()
+	return l, nil
 }
 
-func (k *link) accept() {
+func (l *link) accept() {
 	for {
-		in, err := k.ln.Accept()
+		in, err := l.ln.Accept()
 		if err != nil {
 			return
 		}
-		k.mu.Lock()
-		cut := k.cut
-		k.mu.Unlock()
-		out, err := net.DialTimeout("tcp", k.target, time.Second)
+		l.mu.Lock()
+		cut := l.cut
+		l.mu.Unlock()
+		out, err := net.DialTimeout("tcp", l.target, time.Second)
 		if cut || err != nil {
 			in.Close()
 			continue
 		}
-		k.mu.Lock()
-		k.conns[in], k.conns[out] = true, true
-		k.mu.Unlock()
-		go k.pass(in, out)
-		go k.pass(out, in)
+		l.mu.Lock()
+		l.conns[in], l.conns[out] = true, true
+		l.mu.Unlock()
+		go l.forward(in, out)
+		go l.forward(out, in)
 	}
 }
 
-func (k *link) pass(to, from net.Conn) {
+func (l *link) forward(to, from net.Conn) {
 	io.Copy(to, from)
 	to.Close()
 	from.Close()
-	k.mu.Lock()
-	delete(k.conns, to)
-	delete(k.conns, from)
-	k.mu.Unlock()
+	l.mu.Lock()
+	delete(l.conns, to)
+	delete(l.conns, from)
+	l.mu.Unlock()
 }
 
-func (k *link) set(cut bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.cut = cut
+func (l *link) setCut(cut bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.cut = cut
 	if cut {
-		for conn := range k.conns {
+		for conn := range l.conns {
 			conn.Close()
 		}
 	}
@@ -361,7 +361,7 @@
 		tb.logf("kill %s for %v", p.name, away)
 		p.kill()
 		time.Sleep(away)
-		if err := p.begin(c.Binary); err != nil {
+		if err := p.start(c.Binary); err != nil {
 			fmt.Fprintln(os.Stderr, "cellsload:", err)
 		}
 	})
@@ -374,9 +374,9 @@
 		tb.cuts++
 		tb.logf("cut %s to %s for %v", one.from, one.to, lasting)
 		for _, cut := range []bool{true, false} {
-			for _, k := range tb.links {
-				if k.from == one.from && k.to == one.to {
-					k.set(cut)
+			for _, l := range tb.links {
+				if l.from == one.from && l.to == one.to {
+					l.setCut(cut)
 				}
 			}
 			if cut {
@@ -395,38 +395,38 @@
 // heal lets all troubles end.
 func (tb *testbed) heal() {
 	time.Sleep(7 * time.Second) // what is away comes back
-	for _, k := range tb.links {
-		k.set(false)
+	for _, l := range tb.links {
+		l.setCut(false)
 	}
 }
 
-// sample looks twice a second at how much room is idle while jobs wait.
-func (tb *testbed) sample(stop <-chan struct{}) {
+// sampleIdle looks twice a second at how much room is idle while jobs wait.
+func (tb *testbed) sampleIdle(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		case <-time.After(500 * time.Millisecond):
 		}
-		if tb.waiting.Load() == 0 {
+		if tb.waitingUsers.Load() == 0 {
 			continue
 		}
 		used, total := 0.0, 0.0
 		for _, c := range tb.cells {
 			for _, m := range c.machines {
-				used += float64(m.used.Load())
+				used += float64(m.usedCPUs.Load())
 				total += machineCPUs
 			}
 		}
 		tb.mu.Lock()
-		tb.idle += 1 - used/total
-		tb.samples++
+		tb.idleSum += 1 - used/total
+		tb.idleSamples++
 		tb.mu.Unlock()
 	}
 }
 
-// end stops all that was started.
-func (tb *testbed) end() {
+// close stops all that was started.
+func (tb *testbed) close() {
 	close(tb.stop)
 	for _, c := range tb.cells {
 		for _, p := range c.nodes {
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -50,17 +50,17 @@
 type Environment struct {
 	State, Cloud string
 
-	plan   Plan
-	counts struct{ reports, started, done, jobs, polls, failed atomic.Int64 }
-	ids    sync.Mutex
-	known  []string
+	plan     Plan
+	counts   struct{ reports, started, done, jobs, polls, failed atomic.Int64 }
+	jobIDsMu sync.Mutex
+	jobIDs   []string
 }
 
 // New starts the state service and the cloud on loopback.
 func New(typ api.MachineType) (*Environment, error) {
 	env := &Environment{}
 	var err error
-	if env.State, err = serve(stateHandler(kvtest.New())); err != nil {
+	if env.State, err = serve(kvHandler(kvtest.New())); err != nil {
 		return nil, err
 	}
 	env.Cloud, err = serve(cloudHandler(typ))
@@ -89,9 +89,9 @@
 		m.heartbeat.Addr = addr
 		go m.run()
 	}
-	go env.submit()
+	go env.submitJobs()
 	for range 16 {
-		go env.poll()
+		go env.pollJobs()
 	}
 }
 
@@ -101,7 +101,7 @@
 	return Counts{c.reports.Load(), c.started.Load(), c.done.Load(), c.jobs.Load(), c.polls.Load(), c.failed.Load()}
 }
 
-func (env *Environment) submit() {
+func (env *Environment) submitJobs() {
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("job-%06d", i)
 		body, err := json.Marshal(map[string]any{"NameId": id, "Jobclass": "c", "Owner": "red", "Shape": "array", "Precedence": "standard",
@@ -119,24 +119,24 @@
 			env.counts.failed.Add(1)
 		} else {
 			env.counts.jobs.Add(1)
-			env.ids.Lock()
-			env.known = append(env.known, id)
-			env.ids.Unlock()
+			env.jobIDsMu.Lock()
+			env.jobIDs = append(env.jobIDs, id)
+			env.jobIDsMu.Unlock()
 		}
 		time.Sleep(env.plan.JobEvery)
 	}
 }
 
-func (env *Environment) poll() {
+func (env *Environment) pollJobs() {
 	c := &http.Client{Transport: &http.Transport{}}
 	for {
 		time.Sleep(time.Duration(float64(16*time.Second) / max(env.plan.Polls, 0.1) * (0.5 + rand.Float64())))
-		env.ids.Lock()
+		env.jobIDsMu.Lock()
 		id := ""
-		if n := len(env.known); n > 0 {
-			id = env.known[max(0, n-1-rand.IntN(40))]
+		if n := len(env.jobIDs); n > 0 {
+			id = env.jobIDs[max(0, n-1-rand.IntN(40))]
 		}
-		env.ids.Unlock()
+		env.jobIDsMu.Unlock()
 		if id == "" {
 			continue
 		}
@@ -153,37 +153,37 @@
 
 // machine reports, and runs what it is told to.
 type machine struct {
-	environment *Environment
-	mu          sync.Mutex
-	heartbeat   api.Heartbeat
-	ends        map[string]time.Time
-	changed     chan struct{}
+	env          *Environment
+	mu           sync.Mutex
+	heartbeat    api.Heartbeat
+	taskEnds     map[string]time.Time
+	tasksChanged chan struct{}
 	// terminated is set once the machine is returned.
 	terminated atomic.Bool
 }
 
 func newMachine(env *Environment, name, typ, zone string) *machine {
 	return &machine{
-		environment: env,
-		heartbeat:   api.Heartbeat{Machine: name, Type: typ, Zone: zone, AgentEpoch: 1, Tasks: []api.TaskStatus{}},
-		ends:        map[string]time.Time{},
-		changed:     make(chan struct{}, 1),
+		env:          env,
+		heartbeat:    api.Heartbeat{Machine: name, Type: typ, Zone: zone, AgentEpoch: 1, Tasks: []api.TaskStatus{}},
+		taskEnds:     map[string]time.Time{},
+		tasksChanged: make(chan struct{}, 1),
 	}
 }
 
 func (m *machine) run() {
-	time.Sleep(rand.N(m.environment.plan.HeartbeatInterval))
+	time.Sleep(rand.N(m.env.plan.HeartbeatInterval))
 	for !m.terminated.Load() {
-		if err := m.connect(); err != nil {
-			m.environment.counts.failed.Add(1)
+		if err := m.sendHeartbeats(); err != nil {
+			m.env.counts.failed.Add(1)
 			time.Sleep(time.Second)
 		}
 	}
 }
 
-// connect reports over one connection until it fails.
-func (m *machine) connect() error {
-	conn, err := net.Dial("tcp", m.environment.plan.API)
+// sendHeartbeats reports over one connection until it fails.
+func (m *machine) sendHeartbeats() error {
+	conn, err := net.Dial("tcp", m.env.plan.API)
 	if err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 		if err != nil {
 			return err
 		}
-		head := "POST /v1/report HTTP/1.1\r\nHost: " + m.environment.plan.API + "\r\nContent-Type: application/json\r\nContent-Length: " +
+		head := "POST /v1/report HTTP/1.1\r\nHost: " + m.env.plan.API + "\r\nContent-Type: application/json\r\nContent-Length: " +
 			strconv.Itoa(len(body)) + "\r\n\r\n"
 		if _, err := conn.Write(append([]byte(head), body...)); err != nil {
 			return err
@@ -216,20 +216,20 @@
 			m.mu.Lock()
 			m.applyCommands(response.Term, response.Commands)
 			m.mu.Unlock()
-			m.environment.counts.reports.Add(1)
+			m.env.counts.reports.Add(1)
 		} else {
-			m.environment.counts.failed.Add(1)
+			m.env.counts.failed.Add(1)
 		}
 		time.Sleep(500 * time.Millisecond)
-		m.wait(time.Duration(float64(m.environment.plan.HeartbeatInterval)*(0.75+rand.Float64()/2)) - 500*time.Millisecond)
+		m.waitForNextHeartbeat(time.Duration(float64(m.env.plan.HeartbeatInterval)*(0.75+rand.Float64()/2)) - 500*time.Millisecond)
 	}
 	return nil
 }
 
-// wait waits for the next report's time, or until something changes.
-func (m *machine) wait(d time.Duration) {
+// waitForNextHeartbeat waits for the next report's time, or until something changes.
+func (m *machine) waitForNextHeartbeat(d time.Duration) {
 	m.mu.Lock()
-	for _, end := range m.ends {
+	for _, end := range m.taskEnds {
 		d = min(d, time.Until(end))
 	}
 	m.mu.Unlock()
@@ -237,7 +237,7 @@
 		return
 	}
 	select {
-	case <-m.changed:
+	case <-m.tasksChanged:
 	case <-time.After(d):
 	}
 }
@@ -247,10 +247,10 @@
 	now := time.Now()
 	for i := range m.heartbeat.Tasks {
 		t := &m.heartbeat.Tasks[i]
-		if end, ok := m.ends[t.Task]; ok && now.After(end) {
-			delete(m.ends, t.Task)
+		if end, ok := m.taskEnds[t.Task]; ok && now.After(end) {
+			delete(m.taskEnds, t.Task)
 			t.Phase, t.Cause = api.TaskExited, api.CauseDone
-			m.environment.counts.done.Add(1)
+			m.env.counts.done.Add(1)
 		}
 	}
 }
@@ -267,10 +267,10 @@
 		switch {
 		case o.Verb == api.VerbStart && at < 0:
 			m.heartbeat.Tasks = append(m.heartbeat.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
-			m.ends[o.Task] = time.Now().Add(time.Duration(float64(m.environment.plan.Run) * (0.5 + rand.Float64())))
-			m.environment.counts.started.Add(1)
+			m.taskEnds[o.Task] = time.Now().Add(time.Duration(float64(m.env.plan.Run) * (0.5 + rand.Float64())))
+			m.env.counts.started.Add(1)
 		case o.Verb == api.VerbStop && at >= 0:
-			delete(m.ends, o.Task)
+			delete(m.taskEnds, o.Task)
 			m.heartbeat.Tasks[at].Phase, m.heartbeat.Tasks[at].Cause = api.TaskExited, api.CauseHalted
 		case o.Verb == api.VerbReap && at >= 0:
 			m.heartbeat.Tasks = append(m.heartbeat.Tasks[:at], m.heartbeat.Tasks[at+1:]...)
@@ -278,7 +278,7 @@
 	}
 	if len(orders) > 0 {
 		select {
-		case m.changed <- struct{}{}:
+		case m.tasksChanged <- struct{}{}:
 		default:
 		}
 	}
@@ -316,28 +316,28 @@
 	return mux
 }
 
-// stateHandler is the state service's protocol over the scripted one.
-func stateHandler(f *kvtest.Fake) http.Handler {
-	s := stateService{f}
+// kvHandler is the state service's protocol over the scripted one.
+func kvHandler(f *kvtest.Fake) http.Handler {
+	s := kvServer{f}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /kv/{key...}", s.get)
 	mux.HandleFunc("GET /kv", s.list)
 	mux.HandleFunc("POST /txn", s.txn)
-	mux.HandleFunc("POST /leases", s.grant)
-	mux.HandleFunc("POST /leases/{id}/extend", s.extend)
+	mux.HandleFunc("POST /leases", s.grantLease)
+	mux.HandleFunc("POST /leases/{id}/extend", s.renewLease)
 	mux.HandleFunc("GET /watch", s.watch)
 	return mux
 }
 
-// stateService answers a controller's requests to the state service.
-type stateService struct{ fake *kvtest.Fake }
+// kvServer answers a controller's requests to the state service.
+type kvServer struct{ fake *kvtest.Fake }
 
 func answer(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(body)
 }
 
-func (s stateService) get(w http.ResponseWriter, r *http.Request) {
+func (s kvServer) get(w http.ResponseWriter, r *http.Request) {
 	e, _ := s.fake.Get(r.Context(), r.PathValue("key"))
 	if e.ModRevision == 0 {
 		answer(w, 404, map[string]int{"Ring": 1})
@@ -346,14 +346,14 @@
 	answer(w, 200, e)
 }
 
-func (s stateService) list(w http.ResponseWriter, r *http.Request) {
+func (s kvServer) list(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	most, _ := strconv.Atoi(q.Get("Most"))
 	p, _ := s.fake.Range(r.Context(), q.Get("Prefix"), q.Get("From"), max(most, 1))
 	answer(w, 200, p)
 }
 
-func (s stateService) txn(w http.ResponseWriter, r *http.Request) {
+func (s kvServer) txn(w http.ResponseWriter, r *http.Request) {
 	var txn kv.Txn
 	if err := json.NewDecoder(r.Body).Decode(&txn); err != nil {
 		answer(w, 400, map[string]string{"error": err.Error()})
@@ -370,14 +370,14 @@
 	}
 }
 
-func (s stateService) grant(w http.ResponseWriter, r *http.Request) {
+func (s kvServer) grantLease(w http.ResponseWriter, r *http.Request) {
 	var in struct{ LifeMs int64 }
 	json.NewDecoder(r.Body).Decode(&in)
 	id, _ := s.fake.GrantLease(r.Context(), time.Duration(in.LifeMs)*time.Millisecond)
 	answer(w, 200, map[string]uint64{"Tenure": id})
 }
 
-func (s stateService) extend(w http.ResponseWriter, r *http.Request) {
+func (s kvServer) renewLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if s.fake.RenewLease(r.Context(), id) != nil {
 		answer(w, 404, map[string]int{})
@@ -386,7 +386,7 @@
 	answer(w, 200, map[string]int{})
 }
 
-func (s stateService) watch(w http.ResponseWriter, r *http.Request) {
+func (s kvServer) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, _ := strconv.ParseUint(q.Get("From"), 10, 64)
 	block, _ := strconv.Atoi(q.Get("BlockMs"))
--- a/internal/loadtest/launchingcloud.go
+++ b/internal/loadtest/launchingcloud.go
@@ -15,7 +15,7 @@
 
 // launchingCloud is a cloud of one machine type that rents simulated machines.
 type launchingCloud struct {
-	environment *Environment
+	env         *Environment
 	typ         api.MachineType
 	maxMachines int
 
@@ -44,10 +44,10 @@
 func NewLaunching(typ api.MachineType, most int, plan Plan) (*Environment, error) {
 	env := &Environment{plan: plan}
 	var err error
-	if env.State, err = serve(stateHandler(kvtest.New())); err != nil {
+	if env.State, err = serve(kvHandler(kvtest.New())); err != nil {
 		return nil, err
 	}
-	cloud := &launchingCloud{environment: env, typ: typ, maxMachines: most, machines: map[string]launchedMachine{}, launches: map[string][]string{}}
+	cloud := &launchingCloud{env: env, typ: typ, maxMachines: most, machines: map[string]launchedMachine{}, launches: map[string][]string{}}
 	env.Cloud, err = serve(cloud.handler())
 	return env, err
 }
@@ -99,14 +99,14 @@
 func (c *launchingCloud) boot(zone string, spot bool) string {
 	c.created++
 	name := fmt.Sprintf("i-%06d", c.created)
-	m := newMachine(c.environment, name, c.typ.Name, zone)
+	m := newMachine(c.env, name, c.typ.Name, zone)
 	m.heartbeat.Spot = spot
 	c.machines[name] = launchedMachine{machine: m, spot: spot, launchedAt: time.Now()}
 	go func() {
 		time.Sleep(time.Duration(c.typ.BootS * float64(time.Second)))
 		addr, err := serve(m)
 		if err != nil {
-			c.environment.counts.failed.Add(1)
+			c.env.counts.failed.Add(1)
 			return
 		}
 		m.mu.Lock()
