--- a/internal/loadtest/cellsload/testbed.go
+++ b/internal/loadtest/cellsload/testbed.go
@@ -3,16 +3,12 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"math/rand/v2"
-	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"example.org/ivytrestle/internal/api"
@@ -59,20 +55,6 @@
 	machines []*machine
 }
 
-// process is a controller.
-type process struct {
-	name, apiAddr, cellsAddr string
-	args                     []string
-	logPath                  string
-	mu                       sync.Mutex
-	cmd                      *exec.Cmd
-	// exited is closed once the process has; told is set if it was told to, and unexpectedExits
-	// counts the times it was not.
-	exited          chan struct{}
-	stopRequested   atomic.Bool
-	unexpectedExits atomic.Int64
-}
-
 // host is a loopback address of this process's own, and firstPort the first that it gives a
 // controller; both lie apart from what the system gives to listeners and connections. A
 // controller must find its port free, also when it comes back. Once it was a simulated
@@ -225,114 +207,6 @@
 	return path, os.WriteFile(path, []byte(text.String()), 0o644)
 }
 
-func (p *process) start(binary string) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-	if err != nil {
-		return err
-	}
-	defer log.Close()
-	p.cmd, p.exited = exec.Command(binary, p.args...), make(chan struct{})
-	p.cmd.Stderr = log
-	if err := p.cmd.Start(); err != nil {
-		return err
-	}
-	go p.waitForExit(p.cmd, p.exited)
-	return nil
-}
-
-// waitForExit waits for a controller to end, and notes one that ended by itself.
-func (p *process) waitForExit(cmd *exec.Cmd, ended chan struct{}) {
-	err := cmd.Wait()
-	close(ended)
-	if !p.stopRequested.Swap(false) {
-		p.unexpectedExits.Add(1)
-		fmt.Fprintf(os.Stderr, "cellsload: %s ended by itself: %v\n", p.name, err)
-	}
-}
-
-// kill ends the process without a signal that it could handle.
-func (p *process) kill() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.stopRequested.Store(true)
-	p.cmd.Process.Kill()
-	<-p.exited
-}
-
-// stop tells the controller to end, and waits until it has.
-func (p *process) stop() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.stopRequested.Store(true)
-	p.cmd.Process.Signal(syscall.SIGTERM)
-	<-p.exited
-}
-
-// link passes connections on to a controller's listener, until it is cut.
-type link struct {
-	from, to string
-	ln       net.Listener
-	target   string
-	mu       sync.Mutex
-	cut      bool
-	conns    map[net.Conn]bool
-}
-
-func newLink(target string) (*link, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return nil, err
-	}
-	l := &link{ln: ln, target: target, conns: map[net.Conn]bool{}}
-	go l.accept()
-	return l, nil
-}
-
-func (l *link) accept() {
-	for {
-		in, err := l.ln.Accept()
-		if err != nil {
-			return
-		}
-		l.mu.Lock()
-		cut := l.cut
-		l.mu.Unlock()
-		out, err := net.DialTimeout("tcp", l.target, time.Second)
-		if cut || err != nil {
-			in.Close()
-			continue
-		}
-		l.mu.Lock()
-		l.conns[in], l.conns[out] = true, true
-		l.mu.Unlock()
-		go l.forward(in, out)
-		go l.forward(out, in)
-	}
-}
-
-func (l *link) forward(to, from net.Conn) {
-	io.Copy(to, from)
-	to.Close()
-	from.Close()
-	l.mu.Lock()
-	delete(l.conns, to)
-	delete(l.conns, from)
-	l.mu.Unlock()
-}
-
-func (l *link) setCut(cut bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.cut = cut
-	if cut {
-		for conn := range l.conns {
-			conn.Close()
-		}
-	}
-}
-
 // injectFaults kills controllers and cuts links until it is stopped.
 func (tb *testbed) injectFaults(c *cli, random *rand.Rand, stop <-chan struct{}) {
 	every := func(mean time.Duration, what func()) {
