--- a/internal/loadtest/cellsload/ledger.go
+++ b/internal/loadtest/cellsload/ledger.go
@@ -7,42 +7,53 @@
 	"time"
 )
 
-// ledger knows where each task is, in all cells.
+// ledger records where each task is, in all cells, and what must not happen to it.
 type ledger struct {
-	mu        sync.Mutex
+	mu sync.Mutex
+	// machineOf has the machine of each task that is on one.
 	machineOf map[string]string
-	// jobStarts is when jobs began, away those that began in another cell than theirs.
-	jobStarts    map[string]time.Time
+	// jobStarts is when the first task of each job started.
+	jobStarts map[string]time.Time
+	homeCells map[string]*cell
+	// ranElsewhere has the jobs that ran in another cell than their home.
 	ranElsewhere map[string]bool
-	// startedTwice are the starts of tasks that were on a machine, and doneTwice those that
-	// completed and completed again.
+	doneTasks    map[string]bool
+	// startedTwice counts the starts of tasks that were on a machine already, doneTwice the
+	// tasks that completed a second time.
 	startedTwice, doneTwice int
-	doneTasks               map[string]bool
-	// firstResponses and firstStarts are when a machine was first answered, and told to
-	// start a task, in each term.
+	// firstResponses and firstStarts are when a machine first got a response, and a start, of
+	// each term.
 	firstResponses, firstStarts map[uint64]time.Time
-	homeCells                   map[string]*cell
 	problems                    []string
 }
 
 func newLedger() *ledger {
-	return &ledger{machineOf: map[string]string{}, jobStarts: map[string]time.Time{}, ranElsewhere: map[string]bool{}, doneTasks: map[string]bool{}, homeCells: map[string]*cell{},
-		firstResponses: map[uint64]time.Time{}, firstStarts: map[uint64]time.Time{}}
+	return &ledger{
+		machineOf:      map[string]string{},
+		jobStarts:      map[string]time.Time{},
+		homeCells:      map[string]*cell{},
+		ranElsewhere:   map[string]bool{},
+		doneTasks:      map[string]bool{},
+		firstResponses: map[uint64]time.Time{},
+		firstStarts:    map[uint64]time.Time{},
+	}
 }
 
-// responseApplied notes an answer in a term, and decided an order to start a task.
+// responseApplied records that a machine applied a response of a term.
 func (l *ledger) responseApplied(term uint64) { l.setFirst(l.firstResponses, term) }
-func (l *ledger) startApplied(term uint64)    { l.setFirst(l.firstStarts, term) }
 
-func (l *ledger) setFirst(of map[uint64]time.Time, term uint64) {
+// startApplied records that a machine started a task under a term.
+func (l *ledger) startApplied(term uint64) { l.setFirst(l.firstStarts, term) }
+
+func (l *ledger) setFirst(times map[uint64]time.Time, term uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if of[term].IsZero() {
-		of[term] = time.Now()
+	if times[term].IsZero() {
+		times[term] = time.Now()
 	}
 }
 
-// latestTerm is the latest one that a machine has heard of.
+// latestTerm returns the latest term of which a machine has applied a response.
 func (l *ledger) latestTerm() (latest uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,20 +63,45 @@
 	return latest
 }
 
+// firstAfter returns when the first response and the first start of a later term were applied;
+// zero times stand for none.
+func (l *ledger) firstAfter(term uint64) (response, start time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for t, at := range l.firstResponses {
+		if t > term {
+			response = at
+		}
+	}
+	for t, at := range l.firstStarts {
+		if t > term {
+			start = at
+		}
+	}
+	return response, start
+}
+
+// setHome records the cell to which a job is submitted.
+func (l *ledger) setHome(job string, c *cell) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.homeCells[job] = c
+}
+
 func (l *ledger) taskStarted(task string, c *cell, machine string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if was := l.machineOf[task]; was != "" {
+	if other := l.machineOf[task]; other != "" {
 		l.startedTwice++
-		l.problems = append(l.problems, fmt.Sprintf("%s begins on %s while it is on %s", task, machine, was))
+		l.problems = append(l.problems, fmt.Sprintf("%s begins on %s while it is on %s", task, machine, other))
 	}
 	l.machineOf[task] = machine
-	id, _, _ := strings.Cut(task, "/")
-	if l.jobStarts[id].IsZero() {
-		l.jobStarts[id] = time.Now()
+	job, _, _ := strings.Cut(task, "/")
+	if l.jobStarts[job].IsZero() {
+		l.jobStarts[job] = time.Now()
 	}
-	if l.homeCells[id] != c {
-		l.ranElsewhere[id] = true
+	if l.homeCells[job] != c {
+		l.ranElsewhere[job] = true
 	}
 }
 
--- a/internal/loadtest/cellsload/link.go
+++ b/internal/loadtest/cellsload/link.go
@@ -1,14 +1,18 @@
 package main
 
 import (
+	"context"
 	"io"
 	"net"
 	"sync"
 	"time"
 )
 
-// link passes connections on to a controller's listener, until it is cut.
+const linkDialTimeout = time.Second
+
+// link forwards connections to a controller's listener, until it is cut.
 type link struct {
+	// from and to are cells.
 	from, to string
 	ln       net.Listener
 	target   string
@@ -17,17 +21,18 @@
 	conns    map[net.Conn]bool
 }
 
-func newLink(target string) (*link, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func newLink(from, to, target string) (*link, error) {
+	ln, err := listen()
 	if err != nil {
 		return nil, err
 	}
-	l := &link{ln: ln, target: target, conns: map[net.Conn]bool{}}
+	l := &link{from: from, to: to, ln: ln, target: target, conns: map[net.Conn]bool{}}
 	go l.accept()
 	return l, nil
 }
 
 func (l *link) accept() {
+	dialer := net.Dialer{Timeout: linkDialTimeout}
 	for {
 		in, err := l.ln.Accept()
 		if err != nil {
@@ -36,9 +41,12 @@
 		l.mu.Lock()
 		cut := l.cut
 		l.mu.Unlock()
-		out, err := net.DialTimeout("tcp", l.target, time.Second)
+		out, err := dialer.DialContext(context.Background(), "tcp", l.target)
 		if cut || err != nil {
-			in.Close()
+			closeQuietly(in)
+			if err == nil {
+				closeQuietly(out)
+			}
 			continue
 		}
 		l.mu.Lock()
@@ -49,23 +57,25 @@
 	}
 }
 
+// forward copies from one connection to another until either fails, and closes both.
 func (l *link) forward(to, from net.Conn) {
-	io.Copy(to, from)
-	to.Close()
-	from.Close()
+	_, _ = io.Copy(to, from)
+	closeQuietly(to)
+	closeQuietly(from)
 	l.mu.Lock()
 	delete(l.conns, to)
 	delete(l.conns, from)
 	l.mu.Unlock()
 }
 
+// setCut cuts the link, which closes its connections, or heals it.
 func (l *link) setCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
 	if cut {
 		for conn := range l.conns {
-			conn.Close()
+			closeQuietly(conn)
 		}
 	}
 }
--- a/internal/loadtest/cellsload/machine.go
+++ b/internal/loadtest/cellsload/machine.go
@@ -1,11 +1,9 @@
 package main
 
 import (
-	"bytes"
 	"encoding/json"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"slices"
 	"sync"
@@ -17,34 +15,48 @@
 
 const (
 	heartbeatInterval = time.Second
+	heartbeatTimeout  = 4 * time.Second
 	taskLease         = 10 * time.Second
 	machineCPUs       = 16.0
 )
 
-// machine is a worker: it reports to one of its cell's controllers, and runs what it is
-// told to.
+// machine is a simulated machine with its worker agent: it sends heartbeats to one of its
+// cell's controllers and applies the commands of the responses.
 type machine struct {
 	cell      *cell
 	client    *http.Client
 	mu        sync.Mutex
 	heartbeat api.Heartbeat
 	taskEnds  map[string]time.Time
-	// lastResponse is when the last answered report was sent.
+	// lastResponse is when the last heartbeat was sent that got a response: the task lease
+	// runs from there.
 	lastResponse time.Time
-	node         int
-	usedCPUs     atomic.Int64
+	// node is the controller that gets the next heartbeat.
+	node     int
+	usedCPUs atomic.Int64
 }
 
 func newMachine(c *cell, name string) (*machine, error) {
-	m := &machine{cell: c, client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{}}, taskEnds: map[string]time.Time{}, lastResponse: time.Now(),
-		heartbeat: api.Heartbeat{Machine: name, Type: machineType.Name, Zone: zone, AgentEpoch: 1, Tasks: []api.TaskStatus{}}}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := listen()
 	if err != nil {
 		return nil, err
 	}
-	m.heartbeat.Addr = ln.Addr().String()
-	c.testbed.closers = append(c.testbed.closers, func() { ln.Close() })
-	go http.Serve(ln, m) // until the listener is closed
+	m := &machine{
+		cell:         c,
+		client:       &http.Client{Timeout: heartbeatTimeout, Transport: &http.Transport{}},
+		taskEnds:     map[string]time.Time{},
+		lastResponse: time.Now(),
+		heartbeat: api.Heartbeat{
+			Machine:    name,
+			Addr:       ln.Addr().String(),
+			Type:       machineType.Name,
+			Zone:       zone,
+			AgentEpoch: 1,
+			Tasks:      []api.TaskStatus{},
+		},
+	}
+	c.testbed.closers = append(c.testbed.closers, ln)
+	go func() { _ = http.Serve(ln, m) }() // until the listener is closed
 	return m, nil
 }
 
@@ -59,7 +71,8 @@
 	}
 }
 
-// sendHeartbeat sends a report, and carries out what the answer says.
+// sendHeartbeat sends a heartbeat and applies the commands of its response. Without one, the
+// next heartbeat goes to another controller.
 func (m *machine) sendHeartbeat() {
 	m.mu.Lock()
 	m.completeTasks()
@@ -70,36 +83,52 @@
 	if err != nil {
 		panic(err) // plain values
 	}
-	resp, err := m.client.Post("http://"+m.cell.nodes[m.node].apiAddr+"/v1/report", "application/json", bytes.NewReader(body))
+	resp, err := post(m.client, "http://"+m.cell.nodes[m.node].apiAddr+"/v1/report", body)
 	if err != nil {
-		m.node = (m.node + 1) % len(m.cell.nodes)
+		m.useNextNode()
 		return
 	}
-	defer resp.Body.Close()
-	raw, _ := io.ReadAll(resp.Body)
-	var answer api.HeartbeatResponse
+	defer closeQuietly(resp.Body)
+	raw, err := io.ReadAll(resp.Body)
+	var response api.HeartbeatResponse
 	switch {
-	case resp.StatusCode == http.StatusOK && json.Unmarshal(raw, &answer) == nil:
+	case resp.StatusCode == http.StatusMisdirectedRequest:
+		m.redirect(raw)
+	case err != nil || resp.StatusCode != http.StatusOK || json.Unmarshal(raw, &response) != nil:
+		m.useNextNode()
+	default:
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if answer.Term >= m.heartbeat.Term && agentEpoch == m.heartbeat.AgentEpoch {
+		if response.Term >= m.heartbeat.Term && agentEpoch == m.heartbeat.AgentEpoch {
 			m.lastResponse = sent
-			m.applyCommands(answer.Term, answer.Commands)
+			m.applyCommands(response.Term, response.Commands)
 		}
-	case resp.StatusCode == http.StatusMisdirectedRequest:
-		var other struct{ Gardener string }
-		json.Unmarshal(raw, &other)
-		if at := slices.IndexFunc(m.cell.nodes, func(n *process) bool { return n.name == other.Gardener }); at >= 0 && at != m.node {
-			m.node = at
-			return
-		}
-		m.node = (m.node + 1) % len(m.cell.nodes)
-	default:
-		m.node = (m.node + 1) % len(m.cell.nodes)
 	}
 }
 
-// completeTasks ends the tasks whose time has come, and all of them with the lease.
+func (m *machine) useNextNode() {
+	m.node = (m.node + 1) % len(m.cell.nodes)
+}
+
+// redirect follows a redirect to the leader that it names; to the next node if it names none.
+func (m *machine) redirect(body []byte) {
+	var redirect struct {
+		Leader string `json:"Gardener"`
+	}
+	if json.Unmarshal(body, &redirect) != nil {
+		m.useNextNode()
+		return
+	}
+	leader := slices.IndexFunc(m.cell.nodes, func(p *process) bool { return p.name == redirect.Leader })
+	if leader < 0 || leader == m.node {
+		m.useNextNode()
+		return
+	}
+	m.node = leader
+}
+
+// completeTasks completes the tasks that have run for their time. When the task lease has
+// expired it ends all of them and begins a new agent epoch.
 func (m *machine) completeTasks() {
 	if time.Since(m.lastResponse) > taskLease {
 		for _, t := range m.heartbeat.Tasks {
@@ -127,41 +156,51 @@
 	m.cell.testbed.ledger.taskRemoved(task, done)
 }
 
-func (m *machine) applyCommands(term uint64, orders []api.Command) {
+// applyCommands starts, stops and reaps tasks under a term.
+func (m *machine) applyCommands(term uint64, commands []api.Command) {
 	m.heartbeat.Term = max(m.heartbeat.Term, term)
 	m.cell.testbed.ledger.responseApplied(term)
-	for _, o := range orders {
-		at := slices.IndexFunc(m.heartbeat.Tasks, func(t api.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
+	for _, cmd := range commands {
+		i := slices.IndexFunc(m.heartbeat.Tasks, func(t api.TaskStatus) bool {
+			return t.Task == cmd.Task && t.Attempt == cmd.Attempt
+		})
 		switch {
-		case o.Verb == api.VerbStart && at < 0:
-			m.heartbeat.Tasks = append(m.heartbeat.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
-			m.taskEnds[o.Task] = time.Now().Add(time.Duration(float64(taskDuration) * (0.5 + rand.Float64())))
-			m.usedCPUs.Add(taskCPUs)
-			m.cell.testbed.ledger.taskStarted(o.Task, m.cell, m.heartbeat.Machine)
-			m.cell.testbed.ledger.startApplied(term)
-		case o.Verb == api.VerbStop && at >= 0:
-			if m.heartbeat.Tasks[at].Phase != api.TaskExited {
-				m.removeTask(o.Task, false)
+		case cmd.Verb == api.VerbStart && i < 0:
+			m.startTask(term, cmd)
+		case cmd.Verb == api.VerbStop && i >= 0:
+			if m.heartbeat.Tasks[i].Phase != api.TaskExited {
+				m.removeTask(cmd.Task, false)
 			}
-			m.heartbeat.Tasks[at].Phase, m.heartbeat.Tasks[at].Cause = api.TaskExited, api.CauseHalted
-		case o.Verb == api.VerbReap && at >= 0:
-			m.heartbeat.Tasks = slices.Delete(m.heartbeat.Tasks, at, at+1)
+			m.heartbeat.Tasks[i].Phase, m.heartbeat.Tasks[i].Cause = api.TaskExited, api.CauseHalted
+		case cmd.Verb == api.VerbReap && i >= 0:
+			m.heartbeat.Tasks = slices.Delete(m.heartbeat.Tasks, i, i+1)
 		}
 	}
 }
 
-// ServeHTTP takes what is sent straight to the machine.
+func (m *machine) startTask(term uint64, cmd api.Command) {
+	status := api.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, Phase: api.TaskRunning}
+	m.heartbeat.Tasks = append(m.heartbeat.Tasks, status)
+	m.taskEnds[cmd.Task] = time.Now().Add(time.Duration(float64(taskDuration) * (0.5 + rand.Float64())))
+	m.usedCPUs.Add(taskCPUs)
+	m.cell.testbed.ledger.taskStarted(cmd.Task, m.cell, m.heartbeat.Machine)
+	m.cell.testbed.ledger.startApplied(term)
+}
+
+// ServeHTTP serves commands and probes that are sent straight to the machine. Commands of an
+// earlier term, or for another agent epoch, are rejected.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.heartbeat.Seq++
 	if r.URL.Path == "/orders" {
-		var in api.CommandBatch
-		if json.NewDecoder(r.Body).Decode(&in) != nil || in.Term < m.heartbeat.Term || in.AgentEpoch != m.heartbeat.AgentEpoch {
+		var batch api.CommandBatch
+		err := json.NewDecoder(r.Body).Decode(&batch)
+		if err != nil || batch.Term < m.heartbeat.Term || batch.AgentEpoch != m.heartbeat.AgentEpoch {
 			w.WriteHeader(http.StatusConflict)
 		} else {
-			m.applyCommands(in.Term, in.Commands)
+			m.applyCommands(batch.Term, batch.Commands)
 		}
 	}
-	json.NewEncoder(w).Encode(m.heartbeat)
+	_ = json.NewEncoder(w).Encode(m.heartbeat) // the controller notices an error of its connection
 }
--- a/internal/loadtest/cellsload/main.go
+++ b/internal/loadtest/cellsload/main.go
@@ -1,8 +1,8 @@
 // Cellsload measures spillover on loopback: three cells of real controller processes
-// around simulated state services and machines, under load that crowds on one cell after
+// around simulated key-value stores and machines, under load that crowds on one cell after
 // the other, with controllers killed and links between cells cut. It counts tasks that
-// were on two machines at once, jobs without or with two final answers, and how long jobs
-// wait and how much room stands idle, with and without spillover. It is a tool, not a
+// were on two machines at once, jobs without or with two final states, and how long jobs
+// wait and how many CPUs are idle, with and without spillover. It is a tool, not a
 // test, and runs for some minutes.
 package main
 
@@ -16,6 +16,13 @@
 	"github.com/alecthomas/kong"
 )
 
+const (
+	// startTime lets leaders be elected and machines send their first heartbeats.
+	startTime = 5 * time.Second
+	// resultsTimeout is how long users wait for their last results.
+	resultsTimeout = 4 * time.Minute
+)
+
 type cli struct {
 	Binary   string        `default:"target/ivytrestle" help:"The controller's program."`
 	Cells    int           `default:"3" help:"How many cells there are."`
@@ -27,17 +34,17 @@
 	Kills    time.Duration `help:"About how often a controller is killed; 0: never."`
 	Cuts     time.Duration `help:"About how often a link between cells is cut; 0: never."`
 	Alone    bool          `help:"Leave spillover off."`
-	Repeat   int           `default:"1" help:"How often all is played."`
-	Seed     uint64        `default:"1" help:"Of the troubles' times and places."`
-	Direct   bool          `help:"Print each trouble."`
-	// Takeovers and Away measure one cell whose leader ends and does not come back soon.
-	Takeovers int           `help:"Instead: end the leader of one cell so many times, and measure how long the takeover takes."`
+	Repeat   int           `default:"1" help:"How many runs there are."`
+	Seed     uint64        `default:"1" help:"Of the faults' times and places."`
+	Verbose  bool          `name:"direct" help:"Print each fault."`
+	// Takeovers and Away measure one cell whose leader ends and is not started again soon.
+	Takeovers int           `help:"Instead: end the leader of one cell so many times and measure the takeovers."`
 	Away      time.Duration `default:"40s" help:"How long an ended leader stays away."`
-	Orderly   bool          `help:"Tell the leader to stop, in place of killing it."`
+	Graceful  bool          `name:"orderly" help:"Stop the leader gracefully instead of killing it."`
 	Extra     []string      `help:"Further arguments of each controller." placeholder:"ARG"`
 }
 
-// Run plays the load as often as asked.
+// Run plays the load as often as requested.
 func (c *cli) Run() error {
 	binary, err := filepath.Abs(c.Binary)
 	if err != nil {
@@ -62,32 +69,34 @@
 	if err != nil {
 		return nil, err
 	}
-	random := rand.New(rand.NewPCG(seed, 1))
-	world, err := newTestbed(c, dir)
+	tb, err := newTestbed(c, dir)
 	if err != nil {
 		return nil, err
 	}
-	defer world.close()
-	time.Sleep(5 * time.Second) // leaders are elected, machines heard
+	defer tb.close()
+	time.Sleep(startTime)
 	began := time.Now()
 	stop := make(chan struct{})
-	go world.injectFaults(c, random, stop)
-	go world.sampleIdle(stop)
-	world.submitJobs(c)
+	faults := &faultInjector{testbed: tb, cli: c, stop: stop, random: rand.New(rand.NewPCG(seed, 1))}
+	go faults.run()
+	go tb.sampleIdle(stop)
+	tb.submitJobs(c)
 	close(stop)
-	world.heal()
-	world.awaitResults(4 * time.Minute)
-	r := world.result(seed, time.Since(began))
+	tb.heal()
+	tb.awaitResults(resultsTimeout)
+	r := tb.result(seed, time.Since(began))
 	if r.hasViolations() {
 		fmt.Println("files and logs are left in", dir)
 	} else {
-		os.RemoveAll(dir)
+		removeQuietly(dir)
 	}
 	return r, nil
 }
 
 func main() {
-	k := kong.Parse(&cli{}, kong.Name("cellsload"), kong.Description("Measures spillover between cells on this computer."))
+	k := kong.Parse(&cli{},
+		kong.Name("cellsload"),
+		kong.Description("Measures spillover between cells on this computer."))
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "cellsload:", err)
 		os.Exit(1)
--- a/internal/loadtest/cellsload/process.go
+++ b/internal/loadtest/cellsload/process.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"os/exec"
@@ -9,16 +10,19 @@
 	"syscall"
 )
 
-// process is a controller.
+// process is a controller's process.
 type process struct {
-	name, apiAddr, cellsAddr string
-	args                     []string
-	logPath                  string
-	mu                       sync.Mutex
-	cmd                      *exec.Cmd
-	// exited is closed once the process has; told is set if it was told to, and unexpectedExits
-	// counts the times it was not.
-	exited          chan struct{}
+	name string
+	// apiAddr and cellsAddr are its addresses for users and machines, and for other cells.
+	apiAddr, cellsAddr string
+	args               []string
+	logPath            string
+	mu                 sync.Mutex
+	cmd                *exec.Cmd
+	// exited is closed once the process has exited.
+	exited chan struct{}
+	// stopRequested is set when the process is killed or told to stop; an exit without it
+	// counts in unexpectedExits.
 	stopRequested   atomic.Bool
 	unexpectedExits atomic.Int64
 }
@@ -30,8 +34,8 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
-	p.cmd, p.exited = exec.Command(binary, p.args...), make(chan struct{})
+	defer closeQuietly(log) // the process has it open by itself
+	p.cmd, p.exited = exec.CommandContext(context.Background(), binary, p.args...), make(chan struct{})
 	p.cmd.Stderr = log
 	if err := p.cmd.Start(); err != nil {
 		return err
@@ -40,30 +44,27 @@
 	return nil
 }
 
-// waitForExit waits for a controller to end, and notes one that ended by itself.
-func (p *process) waitForExit(cmd *exec.Cmd, ended chan struct{}) {
+// waitForExit waits until a process has exited, and counts an exit that nobody requested.
+func (p *process) waitForExit(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
-	close(ended)
+	close(exited)
 	if !p.stopRequested.Swap(false) {
 		p.unexpectedExits.Add(1)
 		fmt.Fprintf(os.Stderr, "cellsload: %s ended by itself: %v\n", p.name, err)
 	}
 }
 
-// kill ends the process without a signal that it could handle.
-func (p *process) kill() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.stopRequested.Store(true)
-	p.cmd.Process.Kill()
-	<-p.exited
-}
+// kill ends the process with a signal that it cannot handle.
+func (p *process) kill() { p.end(syscall.SIGKILL) }
+
+// stop requests a graceful stop.
+func (p *process) stop() { p.end(syscall.SIGTERM) }
 
-// stop tells the controller to end, and waits until it has.
-func (p *process) stop() {
+// end sends a signal and waits until the process has exited.
+func (p *process) end(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopRequested.Store(true)
-	p.cmd.Process.Signal(syscall.SIGTERM)
+	_ = p.cmd.Process.Signal(signal) // fails only if the process has exited already
 	<-p.exited
 }
--- a/internal/loadtest/cellsload/takeover.go
+++ b/internal/loadtest/cellsload/takeover.go
@@ -9,42 +9,60 @@
 	"time"
 )
 
-// measureTakeovers ends the leader of one cell under load, again and again, and tells how
-// long it takes until machines are answered and tasks started in the next term.
+const (
+	// electionTime and warmUpTime let a leader be elected and jobs queue up before the first
+	// takeover, rejoinTime lets a controller that was started again rejoin the others.
+	electionTime = 8 * time.Second
+	warmUpTime   = 5 * time.Second
+	rejoinTime   = 6 * time.Second
+
+	takeoverTimeout = 2 * time.Minute
+)
+
+// measureTakeovers ends the leader of one cell under load, again and again, and prints how
+// long it takes until machines get responses and start tasks in the next term.
 func (c *cli) measureTakeovers() error {
 	dir, err := os.MkdirTemp("", "cellsload")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer removeQuietly(dir)
 	c.Cells, c.Alone, c.High, c.Load, c.Phase = 1, true, 1.2, 24*time.Hour, 24*time.Hour
 	tb, err := newTestbed(c, dir)
 	if err != nil {
 		return err
 	}
 	defer tb.close()
-	time.Sleep(8 * time.Second)
+	time.Sleep(electionTime)
 	go tb.submitJobs(c)
-	time.Sleep(5 * time.Second)
-	var answers, starts []time.Duration
+	time.Sleep(warmUpTime)
+	var responses, starts []time.Duration
 	for range c.Takeovers {
-		answer, start, err := tb.takeover(c)
+		response, start, err := tb.takeover(c)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("first answer to a machine after %.2f s, first start after %.2f s\n", answer.Seconds(), start.Seconds())
-		answers, starts = append(answers, answer), append(starts, start)
+		fmt.Printf("first answer to a machine after %.2f s, first start after %.2f s\n",
+			response.Seconds(), start.Seconds())
+		responses, starts = append(responses, response), append(starts, start)
 	}
-	fmt.Printf("%d takeovers: first answer after %.2f s (median), %.2f s (longest); first start after %.2f s, %.2f s; %d tasks on two machines, %d done twice\n", len(answers),
-		quantile(answers, 0.5).Seconds(), quantile(answers, 1).Seconds(), quantile(starts, 0.5).Seconds(), quantile(starts, 1).Seconds(), tb.ledger.startedTwice, tb.ledger.doneTwice)
+	fmt.Printf("%d takeovers: first answer after %.2f s (median), %.2f s (longest); first start after %.2f s, %.2f s; "+
+		"%d tasks on two machines, %d done twice\n",
+		len(responses),
+		quantile(responses, 0.5).Seconds(), quantile(responses, 1).Seconds(),
+		quantile(starts, 0.5).Seconds(), quantile(starts, 1).Seconds(),
+		tb.ledger.startedTwice, tb.ledger.doneTwice)
 	return nil
 }
 
-// leader is the controller that leads, by the status of each.
+// removeQuietly removes a temporary directory; what is left of it is the system's to clean up.
+func removeQuietly(dir string) { _ = os.RemoveAll(dir) }
+
+// leader returns the controller that leads according to its own status, or nil.
 func (c *cell) leader() *process {
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range c.nodes {
-		resp, err := client.Get("http://" + p.apiAddr + "/status")
+		resp, err := get(client, "http://"+p.apiAddr+"/status")
 		if err != nil {
 			continue
 		}
@@ -54,7 +72,7 @@
 			} `json:"leading"`
 		}
 		err = json.NewDecoder(resp.Body).Decode(&status)
-		resp.Body.Close()
+		closeQuietly(resp.Body)
 		if err == nil && status.Leading != nil && status.Leading.ValidS > 0 {
 			return p
 		}
@@ -62,44 +80,31 @@
 	return nil
 }
 
-// takeover ends the leader, and waits for the next one's first answer and start.
-func (tb *testbed) takeover(c *cli) (answer, start time.Duration, err error) {
-	l := tb.ledger
+// takeover ends the leader, waits for the first response and the first start of the next one,
+// and starts the ended controller again.
+func (tb *testbed) takeover(c *cli) (response, start time.Duration, err error) {
 	leader := tb.cells[0].leader()
 	if leader == nil {
 		return 0, 0, errors.New("nobody leads")
 	}
-	term, killed := l.latestTerm(), time.Now()
-	if c.Orderly {
+	term, ended := tb.ledger.latestTerm(), time.Now()
+	if c.Graceful {
 		leader.stop()
 	} else {
 		leader.kill()
 	}
-	for time.Since(killed) < 2*time.Minute {
-		time.Sleep(5 * time.Millisecond)
-		l.mu.Lock()
-		for t, at := range l.firstResponses {
-			if t > term {
-				answer = at.Sub(killed)
-			}
+	var firstResponse, firstStart time.Time
+	for firstStart.IsZero() {
+		if time.Since(ended) >= takeoverTimeout {
+			return 0, 0, errors.New("nobody took over")
 		}
-		for t, at := range l.firstStarts {
-			if t > term {
-				start = at.Sub(killed)
-			}
-		}
-		l.mu.Unlock()
-		if start > 0 {
-			break
-		}
-	}
-	if start == 0 {
-		return 0, 0, errors.New("nobody took over")
+		time.Sleep(5 * time.Millisecond)
+		firstResponse, firstStart = tb.ledger.firstAfter(term)
 	}
-	time.Sleep(max(0, c.Away-time.Since(killed)))
+	time.Sleep(max(0, c.Away-time.Since(ended)))
 	if err := leader.start(c.Binary); err != nil {
 		return 0, 0, err
 	}
-	time.Sleep(6 * time.Second)
-	return answer, start, nil
+	time.Sleep(rejoinTime)
+	return firstResponse.Sub(ended), firstStart.Sub(ended), nil
 }
--- a/internal/loadtest/cellsload/testbed.go
+++ b/internal/loadtest/cellsload/testbed.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math/rand/v2"
+	"io"
 	"os"
 	"path/filepath"
 	"strings"
@@ -22,9 +22,20 @@
 	taskCPUs           = 2
 	taskDuration       = 4 * time.Second
 	tasksPerJob        = 4
+	idleSampleInterval = 500 * time.Millisecond
 )
 
-var machineType = api.MachineType{Name: "local-16", CPUs: machineCPUs, MemoryGB: 64, CacheGB: 80, FetchGBs: 100, Price: 1, SpotPrice: 0.4, BootS: 2, Zones: []string{zone}}
+var machineType = api.MachineType{
+	Name:      "local-16",
+	CPUs:      machineCPUs,
+	MemoryGB:  64,
+	CacheGB:   80,
+	FetchGBs:  100,
+	Price:     1,
+	SpotPrice: 0.4,
+	BootS:     2,
+	Zones:     []string{zone},
+}
 
 // testbed is all cells with their users.
 type testbed struct {
@@ -33,21 +44,21 @@
 	links   []*link
 	users   sync.WaitGroup
 	stop    chan struct{}
-	closers []func()
+	closers []io.Closer
 	// ports counts the addresses given to controllers.
 	ports int
 
 	mu   sync.Mutex
 	jobs []*userJob
-	// idleSum sums up, of what was sampled while jobs waited anywhere, the part of all
-	// CPUs that was idle.
+	// idleSum adds up the idle part of all CPUs over the idleSamples samples that were taken
+	// while jobs waited anywhere.
 	idleSum, idleSamples float64
 	waitingUsers         atomic.Int64
 	kills, cuts          int
 	verbose              bool
 }
 
-// cell is one cell: its controllers, its machines and its state service.
+// cell is one cell: its controllers and its machines.
 type cell struct {
 	testbed  *testbed
 	name     string
@@ -57,9 +68,9 @@
 
 // host is a loopback address of this process's own, and firstPort the first that it gives a
 // controller; both lie apart from what the system gives to listeners and connections. A
-// controller must find its port free, also when it comes back. Once it was a simulated
-// machine's, which answers anything: users took their jobs for accepted, and machines
-// reported to it.
+// controller must find its port free, also when it is started again. Once the port was a
+// simulated machine's, which accepts any request: users took their jobs for accepted, and
+// machines sent it heartbeats.
 func host() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 1+pid>>8&0x7f, pid&0xff)
@@ -67,14 +78,14 @@
 
 const firstPort = 20000
 
-// nextAddr is an address for a controller that none has yet.
+// nextAddr returns an address that no controller has yet.
 func (tb *testbed) nextAddr() string {
 	tb.ports++
 	return fmt.Sprintf("%s:%d", host(), firstPort+tb.ports)
 }
 
 func newTestbed(c *cli, dir string) (*testbed, error) {
-	tb := &testbed{ledger: newLedger(), stop: make(chan struct{}), verbose: c.Direct}
+	tb := &testbed{ledger: newLedger(), stop: make(chan struct{}), verbose: c.Verbose}
 	for i := range c.Cells {
 		cell, err := tb.newCell(fmt.Sprintf("cell-%d", i), c.Machines)
 		if err != nil {
@@ -101,7 +112,11 @@
 func (tb *testbed) newCell(name string, machines int) (*cell, error) {
 	c := &cell{testbed: tb, name: name}
 	for i := range controllersPerCell {
-		c.nodes = append(c.nodes, &process{name: fmt.Sprintf("%s-n%d", name, i), apiAddr: tb.nextAddr(), cellsAddr: tb.nextAddr()})
+		c.nodes = append(c.nodes, &process{
+			name:      fmt.Sprintf("%s-n%d", name, i),
+			apiAddr:   tb.nextAddr(),
+			cellsAddr: tb.nextAddr(),
+		})
 	}
 	for i := range machines {
 		m, err := newMachine(c, fmt.Sprintf("i-%s-%03d", name, i))
@@ -113,8 +128,8 @@
 	return c, nil
 }
 
-// lendingPolicy keeps the machines rented, since there are no others, and lends soon, since the
-// tasks are short.
+// lendingPolicy has no machine terminated, since there are no others, and jobs lent early,
+// since the tasks are short.
 const lendingPolicy = `
 min_cpus = 100000.0
 spill_after_s = 1.5
@@ -129,35 +144,25 @@
 	if err != nil {
 		return err
 	}
-	peers := map[string]string{}
+	outside := config.Outside{Cloud: env.Cloud, State: env.State}
+	peerAddrs := map[string]string{}
 	for _, p := range cell.nodes {
-		peers[p.name] = tb.nextAddr()
-	}
-	cellsFile := ""
-	if !c.Alone {
-		if cellsFile, err = tb.writeCellsFile(dir, cell); err != nil {
-			return err
-		}
+		peerAddrs[p.name] = tb.nextAddr()
 	}
 	policyFile := filepath.Join(dir, "policy.star")
 	if err := os.WriteFile(policyFile, []byte(lendingPolicy), 0o644); err != nil {
 		return err
 	}
-	for _, p := range cell.nodes {
-		s := config.Settings{Node: p.name, Zone: zone, APIAddr: p.apiAddr, PeerListen: peers[p.name],
-			Outside: config.Outside{Cloud: env.Cloud, State: env.State},
-			Site: config.SiteInfo{Nodes: controllersPerCell, Zones: []string{zone},
-				Teams:   []config.Team{{Name: "red", CPUs: 24, LimitCPUs: 128}, {Name: "blue", CPUs: 24, LimitCPUs: 128}},
-				Workers: config.Workers{HeartbeatS: heartbeatInterval.Seconds(), LeaseS: taskLease.Seconds(), CancelS: 30},
-				State:   config.StateLimits{RPS: 400, WriteRPS: 100, ValueKB: 16, TxnOps: 20},
-				Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
-				Limits:  config.Limits{Cores: 0.5, RAMMB: 98, FDLimit: 800}}}
-		for _, other := range cell.nodes {
-			if other != p {
-				s.Peers = append(s.Peers, config.Peer{Node: other.name, Zone: zone, Addr: peers[other.name]})
-			}
+	commonArgs := []string{"--policy", policyFile}
+	if !c.Alone {
+		cellsFile, err := tb.writeCellsFile(dir, cell)
+		if err != nil {
+			return err
 		}
-		raw, err := json.Marshal(s)
+		commonArgs = append(commonArgs, "--cells", cellsFile)
+	}
+	for _, p := range cell.nodes {
+		raw, err := json.Marshal(cell.settings(p, outside, peerAddrs))
 		if err != nil {
 			return err
 		}
@@ -165,18 +170,48 @@
 		if err := os.WriteFile(path, raw, 0o644); err != nil {
 			return err
 		}
-		p.args = []string{"--policy", policyFile}
-		if cellsFile != "" {
-			p.args = append(p.args, "--cells", cellsFile)
-		}
-		p.args = append(append(p.args, c.Extra...), "--config", path)
+		p.args = append(append([]string{}, commonArgs...), c.Extra...)
+		p.args = append(p.args, "--config", path)
 		p.logPath = filepath.Join(dir, p.name+".log")
 	}
 	return nil
 }
 
-// writeCellsFile writes the file of cells as one of them sees them, with each way to another
-// cell's controller through a link that can be cut.
+// settings are those of one of the cell's controllers.
+func (c *cell) settings(p *process, outside config.Outside, peerAddrs map[string]string) config.Settings {
+	s := config.Settings{
+		Node:       p.name,
+		Zone:       zone,
+		APIAddr:    p.apiAddr,
+		PeerListen: peerAddrs[p.name],
+		Outside:    outside,
+		Site: config.SiteInfo{
+			Nodes: controllersPerCell,
+			Zones: []string{zone},
+			Teams: []config.Team{
+				{Name: "red", CPUs: 24, LimitCPUs: 128},
+				{Name: "blue", CPUs: 24, LimitCPUs: 128},
+			},
+			Workers: config.Workers{
+				HeartbeatS: heartbeatInterval.Seconds(),
+				LeaseS:     taskLease.Seconds(),
+				CancelS:    30,
+			},
+			State:  config.StateLimits{RPS: 400, WriteRPS: 100, ValueKB: 16, TxnOps: 20},
+			Cloud:  config.CloudLimits{RPS: 5, ListLagS: 4},
+			Limits: config.Limits{Cores: 0.5, RAMMB: 98, FDLimit: 800},
+		},
+	}
+	for _, other := range c.nodes {
+		if other != p {
+			s.Peers = append(s.Peers, config.Peer{Node: other.name, Zone: zone, Addr: peerAddrs[other.name]})
+		}
+	}
+	return s
+}
+
+// writeCellsFile writes the file of cells as one of them has it, with each way to another
+// cell's controller through a link that can be cut, and returns its path.
 func (tb *testbed) writeCellsFile(dir string, cell *cell) (string, error) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "cell = %q\n[listen]\n", cell.name)
@@ -189,13 +224,12 @@
 		}
 		fmt.Fprintf(&text, "[[neighbour]]\ncell = %q\naddresses = [", other.name)
 		for i, p := range other.nodes {
-			l, err := newLink(p.cellsAddr)
+			l, err := newLink(cell.name, other.name, p.cellsAddr)
 			if err != nil {
 				return "", err
 			}
-			l.from, l.to = cell.name, other.name
 			tb.links = append(tb.links, l)
-			tb.closers = append(tb.closers, func() { l.ln.Close() })
+			tb.closers = append(tb.closers, l.ln)
 			if i > 0 {
 				text.WriteString(", ")
 			}
@@ -207,80 +241,19 @@
 	return path, os.WriteFile(path, []byte(text.String()), 0o644)
 }
 
-// injectFaults kills controllers and cuts links until it is stopped.
-func (tb *testbed) injectFaults(c *cli, random *rand.Rand, stop <-chan struct{}) {
-	every := func(mean time.Duration, what func()) {
-		for mean > 0 {
-			tb.mu.Lock()
-			wait := time.Duration(float64(mean) * (0.5 + random.Float64()))
-			tb.mu.Unlock()
-			select {
-			case <-stop:
-				return
-			case <-time.After(wait):
-				what()
-			}
-		}
-	}
-	pick := func(n int) int {
-		tb.mu.Lock()
-		defer tb.mu.Unlock()
-		return random.IntN(n)
-	}
-	go every(c.Kills, func() {
-		cell := tb.cells[pick(len(tb.cells))]
-		p := cell.nodes[pick(len(cell.nodes))]
-		away := time.Duration(200+pick(6000)) * time.Millisecond
-		tb.kills++
-		tb.logf("kill %s for %v", p.name, away)
-		p.kill()
-		time.Sleep(away)
-		if err := p.start(c.Binary); err != nil {
-			fmt.Fprintln(os.Stderr, "cellsload:", err)
-		}
-	})
-	every(c.Cuts, func() {
-		if len(tb.links) == 0 {
-			return
-		}
-		one := tb.links[pick(len(tb.links))]
-		lasting := time.Duration(1000+pick(9000)) * time.Millisecond
-		tb.cuts++
-		tb.logf("cut %s to %s for %v", one.from, one.to, lasting)
-		for _, cut := range []bool{true, false} {
-			for _, l := range tb.links {
-				if l.from == one.from && l.to == one.to {
-					l.setCut(cut)
-				}
-			}
-			if cut {
-				time.Sleep(lasting)
-			}
-		}
-	})
-}
-
 func (tb *testbed) logf(format string, args ...any) {
 	if tb.verbose {
 		fmt.Printf(format+"\n", args...)
 	}
 }
 
-// heal lets all troubles end.
-func (tb *testbed) heal() {
-	time.Sleep(7 * time.Second) // what is away comes back
-	for _, l := range tb.links {
-		l.setCut(false)
-	}
-}
-
-// sampleIdle looks twice a second at how much room is idle while jobs wait.
+// sampleIdle samples the part of all CPUs that is idle while jobs wait.
 func (tb *testbed) sampleIdle(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(500 * time.Millisecond):
+		case <-time.After(idleSampleInterval):
 		}
 		if tb.waitingUsers.Load() == 0 {
 			continue
@@ -299,7 +272,7 @@
 	}
 }
 
-// close stops all that was started.
+// close ends all that was started.
 func (tb *testbed) close() {
 	close(tb.stop)
 	for _, c := range tb.cells {
@@ -307,7 +280,7 @@
 			p.kill()
 		}
 	}
-	for _, f := range tb.closers {
-		f()
+	for _, c := range tb.closers {
+		closeQuietly(c)
 	}
 }
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -1,12 +1,13 @@
 // Package loadtest is a small deployment around one controller, in a process of
-// its own and in real time: a state service, a cloud that rents nothing, machines
-// that report and run tasks, and users. With it the processor time and memory of
-// a whole controller are measured and profiled. It is a tool for that, not a
+// its own and in real time: a key-value store, a cloud that launches nothing, worker
+// agents that send heartbeats and run tasks, and users. With it the processor time and
+// memory of a whole controller are measured and profiled. It is a tool for that, not a
 // test: nothing of it decides whether the program is right.
 package loadtest
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -21,38 +22,48 @@
 	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
-// Plan is what the environment does.
+const (
+	// pollers is the number of users that poll at the same time.
+	pollers = 16
+	// polledJobs is how many of the latest jobs are polled.
+	polledJobs = 40
+	// images is how many images the jobs use in turn.
+	images = 5
+)
+
+// Plan is the load that the environment puts on a controller.
 type Plan struct {
 	// API is the controller's address for users and machines.
 	API               string
 	Machines          int
 	CPUs              float64
 	HeartbeatInterval time.Duration
-	// JobEvery is how often a job is submitted, of Tasks tasks that run for
+	// JobEvery is the interval between submissions, of jobs of Tasks tasks that run for
 	// about Run each.
 	JobEvery time.Duration
 	Tasks    int
 	Run      time.Duration
-	// Polls is how many questions users ask a second.
+	// Polls is how many queries users send a second.
 	Polls float64
 }
 
-// Counts is what the environment has seen.
+// Counts is what has happened since the environment was started.
 type Counts struct {
 	Heartbeats, Started, Done, Jobs, Polls, Failed int64
 }
 
-// Environment is the outside of a controller.
+// Environment is all that a controller needs around it.
 type Environment struct {
+	// State is the address of the key-value store, Cloud that of the cloud.
 	State, Cloud string
 
 	plan     Plan
-	counts   struct{ reports, started, done, jobs, polls, failed atomic.Int64 }
+	counts   struct{ heartbeats, started, done, jobs, polls, failed atomic.Int64 }
 	jobIDsMu sync.Mutex
 	jobIDs   []string
 }
 
-// New starts the state service and the cloud on loopback.
+// New starts the key-value store and a cloud without capacity on loopback.
 func New(typ api.MachineType) (*Environment, error) {
 	env := &Environment{}
 	var err error
@@ -63,16 +74,18 @@
 	return env, err
 }
 
+// serve serves on a free port of loopback until the process ends, and returns the address.
 func serve(h http.Handler) (string, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	ln, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	go http.Serve(ln, h) // until the process ends
+	go func() { _ = http.Serve(ln, h) }() // its error could only be that the listener was closed
 	return ln.Addr().String(), nil
 }
 
-// Start lets machines and users loose on a controller.
+// Start starts machines and users against a controller. They run until the process ends.
 func (env *Environment) Start(p Plan) {
 	env.plan = p
 	for i := range p.Machines {
@@ -86,79 +99,123 @@
 		go m.run()
 	}
 	go env.submitJobs()
-	for range 16 {
+	for range pollers {
 		go env.pollJobs()
 	}
 }
 
-// Counts is what has happened so far.
+// Counts returns what has happened so far.
 func (env *Environment) Counts() Counts {
 	c := &env.counts
-	return Counts{c.reports.Load(), c.started.Load(), c.done.Load(), c.jobs.Load(), c.polls.Load(), c.failed.Load()}
+	return Counts{
+		Heartbeats: c.heartbeats.Load(),
+		Started:    c.started.Load(),
+		Done:       c.done.Load(),
+		Jobs:       c.jobs.Load(),
+		Polls:      c.polls.Load(),
+		Failed:     c.failed.Load(),
+	}
 }
 
 func (env *Environment) submitJobs() {
 	for i := 0; ; i++ {
-		id := fmt.Sprintf("job-%06d", i)
-		body, err := json.Marshal(map[string]any{"NameId": id, "Jobclass": "c", "Owner": "red", "Shape": "array", "Precedence": "standard",
-			"Shoots": env.plan.Tasks, "Cores": 1.0, "Cards": 0.0, "MemoryGb": 1.0, "Rootstock": fmt.Sprint("img-", i%5), "PullGb": 1.5,
-			"SamePlace": false, "Scatter": false, "Windfall": true, "ExpectS": env.plan.Run.Seconds(), "GraftS": 0.0, "PressS": 0.0, "DueS": 300.0})
-		if err != nil {
-			panic(err) // plain values
+		submission := Submission{
+			ID:       fmt.Sprintf("job-%06d", i),
+			Team:     "red",
+			Tasks:    env.plan.Tasks,
+			TaskCPUs: 1,
+			Image:    fmt.Sprint("img-", i%images),
+			ImageGB:  1.5,
+			Estimate: env.plan.Run,
+			Deadline: 5 * time.Minute,
 		}
-		resp, err := http.Post("http://"+env.plan.API+"/api/jobs", "application/json", bytes.NewReader(body))
-		if err == nil {
-			io.Copy(io.Discard, resp.Body)
-			resp.Body.Close()
-		}
-		if err != nil || resp.StatusCode >= 300 {
-			env.counts.failed.Add(1)
-		} else {
+		if env.submit(&submission) {
 			env.counts.jobs.Add(1)
 			env.jobIDsMu.Lock()
-			env.jobIDs = append(env.jobIDs, id)
+			env.jobIDs = append(env.jobIDs, submission.ID)
 			env.jobIDsMu.Unlock()
+		} else {
+			env.counts.failed.Add(1)
 		}
 		time.Sleep(env.plan.JobEvery)
 	}
 }
 
+// submit reports whether the controller accepted a job.
+func (env *Environment) submit(s *Submission) bool {
+	url := "http://" + env.plan.API + "/api/jobs"
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, bytes.NewReader(s.Body()))
+	if err != nil {
+		return false
+	}
+	req.Header.Set("Content-Type", "application/json")
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return false
+	}
+	discard(resp)
+	return resp.StatusCode < http.StatusMultipleChoices
+}
+
+// discard reads a response to its end, so that its connection can be used again. A failure
+// shows in the next request.
+func discard(resp *http.Response) {
+	_, _ = io.Copy(io.Discard, resp.Body)
+	_ = resp.Body.Close()
+}
+
+// pollJobs polls jobs over a connection of its own, at its share of the plan's rate.
 func (env *Environment) pollJobs() {
-	c := &http.Client{Transport: &http.Transport{}}
+	client := &http.Client{Transport: &http.Transport{}}
+	interval := float64(pollers*time.Second) / max(env.plan.Polls, 0.1)
 	for {
-		time.Sleep(time.Duration(float64(16*time.Second) / max(env.plan.Polls, 0.1) * (0.5 + rand.Float64())))
-		env.jobIDsMu.Lock()
-		id := ""
-		if n := len(env.jobIDs); n > 0 {
-			id = env.jobIDs[max(0, n-1-rand.IntN(40))]
-		}
-		env.jobIDsMu.Unlock()
+		time.Sleep(time.Duration(interval * (0.5 + rand.Float64())))
+		id := env.recentJob()
 		if id == "" {
 			continue
 		}
-		resp, err := c.Get("http://" + env.plan.API + "/api/jobs/" + id)
+		url := "http://" + env.plan.API + "/api/jobs/" + id
+		req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
 		if err != nil {
 			env.counts.failed.Add(1)
 			continue
 		}
-		io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
+		resp, err := client.Do(req)
+		if err != nil {
+			env.counts.failed.Add(1)
+			continue
+		}
+		discard(resp)
 		env.counts.polls.Add(1)
 	}
 }
 
-// cloudHandler is a cloud with one type of machine, of which none are to be had.
+// recentJob returns one of the latest jobs at random, or "" if there is none yet.
+func (env *Environment) recentJob() string {
+	env.jobIDsMu.Lock()
+	defer env.jobIDsMu.Unlock()
+	n := len(env.jobIDs)
+	if n == 0 {
+		return ""
+	}
+	return env.jobIDs[max(0, n-1-rand.IntN(polledJobs))]
+}
+
+// cloudHandler is a cloud with one machine type, of which it has no capacity.
 func cloudHandler(typ api.MachineType) http.Handler {
 	mux := http.NewServeMux()
-	answer := func(pattern string, status int, body any) {
-		mux.HandleFunc(pattern, func(w http.ResponseWriter, _ *http.Request) {
-			w.WriteHeader(status)
-			json.NewEncoder(w).Encode(body)
-		})
+	respond := func(pattern string, status int, body any) {
+		mux.HandleFunc(pattern, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, status, body) })
 	}
-	answer("GET /flavors", 200, map[string]any{"Frames": []api.MachineType{typ}})
-	answer("GET /machines", 200, map[string]any{"Hosts": []any{}, "Truncated": false})
-	answer("POST /machines", 503, map[string]string{"error": "no capacity"})
-	answer("POST /machines/return", 200, map[string]any{})
+	respond("GET /flavors", http.StatusOK, map[string]any{"Frames": []api.MachineType{typ}})
+	respond("GET /machines", http.StatusOK, map[string]any{"Hosts": []any{}, "Truncated": false})
+	respond("POST /machines", http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
+	respond("POST /machines/return", http.StatusOK, map[string]any{})
 	return mux
 }
+
+// writeJSON writes a response. An error of the connection is the client's to notice.
+func writeJSON(w http.ResponseWriter, status int, body any) {
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(body)
+}
--- a/internal/loadtest/kvserver.go
+++ b/internal/loadtest/kvserver.go
@@ -11,9 +11,9 @@
 	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
-// kvHandler is the state service's protocol over the scripted one.
+// kvHandler serves the protocol of the key-value store from the scripted one.
 func kvHandler(f *kvtest.Fake) http.Handler {
-	s := kvServer{f}
+	s := kvServer{fake: f}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /kv/{key...}", s.get)
 	mux.HandleFunc("GET /kv", s.list)
@@ -24,71 +24,73 @@
 	return mux
 }
 
-// kvServer answers a controller's requests to the state service.
+// kvServer answers a controller's requests to the key-value store. The scripted store fails
+// only where a test says so, and here none does; so errors that it cannot return are dropped,
+// as are those of numbers in queries, which the controller's own client writes.
 type kvServer struct{ fake *kvtest.Fake }
 
-func answer(w http.ResponseWriter, status int, body any) {
-	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(body)
-}
-
 func (s kvServer) get(w http.ResponseWriter, r *http.Request) {
-	e, _ := s.fake.Get(r.Context(), r.PathValue("key"))
-	if e.ModRevision == 0 {
-		answer(w, 404, map[string]int{"Ring": 1})
+	entry, _ := s.fake.Get(r.Context(), r.PathValue("key"))
+	if entry.ModRevision == 0 {
+		writeJSON(w, http.StatusNotFound, map[string]int{"Ring": 1})
 		return
 	}
-	answer(w, 200, e)
+	writeJSON(w, http.StatusOK, entry)
 }
 
 func (s kvServer) list(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	most, _ := strconv.Atoi(q.Get("Most"))
-	p, _ := s.fake.Range(r.Context(), q.Get("Prefix"), q.Get("From"), max(most, 1))
-	answer(w, 200, p)
+	query := r.URL.Query()
+	limit, _ := strconv.Atoi(query.Get("Most"))
+	page, _ := s.fake.Range(r.Context(), query.Get("Prefix"), query.Get("From"), max(limit, 1))
+	writeJSON(w, http.StatusOK, page)
 }
 
 func (s kvServer) txn(w http.ResponseWriter, r *http.Request) {
 	var txn kv.Txn
 	if err := json.NewDecoder(r.Body).Decode(&txn); err != nil {
-		answer(w, 400, map[string]string{"error": err.Error()})
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
 	}
-	res, err := s.fake.Txn(r.Context(), txn)
+	result, err := s.fake.Txn(r.Context(), txn)
 	switch {
 	case err != nil:
-		answer(w, 400, map[string]string{"error": "no such lease"})
-	case res.Succeeded:
-		answer(w, 200, map[string]uint64{"Ring": res.Revision})
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": "no such lease"})
+	case result.Succeeded:
+		writeJSON(w, http.StatusOK, map[string]uint64{"Ring": result.Revision})
 	default:
-		answer(w, 409, map[string]any{"Ring": res.Revision, "failed": res.FailedKeys})
+		writeJSON(w, http.StatusConflict, map[string]any{"Ring": result.Revision, "failed": result.FailedKeys})
 	}
 }
 
 func (s kvServer) grantLease(w http.ResponseWriter, r *http.Request) {
-	var in struct{ LifeMs int64 }
-	json.NewDecoder(r.Body).Decode(&in)
-	id, _ := s.fake.GrantLease(r.Context(), time.Duration(in.LifeMs)*time.Millisecond)
-	answer(w, 200, map[string]uint64{"Tenure": id})
+	var request struct {
+		TTLMillis int64 `json:"LifeMs"`
+	}
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
+		return
+	}
+	id, _ := s.fake.GrantLease(r.Context(), time.Duration(request.TTLMillis)*time.Millisecond)
+	writeJSON(w, http.StatusOK, map[string]uint64{"Tenure": id})
 }
 
 func (s kvServer) renewLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if s.fake.RenewLease(r.Context(), id) != nil {
-		answer(w, 404, map[string]int{})
+		writeJSON(w, http.StatusNotFound, map[string]int{})
 		return
 	}
-	answer(w, 200, map[string]int{})
+	writeJSON(w, http.StatusOK, map[string]int{})
 }
 
 func (s kvServer) watch(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	from, _ := strconv.ParseUint(q.Get("From"), 10, 64)
-	block, _ := strconv.Atoi(q.Get("BlockMs"))
-	ch, err := s.fake.Watch(r.Context(), q.Get("Prefix"), from, time.Duration(block)*time.Millisecond)
+	query := r.URL.Query()
+	from, _ := strconv.ParseUint(query.Get("From"), 10, 64)
+	block, _ := strconv.Atoi(query.Get("BlockMs"))
+	changes, err := s.fake.Watch(r.Context(), query.Get("Prefix"), from, time.Duration(block)*time.Millisecond)
 	if err != nil {
-		answer(w, 503, map[string]string{"error": strings.TrimSpace(err.Error())})
+		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": strings.TrimSpace(err.Error())})
 		return
 	}
-	answer(w, 200, ch)
+	writeJSON(w, http.StatusOK, changes)
 }
--- a/internal/loadtest/launchingcloud.go
+++ b/internal/loadtest/launchingcloud.go
@@ -13,7 +13,7 @@
 	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
-// launchingCloud is a cloud of one machine type that rents simulated machines.
+// launchingCloud is a cloud of one machine type that launches simulated machines.
 type launchingCloud struct {
 	env         *Environment
 	typ         api.MachineType
@@ -22,8 +22,8 @@
 	mu       sync.Mutex
 	machines map[string]launchedMachine
 	created  int
-	// launches holds the answer to each request name, which is given again when
-	// the request is repeated.
+	// launches holds the machines of each launch request by its name, so that a repeated
+	// request gets the same response.
 	launches map[string][]string
 }
 
@@ -33,21 +33,28 @@
 	phaseRunning  = "running"
 )
 
+// launchedMachine is a simulated machine with what the cloud lists of it.
 type launchedMachine struct {
 	*machine
 	spot       bool
 	launchedAt time.Time
 }
 
-// NewLaunching starts the state service and a cloud that rents up to most machines of
-// a type on loopback. The machines report to the plan's controller.
-func NewLaunching(typ api.MachineType, most int, plan Plan) (*Environment, error) {
+// NewLaunching starts the key-value store and a cloud that launches up to maxMachines machines
+// of a type on loopback. The machines send their heartbeats to the plan's controller.
+func NewLaunching(typ api.MachineType, maxMachines int, plan Plan) (*Environment, error) {
 	env := &Environment{plan: plan}
 	var err error
 	if env.State, err = serve(kvHandler(kvtest.New())); err != nil {
 		return nil, err
 	}
-	cloud := &launchingCloud{env: env, typ: typ, maxMachines: most, machines: map[string]launchedMachine{}, launches: map[string][]string{}}
+	cloud := &launchingCloud{
+		env:         env,
+		typ:         typ,
+		maxMachines: maxMachines,
+		machines:    map[string]launchedMachine{},
+		launches:    map[string][]string{},
+	}
 	env.Cloud, err = serve(cloud.handler())
 	return env, err
 }
@@ -63,11 +70,6 @@
 	return mux
 }
 
-func writeJSON(w http.ResponseWriter, status int, body any) {
-	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(body) // the connection's error is the client's to notice
-}
-
 func (c *launchingCloud) launch(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Name  string `json:"Hire"`
@@ -95,7 +97,7 @@
 	writeJSON(w, http.StatusOK, map[string]any{"Hosts": names})
 }
 
-// boot starts a machine, which reports once its boot time is over.
+// boot launches a machine, which sends its first heartbeat once its boot time has passed.
 func (c *launchingCloud) boot(zone string, spot bool) string {
 	c.created++
 	name := fmt.Sprintf("i-%06d", c.created)
@@ -147,7 +149,7 @@
 	AgeS  float64 `json:"AgeS"`
 }
 
-// list answers with all machines in one part, whatever the caller asks for at most.
+// list returns all machines in one page, whatever limit the request has.
 func (c *launchingCloud) list(w http.ResponseWriter, r *http.Request) {
 	from := r.URL.Query().Get("From")
 	hosts := []listedMachine{}
--- a/internal/loadtest/localcluster/main.go
+++ b/internal/loadtest/localcluster/main.go
@@ -1,5 +1,5 @@
-// Localcluster simulates, on loopback, what a controller needs around it: a state
-// service, a cloud and the machines that the cloud rents. It writes a settings file
+// Localcluster simulates, on loopback, what a controller needs around it: a key-value
+// store, a cloud and the machines that the cloud launches. It writes a settings file
 // for one controller, with which ivytrestle can be tried on a single computer.
 package main
 
@@ -16,36 +16,39 @@
 	"example.org/ivytrestle/internal/loadtest"
 )
 
+const zone = "local"
+
 type cli struct {
 	Settings string        `arg:"" help:"The settings file to write."`
-	API      string        `default:"127.0.0.1:8080" placeholder:"HOST:PORT" help:"Where the controller will listen for users and machines."`
-	Peers    string        `default:"127.0.0.1:8081" placeholder:"HOST:PORT" help:"Where the controller will listen for other controllers."`
-	Machines int           `default:"4" help:"How many machines there are to rent."`
+	API      string        `default:"127.0.0.1:8080" placeholder:"HOST:PORT" help:"Address for users and machines."`
+	Peers    string        `default:"127.0.0.1:8081" placeholder:"HOST:PORT" help:"Address for other controllers."`
+	Machines int           `default:"4" help:"How many machines the cloud has."`
 	TaskTime time.Duration `default:"5s" help:"About how long each task runs."`
 }
 
 // Run starts the simulation and writes the settings. It returns only on an error.
 func (c *cli) Run() error {
-	const zone = "local"
-	settings := config.Settings{
-		Node: "local-0", Zone: zone, APIAddr: c.API, PeerListen: c.Peers,
-		Site: config.SiteInfo{
-			Teams:   []config.Team{{Name: "demo", CPUs: 16, LimitCPUs: 64}},
-			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
-			State:   config.StateLimits{RPS: 80, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
-			Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
-			Limits:  config.Limits{Cores: 1, RAMMB: 98, FDLimit: 800},
-		},
+	settings := c.settings()
+	machineType := api.MachineType{
+		Name:      "local-16",
+		CPUs:      16,
+		MemoryGB:  64,
+		CacheGB:   80,
+		FetchGBs:  1,
+		Price:     1,
+		SpotPrice: 0.4,
+		BootS:     2,
+		Zones:     []string{zone},
 	}
-	machineType := api.MachineType{Name: "local-16", CPUs: 16, MemoryGB: 64, CacheGB: 80, FetchGBs: 1, Price: 1, SpotPrice: 0.4,
-		BootS: 2, Zones: []string{zone}}
-	simulated, err := loadtest.NewLaunching(machineType, c.Machines, loadtest.Plan{
-		API: c.API, HeartbeatInterval: settings.Site.Workers.HeartbeatInterval(), Run: c.TaskTime,
+	env, err := loadtest.NewLaunching(machineType, c.Machines, loadtest.Plan{
+		API:               c.API,
+		HeartbeatInterval: settings.Site.Workers.HeartbeatInterval(),
+		Run:               c.TaskTime,
 	})
 	if err != nil {
 		return err
 	}
-	settings.Outside = config.Outside{Cloud: simulated.Cloud, State: simulated.State}
+	settings.Outside = config.Outside{Cloud: env.Cloud, State: env.State}
 	raw, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
 		return err
@@ -57,8 +60,27 @@
 	select {}
 }
 
+// settings are those of a single controller, without the addresses of what is simulated.
+func (c *cli) settings() config.Settings {
+	return config.Settings{
+		Node:       "local-0",
+		Zone:       zone,
+		APIAddr:    c.API,
+		PeerListen: c.Peers,
+		Site: config.SiteInfo{
+			Teams:   []config.Team{{Name: "demo", CPUs: 16, LimitCPUs: 64}},
+			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
+			State:   config.StateLimits{RPS: 80, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
+			Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
+			Limits:  config.Limits{Cores: 1, RAMMB: 98, FDLimit: 800},
+		},
+	}
+}
+
 func main() {
-	k := kong.Parse(&cli{}, kong.Name("localcluster"), kong.Description("A simulated cloud, state service and machines on this computer."))
+	k := kong.Parse(&cli{},
+		kong.Name("localcluster"),
+		kong.Description("A simulated cloud, key-value store and machines on this computer."))
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "localcluster:", err)
 		os.Exit(1)
--- a/internal/loadtest/machine.go
+++ b/internal/loadtest/machine.go
@@ -2,11 +2,13 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
 	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -15,14 +17,18 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// machine reports, and runs what it is told to.
+// minHeartbeatGap is the least time between a response and the next heartbeat.
+const minHeartbeatGap = 500 * time.Millisecond
+
+// machine is a simulated machine with its worker agent: it sends heartbeats and applies the
+// commands of the responses.
 type machine struct {
 	env          *Environment
 	mu           sync.Mutex
 	heartbeat    api.Heartbeat
 	taskEnds     map[string]time.Time
 	tasksChanged chan struct{}
-	// terminated is set once the machine is returned.
+	// terminated is set once the cloud has ended the machine.
 	terminated atomic.Bool
 }
 
@@ -45,52 +51,63 @@
 	}
 }
 
-// sendHeartbeats reports over one connection until it fails.
+// sendHeartbeats sends heartbeats over one connection until it fails.
 func (m *machine) sendHeartbeats() error {
-	conn, err := net.Dial("tcp", m.env.plan.API)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(context.Background(), "tcp", m.env.plan.API)
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
-	r := bufio.NewReader(conn)
+	defer func() { _ = conn.Close() }() // the connection has failed, or the machine has ended
+	reader := bufio.NewReader(conn)
 	for !m.terminated.Load() {
-		m.mu.Lock()
-		m.completeTasks()
-		m.heartbeat.Seq++
-		body, err := json.Marshal(m.heartbeat)
-		m.mu.Unlock()
-		if err != nil {
-			return err
-		}
-		head := "POST /v1/report HTTP/1.1\r\nHost: " + m.env.plan.API + "\r\nContent-Type: application/json\r\nContent-Length: " +
-			strconv.Itoa(len(body)) + "\r\n\r\n"
-		if _, err := conn.Write(append([]byte(head), body...)); err != nil {
-			return err
-		}
-		resp, err := http.ReadResponse(r, nil)
-		if err != nil {
-			return err
-		}
-		raw, err := io.ReadAll(resp.Body)
-		if err != nil {
+		if err := m.sendHeartbeat(conn, reader); err != nil {
 			return err
 		}
-		var response api.HeartbeatResponse
-		if resp.StatusCode == http.StatusOK && json.Unmarshal(raw, &response) == nil {
-			m.mu.Lock()
-			m.applyCommands(response.Term, response.Commands)
-			m.mu.Unlock()
-			m.env.counts.reports.Add(1)
-		} else {
-			m.env.counts.failed.Add(1)
-		}
-		time.Sleep(500 * time.Millisecond)
-		m.waitForNextHeartbeat(time.Duration(float64(m.env.plan.HeartbeatInterval)*(0.75+rand.Float64()/2)) - 500*time.Millisecond)
+		time.Sleep(minHeartbeatGap)
+		interval := time.Duration(float64(m.env.plan.HeartbeatInterval) * (0.75 + rand.Float64()/2))
+		m.waitForNextHeartbeat(interval - minHeartbeatGap)
 	}
 	return nil
 }
 
-// waitForNextHeartbeat waits for the next report's time, or until something changes.
+// sendHeartbeat sends one heartbeat and applies the commands of its response.
+func (m *machine) sendHeartbeat(conn net.Conn, reader *bufio.Reader) error {
+	m.mu.Lock()
+	m.completeTasks()
+	m.heartbeat.Seq++
+	body, err := json.Marshal(m.heartbeat)
+	m.mu.Unlock()
+	if err != nil {
+		return err
+	}
+	head := "POST /v1/report HTTP/1.1\r\nHost: " + m.env.plan.API + "\r\nContent-Type: application/json\r\n" +
+		"Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n"
+	if _, err := conn.Write(append([]byte(head), body...)); err != nil {
+		return err
+	}
+	resp, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		return err
+	}
+	raw, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return err
+	}
+	var response api.HeartbeatResponse
+	if resp.StatusCode == http.StatusOK && json.Unmarshal(raw, &response) == nil {
+		m.mu.Lock()
+		m.applyCommands(response.Term, response.Commands)
+		m.mu.Unlock()
+		m.env.counts.heartbeats.Add(1)
+	} else {
+		m.env.counts.failed.Add(1)
+	}
+	return nil
+}
+
+// waitForNextHeartbeat waits for some time, but no longer than until a task ends or a command
+// changes the tasks.
 func (m *machine) waitForNextHeartbeat(d time.Duration) {
 	m.mu.Lock()
 	for _, end := range m.taskEnds {
@@ -106,7 +123,7 @@
 	}
 }
 
-// completeTasks ends the tasks whose time has come.
+// completeTasks completes the tasks that have run for their time.
 func (m *machine) completeTasks() {
 	now := time.Now()
 	for i := range m.heartbeat.Tasks {
@@ -119,28 +136,27 @@
 	}
 }
 
-func (m *machine) applyCommands(term uint64, orders []api.Command) {
+// applyCommands starts, stops and reaps tasks under a term.
+func (m *machine) applyCommands(term uint64, commands []api.Command) {
 	m.heartbeat.Term = max(m.heartbeat.Term, term)
-	for _, o := range orders {
-		at := -1
-		for i, t := range m.heartbeat.Tasks {
-			if t.Task == o.Task && t.Attempt == o.Attempt {
-				at = i
-			}
-		}
+	for _, cmd := range commands {
+		i := slices.IndexFunc(m.heartbeat.Tasks, func(t api.TaskStatus) bool {
+			return t.Task == cmd.Task && t.Attempt == cmd.Attempt
+		})
 		switch {
-		case o.Verb == api.VerbStart && at < 0:
-			m.heartbeat.Tasks = append(m.heartbeat.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
-			m.taskEnds[o.Task] = time.Now().Add(time.Duration(float64(m.env.plan.Run) * (0.5 + rand.Float64())))
+		case cmd.Verb == api.VerbStart && i < 0:
+			status := api.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, Phase: api.TaskRunning}
+			m.heartbeat.Tasks = append(m.heartbeat.Tasks, status)
+			m.taskEnds[cmd.Task] = time.Now().Add(time.Duration(float64(m.env.plan.Run) * (0.5 + rand.Float64())))
 			m.env.counts.started.Add(1)
-		case o.Verb == api.VerbStop && at >= 0:
-			delete(m.taskEnds, o.Task)
-			m.heartbeat.Tasks[at].Phase, m.heartbeat.Tasks[at].Cause = api.TaskExited, api.CauseHalted
-		case o.Verb == api.VerbReap && at >= 0:
-			m.heartbeat.Tasks = append(m.heartbeat.Tasks[:at], m.heartbeat.Tasks[at+1:]...)
+		case cmd.Verb == api.VerbStop && i >= 0:
+			delete(m.taskEnds, cmd.Task)
+			m.heartbeat.Tasks[i].Phase, m.heartbeat.Tasks[i].Cause = api.TaskExited, api.CauseHalted
+		case cmd.Verb == api.VerbReap && i >= 0:
+			m.heartbeat.Tasks = slices.Delete(m.heartbeat.Tasks, i, i+1)
 		}
 	}
-	if len(orders) > 0 {
+	if len(commands) > 0 {
 		select {
 		case m.tasksChanged <- struct{}{}:
 		default:
@@ -148,18 +164,21 @@
 	}
 }
 
-// ServeHTTP takes what is sent straight to the machine.
+// ServeHTTP serves commands and probes that are sent straight to the machine. Commands of an
+// earlier term, or for another agent epoch, are rejected.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.heartbeat.Seq++
+	status := http.StatusOK
 	if r.URL.Path == "/orders" {
-		var in api.CommandBatch
-		if json.NewDecoder(r.Body).Decode(&in) != nil || in.Term < m.heartbeat.Term || in.AgentEpoch != m.heartbeat.AgentEpoch {
-			w.WriteHeader(http.StatusConflict)
+		var batch api.CommandBatch
+		err := json.NewDecoder(r.Body).Decode(&batch)
+		if err != nil || batch.Term < m.heartbeat.Term || batch.AgentEpoch != m.heartbeat.AgentEpoch {
+			status = http.StatusConflict
 		} else {
-			m.applyCommands(in.Term, in.Commands)
+			m.applyCommands(batch.Term, batch.Commands)
 		}
 	}
-	json.NewEncoder(w).Encode(m.heartbeat)
+	writeJSON(w, status, m.heartbeat)
 }
