--- a/internal/ci/knownred/list.go
+++ b/internal/ci/knownred/list.go
@@ -26,7 +26,7 @@
 	issueForm = regexp.MustCompile(`^issue [1-9][0-9]*$`)
 )
 
-// parseList reads a list of known failures, one each line:
+// parseList parses a list of known failures, one in each line:
 //
 //	package TestName[/subtest] | cause | issue N
 func parseList(text string) ([]entry, error) {
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -20,7 +21,7 @@
 	}
 }
 
-// run runs the tests, shows their output and judges it.
+// run runs the tests, prints their output and decides whether they pass.
 func run(out io.Writer) error {
 	raw, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -30,7 +31,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", listFile, err)
 	}
-	cmd := exec.Command("go", "test", "-count=1", "-json", "./...")
+	cmd := exec.CommandContext(context.Background(), "go", "test", "-count=1", "-json", "./...")
 	cmd.Stderr = os.Stderr
 	events, err := cmd.StdoutPipe()
 	if err != nil {
@@ -50,7 +51,7 @@
 		return waitErr
 	}
 	if !v.verdict(waitErr == nil) {
-		os.Exit(1) // said already, as go test says it
+		os.Exit(1) // the reason has been printed, as go test prints it
 	}
 	return nil
 }
--- a/internal/ci/knownred/verdict.go
+++ b/internal/ci/knownred/verdict.go
@@ -11,43 +11,45 @@
 	"strings"
 )
 
-// event is one of go test -json.
+// event is one event of go test -json.
 type event struct {
 	Action, Package, Test, Output string
 }
 
-// line is one of a package's output; test is "" if no test printed it.
+// line is a line of a package's output; test is "" if no test printed it.
 type line struct{ test, text string }
 
 // packageRun is what is known of one package's tests.
 type packageRun struct {
 	name string
-	// started lists the tests in order, and results how each ended.
+	// started lists the tests in the order in which they started.
 	started []string
+	// results has the action with which each test ended: pass, fail or skip.
 	results map[string]string
 	output  []line
 	ended   bool
 }
 
-// verdictReader reads the events of go test, shows them as go test without -json would
-// and decides whether what failed may be passed over.
+// verdictReader reads the events of go test, prints them as go test without -json would
+// and decides whether the failures may be passed over.
 type verdictReader struct {
 	list     []entry
 	out      io.Writer
 	packages map[string]*packageRun
-	// failed is set once a package failed, for whatever reason.
+	// failed is set once a package has failed, for whatever reason.
 	failed bool
-	// passedOver are the packages whose failures are passed over: their closing
-	// lines, to be printed last.
+	// passedOver has the closing lines of the packages whose failures are passed over, to be
+	// printed last.
 	passedOver []string
-	problems   []string
+	// problems are the reasons for which the tests do not pass.
+	problems []string
 }
 
 func newVerdictReader(list []entry, out io.Writer) *verdictReader {
 	return &verdictReader{list: list, out: out, packages: map[string]*packageRun{}}
 }
 
-// read takes the events in as they come.
+// read reads events until their end.
 func (v *verdictReader) read(events io.Reader) error {
 	in := bufio.NewReader(events)
 	for {
@@ -67,11 +69,11 @@
 func (v *verdictReader) handleEvent(raw []byte) {
 	var e event
 	if !bytes.HasPrefix(raw, []byte("{")) || json.Unmarshal(raw, &e) != nil {
-		v.out.Write(raw) // what is no event is shown as it is
+		v.print(string(raw)) // not an event: printed unchanged
 		return
 	}
 	if e.Package == "" {
-		io.WriteString(v.out, e.Output) // of a build
+		v.print(e.Output) // of a build
 		return
 	}
 	p := v.packages[e.Package]
@@ -94,11 +96,15 @@
 	}
 }
 
-// endPackage shows a package that has ended, and judges it if it failed.
+// print writes to the output. An error of the output changes nothing in the verdict.
+func (v *verdictReader) print(text string) { _, _ = io.WriteString(v.out, text) }
+
+// endPackage prints the output of a package that has ended, and judges its failure.
 func (v *verdictReader) endPackage(p *packageRun, failed bool) {
+	passedOver := failed && v.onlyListedFailed(p)
 	for _, l := range p.output {
-		if p.isShown(l, failed) && !(failed && p.isFailLine(l) && v.onlyListedFailed(p)) {
-			io.WriteString(v.out, l.text)
+		if p.isShown(l, failed) && (!passedOver || !p.isFailLine(l)) {
+			v.print(l.text)
 		}
 	}
 	if failed {
@@ -107,7 +113,7 @@
 	p.output = nil
 }
 
-// isShown tells whether go test without -v shows a line.
+// isShown reports whether go test without -v prints a line.
 func (p *packageRun) isShown(l line, failed bool) bool {
 	switch {
 	case !failed:
@@ -117,27 +123,29 @@
 	case isFraming(l.text):
 		return false
 	}
-	// A test that never ended may be what ended the others.
+	// A test that did not end is shown as well: it may be what ended the others.
 	return p.results[l.test] != "pass" && p.results[l.test] != "skip"
 }
 
-// isFraming tells whether a line only says which test prints next.
+// isFraming reports whether a line only names the test that prints next.
 func isFraming(text string) bool {
 	return strings.HasPrefix(text, "=== ")
 }
 
-// isFailLine tells whether a line is the last of a package that failed.
+// isFailLine reports whether a line is the last one of a package that failed.
 func (p *packageRun) isFailLine(l line) bool {
 	return l.test == "" && strings.HasPrefix(l.text, "FAIL\t"+p.name+"\t")
 }
 
+// judgeFailure passes over the failure of a package, or adds the problems that it shows.
 func (v *verdictReader) judgeFailure(p *packageRun) {
 	v.failed = true
 	if v.onlyListedFailed(p) {
 		for _, l := range p.output {
 			if p.isFailLine(l) {
-				took := strings.TrimSpace(strings.TrimPrefix(l.text, "FAIL\t"+p.name+"\t"))
-				v.passedOver = append(v.passedOver, fmt.Sprintf("ok  \t%s\t%s [known failures passed over]", p.name, took))
+				duration := strings.TrimSpace(strings.TrimPrefix(l.text, "FAIL\t"+p.name+"\t"))
+				closing := fmt.Sprintf("ok  \t%s\t%s [known failures passed over]", p.name, duration)
+				v.passedOver = append(v.passedOver, closing)
 			}
 		}
 		return
@@ -152,13 +160,13 @@
 		}
 	}
 	if len(v.problems) == n {
-		// Not built, ended by a panic, a time limit or os.Exit, or failed by
-		// something else than a test: whatever is listed, tests were not run.
+		// The package was not built, was ended by a panic, a time limit or os.Exit, or failed
+		// by something else than a test: whatever is listed, tests were not run.
 		v.addProblem("%s failed by more than listed tests", p.name)
 	}
 }
 
-// onlyListedFailed tells whether only listed tests made a package fail.
+// onlyListedFailed reports whether only listed tests made a package fail.
 func (v *verdictReader) onlyListedFailed(p *packageRun) bool {
 	failures := 0
 	for _, test := range p.started {
@@ -172,48 +180,77 @@
 			failures++
 		}
 	}
-	// This line alone shows that the run came to its end: after a panic or
-	// os.Exit, tests that did not begin leave no other trace.
+	// Only this line shows that the run reached its end: after a panic or os.Exit, tests that
+	// did not start leave no other trace.
 	return failures > 0 && slices.Contains(p.output, line{"", "FAIL\n"})
 }
 
-// mayFail tells whether a failed test is listed, or failed only since subtests
-// did, which are looked at by themselves.
+// mayFail reports whether a failed test is listed, or failed only because subtests did, each
+// of which is judged by itself.
 func (v *verdictReader) mayFail(p *packageRun, test string) bool {
 	if slices.ContainsFunc(v.list, func(e entry) bool { return e.testName == testName{p.name, test} }) {
 		return true
 	}
-	subtests := slices.ContainsFunc(p.started, func(other string) bool {
+	hasFailedSubtest := slices.ContainsFunc(p.started, func(other string) bool {
 		return strings.HasPrefix(other, test+"/") && p.results[other] == "fail"
 	})
-	// The events do not tell whether a parent failed by itself as well; but it
-	// would have said why.
-	return subtests && !slices.ContainsFunc(p.output, func(l line) bool {
-		return l.test == test && !isFraming(l.text) && !strings.HasPrefix(strings.TrimLeft(l.text, " "), "--- FAIL: "+test+" ")
+	// The events do not show whether a parent failed by itself as well; but then it would have
+	// printed why.
+	failLine := "--- FAIL: " + test + " "
+	printed := slices.ContainsFunc(p.output, func(l line) bool {
+		return l.test == test && !isFraming(l.text) && !strings.HasPrefix(strings.TrimLeft(l.text, " "), failLine)
 	})
+	return hasFailedSubtest && !printed
 }
 
 func (v *verdictReader) addProblem(format string, args ...any) {
 	v.problems = append(v.problems, fmt.Sprintf(format, args...))
 }
 
-// verdict says at the end what was passed over and what was not, and tells
-// whether the tests pass. Clean is set if go test itself was content.
+// verdict prints what was passed over and what was not, and reports whether the tests pass.
+// clean is set if go test itself succeeded.
 func (v *verdictReader) verdict(clean bool) bool {
+	v.checkPackages()
+	if clean == v.failed {
+		v.addProblem("go test ended otherwise than its tests")
+	}
+	v.checkList()
+	slices.Sort(v.problems)
+	for _, problem := range v.problems {
+		v.print("not passed over: " + problem + "\n")
+	}
+	if len(v.problems) > 0 {
+		for _, line := range v.passedOver {
+			v.print(strings.Replace(line, "ok  \t", "FAIL\t", 1) + "\n")
+		}
+		v.print("FAIL\n")
+		return false
+	}
+	for _, line := range v.passedOver {
+		v.print(line + "\n")
+	}
+	return true
+}
+
+// checkPackages adds a problem for each package that did not end, with its output, and if none
+// was run.
+func (v *verdictReader) checkPackages() {
 	for _, p := range v.packages {
 		if !p.ended {
 			v.addProblem("%s did not end", p.name)
 			for _, l := range p.output {
-				io.WriteString(v.out, l.text)
+				v.print(l.text)
 			}
 		}
 	}
 	if len(v.packages) == 0 {
 		v.addProblem("no test was run")
 	}
-	if clean == v.failed {
-		v.addProblem("go test ended otherwise than its tests")
-	}
+}
+
+// checkList prints the listed failures, and adds a problem for each listed test that did not
+// fail.
+func (v *verdictReader) checkList() {
 	for _, e := range v.list {
 		result := ""
 		if p := v.packages[e.pkg]; p != nil {
@@ -221,26 +258,11 @@
 		}
 		switch result {
 		case "fail":
-			fmt.Fprintf(v.out, "known failure: %s | %s | %s\n", e.testName, e.cause, e.issue)
+			v.print(fmt.Sprintf("known failure: %s | %s | %s\n", e.testName, e.cause, e.issue))
 		case "":
 			v.addProblem("%s is listed but did not run to its end", e.testName)
 		default:
 			v.addProblem("%s is listed but does not fail: %s", e.testName, result)
 		}
 	}
-	slices.Sort(v.problems)
-	for _, p := range v.problems {
-		fmt.Fprintln(v.out, "not passed over:", p)
-	}
-	if len(v.problems) > 0 {
-		for _, p := range v.passedOver {
-			fmt.Fprintln(v.out, strings.Replace(p, "ok  \t", "FAIL\t", 1))
-		}
-		fmt.Fprintln(v.out, "FAIL")
-		return false
-	}
-	for _, p := range v.passedOver {
-		fmt.Fprintln(v.out, p)
-	}
-	return true
 }
--- a/internal/ci/knownred/verdict_test.go
+++ b/internal/ci/knownred/verdict_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// stream writes the events of go test -json as it does for one package m/p. Each
-// word is a test and how it ended, such as "TestA:fail"; "TestA:open" did not
-// end, "TestA:says" is a line that TestA prints. The rest are the package's own
-// ends: "ok", "FAIL" (came to its end), "died" (did not), "unbuilt", "cut".
+// stream returns the events of go test -json for one package m/p. Each word is a test and how
+// it ended, such as "TestA:fail"; "TestA:open" did not end, "TestA:prints" is a line that TestA
+// prints. The other words are the package's own ends: "ok", "FAIL" (reached its end), "died"
+// (did not), "unbuilt", "cut".
 func stream(words string) string {
 	var out strings.Builder
 	emit := func(action, pkg, test, output string) {
@@ -33,7 +33,7 @@
 			begin(test)
 		}
 		switch {
-		case isTest && how == "says":
+		case isTest && how == "prints":
 			emit("output", "m/p", test, "    p_test.go:5: "+test+" speaks\n")
 		case isTest && how != "open" && how != "begin":
 			emit("output", "m/p", test, "--- "+strings.ToUpper(how)+": "+test+" (0.00s)\n")
@@ -57,122 +57,298 @@
 	return out.String()
 }
 
-func TestOnlyWhatIsListedIsPassedOver(t *testing.T) {
-	const a, sub = "m/p TestA | slow disk | issue 7\n", "m/p TestA/one | slow disk | issue 8\n"
-	for _, c := range []struct {
-		name, list, events string
-		passes             bool
-		// says is part of what is printed.
-		says string
-	}{
-		{"all pass, none listed", "", "TestA:pass TestB:skip ok", true, "ok  \tm/p\t0.003s\n"},
-		{"one fails, none listed", "", "TestA:says TestA:fail TestB:pass FAIL", false, "not passed over: m/p TestA failed and is not listed\nFAIL\n"},
-		{"the listed one fails", a, "TestA:says TestA:fail TestB:pass FAIL", true, "known failure: m/p TestA | slow disk | issue 7\n"},
-		{"the listed one of another package fails", "m/q TestA | slow disk | issue 7\n", "TestA:fail FAIL", false, "TestA failed and is not listed"},
-		{"the listed one and another fail", a, "TestA:fail TestB:fail FAIL", false, "m/p TestB failed and is not listed"},
-		{"one whose name the listed one begins fails", a, "TestA:fail TestAB:fail FAIL", false, "m/p TestAB failed and is not listed"},
-		{"the listed one passes", a, "TestA:pass ok", false, "TestA is listed but does not fail: pass"},
-		{"the listed one is skipped", a, "TestA:skip ok", false, "TestA is listed but does not fail: skip"},
-		{"the listed one does not exist", a, "TestB:pass ok", false, "TestA is listed but did not run"},
-		{"the listed one's package does not exist", "m/q TestA | slow disk | issue 7\n", "TestB:pass ok", false, "m/q TestA is listed but did not run"},
-		{"the listed subtest fails its parent", sub, "TestA:begin TestA/one:fail TestA/two:pass TestA:fail FAIL", true, "known failure: m/p TestA/one"},
-		{"another subtest fails as well", sub, "TestA:begin TestA/one:fail TestA/two:fail TestA:fail FAIL", false, "m/p TestA/two failed"},
-		{"the parent fails by itself as well", sub, "TestA:begin TestA/one:fail TestA:says TestA:fail FAIL", false, "m/p TestA failed"},
-		{"the parent fails alone", sub, "TestA:begin TestA/one:pass TestA:fail FAIL", false, "m/p TestA failed"},
-		{"a listed parent's subtest fails", a, "TestA:begin TestA/one:fail TestA:fail FAIL", false, "m/p TestA/one failed"},
-		{"a subtest's subtest fails", sub, "TestA:begin TestA/one:begin TestA/one/deep:fail TestA/one:fail TestA:fail FAIL", false, "TestA/one/deep failed"},
-		{"a listed subtest with a slash", "m/p TestA/x/y | c | issue 1", "TestA:begin TestA/x/y:fail TestA:fail FAIL", true, "known failure"},
-		{"the listed one ends the run", a, "TestA:says TestA:fail died", false, "m/p failed by more than listed tests"},
-		{"another ends the run", a, "TestA:fail TestB:says TestB:open died", false, "m/p TestB did not end"},
-		{"the package fails without a test", a, "TestB:pass FAIL", false, "m/p failed by more than listed tests"},
-		{"the package is not built", "", "unbuilt", false, "p/p.go:3: undefined: x\n"},
-		{"the listed one's package is not built", a, "unbuilt", false, "m/p failed by more than listed tests"},
-		{"the events break off", "", "TestA:pass cut", false, "m/p did not end"},
-		{"no events", "", "", false, "no test was run"},
-	} {
+const (
+	listA   = "m/p TestA | slow disk | issue 7\n"
+	listSub = "m/p TestA/one | slow disk | issue 8\n"
+)
+
+// verdictCases are runs of go test with the verdict on them.
+var verdictCases = []struct {
+	name, list, events string
+	passes             bool
+	// prints is part of the output.
+	prints string
+}{
+	{
+		name:   "all pass, none listed",
+		events: "TestA:pass TestB:skip ok",
+		passes: true,
+		prints: "ok  \tm/p\t0.003s\n",
+	},
+	{
+		name:   "one fails, none listed",
+		events: "TestA:prints TestA:fail TestB:pass FAIL",
+		passes: false,
+		prints: "not passed over: m/p TestA failed and is not listed\nFAIL\n",
+	},
+	{
+		name:   "the listed one fails",
+		list:   listA,
+		events: "TestA:prints TestA:fail TestB:pass FAIL",
+		passes: true,
+		prints: "known failure: m/p TestA | slow disk | issue 7\n",
+	},
+	{
+		name:   "the listed one of another package fails",
+		list:   "m/q TestA | slow disk | issue 7\n",
+		events: "TestA:fail FAIL",
+		passes: false,
+		prints: "TestA failed and is not listed",
+	},
+	{
+		name:   "the listed one and another fail",
+		list:   listA,
+		events: "TestA:fail TestB:fail FAIL",
+		passes: false,
+		prints: "m/p TestB failed and is not listed",
+	},
+	{
+		name:   "one whose name the listed one begins fails",
+		list:   listA,
+		events: "TestA:fail TestAB:fail FAIL",
+		passes: false,
+		prints: "m/p TestAB failed and is not listed",
+	},
+	{
+		name:   "the listed one passes",
+		list:   listA,
+		events: "TestA:pass ok",
+		passes: false,
+		prints: "TestA is listed but does not fail: pass",
+	},
+	{
+		name:   "the listed one is skipped",
+		list:   listA,
+		events: "TestA:skip ok",
+		passes: false,
+		prints: "TestA is listed but does not fail: skip",
+	},
+	{
+		name:   "the listed one does not exist",
+		list:   listA,
+		events: "TestB:pass ok",
+		passes: false,
+		prints: "TestA is listed but did not run",
+	},
+	{
+		name:   "the listed one's package does not exist",
+		list:   "m/q TestA | slow disk | issue 7\n",
+		events: "TestB:pass ok",
+		passes: false,
+		prints: "m/q TestA is listed but did not run",
+	},
+	{
+		name:   "the listed subtest fails its parent",
+		list:   listSub,
+		events: "TestA:begin TestA/one:fail TestA/two:pass TestA:fail FAIL",
+		passes: true,
+		prints: "known failure: m/p TestA/one",
+	},
+	{
+		name:   "another subtest fails as well",
+		list:   listSub,
+		events: "TestA:begin TestA/one:fail TestA/two:fail TestA:fail FAIL",
+		passes: false,
+		prints: "m/p TestA/two failed",
+	},
+	{
+		name:   "the parent fails by itself as well",
+		list:   listSub,
+		events: "TestA:begin TestA/one:fail TestA:prints TestA:fail FAIL",
+		passes: false,
+		prints: "m/p TestA failed",
+	},
+	{
+		name:   "the parent fails alone",
+		list:   listSub,
+		events: "TestA:begin TestA/one:pass TestA:fail FAIL",
+		passes: false,
+		prints: "m/p TestA failed",
+	},
+	{
+		name:   "a listed parent's subtest fails",
+		list:   listA,
+		events: "TestA:begin TestA/one:fail TestA:fail FAIL",
+		passes: false,
+		prints: "m/p TestA/one failed",
+	},
+	{
+		name:   "a subtest's subtest fails",
+		list:   listSub,
+		events: "TestA:begin TestA/one:begin TestA/one/deep:fail TestA/one:fail TestA:fail FAIL",
+		passes: false,
+		prints: "TestA/one/deep failed",
+	},
+	{
+		name:   "a listed subtest with a slash",
+		list:   "m/p TestA/x/y | c | issue 1",
+		events: "TestA:begin TestA/x/y:fail TestA:fail FAIL",
+		passes: true,
+		prints: "known failure",
+	},
+	{
+		name:   "the listed one ends the run",
+		list:   listA,
+		events: "TestA:prints TestA:fail died",
+		passes: false,
+		prints: "m/p failed by more than listed tests",
+	},
+	{
+		name:   "another ends the run",
+		list:   listA,
+		events: "TestA:fail TestB:prints TestB:open died",
+		passes: false,
+		prints: "m/p TestB did not end",
+	},
+	{
+		name:   "the package fails without a test",
+		list:   listA,
+		events: "TestB:pass FAIL",
+		passes: false,
+		prints: "m/p failed by more than listed tests",
+	},
+	{
+		name:   "the package is not built",
+		events: "unbuilt",
+		passes: false,
+		prints: "p/p.go:3: undefined: x\n",
+	},
+	{
+		name:   "the listed one's package is not built",
+		list:   listA,
+		events: "unbuilt",
+		passes: false,
+		prints: "m/p failed by more than listed tests",
+	},
+	{
+		name:   "the events break off",
+		events: "TestA:pass cut",
+		passes: false,
+		prints: "m/p did not end",
+	},
+	{
+		name:   "no events",
+		events: "",
+		passes: false,
+		prints: "no test was run",
+	},
+}
+
+func TestOnlyListedFailuresArePassedOver(t *testing.T) {
+	for _, c := range verdictCases {
 		t.Run(c.name, func(t *testing.T) {
-			list, err := parseList(c.list)
-			if err != nil {
-				t.Fatal(err)
-			}
-			var out strings.Builder
-			v := newVerdictReader(list, &out)
-			if err := v.read(strings.NewReader(stream(c.events))); err != nil {
-				t.Fatal(err)
+			out, passes := judge(t, c.list, stream(c.events), strings.HasSuffix(c.events, "ok"))
+			if passes != c.passes {
+				t.Errorf("passes: got %v, want %v\n%s", passes, c.passes, out)
 			}
-			if got := v.verdict(strings.HasSuffix(c.events, "ok")); got != c.passes {
-				t.Errorf("passes: %v, want %v\n%s", got, c.passes, out.String())
+			if !strings.Contains(out, c.prints) {
+				t.Errorf("output lacks %q:\n%s", c.prints, out)
 			}
-			if !strings.Contains(out.String(), c.says) {
-				t.Errorf("%q is missing in\n%s", c.says, out.String())
-			}
-			if !c.passes && !strings.HasSuffix(out.String(), "\nFAIL\n") {
-				t.Errorf("does not end with FAIL:\n%s", out.String())
+			if !c.passes && !strings.HasSuffix(out, "\nFAIL\n") {
+				t.Errorf("output does not end with FAIL:\n%s", out)
 			}
 		})
 	}
 }
 
-// A package that could not even be listed has no events, and go test's own
-// result must agree with its tests' either way.
-func TestGoTestsOwnResultCounts(t *testing.T) {
+// judge returns the output and the verdict on events under a list of known failures; clean is
+// go test's own result.
+func judge(t *testing.T, list, events string, clean bool) (out string, passes bool) {
+	t.Helper()
+	entries, err := parseList(list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var buf strings.Builder
+	v := newVerdictReader(entries, &buf)
+	if err := v.read(strings.NewReader(events)); err != nil {
+		t.Fatal(err)
+	}
+	passes = v.verdict(clean)
+	return buf.String(), passes
+}
+
+// A package that could not even be listed has no events, so go test's own result must agree
+// with those of its tests either way.
+func TestResultOfGoTestMustAgreeWithItsTests(t *testing.T) {
 	for _, c := range []struct {
-		events string
-		clean  bool
-	}{{"TestA:pass ok", false}, {"TestA:fail FAIL", true}} {
-		v := newVerdictReader([]entry{{testName{"m/p", "TestA"}, "c", "issue 1"}}, new(strings.Builder))
-		if !c.clean {
-			v.list = nil
-		}
-		if err := v.read(strings.NewReader(stream(c.events))); err != nil {
-			t.Fatal(err)
-		}
-		if v.verdict(c.clean) {
-			t.Errorf("%s: passes although go test's own result is %v", c.events, c.clean)
-		}
+		name, list, events string
+		clean              bool
+	}{
+		{name: "go test fails, its tests pass", events: "TestA:pass ok", clean: false},
+		{
+			name:   "go test succeeds, a listed test fails",
+			list:   "m/p TestA | c | issue 1",
+			events: "TestA:fail FAIL",
+			clean:  true,
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if out, passes := judge(t, c.list, stream(c.events), c.clean); passes {
+				t.Errorf("passes: got true, want false\n%s", out)
+			}
+		})
 	}
 }
 
-// What is shown is what go test shows without -json.
-func TestOutputIsReadable(t *testing.T) {
-	const list = "m/p TestA | slow disk | issue 7\n"
-	for _, c := range []struct{ list, events, want string }{
-		{"", "TestA:says TestA:pass ok", "ok  \tm/p\t0.003s\n"},
-		{"", "TestA:says TestA:fail TestB:says TestB:pass FAIL", "    p_test.go:5: TestA speaks\n--- FAIL: TestA (0.00s)\nFAIL\nFAIL\tm/p\t0.003s\n" +
-			"not passed over: m/p TestA failed and is not listed\nFAIL\n"},
-		{list, "TestA:says TestA:fail TestB:says TestB:pass FAIL", "    p_test.go:5: TestA speaks\n--- FAIL: TestA (0.00s)\nFAIL\n" +
-			"known failure: m/p TestA | slow disk | issue 7\nok  \tm/p\t0.003s [known failures passed over]\n"},
-		{"", "TestA:says TestA:open died", "    p_test.go:5: TestA speaks\nFAIL\tm/p\t0.003s\nnot passed over: m/p TestA did not end\nFAIL\n"},
+// The output is that of go test without -json.
+func TestOutputIsThatOfGoTest(t *testing.T) {
+	const (
+		list         = "m/p TestA | slow disk | issue 7\n"
+		failedOutput = "    p_test.go:5: TestA speaks\n--- FAIL: TestA (0.00s)\nFAIL\n"
+	)
+	for _, c := range []struct{ name, list, events, want string }{
+		{
+			name:   "a package that passes",
+			events: "TestA:prints TestA:pass ok",
+			want:   "ok  \tm/p\t0.003s\n",
+		},
+		{
+			name:   "a failure that is not listed",
+			events: "TestA:prints TestA:fail TestB:prints TestB:pass FAIL",
+			want: failedOutput + "FAIL\tm/p\t0.003s\n" +
+				"not passed over: m/p TestA failed and is not listed\n" + "FAIL\n",
+		},
+		{
+			name:   "a listed failure",
+			list:   list,
+			events: "TestA:prints TestA:fail TestB:prints TestB:pass FAIL",
+			want: failedOutput + "known failure: m/p TestA | slow disk | issue 7\n" +
+				"ok  \tm/p\t0.003s [known failures passed over]\n",
+		},
+		{
+			name:   "a test that does not end",
+			events: "TestA:prints TestA:open died",
+			want: "    p_test.go:5: TestA speaks\nFAIL\tm/p\t0.003s\n" +
+				"not passed over: m/p TestA did not end\n" + "FAIL\n",
+		},
 	} {
-		l, err := parseList(c.list)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var out strings.Builder
-		v := newVerdictReader(l, &out)
-		if err := v.read(strings.NewReader("no event\n" + stream(c.events))); err != nil {
-			t.Fatal(err)
-		}
-		v.verdict(strings.HasSuffix(c.events, "ok"))
-		if want := "no event\n" + c.want; out.String() != want {
-			t.Errorf("%s:\n%s\nwant\n%s", c.events, out.String(), want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			out, _ := judge(t, c.list, "no event\n"+stream(c.events), strings.HasSuffix(c.events, "ok"))
+			if want := "no event\n" + c.want; out != want {
+				t.Errorf("output:\n%s\nwant:\n%s", out, want)
+			}
+		})
 	}
 }
 
-func TestLists(t *testing.T) {
+func TestParseList(t *testing.T) {
 	const ok = "m/p TestA | slow disk | issue 7\n"
 	for _, c := range []struct {
 		name, text string
 		entries    int
-		// fault is part of the error, or "".
+		// fault is part of the error, or "" for none.
 		fault string
 	}{
 		{"empty", "", 0, ""},
 		{"comments", "# known\n\n  # more\n", 0, ""},
 		{"one", ok, 1, ""},
 		{"three", ok + "m/p TestB/x_y | c | issue 8\nm/q TestA | c | issue 9", 3, ""},
-		{"four", ok + "m/p TestB | c | issue 8\nm/p TestC | c | issue 8\nm/p TestD | c | issue 8", 0, "4 tests are listed"},
+		{
+			"four",
+			ok + "m/p TestB | c | issue 8\nm/p TestC | c | issue 8\nm/p TestD | c | issue 8",
+			0, "4 tests are listed",
+		},
 		{"twice", ok + ok, 0, "line 2: m/p TestA is listed twice"},
 		{"no issue", "m/p TestA | slow disk\n", 0, "line 1: not of the form"},
 		{"empty issue", "m/p TestA | slow disk |\n", 0, "names no issue"},
@@ -185,12 +361,14 @@
 		{"no test's name", "m/p BenchmarkA | c | issue 7\n", 0, "package and a test"},
 		{"one part more", "m/p TestA | a | b | issue 7\n", 0, "not of the form"},
 	} {
-		list, err := parseList(c.text)
-		switch {
-		case (err != nil) != (c.fault != ""), err != nil && !strings.Contains(err.Error(), c.fault):
-			t.Errorf("%s: %v, want %q", c.name, err, c.fault)
-		case len(list) != c.entries:
-			t.Errorf("%s: %d entries, want %d", c.name, len(list), c.entries)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			list, err := parseList(c.text)
+			switch {
+			case (err != nil) != (c.fault != ""), err != nil && !strings.Contains(err.Error(), c.fault):
+				t.Errorf("error: got %v, want %q", err, c.fault)
+			case len(list) != c.entries:
+				t.Errorf("entries: got %d, want %d", len(list), c.entries)
+			}
+		})
 	}
 }
