--- a/internal/loadtest/cellsload/process.go
+++ b/internal/loadtest/cellsload/process.go
@@ -21,7 +21,7 @@
 	cmd                *exec.Cmd
 	// exited is closed once the process has exited.
 	exited chan struct{}
-	// stopRequested is set when the process is killed or told to stop; an exit without it
+	// stopRequested is set before the process is killed or stopped; an exit without it
 	// counts in unexpectedExits.
 	stopRequested   atomic.Bool
 	unexpectedExits atomic.Int64
