--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 
 	"example.org/ivytrestle/internal/api"
 )
@@ -45,16 +44,6 @@
 	}
 }
 
-// tellFinal tells the owner of a final state before a user hears of it. An owner that has
-// ended keeps no memory that could fall behind the user's, so that is no error.
-func (c *Controller) tellFinal(ctx context.Context, st api.JobState) error {
-	err := c.send(ctx, finalMsg{st})
-	if errors.Is(err, api.ErrUnavailable) {
-		return nil
-	}
-	return err
-}
-
 // hasEnded tells whether Run has returned.
 func (c *Controller) hasEnded() bool {
 	select {
--- /dev/null
+++ b/internal/controller/submissions.go
@@ -0,0 +1,85 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/config"
+	"example.org/ivytrestle/internal/records"
+)
+
+// Submit implements api.Backend.
+func (c *Controller) Submit(ctx context.Context, spec *api.JobSpec) (api.JobState, bool, error) {
+	types := c.types.load()
+	if types == nil {
+		return api.JobState{}, false, api.ErrUnavailable
+	}
+	reason := unschedulableReason(spec, c.Settings.Site.Teams, types)
+	if reason == "" && !records.Fits(spec, c.Settings.Site.State.ValueKB) {
+		// The state service would refuse it each time the user comes back.
+		reason = "more names than a record holds"
+	}
+	if reason != "" {
+		return api.JobState{}, false, &api.UnschedulableError{Reason: reason}
+	}
+	st, created, err := c.records.Accept(ctx, spec, time.Now())
+	var never *records.UnknownDependencyError
+	if errors.As(err, &never) {
+		err = &api.UnschedulableError{Reason: never.Error()}
+	}
+	if err == nil && st.Final() {
+		err = c.tellFinal(ctx, st)
+	}
+	return st, created, err
+}
+
+// unschedulableReason says why a job can never run, or "".
+func unschedulableReason(s *api.JobSpec, teams []config.Team, types map[string]api.MachineType) string {
+	for _, t := range teams {
+		if t.Name != s.Team {
+			continue
+		}
+		if s.CPUs > t.LimitCPUs+epsilon || (s.GPUs > 0 && s.GPUs > t.LimitGPUs+epsilon) {
+			return "a task needs more than the team's limit"
+		}
+		for _, mt := range types {
+			if taskFits(s, mt) {
+				return ""
+			}
+		}
+		return "a task fits no allowed machine type"
+	}
+	return "unknown team"
+}
+
+// taskFits tells whether a task of a job may run on machines of a type, and fits them.
+func taskFits(s *api.JobSpec, t api.MachineType) bool {
+	return typeAllowed(s, t.Name) && zoneAllowed(s, t.Zones) &&
+		s.CPUs <= t.CPUs+epsilon && s.GPUs <= t.GPUs+epsilon && s.MemoryGB <= t.MemoryGB+epsilon
+}
+
+func typeAllowed(s *api.JobSpec, typ string) bool {
+	return s.Types == nil || slices.Contains(s.Types, typ)
+}
+
+func zoneAllowed(s *api.JobSpec, zones []string) bool {
+	if s.Zone == "" {
+		return len(zones) > 0
+	}
+	return slices.Contains(zones, s.Zone)
+}
+
+// Cancel implements api.Backend.
+func (c *Controller) Cancel(ctx context.Context, id string) (api.JobState, error) {
+	st, found, err := c.records.Cancel(ctx, id)
+	if err != nil {
+		return st, err
+	}
+	if !found {
+		return st, api.ErrUnknownJob
+	}
+	return st, c.tellFinal(ctx, st)
+}
