--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -77,9 +77,9 @@
 	// the store.
 	loadAllowance    = 4 * time.Second
 	minProofInterval = 300 * time.Millisecond
-	// startSlack is how late the answer to a round of questions may be before
+	// startAllowance is how late the answer to a round of questions may be before
 	// nothing is started any more.
-	startSlack       = time.Second
+	startAllowance   = time.Second
 	maxProofInterval = 2 * time.Second
 )
 
@@ -126,7 +126,7 @@
 	if !lt.hasLeaseQuorum(now) {
 		return false
 	}
-	if now.Sub(lt.cancellationsKnownAt(now)) <= lt.c.proofInterval()+startSlack {
+	if now.Sub(lt.cancellationsKnownAt(now)) <= lt.c.proofInterval()+startAllowance {
 		return true
 	}
 	for _, mb := range lt.c.membership.members {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -77,7 +77,7 @@
 	ended        chan struct{}
 	stepDowns    chan uint64
 	resignations chan election.Resignation
-	types        typesCell
+	types        machineTypeCache
 	// unready tells the health checks that users are better served elsewhere.
 	unready atomic.Bool
 
@@ -97,18 +97,18 @@
 	// draining is set once the process is about to end.
 	draining bool
 	// reads are the reads of the store that users wait for, by job.
-	reads map[string]*readRound
+	reads map[string]*lookupRound
 }
 
 // message is what the owner goroutine is sent.
 type message interface{ apply(c *Controller) }
 
-// finalsKept is how many final states a node keeps in memory.
-const finalsKept = 8192
+// maxFinalStates is how many final states a node keeps in memory.
+const maxFinalStates = 8192
 
 // New makes a controller.
 func New(cfg Config) *Controller {
-	final, err := lru.New[string, api.JobState](finalsKept)
+	final, err := lru.New[string, api.JobState](maxFinalStates)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
@@ -119,33 +119,33 @@
 		Config: cfg, records: records.NewRecords(cfg.UserStore, cfg.Settings.Site.State),
 		mailbox: make(chan message, 256), ended: make(chan struct{}), stepDowns: make(chan uint64, 4), resignations: make(chan election.Resignation, 4), final: final,
 		redirectedAt: map[string]time.Time{}, redirects: map[string]redirect{}, uplink: newRelayUp(cfg.Settings.Site.Limits),
-		reads: map[string]*readRound{}, cancellations: cancellation.NewLog(cfg.Settings.Site.Workers, cfg.Settings.Site.Limits, time.Now()), membership: newMembership(cfg.Settings.Peers, time.Now()),
+		reads: map[string]*lookupRound{}, cancellations: cancellation.NewLog(cfg.Settings.Site.Workers, cfg.Settings.Site.Limits, time.Now()), membership: newMembership(cfg.Settings.Peers, time.Now()),
 	}
 }
 
 // A leader looks at what waits every tickInterval; a node that follows has
 // nothing that cannot wait longer, and each look wakes the process.
 const (
-	tickInterval   = 100 * time.Millisecond
-	followInterval = 500 * time.Millisecond
+	tickInterval         = 100 * time.Millisecond
+	followerTickInterval = 500 * time.Millisecond
 )
 
 // resetTicker sets the ticker for what the node is now.
-func (c *Controller) resetTicker(tick *time.Ticker, was time.Duration) time.Duration {
-	want := followInterval
+func (c *Controller) resetTicker(tick *time.Ticker, current time.Duration) time.Duration {
+	interval := followerTickInterval
 	if c.leaderTerm != nil {
-		want = tickInterval
+		interval = tickInterval
 	}
-	if want != was {
-		tick.Reset(want)
+	if interval != current {
+		tick.Reset(interval)
 	}
-	return want
+	return interval
 }
 
 // Run owns the state until the context ends. It may be called once.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.ended)
-	go c.refreshTypes(ctx)
+	go c.refreshMachineTypesLoop(ctx)
 	go c.kvHealthLoop(ctx)
 	if c.Peers != nil {
 		for _, p := range c.Settings.Peers {
@@ -153,9 +153,9 @@
 		}
 	}
 	c.failover.run(ctx, c)
-	tick := time.NewTicker(followInterval)
+	tick := time.NewTicker(followerTickInterval)
 	defer tick.Stop()
-	interval := followInterval
+	interval := followerTickInterval
 	for {
 		interval = c.resetTicker(tick, interval)
 		select {
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -78,7 +78,7 @@
 // tick looks, on a node that does not lead, whether the leader is to be replaced.
 func (f *failover) tick(c *Controller, now time.Time) {
 	mb := c.membership.members[c.leader]
-	if f.voter == nil || f.busy || mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.failedPings < unreachedAfter || !c.membership.kvReachable || now.Before(f.nextAttempt) {
+	if f.voter == nil || f.busy || mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.failedPings < unreachablePings || !c.membership.kvReachable || now.Before(f.nextAttempt) {
 		return
 	}
 	var others []string
@@ -115,8 +115,8 @@
 	for range others {
 		if wait := <-waits; wait != noPromise {
 			m.promises++
-			if until := sentAt.Add(voteTimeout + wait); until.After(m.until) {
-				m.until = until
+			if until := sentAt.Add(voteTimeout + wait); until.After(m.votesExpireAt) {
+				m.votesExpireAt = until
 			}
 		}
 	}
@@ -129,24 +129,24 @@
 // promisesCollectedMsg brings what others have promised, and until when what they have granted may
 // be valid.
 type promisesCollectedMsg struct {
-	leader   string
-	term     uint64
-	promises int
-	until    time.Time
+	leader        string
+	term          uint64
+	promises      int
+	votesExpireAt time.Time
 }
 
 func (m promisesCollectedMsg) apply(c *Controller) {
 	f, now := &c.failover, time.Now()
 	mb := c.membership.members[m.leader]
-	if m.promises+1 < leasequorum.RequiredPromises(len(c.Settings.Peers)+1) || c.leader != m.leader || c.leaderTerm != nil || mb.failedPings < unreachedAfter || mb.Term != m.term {
+	if m.promises+1 < leasequorum.RequiredPromises(len(c.Settings.Peers)+1) || c.leader != m.leader || c.leaderTerm != nil || mb.failedPings < unreachablePings || mb.Term != m.term {
 		f.busy, f.nextAttempt = false, now.Add(failoverRetryInterval)
 		return
 	}
-	if own := now.Add(f.voter.Promise(m.term, now)); own.After(m.until) {
-		m.until = own
+	if own := now.Add(f.voter.Promise(m.term, now)); own.After(m.votesExpireAt) {
+		m.votesExpireAt = own
 	}
-	c.Log.Info("leader to be replaced", "leader", m.leader, "term", m.term, "in", m.until.Sub(now).Round(time.Millisecond))
-	time.AfterFunc(m.until.Sub(now), func() { c.send(context.Background(), leaseRevokedMsg{m.leader, m.term}) })
+	c.Log.Info("leader to be replaced", "leader", m.leader, "term", m.term, "in", m.votesExpireAt.Sub(now).Round(time.Millisecond))
+	time.AfterFunc(m.votesExpireAt.Sub(now), func() { c.send(context.Background(), leaseRevokedMsg{m.leader, m.term}) })
 }
 
 // leaseRevokedMsg says that a leader may decide nothing any more in its term.
--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -200,7 +200,7 @@
 		return true
 	}
 	since := now.Sub(d.at)
-	if settled && since > 2*redirectRetryInterval || since > immediateReturn && since < redirectReturnWindow {
+	if settled && since > 2*redirectRetryInterval || since > minRedirectReturn && since < redirectReturnWindow {
 		d.at, d.forwardUntil = now, now.Add(redirectRetryInterval)
 		c.redirects[strings.Clone(machine)] = d
 		return true
@@ -227,7 +227,7 @@
 	// A machine that comes again at once was refused by the leader, or is a
 	// copy that comes late; one that waits for the leader in vain gives up
 	// after a few seconds, and may ask the third node first.
-	immediateReturn      = time.Second
+	minRedirectReturn    = time.Second
 	redirectReturnWindow = 15 * time.Second
 	maxRedirects         = 10_000
 )
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -111,14 +111,14 @@
 
 func newLeaderTerm(c *Controller, term election.Term, until time.Time) *leaderTerm {
 	ctx, cancel := context.WithCancel(context.Background())
-	returned, err := lru.New[string, bool](c.Settings.Site.Limits.Entries(terminatedMemory, terminatedBytes))
+	terminated, err := lru.New[string, bool](c.Settings.Site.Limits.Entries(terminatedMemory, terminatedBytes))
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
 	lt := &leaderTerm{
 		c: c, ctx: ctx, cancel: cancel, term: term, leaseExpiry: until, startedAt: time.Now(),
 		jobs: map[string]*job{}, teams: map[string]*queue.Team[*job]{},
-		machines: map[string]*machine{}, provisioning: map[string]*provisioning{}, terminated: returned,
+		machines: map[string]*machine{}, provisioning: map[string]*provisioning{}, terminated: terminated,
 	}
 	lt.downlink.nodes = map[string]*relayNode{}
 	lt.renewalRevisions = map[string]uint64{}
@@ -152,7 +152,7 @@
 			}
 		}
 	}
-	go lt.load()
+	go lt.loadLoop()
 	return lt
 }
 
@@ -203,7 +203,7 @@
 	if !lt.loaded || !lt.c.holdsLease() {
 		return
 	}
-	lt.readIndex.start()
+	lt.readIndex.startRound()
 	lt.recordWriter.writeBatch(now)
 	if lt.checkLeaseQuorum(now); lt.c.leaderTerm != lt {
 		return
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -81,8 +81,8 @@
 	return term == lr.term || (term < lr.term && lr.activeJobs != nil && now.Sub(lr.verifiedAt) < recentlyVerified)
 }
 
-// verify processes the leader's answer to a ping.
-func (lr *leaseRenewer) verify(leader string, term uint64, at time.Time) {
+// reset processes the leader's answer to a ping.
+func (lr *leaseRenewer) reset(leader string, term uint64, at time.Time) {
 	*lr = leaseRenewer{leader: leader, term: term, verifiedAt: at}
 }
 
@@ -94,7 +94,7 @@
 		return
 	}
 	a, err := await(ctx, c, ask.reply)
-	if err != nil || a.leader != node || c.send(ctx, leaderAwayMsg{node}) != nil {
+	if err != nil || a.leader != node || c.send(ctx, leaderUnreachableMsg{node}) != nil {
 		return
 	}
 	m, err := c.verifyTerm(ctx, a)
@@ -240,10 +240,10 @@
 	m.reply <- a
 }
 
-// leaderAwayMsg says that the leader cannot be reached.
-type leaderAwayMsg struct{ leader string }
+// leaderUnreachableMsg says that the leader cannot be reached.
+type leaderUnreachableMsg struct{ leader string }
 
-func (m leaderAwayMsg) apply(c *Controller) {
+func (m leaderUnreachableMsg) apply(c *Controller) {
 	lr := &c.leaseRenewer
 	if lr.leader == m.leader && !lr.leaderAway {
 		c.Log.Info("leader not reached, keeping its machines alive", "leader", m.leader, "term", lr.term)
--- a/internal/controller/leasevotes.go
+++ b/internal/controller/leasevotes.go
@@ -44,14 +44,14 @@
 
 // voteGrantedMsg brings another node's grant.
 type voteGrantedMsg struct {
-	node  string
-	term  uint64
-	asked time.Time
+	node   string
+	term   uint64
+	sentAt time.Time
 }
 
 func (m voteGrantedMsg) apply(c *Controller) {
 	if lt := c.leaderTerm; lt != nil && lt.term.Number == m.term {
-		lt.votes.Add(m.node, m.asked)
+		lt.votes.Add(m.node, m.sentAt)
 	}
 }
 
--- a/internal/controller/machinetypes.go
+++ b/internal/controller/machinetypes.go
@@ -12,20 +12,20 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// typesCell holds the machine types. They are replaced whole, so that the
+// machineTypeCache holds the machine types. They are replaced whole, so that the
 // handlers read them without asking the owner.
-type typesCell struct {
+type machineTypeCache struct {
 	byName atomic.Pointer[map[string]api.MachineType]
 }
 
-func (t *typesCell) load() map[string]api.MachineType {
+func (t *machineTypeCache) load() map[string]api.MachineType {
 	if p := t.byName.Load(); p != nil {
 		return *p
 	}
 	return nil
 }
 
-func (t *typesCell) set(types []api.MachineType) {
+func (t *machineTypeCache) set(types []api.MachineType) {
 	m := make(map[string]api.MachineType, len(types))
 	for _, mt := range types {
 		m[mt.Name] = mt
@@ -33,28 +33,28 @@
 	t.byName.Store(&m)
 }
 
-// typesLife is how long the machine types are used before they are read again.
-const typesLife = time.Minute
+// machineTypesTTL is how long the machine types are used before they are read again.
+const machineTypesTTL = time.Minute
 
-// refreshTypes keeps the machine types known: from the cloud, or while that
+// refreshMachineTypesLoop keeps the machine types known: from the cloud, or while that
 // does not answer from what some node stored.
-func (c *Controller) refreshTypes(ctx context.Context) {
+func (c *Controller) refreshMachineTypesLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		cctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		types, err := c.Cloud.Types(cctx)
 		cancel()
-		wait := typesLife
+		wait := machineTypesTTL
 		if err != nil {
 			c.Log.Debug("machine types not read", "err", err)
 			wait = time.Second
 			if c.types.load() == nil {
-				c.storedTypes(ctx)
+				c.loadStoredMachineTypes(ctx)
 			}
 		} else {
 			first := c.types.load() == nil
 			c.types.set(types)
 			if first {
-				c.storeTypes(ctx, types)
+				c.storeMachineTypes(ctx, types)
 			}
 		}
 		select {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (c *Controller) storedTypes(ctx context.Context) {
+func (c *Controller) loadStoredMachineTypes(ctx context.Context) {
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	e, err := c.Store.Get(cctx, records.MachineTypesKey)
@@ -79,7 +79,7 @@
 	c.types.set(types)
 }
 
-func (c *Controller) storeTypes(ctx context.Context, types []api.MachineType) {
+func (c *Controller) storeMachineTypes(ctx context.Context, types []api.MachineType) {
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	// Versions read one record, and a list with types missing would have jobs
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -67,10 +67,10 @@
 const (
 	pingInterval = time.Second
 	pingTimeout  = 800 * time.Millisecond
-	// unreachedAfter is how many pings in a row must fail.
-	unreachedAfter  = 2
-	kvCheckInterval = 1500 * time.Millisecond
-	kvCheckTimeout  = 1200 * time.Millisecond
+	// unreachablePings is how many pings in a row must fail.
+	unreachablePings = 2
+	kvCheckInterval  = 1500 * time.Millisecond
+	kvCheckTimeout   = 1200 * time.Millisecond
 	// kvUnreachableAfter is how long the service must not answer this node before
 	// it takes itself for shut out, and kvHealthyAfter how long it must have
 	// answered another one, so that neither the beginning nor the end of an
@@ -85,7 +85,7 @@
 }
 
 // isUnreachable tells whether the node has not answered for a while.
-func (mb *member) isUnreachable() bool { return mb != nil && mb.failedPings > unreachedAfter }
+func (mb *member) isUnreachable() bool { return mb != nil && mb.failedPings > unreachablePings }
 
 // currentLeader names the node that leads, as far as known here.
 func (c *Controller) currentLeader(now time.Time) string {
@@ -151,7 +151,7 @@
 		if err == nil {
 			from = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancellations.LastNumber()}
 		}
-		if failed >= unreachedAfter {
+		if failed >= unreachablePings {
 			c.renewOnBehalfLoop(ctx, node)
 		}
 		sleep(ctx, pingInterval)
@@ -198,7 +198,7 @@
 		if w := c.Settings.Site.Workers; m.status.CancellationsKnownAge < 0 || m.status.Term > 1 && now.Sub(mb.termSeenAt) < w.Lease()+2*w.HeartbeatInterval() {
 			known = time.Time{}
 		}
-		c.leaseRenewer.verify(m.node, m.status.Term, known)
+		c.leaseRenewer.reset(m.node, m.status.Term, known)
 	}
 }
 
@@ -247,15 +247,15 @@
 
 // LeaderResigned handles the notice that a leader has stopped acting.
 func (c *Controller) LeaderResigned(ctx context.Context, node string, term uint64) error {
-	return c.send(ctx, leaderResignedMsg{node, term})
+	return c.send(ctx, resignationMsg{node, term})
 }
 
-type leaderResignedMsg struct {
+type resignationMsg struct {
 	node string
 	term uint64
 }
 
-func (m leaderResignedMsg) apply(c *Controller) {
+func (m resignationMsg) apply(c *Controller) {
 	c.Log.Info("leader has resigned", "leader", m.node, "term", m.term)
 	select {
 	case c.resignations <- election.Resignation{Node: m.node, Term: m.term}:
--- a/internal/controller/pauses.go
+++ b/internal/controller/pauses.go
@@ -5,10 +5,10 @@
 )
 
 // A tick that comes pauseThreshold late shows that this process was held up, and one
-// that comes longPauseTicks late that it cannot have heard its machines.
+// that comes longPauseThreshold late that it cannot have heard its machines.
 const (
-	pauseThreshold = 400 * time.Millisecond
-	longPauseTicks = 2 * time.Second
+	pauseThreshold     = 400 * time.Millisecond
+	longPauseThreshold = 2 * time.Second
 )
 
 // commandsUndelivered notices that this node could not hear its machines for a while: it may
@@ -25,7 +25,7 @@
 		return false
 	}
 	lt.lastPause = now
-	lost := gap >= longPauseTicks
+	lost := gap >= longPauseThreshold
 	if lost {
 		lt.heartbeatsSince = now
 	}
--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -24,7 +24,7 @@
 		return r.state, r.err
 	}
 	if r.leader != "" && c.Peers != nil {
-		if st, err := c.askPeer(ctx, r.leader, id); err == nil || errors.Is(err, api.ErrUnknownJob) {
+		if st, err := c.queryPeer(ctx, r.leader, id); err == nil || errors.Is(err, api.ErrUnknownJob) {
 			return st, err
 		}
 	}
@@ -39,20 +39,20 @@
 		err = lerr
 	}
 	for _, node := range r.otherNodes {
-		if st, err := c.askPeer(ctx, node, id); err == nil || errors.Is(err, api.ErrUnknownJob) {
+		if st, err := c.queryPeer(ctx, node, id); err == nil || errors.Is(err, api.ErrUnknownJob) {
 			return st, err
 		}
 	}
 	return api.JobState{}, err
 }
 
-// askPeer asks another node about a job.
-func (c *Controller) askPeer(ctx context.Context, node, id string) (api.JobState, error) {
+// queryPeer asks another node about a job.
+func (c *Controller) queryPeer(ctx context.Context, node, id string) (api.JobState, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
 	st, err := c.Peers.Job(ctx, node, id)
 	if err == nil && st.Final() {
-		return st, c.tellFinal(ctx, st)
+		return st, c.publishFinalState(ctx, st)
 	}
 	return st, err
 }
@@ -129,8 +129,8 @@
 	return j != nil && j.guest == nil
 }
 
-// jobState is what the leader's memory says of a job.
-func (lt *leaderTerm) jobState(id string) pollReply {
+// pollReplyFor is what the leader's memory says of a job.
+func (lt *leaderTerm) pollReplyFor(id string) pollReply {
 	if st, ok := lt.c.final.Get(id); ok {
 		return pollReply{state: st, answered: true}
 	}
--- a/internal/controller/readindex.go
+++ b/internal/controller/readindex.go
@@ -25,10 +25,10 @@
 
 func (ri *readIndexer) enqueue(m *pollMsg) {
 	ri.waiting = append(ri.waiting, m)
-	ri.start()
+	ri.startRound()
 }
 
-func (ri *readIndexer) start() {
+func (ri *readIndexer) startRound() {
 	if ri.busy || (len(ri.waiting) == 0 && time.Since(ri.lastStarted) < ri.leaderTerm.c.proofInterval()) {
 		return
 	}
@@ -67,7 +67,7 @@
 	case m.res.Succeeded:
 		m.leaderTerm.cancellationsConfirmedAt = m.sent
 		for _, p := range m.batch {
-			p.reply <- m.leaderTerm.jobState(p.id)
+			p.reply <- m.leaderTerm.pollReplyFor(p.id)
 		}
 	case m.leaderTerm.checkTermConflict(m.res):
 		for _, p := range m.batch {
@@ -94,6 +94,6 @@
 func (m readIndexRetryMsg) apply(c *Controller) {
 	if c.leaderTerm == m.leaderTerm {
 		m.leaderTerm.readIndex.busy = false
-		m.leaderTerm.readIndex.start()
+		m.leaderTerm.readIndex.startRound()
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -73,11 +73,11 @@
 	firstStart, recorded *hdrhistogram.Histogram
 }
 
-// longestLatency bounds the histograms.
-const longestLatency = 10 * time.Minute
+// maxLatency bounds the histograms.
+const maxLatency = 10 * time.Minute
 
 func newCounters() counters {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestLatency.Milliseconds(), 2) }
+	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency.Milliseconds(), 2) }
 	return counters{firstStart: h(), recorded: h()}
 }
 
@@ -87,7 +87,7 @@
 	_ = h.RecordValue(min(max(d.Milliseconds(), 1), h.HighestTrackableValue()))
 }
 
-func latency(h *hdrhistogram.Histogram) Latency {
+func summarizeLatency(h *hdrhistogram.Histogram) Latency {
 	return Latency{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.Max()}
 }
 
@@ -117,7 +117,7 @@
 func (lt *leaderTerm) status(now time.Time) *LeaderStatus {
 	s := &LeaderStatus{Term: lt.term.Number, ValidS: max(0, lt.leaseExpiry.Sub(now).Seconds()), Machines: len(lt.machines),
 		Unfenced: lt.unfenced, Booting: len(lt.provisioning), Started: lt.counts.started, Lost: lt.counts.lost,
-		Done: lt.counts.done, FirstStart: latency(lt.counts.firstStart), Recorded: latency(lt.counts.recorded)}
+		Done: lt.counts.done, FirstStart: summarizeLatency(lt.counts.firstStart), Recorded: summarizeLatency(lt.counts.recorded)}
 	s.Waits, _ = lt.pendingReasons(now)
 	s.Cells = lt.loans.status(now)
 	if lt.c.Standby != nil {
--- a/internal/controller/storedjobs.go
+++ b/internal/controller/storedjobs.go
@@ -14,7 +14,7 @@
 }
 
 func (c *Controller) lookup(ctx context.Context, id string) (api.JobState, error) {
-	m := readMsg{id, make(chan readReply, 1)}
+	m := lookupMsg{id, make(chan lookupReply, 1)}
 	if err := c.send(ctx, m); err != nil {
 		return api.JobState{}, err
 	}
@@ -23,70 +23,70 @@
 		return api.JobState{}, err
 	}
 	if r.err == nil && !r.found {
-		return r.st, api.ErrUnknownJob
+		return r.state, api.ErrUnknownJob
 	}
-	return r.st, r.err
+	return r.state, r.err
 }
 
-// readMsg asks what the store has of a job. Users who ask again and again, at all
+// lookupMsg asks what the store has of a job. Users who ask again and again, at all
 // nodes, would use up the request budget that submissions share: one read serves
 // all who asked before it began, and those who ask meanwhile share the next. None
 // gets an answer that is older than its question.
-type readMsg struct {
+type lookupMsg struct {
 	id    string
-	reply chan readReply
+	reply chan lookupReply
 }
 
-type readReply struct {
-	st    api.JobState
+type lookupReply struct {
+	state api.JobState
 	found bool
 	err   error
 }
 
-// readRound is one read, and who waits for it and for the next.
-type readRound struct{ now, next []chan readReply }
+// lookupRound is one read, and who waits for it and for the next.
+type lookupRound struct{ current, next []chan lookupReply }
 
-// readLife bounds one shared read.
-const readLife = time.Second
+// lookupTimeout bounds one shared read.
+const lookupTimeout = time.Second
 
-func (m readMsg) apply(c *Controller) {
+func (m lookupMsg) apply(c *Controller) {
 	if r := c.reads[m.id]; r != nil {
 		r.next = append(r.next, m.reply)
 		return
 	}
-	c.reads[m.id] = &readRound{now: []chan readReply{m.reply}}
-	c.read(m.id)
+	c.reads[m.id] = &lookupRound{current: []chan lookupReply{m.reply}}
+	c.startLookup(m.id)
 }
 
-func (c *Controller) read(id string) {
+func (c *Controller) startLookup(id string) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), readLife)
+		ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 		defer cancel()
-		var r readReply
-		r.st, r.found, r.err = c.records.Lookup(ctx, id)
-		c.send(context.Background(), readDoneMsg{id, r})
+		var r lookupReply
+		r.state, r.found, r.err = c.records.Lookup(ctx, id)
+		c.send(context.Background(), lookupDoneMsg{id, r})
 	}()
 }
 
-type readDoneMsg struct {
+type lookupDoneMsg struct {
 	id    string
-	reply readReply
+	reply lookupReply
 }
 
-func (m readDoneMsg) apply(c *Controller) {
-	if m.reply.err == nil && m.reply.found && m.reply.st.Final() {
-		finalMsg{m.reply.st}.apply(c)
+func (m lookupDoneMsg) apply(c *Controller) {
+	if m.reply.err == nil && m.reply.found && m.reply.state.Final() {
+		finalMsg{m.reply.state}.apply(c)
 	}
 	round := c.reads[m.id]
-	for _, reply := range round.now {
+	for _, reply := range round.current {
 		reply <- m.reply
 	}
 	if len(round.next) == 0 {
 		delete(c.reads, m.id)
 		return
 	}
-	round.now, round.next = round.next, nil
-	c.read(m.id)
+	round.current, round.next = round.next, nil
+	c.startLookup(m.id)
 }
 
 // finalMsg tells the owner of a final state.
@@ -110,9 +110,9 @@
 	c.final.Add(m.st.ID, m.st)
 }
 
-// tellFinal tells the owner of a final state before a user hears of it. An owner that has
+// publishFinalState tells the owner of a final state before a user hears of it. An owner that has
 // ended keeps no memory that could fall behind the user's, so that is no error.
-func (c *Controller) tellFinal(ctx context.Context, st api.JobState) error {
+func (c *Controller) publishFinalState(ctx context.Context, st api.JobState) error {
 	err := c.send(ctx, finalMsg{st})
 	if errors.Is(err, api.ErrUnavailable) {
 		return nil
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -31,7 +31,7 @@
 		err = &api.UnschedulableError{Reason: never.Error()}
 	}
 	if err == nil && st.Final() {
-		err = c.tellFinal(ctx, st)
+		err = c.publishFinalState(ctx, st)
 	}
 	return st, created, err
 }
@@ -81,5 +81,5 @@
 	if !found {
 		return st, api.ErrUnknownJob
 	}
-	return st, c.tellFinal(ctx, st)
+	return st, c.publishFinalState(ctx, st)
 }
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -22,13 +22,13 @@
 	loans          []kv.Entry
 }
 
-// load reads the store until it succeeds.
-func (lt *leaderTerm) load() {
+// loadLoop reads the store until it succeeds.
+func (lt *leaderTerm) loadLoop() {
 	for lt.ctx.Err() == nil {
-		snap, err := lt.read()
+		snap, err := lt.readSnapshot()
 		if err == nil {
-			lt.sendToOwner(loadedMsg{lt, snap})
-			lt.watch(snap.revision)
+			lt.sendToOwner(snapshotLoadedMsg{lt, snap})
+			lt.watchActiveJobs(snap.revision)
 			return
 		}
 		lt.c.Log.Debug("takeover: read", "err", err)
@@ -36,21 +36,21 @@
 	}
 }
 
-func (lt *leaderTerm) read() (*snapshot, error) {
+func (lt *leaderTerm) readSnapshot() (*snapshot, error) {
 	s := snapshot{readAt: time.Now()}
 	var err error
 	// The active jobs come first: their revision is where the watch begins.
-	if s.active, s.revision, err = lt.readAll(records.ActivePrefix); err != nil {
+	if s.active, s.revision, err = lt.rangeAll(records.ActivePrefix); err != nil {
 		return nil, err
 	}
-	if s.completions, _, err = lt.readAll(records.CompletionPrefix); err != nil {
+	if s.completions, _, err = lt.rangeAll(records.CompletionPrefix); err != nil {
 		return nil, err
 	}
-	if s.machines, _, err = lt.readAll(records.MachinePrefix); err != nil {
+	if s.machines, _, err = lt.rangeAll(records.MachinePrefix); err != nil {
 		return nil, err
 	}
 	if lt.c.Cells != nil {
-		if s.loans, _, err = lt.readAll(loan.Prefix); err != nil {
+		if s.loans, _, err = lt.rangeAll(loan.Prefix); err != nil {
 			return nil, err
 		}
 	}
@@ -64,7 +64,7 @@
 	return &s, nil
 }
 
-func (lt *leaderTerm) readAll(prefix string) (rows []kv.Entry, revision uint64, err error) {
+func (lt *leaderTerm) rangeAll(prefix string) (entries []kv.Entry, revision uint64, err error) {
 	from := ""
 	for {
 		ctx, cancel := context.WithTimeout(lt.ctx, 3*time.Second)
@@ -76,20 +76,20 @@
 		if revision == 0 {
 			revision = p.Revision
 		}
-		rows = append(rows, p.Entries...)
+		entries = append(entries, p.Entries...)
 		if !p.More || len(p.Entries) == 0 {
-			return rows, revision, nil
+			return entries, revision, nil
 		}
 		from = p.Entries[len(p.Entries)-1].Key
 	}
 }
 
-type loadedMsg struct {
+type snapshotLoadedMsg struct {
 	leaderTerm *leaderTerm
 	snapshot   *snapshot
 }
 
-func (m loadedMsg) apply(c *Controller) {
+func (m snapshotLoadedMsg) apply(c *Controller) {
 	lt := m.leaderTerm
 	if c.leaderTerm != lt {
 		return
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -18,8 +18,8 @@
 	watchTimeout = 5500 * time.Millisecond
 )
 
-// watch follows the active jobs from a revision on.
-func (lt *leaderTerm) watch(from uint64) {
+// watchActiveJobs follows the active jobs from a revision on.
+func (lt *leaderTerm) watchActiveJobs(from uint64) {
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, watchTimeout)
 		ch, err := lt.c.Store.Watch(ctx, records.ActivePrefix, from, watchBlock)
