--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -15,8 +15,8 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// leaderTerm is everything a node knows as leader of one term. It is dropped whole
-// when the term is over, so nothing of one term reaches into another.
+// leaderTerm is all state of a leader in one term. It is dropped as a whole when the term ends,
+// so that no state of one term reaches into another.
 type leaderTerm struct {
 	c           *Controller
 	ctx         context.Context
@@ -25,39 +25,41 @@
 	leaseExpiry time.Time
 	startedAt   time.Time
 
+	// loaded is set once the records of the store are in memory.
 	loaded bool
-	// cancellationsConfirmedAt is when the store was last asked that has answered that all
-	// cancellations were known.
+	// cancellationsConfirmedAt is when the last request was sent by whose response the store
+	// confirmed that all cancellations were known here.
 	cancellationsConfirmedAt time.Time
-	cancelRevision           uint64
-	attemptCount             uint32
+	// cancelRevision is the last known version of the cancel key.
+	cancelRevision uint64
+	attemptCount   uint32
 
 	jobs           map[string]*job
 	teams          map[string]*queue.Team[*job]
 	fairShareOrder []*queue.Team[*job]
 	machines       map[string]*machine
-	// provisioning are machines that were rented or listed but have not reported.
+	// provisioning are machines that were launched or listed but have sent no heartbeat.
 	provisioning map[string]*provisioning
-	// terminated remembers machines that are gone, whose reports may still
-	// arrive.
+	// terminated are the names of terminated machines, whose heartbeats may still arrive.
 	terminated *lru.Cache[string, bool]
 
-	// unfenced are the machines on the roster that may still carry out orders
-	// of earlier terms.
+	// unfenced is the number of machines in the registry that may still apply commands of
+	// earlier terms.
 	unfenced     int
 	unfencedCPUs float64
 	unfencedGPUs float64
-	// unattributedCPUs is the whole capacity of machines that hold tasks of jobs
-	// that are over: whose team they count for is not known.
+	// unattributedCPUs is the whole capacity of machines that hold tasks of jobs that have
+	// ended: against which team's quota they count is not known.
 	unattributedCPUs float64
 
 	readIndex    readIndexer
 	dependencies dependencyGraph
-	// dependencyLists are the records that list awaited jobs.
+	// dependencyLists are the records that list the jobs that others depend on.
 	dependencyLists dependencyLists
 	loans           loans
-	// votes are what the other nodes let this one decide by, and bound is set once it
-	// decides only with enough of them; ungranted is since when it lacks them.
+	// votes are the votes of the other nodes, nil without failover. Once quorumRequired is
+	// set, the leader acts only while it has enough of them; quorumLostAt is since when it
+	// does not.
 	votes          *leasequorum.VoteSet
 	quorumRequired bool
 	quorumLostAt   time.Time
@@ -65,19 +67,19 @@
 	recordWriter   recordWriter
 	autoscaler     autoscaler
 	counts         counters
-	// dispatchUntil is until when free machines are looked for that could be
-	// given work directly; ordering is to how many such orders are on the way.
+	// dispatchUntil is until when the leader searches for free machines that direct commands
+	// could give work; commandsInFlight is how many such commands await a response.
 	dispatchUntil    time.Time
 	commandsInFlight int
-	// directFailures is how many direct orders in a row have failed, and
-	// nextDirectCommand from when on the next may be sent.
+	// directFailures is how many direct commands in a row have failed, and
+	// nextDirectCommand the earliest time of the next one.
 	directFailures    int
 	nextDirectCommand time.Time
-	// startWithin is within what time work within a guarantee should start.
+	// startWithin is the objective for the start of work within a guarantee.
 	startWithin time.Duration
-	// grace is how long what waits is left to better machines.
+	// grace is how long pending tasks are left to machines that suit them better.
 	grace time.Duration
-	// imageLocations are the CPUs of open machines by the images that they have.
+	// imageLocations are the CPUs of schedulable machines by the images that they have.
 	imageLocations map[string]float64
 	// maxFetches is how many images a machine may fetch at the same time now.
 	maxFetches int
@@ -87,45 +89,55 @@
 	nextUsageLog   time.Time
 	nextPendingLog time.Time
 	lastTick       time.Time
-	// heartbeatsSince is since when this node can hear its machines.
+	// heartbeatsSince is since when heartbeats reach this node as leader.
 	heartbeatsSince time.Time
-	// lastPause is when it last noticed that it was late.
+	// lastPause is when the last process pause was detected.
 	lastPause time.Time
 	probing   int
-	// maxDials bounds each of probing, resyncing and ordering.
+	// maxDials is the limit of each of probing, resyncing and commandsInFlight.
 	maxDials int
 	// toResync are the machines that a new leader has yet to resync.
 	toResync  []*machine
 	resyncing int
-	// Whose leases other nodes extend was last read at renewalsReadAt, at renewalRevisions.
+	// renewalsReadAt is when the leader last read which machines' leases other nodes renew,
+	// and renewalRevisions are the versions of those records then.
 	renewalsReadAt   time.Time
 	renewalRevisions map[string]uint64
 }
 
-// terminatedMemory is the part of the memory that the names of machines that are gone
-// may take, and terminatedBytes about what one of them takes.
+// terminatedMemory is the fraction of the memory that the names of terminated machines may
+// take, and terminatedBytes about the size of one of them.
 const (
 	terminatedMemory = 1.0 / 32
 	terminatedBytes  = 256
 )
 
-func newLeaderTerm(c *Controller, term election.Term, until time.Time) *leaderTerm {
+// newLeaderTerm starts a term, and the load of its records from the store.
+func newLeaderTerm(c *Controller, term election.Term, leaseExpiry time.Time) *leaderTerm {
 	ctx, cancel := context.WithCancel(context.Background())
 	terminated, err := lru.New[string, bool](c.Settings.Site.Limits.Entries(terminatedMemory, terminatedBytes))
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
 	lt := &leaderTerm{
-		c: c, ctx: ctx, cancel: cancel, term: term, leaseExpiry: until, startedAt: time.Now(),
-		jobs: map[string]*job{}, teams: map[string]*queue.Team[*job]{},
-		machines: map[string]*machine{}, provisioning: map[string]*provisioning{}, terminated: terminated,
+		c:                c,
+		ctx:              ctx,
+		cancel:           cancel,
+		term:             term,
+		leaseExpiry:      leaseExpiry,
+		startedAt:        time.Now(),
+		jobs:             map[string]*job{},
+		teams:            map[string]*queue.Team[*job]{},
+		machines:         map[string]*machine{},
+		provisioning:     map[string]*provisioning{},
+		terminated:       terminated,
+		downlink:         relayDownlink{nodes: map[string]*relayNode{}},
+		renewalRevisions: map[string]uint64{},
+		imageLocations:   map[string]float64{},
+		counts:           newCounters(),
+		maxFetches:       unlimitedFetches,
+		maxDials:         maxConcurrentDials(c.Settings.Site.Limits.FDLimit),
 	}
-	lt.downlink.nodes = map[string]*relayNode{}
-	lt.renewalRevisions = map[string]uint64{}
-	lt.imageLocations = map[string]float64{}
-	lt.counts = newCounters()
-	lt.maxFetches = unlimitedFetches
-	lt.maxDials = maxConcurrentDials(c.Settings.Site.Limits.FDLimit)
 	lt.readIndex.leaderTerm = lt
 	lt.recordWriter.init(lt)
 	lt.dependencies.init(lt)
@@ -135,27 +147,47 @@
 	if c.Standby != nil {
 		lt.votes = leasequorum.NewVoteSet(c.Standby.VoteLifetime())
 	}
-	for _, t := range c.Settings.Site.Teams {
-		q := &queue.Team[*job]{Name: t.Name, CPUs: t.CPUs, LimitCPUs: t.LimitCPUs, GPUs: t.GPUs, LimitGPUs: t.LimitGPUs,
-			Share: c.Policy.Share(t.Name, max(t.CPUs, t.GPUs, 1))}
-		lt.teams[t.Name] = q
-		lt.fairShareOrder = append(lt.fairShareOrder, q)
+	lt.initTeams()
+	lt.initStartTimes()
+	go lt.loadLoop()
+	return lt
+}
+
+// initTeams makes the queue of each team.
+func (lt *leaderTerm) initTeams() {
+	for _, t := range lt.c.Settings.Site.Teams {
+		team := &queue.Team[*job]{
+			Name:      t.Name,
+			CPUs:      t.CPUs,
+			LimitCPUs: t.LimitCPUs,
+			GPUs:      t.GPUs,
+			LimitGPUs: t.LimitGPUs,
+			Share:     lt.c.Policy.Share(t.Name, max(t.CPUs, t.GPUs, 1)),
+		}
+		lt.teams[t.Name] = team
+		lt.fairShareOrder = append(lt.fairShareOrder, team)
 	}
-	// Half a round of reports, but no more than a small part of the time in
-	// which work within a guarantee should start.
-	lt.grace = c.Settings.Site.Workers.HeartbeatInterval() / 2
-	for _, o := range c.Settings.Site.Objectives {
-		if o.Kind == "guarantee" && o.WithinS > 0 {
-			lt.grace = min(lt.grace, config.Duration(o.WithinS/5))
-			if within := config.Duration(o.WithinS); lt.startWithin == 0 || within < lt.startWithin {
-				lt.startWithin = within
-			}
+}
+
+// initStartTimes derives startWithin and grace from the objectives. The grace is half a
+// heartbeat interval, but no more than a small part of the time in which work within a
+// guarantee should start.
+func (lt *leaderTerm) initStartTimes() {
+	site := lt.c.Settings.Site
+	lt.grace = site.Workers.HeartbeatInterval() / 2
+	for _, o := range site.Objectives {
+		if o.Kind != "guarantee" || o.WithinS <= 0 {
+			continue
+		}
+		lt.grace = min(lt.grace, config.Duration(o.WithinS/5))
+		if within := config.Duration(o.WithinS); lt.startWithin == 0 || within < lt.startWithin {
+			lt.startWithin = within
 		}
 	}
-	go lt.loadLoop()
-	return lt
 }
 
+// termCompare is the condition that fences each transaction of the leader: the term key still
+// has the version of this term.
 func (lt *leaderTerm) termCompare() kv.Compare {
 	return kv.Compare{Key: election.TermKey, ModRevision: lt.term.ModRevision}
 }
@@ -168,8 +200,12 @@
 	}
 }
 
-// checkTermConflict ends the leadership if a failed transaction shows that another term
-// has begun.
+// hasEnded reports whether the term is no longer this node's current one. A message of a term
+// that has ended must not be applied.
+func (lt *leaderTerm) hasEnded() bool { return lt.c.leaderTerm != lt }
+
+// checkTermConflict steps down, and reports true, if a failed transaction shows that another
+// term has begun.
 func (lt *leaderTerm) checkTermConflict(res kv.Result) bool {
 	if !slices.Contains(res.FailedKeys, election.TermKey) {
 		return false
@@ -178,16 +214,19 @@
 	return true
 }
 
+// stepDown ends the term and notifies the election.
 func (lt *leaderTerm) stepDown() {
-	if lt.c.leaderTerm == lt {
-		lt.c.endTerm()
-		select {
-		case lt.c.stepDowns <- lt.term.Number:
-		default:
-		}
+	if lt.hasEnded() {
+		return
+	}
+	lt.c.endTerm()
+	select {
+	case lt.c.stepDowns <- lt.term.Number:
+	default:
 	}
 }
 
+// sleep waits for d or the end of the context.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -195,17 +234,24 @@
 	}
 }
 
+// stepDownMsg ends a term from outside the owner goroutine.
 type stepDownMsg struct{ leaderTerm *leaderTerm }
 
 func (m stepDownMsg) apply(*Controller) { m.leaderTerm.stepDown() }
 
+// scanInterval is how often the leader goes through all machines and jobs.
+const scanInterval = time.Second
+
+// tick does the leader's periodic work. Dispatch, the relay and the scan are skipped while the
+// leader may not renew leases, and right after a long process pause.
 func (lt *leaderTerm) tick(now time.Time) {
 	if !lt.loaded || !lt.c.holdsLease() {
 		return
 	}
 	lt.readIndex.startRound()
 	lt.recordWriter.writeBatch(now)
-	if lt.checkLeaseQuorum(now); lt.c.leaderTerm != lt {
+	lt.checkLeaseQuorum(now)
+	if lt.hasEnded() {
 		return
 	}
 	lt.loans.tick(now)
@@ -217,7 +263,7 @@
 	if now.Before(lt.nextScan) {
 		return
 	}
-	lt.nextScan = now.Add(time.Second)
+	lt.nextScan = now.Add(scanInterval)
 	lt.deferInfeasible(now)
 	lt.countImageLocations(now)
 	lt.scanMachines(now)
@@ -229,9 +275,11 @@
 	lt.logPending(now)
 }
 
+// nextAttempt returns a number that no attempt of any term has.
 func (lt *leaderTerm) nextAttempt() uint64 {
 	lt.attemptCount++
 	return lt.term.Number<<32 | uint64(lt.attemptCount)
 }
 
+// launchName returns the name of the term's nth launch request, under which it is repeatable.
 func (lt *leaderTerm) launchName(n int) string { return fmt.Sprintf("r-%d-%d", lt.term.Number, n) }
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -11,10 +11,20 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// snapshot is what a new leader reads of the store.
+const (
+	loadRetryDelay = 200 * time.Millisecond
+	rangeTimeout   = 3 * time.Second
+	// rangePageSize is how many entries one request reads.
+	rangePageSize = 500
+)
+
+// snapshot holds the records of the store that a new leader reads.
 type snapshot struct {
-	readAt         time.Time
-	revision       uint64
+	// readAt is when the first request was sent.
+	readAt time.Time
+	// revision is the version of the store from which on the active jobs are watched.
+	revision uint64
+	// cancelRevision is the version of the cancel key.
 	cancelRevision uint64
 	active         []kv.Entry
 	completions    []kv.Entry
@@ -22,24 +32,25 @@
 	loans          []kv.Entry
 }
 
-// loadLoop reads the store until it succeeds.
+// loadLoop reads the store until that succeeds, then watches the active jobs.
 func (lt *leaderTerm) loadLoop() {
 	for lt.ctx.Err() == nil {
 		snap, err := lt.readSnapshot()
 		if err == nil {
-			lt.sendToOwner(snapshotLoadedMsg{lt, snap})
+			lt.sendToOwner(snapshotLoadedMsg{leaderTerm: lt, snapshot: snap})
 			lt.watchActiveJobs(snap.revision)
 			return
 		}
-		lt.c.Log.Debug("takeover: read", "err", err)
-		sleep(lt.ctx, 200*time.Millisecond)
+		lt.c.Log.Debug("load of records failed", "term", lt.term.Number, "err", err)
+		sleep(lt.ctx, loadRetryDelay)
 	}
 }
 
+// readSnapshot reads all records that a leader needs.
 func (lt *leaderTerm) readSnapshot() (*snapshot, error) {
 	s := snapshot{readAt: time.Now()}
 	var err error
-	// The active jobs come first: their revision is where the watch begins.
+	// The active jobs are read first: the watch begins at their revision.
 	if s.active, s.revision, err = lt.rangeAll(records.ActivePrefix); err != nil {
 		return nil, err
 	}
@@ -64,26 +75,28 @@
 	return &s, nil
 }
 
+// rangeAll reads all entries under a prefix, and returns the store's revision at the first page.
 func (lt *leaderTerm) rangeAll(prefix string) (entries []kv.Entry, revision uint64, err error) {
 	from := ""
 	for {
-		ctx, cancel := context.WithTimeout(lt.ctx, 3*time.Second)
-		p, err := lt.c.Store.Range(ctx, prefix, from, 500)
+		ctx, cancel := context.WithTimeout(lt.ctx, rangeTimeout)
+		page, err := lt.c.Store.Range(ctx, prefix, from, rangePageSize)
 		cancel()
 		if err != nil {
 			return nil, 0, err
 		}
 		if revision == 0 {
-			revision = p.Revision
+			revision = page.Revision
 		}
-		entries = append(entries, p.Entries...)
-		if !p.More || len(p.Entries) == 0 {
+		entries = append(entries, page.Entries...)
+		if !page.More || len(page.Entries) == 0 {
 			return entries, revision, nil
 		}
-		from = p.Entries[len(p.Entries)-1].Key
+		from = page.Entries[len(page.Entries)-1].Key
 	}
 }
 
+// snapshotLoadedMsg carries the records of the store to a new leader.
 type snapshotLoadedMsg struct {
 	leaderTerm *leaderTerm
 	snapshot   *snapshot
@@ -91,54 +104,60 @@
 
 func (m snapshotLoadedMsg) apply(c *Controller) {
 	lt := m.leaderTerm
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	now := time.Now()
-	lt.cancelRevision = m.snapshot.cancelRevision
-	for _, e := range m.snapshot.loans {
+	lt.addSnapshot(m.snapshot, now)
+	lt.loaded, lt.heartbeatsSince, lt.cancellationsConfirmedAt = true, now, m.snapshot.readAt
+	go lt.dependencyLists.sweep()
+	if c.CommandSender != nil {
+		lt.resyncNext(now)
+	}
+	c.Log.Info("records loaded", "term", lt.term.Number, "jobs", len(lt.jobs), "machines", lt.unfenced)
+}
+
+// addSnapshot adds the records of the store to the empty state of a new term. Completion records
+// refer to jobs, which must be there before them.
+func (lt *leaderTerm) addSnapshot(snap *snapshot, now time.Time) {
+	lt.cancelRevision = snap.cancelRevision
+	for _, e := range snap.loans {
 		lt.loans.addRecord(e)
 	}
-	for _, e := range m.snapshot.active {
+	for _, e := range snap.active {
 		lt.addJob(e.Key, e.Value, e.ModRevision)
 	}
-	for _, e := range m.snapshot.completions {
+	for _, e := range snap.completions {
 		lt.addCompletion(e, now)
 	}
-	var waiting []*job
+	var dependents []*job
 	for _, j := range lt.jobs {
 		if len(j.spec.DependsOn) > 0 {
 			lt.dependencies.resolveDependencies(j)
-			waiting = append(waiting, j)
+			dependents = append(dependents, j)
 		}
 	}
-	lt.dependencies.propagateDeadlines(waiting...)
-	for _, e := range m.snapshot.machines {
+	lt.dependencies.propagateDeadlines(dependents...)
+	for _, e := range snap.machines {
 		lt.addShard(e, now)
 	}
-	lt.loaded, lt.heartbeatsSince, lt.cancellationsConfirmedAt = true, now, m.snapshot.readAt
-	go lt.dependencyLists.sweep()
-	if c.CommandSender != nil {
-		lt.resyncNext(now)
-	}
-	c.Log.Info("takeover: read", "term", lt.term.Number, "jobs", len(lt.jobs), "machines", lt.unfenced)
 }
 
-// addShard adds the machines of a shard of the roster.
+// addShard adds the machines of a shard of the registry. All of them are unfenced.
 func (lt *leaderTerm) addShard(e kv.Entry, now time.Time) {
 	var rec records.RegistryShardRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
-		lt.c.Log.Error("roster record", "key", e.Key, "err", err)
+		lt.c.Log.Error("registry record invalid", "key", e.Key, "err", err)
 		return
 	}
 	s := &shard{key: e.Key}
-	for _, one := range rec.Machines {
-		if lt.machines[one.Name] != nil {
+	for _, entry := range rec.Machines {
+		if lt.machines[entry.Name] != nil {
 			continue // a shard that was written late
 		}
-		m := lt.addMachine(one.Name, one.Type, one.Zone, one.Spot, now)
-		m.addr = one.Addr
-		m.cpus, m.gpus, m.memory = one.CPUs, one.GPUs, one.MemoryGB
+		m := lt.addMachine(entry.Name, entry.Type, entry.Zone, entry.Spot, now)
+		m.addr = entry.Addr
+		m.cpus, m.gpus, m.memory = entry.CPUs, entry.GPUs, entry.MemoryGB
 		m.registration, m.shard = registered, s
 		s.machines = append(s.machines, m)
 		lt.toResync = append(lt.toResync, m)
@@ -152,6 +171,8 @@
 	}
 }
 
+// addCompletion marks the tasks of a completion record as done. A record without an active job
+// is deleted.
 func (lt *leaderTerm) addCompletion(e kv.Entry, now time.Time) {
 	id, first, ok := records.ParseCompletionKey(e.Key)
 	if !ok {
@@ -164,7 +185,7 @@
 	}
 	var rec records.CompletionRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
-		lt.c.Log.Error("progress record", "key", e.Key, "err", err)
+		lt.c.Log.Error("completion record invalid", "key", e.Key, "err", err)
 		return
 	}
 	j.completionChunks[first] = true
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -4,21 +4,26 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"strings"
 	"time"
 
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/records"
 )
 
-// A watch is asked again after watchBlock, and given up after watchTimeout: a
-// connection that died without a word must not keep cancellations from the
-// leader, whose tasks have to be gone in time.
+// The store answers a watch after watchBlock at the latest, and watchTimeout abandons the
+// request: a connection that was lost without a reset must not keep cancellations from the
+// leader, as the tasks of cancelled jobs must end in time.
 const (
 	watchBlock   = 4 * time.Second
 	watchTimeout = 5500 * time.Millisecond
+	// watchRetryDelay is the pause after a failed watch.
+	watchRetryDelay = 300 * time.Millisecond
+	// watchBatchDelay is the pause after events, so that one request returns several.
+	watchBatchDelay = 40 * time.Millisecond
 )
 
-// watchActiveJobs follows the active jobs from a revision on.
+// watchActiveJobs sends the owner the changes of active jobs from a revision on.
 func (lt *leaderTerm) watchActiveJobs(from uint64) {
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, watchTimeout)
@@ -26,23 +31,23 @@
 		cancel()
 		switch {
 		case errors.Is(err, kv.ErrCompacted):
-			// Too far behind: a new term reads everything again.
+			// The watch is too far behind: a new term loads all records again.
 			lt.sendToOwner(stepDownMsg{lt})
 			return
 		case err != nil:
-			lt.c.Log.Debug("watch", "err", err)
-			sleep(lt.ctx, 300*time.Millisecond)
+			lt.c.Log.Debug("watch failed", "err", err)
+			sleep(lt.ctx, watchRetryDelay)
 			continue
 		}
 		from = max(from, ch.Revision)
 		if len(ch.Events) > 0 {
 			lt.sendToOwner(activeJobsChangedMsg{lt, ch.Events})
-			sleep(lt.ctx, 40*time.Millisecond)
+			sleep(lt.ctx, watchBatchDelay)
 		}
 	}
 }
 
-// activeJobsChangedMsg brings what the watch saw.
+// activeJobsChangedMsg carries events of the watch on the active jobs.
 type activeJobsChangedMsg struct {
 	leaderTerm *leaderTerm
 	events     []kv.Event
@@ -50,7 +55,7 @@
 
 func (m activeJobsChangedMsg) apply(c *Controller) {
 	lt := m.leaderTerm
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	for _, e := range m.events {
@@ -59,21 +64,25 @@
 			lt.cancelRevision = max(lt.cancelRevision, e.ModRevision)
 			var id string
 			if err := json.Unmarshal(e.Value, &id); err != nil {
-				c.Log.Error("cancel record", "err", err)
+				c.Log.Error("cancel record invalid", "err", err)
 				continue
 			}
 			c.recordCancellation(id)
 		case e.Put != "":
 			lt.addJob(e.Put, e.Value, e.ModRevision)
 		default:
-			// A record that went neither by a cancellation nor by this leader
-			// was ended by another leader, of which the election has not yet
-			// told: how it ended is not known here.
-			id := e.Delete[len(records.ActivePrefix):]
-			if j := lt.jobs[id]; j != nil && !j.finishing && !j.cancelPending && !j.handover && e.ModRevision > j.modRevision {
+			// A record that was deleted neither by a cancellation nor by this leader was
+			// deleted by another leader, which the election has not reported yet: how
+			// the job ended is not known here.
+			id := strings.TrimPrefix(e.Delete, records.ActivePrefix)
+			if j := lt.jobs[id]; j != nil && !j.deletesRecord() && e.ModRevision > j.modRevision {
 				lt.stepDown()
 				return
 			}
 		}
 	}
 }
+
+// deletesRecord reports whether this leader itself deletes, or is about to delete, the job's
+// active record.
+func (j *job) deletesRecord() bool { return j.finishing || j.cancelPending || j.handover }
