--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,9 @@
-// Package controller holds the goroutine that owns a node's state. Everything
-// else speaks to it by messages: the handlers of users and workers, the
-// election, and the goroutines that wait for the outside services.
+// Package controller holds the goroutine that owns a node's state, and everything that it
+// does as leader or follower.
+//
+// One goroutine, Controller.Run, owns all state and takes no locks. The handlers of users and
+// worker agents, the election, and the goroutines that wait for the key-value store, the
+// cloud, other nodes or machines reach it only by messages in its mailbox.
 package controller
 
 import (
@@ -24,89 +27,105 @@
 	"example.org/ivytrestle/internal/standby"
 )
 
-// ErrNotApplied means that a node refuses connections from here, although the
+// ErrConnectionRefused means that a node refuses connections from here, although the
 // network to its host works.
 var ErrConnectionRefused = errors.New("connection refused")
 
-// PeerClient speaks to the other nodes.
+// PeerClient sends requests to the other nodes.
 type PeerClient interface {
-	// Job returns ErrUnavailable when the node cannot answer.
+	// Job returns the state of a job, or ErrUnavailable when the node cannot answer.
 	Job(ctx context.Context, node, id string) (api.JobState, error)
-	// Ping returns the node's state, if it can be reached.
-	// What it knows of cancellations beyond a position comes with it.
+	// Ping returns the node's state, with the part of its cancellation log that follows a
+	// position.
 	Ping(ctx context.Context, node string, from cancellation.Position) (PeerStatus, error)
-	// ForwardHeartbeat passes a machine's report on to the leader. NotLeaderError means
-	// that the node does not lead, ErrNotApplied that connections are refused.
+	// ForwardHeartbeat passes a machine's heartbeat on to the leader. NotLeaderError means
+	// that the node does not lead, ErrConnectionRefused that it refuses connections.
 	ForwardHeartbeat(ctx context.Context, node string, hb *api.Heartbeat) (api.HeartbeatResponse, error)
-	// Resign tells a node that self has stopped to act in a term.
+	// Resign notifies a node that self has stopped acting as leader of a term.
 	Resign(ctx context.Context, node, self string, term uint64) error
-	// Vote asks a node to let this one decide as leader of a term for a while.
+	// Vote requests a node's vote for this one as leader of a term. A vote is valid for
+	// the vote lifetime.
 	Vote(ctx context.Context, node string, term uint64) (granted bool, err error)
-	// Promise asks a node to grant a term nothing more, and returns for how long what
-	// it has granted may be valid. ErrUnavailable means that it would not: it hears
-	// the leader.
+	// Promise requests a node's promise to vote no more in a term, and returns for how
+	// long its votes of that term may still be valid. ErrUnavailable means that it did not
+	// promise, as it still reaches the leader.
 	Promise(ctx context.Context, node string, term uint64) (wait time.Duration, err error)
 }
 
-// Config is what a controller is made of.
+// Config holds a controller's settings and dependencies.
 type Config struct {
 	Settings *config.Settings
 	Policy   *policy.Policy
 	Store    kv.Service
-	// UserStore is Store for what users ask; nil: Store itself.
+	// UserStore is the client of the key-value store for requests of users; nil: Store.
 	UserStore     kv.Service
 	Cloud         cloud.Service
 	Peers         PeerClient
 	Prober        Prober
 	CommandSender CommandSender
 	Log           *slog.Logger
-	// Cells are the cells that lend each other capacity, and Link the way to them; nil:
-	// there are none.
+	// Cells are the cells that lend each other capacity, and Link the client to them. Both
+	// are nil without neighbours.
 	Cells *cells.Settings
 	Link  CellLink
-	// Standby says how a leader that is gone is replaced before its lease ends; nil: not.
+	// Standby configures failover before the leader's lease expires; nil: a leader is
+	// replaced only once its lease has expired.
 	Standby *standby.Settings
 }
 
-// Controller is one node's state and its owner.
+// Controller is one node's state and the goroutine that owns it.
 type Controller struct {
 	Config
 	records records.Records
 	mailbox chan message
-	// ended is closed when Run has returned: nothing in the mailbox is applied any more.
-	ended        chan struct{}
-	stepDowns    chan uint64
+	// ended is closed when Run has returned: no message is applied any more.
+	ended chan struct{}
+	// stepDowns carries to the election the terms that this node has given up.
+	stepDowns chan uint64
+	// resignations carries to the election the terms that other nodes have given up.
 	resignations chan election.Resignation
 	types        machineTypeCache
-	// unready tells the health checks that users are better served elsewhere.
+	// unready fails the health check, so that users are routed to other nodes.
 	unready atomic.Bool
 
-	// The rest belongs to the owner goroutine.
-	leader       string
+	// The fields below belong to the owner goroutine.
+
+	// leader is the node that the election last named as leader, or "".
+	leader string
+	// leaderTerm is the state of this node's own term; nil: it does not lead.
 	leaderTerm   *leaderTerm
 	leaseRenewer leaseRenewer
 	uplink       relayUplink
 	membership   membership
-	// redirectedAt is when machines were sent on to the leader, past this node.
+	// redirectedAt holds, by machine, when it was last redirected to a leader that this node
+	// cannot reach.
 	redirectedAt map[string]time.Time
-	// redirects is to whom machines were last told to report.
-	redirects     map[string]redirect
+	// redirects holds the last redirect of each machine to a reachable leader.
+	redirects map[string]redirect
+	// final caches the states of jobs that have ended.
 	final         *lru.Cache[string, api.JobState]
 	cancellations *cancellation.Log
 	failover      failover
-	// draining is set once the process is about to end.
+	// draining is set once the process is about to end: the node leads no more.
 	draining bool
-	// reads are the reads of the store that users wait for, by job.
+	// reads are the lookups in the store that users wait for, by job.
 	reads map[string]*lookupRound
 }
 
-// message is what the owner goroutine is sent.
+// message is an event for the owner goroutine, which applies it to its state.
 type message interface{ apply(c *Controller) }
 
-// maxFinalStates is how many final states a node keeps in memory.
-const maxFinalStates = 8192
+const (
+	// maxFinalStates is how many states of ended jobs a node keeps in memory.
+	maxFinalStates = 8192
+	// mailboxCapacity is how many messages may wait for the owner before senders block.
+	mailboxCapacity = 256
+	// electionBacklog is how many notices to the election may wait for it. Further ones
+	// are dropped.
+	electionBacklog = 4
+)
 
-// New makes a controller.
+// New returns a controller that Run has yet to start.
 func New(cfg Config) *Controller {
 	final, err := lru.New[string, api.JobState](maxFinalStates)
 	if err != nil {
@@ -115,22 +134,32 @@
 	if cfg.UserStore == nil {
 		cfg.UserStore = cfg.Store
 	}
+	site, now := cfg.Settings.Site, time.Now()
 	return &Controller{
-		Config: cfg, records: records.NewRecords(cfg.UserStore, cfg.Settings.Site.State),
-		mailbox: make(chan message, 256), ended: make(chan struct{}), stepDowns: make(chan uint64, 4), resignations: make(chan election.Resignation, 4), final: final,
-		redirectedAt: map[string]time.Time{}, redirects: map[string]redirect{}, uplink: newRelayUp(cfg.Settings.Site.Limits),
-		reads: map[string]*lookupRound{}, cancellations: cancellation.NewLog(cfg.Settings.Site.Workers, cfg.Settings.Site.Limits, time.Now()), membership: newMembership(cfg.Settings.Peers, time.Now()),
+		Config:        cfg,
+		records:       records.NewRecords(cfg.UserStore, site.State),
+		mailbox:       make(chan message, mailboxCapacity),
+		ended:         make(chan struct{}),
+		stepDowns:     make(chan uint64, electionBacklog),
+		resignations:  make(chan election.Resignation, electionBacklog),
+		uplink:        newRelayUp(site.Limits),
+		membership:    newMembership(cfg.Settings.Peers, now),
+		redirectedAt:  map[string]time.Time{},
+		redirects:     map[string]redirect{},
+		final:         final,
+		cancellations: cancellation.NewLog(site.Workers, site.Limits, now),
+		reads:         map[string]*lookupRound{},
 	}
 }
 
-// A leader looks at what waits every tickInterval; a node that follows has
-// nothing that cannot wait longer, and each look wakes the process.
+// A leader checks its timers every tickInterval. A follower has none that cannot wait
+// longer, and each tick wakes the process.
 const (
 	tickInterval         = 100 * time.Millisecond
 	followerTickInterval = 500 * time.Millisecond
 )
 
-// resetTicker sets the ticker for what the node is now.
+// resetTicker sets the ticker to the interval of the node's role, and returns it.
 func (c *Controller) resetTicker(tick *time.Ticker, current time.Duration) time.Duration {
 	interval := followerTickInterval
 	if c.leaderTerm != nil {
@@ -142,7 +171,7 @@
 	return interval
 }
 
-// Run owns the state until the context ends. It may be called once.
+// Run applies messages and ticks until the context ends. It may be called once.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.ended)
 	go c.refreshMachineTypesLoop(ctx)
@@ -177,12 +206,13 @@
 	}
 }
 
-// Resignations is where the election hears which node has stopped to lead.
+// Resignations delivers to the election which nodes have stopped acting as leader.
 func (c *Controller) Resignations() <-chan election.Resignation { return c.resignations }
 
-// StepDowns is where the election hears that a term is over.
+// StepDowns delivers to the election the terms that this node has given up.
 func (c *Controller) StepDowns() <-chan uint64 { return c.stepDowns }
 
+// endTerm drops the state of this node's term, if it leads.
 func (c *Controller) endTerm() {
 	if c.leaderTerm != nil {
 		c.leaderTerm.cancel()
@@ -190,10 +220,11 @@
 	}
 }
 
-// holdsLease tells whether this node may act as leader at this moment.
+// holdsLease reports whether this node's leader lease is valid at this moment.
 func (c *Controller) holdsLease() bool {
 	return c.leaderTerm != nil && time.Now().Before(c.leaderTerm.leaseExpiry)
 }
 
-// Ready implements api.Backend.
+// Ready implements api.Backend. A node without machine types accepts no
+// submissions.
 func (c *Controller) Ready() bool { return c.types.load() != nil && !c.unready.Load() }
--- a/internal/controller/electionmessages.go
+++ b/internal/controller/electionmessages.go
@@ -7,18 +7,20 @@
 	"example.org/ivytrestle/internal/election"
 )
 
-// The election's calls become messages. They have no context: what the election says to a
-// controller that has ended is dropped.
+// The election's calls become messages. They carry no context and have no reply: a
+// controller that has ended drops them.
 
+// leaderChangedMsg names the node that leads now, or "".
 type leaderChangedMsg struct{ node string }
 
 func (m leaderChangedMsg) apply(c *Controller) {
 	if c.leader != m.node {
-		c.Log.Info("leader", "node", m.node)
+		c.Log.Info("leader changed", "leader", m.node)
 	}
 	c.leader = m.node
 }
 
+// electionWonMsg starts a term of this node.
 type electionWonMsg struct {
 	term        election.Term
 	leaseExpiry time.Time
@@ -32,6 +34,7 @@
 	c.leaderTerm = newLeaderTerm(c, m.term, m.leaseExpiry)
 }
 
+// leaseRenewedMsg extends the leader lease of this node's term.
 type leaseRenewedMsg electionWonMsg
 
 func (m leaseRenewedMsg) apply(c *Controller) {
@@ -40,6 +43,7 @@
 	}
 }
 
+// leaseLostMsg ends a term of this node whose leader lease was lost.
 type leaseLostMsg struct{ term election.Term }
 
 func (m leaseLostMsg) apply(c *Controller) {
@@ -50,17 +54,21 @@
 }
 
 // LeaderChanged implements election.Observer.
-func (c *Controller) LeaderChanged(node string) { c.send(context.Background(), leaderChangedMsg{node}) }
+func (c *Controller) LeaderChanged(node string) {
+	c.sendOrDrop(context.Background(), leaderChangedMsg{node})
+}
 
 // ElectionWon implements election.Observer.
-func (c *Controller) ElectionWon(t election.Term, until time.Time) {
-	c.send(context.Background(), electionWonMsg{t, until})
+func (c *Controller) ElectionWon(term election.Term, leaseExpiry time.Time) {
+	c.sendOrDrop(context.Background(), electionWonMsg{term, leaseExpiry})
 }
 
 // LeaseRenewed implements election.Observer.
-func (c *Controller) LeaseRenewed(t election.Term, until time.Time) {
-	c.send(context.Background(), leaseRenewedMsg{t, until})
+func (c *Controller) LeaseRenewed(term election.Term, leaseExpiry time.Time) {
+	c.sendOrDrop(context.Background(), leaseRenewedMsg{term, leaseExpiry})
 }
 
 // LeaseLost implements election.Observer.
-func (c *Controller) LeaseLost(t election.Term) { c.send(context.Background(), leaseLostMsg{t}) }
+func (c *Controller) LeaseLost(term election.Term) {
+	c.sendOrDrop(context.Background(), leaseLostMsg{term})
+}
--- a/internal/controller/machinetypes.go
+++ b/internal/controller/machinetypes.go
@@ -12,12 +12,13 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// machineTypeCache holds the machine types. They are replaced whole, so that the
-// handlers read them without asking the owner.
+// machineTypeCache holds the machine types. They are replaced as a whole, so that the
+// handlers read them without a message to the owner.
 type machineTypeCache struct {
 	byName atomic.Pointer[map[string]api.MachineType]
 }
 
+// load returns the machine types by name; nil: they are not known yet.
 func (t *machineTypeCache) load() map[string]api.MachineType {
 	if p := t.byName.Load(); p != nil {
 		return *p
@@ -25,6 +26,7 @@
 	return nil
 }
 
+// set replaces the machine types.
 func (t *machineTypeCache) set(types []api.MachineType) {
 	m := make(map[string]api.MachineType, len(types))
 	for _, mt := range types {
@@ -33,20 +35,25 @@
 	t.byName.Store(&m)
 }
 
-// machineTypesTTL is how long the machine types are used before they are read again.
-const machineTypesTTL = time.Minute
+const (
+	// machineTypesTTL is how long the machine types are used before they are read again.
+	machineTypesTTL        = time.Minute
+	machineTypesRetryDelay = time.Second
+	cloudTypesTimeout      = 3 * time.Second
+	storedTypesTimeout     = time.Second
+)
 
-// refreshMachineTypesLoop keeps the machine types known: from the cloud, or while that
-// does not answer from what some node stored.
+// refreshMachineTypesLoop reads the machine types from the cloud, or, until that has answered
+// once, from the store, where some node has put them.
 func (c *Controller) refreshMachineTypesLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		cctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+		cctx, cancel := context.WithTimeout(ctx, cloudTypesTimeout)
 		types, err := c.Cloud.Types(cctx)
 		cancel()
 		wait := machineTypesTTL
 		if err != nil {
-			c.Log.Debug("machine types not read", "err", err)
-			wait = time.Second
+			c.Log.Debug("read of machine types failed", "err", err)
+			wait = machineTypesRetryDelay
 			if c.types.load() == nil {
 				c.loadStoredMachineTypes(ctx)
 			}
@@ -57,15 +64,13 @@
 				c.storeMachineTypes(ctx, types)
 			}
 		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(wait):
-		}
+		sleep(ctx, wait)
 	}
 }
 
+// loadStoredMachineTypes uses the machine types that some node has stored, if any.
 func (c *Controller) loadStoredMachineTypes(ctx context.Context) {
-	cctx, cancel := context.WithTimeout(ctx, time.Second)
+	cctx, cancel := context.WithTimeout(ctx, storedTypesTimeout)
 	defer cancel()
 	e, err := c.Store.Get(cctx, records.MachineTypesKey)
 	if err != nil || e.ModRevision == 0 {
@@ -73,27 +78,31 @@
 	}
 	var types []api.MachineType
 	if err := json.Unmarshal(e.Value, &types); err != nil {
-		c.Log.Warn("stored machine types", "err", err)
+		c.Log.Warn("stored machine types invalid", "err", err)
 		return
 	}
 	c.types.set(types)
 }
 
+// storeMachineTypes stores the machine types for nodes that start while the cloud is
+// unreachable.
+//
+// All versions read one record, and with types missing from it a node would reject jobs as
+// unschedulable. So a list that does not fit in a record is not stored: a node that
+// starts while the cloud is unreachable then waits for the cloud.
 func (c *Controller) storeMachineTypes(ctx context.Context, types []api.MachineType) {
-	cctx, cancel := context.WithTimeout(ctx, time.Second)
+	cctx, cancel := context.WithTimeout(ctx, storedTypesTimeout)
 	defer cancel()
-	// Versions read one record, and a list with types missing would have jobs
-	// told that they never run. So one that does not fit is not stored: a node
-	// that starts while the cloud is away then waits for it.
 	raw, err := json.Marshal(types)
-	if room := min(c.Settings.Site.State.ValueKB*1024, kv.MaxTxnBytes*3/4); err != nil || float64(len(raw)) > room {
-		c.Log.Warn("machine types do not fit a record", "bytes", len(raw), "err", err)
+	maxBytes := min(c.Settings.Site.State.ValueKB*1024, kv.MaxTxnBytes*3/4)
+	if err != nil || float64(len(raw)) > maxBytes {
+		c.Log.Warn("machine types too large for a record", "bytes", len(raw), "err", err)
 		return
 	}
 	txn := kv.Txn{Ops: []kv.Op{{Put: records.MachineTypesKey, Value: json.RawMessage(raw)}}}
 	if _, err := c.Store.Txn(cctx, txn); errors.Is(err, kv.ErrInvalid) {
-		c.Log.Warn("machine types not stored", "err", err)
+		c.Log.Warn("write of machine types rejected", "err", err)
 	} else if err != nil && !errors.Is(err, context.Canceled) {
-		c.Log.Debug("machine types not stored", "err", err)
+		c.Log.Debug("write of machine types failed", "err", err)
 	}
 }
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -7,13 +7,12 @@
 )
 
 // The mailbox is the channel of messages to the owner goroutine. Once Run has returned
-// nobody reads it any more, and what is left in it is never applied. So that no caller
-// waits for that in vain, sending and waiting for a reply both end with
-// api.ErrUnavailable then.
+// nobody receives from it, and the messages left in it are never applied. So that no caller
+// blocks for ever, sending and waiting for a reply both end with api.ErrUnavailable then.
 
-// send hands a message to the owner.
+// send puts a message into the owner's mailbox.
 func (c *Controller) send(ctx context.Context, m message) error {
-	if c.hasEnded() { // the mailbox may still have room, which the select could choose
+	if c.hasEnded() { // the mailbox may have free capacity, which the select could choose
 		return api.ErrUnavailable
 	}
 	select {
@@ -26,6 +25,22 @@
 	}
 }
 
+// sendOrDrop puts a message that has no reply into the owner's mailbox. The error is dropped
+// because it only says that the controller is ending, and then there is no state left that
+// the message could change.
+func (c *Controller) sendOrDrop(ctx context.Context, m message) {
+	_ = c.send(ctx, m)
+}
+
+// request sends a message to the owner and waits for the reply.
+func request[T any](ctx context.Context, c *Controller, m message, reply <-chan T) (T, error) {
+	if err := c.send(ctx, m); err != nil {
+		var none T
+		return none, err
+	}
+	return await(ctx, c, reply)
+}
+
 // await returns the owner's reply to a message that was sent.
 func await[T any](ctx context.Context, c *Controller, reply <-chan T) (T, error) {
 	var none T
@@ -44,7 +59,7 @@
 	}
 }
 
-// hasEnded tells whether Run has returned.
+// hasEnded reports whether Run has returned.
 func (c *Controller) hasEnded() bool {
 	select {
 	case <-c.ended:
--- a/internal/controller/storedjobs.go
+++ b/internal/controller/storedjobs.go
@@ -13,12 +13,10 @@
 	return c.lookup(ctx, id)
 }
 
+// lookup returns what the store has of a job.
 func (c *Controller) lookup(ctx context.Context, id string) (api.JobState, error) {
 	m := lookupMsg{id, make(chan lookupReply, 1)}
-	if err := c.send(ctx, m); err != nil {
-		return api.JobState{}, err
-	}
-	r, err := await(ctx, c, m.reply)
+	r, err := request(ctx, c, m, m.reply)
 	if err != nil {
 		return api.JobState{}, err
 	}
@@ -28,25 +26,26 @@
 	return r.state, r.err
 }
 
-// lookupMsg asks what the store has of a job. Users who ask again and again, at all
-// nodes, would use up the request budget that submissions share: one read serves
-// all who asked before it began, and those who ask meanwhile share the next. None
-// gets an answer that is older than its question.
+// lookupMsg requests what the store has of a job. Users who poll again and again, at all
+// nodes, would use up the request budget that they share with submissions. So one read serves
+// all requests that were queued before it began, and those that arrive meanwhile share the
+// next. None gets a response that is older than its request.
 type lookupMsg struct {
 	id    string
 	reply chan lookupReply
 }
 
+// lookupReply is the result of one read.
 type lookupReply struct {
 	state api.JobState
 	found bool
 	err   error
 }
 
-// lookupRound is one read, and who waits for it and for the next.
+// lookupRound is one read, with the requests that wait for it and for the next.
 type lookupRound struct{ current, next []chan lookupReply }
 
-// lookupTimeout bounds one shared read.
+// lookupTimeout is the time limit of one shared read.
 const lookupTimeout = time.Second
 
 func (m lookupMsg) apply(c *Controller) {
@@ -58,16 +57,18 @@
 	c.startLookup(m.id)
 }
 
+// startLookup reads a job from the store.
 func (c *Controller) startLookup(id string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 		defer cancel()
 		var r lookupReply
 		r.state, r.found, r.err = c.records.Lookup(ctx, id)
-		c.send(context.Background(), lookupDoneMsg{id, r})
+		c.sendOrDrop(context.Background(), lookupDoneMsg{id, r})
 	}()
 }
 
+// lookupDoneMsg carries the result of a read to the requests that wait for it.
 type lookupDoneMsg struct {
 	id    string
 	reply lookupReply
@@ -89,14 +90,14 @@
 	c.startLookup(m.id)
 }
 
-// finalMsg tells the owner of a final state.
+// finalMsg carries a job's final state that this node has read or written. The leader's memory
+// and the cancellation log must not fall behind the responses to users: the store may be
+// unreachable from the next moment on.
 type finalMsg struct{ st api.JobState }
 
-// The leader's memory and the log of cancellations must not fall behind what
-// users are told: the store may be out of reach from the next moment on.
 func (m finalMsg) apply(c *Controller) {
 	if m.st.Derived {
-		return // the leader finds it by itself, and has yet to write it
+		return // the leader derives it by itself, and has yet to record it
 	}
 	if m.st.Phase == api.JobCancelled {
 		c.recordCancellation(m.st.ID)
@@ -110,8 +111,9 @@
 	c.final.Add(m.st.ID, m.st)
 }
 
-// publishFinalState tells the owner of a final state before a user hears of it. An owner that has
-// ended keeps no memory that could fall behind the user's, so that is no error.
+// publishFinalState hands a final state to the owner before the response to the user is sent.
+// An owner that has ended has no state that could fall behind that response, so its end is no
+// error.
 func (c *Controller) publishFinalState(ctx context.Context, st api.JobState) error {
 	err := c.send(ctx, finalMsg{st})
 	if errors.Is(err, api.ErrUnavailable) {
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -19,16 +19,16 @@
 	}
 	reason := unschedulableReason(spec, c.Settings.Site.Teams, types)
 	if reason == "" && !records.Fits(spec, c.Settings.Site.State.ValueKB) {
-		// The state service would refuse it each time the user comes back.
+		// The key-value store would reject it at each retry of the user.
 		reason = "more names than a record holds"
 	}
 	if reason != "" {
 		return api.JobState{}, false, &api.UnschedulableError{Reason: reason}
 	}
 	st, created, err := c.records.Accept(ctx, spec, time.Now())
-	var never *records.UnknownDependencyError
-	if errors.As(err, &never) {
-		err = &api.UnschedulableError{Reason: never.Error()}
+	var unknown *records.UnknownDependencyError
+	if errors.As(err, &unknown) {
+		err = &api.UnschedulableError{Reason: unknown.Error()}
 	}
 	if err == nil && st.Final() {
 		err = c.publishFinalState(ctx, st)
@@ -36,7 +36,7 @@
 	return st, created, err
 }
 
-// unschedulableReason says why a job can never run, or "".
+// unschedulableReason returns why no machine could ever run a job, or "".
 func unschedulableReason(s *api.JobSpec, teams []config.Team, types map[string]api.MachineType) string {
 	for _, t := range teams {
 		if t.Name != s.Team {
@@ -55,16 +55,18 @@
 	return "unknown team"
 }
 
-// taskFits tells whether a task of a job may run on machines of a type, and fits them.
+// taskFits reports whether a task of a job may run on machines of a type and fits on one.
 func taskFits(s *api.JobSpec, t api.MachineType) bool {
 	return typeAllowed(s, t.Name) && zoneAllowed(s, t.Zones) &&
 		s.CPUs <= t.CPUs+epsilon && s.GPUs <= t.GPUs+epsilon && s.MemoryGB <= t.MemoryGB+epsilon
 }
 
+// typeAllowed reports whether a job's tasks may run on machines of a type.
 func typeAllowed(s *api.JobSpec, typ string) bool {
 	return s.Types == nil || slices.Contains(s.Types, typ)
 }
 
+// zoneAllowed reports whether a job's tasks may run in one of the zones.
 func zoneAllowed(s *api.JobSpec, zones []string) bool {
 	if s.Zone == "" {
 		return len(zones) > 0
