--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -11,32 +11,34 @@
 	"example.org/ivytrestle/internal/leasequorum"
 )
 
-// failover is a node's part in replacing a leader that is gone without waiting for its
-// lease at the state service. It grants the leader that it decides, a little at a time;
-// and when it does not hear the leader it has the others promise with it to grant that
-// term nothing more, waits until what was granted has run out, and tells the election that
-// the leader no longer acts. docs/standby.md says why that is safe.
+// failover is a node's part in replacing a leader before its lease at the key-value store
+// expires. The node votes for the leader, each time for a short while. When it suspects the
+// leader it collects the promises of the other nodes to vote no more in that term, promises the
+// same, waits until the votes have expired, and notifies the election that the leader no longer
+// acts. docs/standby.md says why that is safe.
 type failover struct {
-	// voter is nil where this is switched off.
-	voter       *leasequorum.Voter
+	// voter is nil where failover is switched off.
+	voter *leasequorum.Voter
+	// busy is set from the suspicion of the leader until the attempt to replace it has ended.
 	busy        bool
 	nextAttempt time.Time
-	// lastNewTerm is when this node last gave up a term to be granted the next.
+	// lastNewTerm is when this node last gave up a term to get votes in the next.
 	lastNewTerm time.Time
 }
 
 const (
 	voteInterval = time.Second
 	voteTimeout  = 800 * time.Millisecond
-	// failoverRetryInterval is how long after a vain try the others are asked again.
+	// failoverRetryInterval is the pause after an attempt to replace the leader.
 	failoverRetryInterval = time.Second
-	// quorumWait is how long nodes that know of grants may grant nothing before a new
-	// term is begun for that, and newTermInterval how often that may be.
+	// quorumWait is how long votes may be missing, although all nodes support them, before
+	// the leader begins a new term to get them; newTermInterval is the pause between two such
+	// terms.
 	quorumWait      = 3 * time.Second
 	newTermInterval = 5 * time.Minute
 )
 
-// run begins what goes on beside the owner, if it is switched on.
+// run starts the goroutines of failover, if it is switched on.
 func (f *failover) run(ctx context.Context, c *Controller) {
 	if c.Standby == nil {
 		return
@@ -51,8 +53,8 @@
 	}
 }
 
-// readVoterTerm reads the latest term from the store, so that the voter grants it nothing:
-// an earlier process of this node may have promised that.
+// readVoterTerm reads the latest term from the store, so that the voter does not vote in it: an
+// earlier process of this node may have promised that.
 func (c *Controller) readVoterTerm(ctx context.Context) {
 	for ctx.Err() == nil {
 		rctx, cancel := context.WithTimeout(ctx, kvCheckTimeout)
@@ -63,22 +65,26 @@
 			err = json.Unmarshal(e.Value, &term)
 		}
 		if err == nil {
-			c.send(ctx, voterTermMsg{term.Number}) // fails only when the node ends
+			c.sendOrDrop(ctx, voterTermMsg{term.Number})
 			return
 		}
-		c.Log.Debug("term not read", "err", err)
+		c.Log.Debug("read of term failed", "err", err)
 		sleep(ctx, kvCheckInterval)
 	}
 }
 
+// voterTermMsg carries the term of the store when this process began.
 type voterTermMsg struct{ term uint64 }
 
 func (m voterTermMsg) apply(c *Controller) { c.failover.voter.Begin(m.term) }
 
-// tick looks, on a node that does not lead, whether the leader is to be replaced.
+// tick starts to replace the leader, on a node that does not lead, once it is suspected.
 func (f *failover) tick(c *Controller, now time.Time) {
+	if f.voter == nil || f.busy || now.Before(f.nextAttempt) || !c.membership.kvReachable {
+		return
+	}
 	mb := c.membership.members[c.leader]
-	if f.voter == nil || f.busy || mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.failedPings < unreachablePings || !c.membership.kvReachable || now.Before(f.nextAttempt) {
+	if mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.failedPings < unreachablePings {
 		return
 	}
 	var others []string
@@ -88,12 +94,12 @@
 		}
 	}
 	f.busy = true
-	c.Log.Info("leader suspected", "leader", c.leader, "term", mb.Term, "failed", mb.failedPings)
+	c.Log.Info("leader suspected", "leader", c.leader, "term", mb.Term, "count", mb.failedPings)
 	go c.collectPromises(c.leader, mb.Term, others)
 }
 
-// collectPromises asks the others to grant a term nothing more. Those that hear its leader
-// do not.
+// collectPromises requests the other nodes' promises to vote no more in a term. Those that reach
+// its leader do not promise.
 func (c *Controller) collectPromises(leader string, term uint64, others []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), voteTimeout)
 	defer cancel()
@@ -104,7 +110,7 @@
 			wait, err := c.Peers.Promise(ctx, node, term)
 			if err != nil {
 				if !errors.Is(err, api.ErrUnavailable) {
-					c.Log.Debug("no promise", "of", node, "err", err)
+					c.Log.Debug("promise request failed", "node", node, "err", err)
 				}
 				wait = noPromise
 			}
@@ -115,19 +121,19 @@
 	for range others {
 		if wait := <-waits; wait != noPromise {
 			m.promises++
-			if until := sentAt.Add(voteTimeout + wait); until.After(m.votesExpireAt) {
-				m.votesExpireAt = until
+			if expiry := sentAt.Add(voteTimeout + wait); expiry.After(m.votesExpireAt) {
+				m.votesExpireAt = expiry
 			}
 		}
 	}
-	c.send(context.Background(), m)
+	c.sendOrDrop(context.Background(), m)
 }
 
-// noPromise is in place of a wait where there is no promise.
+// noPromise stands in place of a wait where there is no promise.
 const noPromise = -1
 
-// promisesCollectedMsg brings what others have promised, and until when what they have granted may
-// be valid.
+// promisesCollectedMsg carries how many nodes have promised, and until when their votes may be
+// valid.
 type promisesCollectedMsg struct {
 	leader        string
 	term          uint64
@@ -137,19 +143,31 @@
 
 func (m promisesCollectedMsg) apply(c *Controller) {
 	f, now := &c.failover, time.Now()
-	mb := c.membership.members[m.leader]
-	if m.promises+1 < leasequorum.RequiredPromises(len(c.Settings.Peers)+1) || c.leader != m.leader || c.leaderTerm != nil || mb.failedPings < unreachablePings || mb.Term != m.term {
+	required := leasequorum.RequiredPromises(len(c.Settings.Peers) + 1)
+	if m.promises+1 < required || !m.leaderStillSuspected(c) {
 		f.busy, f.nextAttempt = false, now.Add(failoverRetryInterval)
 		return
 	}
+	// This node promises only once enough others have.
 	if own := now.Add(f.voter.Promise(m.term, now)); own.After(m.votesExpireAt) {
 		m.votesExpireAt = own
 	}
-	c.Log.Info("leader to be replaced", "leader", m.leader, "term", m.term, "in", m.votesExpireAt.Sub(now).Round(time.Millisecond))
-	time.AfterFunc(m.votesExpireAt.Sub(now), func() { c.send(context.Background(), leaseRevokedMsg{m.leader, m.term}) })
+	wait := m.votesExpireAt.Sub(now)
+	c.Log.Info("failover scheduled", "leader", m.leader, "term", m.term, "after", wait.Round(time.Millisecond))
+	time.AfterFunc(wait, func() {
+		c.sendOrDrop(context.Background(), leaseRevokedMsg{m.leader, m.term})
+	})
+}
+
+// leaderStillSuspected reports whether the leader that the promises are about still leads in the
+// same term, as far as this node knows, and is still unreachable.
+func (m promisesCollectedMsg) leaderStillSuspected(c *Controller) bool {
+	mb := c.membership.members[m.leader]
+	return c.leader == m.leader && c.leaderTerm == nil && mb.failedPings >= unreachablePings && mb.Term == m.term
 }
 
-// leaseRevokedMsg says that a leader may decide nothing any more in its term.
+// leaseRevokedMsg means that all votes for a leader have expired: it cannot act any more in its
+// term.
 type leaseRevokedMsg struct {
 	leader string
 	term   uint64
@@ -158,33 +176,28 @@
 func (m leaseRevokedMsg) apply(c *Controller) {
 	c.failover.busy, c.failover.nextAttempt = false, time.Now().Add(failoverRetryInterval)
 	if c.leader != m.leader || c.leaderTerm != nil {
-		return // somebody else was quicker
-	}
-	select {
-	case c.resignations <- election.Resignation{Node: m.leader, Term: m.term}:
-	default:
+		return // another leader has been elected meanwhile
 	}
+	c.notifyResignation(m.leader, m.term)
 }
 
-// PeerPromise answers a node that wants to replace the leader of a term.
+// PeerPromise responds to a node that is replacing the leader of a term.
 func (c *Controller) PeerPromise(ctx context.Context, term uint64) (time.Duration, error) {
 	m := promiseRequestMsg{term, make(chan time.Duration, 1)}
-	if err := c.send(ctx, m); err != nil {
-		return 0, err
-	}
-	wait, err := await(ctx, c, m.reply)
+	wait, err := request(ctx, c, m, m.reply)
 	if err == nil && wait == noPromise {
 		return 0, api.ErrUnavailable
 	}
 	return wait, err
 }
 
+// promiseRequestMsg requests this node's promise to vote no more in a term. A node that leads, or
+// reaches the leader of that term, does not promise.
 type promiseRequestMsg struct {
 	term  uint64
 	reply chan time.Duration
 }
 
-// A node that hears the leader, or leads itself, promises nothing.
 func (m promiseRequestMsg) apply(c *Controller) {
 	v, now := c.failover.voter, time.Now()
 	if v == nil || c.leaderTerm != nil {
--- a/internal/controller/leasevotes.go
+++ b/internal/controller/leasevotes.go
@@ -7,31 +7,28 @@
 	"example.org/ivytrestle/internal/leasequorum"
 )
 
-// requestVotes asks another node for a grant every second while this one leads.
+// requestVotes requests another node's vote at intervals while this one leads.
 func (c *Controller) requestVotes(ctx context.Context, node string) {
 	for ctx.Err() == nil {
-		ask := ownTermRequestMsg{make(chan uint64, 1)}
-		if c.send(ctx, ask) != nil {
-			return
-		}
-		term, err := await(ctx, c, ask.reply)
+		m := ownTermRequestMsg{make(chan uint64, 1)}
+		term, err := request(ctx, c, m, m.reply)
 		if err != nil {
 			return
 		}
 		if term != 0 {
 			sentAt := time.Now()
-			gctx, cancel := context.WithTimeout(ctx, voteTimeout)
-			granted, err := c.Peers.Vote(gctx, node, term)
+			vctx, cancel := context.WithTimeout(ctx, voteTimeout)
+			granted, err := c.Peers.Vote(vctx, node, term)
 			cancel()
 			if err == nil && granted {
-				c.send(ctx, voteGrantedMsg{node, term, sentAt})
+				c.sendOrDrop(ctx, voteGrantedMsg{node, term, sentAt})
 			}
 		}
 		sleep(ctx, voteInterval)
 	}
 }
 
-// ownTermRequestMsg asks in which term this node leads, if it does.
+// ownTermRequestMsg requests the term in which this node leads; 0: it does not.
 type ownTermRequestMsg struct{ reply chan uint64 }
 
 func (m ownTermRequestMsg) apply(c *Controller) {
@@ -42,7 +39,8 @@
 	m.reply <- term
 }
 
-// voteGrantedMsg brings another node's grant.
+// voteGrantedMsg carries another node's vote, and when it was requested: its validity is counted
+// from there.
 type voteGrantedMsg struct {
 	node   string
 	term   uint64
@@ -55,21 +53,21 @@
 	}
 }
 
-// voteQuorum tells whether the leader holds enough grants.
+// voteQuorum reports whether the leader has enough valid votes.
 func (lt *leaderTerm) voteQuorum(now time.Time) bool {
 	return lt.votes.HasQuorum(leasequorum.RequiredVotes(len(lt.c.Settings.Peers)+1), now)
 }
 
-// hasLeaseQuorum tells whether the leader may start tasks, and rent and return machines. One
-// that is bound to grants and lacks them may have been replaced; all that it goes on with
-// is what renews leases, and what the state service guards.
+// hasLeaseQuorum reports whether the leader may start tasks and launch and terminate machines.
+// One that requires a lease quorum and lacks it may have been replaced. It goes on only with what
+// renews leases, and with what the key-value store fences.
 func (lt *leaderTerm) hasLeaseQuorum(now time.Time) bool {
 	return !lt.quorumRequired || lt.voteQuorum(now)
 }
 
-// checkLeaseQuorum binds the leader to grants once all other nodes know of them and enough have
-// granted. One that lacks them for long, and is not replaced, begins a new term: those
-// that have promised to grant the present one nothing more are not bound to that.
+// checkLeaseQuorum makes the leader require a lease quorum once that is possible. A leader that
+// has lacked it for long, and is not replaced, steps down to begin a new term: promises to vote
+// no more in the present one do not bind nodes in the next.
 func (lt *leaderTerm) checkLeaseQuorum(now time.Time) {
 	if lt.c.Standby == nil || len(lt.c.Settings.Peers) == 0 {
 		return
@@ -84,17 +82,17 @@
 	}
 	if lt.quorumLostAt.IsZero() {
 		lt.quorumLostAt = now
-		lt.c.Log.Info("grants lost, nothing is decided", "term", lt.term.Number)
+		lt.c.Log.Info("lease quorum lost", "term", lt.term.Number)
 	}
 	if now.Sub(lt.quorumLostAt) > 2*lt.c.Standby.VoteLifetime() && lt.c.membership.kvReachable {
-		lt.c.Log.Info("leadership given up without grants", "term", lt.term.Number)
+		lt.c.Log.Info("leader steps down without lease quorum", "term", lt.term.Number)
 		lt.stepDown()
 	}
 }
 
-// requireQuorum binds the leader to grants once all other nodes know of them and enough of them
-// grant. Processes that were begun after the term was grant it nothing, as they cannot know
-// what earlier ones have promised: if there are too many of them, a new term is begun.
+// requireQuorum makes the leader require a lease quorum once all other nodes support it and
+// enough of them vote. Processes that began after the term did not vote in it, as they cannot
+// know what earlier ones have promised: if they are too many, the leader begins a new term.
 func (lt *leaderTerm) requireQuorum(now time.Time) {
 	for _, mb := range lt.c.membership.members {
 		if !mb.SupportsLeaseQuorum || !mb.isReachable(now) {
@@ -104,29 +102,28 @@
 	}
 	if lt.quorumRequired = lt.voteQuorum(now); lt.quorumRequired {
 		lt.quorumLostAt = time.Time{}
-		lt.c.Log.Info("bound to grants", "term", lt.term.Number)
+		lt.c.Log.Info("lease quorum required", "term", lt.term.Number)
 		return
 	}
 	if lt.quorumLostAt.IsZero() {
 		lt.quorumLostAt = now
 	}
 	f := &lt.c.failover
-	if now.Sub(lt.quorumLostAt) > quorumWait && now.Sub(f.lastNewTerm) > newTermInterval && lt.c.membership.kvReachable {
+	waited := now.Sub(lt.quorumLostAt) > quorumWait && now.Sub(f.lastNewTerm) > newTermInterval
+	if waited && lt.c.membership.kvReachable {
 		f.lastNewTerm = now
-		lt.c.Log.Info("new term begun, to be granted", "term", lt.term.Number)
+		lt.c.Log.Info("leader steps down to get votes in a new term", "term", lt.term.Number)
 		lt.stepDown()
 	}
 }
 
-// PeerVote answers a leader that asks to decide in its term.
+// PeerVote responds to a leader that requests this node's vote in its term.
 func (c *Controller) PeerVote(ctx context.Context, term uint64) (bool, error) {
 	m := voteRequestMsg{term, make(chan bool, 1)}
-	if err := c.send(ctx, m); err != nil {
-		return false, err
-	}
-	return await(ctx, c, m.reply)
+	return request(ctx, c, m, m.reply)
 }
 
+// voteRequestMsg requests this node's vote in a term.
 type voteRequestMsg struct {
 	term  uint64
 	reply chan bool
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -11,101 +11,109 @@
 	"example.org/ivytrestle/internal/election"
 )
 
-// PeerStatus is a node's state as it tells the others.
+// PeerStatus is a node's state in its response to a ping.
 type PeerStatus struct {
-	// Term is the term in which it leads at this moment, or 0.
+	// Term is the term in which the node leads at this moment, or 0.
 	Term uint64
-	// Leader is the node that it takes for the leader.
+	// Leader is the node that it follows.
 	Leader string
-	// KVReachableFor is for how long the state service has answered it.
+	// KVReachableFor is for how long the key-value store has answered it, or 0.
 	KVReachableFor time.Duration
-	// Incarnation is the one under which it relays reports.
+	// Incarnation is the one under which it relays heartbeats.
 	Incarnation string
-	// Cancellations is what it knows of cancellations, and Known how long ago it knew
-	// all of them as a leader; negative: it does not know.
-	Cancellations         cancellation.Delta
+	// Cancellations is a part of its cancellation log.
+	Cancellations cancellation.Delta
+	// CancellationsKnownAge is how long ago it knew all cancellations as leader; negative:
+	// not known.
 	CancellationsKnownAge time.Duration
-	// SupportsLoans is set if it knows records of jobs that are lent between cells.
+	// SupportsLoans is set if its version reads records of jobs that are lent between cells.
 	SupportsLoans bool
-	// SupportsLeaseQuorum is set if it grants and promises, and Bound if it decides as leader
-	// only while it is granted that.
-	SupportsLeaseQuorum, QuorumRequired bool
+	// SupportsLeaseQuorum is set if it votes and promises.
+	SupportsLeaseQuorum bool
+	// QuorumRequired is set if it acts as leader only while it has a lease quorum.
+	QuorumRequired bool
 }
 
-// membership is what a node knows of the others and of its own way to the state
-// service.
+// membership is what a node knows of the other nodes, and whether it reaches the key-value
+// store itself.
 type membership struct {
 	members map[string]*member
-	// kvAnsweredAt is when the service last answered, kvStateSince since when it has
-	// done so without a break, or has not.
+	// kvAnsweredAt is when the store last answered, and kvStateSince since when kvReachable
+	// has had its value.
 	kvAnsweredAt time.Time
 	kvReachable  bool
 	kvStateSince time.Time
 }
 
-// member is another node as last heard of.
+// member is another node as of its last response.
 type member struct {
 	PeerStatus
 	zone    string
 	cancels cancellation.Reader
-	// termSeenAt is when it was first heard to lead in its term.
-	termSeenAt  time.Time
-	lastPong    time.Time
+	// termSeenAt is when a response first named its present term.
+	termSeenAt time.Time
+	// lastPong is when the last ping that was answered was sent.
+	lastPong time.Time
+	// failedPings is the number of pings in a row that were not answered.
 	failedPings int
 	// connectionRefused is set if it refuses connections from here.
 	connectionRefused bool
 }
 
 func newMembership(peers []config.Peer, now time.Time) membership {
-	a := membership{members: map[string]*member{}, kvStateSince: now}
+	ms := membership{members: map[string]*member{}, kvStateSince: now}
 	for _, p := range peers {
-		a.members[p.Node] = &member{zone: p.Zone}
+		ms.members[p.Node] = &member{zone: p.Zone}
 	}
-	return a
+	return ms
 }
 
 const (
 	pingInterval = time.Second
 	pingTimeout  = 800 * time.Millisecond
-	// unreachablePings is how many pings in a row must fail.
+	// unreachablePings is how many pings in a row must fail before a node counts as
+	// unreachable.
 	unreachablePings = 2
 	kvCheckInterval  = 1500 * time.Millisecond
 	kvCheckTimeout   = 1200 * time.Millisecond
-	// kvUnreachableAfter is how long the service must not answer this node before
-	// it takes itself for shut out, and kvHealthyAfter how long it must have
-	// answered another one, so that neither the beginning nor the end of an
-	// outage looks like that.
+	// A node counts as partitioned from the store once that has not answered it for
+	// kvUnreachableAfter, but has answered another node for kvHealthyAfter: both that long, so
+	// that neither the beginning nor the end of an outage is taken for a partition.
 	kvUnreachableAfter = 5 * time.Second
 	kvHealthyAfter     = 8 * time.Second
+	// resignTimeout is the time limit of a resignation.
+	resignTimeout = 2 * time.Second
 )
 
-// isReachable tells whether the node has answered just now.
+// isReachable reports whether the node has answered just now.
 func (mb *member) isReachable(now time.Time) bool {
 	return mb != nil && mb.failedPings == 0 && now.Sub(mb.lastPong) < 3*pingInterval
 }
 
-// isUnreachable tells whether the node has not answered for a while.
+// isUnreachable reports whether the node has not answered for a while.
 func (mb *member) isUnreachable() bool { return mb != nil && mb.failedPings > unreachablePings }
 
-// currentLeader names the node that leads, as far as known here.
+// currentLeader returns the node that leads, as far as this node knows, or "". Without the
+// store the election's last notice may be out of date, so the highest term among the
+// reachable nodes counts.
 func (c *Controller) currentLeader(now time.Time) string {
 	if c.leader != "" && c.leader != c.Settings.Node && c.membership.kvReachable {
 		return c.leader
 	}
-	best, term := "", uint64(0)
+	leader, term := "", uint64(0)
 	for name, mb := range c.membership.members {
 		if mb.isReachable(now) && mb.Term > term {
-			best, term = name, mb.Term
+			leader, term = name, mb.Term
 		}
 	}
-	if best == "" && c.leader != c.Settings.Node {
+	if leader == "" && c.leader != c.Settings.Node {
 		return c.leader
 	}
-	return best
+	return leader
 }
 
-// kvHealthLoop asks the state service from time to time, only to know whether it
-// answers this node.
+// kvHealthLoop reads from the key-value store at intervals, only to learn whether it answers
+// this node.
 func (c *Controller) kvHealthLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		sctx, cancel := context.WithTimeout(ctx, kvCheckTimeout)
@@ -118,26 +126,27 @@
 	}
 }
 
+// kvHealthMsg carries whether the store has answered a health check.
 type kvHealthMsg struct{ ok bool }
 
 func (m kvHealthMsg) apply(c *Controller) {
 	now := time.Now()
-	a := &c.membership
+	ms := &c.membership
 	if m.ok {
-		a.kvAnsweredAt = now
+		ms.kvAnsweredAt = now
 	}
-	if m.ok != a.kvReachable {
-		a.kvReachable, a.kvStateSince = m.ok, now
+	if m.ok != ms.kvReachable {
+		ms.kvReachable, ms.kvStateSince = m.ok, now
 	}
 }
 
-// pingLoop pings another node, and while that leads and cannot be reached
-// keeps what the lease extender must know up to date.
+// pingLoop pings another node. While that leads and is unreachable, it also verifies the
+// leader's term for the renewal of leases on the leader's behalf.
 func (c *Controller) pingLoop(ctx context.Context, node string) {
 	failed := 0
 	var from cancellation.Position
 	for ctx.Err() == nil {
-		sent := time.Now()
+		sentAt := time.Now()
 		pctx, cancel := context.WithTimeout(ctx, pingTimeout)
 		st, err := c.Peers.Ping(pctx, node, from)
 		cancel()
@@ -145,7 +154,14 @@
 		if err == nil || errors.Is(err, api.ErrUnavailable) {
 			failed = 0
 		}
-		if c.send(ctx, pingResultMsg{node, st, sent, failed, errors.Is(err, ErrConnectionRefused)}) != nil {
+		result := pingResultMsg{
+			node:              node,
+			status:            st,
+			sentAt:            sentAt,
+			failedPings:       failed,
+			connectionRefused: errors.Is(err, ErrConnectionRefused),
+		}
+		if c.send(ctx, result) != nil {
 			return
 		}
 		if err == nil {
@@ -158,12 +174,12 @@
 	}
 }
 
+// pingResultMsg carries the response to a ping, if failedPings is 0, or its failure.
 type pingResultMsg struct {
-	node        string
-	status      PeerStatus
-	sent        time.Time
-	failedPings int
-	// connectionRefused is set if the connection was refused.
+	node              string
+	status            PeerStatus
+	sentAt            time.Time
+	failedPings       int
 	connectionRefused bool
 }
 
@@ -180,98 +196,123 @@
 	if m.status.Term != mb.Term {
 		mb.termSeenAt = now
 	}
-	mb.cancels.Apply(m.status.Incarnation, &m.status.Cancellations, m.sent, now)
+	mb.cancels.Apply(m.status.Incarnation, &m.status.Cancellations, m.sentAt, now)
 	for _, id := range m.status.Cancellations.IDs {
 		c.recordCancellation(id)
 	}
 	m.status.Cancellations = cancellation.Delta{}
-	mb.PeerStatus, mb.lastPong = m.status, m.sent
+	mb.PeerStatus, mb.lastPong = m.status, m.sentAt
 	if c.leaderTerm != nil {
 		c.leaderTerm.downlink.restarted(c.leaderTerm, m.node, m.status.Incarnation)
 	}
 	if m.node == c.leader {
-		// What the leader knows of cancellations it says itself. Those of
-		// earlier terms are in no log that must have come here: it only knows
-		// which jobs are left, and has told it to each machine that is still
-		// alive when a lease has passed.
-		known := m.sent.Add(-m.status.CancellationsKnownAge)
-		if w := c.Settings.Site.Workers; m.status.CancellationsKnownAge < 0 || m.status.Term > 1 && now.Sub(mb.termSeenAt) < w.Lease()+2*w.HeartbeatInterval() {
-			known = time.Time{}
-		}
-		c.leaseRenewer.reset(m.node, m.status.Term, known)
+		c.leaseRenewer.reset(m.node, m.status.Term, m.cancellationsKnownAt(c, mb, now))
+	}
+}
+
+// cancellationsKnownAt returns the moment before which the leader knew all cancellations, as
+// far as its response to a ping lets this node rely on it; zero: not at all.
+//
+// A response carries the leader's own knowledge. Cancellations of earlier terms need not be in
+// any log that has reached this node: the leader only knows which jobs are left, and has
+// communicated that to each machine that is still alive once a lease has passed.
+func (m pingResultMsg) cancellationsKnownAt(c *Controller, leader *member, now time.Time) time.Time {
+	w := c.Settings.Site.Workers
+	if m.status.CancellationsKnownAge < 0 {
+		return time.Time{}
+	}
+	if m.status.Term > 1 && now.Sub(leader.termSeenAt) < w.Lease()+2*w.HeartbeatInterval() {
+		return time.Time{}
 	}
+	return m.sentAt.Add(-m.status.CancellationsKnownAge)
 }
 
-// checkKVAccess draws the conclusions: a node that the state service refuses
-// while it answers others can only fail its users, and cannot lead.
+// checkKVAccess makes a node unready, and has it step down as leader, if the key-value store
+// does not answer it but answers others: it can only fail its users, and cannot lead.
 func (c *Controller) checkKVAccess(now time.Time) {
 	if c.draining {
 		return
 	}
-	a := &c.membership
-	if a.kvReachable || now.Sub(a.kvStateSince) < kvUnreachableAfter {
+	ms := &c.membership
+	if ms.kvReachable || now.Sub(ms.kvStateSince) < kvUnreachableAfter {
 		if c.unready.Swap(false) {
-			c.Log.Info("state service reached again")
+			c.Log.Info("key-value store reachable again")
 		}
 		return
 	}
-	reached, successor := 0, ""
-	for name, mb := range a.members {
+	reachable, healthy := ms.kvHealthyMember(now)
+	// Without a reachable node it is unknown whether this is an outage for all; then, too,
+	// other nodes serve users better, if any does.
+	if unready := healthy != "" || (reachable == 0 && len(ms.members) > 0); unready != c.unready.Load() {
+		c.unready.Store(unready)
+		c.Log.Info("key-value store unreachable", "answersOthers", healthy != "", "nodesReached", reachable)
+	}
+	if c.leaderTerm != nil && healthy != "" {
+		c.resign(healthy)
+	}
+}
+
+// kvHealthyMember counts the reachable nodes, and names one that the key-value store has
+// answered for a while, or none.
+func (ms *membership) kvHealthyMember(now time.Time) (reachable int, healthy string) {
+	for name, mb := range ms.members {
 		if !mb.isReachable(now) {
 			continue
 		}
-		reached++
+		reachable++
 		if mb.KVReachableFor >= kvHealthyAfter {
-			successor = name
+			healthy = name
 		}
 	}
-	// With no other node in reach it cannot be told whether it is an outage;
-	// then, too, users are better served elsewhere, if they are anywhere.
-	if shut := successor != "" || (reached == 0 && len(a.members) > 0); shut != c.unready.Load() {
-		c.unready.Store(shut)
-		c.Log.Info("state service lost here", "answersOthers", successor != "", "nodesReached", reached)
-	}
-	if lt := c.leaderTerm; lt != nil && successor != "" {
-		c.Log.Info("leadership resigned", "term", lt.term.Number, "to", successor)
-		term := lt.term.Number
-		lt.stepDown() // from here on this node acts for nobody
-		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			defer cancel()
-			if err := c.Peers.Resign(ctx, successor, c.Settings.Node, term); err != nil {
-				c.Log.Debug("resignation not taken", "to", successor, "err", err)
-			}
-		}()
-	}
+	return reachable, healthy
+}
+
+// resign steps down, then notifies the successor, which may take over at once: from the step
+// down on this node does not act as leader.
+func (c *Controller) resign(successor string) {
+	term := c.leaderTerm.term.Number
+	c.Log.Info("leader resigns", "term", term, "node", successor)
+	c.leaderTerm.stepDown()
+	go func() {
+		ctx, cancel := context.WithTimeout(context.Background(), resignTimeout)
+		defer cancel()
+		if err := c.Peers.Resign(ctx, successor, c.Settings.Node, term); err != nil {
+			c.Log.Debug("resignation not delivered", "node", successor, "err", err)
+		}
+	}()
 }
 
-// LeaderResigned handles the notice that a leader has stopped acting.
+// LeaderResigned handles a leader's notice that it has stopped acting.
 func (c *Controller) LeaderResigned(ctx context.Context, node string, term uint64) error {
 	return c.send(ctx, resignationMsg{node, term})
 }
 
+// resignationMsg carries a leader's notice that it has stopped acting in a term.
 type resignationMsg struct {
 	node string
 	term uint64
 }
 
 func (m resignationMsg) apply(c *Controller) {
-	c.Log.Info("leader has resigned", "leader", m.node, "term", m.term)
+	c.Log.Info("leader resigned", "leader", m.node, "term", m.term)
+	c.notifyResignation(m.node, m.term)
+}
+
+// notifyResignation notifies the election that a leader no longer acts in a term.
+func (c *Controller) notifyResignation(leader string, term uint64) {
 	select {
-	case c.resignations <- election.Resignation{Node: m.node, Term: m.term}:
+	case c.resignations <- election.Resignation{Node: leader, Term: term}:
 	default:
 	}
 }
 
-// PeerStatus is the state of this node, as the others are told.
+// PeerStatus responds to another node's ping.
 func (c *Controller) PeerStatus(ctx context.Context, from cancellation.Position) (PeerStatus, error) {
 	m := pingMsg{from, make(chan PeerStatus, 1)}
-	if err := c.send(ctx, m); err != nil {
-		return PeerStatus{}, err
-	}
-	return await(ctx, c, m.reply)
+	return request(ctx, c, m, m.reply)
 }
 
+// pingMsg requests this node's status, with its cancellation log from a position on.
 type pingMsg struct {
 	from  cancellation.Position
 	reply chan PeerStatus
@@ -279,7 +320,13 @@
 
 func (m pingMsg) apply(c *Controller) {
 	now := time.Now()
-	st := PeerStatus{Leader: c.leader, Incarnation: c.uplink.incarnation, CancellationsKnownAge: -1, SupportsLoans: c.Cells != nil, SupportsLeaseQuorum: c.Standby != nil}
+	st := PeerStatus{
+		Leader:                c.leader,
+		Incarnation:           c.uplink.incarnation,
+		CancellationsKnownAge: -1,
+		SupportsLoans:         c.Cells != nil,
+		SupportsLeaseQuorum:   c.Standby != nil,
+	}
 	if m.from.Incarnation != st.Incarnation {
 		m.from.Number = 0
 	}
