--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -8,27 +8,28 @@
 	"example.org/ivytrestle/internal/loan"
 )
 
-// To renew a worker's lease is to let its tasks run for a lease longer. So a
-// node may do so only if it knows which cancellations users have been told, or
-// knew it so lately that the lease ends in time even for one told since. Being
-// entitled to lead is no such knowledge: the state service may refuse the leader
-// alone, have another node confirm cancellations, and then be down for all.
+// Renewing a machine's task lease lets its tasks run for another lease. So a node may renew only
+// if it knows all cancellations that have been confirmed to users, or knew them so recently that
+// the lease expires in time even for one confirmed since. The leader lease is no such knowledge:
+// the key-value store may be unreachable for the leader alone, commit cancellations of another
+// node, and then be down for all.
 //
-// Two things show that all cancellations told before a moment are known:
+// Two things prove that all cancellations confirmed to users before a moment are known:
 //
 //   - The store has answered a comparison of the version of its cancel key, sent
 //     at that moment.
 //   - All other nodes have answered a ping, sent at that moment. A node that
 //     learns of a cancellation, by its own transaction, by reading it or from
-//     another node, puts it in its log before it tells anybody, and its answers
-//     carry what the asker lacks of the log. A log begins with its process, so
-//     it counts only if it was whole when the store last answered: what a node
-//     told before it was started anew is not in it.
+//     another node, appends it to its cancellation log before it responds to
+//     anybody, and its responses to pings carry the part of the log that the
+//     sender lacks. A log begins with its process, so it counts only if it was
+//     complete when the store last answered: what a node confirmed before it was
+//     restarted is not in it.
 //
-// A follower that extends leases knows no more than its leader did when that last
-// answered its ping.
+// A follower that renews leases on behalf of its leader knows no more than the leader did when it
+// last answered the follower's ping.
 
-// recordCancellation handles a job that is cancelled on record.
+// recordCancellation applies a cancellation that is on record.
 func (c *Controller) recordCancellation(id string) {
 	c.final.Add(id, api.JobState{ID: id, Phase: api.JobCancelled})
 	c.cancellations.Add(id, time.Now())
@@ -36,28 +37,28 @@
 		if j := c.leaderTerm.jobs[id]; j != nil && !j.cancelPending {
 			c.leaderTerm.cancelJob(j)
 		}
-		// One whose cancellation follows from another's is dropped only once its
-		// own end is on record: else nobody would write that.
+		// A job that is cancelled because another is, is dropped only once its own end is on
+		// record: otherwise nobody would write that.
 		c.leaderTerm.dependencies.jobCancelled(id)
 	}
 }
 
-// isCancelled tells whether a job, or a guest under its mark, is known to be cancelled.
+// isCancelled reports whether a job, or a guest under its marked id, is known to be cancelled.
 func (c *Controller) isCancelled(id string) bool {
 	st, ok := c.final.Peek(id)
 	return ok && st.Phase == api.JobCancelled
 }
 
-// stopCancelled are the orders that stop the tasks in a report whose jobs are
-// over as far as this node knows.
-func (c *Controller) stopCancelled(hb *api.Heartbeat, over func(id string) bool) []api.Command {
+// stopCancelled returns the commands that stop the tasks in a heartbeat whose jobs are cancelled or,
+// by hasEnded, have ended, as far as this node knows. A nil hasEnded knows of no ended jobs.
+func (c *Controller) stopCancelled(hb *api.Heartbeat, hasEnded func(id string) bool) []api.Command {
 	commands := []api.Command{}
 	for _, t := range hb.Tasks {
 		if t.Phase == api.TaskExited || len(commands) >= maxCommands {
 			continue
 		}
 		id, _, _ := splitRef(t.Task)
-		if !c.isCancelled(id) && !c.isCancelled(loan.GuestMarker+id) && (over == nil || !over(id)) {
+		if !c.isCancelled(id) && !c.isCancelled(loan.GuestMarker+id) && (hasEnded == nil || !hasEnded(id)) {
 			continue
 		}
 		grace := 0.0
@@ -67,61 +68,66 @@
 }
 
 const (
-	// leaseRenewalMargin is kept back of the time that a cancellation has, besides
-	// what the clocks may differ by.
+	// leaseRenewalMargin is kept in reserve of the time in which a cancellation must take
+	// effect, besides the drift of the clocks.
 	leaseRenewalMargin = 500 * time.Millisecond
-	// minLeaseRenewal is what a leader is given at the least: with leases nearly as
-	// long as a cancellation may take, it must ask the store that often.
+	// minLeaseRenewal is the least window of a leader: with leases nearly as long as a
+	// cancellation may take, it must read from the store that often.
 	minLeaseRenewal = 2500 * time.Millisecond
-	// loadAllowance is how long a new leader may renew leases before it has read
-	// the store.
+	// loadAllowance is how long a new leader may renew leases before it has loaded the records
+	// of the store.
 	loadAllowance    = 4 * time.Second
 	minProofInterval = 300 * time.Millisecond
-	// startAllowance is how late the answer to a round of questions may be before
-	// nothing is started any more.
+	// startAllowance is by how much proof of the cancellations may be overdue before no task
+	// is started any more.
 	startAllowance   = time.Second
 	maxProofInterval = 2 * time.Second
+	// clockDriftDivisor gives the drift of the clocks that is allowed for: 1 in 500.
+	clockDriftDivisor = 500
 )
 
-// leaseRenewalWindow is how long after a moment before which it knew all cancellations a
-// node may renew leases: none is renewed so late that it ends later than
-// cancel_s after that moment.
+// leaseRenewalWindow returns for how long after a moment before which it knew all cancellations a
+// node may renew leases: none is renewed so late that it expires later than cancel_s after that
+// moment.
 func (c *Controller) leaseRenewalWindow() time.Duration {
 	w := c.Settings.Site.Workers
 	cancel := config.Duration(w.CancelS)
-	return cancel - w.Lease() - leaseRenewalMargin - cancel/500
+	drift := cancel / clockDriftDivisor
+	return cancel - w.Lease() - leaseRenewalMargin - drift
 }
 
-// cancellationsKnownAt is the moment before which all cancellations told to users are known
-// here.
+// cancellationsKnownAt returns the moment before which all cancellations confirmed to users are
+// known here.
 func (lt *leaderTerm) cancellationsKnownAt(now time.Time) time.Time {
-	all := now
+	knownAt := now
 	for _, mb := range lt.c.membership.members {
 		if mb.cancels.CompleteSince().After(lt.cancellationsConfirmedAt) {
-			return lt.cancellationsConfirmedAt // it was started, or cut off, since the store answered
+			// The node was restarted, or partitioned, after the store answered.
+			return lt.cancellationsConfirmedAt
 		}
-		if mb.cancels.KnownUntil().Before(all) {
-			all = mb.cancels.KnownUntil()
+		if mb.cancels.KnownUntil().Before(knownAt) {
+			knownAt = mb.cancels.KnownUntil()
 		}
 	}
-	if lt.cancellationsConfirmedAt.After(all) {
+	if lt.cancellationsConfirmedAt.After(knownAt) {
 		return lt.cancellationsConfirmedAt
 	}
-	return all
+	return knownAt
 }
 
-// mayRenewLeases tells whether this leader may renew leases.
+// mayRenewLeases reports whether this leader may renew leases.
 func (lt *leaderTerm) mayRenewLeases(now time.Time) bool {
+	window := max(lt.c.leaseRenewalWindow(), minLeaseRenewal)
 	if !lt.loaded {
-		return now.Sub(lt.startedAt) <= min(loadAllowance, max(lt.c.leaseRenewalWindow(), minLeaseRenewal))
+		return now.Sub(lt.startedAt) <= min(loadAllowance, window)
 	}
-	return now.Sub(lt.cancellationsKnownAt(now)) <= max(lt.c.leaseRenewalWindow(), minLeaseRenewal)
+	return now.Sub(lt.cancellationsKnownAt(now)) <= window
 }
 
-// mayStart tells whether this leader may start tasks. One that has lost the
-// state service and all other nodes, but not its workers, would start for half a
-// minute what users have called off elsewhere. In an outage that the others see
-// as well nobody can call anything off.
+// mayStart reports whether this leader may start tasks. One that reaches neither the key-value
+// store nor any other node, but does reach its machines, would go on for half a minute to start
+// jobs that users have cancelled elsewhere. In an outage that the other nodes see as well nobody
+// can cancel anything.
 func (lt *leaderTerm) mayStart(now time.Time) bool {
 	if !lt.hasLeaseQuorum(now) {
 		return false
@@ -137,7 +143,8 @@
 	return false
 }
 
-// proofInterval is how often the store is asked whether all cancellations are known.
+// proofInterval returns the interval at which the store must confirm that all cancellations are
+// known.
 func (c *Controller) proofInterval() time.Duration {
 	return min(max(c.leaseRenewalWindow()/8, minProofInterval), maxProofInterval)
 }
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Drain hands the leadership over, if this node has it, before its process ends: it stops to
-// act, and tells another node that it has, which takes over without waiting for the lease.
-// It also has users sent elsewhere. It returns when that is done or the context ends.
+// Drain prepares the end of the process: the node becomes unready, so that users are routed to
+// others, and if it leads, it hands over to a successor. It stops acting, then notifies the
+// successor, which takes over without waiting for the lease to expire. Drain returns when that is
+// done or the context ends.
 func (c *Controller) Drain(ctx context.Context) {
 	c.unready.Store(true)
 	m := drainMsg{make(chan successor, 1)}
-	if c.send(ctx, m) != nil {
+	next, err := request(ctx, c, m, m.reply)
+	if err != nil || next.node == "" {
 		return
 	}
-	h, err := await(ctx, c, m.reply)
-	if err != nil || h.node == "" {
-		return
-	}
-	if err := c.Peers.Resign(ctx, h.node, c.Settings.Node, h.term); err != nil {
-		c.Log.Info("leadership not handed over", "to", h.node, "err", err)
+	if err := c.Peers.Resign(ctx, next.node, c.Settings.Node, next.term); err != nil {
+		c.Log.Info("handover failed", "term", next.term, "node", next.node, "err", err)
 	}
 }
 
-// successor is the node that is to take over from a leader of a term; none: an empty name.
+// successor is the node that is to take over from the leader of a term. Its name is empty if there
+// is none.
 type successor struct {
 	node string
 	term uint64
 }
 
-// drainMsg ends the leadership and asks who is to have it next.
+// drainMsg ends this node's term, if it leads, and requests its successor: the reachable node that
+// the store has answered longest.
 type drainMsg struct{ reply chan successor }
 
 func (m drainMsg) apply(c *Controller) {
@@ -38,18 +38,18 @@
 		m.reply <- successor{}
 		return
 	}
-	h := successor{term: c.leaderTerm.term.Number}
+	next := successor{term: c.leaderTerm.term.Number}
 	now, longest := time.Now(), time.Duration(0)
 	for name, mb := range c.membership.members {
 		if mb.isReachable(now) && mb.KVReachableFor > longest {
-			h.node, longest = name, mb.KVReachableFor
+			next.node, longest = name, mb.KVReachableFor
 		}
 	}
-	if h.node == "" {
-		c.Log.Info("leadership ended, no other node in reach", "term", h.term)
+	if next.node == "" {
+		c.Log.Info("leader ends without successor", "term", next.term)
 	} else {
-		c.Log.Info("leadership handed over", "term", h.term, "to", h.node)
+		c.Log.Info("leader hands over", "term", next.term, "node", next.node)
 	}
-	c.endTerm() // from here on this node acts for nobody
-	m.reply <- h
+	c.endTerm() // the successor may act from the reply on, so this node no longer does
+	m.reply <- next
 }
--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -8,13 +8,14 @@
 	"example.org/ivytrestle/internal/api"
 )
 
+// A poll queries at most the leader, the store and the other nodes, one after the other.
 const (
 	peerQueryTimeout = 500 * time.Millisecond
 	readTimeout      = 600 * time.Millisecond
 )
 
-// Job implements api.Backend. Whichever node a user's connection stays on, it
-// asks the leader, reads the store itself, or has another node do so.
+// Job implements api.Backend. Whichever node a user is connected to, it queries the leader, reads
+// the store itself, or has another node do so.
 func (c *Controller) Job(ctx context.Context, id string) (api.JobState, error) {
 	r, err := c.poll(ctx, id)
 	if err != nil {
@@ -24,29 +25,33 @@
 		return r.state, r.err
 	}
 	if r.leader != "" && c.Peers != nil {
-		if st, err := c.queryPeer(ctx, r.leader, id); err == nil || errors.Is(err, api.ErrUnknownJob) {
+		if st, err := c.queryPeer(ctx, r.leader, id); isConclusive(err) {
 			return st, err
 		}
 	}
 	err = api.ErrUnavailable
 	if !r.kvUnreachable {
 		lctx, cancel := context.WithTimeout(ctx, readTimeout)
-		st, lerr := c.lookup(lctx, id)
+		st, lookupErr := c.lookup(lctx, id)
 		cancel()
-		if lerr == nil || errors.Is(lerr, api.ErrUnknownJob) {
-			return st, lerr
+		if isConclusive(lookupErr) {
+			return st, lookupErr
 		}
-		err = lerr
+		err = lookupErr
 	}
 	for _, node := range r.otherNodes {
-		if st, err := c.queryPeer(ctx, node, id); err == nil || errors.Is(err, api.ErrUnknownJob) {
+		if st, err := c.queryPeer(ctx, node, id); isConclusive(err) {
 			return st, err
 		}
 	}
 	return api.JobState{}, err
 }
 
-// queryPeer asks another node about a job.
+// isConclusive reports whether a query with this error has found out what it was about: the job's
+// state, or that there is no such job.
+func isConclusive(err error) bool { return err == nil || errors.Is(err, api.ErrUnknownJob) }
+
+// queryPeer requests a job's state from another node.
 func (c *Controller) queryPeer(ctx context.Context, node, id string) (api.JobState, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
@@ -57,8 +62,7 @@
 	return st, err
 }
 
-// PeerJob answers another node's question: the leader from its memory, others
-// from the store.
+// PeerJob responds to another node's query: the leader from its memory, others from the store.
 func (c *Controller) PeerJob(ctx context.Context, id string) (api.JobState, error) {
 	r, err := c.poll(ctx, id)
 	switch {
@@ -72,31 +76,31 @@
 	return c.lookup(ctx, id)
 }
 
-// poll asks the owner about a job.
+// poll requests what the owner knows of a job.
 func (c *Controller) poll(ctx context.Context, id string) (pollReply, error) {
 	m := &pollMsg{id: id, reply: make(chan pollReply, 1)}
 	m.deadline, _ = ctx.Deadline()
-	if err := c.send(ctx, m); err != nil {
-		return pollReply{}, err
-	}
-	return await(ctx, c, m.reply)
+	return request(ctx, c, m, m.reply)
 }
 
-// pollReply either answers a poll, or names the leader to ask; with neither,
-// the store must be read.
+// pollReply either answers a poll, or names the leader to query; with neither, the store must be
+// read.
 type pollReply struct {
-	state    api.JobState
+	state api.JobState
+	// answered is set if state answers the poll.
 	answered bool
 	leader   string
-	// otherNodes are further nodes to ask, whom the store answers.
+	// otherNodes are further nodes to query, which reach the store.
 	otherNodes []string
 	// kvUnreachable is set while the store does not answer this node.
 	kvUnreachable bool
 	err           error
 }
 
+// pollMsg requests what this node knows of a job. On a leader it waits for a ReadIndex.
 type pollMsg struct {
-	id       string
+	id string
+	// deadline is when the user's request times out; zero: it has none.
 	deadline time.Time
 	reply    chan pollReply
 }
@@ -123,13 +127,13 @@
 	m.reply <- reply
 }
 
-// knowsJob tells whether this cell's users may know a job that is active.
+// knowsJob reports whether a job is active and of this cell: guests are unknown to its users.
 func (lt *leaderTerm) knowsJob(id string) bool {
 	j := lt.jobs[id]
 	return j != nil && j.guest == nil
 }
 
-// pollReplyFor is what the leader's memory says of a job.
+// pollReplyFor answers a poll from the leader's memory, once that is known to be up to date.
 func (lt *leaderTerm) pollReplyFor(id string) pollReply {
 	if st, ok := lt.c.final.Get(id); ok {
 		return pollReply{state: st, answered: true}
@@ -137,15 +141,15 @@
 	j := lt.jobs[id]
 	switch {
 	case j == nil || j.guest != nil:
-		return pollReply{} // the store knows
+		return pollReply{} // read from the store instead
 	case j.cancelPending:
-		// One that it needs is cancelled on record, and that stays so. However many
-		// jobs follow from one cancellation, their users need not wait for the
-		// write rate.
+		// A job that it depends on is cancelled on record, and stays so. However many jobs
+		// are cancelled by one cancellation, their users need not wait for the writes,
+		// whose rate is limited.
 		return pollReply{state: api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}, answered: true}
 	case j.ending, len(j.dependsOn) > 0 && lt.dependencies.unresolved():
-		// In the second case one that it needs may be cancelled, and an earlier
-		// leader or another node may have told so.
+		// In the second case a job that it depends on may be cancelled, and an earlier
+		// leader or another node may have responded so.
 		return pollReply{}
 	}
 	return pollReply{state: j.state(), answered: true}
