--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -9,8 +9,8 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// forwardTimeout bounds the way of a report over another node, so that the worker
-// is answered well before it gives up.
+// forwardTimeout is the time limit of forwarding a heartbeat to another node: the agent gets its
+// response well before it times out.
 const forwardTimeout = 1200 * time.Millisecond
 
 // Heartbeat implements api.Backend.
@@ -19,59 +19,62 @@
 	if err != nil || r.forwardTo == "" {
 		return r.response, err
 	}
-	pctx, cancel := context.WithTimeout(ctx, forwardTimeout)
-	response, err := c.Peers.ForwardHeartbeat(pctx, r.forwardTo, hb)
+	fctx, cancel := context.WithTimeout(ctx, forwardTimeout)
+	response, err := c.Peers.ForwardHeartbeat(fctx, r.forwardTo, hb)
 	cancel()
-	var other *api.NotLeaderError
-	if err == nil || errors.As(err, &other) {
+	var notLeader *api.NotLeaderError
+	if err == nil || errors.As(err, &notLeader) {
 		return response, err
 	}
-	// The leader cannot be reached from here: its machines' leases are extended.
-	r, err = c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: hb, unreachableLeader: r.forwardTo, connectionRefused: errors.Is(err, ErrConnectionRefused)})
+	// The leader is unreachable from here: its machines' leases are renewed on its behalf.
+	r, err = c.submitHeartbeat(ctx, heartbeatMsg{
+		heartbeat:         hb,
+		unreachableLeader: r.forwardTo,
+		connectionRefused: errors.Is(err, ErrConnectionRefused),
+	})
 	return r.response, err
 }
 
-// ForwardedHeartbeat takes a report that came to another node.
+// ForwardedHeartbeat handles a heartbeat that another node has forwarded.
 func (c *Controller) ForwardedHeartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	r, err := c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: hb, forwarded: true})
 	return r.response, err
 }
 
-// submitHeartbeat has the owner take a report in. The owner answers every report, late ones
-// too, so nothing but the end of the controller cuts the wait short.
+// submitHeartbeat sends a heartbeat to the owner and waits for the response. The owner answers
+// every heartbeat, late ones too, so the wait is only cut short by the end of the request or of
+// the controller.
 func (c *Controller) submitHeartbeat(ctx context.Context, m heartbeatMsg) (heartbeatReply, error) {
 	m.reply, m.receivedAt = make(chan heartbeatReply, 1), time.Now()
-	if err := c.send(ctx, m); err != nil {
-		return heartbeatReply{}, err
-	}
-	r, err := await(ctx, c, m.reply)
+	r, err := request(ctx, c, m, m.reply)
 	if err != nil {
 		return r, err
 	}
 	return r, r.err
 }
 
-// heartbeatMaxAge is how long a report may wait for the owner and still be answered
-// before its worker gives up. After that its orders would be lost, and be taken
-// for carried out by nobody: it is not processed at all, and the next one says
-// more.
+// heartbeatMaxAge is how long a heartbeat may wait for the owner and still be answered before its
+// agent times out. After that the commands of the response would be lost, and never count as
+// applied. So the heartbeat is not handled at all: the next one is more recent.
 const heartbeatMaxAge = 3 * time.Second
 
+// heartbeatReply is the owner's reply to a heartbeat.
 type heartbeatReply struct {
 	response api.HeartbeatResponse
 	err      error
-	// forwardTo is the leader that should answer instead.
+	// forwardTo is the leader to which the heartbeat is to be forwarded, or "".
 	forwardTo string
 }
 
+// heartbeatMsg carries a heartbeat to the owner.
 type heartbeatMsg struct {
 	heartbeat *api.Heartbeat
 	reply     chan heartbeatReply
-	// forwarded is set if another node has passed the report on, and unreached
-	// names the leader if this node has tried to in vain.
-	forwarded         bool
+	// forwarded is set if another node has forwarded the heartbeat.
+	forwarded bool
+	// unreachableLeader is the leader to which this node has failed to forward it, or "".
 	unreachableLeader string
-	// connectionRefused is set if its connections are refused.
+	// connectionRefused is set if that leader refused the connection.
 	connectionRefused bool
 	receivedAt        time.Time
 }
@@ -90,7 +93,7 @@
 	}
 }
 
-// answerAsLeader answers a report while this node may act as leader.
+// answerAsLeader answers a heartbeat while this node holds the leader lease.
 func (c *Controller) answerAsLeader(m heartbeatMsg, now time.Time) heartbeatReply {
 	if node := c.localNode(m, now); node != "" {
 		return heartbeatReply{err: &api.NotLeaderError{Leader: node}}
@@ -99,7 +102,7 @@
 		return heartbeatReply{err: api.ErrUnavailable}
 	}
 	response, err := c.leaderTerm.handleOwnHeartbeat(m.heartbeat, now)
-	// A report that shows a later term has ended this node's own.
+	// A heartbeat that shows a later term has ended this node's own.
 	if c.leaderTerm != nil {
 		if mc := c.leaderTerm.machines[m.heartbeat.Machine]; mc != nil {
 			mc.lastForwarded = m.forwarded
@@ -108,44 +111,45 @@
 	return heartbeatReply{response: response, err: err}
 }
 
-// answerAsFollower passes a report on to the leader, sends its machine there, or
-// answers it in the leader's stead.
+// answerAsFollower forwards a heartbeat to the leader, redirects its machine there, or renews the
+// machine's lease on the leader's behalf.
 func (c *Controller) answerAsFollower(m heartbeatMsg, now time.Time) heartbeatReply {
 	leader := c.currentLeader(now)
+	mb := c.membership.members[leader]
 	if c.shouldForward(m, leader, now) {
-		if c.membership.members[leader].isReachable(now) {
+		if mb.isReachable(now) {
 			c.uplink.dropCommands(m.heartbeat.Machine)
 		}
 		return heartbeatReply{forwardTo: leader}
 	}
-	if mb := c.membership.members[leader]; mb.isUnreachable() && (m.connectionRefused || mb.connectionRefused) && c.mayRetryLeader(m.heartbeat.Machine, now) {
+	refused := mb.isUnreachable() && (m.connectionRefused || mb.connectionRefused)
+	if refused && c.mayRetryLeader(m.heartbeat.Machine, now) {
 		// Only the connections between the nodes are refused, or the leader
-		// restarts: the machine may well reach it itself. By now that knows,
-		// too, not to send it back here.
+		// restarts: the machine may well reach it itself. By now the leader knows,
+		// too, not to redirect it back here.
 		c.recordRedirect(m.heartbeat.Machine, now)
 		return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 	}
-	if mb := c.membership.members[leader]; m.unreachableLeader == "" && mb.isReachable(now) && mb.Term > 0 {
+	if m.unreachableLeader == "" && mb.isReachable(now) && mb.Term > 0 {
 		settled := m.heartbeat.Term == mb.Term && now.Sub(mb.termSeenAt) > c.Settings.Site.Workers.Lease()
 		if c.redirectedBack(m.heartbeat.Machine, leader, mb.Term, settled, now) {
 			return heartbeatReply{forwardTo: leader}
 		}
 		return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 	}
-	unreached := m.unreachableLeader == leader || !c.membership.members[leader].isReachable(now)
-	if response, ok := c.renewOnBehalf(m.heartbeat, leader, unreached, now); ok {
+	unreachable := m.unreachableLeader == leader || !mb.isReachable(now)
+	if response, ok := c.renewOnBehalf(m.heartbeat, leader, unreachable, now); ok {
 		c.uplink.recordHeartbeat(c, m.heartbeat, &response, now)
 		return heartbeatReply{response: response}
 	}
 	return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 }
 
-// Machines of another zone than the leader's report through a node of their
-// own zone, which passes their reports on. When the zones can no longer reach
-// each other, that node answers them without a break; looking for it then, one
-// silent node after the other, would take longer than their lease.
-
-// localNode names the node that a machine should rather report to, if any.
+// localNode returns the node to which a machine should send its heartbeats instead, or "".
+//
+// Machines of another zone than the leader's send heartbeats to a node of their own zone, which
+// forwards them. When the zones are partitioned, that node answers them without a break; to search
+// for it only then, one unreachable node after the other, would take longer than their lease.
 func (c *Controller) localNode(m heartbeatMsg, now time.Time) string {
 	mc := c.leaderTerm.machines[m.heartbeat.Machine]
 	if m.forwarded || m.heartbeat.Zone == c.Settings.Zone || mc == nil || !mc.fenced || mc.zone != m.heartbeat.Zone ||
@@ -153,7 +157,11 @@
 		return ""
 	}
 	for _, p := range c.Settings.Peers {
-		if mb := c.membership.members[p.Node]; p.Zone == m.heartbeat.Zone && mb.isReachable(now) && mb.Leader == c.Settings.Node && mb.KVReachableFor > 0 {
+		if p.Zone != m.heartbeat.Zone {
+			continue
+		}
+		mb := c.membership.members[p.Node]
+		if mb.isReachable(now) && mb.Leader == c.Settings.Node && mb.KVReachableFor > 0 {
 			mc.redirectedAt = now
 			return p.Node
 		}
@@ -161,48 +169,46 @@
 	return ""
 }
 
-// redirectInterval keeps a machine from being sent to and fro.
-const redirectInterval = 10 * time.Second
-
-// shouldForward tells whether a report is passed on to the leader.
+// shouldForward reports whether a heartbeat is forwarded to the leader.
 func (c *Controller) shouldForward(m heartbeatMsg, leader string, now time.Time) bool {
 	mb := c.membership.members[leader]
-	return mb != nil && m.unreachableLeader == "" && m.heartbeat.Zone == c.Settings.Zone && mb.zone != c.Settings.Zone &&
-		(mb.isReachable(now) || mb.failedPings == 1 || c.mayRetryLeader(m.heartbeat.Machine, now))
+	if mb == nil || m.unreachableLeader != "" || m.heartbeat.Zone != c.Settings.Zone || mb.zone == c.Settings.Zone {
+		return false
+	}
+	return mb.isReachable(now) || mb.failedPings == 1 || c.mayRetryLeader(m.heartbeat.Machine, now)
 }
 
-// mayRetryLeader tells whether it is time to try the leader's connection again
-// for a machine that has not been sent on.
+// mayRetryLeader reports whether a machine has not been redirected to an unreachable leader for a
+// while, so that the leader may be tried again for it.
 func (c *Controller) mayRetryLeader(machine string, now time.Time) bool {
 	return now.Sub(c.redirectedAt[machine]) >= redirectRetryInterval
 }
 
-// redirect is when a machine was last told to report to a leader of a term.
+// redirect is the last redirect of a machine to the leader of a term.
 type redirect struct {
 	leader string
 	term   uint64
 	at     time.Time
-	// forwardUntil is until when its reports are passed on instead.
+	// forwardUntil is until when the machine's heartbeats are forwarded instead.
 	forwardUntil time.Time
 }
 
-// redirectedBack tells whether a machine reports here although it was told just now
-// who leads, or must have known it for long (settled). It cannot reach the
-// leader, while this node can: its reports are passed on, or all machines of a
-// leader that loses the way to them would lose their tasks. After a while it is
-// told again.
+// redirectedBack reports whether a machine sends its heartbeat here although it was redirected to
+// the leader a moment ago, or must have known the leader for long (settled). It cannot reach the
+// leader, while this node can: its heartbeats are forwarded, or all machines of a leader that is
+// partitioned from them would lose their tasks. After a while the machine is redirected again.
 func (c *Controller) redirectedBack(machine, leader string, term uint64, settled bool, now time.Time) bool {
-	d := c.redirects[machine]
-	if d.leader != leader || d.term != term {
-		d = redirect{leader: leader, term: term}
+	last := c.redirects[machine]
+	if last.leader != leader || last.term != term {
+		last = redirect{leader: leader, term: term}
 	}
-	if now.Before(d.forwardUntil) {
+	if now.Before(last.forwardUntil) {
 		return true
 	}
-	since := now.Sub(d.at)
+	since := now.Sub(last.at)
 	if settled && since > 2*redirectRetryInterval || since > minRedirectReturn && since < redirectReturnWindow {
-		d.at, d.forwardUntil = now, now.Add(redirectRetryInterval)
-		c.redirects[strings.Clone(machine)] = d
+		last.at, last.forwardUntil = now, now.Add(redirectRetryInterval)
+		c.redirects[strings.Clone(machine)] = last
 		return true
 	}
 	if len(c.redirects) >= maxRedirects {
@@ -212,9 +218,9 @@
 	return false
 }
 
-// recordRedirect notes that a machine is sent to the leader itself. One that comes
-// back cannot reach it either, and is not sent again for a while: trying would
-// take longer than its lease.
+// recordRedirect records that a machine is redirected to a leader that this node cannot reach. A
+// machine that returns cannot reach it either, and is not redirected again for a while: the attempt
+// would take longer than its lease.
 func (c *Controller) recordRedirect(machine string, now time.Time) {
 	if len(c.redirectedAt) >= maxRedirects {
 		clear(c.redirectedAt)
@@ -223,11 +229,15 @@
 }
 
 const (
+	// redirectInterval keeps a machine from being redirected to and fro.
+	redirectInterval = 10 * time.Second
+	// redirectRetryInterval is how long a machine that has returned is not redirected again.
 	redirectRetryInterval = time.Minute
-	// A machine that comes again at once was refused by the leader, or is a
-	// copy that comes late; one that waits for the leader in vain gives up
-	// after a few seconds, and may ask the third node first.
+	// A machine that returns within minRedirectReturn was rejected by the leader, or this is a
+	// delayed copy of its heartbeat. One that cannot reach the leader times out after a few
+	// seconds, and may try the third node first: it returns within redirectReturnWindow.
 	minRedirectReturn    = time.Second
 	redirectReturnWindow = 15 * time.Second
-	maxRedirects         = 10_000
+	// maxRedirects is the size at which a map of redirects is emptied.
+	maxRedirects = 10_000
 )
