--- a/internal/controller/pauses.go
+++ b/internal/controller/pauses.go
@@ -4,19 +4,19 @@
 	"time"
 )
 
-// A tick that comes pauseThreshold late shows that this process was held up, and one
-// that comes longPauseThreshold late that it cannot have heard its machines.
+// A tick that is pauseThreshold late shows a process pause, and one that is longPauseThreshold late
+// that this node cannot have received its machines' heartbeats.
 const (
 	pauseThreshold     = 400 * time.Millisecond
 	longPauseThreshold = 2 * time.Second
 )
 
-// commandsUndelivered notices that this node could not hear its machines for a while: it may
-// not have been entitled to answer them, or it was held up itself. None of them
-// is silent on that account, or the first thing after an outage of the state
-// service would be to give the whole fleet back. On a controller with too little
-// processor time that happens in small: what it was late by is no silence either,
-// and no answer that it waited for meanwhile is missing.
+// commandsUndelivered reports whether this node has just been unable to handle its machines'
+// heartbeats for a while: it may not have been allowed to answer them, or its process was paused.
+// No machine counts as suspect for that, or the first act after an outage of the key-value store
+// would be to terminate the whole fleet. On a controller with too little processor time short
+// pauses are frequent: the time of a pause counts as no missed heartbeat either, and a response
+// that was due meanwhile is not taken for missing.
 func (lt *leaderTerm) commandsUndelivered(now time.Time) bool {
 	gap := now.Sub(lt.lastTick)
 	first := lt.lastTick.IsZero()
@@ -25,20 +25,20 @@
 		return false
 	}
 	lt.lastPause = now
-	lost := gap >= longPauseThreshold
-	if lost {
+	longPause := gap >= longPauseThreshold
+	if longPause {
 		lt.heartbeatsSince = now
 	}
 	for _, m := range lt.machines {
-		if m.lastSeen = m.lastSeen.Add(gap); lost || m.lastSeen.After(now) {
+		if m.lastSeen = m.lastSeen.Add(gap); longPause || m.lastSeen.After(now) {
 			m.lastSeen = now
 		}
 	}
-	return lost
+	return longPause
 }
 
-// notPausedSince tells whether this node has not been held up since it asked something.
-// If it was, an answer may wait to be read although the time for it has passed.
+// notPausedSince reports whether there was no process pause since a request was sent. After one, a
+// response may wait to be read although its time limit has passed.
 func (lt *leaderTerm) notPausedSince(sentAt time.Time) bool {
 	return !lt.lastPause.After(sentAt) && time.Since(lt.lastTick) < pauseThreshold
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -17,9 +17,11 @@
 	Leading *LeaderStatus `json:"leading,omitempty"`
 }
 
-// LeaderStatus is what only the leader knows.
+// LeaderStatus is the part of the status that only the leader knows. Its JSON names are fixed, see
+// docs/glossary.md.
 type LeaderStatus struct {
-	Term       uint64       `json:"term"`
+	Term uint64 `json:"term"`
+	// ValidS is for how many seconds the leader lease is still valid.
 	ValidS     float64      `json:"valid_s"`
 	Machines   int          `json:"machines"`
 	Unfenced   int          `json:"unheard"`
@@ -32,24 +34,25 @@
 	Started    int64        `json:"started"`
 	Lost       int64        `json:"lost"`
 	Done       int64        `json:"done"`
-	// Waits is how many jobs wait for their first start, by why.
+	// Waits is how many jobs wait for their first start, by pending reason.
 	Waits      map[string]int `json:"waits"`
 	FirstStart Latency        `json:"first_start_ms"`
 	Recorded   Latency        `json:"recorded_ms"`
-	// Quorum tell whether the leader decides by the grants of others, if that is on.
+	// Quorum is the state of the lease quorum; nil without failover.
 	Quorum *QuorumStatus `json:"grants,omitempty"`
-	// Cells are the loans to and from other cells, if there are any.
+	// Cells are the loans to and from other cells; nil without neighbours.
 	Cells *CellsStatus `json:"cells,omitempty"`
 }
 
-// QuorumStatus tells whether a leader decides only while it is granted that, and whether
-// it is at present.
+// QuorumStatus is the state of a leader's lease quorum.
 type QuorumStatus struct {
+	// Required is set if the leader acts only while it has a lease quorum.
 	Required bool `json:"bound"`
-	Held     bool `json:"held"`
+	// Held is set if it has one at present.
+	Held bool `json:"held"`
 }
 
-// TeamStatus is one team's queue and use.
+// TeamStatus is one team's queue and use of resources.
 type TeamStatus struct {
 	Name      string  `json:"name"`
 	Jobs      int     `json:"jobs"`
@@ -59,7 +62,7 @@
 	LimitCPUs float64 `json:"limit_cpus"`
 }
 
-// Latency sums up a histogram, in milliseconds.
+// Latency summarizes a histogram, in milliseconds.
 type Latency struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -73,37 +76,41 @@
 	firstStart, recorded *hdrhistogram.Histogram
 }
 
-// maxLatency bounds the histograms.
+// maxLatency is the upper bound of the histograms.
 const maxLatency = 10 * time.Minute
 
 func newCounters() counters {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency.Milliseconds(), 2) }
-	return counters{firstStart: h(), recorded: h()}
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency.Milliseconds(), 2) }
+	return counters{firstStart: newHistogram(), recorded: newHistogram()}
 }
 
-// record adds a time to a histogram, cut to its bounds.
+// record adds a duration to a histogram, clamped to its bounds.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// The bounds are the histogram's own, so this cannot fail.
+	// RecordValue only fails for values out of bounds.
 	_ = h.RecordValue(min(max(d.Milliseconds(), 1), h.HighestTrackableValue()))
 }
 
+// summarizeLatency returns the quantiles of a histogram that the status shows.
 func summarizeLatency(h *hdrhistogram.Histogram) Latency {
-	return Latency{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.Max()}
+	return Latency{
+		Count: h.TotalCount(),
+		P50:   h.ValueAtQuantile(50),
+		P95:   h.ValueAtQuantile(95),
+		Max:   h.Max(),
+	}
 }
 
 // Status implements api.Backend.
 func (c *Controller) Status(ctx context.Context) (any, error) {
 	m := statusMsg{make(chan Status, 1)}
-	if err := c.send(ctx, m); err != nil {
-		return nil, err
-	}
-	s, err := await(ctx, c, m.reply)
+	s, err := request(ctx, c, m, m.reply)
 	if err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
+// statusMsg requests this node's status.
 type statusMsg struct{ reply chan Status }
 
 func (m statusMsg) apply(c *Controller) {
@@ -114,10 +121,20 @@
 	m.reply <- s
 }
 
+// status returns the operators' view of the leader.
 func (lt *leaderTerm) status(now time.Time) *LeaderStatus {
-	s := &LeaderStatus{Term: lt.term.Number, ValidS: max(0, lt.leaseExpiry.Sub(now).Seconds()), Machines: len(lt.machines),
-		Unfenced: lt.unfenced, Booting: len(lt.provisioning), Started: lt.counts.started, Lost: lt.counts.lost,
-		Done: lt.counts.done, FirstStart: summarizeLatency(lt.counts.firstStart), Recorded: summarizeLatency(lt.counts.recorded)}
+	s := &LeaderStatus{
+		Term:       lt.term.Number,
+		ValidS:     max(0, lt.leaseExpiry.Sub(now).Seconds()),
+		Machines:   len(lt.machines),
+		Unfenced:   lt.unfenced,
+		Booting:    len(lt.provisioning),
+		Started:    lt.counts.started,
+		Lost:       lt.counts.lost,
+		Done:       lt.counts.done,
+		FirstStart: summarizeLatency(lt.counts.firstStart),
+		Recorded:   summarizeLatency(lt.counts.recorded),
+	}
 	s.Waits, _ = lt.pendingReasons(now)
 	s.Cells = lt.loans.status(now)
 	if lt.c.Standby != nil {
@@ -134,17 +151,27 @@
 		}
 	}
 	for _, t := range lt.c.Settings.Site.Teams {
-		q := lt.teams[t.Name]
-		ts := TeamStatus{Name: t.Name, Jobs: len(q.Items()), UsedCPUs: q.UsedCPUs, CPUs: q.CPUs, LimitCPUs: q.LimitCPUs}
-		for _, j := range q.Items() {
-			ts.Waiting += j.flight.Untaken()
-		}
-		s.Teams = append(s.Teams, ts)
+		s.Teams = append(s.Teams, lt.teamStatus(t.Name))
+	}
+	return s
+}
+
+func (lt *leaderTerm) teamStatus(name string) TeamStatus {
+	team := lt.teams[name]
+	s := TeamStatus{
+		Name:      name,
+		Jobs:      len(team.Items()),
+		UsedCPUs:  team.UsedCPUs,
+		CPUs:      team.CPUs,
+		LimitCPUs: team.LimitCPUs,
+	}
+	for _, j := range team.Items() {
+		s.Waiting += j.flight.Untaken()
 	}
 	return s
 }
 
-// pendingReason says why a job's next task is on no machine.
+// pendingReason returns why a job's next task is on no machine. The reasons are shown by status.
 func (lt *leaderTerm) pendingReason(j *job, now time.Time) string {
 	s := &j.spec
 	switch {
@@ -168,8 +195,8 @@
 	return "no room"
 }
 
-// pendingReasons counts the jobs that wait for their first start, by why, and returns the
-// one that has waited longest.
+// pendingReasons counts the jobs that wait for their first start, by pending reason, and returns
+// the one that has waited longest for capacity.
 func (lt *leaderTerm) pendingReasons(now time.Time) (counts map[string]int, oldest *job) {
 	counts = map[string]int{}
 	for _, j := range lt.jobs {
@@ -178,7 +205,7 @@
 		}
 		counts[lt.pendingReason(j, now)]++
 		if len(j.dependsOn) > 0 || j.lent != nil || j.guest != nil {
-			continue // not for room
+			continue // these do not wait for capacity
 		}
 		if oldest == nil || j.runnableSince.Before(oldest.runnableSince) {
 			oldest = j
@@ -187,14 +214,14 @@
 	return counts, oldest
 }
 
-// The log tells why work waits every pendingLogInterval while a job has waited for
-// longer than longPending.
+// The pending reasons are logged every pendingLogInterval while a job has waited for longer than
+// longPending.
 const (
 	pendingLogInterval = 15 * time.Second
 	longPending        = 20 * time.Second
 )
 
-// logPending tells why work waits.
+// logPending logs why jobs are pending.
 func (lt *leaderTerm) logPending(now time.Time) {
 	if now.Before(lt.nextPendingLog) {
 		return
@@ -204,47 +231,78 @@
 	if oldest == nil || now.Sub(oldest.runnableSince) < longPending {
 		return
 	}
-	lt.c.Log.Info("work waits", "jobs", counts, "longest", oldest.spec.ID, "class", oldest.spec.Class, "team", oldest.spec.Team,
-		"for", now.Sub(oldest.runnableSince).Round(time.Second), "why", lt.pendingReason(oldest, now))
+	lt.c.Log.Info("jobs pending",
+		"jobs", counts,
+		"job", oldest.spec.ID,
+		"class", oldest.spec.Class,
+		"team", oldest.spec.Team,
+		"after", now.Sub(oldest.runnableSince).Round(time.Second),
+		"reason", lt.pendingReason(oldest, now))
 }
 
-// usageLogInterval is how often the log tells how the fleet is used.
+// usageLogInterval is how often the fleet's usage is logged.
 const usageLogInterval = 5 * time.Second
 
-// logUsage tells at debug what the fleet's CPUs are doing and how much waits.
+// logUsage logs, at level debug, the CPUs of the fleet by what they do, and the pending demand.
 func (lt *leaderTerm) logUsage(now time.Time) {
 	if now.Before(lt.nextUsageLog) || !lt.c.Log.Enabled(lt.ctx, slog.LevelDebug) {
 		return
 	}
 	lt.nextUsageLog = now.Add(usageLogInterval)
-	var total, open, running, pulling, ordered, saving, kept float64
+	var use fleetUsage
 	for _, m := range lt.machines {
-		total += m.cpus
+		use.total += m.cpus
 		if m.isSchedulable(now) {
-			open += m.cpus
+			use.schedulable += m.cpus
 		}
 		for _, a := range m.attempts {
-			switch {
-			case a.job == nil:
-			case a.exited:
-				kept += a.job.spec.CPUs
-			case a.phase == api.TaskRunning:
-				running += a.job.spec.CPUs
-			case a.phase == api.TaskPulling:
-				pulling += a.job.spec.CPUs
-			case a.phase == api.TaskSaving:
-				saving += a.job.spec.CPUs
-			default:
-				ordered += a.job.spec.CPUs
-			}
+			use.addAttempt(a)
 		}
 	}
-	waiting := map[string]float64{}
+	pending := map[string]float64{}
 	for _, j := range lt.jobs {
-		waiting[j.spec.Class] += float64(j.flight.Untaken()) * j.spec.CPUs
+		pending[j.spec.Class] += float64(j.flight.Untaken()) * j.spec.CPUs
+	}
+	lt.c.Log.Debug("fleet usage",
+		"machines", len(lt.machines),
+		"unfenced", lt.unfenced,
+		"provisioning", len(lt.provisioning),
+		"cpus", use.total,
+		"schedulable", use.schedulable,
+		"running", use.running,
+		"pulling", use.pulling,
+		"commanded", use.commanded,
+		"saving", use.saving,
+		"exited", use.exited,
+		"jobs", len(lt.jobs),
+		"pending", pending)
+}
+
+// fleetUsage sums up CPUs: those of all machines and of schedulable ones, and those of attempts
+// by their phase.
+type fleetUsage struct {
+	total, schedulable                          float64
+	commanded, pulling, running, saving, exited float64
+}
+
+// addAttempt adds the CPUs of an attempt, if its job is known.
+func (u *fleetUsage) addAttempt(a *attempt) {
+	if a.job == nil {
+		return
+	}
+	cpus := a.job.spec.CPUs
+	switch {
+	case a.exited:
+		u.exited += cpus
+	case a.phase == api.TaskRunning:
+		u.running += cpus
+	case a.phase == api.TaskPulling:
+		u.pulling += cpus
+	case a.phase == api.TaskSaving:
+		u.saving += cpus
+	default:
+		u.commanded += cpus
 	}
-	lt.c.Log.Debug("fleet use", "machines", len(lt.machines), "unheard", lt.unfenced, "expected", len(lt.provisioning), "cpus", total, "open", open,
-		"running", running, "pulling", pulling, "ordered", ordered, "saving", saving, "kept", kept, "jobs", len(lt.jobs), "waiting", waiting)
 }
 
 var _ api.Backend = (*Controller)(nil)
