--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -255,7 +255,7 @@
 		return
 	}
 	lt.loans.tick(now)
-	if !lt.mayRenewLeases(now) || lt.commandsUndelivered(now) {
+	if !lt.mayRenewLeases(now) || lt.detectPause(now) {
 		return
 	}
 	lt.dispatch(now)
--- a/internal/controller/pauses.go
+++ b/internal/controller/pauses.go
@@ -11,13 +11,14 @@
 	longPauseThreshold = 2 * time.Second
 )
 
-// commandsUndelivered reports whether this node has just been unable to handle its machines'
-// heartbeats for a while: it may not have been allowed to answer them, or its process was paused.
+// detectPause detects process pauses, by the time since the last tick, and reports whether this
+// node has just been unable to handle its machines' heartbeats for a while: it may not have been
+// allowed to answer them, or its process was paused.
 // No machine counts as suspect for that, or the first act after an outage of the key-value store
 // would be to terminate the whole fleet. On a controller with too little processor time short
 // pauses are frequent: the time of a pause counts as no missed heartbeat either, and a response
 // that was due meanwhile is not taken for missing.
-func (lt *leaderTerm) commandsUndelivered(now time.Time) bool {
+func (lt *leaderTerm) detectPause(now time.Time) bool {
 	gap := now.Sub(lt.lastTick)
 	first := lt.lastTick.IsZero()
 	lt.lastTick = now
