--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -93,14 +93,14 @@
 }
 
 // reset applies the leader's response to a ping: it is reachable, and knew all cancellations
-// before a moment.
-func (lr *leaseRenewer) reset(leader string, term uint64, at time.Time) {
-	*lr = leaseRenewer{leader: leader, term: term, verifiedAt: at}
+// before verifiedAt.
+func (lr *leaseRenewer) reset(leader string, term uint64, verifiedAt time.Time) {
+	*lr = leaseRenewer{leader: leader, term: term, verifiedAt: verifiedAt}
 }
 
-// renewOnBehalfLoop is called at intervals while a node is unreachable: if it leads, its term is
+// verifyUnreachableLeader is called at intervals while a node is unreachable: if it leads, its term is
 // verified, so that the leases of its machines may be renewed here.
-func (c *Controller) renewOnBehalfLoop(ctx context.Context, node string) {
+func (c *Controller) verifyUnreachableLeader(ctx context.Context, node string) {
 	query := followedLeaderRequestMsg{reply: make(chan followedLeader, 1)}
 	followed, err := request(ctx, c, query, query.reply)
 	if err != nil || followed.leader != node || c.send(ctx, leaderUnreachableMsg{node}) != nil {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -168,7 +168,7 @@
 			from = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancellations.LastNumber()}
 		}
 		if failed >= unreachablePings {
-			c.renewOnBehalfLoop(ctx, node)
+			c.verifyUnreachableLeader(ctx, node)
 		}
 		sleep(ctx, pingInterval)
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -156,6 +156,7 @@
 	return s
 }
 
+// teamStatus returns the operators' view of a team.
 func (lt *leaderTerm) teamStatus(name string) TeamStatus {
 	team := lt.teams[name]
 	s := TeamStatus{
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -37,16 +37,16 @@
 }
 
 // unschedulableReason returns why no machine could ever run a job, or "".
-func unschedulableReason(s *api.JobSpec, teams []config.Team, types map[string]api.MachineType) string {
-	for _, t := range teams {
-		if t.Name != s.Team {
+func unschedulableReason(spec *api.JobSpec, teams []config.Team, types map[string]api.MachineType) string {
+	for _, team := range teams {
+		if team.Name != spec.Team {
 			continue
 		}
-		if s.CPUs > t.LimitCPUs+epsilon || (s.GPUs > 0 && s.GPUs > t.LimitGPUs+epsilon) {
+		if spec.CPUs > team.LimitCPUs+epsilon || (spec.GPUs > 0 && spec.GPUs > team.LimitGPUs+epsilon) {
 			return "a task needs more than the team's limit"
 		}
 		for _, mt := range types {
-			if taskFits(s, mt) {
+			if taskFits(spec, mt) {
 				return ""
 			}
 		}
@@ -56,22 +56,22 @@
 }
 
 // taskFits reports whether a task of a job may run on machines of a type and fits on one.
-func taskFits(s *api.JobSpec, t api.MachineType) bool {
-	return typeAllowed(s, t.Name) && zoneAllowed(s, t.Zones) &&
-		s.CPUs <= t.CPUs+epsilon && s.GPUs <= t.GPUs+epsilon && s.MemoryGB <= t.MemoryGB+epsilon
+func taskFits(spec *api.JobSpec, mt api.MachineType) bool {
+	return typeAllowed(spec, mt.Name) && zoneAllowed(spec, mt.Zones) &&
+		spec.CPUs <= mt.CPUs+epsilon && spec.GPUs <= mt.GPUs+epsilon && spec.MemoryGB <= mt.MemoryGB+epsilon
 }
 
 // typeAllowed reports whether a job's tasks may run on machines of a type.
-func typeAllowed(s *api.JobSpec, typ string) bool {
-	return s.Types == nil || slices.Contains(s.Types, typ)
+func typeAllowed(spec *api.JobSpec, typ string) bool {
+	return spec.Types == nil || slices.Contains(spec.Types, typ)
 }
 
 // zoneAllowed reports whether a job's tasks may run in one of the zones.
-func zoneAllowed(s *api.JobSpec, zones []string) bool {
-	if s.Zone == "" {
+func zoneAllowed(spec *api.JobSpec, zones []string) bool {
+	if spec.Zone == "" {
 		return len(zones) > 0
 	}
-	return slices.Contains(zones, s.Zone)
+	return slices.Contains(zones, spec.Zone)
 }
 
 // Cancel implements api.Backend.
