--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -19,7 +19,7 @@
 			break
 		}
 		j.flight.Join(m.name)
-		task, ok := j.flight.PullExcept(m.name, func(t int) bool { return j.excluded[t] == m.name })
+		task, ok := j.flight.PullExcept(m.name, func(t int) bool { return j.excludedMachine[t] == m.name })
 		if !ok {
 			break
 		}
@@ -88,13 +88,13 @@
 // nextStarved is the job that goes before all others on a machine, if any.
 func (lt *leaderTerm) nextStarved(m *machine, now time.Time) *job {
 	var best *job
-	turn := lt.attemptCount%starvedShare == 0
-	if !turn && lt.starved == 0 {
+	starvedTurn := lt.attemptCount%starvedShare == 0
+	if !starvedTurn && lt.starved == 0 {
 		return nil
 	}
 	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
-			if j.flight.Untaken() == 0 || !(j.starved && !j.started() || turn && j.starving(now)) {
+			if j.flight.Untaken() == 0 || !(j.starved && !j.started() || starvedTurn && j.starving(now)) {
 				continue
 			}
 			if (best == nil || j.runnableSince.Before(best.runnableSince)) && lt.eligible(j, m, now) {
@@ -134,7 +134,7 @@
 		return false
 	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return false
-	case j.failuresByMachine[m.name] >= 2 || j.onlyExcluded(m) || !(m.canFetch(s.Image, lt.maxFetches) || lt.quickFetch(j, m)):
+	case j.failuresByMachine[m.name] >= 2 || j.allUntakenExcluded(m) || !(m.canFetch(s.Image, lt.maxFetches) || lt.fetchesBeforeHeartbeat(j, m)):
 		return false
 	}
 	if s.OneZone {
@@ -159,5 +159,5 @@
 	if now.Sub(j.capacity.computedAt) >= tickInterval {
 		lt.findCapacity(j, now)
 	}
-	return j.capacity.below(lt.placementCost(j, m)-0.5) >= j.flight.Untaken()
+	return j.capacity.slotsUpTo(lt.placementCost(j, m)-0.5) >= j.flight.Untaken()
 }
--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -30,7 +30,7 @@
 	runningAt      time.Time
 	// unmeasured is set if the machine was out of hearing during the run.
 	unmeasured bool
-	stop       *stopOrder
+	stop       *stopRequest
 	// direct is set if the start was sent straight to the machine.
 	direct *directCommand
 	exited bool
@@ -46,7 +46,7 @@
 	return a.lastSeenIn == 0 && a.sentAgentEpoch == hb.AgentEpoch
 }
 
-type stopOrder struct {
+type stopRequest struct {
 	grace time.Duration
 	since time.Time
 }
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -8,18 +8,18 @@
 )
 
 // adoptAttempt adds an attempt that this leader did not start.
-func (lt *leaderTerm) adoptAttempt(m *machine, key attemptKey, t *api.TaskStatus, now time.Time) *attempt {
+func (lt *leaderTerm) adoptAttempt(m *machine, key attemptKey, status *api.TaskStatus, now time.Time) *attempt {
 	key.ref = strings.Clone(key.ref)
-	a := &attempt{key: key, machine: m, phase: t.Phase, sentAt: now}
+	a := &attempt{key: key, machine: m, phase: status.Phase, sentAt: now}
 	m.attempts[key] = a
 	id, task, ok := splitRef(key.ref)
 	if j := lt.jobs[id]; ok && j != nil && task < j.spec.Tasks {
 		a.job, a.task = j, task
 	}
-	if a.job != nil && (t.Phase == api.TaskRunning || t.Phase == api.TaskSaving || t.Cause == api.CauseDone) {
+	if a.job != nil && (status.Phase == api.TaskRunning || status.Phase == api.TaskSaving || status.Cause == api.CauseDone) {
 		lt.recordImage(m, &a.job.spec, now)
 	}
-	if t.Phase == api.TaskExited {
+	if status.Phase == api.TaskExited {
 		a.exited = true
 		return a
 	}
@@ -34,11 +34,11 @@
 	return a
 }
 
-// updateAttempt applies what a report says of an attempt.
-func (lt *leaderTerm) updateAttempt(a *attempt, t *api.TaskStatus, now time.Time) {
-	was := a.phase
-	a.phase = t.Phase
-	if a.phase == api.TaskRunning && was != api.TaskRunning {
+// applyTaskStatus applies what a report says of an attempt.
+func (lt *leaderTerm) applyTaskStatus(a *attempt, status *api.TaskStatus, now time.Time) {
+	previousPhase := a.phase
+	a.phase = status.Phase
+	if a.phase == api.TaskRunning && previousPhase != api.TaskRunning {
 		a.runningAt = now
 		if a.job != nil {
 			if a.job.firstStart.IsZero() {
@@ -49,7 +49,7 @@
 			lt.recordImage(a.machine, &a.job.spec, now)
 		}
 	}
-	if t.Phase != api.TaskExited {
+	if status.Phase != api.TaskExited {
 		return
 	}
 	if !a.exited {
@@ -60,31 +60,31 @@
 		return
 	}
 	a.exitHandled = true
-	lt.handleExit(a, t, now)
+	lt.handleExit(a, status, now)
 }
 
 // handleExit handles the end of an attempt by its cause.
-func (lt *leaderTerm) handleExit(a *attempt, t *api.TaskStatus, now time.Time) {
+func (lt *leaderTerm) handleExit(a *attempt, status *api.TaskStatus, now time.Time) {
 	j, m := a.job, a.machine
 	if j == nil {
 		return
 	}
-	if t.Cause == api.CauseDone {
+	if status.Cause == api.CauseDone {
 		if !a.runningAt.IsZero() {
 			lt.recordRun(a, now.Sub(a.runningAt), now)
 		}
 		lt.taskDone(j, a.task, now)
 		j.failureRounds = 0
 		m.cordonDuration = 0
-		clear(m.errorJobs)
+		clear(m.taskErrorsByJob)
 		lt.recordImage(m, &j.spec, now)
 	}
 	lt.release(a)
-	switch t.Cause {
+	switch status.Cause {
 	case api.CauseError:
 		lt.taskFailed(a, now)
 	case api.CauseNoRoom, api.CauseBusy, api.CauseNoSuch:
-		lt.c.Log.Debug("start refused", "machine", m.name, "task", a.key.ref, "why", t.Cause)
+		lt.c.Log.Debug("start refused", "machine", m.name, "task", a.key.ref, "why", status.Cause)
 		m.cordonedUntil = now.Add(time.Second)
 	}
 }
@@ -114,9 +114,9 @@
 	lt.release(a)
 }
 
-// reapable tells whether an exited attempt may be dropped from the reports: a
+// isReapable tells whether an exited attempt may be dropped from the reports: a
 // completed one only once that is on record, so that a new leader finds it.
-func (lt *leaderTerm) reapable(a *attempt) bool {
+func (lt *leaderTerm) isReapable(a *attempt) bool {
 	j := a.job
 	return j == nil || j.ended || !j.done.Test(uint(a.task)) || j.recorded.Test(uint(a.task))
 }
@@ -126,31 +126,31 @@
 func (lt *leaderTerm) taskFailed(a *attempt, now time.Time) {
 	j, m := a.job, a.machine
 	j.failuresByMachine[m.name]++
-	j.excluded[a.task] = m.name
+	j.excludedMachine[a.task] = m.name
 	if j.doneCount == 0 && len(j.failuresByMachine) >= 3 {
 		j.failureRounds++
-		hold := min(5*time.Second<<min(j.failureRounds, 4), time.Minute)
-		j.backoffUntil = now.Add(hold)
+		backoff := min(5*time.Second<<min(j.failureRounds, 4), time.Minute)
+		j.backoffUntil = now.Add(backoff)
 		if j.failureRounds == 1 {
 			lt.c.Log.Info("job fails on every machine", "job", j.spec.ID, "machines", len(j.failuresByMachine))
 			for name := range j.failuresByMachine {
-				if o := lt.machines[name]; o != nil {
-					delete(o.errorJobs, j.spec.ID)
+				if other := lt.machines[name]; other != nil {
+					delete(other.taskErrorsByJob, j.spec.ID)
 				}
 			}
 		}
 		return
 	}
-	m.errorJobs[j.spec.ID]++
+	m.taskErrorsByJob[j.spec.ID]++
 	m.cordonDuration = min(max(2*m.cordonDuration, time.Second), 30*time.Second)
 	m.cordonedUntil = now.Add(m.cordonDuration)
-	if len(m.errorJobs) >= 2 || (j.doneCount > 0 && m.errorJobs[j.spec.ID] >= 2) {
+	if len(m.taskErrorsByJob) >= 2 || (j.doneCount > 0 && m.taskErrorsByJob[j.spec.ID] >= 2) {
 		if !m.evacuating {
-			lt.c.Log.Info("machine quarantined", "machine", m.name, "jobs", len(m.errorJobs))
+			lt.c.Log.Info("machine quarantined", "machine", m.name, "jobs", len(m.taskErrorsByJob))
 			lt.evacuate(m, "fails tasks")
-			for _, o := range m.attempts {
-				if !o.exited && o.job != nil {
-					lt.stop(o, o.job.spec.Save()*2, now)
+			for _, other := range m.attempts {
+				if !other.exited && other.job != nil {
+					lt.stop(other, other.job.spec.Save()*2, now)
 				}
 			}
 		}
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -17,8 +17,8 @@
 	slots []int
 }
 
-// below is the room on machines of at most a cost.
-func (cp *capacity) below(cost float64) int {
+// slotsUpTo is the room on machines of at most a cost.
+func (cp *capacity) slotsUpTo(cost float64) int {
 	n, found := slices.BinarySearch(cp.costs, cost)
 	for found && n < len(cp.costs) && cp.costs[n] == cost {
 		n++
@@ -51,9 +51,9 @@
 	}
 }
 
-// quickFetch tells whether an image is fetched sooner than the machine would
+// fetchesBeforeHeartbeat tells whether an image is fetched sooner than the machine would
 // report again.
-func (lt *leaderTerm) quickFetch(j *job, m *machine) bool {
+func (lt *leaderTerm) fetchesBeforeHeartbeat(j *job, m *machine) bool {
 	rate := lt.c.types.load()[m.typ].FetchGBs
 	return rate > 0 && j.spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.HeartbeatS
 }
@@ -84,13 +84,13 @@
 	return lost + m.freeCPUs()/m.cpus
 }
 
-// onlyExcluded tells whether every untaken task of a job failed on a machine.
-func (j *job) onlyExcluded(m *machine) bool {
-	if len(j.excluded) == 0 {
+// allUntakenExcluded tells whether every untaken task of a job failed on a machine.
+func (j *job) allUntakenExcluded(m *machine) bool {
+	if len(j.excludedMachine) == 0 {
 		return false
 	}
 	n := 0
-	for task, name := range j.excluded {
+	for task, name := range j.excludedMachine {
 		if name == m.name && !j.done.Test(uint(task)) && j.activeAttempts[task] == nil {
 			n++
 		}
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -35,9 +35,9 @@
 //   - A new leader needs nothing of this: a machine that it has heard has its
 //     token, and refuses orders of earlier ones.
 const (
-	directHeartbeatThreshold = 2 * time.Second
-	dispatchFor              = 1500 * time.Millisecond
-	directTimeout            = 1500 * time.Millisecond
+	minDirectHeartbeatInterval = 2 * time.Second
+	dispatchFor                = 1500 * time.Millisecond
+	directTimeout              = 1500 * time.Millisecond
 	// A node that was held up lately may be so again, and then finds that the
 	// time has passed before it could read the answer: the machine would be
 	// given back for nothing.
@@ -83,7 +83,7 @@
 
 // dispatch brings waiting work to machines with free room.
 func (lt *leaderTerm) dispatch(now time.Time) {
-	if lt.c.CommandSender == nil || lt.c.Settings.Site.Workers.HeartbeatInterval() <= directHeartbeatThreshold || now.After(lt.dispatchUntil) {
+	if lt.c.CommandSender == nil || lt.c.Settings.Site.Workers.HeartbeatInterval() <= minDirectHeartbeatInterval || now.After(lt.dispatchUntil) {
 		return
 	}
 	if !lt.anyUnassigned() || now.Before(lt.nextDirectCommand) {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -33,7 +33,7 @@
 )
 
 // handleHeartbeat updates the leader's state by a report and returns the answer to it.
-func (lt *leaderTerm) handleHeartbeat(hb *api.Heartbeat, from heartbeatOrigin, now time.Time) (api.HeartbeatResponse, error) {
+func (lt *leaderTerm) handleHeartbeat(hb *api.Heartbeat, origin heartbeatOrigin, now time.Time) (api.HeartbeatResponse, error) {
 	response := api.HeartbeatResponse{Term: lt.term.Number, Commands: []api.Command{}}
 	if hb.Term > lt.term.Number {
 		// The machine has seen a later term than this one.
@@ -67,26 +67,26 @@
 	if hb.AgentEpoch < m.agentEpoch || (hb.AgentEpoch == m.agentEpoch && hb.Seq <= m.heartbeatSeq) {
 		return response, nil // older than what is known
 	}
-	response.Commands = lt.applyHeartbeat(m, hb, from, response.Commands, now)
+	response.Commands = lt.applyHeartbeat(m, hb, origin, response.Commands, now)
 	return response, nil
 }
 
 // applyHeartbeat updates the state of a machine by a report that is newer than all
 // before it, and adds the orders that answer it.
-func (lt *leaderTerm) applyHeartbeat(m *machine, hb *api.Heartbeat, from heartbeatOrigin, commands []api.Command, now time.Time) []api.Command {
+func (lt *leaderTerm) applyHeartbeat(m *machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time) []api.Command {
 	lt.updateMachine(m, hb, now)
-	commands = lt.reconcile(m, hb, from, commands, now)
+	commands = lt.reconcile(m, hb, origin, commands, now)
 	if m.unappliedResponses == 0 {
 		m.probeFails = 0
 	}
 	lt.registerUnregistered(m)
 	if hb.Term == lt.term.Number {
 		lt.markFenced(m)
-		if from == agentInitiated {
+		if origin == agentInitiated {
 			commands = lt.assignTasks(m, commands, now)
 		}
 	}
-	if from == agentInitiated {
+	if origin == agentInitiated {
 		m.lastCommands, m.lastCommandsAt = commands, now
 	}
 	if m.usedCPUs > epsilon || len(m.attempts) > 0 {
@@ -133,9 +133,9 @@
 	lt.recordWriter.register(m)
 }
 
-// lateResponse is how long before an answer this node may have been held up and the
+// responseMaxAge is how long before an answer this node may have been held up and the
 // answer have gone out too late for it: workers drop what comes after four seconds.
-const lateResponse = 4 * time.Second
+const responseMaxAge = 4 * time.Second
 
 // checkApplied checks whether a report shows that the orders of the last answer were
 // carried out. To a machine whose reports arrive while answers do not reach it,
@@ -144,15 +144,15 @@
 	if len(m.lastCommands) == 0 {
 		return
 	}
-	for _, o := range m.lastCommands {
-		a := m.attempts[attemptKey{o.Task, o.Attempt}]
+	for _, command := range m.lastCommands {
+		a := m.attempts[attemptKey{command.Task, command.Attempt}]
 		shown := a != nil && a.lastSeenIn == m.heartbeats
-		if (o.Verb == api.VerbStart) == shown || (shown && o.Verb == api.VerbStop && a.phase != api.TaskRunning) {
+		if (command.Verb == api.VerbStart) == shown || (shown && command.Verb == api.VerbStop && a.phase != api.TaskRunning) {
 			m.unappliedResponses = 0
 			return
 		}
 	}
-	if !lt.notPausedSince(m.lastCommandsAt.Add(-lateResponse)) {
+	if !lt.notPausedSince(m.lastCommandsAt.Add(-responseMaxAge)) {
 		return // the answer may have come too late, by this node's fault
 	}
 	// One answer may be lost; after a second, the machine is asked first.
@@ -165,9 +165,9 @@
 
 // handlePreemptionNotice handles the cloud's notice that it will take the machine.
 func (lt *leaderTerm) handlePreemptionNotice(m *machine, seconds float64, now time.Time) {
-	left := time.Duration(seconds * float64(time.Second))
+	timeLeft := time.Duration(seconds * float64(time.Second))
 	first := m.preemptAt.IsZero()
-	m.preemptAt = now.Add(left)
+	m.preemptAt = now.Add(timeLeft)
 	if !first {
 		return
 	}
@@ -178,7 +178,7 @@
 		}
 		s := &a.job.spec
 		if s.CheckpointS > 0 {
-			lt.stop(a, left, now)
+			lt.stop(a, timeLeft, now)
 		} else if a.runningAt.IsZero() || a.runningAt.Add(s.Estimate()).After(m.preemptAt) {
 			// It would not end in time; elsewhere it can begin now.
 			lt.stop(a, 0, now)
@@ -191,21 +191,21 @@
 	if a.stop != nil && a.stop.grace <= grace {
 		return
 	}
-	a.stop = &stopOrder{grace: grace, since: now}
+	a.stop = &stopRequest{grace: grace, since: now}
 }
 
 // reconcile brings the machine's attempts in line with its report.
-func (lt *leaderTerm) reconcile(m *machine, hb *api.Heartbeat, from heartbeatOrigin, commands []api.Command, now time.Time) []api.Command {
+func (lt *leaderTerm) reconcile(m *machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time) []api.Command {
 	// Stops go before reaps: a machine that has ended more tasks than an answer
 	// holds orders would run what is cancelled on, while its lease is renewed.
-	reaps := lt.updateAttempts(m, hb, now)
-	if from == agentInitiated {
+	reaps := lt.applyTaskStatuses(m, hb, now)
+	if origin == agentInitiated {
 		lt.checkApplied(m, now)
 	}
 	for key, a := range m.attempts {
 		if a.lastSeenIn != m.heartbeats {
-			if !a.mayStillStart(hb) && !(from == solicited && a.startInFlight(hb)) {
-				lt.handleMissing(a)
+			if !a.mayStillStart(hb) && !(origin == solicited && a.startInFlight(hb)) {
+				lt.removeMissing(a)
 			}
 			continue
 		}
@@ -226,29 +226,29 @@
 	return append(commands, reaps[:min(len(reaps), maxCommands-len(commands))]...)
 }
 
-// updateAttempts updates the attempts that a report names, and returns the
+// applyTaskStatuses updates the attempts that a report names, and returns the
 // orders to reap those that have ended.
-func (lt *leaderTerm) updateAttempts(m *machine, hb *api.Heartbeat, now time.Time) []api.Command {
+func (lt *leaderTerm) applyTaskStatuses(m *machine, hb *api.Heartbeat, now time.Time) []api.Command {
 	var reaps []api.Command
 	for i := range hb.Tasks {
-		t := &hb.Tasks[i]
-		key := attemptKey{t.Task, t.Attempt}
+		status := &hb.Tasks[i]
+		key := attemptKey{status.Task, status.Attempt}
 		a := m.attempts[key]
 		if a == nil {
-			a = lt.adoptAttempt(m, key, t, now)
+			a = lt.adoptAttempt(m, key, status, now)
 		}
 		a.lastSeenIn = m.heartbeats
-		lt.updateAttempt(a, t, now)
-		if a.exited && lt.reapable(a) && len(reaps) < maxCommands {
-			reaps = append(reaps, api.Command{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
+		lt.applyTaskStatus(a, status, now)
+		if a.exited && lt.isReapable(a) && len(reaps) < maxCommands {
+			reaps = append(reaps, api.Command{Verb: api.VerbReap, Task: status.Task, Attempt: status.Attempt})
 		}
 	}
 	return reaps
 }
 
-// handleMissing removes an attempt that a newer report does not name, which shows
+// removeMissing removes an attempt that a newer report does not name, which shows
 // that it is off the machine: reaped, killed with its session, or never begun.
-func (lt *leaderTerm) handleMissing(a *attempt) {
+func (lt *leaderTerm) removeMissing(a *attempt) {
 	if !a.exited && !a.exitHandled && a.phase == "" {
 		lt.c.Log.Debug("start lost", "machine", a.machine.name, "task", a.key.ref, "attempt", a.key.id)
 	}
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -9,11 +9,11 @@
 // imageCache is what a leader believes a machine to have cached: the images
 // used last, up to the room for them.
 type imageCache struct {
-	used map[string]cached
+	used map[string]cachedImage
 	gb   float64
 }
 
-type cached struct {
+type cachedImage struct {
 	at time.Time
 	gb float64
 }
@@ -23,16 +23,16 @@
 
 // use notes that a job's image is on the machine, and drops the images used
 // longest ago for which there is no more room.
-func (c *imageCache) use(s *api.JobSpec, room float64, now time.Time) {
+func (c *imageCache) use(s *api.JobSpec, capacityGB float64, now time.Time) {
 	if c.used == nil {
-		c.used = map[string]cached{}
+		c.used = map[string]cachedImage{}
 	}
 	c.gb += s.ImageGB - c.used[s.Image].gb
-	c.used[s.Image] = cached{now, s.ImageGB}
-	for room > 0 && c.gb > room && len(c.used) > 1 {
+	c.used[s.Image] = cachedImage{now, s.ImageGB}
+	for capacityGB > 0 && c.gb > capacityGB && len(c.used) > 1 {
 		oldest := ""
-		for name, u := range c.used {
-			if name != s.Image && (oldest == "" || u.at.Before(c.used[oldest].at)) {
+		for name, entry := range c.used {
+			if name != s.Image && (oldest == "" || entry.at.Before(c.used[oldest].at)) {
 				oldest = name
 			}
 		}
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -62,10 +62,10 @@
 	moving          map[int]*bitset.BitSet
 	completionDirty bool
 
-	runs      jobRuns
-	zones     map[string]int
-	restarted map[int]bool
-	excluded  map[int]string
+	runs            jobRuns
+	zones           map[string]int
+	restarted       map[int]bool
+	excludedMachine map[int]string
 	// failuresByMachine counts failures by machine; backoffUntil keeps a job that fails
 	// everywhere from eating the machines.
 	failuresByMachine map[string]int
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -77,7 +77,7 @@
 		flight: flight.New(spec.Tasks), activeAttempts: map[int]*attempt{},
 		done: bitset.New(tasks), recorded: bitset.New(tasks), completionChunks: map[int]bool{},
 		runs: jobRuns{byMachine: map[string]*runStats{}}, zones: map[string]int{}, restarted: map[int]bool{},
-		excluded: map[int]string{}, failuresByMachine: map[string]int{},
+		excludedMachine: map[int]string{}, failuresByMachine: map[string]int{},
 	}
 }
 
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -83,10 +83,10 @@
 	slowdown     float64
 	measuredRuns int
 
-	errorJobs      map[string]int
-	cordonedUntil  time.Time
-	cordonDuration time.Duration
-	terminated     bool
+	taskErrorsByJob map[string]int
+	cordonedUntil   time.Time
+	cordonDuration  time.Duration
+	terminated      bool
 }
 
 func (m *machine) freeCPUs() float64 { return m.cpus - m.usedCPUs }
@@ -131,8 +131,8 @@
 
 // canFetch tells whether the machine has an image, or may begin to fetch it
 // beside at most others.
-func (m *machine) canFetch(image string, most int) bool {
-	return m.images.has(image) || m.fetching[image] || len(m.fetching) < most
+func (m *machine) canFetch(image string, limit int) bool {
+	return m.images.has(image) || m.fetching[image] || len(m.fetching) < limit
 }
 
 // isSchedulable tells whether the machine may be given tasks.
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -31,12 +31,12 @@
 }
 
 // evacuate stops giving a machine tasks.
-func (lt *leaderTerm) evacuate(m *machine, why string) {
+func (lt *leaderTerm) evacuate(m *machine, reason string) {
 	if m.evacuating {
 		return
 	}
-	m.evacuating, m.reason = true, why
-	lt.c.Log.Info("machine leaves", "machine", m.name, "type", m.typ, "why", why, "tasks", len(m.attempts))
+	m.evacuating, m.reason = true, reason
+	lt.c.Log.Info("machine leaves", "machine", m.name, "type", m.typ, "why", reason, "tasks", len(m.attempts))
 }
 
 // machineTerminated removes a machine whose return the cloud has confirmed.
@@ -73,7 +73,7 @@
 
 func (lt *leaderTerm) addMachine(name, typ, zone string, spot bool, now time.Time) *machine {
 	m := &machine{name: name, unattributedTotal: &lt.unattributedCPUs, typ: typ, zone: zone, spot: spot, lastSeen: now, addedAt: now, idleSince: now,
-		attempts: map[attemptKey]*attempt{}, errorJobs: map[string]int{}}
+		attempts: map[attemptKey]*attempt{}, taskErrorsByJob: map[string]int{}}
 	if mt, ok := lt.c.types.load()[typ]; ok {
 		m.cpus, m.gpus, m.memory = mt.CPUs, mt.GPUs, mt.MemoryGB
 	}
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -24,7 +24,7 @@
 		}
 	}
 	var loads []*queue.Load
-	most := max(minDeferredLoads, len(lt.machines))
+	maxLoads := max(minDeferredLoads, len(lt.machines))
 	lt.starved = 0
 	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
@@ -34,17 +34,17 @@
 			}
 			waiting += float64(j.flight.Untaken()) * j.spec.CPUs
 			j.load = queue.Load{}
-			if j.infeasible || j.finishing || len(loads) == most {
+			if j.infeasible || j.finishing || len(loads) == maxLoads {
 				continue
 			}
 			j.load.Deadline = j.latestStart.Add(j.spec.Estimate())
 			j.load.CPUSeconds = float64(j.flight.Untaken()) * j.spec.CPUs * j.spec.EstimateS
 			for _, a := range j.activeAttempts {
-				left := j.spec.Estimate()
+				remaining := j.spec.Estimate()
 				if !a.runningAt.IsZero() {
-					left -= now.Sub(a.runningAt)
+					remaining -= now.Sub(a.runningAt)
 				}
-				j.load.CPUSeconds += max(0, left.Seconds()) * j.spec.CPUs
+				j.load.CPUSeconds += max(0, remaining.Seconds()) * j.spec.CPUs
 			}
 			loads = append(loads, &j.load)
 		}
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -19,19 +19,19 @@
 
 // runStats is what a member has completed of a job.
 type runStats struct {
-	count   int
-	sum     time.Duration
-	longest time.Duration
-	overran int
+	count        int
+	totalTime    time.Duration
+	longest      time.Duration
+	overrunCount int
 }
 
 // add records a completed run.
 func (rs *runStats) add(took time.Duration, overran bool) {
 	rs.count++
-	rs.sum += took
+	rs.totalTime += took
 	rs.longest = max(rs.longest, took)
 	if overran {
-		rs.overran++
+		rs.overrunCount++
 	}
 }
 
@@ -39,10 +39,10 @@
 // the longest run with the longest of the members other than its own. What the
 // others did is so known without going through them at each run.
 type jobRuns struct {
-	byMachine     map[string]*runStats
-	all           runStats
-	longestOn     string
-	longestBeside time.Duration
+	byMachine        map[string]*runStats
+	all              runStats
+	longestOn        string
+	longestElsewhere time.Duration
 }
 
 // add records a completed run on a machine.
@@ -53,9 +53,9 @@
 	switch {
 	case machine == jr.longestOn:
 	case took > jr.all.longest:
-		jr.longestOn, jr.longestBeside = machine, jr.all.longest
+		jr.longestOn, jr.longestElsewhere = machine, jr.all.longest
 	default:
-		jr.longestBeside = max(jr.longestBeside, took)
+		jr.longestElsewhere = max(jr.longestElsewhere, took)
 	}
 	jr.byMachine[machine].add(took, overran)
 	jr.all.add(took, overran)
@@ -66,11 +66,11 @@
 	out := j.runs.all
 	if mine := j.runs.byMachine[m.name]; mine != nil {
 		out.count -= mine.count
-		out.sum -= mine.sum
-		out.overran -= mine.overran
+		out.totalTime -= mine.totalTime
+		out.overrunCount -= mine.overrunCount
 	}
 	if m.name == j.runs.longestOn {
-		out.longest = j.runs.longestBeside
+		out.longest = j.runs.longestElsewhere
 	}
 	return out
 }
@@ -88,15 +88,15 @@
 	if others.count < minSampleRuns || took < time.Second {
 		return // a result that was kept comes at once and says nothing
 	}
-	ratio := float64(took) * float64(others.count) / float64(max(others.sum, time.Second))
+	ratio := float64(took) * float64(others.count) / float64(max(others.totalTime, time.Second))
 	m.measuredRuns++
 	m.slowdown += (ratio - m.slowdown) / float64(min(m.measuredRuns, minMeasuredRuns))
 	if m.measuredRuns >= minMeasuredRuns && m.slowdown > slowdownThreshold && !m.evacuating && lt.belowSlowLimit() {
 		lt.c.Log.Info("machine quarantined", "machine", m.name, "slowness", m.slowdown)
 		lt.evacuate(m, "slow")
-		for _, o := range m.attempts {
-			if !o.exited && o.job != nil && o.job.spec.CheckpointS > 0 {
-				lt.stop(o, 2*o.job.spec.Save()+time.Second, now)
+		for _, other := range m.attempts {
+			if !other.exited && other.job != nil && other.job.spec.CheckpointS > 0 {
+				lt.stop(other, 2*other.job.spec.Save()+time.Second, now)
 			}
 		}
 	}
@@ -134,12 +134,12 @@
 // the limit together: so the run must also exceed by half the longest that any
 // other member took, or it would be thrown away near its end.
 func (lt *leaderTerm) restartStragglers(now time.Time) {
-	times := lt.c.Policy.RestartLimit
-	if times == 0 {
+	limitFactor := lt.c.Policy.RestartLimit
+	if limitFactor == 0 {
 		return
 	}
 	for _, j := range lt.jobs {
-		limit := time.Duration(times * float64(j.spec.Estimate()))
+		limit := time.Duration(limitFactor * float64(j.spec.Estimate()))
 		if limit <= 0 || len(j.activeAttempts) == 0 || j.runs.all.count == 0 {
 			continue
 		}
@@ -151,24 +151,24 @@
 				continue
 			}
 			others := j.elsewhere(m)
-			if others.count < minSampleRuns || others.overran > 0 || float64(took) < stragglerFactor*float64(others.longest) ||
-				j.overranOn(m, limit, now) < 2 {
+			if others.count < minSampleRuns || others.overrunCount > 0 || float64(took) < stragglerFactor*float64(others.longest) ||
+				j.overrunsOn(m, limit, now) < 2 {
 				continue
 			}
 			j.restarted[a.task] = true
-			j.excluded[a.task] = m.name
+			j.excludedMachine[a.task] = m.name
 			lt.c.Log.Debug("slow run restarted", "task", a.key.ref, "machine", m.name)
 			lt.stop(a, j.spec.Save()*2, now)
 		}
 	}
 }
 
-// overranOn counts a member's runs of the job past the limit, the present ones
+// overrunsOn counts a member's runs of the job past the limit, the present ones
 // included.
-func (j *job) overranOn(m *machine, limit time.Duration, now time.Time) int {
+func (j *job) overrunsOn(m *machine, limit time.Duration, now time.Time) int {
 	n := 0
 	if done := j.runs.byMachine[m.name]; done != nil {
-		n = done.overran
+		n = done.overrunCount
 	}
 	for _, a := range j.activeAttempts {
 		if a.machine == m && !a.exited && !a.runningAt.IsZero() && now.Sub(a.runningAt) > limit {
