--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -8,51 +8,61 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// attemptKey names an attempt on its machine.
+// attemptKey identifies an attempt on its machine.
 type attemptKey struct {
+	// ref is the task's reference, as taskRef builds it; id is the attempt's number.
 	ref string
 	id  uint64
 }
 
-// attempt is one try at a task on one machine.
+// attempt is one run of a task on a machine, from the time its start is decided until a
+// heartbeat, or the end of the machine, shows that it is off the machine.
 type attempt struct {
 	key     attemptKey
 	machine *machine
-	// job is nil for an attempt whose job is not active: its team is not
-	// known, so the whole machine counts as in use.
+	// job is nil for an attempt whose job is not active: its team is not known, so the
+	// whole machine counts as in use.
 	job  *job
 	task int
-	// phase is the worker's, or "" while only the order has been sent.
+	// phase is what the worker agent last reported, "" until it has reported the attempt.
 	phase string
-	// sentAgentEpoch is the session in which the start was ordered.
+	// sentAgentEpoch is the agent epoch in which the start was sent.
 	sentAgentEpoch uint64
 	sentAt         time.Time
-	runningAt      time.Time
-	// unmeasured is set if the machine was out of hearing during the run.
+	// runningAt is when a heartbeat first showed the attempt running.
+	runningAt time.Time
+	// unmeasured is set if the machine missed heartbeats during the run, so that its
+	// length is not known.
 	unmeasured bool
-	stop       *stopRequest
-	// direct is set if the start was sent straight to the machine.
+	// stop is set once the attempt is to be stopped.
+	stop *stopRequest
+	// direct is set if the start was sent outside a heartbeat response.
 	direct *directCommand
+	// exited is set once the attempt has ended and its resources are released.
 	exited bool
-	// lastSeenIn is the last of the machine's reports that showed the attempt.
+	// lastSeenIn is the number of the machine's last heartbeat that showed the attempt, 0
+	// if none has.
 	lastSeenIn int
-	// exitHandled is set once the exit has been handled.
+	// exitHandled is set once the cause of the exit has been acted on.
 	exitHandled bool
 }
 
-// startInFlight tells whether the answer with the start may still be on its way to
-// the worker. Only a report of its own shows that it is not, or a new session.
+// startInFlight tells whether the response with the start may still be in flight to the
+// worker agent. Only an agent-initiated heartbeat shows that it is not, or a new agent
+// epoch.
 func (a *attempt) startInFlight(hb *api.Heartbeat) bool {
 	return a.lastSeenIn == 0 && a.sentAgentEpoch == hb.AgentEpoch
 }
 
+// stopRequest is the decision to stop an attempt.
 type stopRequest struct {
+	// grace is how long from since on the task may take to save its state.
 	grace time.Duration
 	since time.Time
 }
 
-// reserve adds an attempt's resources to its machine, team and job, or takes
-// them off again with sign -1.
+// reserve counts an attempt's resources on its machine, team and zone, or releases them with
+// sign -1.
 func (a *attempt) reserve(sign float64) {
 	if a.job == nil {
 		a.machine.countUnattributed(int(sign))
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -7,7 +7,7 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// adoptAttempt adds an attempt that this leader did not start.
+// adoptAttempt adds an attempt that a heartbeat shows and this leader did not start.
 func (lt *leaderTerm) adoptAttempt(m *machine, key attemptKey, status *api.TaskStatus, now time.Time) *attempt {
 	key.ref = strings.Clone(key.ref)
 	a := &attempt{key: key, machine: m, phase: status.Phase, sentAt: now}
@@ -25,8 +25,8 @@
 	}
 	a.reserve(1)
 	if a.job != nil && (a.job.activeAttempts[task] == nil || a.job.activeAttempts[task].key.id < key.id) {
-		// Of two attempts the later one is kept: it was begun only when the
-		// earlier one was known to be off its machine.
+		// Of two attempts the later one is kept: it was started only when the earlier one
+		// was known to be off its machine.
 		a.job.activeAttempts[task] = a
 		a.job.flight.Take(task)
 		a.job.flight.Join(m.name)
@@ -34,7 +34,7 @@
 	return a
 }
 
-// applyTaskStatus applies what a report says of an attempt.
+// applyTaskStatus applies what a heartbeat says of an attempt.
 func (lt *leaderTerm) applyTaskStatus(a *attempt, status *api.TaskStatus, now time.Time) {
 	previousPhase := a.phase
 	a.phase = status.Phase
@@ -84,13 +84,13 @@
 	case api.CauseError:
 		lt.taskFailed(a, now)
 	case api.CauseNoRoom, api.CauseBusy, api.CauseNoSuch:
-		lt.c.Log.Debug("start refused", "machine", m.name, "task", a.key.ref, "why", status.Cause)
+		lt.c.Log.Debug("start rejected", "machine", m.name, "task", a.key.ref, "reason", status.Cause)
 		m.cordonedUntil = now.Add(time.Second)
 	}
 }
 
-// release gives an attempt's task back to its job, unless it is done or held
-// by another attempt.
+// release makes an attempt's task pending again, unless it is done or another attempt has
+// taken it over.
 func (lt *leaderTerm) release(a *attempt) {
 	j := a.job
 	if j == nil || j.activeAttempts[a.task] != a {
@@ -114,45 +114,72 @@
 	lt.release(a)
 }
 
-// isReapable tells whether an exited attempt may be dropped from the reports: a
-// completed one only once that is on record, so that a new leader finds it.
+// isReapable tells whether an exited attempt may be dropped from the heartbeats: a completed
+// one only once that is on record, so that a new leader learns of it.
 func (lt *leaderTerm) isReapable(a *attempt) bool {
 	j := a.job
 	return j == nil || j.ended || !j.done.Test(uint(a.task)) || j.recorded.Test(uint(a.task))
 }
 
-// taskFailed handles a task that ended with an error. Mostly the machine is at
-// fault; a job whose tasks fail on several machines and complete on none is.
+// A job is at fault if its tasks failed on minFailedMachines and none has completed. It is
+// backed off, longer each time, up to maxBackoff.
+const (
+	minFailedMachines   = 3
+	backoffUnit         = 5 * time.Second
+	maxBackoffDoublings = 4
+	maxBackoff          = time.Minute
+)
+
+// A machine is quarantined if tasks of quarantineJobs failed on it since one last completed, or
+// quarantineFailures tasks of a job that has completed tasks elsewhere.
+const (
+	quarantineJobs     = 2
+	quarantineFailures = 2
+)
+
+// taskFailed handles a task that ended with an error. Mostly the machine is at fault; a job
+// whose tasks fail on several machines and complete on none is.
 func (lt *leaderTerm) taskFailed(a *attempt, now time.Time) {
 	j, m := a.job, a.machine
 	j.failuresByMachine[m.name]++
 	j.excludedMachine[a.task] = m.name
-	if j.doneCount == 0 && len(j.failuresByMachine) >= 3 {
-		j.failureRounds++
-		backoff := min(5*time.Second<<min(j.failureRounds, 4), time.Minute)
-		j.backoffUntil = now.Add(backoff)
-		if j.failureRounds == 1 {
-			lt.c.Log.Info("job fails on every machine", "job", j.spec.ID, "machines", len(j.failuresByMachine))
-			for name := range j.failuresByMachine {
-				if other := lt.machines[name]; other != nil {
-					delete(other.taskErrorsByJob, j.spec.ID)
-				}
-			}
-		}
+	if j.doneCount == 0 && len(j.failuresByMachine) >= minFailedMachines {
+		lt.backOffJob(j, now)
 		return
 	}
 	m.taskErrorsByJob[j.spec.ID]++
-	m.cordonDuration = min(max(2*m.cordonDuration, time.Second), 30*time.Second)
+	m.cordonDuration = min(max(2*m.cordonDuration, time.Second), maxCordon)
 	m.cordonedUntil = now.Add(m.cordonDuration)
-	if len(m.taskErrorsByJob) >= 2 || (j.doneCount > 0 && m.taskErrorsByJob[j.spec.ID] >= 2) {
-		if !m.evacuating {
-			lt.c.Log.Info("machine quarantined", "machine", m.name, "jobs", len(m.taskErrorsByJob))
-			lt.evacuate(m, "fails tasks")
-			for _, other := range m.attempts {
-				if !other.exited && other.job != nil {
-					lt.stop(other, other.job.spec.Save()*2, now)
-				}
-			}
+	failsProvenJob := j.doneCount > 0 && m.taskErrorsByJob[j.spec.ID] >= quarantineFailures
+	if !m.evacuating && (len(m.taskErrorsByJob) >= quarantineJobs || failsProvenJob) {
+		lt.quarantineFailing(m, now)
+	}
+}
+
+// backOffJob keeps a job that fails on every machine from starting tasks for a while. Its
+// failures no longer count against the machines.
+func (lt *leaderTerm) backOffJob(j *job, now time.Time) {
+	j.failureRounds++
+	backoff := min(backoffUnit<<min(j.failureRounds, maxBackoffDoublings), maxBackoff)
+	j.backoffUntil = now.Add(backoff)
+	if j.failureRounds > 1 {
+		return
+	}
+	lt.c.Log.Info("job fails on every machine", "job", j.spec.ID, "machines", len(j.failuresByMachine))
+	for name := range j.failuresByMachine {
+		if m := lt.machines[name]; m != nil {
+			delete(m.taskErrorsByJob, j.spec.ID)
+		}
+	}
+}
+
+// quarantineFailing evacuates a machine that fails tasks, and stops what runs on it.
+func (lt *leaderTerm) quarantineFailing(m *machine, now time.Time) {
+	lt.c.Log.Info("machine quarantined", "machine", m.name, "jobs", len(m.taskErrorsByJob))
+	lt.evacuate(m, "fails tasks")
+	for _, a := range m.attempts {
+		if !a.exited && a.job != nil {
+			lt.stop(a, a.job.spec.Save()*2, now)
 		}
 	}
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -7,33 +7,34 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// maxCommands bounds the orders of one answer: a line of an answer must stay
+// maxCommands bounds the commands of one heartbeat response: a line of a response must stay
 // below 64 KiB.
 const maxCommands = 200
 
-// handleOwnHeartbeat processes a worker's report and answers with its orders. Orders go in
-// answers only: an answer that comes late is dropped by the worker, while an
-// order sent by itself could be carried out minutes later.
+// handleOwnHeartbeat applies an agent-initiated heartbeat and returns the response with its
+// commands. But for direct starts, commands are sent in responses only: the worker agent drops
+// a late response, while a command sent on its own could be applied minutes later.
 func (lt *leaderTerm) handleOwnHeartbeat(hb *api.Heartbeat, now time.Time) (api.HeartbeatResponse, error) {
 	return lt.handleHeartbeat(hb, agentInitiated, now)
 }
 
-// heartbeatOrigin is how a report came about.
+// heartbeatOrigin is what caused a heartbeat to be sent.
 type heartbeatOrigin int
 
 const (
-	// agentInitiated is one that the worker sent by itself. It does so only once the
-	// answer to its last one was carried out or given up.
+	// agentInitiated is a heartbeat that the worker agent sent on its own. It does so only
+	// once the response to its last one was applied or has timed out.
 	agentInitiated heartbeatOrigin = iota
-	// solicited answers a resync. There is no answer in which orders could
-	// go, and the orders of the last answer may still be on their way to the
-	// worker when it is drawn up: it does not show that they were not
-	// carried out.
+	// solicited answers a resync or a probe. It has no response that could carry commands,
+	// and the commands of the last response may still be in flight when it is built: it
+	// does not show that they were not applied.
 	solicited
 )
 
-// handleHeartbeat updates the leader's state by a report and returns the answer to it.
-func (lt *leaderTerm) handleHeartbeat(hb *api.Heartbeat, origin heartbeatOrigin, now time.Time) (api.HeartbeatResponse, error) {
+// handleHeartbeat updates the leader's state by a heartbeat and returns the response to it.
+func (lt *leaderTerm) handleHeartbeat(
+	hb *api.Heartbeat, origin heartbeatOrigin, now time.Time,
+) (api.HeartbeatResponse, error) {
 	response := api.HeartbeatResponse{Term: lt.term.Number, Commands: []api.Command{}}
 	if hb.Term > lt.term.Number {
 		// The machine has seen a later term than this one.
@@ -41,39 +42,41 @@
 		return response, &api.NotLeaderError{}
 	}
 	if !lt.loaded {
-		// This keeps the lease and makes the machine heard. What is known to be
-		// cancelled must not live on by it.
+		// The response renews the task lease and fences the machine. Tasks known to be
+		// cancelled must not run on by that.
 		response.Commands = lt.c.stopCancelled(hb, nil)
 		return response, nil
 	}
 	if lt.terminated.Contains(hb.Machine) {
-		return response, api.ErrUnavailable // given back; this was held up on its way
+		return response, api.ErrUnavailable // sent before the machine was terminated, and delayed
 	}
 	m := lt.machines[hb.Machine]
 	if hb.Term < lt.term.Number && (m != nil || lt.provisioning[hb.Machine] == nil) {
-		// A token never falls, so this is the first report of a machine that
-		// has yet to hear of this term, one of a machine that no answer
-		// reaches, or a copy of an old report that comes late. These look
-		// alike: it is answered, so that the machine learns the term, and
-		// otherwise changes nothing. Above all it is no sign of life, and
-		// brings no machine back that an earlier leader returned.
+		// A machine's fencing token never decreases, so this is the first heartbeat of a
+		// machine that has yet to learn of this term, one of a machine that no response
+		// reaches, or a delayed copy of an old heartbeat. These cannot be told apart. It is
+		// answered, so that the machine learns the term, and otherwise changes nothing:
+		// above all it is no sign of life, and adds no machine that an earlier leader
+		// terminated.
 		return response, nil
 	}
 	if m == nil {
-		// The report's strings share its body's memory.
+		// The heartbeat's strings share its body's memory.
 		m = lt.addMachine(strings.Clone(hb.Machine), strings.Clone(hb.Type), strings.Clone(hb.Zone), hb.Spot, now)
-		lt.c.Log.Info("machine up", "machine", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot)
+		lt.c.Log.Info("first heartbeat of machine", "machine", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot)
 	}
 	if hb.AgentEpoch < m.agentEpoch || (hb.AgentEpoch == m.agentEpoch && hb.Seq <= m.heartbeatSeq) {
-		return response, nil // older than what is known
+		return response, nil // older than the newest one applied
 	}
 	response.Commands = lt.applyHeartbeat(m, hb, origin, response.Commands, now)
 	return response, nil
 }
 
-// applyHeartbeat updates the state of a machine by a report that is newer than all
-// before it, and adds the orders that answer it.
-func (lt *leaderTerm) applyHeartbeat(m *machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time) []api.Command {
+// applyHeartbeat updates the state of a machine by a heartbeat that is newer than all applied
+// before it, and appends the commands of the response.
+func (lt *leaderTerm) applyHeartbeat(
+	m *machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
+) []api.Command {
 	lt.updateMachine(m, hb, now)
 	commands = lt.reconcile(m, hb, origin, commands, now)
 	if m.unappliedResponses == 0 {
@@ -95,11 +98,11 @@
 	return commands
 }
 
-// updateMachine records what a new report says of the machine itself.
+// updateMachine applies what a new heartbeat says of the machine itself.
 func (lt *leaderTerm) updateMachine(m *machine, hb *api.Heartbeat, now time.Time) {
 	if m.agentEpoch != 0 && hb.AgentEpoch > m.agentEpoch {
 		if lt.notPausedSince(now.Add(-lt.c.Settings.Site.Workers.Lease() - lt.heartbeatTimeout())) {
-			m.unappliedResponses++ // its lease has ended although it was answered
+			m.unappliedResponses++ // its task lease has expired although it was answered
 		}
 		m.lastCommands = nil
 	}
@@ -122,8 +125,8 @@
 	}
 }
 
-// registerUnregistered has a machine written to the roster if it is not on it. No
-// earlier leader has started anything there, so it counts as heard.
+// registerUnregistered has a machine added to the registry if it is not in it. No earlier
+// leader has started anything there, so it counts as fenced.
 func (lt *leaderTerm) registerUnregistered(m *machine) {
 	if m.registration != unregistered || m.cpus <= 0 || m.evacuating {
 		return
@@ -133,13 +136,21 @@
 	lt.recordWriter.register(m)
 }
 
-// responseMaxAge is how long before an answer this node may have been held up and the
-// answer have gone out too late for it: workers drop what comes after four seconds.
+// responseMaxAge is the age at which worker agents drop a response. A process pause within that
+// time before a response may have delayed it so far.
 const responseMaxAge = 4 * time.Second
 
-// checkApplied checks whether a report shows that the orders of the last answer were
-// carried out. To a machine whose reports arrive while answers do not reach it,
-// starts would otherwise be sent again and again.
+// A machine is cordoned for maxCordon at most. The cordon of one that does not apply responses
+// starts from the heartbeat interval and doubles with each response, maxCordonDoublings times
+// at most.
+const (
+	maxCordon          = 30 * time.Second
+	maxCordonDoublings = 5
+)
+
+// checkApplied checks whether a heartbeat shows that any command of the last response was
+// applied. To a machine whose heartbeats arrive while responses do not reach it, starts would
+// otherwise be sent again and again.
 func (lt *leaderTerm) checkApplied(m *machine, now time.Time) {
 	if len(m.lastCommands) == 0 {
 		return
@@ -147,23 +158,28 @@
 	for _, command := range m.lastCommands {
 		a := m.attempts[attemptKey{command.Task, command.Attempt}]
 		shown := a != nil && a.lastSeenIn == m.heartbeats
-		if (command.Verb == api.VerbStart) == shown || (shown && command.Verb == api.VerbStop && a.phase != api.TaskRunning) {
+		stopping := shown && command.Verb == api.VerbStop && a.phase != api.TaskRunning
+		if (command.Verb == api.VerbStart) == shown || stopping {
 			m.unappliedResponses = 0
 			return
 		}
 	}
 	if !lt.notPausedSince(m.lastCommandsAt.Add(-responseMaxAge)) {
-		return // the answer may have come too late, by this node's fault
+		return // the response may have arrived too late because this node was paused
 	}
-	// One answer may be lost; after a second, the machine is asked first.
+	// One response may be lost; after a second one the machine gets no tasks for a while.
 	if m.unappliedResponses++; m.unappliedResponses > 1 {
-		m.cordonedUntil = now.Add(min(lt.c.Settings.Site.Workers.HeartbeatInterval()<<min(m.unappliedResponses, 5), 30*time.Second))
+		cordon := lt.c.Settings.Site.Workers.HeartbeatInterval() << min(m.unappliedResponses, maxCordonDoublings)
+		m.cordonedUntil = now.Add(min(cordon, maxCordon))
 	}
 	m.nextProbe = now
-	lt.c.Log.Debug("orders not carried out", "machine", m.name, "orders", len(m.lastCommands), "times", m.unappliedResponses)
+	lt.c.Log.Debug("commands not applied", "machine", m.name,
+		"count", len(m.lastCommands), "responses", m.unappliedResponses)
 }
 
-// handlePreemptionNotice handles the cloud's notice that it will take the machine.
+// handlePreemptionNotice evacuates a machine that the cloud will take back: tasks with
+// checkpoints save their state in the time left, and those that would not end in time are
+// stopped.
 func (lt *leaderTerm) handlePreemptionNotice(m *machine, seconds float64, now time.Time) {
 	timeLeft := time.Duration(seconds * float64(time.Second))
 	first := m.preemptAt.IsZero()
@@ -180,13 +196,14 @@
 		if s.CheckpointS > 0 {
 			lt.stop(a, timeLeft, now)
 		} else if a.runningAt.IsZero() || a.runningAt.Add(s.Estimate()).After(m.preemptAt) {
-			// It would not end in time; elsewhere it can begin now.
+			// It would not end in time; elsewhere it can start now.
 			lt.stop(a, 0, now)
 		}
 	}
 }
 
-// stop marks an attempt to be stopped by the answers to its machine's reports.
+// stop marks an attempt to be stopped by the responses to its machine's heartbeats. Of several
+// requests, the one with the shortest grace holds.
 func (lt *leaderTerm) stop(a *attempt, grace time.Duration, now time.Time) {
 	if a.stop != nil && a.stop.grace <= grace {
 		return
@@ -194,17 +211,21 @@
 	a.stop = &stopRequest{grace: grace, since: now}
 }
 
-// reconcile brings the machine's attempts in line with its report.
-func (lt *leaderTerm) reconcile(m *machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time) []api.Command {
-	// Stops go before reaps: a machine that has ended more tasks than an answer
-	// holds orders would run what is cancelled on, while its lease is renewed.
+// reconcile brings the machine's attempts in line with its heartbeat, and appends stops and
+// reaps to the commands of the response.
+func (lt *leaderTerm) reconcile(
+	m *machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
+) []api.Command {
+	// Stops go before reaps: a machine with more ended tasks than a response holds commands
+	// would otherwise run cancelled tasks on, while its task lease is renewed.
 	reaps := lt.applyTaskStatuses(m, hb, now)
 	if origin == agentInitiated {
 		lt.checkApplied(m, now)
 	}
 	for key, a := range m.attempts {
 		if a.lastSeenIn != m.heartbeats {
-			if !a.mayStillStart(hb) && !(origin == solicited && a.startInFlight(hb)) {
+			startInFlight := a.mayStillStart(hb) || (origin == solicited && a.startInFlight(hb))
+			if !startInFlight {
 				lt.removeMissing(a)
 			}
 			continue
@@ -212,10 +233,7 @@
 		if a.exited || len(commands) >= maxCommands {
 			continue
 		}
-		// A version that knows nothing of jobs that await others may have started
-		// one too early; one that is to be cancelled is stopped, also while the
-		// store cannot be written; so is one that another cell owns.
-		if a.job == nil || a.job.ended || a.job.cancelPending || a.job.lent != nil || a.job.activeAttempts[a.task] != a {
+		if !a.isWanted() {
 			lt.stop(a, 0, now)
 		}
 		if a.stop != nil {
@@ -226,8 +244,17 @@
 	return append(commands, reaps[:min(len(reaps), maxCommands-len(commands))]...)
 }
 
-// applyTaskStatuses updates the attempts that a report names, and returns the
-// orders to reap those that have ended.
+// isWanted tells whether an attempt should run on: it is its task's current one, and its job is
+// active here. A job that is to be cancelled is stopped also while the key-value store cannot
+// be written: a version without dependencies may have started it too early. One that another
+// cell owns is stopped as well.
+func (a *attempt) isWanted() bool {
+	j := a.job
+	return j != nil && !j.ended && !j.cancelPending && j.lent == nil && j.activeAttempts[a.task] == a
+}
+
+// applyTaskStatuses updates the attempts that a heartbeat names, and returns the commands to
+// reap those that have ended.
 func (lt *leaderTerm) applyTaskStatuses(m *machine, hb *api.Heartbeat, now time.Time) []api.Command {
 	var reaps []api.Command
 	for i := range hb.Tasks {
@@ -246,16 +273,16 @@
 	return reaps
 }
 
-// removeMissing removes an attempt that a newer report does not name, which shows
-// that it is off the machine: reaped, killed with its session, or never begun.
+// removeMissing removes an attempt that a newer heartbeat does not name, which shows that it is
+// off the machine: reaped, killed with its agent epoch, or never started.
 func (lt *leaderTerm) removeMissing(a *attempt) {
 	if !a.exited && !a.exitHandled && a.phase == "" {
-		lt.c.Log.Debug("start lost", "machine", a.machine.name, "task", a.key.ref, "attempt", a.key.id)
+		lt.c.Log.Debug("start not applied", "machine", a.machine.name, "task", a.key.ref, "attempt", a.key.id)
 	}
 	lt.offMachine(a)
 }
 
-// recordImage notes that a machine has a job's image.
+// recordImage records in memory that a machine has a job's image.
 func (lt *leaderTerm) recordImage(m *machine, s *api.JobSpec, now time.Time) {
 	m.images.use(s, lt.c.types.load()[m.typ].CacheGB, now)
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -13,103 +13,130 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// job is an active job in the leader's memory.
+// job is an active job in the leader's memory: accepted, and not yet ended.
 type job struct {
-	spec        api.JobSpec
+	spec api.JobSpec
+	// modRevision is the version of the job's active record.
 	modRevision uint64
 	accepted    time.Time
-	// runnableSince is from when on its user expects it to run: when it was accepted, or
-	// when the last job that it needs was done.
+	// runnableSince is the time from which the user expects the job to run: when it was
+	// accepted, or when the last job that it depends on was done.
 	runnableSince time.Time
-	// dependsOn are the jobs that are to be done before it starts; while there are
+
+	// dependsOn are the jobs that must be done before this one starts. While there are
 	// any, or while its cancellation with one of them is pending, it is in no queue.
 	dependsOn     map[string]bool
 	cancelPending bool
-	// dependencyList tells which records list what it awaits, if its own does not;
-	// dependenciesRead is set once they are read.
+	// dependencyList names the records that list the job's dependencies if its active
+	// record does not; dependenciesRead is set once they are read.
 	dependencyList   *records.DependencyList
 	dependenciesRead bool
-	// lastDependencyEnd is when the last of the awaited jobs that are done was done.
+	// lastDependencyEnd is the latest time at which one of its dependencies was done.
 	lastDependencyEnd time.Time
-	// dependentDeadlines is when it should be complete for those that need it.
+	// dependentDeadlines are the times by which the jobs that depend on it require it to
+	// be complete.
 	dependentDeadlines []time.Time
-	// objectives are when the job should be complete, by the aims of its class;
-	// latest is when to begin to meet the next that can still be met.
-	objectives  []time.Time
+
+	// objectives are the times by which the job should be complete, in ascending order.
+	objectives []time.Time
+	// latestStart is the latest start that meets the next objective that can still be
+	// met; infeasible is set if none can.
 	latestStart time.Time
 	infeasible  bool
-	// startBy is when its tasks should have started, if the aims say so.
+	// startBy is when its tasks should have started, if the objectives say so.
 	startBy time.Time
-	// starved is set while none of its tasks has begun for too long.
-	starved    bool
-	load       queue.Load
+	// starved is set while none of its tasks has started for starvedAfter.
+	starved bool
+	// load is the job's part in the last decision on which jobs to defer.
+	load queue.Load
+	// rank orders jobs by priority, preference by the preference of the job's class.
 	rank       int
 	preference float64
 	team       *queue.Team[*job]
 
+	// flight has the tasks that no attempt holds and the machines that work on the job.
 	flight *flight.Flight
-	// activeAttempts holds for each task that may be on a machine its current attempt.
+	// activeAttempts holds the current attempt of each task that may be on a machine.
 	activeAttempts map[int]*attempt
-	// done is what has completed; durable is the part of it on record.
+	// done are the completed tasks, doneCount is their number, and recorded are those
+	// that are on record as completed.
 	done      *bitset.BitSet
 	doneCount int
 	recorded  *bitset.BitSet
-	// completionChunks are the progress records written, by their first task.
+	// completionChunks are the completion records written, by their first task.
 	completionChunks map[int]bool
-	// chunkSizes is how many tasks they may speak of, and moving what has to be on
-	// record elsewhere before one is written over by a shorter one.
-	chunkSizes      map[int]int
-	moving          map[int]*bitset.BitSet
+	// chunkSizes is how many tasks each of them may cover. moving are the tasks that must
+	// be on record elsewhere before a record is overwritten by a shorter one.
+	chunkSizes map[int]int
+	moving     map[int]*bitset.BitSet
+	// completionDirty is set while the job is queued for its next completion record.
 	completionDirty bool
 
-	runs            jobRuns
-	zones           map[string]int
-	restarted       map[int]bool
+	// runs measures the completed runs of the job's tasks.
+	runs jobRuns
+	// zones counts the job's reserved attempts by zone.
+	zones map[string]int
+	// restarted are the tasks that were restarted as stragglers; each is only once.
+	restarted map[int]bool
+	// excludedMachine is the machine that a task must avoid: where it last failed or was a
+	// straggler.
 	excludedMachine map[int]string
-	// failuresByMachine counts failures by machine; backoffUntil keeps a job that fails
-	// everywhere from eating the machines.
+	// failuresByMachine counts failed tasks. A job that fails on every machine starts no
+	// task before backoffUntil, so that it does not use up the fleet; failureRounds is how
+	// often it was backed off since a task of it last completed.
 	failuresByMachine map[string]int
 	failureRounds     int
 	backoffUntil      time.Time
 
-	// waitingSince is when tasks of the job last began to wait, and passed when a
-	// machine without its image first passed it over since its last start.
+	// waitingSince is when tasks of the job last became pending. skippedSince is when a
+	// machine without its image first skipped it since its last start.
 	waitingSince, skippedSince time.Time
-	// capacity is where the fleet has room for it, as last looked at.
+	// capacity is where the fleet has capacity for the job, as last computed.
 	capacity capacity
-	// What the log says of a job at its end.
+
+	// lostTasks, firstStart, lastStart and longest are logged at the job's end.
 	lostTasks             int
 	firstStart, lastStart time.Time
 	longest               time.Duration
 
-	// lent is set while the job is lent to another cell, and guest if it runs here for
-	// one. handover is set while a transaction that moves it is queued or on its way.
-	lent     *loan.Lent
-	guest    *loan.Guest
+	// lent is set while the job is lent to another cell, guest if it runs here for one.
+	lent  *loan.Lent
+	guest *loan.Guest
+	// handover is set while a transaction that moves the job between cells is queued or
+	// in flight.
 	handover bool
-	// remote is how a lent job stands, reclaimRequested is set while it is called back, and
-	// reserved is what it counts for in its team's limit.
+	// remote is the state of a lent job at its host, reclaimRequested is set while home
+	// reclaims it, and reservedBudget is what it counts for in its team's limit.
 	remote           loan.State
 	reclaimRequested bool
 	reservedBudget   loan.Budget
-	// loanCount is how often it was lent, and lastReclaimed when cells last gave it back.
+	// loanCount is how often the job was lent, lastReclaimed when it was last reclaimed
+	// from each cell.
 	loanCount     int
 	lastReclaimed map[string]time.Time
 
+	// finishing is set once all tasks are done and the end is to be recorded, ending once
+	// a transaction that records it may be in flight, ended once the job is removed.
 	finishing bool
-	// ending is set once a transaction that records its end may be on its way.
-	ending bool
-	ended  bool
+	ending    bool
+	ended     bool
 }
 
-// Rank, Latest and ID make a job an item of its team's queue.
-func (j *job) Rank() int              { return j.rank }
+// Rank, with LatestStart, Preference, Feasibility and ID, makes a job an item of its team's
+// queue.
+func (j *job) Rank() int { return j.rank }
+
+// LatestStart is the latest start that meets the job's next objective.
 func (j *job) LatestStart() time.Time { return j.latestStart }
 
-// Preference makes a job an item of its team's queue.
+// Preference is how much the job's class is preferred to others.
 func (j *job) Preference() float64 { return j.preference }
 
-// Feasibility makes a job an item of its team's queue.
+// ID is the job's id.
+func (j *job) ID() string { return j.spec.ID }
+
+// Feasibility tells whether the job can meet its next objective, is deferred, or can meet
+// none.
 func (j *job) Feasibility() queue.Feasibility {
 	switch {
 	case j.infeasible:
@@ -119,13 +146,12 @@
 	}
 	return queue.Feasible
 }
-func (j *job) ID() string { return j.spec.ID }
 
-// updateFeasibility finds the next aim that can still be met by starting now.
+// updateFeasibility finds the next objective that can still be met by starting now.
 func (j *job) updateFeasibility(now time.Time) {
-	est := j.spec.Estimate()
-	for _, aim := range j.objectives {
-		j.latestStart = aim.Add(-est)
+	estimate := j.spec.Estimate()
+	for _, objective := range j.objectives {
+		j.latestStart = objective.Add(-estimate)
 		if !now.After(j.latestStart) {
 			j.infeasible = false
 			return
@@ -134,9 +160,9 @@
 	j.infeasible = true
 }
 
-// runsPerCPU is how many tasks of the job a CPU could run one after the other from some
-// time on, so that the last still ends by the job's next aim. It is 1 where there is
-// no time for a second, and where the aims say when every task should have started.
+// runsPerCPU is how many tasks of the job a CPU could run one after the other from a time
+// on, so that the last still ends by the job's next objective. It is 1 where there is no
+// time for a second, and where an objective says when every task should have started.
 func (j *job) runsPerCPU(from time.Time) float64 {
 	estimate := j.spec.Estimate()
 	if !j.startBy.IsZero() || estimate <= 0 {
@@ -145,30 +171,36 @@
 	return 1 + max(0, j.latestStart.Sub(from).Seconds()/estimate.Seconds())
 }
 
-// started tells whether any task has begun or is about to.
+// started tells whether any task has started or its start was sent.
 func (j *job) started() bool {
 	return len(j.activeAttempts) > 0 || j.doneCount > 0 || !j.firstStart.IsZero()
 }
 
-// sinceRunnable is how long after its acceptance something happened to the job, for the
-// log; 0 if this leader has not seen it.
+// sinceRunnable is the time from runnableSince to an event, for the log; 0 if the event
+// happened under an earlier leader.
 func (j *job) sinceRunnable(at time.Time) time.Duration {
 	if at.IsZero() {
 		return 0
 	}
-	return at.Sub(j.runnableSince).Round(time.Second / 10)
+	return at.Sub(j.runnableSince).Round(100 * time.Millisecond)
 }
 
-// starving tells whether the job gives way to others although it has waited long.
+// starving tells whether the job is placed behind others as infeasible or deferred although
+// it has waited long.
 func (j *job) starving(now time.Time) bool {
 	return (j.infeasible || j.load.Defer) && now.Sub(j.runnableSince) > starvingAfter
 }
 
+// taskRef is the reference of a task on the wire.
 func (j *job) taskRef(task int) string { return j.spec.ID + "/" + strconv.Itoa(task) }
 
+// state is what users are shown of the job.
 func (j *job) state() api.JobState {
 	if j.lent != nil {
-		st := api.JobState{ID: j.spec.ID, Phase: api.JobPending, Done: j.remote.Done, Running: j.remote.Running, Cell: j.lent.Host}
+		st := api.JobState{
+			ID: j.spec.ID, Phase: api.JobPending,
+			Done: j.remote.Done, Running: j.remote.Running, Cell: j.lent.Host,
+		}
 		if j.remote.Phase == loan.PhaseStarted {
 			st.Phase = api.JobRunning
 		}
