--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -7,7 +7,8 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// assignTasks pulls tasks for a machine with free room.
+// assignTasks assigns tasks to a machine while it has free capacity, and appends their starts to
+// the commands.
 func (lt *leaderTerm) assignTasks(m *machine, commands []api.Command, now time.Time) []api.Command {
 	if !m.isSchedulable(now) || !lt.mayStart(now) {
 		return commands
@@ -23,8 +24,14 @@
 		if !ok {
 			break
 		}
-		a := &attempt{key: attemptKey{j.taskRef(task), lt.nextAttempt()}, machine: m, job: j, task: task,
-			sentAgentEpoch: m.agentEpoch, sentAt: now}
+		a := &attempt{
+			key:            attemptKey{ref: j.taskRef(task), id: lt.nextAttempt()},
+			machine:        m,
+			job:            j,
+			task:           task,
+			sentAgentEpoch: m.agentEpoch,
+			sentAt:         now,
+		}
 		m.attempts[a.key] = a
 		if !m.images.has(j.spec.Image) {
 			m.fetching[j.spec.Image] = true
@@ -38,10 +45,10 @@
 	return commands
 }
 
-// nextJob chooses the job whose flight this machine serves next. What the teams'
-// guarantees cover comes first: no team waits for another there, so the job
-// that must begin soonest is taken. What they borrow is served by the teams in
-// turn by shares, urgent work before the rest.
+// nextJob chooses the job whose flight this machine serves next. What the teams' guarantees
+// cover is served first: no team waits for another there, so the job with the earliest latest
+// start is taken. Beyond the guarantees the teams are served in the order of their fair share,
+// urgent work before the rest. Either is tried first with the jobs that the machine prefers.
 func (lt *leaderTerm) nextJob(m *machine, now time.Time) *job {
 	if m.freeCPUs() < epsilon && m.gpus <= m.usedGPUs {
 		return nil
@@ -49,36 +56,48 @@
 	if j := lt.nextStarved(m, now); j != nil {
 		return j
 	}
-	for _, suited := range []bool{true, false} {
-		var best *job
-		for _, t := range lt.fairShareOrder {
-			j := lt.nextJobOfTeam(t, m, true, suited, now)
-			if j != nil && (best == nil || queue.Before(j, best)) {
-				best = j
-			}
+	for _, preferred := range []bool{true, false} {
+		if j := lt.nextGuaranteed(m, preferred, now); j != nil {
+			return j
 		}
-		if best != nil {
-			return best
+		if j := lt.nextByShare(m, preferred, now); j != nil {
+			return j
 		}
-		queue.SortByShare(lt.fairShareOrder)
-		for _, t := range lt.fairShareOrder {
-			j := lt.nextJobOfTeam(t, m, false, suited, now)
-			if j != nil && (best == nil || queue.UrgencyRank(j) < queue.UrgencyRank(best)) {
-				best = j
-			}
+	}
+	return lt.loans.pickGuest(m, now)
+}
+
+// nextGuaranteed is the first job, over all teams, whose next task is within its team's
+// guarantee.
+func (lt *leaderTerm) nextGuaranteed(m *machine, preferred bool, now time.Time) *job {
+	var best *job
+	for _, t := range lt.fairShareOrder {
+		j := lt.nextJobOfTeam(t, m, true, preferred, now)
+		if j != nil && (best == nil || queue.Before(j, best)) {
+			best = j
 		}
-		if best != nil {
-			return best
+	}
+	return best
+}
+
+// nextByShare is the most urgent of the jobs whose next task is beyond its team's guarantee; of
+// equally urgent ones, that of the team which is first by fair share.
+func (lt *leaderTerm) nextByShare(m *machine, preferred bool, now time.Time) *job {
+	var best *job
+	queue.SortByShare(lt.fairShareOrder)
+	for _, t := range lt.fairShareOrder {
+		j := lt.nextJobOfTeam(t, m, false, preferred, now)
+		if j != nil && (best == nil || queue.UrgencyRank(j) < queue.UrgencyRank(best)) {
+			best = j
 		}
 	}
-	return lt.loans.pickGuest(m, now)
+	return best
 }
 
-// Jobs that cannot be in time give way to those that can, but not without
-// end, or under lasting overload the largest would never run. One that has had
-// no start for a part of the time in which every job must begin goes before
-// all; and of all starts, one in starvedShare goes to the job that has waited
-// longest, once that is long.
+// Jobs that cannot be in time are placed behind those that can, but not for ever, or under
+// lasting overload the largest would never run. A job without a start for starvedAfter, a part
+// of the time within which every job must start, goes before all others. And of all starts, one
+// in starvedShare goes to the job that has waited longest, once that is starvingAfter.
 const (
 	starvedAfter  = 90 * time.Second
 	starvingAfter = 2 * time.Minute
@@ -87,14 +106,15 @@
 
 // nextStarved is the job that goes before all others on a machine, if any.
 func (lt *leaderTerm) nextStarved(m *machine, now time.Time) *job {
-	var best *job
 	starvedTurn := lt.attemptCount%starvedShare == 0
 	if !starvedTurn && lt.starved == 0 {
 		return nil
 	}
+	var best *job
 	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
-			if j.flight.Untaken() == 0 || !(j.starved && !j.started() || starvedTurn && j.starving(now)) {
+			goesFirst := j.starved && !j.started() || starvedTurn && j.starving(now)
+			if j.flight.Untaken() == 0 || !goesFirst {
 				continue
 			}
 			if (best == nil || j.runnableSince.Before(best.runnableSince)) && lt.eligible(j, m, now) {
@@ -105,19 +125,30 @@
 	return best
 }
 
-// nextJobOfTeam is the first job of a team's queue that this machine may serve, among
-// those whose next task is within the guarantee or among the others, and among
-// those that the machine suits or among all.
-func (lt *leaderTerm) nextJobOfTeam(t *queue.Team[*job], m *machine, guaranteed, suited bool, now time.Time) *job {
+// nextJobOfTeam is the first job of a team's queue that this machine may serve, among those
+// whose next task is within the guarantee or among the others, and among those that the machine
+// prefers or among all. An urgent job is left to machines that prefer it in either case.
+func (lt *leaderTerm) nextJobOfTeam(
+	t *queue.Team[*job], m *machine, guaranteed, preferred bool, now time.Time,
+) *job {
 	for _, j := range t.Items() {
-		if j.flight.Untaken() > 0 && t.Guaranteed(j.spec.CPUs, j.spec.GPUs) == guaranteed &&
-			lt.eligible(j, m, now) && (!(suited || j.isUrgent(now)) || lt.prefers(j, m, now)) && !lt.betterElsewhere(j, m, now) {
+		if j.flight.Untaken() == 0 || t.Guaranteed(j.spec.CPUs, j.spec.GPUs) != guaranteed || !lt.eligible(j, m, now) {
+			continue
+		}
+		if (preferred || j.isUrgent(now)) && !lt.prefers(j, m, now) {
+			continue
+		}
+		if !lt.betterElsewhere(j, m, now) {
 			return j
 		}
 	}
 	return nil
 }
 
+// maxFailuresOnMachine is how many tasks of a job may fail on a machine before it gets no more
+// of them.
+const maxFailuresOnMachine = 2
+
 // eligible tells whether the next task of a job may start on a machine.
 func (lt *leaderTerm) eligible(j *job, m *machine, now time.Time) bool {
 	s := &j.spec
@@ -127,14 +158,15 @@
 	case j.guest != nil && !j.withinBudget():
 		return false
 	case lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision:
-		// A machine not heard in this term may hold any task that was
-		// accepted before it.
+		// A machine that is not fenced may hold any task accepted before this term.
 		return false
 	case !m.fits(s) || !typeAllowed(s, m.typ) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.Spot):
 		return false
 	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return false
-	case j.failuresByMachine[m.name] >= 2 || j.allUntakenExcluded(m) || !(m.canFetch(s.Image, lt.maxFetches) || lt.fetchesBeforeHeartbeat(j, m)):
+	case j.failuresByMachine[m.name] >= maxFailuresOnMachine || j.allUntakenExcluded(m):
+		return false
+	case !m.canFetch(s.Image, lt.maxFetches) && !lt.fetchesBeforeHeartbeat(j, m):
 		return false
 	}
 	if s.OneZone {
@@ -147,11 +179,14 @@
 	return !s.Spread || j.zones[m.zone] < (s.Tasks+1)/2
 }
 
-// betterElsewhere tells whether machines that suit a job better have room for
-// all that waits of it. They are left to pull it at their next reports: the
-// work gathers where its image is, on cheap machines and on those in use, and
-// the others become empty and go back to the cloud. A job that has waited
-// for its grace is taken by anybody.
+// minCostGain is by how many seconds the placement cost of a machine must be lower for it to be
+// the better one.
+const minCostGain = 0.5
+
+// betterElsewhere tells whether machines with a lower placement cost have capacity for all
+// pending tasks of a job. They are left to pull it at their next heartbeats: the work gathers
+// where its image is, on cheap machines and on those in use, and the others become empty and are
+// terminated. A job that has waited longer than lt.grace is assigned to any machine.
 func (lt *leaderTerm) betterElsewhere(j *job, m *machine, now time.Time) bool {
 	if now.Sub(j.waitingSince) > lt.grace {
 		return false
@@ -159,5 +194,5 @@
 	if now.Sub(j.capacity.computedAt) >= tickInterval {
 		lt.findCapacity(j, now)
 	}
-	return j.capacity.slotsUpTo(lt.placementCost(j, m)-0.5) >= j.flight.Untaken()
+	return j.capacity.slotsUpTo(lt.placementCost(j, m)-minCostGain) >= j.flight.Untaken()
 }
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -16,7 +16,8 @@
 	if j := lt.jobs[id]; ok && j != nil && task < j.spec.Tasks {
 		a.job, a.task = j, task
 	}
-	if a.job != nil && (status.Phase == api.TaskRunning || status.Phase == api.TaskSaving || status.Cause == api.CauseDone) {
+	hasStarted := status.Phase == api.TaskRunning || status.Phase == api.TaskSaving || status.Cause == api.CauseDone
+	if a.job != nil && hasStarted {
 		lt.recordImage(m, &a.job.spec, now)
 	}
 	if status.Phase == api.TaskExited {
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -6,13 +6,15 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// imageCache is what a leader believes a machine to have cached: the images
-// used last, up to the room for them.
+// imageCache is the leader's model of a machine's image cache: the images used last, up to the
+// capacity for them.
 type imageCache struct {
 	used map[string]cachedImage
-	gb   float64
+	// gb is the sum of the images' sizes.
+	gb float64
 }
 
+// cachedImage is when an image was last used, and its size.
 type cachedImage struct {
 	at time.Time
 	gb float64
@@ -21,14 +23,14 @@
 // has tells whether an image is cached.
 func (c *imageCache) has(image string) bool { _, ok := c.used[image]; return ok }
 
-// use notes that a job's image is on the machine, and drops the images used
-// longest ago for which there is no more room.
+// use records that a job's image is on the machine, and evicts the least recently used images
+// that exceed the capacity.
 func (c *imageCache) use(s *api.JobSpec, capacityGB float64, now time.Time) {
 	if c.used == nil {
 		c.used = map[string]cachedImage{}
 	}
 	c.gb += s.ImageGB - c.used[s.Image].gb
-	c.used[s.Image] = cachedImage{now, s.ImageGB}
+	c.used[s.Image] = cachedImage{at: now, gb: s.ImageGB}
 	for capacityGB > 0 && c.gb > capacityGB && len(c.used) > 1 {
 		oldest := ""
 		for name, entry := range c.used {
@@ -41,7 +43,7 @@
 	}
 }
 
-// hold counts the CPUs of the open machines that have each image.
+// countImageLocations counts the CPUs of the schedulable machines that have each image.
 func (lt *leaderTerm) countImageLocations(now time.Time) {
 	clear(lt.imageLocations)
 	for _, m := range lt.machines {
@@ -63,10 +65,10 @@
 	return time.Duration(j.spec.ImageGB / rate * float64(time.Second))
 }
 
-// prefers tells whether a machine should serve a job before others because it
-// has the image, or because waiting for machines that have it would take longer
-// than the fetch. Room on a full fleet comes free where tasks end; fetching
-// images everywhere would hold much of it idle.
+// prefers tells whether a machine should serve a job before others because it has the image, or
+// because waiting for machines that have it would take longer than the fetch. On a full fleet,
+// capacity becomes free where tasks end; if images were fetched everywhere, much of it would be
+// idle meanwhile.
 func (lt *leaderTerm) prefers(j *job, m *machine, now time.Time) bool {
 	fetch := lt.fetchTime(j, m)
 	if fetch == 0 {
@@ -75,15 +77,15 @@
 	if j.skippedSince.IsZero() {
 		j.skippedSince = now
 	}
-	// What the holders free in the time of the fetch, if their CPUs come free
-	// once in an estimated run of this job.
+	// The CPUs that become free at the image's locations during the fetch, if each does once
+	// in an estimated run of this job.
 	freed := lt.imageLocations[j.spec.Image] * fetch.Seconds() / max(j.spec.EstimateS, 1)
 	return freed < float64(j.flight.Untaken())*j.spec.CPUs || now.Sub(j.skippedSince) > lt.skipWindow(fetch)
 }
 
-// skipWindow is for how long a job may be passed over by machines that would take
-// a time to fetch its image: twice that, but no longer than leaves time to fetch
-// it and still start within what the guarantee allows.
+// skipWindow is for how long a job may be skipped by machines that would take a time to fetch its
+// image: skipFetches times that, but no longer than leaves time to fetch it and still start
+// within what the guarantee allows.
 func (lt *leaderTerm) skipWindow(fetch time.Duration) time.Duration {
 	limit := skipFetches * fetch
 	switch {
@@ -96,11 +98,11 @@
 	return limit
 }
 
-// isUrgent tells whether a job's tasks should start sooner than a fetch takes:
-// then not even a machine with nothing better to do should fetch its image, as
-// long as those that have it may still serve it in time.
+// isUrgent tells whether a job has a time by which its tasks should start and that is still
+// ahead. Until then not even a machine without other work should fetch its image, as those that
+// have it may still serve it in time.
 func (j *job) isUrgent(now time.Time) bool { return now.Before(j.startBy) }
 
-// skipFetches is for how many times the fetch a job may be passed over by
-// machines without its image.
+// skipFetches is for how many times the duration of the fetch a job may be skipped by machines
+// without its image.
 const skipFetches = 2
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -14,8 +14,7 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// addJob takes in an active record: of a job that is new, or of one that was lent or taken
-// back.
+// addJob applies an active record: of a job that is new, or of one that was lent or reclaimed.
 func (lt *leaderTerm) addJob(key string, value []byte, modRevision uint64) {
 	id := key[len(records.ActivePrefix):]
 	j := lt.jobs[id]
@@ -24,7 +23,7 @@
 	}
 	var rec records.ActiveRecord
 	if err := json.Unmarshal(value, &rec); err != nil {
-		lt.c.Log.Error("job record", "key", key, "err", err)
+		lt.c.Log.Error("active record not decoded", "key", key, "err", err)
 		return
 	}
 	if j != nil {
@@ -45,7 +44,7 @@
 	}
 	id := spec.ID
 	if team == nil || spec.Tasks < 1 {
-		lt.c.Log.Error("job record", "key", key, "team", spec.Team, "tasks", spec.Tasks)
+		lt.c.Log.Error("active record not valid", "key", key, "team", spec.Team, "tasks", spec.Tasks)
 		return
 	}
 	j := newJob(spec, team)
@@ -64,62 +63,74 @@
 	case lt.loaded:
 		lt.dependencies.resolveDependencies(j)
 		lt.dependencies.propagateDeadlines(j)
-	default: // once all are read
+	default: // once all records are read
 	}
-	lt.c.Log.Debug("job", "job", id, "class", j.spec.Class, "team", j.spec.Team, "tasks", j.spec.Tasks)
+	lt.c.Log.Debug("job added", "job", id, "class", j.spec.Class, "team", j.spec.Team, "tasks", j.spec.Tasks)
 }
 
-// newJob makes a job of a team of which nothing has begun.
+// newJob returns a job of a team of which no task has started.
 func newJob(spec api.JobSpec, team *queue.Team[*job]) *job {
 	tasks := uint(spec.Tasks)
 	return &job{
-		spec: spec, team: team, rank: api.PriorityRank(spec.Priority), waitingSince: time.Now(),
-		flight: flight.New(spec.Tasks), activeAttempts: map[int]*attempt{},
-		done: bitset.New(tasks), recorded: bitset.New(tasks), completionChunks: map[int]bool{},
-		runs: jobRuns{byMachine: map[string]*runStats{}}, zones: map[string]int{}, restarted: map[int]bool{},
-		excludedMachine: map[int]string{}, failuresByMachine: map[string]int{},
+		spec:              spec,
+		team:              team,
+		rank:              api.PriorityRank(spec.Priority),
+		waitingSince:      time.Now(),
+		flight:            flight.New(spec.Tasks),
+		activeAttempts:    map[int]*attempt{},
+		done:              bitset.New(tasks),
+		recorded:          bitset.New(tasks),
+		completionChunks:  map[int]bool{},
+		runs:              jobRuns{byMachine: map[string]*runStats{}},
+		zones:             map[string]int{},
+		restarted:         map[int]bool{},
+		excludedMachine:   map[int]string{},
+		failuresByMachine: map[string]int{},
 	}
 }
 
-// objectives are the times by which a job should be complete: its deadline and the
-// multiples of it that the objectives name, or the times that they name for
-// its class.
+// defaultObjectiveFactor is how many estimates a job for which no objective is set may take.
+const defaultObjectiveFactor = 10
+
+// objectives are the times by which a job should be complete: its deadline and the multiples of
+// it that the configured objectives name, the times that they name for its class, and what the
+// jobs that depend on it require. It sets the job's startBy as well.
 func (lt *leaderTerm) objectives(j *job) []time.Time {
-	out := slices.Concat(lt.deadlines(j), j.dependentDeadlines)
+	times := slices.Concat(lt.deadlines(j), j.dependentDeadlines)
 	for _, o := range lt.c.Settings.Site.Objectives {
 		switch {
 		case o.Class != j.spec.Class:
 		case o.Kind == "wait":
 			j.startBy = j.runnableSince.Add(config.Duration(o.WithinS))
 		case o.Kind == "finished":
-			out = append(out, j.runnableSince.Add(config.Duration(o.WithinS)))
+			times = append(times, j.runnableSince.Add(config.Duration(o.WithinS)))
 		}
 	}
-	if len(out) == 0 {
-		out = append(out, j.runnableSince.Add(config.Duration(10*j.spec.EstimateS)))
+	if len(times) == 0 {
+		times = append(times, j.runnableSince.Add(config.Duration(defaultObjectiveFactor*j.spec.EstimateS)))
 	}
-	slices.SortFunc(out, time.Time.Compare)
-	return slices.CompactFunc(out, time.Time.Equal)
+	slices.SortFunc(times, time.Time.Compare)
+	return slices.CompactFunc(times, time.Time.Equal)
 }
 
-// deadlines are the times that follow from a job's own deadline. It counts from
-// the submission, however long the job waits for others.
+// deadlines are the times that follow from a job's own deadline. It counts from the submission,
+// however long the job's dependencies take.
 func (lt *leaderTerm) deadlines(j *job) []time.Time {
 	if j.spec.DeadlineS <= 0 {
 		return nil
 	}
-	out := []time.Time{j.accepted.Add(config.Duration(j.spec.DeadlineS))}
+	times := []time.Time{j.accepted.Add(config.Duration(j.spec.DeadlineS))}
 	for _, o := range lt.c.Settings.Site.Objectives {
 		if o.Kind == "deadline" && o.Class == j.spec.Class && o.Times > 1 {
-			out = append(out, j.accepted.Add(config.Duration(j.spec.DeadlineS*o.Times)))
+			times = append(times, j.accepted.Add(config.Duration(j.spec.DeadlineS*o.Times)))
 		}
 	}
-	slices.SortFunc(out, time.Time.Compare)
-	return out
+	slices.SortFunc(times, time.Time.Compare)
+	return times
 }
 
-// cancelJob removes a job that was cancelled. What runs of it is stopped by
-// the answers to its machines' reports.
+// cancelJob removes a job that was cancelled. Its attempts are stopped by the responses to
+// their machines' heartbeats.
 func (lt *leaderTerm) cancelJob(j *job) {
 	lt.forget(j)
 	lt.c.recordCancellation(j.spec.ID)
@@ -132,7 +143,7 @@
 	lt.dependencyLists.drop(j)
 }
 
-// forget drops a job that is over.
+// forget removes a job that has ended from all state.
 func (lt *leaderTerm) forget(j *job) {
 	j.ended = true
 	j.completionDirty = false
@@ -142,7 +153,8 @@
 	j.team.Remove(j)
 }
 
-// taskDone records that a task has completed.
+// taskDone marks a task as completed, and has that put on record, or the job ended if it was
+// the last.
 func (lt *leaderTerm) taskDone(j *job, task int, now time.Time) {
 	if j.done.Test(uint(task)) {
 		return
