--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -6,24 +6,45 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// unlimitedFetches bounds the images that a machine fetches at the same time.
+// unlimitedFetches bounds the images that a machine fetches at the same time while capacity is
+// not short.
 const unlimitedFetches = 4
 
-// minDeferredLoads bounds the work of the triage: it looks at that many jobs, or at one for
+// minDeferredLoads bounds the work of deferInfeasible: it considers that many jobs, or one for
 // each machine of a larger fleet.
 const minDeferredLoads = 500
 
-// deferInfeasible looks again at which jobs can be in time, and puts the queues in that
-// order.
+// deferInfeasible decides anew which jobs can be in time, and sorts the queues by that.
 func (lt *leaderTerm) deferInfeasible(now time.Time) {
-	cpus, free, waiting := 0.0, 0.0, 0.0
+	cpus, free := lt.schedulableCPUs(now)
+	loads, pending := lt.collectLoads(now)
+	queue.DeferInfeasible(loads, cpus, now)
+	// Images that are fetched at the same time share the machine's rate. While capacity is
+	// short, one after the other is better: the first tasks start sooner, and no capacity is
+	// reserved for those whose image arrives last.
+	lt.maxFetches = unlimitedFetches
+	if pending > free {
+		lt.maxFetches = 1
+	}
+	for _, t := range lt.fairShareOrder {
+		t.Resort()
+	}
+}
+
+// schedulableCPUs are the CPUs of the schedulable machines: all, and those that are free.
+func (lt *leaderTerm) schedulableCPUs(now time.Time) (cpus, free float64) {
 	for _, m := range lt.machines {
 		if m.isSchedulable(now) {
 			cpus += m.cpus
 			free += m.freeCPUs()
 		}
 	}
-	var loads []*queue.Load
+	return cpus, free
+}
+
+// collectLoads updates each queued job's feasibility and load, and whether it is starved. It
+// returns the loads of those that can still be in time, and the CPUs of all pending tasks.
+func (lt *leaderTerm) collectLoads(now time.Time) (loads []*queue.Load, pendingCPUs float64) {
 	maxLoads := max(minDeferredLoads, len(lt.machines))
 	lt.starved = 0
 	for _, t := range lt.fairShareOrder {
@@ -32,32 +53,27 @@
 			if j.starved = !j.started() && now.Sub(j.runnableSince) > starvedAfter; j.starved {
 				lt.starved++
 			}
-			waiting += float64(j.flight.Untaken()) * j.spec.CPUs
+			pendingCPUs += float64(j.flight.Untaken()) * j.spec.CPUs
 			j.load = queue.Load{}
 			if j.infeasible || j.finishing || len(loads) == maxLoads {
 				continue
 			}
-			j.load.Deadline = j.latestStart.Add(j.spec.Estimate())
-			j.load.CPUSeconds = float64(j.flight.Untaken()) * j.spec.CPUs * j.spec.EstimateS
-			for _, a := range j.activeAttempts {
-				remaining := j.spec.Estimate()
-				if !a.runningAt.IsZero() {
-					remaining -= now.Sub(a.runningAt)
-				}
-				j.load.CPUSeconds += max(0, remaining.Seconds()) * j.spec.CPUs
-			}
+			j.load = j.remainingLoad(now)
 			loads = append(loads, &j.load)
 		}
 	}
-	queue.DeferInfeasible(loads, cpus, now)
-	// Images that are fetched at the same time share the machine's rate. While
-	// there is too little room, one after the other is better: the first
-	// tasks begin sooner, and no room is held for those whose image comes last.
-	lt.maxFetches = unlimitedFetches
-	if waiting > free {
-		lt.maxFetches = 1
-	}
-	for _, t := range lt.fairShareOrder {
-		t.Resort()
+	return loads, pendingCPUs
+}
+
+// remainingLoad is the work that is left of the job, by its estimate, and when it should be done.
+func (j *job) remainingLoad(now time.Time) queue.Load {
+	cpuSeconds := float64(j.flight.Untaken()) * j.spec.CPUs * j.spec.EstimateS
+	for _, a := range j.activeAttempts {
+		remaining := j.spec.Estimate()
+		if !a.runningAt.IsZero() {
+			remaining -= now.Sub(a.runningAt)
+		}
+		cpuSeconds += max(0, remaining.Seconds()) * j.spec.CPUs
 	}
+	return queue.Load{Deadline: j.latestStart.Add(j.spec.Estimate()), CPUSeconds: cpuSeconds}
 }
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -3,21 +3,26 @@
 import "time"
 
 const (
-	// overrunFactor is how many estimates a run may take and not count for a slow
-	// one; how many it may take before it is restarted is the operators' choice.
+	// overrunFactor is how many estimates a run may take without counting as overrun; how many
+	// it may take before it is restarted is the operators' choice.
 	overrunFactor = 2
-	// stragglerFactor is by how much an overdue run must exceed the longest run
-	// of the job's other members.
+	// stragglerFactor is by how much a straggler must exceed the longest run on the job's other
+	// machines.
 	stragglerFactor = 1.5
+	// minOverruns is how many runs of a job must have overrun on a machine for one of them to
+	// be restarted.
+	minOverruns = 2
 	// minSampleRuns is how many runs elsewhere a comparison needs.
 	minSampleRuns = 3
-	// slowdownThreshold marks a machine whose runs take this many times as long as
-	// the same jobs' runs elsewhere, over at least minMeasuredRuns of them.
+	// slowdownThreshold marks a machine whose runs take this many times as long as the same
+	// jobs' runs elsewhere, over at least minMeasuredRuns of them.
 	slowdownThreshold = 1.7
 	minMeasuredRuns   = 8
+	// One in slowLimitDivisor machines may be quarantined as slow, and one in any case.
+	slowLimitDivisor = 10
 )
 
-// runStats is what a member has completed of a job.
+// runStats sums up completed runs of a job's tasks.
 type runStats struct {
 	count        int
 	totalTime    time.Duration
@@ -25,7 +30,7 @@
 	overrunCount int
 }
 
-// add records a completed run.
+// add counts a completed run.
 func (rs *runStats) add(took time.Duration, overran bool) {
 	rs.count++
 	rs.totalTime += took
@@ -35,9 +40,9 @@
 	}
 }
 
-// jobRuns is what all members have completed of a job: by member, in all, and
-// the longest run with the longest of the members other than its own. What the
-// others did is so known without going through them at each run.
+// jobRuns are the completed runs of a job's tasks: by machine, in all, and the longest with the
+// longest on any other machine than its own. So the runs on all machines but one are known
+// without going through them at each run.
 type jobRuns struct {
 	byMachine        map[string]*runStats
 	all              runStats
@@ -45,7 +50,7 @@
 	longestElsewhere time.Duration
 }
 
-// add records a completed run on a machine.
+// add counts a completed run on a machine.
 func (jr *jobRuns) add(machine string, took time.Duration, overran bool) {
 	if jr.byMachine[machine] == nil {
 		jr.byMachine[machine] = &runStats{}
@@ -61,18 +66,18 @@
 	jr.all.add(took, overran)
 }
 
-// elsewhere is what the job's other members have completed.
+// elsewhere sums up the job's completed runs on all machines but one.
 func (j *job) elsewhere(m *machine) runStats {
-	out := j.runs.all
+	others := j.runs.all
 	if mine := j.runs.byMachine[m.name]; mine != nil {
-		out.count -= mine.count
-		out.totalTime -= mine.totalTime
-		out.overrunCount -= mine.overrunCount
+		others.count -= mine.count
+		others.totalTime -= mine.totalTime
+		others.overrunCount -= mine.overrunCount
 	}
 	if m.name == j.runs.longestOn {
-		out.longest = j.runs.longestElsewhere
+		others.longest = j.runs.longestElsewhere
 	}
-	return out
+	return others
 }
 
 // recordRun records how long a completed run took, and quarantines a machine whose
@@ -86,14 +91,15 @@
 	j.runs.add(m.name, took, took > overrunFactor*j.spec.Estimate())
 	others := j.elsewhere(m)
 	if others.count < minSampleRuns || took < time.Second {
-		return // a result that was kept comes at once and says nothing
+		return // a task whose result was kept ends at once, which measures nothing
 	}
 	ratio := float64(took) * float64(others.count) / float64(max(others.totalTime, time.Second))
 	m.measuredRuns++
 	m.slowdown += (ratio - m.slowdown) / float64(min(m.measuredRuns, minMeasuredRuns))
-	if m.measuredRuns >= minMeasuredRuns && m.slowdown > slowdownThreshold && !m.evacuating && lt.belowSlowLimit() {
-		lt.c.Log.Info("machine quarantined", "machine", m.name, "slowness", m.slowdown)
-		lt.evacuate(m, "slow")
+	isSlow := m.measuredRuns >= minMeasuredRuns && m.slowdown > slowdownThreshold
+	if isSlow && !m.evacuating && lt.belowSlowLimit() {
+		lt.c.Log.Info("machine quarantined", "machine", m.name, "slowdown", m.slowdown)
+		lt.evacuate(m, reasonSlow)
 		for _, other := range m.attempts {
 			if !other.exited && other.job != nil && other.job.spec.CheckpointS > 0 {
 				lt.stop(other, 2*other.job.spec.Save()+time.Second, now)
@@ -102,37 +108,36 @@
 	}
 }
 
-// belowSlowLimit tells whether slow machines are the exception: where many seem slow
-// at once, something else is the matter, and quarantine would take the fleet.
+// reasonSlow is why slow machines are evacuated.
+const reasonSlow = "slow"
+
+// belowSlowLimit tells whether slow machines are the exception. Where many seem slow at once, the
+// cause is another, and quarantine would end the fleet.
 func (lt *leaderTerm) belowSlowLimit() bool {
 	n := 0
 	for _, m := range lt.machines {
-		if m.reason == "slow" {
+		if m.reason == reasonSlow {
 			n++
 		}
 	}
-	return n < max(1, len(lt.machines)/10)
+	return n < max(1, len(lt.machines)/slowLimitDivisor)
 }
 
-// markUnmeasured marks the runs on a machine whose reports were held up: when they ended
-// is not known. Taken for long, such runs had half of a zone's machines
-// quarantined after a cut.
+// markUnmeasured marks the runs on a machine whose heartbeats were delayed: when they ended is
+// not known. Counted as long, such runs had half of a zone's machines quarantined after a
+// partition.
 func (m *machine) markUnmeasured() {
 	for _, a := range m.attempts {
 		a.unmeasured = true
 	}
 }
 
-// heartbeatTimeout is the longest time between two reports of a machine in order.
+// heartbeatTimeout is the longest time between two heartbeats of a machine without a fault.
 func (lt *leaderTerm) heartbeatTimeout() time.Duration {
 	return 2*lt.c.Settings.Site.Workers.HeartbeatInterval() + time.Second
 }
 
-// restartStragglers restarts, once, a run past twice its estimate when its machine's
-// other tasks of the job overran as well and those on other machines did not.
-// Estimates are often too low for the whole job, and then all its tasks cross
-// the limit together: so the run must also exceed by half the longest that any
-// other member took, or it would be thrown away near its end.
+// restartStragglers restarts, once each, the runs that isStraggler finds.
 func (lt *leaderTerm) restartStragglers(now time.Time) {
 	limitFactor := lt.c.Policy.RestartLimit
 	if limitFactor == 0 {
@@ -144,27 +149,37 @@
 			continue
 		}
 		for _, a := range j.activeAttempts {
-			m := a.machine
-			took := now.Sub(a.runningAt)
-			// A machine out of hearing may have ended the run long ago.
-			if now.Sub(m.lastHeartbeat) > lt.heartbeatTimeout() || a.exited || a.stop != nil || a.runningAt.IsZero() || took <= limit || j.restarted[a.task] {
-				continue
-			}
-			others := j.elsewhere(m)
-			if others.count < minSampleRuns || others.overrunCount > 0 || float64(took) < stragglerFactor*float64(others.longest) ||
-				j.overrunsOn(m, limit, now) < 2 {
+			if !lt.isStraggler(a, limit, now) {
 				continue
 			}
 			j.restarted[a.task] = true
-			j.excludedMachine[a.task] = m.name
-			lt.c.Log.Debug("slow run restarted", "task", a.key.ref, "machine", m.name)
+			j.excludedMachine[a.task] = a.machine.name
+			lt.c.Log.Debug("straggler restarted", "task", a.key.ref, "machine", a.machine.name)
 			lt.stop(a, j.spec.Save()*2, now)
 		}
 	}
 }
 
-// overrunsOn counts a member's runs of the job past the limit, the present ones
-// included.
+// isStraggler tells whether a run is past the limit, its machine's other tasks of the job overran
+// as well, and those on other machines did not. Estimates are often too low for the whole job,
+// and then all its tasks pass the limit together: so the run must also exceed by half the longest
+// on any other machine, or it would be lost near its end.
+func (lt *leaderTerm) isStraggler(a *attempt, limit time.Duration, now time.Time) bool {
+	j, m := a.job, a.machine
+	took := now.Sub(a.runningAt)
+	if a.exited || a.stop != nil || a.runningAt.IsZero() || took <= limit || j.restarted[a.task] {
+		return false
+	}
+	if now.Sub(m.lastHeartbeat) > lt.heartbeatTimeout() {
+		return false // the run may have ended long ago
+	}
+	others := j.elsewhere(m)
+	return others.count >= minSampleRuns && others.overrunCount == 0 &&
+		float64(took) >= stragglerFactor*float64(others.longest) && j.overrunsOn(m, limit, now) >= minOverruns
+}
+
+// overrunsOn counts the job's completed runs on a machine that overran, and those there that are
+// past the limit now.
 func (j *job) overrunsOn(m *machine, limit time.Duration, now time.Time) int {
 	n := 0
 	if done := j.runs.byMachine[m.name]; done != nil {
