--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -32,8 +32,8 @@
 	listing              bool
 	peak                 demandPeak
 	surplus              float64
-	// ampleSince is since when there has been room to spare.
-	ampleSince time.Time
+	// surplusSince is since when there has been room to spare.
+	surplusSince time.Time
 }
 
 const (
@@ -41,8 +41,8 @@
 	minUptime           = 30 * time.Second
 	maxLaunchesInFlight = 3
 	listInterval        = 5 * time.Second
-	// unavailableFor is how long a kind of machine that was refused is left alone.
-	unavailableFor = 15 * time.Second
+	// unavailableTTL is how long a kind of machine that was refused is left alone.
+	unavailableTTL = 15 * time.Second
 )
 
 func (as *autoscaler) init(lt *leaderTerm) {
@@ -109,34 +109,34 @@
 		}
 	}
 	booting := as.launchingCPUs
-	for _, e := range lt.provisioning {
-		if !e.terminating {
-			booting += e.cpus
+	for _, booted := range lt.provisioning {
+		if !booted.terminating {
+			booting += booted.cpus
 		}
 	}
-	want := max(as.demand()*(1+lt.c.Policy.Headroom), lt.c.Policy.MinCPUs)
-	as.surplus = total - as.peak.add(now, want, lt.c.Policy.DrainDelay)
+	target := max(as.demand()*(1+lt.c.Policy.Headroom), lt.c.Policy.MinCPUs)
+	as.surplus = total - as.peak.add(now, target, lt.c.Policy.DrainDelay)
 	as.drain(now)
 	if lt.unfenced > 0 {
 		return
 	}
 	offers := as.offers(now)
-	as.launch(want-total-booting, offers)
+	as.launch(target-total-booting, offers)
 	as.scaleOutConstrained(offers, now)
 }
 
 // launch rents what is lacking of some offers.
-func (as *autoscaler) launch(lack float64, offers []fleet.Offer) {
-	if lack <= 0 || as.launchesInFlight >= maxLaunchesInFlight {
+func (as *autoscaler) launch(missingCPUs float64, offers []fleet.Offer) {
+	if missingCPUs <= 0 || as.launchesInFlight >= maxLaunchesInFlight {
 		return
 	}
-	for _, p := range fleet.Plan(lack, offers, cloud.MaxLaunch, maxLaunchesInFlight-as.launchesInFlight) {
+	for _, request := range fleet.Plan(missingCPUs, offers, cloud.MaxLaunch, maxLaunchesInFlight-as.launchesInFlight) {
 		as.launchCount++
 		as.launchesInFlight++
-		as.launchingCPUs += float64(p.Count) * p.CPUs
-		req := cloud.LaunchRequest{Name: as.leaderTerm.launchName(as.launchCount), Type: p.Type, Zone: p.Zone, Spot: p.Spot, Count: p.Count}
-		as.pendingLaunches[req.Name] = p
-		go as.leaderTerm.sendLaunch(req, p.Offer)
+		as.launchingCPUs += float64(request.Count) * request.CPUs
+		launch := cloud.LaunchRequest{Name: as.leaderTerm.launchName(as.launchCount), Type: request.Type, Zone: request.Zone, Spot: request.Spot, Count: request.Count}
+		as.pendingLaunches[launch.Name] = request
+		go as.leaderTerm.sendLaunch(launch, request.Offer)
 	}
 }
 
@@ -144,33 +144,33 @@
 // the fleet for less time than a machine takes to boot, so machines are kept
 // for the last burst's like.
 type demandPeak struct {
-	at   []time.Time
-	want []float64
+	times []time.Time
+	cpus  []float64
 }
 
 // add records the present demand and returns the highest since hold ago.
-func (p *demandPeak) add(now time.Time, want float64, hold time.Duration) float64 {
+func (p *demandPeak) add(now time.Time, cpus float64, window time.Duration) float64 {
 	// Only falling values are kept: a lower one before a higher one can never
 	// be the highest again.
-	for len(p.want) > 0 && p.want[len(p.want)-1] <= want {
-		p.at, p.want = p.at[:len(p.at)-1], p.want[:len(p.want)-1]
+	for len(p.cpus) > 0 && p.cpus[len(p.cpus)-1] <= cpus {
+		p.times, p.cpus = p.times[:len(p.times)-1], p.cpus[:len(p.cpus)-1]
 	}
-	p.at, p.want = append(p.at, now), append(p.want, want)
-	for now.Sub(p.at[0]) > hold {
-		p.at, p.want = p.at[1:], p.want[1:]
+	p.times, p.cpus = append(p.times, now), append(p.cpus, cpus)
+	for now.Sub(p.times[0]) > window {
+		p.times, p.cpus = p.times[1:], p.cpus[1:]
 	}
-	return p.want[0]
+	return p.cpus[0]
 }
 
-// drainAfter is how long there must have been room to spare before a machine
+// minSurplusTime is how long there must have been room to spare before a machine
 // is drained.
-const drainAfter = 6 * time.Second
+const minSurplusTime = 6 * time.Second
 
 // drain empties the machines that are worth least while there is room to spare,
 // and takes them back into use when there is not.
 func (as *autoscaler) drain(now time.Time) {
 	spare := as.surplus
-	var draining, rest []*machine
+	var draining, inUse []*machine
 	for _, m := range as.leaderTerm.machines {
 		switch {
 		case m.evacuating || m.terminated:
@@ -178,26 +178,26 @@
 			draining = append(draining, m)
 			spare -= m.cpus
 		case m.isSchedulable(now) && now.Sub(m.addedAt) > minUptime:
-			rest = append(rest, m)
+			inUse = append(inUse, m)
 		}
 	}
-	byWorth := func(a, b *machine) int {
+	mostExpensiveFirst := func(a, b *machine) int {
 		return cmp.Or(-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)), cmp.Compare(a.usedCPUs, b.usedCPUs), cmp.Compare(a.name, b.name))
 	}
-	slices.SortFunc(draining, byWorth)
+	slices.SortFunc(draining, mostExpensiveFirst)
 	for i := len(draining) - 1; i >= 0 && spare < 0; i-- {
 		draining[i].draining = false
 		spare += draining[i].cpus
 	}
 	if spare <= 0 {
-		as.ampleSince = now
+		as.surplusSince = now
 		return
 	}
-	slices.SortFunc(rest, byWorth)
-	if now.Sub(as.ampleSince) < drainAfter || len(rest) == 0 || spare < rest[0].cpus {
+	slices.SortFunc(inUse, mostExpensiveFirst)
+	if now.Sub(as.surplusSince) < minSurplusTime || len(inUse) == 0 || spare < inUse[0].cpus {
 		return
 	}
-	for _, m := range rest {
+	for _, m := range inUse {
 		if spare < m.cpus {
 			return
 		}
@@ -207,42 +207,42 @@
 	}
 }
 
-// moveInterval keeps tasks that have just begun, and those that will soon end,
+// minRunBeforeMove keeps tasks that have just begun, and those that will soon end,
 // where they are.
 const (
-	moveInterval = 30 * time.Second
-	moveMaxQueue = 20 * time.Second
-	moveMargin   = 5 * time.Second
-	// ampleRoom is how many times what a machine holds must be free
+	minRunBeforeMove    = 30 * time.Second
+	minRemainingForMove = 20 * time.Second
+	moveMargin          = 5 * time.Second
+	// moveCapacityFactor is how many times what a machine holds must be free
 	// elsewhere, so that what is moved need not wait there.
-	ampleRoom = 3
+	moveCapacityFactor = 3
 )
 
 // moveCheckpointed stops the tasks on draining machines that can go on elsewhere from
 // where they were.
 func (as *autoscaler) moveCheckpointed(now time.Time) {
-	room := 0.0
+	freeCPUs := 0.0
 	for _, m := range as.leaderTerm.machines {
 		if m.isSchedulable(now) {
-			room += m.freeCPUs()
+			freeCPUs += m.freeCPUs()
 		}
 	}
 	for _, m := range as.leaderTerm.machines {
-		if !m.draining || room < ampleRoom*m.usedCPUs {
+		if !m.draining || freeCPUs < moveCapacityFactor*m.usedCPUs {
 			continue
 		}
 		for _, a := range m.attempts {
 			if a.exited || a.job == nil || a.stop != nil || a.job.ended || a.job.spec.CheckpointS == 0 || a.phase != api.TaskRunning {
 				continue
 			}
-			s := &a.job.spec
+			spec := &a.job.spec
 			ran := now.Sub(a.runningAt)
-			left := s.Estimate() - ran
-			aim := a.job.latestStart.Add(s.Estimate())
-			if ran > moveInterval && left > moveMaxQueue+s.Save() &&
-				(a.job.infeasible || now.Add(left*5/4+s.Save()+3*as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()+moveMargin).Before(aim)) {
-				room -= s.CPUs
-				as.leaderTerm.stop(a, 2*s.Save()+time.Second, now)
+			remaining := spec.Estimate() - ran
+			objective := a.job.latestStart.Add(spec.Estimate())
+			if ran > minRunBeforeMove && remaining > minRemainingForMove+spec.Save() &&
+				(a.job.infeasible || now.Add(remaining*5/4+spec.Save()+3*as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()+moveMargin).Before(objective)) {
+				freeCPUs -= spec.CPUs
+				as.leaderTerm.stop(a, 2*spec.Save()+time.Second, now)
 			}
 		}
 	}
@@ -250,30 +250,30 @@
 
 // offers are the kinds of machine that were not refused lately.
 func (as *autoscaler) offers(now time.Time) []fleet.Offer {
-	var all []fleet.Offer
+	var offers []fleet.Offer
 	for _, mt := range as.leaderTerm.c.types.load() {
-		for _, z := range mt.Zones {
+		for _, zone := range mt.Zones {
 			for _, spot := range []bool{true, false} {
-				o := fleet.Offer{Type: mt.Name, Zone: z, Spot: spot, CPUs: mt.CPUs, Price: mt.Price,
+				offer := fleet.Offer{Type: mt.Name, Zone: zone, Spot: spot, CPUs: mt.CPUs, Price: mt.Price,
 					Boot: time.Duration(mt.BootS * float64(time.Second))}
 				if spot {
 					if !as.leaderTerm.c.Policy.UseSpot || mt.SpotPrice <= 0 {
 						continue
 					}
-					o.Price = mt.SpotPrice
+					offer.Price = mt.SpotPrice
 				}
-				if mt.CPUs > 0 && now.After(as.unavailableUntil[o.Kind()]) {
-					all = append(all, o)
+				if mt.CPUs > 0 && now.After(as.unavailableUntil[offer.Kind()]) {
+					offers = append(offers, offer)
 				}
 			}
 		}
 	}
-	return all
+	return offers
 }
 
 // sendLaunch sends a rental until its outcome is known. The name makes repeats safe.
 func (lt *leaderTerm) sendLaunch(req cloud.LaunchRequest, o fleet.Offer) {
-	wait := time.Second
+	backoff := time.Second
 	for range 6 {
 		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
 		hosts, err := lt.c.Cloud.Launch(ctx, req)
@@ -283,8 +283,8 @@
 			return
 		}
 		lt.c.Log.Debug("rental", "name", req.Name, "err", err)
-		sleep(lt.ctx, wait)
-		wait = min(2*wait, 8*time.Second)
+		sleep(lt.ctx, backoff)
+		backoff = min(2*backoff, 8*time.Second)
 	}
 	// If it was carried out after all, the list or a report shows it.
 	lt.sendToOwner(launchedMsg{leaderTerm: lt, request: req, offer: o})
@@ -307,15 +307,15 @@
 	delete(lt.autoscaler.pendingLaunches, m.request.Name)
 	lt.autoscaler.launchingCPUs -= float64(m.request.Count) * m.offer.CPUs
 	if len(m.machines) < m.request.Count {
-		lt.autoscaler.unavailableUntil[m.offer.Kind()] = now.Add(unavailableFor)
+		lt.autoscaler.unavailableUntil[m.offer.Kind()] = now.Add(unavailableTTL)
 	}
 	if len(m.machines) > 0 {
 		c.Log.Info("machines rented", "type", m.request.Type, "zone", m.request.Zone, "spot", m.request.Spot,
 			"asked", m.request.Count, "got", len(m.machines))
 	}
-	for _, h := range m.machines {
-		if lt.machines[h] == nil && !lt.terminated.Contains(h) {
-			lt.provisioning[h] = &provisioning{typ: m.request.Type, zone: m.request.Zone, spot: m.request.Spot, since: now, boot: m.offer.Boot, cpus: m.offer.CPUs}
+	for _, name := range m.machines {
+		if lt.machines[name] == nil && !lt.terminated.Contains(name) {
+			lt.provisioning[name] = &provisioning{typ: m.request.Type, zone: m.request.Zone, spot: m.request.Spot, since: now, boot: m.offer.Boot, cpus: m.offer.CPUs}
 		}
 	}
 	if c.holdsLease() {
@@ -326,39 +326,39 @@
 // idleMachines picks the machines to give back: empty for long enough, the dearest
 // first, as far as what remains covers the demand.
 func (as *autoscaler) idleMachines(now time.Time) []*machine {
-	var out []*machine
+	var idle []*machine
 	for _, m := range as.leaderTerm.machines {
 		if m.evacuating || m.terminated || !m.fenced || m.cpus == 0 || len(m.attempts) > 0 ||
 			(!m.draining && now.Sub(m.idleSince) < as.leaderTerm.c.Policy.IdleReturn) || now.Sub(m.addedAt) < minUptime {
 			continue
 		}
-		out = append(out, m)
+		idle = append(idle, m)
 	}
-	slices.SortFunc(out, func(a, b *machine) int {
+	slices.SortFunc(idle, func(a, b *machine) int {
 		return cmp.Or(-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)), cmp.Compare(a.name, b.name))
 	})
 	n := 0
-	for _, m := range out {
+	for _, m := range idle {
 		if as.surplus < m.cpus {
 			break
 		}
 		as.surplus -= m.cpus
 		n++
 	}
-	return out[:n]
+	return idle[:n]
 }
 
-// cheapest is the lowest price of a CPU.
-func (as *autoscaler) cheapest() float64 {
-	best := math.Inf(1)
+// lowestCPUPrice is the lowest price of a CPU.
+func (as *autoscaler) lowestCPUPrice() float64 {
+	lowest := math.Inf(1)
 	for _, mt := range as.leaderTerm.c.types.load() {
-		for _, p := range []float64{mt.Price, mt.SpotPrice} {
-			if p > 0 && mt.CPUs > 0 {
-				best = min(best, p/mt.CPUs)
+		for _, price := range []float64{mt.Price, mt.SpotPrice} {
+			if price > 0 && mt.CPUs > 0 {
+				lowest = min(lowest, price/mt.CPUs)
 			}
 		}
 	}
-	return best
+	return lowest
 }
 
 func (as *autoscaler) cpuPrice(m *machine) float64 {
@@ -416,8 +416,8 @@
 	for _, name := range m.names {
 		delete(lt.provisioning, name)
 		lt.terminated.Add(name, true)
-		if mc := lt.machines[name]; mc != nil {
-			lt.machineTerminated(mc)
+		if machine := lt.machines[name]; machine != nil {
+			lt.machineTerminated(machine)
 		}
 	}
 	lt.autoscaler.terminateMachines()
@@ -458,38 +458,38 @@
 		return
 	}
 	for i := range m.machines {
-		lt.machineListed(&m.machines[i], now)
+		lt.applyListedMachine(&m.machines[i], now)
 	}
 }
 
-// machineListed processes one machine of the cloud's list, which lags.
-func (lt *leaderTerm) machineListed(h *cloud.Machine, now time.Time) {
-	if lt.terminated.Contains(h.Name) {
+// applyListedMachine processes one machine of the cloud's list, which lags.
+func (lt *leaderTerm) applyListedMachine(listed *cloud.Machine, now time.Time) {
+	if lt.terminated.Contains(listed.Name) {
 		return
 	}
-	if m := lt.machines[h.Name]; m != nil {
-		if h.Phase == cloud.PhaseFailed && !m.terminating && now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.HeartbeatInterval() {
+	if m := lt.machines[listed.Name]; m != nil {
+		if listed.Phase == cloud.PhaseFailed && !m.terminating && now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.HeartbeatInterval() {
 			lt.evacuate(m, "stopped")
 			lt.autoscaler.scaleIn(m)
 		}
 		return
 	}
-	mt := lt.c.types.load()[h.Type]
+	mt := lt.c.types.load()[listed.Type]
 	boot := time.Duration(mt.BootS * float64(time.Second))
-	age := time.Duration(h.AgeS * float64(time.Second))
-	e := lt.provisioning[h.Name]
-	if e == nil {
-		e = &provisioning{typ: h.Type, zone: h.Zone, spot: h.Spot, since: now.Add(-age), boot: boot, cpus: mt.CPUs}
-		lt.provisioning[h.Name] = e
+	age := time.Duration(listed.AgeS * float64(time.Second))
+	awaited := lt.provisioning[listed.Name]
+	if awaited == nil {
+		awaited = &provisioning{typ: listed.Type, zone: listed.Zone, spot: listed.Spot, since: now.Add(-age), boot: boot, cpus: mt.CPUs}
+		lt.provisioning[listed.Name] = awaited
 	}
-	if e.terminating {
+	if awaited.terminating {
 		return
 	}
 	// A machine that is up reports within seconds; one that boots may take
 	// several times as long as usual.
-	if h.Phase == cloud.PhaseFailed || (now.Sub(e.since) > 4*boot+lt.c.Settings.Site.Workers.Lease()) {
-		lt.c.Log.Info("machine never reported", "machine", h.Name, "phase", h.Phase, "age", age.Round(time.Second))
-		e.terminating = true
-		lt.autoscaler.terminations = append(lt.autoscaler.terminations, h.Name)
+	if listed.Phase == cloud.PhaseFailed || (now.Sub(awaited.since) > 4*boot+lt.c.Settings.Site.Workers.Lease()) {
+		lt.c.Log.Info("machine never reported", "machine", listed.Name, "phase", listed.Phase, "age", age.Round(time.Second))
+		awaited.terminating = true
+		lt.autoscaler.terminations = append(lt.autoscaler.terminations, listed.Name)
 	}
 }
--- a/internal/controller/autoscaler_constrained.go
+++ b/internal/controller/autoscaler_constrained.go
@@ -43,14 +43,14 @@
 		}
 		demand.cpus += cpus
 	}
-	patience := 2 * as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()
+	minWait := 2 * as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()
 	for _, team := range as.leaderTerm.allTeams() {
-		room := team.LimitCPUs - team.UsedCPUs
+		available := team.LimitCPUs - team.UsedCPUs
 		for _, j := range team.Items() {
-			cpus := min(float64(j.flight.Untaken())*j.spec.CPUs, room)
-			if cpus > 0 && isConstrained(&j.spec) && !j.finishing && j.failureRounds == 0 && now.Sub(j.runnableSince) > patience {
+			cpus := min(float64(j.flight.Untaken())*j.spec.CPUs, available)
+			if cpus > 0 && isConstrained(&j.spec) && !j.finishing && j.failureRounds == 0 && now.Sub(j.runnableSince) > minWait {
 				add(j, cpus)
-				room -= cpus
+				available -= cpus
 			}
 		}
 	}
@@ -59,18 +59,18 @@
 			add(j, min(float64(j.spec.Tasks)*j.spec.CPUs, j.team.LimitCPUs))
 		}
 	}
-	var out []*constrainedDemand
+	var demands []*constrainedDemand
 	for _, demand := range byKind {
-		out = append(out, demand)
+		demands = append(demands, demand)
 	}
-	slices.SortFunc(out, func(a, b *constrainedDemand) int { return strings.Compare(a.spec.ID, b.spec.ID) })
-	return out
+	slices.SortFunc(demands, func(a, b *constrainedDemand) int { return strings.Compare(a.spec.ID, b.spec.ID) })
+	return demands
 }
 
 // dependenciesStarted tells whether all that a job waits for has begun.
 func (dg *dependencyGraph) dependenciesStarted(j *job) bool {
 	for id := range j.dependsOn {
-		if o := dg.leaderTerm.jobs[id]; o == nil || !o.started() {
+		if dependency := dg.leaderTerm.jobs[id]; dependency == nil || !dependency.started() {
 			return false
 		}
 	}
@@ -81,42 +81,42 @@
 // machines that were to be drained, or by new ones.
 func (as *autoscaler) scaleOutConstrained(offers []fleet.Offer, now time.Time) {
 	for _, demand := range as.constrainedDemands(now) {
-		lack, draining := as.uncovered(demand)
+		missingCPUs, draining := as.missingFor(demand)
 		for _, m := range draining {
-			if lack <= 0 {
+			if missingCPUs <= 0 {
 				break
 			}
 			m.draining = false
-			lack -= float64(m.slots(demand.spec)) * demand.spec.CPUs
+			missingCPUs -= float64(m.slots(demand.spec)) * demand.spec.CPUs
 		}
-		as.launch(lack, slices.DeleteFunc(slices.Clone(offers), func(o fleet.Offer) bool { return !mayUse(demand.spec, o.Type, o.Zone, o.Spot) }))
+		as.launch(missingCPUs, slices.DeleteFunc(slices.Clone(offers), func(o fleet.Offer) bool { return !mayUse(demand.spec, o.Type, o.Zone, o.Spot) }))
 	}
 }
 
-// uncovered is how many CPUs a demand lacks on the machines at hand, on those that
+// missingFor is how many CPUs a demand lacks on the machines at hand, on those that
 // are expected and on those being rented. With it come the draining machines that
 // could serve the demand, by name.
-func (as *autoscaler) uncovered(demand *constrainedDemand) (lack float64, draining []*machine) {
-	lack = demand.cpus
+func (as *autoscaler) missingFor(demand *constrainedDemand) (missingCPUs float64, draining []*machine) {
+	missingCPUs = demand.cpus
 	for _, m := range as.leaderTerm.machines {
 		switch {
 		case m.evacuating || m.terminated || m.cpus == 0 || !mayUse(demand.spec, m.typ, m.zone, m.spot):
 		case m.draining:
 			draining = append(draining, m)
 		default:
-			lack -= float64(m.slots(demand.spec)) * demand.spec.CPUs
+			missingCPUs -= float64(m.slots(demand.spec)) * demand.spec.CPUs
 		}
 	}
-	for _, e := range as.leaderTerm.provisioning {
-		if !e.terminating && mayUse(demand.spec, e.typ, e.zone, e.spot) {
-			lack -= e.cpus
+	for _, booting := range as.leaderTerm.provisioning {
+		if !booting.terminating && mayUse(demand.spec, booting.typ, booting.zone, booting.spot) {
+			missingCPUs -= booting.cpus
 		}
 	}
-	for _, rental := range as.pendingLaunches {
-		if mayUse(demand.spec, rental.Type, rental.Zone, rental.Spot) {
-			lack -= float64(rental.Count) * rental.CPUs
+	for _, request := range as.pendingLaunches {
+		if mayUse(demand.spec, request.Type, request.Zone, request.Spot) {
+			missingCPUs -= float64(request.Count) * request.CPUs
 		}
 	}
 	slices.SortFunc(draining, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
-	return lack, draining
+	return missingCPUs, draining
 }
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -82,7 +82,7 @@
 		cost += emptyMachinePenalty
 	}
 	if price := lt.autoscaler.cpuPrice(m); price > 0 {
-		cost += price/lt.autoscaler.cheapest() - 1
+		cost += price/lt.autoscaler.lowestCPUPrice() - 1
 	}
 	if m.spot != (j.spec.CheckpointS > 0) {
 		cost += spotMismatchPenalty
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -40,9 +40,9 @@
 }
 
 func (dg *dependencyGraph) init(lt *leaderTerm) {
-	lim := lt.c.Settings.Site.State
-	cancels := lim.WriteRPS * cancelWriteShare
-	*dg = dependencyGraph{leaderTerm: lt, dependents: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancels), max(cancelBatchOps, min(lim.TxnOps, int(cancels))))}
+	limits := lt.c.Settings.Site.State
+	cancelOps := limits.WriteRPS * cancelWriteShare
+	*dg = dependencyGraph{leaderTerm: lt, dependents: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancelOps), max(cancelBatchOps, min(limits.TxnOps, int(cancelOps))))}
 }
 
 // resolveDependencies has a job wait for those that it needs.
@@ -56,21 +56,21 @@
 	}
 	pending := false
 	for _, id := range j.spec.DependsOn {
-		st, over := dg.leaderTerm.c.final.Get(id)
-		if over && st.Phase == api.JobCancelled {
+		state, ended := dg.leaderTerm.c.final.Get(id)
+		if ended && state.Phase == api.JobCancelled {
 			pending = true
 			continue
 		}
-		if over && !st.Ended.IsZero() {
-			j.dependencyEnded(st.Ended)
+		if ended && !state.Ended.IsZero() {
+			j.recordDependencyEnd(state.Ended)
 			continue
 		}
-		o := dg.leaderTerm.jobs[id]
-		if o == nil {
+		dependency := dg.leaderTerm.jobs[id]
+		if dependency == nil {
 			if len(dg.dependents[id]) == 0 {
 				dg.lookups = append(dg.lookups, id)
 			}
-		} else if o.cancelPending {
+		} else if dependency.cancelPending {
 			pending = true
 		}
 		j.dependsOn[id] = true
@@ -81,13 +81,13 @@
 	case pending:
 		dg.cancelWithDependents(j)
 	case len(j.dependsOn) == 0:
-		dg.jobReady(j)
+		dg.enqueueReady(j)
 	}
 	dg.lookupNext()
 }
 
-// dependencyEnded records when a job that this one awaits was done.
-func (j *job) dependencyEnded(at time.Time) {
+// recordDependencyEnd records when a job that this one awaits was done.
+func (j *job) recordDependencyEnd(at time.Time) {
 	if at.After(j.lastDependencyEnd) {
 		j.lastDependencyEnd = at
 	}
@@ -102,20 +102,20 @@
 	if len(j.spec.DependsOn) <= 2*len(j.dependsOn)+maxSingleLookups {
 		return
 	}
-	left, dependsOn := make([]string, 0, len(j.dependsOn)), make(map[string]bool, len(j.dependsOn))
+	unfinished, dependsOn := make([]string, 0, len(j.dependsOn)), make(map[string]bool, len(j.dependsOn))
 	for _, id := range j.spec.DependsOn {
 		if j.dependsOn[id] {
-			left = append(left, id)
+			unfinished = append(unfinished, id)
 			dependsOn[id] = true
 		}
 	}
-	j.spec.DependsOn, j.dependsOn = left, dependsOn
+	j.spec.DependsOn, j.dependsOn = unfinished, dependsOn
 }
 
-// jobReady queues a job once all that it awaits is done. Its times count from when the
+// enqueueReady queues a job once all that it awaits is done. Its times count from when the
 // last of it was, also if another leader saw that; or from its acceptance, if it
 // was submitted later.
-func (dg *dependencyGraph) jobReady(j *job) {
+func (dg *dependencyGraph) enqueueReady(j *job) {
 	now := time.Now()
 	j.dependsOn, j.runnableSince, j.waitingSince = nil, j.accepted, now
 	j.spec.DependsOn = nil // perhaps thousands, all over
@@ -133,11 +133,11 @@
 	dependents := dg.dependents[id]
 	delete(dg.dependents, id)
 	for _, j := range dependents {
-		j.dependencyEnded(at)
+		j.recordDependencyEnd(at)
 		delete(j.dependsOn, id)
 		j.dropEndedDependencies()
 		if len(j.dependsOn) == 0 && !j.cancelPending && !j.ended {
-			dg.jobReady(j)
+			dg.enqueueReady(j)
 		}
 	}
 }
@@ -167,8 +167,8 @@
 // forget takes a job that is over out of the index of what it waited for.
 func (dg *dependencyGraph) forget(j *job) {
 	for id := range j.dependsOn {
-		left := slices.DeleteFunc(dg.dependents[id], func(o *job) bool { return o == j })
-		if dg.dependents[id] = left; len(left) == 0 {
+		remaining := slices.DeleteFunc(dg.dependents[id], func(other *job) bool { return other == j })
+		if dg.dependents[id] = remaining; len(remaining) == 0 {
 			delete(dg.dependents, id)
 		}
 	}
@@ -213,19 +213,19 @@
 // was accepted after all that it needs, so going back in the order of acceptance
 // each is looked at once, after all that need it; and only where anything changes.
 func (dg *dependencyGraph) propagateDeadlines(jobs ...*job) {
-	byMark := func(a, b *job) int { return cmp.Compare(a.modRevision, b.modRevision) }
+	byModRevision := func(a, b *job) int { return cmp.Compare(a.modRevision, b.modRevision) }
 	todo := slices.Clone(jobs)
-	slices.SortFunc(todo, byMark)
+	slices.SortFunc(todo, byModRevision)
 	for len(todo) > 0 {
 		j := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
 		for _, id := range j.spec.DependsOn {
-			o := dg.leaderTerm.jobs[id]
-			if o == nil || o.finishing || !dg.propagateDeadline(j, o) || len(o.spec.DependsOn) == 0 {
+			dependency := dg.leaderTerm.jobs[id]
+			if dependency == nil || dependency.finishing || !dg.propagateDeadline(j, dependency) || len(dependency.spec.DependsOn) == 0 {
 				continue
 			}
-			if at, found := slices.BinarySearchFunc(todo, o, byMark); !found {
-				todo = slices.Insert(todo, at, o)
+			if at, found := slices.BinarySearchFunc(todo, dependency, byModRevision); !found {
+				todo = slices.Insert(todo, at, dependency)
 			}
 		}
 	}
@@ -233,24 +233,24 @@
 
 // propagateDeadline has a job be done in time for one that needs it, and tells whether that
 // changed anything.
-func (dg *dependencyGraph) propagateDeadline(j, o *job) (changed bool) {
-	if j.rank < o.rank {
-		o.rank, changed = j.rank, true
+func (dg *dependencyGraph) propagateDeadline(j, dependency *job) (changed bool) {
+	if j.rank < dependency.rank {
+		dependency.rank, changed = j.rank, true
 	}
 	due := dg.dependentDeadlines(j)
 	if len(due) == 0 {
 		return changed
 	}
-	takes := dg.stageDuration(j)
-	if len(o.dependentDeadlines) > 0 && !due[0].Add(-takes).Before(o.dependentDeadlines[0]) {
+	duration := dg.stageDuration(j)
+	if len(dependency.dependentDeadlines) > 0 && !due[0].Add(-duration).Before(dependency.dependentDeadlines[0]) {
 		return changed
 	}
-	o.dependentDeadlines = nil
+	dependency.dependentDeadlines = nil
 	for _, at := range due {
-		o.dependentDeadlines = append(o.dependentDeadlines, at.Add(-takes))
+		dependency.dependentDeadlines = append(dependency.dependentDeadlines, at.Add(-duration))
 	}
-	o.objectives = dg.leaderTerm.objectives(o)
-	o.updateFeasibility(time.Now())
+	dependency.objectives = dg.leaderTerm.objectives(dependency)
+	dependency.updateFeasibility(time.Now())
 	return true
 }
 
@@ -322,7 +322,7 @@
 		end, found := m.ends[id]
 		switch {
 		case found:
-			dg.dependencyEnded(id, end)
+			dg.applyTerminalRecord(id, end)
 		case m.leaderTerm.jobs[id] == nil && len(dg.dependents[id]) > 0:
 			unknown = append(unknown, id)
 		}
@@ -335,8 +335,8 @@
 	dg.lookupNext()
 }
 
-// dependencyEnded processes the final record of a job.
-func (dg *dependencyGraph) dependencyEnded(id string, end records.TerminalRecord) {
+// applyTerminalRecord processes the final record of a job.
+func (dg *dependencyGraph) applyTerminalRecord(id string, end records.TerminalRecord) {
 	finalMsg{end.JobState(id)}.apply(dg.leaderTerm.c)
 	if end.Phase != api.JobDone {
 		return
--- a/internal/controller/dependencylists.go
+++ b/internal/controller/dependencylists.go
@@ -85,16 +85,16 @@
 // sweep looks, once a term, for what earlier leaders, or submissions that did not
 // come to their end, have left of lists.
 func (dl *dependencyLists) sweep() {
-	keys := dl.leftKeys()
+	keysByJob := dl.listedKeys()
 	recordStore := records.Records{Store: dl.leaderTerm.c.Store}
-	for id, of := range keys {
+	for id, jobKeys := range keysByJob {
 		ctx, cancel := context.WithTimeout(dl.leaderTerm.ctx, 4*time.Second)
-		_, over, err := recordStore.TerminalState(ctx, id)
+		_, ended, err := recordStore.TerminalState(ctx, id)
 		cancel()
 		if err != nil {
 			continue // the next term's sweep finds it
 		}
-		dl.leaderTerm.sendToOwner(leftoverListMsg{dl.leaderTerm, id, of, over})
+		dl.leaderTerm.sendToOwner(leftoverListMsg{dl.leaderTerm, id, jobKeys, ended})
 		sleep(dl.leaderTerm.ctx, sweepPause)
 	}
 }
@@ -102,8 +102,8 @@
 // sweepPause leaves the request budget to others.
 const sweepPause = 200 * time.Millisecond
 
-// leftKeys are the keys of all records of lists, by job.
-func (dl *dependencyLists) leftKeys() map[string][]string {
+// listedKeys are the keys of all records of lists, by job.
+func (dl *dependencyLists) listedKeys() map[string][]string {
 	for dl.leaderTerm.ctx.Err() == nil {
 		keys := map[string][]string{}
 		recordStore := records.Records{Store: dl.leaderTerm.c.Store}
@@ -125,7 +125,7 @@
 	leaderTerm *leaderTerm
 	id         string
 	keys       []string
-	over       bool
+	ended      bool
 }
 
 func (m leftoverListMsg) apply(c *Controller) {
@@ -137,7 +137,7 @@
 		_, digest, _ := records.ParseDependencyKey(key)
 		// Of a job that is accepted only its own list is of use. One that is not
 		// may be about to be accepted, unless it is over.
-		if m.over || j != nil && (j.dependencyList == nil || j.dependencyList.Digest != digest) {
+		if m.ended || j != nil && (j.dependencyList == nil || j.dependencyList.Digest != digest) {
 			m.leaderTerm.recordWriter.deleteKey(key)
 		}
 	}
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -71,8 +71,8 @@
 	return d.inFlight || d.outcomeUnknown || hb.Seq < d.seq
 }
 
-// empty tells whether nothing holds the machine but orders without an answer.
-func (m *machine) empty() bool {
+// isEmpty tells whether nothing holds the machine but orders without an answer.
+func (m *machine) isEmpty() bool {
 	for _, a := range m.attempts {
 		if a.direct == nil || !a.direct.outcomeUnknown || a.lastSeenIn != 0 {
 			return false
@@ -86,25 +86,25 @@
 	if lt.c.CommandSender == nil || lt.c.Settings.Site.Workers.HeartbeatInterval() <= minDirectHeartbeatInterval || now.After(lt.dispatchUntil) {
 		return
 	}
-	if !lt.anyUnassigned() || now.Before(lt.nextDirectCommand) {
+	if !lt.hasPendingTasks() || now.Before(lt.nextDirectCommand) {
 		return
 	}
-	most := lt.maxDials
+	maxInFlight := lt.maxDials
 	if lt.directFailures >= maxDirectFailures {
-		most = 1 // to see whether the way is open again
+		maxInFlight = 1 // to see whether the way is open again
 	}
-	var ms []*machine
+	var candidates []*machine
 	for _, m := range lt.machines {
 		if m.isSchedulable(now) && !m.commandInFlight && !m.lastForwarded && m.unappliedResponses == 0 && m.freeCPUs() > epsilon && m.addr != "" &&
 			now.Sub(m.lastHeartbeat) <= lt.heartbeatTimeout() {
-			ms = append(ms, m)
+			candidates = append(candidates, m)
 		}
 	}
-	slices.SortFunc(ms, func(a, b *machine) int {
+	slices.SortFunc(candidates, func(a, b *machine) int {
 		return cmp.Or(cmp.Compare(lt.autoscaler.cpuPrice(a), lt.autoscaler.cpuPrice(b)), cmp.Compare(a.freeCPUs(), b.freeCPUs()), cmp.Compare(a.name, b.name))
 	})
-	for _, m := range ms {
-		if lt.commandsInFlight >= most {
+	for _, m := range candidates {
+		if lt.commandsInFlight >= maxInFlight {
 			return
 		}
 		if commands := lt.assignTasks(m, nil, now); len(commands) > 0 {
@@ -113,8 +113,8 @@
 	}
 }
 
-// anyUnassigned tells whether any task waits for a machine.
-func (lt *leaderTerm) anyUnassigned() bool {
+// hasPendingTasks tells whether any task waits for a machine.
+func (lt *leaderTerm) hasPendingTasks() bool {
 	for _, j := range lt.jobs {
 		if j.flight.Untaken() > 0 && !j.finishing && !j.cancelPending && len(j.dependsOn) == 0 {
 			return true
@@ -126,20 +126,20 @@
 // sendCommands sends starts that were just placed on a machine.
 func (lt *leaderTerm) sendCommands(m *machine, commands []api.Command) {
 	batch := make([]*attempt, 0, len(commands))
-	for _, o := range commands {
-		a := m.attempts[attemptKey{o.Task, o.Attempt}]
+	for _, command := range commands {
+		a := m.attempts[attemptKey{command.Task, command.Attempt}]
 		a.direct = &directCommand{agentEpoch: m.agentEpoch, inFlight: true}
 		batch = append(batch, a)
 	}
 	m.commandInFlight = true
 	lt.commandsInFlight++
 	addr, req := m.addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.agentEpoch, Commands: commands}
-	wait := directTimeout
+	timeout := directTimeout
 	if !lt.notPausedSince(time.Now().Add(-recentPause)) {
-		wait = slowDirectTimeout
+		timeout = slowDirectTimeout
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(lt.ctx, wait)
+		ctx, cancel := context.WithTimeout(lt.ctx, timeout)
 		defer cancel()
 		seq, err := lt.c.CommandSender.SendCommands(ctx, addr, req)
 		lt.sendToOwner(commandsSentMsg{lt, m, batch, seq, err})
--- a/internal/controller/failuredetector.go
+++ b/internal/controller/failuredetector.go
@@ -39,24 +39,24 @@
 // cause, and a node on the other side may extend the machines' leases: they are
 // given the time in which even that ends.
 func (lt *leaderTerm) detectFailures(now time.Time) {
-	zones := lt.zoneCounts(now)
+	zones := lt.countZones(now)
 	for _, m := range lt.machines {
 		if m.terminated || m.terminating || !lt.isSuspect(m, now) {
 			continue
 		}
 		lt.probe(m, now)
-		cut := lt.likelyPartition(m, zones[m.zone])
-		if cut {
+		partitioned := lt.isLikelyPartitioned(m, zones[m.zone])
+		if partitioned {
 			lt.readRenewals(now)
 		}
-		if !lt.confirmedDead(m, cut, now) {
+		if !lt.isConfirmedDead(m, partitioned, now) {
 			continue
 		}
-		why := "silent"
+		reason := "silent"
 		if m.unappliedResponses > 0 {
-			why = "deaf"
+			reason = "deaf"
 		}
-		lt.evacuate(m, why)
+		lt.evacuate(m, reason)
 		lt.autoscaler.scaleIn(m)
 	}
 }
@@ -73,42 +73,42 @@
 // have reported just now.
 type zoneCount struct{ all, suspect, fresh int }
 
-func (lt *leaderTerm) zoneCounts(now time.Time) map[string]zoneCount {
+func (lt *leaderTerm) countZones(now time.Time) map[string]zoneCount {
 	zones := map[string]zoneCount{}
 	for _, m := range lt.machines {
 		if m.terminated || m.terminating {
 			continue
 		}
-		n := zones[m.zone]
-		n.all++
+		count := zones[m.zone]
+		count.all++
 		if lt.isSuspect(m, now) {
-			n.suspect++
+			count.suspect++
 		}
 		if now.Sub(m.lastHeartbeat) < freshHeartbeatAge {
-			n.fresh++
+			count.fresh++
 		}
-		zones[m.zone] = n
+		zones[m.zone] = count
 	}
 	return zones
 }
 
-// likelyPartition tells whether a suspect machine is more likely cut off, with others of
+// isLikelyPartitioned tells whether a suspect machine is more likely cut off, with others of
 // its zone, than dead.
-func (lt *leaderTerm) likelyPartition(m *machine, zone zoneCount) bool {
+func (lt *leaderTerm) isLikelyPartitioned(m *machine, zone zoneCount) bool {
 	if zone.suspect >= 3 && zone.suspect*5 > zone.all*3 {
 		return true
 	}
 	// The first to be missed when all fall silent at once are not dead: nearly
 	// nobody has reported since. So many should have reported just now.
-	due := min(1, freshHeartbeatAge.Seconds()/lt.c.Settings.Site.Workers.HeartbeatS)
-	return m.fenced && float64(zone.fresh) < due*float64(zone.all)/5 && zone.all >= minZoneMachines
+	expectedFresh := min(1, freshHeartbeatAge.Seconds()/lt.c.Settings.Site.Workers.HeartbeatS)
+	return m.fenced && float64(zone.fresh) < expectedFresh*float64(zone.all)/5 && zone.all >= minZoneMachines
 }
 
-// confirmedDead tells whether a suspect machine is to be returned.
-func (lt *leaderTerm) confirmedDead(m *machine, cut bool, now time.Time) bool {
-	w := lt.c.Settings.Site.Workers
-	switch silent := now.Sub(m.lastSeen); {
-	case !m.fenced && now.Sub(lt.heartbeatsSince) > w.Lease()+2*w.HeartbeatInterval():
+// isConfirmedDead tells whether a suspect machine is to be returned.
+func (lt *leaderTerm) isConfirmedDead(m *machine, partitioned bool, now time.Time) bool {
+	workers := lt.c.Settings.Site.Workers
+	switch silentFor := now.Sub(m.lastSeen); {
+	case !m.fenced && now.Sub(lt.heartbeatsSince) > workers.Lease()+2*workers.HeartbeatInterval():
 		// It holds every earlier job back. A deaf one shows the old token
 		// in report after report and may even answer probes, but its
 		// lease has ended by now. One whose lease another node extends would
@@ -116,12 +116,12 @@
 		return true
 	case now.Before(m.leaseRenewedUntil):
 		return false
-	case silent > config.Duration(w.CancelS):
+	case silentFor > config.Duration(workers.CancelS):
 		return true
-	case cut:
+	case partitioned:
 		return false
 	default:
-		return silent > w.Lease()+2*w.HeartbeatInterval() || m.probeFails >= deadAfterProbes || m.unappliedResponses >= undeliveredAfter
+		return silentFor > workers.Lease()+2*workers.HeartbeatInterval() || m.probeFails >= deadAfterProbes || m.unappliedResponses >= undeliveredAfter
 	}
 }
 
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -20,7 +20,7 @@
 func (lt *leaderTerm) scanMachines(now time.Time) {
 	lt.detectFailures(now)
 	for _, m := range lt.machines {
-		if m.evacuating && !m.terminating && !m.terminated && m.empty() {
+		if m.evacuating && !m.terminating && !m.terminated && m.isEmpty() {
 			lt.autoscaler.scaleIn(m)
 		}
 	}
