--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -10,59 +10,56 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// CommandSender brings orders straight to a machine. Its errors are
+// CommandSender sends commands to a machine outside heartbeat responses. Its errors are
 // api.ErrCommandsNotApplied and api.ErrCommandsOutcomeUnknown.
 type CommandSender interface {
 	SendCommands(ctx context.Context, addr string, commands *api.CommandBatch) (seq uint64, err error)
-	// Resync tells a machine of a term and returns the report that shows it.
+	// Resync raises a machine's fencing token to a term and returns the heartbeat that shows it.
 	Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error)
 }
 
-// Starts go straight to machines with free room where reports come so seldom
-// that waiting for them would cost more than half of what the aims allow for a
-// start. Nothing else goes this way, and no start is sent a second time: such
-// an order may be carried out minutes late, when a cut ends or a machine
-// resumes, as long as the machine's token and session are the same. So:
+// Starts are sent directly to machines with free capacity where heartbeats are so rare that
+// waiting for one would cost more than half of what the objectives allow for a start. Nothing
+// else is sent this way, and no start is sent a second time: such a command may be applied
+// minutes late, when a partition heals or a machine resumes, as long as the machine's fencing
+// token and agent epoch are the same. So:
 //
-//   - Until it is answered the attempt stays on the machine, whatever reports
-//     show, and so it does where no answer comes. Only a new session or the
-//     machine's return frees it then, or a report that shows the attempt: an
-//     order is carried out once.
-//   - A machine that leaves an order unanswered gets no more work, and is
-//     returned at once if the job is over.
-//   - An attempt counts as refused if the machine says so, or if no connection
-//     came about.
-//   - A new leader needs nothing of this: a machine that it has heard has its
-//     token, and refuses orders of earlier ones.
+//   - Until it is acknowledged the attempt stays on the machine, whatever heartbeats show, and so
+//     it does if the outcome stays unknown. Only a new agent epoch or the machine's termination
+//     frees it then, or a heartbeat that shows the attempt: a command is applied once.
+//   - A machine that leaves a command unacknowledged gets no more work, and is terminated at once
+//     if the job has ended.
+//   - An attempt counts as not applied if the machine says so, or if no connection was
+//     established.
+//   - A new leader needs no knowledge of this: a machine that it has fenced has its token, and
+//     rejects commands of earlier leaders.
 const (
 	minDirectHeartbeatInterval = 2 * time.Second
 	dispatchFor                = 1500 * time.Millisecond
 	directTimeout              = 1500 * time.Millisecond
-	// A node that was held up lately may be so again, and then finds that the
-	// time has passed before it could read the answer: the machine would be
-	// given back for nothing.
+	// A node that was paused lately may be so again, and then finds that the timeout has passed
+	// before it could read the response: the machine would be terminated for nothing.
 	slowDirectTimeout = 5 * time.Second
 	recentPause       = 15 * time.Second
-	// maxDirectFailures is how many orders in a row may find no way to their
-	// machines, and directBackoff for how long none are sent then: the leader
-	// may have lost the way to all of them, and each order holds its tasks
-	// for a while, and its machine for longer.
+	// maxDirectFailures is how many command batches in a row may fail, and directBackoff for how
+	// long none are sent then: the leader may have lost the connection to all machines, and
+	// each batch keeps its tasks pending for a while, and its machine for longer.
 	maxDirectFailures = 4
 	directBackoff     = 3 * time.Second
 )
 
-// directCommand is a start that was sent straight to a machine.
+// directCommand is a start that was sent outside a heartbeat response.
 type directCommand struct {
 	agentEpoch uint64
-	// inFlight is set until there is an outcome, unconfirmed if there will be none.
+	// inFlight is set until there is an outcome, outcomeUnknown if there will be none.
 	inFlight, outcomeUnknown bool
-	// seq is the report from which on the attempt must be shown.
+	// seq is the sequence number of the first heartbeat that must show the attempt.
 	seq uint64
 }
 
-// mayStillStart tells whether a start may still be carried out although a report
-// does not show it. One that an earlier report showed was carried out, and is
-// not a second time: it has left its machine.
+// mayStillStart tells whether a direct start may still be applied although a heartbeat does not
+// show it. One that an earlier heartbeat showed was applied, and is not a second time: it has left
+// its machine.
 func (a *attempt) mayStillStart(hb *api.Heartbeat) bool {
 	d := a.direct
 	if d == nil || a.lastSeenIn != 0 || hb.AgentEpoch > d.agentEpoch {
@@ -71,7 +68,8 @@
 	return d.inFlight || d.outcomeUnknown || hb.Seq < d.seq
 }
 
-// isEmpty tells whether nothing holds the machine but orders without an answer.
+// isEmpty tells whether no attempt is on the machine but those whose start has an unknown
+// outcome.
 func (m *machine) isEmpty() bool {
 	for _, a := range m.attempts {
 		if a.direct == nil || !a.direct.outcomeUnknown || a.lastSeenIn != 0 {
@@ -81,9 +79,10 @@
 	return true
 }
 
-// dispatch brings waiting work to machines with free room.
+// dispatch sends pending tasks to machines with free capacity, the cheapest and fullest first.
 func (lt *leaderTerm) dispatch(now time.Time) {
-	if lt.c.CommandSender == nil || lt.c.Settings.Site.Workers.HeartbeatInterval() <= minDirectHeartbeatInterval || now.After(lt.dispatchUntil) {
+	heartbeatInterval := lt.c.Settings.Site.Workers.HeartbeatInterval()
+	if lt.c.CommandSender == nil || heartbeatInterval <= minDirectHeartbeatInterval || now.After(lt.dispatchUntil) {
 		return
 	}
 	if !lt.hasPendingTasks() || now.Before(lt.nextDirectCommand) {
@@ -91,17 +90,20 @@
 	}
 	maxInFlight := lt.maxDials
 	if lt.directFailures >= maxDirectFailures {
-		maxInFlight = 1 // to see whether the way is open again
+		maxInFlight = 1 // a trial, whether machines can be reached again
 	}
 	var candidates []*machine
 	for _, m := range lt.machines {
-		if m.isSchedulable(now) && !m.commandInFlight && !m.lastForwarded && m.unappliedResponses == 0 && m.freeCPUs() > epsilon && m.addr != "" &&
-			now.Sub(m.lastHeartbeat) <= lt.heartbeatTimeout() {
+		if lt.acceptsDirect(m, now) {
 			candidates = append(candidates, m)
 		}
 	}
 	slices.SortFunc(candidates, func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(lt.autoscaler.cpuPrice(a), lt.autoscaler.cpuPrice(b)), cmp.Compare(a.freeCPUs(), b.freeCPUs()), cmp.Compare(a.name, b.name))
+		return cmp.Or(
+			cmp.Compare(lt.autoscaler.cpuPrice(a), lt.autoscaler.cpuPrice(b)),
+			cmp.Compare(a.freeCPUs(), b.freeCPUs()),
+			cmp.Compare(a.name, b.name),
+		)
 	})
 	for _, m := range candidates {
 		if lt.commandsInFlight >= maxInFlight {
@@ -113,7 +115,15 @@
 	}
 }
 
-// hasPendingTasks tells whether any task waits for a machine.
+// acceptsDirect tells whether starts may be sent to a machine directly: it has free capacity, and
+// nothing suggests that this node does not reach it.
+func (lt *leaderTerm) acceptsDirect(m *machine, now time.Time) bool {
+	return m.isSchedulable(now) && m.freeCPUs() > epsilon &&
+		!m.commandInFlight && !m.lastForwarded && m.unappliedResponses == 0 && m.addr != "" &&
+		now.Sub(m.lastHeartbeat) <= lt.heartbeatTimeout()
+}
+
+// hasPendingTasks tells whether any task is pending that could start now.
 func (lt *leaderTerm) hasPendingTasks() bool {
 	for _, j := range lt.jobs {
 		if j.flight.Untaken() > 0 && !j.finishing && !j.cancelPending && len(j.dependsOn) == 0 {
@@ -123,11 +133,11 @@
 	return false
 }
 
-// sendCommands sends starts that were just placed on a machine.
+// sendCommands sends the starts of tasks that were just assigned to a machine.
 func (lt *leaderTerm) sendCommands(m *machine, commands []api.Command) {
 	batch := make([]*attempt, 0, len(commands))
 	for _, command := range commands {
-		a := m.attempts[attemptKey{command.Task, command.Attempt}]
+		a := m.attempts[attemptKey{ref: command.Task, id: command.Attempt}]
 		a.direct = &directCommand{agentEpoch: m.agentEpoch, inFlight: true}
 		batch = append(batch, a)
 	}
@@ -142,16 +152,18 @@
 		ctx, cancel := context.WithTimeout(lt.ctx, timeout)
 		defer cancel()
 		seq, err := lt.c.CommandSender.SendCommands(ctx, addr, req)
-		lt.sendToOwner(commandsSentMsg{lt, m, batch, seq, err})
+		lt.sendToOwner(commandsSentMsg{leaderTerm: lt, machine: m, batch: batch, seq: seq, err: err})
 	}()
 }
 
+// commandsSentMsg is the outcome of a command batch.
 type commandsSentMsg struct {
 	leaderTerm *leaderTerm
 	machine    *machine
 	batch      []*attempt
-	seq        uint64
-	err        error
+	// seq is the first heartbeat that must show the attempts.
+	seq uint64
+	err error
 }
 
 func (m commandsSentMsg) apply(c *Controller) {
@@ -179,23 +191,28 @@
 			}
 		case m.machine.agentEpoch == a.direct.agentEpoch:
 			a.direct.outcomeUnknown = true
-			m.leaderTerm.evacuate(m.machine, "order unanswered")
+			m.leaderTerm.evacuate(m.machine, reasonUnanswered)
 			if a.job.ended {
 				m.leaderTerm.resolveOutcome(a)
 			}
 		}
 	}
 	if m.err != nil {
-		c.Log.Debug("direct orders", "machine", m.machine.name, "orders", len(m.batch), "err", m.err)
+		c.Log.Debug("command batch failed", "machine", m.machine.name, "count", len(m.batch), "err", m.err)
 		m.machine.cordonedUntil = time.Now().Add(c.Settings.Site.Workers.HeartbeatInterval())
 	}
 }
 
-// resolveOutcome returns a machine on which a task of a job that is over might
-// still begin: nothing else keeps it from doing so in time.
+// reasonUnanswered is why a machine is evacuated on which a start may still be applied.
+const reasonUnanswered = "order unanswered"
+
+// resolveOutcome terminates a machine on which a task of a job that has ended might still start:
+// nothing else prevents that in time.
 func (lt *leaderTerm) resolveOutcome(a *attempt) {
-	if m := a.machine; a.direct != nil && a.direct.outcomeUnknown && a.lastSeenIn == 0 && !m.terminated && !m.terminating {
-		lt.evacuate(m, "order unanswered")
+	m := a.machine
+	startMayApply := a.direct != nil && a.direct.outcomeUnknown && a.lastSeenIn == 0
+	if startMayApply && !m.terminated && !m.terminating {
+		lt.evacuate(m, reasonUnanswered)
 		lt.autoscaler.scaleIn(m)
 	}
 }
--- a/internal/controller/failuredetector.go
+++ b/internal/controller/failuredetector.go
@@ -8,7 +8,7 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// Prober asks a machine directly for its report, to learn whether it is alive.
+// Prober requests a heartbeat from a machine directly, to learn whether it is alive.
 type Prober interface {
 	Probe(ctx context.Context, addr string) (*api.Heartbeat, error)
 }
@@ -16,28 +16,30 @@
 const (
 	probeTimeout  = time.Second
 	probeInterval = time.Second
-	// deadAfterProbes is how many probes in a row must fail.
+	// deadAfterProbes is how many probes in a row must fail for a machine to count as dead.
 	deadAfterProbes = 2
-	// undeliveredAfter is how many times in a row a machine may carry out no orders
-	// while it answers probes.
+	// undeliveredAfter is how many responses in a row a machine may leave unapplied while it
+	// answers probes.
 	undeliveredAfter = 4
-	// freshHeartbeatAge is how recent a report is that came just now. Among minZoneMachines
-	// nothing is read from how many of those there are.
+	// freshHeartbeatAge is the age up to which a heartbeat counts as fresh. In a zone of fewer
+	// than minZoneMachines, nothing is concluded from how many there are of these.
 	freshHeartbeatAge = 2 * time.Second
 	minZoneMachines   = 10
-	// takeoverGrace is what machines are given to find a new leader before they
-	// are probed.
+	// takeoverGrace is how long machines have to find a new leader before they are probed.
 	takeoverGrace = 1500 * time.Millisecond
 )
 
-// detectFailures gives back the machines that have fallen silent or deaf. A machine
-// that is dead is noticed after a missed report and two probes that failed;
-// waiting for its lease would cost its tasks that much more, and a new leader
-// that waits for it to be heard can start nothing old. One whose reports arrive
-// while it carries out no orders is deaf, and is asked in the same way. Where
-// most of a zone is silent or deaf at once, the network is the more likely
-// cause, and a node on the other side may extend the machines' leases: they are
-// given the time in which even that ends.
+// minPartitionSuspects is how many machines of a zone must be suspect, beside more than three
+// fifths of all, for the zone to count as partitioned.
+const minPartitionSuspects = 3
+
+// detectFailures terminates the machines that are confirmed dead, or to which commands cannot be
+// delivered. A dead machine is detected by a missed heartbeat and two failed probes. Waiting for
+// its task lease to expire would delay its tasks by that much more, and a new leader that waits
+// for it to be fenced can start no job accepted before its term. A machine whose heartbeats arrive
+// while it applies no commands is probed in the same way. Where most of a zone is suspect at once,
+// a partition is the more likely cause, and a node on the other side may renew the machines' task
+// leases on behalf of the leader: they are given the time in which even that ends.
 func (lt *leaderTerm) detectFailures(now time.Time) {
 	zones := lt.countZones(now)
 	for _, m := range lt.machines {
@@ -54,25 +56,27 @@
 		}
 		reason := "silent"
 		if m.unappliedResponses > 0 {
-			reason = "deaf"
+			reason = "deaf" // heartbeats arrive, responses do not
 		}
 		lt.evacuate(m, reason)
 		lt.autoscaler.scaleIn(m)
 	}
 }
 
-// isSuspect tells whether a machine may be dead or deaf.
+// isSuspect tells whether a machine may be dead, or its commands undelivered.
 func (lt *leaderTerm) isSuspect(m *machine, now time.Time) bool {
+	silentFor := now.Sub(m.lastSeen)
 	if !m.fenced {
-		return now.Sub(m.lastSeen) > takeoverGrace // not heard of in this term
+		return silentFor > takeoverGrace // no heartbeat in this term
 	}
-	return m.unappliedResponses > 0 || now.Sub(m.lastSeen) > lt.c.Settings.Site.Workers.HeartbeatInterval()*5/4+time.Second
+	return m.unappliedResponses > 0 || silentFor > lt.c.Settings.Site.Workers.HeartbeatInterval()*5/4+time.Second
 }
 
-// zoneCount counts a zone's machines: all, those that are suspect, and those that
-// have reported just now.
+// zoneCount counts a zone's machines: all, those that are suspect, and those with a fresh
+// heartbeat.
 type zoneCount struct{ all, suspect, fresh int }
 
+// countZones counts the machines of each zone that are not being terminated.
 func (lt *leaderTerm) countZones(now time.Time) map[string]zoneCount {
 	zones := map[string]zoneCount{}
 	for _, m := range lt.machines {
@@ -92,27 +96,27 @@
 	return zones
 }
 
-// isLikelyPartitioned tells whether a suspect machine is more likely cut off, with others of
+// isLikelyPartitioned tells whether a suspect machine is more likely partitioned, with others of
 // its zone, than dead.
 func (lt *leaderTerm) isLikelyPartitioned(m *machine, zone zoneCount) bool {
-	if zone.suspect >= 3 && zone.suspect*5 > zone.all*3 {
+	if zone.suspect >= minPartitionSuspects && zone.suspect*5 > zone.all*3 {
 		return true
 	}
-	// The first to be missed when all fall silent at once are not dead: nearly
-	// nobody has reported since. So many should have reported just now.
+	// When all heartbeats stop at once, the first machines to miss one are not dead: hardly
+	// any other has sent one since either. Of all machines, this share should have a fresh one.
 	expectedFresh := min(1, freshHeartbeatAge.Seconds()/lt.c.Settings.Site.Workers.HeartbeatS)
 	return m.fenced && float64(zone.fresh) < expectedFresh*float64(zone.all)/5 && zone.all >= minZoneMachines
 }
 
-// isConfirmedDead tells whether a suspect machine is to be returned.
+// isConfirmedDead tells whether a suspect machine is to be terminated.
 func (lt *leaderTerm) isConfirmedDead(m *machine, partitioned bool, now time.Time) bool {
 	workers := lt.c.Settings.Site.Workers
 	switch silentFor := now.Sub(m.lastSeen); {
 	case !m.fenced && now.Sub(lt.heartbeatsSince) > workers.Lease()+2*workers.HeartbeatInterval():
-		// It holds every earlier job back. A deaf one shows the old token
-		// in report after report and may even answer probes, but its
-		// lease has ended by now. One whose lease another node extends would
-		// have been heard through the store.
+		// It keeps every job accepted before this term from starting. One to which commands
+		// are undelivered shows the old fencing token in heartbeat after heartbeat and may even
+		// answer probes, but its task lease has expired by now. One whose task lease another
+		// node renews would have been fenced through the key-value store.
 		return true
 	case now.Before(m.leaseRenewedUntil):
 		return false
@@ -121,11 +125,14 @@
 	case partitioned:
 		return false
 	default:
-		return silentFor > workers.Lease()+2*workers.HeartbeatInterval() || m.probeFails >= deadAfterProbes || m.unappliedResponses >= undeliveredAfter
+		return silentFor > workers.Lease()+2*workers.HeartbeatInterval() ||
+			m.probeFails >= deadAfterProbes ||
+			m.unappliedResponses >= undeliveredAfter
 	}
 }
 
-// probe asks a silent machine, unless it was asked just now.
+// probe probes a suspect machine, unless it was probed less than probeInterval ago. One that is not
+// fenced is resynced instead, which fences it as well.
 func (lt *leaderTerm) probe(m *machine, now time.Time) {
 	if now.Before(m.nextProbe) || lt.probing >= lt.maxDials {
 		return
@@ -143,9 +150,14 @@
 		return
 	}
 	lt.probing++
-	// The machine is the owner's.
-	msg := probeResultMsg{leaderTerm: lt, machine: m, sentAt: now, agentEpoch: m.agentEpoch, heartbeatSeq: m.heartbeatSeq}
-	addr := m.addr
+	// The goroutine reads no field of the machine: these belong to the owner's goroutine.
+	addr, msg := m.addr, probeResultMsg{
+		leaderTerm:   lt,
+		machine:      m,
+		sentAt:       now,
+		agentEpoch:   m.agentEpoch,
+		heartbeatSeq: m.heartbeatSeq,
+	}
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
 		defer cancel()
@@ -154,11 +166,12 @@
 	}()
 }
 
+// probeResultMsg is the outcome of a probe.
 type probeResultMsg struct {
 	leaderTerm *leaderTerm
 	machine    *machine
 	sentAt     time.Time
-	// agentEpoch and seq are of the machine's last report when it was asked.
+	// agentEpoch and heartbeatSeq are of the machine's newest heartbeat when the probe was sent.
 	agentEpoch, heartbeatSeq uint64
 	heartbeat                *api.Heartbeat
 	err                      error
@@ -173,16 +186,13 @@
 		return
 	}
 	if m.err != nil || m.heartbeat.Machine != m.machine.name {
-		if (m.machine.lastSeen.Before(m.sentAt) || m.machine.unappliedResponses > 0) && m.leaderTerm.notPausedSince(m.sentAt) {
-			m.machine.probeFails++
-		}
+		m.probeFailed()
 		return
 	}
-	if m.heartbeat.AgentEpoch < m.agentEpoch || m.heartbeat.AgentEpoch == m.agentEpoch && m.heartbeat.Seq < m.heartbeatSeq {
-		// It answers, and says less than it did: it was started anew, back
-		// before anybody missed it. All its reports would be taken for older
-		// ones, and its tasks for running, without end. Nothing shows that
-		// they are off the machine but its return.
+	if m.showsRestart() {
+		// The machine was started anew under its name before it was missed. All its
+		// heartbeats would be taken for older ones, and its tasks for running, without end.
+		// Only its termination shows that they are off the machine.
 		m.leaderTerm.evacuate(m.machine, "started anew")
 		if !m.machine.terminating {
 			m.leaderTerm.autoscaler.scaleIn(m.machine)
@@ -190,15 +200,31 @@
 		return
 	}
 	if m.machine.fenced && m.heartbeat.AgentEpoch > m.machine.agentEpoch && c.holdsLease() {
-		// Its lease has ended while it reached no controller, and its tasks
-		// with that. Its reports may not come for long.
+		// Its task lease has expired while it reached no controller, and its tasks have ended
+		// with that. Its own heartbeats may not arrive for long.
 		if _, err := m.leaderTerm.handleHeartbeat(m.heartbeat, solicited, time.Now()); err != nil {
-			c.Log.Debug("probe", "machine", m.machine.name, "err", err)
+			c.Log.Debug("probe answer not applied", "machine", m.machine.name, "err", err)
 		}
 		return
 	}
-	// Alive, but its reports do not get here; what they would say is not
-	// known, so only the silence is taken back.
+	// The machine is alive, but its heartbeats do not arrive. What they would report is not
+	// known, so only its suspicion ends.
 	m.machine.probeFails = 0
 	m.machine.lastSeen = time.Now()
 }
+
+// probeFailed counts the failure against the machine, unless it was seen since or this node was
+// paused.
+func (m probeResultMsg) probeFailed() {
+	suspect := m.machine.lastSeen.Before(m.sentAt) || m.machine.unappliedResponses > 0
+	if suspect && m.leaderTerm.notPausedSince(m.sentAt) {
+		m.machine.probeFails++
+	}
+}
+
+// showsRestart tells whether the heartbeat is older, by its numbers, than one that was applied
+// before the probe was sent.
+func (m probeResultMsg) showsRestart() bool {
+	return m.heartbeat.AgentEpoch < m.agentEpoch ||
+		m.heartbeat.AgentEpoch == m.agentEpoch && m.heartbeat.Seq < m.heartbeatSeq
+}
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -7,21 +7,21 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// A takeover waits until every machine on the roster has reported with the new
-// term. Waiting for their reports takes a round and a half of them; so the new
-// leader resyncs the machines itself, a few at a time. A resync carries no
-// orders: it may come late, or twice, and only raises the machine's token. Its
-// answer is the machine's report, with this term.
+// A takeover waits until every machine in the registry has reported with the new term. Waiting
+// for agent-initiated heartbeats takes one and a half heartbeat intervals; so the new leader
+// resyncs the machines itself, a few at a time. A resync carries no commands: it may arrive late,
+// or twice, and only raises the machine's fencing token. Its answer is a heartbeat with this term.
 
-// maxConcurrentDials is how many machines a leader speaks to directly at a time, for each of resyncs,
-// probes and starts. It is a part of the node's sockets: where many machines fall
-// together, each holds one until its time is up, and those that live must not wait for
-// their turn behind them.
-func maxConcurrentDials(sockets int) int { return min(max(sockets/24, minDials), mostDials) }
+// maxConcurrentDials is how many machines a leader connects to at a time, for each of resyncs,
+// probes and command batches. It is a part of the node's sockets: where many machines fail
+// together, each holds one until its request times out, and those that are alive must not queue
+// behind them.
+func maxConcurrentDials(sockets int) int { return min(max(sockets/socketsPerDial, minDials), maxDials) }
 
 const (
-	minDials  = 16
-	mostDials = 256
+	socketsPerDial = 24
+	minDials       = 16
+	maxDials       = 256
 )
 
 // resyncNext resyncs the machines that are still to be resynced.
@@ -36,8 +36,8 @@
 	}
 }
 
-// resync asks a machine for a report with this term. One that does not answer is asked
-// again like any silent machine.
+// resync solicits a heartbeat with this term from a machine. One that does not answer is resynced
+// again like any suspect machine.
 func (lt *leaderTerm) resync(m *machine, now time.Time) {
 	lt.resyncing++
 	m.nextProbe = now.Add(probeInterval)
@@ -46,10 +46,11 @@
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
 		defer cancel()
 		hb, err := lt.c.CommandSender.Resync(ctx, addr, term)
-		lt.sendToOwner(resyncResultMsg{lt, m, now, hb, err})
+		lt.sendToOwner(resyncResultMsg{leaderTerm: lt, machine: m, sentAt: now, heartbeat: hb, err: err})
 	}()
 }
 
+// resyncResultMsg is the outcome of a resync.
 type resyncResultMsg struct {
 	leaderTerm *leaderTerm
 	machine    *machine
@@ -68,13 +69,13 @@
 	switch {
 	case m.machine.terminated:
 	case m.err != nil:
-		c.Log.Debug("resync", "machine", m.machine.name, "err", m.err)
+		c.Log.Debug("resync failed", "machine", m.machine.name, "err", m.err)
 		if !m.machine.fenced && lt.notPausedSince(m.sentAt) {
 			m.machine.probeFails++
 		}
 	case c.holdsLease() && m.heartbeat.Machine == m.machine.name:
 		if _, err := lt.handleHeartbeat(m.heartbeat, solicited, now); err != nil {
-			c.Log.Debug("resync", "machine", m.machine.name, "err", err)
+			c.Log.Debug("resync answer not applied", "machine", m.machine.name, "err", err)
 		}
 	}
 	if c.leaderTerm == lt {
