--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -14,42 +14,48 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// A job may await others: none of its tasks starts before they are done, on
-// record. Until then it is in no queue, and so holds no part of a limit or
-// guarantee and rents nothing. When one of them is cancelled it is cancelled, too.
+// dependencyGraph is the DAG of the jobs that depend on others. A job may depend on others: none
+// of its tasks starts before these are done, on record. Until then it is in no queue, and so uses
+// no part of a limit or guarantee and scales nothing out. When one of them is cancelled, it is
+// cancelled too.
 //
-// The cancellation that a user is told is one guarded transaction; what follows
-// from it is derived, by the leader in its memory and by whoever reads such a job's
-// record (store.Records), and users are told at once. The leader, or the next, also
-// writes it: in steps within the write rate, each of which leaves nothing that the
-// next could not be found from.
+// The cancellation that a user is answered is one compare-and-swap; what follows from it is
+// derived, by the leader in its memory and by whoever reads such a job's record
+// (records.Records), and users see it at once. The leader, or the next, also writes it: in steps
+// within the write rate, each of which leaves nothing that the next could not be found from.
 type dependencyGraph struct {
 	leaderTerm *leaderTerm
-	// dependents are the jobs that wait, by what they wait for.
+	// dependents are the jobs that depend on others, by what they depend on.
 	dependents map[string][]*job
-	// pendingCancels are the jobs that are to be cancelled on record.
+	// pendingCancels are the jobs whose cancellation is to be put on record.
 	pendingCancels []*job
 	limiter        *rate.Limiter
-	// lookups are awaited jobs that are not active: how they ended is to be read,
-	// of all of them at a time.
+	// lookups are dependencies that are not active: how they ended is to be read, of all of
+	// them at a time.
 	lookups   []string
 	lookingUp bool
-	// unknown is how many rounds of lookups wait for jobs that are active but have not
-	// come with the watch yet.
+	// unknown counts the rounds of lookups that wait for jobs which are active but which the
+	// watch has not delivered yet.
 	unknown int
 }
 
 func (dg *dependencyGraph) init(lt *leaderTerm) {
 	limits := lt.c.Settings.Site.State
 	cancelOps := limits.WriteRPS * cancelWriteShare
-	*dg = dependencyGraph{leaderTerm: lt, dependents: map[string][]*job{}, limiter: rate.NewLimiter(rate.Limit(cancelOps), max(cancelBatchOps, min(limits.TxnOps, int(cancelOps))))}
+	burst := max(cancelBatchOps, min(limits.TxnOps, int(cancelOps)))
+	*dg = dependencyGraph{
+		leaderTerm: lt,
+		dependents: map[string][]*job{},
+		limiter:    rate.NewLimiter(rate.Limit(cancelOps), burst),
+	}
 }
 
-// resolveDependencies has a job wait for those that it needs.
+// resolveDependencies finds which of a job's dependencies have not ended, and enqueues the job if
+// there are none. It is cancelled if one of them is.
 func (dg *dependencyGraph) resolveDependencies(j *job) {
 	j.dependsOn = map[string]bool{}
 	if j.dependencyList != nil && !j.dependenciesRead {
-		// Not all is known that it awaits, so nothing of it may start.
+		// Not all of its dependencies are known, so none of its tasks may start.
 		j.dependsOn[records.DependenciesElsewhere] = true
 		dg.leaderTerm.dependencyLists.read(j)
 		return
@@ -86,18 +92,18 @@
 	dg.lookupNext()
 }
 
-// recordDependencyEnd records when a job that this one awaits was done.
+// recordDependencyEnd keeps when the last of the job's dependencies was done.
 func (j *job) recordDependencyEnd(at time.Time) {
 	if at.After(j.lastDependencyEnd) {
 		j.lastDependencyEnd = at
 	}
 }
 
-// maxSingleLookups is how many names of ended jobs a waiting one may hold in any case.
+// maxSingleLookups is how many names of ended dependencies a pending job may keep in any case.
 const maxSingleLookups = 64
 
-// dropEndedDependencies frees the names of awaited jobs that have ended once they are most:
-// a job may name thousands of them, and wait long for another.
+// dropEndedDependencies frees the names of dependencies that have ended once they are most: a job
+// may name thousands of them, and wait long for another.
 func (j *job) dropEndedDependencies() {
 	if len(j.spec.DependsOn) <= 2*len(j.dependsOn)+maxSingleLookups {
 		return
@@ -112,13 +118,13 @@
 	j.spec.DependsOn, j.dependsOn = unfinished, dependsOn
 }
 
-// enqueueReady queues a job once all that it awaits is done. Its times count from when the
-// last of it was, also if another leader saw that; or from its acceptance, if it
-// was submitted later.
+// enqueueReady queues a job once all its dependencies are done. Its times count from the end of
+// the last of them, also if another leader saw that; or from its acceptance, if it was submitted
+// later.
 func (dg *dependencyGraph) enqueueReady(j *job) {
 	now := time.Now()
 	j.dependsOn, j.runnableSince, j.waitingSince = nil, j.accepted, now
-	j.spec.DependsOn = nil // perhaps thousands, all over
+	j.spec.DependsOn = nil // perhaps thousands, all of them ended
 	if j.lastDependencyEnd.After(j.runnableSince) {
 		j.runnableSince = j.lastDependencyEnd
 	}
@@ -128,7 +134,8 @@
 	dg.leaderTerm.dispatchUntil = now.Add(dispatchFor)
 }
 
-// jobDone handles a job that is done on record, and since when.
+// jobDone removes a job that is done on record from the dependencies of others, and enqueues those
+// that have no other left.
 func (dg *dependencyGraph) jobDone(id string, at time.Time) {
 	dependents := dg.dependents[id]
 	delete(dg.dependents, id)
@@ -142,7 +149,7 @@
 	}
 }
 
-// jobCancelled handles the cancellation of a job, and with it of all its dependents.
+// jobCancelled cancels the dependents of a cancelled job.
 func (dg *dependencyGraph) jobCancelled(id string) {
 	dependents := dg.dependents[id]
 	delete(dg.dependents, id)
@@ -151,7 +158,8 @@
 	}
 }
 
-// cancelWithDependents has a job that waits cancelled on record, and all that need it.
+// cancelWithDependents has a pending job cancelled on record, with all that depend on it, directly
+// or through others.
 func (dg *dependencyGraph) cancelWithDependents(j *job) {
 	for todo := []*job{j}; len(todo) > 0; {
 		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
@@ -164,7 +172,7 @@
 	}
 }
 
-// forget takes a job that is over out of the index of what it waited for.
+// forget removes a job that has ended from the dependents of others.
 func (dg *dependencyGraph) forget(j *job) {
 	for id := range j.dependsOn {
 		remaining := slices.DeleteFunc(dg.dependents[id], func(other *job) bool { return other == j })
@@ -175,14 +183,13 @@
 	j.dependsOn = nil
 }
 
-// cancelWriteShare is the part of the write rate that derived cancellations have to
-// themselves:
-// with small transactions the ends of other jobs would take every turn, and their
-// users wait. Users' own cancellations leave it to them.
+// cancelWriteShare is the part of the write rate that is reserved for derived cancellations: with
+// small transactions the ends of other jobs would take every turn, and their users wait. Users'
+// own cancellations leave it to them.
 const cancelWriteShare = 0.4
 
-// cancelBatchOps is what the cancellation of one job takes. The cancel key need not
-// change: nothing of these jobs runs, and this leader knows.
+// cancelBatchOps is how many operations the cancellation of one job takes. The cancel key need not
+// change: no task of these jobs runs, and this leader knows of the cancellation.
 const cancelBatchOps = 2
 
 // addCancellations writes pending cancellations in a batch of their own, if the write rate allows.
@@ -208,10 +215,10 @@
 	dg.limiter.AllowN(now, len(b.txn.Ops))
 }
 
-// propagateDeadlines passes the deadlines and priorities of jobs on to all that they need: those
-// are ordered by the latest time to begin that lets what follows be in time. A job
-// was accepted after all that it needs, so going back in the order of acceptance
-// each is looked at once, after all that need it; and only where anything changes.
+// propagateDeadlines passes the deadlines and priorities of jobs on to all that they depend on:
+// these are ordered by the latest start that lets what follows be in time. A job was accepted
+// after all its dependencies, so in reverse order of acceptance each is visited once, after all
+// that depend on it; and only where anything changes.
 func (dg *dependencyGraph) propagateDeadlines(jobs ...*job) {
 	byModRevision := func(a, b *job) int { return cmp.Compare(a.modRevision, b.modRevision) }
 	todo := slices.Clone(jobs)
@@ -221,7 +228,10 @@
 		todo = todo[:len(todo)-1]
 		for _, id := range j.spec.DependsOn {
 			dependency := dg.leaderTerm.jobs[id]
-			if dependency == nil || dependency.finishing || !dg.propagateDeadline(j, dependency) || len(dependency.spec.DependsOn) == 0 {
+			if dependency == nil || dependency.finishing || !dg.propagateDeadline(j, dependency) {
+				continue
+			}
+			if len(dependency.spec.DependsOn) == 0 {
 				continue
 			}
 			if at, found := slices.BinarySearchFunc(todo, dependency, byModRevision); !found {
@@ -231,8 +241,8 @@
 	}
 }
 
-// propagateDeadline has a job be done in time for one that needs it, and tells whether that
-// changed anything.
+// propagateDeadline tightens the objectives and the priority of a dependency by those of a job that
+// depends on it, and tells whether that changed anything.
 func (dg *dependencyGraph) propagateDeadline(j, dependency *job) (changed bool) {
 	if j.rank < dependency.rank {
 		dependency.rank, changed = j.rank, true
@@ -264,8 +274,8 @@
 	return own
 }
 
-// stageDuration is how long a stage is expected to take from the end of the one before
-// it: until that is on record, the machine has been told and has the image.
+// stageDuration is how long a stage is expected to take from the end of the one before it: until
+// that is on record, the machine has received the start and has the image.
 func (dg *dependencyGraph) stageDuration(j *job) time.Duration {
 	fetch := 0.0
 	for _, t := range dg.leaderTerm.c.types.load() {
@@ -273,14 +283,16 @@
 			fetch = max(fetch, j.spec.ImageGB/t.FetchGBs)
 		}
 	}
-	return j.spec.Estimate() + config.Duration(fetch) + dg.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval() + stageLag
+	heartbeatInterval := dg.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()
+	return j.spec.Estimate() + config.Duration(fetch) + heartbeatInterval + stageLag
 }
 
-// stageLag is about how long it takes until a job's end is on record and those that
-// follow are handed out.
+// stageLag is about how long it takes until a job's end is on record and the tasks of those that
+// depend on it are assigned.
 const stageLag = time.Second
 
-// lookupNext reads how awaited jobs ended that are not active.
+// lookupNext reads how dependencies ended that are not active. Those whose record could not be
+// read are read again after lookupRetryInterval.
 func (dg *dependencyGraph) lookupNext() {
 	if dg.lookingUp || len(dg.lookups) == 0 {
 		return
@@ -291,20 +303,30 @@
 	go func() {
 		recordStore := records.Records{Store: lt.c.Store}
 		ends := map[string]records.TerminalRecord{}
-		for unread := ids; lt.ctx.Err() == nil; sleep(lt.ctx, 300*time.Millisecond) {
+		for unread := ids; lt.ctx.Err() == nil; sleep(lt.ctx, lookupRetryInterval) {
 			found, err := recordStore.TerminalRecords(lt.ctx, unread)
 			maps.Copy(ends, found)
 			if err == nil {
-				lt.sendToOwner(endsLookedUpMsg{lt, ids, ends})
+				lt.sendToOwner(endsLookedUpMsg{leaderTerm: lt, ids: ids, ends: ends})
 				return
 			}
-			unread = slices.DeleteFunc(slices.Clone(unread), func(id string) bool { _, ok := ends[id]; return ok })
+			unread = slices.DeleteFunc(slices.Clone(unread), func(id string) bool {
+				_, ok := ends[id]
+				return ok
+			})
 		}
 	}()
 }
 
-// endsLookedUpMsg brings how jobs ended that were looked up; those that are still
-// active are not among the ends.
+// lookupRetryInterval is the time between two attempts to read terminal records.
+const lookupRetryInterval = 300 * time.Millisecond
+
+// unknownRetryDelay is after what time dependencies are looked up again that are active, but which
+// the watch has not delivered yet.
+const unknownRetryDelay = time.Second
+
+// endsLookedUpMsg has the terminal records of the jobs that were looked up; those that are still
+// active have none.
 type endsLookedUpMsg struct {
 	leaderTerm *leaderTerm
 	ids        []string
@@ -328,14 +350,15 @@
 		}
 	}
 	if len(unknown) > 0 {
-		// Active, and not known here yet: the watch will tell.
+		// They are active, and not known here yet: the watch delivers them.
 		dg.unknown++
-		time.AfterFunc(time.Second, func() { m.leaderTerm.sendToOwner(lookupRetryMsg{m.leaderTerm, unknown}) })
+		retry := lookupRetryMsg{leaderTerm: m.leaderTerm, ids: unknown}
+		time.AfterFunc(unknownRetryDelay, func() { m.leaderTerm.sendToOwner(retry) })
 	}
 	dg.lookupNext()
 }
 
-// applyTerminalRecord processes the final record of a job.
+// applyTerminalRecord applies the terminal record of a job to those that depend on it.
 func (dg *dependencyGraph) applyTerminalRecord(id string, end records.TerminalRecord) {
 	finalMsg{end.JobState(id)}.apply(dg.leaderTerm.c)
 	if end.Phase != api.JobDone {
@@ -343,12 +366,12 @@
 	}
 	at := end.Ended
 	if at.IsZero() {
-		at = time.Now() // written by a version that did not tell
+		at = time.Now() // written by a version that recorded no time
 	}
 	dg.jobDone(id, at)
 }
 
-// lookupRetryMsg asks once more about jobs that were not known.
+// lookupRetryMsg has dependencies looked up again that were not known.
 type lookupRetryMsg struct {
 	leaderTerm *leaderTerm
 	ids        []string
@@ -368,14 +391,14 @@
 	dg.lookupNext()
 }
 
-// unresolved tells whether it is still being read what some jobs await, or how that
-// ended. Until then a job may need a cancelled one without this leader knowing.
+// unresolved tells whether the dependencies of some jobs, or how these ended, are still to be
+// read. Until then a job may depend on a cancelled one without this leader knowing.
 func (dg *dependencyGraph) unresolved() bool {
 	lists := &dg.leaderTerm.dependencyLists
 	return dg.lookingUp || len(dg.lookups) > 0 || dg.unknown > 0 || lists.reading || len(lists.unread) > 0
 }
 
-// unfinishedDependencies lists what a job waits for, for its user.
+// unfinishedDependencies lists the dependencies that are not done, for the job's user.
 func (j *job) unfinishedDependencies() []string {
 	var ids []string
 	for _, id := range j.spec.DependsOn {
@@ -386,5 +409,5 @@
 	return ids
 }
 
-// maxDependenciesShown bounds the names in an answer.
+// maxDependenciesShown bounds the names that a user is shown.
 const maxDependenciesShown = 16
--- a/internal/controller/dependencylists.go
+++ b/internal/controller/dependencylists.go
@@ -8,8 +8,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// dependencyLists reads and removes the records that list the awaited jobs of those
-// whose active record has no room for them. Until a list is read its job waits.
+// dependencyLists reads and deletes the records that list the dependencies of jobs whose active
+// record is too small for them. Until its list is read, a job does not start.
 type dependencyLists struct {
 	leaderTerm *leaderTerm
 	// unread are the jobs whose list is to be read, one at a time.
@@ -17,14 +17,22 @@
 	reading bool
 }
 
-// dependencyReadRetry is how long after a failure a list is read again.
-const dependencyReadRetry = time.Second
+const (
+	// dependencyReadRetry is how long after a failure a list is read again.
+	dependencyReadRetry = time.Second
+	// dependencyReadTimeout bounds one read of a list or of a terminal record.
+	dependencyReadTimeout = 4 * time.Second
+	// sweepPause leaves the request budget to others.
+	sweepPause = 200 * time.Millisecond
+)
 
+// read queues a job's list to be read.
 func (dl *dependencyLists) read(j *job) {
 	dl.unread = append(dl.unread, j)
 	dl.readNext()
 }
 
+// readNext starts to read the first list of the queue, unless another is being read.
 func (dl *dependencyLists) readNext() {
 	dl.unread = slices.DeleteFunc(dl.unread, func(j *job) bool { return j.ended })
 	if dl.reading || len(dl.unread) == 0 {
@@ -35,18 +43,18 @@
 	dl.unread = dl.unread[1:]
 	id, list := j.spec.ID, j.dependencyList
 	go func() {
-		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
+		ctx, cancel := context.WithTimeout(lt.ctx, dependencyReadTimeout)
 		ids, err := (&records.Records{Store: lt.c.Store}).ReadDependencies(ctx, id, list)
 		cancel()
 		if err != nil {
-			lt.c.Log.Debug("awaited jobs not read", "job", id, "err", err)
+			lt.c.Log.Debug("dependency list not read", "job", id, "err", err)
 			sleep(lt.ctx, dependencyReadRetry)
 		}
-		lt.sendToOwner(dependencyListReadMsg{lt, j, ids, err})
+		lt.sendToOwner(dependencyListReadMsg{leaderTerm: lt, job: j, ids: ids, err: err})
 	}()
 }
 
-// dependencyListReadMsg brings a job's awaited jobs.
+// dependencyListReadMsg has the dependencies of a job that its list names.
 type dependencyListReadMsg struct {
 	leaderTerm *leaderTerm
 	job        *job
@@ -72,7 +80,7 @@
 	dl.readNext()
 }
 
-// drop removes the list of a job that is over.
+// drop deletes the list of a job that has ended.
 func (dl *dependencyLists) drop(j *job) {
 	if j.dependencyList == nil {
 		return
@@ -82,26 +90,28 @@
 	}
 }
 
-// sweep looks, once a term, for what earlier leaders, or submissions that did not
-// come to their end, have left of lists.
+// sweep finds, once a term, the records of lists that earlier leaders, or submissions that were
+// not completed, have left behind.
 func (dl *dependencyLists) sweep() {
 	keysByJob := dl.listedKeys()
 	recordStore := records.Records{Store: dl.leaderTerm.c.Store}
 	for id, jobKeys := range keysByJob {
-		ctx, cancel := context.WithTimeout(dl.leaderTerm.ctx, 4*time.Second)
+		ctx, cancel := context.WithTimeout(dl.leaderTerm.ctx, dependencyReadTimeout)
 		_, ended, err := recordStore.TerminalState(ctx, id)
 		cancel()
 		if err != nil {
 			continue // the next term's sweep finds it
 		}
-		dl.leaderTerm.sendToOwner(leftoverListMsg{dl.leaderTerm, id, jobKeys, ended})
+		dl.leaderTerm.sendToOwner(leftoverListMsg{
+			leaderTerm: dl.leaderTerm,
+			id:         id,
+			keys:       jobKeys,
+			ended:      ended,
+		})
 		sleep(dl.leaderTerm.ctx, sweepPause)
 	}
 }
 
-// sweepPause leaves the request budget to others.
-const sweepPause = 200 * time.Millisecond
-
 // listedKeys are the keys of all records of lists, by job.
 func (dl *dependencyLists) listedKeys() map[string][]string {
 	for dl.leaderTerm.ctx.Err() == nil {
@@ -120,7 +130,7 @@
 	return nil
 }
 
-// leftoverListMsg tells of records in a job's name, and whether the job is over.
+// leftoverListMsg has the keys of records of lists for one job id, and whether that job has ended.
 type leftoverListMsg struct {
 	leaderTerm *leaderTerm
 	id         string
@@ -135,8 +145,8 @@
 	j := m.leaderTerm.jobs[m.id]
 	for _, key := range m.keys {
 		_, digest, _ := records.ParseDependencyKey(key)
-		// Of a job that is accepted only its own list is of use. One that is not
-		// may be about to be accepted, unless it is over.
+		// Of a job that is accepted only its own list is of use. One that is not may be about
+		// to be accepted, unless it has ended.
 		if m.ended || j != nil && (j.dependencyList == nil || j.dependencyList.Digest != digest) {
 			m.leaderTerm.recordWriter.deleteKey(key)
 		}
