--- /dev/null
+++ b/internal/controller/autoscaler_cloud.go
@@ -0,0 +1,178 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"example.org/ivytrestle/internal/cloud"
+	"example.org/ivytrestle/internal/fleet"
+)
+
+// sendLaunch sends a rental until its outcome is known. The name makes repeats safe.
+func (lt *leaderTerm) sendLaunch(req cloud.LaunchRequest, o fleet.Offer) {
+	backoff := time.Second
+	for range 6 {
+		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
+		hosts, err := lt.c.Cloud.Launch(ctx, req)
+		cancel()
+		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
+			lt.sendToOwner(launchedMsg{lt, req, o, hosts})
+			return
+		}
+		lt.c.Log.Debug("rental", "name", req.Name, "err", err)
+		sleep(lt.ctx, backoff)
+		backoff = min(2*backoff, 8*time.Second)
+	}
+	// If it was carried out after all, the list or a report shows it.
+	lt.sendToOwner(launchedMsg{leaderTerm: lt, request: req, offer: o})
+}
+
+type launchedMsg struct {
+	leaderTerm *leaderTerm
+	request    cloud.LaunchRequest
+	offer      fleet.Offer
+	machines   []string
+}
+
+func (m launchedMsg) apply(c *Controller) {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
+		return
+	}
+	now := time.Now()
+	lt.autoscaler.launchesInFlight--
+	delete(lt.autoscaler.pendingLaunches, m.request.Name)
+	lt.autoscaler.launchingCPUs -= float64(m.request.Count) * m.offer.CPUs
+	if len(m.machines) < m.request.Count {
+		lt.autoscaler.unavailableUntil[m.offer.Kind()] = now.Add(unavailableTTL)
+	}
+	if len(m.machines) > 0 {
+		c.Log.Info("machines rented", "type", m.request.Type, "zone", m.request.Zone, "spot", m.request.Spot,
+			"asked", m.request.Count, "got", len(m.machines))
+	}
+	for _, name := range m.machines {
+		if lt.machines[name] == nil && !lt.terminated.Contains(name) {
+			lt.provisioning[name] = &provisioning{typ: m.request.Type, zone: m.request.Zone, spot: m.request.Spot, since: now, boot: m.offer.Boot, cpus: m.offer.CPUs}
+		}
+	}
+	if c.holdsLease() {
+		lt.autoscaler.scaleOut(now) // what is still lacking is asked for at once
+	}
+}
+
+func (as *autoscaler) terminateMachines() {
+	if as.terminationsInFlight || len(as.terminations) == 0 {
+		return
+	}
+	n := min(len(as.terminations), cloud.MaxTerminate)
+	names := slices.Clone(as.terminations[:n])
+	as.terminations = as.terminations[n:]
+	as.terminationsInFlight = true
+	lt := as.leaderTerm
+	go func() {
+		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
+		defer cancel()
+		err := lt.c.Cloud.Terminate(ctx, names)
+		lt.sendToOwner(terminatedMsg{lt, names, err})
+	}()
+}
+
+type terminatedMsg struct {
+	leaderTerm *leaderTerm
+	names      []string
+	err        error
+}
+
+func (m terminatedMsg) apply(c *Controller) {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
+		return
+	}
+	lt.autoscaler.terminationsInFlight = false
+	if m.err != nil {
+		c.Log.Debug("machines not returned", "machines", m.names, "err", m.err)
+		lt.autoscaler.terminations = append(lt.autoscaler.terminations, m.names...)
+		return
+	}
+	for _, name := range m.names {
+		delete(lt.provisioning, name)
+		lt.terminated.Add(name, true)
+		if machine := lt.machines[name]; machine != nil {
+			lt.machineTerminated(machine)
+		}
+	}
+	lt.autoscaler.terminateMachines()
+}
+
+// listMachines reads the cloud's list from time to time: for machines that nobody
+// expected, that never came up, or that have stopped.
+func (as *autoscaler) listMachines(now time.Time) {
+	if as.listing || now.Before(as.nextList) {
+		return
+	}
+	as.listing = true
+	lt := as.leaderTerm
+	go func() {
+		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
+		defer cancel()
+		hosts, err := lt.c.Cloud.List(ctx)
+		lt.sendToOwner(machinesListedMsg{lt, hosts, err})
+	}()
+}
+
+type machinesListedMsg struct {
+	leaderTerm *leaderTerm
+	machines   []cloud.Machine
+	err        error
+}
+
+func (m machinesListedMsg) apply(c *Controller) {
+	lt := m.leaderTerm
+	if c.leaderTerm != lt {
+		return
+	}
+	as := &lt.autoscaler
+	now := time.Now()
+	as.listing, as.nextList = false, now.Add(listInterval)
+	if m.err != nil {
+		c.Log.Debug("machines not listed", "err", m.err)
+		return
+	}
+	for i := range m.machines {
+		lt.applyListedMachine(&m.machines[i], now)
+	}
+}
+
+// applyListedMachine processes one machine of the cloud's list, which lags.
+func (lt *leaderTerm) applyListedMachine(listed *cloud.Machine, now time.Time) {
+	if lt.terminated.Contains(listed.Name) {
+		return
+	}
+	if m := lt.machines[listed.Name]; m != nil {
+		if listed.Phase == cloud.PhaseFailed && !m.terminating && now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.HeartbeatInterval() {
+			lt.evacuate(m, "stopped")
+			lt.autoscaler.scaleIn(m)
+		}
+		return
+	}
+	mt := lt.c.types.load()[listed.Type]
+	boot := time.Duration(mt.BootS * float64(time.Second))
+	age := time.Duration(listed.AgeS * float64(time.Second))
+	awaited := lt.provisioning[listed.Name]
+	if awaited == nil {
+		awaited = &provisioning{typ: listed.Type, zone: listed.Zone, spot: listed.Spot, since: now.Add(-age), boot: boot, cpus: mt.CPUs}
+		lt.provisioning[listed.Name] = awaited
+	}
+	if awaited.terminating {
+		return
+	}
+	// A machine that is up reports within seconds; one that boots may take
+	// several times as long as usual.
+	if listed.Phase == cloud.PhaseFailed || (now.Sub(awaited.since) > 4*boot+lt.c.Settings.Site.Workers.Lease()) {
+		lt.c.Log.Info("machine never reported", "machine", listed.Name, "phase", listed.Phase, "age", age.Round(time.Second))
+		awaited.terminating = true
+		lt.autoscaler.terminations = append(lt.autoscaler.terminations, listed.Name)
+	}
+}
--- /dev/null
+++ b/internal/controller/autoscaler_demand.go
@@ -0,0 +1,71 @@
+package controller
+
+import (
+	"slices"
+	"time"
+
+	"example.org/ivytrestle/internal/config"
+	"example.org/ivytrestle/internal/queue"
+)
+
+// demand is the CPUs that the teams need now to be in time, each within its limit.
+// What is within a team's guarantee should start at once and counts in full; beyond
+// it, a job whose tasks can run one after the other counts for the part of its
+// tasks that have to run at the same time.
+func (as *autoscaler) demand() float64 {
+	bootedAt := time.Now().Add(as.longestBoot())
+	sum := 0.0
+	for _, t := range as.leaderTerm.allTeams() {
+		atOnce, inTime := t.UsedCPUs, t.UsedCPUs
+		for _, j := range t.Items() {
+			if j.finishing || j.failureRounds > 0 {
+				continue
+			}
+			cpus := float64(j.flight.Untaken()) * j.spec.CPUs
+			atOnce += cpus
+			inTime += cpus / j.runsPerCPU(bootedAt)
+		}
+		guaranteed := min(atOnce, t.CPUs)
+		sum += min(max(inTime, guaranteed), t.LimitCPUs)
+	}
+	return sum
+}
+
+// allTeams are the cell's own teams and those of guests: what was accepted is to run.
+func (lt *leaderTerm) allTeams() []*queue.Team[*job] {
+	if len(lt.loans.guestFairShareOrder) == 0 {
+		return lt.fairShareOrder
+	}
+	return slices.Concat(lt.fairShareOrder, lt.loans.guestFairShareOrder)
+}
+
+// longestBoot is how long the slowest type of machine usually takes to boot.
+func (as *autoscaler) longestBoot() time.Duration {
+	boot := 0.0
+	for _, mt := range as.leaderTerm.c.types.load() {
+		boot = max(boot, mt.BootS)
+	}
+	return config.Duration(boot)
+}
+
+// demandPeak is the highest demand of the last while. Jobs come in bursts that fill
+// the fleet for less time than a machine takes to boot, so machines are kept
+// for the last burst's like.
+type demandPeak struct {
+	times []time.Time
+	cpus  []float64
+}
+
+// add records the present demand and returns the highest since hold ago.
+func (p *demandPeak) add(now time.Time, cpus float64, window time.Duration) float64 {
+	// Only falling values are kept: a lower one before a higher one can never
+	// be the highest again.
+	for len(p.cpus) > 0 && p.cpus[len(p.cpus)-1] <= cpus {
+		p.times, p.cpus = p.times[:len(p.times)-1], p.cpus[:len(p.cpus)-1]
+	}
+	p.times, p.cpus = append(p.times, now), append(p.cpus, cpus)
+	for now.Sub(p.times[0]) > window {
+		p.times, p.cpus = p.times[1:], p.cpus[1:]
+	}
+	return p.cpus[0]
+}
