--- a/internal/controller/autoscaler_cloud.go
+++ b/internal/controller/autoscaler_cloud.go
@@ -10,25 +10,34 @@
 	"example.org/ivytrestle/internal/fleet"
 )
 
-// sendLaunch sends a rental until its outcome is known. The name makes repeats safe.
+// Limits of requests to the cloud.
+const (
+	cloudTimeout      = 5 * time.Second
+	maxLaunchAttempts = 6
+	maxLaunchBackoff  = 8 * time.Second
+)
+
+// sendLaunch sends a launch request until its outcome is known, or maxLaunchAttempts times. The
+// name makes repeats safe.
 func (lt *leaderTerm) sendLaunch(req cloud.LaunchRequest, o fleet.Offer) {
 	backoff := time.Second
-	for range 6 {
-		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
+	for range maxLaunchAttempts {
+		ctx, cancel := context.WithTimeout(lt.ctx, cloudTimeout)
 		hosts, err := lt.c.Cloud.Launch(ctx, req)
 		cancel()
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-			lt.sendToOwner(launchedMsg{lt, req, o, hosts})
+			lt.sendToOwner(launchedMsg{leaderTerm: lt, request: req, offer: o, machines: hosts})
 			return
 		}
-		lt.c.Log.Debug("rental", "name", req.Name, "err", err)
+		lt.c.Log.Debug("launch request failed", "name", req.Name, "err", err)
 		sleep(lt.ctx, backoff)
-		backoff = min(2*backoff, 8*time.Second)
+		backoff = min(2*backoff, maxLaunchBackoff)
 	}
-	// If it was carried out after all, the list or a report shows it.
+	// If it was applied after all, the list or a heartbeat shows it.
 	lt.sendToOwner(launchedMsg{leaderTerm: lt, request: req, offer: o})
 }
 
+// launchedMsg is the outcome of a launch request; without machines if it is not known.
 type launchedMsg struct {
 	leaderTerm *leaderTerm
 	request    cloud.LaunchRequest
@@ -49,19 +58,27 @@
 		lt.autoscaler.unavailableUntil[m.offer.Kind()] = now.Add(unavailableTTL)
 	}
 	if len(m.machines) > 0 {
-		c.Log.Info("machines rented", "type", m.request.Type, "zone", m.request.Zone, "spot", m.request.Spot,
-			"asked", m.request.Count, "got", len(m.machines))
+		c.Log.Info("machines launched", "type", m.request.Type, "zone", m.request.Zone, "spot", m.request.Spot,
+			"requested", m.request.Count, "count", len(m.machines))
 	}
 	for _, name := range m.machines {
 		if lt.machines[name] == nil && !lt.terminated.Contains(name) {
-			lt.provisioning[name] = &provisioning{typ: m.request.Type, zone: m.request.Zone, spot: m.request.Spot, since: now, boot: m.offer.Boot, cpus: m.offer.CPUs}
+			lt.provisioning[name] = &provisioning{
+				typ:   m.request.Type,
+				zone:  m.request.Zone,
+				spot:  m.request.Spot,
+				since: now,
+				boot:  m.offer.Boot,
+				cpus:  m.offer.CPUs,
+			}
 		}
 	}
 	if c.holdsLease() {
-		lt.autoscaler.scaleOut(now) // what is still lacking is asked for at once
+		lt.autoscaler.scaleOut(now) // what is still missing is requested at once
 	}
 }
 
+// terminateMachines requests the next terminations, one request at a time. A failed one is repeated.
 func (as *autoscaler) terminateMachines() {
 	if as.terminationsInFlight || len(as.terminations) == 0 {
 		return
@@ -72,13 +89,14 @@
 	as.terminationsInFlight = true
 	lt := as.leaderTerm
 	go func() {
-		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
+		ctx, cancel := context.WithTimeout(lt.ctx, cloudTimeout)
 		defer cancel()
 		err := lt.c.Cloud.Terminate(ctx, names)
-		lt.sendToOwner(terminatedMsg{lt, names, err})
+		lt.sendToOwner(terminatedMsg{leaderTerm: lt, names: names, err: err})
 	}()
 }
 
+// terminatedMsg is the outcome of a request to terminate machines.
 type terminatedMsg struct {
 	leaderTerm *leaderTerm
 	names      []string
@@ -92,7 +110,7 @@
 	}
 	lt.autoscaler.terminationsInFlight = false
 	if m.err != nil {
-		c.Log.Debug("machines not returned", "machines", m.names, "err", m.err)
+		c.Log.Debug("machines not terminated", "machines", m.names, "err", m.err)
 		lt.autoscaler.terminations = append(lt.autoscaler.terminations, m.names...)
 		return
 	}
@@ -106,8 +124,8 @@
 	lt.autoscaler.terminateMachines()
 }
 
-// listMachines reads the cloud's list from time to time: for machines that nobody
-// expected, that never came up, or that have stopped.
+// listMachines reads the cloud's list every listInterval: for machines that are not known, that
+// never sent a heartbeat, or that have stopped.
 func (as *autoscaler) listMachines(now time.Time) {
 	if as.listing || now.Before(as.nextList) {
 		return
@@ -115,13 +133,14 @@
 	as.listing = true
 	lt := as.leaderTerm
 	go func() {
-		ctx, cancel := context.WithTimeout(lt.ctx, 5*time.Second)
+		ctx, cancel := context.WithTimeout(lt.ctx, cloudTimeout)
 		defer cancel()
 		hosts, err := lt.c.Cloud.List(ctx)
-		lt.sendToOwner(machinesListedMsg{lt, hosts, err})
+		lt.sendToOwner(machinesListedMsg{leaderTerm: lt, machines: hosts, err: err})
 	}()
 }
 
+// machinesListedMsg has the cloud's list of machines.
 type machinesListedMsg struct {
 	leaderTerm *leaderTerm
 	machines   []cloud.Machine
@@ -145,13 +164,14 @@
 	}
 }
 
-// applyListedMachine processes one machine of the cloud's list, which lags.
+// applyListedMachine applies one machine of the cloud's list, which lags behind.
 func (lt *leaderTerm) applyListedMachine(listed *cloud.Machine, now time.Time) {
 	if lt.terminated.Contains(listed.Name) {
 		return
 	}
 	if m := lt.machines[listed.Name]; m != nil {
-		if listed.Phase == cloud.PhaseFailed && !m.terminating && now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.HeartbeatInterval() {
+		missedHeartbeats := now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.HeartbeatInterval()
+		if listed.Phase == cloud.PhaseFailed && !m.terminating && missedHeartbeats {
 			lt.evacuate(m, "stopped")
 			lt.autoscaler.scaleIn(m)
 		}
@@ -162,16 +182,24 @@
 	age := time.Duration(listed.AgeS * float64(time.Second))
 	awaited := lt.provisioning[listed.Name]
 	if awaited == nil {
-		awaited = &provisioning{typ: listed.Type, zone: listed.Zone, spot: listed.Spot, since: now.Add(-age), boot: boot, cpus: mt.CPUs}
+		awaited = &provisioning{
+			typ:   listed.Type,
+			zone:  listed.Zone,
+			spot:  listed.Spot,
+			since: now.Add(-age),
+			boot:  boot,
+			cpus:  mt.CPUs,
+		}
 		lt.provisioning[listed.Name] = awaited
 	}
 	if awaited.terminating {
 		return
 	}
-	// A machine that is up reports within seconds; one that boots may take
-	// several times as long as usual.
+	// A machine that is up sends a heartbeat within seconds; one that boots may take several
+	// times as long as usual.
 	if listed.Phase == cloud.PhaseFailed || (now.Sub(awaited.since) > 4*boot+lt.c.Settings.Site.Workers.Lease()) {
-		lt.c.Log.Info("machine never reported", "machine", listed.Name, "phase", listed.Phase, "age", age.Round(time.Second))
+		lt.c.Log.Info("machine never sent a heartbeat", "machine", listed.Name,
+			"phase", listed.Phase, "age", age.Round(time.Second))
 		awaited.terminating = true
 		lt.autoscaler.terminations = append(lt.autoscaler.terminations, listed.Name)
 	}
--- a/internal/controller/autoscaler_constrained.go
+++ b/internal/controller/autoscaler_constrained.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -9,13 +10,14 @@
 	"example.org/ivytrestle/internal/fleet"
 )
 
-// Demand as a whole may be covered by machines on which some jobs must not run: cheap
-// ones, or those of another zone or type. What such jobs lack is covered for itself.
-// Otherwise, when only cheap machines were left of a fleet, a job that must not use
-// them waited for ever beside free room.
+// Demand as a whole may be covered by machines on which some jobs must not run: spot machines, or
+// those of another zone or type. What such jobs lack is covered separately. Otherwise, when only
+// spot machines were left of a fleet, a job that must not use them waited for ever beside free
+// capacity.
 
-// constrainedDemand is the demand of the jobs that may use the same machines only.
+// constrainedDemand is the demand of the jobs that are constrained to the same machines.
 type constrainedDemand struct {
+	// spec is that of one of the jobs, for the constraints that they share.
 	spec *api.JobSpec
 	cpus float64
 }
@@ -23,51 +25,57 @@
 // isConstrained tells whether a job may not use every machine.
 func isConstrained(s *api.JobSpec) bool { return !s.Spot || s.Zone != "" || s.Types != nil }
 
+// mayUse tells whether a job may run on machines of a type, zone and price model.
 func mayUse(s *api.JobSpec, typ, zone string, spot bool) bool {
 	return typeAllowed(s, typ) && (s.Zone == "" || s.Zone == zone) && (!spot || s.Spot)
 }
 
-// constrainedDemands sums up what waits, by what machines it may use. A job that awaits
-// others counts once all of them have begun: a machine boots meanwhile.
+// constrainedDemands sums up the demand of constrained jobs by their constraints: of what has been
+// pending for two heartbeat intervals, and of jobs whose dependencies have all started, since a
+// machine boots meanwhile.
 func (as *autoscaler) constrainedDemands(now time.Time) []*constrainedDemand {
 	byKind := map[string]*constrainedDemand{}
-	add := func(j *job, cpus float64) {
-		key := j.spec.Zone + "|" + strings.Join(j.spec.Types, ",")
-		if j.spec.Spot {
-			key += "|spot"
-		}
-		demand := byKind[key]
-		if demand == nil {
-			demand = &constrainedDemand{spec: &j.spec}
-			byKind[key] = demand
-		}
-		demand.cpus += cpus
-	}
 	minWait := 2 * as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()
 	for _, team := range as.leaderTerm.allTeams() {
 		available := team.LimitCPUs - team.UsedCPUs
 		for _, j := range team.Items() {
-			cpus := min(float64(j.flight.Untaken())*j.spec.CPUs, available)
-			if cpus > 0 && isConstrained(&j.spec) && !j.finishing && j.failureRounds == 0 && now.Sub(j.runnableSince) > minWait {
-				add(j, cpus)
+			if !isConstrained(&j.spec) || j.finishing || j.failureRounds > 0 || now.Sub(j.runnableSince) <= minWait {
+				continue
+			}
+			if cpus := min(float64(j.flight.Untaken())*j.spec.CPUs, available); cpus > 0 {
+				addDemand(byKind, j, cpus)
 				available -= cpus
 			}
 		}
 	}
 	for _, j := range as.leaderTerm.jobs {
-		if len(j.dependsOn) > 0 && !j.cancelPending && isConstrained(&j.spec) && as.leaderTerm.dependencies.dependenciesStarted(j) {
-			add(j, min(float64(j.spec.Tasks)*j.spec.CPUs, j.team.LimitCPUs))
+		if len(j.dependsOn) == 0 || j.cancelPending || !isConstrained(&j.spec) {
+			continue
 		}
+		if as.leaderTerm.dependencies.dependenciesStarted(j) {
+			addDemand(byKind, j, min(float64(j.spec.Tasks)*j.spec.CPUs, j.team.LimitCPUs))
+		}
+	}
+	return slices.SortedFunc(maps.Values(byKind), func(a, b *constrainedDemand) int {
+		return strings.Compare(a.spec.ID, b.spec.ID)
+	})
+}
+
+// addDemand adds a job's CPUs to the demand of its constraints.
+func addDemand(byKind map[string]*constrainedDemand, j *job, cpus float64) {
+	key := j.spec.Zone + "|" + strings.Join(j.spec.Types, ",")
+	if j.spec.Spot {
+		key += "|spot"
 	}
-	var demands []*constrainedDemand
-	for _, demand := range byKind {
-		demands = append(demands, demand)
+	demand := byKind[key]
+	if demand == nil {
+		demand = &constrainedDemand{spec: &j.spec}
+		byKind[key] = demand
 	}
-	slices.SortFunc(demands, func(a, b *constrainedDemand) int { return strings.Compare(a.spec.ID, b.spec.ID) })
-	return demands
+	demand.cpus += cpus
 }
 
-// dependenciesStarted tells whether all that a job waits for has begun.
+// dependenciesStarted tells whether all unfinished dependencies of a job have started.
 func (dg *dependencyGraph) dependenciesStarted(j *job) bool {
 	for id := range j.dependsOn {
 		if dependency := dg.leaderTerm.jobs[id]; dependency == nil || !dependency.started() {
@@ -77,8 +85,8 @@
 	return true
 }
 
-// scaleOutConstrained covers what is lacking for jobs that may not use every machine: by
-// machines that were to be drained, or by new ones.
+// scaleOutConstrained covers what constrained jobs lack: by machines that are draining, or by new
+// ones.
 func (as *autoscaler) scaleOutConstrained(offers []fleet.Offer, now time.Time) {
 	for _, demand := range as.constrainedDemands(now) {
 		missingCPUs, draining := as.missingFor(demand)
@@ -89,13 +97,15 @@
 			m.draining = false
 			missingCPUs -= float64(m.slots(demand.spec)) * demand.spec.CPUs
 		}
-		as.launch(missingCPUs, slices.DeleteFunc(slices.Clone(offers), func(o fleet.Offer) bool { return !mayUse(demand.spec, o.Type, o.Zone, o.Spot) }))
+		usable := slices.DeleteFunc(slices.Clone(offers), func(o fleet.Offer) bool {
+			return !mayUse(demand.spec, o.Type, o.Zone, o.Spot)
+		})
+		as.launch(missingCPUs, usable)
 	}
 }
 
-// missingFor is how many CPUs a demand lacks on the machines at hand, on those that
-// are expected and on those being rented. With it come the draining machines that
-// could serve the demand, by name.
+// missingFor is how many CPUs a demand lacks beyond the machines in use, those that boot and those
+// being launched, and which draining machines could serve the demand, by name.
 func (as *autoscaler) missingFor(demand *constrainedDemand) (missingCPUs float64, draining []*machine) {
 	missingCPUs = demand.cpus
 	for _, m := range as.leaderTerm.machines {
--- a/internal/controller/autoscaler_demand.go
+++ b/internal/controller/autoscaler_demand.go
@@ -8,10 +8,10 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// demand is the CPUs that the teams need now to be in time, each within its limit.
-// What is within a team's guarantee should start at once and counts in full; beyond
-// it, a job whose tasks can run one after the other counts for the part of its
-// tasks that have to run at the same time.
+// demand is the CPUs that the teams need now to meet their objectives, each within its limit. What
+// is within a team's guarantee should start at once and counts in full; beyond it, a job whose
+// tasks can run one after the other counts for the part of its tasks that must run at the same
+// time.
 func (as *autoscaler) demand() float64 {
 	bootedAt := time.Now().Add(as.longestBoot())
 	sum := 0.0
@@ -31,7 +31,7 @@
 	return sum
 }
 
-// allTeams are the cell's own teams and those of guests: what was accepted is to run.
+// allTeams are the cell's own teams and those of guests: both have accepted jobs.
 func (lt *leaderTerm) allTeams() []*queue.Team[*job] {
 	if len(lt.loans.guestFairShareOrder) == 0 {
 		return lt.fairShareOrder
@@ -48,15 +48,14 @@
 	return config.Duration(boot)
 }
 
-// demandPeak is the highest demand of the last while. Jobs come in bursts that fill
-// the fleet for less time than a machine takes to boot, so machines are kept
-// for the last burst's like.
+// demandPeak is the highest demand of a sliding window. Jobs arrive in bursts that use the fleet for
+// less time than a machine takes to boot, so machines are kept for the next burst of that size.
 type demandPeak struct {
 	times []time.Time
 	cpus  []float64
 }
 
-// add records the present demand and returns the highest since hold ago.
+// add adds the present demand, and returns the highest in the window.
 func (p *demandPeak) add(now time.Time, cpus float64, window time.Duration) float64 {
 	// Only falling values are kept: a lower one before a higher one can never
 	// be the highest again.
--- a/internal/controller/autoscaler_drain.go
+++ b/internal/controller/autoscaler_drain.go
@@ -8,12 +8,11 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// minSurplusTime is how long there must have been room to spare before a machine
-// is drained.
+// minSurplusTime is how long there must have been a surplus before a machine is drained.
 const minSurplusTime = 6 * time.Second
 
-// drain empties the machines that are worth least while there is room to spare,
-// and takes them back into use when there is not.
+// drain drains the most expensive machines while there is a surplus, and takes them back into use
+// when there is none.
 func (as *autoscaler) drain(now time.Time) {
 	spare := as.surplus
 	var draining, inUse []*machine
@@ -28,7 +27,11 @@
 		}
 	}
 	mostExpensiveFirst := func(a, b *machine) int {
-		return cmp.Or(-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)), cmp.Compare(a.usedCPUs, b.usedCPUs), cmp.Compare(a.name, b.name))
+		return cmp.Or(
+			-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)),
+			cmp.Compare(a.usedCPUs, b.usedCPUs),
+			cmp.Compare(a.name, b.name),
+		)
 	}
 	slices.SortFunc(draining, mostExpensiveFirst)
 	for i := len(draining) - 1; i >= 0 && spare < 0; i-- {
@@ -49,23 +52,25 @@
 		}
 		spare -= m.cpus
 		m.draining = true
-		as.leaderTerm.c.Log.Debug("machine drained", "machine", m.name, "tasks", len(m.attempts), "spare", spare)
+		as.leaderTerm.c.Log.Debug("machine draining", "machine", m.name, "count", len(m.attempts), "spare", spare)
 	}
 }
 
-// minRunBeforeMove keeps tasks that have just begun, and those that will soon end,
-// where they are.
+// Limits within which running tasks with checkpoints are moved off draining machines.
 const (
+	// A task that has run for less than minRunBeforeMove, or that ends within
+	// minRemainingForMove, stays where it is.
 	minRunBeforeMove    = 30 * time.Second
 	minRemainingForMove = 20 * time.Second
-	moveMargin          = 5 * time.Second
-	// moveCapacityFactor is how many times what a machine holds must be free
-	// elsewhere, so that what is moved need not wait there.
+	// moveMargin is how long before its job's objective a moved task must be expected to end.
+	moveMargin = 5 * time.Second
+	// moveCapacityFactor is how many times what a machine's tasks use must be free elsewhere,
+	// so that what is moved need not wait there.
 	moveCapacityFactor = 3
 )
 
-// moveCheckpointed stops the tasks on draining machines that can go on elsewhere from
-// where they were.
+// moveCheckpointed stops the tasks on draining machines that can continue elsewhere from their last
+// checkpoint, as far as there is capacity for them.
 func (as *autoscaler) moveCheckpointed(now time.Time) {
 	freeCPUs := 0.0
 	for _, m := range as.leaderTerm.machines {
@@ -78,29 +83,45 @@
 			continue
 		}
 		for _, a := range m.attempts {
-			if a.exited || a.job == nil || a.stop != nil || a.job.ended || a.job.spec.CheckpointS == 0 || a.phase != api.TaskRunning {
-				continue
-			}
-			spec := &a.job.spec
-			ran := now.Sub(a.runningAt)
-			remaining := spec.Estimate() - ran
-			objective := a.job.latestStart.Add(spec.Estimate())
-			if ran > minRunBeforeMove && remaining > minRemainingForMove+spec.Save() &&
-				(a.job.infeasible || now.Add(remaining*5/4+spec.Save()+3*as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()+moveMargin).Before(objective)) {
-				freeCPUs -= spec.CPUs
-				as.leaderTerm.stop(a, 2*spec.Save()+time.Second, now)
+			if as.isWorthMoving(a, now) {
+				freeCPUs -= a.job.spec.CPUs
+				as.leaderTerm.stop(a, 2*a.job.spec.Save()+time.Second, now)
 			}
 		}
 	}
 }
 
-// idleMachines picks the machines to give back: empty for long enough, the dearest
-// first, as far as what remains covers the demand.
+// isWorthMoving tells whether a running task can save its state, is neither near its start nor near
+// its end, and will still end in time for its job's next objective, unless none can be met any
+// more.
+func (as *autoscaler) isWorthMoving(a *attempt, now time.Time) bool {
+	if a.exited || a.job == nil || a.stop != nil || a.phase != api.TaskRunning {
+		return false
+	}
+	spec := &a.job.spec
+	if a.job.ended || spec.CheckpointS == 0 {
+		return false
+	}
+	ran := now.Sub(a.runningAt)
+	remaining := spec.Estimate() - ran
+	if ran <= minRunBeforeMove || remaining <= minRemainingForMove+spec.Save() {
+		return false
+	}
+	objective := a.job.latestStart.Add(spec.Estimate())
+	transfer := spec.Save() + 3*as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval() + moveMargin
+	return a.job.infeasible || now.Add(remaining*5/4+transfer).Before(objective)
+}
+
+// idleMachines picks the machines to terminate: empty for long enough, the most expensive first, as
+// far as the rest covers the demand peak. It takes their CPUs off the surplus.
 func (as *autoscaler) idleMachines(now time.Time) []*machine {
 	var idle []*machine
 	for _, m := range as.leaderTerm.machines {
-		if m.evacuating || m.terminated || !m.fenced || m.cpus == 0 || len(m.attempts) > 0 ||
-			(!m.draining && now.Sub(m.idleSince) < as.leaderTerm.c.Policy.IdleReturn) || now.Sub(m.addedAt) < minUptime {
+		if m.evacuating || m.terminated || !m.fenced || m.cpus == 0 || len(m.attempts) > 0 {
+			continue
+		}
+		inUseLately := !m.draining && now.Sub(m.idleSince) < as.leaderTerm.c.Policy.IdleReturn
+		if inUseLately || now.Sub(m.addedAt) < minUptime {
 			continue
 		}
 		idle = append(idle, m)
@@ -119,7 +140,7 @@
 	return idle[:n]
 }
 
-// scaleIn returns a machine to the cloud.
+// scaleIn has the cloud terminate a machine.
 func (as *autoscaler) scaleIn(m *machine) {
 	m.terminating = true
 	as.terminations = append(as.terminations, m.name)
