--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -45,6 +45,7 @@
 	unavailableTTL = 15 * time.Second
 )
 
+// init sets up the autoscaler for a term.
 func (as *autoscaler) init(lt *leaderTerm) {
 	as.leaderTerm = lt
 	as.unavailableUntil = map[fleet.Kind]time.Time{}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -39,6 +39,7 @@
 	unknown int
 }
 
+// init sets up the graph for a term.
 func (dg *dependencyGraph) init(lt *leaderTerm) {
 	limits := lt.c.Settings.Site.State
 	cancelOps := limits.WriteRPS * cancelWriteShare
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -49,7 +49,8 @@
 	// it rejects the commands of earlier leaders.
 	fenced bool
 	// lastSeen is when the machine last showed that it was alive, by a heartbeat or by its
-	// answer to a probe; lastHeartbeat is when the last heartbeat arrived.
+	// answer to a probe, moved on by the pauses of this process since; lastHeartbeat is when
+	// the last heartbeat arrived.
 	lastSeen      time.Time
 	lastHeartbeat time.Time
 	// nextProbe is when a suspect machine may be probed next; probeFails counts the probes
@@ -92,8 +93,8 @@
 	draining bool
 	// evacuating machines get no tasks, and their end follows.
 	evacuating bool
-	// terminating is set once the cloud was asked to end the machine, terminated once it
-	// has confirmed.
+	// terminating is set once the machine is to be terminated by the cloud, terminated once
+	// the cloud has confirmed that.
 	terminating bool
 	terminated  bool
 	// reason is why the machine is evacuated.
