--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -132,7 +132,7 @@
 )
 
 // A machine is quarantined if tasks of quarantineJobs failed on it since one last completed, or
-// quarantineFailures tasks of a job that has completed tasks elsewhere.
+// quarantineFailures tasks of a job that has completed tasks at all.
 const (
 	quarantineJobs     = 2
 	quarantineFailures = 2
