--- a/internal/api/awaits_test.go
+++ b/internal/api/dependencies_test.go
@@ -12,7 +12,7 @@
 
 // What a submission names under Awaits reaches the backend, each job once and in
 // the order in which they are first named.
-func TestAwaits(t *testing.T) {
+func TestDependenciesReachBackendOnceInOrder(t *testing.T) {
 	for literal, want := range map[string][]string{
 		"null": nil, "[]": nil, `["job-1"]`: {"job-1"},
 		`["job-000398","job-000405"]`:                     {"job-000398", "job-000405"},
@@ -22,49 +22,49 @@
 		`["job-00000000000000000412","job-4120"]`:         {"job-00000000000000000412", "job-4120"},
 		"[" + strings.Repeat(`"job-7",`, 50) + `"job-8"]`: {"job-7", "job-8"},
 	} {
-		s := &stub{}
-		w := call(t, s, "POST", "/api/jobs", raw("job-000412", "Awaits", literal))
+		s := &stubBackend{}
+		w := serve(t, s, "POST", "/api/jobs", submissionWithLiteral("job-000412", "Awaits", literal))
 		if w.Code != 201 || len(s.submitted) != 1 || !reflect.DeepEqual(s.submitted[0].DependsOn, want) {
 			t.Errorf("%s: %d (%s), %+v", literal, w.Code, w.Body, s.submitted)
 		}
 	}
-	s := &stub{}
-	if w := call(t, s, "POST", "/api/jobs", body(nil)); w.Code != 201 || len(s.submitted) != 1 || s.submitted[0].DependsOn != nil {
+	s := &stubBackend{}
+	if w := serve(t, s, "POST", "/api/jobs", submissionWith(nil)); w.Code != 201 || len(s.submitted) != 1 || s.submitted[0].DependsOn != nil {
 		t.Errorf("left out: %d (%s), %+v", w.Code, w.Body, s.submitted)
 	}
 }
 
 // A field Awaits that is invalid gets 400 and reaches nobody; the repeat of a
 // known job gets its state all the same.
-func TestInvalidAwaits(t *testing.T) {
+func TestInvalidDependenciesGetBadRequest(t *testing.T) {
 	for _, literal := range []string{
 		`"job-000398"`, "5", "true", "{}", `{"job-000398":true}`, `""`,
 		"[null]", `["job-1",null]`, "[5]", "[true]", "[{}]", `[["job-1"]]`, `["job-1",398]`,
 		`[""]`, `["x"]`, `["job-"]`, `["Job-1"]`, `["job-1 "]`, `["job-1/0"]`, `["job-1,job-2"]`, `["job-1","job-x"]`, `["job-123456789012345678901"]`,
 		`["%s"]`, `["job-1","%[1]s"]`, `["%[1]s","%[1]s"]`, // its own name
 	} {
-		of := func(id string) string {
+		submission := func(id string) string {
 			if strings.Contains(literal, "%") {
-				return raw(id, "Awaits", fmt.Sprintf(literal, id))
+				return submissionWithLiteral(id, "Awaits", fmt.Sprintf(literal, id))
 			}
-			return raw(id, "Awaits", literal)
+			return submissionWithLiteral(id, "Awaits", literal)
 		}
-		s := &stub{}
-		if w := call(t, s, "POST", "/api/jobs", of("job-000412")); w.Code != 400 || len(s.submitted) > 0 {
+		s := &stubBackend{}
+		if w := serve(t, s, "POST", "/api/jobs", submission("job-000412")); w.Code != 400 || len(s.submitted) > 0 {
 			t.Errorf("%s: %d (%s), %d accepted", literal, w.Code, w.Body, len(s.submitted))
 		}
-		if w := call(t, s, "POST", "/api/jobs", of("job-000007")); w.Code != 200 ||
+		if w := serve(t, s, "POST", "/api/jobs", submission("job-000007")); w.Code != 200 ||
 			w.Body.String() != `{"NameId":"job-000007","Phase":"done","done":3,"running":0}` {
 			t.Errorf("%s, of a known job: %d (%s)", literal, w.Code, w.Body)
 		}
-		if w := call(t, &stub{down: true}, "POST", "/api/jobs", of("job-000412")); w.Code != 503 || w.Header().Get("Retry-After") == "" {
+		if w := serve(t, &stubBackend{down: true}, "POST", "/api/jobs", submission("job-000412")); w.Code != 503 || w.Header().Get("Retry-After") == "" {
 			t.Errorf("%s, of a job that may be known: %d", literal, w.Code)
 		}
 	}
 }
 
 // Like other fields, Awaits is known by its exact name, and of two the last counts.
-func TestAwaitsByNameAndTwice(t *testing.T) {
+func TestDependenciesFieldNameIsExactAndLastCounts(t *testing.T) {
 	for _, c := range []struct {
 		more string
 		want int
@@ -78,8 +78,8 @@
 		{`"Awaits":["job-1"],"Awaits":null`, 201, nil},
 		{`"Awaits":["job-1"],"Awaits":"x"`, 400, nil},
 	} {
-		s := &stub{}
-		w := call(t, s, "POST", "/api/jobs", strings.TrimSuffix(body(nil), "}")+","+c.more+"}")
+		s := &stubBackend{}
+		w := serve(t, s, "POST", "/api/jobs", strings.TrimSuffix(submissionWith(nil), "}")+","+c.more+"}")
 		if w.Code != c.want || (len(s.submitted) > 0) != (c.want == 201) {
 			t.Errorf("%s: %d (%s)", c.more, w.Code, w.Body)
 		}
@@ -92,26 +92,26 @@
 }
 
 // A job may name as many others as its submission has room for.
-func TestManyAwaits(t *testing.T) {
+func TestDependenciesUpToBodyLimit(t *testing.T) {
 	var ids []string
 	list := func() string { return `["` + strings.Join(ids, `","`) + `"]` }
-	for size := len(raw("job-000412", "Awaits", "[]")); size+len(`"job-1000000",`) <= MaxBody; size += len(`"job-1000000",`) {
+	for size := len(submissionWithLiteral("job-000412", "Awaits", "[]")); size+len(`"job-1000000",`) <= MaxBody; size += len(`"job-1000000",`) {
 		ids = append(ids, fmt.Sprintf("job-%d", 1_000_000+len(ids)))
 	}
-	s := &stub{}
-	if w := call(t, s, "POST", "/api/jobs", raw("job-000412", "Awaits", list())); w.Code != 201 || len(s.submitted) != 1 ||
+	s := &stubBackend{}
+	if w := serve(t, s, "POST", "/api/jobs", submissionWithLiteral("job-000412", "Awaits", list())); w.Code != 201 || len(s.submitted) != 1 ||
 		!reflect.DeepEqual(s.submitted[0].DependsOn, ids) {
 		t.Errorf("%d jobs: %d (%s)", len(ids), w.Code, w.Body)
 	}
 	ids = append(ids, "job-2000000", "job-2000001")
-	if w := call(t, s, "POST", "/api/jobs", raw("job-000412", "Awaits", list())); w.Code != 400 {
+	if w := serve(t, s, "POST", "/api/jobs", submissionWithLiteral("job-000412", "Awaits", list())); w.Code != 400 {
 		t.Errorf("%d jobs: %d (%s)", len(ids), w.Code, w.Body)
 	}
 }
 
 // The record of a job that awaits none, and the answer about one that waits for
 // none, are byte for byte what they were before there was the field.
-func TestWithoutAwaitsNothingChanges(t *testing.T) {
+func TestEncodingWithoutDependenciesIsUnchanged(t *testing.T) {
 	const record = `{"NameId":"job-000412","Jobclass":"train","Owner":"vision","Shape":"array","Precedence":"urgent","Shoots":16,` +
 		`"Cores":8,"Cards":1,"MemoryGb":64,"Rootstock":"img-07","PullGb":6.2,"Frames":["g8"],"SamePlace":true,"Windfall":true,` +
 		`"ExpectS":240,"GraftS":30,"PressS":4,"DueS":900}`
@@ -120,9 +120,9 @@
 		"drop": record, "null": record, "[]": record,
 		`["job-000398","job-000405"]`: strings.TrimSuffix(record, "}") + waits,
 	} {
-		b := body(nil)
+		b := submissionWith(nil)
 		if literal != "drop" {
-			b = raw("job-000412", "Awaits", literal)
+			b = submissionWithLiteral("job-000412", "Awaits", literal)
 		}
 		spec, _, err := ParseSubmission([]byte(b))
 		if err != nil {
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -54,9 +54,9 @@
 func Handler(b Backend, log *slog.Logger) http.Handler {
 	s := &server{backend: b, log: log, submitSlots: make(chan struct{}, maxSubmits), pollSlots: make(chan struct{}, maxPolls)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /api/jobs", s.limited(s.submitSlots, s.submit))
-	mux.HandleFunc("GET /api/jobs/{id}", s.limited(s.pollSlots, s.job))
-	mux.HandleFunc("POST /api/jobs/{id}/abort", s.limited(s.submitSlots, s.cancel))
+	mux.HandleFunc("POST /api/jobs", s.withSlot(s.submitSlots, s.submitJob))
+	mux.HandleFunc("GET /api/jobs/{id}", s.withSlot(s.pollSlots, s.getJob))
+	mux.HandleFunc("POST /api/jobs/{id}/abort", s.withSlot(s.submitSlots, s.cancelJob))
 	mux.HandleFunc("POST /v1/report", s.heartbeat)
 	mux.HandleFunc("GET /ready", s.ready)
 	mux.HandleFunc("GET /status", s.status)
@@ -83,8 +83,8 @@
 // as it came and as it was read, or a question.
 const MaxHeldRequests = maxSubmits*(2*MaxBody) + maxPolls*(8<<10)
 
-// limited serves a request if there is a slot for it.
-func (s *server) limited(slots chan struct{}, serve http.HandlerFunc) http.HandlerFunc {
+// withSlot serves a request if there is a slot for it.
+func (s *server) withSlot(slots chan struct{}, serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case slots <- struct{}{}:
@@ -92,17 +92,17 @@
 			serve(w, r)
 		default:
 			w.Header().Set("Retry-After", strconv.Itoa(int(overloadRetryAfter/time.Second)))
-			s.fail(w, http.StatusTooManyRequests, errors.New("too many requests just now"))
+			s.writeError(w, http.StatusTooManyRequests, errors.New("too many requests just now"))
 		}
 	}
 }
 
 func (s *server) ready(w http.ResponseWriter, _ *http.Request) {
 	if !s.backend.Ready() {
-		s.fail(w, http.StatusServiceUnavailable, ErrUnavailable)
+		s.writeError(w, http.StatusServiceUnavailable, ErrUnavailable)
 		return
 	}
-	s.answer(w, http.StatusOK, map[string]bool{"ready": true})
+	s.writeJSON(w, http.StatusOK, map[string]bool{"ready": true})
 }
 
 func (s *server) status(w http.ResponseWriter, r *http.Request) {
@@ -110,123 +110,123 @@
 	defer cancel()
 	st, err := s.backend.Status(ctx)
 	if err != nil {
-		s.unavailable(w, err)
+		s.writeUnavailable(w, err)
 		return
 	}
-	s.answer(w, http.StatusOK, st)
+	s.writeJSON(w, http.StatusOK, st)
 }
 
-func (s *server) submit(w http.ResponseWriter, r *http.Request) {
+func (s *server) submitJob(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r, MaxBody)
 	if err != nil {
-		s.fail(w, http.StatusBadRequest, err)
+		s.writeError(w, http.StatusBadRequest, err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), submitTimeout)
 	defer cancel()
 	spec, id, err := ParseSubmission(body)
 	if err != nil {
-		s.refuse(ctx, w, id, http.StatusBadRequest, err)
+		s.rejectSubmission(ctx, w, id, http.StatusBadRequest, err)
 		return
 	}
 	st, created, err := s.backend.Submit(ctx, spec)
 	var never *UnschedulableError
 	switch {
 	case errors.As(err, &never):
-		s.refuse(ctx, w, spec.ID, http.StatusUnprocessableEntity, err)
+		s.rejectSubmission(ctx, w, spec.ID, http.StatusUnprocessableEntity, err)
 	case err != nil:
-		s.unavailable(w, err)
+		s.writeUnavailable(w, err)
 	case created:
-		s.answer(w, http.StatusCreated, st)
+		s.writeJSON(w, http.StatusCreated, st)
 	default:
-		s.answer(w, http.StatusOK, st)
+		s.writeJSON(w, http.StatusOK, st)
 	}
 }
 
-// refuse refuses a submission for good, unless it repeats a known job: that is
+// rejectSubmission refuses a submission for good, unless it repeats a known job: that is
 // answered with the job's state whatever else the repeat holds.
-func (s *server) refuse(ctx context.Context, w http.ResponseWriter, id string, status int, cause error) {
+func (s *server) rejectSubmission(ctx context.Context, w http.ResponseWriter, id string, status int, cause error) {
 	if id == "" {
-		s.fail(w, status, cause)
+		s.writeError(w, status, cause)
 		return
 	}
-	st, err := s.backend.RecordedJob(ctx, id)
+	state, err := s.backend.RecordedJob(ctx, id)
 	switch {
 	case errors.Is(err, ErrUnknownJob):
-		s.fail(w, status, cause)
+		s.writeError(w, status, cause)
 	case err != nil:
-		s.unavailable(w, err)
+		s.writeUnavailable(w, err)
 	default:
-		s.answer(w, http.StatusOK, st)
+		s.writeJSON(w, http.StatusOK, state)
 	}
 }
 
-func (s *server) job(w http.ResponseWriter, r *http.Request) {
+func (s *server) getJob(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), pollTimeout)
 	defer cancel()
 	id := r.PathValue("id")
 	if !ValidID(id) {
-		s.fail(w, http.StatusNotFound, ErrUnknownJob)
+		s.writeError(w, http.StatusNotFound, ErrUnknownJob)
 		return
 	}
 	st, err := s.backend.Job(ctx, id)
-	s.state(w, st, err)
+	s.writeJobState(w, st, err)
 }
 
-func (s *server) cancel(w http.ResponseWriter, r *http.Request) {
+func (s *server) cancelJob(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), cancelTimeout)
 	defer cancel()
 	id := r.PathValue("id")
 	if !ValidID(id) {
-		s.fail(w, http.StatusNotFound, ErrUnknownJob)
+		s.writeError(w, http.StatusNotFound, ErrUnknownJob)
 		return
 	}
 	st, err := s.backend.Cancel(ctx, id)
-	s.state(w, st, err)
+	s.writeJobState(w, st, err)
 }
 
-func (s *server) state(w http.ResponseWriter, st JobState, err error) {
+func (s *server) writeJobState(w http.ResponseWriter, st JobState, err error) {
 	switch {
 	case errors.Is(err, ErrUnknownJob):
-		s.fail(w, http.StatusNotFound, err)
+		s.writeError(w, http.StatusNotFound, err)
 	case err != nil:
-		s.unavailable(w, err)
+		s.writeUnavailable(w, err)
 	default:
-		s.answer(w, http.StatusOK, st)
+		s.writeJSON(w, http.StatusOK, st)
 	}
 }
 
 func (s *server) heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r, 4*MaxBody)
 	if err != nil {
-		s.fail(w, http.StatusBadRequest, err)
+		s.writeError(w, http.StatusBadRequest, err)
 		return
 	}
 	hb, err := ParseHeartbeat(body)
 	if err != nil {
-		s.fail(w, http.StatusBadRequest, err)
+		s.writeError(w, http.StatusBadRequest, err)
 		return
 	}
 	response, err := s.backend.Heartbeat(r.Context(), hb)
 	var other *NotLeaderError
 	switch {
 	case errors.As(err, &other) && other.Leader != "":
-		s.answer(w, http.StatusMisdirectedRequest, map[string]string{"Gardener": other.Leader})
+		s.writeJSON(w, http.StatusMisdirectedRequest, map[string]string{"Gardener": other.Leader})
 	case err != nil:
-		s.fail(w, http.StatusServiceUnavailable, err)
+		s.writeError(w, http.StatusServiceUnavailable, err)
 	default:
-		s.answer(w, http.StatusOK, response)
+		s.writeJSON(w, http.StatusOK, response)
 	}
 }
 
 // readBody reads a body of at most so many bytes.
-func readBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, error) {
-	in := http.MaxBytesReader(w, r.Body, most)
-	if r.ContentLength < 0 || r.ContentLength > most {
-		return io.ReadAll(in)
+func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
+	limited := http.MaxBytesReader(w, r.Body, limit)
+	if r.ContentLength < 0 || r.ContentLength > limit {
+		return io.ReadAll(limited)
 	}
 	body := make([]byte, r.ContentLength)
-	_, err := io.ReadFull(in, body)
+	_, err := io.ReadFull(limited, body)
 	return body, err
 }
 
@@ -236,17 +236,17 @@
 // overloadRetryAfter is when one should who came at a time of too many.
 const overloadRetryAfter = 2 * time.Second
 
-func (s *server) unavailable(w http.ResponseWriter, err error) {
+func (s *server) writeUnavailable(w http.ResponseWriter, err error) {
 	s.log.Debug("request not served", "err", err)
 	w.Header().Set("Retry-After", strconv.Itoa(int(retryAfter/time.Second)))
-	s.fail(w, http.StatusServiceUnavailable, ErrUnavailable)
+	s.writeError(w, http.StatusServiceUnavailable, ErrUnavailable)
 }
 
-func (s *server) fail(w http.ResponseWriter, status int, err error) {
-	s.answer(w, status, map[string]string{"error": err.Error()})
+func (s *server) writeError(w http.ResponseWriter, status int, err error) {
+	s.writeJSON(w, status, map[string]string{"error": err.Error()})
 }
 
-func (s *server) answer(w http.ResponseWriter, status int, body any) {
+func (s *server) writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, err := fast.Marshal(body)
 	if err != nil {
 		s.log.Error("encode answer", "err", err)
--- a/internal/api/report_test.go
+++ b/internal/api/heartbeat_test.go
@@ -10,7 +10,7 @@
 
 // The fast decoder must take and refuse what the standard library does, and what
 // it cannot read safely goes to that.
-func TestReportsAreReadLikeTheStandardLibraryDoes(t *testing.T) {
+func TestHeartbeatDecodingMatchesStandardLibrary(t *testing.T) {
 	good := `{"Host":"i-1","Addr":"10.1.0.1:9000","Frame":"g8","Bed":"a","Windfall":true,"Season":1,"Tally":88,"Warrant":18446744073709551615,` +
 		`"ReclaimS":7.5,"New":{"a":[1,2,{"b":null}]},"Shoots":[{"Shoot":"job-1/3","Sprout":2,"Phase":"running"},` +
 		`{"Shoot":"job-2/0","Sprout":1,"Phase":"exited","Cause":"done","Kept":true},{"Shoot":"job-\u0033/0","Phase":"dozing"}]}`
@@ -35,9 +35,9 @@
 
 // A report full of brackets of either kind must not have the stack of its reader
 // grow by many times its size: 16 MiB for one report was seen.
-func TestNestedReportsTakeNoStack(t *testing.T) {
+func TestNestedHeartbeatsDoNotGrowStack(t *testing.T) {
 	for _, open := range []string{"[", `{"a":`, `[{"a":`, `{"a": `} {
-		for _, depth := range []int{2 * maxObjects, 4 * MaxBody / len(open)} {
+		for _, depth := range []int{2 * maxFastObjects, 4 * MaxBody / len(open)} {
 			body := []byte(`{"Host":"i-1","Z":` + strings.Repeat(open, depth))
 			grew := make(chan uint64)
 			go func() { // a stack of its own, that has yet to grow
@@ -58,7 +58,7 @@
 
 // A report's phases outlive it in the leader's memory, so they must not hold its
 // whole body there.
-func TestPhasesShareNoMemoryWithTheReport(t *testing.T) {
+func TestPhasesShareNoMemoryWithHeartbeatBody(t *testing.T) {
 	body := []byte(`{"Host":"i-1","Shoots":[{"Shoot":"job-1/3","Phase":"running","Cause":"odd"}]}`)
 	hb, err := ParseHeartbeat(body)
 	if err != nil {
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -116,10 +116,10 @@
 	DependsOn   []*string `json:"Awaits"`
 }
 
-var idForm = regexp.MustCompile(`^job-[0-9]{1,20}$`)
+var idPattern = regexp.MustCompile(`^job-[0-9]{1,20}$`)
 
 // ValidID tells whether a job id has the protocol's form.
-func ValidID(id string) bool { return idForm.MatchString(id) }
+func ValidID(id string) bool { return idPattern.MatchString(id) }
 
 // ParseSubmission decodes and checks a submission. Where the body is invalid
 // but names a well-formed id, that id is returned with the error, since the
@@ -148,7 +148,7 @@
 	if err := json.Unmarshal(known, &in); err != nil {
 		return nil, id, fmt.Errorf("not a valid job: %w", jsonerror.Describe(known, err))
 	}
-	spec, err = in.spec()
+	spec, err = in.toSpec()
 	return spec, id, err
 }
 
@@ -161,8 +161,8 @@
 	return names
 }()
 
-// complete returns an error that names the first required field that is missing.
-func (in *submission) complete() error {
+// checkRequired returns an error that names the first required field that is missing.
+func (in *submission) checkRequired() error {
 	for _, f := range []struct {
 		name    string
 		missing bool
@@ -181,9 +181,9 @@
 	return nil
 }
 
-// spec checks a submission and returns the job that it describes.
-func (in *submission) spec() (*JobSpec, error) {
-	if err := in.complete(); err != nil {
+// toSpec checks a submission and returns the job that it describes.
+func (in *submission) toSpec() (*JobSpec, error) {
+	if err := in.checkRequired(); err != nil {
 		return nil, err
 	}
 	s := &JobSpec{
@@ -215,7 +215,7 @@
 			return nil, errors.New("field DueS must be above 0")
 		}
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return s, err
 	}
 	dependencies, err := in.dependencies()
@@ -244,7 +244,7 @@
 	return ids, nil
 }
 
-func (s *JobSpec) check() error {
+func (s *JobSpec) validate() error {
 	switch {
 	case !ValidID(s.ID):
 		return errors.New("field NameId has the wrong form")
@@ -337,13 +337,13 @@
 	Saved   bool   `json:"Kept"`
 }
 
-// maxArrays and maxObjects are how many of these a report may open and still be
+// maxFastArrays and maxFastObjects are how many of these a report may open and still be
 // read by the fast decoder, which follows nesting to any depth: a report full of
 // brackets would have its stack grow past the memory of the smallest controllers.
 // Each task is an object of fifty bytes or more, and MaxBody has room for fewer.
 const (
-	maxArrays  = 256
-	maxObjects = 2048
+	maxFastArrays  = 256
+	maxFastObjects = 2048
 )
 
 // ParseHeartbeat reads a report. Its strings share the memory of body, which must
@@ -351,7 +351,7 @@
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var hb Heartbeat
 	var err error
-	if bytes.Count(body, []byte("[")) > maxArrays || bytes.Count(body, []byte("{")) > maxObjects {
+	if bytes.Count(body, []byte("[")) > maxFastArrays || bytes.Count(body, []byte("{")) > maxFastObjects {
 		err = json.Unmarshal(body, &hb)
 	} else {
 		// Reports are most of what a leader reads, and this decoder takes a
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -28,8 +28,8 @@
 const (
 	MaxLaunch    = 50
 	MaxTerminate = 100
-	maxList      = 500
-	maxAnswer    = 4 << 20
+	listPageSize = 500
+	maxResponse  = 4 << 20
 )
 
 // LaunchRequest asks for machines. A name is never used for two different requests.
@@ -117,11 +117,11 @@
 // List reads the whole list of machines.
 func (c *Client) List(ctx context.Context) ([]Machine, error) {
 	var all []Machine
-	from := ""
+	after := ""
 	for {
-		q := url.Values{"Most": {strconv.Itoa(maxList)}}
-		if from != "" {
-			q.Set("From", from)
+		q := url.Values{"Most": {strconv.Itoa(listPageSize)}}
+		if after != "" {
+			q.Set("From", after)
 		}
 		var body struct {
 			Hosts []Machine `json:"Hosts"`
@@ -134,17 +134,17 @@
 		if !body.More || len(body.Hosts) == 0 {
 			return all, nil
 		}
-		from = body.Hosts[len(body.Hosts)-1].Name
+		after = body.Hosts[len(body.Hosts)-1].Name
 	}
 }
 
-func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
+func (c *Client) call(ctx context.Context, method, path string, input, output any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return fmt.Errorf("cloud: request budget: %w", err)
 	}
 	var body io.Reader
-	if in != nil {
-		raw, err := json.Marshal(in)
+	if input != nil {
+		raw, err := json.Marshal(input)
 		if err != nil {
 			return fmt.Errorf("cloud: encode: %w", err)
 		}
@@ -159,7 +159,7 @@
 		return fmt.Errorf("cloud: %w", err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
@@ -172,10 +172,10 @@
 		}
 		return fmt.Errorf("cloud: status %d %s", resp.StatusCode, e.Error)
 	}
-	if out == nil {
+	if output == nil {
 		return nil
 	}
-	if err := json.Unmarshal(raw, out); err != nil {
+	if err := json.Unmarshal(raw, output); err != nil {
 		return fmt.Errorf("cloud: malformed answer: %w", err)
 	}
 	return nil
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -48,12 +48,12 @@
 }
 
 // maxInFlight bounds the questions of one connection that are being answered,
-// and maxJobs those of them about jobs. The latter wait for the state service;
+// and maxJobQueries those of them about jobs. The latter wait for the state service;
 // while it is away they would fill all places, and a whole zone's reports and
 // the signs of life would wait behind them.
 const (
-	maxInFlight = 256
-	maxJobs     = 96
+	maxInFlight   = 256
+	maxJobQueries = 96
 )
 
 // Serve answers the peers that connect to a listener.
@@ -93,13 +93,13 @@
 func serveConn(ctx context.Context, conn net.Conn, h Handler) {
 	defer conn.Close()
 	out := &outbox{conn: conn}
-	slots, jobs := make(chan struct{}, maxInFlight), make(chan struct{}, maxJobs)
-	until := time.Now().Add(2 * idleTimeout)
-	conn.SetReadDeadline(until)
+	slots, jobs := make(chan struct{}, maxInFlight), make(chan struct{}, maxJobQueries)
+	deadline := time.Now().Add(2 * idleTimeout)
+	conn.SetReadDeadline(deadline)
 	readFrames(conn, func(raw []byte) error {
-		if now := time.Now(); until.Sub(now) < idleTimeout {
-			until = now.Add(2 * idleTimeout)
-			conn.SetReadDeadline(until)
+		if now := time.Now(); deadline.Sub(now) < idleTimeout {
+			deadline = now.Add(2 * idleTimeout)
+			conn.SetReadDeadline(deadline)
 		}
 		var req Request
 		if err := proto.Unmarshal(raw, &req); err != nil {
@@ -160,10 +160,10 @@
 
 // readFrames hands over the messages that arrive until the connection fails or take
 // does. What take is given is only its until it returns.
-func readFrames(conn net.Conn, take func(raw []byte) error) error {
-	f := frameReader{handle: take}
+func readFrames(conn net.Conn, handle func(raw []byte) error) error {
+	f := frameReader{handle: handle}
 	buf := make([]byte, 16<<10)
-	quiet, ok := conn.(*netio.Conn)
+	netioConn, ok := conn.(*netio.Conn)
 	if !ok {
 		for {
 			n, err := conn.Read(buf)
@@ -175,8 +175,8 @@
 			}
 		}
 	}
-	var failed error
-	err := quiet.Each(func(read func([]byte) (int, error)) netio.Next {
+	var frameErr error
+	err := netioConn.Each(func(read func([]byte) (int, error)) netio.Next {
 		n, err := read(buf)
 		if err == netio.ErrNothing {
 			return netio.Wait
@@ -185,28 +185,28 @@
 			err = f.feed(buf[:n])
 		}
 		if err != nil {
-			failed = err
+			frameErr = err
 			return netio.Stop
 		}
 		// Messages may be queued in any number, so only a read that finds
 		// nothing shows that there is none left.
 		return netio.Again
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, frameErr)
 }
 
 // frameReader takes messages out of what is read from a connection.
 type frameReader struct {
 	handle func(raw []byte) error
-	// pending is the beginning of a message that is not complete.
-	pending []byte
+	// partial is the beginning of a message that is not complete.
+	partial []byte
 }
 
 // feed takes in what was read, and hands on the messages that are complete.
 func (f *frameReader) feed(p []byte) error {
-	if len(f.pending) > 0 {
-		f.pending = append(f.pending, p...)
-		p = f.pending
+	if len(f.partial) > 0 {
+		f.partial = append(f.partial, p...)
+		p = f.partial
 	}
 	for len(p) >= 4 {
 		n := binary.BigEndian.Uint32(p)
@@ -221,7 +221,7 @@
 		}
 		p = p[4+n:]
 	}
-	f.pending = append([]byte(nil), p...)
+	f.partial = append([]byte(nil), p...)
 	return nil
 }
 
@@ -230,43 +230,43 @@
 type outbox struct {
 	conn net.Conn
 
-	mu      sync.Mutex
-	ready   []byte
-	writing bool
-	until   time.Time
+	mu        sync.Mutex
+	queued    []byte
+	isWriting bool
+	deadline  time.Time
 }
 
 // send writes a message, or leaves it to the one who writes already.
-func (o *outbox) send(m proto.Message, within time.Duration) error {
+func (o *outbox) send(m proto.Message, timeout time.Duration) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	at := len(o.ready)
-	ready, err := proto.MarshalOptions{}.MarshalAppend(append(o.ready, 0, 0, 0, 0), m)
+	start := len(o.queued)
+	queued, err := proto.MarshalOptions{}.MarshalAppend(append(o.queued, 0, 0, 0, 0), m)
 	if err != nil {
 		return err
 	}
-	binary.BigEndian.PutUint32(ready[at:], uint32(len(ready)-at-4))
-	o.ready = ready
-	if o.writing {
+	binary.BigEndian.PutUint32(queued[start:], uint32(len(queued)-start-4))
+	o.queued = queued
+	if o.isWriting {
 		return nil
 	}
-	o.writing = true
-	defer func() { o.writing = false }()
-	for len(o.ready) > 0 {
+	o.isWriting = true
+	defer func() { o.isWriting = false }()
+	for len(o.queued) > 0 {
 		o.mu.Unlock()
 		runtime.Gosched() // others that are about to send come first
 		o.mu.Lock()
-		out := o.ready
-		o.ready = nil
-		if now := time.Now(); o.until.Sub(now) < within {
-			o.until = now.Add(2 * within)
-			o.conn.SetWriteDeadline(o.until)
+		batch := o.queued
+		o.queued = nil
+		if now := time.Now(); o.deadline.Sub(now) < timeout {
+			o.deadline = now.Add(2 * timeout)
+			o.conn.SetWriteDeadline(o.deadline)
 		}
 		o.mu.Unlock()
-		_, err = o.conn.Write(out)
+		_, err = o.conn.Write(batch)
 		o.mu.Lock()
 		if err != nil {
-			o.ready = nil
+			o.queued = nil
 			return err
 		}
 	}
@@ -281,18 +281,18 @@
 	// out is the connection, nil while there is none.
 	out       *outbox
 	seq       uint64
-	waiting   map[uint64]chan *Response
-	dialing   bool
+	pending   map[uint64]chan *Response
+	isDialing bool
 	downUntil time.Time
-	// refused is set if the last connection was refused, not left hanging.
-	refused bool
+	// connectionRefused is set if the last connection was refused, not left hanging.
+	connectionRefused bool
 	// lastResponse is when the peer last answered anything.
 	lastResponse time.Time
 }
 
 // NewClient makes a client of the peer at an address.
 func NewClient(addr string) *Client {
-	return &Client{addr: addr, waiting: map[uint64]chan *Response{}}
+	return &Client{addr: addr, pending: map[uint64]chan *Response{}}
 }
 
 // Job asks the peer about a job.
@@ -412,22 +412,22 @@
 func (c *Client) register(ctx context.Context, ch chan *Response) (*outbox, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.downUntil) || c.dialing {
-		if c.refused {
+	if time.Now().Before(c.downUntil) || c.isDialing {
+		if c.connectionRefused {
 			return nil, 0, ErrConnectionRefused
 		}
 		return nil, 0, errors.New("peer: not reachable just now")
 	}
 	if c.out == nil {
-		c.dialing = true
+		c.isDialing = true
 		c.mu.Unlock()
 		conn, err := netio.Dialer(0)(ctx, "tcp", c.addr)
 		c.mu.Lock()
-		c.dialing = false
-		c.refused = errors.Is(err, syscall.ECONNREFUSED)
+		c.isDialing = false
+		c.connectionRefused = errors.Is(err, syscall.ECONNREFUSED)
 		if err != nil {
 			c.downUntil = time.Now().Add(500 * time.Millisecond)
-			if c.refused {
+			if c.connectionRefused {
 				return nil, 0, ErrConnectionRefused
 			}
 			return nil, 0, fmt.Errorf("peer: %w", err)
@@ -436,14 +436,14 @@
 		go c.receive(conn)
 	}
 	c.seq++
-	c.waiting[c.seq] = ch
+	c.pending[c.seq] = ch
 	return c.out, c.seq, nil
 }
 
 func (c *Client) unregister(seq uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, seq)
+	delete(c.pending, seq)
 }
 
 func (c *Client) receive(conn net.Conn) {
@@ -454,8 +454,8 @@
 		}
 		c.mu.Lock()
 		c.lastResponse = time.Now()
-		ch := c.waiting[resp.Seq]
-		delete(c.waiting, resp.Seq)
+		ch := c.pending[resp.Seq]
+		delete(c.pending, resp.Seq)
 		c.mu.Unlock()
 		if ch != nil {
 			ch <- &resp
@@ -474,8 +474,8 @@
 		return
 	}
 	c.out = nil
-	for seq, ch := range c.waiting {
-		delete(c.waiting, seq)
+	for seq, ch := range c.pending {
+		delete(c.pending, seq)
 		close(ch)
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// connected is a client whose connection ends in a served pipe.
-func connected(t *testing.T, h Handler) (*Client, net.Conn) {
+// newPipeClient is a client whose connection ends in a served pipe.
+func newPipeClient(t *testing.T, h Handler) (*Client, net.Conn) {
 	near, far := net.Pipe()
 	c := NewClient("nowhere")
 	c.out = &outbox{conn: near}
@@ -71,8 +71,8 @@
 	return c, far
 }
 
-func TestQuestionsBetweenControllers(t *testing.T) {
-	c, _ := connected(t, answers{term: 9})
+func TestRequestsBetweenControllers(t *testing.T) {
+	c, _ := newPipeClient(t, answers{term: 9})
 	ctx := t.Context()
 	if st, err := c.Job(ctx, "job-1"); err != nil || !st.Known || st.Phase != "done" || st.Done != 3 {
 		t.Errorf("%v, %v", st, err)
@@ -116,13 +116,13 @@
 
 // A peer that sends nonsense, or goes, fails the questions that wait; none may
 // wait for ever.
-func TestBrokenPeer(t *testing.T) {
+func TestBrokenConnectionFailsPendingRequests(t *testing.T) {
 	for name, breakIt := range map[string]func(net.Conn){
 		"goes":              func(far net.Conn) { far.Close() },
 		"oversized message": func(far net.Conn) { far.Write([]byte{0xff, 0xff, 0xff, 0xff}) },
 		"nonsense":          func(far net.Conn) { far.Write([]byte{0, 0, 0, 2, 0xff, 0xff}) },
 	} {
-		c, far := connected(t, nil)
+		c, far := newPipeClient(t, nil)
 		go func() {
 			io.ReadFull(far, make([]byte, 6))
 			breakIt(far)
@@ -135,23 +135,23 @@
 	}
 }
 
-// stuck cannot answer questions about jobs, as while the state service is away.
-type stuck struct{ answers }
+// blockedHandler cannot answer questions about jobs, as while the state service is away.
+type blockedHandler struct{ answers }
 
-func (s stuck) Job(ctx context.Context, _ string) (*JobStatus, error) {
+func (s blockedHandler) Job(ctx context.Context, _ string) (*JobStatus, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
 // Questions about jobs that wait hold up neither reports nor signs of life, and
 // those beyond the bound are refused at once.
-func TestReportsDoNotWaitBehindPolls(t *testing.T) {
-	c, _ := connected(t, stuck{answers{term: 9}})
+func TestHeartbeatsDoNotWaitBehindJobQueries(t *testing.T) {
+	c, _ := newPipeClient(t, blockedHandler{answers{term: 9}})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	const more = 50
 	refused := make(chan error, more)
-	for range maxJobs + more {
+	for range maxJobQueries + more {
 		go func() {
 			if _, err := c.Job(ctx, "job-1"); errors.Is(err, ErrUnavailable) {
 				refused <- err
@@ -172,7 +172,7 @@
 
 // Many questions at a time, over a socket: their messages go out together and
 // arrive in pieces that end anywhere.
-func TestManyQuestionsOverASocket(t *testing.T) {
+func TestConcurrentRequestsOverSocket(t *testing.T) {
 	ln, err := netio.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -188,9 +188,9 @@
 	var all sync.WaitGroup
 	for range 200 {
 		all.Go(func() {
-			ans, err := c.ForwardHeartbeat(ctx, hb)
-			if err != nil || ans.Orders[0].Task != hb.Tasks[0].Task {
-				t.Errorf("%v, %v", len(ans.GetOrders()), err)
+			response, err := c.ForwardHeartbeat(ctx, hb)
+			if err != nil || response.Orders[0].Task != hb.Tasks[0].Task {
+				t.Errorf("%v, %v", len(response.GetOrders()), err)
 			}
 		})
 	}
@@ -198,7 +198,7 @@
 }
 
 // Connections beyond the bound are closed at once, and those that are open go on.
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionsBeyondLimitAreClosed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -42,7 +42,7 @@
 	}
 	defer resp.Body.Close()
 	var hb api.Heartbeat
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&hb); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponse)).Decode(&hb); err != nil {
 		return nil, fmt.Errorf("probe: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
@@ -51,30 +51,30 @@
 	return &hb, nil
 }
 
-const maxAnswer = 1 << 20
+const maxResponse = 1 << 20
 
 // Resync tells a machine of a term, and returns the report that shows that it
 // has heard. It carries no orders, so it may come at any time.
 func (c *Client) Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error) {
-	session := uint64(1) // most machines have never lost theirs
+	agentEpoch := uint64(1) // most machines have never lost theirs
 	for range 2 {
-		hb, status, err := c.post(ctx, addr, &api.CommandBatch{Term: term, AgentEpoch: session, Commands: []api.Command{}})
+		hb, status, err := c.postCommands(ctx, addr, &api.CommandBatch{Term: term, AgentEpoch: agentEpoch, Commands: []api.Command{}})
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("resync: %w", err)
 		case status == http.StatusOK:
 			return hb, nil
-		case status != http.StatusConflict || hb.Term > term || hb.AgentEpoch == session:
+		case status != http.StatusConflict || hb.Term > term || hb.AgentEpoch == agentEpoch:
 			return nil, fmt.Errorf("resync: status %d, term %d", status, hb.Term)
 		}
-		session = hb.AgentEpoch
+		agentEpoch = hb.AgentEpoch
 	}
 	return nil, errors.New("resync: the session changes")
 }
 
-// post sends orders, and returns the report that answers them.
-func (c *Client) post(ctx context.Context, addr string, orders *api.CommandBatch) (*api.Heartbeat, int, error) {
-	raw, err := json.Marshal(orders)
+// postCommands sends orders, and returns the report that answers them.
+func (c *Client) postCommands(ctx context.Context, addr string, batch *api.CommandBatch) (*api.Heartbeat, int, error) {
+	raw, err := json.Marshal(batch)
 	if err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsNotApplied, err)
 	}
@@ -96,7 +96,7 @@
 	}
 	defer resp.Body.Close()
 	var hb api.Heartbeat
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&hb); err != nil && resp.StatusCode == http.StatusOK {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponse)).Decode(&hb); err != nil && resp.StatusCode == http.StatusOK {
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsOutcomeUnknown, err)
 	}
 	return &hb, resp.StatusCode, nil
@@ -104,8 +104,8 @@
 
 // SendCommands brings orders to a machine, once. It returns the number of the report
 // that shows them carried out.
-func (c *Client) SendCommands(ctx context.Context, addr string, orders *api.CommandBatch) (seq uint64, err error) {
-	hb, status, err := c.post(ctx, addr, orders)
+func (c *Client) SendCommands(ctx context.Context, addr string, batch *api.CommandBatch) (seq uint64, err error) {
+	hb, status, err := c.postCommands(ctx, addr, batch)
 	switch {
 	case err != nil:
 		return 0, err
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -13,9 +13,9 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// machine answers every request on a connection with a status and a body, or
+// respondWith answers every request on a connection with a status and a body, or
 // breaks off after it has read one.
-func machine(status int, body string) func(context.Context, string, string) (net.Conn, error) {
+func respondWith(status int, body string) func(context.Context, string, string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go func() {
@@ -34,19 +34,19 @@
 }
 
 // Only what certainly was not carried out may be ordered elsewhere.
-func TestOutcomesOfDirectOrders(t *testing.T) {
-	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
+func TestSendCommandsOutcomes(t *testing.T) {
+	refuseDial := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	for name, c := range map[string]struct {
 		dial func(context.Context, string, string) (net.Conn, error)
 		want error
 	}{
-		"carried out":      {machine(200, `{"Host":"i-1","Tally":7}`), nil},
-		"refused":          {machine(409, `{}`), api.ErrCommandsNotApplied},
-		"malformed":        {machine(400, `{}`), api.ErrCommandsNotApplied},
-		"no connection":    {refused, api.ErrCommandsNotApplied},
-		"no answer":        {machine(0, ""), api.ErrCommandsOutcomeUnknown},
-		"another status":   {machine(500, ""), api.ErrCommandsOutcomeUnknown},
-		"senseless answer": {machine(200, `{"Host"`), api.ErrCommandsOutcomeUnknown},
+		"carried out":      {respondWith(200, `{"Host":"i-1","Tally":7}`), nil},
+		"refused":          {respondWith(409, `{}`), api.ErrCommandsNotApplied},
+		"malformed":        {respondWith(400, `{}`), api.ErrCommandsNotApplied},
+		"no connection":    {refuseDial, api.ErrCommandsNotApplied},
+		"no answer":        {respondWith(0, ""), api.ErrCommandsOutcomeUnknown},
+		"another status":   {respondWith(500, ""), api.ErrCommandsOutcomeUnknown},
+		"senseless answer": {respondWith(200, `{"Host"`), api.ErrCommandsOutcomeUnknown},
 	} {
 		client := NewClient()
 		client.http.Transport.(*http.Transport).DialContext = c.dial
@@ -58,34 +58,34 @@
 }
 
 // A resync that names the wrong session is repeated with the right one.
-func TestResync(t *testing.T) {
-	answers := []func(context.Context, string, string) (net.Conn, error){
-		machine(409, `{"Host":"i-1","Season":3,"Warrant":4}`), machine(200, `{"Host":"i-1","Season":3,"Warrant":5,"Tally":9}`),
+func TestResyncRetriesWithMachinesAgentEpoch(t *testing.T) {
+	responses := []func(context.Context, string, string) (net.Conn, error){
+		respondWith(409, `{"Host":"i-1","Season":3,"Warrant":4}`), respondWith(200, `{"Host":"i-1","Season":3,"Warrant":5,"Tally":9}`),
 	}
 	client := NewClient()
 	client.http.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		next := answers[0]
-		answers = answers[1:]
+		next := responses[0]
+		responses = responses[1:]
 		return next(ctx, network, addr)
 	}
 	if hb, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err != nil || hb.Seq != 9 || hb.Term != 5 {
 		t.Errorf("%v, %v", hb, err)
 	}
-	client.http.Transport.(*http.Transport).DialContext = machine(409, `{"Host":"i-1","Season":1,"Warrant":6}`)
+	client.http.Transport.(*http.Transport).DialContext = respondWith(409, `{"Host":"i-1","Season":1,"Warrant":6}`)
 	if _, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err == nil {
 		t.Error("a machine with a later term was resynced")
 	}
 }
 
-func TestProbe(t *testing.T) {
+func TestProbeOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		dial func(context.Context, string, string) (net.Conn, error)
 		good bool
 	}{
-		"alive":     {machine(200, `{"Host":"i-1","Season":2,"Tally":7}`), true},
-		"no answer": {machine(0, ""), false},
-		"trouble":   {machine(500, `{}`), false},
-		"senseless": {machine(200, `{"Host"`), false},
+		"alive":     {respondWith(200, `{"Host":"i-1","Season":2,"Tally":7}`), true},
+		"no answer": {respondWith(0, ""), false},
+		"trouble":   {respondWith(500, `{}`), false},
+		"senseless": {respondWith(200, `{"Host"`), false},
 	} {
 		client := NewClient()
 		client.http.Transport.(*http.Transport).DialContext = c.dial
