--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// stubBackend is a backend that knows one job and is the leader or not.
+// stubBackend is a backend with one known job, of the leader or of another node.
 type stubBackend struct {
 	submitted []*JobSpec
 	down      bool
@@ -61,12 +61,24 @@
 func serve(t *testing.T, b Backend, method, path, body string) *httptest.ResponseRecorder {
 	t.Helper()
 	w := httptest.NewRecorder()
-	Handler(b, slog.New(slog.DiscardHandler)).ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+	r := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
+	Handler(b, slog.New(slog.DiscardHandler)).ServeHTTP(w, r)
 	return w
 }
 
+// submit posts a submission.
+func submit(t *testing.T, b Backend, body string) *httptest.ResponseRecorder {
+	t.Helper()
+	return serve(t, b, http.MethodPost, "/api/jobs", body)
+}
+
+// newJob is the ID of a job that is not known yet.
+const newJob = "job-000412"
+
+// submissionWith is a valid submission with some fields changed, or left out where the
+// value is "drop".
 func submissionWith(change map[string]any) string {
-	m := map[string]any{"NameId": "job-000412", "Jobclass": "train", "Owner": "vision", "Shape": "array",
+	m := map[string]any{"NameId": newJob, "Jobclass": "train", "Owner": "vision", "Shape": "array",
 		"Precedence": "urgent", "Shoots": 16, "Cores": 8.0, "Cards": 1.0, "MemoryGb": 64.0, "Rootstock": "img-07",
 		"PullGb": 6.2, "Frames": []string{"g8"}, "Bed": nil, "SamePlace": true, "Scatter": false, "Windfall": true,
 		"ExpectS": 240.0, "GraftS": 30.0, "PressS": 4.0, "DueS": 900.0, "Unheard": "of"}
@@ -88,7 +100,8 @@
 		want       int
 	}{
 		{"good, with an unknown field", submissionWith(nil), 201},
-		{"nullable fields left out", submissionWith(map[string]any{"Frames": "drop", "Bed": "drop", "DueS": "drop"}), 201},
+		{"nullable fields left out", submissionWith(map[string]any{"Frames": "drop", "Bed": "drop", "DueS": "drop"}),
+			201},
 		{"not JSON", "{", 400},
 		{"not an object", "[]", 400},
 		{"null", "null", 400},
@@ -111,18 +124,18 @@
 		{"known job, unknown team", submissionWith(map[string]any{"NameId": "job-000007", "Owner": "nobody"}), 200},
 		{"known job, missing field", submissionWith(map[string]any{"NameId": "job-000007", "Cores": "drop"}), 200},
 	} {
-		if w := serve(t, &stubBackend{}, "POST", "/api/jobs", c.body); w.Code != c.want {
-			t.Errorf("%s: %d, want %d (%s)", c.name, w.Code, c.want, w.Body)
+		if w := submit(t, &stubBackend{}, c.body); w.Code != c.want {
+			t.Errorf("%s: got status %d, want %d (%s)", c.name, w.Code, c.want, w.Body)
 		}
 	}
 }
 
-// A node that cannot tell whether a job is known may not refuse it for good.
+// A node that cannot find out whether a job is known must not reject it for good.
 func TestUnavailableBackendNeverRejectsForGood(t *testing.T) {
 	for _, b := range []string{submissionWith(nil), submissionWith(map[string]any{"Cores": "drop"})} {
-		w := serve(t, &stubBackend{down: true}, "POST", "/api/jobs", b)
+		w := submit(t, &stubBackend{down: true}, b)
 		if w.Code != 503 || w.Header().Get("Retry-After") != "1" {
-			t.Errorf("%d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
+			t.Errorf("got status %d, Retry-After %q; want 503 and \"1\"", w.Code, w.Header().Get("Retry-After"))
 		}
 	}
 }
@@ -137,37 +150,46 @@
 		{"GET", "/api/jobs/job-000007", false, 200}, {"GET", "/api/jobs/job-000008", false, 404},
 		{"GET", "/api/jobs/job-000007", true, 503}, {"GET", "/api/jobs/other", false, 404},
 		{"POST", "/api/jobs/job-000007/abort", false, 200}, {"POST", "/api/jobs/job-000008/abort", false, 404},
-		{"GET", "/nowhere", false, 404}, {"DELETE", "/api/jobs/job-000007", false, 405}, {"GET", "/v1/report", false, 405},
+		{"GET", "/nowhere", false, 404}, {"DELETE", "/api/jobs/job-000007", false, 405},
+		{"GET", "/v1/report", false, 405},
 	} {
 		if w := serve(t, &stubBackend{down: c.down}, c.method, c.path, ""); w.Code != c.want {
-			t.Errorf("%s %s: %d, want %d", c.method, c.path, w.Code, c.want)
+			t.Errorf("%s %s: got status %d, want %d", c.method, c.path, w.Code, c.want)
 		}
 	}
 }
 
 func TestHeartbeatResponses(t *testing.T) {
 	const heartbeat = `{"Host":"i-000231","Season":1,"Tally":2,"Shoots":[]}`
-	if w := serve(t, &stubBackend{}, "POST", "/v1/report", heartbeat); w.Code != 200 || w.Body.String() != `{"Warrant":4,"Orders":[]}` {
-		t.Errorf("%d %s", w.Code, w.Body)
-	}
-	if w := serve(t, &stubBackend{leader: "trellis-2"}, "POST", "/v1/report", heartbeat); w.Code != 421 || w.Body.String() != `{"Gardener":"trellis-2"}` {
-		t.Errorf("%d %s", w.Code, w.Body)
+	for _, c := range []struct {
+		name     string
+		backend  *stubBackend
+		wantCode int
+		wantBody string
+	}{
+		{"leader", &stubBackend{}, 200, `{"Warrant":4,"Orders":[]}`},
+		{"another node leads", &stubBackend{leader: "trellis-2"}, 421, `{"Gardener":"trellis-2"}`},
+	} {
+		w := serve(t, c.backend, "POST", "/v1/report", heartbeat)
+		if w.Code != c.wantCode || w.Body.String() != c.wantBody {
+			t.Errorf("%s: got %d %s, want %d %s", c.name, w.Code, w.Body, c.wantCode, c.wantBody)
+		}
 	}
-	for _, bad := range []string{"", "{}", "[1]", `{"Host":"i-1","Season":-1}`} {
-		if w := serve(t, &stubBackend{}, "POST", "/v1/report", bad); w.Code != http.StatusBadRequest {
-			t.Errorf("%q: %d", bad, w.Code)
+	for _, invalid := range []string{"", "{}", "[1]", `{"Host":"i-1","Season":-1}`} {
+		if w := serve(t, &stubBackend{}, "POST", "/v1/report", invalid); w.Code != http.StatusBadRequest {
+			t.Errorf("heartbeat %q: got status %d, want 400", invalid, w.Code)
 		}
 	}
 }
 
-// A flood is refused at once and told when to come back, while reports and
-// health checks are served.
+// Requests without a slot are rejected at once with a Retry-After, while heartbeats
+// and health checks are served.
 func TestRequestsBeyondSlotsGetTooManyRequests(t *testing.T) {
 	blocked := &blockedBackend{stubBackend: &stubBackend{}, release: make(chan struct{})}
 	h := Handler(blocked, slog.New(slog.DiscardHandler))
 	send := func(method, path, body string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+		h.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body)))
 		return w
 	}
 	var served sync.WaitGroup
@@ -178,22 +200,22 @@
 		runtime.Gosched()
 	}
 	if w := send("GET", "/api/jobs/job-000001", ""); w.Code != 429 || w.Header().Get("Retry-After") == "" {
-		t.Errorf("one more poll: %d, %v", w.Code, w.Header())
+		t.Errorf("poll without a slot: got status %d, headers %v; want 429 and Retry-After", w.Code, w.Header())
 	}
 	if w := send("GET", "/ready", ""); w.Code != 200 {
-		t.Errorf("ready: %d", w.Code)
+		t.Errorf("health check: got status %d, want 200", w.Code)
 	}
 	if w := send("POST", "/v1/report", `{"Host":"i-1"}`); w.Code != 200 {
-		t.Errorf("report: %d", w.Code)
+		t.Errorf("heartbeat: got status %d, want 200", w.Code)
 	}
 	close(blocked.release)
 	served.Wait()
 	if w := send("GET", "/api/jobs/job-000001", ""); w.Code != 404 {
-		t.Errorf("after the flood: %d", w.Code)
+		t.Errorf("poll after the others: got status %d, want 404", w.Code)
 	}
 }
 
-// blockedBackend answers polls only when released.
+// blockedBackend serves polls only when released.
 type blockedBackend struct {
 	*stubBackend
 	waiting atomic.Int64
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -14,45 +14,57 @@
 
 // Errors of a Backend.
 var (
-	// ErrUnavailable means that the node cannot answer just now.
+	// ErrUnavailable means that the node cannot serve the request at the moment.
 	ErrUnavailable = errors.New("not available just now")
-	// ErrUnknownJob means that no such job was accepted.
+	// ErrUnknownJob means that no job of this ID was accepted.
 	ErrUnknownJob = errors.New("unknown job")
 )
 
-// UnschedulableError says why a job can never run.
+// UnschedulableError gives the reason why no machine could ever run a job.
 type UnschedulableError struct{ Reason string }
 
+// Error implements error; users see the text.
 func (e *UnschedulableError) Error() string { return "the job can never run: " + e.Reason }
 
-// NotLeaderError names the node that workers should report to, if known.
+// NotLeaderError redirects a worker agent to the leader; Leader is empty if it is not known.
 type NotLeaderError struct{ Leader string }
 
+// Error implements error.
 func (e *NotLeaderError) Error() string { return "not the leader" }
 
-// Backend is the service behind the handlers.
+// Backend serves the requests that the handlers decode.
 type Backend interface {
+	// Submit accepts a job; created is unset if it was accepted before.
 	Submit(ctx context.Context, spec *JobSpec) (st JobState, created bool, err error)
-	// RecordedJob looks a job up whose repeated submission is invalid.
+	// RecordedJob reads the state of a job whose repeated submission is invalid.
 	RecordedJob(ctx context.Context, id string) (JobState, error)
+	// Job reads the state of a job.
 	Job(ctx context.Context, id string) (JobState, error)
+	// Cancel cancels a job and returns its state.
 	Cancel(ctx context.Context, id string) (JobState, error)
+	// Heartbeat applies a worker agent's heartbeat and returns its commands.
 	Heartbeat(ctx context.Context, hb *Heartbeat) (HeartbeatResponse, error)
+	// Ready reports whether the node passes its health check.
 	Ready() bool
-	// Status is the operators' view of the node.
+	// Status returns the operators' view of the node.
 	Status(ctx context.Context) (any, error)
 }
 
-// Times by which the senders give up, less what the answer's way takes.
+// Timeouts of the senders, less the time that a response takes to reach them.
 const (
 	submitTimeout = 2500 * time.Millisecond
 	pollTimeout   = 1500 * time.Millisecond
 	cancelTimeout = 3 * time.Second
 )
 
-// Handler serves users, workers and health checks.
+// Handler serves users, worker agents and health checks.
 func Handler(b Backend, log *slog.Logger) http.Handler {
-	s := &server{backend: b, log: log, submitSlots: make(chan struct{}, maxSubmits), pollSlots: make(chan struct{}, maxPolls)}
+	s := &server{
+		backend:     b,
+		log:         log,
+		submitSlots: make(chan struct{}, maxSubmits),
+		pollSlots:   make(chan struct{}, maxPolls),
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /api/jobs", s.withSlot(s.submitSlots, s.submitJob))
 	mux.HandleFunc("GET /api/jobs/{id}", s.withSlot(s.pollSlots, s.getJob))
@@ -66,24 +78,23 @@
 type server struct {
 	backend Backend
 	log     *slog.Logger
-	// submitSlots and asks bound the users' requests that are being served: what
-	// cannot be is refused at once, with a time to come back.
+	// submitSlots and pollSlots bound the users' requests in flight: one without a
+	// slot is rejected at once with a Retry-After.
 	submitSlots, pollSlots chan struct{}
 }
 
-// At most so many submissions and questions are served at the same time. Each
-// submission holds a body of up to MaxBody, and there is only so much memory;
-// questions wait for the leader or the store.
+// Submissions and polls in flight, at most. Each submission holds a body of up to
+// MaxBody in limited memory; polls wait for the leader or the key-value store.
 const (
 	maxSubmits = 48
 	maxPolls   = 160
 )
 
-// MaxHeldRequests is about how many bytes requests that are being served hold: a body
-// as it came and as it was read, or a question.
+// MaxHeldRequests is about how many bytes the requests in flight hold: a submission's
+// body as received and as decoded, or a poll.
 const MaxHeldRequests = maxSubmits*(2*MaxBody) + maxPolls*(8<<10)
 
-// withSlot serves a request if there is a slot for it.
+// withSlot serves a request if a slot is free and rejects it otherwise.
 func (s *server) withSlot(slots chan struct{}, serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -130,9 +141,9 @@
 		return
 	}
 	st, created, err := s.backend.Submit(ctx, spec)
-	var never *UnschedulableError
+	var unschedulable *UnschedulableError
 	switch {
-	case errors.As(err, &never):
+	case errors.As(err, &unschedulable):
 		s.rejectSubmission(ctx, w, spec.ID, http.StatusUnprocessableEntity, err)
 	case err != nil:
 		s.writeUnavailable(w, err)
@@ -143,8 +154,8 @@
 	}
 }
 
-// rejectSubmission refuses a submission for good, unless it repeats a known job: that is
-// answered with the job's state whatever else the repeat holds.
+// rejectSubmission rejects a submission for good, unless it repeats a known job: the
+// response to a repeat is the job's state whatever else the repeat holds.
 func (s *server) rejectSubmission(ctx context.Context, w http.ResponseWriter, id string, status int, cause error) {
 	if id == "" {
 		s.writeError(w, status, cause)
@@ -197,7 +208,7 @@
 }
 
 func (s *server) heartbeat(w http.ResponseWriter, r *http.Request) {
-	body, err := readBody(w, r, 4*MaxBody)
+	body, err := readBody(w, r, maxHeartbeatBody)
 	if err != nil {
 		s.writeError(w, http.StatusBadRequest, err)
 		return
@@ -208,10 +219,10 @@
 		return
 	}
 	response, err := s.backend.Heartbeat(r.Context(), hb)
-	var other *NotLeaderError
+	var notLeader *NotLeaderError
 	switch {
-	case errors.As(err, &other) && other.Leader != "":
-		s.writeJSON(w, http.StatusMisdirectedRequest, map[string]string{"Gardener": other.Leader})
+	case errors.As(err, &notLeader) && notLeader.Leader != "":
+		s.writeJSON(w, http.StatusMisdirectedRequest, map[string]string{"Gardener": notLeader.Leader})
 	case err != nil:
 		s.writeError(w, http.StatusServiceUnavailable, err)
 	default:
@@ -219,7 +230,10 @@
 	}
 }
 
-// readBody reads a body of at most so many bytes.
+// maxHeartbeatBody is the largest body of a heartbeat.
+const maxHeartbeatBody = 4 * MaxBody
+
+// readBody reads a body of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	limited := http.MaxBytesReader(w, r.Body, limit)
 	if r.ContentLength < 0 || r.ContentLength > limit {
@@ -230,10 +244,10 @@
 	return body, err
 }
 
-// retryAfter is when a user should come back to a node that could not answer.
+// retryAfter is the Retry-After of a node that could not serve a request.
 const retryAfter = time.Second
 
-// overloadRetryAfter is when one should who came at a time of too many.
+// overloadRetryAfter is the Retry-After of a request without a slot.
 const overloadRetryAfter = 2 * time.Second
 
 func (s *server) writeUnavailable(w http.ResponseWriter, err error) {
@@ -249,7 +263,7 @@
 func (s *server) writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, err := fast.Marshal(body)
 	if err != nil {
-		s.log.Error("encode answer", "err", err)
+		s.log.Error("encode response failed", "err", err)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -258,5 +272,6 @@
 	h["Content-Length"] = []string{strconv.Itoa(len(raw))}
 	h["Date"] = nil
 	w.WriteHeader(status)
-	w.Write(raw)
+	// An error means that the client has closed the connection: nobody is left to answer.
+	_, _ = w.Write(raw)
 }
--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -8,33 +8,39 @@
 	"testing"
 )
 
-// The fast decoder must take and refuse what the standard library does, and what
-// it cannot read safely goes to that.
+// ParseHeartbeat must accept and reject what the standard library does, and leave to it
+// what the fast decoder cannot read safely.
 func TestHeartbeatDecodingMatchesStandardLibrary(t *testing.T) {
-	good := `{"Host":"i-1","Addr":"10.1.0.1:9000","Frame":"g8","Bed":"a","Windfall":true,"Season":1,"Tally":88,"Warrant":18446744073709551615,` +
-		`"ReclaimS":7.5,"New":{"a":[1,2,{"b":null}]},"Shoots":[{"Shoot":"job-1/3","Sprout":2,"Phase":"running"},` +
-		`{"Shoot":"job-2/0","Sprout":1,"Phase":"exited","Cause":"done","Kept":true},{"Shoot":"job-\u0033/0","Phase":"dozing"}]}`
+	good := `{"Host":"i-1","Addr":"10.1.0.1:9000","Frame":"g8","Bed":"a","Windfall":true,"Season":1,"Tally":88,` +
+		`"Warrant":18446744073709551615,"ReclaimS":7.5,"New":{"a":[1,2,{"b":null}]},` +
+		`"Shoots":[{"Shoot":"job-1/3","Sprout":2,"Phase":"running"},` +
+		`{"Shoot":"job-2/0","Sprout":1,"Phase":"exited","Cause":"done","Kept":true},` +
+		`{"Shoot":"job-\u0033/0","Phase":"dozing"}]}`
 	for _, body := range []string{
-		good, good + "\r\n ", `{"Host":"i-1"}`, `{"Host":"i-1","Shoots":null,"ReclaimS":null}`, good + good, good[:len(good)-1],
-		"", "null", "[]", "{}", `{"Host":5}`, `{"Host":""}`, `{"Host":"i-1","Season":-1}`, `{"Host":"i-1","Season":1.5}`,
+		good, good + "\r\n ", `{"Host":"i-1"}`, `{"Host":"i-1","Shoots":null,"ReclaimS":null}`,
+		good + good, good[:len(good)-1],
+		"", "null", "[]", "{}", `{"Host":5}`, `{"Host":""}`, `{"Host":"i-1","Season":-1}`,
+		`{"Host":"i-1","Season":1.5}`,
 		`{"Host":"i-1","Tally":18446744073709551616}`, `{"Host":"i-1","Shoots":{}}`, `{"Host":"i-1","Shoots":[5]}`,
-		`{"Host":"i-1","Z":nul}`, `{"Host":"i-1","Z":"` + "\n" + `"}`, `{"Host":"i-1","Z":` + strings.Repeat("[", 60_000) + `}`,
+		`{"Host":"i-1","Z":nul}`, `{"Host":"i-1","Z":"` + "\n" + `"}`,
+		`{"Host":"i-1","Z":` + strings.Repeat("[", 60_000) + `}`,
 		`{"Host":"i-1","Z":` + strings.Repeat("[", 20_000) + strings.Repeat("]", 20_000) + `}`,
 		`{"Host":"i-1","Z":` + strings.Repeat(`{"a":`, 20_000) + "1" + strings.Repeat("}", 20_000) + `}`,
 		`{"Host":"i-1","Z":` + strings.Repeat(`{"a":`, 5_000) + "1" + strings.Repeat("}", 5_000) + `}`,
-		`{"Host":"i-1","Shoots":[` + strings.Repeat(`{"Shoot":"job-1/3","Sprout":2,"Phase":"running"},`, 3_000) + `{}]}`,
+		`{"Host":"i-1","Shoots":[` +
+			strings.Repeat(`{"Shoot":"job-1/3","Sprout":2,"Phase":"running"},`, 3_000) + `{}]}`,
 	} {
 		var want Heartbeat
 		wantErr := json.Unmarshal([]byte(body), &want) != nil || want.Machine == ""
 		got, err := ParseHeartbeat([]byte(body))
 		if (err != nil) != wantErr || err == nil && !reflect.DeepEqual(*got, want) {
-			t.Errorf("%.80q: %+v, %v; the standard library: %+v, %v", body, got, err, want, wantErr)
+			t.Errorf("%.80q: got %+v, %v; want %+v, error %v, as the standard library", body, got, err, want, wantErr)
 		}
 	}
 }
 
-// A report full of brackets of either kind must not have the stack of its reader
-// grow by many times its size: 16 MiB for one report was seen.
+// A heartbeat full of brackets of either kind must not grow its reader's stack to many
+// times its size: 16 MiB for one heartbeat was seen.
 func TestNestedHeartbeatsDoNotGrowStack(t *testing.T) {
 	for _, open := range []string{"[", `{"a":`, `[{"a":`, `{"a": `} {
 		for _, depth := range []int{2 * maxFastObjects, 4 * MaxBody / len(open)} {
@@ -44,20 +50,20 @@
 				var before, after runtime.MemStats
 				runtime.ReadMemStats(&before)
 				if _, err := ParseHeartbeat(body); err == nil {
-					t.Errorf("%d times %q was read", depth, open)
+					t.Errorf("%d times %q: got no error, want one", depth, open)
 				}
 				runtime.ReadMemStats(&after)
 				grew <- after.StackInuse - min(before.StackInuse, after.StackInuse)
 			}()
 			if n := <-grew; n > 1<<20 {
-				t.Errorf("%d times %q: the stack grew by %d KiB", depth, open, n>>10)
+				t.Errorf("%d times %q: the stack grew by %d KiB, want 1024 at most", depth, open, n>>10)
 			}
 		}
 	}
 }
 
-// A report's phases outlive it in the leader's memory, so they must not hold its
-// whole body there.
+// The phases of a heartbeat outlive it in the leader's memory, so they must not keep
+// its whole body there.
 func TestPhasesShareNoMemoryWithHeartbeatBody(t *testing.T) {
 	body := []byte(`{"Host":"i-1","Shoots":[{"Shoot":"job-1/3","Phase":"running","Cause":"odd"}]}`)
 	hb, err := ParseHeartbeat(body)
@@ -66,6 +72,6 @@
 	}
 	clear(body)
 	if task := hb.Tasks[0]; task.Phase != TaskRunning || task.Cause != "odd" {
-		t.Errorf("%+v", task)
+		t.Errorf("got %+v, want phase %q, cause odd", task, TaskRunning)
 	}
 }
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -1,6 +1,6 @@
-// Package api holds the wire types of the users' and workers' interfaces and
-// the handlers that serve them. The protocol's own words stay in this package
-// and in the clients of the outside services.
+// Package api holds the wire types of the interfaces of users and worker agents and
+// the handlers that serve them. Wire names appear only in this package and in the
+// clients of external services.
 package api
 
 import (
@@ -27,7 +27,7 @@
 	JobCancelled = "withdrawn"
 )
 
-// Phases of a task on a worker.
+// Phases of a task on a machine.
 const (
 	TaskPulling = "pulling"
 	TaskRunning = "running"
@@ -45,7 +45,7 @@
 	CauseNoSuch = "no_such"
 )
 
-// Verbs of orders.
+// Verbs of commands.
 const (
 	VerbStart = "start"
 	VerbStop  = "stop"
@@ -55,10 +55,10 @@
 // MaxTasks is the largest number of tasks of a job.
 const MaxTasks = 100_000
 
-// MaxBody is the largest body of a request.
+// MaxBody is the largest body of a user's request.
 const MaxBody = 64 << 10
 
-// JobSpec is a job as its user submitted it.
+// JobSpec is a job as submitted by its user.
 type JobSpec struct {
 	ID          string   `json:"NameId"`
 	Class       string   `json:"Jobclass"`
@@ -80,18 +80,18 @@
 	CheckpointS float64  `json:"GraftS,omitempty"`
 	SaveS       float64  `json:"PressS,omitempty"`
 	DeadlineS   float64  `json:"DueS,omitempty"`
-	// DependsOn are the jobs that must be done before a task of this one starts, each
-	// named once.
+	// DependsOn lists the jobs that must be done before a task of this one starts,
+	// without duplicates.
 	DependsOn []string `json:"Awaits,omitempty"`
 }
 
-// Estimate is the owner's estimate of a task's run time.
+// Estimate returns the owner's estimate of a task's run time.
 func (s *JobSpec) Estimate() time.Duration { return time.Duration(s.EstimateS * float64(time.Second)) }
 
-// Save is the time a task needs to save.
+// Save returns the time that a task needs to save a checkpoint.
 func (s *JobSpec) Save() time.Duration { return time.Duration(s.SaveS * float64(time.Second)) }
 
-// submission has a pointer for every field whose absence must be noticed.
+// submission is a JobSpec as decoded: pointers tell a missing field from a zero one.
 type submission struct {
 	ID          *string   `json:"NameId"`
 	Class       *string   `json:"Jobclass"`
@@ -118,20 +118,20 @@
 
 var idPattern = regexp.MustCompile(`^job-[0-9]{1,20}$`)
 
-// ValidID tells whether a job id has the protocol's form.
+// ValidID reports whether a job ID has the protocol's form.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// ParseSubmission decodes and checks a submission. Where the body is invalid
-// but names a well-formed id, that id is returned with the error, since the
-// repeat of a known job is answered whatever else it holds.
+// ParseSubmission decodes and validates a submission. If the body is invalid but
+// holds a well-formed ID, that ID is returned with the error, since the repeat of a
+// known job gets its state whatever else it holds.
 func ParseSubmission(body []byte) (spec *JobSpec, id string, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, "", fmt.Errorf("not a valid job: %w", jsonerror.Describe(body, err))
 	}
-	// The decoder would take a field whose name differs in case only for the
-	// one that it resembles; by the protocol it is an unknown one. What comes
-	// twice is here once.
+	// The decoder would match field names regardless of case; by the protocol a name
+	// that differs in case is an unknown field. Of duplicate fields the map has kept
+	// the last.
 	for name := range fields {
 		if !submissionFields[name] {
 			delete(fields, name)
@@ -152,7 +152,7 @@
 	return spec, id, err
 }
 
-// submissionFields are the names of a submission's fields.
+// submissionFields is the set of a submission's field names.
 var submissionFields = func() map[string]bool {
 	names := map[string]bool{}
 	for _, f := range reflect.VisibleFields(reflect.TypeFor[submission]()) {
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// toSpec checks a submission and returns the job that it describes.
+// toSpec validates a submission and returns the job that it describes.
 func (in *submission) toSpec() (*JobSpec, error) {
 	if err := in.checkRequired(); err != nil {
 		return nil, err
@@ -194,11 +194,11 @@
 		CheckpointS: *in.CheckpointS, SaveS: *in.SaveS,
 	}
 	if in.Types != nil {
-		s.Types = make([]string, len(in.Types)) // no type is not any type
+		s.Types = make([]string, len(in.Types)) // an empty list allows no type, a missing one any
 	}
 	for i, typ := range in.Types {
 		if typ == nil {
-			// The decoder would make it a type of no name.
+			// The decoder would read it as a type with an empty name.
 			return nil, errors.New("field Frames holds null")
 		}
 		s.Types[i] = *typ
@@ -223,8 +223,8 @@
 	return s, err
 }
 
-// dependencies are the jobs that a submission names, each once, in the order in which
-// they are first named.
+// dependencies returns the jobs that a submission depends on, without duplicates, in
+// the order of first mention.
 func (in *submission) dependencies() ([]string, error) {
 	var ids []string
 	seen := make(map[string]bool, len(in.DependsOn))
@@ -244,6 +244,9 @@
 	return ids, nil
 }
 
+// maxAmount is the largest size of an image in GB, and the longest duration in seconds.
+const maxAmount = 1e9
+
 func (s *JobSpec) validate() error {
 	switch {
 	case !ValidID(s.ID):
@@ -264,22 +267,23 @@
 	for _, f := range []struct {
 		name string
 		v    float64
-		most float64
+		max  float64
 	}{
-		// Too much for any machine is well-formed: such a job can never run.
-		{"Cores", s.CPUs, math.MaxFloat64}, {"Cards", s.GPUs, math.MaxFloat64}, {"MemoryGb", s.MemoryGB, math.MaxFloat64},
-		// Sums and durations of larger ones would overflow.
-		{"PullGb", s.ImageGB, 1e9}, {"ExpectS", s.EstimateS, 1e9}, {"GraftS", s.CheckpointS, 1e9},
-		{"PressS", s.SaveS, 1e9}, {"DueS", s.DeadlineS, 1e9},
+		// More than any machine has is well-formed: the job is unschedulable, not invalid.
+		{"Cores", s.CPUs, math.MaxFloat64}, {"Cards", s.GPUs, math.MaxFloat64},
+		{"MemoryGb", s.MemoryGB, math.MaxFloat64},
+		// Sums and durations of larger values would overflow.
+		{"PullGb", s.ImageGB, maxAmount}, {"ExpectS", s.EstimateS, maxAmount},
+		{"GraftS", s.CheckpointS, maxAmount}, {"PressS", s.SaveS, maxAmount}, {"DueS", s.DeadlineS, maxAmount},
 	} {
-		if !(f.v >= 0 && f.v <= f.most) {
-			return fmt.Errorf("field %s must be from 0 to %g", f.name, f.most)
+		if !(f.v >= 0 && f.v <= f.max) {
+			return fmt.Errorf("field %s must be from 0 to %g", f.name, f.max)
 		}
 	}
 	return nil
 }
 
-// PriorityRank orders priorities, the highest first; -1 is unknown.
+// PriorityRank orders priorities, the highest first; it is -1 for an unknown one.
 func PriorityRank(p string) int {
 	switch p {
 	case "prod":
@@ -294,27 +298,27 @@
 	return -1
 }
 
-// JobState is what a user is told about a job.
+// JobState is a job's state as shown to users.
 type JobState struct {
 	ID      string `json:"NameId"`
 	Phase   string `json:"Phase"`
 	Done    int    `json:"done"`
 	Running int    `json:"running"`
-	// DependsOn are the jobs that an unfinished job waits for.
+	// DependsOn lists the jobs that an unfinished job waits for.
 	DependsOn []string `json:"Awaits,omitempty"`
-	// Cell is the cell that the job is lent to, if it is.
+	// Cell is the cell that hosts the job, if it is on loan.
 	Cell string `json:"Cell,omitempty"`
-	// Ended is when the job was done, if that is known. Users are not told.
+	// Ended is when the job was done, if that is known. It is not shown to users.
 	Ended time.Time `json:"-"`
-	// Derived is set if the job is cancelled since one that it needs is, and may have
-	// no final record of its own yet. Users are not told.
+	// Derived is set if the job is cancelled because one that it depends on is, and may
+	// have no terminal record of its own yet. It is not shown to users.
 	Derived bool `json:"-"`
 }
 
-// Final tells whether the job is over.
+// Final reports whether the job has ended.
 func (s JobState) Final() bool { return s.Phase == JobDone || s.Phase == JobCancelled }
 
-// Heartbeat is a worker's report.
+// Heartbeat is a worker agent's message with the status of its tasks.
 type Heartbeat struct {
 	Machine           string       `json:"Host"`
 	Addr              string       `json:"Addr"`
@@ -328,7 +332,7 @@
 	Tasks             []TaskStatus `json:"Shoots"`
 }
 
-// TaskStatus is one task of a report.
+// TaskStatus is one task of a heartbeat.
 type TaskStatus struct {
 	Task    string `json:"Shoot"`
 	Attempt uint64 `json:"Sprout"`
@@ -337,24 +341,24 @@
 	Saved   bool   `json:"Kept"`
 }
 
-// maxFastArrays and maxFastObjects are how many of these a report may open and still be
-// read by the fast decoder, which follows nesting to any depth: a report full of
-// brackets would have its stack grow past the memory of the smallest controllers.
-// Each task is an object of fifty bytes or more, and MaxBody has room for fewer.
+// maxFastArrays and maxFastObjects limit the arrays and objects that a heartbeat may
+// open to be read by the fast decoder. That recurses to any depth: on a body full of
+// brackets its stack would grow beyond the memory of the smallest controllers. Each
+// task is an object of fifty bytes or more, so MaxBody holds fewer of them.
 const (
 	maxFastArrays  = 256
 	maxFastObjects = 2048
 )
 
-// ParseHeartbeat reads a report. Its strings share the memory of body, which must
-// not be changed afterwards; what is kept for long is to be cloned.
+// ParseHeartbeat decodes a heartbeat. Its strings share the memory of body, which must
+// not change afterwards; clone what outlives the request.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var hb Heartbeat
 	var err error
 	if bytes.Count(body, []byte("[")) > maxFastArrays || bytes.Count(body, []byte("{")) > maxFastObjects {
 		err = json.Unmarshal(body, &hb)
 	} else {
-		// Reports are most of what a leader reads, and this decoder takes a
+		// Heartbeats are most of what a leader reads, and this decoder takes a
 		// quarter of the standard library's time for them.
 		var rest []byte
 		rest, err = fast.Parse(body, &hb, fast.ZeroCopy)
@@ -375,8 +379,8 @@
 	return &hb, nil
 }
 
-// cloneString is a string that shares no memory with a report: the constants for the
-// phases and causes that are known.
+// cloneString returns a string that shares no memory with a heartbeat's body: a
+// constant for a known phase or cause, and a copy otherwise.
 func cloneString(s string) string {
 	for _, known := range [...]string{"", TaskRunning, TaskExited, CauseDone, TaskPulling, TaskSaving,
 		CauseHalted, CauseError, CauseNoRoom, CauseBusy, CauseNoSuch} {
@@ -387,7 +391,7 @@
 	return strings.Clone(s)
 }
 
-// Command is one command to a worker.
+// Command starts, stops or reaps a task of a machine.
 type Command struct {
 	Verb    string   `json:"Verb"`
 	Task    string   `json:"Shoot"`
@@ -395,28 +399,29 @@
 	GraceS  *float64 `json:"GraceS,omitempty"`
 }
 
-// Outcomes of direct orders that were not answered with success.
+// Outcomes of a command batch without a successful response.
 var (
-	// ErrCommandsNotApplied means that they were not and will not be carried out.
-	ErrCommandsNotApplied = errors.New("orders not carried out")
-	// ErrCommandsOutcomeUnknown means that they may have been, or may yet be.
-	ErrCommandsOutcomeUnknown = errors.New("orders may have been carried out")
+	// ErrCommandsNotApplied means that the commands were not and will not be applied.
+	ErrCommandsNotApplied = errors.New("commands not applied")
+	// ErrCommandsOutcomeUnknown means that they may have been applied, or may yet be.
+	ErrCommandsOutcomeUnknown = errors.New("outcome of commands unknown")
 )
 
-// CommandBatch are orders sent straight to a machine, for one of its sessions.
+// CommandBatch holds commands sent to a machine outside a heartbeat response. It is
+// valid for one agent epoch.
 type CommandBatch struct {
 	Term       uint64    `json:"Warrant"`
 	AgentEpoch uint64    `json:"Season"`
 	Commands   []Command `json:"Orders"`
 }
 
-// HeartbeatResponse answers a report.
+// HeartbeatResponse is the response to a heartbeat.
 type HeartbeatResponse struct {
 	Term     uint64    `json:"Warrant"`
 	Commands []Command `json:"Orders"`
 }
 
-// MachineType is a type of machine that the cloud rents.
+// MachineType is a type of machine that the cloud offers.
 type MachineType struct {
 	Name      string   `json:"Label"`
 	CPUs      float64  `json:"Cores"`
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud that rents machines. One client
-// owns the process's share of the cloud's request budget.
+// Package cloud is the client of the cloud that the fleet's machines are launched in. One
+// client owns the process's share of the cloud's rate limit.
 package cloud
 
 import (
@@ -21,10 +21,10 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// ErrNoCapacity means that no machine of the kind is to be had now.
+// ErrNoCapacity means that the cloud has no machine of the requested kind at the moment.
 var ErrNoCapacity = errors.New("cloud: no capacity")
 
-// Limits of single requests.
+// Limits of single requests, in machines; maxResponse in bytes.
 const (
 	MaxLaunch    = 50
 	MaxTerminate = 100
@@ -32,7 +32,8 @@
 	maxResponse  = 4 << 20
 )
 
-// LaunchRequest asks for machines. A name is never used for two different requests.
+// LaunchRequest launches machines. It can be retried under its name, which is never used
+// for two different requests.
 type LaunchRequest struct {
 	Name  string `json:"Hire"`
 	Type  string `json:"Frame"`
@@ -52,25 +53,32 @@
 	AgeS  float64 `json:"AgeS"`
 }
 
-// PhaseFailed is the phase of a listed machine that has stopped by itself.
+// PhaseFailed is the phase of a listed machine that has failed by itself.
 const PhaseFailed = "failed"
 
-// Service is the cloud as the rest of the program sees it.
+// Service is what the rest of the program uses of the cloud.
 type Service interface {
+	// Types lists the machine types with their current prices.
 	Types(ctx context.Context) ([]api.MachineType, error)
+	// Launch launches machines and returns their names.
 	Launch(ctx context.Context, r LaunchRequest) ([]string, error)
+	// Terminate terminates machines; success confirms that they are terminated.
 	Terminate(ctx context.Context, names []string) error
+	// List lists all machines.
 	List(ctx context.Context) ([]Machine, error)
 }
 
-// Client speaks to the cloud over HTTP.
+// Client is a Service over HTTP.
 type Client struct {
 	base    string
 	http    *http.Client
 	limiter *rate.Limiter
 }
 
-// NewClient makes the client of a cloud.
+// rateShare is the share of the cloud's rate limit that a client uses.
+const rateShare = 0.7
+
+// NewClient returns a client of the cloud at an address.
 func NewClient(addr string, lim config.CloudLimits) *Client {
 	return &Client{
 		base: "http://" + addr,
@@ -81,11 +89,11 @@
 			IdleConnTimeout:     time.Minute,
 			DisableCompression:  true,
 		}},
-		limiter: rate.NewLimiter(rate.Limit(lim.RPS*0.7), max(1, int(lim.RPS))),
+		limiter: rate.NewLimiter(rate.Limit(lim.RPS*rateShare), max(1, int(lim.RPS))),
 	}
 }
 
-// Types reads the types of machines with their present prices.
+// Types implements Service.
 func (c *Client) Types(ctx context.Context) ([]api.MachineType, error) {
 	var body struct {
 		Types []api.MachineType `json:"Frames"`
@@ -99,7 +107,7 @@
 	return body.Types, nil
 }
 
-// Launch rents machines.
+// Launch implements Service.
 func (c *Client) Launch(ctx context.Context, r LaunchRequest) ([]string, error) {
 	var body struct {
 		Hosts []string `json:"Hosts"`
@@ -108,13 +116,13 @@
 	return body.Hosts, err
 }
 
-// Terminate gives machines back. When it succeeds they are gone, with all that
-// was on them.
+// Terminate implements Service. When it succeeds the machines are terminated, and all
+// data on them is lost.
 func (c *Client) Terminate(ctx context.Context, names []string) error {
 	return c.call(ctx, http.MethodPost, "/machines/return", map[string][]string{"Hosts": names}, nil)
 }
 
-// List reads the whole list of machines.
+// List implements Service. It reads all pages.
 func (c *Client) List(ctx context.Context) ([]Machine, error) {
 	var all []Machine
 	after := ""
@@ -138,6 +146,12 @@
 	}
 }
 
+// closeBody closes a response that is not needed any more; an error would not change what
+// was read of it.
+func closeBody(resp *http.Response) { _ = resp.Body.Close() }
+
+// call sends a request within the rate limit, with input as its body unless that is nil,
+// and decodes the response into output unless that is nil.
 func (c *Client) call(ctx context.Context, method, path string, input, output any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return fmt.Errorf("cloud: request budget: %w", err)
@@ -158,7 +172,7 @@
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
-	defer resp.Body.Close()
+	defer closeBody(resp)
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -1,7 +1,6 @@
 package cloud
 
 import (
-	"context"
 	"errors"
 	"io"
 	"net/http"
@@ -11,7 +10,7 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// scriptedTransport gives prepared answers, one after the other.
+// scriptedTransport returns prepared responses, one after the other.
 type scriptedTransport struct {
 	responses []response
 	paths     []string
@@ -24,9 +23,13 @@
 
 func (s *scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	s.paths = append(s.paths, r.URL.RequestURI())
-	a := s.responses[0]
+	next := s.responses[0]
 	s.responses = s.responses[1:]
-	return &http.Response{StatusCode: a.status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(a.body))}, nil
+	return &http.Response{
+		StatusCode: next.status,
+		Header:     http.Header{},
+		Body:       io.NopCloser(strings.NewReader(next.body)),
+	}, nil
 }
 
 func newScriptedClient(responses ...response) (*Client, *scriptedTransport) {
@@ -37,41 +40,43 @@
 }
 
 func TestLaunchOutcomes(t *testing.T) {
-	ctx := context.Background()
 	for _, c := range []struct {
-		a          response
-		hosts      int
-		fails      bool
-		noCapacity bool
+		name           string
+		response       response
+		wantHosts      int
+		wantErr        bool
+		wantNoCapacity bool
 	}{
-		{response{200, `{"Hosts":["i-1","i-2"]}`}, 2, false, false},
-		{response{503, `{"error":"no capacity"}`}, 0, true, true},
-		{response{503, `{"error":"trouble"}`}, 0, true, false},
-		{response{429, ``}, 0, true, false},
-		{response{200, `not JSON`}, 0, true, false},
+		{"launched", response{200, `{"Hosts":["i-1","i-2"]}`}, 2, false, false},
+		{"no capacity", response{503, `{"error":"no capacity"}`}, 0, true, true},
+		{"other error", response{503, `{"error":"trouble"}`}, 0, true, false},
+		{"rate limit", response{429, ``}, 0, true, false},
+		{"malformed response", response{200, `not JSON`}, 0, true, false},
 	} {
-		cl, _ := newScriptedClient(c.a)
-		hosts, err := cl.Launch(ctx, LaunchRequest{Name: "r-1", Count: 2})
-		if len(hosts) != c.hosts || (err != nil) != c.fails || errors.Is(err, ErrNoCapacity) != c.noCapacity {
-			t.Errorf("%v: %v, %v", c.a, hosts, err)
+		cl, _ := newScriptedClient(c.response)
+		hosts, err := cl.Launch(t.Context(), LaunchRequest{Name: "r-1", Count: 2})
+		if len(hosts) != c.wantHosts || (err != nil) != c.wantErr || errors.Is(err, ErrNoCapacity) != c.wantNoCapacity {
+			t.Errorf("%s: got hosts %v, error %v; want %d hosts, error %v, no capacity %v",
+				c.name, hosts, err, c.wantHosts, c.wantErr, c.wantNoCapacity)
 		}
 	}
 	cl, _ := newScriptedClient(response{200, `{"Frames":[]}`})
-	if _, err := cl.Types(ctx); err == nil {
-		t.Error("no machine types at all were taken for an answer")
+	if _, err := cl.Types(t.Context()); err == nil {
+		t.Error("empty list of machine types: got no error, want one")
 	}
 }
 
-// A list that ends early would make machines look gone.
+// A list that ends early would show machines as terminated that are not.
 func TestListReadsAllPages(t *testing.T) {
 	cl, s := newScriptedClient(response{200, `{"Hosts":[{"NameId":"i-1"},{"NameId":"i-2"}],"Truncated":true}`},
 		response{200, `{"Hosts":[{"NameId":"i-3"}],"Truncated":false}`})
-	hosts, err := cl.List(context.Background())
+	hosts, err := cl.List(t.Context())
 	if err != nil || len(hosts) != 3 || !strings.Contains(s.paths[1], "From=i-2") {
-		t.Errorf("%v, %v, asked %v", hosts, err, s.paths)
+		t.Errorf("got hosts %v, error %v, requests %v; want 3 hosts, the second page from i-2", hosts, err, s.paths)
 	}
-	cl, _ = newScriptedClient(response{200, `{"Hosts":[{"NameId":"i-1"}],"Truncated":true}`}, response{503, `{"error":"trouble"}`})
-	if hosts, err := cl.List(context.Background()); err == nil {
-		t.Errorf("half a list was taken: %v", hosts)
+	cl, _ = newScriptedClient(response{200, `{"Hosts":[{"NameId":"i-1"}],"Truncated":true}`},
+		response{503, `{"error":"trouble"}`})
+	if hosts, err := cl.List(t.Context()); err == nil {
+		t.Errorf("second page failed: got hosts %v, want an error", hosts)
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker speaks to machines directly: it asks whether they are alive,
-// and brings orders that should not wait for a report.
+// Package worker is the client of worker agents: it probes machines, resyncs them and
+// sends commands that should not wait for a heartbeat response.
 package worker
 
 import (
@@ -17,11 +17,11 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// Client speaks to machines.
+// Client sends requests to worker agents.
 type Client struct{ http *http.Client }
 
-// NewClient makes a client. Connections are not kept: there is one machine for
-// each, and a kept one could have a request sent again.
+// NewClient returns a client. It keeps no connections alive: each would serve a single
+// machine, and on a reused one the transport could send a request twice.
 func NewClient() *Client {
 	return &Client{&http.Client{Transport: &http.Transport{
 		DialContext:        netio.Dialer(time.Second),
@@ -30,7 +30,7 @@
 	}}}
 }
 
-// Probe asks a machine for its report, to learn whether it is alive.
+// Probe solicits a heartbeat from a machine, to learn whether it is alive.
 func (c *Client) Probe(ctx context.Context, addr string) (*api.Heartbeat, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/inspect", nil)
 	if err != nil {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("probe: %w", err)
 	}
-	defer resp.Body.Close()
+	defer closeBody(resp)
 	var hb api.Heartbeat
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponse)).Decode(&hb); err != nil {
 		return nil, fmt.Errorf("probe: %w", err)
@@ -51,14 +51,23 @@
 	return &hb, nil
 }
 
+// maxResponse is the largest body that is read of a machine's response.
 const maxResponse = 1 << 20
 
-// Resync tells a machine of a term, and returns the report that shows that it
-// has heard. It carries no orders, so it may come at any time.
+// closeBody closes a response that is not needed any more; an error would not change what
+// was read of it.
+func closeBody(resp *http.Response) { _ = resp.Body.Close() }
+
+// Resync fences a machine at a term by an empty command batch, and returns the heartbeat
+// that acknowledges it. Since the batch holds no commands, a resync is safe at any time.
 func (c *Client) Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error) {
-	agentEpoch := uint64(1) // most machines have never lost theirs
+	agentEpoch := uint64(1) // few machines are beyond their first one
 	for range 2 {
-		hb, status, err := c.postCommands(ctx, addr, &api.CommandBatch{Term: term, AgentEpoch: agentEpoch, Commands: []api.Command{}})
+		hb, status, err := c.postCommands(ctx, addr, &api.CommandBatch{
+			Term:       term,
+			AgentEpoch: agentEpoch,
+			Commands:   []api.Command{},
+		})
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("resync: %w", err)
@@ -69,10 +78,10 @@
 		}
 		agentEpoch = hb.AgentEpoch
 	}
-	return nil, errors.New("resync: the session changes")
+	return nil, errors.New("resync: the agent epoch changes")
 }
 
-// postCommands sends orders, and returns the report that answers them.
+// postCommands sends a command batch once, and returns the heartbeat that responds to it.
 func (c *Client) postCommands(ctx context.Context, addr string, batch *api.CommandBatch) (*api.Heartbeat, int, error) {
 	raw, err := json.Marshal(batch)
 	if err != nil {
@@ -82,9 +91,9 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsNotApplied, err)
 	}
-	req.GetBody = nil // never sent twice
-	// Without a connection nothing was sent, and an attempt to connect that
-	// is given up does not complete later.
+	req.GetBody = nil // so the transport cannot retry
+	// Without a connection nothing was sent, and a canceled attempt to connect does
+	// not complete later.
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	resp, err := c.http.Do(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
@@ -94,16 +103,17 @@
 		}
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsOutcomeUnknown, err)
 	}
-	defer resp.Body.Close()
+	defer closeBody(resp)
 	var hb api.Heartbeat
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponse)).Decode(&hb); err != nil && resp.StatusCode == http.StatusOK {
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponse)).Decode(&hb)
+	if err != nil && resp.StatusCode == http.StatusOK {
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsOutcomeUnknown, err)
 	}
 	return &hb, resp.StatusCode, nil
 }
 
-// SendCommands brings orders to a machine, once. It returns the number of the report
-// that shows them carried out.
+// SendCommands sends a command batch to a machine, once. It returns the sequence number
+// of the heartbeat that shows the commands applied.
 func (c *Client) SendCommands(ctx context.Context, addr string, batch *api.CommandBatch) (seq uint64, err error) {
 	hb, status, err := c.postCommands(ctx, addr, batch)
 	switch {
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -13,85 +13,95 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// respondWith answers every request on a connection with a status and a body, or
-// breaks off after it has read one.
-func respondWith(status int, body string) func(context.Context, string, string) (net.Conn, error) {
+// dialFunc connects to a simulated machine.
+type dialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
+
+// respondWith dials a machine that responds to a request with a status and a body, or,
+// if status is 0, closes the connection once it has read the request.
+func respondWith(status int, body string) dialFunc {
 	return func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go func() {
-			defer far.Close()
+			defer func() { _ = far.Close() }() // a pipe's Close returns no error
 			req, err := http.ReadRequest(bufio.NewReader(far))
 			if err != nil || status == 0 {
 				return
 			}
-			io.Copy(io.Discard, req.Body)
+			if _, err := io.Copy(io.Discard, req.Body); err != nil {
+				return // the client fails the test
+			}
 			resp := &http.Response{StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Close: true,
 				ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}
-			resp.Write(far)
+			_ = resp.Write(far) // a client that did not get it fails the test
 		}()
 		return near, nil
 	}
 }
 
-// Only what certainly was not carried out may be ordered elsewhere.
+// newClient is a client with another way to connect.
+func newClient(dial dialFunc) *Client {
+	c := NewClient()
+	c.http.Transport.(*http.Transport).DialContext = dial
+	return c
+}
+
+// Only commands that certainly were not applied may be sent to another machine.
 func TestSendCommandsOutcomes(t *testing.T) {
 	refuseDial := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	for name, c := range map[string]struct {
-		dial func(context.Context, string, string) (net.Conn, error)
+		dial dialFunc
 		want error
 	}{
-		"carried out":      {respondWith(200, `{"Host":"i-1","Tally":7}`), nil},
-		"refused":          {respondWith(409, `{}`), api.ErrCommandsNotApplied},
-		"malformed":        {respondWith(400, `{}`), api.ErrCommandsNotApplied},
-		"no connection":    {refuseDial, api.ErrCommandsNotApplied},
-		"no answer":        {respondWith(0, ""), api.ErrCommandsOutcomeUnknown},
-		"another status":   {respondWith(500, ""), api.ErrCommandsOutcomeUnknown},
-		"senseless answer": {respondWith(200, `{"Host"`), api.ErrCommandsOutcomeUnknown},
+		"applied":            {respondWith(200, `{"Host":"i-1","Tally":7}`), nil},
+		"conflict":           {respondWith(409, `{}`), api.ErrCommandsNotApplied},
+		"invalid":            {respondWith(400, `{}`), api.ErrCommandsNotApplied},
+		"no connection":      {refuseDial, api.ErrCommandsNotApplied},
+		"no response":        {respondWith(0, ""), api.ErrCommandsOutcomeUnknown},
+		"another status":     {respondWith(500, ""), api.ErrCommandsOutcomeUnknown},
+		"malformed response": {respondWith(200, `{"Host"`), api.ErrCommandsOutcomeUnknown},
 	} {
-		client := NewClient()
-		client.http.Transport.(*http.Transport).DialContext = c.dial
+		client := newClient(c.dial)
 		seq, err := client.SendCommands(t.Context(), "10.0.0.1:1", &api.CommandBatch{Term: 1, AgentEpoch: 1})
 		if !errors.Is(err, c.want) || (err == nil) != (seq == 7) {
-			t.Errorf("%s: %d, %v", name, seq, err)
+			t.Errorf("%s: got sequence number %d, error %v; want error %v", name, seq, err, c.want)
 		}
 	}
 }
 
-// A resync that names the wrong session is repeated with the right one.
+// A resync that names the wrong agent epoch is retried with the machine's.
 func TestResyncRetriesWithMachinesAgentEpoch(t *testing.T) {
-	responses := []func(context.Context, string, string) (net.Conn, error){
-		respondWith(409, `{"Host":"i-1","Season":3,"Warrant":4}`), respondWith(200, `{"Host":"i-1","Season":3,"Warrant":5,"Tally":9}`),
+	responses := []dialFunc{
+		respondWith(409, `{"Host":"i-1","Season":3,"Warrant":4}`),
+		respondWith(200, `{"Host":"i-1","Season":3,"Warrant":5,"Tally":9}`),
 	}
-	client := NewClient()
-	client.http.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	client := newClient(func(ctx context.Context, network, addr string) (net.Conn, error) {
 		next := responses[0]
 		responses = responses[1:]
 		return next(ctx, network, addr)
-	}
+	})
 	if hb, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err != nil || hb.Seq != 9 || hb.Term != 5 {
-		t.Errorf("%v, %v", hb, err)
+		t.Errorf("got heartbeat %v, error %v; want sequence number 9, term 5", hb, err)
 	}
-	client.http.Transport.(*http.Transport).DialContext = respondWith(409, `{"Host":"i-1","Season":1,"Warrant":6}`)
+	client = newClient(respondWith(409, `{"Host":"i-1","Season":1,"Warrant":6}`))
 	if _, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err == nil {
-		t.Error("a machine with a later term was resynced")
+		t.Error("resync of a machine with a later term: got no error, want one")
 	}
 }
 
 func TestProbeOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
-		dial func(context.Context, string, string) (net.Conn, error)
-		good bool
+		dial dialFunc
+		ok   bool
 	}{
-		"alive":     {respondWith(200, `{"Host":"i-1","Season":2,"Tally":7}`), true},
-		"no answer": {respondWith(0, ""), false},
-		"trouble":   {respondWith(500, `{}`), false},
-		"senseless": {respondWith(200, `{"Host"`), false},
+		"alive":              {respondWith(200, `{"Host":"i-1","Season":2,"Tally":7}`), true},
+		"no response":        {respondWith(0, ""), false},
+		"another status":     {respondWith(500, `{}`), false},
+		"malformed response": {respondWith(200, `{"Host"`), false},
 	} {
-		client := NewClient()
-		client.http.Transport.(*http.Transport).DialContext = c.dial
+		client := newClient(c.dial)
 		hb, err := client.Probe(t.Context(), "10.0.0.1:1")
-		if (err == nil) != c.good || c.good && (hb.AgentEpoch != 2 || hb.Seq != 7) {
-			t.Errorf("%s: %+v, %v", name, hb, err)
+		if (err == nil) != c.ok || c.ok && (hb.AgentEpoch != 2 || hb.Seq != 7) {
+			t.Errorf("%s: got heartbeat %+v, error %v; want success %v", name, hb, err, c.ok)
 		}
 	}
 }
