--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries questions between controllers: length-prefixed
-// protobuf messages over one TCP connection for each direction.
+// Package peer carries requests between controllers: length-prefixed protobuf
+// messages over one TCP connection for each direction.
 package peer
 
 import (
@@ -19,46 +19,51 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// maxMessage bounds a message between controllers.
+// maxMessage is the largest message between controllers, in bytes.
 const maxMessage = 256 << 10
 
-// ErrUnavailable means that the peer is not entitled to answer.
+// ErrUnavailable means that the peer cannot answer the request.
 var ErrUnavailable = errors.New("peer: not entitled to answer")
 
-// ErrNotApplied means that the peer's connections are refused: by a packet filter,
-// or since no process is there. Either way the network to its host works.
+// ErrConnectionRefused means that connections to the peer are refused: by a packet
+// filter, or because no process listens. Either way the network to its host works.
 var ErrConnectionRefused = errors.New("peer: connection refused")
 
-// Handler answers a peer's questions. An error tells the peer that this node is
-// unable to answer.
+// Handler serves a peer's requests. An error lets the peer's request fail with
+// ErrUnavailable.
 type Handler interface {
+	// Job returns the state of a job.
 	Job(ctx context.Context, id string) (*JobStatus, error)
-	// Ping tells how this node stands.
+	// Ping returns the status of this node.
 	Ping(ctx context.Context, p *Ping) (*Pong, error)
-	// ForwardHeartbeat answers a machine's report in the leader's name.
+	// ForwardHeartbeat applies a forwarded heartbeat, if this node leads.
 	ForwardHeartbeat(ctx context.Context, r *Report) (*ReportAnswer, error)
-	// LeaderResigned takes in that the leader of a term has stopped to act.
+	// LeaderResigned records that the leader of a term has stepped down.
 	LeaderResigned(ctx context.Context, r *Resignation) error
-	// Loans takes in what the leader of another cell says of the jobs that it lends.
+	// Loans applies the loan entries of another cell's leader.
 	Loans(ctx context.Context, r *LoanRequest) (*LoanAnswer, error)
-	// Vote lets the leader of a term decide for a while.
+	// Vote backs the lease of a term's leader for a while.
 	Vote(ctx context.Context, r *GrantRequest) (*GrantAnswer, error)
-	// Promise grants a term nothing more.
+	// Promise ends this node's votes for a term, and returns how long its last one is
+	// still valid.
 	Promise(ctx context.Context, r *PromiseRequest) (*PromiseAnswer, error)
 }
 
-// maxInFlight bounds the questions of one connection that are being answered,
-// and maxJobQueries those of them about jobs. The latter wait for the state service;
-// while it is away they would fill all places, and a whole zone's reports and
-// the signs of life would wait behind them.
+// maxInFlight bounds the requests in flight of one connection, and maxJobQueries those of
+// them about jobs. The latter wait for the key-value store: while it is unreachable they
+// would take all slots, and a whole zone's heartbeats and the pings would wait behind
+// them.
 const (
 	maxInFlight   = 256
 	maxJobQueries = 96
 )
 
-// Serve answers the peers that connect to a listener.
+// Serve serves the peers that connect to a listener.
 func Serve(ctx context.Context, ln net.Listener, h Handler, log *slog.Logger) error {
-	go func() { <-ctx.Done(); ln.Close() }()
+	go func() {
+		<-ctx.Done()
+		_ = ln.Close() // Accept returns all the same
+	}()
 	open := make(chan struct{}, maxConns)
 	for {
 		conn, err := ln.Accept()
@@ -69,8 +74,8 @@
 			if errors.Is(err, net.ErrClosed) {
 				return fmt.Errorf("peer: accept: %w", err)
 			}
-			log.Debug("peer accept", "err", err)
-			time.Sleep(50 * time.Millisecond)
+			log.Debug("accept failed", "err", err)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		select {
@@ -80,60 +85,100 @@
 				serveConn(ctx, conn, h)
 			}()
 		default:
-			log.Warn("too many connections of controllers", "from", conn.RemoteAddr())
-			conn.Close()
+			log.Warn("peer connection rejected", "reason", "too many", "addr", conn.RemoteAddr())
+			closeConn(conn)
 		}
 	}
 }
 
 // maxConns bounds the connections that a listener serves. Each controller keeps one to
-// each other, and a buffer of its own.
+// each other, and each connection has a buffer of its own.
 const maxConns = 128
 
+// acceptRetryDelay is the pause after a failed accept, as when file descriptors run out.
+const acceptRetryDelay = 50 * time.Millisecond
+
+// closeConn closes a connection that is not used any more; an error changes nothing.
+func closeConn(conn net.Conn) { _ = conn.Close() }
+
+// server serves the requests of one connection.
+type server struct {
+	handler Handler
+	out     *outbox
+	// slots and jobSlots bound the requests in flight, and those of them about jobs.
+	slots, jobSlots chan struct{}
+}
+
 func serveConn(ctx context.Context, conn net.Conn, h Handler) {
-	defer conn.Close()
-	out := &outbox{conn: conn}
-	slots, jobs := make(chan struct{}, maxInFlight), make(chan struct{}, maxJobQueries)
+	defer closeConn(conn)
+	s := &server{
+		handler:  h,
+		out:      &outbox{conn: conn},
+		slots:    make(chan struct{}, maxInFlight),
+		jobSlots: make(chan struct{}, maxJobQueries),
+	}
 	deadline := time.Now().Add(2 * idleTimeout)
-	conn.SetReadDeadline(deadline)
-	readFrames(conn, func(raw []byte) error {
+	if conn.SetReadDeadline(deadline) != nil {
+		return // closed
+	}
+	// The error is that of the connection, which is closed either way.
+	_ = readFrames(conn, func(raw []byte) error {
 		if now := time.Now(); deadline.Sub(now) < idleTimeout {
 			deadline = now.Add(2 * idleTimeout)
-			conn.SetReadDeadline(deadline)
+			if err := conn.SetReadDeadline(deadline); err != nil {
+				return err
+			}
 		}
 		var req Request
 		if err := proto.Unmarshal(raw, &req); err != nil {
 			return err
 		}
-		slots <- struct{}{}
-		go func() {
-			defer func() { <-slots }()
-			resp := &Response{Unable: true}
-			if _, ok := req.Kind.(*Request_Job); !ok {
-				resp = respond(ctx, h, &req)
-			} else {
-				select {
-				case jobs <- struct{}{}:
-					resp = respond(ctx, h, &req)
-					<-jobs
-				default: // refused at once
-				}
-			}
-			resp.Seq = req.Seq
-			if out.send(resp, 2*time.Second) != nil {
-				conn.Close()
-			}
-		}()
+		s.slots <- struct{}{}
+		go s.serve(ctx, &req)
 		return nil
 	})
 }
 
-// idleTimeout is after how long at the least a connection on which nothing arrives
-// is given up; its peer pings every second.
-const idleTimeout = time.Minute
+// serve responds to a request, whose slot it frees.
+func (s *server) serve(ctx context.Context, req *Request) {
+	defer func() { <-s.slots }()
+	resp := s.respond(ctx, req)
+	resp.Seq = req.Seq
+	if s.out.send(resp, responseTimeout) != nil {
+		closeConn(s.out.conn)
+	}
+}
+
+// respond handles a request; one about a job without a free slot is rejected at once.
+func (s *server) respond(ctx context.Context, req *Request) *Response {
+	if _, ok := req.Kind.(*Request_Job); ok {
+		select {
+		case s.jobSlots <- struct{}{}:
+			defer func() { <-s.jobSlots }()
+		default:
+			return &Response{Unable: true}
+		}
+	}
+	return respond(ctx, s.handler, req)
+}
+
+// Timeouts of connections.
+const (
+	// idleTimeout is the shortest time after which a connection without requests is
+	// closed; its peer pings every second.
+	idleTimeout = time.Minute
+	// requestTimeout and responseTimeout bound the writing of a message.
+	requestTimeout  = time.Second
+	responseTimeout = 2 * time.Second
+	// dialBackoff is the pause after a failed dial, and unresponsiveBackoff that after a
+	// request to a peer that has stopped responding.
+	dialBackoff         = 500 * time.Millisecond
+	unresponsiveBackoff = time.Second
+)
 
 func respond(ctx context.Context, h Handler, req *Request) *Response {
-	resp, err := &Response{}, error(nil)
+	resp := &Response{}
+	var err error
 	switch k := req.Kind.(type) {
 	case *Request_Ping:
 		resp.Pong, err = h.Ping(ctx, k.Ping)
@@ -150,7 +195,7 @@
 	case *Request_Promise:
 		resp.Promise, err = h.Promise(ctx, k.Promise)
 	default:
-		err = ErrUnavailable // a question of a later version
+		err = ErrUnavailable // a request of a later version
 	}
 	if err != nil {
 		return &Response{Unable: true}
@@ -158,8 +203,8 @@
 	return resp
 }
 
-// readFrames hands over the messages that arrive until the connection fails or take
-// does. What take is given is only its until it returns.
+// readFrames passes the messages of a connection to handle until either fails. The
+// message is valid only until handle returns.
 func readFrames(conn net.Conn, handle func(raw []byte) error) error {
 	f := frameReader{handle: handle}
 	buf := make([]byte, 16<<10)
@@ -178,7 +223,7 @@
 	var frameErr error
 	err := netioConn.Each(func(read func([]byte) (int, error)) netio.Next {
 		n, err := read(buf)
-		if err == netio.ErrNothing {
+		if errors.Is(err, netio.ErrNothing) {
 			return netio.Wait
 		}
 		if err == nil {
@@ -188,64 +233,69 @@
 			frameErr = err
 			return netio.Stop
 		}
-		// Messages may be queued in any number, so only a read that finds
-		// nothing shows that there is none left.
+		// Any number of messages may be queued, so only a read that finds nothing
+		// shows that none is left.
 		return netio.Again
 	})
 	return errors.Join(err, frameErr)
 }
 
-// frameReader takes messages out of what is read from a connection.
+// headerSize is the size of the length before each message.
+const headerSize = 4
+
+// frameReader splits the bytes read from a connection into messages.
 type frameReader struct {
 	handle func(raw []byte) error
-	// partial is the beginning of a message that is not complete.
+	// partial is the beginning of an incomplete message.
 	partial []byte
 }
 
-// feed takes in what was read, and hands on the messages that are complete.
+// feed appends what was read, and passes the complete messages to handle.
 func (f *frameReader) feed(p []byte) error {
 	if len(f.partial) > 0 {
 		f.partial = append(f.partial, p...)
 		p = f.partial
 	}
-	for len(p) >= 4 {
+	for len(p) >= headerSize {
 		n := binary.BigEndian.Uint32(p)
 		if n > maxMessage {
 			return fmt.Errorf("peer: message of %d bytes", n)
 		}
-		if len(p)-4 < int(n) {
+		if len(p)-headerSize < int(n) {
 			break
 		}
-		if err := f.handle(p[4 : 4+n]); err != nil {
+		if err := f.handle(p[headerSize : headerSize+n]); err != nil {
 			return err
 		}
-		p = p[4+n:]
+		p = p[headerSize+n:]
 	}
 	f.partial = append([]byte(nil), p...)
 	return nil
 }
 
-// outbox writes messages to a connection. Those that are ready at the same time
-// go out together: while a process lags, many are.
+// outbox writes messages to a connection. Those that are queued at the same time are
+// written together: while a process lags, many are.
 type outbox struct {
 	conn net.Conn
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// queued holds the messages that are not being written yet.
 	queued    []byte
 	isWriting bool
-	deadline  time.Time
+	// deadline is the write deadline of conn.
+	deadline time.Time
 }
 
-// send writes a message, or leaves it to the one who writes already.
+// send writes a message, or queues it for the caller that is writing already.
 func (o *outbox) send(m proto.Message, timeout time.Duration) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	start := len(o.queued)
-	queued, err := proto.MarshalOptions{}.MarshalAppend(append(o.queued, 0, 0, 0, 0), m)
+	queued, err := proto.MarshalOptions{}.MarshalAppend(append(o.queued, make([]byte, headerSize)...), m)
 	if err != nil {
 		return err
 	}
-	binary.BigEndian.PutUint32(queued[start:], uint32(len(queued)-start-4))
+	binary.BigEndian.PutUint32(queued[start:], uint32(len(queued)-start-headerSize))
 	o.queued = queued
 	if o.isWriting {
 		return nil
@@ -254,13 +304,13 @@
 	defer func() { o.isWriting = false }()
 	for len(o.queued) > 0 {
 		o.mu.Unlock()
-		runtime.Gosched() // others that are about to send come first
+		runtime.Gosched() // lets other callers queue their messages first
 		o.mu.Lock()
 		batch := o.queued
 		o.queued = nil
 		if now := time.Now(); o.deadline.Sub(now) < timeout {
 			o.deadline = now.Add(2 * timeout)
-			o.conn.SetWriteDeadline(o.deadline)
+			_ = o.conn.SetWriteDeadline(o.deadline) // fails if closed, and then Write does too
 		}
 		o.mu.Unlock()
 		_, err = o.conn.Write(batch)
@@ -273,7 +323,7 @@
 	return nil
 }
 
-// Client asks one peer. It keeps one connection, made when first needed.
+// Client sends requests to one peer. It keeps one connection, dialed when first needed.
 type Client struct {
 	addr string
 
@@ -284,18 +334,18 @@
 	pending   map[uint64]chan *Response
 	isDialing bool
 	downUntil time.Time
-	// connectionRefused is set if the last connection was refused, not left hanging.
+	// connectionRefused is set if the last dial was refused, rather than timed out.
 	connectionRefused bool
-	// lastResponse is when the peer last answered anything.
+	// lastResponse is when the peer last responded to any request.
 	lastResponse time.Time
 }
 
-// NewClient makes a client of the peer at an address.
+// NewClient returns a client of the peer at an address.
 func NewClient(addr string) *Client {
 	return &Client{addr: addr, pending: map[uint64]chan *Response{}}
 }
 
-// Job asks the peer about a job.
+// Job requests the state of a job.
 func (c *Client) Job(ctx context.Context, id string) (*JobStatus, error) {
 	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Job{Job: &JobQuery{Id: id}}})
 	if err != nil {
@@ -307,7 +357,7 @@
 	return resp.Job, nil
 }
 
-// Ping asks how the peer stands, if it can be reached.
+// Ping requests the status of the peer.
 func (c *Client) Ping(ctx context.Context, p *Ping) (*Pong, error) {
 	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Ping{Ping: p}})
 	if err != nil {
@@ -319,7 +369,7 @@
 	return resp.Pong, nil
 }
 
-// ForwardHeartbeat passes a machine's report on.
+// ForwardHeartbeat forwards a machine's heartbeat.
 func (c *Client) ForwardHeartbeat(ctx context.Context, r *Report) (*ReportAnswer, error) {
 	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Report{Report: r}})
 	if err != nil {
@@ -331,13 +381,13 @@
 	return resp.Report, nil
 }
 
-// Resign tells the peer that this node has stopped to lead.
+// Resign notifies the peer that this node has stepped down as leader.
 func (c *Client) Resign(ctx context.Context, r *Resignation) error {
 	_, err := c.roundTrip(ctx, &Request{Kind: &Request_Resignation{Resignation: r}})
 	return err
 }
 
-// Loans tells the leader of another cell of the jobs lent to it.
+// Loans sends loan entries to the leader of another cell.
 func (c *Client) Loans(ctx context.Context, r *LoanRequest) (*LoanAnswer, error) {
 	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Loans{Loans: r}})
 	if err != nil {
@@ -349,7 +399,7 @@
 	return resp.Loans, nil
 }
 
-// Vote asks the peer to let this node decide as leader of a term.
+// Vote requests the peer's vote for this node's lease as leader of a term.
 func (c *Client) Vote(ctx context.Context, term uint64) (bool, error) {
 	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Grant{Grant: &GrantRequest{Term: term}}})
 	if err != nil {
@@ -358,7 +408,8 @@
 	return resp.Grant.GetGranted(), nil
 }
 
-// Promise asks the peer to grant a term nothing more.
+// Promise requests the peer's promise not to vote in a term any more, and returns how long
+// its last vote is still valid.
 func (c *Client) Promise(ctx context.Context, term uint64) (time.Duration, error) {
 	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Promise{Promise: &PromiseRequest{Term: term}}})
 	if err != nil {
@@ -379,7 +430,7 @@
 	defer c.unregister(seq)
 	req.Seq = seq
 	sent := time.Now()
-	if err := out.send(req, time.Second); err != nil {
+	if err := out.send(req, requestTimeout); err != nil {
 		c.drop(out.conn)
 		return nil, fmt.Errorf("peer: %w", err)
 	}
@@ -393,22 +444,24 @@
 		}
 		return resp, nil
 	case <-ctx.Done():
-		// A peer that has stopped answering is passed over for a while, so
-		// that users do not wait for it one after the other. One that has
-		// answered others meanwhile is only slow with this.
+		// Requests to a peer that has stopped responding fail at once for a while,
+		// so that users do not wait for it one after the other. A peer that has
+		// responded to other requests meanwhile is only slow with this one.
 		c.mu.Lock()
-		dead := c.lastResponse.Before(sent)
-		if dead {
-			c.downUntil = time.Now().Add(time.Second)
+		unresponsive := c.lastResponse.Before(sent)
+		if unresponsive {
+			c.downUntil = time.Now().Add(unresponsiveBackoff)
 		}
 		c.mu.Unlock()
-		if dead {
+		if unresponsive {
 			c.drop(out.conn)
 		}
 		return nil, fmt.Errorf("peer: %w", ctx.Err())
 	}
 }
 
+// register returns the connection, dialing it if there is none, and the number under which
+// ch receives the response.
 func (c *Client) register(ctx context.Context, ch chan *Response) (*outbox, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -426,7 +479,7 @@
 		c.isDialing = false
 		c.connectionRefused = errors.Is(err, syscall.ECONNREFUSED)
 		if err != nil {
-			c.downUntil = time.Now().Add(500 * time.Millisecond)
+			c.downUntil = time.Now().Add(dialBackoff)
 			if c.connectionRefused {
 				return nil, 0, ErrConnectionRefused
 			}
@@ -446,8 +499,10 @@
 	delete(c.pending, seq)
 }
 
+// receive passes responses to the requests that wait for them, until the connection fails.
 func (c *Client) receive(conn net.Conn) {
-	readFrames(conn, func(raw []byte) error {
+	// The error is that of the connection, which drop closes.
+	_ = readFrames(conn, func(raw []byte) error {
 		var resp Response
 		if err := proto.Unmarshal(raw, &resp); err != nil {
 			return err
@@ -465,9 +520,9 @@
 	c.drop(conn)
 }
 
-// drop gives a connection up, with all that waits on it.
+// drop closes a connection and fails all requests that wait on it.
 func (c *Client) drop(conn net.Conn) {
-	conn.Close()
+	closeConn(conn)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.out == nil || c.out.conn != conn {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"example.org/ivytrestle/internal/netio"
 	"io"
 	"log/slog"
 	"net"
@@ -11,8 +10,11 @@
 	"sync"
 	"testing"
 	"time"
+
+	"example.org/ivytrestle/internal/netio"
 )
 
+// answers is a Handler with fixed responses, of the leader of a term.
 type answers struct{ term uint64 }
 
 func (a answers) Job(_ context.Context, id string) (*JobStatus, error) {
@@ -58,8 +60,9 @@
 	return nil
 }
 
-// newPipeClient is a client whose connection ends in a served pipe.
+// newPipeClient is a client on a pipe, whose other end is served unless h is nil.
 func newPipeClient(t *testing.T, h Handler) (*Client, net.Conn) {
+	t.Helper()
 	near, far := net.Pipe()
 	c := NewClient("nowhere")
 	c.out = &outbox{conn: near}
@@ -67,7 +70,8 @@
 	if h != nil {
 		go serveConn(t.Context(), far, h)
 	}
-	t.Cleanup(func() { near.Close(); far.Close() })
+	t.Cleanup(func() { closeConn(near) })
+	t.Cleanup(func() { closeConn(far) })
 	return c, far
 }
 
@@ -75,67 +79,76 @@
 	c, _ := newPipeClient(t, answers{term: 9})
 	ctx := t.Context()
 	if st, err := c.Job(ctx, "job-1"); err != nil || !st.Known || st.Phase != "done" || st.Done != 3 {
-		t.Errorf("%v, %v", st, err)
+		t.Errorf("known job: got %v, error %v; want done with 3 tasks", st, err)
 	}
 	if st, err := c.Job(ctx, "job-2"); err != nil || st.Known {
-		t.Errorf("unknown job: %v, %v", st, err)
+		t.Errorf("unknown job: got %v, error %v; want one that is not known", st, err)
 	}
 	if _, err := c.Job(ctx, "job-3"); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("no leader: %v", err)
+		t.Errorf("job, no leader: got error %v, want %v", err, ErrUnavailable)
 	}
 	if p, err := c.Ping(ctx, &Ping{}); err != nil || p.Term != 9 || p.Leader != "n1" {
-		t.Errorf("ping: %v, %v", p, err)
+		t.Errorf("ping: got %v, error %v; want term 9, leader n1", p, err)
 	}
 	hb := &Report{Machine: "i-1", Term: 9, Tasks: []*TaskReport{{Task: "job-1/2"}}}
 	if a, err := c.ForwardHeartbeat(ctx, hb); err != nil || a.Term != 9 || a.Orders[0].Task != "job-1/2" {
-		t.Errorf("report: %v, %v", a, err)
+		t.Errorf("heartbeat: got %v, error %v; want term 9, a command for job-1/2", a, err)
 	}
 	hb.Term = 10
 	if _, err := c.ForwardHeartbeat(ctx, hb); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("report with a later term: %v", err)
+		t.Errorf("heartbeat with a later term: got error %v, want %v", err, ErrUnavailable)
 	}
 	if err := c.Resign(ctx, &Resignation{Node: "n1", Term: 9}); err != nil {
-		t.Errorf("resign: %v", err)
+		t.Errorf("resignation: got error %v, want none", err)
 	}
 	if err := c.Resign(ctx, &Resignation{Node: "n1", Term: 8}); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("resign from another term: %v", err)
+		t.Errorf("resignation from another term: got error %v, want %v", err, ErrUnavailable)
 	}
 	if granted, err := c.Vote(ctx, 9); err != nil || !granted {
-		t.Errorf("grant: %v, %v", granted, err)
+		t.Errorf("vote: got %v, error %v; want true", granted, err)
 	}
 	if granted, err := c.Vote(ctx, 8); err != nil || granted {
-		t.Errorf("grant of another term: %v, %v", granted, err)
+		t.Errorf("vote in another term: got %v, error %v; want false", granted, err)
 	}
 	if wait, err := c.Promise(ctx, 9); err != nil || wait != 1500*time.Millisecond {
-		t.Errorf("promise: %v, %v", wait, err)
+		t.Errorf("promise: got %v, error %v; want 1.5s", wait, err)
 	}
 	if _, err := c.Promise(ctx, 8); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("promise of another term: %v", err)
+		t.Errorf("promise in another term: got error %v, want %v", err, ErrUnavailable)
 	}
 }
 
-// A peer that sends nonsense, or goes, fails the questions that wait; none may
-// wait for ever.
+// A peer that closes the connection or sends a malformed message fails the pending
+// requests; none may wait for ever.
 func TestBrokenConnectionFailsPendingRequests(t *testing.T) {
-	for name, breakIt := range map[string]func(net.Conn){
-		"goes":              func(far net.Conn) { far.Close() },
-		"oversized message": func(far net.Conn) { far.Write([]byte{0xff, 0xff, 0xff, 0xff}) },
-		"nonsense":          func(far net.Conn) { far.Write([]byte{0, 0, 0, 2, 0xff, 0xff}) },
+	for name, sent := range map[string][]byte{
+		"closed":            nil, // sends nothing
+		"oversized message": {0xff, 0xff, 0xff, 0xff},
+		"malformed message": {0, 0, 0, 2, 0xff, 0xff},
 	} {
 		c, far := newPipeClient(t, nil)
 		go func() {
-			io.ReadFull(far, make([]byte, 6))
-			breakIt(far)
+			if _, err := io.ReadFull(far, make([]byte, 6)); err != nil {
+				t.Errorf("%s: read the request: %v", name, err)
+			}
+			if sent == nil {
+				closeConn(far)
+				return
+			}
+			if _, err := far.Write(sent); err != nil {
+				t.Errorf("%s: write: %v", name, err)
+			}
 		}()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		if _, err := c.Ping(ctx, &Ping{}); err == nil || ctx.Err() != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, context error %v; want an error in time", name, err, ctx.Err())
 		}
 		cancel()
 	}
 }
 
-// blockedHandler cannot answer questions about jobs, as while the state service is away.
+// blockedHandler does not respond to requests about jobs, as while the key-value store is
+// unreachable.
 type blockedHandler struct{ answers }
 
 func (s blockedHandler) Job(ctx context.Context, _ string) (*JobStatus, error) {
@@ -143,35 +156,49 @@
 	return nil, ctx.Err()
 }
 
-// Questions about jobs that wait hold up neither reports nor signs of life, and
-// those beyond the bound are refused at once.
+// Requests about jobs that wait delay neither heartbeats nor pings, and those beyond the
+// limit are rejected at once.
 func TestHeartbeatsDoNotWaitBehindJobQueries(t *testing.T) {
 	c, _ := newPipeClient(t, blockedHandler{answers{term: 9}})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	const more = 50
-	refused := make(chan error, more)
-	for range maxJobQueries + more {
+	const excess = 50
+	rejected := make(chan struct{}, excess)
+	for range maxJobQueries + excess {
 		go func() {
 			if _, err := c.Job(ctx, "job-1"); errors.Is(err, ErrUnavailable) {
-				refused <- err
+				rejected <- struct{}{}
 			}
 		}()
 	}
-	for range more {
-		<-refused
+	for range excess {
+		<-rejected
 	}
 	if _, err := c.Ping(ctx, &Ping{}); err != nil {
-		t.Errorf("ping: %v", err)
+		t.Errorf("ping: got error %v, want none", err)
 	}
 	hb := &Report{Machine: "i-1", Term: 9, Tasks: []*TaskReport{{Task: "job-1/2"}}}
 	if _, err := c.ForwardHeartbeat(ctx, hb); err != nil {
-		t.Errorf("report: %v", err)
+		t.Errorf("heartbeat: got error %v, want none", err)
 	}
 }
 
-// Many questions at a time, over a socket: their messages go out together and
-// arrive in pieces that end anywhere.
+// startServer serves a listener until ctx ends, by the end of the test at the latest, and
+// returns its address.
+func startServer(ctx context.Context, t *testing.T, ln net.Listener, h Handler) string {
+	t.Helper()
+	var served sync.WaitGroup
+	t.Cleanup(served.Wait)
+	served.Go(func() {
+		if err := Serve(ctx, ln, h, slog.New(slog.DiscardHandler)); !errors.Is(err, context.Canceled) {
+			t.Errorf("serve: got error %v, want %v", err, context.Canceled)
+		}
+	})
+	return ln.Addr().String()
+}
+
+// Concurrent requests over a socket: their messages are written together and arrive in
+// pieces that end anywhere.
 func TestConcurrentRequestsOverSocket(t *testing.T) {
 	ln, err := netio.Listen("127.0.0.1:0")
 	if err != nil {
@@ -179,51 +206,53 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go Serve(ctx, ln, answers{term: 9}, slog.New(slog.DiscardHandler))
-	c := NewClient(ln.Addr().String())
+	c := NewClient(startServer(ctx, t, ln, answers{term: 9}))
 	if _, err := c.Job(ctx, "job-1"); err != nil {
 		t.Fatal(err)
 	}
 	hb := &Report{Term: 9, Tasks: []*TaskReport{{Task: strings.Repeat("job-1/", 900)}}}
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	for range 200 {
-		all.Go(func() {
+		requests.Go(func() {
 			response, err := c.ForwardHeartbeat(ctx, hb)
 			if err != nil || response.Orders[0].Task != hb.Tasks[0].Task {
-				t.Errorf("%v, %v", len(response.GetOrders()), err)
+				t.Errorf("got %d commands, error %v; want one for the task sent", len(response.GetOrders()), err)
 			}
 		})
 	}
-	all.Wait()
+	requests.Wait()
 }
 
-// Connections beyond the bound are closed at once, and those that are open go on.
+// dial connects to an address until the test ends.
+func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeConn(conn) })
+	return conn
+}
+
+// Connections beyond the limit are closed at once, and those that are open stay.
 func TestConnectionsBeyondLimitAreClosed(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go Serve(t.Context(), ln, answers{}, slog.New(slog.DiscardHandler))
-	first := NewClient(ln.Addr().String())
+	addr := startServer(t.Context(), t, ln, answers{})
+	first := NewClient(addr)
 	if _, err := first.Job(t.Context(), "job-1"); err != nil {
 		t.Fatal(err)
 	}
 	for range maxConns - 1 {
-		conn, err := net.Dial("tcp", ln.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-	}
-	over, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
+		dial(t, addr)
 	}
-	defer over.Close()
-	if n, err := over.Read(make([]byte, 1)); err == nil {
-		t.Errorf("read %d bytes of one connection too many", n)
+	excess := dial(t, addr)
+	if n, err := excess.Read(make([]byte, 1)); err == nil {
+		t.Errorf("connection beyond the limit: read %d bytes, want an error", n)
 	}
 	if _, err := first.Job(t.Context(), "job-1"); err != nil {
-		t.Errorf("an open connection: %v", err)
+		t.Errorf("open connection: got error %v, want none", err)
 	}
 }
