--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -27,7 +27,7 @@
 const (
 	// bufferSize holds any plain request; larger ones are passed on.
 	bufferSize = 16 << 10
-	maxHead    = 8 << 10
+	maxHeader  = 8 << 10
 	// idleTimeout is how long a connection may be silent between requests, and
 	// readTimeout how long a request may take to arrive. Deadlines are set anew
 	// only when deadlineRefresh has passed, or each request would set two.
@@ -52,19 +52,19 @@
 func (s *Server) Serve(ln net.Listener) error {
 	s.buffers.New = func() any { return new([bufferSize]byte) }
 	s.readers.New = func() any { return bufio.NewReader(nil) }
-	rest := newListener(ln.Addr())
-	defer rest.Close()
-	std := &http.Server{
+	fallback := newHandOverListener(ln.Addr())
+	defer fallback.Close()
+	netHTTP := &http.Server{
 		Handler:           s.Handler,
 		ReadHeaderTimeout: 10 * time.Second,
 		ReadTimeout:       readTimeout,
 		WriteTimeout:      15 * time.Second,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHead,
+		MaxHeaderBytes:    maxHeader,
 		ConnState:         s.ConnState,
 		ErrorLog:          slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug),
 	}
-	go std.Serve(rest) // ends with rest
+	go netHTTP.Serve(fallback) // ends with rest
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -78,60 +78,60 @@
 		}
 		plain, ok := conn.(*netio.Conn)
 		if !ok {
-			rest.pass(conn, nil)
+			fallback.handOver(conn, nil)
 			continue
 		}
-		go s.serve(plain, rest)
+		go s.serve(plain, fallback)
 	}
 }
 
 // connection is one connection.
 type connection struct {
-	s      *Server
+	server *Server
 	conn   *netio.Conn
 	remote string
-	// partial is the part of a request that has arrived, handOver is set if it is
+	// partial is the part of a request that has arrived, needsNetHTTP is set if it is
 	// not plain.
-	partial  []byte
-	handOver bool
+	partial      []byte
+	needsNetHTTP bool
 	// until are the deadlines set.
-	readUntil, writeUntil time.Time
+	readDeadline, writeDeadline time.Time
 }
 
-func (s *Server) serve(conn *netio.Conn, rest *listener) {
-	c := &connection{s: s, conn: conn, remote: conn.RemoteAddr().String()}
-	s.state(conn, http.StateNew)
-	c.extend(idleTimeout)
-	err := conn.Each(c.step)
-	s.state(conn, http.StateClosed)
-	if err == nil && c.handOver {
+func (s *Server) serve(conn *netio.Conn, fallback *handOverListener) {
+	c := &connection{server: s, conn: conn, remote: conn.RemoteAddr().String()}
+	s.notifyState(conn, http.StateNew)
+	c.extendReadDeadline(idleTimeout)
+	err := conn.Each(c.readRequests)
+	s.notifyState(conn, http.StateClosed)
+	if err == nil && c.needsNetHTTP {
 		conn.SetDeadline(time.Time{})
-		rest.pass(conn, c.partial)
+		fallback.handOver(conn, c.partial)
 		return
 	}
 	conn.Close()
 }
 
-func (s *Server) state(conn net.Conn, st http.ConnState) {
+func (s *Server) notifyState(conn net.Conn, st http.ConnState) {
 	if s.ConnState != nil {
 		s.ConnState(conn, st)
 	}
 }
 
-// extend sets the read deadline if the one set would come much sooner.
-func (c *connection) extend(d time.Duration) {
-	if until := time.Now().Add(d); until.Sub(c.readUntil) > deadlineRefresh || c.readUntil.After(until) {
-		c.readUntil = until
-		c.conn.SetReadDeadline(until)
+// extendReadDeadline sets the read deadline if the one set would come much sooner.
+func (c *connection) extendReadDeadline(d time.Duration) {
+	if deadline := time.Now().Add(d); deadline.Sub(c.readDeadline) > deadlineRefresh || c.readDeadline.After(deadline) {
+		c.readDeadline = deadline
+		c.conn.SetReadDeadline(deadline)
 	}
 }
 
-// step reads what has arrived and serves it.
-func (c *connection) step(read func(p []byte) (int, error)) netio.Next {
-	buf := c.s.buffers.Get().(*[bufferSize]byte)
+// readRequests reads what has arrived and serves it.
+func (c *connection) readRequests(read func(p []byte) (int, error)) netio.Next {
+	buf := c.server.buffers.Get().(*[bufferSize]byte)
 	n, err := read(buf[:])
 	if err != nil {
-		c.s.buffers.Put(buf)
+		c.server.buffers.Put(buf)
 		if err == netio.ErrNothing {
 			return netio.Wait
 		}
@@ -141,25 +141,25 @@
 	if c.partial != nil {
 		p = append(c.partial, p...)
 	} else {
-		c.s.state(c.conn, http.StateActive)
+		c.server.notifyState(c.conn, http.StateActive)
 	}
-	req, rest, plain := c.s.parse(p)
+	req, rest, plain := c.server.parse(p)
 	c.partial = nil
 	if len(rest) > 0 {
 		c.partial = bytes.Clone(rest)
 	}
-	c.s.buffers.Put(buf) // not held while the request is served
+	c.server.buffers.Put(buf) // not held while the request is served
 	for {
 		switch {
 		case !plain:
-			c.handOver = true
+			c.needsNetHTTP = true
 			return netio.Stop
 		case req == nil && c.partial != nil:
-			c.extend(readTimeout)
+			c.extendReadDeadline(readTimeout)
 			return netio.Again // the rest may be there
 		case req == nil:
-			c.s.state(c.conn, http.StateIdle)
-			c.extend(idleTimeout)
+			c.server.notifyState(c.conn, http.StateIdle)
+			c.extendReadDeadline(idleTimeout)
 		}
 		if req == nil {
 			// Nothing follows a request before its answer.
@@ -168,76 +168,76 @@
 			}
 			return netio.Again
 		}
-		if !c.answer(req) {
+		if !c.respond(req) {
 			return netio.Stop
 		}
 		req, plain = nil, true
 		if c.partial != nil {
-			req, c.partial, plain = c.s.parse(c.partial)
+			req, c.partial, plain = c.server.parse(c.partial)
 		}
 	}
 }
 
-var endOfHead = []byte("\r\n\r\n")
+var endOfHeader = []byte("\r\n\r\n")
 
 // parse reads a request, and returns what follows it. The request is nil if more
 // of it must arrive, and plain is unset if it is not for this server to serve;
 // what follows is then all of it.
 func (s *Server) parse(p []byte) (req *http.Request, rest []byte, plain bool) {
-	head := bytes.Index(p, endOfHead)
-	if head < 0 || head > maxHead {
-		return nil, p, head < 0 && len(p) < bufferSize
+	headerEnd := bytes.Index(p, endOfHeader)
+	if headerEnd < 0 || headerEnd > maxHeader {
+		return nil, p, headerEnd < 0 && len(p) < bufferSize
 	}
-	head += len(endOfHead)
+	headerEnd += len(endOfHeader)
 	r := s.readers.Get().(*bufio.Reader)
-	r.Reset(bytes.NewReader(p[:head]))
+	r.Reset(bytes.NewReader(p[:headerEnd]))
 	req, err := http.ReadRequest(r)
 	r.Reset(nil)
 	s.readers.Put(r)
 	if err != nil || !req.ProtoAtLeast(1, 1) || req.ContentLength < 0 || len(req.TransferEncoding) > 0 ||
 		req.Header["Expect"] != nil || req.Header["Upgrade"] != nil || req.Host == "" || req.Header["Trailer"] != nil ||
-		(req.Method != http.MethodGet && req.Method != http.MethodPost) || req.ContentLength > bufferSize-int64(head) {
+		(req.Method != http.MethodGet && req.Method != http.MethodPost) || req.ContentLength > bufferSize-int64(headerEnd) {
 		return nil, p, false // net/http knows what to do
 	}
-	n := head + int(req.ContentLength)
+	n := headerEnd + int(req.ContentLength)
 	if len(p) < n {
 		return nil, p, true
 	}
 	req.Body = http.NoBody
-	if n > head {
+	if n > headerEnd {
 		// The handler may keep what it reads for longer than the buffer is free.
-		req.Body = io.NopCloser(bytes.NewReader(bytes.Clone(p[head:n])))
+		req.Body = io.NopCloser(bytes.NewReader(bytes.Clone(p[headerEnd:n])))
 	}
 	return req, p[n:], true
 }
 
-// answer serves a request, and tells whether the connection goes on.
-func (c *connection) answer(req *http.Request) (goesOn bool) {
+// respond serves a request, and tells whether the connection goes on.
+func (c *connection) respond(req *http.Request) (keepOpen bool) {
 	req.RemoteAddr = c.remote
 	w := &response{header: http.Header{}}
-	if !c.handle(w, req) {
+	if !c.callHandler(w, req) {
 		return false
 	}
-	if now := time.Now(); c.writeUntil.Sub(now) < writeTimeout-deadlineRefresh {
-		c.writeUntil = now.Add(writeTimeout)
-		c.conn.SetWriteDeadline(c.writeUntil)
+	if now := time.Now(); c.writeDeadline.Sub(now) < writeTimeout-deadlineRefresh {
+		c.writeDeadline = now.Add(writeTimeout)
+		c.conn.SetWriteDeadline(c.writeDeadline)
 	}
-	ends := req.Close || w.header.Get("Connection") == "close"
-	if _, err := c.conn.Write(w.encode(ends)); err != nil {
+	closes := req.Close || w.header.Get("Connection") == "close"
+	if _, err := c.conn.Write(w.encode(closes)); err != nil {
 		return false
 	}
-	return !ends
+	return !closes
 }
 
-// handle calls the handler. One that panics costs its connection, like that of
+// callHandler calls the handler. One that panics costs its connection, like that of
 // an http.Server.
-func (c *connection) handle(w http.ResponseWriter, req *http.Request) (ok bool) {
+func (c *connection) callHandler(w http.ResponseWriter, req *http.Request) (ok bool) {
 	defer func() {
 		if v := recover(); v != nil && v != http.ErrAbortHandler {
-			c.s.Log.Error("request", "path", req.URL.Path, "panic", v, "stack", string(debug.Stack()))
+			c.server.Log.Error("request", "path", req.URL.Path, "panic", v, "stack", string(debug.Stack()))
 		}
 	}()
-	c.s.Handler.ServeHTTP(w, req)
+	c.server.Handler.ServeHTTP(w, req)
 	return true
 }
 
@@ -266,7 +266,7 @@
 }
 
 // encode is the answer as it goes over the wire.
-func (w *response) encode(ends bool) []byte {
+func (w *response) encode(closes bool) []byte {
 	w.WriteHeader(http.StatusOK)
 	out := make([]byte, 0, 160+len(w.body))
 	out = append(out, "HTTP/1.1 "...)
@@ -285,7 +285,7 @@
 			out = append(out, "\r\n"...)
 		}
 	}
-	if ends {
+	if closes {
 		out = append(out, "Connection: close\r\n"...)
 	}
 	out = append(out, "Content-Length: "...)
@@ -294,29 +294,29 @@
 	return append(out, w.body...)
 }
 
-// listener is the listener of the server that serves what is not plain.
-type listener struct {
+// handOverListener is the listener of the server that serves what is not plain.
+type handOverListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func newListener(addr net.Addr) *listener {
-	return &listener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
+func newHandOverListener(addr net.Addr) *handOverListener {
+	return &handOverListener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-// pass passes a connection on, with what was read of it.
-func (h *listener) pass(conn net.Conn, read []byte) {
+// handOver passes a connection on, with what was read of it.
+func (h *handOverListener) handOver(conn net.Conn, read []byte) {
 	select {
-	case h.conns <- &prefixedConn{Conn: conn, read: read}:
+	case h.conns <- &prefixedConn{Conn: conn, prefix: read}:
 	case <-h.done:
 		conn.Close()
 	}
 }
 
 // Accept implements net.Listener.
-func (h *listener) Accept() (net.Conn, error) {
+func (h *handOverListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-h.conns:
 		return conn, nil
@@ -326,25 +326,25 @@
 }
 
 // Close implements net.Listener.
-func (h *listener) Close() error {
+func (h *handOverListener) Close() error {
 	h.once.Do(func() { close(h.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *listener) Addr() net.Addr { return h.addr }
+func (h *handOverListener) Addr() net.Addr { return h.addr }
 
 // prefixedConn is a connection of which something has been read already.
 type prefixedConn struct {
 	net.Conn
-	read []byte
+	prefix []byte
 }
 
 // Read implements net.Conn.
 func (r *prefixedConn) Read(p []byte) (int, error) {
-	if len(r.read) > 0 {
-		n := copy(p, r.read)
-		r.read = r.read[n:]
+	if len(r.prefix) > 0 {
+		n := copy(p, r.prefix)
+		r.prefix = r.prefix[n:]
 		return n, nil
 	}
 	return r.Conn.Read(p)
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -14,8 +14,8 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// echo answers with what it was asked, and how the request got here.
-func echo(w http.ResponseWriter, r *http.Request) {
+// echoRequest answers with what it was asked, and how the request got here.
+func echoRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -25,17 +25,17 @@
 		panic("on purpose")
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	_, std := w.(http.Flusher)
-	fmt.Fprintf(w, "%s %s %d std=%v %.20s", r.Method, r.URL, len(body), std, body)
+	_, viaNetHTTP := w.(http.Flusher)
+	fmt.Fprintf(w, "%s %s %d std=%v %.20s", r.Method, r.URL, len(body), viaNetHTTP, body)
 }
 
-func start(t *testing.T) string {
+func startServer(t *testing.T) string {
 	t.Helper()
 	ln, err := netio.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{Handler: http.HandlerFunc(echo), Log: slog.New(slog.DiscardHandler)}
+	s := &Server{Handler: http.HandlerFunc(echoRequest), Log: slog.New(slog.DiscardHandler)}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ln) }()
 	t.Cleanup(func() { ln.Close(); <-done })
@@ -81,8 +81,8 @@
 	}
 }
 
-func TestPlainRequests(t *testing.T) {
-	c := dial(t, start(t))
+func TestPlainRequestsAreServedDirectly(t *testing.T) {
+	c := dial(t, startServer(t))
 	c.send("GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n")
 	c.expect(200, "GET /a?b=c 0 std=false")
 	c.send("POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello")
@@ -102,8 +102,8 @@
 }
 
 // What is not plain is served as net/http serves it, on the same connection.
-func TestTheRestGoesToNetHTTP(t *testing.T) {
-	addr := start(t)
+func TestOtherRequestsAreHandedOverToNetHTTP(t *testing.T) {
+	addr := startServer(t)
 	for _, one := range []struct {
 		request, want string
 		status        int
@@ -133,8 +133,8 @@
 }
 
 // A handler that panics costs its own connection and nothing else.
-func TestPanicsCostOneConnection(t *testing.T) {
-	addr := start(t)
+func TestHandlerPanicClosesOnlyItsConnection(t *testing.T) {
+	addr := startServer(t)
 	c := dial(t, addr)
 	c.send("GET /panic HTTP/1.1\r\nHost: x\r\n\r\n")
 	if _, err := c.r.ReadByte(); err != io.EOF {
@@ -146,13 +146,13 @@
 }
 
 // A connection that its client closes is closed here, served or not.
-func TestClosedByTheClient(t *testing.T) {
+func TestConnectionStatesUntilClientCloses(t *testing.T) {
 	ln, err := netio.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	states := make(chan http.ConnState, 16)
-	s := &Server{Handler: http.HandlerFunc(echo), Log: slog.New(slog.DiscardHandler),
+	s := &Server{Handler: http.HandlerFunc(echoRequest), Log: slog.New(slog.DiscardHandler),
 		ConnState: func(_ net.Conn, st http.ConnState) { states <- st }}
 	go s.Serve(ln)
 	t.Cleanup(func() { ln.Close() })
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -25,14 +25,14 @@
 
 	// What a read and a write work on: kept here, so that the functions handed
 	// to the runtime's poller are made once and not for each call.
-	in       []byte
-	inCount  int
-	inErr    syscall.Errno
-	readFD   func(fd uintptr) bool
-	out      []byte
-	outCount int
-	outErr   syscall.Errno
-	writeFD  func(fd uintptr) bool
+	readBuf    []byte
+	readCount  int
+	readErr    syscall.Errno
+	readFD     func(fd uintptr) bool
+	writeBuf   []byte
+	writeCount int
+	writeErr   syscall.Errno
+	writeFD    func(fd uintptr) bool
 }
 
 // Wrap makes a Conn of a connection, or returns it as it is if that is no TCP
@@ -48,16 +48,16 @@
 	}
 	c := &Conn{Conn: conn, raw: raw}
 	c.readFD = func(fd uintptr) bool {
-		c.inCount, c.inErr = retryingSyscall(syscall.SYS_READ, fd, c.in)
-		return c.inErr != syscall.EAGAIN
+		c.readCount, c.readErr = retryingSyscall(syscall.SYS_READ, fd, c.readBuf)
+		return c.readErr != syscall.EAGAIN
 	}
 	c.writeFD = func(fd uintptr) bool {
-		for c.outCount < len(c.out) {
+		for c.writeCount < len(c.writeBuf) {
 			var n int
-			if n, c.outErr = retryingSyscall(syscall.SYS_WRITE, fd, c.out[c.outCount:]); c.outErr != 0 {
-				return c.outErr != syscall.EAGAIN
+			if n, c.writeErr = retryingSyscall(syscall.SYS_WRITE, fd, c.writeBuf[c.writeCount:]); c.writeErr != 0 {
+				return c.writeErr != syscall.EAGAIN
 			}
-			c.outCount += n
+			c.writeCount += n
 		}
 		return true
 	}
@@ -84,18 +84,18 @@
 	if len(p) == 0 {
 		return 0, nil
 	}
-	c.in = p
+	c.readBuf = p
 	err := c.raw.Read(c.readFD)
-	c.in = nil
+	c.readBuf = nil
 	switch {
 	case err != nil:
 		return 0, err
-	case c.inErr != 0:
-		return 0, c.failed("read", c.inErr)
-	case c.inCount == 0:
+	case c.readErr != 0:
+		return 0, c.opError("read", c.readErr)
+	case c.readCount == 0:
 		return 0, io.EOF
 	}
-	return c.inCount, nil
+	return c.readCount, nil
 }
 
 // Next is what a step of Each asks for.
@@ -120,21 +120,21 @@
 // what arrives after it. If the connection's end came together with what was read,
 // it is noticed only when something is written or the deadline passes.
 func (c *Conn) Each(step func(read func(p []byte) (int, error)) Next) error {
-	var at uintptr
+	var socket uintptr
 	read := func(p []byte) (int, error) {
-		n, errno := retryingSyscall(syscall.SYS_READ, at, p)
+		n, errno := retryingSyscall(syscall.SYS_READ, socket, p)
 		switch {
 		case errno == syscall.EAGAIN:
 			return 0, ErrNothing
 		case errno != 0:
-			return 0, c.failed("read", errno)
+			return 0, c.opError("read", errno)
 		case n == 0:
 			return 0, io.EOF
 		}
 		return n, nil
 	}
 	return c.raw.Read(func(fd uintptr) bool {
-		at = fd
+		socket = fd
 		for {
 			switch step(read) {
 			case Wait:
@@ -148,19 +148,19 @@
 
 // Write implements net.Conn.
 func (c *Conn) Write(p []byte) (int, error) {
-	c.out, c.outCount, c.outErr = p, 0, 0
+	c.writeBuf, c.writeCount, c.writeErr = p, 0, 0
 	err := c.raw.Write(c.writeFD)
-	c.out = nil
+	c.writeBuf = nil
 	if err != nil {
-		return c.outCount, err
+		return c.writeCount, err
 	}
-	if c.outErr != 0 {
-		return c.outCount, c.failed("write", c.outErr)
+	if c.writeErr != 0 {
+		return c.writeCount, c.opError("write", c.writeErr)
 	}
-	return c.outCount, nil
+	return c.writeCount, nil
 }
 
-func (c *Conn) failed(op string, err syscall.Errno) error {
+func (c *Conn) opError(op string, err syscall.Errno) error {
 	return &net.OpError{Op: op, Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError(op, err)}
 }
 
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// pair is both ends of a connection.
-func pair(t *testing.T) (near, far net.Conn) {
+// connect is both ends of a connection.
+func connect(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	ln, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -37,8 +37,8 @@
 }
 
 // More than the sockets hold goes through whole, which takes waiting on both sides.
-func TestLargeTransfer(t *testing.T) {
-	near, far := pair(t)
+func TestTransferLargerThanSocketBuffers(t *testing.T) {
+	near, far := connect(t)
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
 	go func() {
 		near.Write(sent)
@@ -51,8 +51,8 @@
 }
 
 // Errors are those that package net's own connections give.
-func TestErrorsAreThoseOfPackageNet(t *testing.T) {
-	near, far := pair(t)
+func TestErrorsMatchPackageNet(t *testing.T) {
+	near, far := connect(t)
 	near.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("after the deadline: %v", err)
@@ -73,19 +73,19 @@
 
 // A connection that another goroutine closes ends the wait for what arrives.
 func TestCloseEndsEach(t *testing.T) {
-	near, _ := pair(t)
-	waits := make(chan bool, 1)
+	near, _ := connect(t)
+	waiting := make(chan bool, 1)
 	done := make(chan error, 1)
 	go func() {
 		done <- near.(*Conn).Each(func(read func([]byte) (int, error)) Next {
 			if _, err := read(make([]byte, 8)); err != ErrNothing {
 				return Stop
 			}
-			waits <- true
+			waiting <- true
 			return Wait
 		})
 	}()
-	<-waits
+	<-waiting
 	near.Close()
 	if err := <-done; !errors.Is(err, net.ErrClosed) {
 		t.Errorf("%v", err)
