--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -1,11 +1,11 @@
-// Package httpd serves an http.Handler on connections that mostly sit idle. A
-// plain request that fits a buffer is read with one system call, parsed by
-// net/http, and answered with one more; idle connections hold no buffer. All
-// that is not plain is passed on to a server of net/http, connection and all.
+// Package httpd serves an http.Handler on connections that are mostly idle. A plain
+// request that fits a buffer is read with one system call, parsed by net/http, and
+// responded to with one more; idle connections hold no buffer. A connection with any
+// other request is handed over to a server of net/http.
 //
-// The server of net/http watches each connection while its request is served,
-// and sets three deadlines for each; on the smallest controllers that took more
-// of the processor than what the requests were about.
+// The server of net/http watches each connection while its request is served, and sets
+// three deadlines for each request; on the smallest controllers that took more processor
+// time than serving the requests.
 package httpd
 
 import (
@@ -25,22 +25,27 @@
 )
 
 const (
-	// bufferSize holds any plain request; larger ones are passed on.
+	// bufferSize is the size of the largest plain request, maxHeader that of its header.
 	bufferSize = 16 << 10
 	maxHeader  = 8 << 10
-	// idleTimeout is how long a connection may be silent between requests, and
-	// readTimeout how long a request may take to arrive. Deadlines are set anew
-	// only when deadlineRefresh has passed, or each request would set two.
+	// idleTimeout bounds the time between requests on a connection, and readTimeout the
+	// time that a request takes to arrive. Deadlines are renewed only once
+	// deadlineRefresh has passed, or each request would set two.
 	idleTimeout     = 90 * time.Second
 	readTimeout     = 15 * time.Second
 	writeTimeout    = 30 * time.Second
 	deadlineRefresh = 15 * time.Second
+	// Timeouts of the server of net/http.
+	netHTTPHeaderTimeout = 10 * time.Second
+	netHTTPWriteTimeout  = 15 * time.Second
+	// acceptRetryDelay is the pause after a temporary error of accept.
+	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// Server serves a handler.
+// Server serves a handler. All fields must be set before Serve, ConnState if wanted.
 type Server struct {
 	Handler http.Handler
-	// ConnState is told of each connection like that of an http.Server.
+	// ConnState is called on each change of a connection's state, as in an http.Server.
 	ConnState func(net.Conn, http.ConnState)
 	Log       *slog.Logger
 
@@ -53,25 +58,25 @@
 	s.buffers.New = func() any { return new([bufferSize]byte) }
 	s.readers.New = func() any { return bufio.NewReader(nil) }
 	fallback := newHandOverListener(ln.Addr())
-	defer fallback.Close()
+	defer fallback.close()
 	netHTTP := &http.Server{
 		Handler:           s.Handler,
-		ReadHeaderTimeout: 10 * time.Second,
+		ReadHeaderTimeout: netHTTPHeaderTimeout,
 		ReadTimeout:       readTimeout,
-		WriteTimeout:      15 * time.Second,
+		WriteTimeout:      netHTTPWriteTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeader,
 		ConnState:         s.ConnState,
 		ErrorLog:          slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug),
 	}
-	go netHTTP.Serve(fallback) // ends with rest
+	go func() { _ = netHTTP.Serve(fallback) }() // returns when fallback is closed
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
 			var temporary interface{ Temporary() bool }
 			if errors.As(err, &temporary) && temporary.Temporary() {
-				s.Log.Debug("accept", "err", err)
-				time.Sleep(20 * time.Millisecond)
+				s.Log.Debug("accept failed", "err", err)
+				time.Sleep(acceptRetryDelay)
 				continue
 			}
 			return err
@@ -85,16 +90,15 @@
 	}
 }
 
-// connection is one connection.
+// connection is the state of a connection that is served here.
 type connection struct {
 	server *Server
 	conn   *netio.Conn
 	remote string
-	// partial is the part of a request that has arrived, needsNetHTTP is set if it is
-	// not plain.
+	// partial is what has arrived of a request; needsNetHTTP is set if that is not plain.
 	partial      []byte
 	needsNetHTTP bool
-	// until are the deadlines set.
+	// The deadlines that are set.
 	readDeadline, writeDeadline time.Time
 }
 
@@ -105,34 +109,37 @@
 	err := conn.Each(c.readRequests)
 	s.notifyState(conn, http.StateClosed)
 	if err == nil && c.needsNetHTTP {
-		conn.SetDeadline(time.Time{})
+		_ = conn.SetDeadline(time.Time{}) // fails only if conn is closed, which net/http finds
 		fallback.handOver(conn, c.partial)
 		return
 	}
-	conn.Close()
+	closeConn(conn)
 }
 
+// closeConn closes a connection that is not used any more; an error changes nothing.
+func closeConn(conn net.Conn) { _ = conn.Close() }
+
 func (s *Server) notifyState(conn net.Conn, st http.ConnState) {
 	if s.ConnState != nil {
 		s.ConnState(conn, st)
 	}
 }
 
-// extendReadDeadline sets the read deadline if the one set would come much sooner.
+// extendReadDeadline sets the read deadline, unless the present one is close enough.
 func (c *connection) extendReadDeadline(d time.Duration) {
 	if deadline := time.Now().Add(d); deadline.Sub(c.readDeadline) > deadlineRefresh || c.readDeadline.After(deadline) {
 		c.readDeadline = deadline
-		c.conn.SetReadDeadline(deadline)
+		_ = c.conn.SetReadDeadline(deadline) // fails only if closed, and then reading does too
 	}
 }
 
-// readRequests reads what has arrived and serves it.
+// readRequests reads the requests that have arrived, and serves them.
 func (c *connection) readRequests(read func(p []byte) (int, error)) netio.Next {
 	buf := c.server.buffers.Get().(*[bufferSize]byte)
 	n, err := read(buf[:])
 	if err != nil {
 		c.server.buffers.Put(buf)
-		if err == netio.ErrNothing {
+		if errors.Is(err, netio.ErrNothing) {
 			return netio.Wait
 		}
 		return netio.Stop
@@ -156,13 +163,13 @@
 			return netio.Stop
 		case req == nil && c.partial != nil:
 			c.extendReadDeadline(readTimeout)
-			return netio.Again // the rest may be there
+			return netio.Again // the rest may have arrived
 		case req == nil:
 			c.server.notifyState(c.conn, http.StateIdle)
 			c.extendReadDeadline(idleTimeout)
 		}
 		if req == nil {
-			// Nothing follows a request before its answer.
+			// A client sends no further request before the response to this one.
 			if n < bufferSize {
 				return netio.Wait
 			}
@@ -180,9 +187,8 @@
 
 var endOfHeader = []byte("\r\n\r\n")
 
-// parse reads a request, and returns what follows it. The request is nil if more
-// of it must arrive, and plain is unset if it is not for this server to serve;
-// what follows is then all of it.
+// parse parses a request, and returns the bytes that follow it. The request is nil if it
+// is incomplete, and plain is unset if net/http must serve it; rest is then all of p.
 func (s *Server) parse(p []byte) (req *http.Request, rest []byte, plain bool) {
 	headerEnd := bytes.Index(p, endOfHeader)
 	if headerEnd < 0 || headerEnd > maxHeader {
@@ -196,8 +202,9 @@
 	s.readers.Put(r)
 	if err != nil || !req.ProtoAtLeast(1, 1) || req.ContentLength < 0 || len(req.TransferEncoding) > 0 ||
 		req.Header["Expect"] != nil || req.Header["Upgrade"] != nil || req.Host == "" || req.Header["Trailer"] != nil ||
-		(req.Method != http.MethodGet && req.Method != http.MethodPost) || req.ContentLength > bufferSize-int64(headerEnd) {
-		return nil, p, false // net/http knows what to do
+		(req.Method != http.MethodGet && req.Method != http.MethodPost) ||
+		req.ContentLength > bufferSize-int64(headerEnd) {
+		return nil, p, false
 	}
 	n := headerEnd + int(req.ContentLength)
 	if len(p) < n {
@@ -205,13 +212,13 @@
 	}
 	req.Body = http.NoBody
 	if n > headerEnd {
-		// The handler may keep what it reads for longer than the buffer is free.
+		// The handler may keep the body for longer than this buffer is reserved.
 		req.Body = io.NopCloser(bytes.NewReader(bytes.Clone(p[headerEnd:n])))
 	}
 	return req, p[n:], true
 }
 
-// respond serves a request, and tells whether the connection goes on.
+// respond serves a request, and reports whether the connection stays open.
 func (c *connection) respond(req *http.Request) (keepOpen bool) {
 	req.RemoteAddr = c.remote
 	w := &response{header: http.Header{}}
@@ -220,7 +227,7 @@
 	}
 	if now := time.Now(); c.writeDeadline.Sub(now) < writeTimeout-deadlineRefresh {
 		c.writeDeadline = now.Add(writeTimeout)
-		c.conn.SetWriteDeadline(c.writeDeadline)
+		_ = c.conn.SetWriteDeadline(c.writeDeadline) // fails only if closed, and then Write does too
 	}
 	closes := req.Close || w.header.Get("Connection") == "close"
 	if _, err := c.conn.Write(w.encode(closes)); err != nil {
@@ -229,19 +236,25 @@
 	return !closes
 }
 
-// callHandler calls the handler. One that panics costs its connection, like that of
-// an http.Server.
+// callHandler calls the handler. If that panics, only its connection is closed, as in an
+// http.Server.
 func (c *connection) callHandler(w http.ResponseWriter, req *http.Request) (ok bool) {
 	defer func() {
-		if v := recover(); v != nil && v != http.ErrAbortHandler {
-			c.server.Log.Error("request", "path", req.URL.Path, "panic", v, "stack", string(debug.Stack()))
+		if v := recover(); v != nil && !isAbort(v) {
+			c.server.Log.Error("handler panicked", "path", req.URL.Path, "panic", v, "stack", string(debug.Stack()))
 		}
 	}()
 	c.server.Handler.ServeHTTP(w, req)
 	return true
 }
 
-// response gathers an answer, so that it is sent with one write.
+// isAbort reports whether a handler panicked to abort its request.
+func isAbort(v any) bool {
+	err, ok := v.(error)
+	return ok && errors.Is(err, http.ErrAbortHandler)
+}
+
+// response buffers a response, so that it is sent with one write.
 type response struct {
 	header http.Header
 	status int
@@ -265,7 +278,7 @@
 	return len(p), nil
 }
 
-// encode is the answer as it goes over the wire.
+// encode returns the response as sent; closes is set if the connection closes after it.
 func (w *response) encode(closes bool) []byte {
 	w.WriteHeader(http.StatusOK)
 	out := make([]byte, 0, 160+len(w.body))
@@ -294,7 +307,8 @@
 	return append(out, w.body...)
 }
 
-// handOverListener is the listener of the server that serves what is not plain.
+// handOverListener is the listener of the server of net/http: it accepts the connections
+// with requests that are not plain.
 type handOverListener struct {
 	addr  net.Addr
 	conns chan net.Conn
@@ -306,12 +320,12 @@
 	return &handOverListener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-// handOver passes a connection on, with what was read of it.
+// handOver passes a connection to Accept, with the bytes that were read of it.
 func (h *handOverListener) handOver(conn net.Conn, read []byte) {
 	select {
 	case h.conns <- &prefixedConn{Conn: conn, prefix: read}:
 	case <-h.done:
-		conn.Close()
+		closeConn(conn)
 	}
 }
 
@@ -327,14 +341,16 @@
 
 // Close implements net.Listener.
 func (h *handOverListener) Close() error {
-	h.once.Do(func() { close(h.done) })
+	h.close()
 	return nil
 }
 
+func (h *handOverListener) close() { h.once.Do(func() { close(h.done) }) }
+
 // Addr implements net.Listener.
 func (h *handOverListener) Addr() net.Addr { return h.addr }
 
-// prefixedConn is a connection of which something has been read already.
+// prefixedConn is a connection whose first bytes have been read already.
 type prefixedConn struct {
 	net.Conn
 	prefix []byte
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -14,7 +15,7 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// echoRequest answers with what it was asked, and how the request got here.
+// echoRequest responds with the request, and whether net/http served it.
 func echoRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -26,7 +27,8 @@
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	_, viaNetHTTP := w.(http.Flusher)
-	fmt.Fprintf(w, "%s %s %d std=%v %.20s", r.Method, r.URL, len(body), viaNetHTTP, body)
+	// If this fails, so does the test, which misses the response.
+	_, _ = fmt.Fprintf(w, "%s %s %d std=%v %.20s", r.Method, r.URL, len(body), viaNetHTTP, body)
 }
 
 func startServer(t *testing.T) string {
@@ -38,11 +40,23 @@
 	s := &Server{Handler: http.HandlerFunc(echoRequest), Log: slog.New(slog.DiscardHandler)}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ln) }()
-	t.Cleanup(func() { ln.Close(); <-done })
+	t.Cleanup(func() {
+		closeListener(t, ln)
+		if err := <-done; !errors.Is(err, net.ErrClosed) {
+			t.Errorf("serve: got error %v, want %v", err, net.ErrClosed)
+		}
+	})
 	return ln.Addr().String()
 }
 
-// client writes pieces of requests and reads answers.
+func closeListener(t *testing.T, ln net.Listener) {
+	t.Helper()
+	if err := ln.Close(); err != nil {
+		t.Errorf("close the listener: %v", err)
+	}
+}
+
+// client writes pieces of requests and reads responses.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -51,11 +65,11 @@
 
 func dial(t *testing.T, addr string) *client {
 	t.Helper()
-	conn, err := net.Dial("tcp", addr)
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { closeConn(conn) })
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
@@ -77,7 +91,7 @@
 		c.t.Fatal(err)
 	}
 	if resp.StatusCode != status || !strings.HasPrefix(string(raw), body) {
-		c.t.Errorf("%d %q, want %d %q", resp.StatusCode, raw, status, body)
+		c.t.Errorf("got %d %q, want %d %q", resp.StatusCode, raw, status, body)
 	}
 }
 
@@ -87,8 +101,13 @@
 	c.expect(200, "GET /a?b=c 0 std=false")
 	c.send("POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello")
 	c.expect(200, "POST /b 5 std=false hello")
-	// In pieces, the second of two close behind it.
-	for _, piece := range []string{"POST /c HT", "TP/1.1\r\nHost: x\r\nContent-Len", "gth: 4\r\n\r\nab", "cdGET /d HTTP/1.1\r\nHost: x\r\n\r\nGET /e HTT"} {
+	// In pieces, with the second request and a part of the third right behind the first.
+	for _, piece := range []string{
+		"POST /c HT",
+		"TP/1.1\r\nHost: x\r\nContent-Len",
+		"gth: 4\r\n\r\nab",
+		"cdGET /d HTTP/1.1\r\nHost: x\r\n\r\nGET /e HTT",
+	} {
 		c.send(piece)
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -96,25 +115,28 @@
 	c.expect(200, "GET /d 0 std=false")
 	c.send("P/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	c.expect(200, "GET /e 0 std=false")
-	if _, err := c.r.ReadByte(); err != io.EOF {
-		t.Errorf("not closed: %v", err)
+	if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("read after the last response: got error %v, want %v", err, io.EOF)
 	}
 }
 
-// What is not plain is served as net/http serves it, on the same connection.
+// Requests that are not plain are served by net/http, on the same connection.
 func TestOtherRequestsAreHandedOverToNetHTTP(t *testing.T) {
 	addr := startServer(t)
 	for _, one := range []struct {
 		request, want string
 		status        int
 	}{
-		{"POST /chunked HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", "POST /chunked 3 std=true abc", 200},
+		{"POST /chunked HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+			"POST /chunked 3 std=true abc", 200},
 		{"PUT /put HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab", "PUT /put 2 std=true ab", 200},
 		{"GET /old HTTP/1.0\r\n\r\n", "GET /old 0 std=true", 200},
 		{"GET /nohost HTTP/1.1\r\n\r\n", "400 Bad Request", 400},
 		{"nonsense\r\n\r\n", "400 Bad Request", 400},
-		{"POST /large HTTP/1.1\r\nHost: x\r\nContent-Length: 40000\r\n\r\n" + strings.Repeat("y", 40000), "POST /large 40000 std=true yyyy", 200},
-		{"GET /many HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("z", 13000) + "\r\n\r\n", "431 ", 431},
+		{"POST /large HTTP/1.1\r\nHost: x\r\nContent-Length: 40000\r\n\r\n" + strings.Repeat("y", 40000),
+			"POST /large 40000 std=true yyyy", 200},
+		{"GET /many HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("z", 13000) + "\r\n\r\n",
+			"431 ", 431},
 	} {
 		c := dial(t, addr)
 		c.send(one.request)
@@ -125,44 +147,56 @@
 	if line, err := c.r.ReadString('\n'); err != nil || !strings.Contains(line, "100 Continue") {
 		t.Fatal(line, err)
 	}
-	c.r.ReadString('\n')
+	if line, err := c.r.ReadString('\n'); err != nil {
+		t.Fatal(line, err)
+	}
 	c.send("abc")
 	c.expect(200, "POST /expect 3 std=true abc")
 	c.send("GET /after HTTP/1.1\r\nHost: x\r\n\r\n")
 	c.expect(200, "GET /after")
 }
 
-// A handler that panics costs its own connection and nothing else.
+// A handler that panics closes its own connection and no other.
 func TestHandlerPanicClosesOnlyItsConnection(t *testing.T) {
 	addr := startServer(t)
 	c := dial(t, addr)
 	c.send("GET /panic HTTP/1.1\r\nHost: x\r\n\r\n")
-	if _, err := c.r.ReadByte(); err != io.EOF {
-		t.Errorf("not closed: %v", err)
+	if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("read after the last response: got error %v, want %v", err, io.EOF)
 	}
 	c = dial(t, addr)
 	c.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
 	c.expect(200, "GET /a")
 }
 
-// A connection that its client closes is closed here, served or not.
+// A connection that its client closes is closed by the server, and ConnState is called on
+// each change.
 func TestConnectionStatesUntilClientCloses(t *testing.T) {
 	ln, err := netio.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	states := make(chan http.ConnState, 16)
-	s := &Server{Handler: http.HandlerFunc(echoRequest), Log: slog.New(slog.DiscardHandler),
-		ConnState: func(_ net.Conn, st http.ConnState) { states <- st }}
-	go s.Serve(ln)
-	t.Cleanup(func() { ln.Close() })
+	s := &Server{
+		Handler:   http.HandlerFunc(echoRequest),
+		ConnState: func(_ net.Conn, state http.ConnState) { states <- state },
+		Log:       slog.New(slog.DiscardHandler),
+	}
+	done := make(chan error, 1)
+	go func() { done <- s.Serve(ln) }()
+	t.Cleanup(func() {
+		closeListener(t, ln)
+		if err := <-done; !errors.Is(err, net.ErrClosed) {
+			t.Errorf("serve: got error %v, want %v", err, net.ErrClosed)
+		}
+	})
 	c := dial(t, ln.Addr().String())
 	c.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
 	c.expect(200, "GET /a")
-	c.Close()
+	closeConn(c)
 	for _, want := range []http.ConnState{http.StateNew, http.StateActive, http.StateIdle, http.StateClosed} {
 		if got := <-states; got != want {
-			t.Fatalf("%v, want %v", got, want)
+			t.Fatalf("got state %v, want %v", got, want)
 		}
 	}
 }
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,10 +1,9 @@
-// Package netio makes TCP connections that read and write without telling the
-// runtime's scheduler. It is told before each system call of package net, since
-// a call might block; those on a socket that does not block never do. On a
-// process that sleeps between short pieces of work, being told wakes a watching
-// thread, which then polls a few times before it sleeps again: most of the
-// system calls of a controller were that thread's, and the smallest machines
-// charge for each. The figures are in docs/measurements.md.
+// Package netio makes TCP connections that read and write without notifying the runtime's
+// scheduler. Package net notifies it before each system call, since a call might block;
+// calls on a non-blocking socket never do. In a process that sleeps between short pieces
+// of work, the notification wakes the runtime's monitoring thread, which then polls a few
+// times before it sleeps again: most of a controller's system calls were that thread's,
+// and the smallest machines charge for each. The figures are in docs/measurements.md.
 package netio
 
 import (
@@ -23,8 +22,8 @@
 	net.Conn
 	raw syscall.RawConn
 
-	// What a read and a write work on: kept here, so that the functions handed
-	// to the runtime's poller are made once and not for each call.
+	// Arguments and results of readFD and writeFD. They are fields so that the functions
+	// passed to the runtime's poller are allocated once and not for each call.
 	readBuf    []byte
 	readCount  int
 	readErr    syscall.Errno
@@ -35,8 +34,8 @@
 	writeFD    func(fd uintptr) bool
 }
 
-// Wrap makes a Conn of a connection, or returns it as it is if that is no TCP
-// connection of package net.
+// Wrap returns a Conn for a TCP connection of package net, and any other connection
+// unchanged.
 func Wrap(conn net.Conn) net.Conn {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -64,8 +63,8 @@
 	return c
 }
 
-// retryingSyscall makes a system call on a socket that does not block, and again if a
-// signal came between.
+// retryingSyscall makes a system call on a non-blocking socket, and retries it when a
+// signal has interrupted it.
 func retryingSyscall(trap, fd uintptr, p []byte) (int, syscall.Errno) {
 	for {
 		n, _, err := syscall.RawSyscall(trap, fd, uintptr(unsafe.Pointer(unsafe.SliceData(p))), uintptr(len(p)))
@@ -98,27 +97,30 @@
 	return c.readCount, nil
 }
 
-// Next is what a step of Each asks for.
+// Next is what Each does after a step.
 type Next int
 
-// What a step may ask for.
+// What Each may do after a step.
 const (
-	Wait  Next = iota // until more arrives
-	Again             // there may be more already
+	// Wait waits until more arrives.
+	Wait Next = iota
+	// Again calls the step at once, since more may have arrived already.
+	Again
+	// Stop returns from Each.
 	Stop
 )
 
 // ErrNothing means that nothing has arrived yet.
 var ErrNothing = errors.New("nothing to read")
 
-// Each calls step whenever something may have arrived, until that asks to stop
-// or the connection's deadline passes. A step reads with the function that it is
-// given, which does not wait; so it holds a buffer only while it reads.
+// Each calls step whenever data may have arrived, until step returns Stop or the
+// connection's deadline expires. A step reads with the function passed to it, which does
+// not block; so it needs a buffer only while it reads.
 //
-// Where a loop of Read tries to read once more before it waits, a step may ask to
-// wait at once if it knows that nothing else can have arrived: the poller tells of
-// what arrives after it. If the connection's end came together with what was read,
-// it is noticed only when something is written or the deadline passes.
+// Where a loop of Read tries to read once more before it waits, a step may return Wait at
+// once if nothing else can have arrived: the poller reports what arrives later. If the
+// peer's close arrived together with the data read, it is detected only by a write or
+// when the deadline expires.
 func (c *Conn) Each(step func(read func(p []byte) (int, error)) Next) error {
 	var socket uintptr
 	read := func(p []byte) (int, error) {
@@ -160,16 +162,22 @@
 	return c.writeCount, nil
 }
 
+// opError returns the error that package net returns for a failed system call.
 func (c *Conn) opError(op string, err syscall.Errno) error {
-	return &net.OpError{Op: op, Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError(op, err)}
+	return &net.OpError{
+		Op:     op,
+		Net:    "tcp",
+		Source: c.LocalAddr(),
+		Addr:   c.RemoteAddr(),
+		Err:    os.NewSyscallError(op, err),
+	}
 }
 
-// noKeepAlive leaves out what package net sets for each connection so that the
-// system finds dead ones: four calls each, and who uses these connections gives
-// them up itself, by deadlines.
+// noKeepAlive turns off TCP keep-alive, which costs four system calls per connection: the
+// users of these connections detect dead ones by deadlines.
 const noKeepAlive = -1
 
-// Listen listens on a TCP address; what it accepts are Conns.
+// Listen listens on a TCP address; the connections that it accepts are Conns.
 func Listen(addr string) (net.Listener, error) {
 	ln, err := (&net.ListenConfig{KeepAlive: noKeepAlive}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
@@ -178,8 +186,10 @@
 	return listener{ln}, nil
 }
 
+// listener accepts Conns.
 type listener struct{ net.Listener }
 
+// Accept implements net.Listener.
 func (l listener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -188,7 +198,8 @@
 	return Wrap(conn), nil
 }
 
-// Dialer returns a function for an http.Transport that connects within a time.
+// Dialer returns a function that dials a Conn within a timeout, such as an http.Transport
+// takes; a timeout of 0 is none.
 func Dialer(timeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout, KeepAlive: noKeepAlive}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"errors"
 	"io"
 	"net"
@@ -11,74 +10,88 @@
 	"time"
 )
 
-// connect is both ends of a connection.
+// closeQuietly closes what a test does not use any more; an error changes nothing.
+func closeQuietly(c io.Closer) { _ = c.Close() }
+
+// connect returns both ends of a connection.
 func connect(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	ln, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	near, err = Dialer(0)(context.Background(), "tcp", ln.Addr().String())
+	defer closeQuietly(ln)
+	near, err = Dialer(0)(t.Context(), "tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if far, err = ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close(); far.Close() })
+	t.Cleanup(func() { closeQuietly(near) })
+	t.Cleanup(func() { closeQuietly(far) })
 	if _, ok := near.(*Conn); !ok {
-		t.Fatalf("dialed a %T", near)
+		t.Fatalf("dialed a %T, want a *Conn", near)
 	}
 	if _, ok := far.(*Conn); !ok {
-		t.Fatalf("accepted a %T", far)
+		t.Fatalf("accepted a %T, want a *Conn", far)
 	}
 	return near, far
 }
 
-// More than the sockets hold goes through whole, which takes waiting on both sides.
+// A transfer larger than the sockets' buffers arrives whole, which takes waiting on both
+// sides.
 func TestTransferLargerThanSocketBuffers(t *testing.T) {
 	near, far := connect(t)
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
 	go func() {
-		near.Write(sent)
-		near.Close()
+		if _, err := near.Write(sent); err != nil {
+			t.Errorf("write: %v", err)
+		}
+		closeQuietly(near)
 	}()
 	got, err := io.ReadAll(far)
 	if err != nil || !bytes.Equal(got, sent) {
-		t.Errorf("%d bytes of %d, %v", len(got), len(sent), err)
+		t.Errorf("got %d bytes, error %v; want the %d bytes sent", len(got), err, len(sent))
+	}
+}
+
+func setReadDeadline(t *testing.T, conn net.Conn, deadline time.Time) {
+	t.Helper()
+	if err := conn.SetReadDeadline(deadline); err != nil {
+		t.Fatal(err)
 	}
 }
 
-// Errors are those that package net's own connections give.
+// Errors are those of package net's own connections.
 func TestErrorsMatchPackageNet(t *testing.T) {
 	near, far := connect(t)
-	near.SetReadDeadline(time.Now().Add(-time.Second))
+	setReadDeadline(t, near, time.Now().Add(-time.Second))
 	if _, err := near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("after the deadline: %v", err)
+		t.Errorf("read after the deadline: got error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
-	near.SetReadDeadline(time.Time{})
-	far.Close()
-	if _, err := near.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("at the end: %v", err)
+	setReadDeadline(t, near, time.Time{})
+	closeQuietly(far)
+	if _, err := near.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // readers compare without unwrapping
+		t.Errorf("read at the end: got error %v, want %v", err, io.EOF)
 	}
-	near.Close()
+	closeQuietly(near)
 	if _, err := near.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("read when closed: %v", err)
+		t.Errorf("read when closed: got error %v, want %v", err, net.ErrClosed)
 	}
 	if _, err := near.Write([]byte("x")); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("write when closed: %v", err)
+		t.Errorf("write when closed: got error %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// A connection that another goroutine closes ends the wait for what arrives.
+// Each returns when another goroutine closes the connection.
 func TestCloseEndsEach(t *testing.T) {
 	near, _ := connect(t)
 	waiting := make(chan bool, 1)
 	done := make(chan error, 1)
 	go func() {
 		done <- near.(*Conn).Each(func(read func([]byte) (int, error)) Next {
-			if _, err := read(make([]byte, 8)); err != ErrNothing {
+			if _, err := read(make([]byte, 8)); !errors.Is(err, ErrNothing) {
 				return Stop
 			}
 			waiting <- true
@@ -86,8 +99,8 @@
 		})
 	}()
 	<-waiting
-	near.Close()
+	closeQuietly(near)
 	if err := <-done; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("%v", err)
+		t.Errorf("Each: got error %v, want %v", err, net.ErrClosed)
 	}
 }
