--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -13,8 +13,8 @@
 	"example.org/ivytrestle/internal/peer"
 )
 
-// cellHandler answers other cells, on a listener of their own. Of all questions that
-// controllers ask each other, it takes only those about loans.
+// cellHandler serves other cells, on a listener of their own. Of the requests between
+// controllers it serves only those about loans.
 type cellHandler struct{ c *controller.Controller }
 
 // Job implements peer.Handler.
@@ -55,25 +55,26 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	answer, err := h.c.Loans(ctx, req)
+	response, err := h.c.Loans(ctx, req)
 	if err != nil {
 		return nil, err
 	}
-	return peer.PackLoanAnswer(answer), nil
+	return peer.PackLoanAnswer(response), nil
 }
 
-// cellLinks is the direct way to other cells: to each of a cell's controllers in turn,
-// until its leader answers.
+// cellLinks sends requests directly to other cells: to each of a cell's controllers in
+// turn, until its leader responds.
 type cellLinks struct {
 	cells map[string]*cellLink
 }
 
+// cellLink is the link to one cell.
 type cellLink struct {
 	clients []*peer.Client
 
 	mu sync.Mutex
-	// last is the client that answered last.
-	last int
+	// lastResponded is the index of the client that responded last.
+	lastResponded int
 }
 
 func newCellLinks(s *cells.Settings) *cellLinks {
@@ -88,7 +89,7 @@
 	return l
 }
 
-// cellAttemptTimeout bounds the question to one controller of another cell.
+// cellAttemptTimeout bounds the request to one controller of another cell.
 const cellAttemptTimeout = 900 * time.Millisecond
 
 // Loans implements controller.CellLink.
@@ -102,21 +103,21 @@
 		return nil, err
 	}
 	link.mu.Lock()
-	first := link.last
+	first := link.lastResponded
 	link.mu.Unlock()
-	failed := []error{}
+	var errs []error
 	for i := range link.clients {
-		at := (first + i) % len(link.clients)
-		tctx, cancel := context.WithTimeout(ctx, cellAttemptTimeout)
-		answer, err := link.clients[at].Loans(tctx, msg)
+		index := (first + i) % len(link.clients)
+		attemptCtx, cancel := context.WithTimeout(ctx, cellAttemptTimeout)
+		response, err := link.clients[index].Loans(attemptCtx, msg)
 		cancel()
 		if err == nil {
 			link.mu.Lock()
-			link.last = at
+			link.lastResponded = index
 			link.mu.Unlock()
-			return answer.Unpack(), nil
+			return response.Unpack(), nil
 		}
-		failed = append(failed, err)
+		errs = append(errs, err)
 	}
-	return nil, errors.Join(failed...)
+	return nil, errors.Join(errs...)
 }
--- a/internal/daemon/connlimiter.go
+++ b/internal/daemon/connlimiter.go
@@ -7,32 +7,37 @@
 	"sync"
 )
 
-// connLimiter bounds the open connections of a server. When there are too many, the
-// one that has been idle for longest makes room: workers and users that are
-// still there speak every few seconds, so what sits idle for longer is nobody's
-// loss, and nobody is kept waiting in front of the door.
+// connLimiter bounds the open connections of a server. When there are too many, it closes
+// the one that has been idle for longest: worker agents and users that are alive send a
+// request every few seconds, so none of them misses it, and no new connection has to wait.
 type connLimiter struct {
 	limit int
 
 	mu   sync.Mutex
 	open map[net.Conn]bool
-	// idle holds the connections without a request, the longest idle first.
+	// idle holds the connections without a request, the longest idle first, and elements
+	// their places in it.
 	idle     *list.List
 	elements map[net.Conn]*list.Element
 }
 
 func newConnLimiter(limit int) *connLimiter {
-	return &connLimiter{limit: limit, open: map[net.Conn]bool{}, idle: list.New(), elements: map[net.Conn]*list.Element{}}
+	return &connLimiter{
+		limit:    limit,
+		open:     map[net.Conn]bool{},
+		idle:     list.New(),
+		elements: map[net.Conn]*list.Element{},
+	}
 }
 
-// watch is an http.Server's ConnState.
+// watch has the form of an http.Server's ConnState.
 func (c *connLimiter) watch(conn net.Conn, state http.ConnState) {
-	if out := c.connStateChanged(conn, state); out != nil {
-		out.Close()
+	if evicted := c.connStateChanged(conn, state); evicted != nil {
+		closeQuietly(evicted)
 	}
 }
 
-// connStateChanged takes a change in, and returns the connection to close, if any.
+// connStateChanged records a state, and returns the connection to close, if any.
 func (c *connLimiter) connStateChanged(conn net.Conn, state http.ConnState) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,10 +57,9 @@
 	if len(c.open) <= c.limit {
 		return nil
 	}
-	// The newest is last: it goes only if all others are busy.
-	e := c.idle.Front()
-	out := c.idle.Remove(e).(net.Conn)
-	delete(c.elements, out)
-	delete(c.open, out)
-	return out
+	// The newest is last, so it is closed only if all others are busy.
+	evicted := c.idle.Remove(c.idle.Front()).(net.Conn)
+	delete(c.elements, evicted)
+	delete(c.open, evicted)
+	return evicted
 }
--- a/internal/daemon/connlimiter_test.go
+++ b/internal/daemon/connlimiter_test.go
@@ -3,38 +3,40 @@
 import (
 	"net"
 	"net/http"
+	"slices"
 	"testing"
 )
 
-// Idle connections, and such on which nothing was ever asked, must not keep
-// others out; busy ones stay.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
+// Idle connections, and those without any request yet, must not keep new ones out; busy
+// ones stay.
+func TestLongestIdleConnectionIsClosedAtLimit(t *testing.T) {
 	c := newConnLimiter(3)
 	conns := make([]net.Conn, 6)
 	for i := range conns {
 		conns[i], _ = net.Pipe()
 	}
-	step := func(i int, s http.ConnState, want int) {
+	const none = -1
+	checkClosed := func(i int, state http.ConnState, want int) {
 		t.Helper()
-		out := c.connStateChanged(conns[i], s)
-		if want < 0 && out != nil || want >= 0 && out != conns[want] {
-			t.Errorf("connection %d %v: closed the wrong one", i, s)
+		closed := c.connStateChanged(conns[i], state)
+		if got := slices.Index(conns, closed); got != want {
+			t.Errorf("connection %d %v: closed connection %d, want %d", i, state, got, want)
 		}
 	}
-	step(0, http.StateNew, -1)
-	step(1, http.StateNew, -1)
-	step(0, http.StateActive, -1)
-	step(2, http.StateNew, -1)
-	step(0, http.StateIdle, -1)
-	step(3, http.StateNew, 1) // idle for longest
-	step(2, http.StateActive, -1)
-	step(3, http.StateActive, -1)
-	step(4, http.StateNew, 0)
-	step(4, http.StateActive, -1)
-	step(5, http.StateNew, 5) // all others are busy
-	step(4, http.StateClosed, -1)
-	step(5, http.StateNew, -1)
+	checkClosed(0, http.StateNew, none)
+	checkClosed(1, http.StateNew, none)
+	checkClosed(0, http.StateActive, none)
+	checkClosed(2, http.StateNew, none)
+	checkClosed(0, http.StateIdle, none)
+	checkClosed(3, http.StateNew, 1) // idle for longest
+	checkClosed(2, http.StateActive, none)
+	checkClosed(3, http.StateActive, none)
+	checkClosed(4, http.StateNew, 0)
+	checkClosed(4, http.StateActive, none)
+	checkClosed(5, http.StateNew, 5) // all others are busy
+	checkClosed(4, http.StateClosed, none)
+	checkClosed(5, http.StateNew, none)
 	if len(c.open) != 3 || c.idle.Len() != 1 {
-		t.Errorf("%d open, %d idle", len(c.open), c.idle.Len())
+		t.Errorf("got %d open and %d idle, want 3 and 1", len(c.open), c.idle.Len())
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon puts a controller together and runs it.
+// Package daemon builds the parts of a controller process, runs and stops them.
 package daemon
 
 import (
@@ -29,10 +29,11 @@
 	"example.org/ivytrestle/internal/worker"
 )
 
-// Logger writes to w in the amount that a level's name asks for.
+// Logger returns a logger that writes to w from the named level on; an unknown name is
+// info.
 func Logger(w io.Writer, level string) *slog.Logger {
 	var l slog.Level
-	unknown := false
+	isUnknown := false
 	switch strings.ToLower(level) {
 	case "error":
 		l = slog.LevelError
@@ -41,109 +42,166 @@
 	case "debug":
 		l = slog.LevelDebug
 	default:
-		unknown = true
+		isUnknown = true
 	}
 	log := slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: l}))
-	if unknown {
+	if isUnknown {
 		log.Warn("unknown LOG_LEVEL, using info", "level", level)
 	}
 	return log
 }
 
-// A connection of a worker or user may hold a part of a request, and holds a
-// goroutine. All of them together may take connectionMemoryShare of the memory: what is
-// left holds the process itself, the fleet and the jobs.
+// A connection of a worker agent or user holds a goroutine, and possibly a part of a
+// request. All of them together may take connectionMemoryShare of the memory: the process
+// itself, the fleet and the jobs need the rest.
 const (
 	bytesPerConnection    = 26 << 10
 	connectionMemoryShare = 0.3
 	minOpenConnections    = 16
 )
 
-// connections is how many connections of workers and users may be open: sockets
-// are kept for the outside services and the peers.
-func connections(lim config.Limits) int {
-	byMemory := int(lim.RAMMB * (1 << 20) * connectionMemoryShare / bytesPerConnection)
+// Shares of the machine's memory at which the garbage collector works harder, and the
+// growth of the heap at which it runs below that, in percent.
+const (
+	memoryLimitShare = 0.7
+	gcPercent        = 300
+)
+
+const bytesPerMB = 1 << 20
+
+// maxConnections returns how many connections of worker agents and users may be open:
+// external services and peers need sockets as well.
+func maxConnections(lim config.Limits) int {
+	byMemory := int(lim.RAMMB * bytesPerMB * connectionMemoryShare / bytesPerConnection)
 	return max(minOpenConnections, min(lim.FDLimit*7/10, byMemory))
 }
 
-// tune fits the process to the machine: one processor's share, and a memory
-// limit below the one that gets it killed.
-func tune(lim config.Limits) {
+// tuneRuntime fits the Go runtime to the machine: one processor, and a memory limit below
+// the one at which the system kills the process.
+func tuneRuntime(lim config.Limits) {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(lim.RAMMB * 0.7 * (1 << 20)))
-	debug.SetGCPercent(300)
+	debug.SetMemoryLimit(int64(lim.RAMMB * memoryLimitShare * bytesPerMB))
+	debug.SetGCPercent(gcPercent)
 }
 
-// drainTimeout is what a controller that is told to stop has to hand the leadership over.
+// drainTimeout bounds the handover of leadership when a controller stops.
 const drainTimeout = 2 * time.Second
 
-// Parts are those that files of their own switch on; nil: off.
+// Parts holds the settings of optional parts, each from a file of its own; nil turns a
+// part off.
 type Parts struct {
-	Cells   *cells.Settings
+	// Cells turns on spillover to other cells.
+	Cells *cells.Settings
+	// Standby turns on failover, by which other controllers replace an unreachable leader
+	// before its lease expires.
 	Standby *standby.Settings
 }
 
-// Run runs a controller until the context ends, when it hands the leadership over, or until
-// it cannot go on.
-func Run(ctx context.Context, s *config.Settings, p *policy.Policy, parts Parts, log *slog.Logger) error {
-	others := parts.Cells
-	tune(s.Site.Limits)
-	apiLn, err := netio.Listen(s.APIAddr)
-	if err != nil {
-		return fmt.Errorf("api: %w", err)
+// listeners are those of one controller; cells is nil unless spillover is on.
+type listeners struct{ api, peers, cells net.Listener }
+
+// listen opens all listeners, or none.
+func listen(s *config.Settings, neighbours *cells.Settings) (l listeners, err error) {
+	defer func() {
+		if err != nil {
+			l.close()
+		}
+	}()
+	if l.api, err = netio.Listen(s.APIAddr); err != nil {
+		return l, fmt.Errorf("api: %w", err)
 	}
-	peerLn, err := netio.Listen(s.PeerListen)
-	if err != nil {
-		apiLn.Close()
-		return fmt.Errorf("peers: %w", err)
+	if l.peers, err = netio.Listen(s.PeerListen); err != nil {
+		return l, fmt.Errorf("peers: %w", err)
 	}
-	var cellLn net.Listener
-	if others != nil {
-		if cellLn, err = netio.Listen(others.Listen[s.Node]); err != nil {
-			apiLn.Close()
-			peerLn.Close()
-			return fmt.Errorf("cells: %w", err)
+	if neighbours != nil {
+		if l.cells, err = netio.Listen(neighbours.Listen[s.Node]); err != nil {
+			return l, fmt.Errorf("cells: %w", err)
 		}
 	}
-	st := kv.NewClient(s.Outside.State, s.Site.State)
-	peers := newPeers(s.Peers)
-	machines := worker.NewClient()
-	cfg := controller.Config{
-		Settings: s, Policy: p, Standby: parts.Standby, Store: st, Cloud: cloud.NewClient(s.Outside.Cloud, s.Site.Cloud),
-		UserStore: st.ForUsers(), Peers: peers, Prober: machines, CommandSender: machines, Log: log,
+	return l, nil
+}
+
+func (l listeners) close() {
+	for _, ln := range []net.Listener{l.api, l.peers, l.cells} {
+		if ln != nil {
+			closeQuietly(ln)
+		}
 	}
-	if others != nil {
-		cfg.Cells, cfg.Link = others, newCellLinks(others)
+}
+
+// closeQuietly closes what is not used any more; an error changes nothing.
+func closeQuietly(c io.Closer) { _ = c.Close() }
+
+// Run runs a controller until the context ends, when it hands the leadership over, or
+// until a listener fails.
+func Run(ctx context.Context, s *config.Settings, p *policy.Policy, parts Parts, log *slog.Logger) error {
+	tuneRuntime(s.Site.Limits)
+	lns, err := listen(s, parts.Cells)
+	if err != nil {
+		return err
 	}
-	c := controller.New(cfg)
+	store := kv.NewClient(s.Outside.State, s.Site.State)
+	c := newController(s, p, parts, store, log)
 	stopped := ctx.Done()
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	cand := &election.Elector{
-		Node: s.Node, Incarnation: rand.Text(), Store: st,
-		Lease: p.LeaderLease, Renew: min(p.LeaderLease/6, 3*time.Second),
-		Observer: c, Log: log, StepDowns: c.StepDowns(), Resignations: c.Resignations(),
+	elector := &election.Elector{
+		Node:         s.Node,
+		Incarnation:  rand.Text(),
+		Store:        store,
+		Lease:        p.LeaderLease,
+		Renew:        min(p.LeaderLease/6, maxRenewInterval),
+		Observer:     c,
+		Log:          log,
+		StepDowns:    c.StepDowns(),
+		Resignations: c.Resignations(),
 	}
 	go c.Run(ctx)
-	go cand.Run(ctx)
+	go elector.Run(ctx)
 	failed := make(chan error, 3)
-	if cellLn != nil {
-		go func() { failed <- peer.Serve(ctx, cellLn, cellHandler{c}, log) }()
+	if lns.cells != nil {
+		go func() { failed <- peer.Serve(ctx, lns.cells, cellHandler{c}, log) }()
 	}
-	go func() { failed <- peer.Serve(ctx, peerLn, peerHandler{c}, log) }()
-	limiter := newConnLimiter(connections(s.Site.Limits))
+	go func() { failed <- peer.Serve(ctx, lns.peers, peerHandler{c}, log) }()
+	limiter := newConnLimiter(maxConnections(s.Site.Limits))
 	srv := &httpd.Server{Handler: api.Handler(c, log), ConnState: limiter.watch, Log: log}
-	go func() { failed <- srv.Serve(apiLn) }()
+	go func() { failed <- srv.Serve(lns.api) }()
 	log.Info("started", "node", s.Node, "zone", s.Zone, "api", s.APIAddr, "pid", os.Getpid())
 	select {
 	case <-stopped:
-		lctx, done := context.WithTimeout(ctx, drainTimeout)
-		c.Drain(lctx)
+		drainCtx, done := context.WithTimeout(ctx, drainTimeout)
+		c.Drain(drainCtx)
 		done()
-		apiLn.Close()
+		closeQuietly(lns.api)
 		log.Info("stopped", "node", s.Node)
 		return nil
 	case err := <-failed:
 		return err
 	}
 }
+
+// maxRenewInterval is the longest interval at which the leader lease is renewed.
+const maxRenewInterval = 3 * time.Second
+
+// newController builds a controller with its clients.
+func newController(
+	s *config.Settings, p *policy.Policy, parts Parts, store *kv.Client, log *slog.Logger,
+) *controller.Controller {
+	machines := worker.NewClient()
+	cfg := controller.Config{
+		Settings:      s,
+		Policy:        p,
+		Standby:       parts.Standby,
+		Store:         store,
+		UserStore:     store.ForUsers(),
+		Cloud:         cloud.NewClient(s.Outside.Cloud, s.Site.Cloud),
+		Peers:         newPeers(s.Peers),
+		Prober:        machines,
+		CommandSender: machines,
+		Log:           log,
+	}
+	if parts.Cells != nil {
+		cfg.Cells, cfg.Link = parts.Cells, newCellLinks(parts.Cells)
+	}
+	return controller.New(cfg)
+}
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -2,8 +2,11 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"os"
 	"os/exec"
@@ -18,13 +21,13 @@
 	"example.org/ivytrestle/internal/policy"
 )
 
-// The outside of the controller runs in a process of its own, so that a profile
-// shows the controller alone: this test binary, started once more.
+// environmentVar makes the test binary simulate the controller's environment. It runs in
+// a process of its own, so that a profile shows the controller alone.
 const environmentVar = "IVYTRESTLE_LOADTEST_ENVIRONMENT"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(environmentVar) != "" {
-		if err := outside(); err != nil {
+		if err := simulateEnvironment(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -33,11 +36,20 @@
 	os.Exit(m.Run())
 }
 
-// outside simulates the environment: each line of its input is a plan to start or asks for
-// the counts, until its input ends.
-func outside() error {
-	env, err := loadtest.New(api.MachineType{Name: "m", CPUs: 32, MemoryGB: 128, CacheGB: 80, FetchGBs: 1, Price: 1, SpotPrice: 0.4,
-		BootS: 20, Zones: []string{"a"}})
+// simulateEnvironment simulates the controller's environment: each value of its input is a
+// plan to start, or null to request the counts, until its input ends.
+func simulateEnvironment() error {
+	env, err := loadtest.New(api.MachineType{
+		Name:      "m",
+		CPUs:      32,
+		MemoryGB:  128,
+		CacheGB:   80,
+		FetchGBs:  1,
+		Price:     1,
+		SpotPrice: 0.4,
+		BootS:     20,
+		Zones:     []string{"a"},
+	})
 	if err != nil {
 		return err
 	}
@@ -48,8 +60,10 @@
 	in := json.NewDecoder(os.Stdin)
 	for {
 		var p *loadtest.Plan
-		if err := in.Decode(&p); err != nil {
+		if err := in.Decode(&p); errors.Is(err, io.EOF) {
 			return nil // the parent has ended
+		} else if err != nil {
+			return err
 		}
 		if p != nil {
 			env.Start(*p)
@@ -60,30 +74,53 @@
 	}
 }
 
-// One operation is a second of a controller that leads alone, in real time:
+// BenchmarkSecond runs a controller that leads alone in real time; one operation is a
+// second of it:
 //
 //	go test -run '^$' -bench Second -benchtime 15x -cpuprofile cpu.out ./internal/daemon
 //
-// cpu-ms/s is what the processor does for it, of 1000 that a whole core has.
+// cpu-ms/s is the processor time used, of 1000 that a whole core has.
 func BenchmarkSecond(b *testing.B) {
 	for _, c := range []struct {
-		name  string
-		plan  loadtest.Plan
-		cores float64
+		name string
+		plan loadtest.Plan
 	}{
-		{"220machines-1s", loadtest.Plan{Machines: 220, HeartbeatInterval: time.Second, JobEvery: 700 * time.Millisecond, Tasks: 90, Run: 25 * time.Second, Polls: 20}, 1},
-		{"190machines-5s", loadtest.Plan{Machines: 190, HeartbeatInterval: 5 * time.Second, JobEvery: 2 * time.Second, Tasks: 70, Run: 35 * time.Second, Polls: 8}, 1},
+		{"220machines-1s", loadtest.Plan{
+			Machines:          220,
+			HeartbeatInterval: time.Second,
+			JobEvery:          700 * time.Millisecond,
+			Tasks:             90,
+			Run:               25 * time.Second,
+			Polls:             20,
+		}},
+		{"190machines-5s", loadtest.Plan{
+			Machines:          190,
+			HeartbeatInterval: 5 * time.Second,
+			JobEvery:          2 * time.Second,
+			Tasks:             70,
+			Run:               35 * time.Second,
+			Polls:             8,
+		}},
 	} {
-		b.Run(c.name, func(b *testing.B) { second(b, c.plan, c.cores) })
+		b.Run(c.name, func(b *testing.B) { benchmarkSecond(b, c.plan) })
 	}
 }
 
-func second(b *testing.B, plan loadtest.Plan, cores float64) {
+// environment is the process that simulates the controller's environment.
+type environment struct {
+	in      *json.Encoder
+	out     *json.Decoder
+	outside config.Outside
+}
+
+func startEnvironment(b *testing.B) *environment {
+	b.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		b.Fatal(err)
 	}
-	cmd := exec.Command(self)
+	// It ends with its input; the context of the benchmark would kill it before that.
+	cmd := exec.CommandContext(context.WithoutCancel(b.Context()), self)
 	cmd.Env = append(os.Environ(), environmentVar+"=1")
 	cmd.Stderr = os.Stderr
 	stdin, err := cmd.StdinPipe()
@@ -97,59 +134,94 @@
 	if err := cmd.Start(); err != nil {
 		b.Fatal(err)
 	}
-	defer func() { stdin.Close(); cmd.Wait() }()
-	out, in := json.NewDecoder(bufio.NewReader(stdout)), json.NewEncoder(stdin)
-	s := &config.Settings{Node: "n0", Zone: "a", APIAddr: "127.0.0.1:18080", PeerListen: "127.0.0.1:0", Site: config.SiteInfo{
-		Teams:   []config.Team{{Name: "red", CPUs: 1e4, LimitCPUs: 1e5}},
-		Workers: config.Workers{HeartbeatS: plan.HeartbeatInterval.Seconds(), LeaseS: 24, CancelS: 49},
-		State:   config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20}, Cloud: config.CloudLimits{RPS: 5, ListLagS: 4},
-		Limits: config.Limits{Cores: cores, RAMMB: 65, FDLimit: 800}}}
-	if err := out.Decode(&s.Outside); err != nil {
+	b.Cleanup(func() {
+		closeQuietly(stdin)
+		if err := cmd.Wait(); err != nil {
+			b.Errorf("environment: %v", err)
+		}
+	})
+	e := &environment{in: json.NewEncoder(stdin), out: json.NewDecoder(bufio.NewReader(stdout))}
+	if err := e.out.Decode(&e.outside); err != nil {
 		b.Fatal(err)
 	}
-	pol, err := policy.Parse("", "")
-	if err != nil {
+	return e
+}
+
+// start starts a plan, unless it is nil, and returns the counts.
+func (e *environment) start(b *testing.B, p *loadtest.Plan) (c loadtest.Counts) {
+	b.Helper()
+	if err := e.in.Encode(p); err != nil {
 		b.Fatal(err)
 	}
-	pol.MinCPUs = 1e6 // no machine is given back
-	go Run(b.Context(), s, pol, Parts{}, slog.New(slog.DiscardHandler))
-	plan.API = s.APIAddr
-	ask := func(p *loadtest.Plan) (c loadtest.Counts) {
-		if err := in.Encode(p); err != nil {
-			b.Fatal(err)
-		}
-		if err := out.Decode(&c); err != nil {
-			b.Fatal(err)
-		}
-		return c
+	if err := e.out.Decode(&c); err != nil {
+		b.Fatal(err)
 	}
+	return c
+}
+
+func (e *environment) counts(b *testing.B) loadtest.Counts {
+	b.Helper()
+	return e.start(b, nil)
+}
+
+// startController runs a controller that launches no machines and terminates none.
+func startController(b *testing.B, outside config.Outside, heartbeatInterval time.Duration) *config.Settings {
+	b.Helper()
+	s := &config.Settings{
+		Node:       "n0",
+		Zone:       "a",
+		APIAddr:    "127.0.0.1:18080",
+		PeerListen: "127.0.0.1:0",
+		Outside:    outside,
+		Site: config.SiteInfo{
+			Teams:   []config.Team{{Name: "red", CPUs: 1e4, LimitCPUs: 1e5}},
+			Workers: config.Workers{HeartbeatS: heartbeatInterval.Seconds(), LeaseS: 24, CancelS: 49},
+			State:   config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
+			Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
+			Limits:  config.Limits{Cores: 1, RAMMB: 65, FDLimit: 800},
+		},
+	}
+	p, err := policy.Parse("", "")
+	if err != nil {
+		b.Fatal(err)
+	}
+	p.MinCPUs = 1e6 // no machine is terminated
+	// An error shows as failed requests in the counts.
+	go func() { _ = Run(b.Context(), s, p, Parts{}, slog.New(slog.DiscardHandler)) }()
+	return s
+}
+
+func benchmarkSecond(b *testing.B, plan loadtest.Plan) {
+	b.Helper()
+	env := startEnvironment(b)
+	plan.API = startController(b, env.outside, plan.HeartbeatInterval).APIAddr
 	time.Sleep(2 * time.Second)
-	ask(&plan)
+	env.start(b, &plan)
 	time.Sleep(plan.Run + 5*time.Second)
-	before, cpu := ask(nil), processor()
-	var m0, m1 runtime.MemStats
-	runtime.ReadMemStats(&m0)
+	before, cpuBefore := env.counts(b), processorTime()
+	var memBefore, memAfter runtime.MemStats
+	runtime.ReadMemStats(&memBefore)
 	b.ResetTimer()
 	for b.Loop() {
 		time.Sleep(time.Second)
 	}
 	b.StopTimer()
-	used, after := processor()-cpu, ask(nil)
-	runtime.ReadMemStats(&m1)
-	per := func(v int64) float64 { return float64(v) / float64(b.N) }
-	b.ReportMetric(float64(used.Microseconds())/1000/float64(b.N), "cpu-ms/s")
-	b.ReportMetric(per(after.Heartbeats-before.Heartbeats), "reports/s")
-	b.ReportMetric(per(after.Started-before.Started), "starts/s")
-	b.ReportMetric(per(after.Polls-before.Polls), "polls/s")
-	b.ReportMetric(per(after.Failed-before.Failed), "failed/s")
-	b.ReportMetric(per(int64(m1.Mallocs-m0.Mallocs)), "allocs/s")
-	b.ReportMetric(per(int64(m1.NumGC-m0.NumGC)), "gc/s")
-	b.ReportMetric(float64(m1.HeapInuse)/(1<<20), "heap-MB")
+	cpu, after := processorTime()-cpuBefore, env.counts(b)
+	runtime.ReadMemStats(&memAfter)
+	perSecond := func(v int64) float64 { return float64(v) / float64(b.N) }
+	b.ReportMetric(float64(cpu.Microseconds())/1000/float64(b.N), "cpu-ms/s")
+	b.ReportMetric(perSecond(after.Heartbeats-before.Heartbeats), "reports/s")
+	b.ReportMetric(perSecond(after.Started-before.Started), "starts/s")
+	b.ReportMetric(perSecond(after.Polls-before.Polls), "polls/s")
+	b.ReportMetric(perSecond(after.Failed-before.Failed), "failed/s")
+	b.ReportMetric(perSecond(int64(memAfter.Mallocs-memBefore.Mallocs)), "allocs/s")
+	b.ReportMetric(perSecond(int64(memAfter.NumGC-memBefore.NumGC)), "gc/s")
+	b.ReportMetric(float64(memAfter.HeapInuse)/(1<<20), "heap-MB")
 	b.ReportMetric(0, "ns/op")
 }
 
-// processor is the processor time that this process has used.
-func processor() time.Duration {
+// processorTime returns the processor time that this process has used.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -14,10 +14,10 @@
 	"example.org/ivytrestle/internal/peer"
 )
 
-// peerHandler answers other nodes' questions from the controller.
+// peerHandler serves the requests of other nodes.
 type peerHandler struct{ c *controller.Controller }
 
-// peerTimeout bounds what another node waits for here.
+// peerTimeout bounds the handling of another node's request.
 const peerTimeout = 1200 * time.Millisecond
 
 // Job implements peer.Handler.
@@ -31,22 +31,41 @@
 	if err != nil {
 		return nil, err
 	}
-	return &peer.JobStatus{Known: true, Phase: st.Phase, Done: uint32(st.Done), Running: uint32(st.Running), Awaits: st.DependsOn, Derived: st.Derived, Cell: st.Cell}, nil
+	return &peer.JobStatus{
+		Known:   true,
+		Phase:   st.Phase,
+		Done:    uint32(st.Done),
+		Running: uint32(st.Running),
+		Awaits:  st.DependsOn,
+		Derived: st.Derived,
+		Cell:    st.Cell,
+	}, nil
 }
 
 // Ping implements peer.Handler.
 func (h peerHandler) Ping(ctx context.Context, p *peer.Ping) (*peer.Pong, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	st, err := h.c.PeerStatus(ctx, cancellation.Position{Incarnation: p.GetIncarnation(), Number: p.GetCancelNumber()})
+	from := cancellation.Position{Incarnation: p.GetIncarnation(), Number: p.GetCancelNumber()}
+	st, err := h.c.PeerStatus(ctx, from)
 	if err != nil {
 		return nil, err
 	}
-	pong := &peer.Pong{Term: st.Term, Leader: st.Leader, StoreOkMs: uint64(st.KVReachableFor.Milliseconds()), Incarnation: st.Incarnation,
-		Cancelled: st.Cancellations.IDs, CancelFirst: st.Cancellations.First, CancelMore: st.Cancellations.More, CancelWholeMs: uint64(st.Cancellations.CompleteFor.Milliseconds())}
-	pong.KnowsLoans, pong.KnowsGrants, pong.Bound = st.SupportsLoans, st.SupportsLeaseQuorum, st.QuorumRequired
+	pong := &peer.Pong{
+		Term:          st.Term,
+		Leader:        st.Leader,
+		StoreOkMs:     uint64(st.KVReachableFor.Milliseconds()),
+		Incarnation:   st.Incarnation,
+		Cancelled:     st.Cancellations.IDs,
+		CancelFirst:   st.Cancellations.First,
+		CancelMore:    st.Cancellations.More,
+		CancelWholeMs: uint64(st.Cancellations.CompleteFor.Milliseconds()),
+		KnowsLoans:    st.SupportsLoans,
+		KnowsGrants:   st.SupportsLeaseQuorum,
+		Bound:         st.QuorumRequired,
+	}
 	if st.CancellationsKnownAge >= 0 {
-		// Rounded up: it must not seem fresher than it is.
+		// Rounded up: the knowledge must not appear fresher than it is.
 		pong.KnownAgeMs = proto.Uint64(uint64(st.CancellationsKnownAge.Milliseconds()) + 1)
 	}
 	return pong, nil
@@ -68,7 +87,7 @@
 	return h.c.LeaderResigned(ctx, r.Node, r.Term)
 }
 
-// Loans implements peer.Handler: other cells have a listener of their own.
+// Loans implements peer.Handler: other cells use a listener of their own.
 func (h peerHandler) Loans(context.Context, *peer.LoanRequest) (*peer.LoanAnswer, error) {
 	return nil, peer.ErrUnavailable
 }
@@ -86,11 +105,11 @@
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	wait, err := h.c.PeerPromise(ctx, r.GetTerm())
-	// Rounded up: what was granted must not seem to end sooner.
+	// Rounded up: the last vote must not appear to expire sooner than it does.
 	return &peer.PromiseAnswer{WaitMs: uint64(wait.Milliseconds()) + 1}, err
 }
 
-// peers asks the other nodes.
+// peers sends requests to the other nodes.
 type peers map[string]*peer.Client
 
 func newPeers(list []config.Peer) peers {
@@ -114,7 +133,15 @@
 	if !st.Known {
 		return api.JobState{}, api.ErrUnknownJob
 	}
-	return api.JobState{ID: id, Phase: st.Phase, Done: int(st.Done), Running: int(st.Running), DependsOn: st.Awaits, Derived: st.Derived, Cell: st.Cell}, nil
+	return api.JobState{
+		ID:        id,
+		Phase:     st.Phase,
+		Done:      int(st.Done),
+		Running:   int(st.Running),
+		DependsOn: st.Awaits,
+		Derived:   st.Derived,
+		Cell:      st.Cell,
+	}, nil
 }
 
 // Ping implements controller.PeerClient.
@@ -130,10 +157,22 @@
 	if err != nil {
 		return controller.PeerStatus{}, err
 	}
-	out := controller.PeerStatus{Term: st.Term, Leader: st.Leader, KVReachableFor: time.Duration(st.StoreOkMs) * time.Millisecond,
-		Incarnation: st.Incarnation, CancellationsKnownAge: -1, Cancellations: cancellation.Delta{IDs: st.Cancelled, First: st.CancelFirst, More: st.CancelMore,
-			CompleteFor: time.Duration(st.CancelWholeMs) * time.Millisecond}}
-	out.SupportsLoans, out.SupportsLeaseQuorum, out.QuorumRequired = st.KnowsLoans, st.KnowsGrants, st.Bound
+	out := controller.PeerStatus{
+		Term:                  st.Term,
+		Leader:                st.Leader,
+		KVReachableFor:        time.Duration(st.StoreOkMs) * time.Millisecond,
+		Incarnation:           st.Incarnation,
+		CancellationsKnownAge: -1,
+		Cancellations: cancellation.Delta{
+			IDs:         st.Cancelled,
+			First:       st.CancelFirst,
+			More:        st.CancelMore,
+			CompleteFor: time.Duration(st.CancelWholeMs) * time.Millisecond,
+		},
+		SupportsLoans:       st.KnowsLoans,
+		SupportsLeaseQuorum: st.KnowsGrants,
+		QuorumRequired:      st.Bound,
+	}
 	if st.KnownAgeMs != nil {
 		out.CancellationsKnownAge = time.Duration(*st.KnownAgeMs) * time.Millisecond
 	}
