--- a/cmd/ivytrestle/main.go
+++ b/cmd/ivytrestle/main.go
@@ -1,5 +1,5 @@
-// Ivytrestle is a cluster scheduler: this program runs one of its controllers
-// and speaks to them.
+// Ivytrestle is a cluster scheduler: this program runs one of its controllers, and is the
+// command line of users and operators.
 package main
 
 import (
@@ -26,30 +26,30 @@
 
 const version = "0.1.0"
 
+// cli holds the commands. Field names are the names of commands and flags.
 type cli struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run a controller."`
 	Check   checkCmd   `cmd:"" help:"Check a settings file and an operators' script."`
 	Submit  submitCmd  `cmd:"" help:"Submit a job."`
 	Show    showCmd    `cmd:"" help:"Show a job: its phase, its tasks and the jobs that it waits for."`
-	Cancel  cancelCmd  `cmd:"" help:"Cancel a job and all jobs that need it."`
-	Status  statusCmd  `cmd:"" help:"Show a controller's own view: leader, machines, queues."`
+	Cancel  cancelCmd  `cmd:"" help:"Cancel a job and all jobs that depend on it."`
+	Status  statusCmd  `cmd:"" help:"Show a controller's status: leader, machines, queues."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
-// files are the settings that a controller starts from.
+// files are the paths of the files that a controller reads when it starts.
 type files struct {
-	Config string `required:"" placeholder:"FILE" help:"The platform's settings file (JSON)."`
-	Policy string `placeholder:"FILE" help:"The operators' settings (Starlark)."`
-	Cells  string `placeholder:"FILE" help:"The cells that lend each other capacity (TOML)."`
-	// Standby is a file for replacing leaders that are gone.
-	Standby string `placeholder:"FILE" help:"How a leader that is gone is replaced before its lease ends (TOML)."`
+	Config  string `required:"" placeholder:"FILE" help:"The platform's settings file (JSON)."`
+	Policy  string `placeholder:"FILE" help:"The operators' settings (Starlark)."`
+	Cells   string `placeholder:"FILE" help:"The cells that lend each other capacity (TOML)."`
+	Standby string `placeholder:"FILE" help:"Failover from an unreachable leader before its lease expires (TOML)."`
 }
 
 // loaded are the contents of the files.
 type loaded struct {
 	settings *config.Settings
 	policy   *policy.Policy
-	// parts are those that have a file.
+	// parts holds the optional parts that have a file.
 	parts daemon.Parts
 }
 
@@ -102,33 +102,39 @@
 		return err
 	}
 	s := files.settings
-	more := ""
-	if others := files.parts.Cells; others != nil {
-		more = fmt.Sprintf(", cell %s with %d neighbours", others.Cell, len(others.Neighbours))
+	details := ""
+	if neighbours := files.parts.Cells; neighbours != nil {
+		details = fmt.Sprintf(", cell %s with %d neighbours", neighbours.Cell, len(neighbours.Neighbours))
 	}
 	if files.parts.Standby != nil {
-		more += fmt.Sprintf(", leaders replaced after %v without grants", files.parts.Standby.VoteLifetime())
+		details += fmt.Sprintf(", leaders replaced after %v without grants", files.parts.Standby.VoteLifetime())
 	}
-	fmt.Printf("%s: good (%d teams, %d other controllers%s)\n", s.Node, len(s.Site.Teams), len(s.Peers), more)
+	fmt.Printf("%s: good (%d teams, %d other controllers%s)\n", s.Node, len(s.Site.Teams), len(s.Peers), details)
 	return nil
 }
 
-// remote is a controller's address.
+// remote is the address of the controller that a command sends its request to.
 type remote struct {
 	Addr string `required:"" env:"IVYTRESTLE_ADDR" placeholder:"HOST:PORT" help:"A controller's address."`
 }
 
+// helpTexts are the texts that do not fit a struct tag.
+var helpTexts = kong.Vars{
+	"await_help": "A job that must be done before this one starts; " +
+		"several with commas or by repeating the flag. Added to the Awaits of FILE.",
+}
+
 type submitCmd struct {
 	remote
-	Await []string `sep:"none" placeholder:"JOB" help:"A job that must be done before this one starts; several with commas or by repeating the flag. Added to the Awaits of FILE."`
+	// Await holds the values of the flag, and after Validate the job IDs.
+	Await []string `sep:"none" placeholder:"JOB" help:"${await_help}"`
 	File  string   `arg:"" help:"The job as JSON; - is standard input."`
 }
 
-// Validate checks the ids before anything is read or sent. An empty one is an
-// error, too: it is more likely a variable that was never set than a wish for a job
-// that awaits nothing.
+// Validate checks the job IDs before anything is read or sent. An empty one is an error,
+// too: it is more likely an unset variable than a request for a job without dependencies.
 func (c *submitCmd) Validate() error {
-	var ids []string
+	ids := make([]string, 0, len(c.Await))
 	for _, list := range c.Await {
 		ids = append(ids, strings.Split(list, ",")...)
 	}
@@ -212,7 +218,7 @@
 	return nil
 }
 
-// stateLine is a job's state as its user sees it.
+// stateLine returns a job's state as shown to users.
 func stateLine(st api.JobState) string {
 	line := fmt.Sprintf("%s %s: %d done, %d running", st.ID, st.Phase, st.Done, st.Running)
 	if st.Cell != "" {
@@ -225,7 +231,8 @@
 }
 
 func main() {
-	k := kong.Parse(&cli{}, kong.Name("ivytrestle"), kong.Description("A cluster scheduler for batch jobs."))
+	k := kong.Parse(&cli{}, helpTexts,
+		kong.Name("ivytrestle"), kong.Description("A cluster scheduler for batch jobs."))
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "ivytrestle:", err)
 		os.Exit(1)
