--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the settings file that the platform hands
-// to every controller.
+// Package config reads and validates the settings file that the platform gives to each
+// controller.
 package config
 
 import (
@@ -33,7 +33,7 @@
 	Addr string `json:"addr"`
 }
 
-// Outside holds the addresses of the services that the region provides.
+// Outside holds the addresses of the region's services: the cloud and the key-value store.
 type Outside struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
@@ -61,7 +61,7 @@
 	LimitGPUs float64 `json:"gpus_max"`
 }
 
-// Objective is one of the users' aims.
+// Objective is a service-level objective of a class of jobs.
 type Objective struct {
 	Kind     string  `json:"kind"`
 	Class    string  `json:"class"`
@@ -71,27 +71,27 @@
 	WithinMs float64 `json:"within_ms"`
 }
 
-// Workers holds the workers' intervals.
+// Workers holds the intervals of worker agents.
 type Workers struct {
 	HeartbeatS float64 `json:"report_s"`
 	LeaseS     float64 `json:"lease_s"`
 	CancelS    float64 `json:"cancel_s"`
 }
 
-// StateLimits bounds the use of the state service. Once the settings are parsed
-// it holds the smaller of the present limits and those to come: the service
-// changes over without notice, and refuses what is beyond its limits for good.
+// StateLimits bounds the use of the key-value store. Once the settings are parsed it holds
+// the smaller of the current limits and the announced ones: the store changes over without
+// notice, and always rejects what is beyond its limits.
 type StateLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
 	ValueKB  float64 `json:"value_kb"`
 	TxnOps   int     `json:"txn_ops"`
-	// Next are the limits to come as the settings tell them.
+	// Next holds the announced limits as read from the settings.
 	Next *NextStateLimits `json:"next"`
 }
 
-// NextStateLimits are limits that the state service will have from some moment
-// on. What is absent stays as it is.
+// NextStateLimits holds limits that the key-value store will have at some later time. An
+// absent one does not change.
 type NextStateLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -99,16 +99,16 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// lower takes the limits to come into the present ones.
-func (l *StateLimits) lower() {
-	n := l.Next
-	if n == nil {
+// applyNext lowers the limits to the announced ones.
+func (l *StateLimits) applyNext() {
+	next := l.Next
+	if next == nil {
 		return
 	}
-	lowerTo(&l.RPS, n.RPS)
-	lowerTo(&l.WriteRPS, n.WriteRPS)
-	lowerTo(&l.ValueKB, n.ValueKB)
-	lowerTo(&l.TxnOps, n.TxnOps)
+	lowerTo(&l.RPS, next.RPS)
+	lowerTo(&l.WriteRPS, next.WriteRPS)
+	lowerTo(&l.ValueKB, next.ValueKB)
+	lowerTo(&l.TxnOps, next.TxnOps)
 }
 
 func lowerTo[T int | float64](limit, next *T) {
@@ -117,43 +117,51 @@
 	}
 }
 
-// check tells whether a deployment can work within limits.
+// check returns an error if a deployment cannot work within the limits; field is their
+// place in the settings.
 func (l *StateLimits) check(field string) error {
-	for _, p := range []struct {
-		field string
-		v     float64
-	}{{"rps", l.RPS}, {"write_rps", l.WriteRPS}, {"value_kb", l.ValueKB}, {"txn_ops", float64(l.TxnOps)}} {
-		if !(p.v > 0) || math.IsInf(p.v, 0) {
-			return fmt.Errorf("field %s.%s: must be above 0, found %v", field, p.field, p.v)
+	for _, limit := range []struct {
+		name  string
+		value float64
+	}{
+		{"rps", l.RPS},
+		{"write_rps", l.WriteRPS},
+		{"value_kb", l.ValueKB},
+		{"txn_ops", float64(l.TxnOps)},
+	} {
+		if !isPositive(limit.value) {
+			return fmt.Errorf("field %s.%s: must be above 0, found %v", field, limit.name, limit.value)
 		}
 	}
 	if l.TxnOps < minTxnOps {
 		return fmt.Errorf("field %s.txn_ops: at least %d are needed, found %d", field, minTxnOps, l.TxnOps)
 	}
 	if l.ValueKB < minValueKB {
-		return fmt.Errorf("field %s.value_kb: at least %v is needed for one record, found %v", field, minValueKB, l.ValueKB)
+		return fmt.Errorf("field %s.value_kb: at least %v is needed for one record, found %v",
+			field, minValueKB, l.ValueKB)
 	}
 	return nil
 }
 
-// checkNext checks the limits to come, each where it is told.
+// checkNext checks the announced limits, the absent ones replaced by the current ones.
 func (l *StateLimits) checkNext(field string) error {
 	if l.Next == nil {
 		return nil
 	}
-	next := *l // what is absent has been checked with the present limits
-	n := l.Next
-	for _, p := range []struct{ to, from *float64 }{{&next.RPS, n.RPS}, {&next.WriteRPS, n.WriteRPS}, {&next.ValueKB, n.ValueKB}} {
-		if p.from != nil {
-			*p.to = *p.from
-		}
-	}
-	if n.TxnOps != nil {
-		next.TxnOps = *n.TxnOps
-	}
+	next := *l // the current limits have been checked
+	replace(&next.RPS, l.Next.RPS)
+	replace(&next.WriteRPS, l.Next.WriteRPS)
+	replace(&next.ValueKB, l.Next.ValueKB)
+	replace(&next.TxnOps, l.Next.TxnOps)
 	return next.check(field)
 }
 
+func replace[T int | float64](limit, next *T) {
+	if next != nil {
+		*limit = *next
+	}
+}
+
 // CloudLimits bounds the use of the cloud.
 type CloudLimits struct {
 	RPS      float64 `json:"rps"`
@@ -167,25 +175,25 @@
 	FDLimit int     `json:"fd_limit"`
 }
 
-// minEntries is what a table of machines or of what concerns them holds at the
-// least, however little memory there is: a cell may have some 4,000 machines.
+// minEntries is the least capacity of a table with entries per machine, however little
+// memory there is: a cell may have some 4,000 machines.
 const minEntries = 4096
 
-// Entries is how many entries of so many bytes each fit a share of the memory.
+// Entries returns how many entries of some bytes each fit in a share of the memory.
 func (l Limits) Entries(share float64, bytes int) int {
 	return max(minEntries, int(l.RAMMB*(1<<20)*share)/bytes)
 }
 
-// Duration turns a number of seconds into a duration.
+// Duration converts seconds to a duration.
 func Duration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// HeartbeatInterval is the interval at which workers report.
+// HeartbeatInterval returns the interval at which worker agents send heartbeats.
 func (w Workers) HeartbeatInterval() time.Duration { return Duration(w.HeartbeatS) }
 
-// Lease is how long a worker keeps its tasks without an answer.
+// Lease returns the task lease: how long a worker agent runs its tasks without a response.
 func (w Workers) Lease() time.Duration { return Duration(w.LeaseS) }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -198,7 +206,7 @@
 	return s, nil
 }
 
-// Parse checks the contents of a settings file. Unknown fields are ignored.
+// Parse decodes and validates the contents of a settings file. Unknown fields are ignored.
 func Parse(raw []byte) (*Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(raw, &s); err != nil {
@@ -207,7 +215,7 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	s.Site.State.lower()
+	s.Site.State.applyNext()
 	return &s, nil
 }
 
@@ -253,7 +261,8 @@
 		return err
 	}
 	if s.Workers.LeaseS <= s.Workers.HeartbeatS {
-		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v", s.Workers.LeaseS, s.Workers.HeartbeatS)
+		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v",
+			s.Workers.LeaseS, s.Workers.HeartbeatS)
 	}
 	if s.Cloud.ListLagS < 0 || s.ClockOffMs < 0 {
 		return errors.New("field settings: cloud.list_lag_s and clock_off_ms must not be negative")
@@ -267,22 +276,22 @@
 	}
 	names := map[string]bool{}
 	for i, t := range s.Teams {
-		at := fmt.Sprintf("field settings.teams[%d]", i)
+		field := fmt.Sprintf("field settings.teams[%d]", i)
 		if t.Name == "" || names[t.Name] {
-			return fmt.Errorf("%s.name: %q is empty or named twice", at, t.Name)
+			return fmt.Errorf("%s.name: %q is empty or named twice", field, t.Name)
 		}
 		names[t.Name] = true
-		if !notNegative(t.CPUs) || !notNegative(t.LimitCPUs) || !notNegative(t.GPUs) || !notNegative(t.LimitGPUs) {
-			return fmt.Errorf("%s: amounts must be finite and not negative", at)
+		if !isAmount(t.CPUs) || !isAmount(t.LimitCPUs) || !isAmount(t.GPUs) || !isAmount(t.LimitGPUs) {
+			return fmt.Errorf("%s: amounts must be finite and not negative", field)
 		}
 		if t.CPUs > t.LimitCPUs || t.GPUs > t.LimitGPUs {
-			return fmt.Errorf("%s: the guarantee is above the limit", at)
+			return fmt.Errorf("%s: the guarantee is above the limit", field)
 		}
 	}
 	return nil
 }
 
-// checkAmounts checks that what every controller needs is there and positive.
+// checkAmounts checks that the amounts that every controller needs are positive.
 func (s *SiteInfo) checkAmounts() error {
 	for _, amount := range []struct {
 		field string
@@ -296,20 +305,21 @@
 		{"limits.ram_mb", s.Limits.RAMMB},
 		{"limits.fd_limit", float64(s.Limits.FDLimit)},
 	} {
-		if !(amount.value > 0) || math.IsInf(amount.value, 0) {
+		if !isPositive(amount.value) {
 			return fmt.Errorf("field settings.%s: must be above 0, found %v", amount.field, amount.value)
 		}
 	}
 	return nil
 }
 
-// check refuses a process too small to work.
+// check returns an error if the process is too small to work.
 func (l Limits) check() error {
 	if l.FDLimit < minSockets {
 		return fmt.Errorf("field settings.limits.fd_limit: at least %d are needed, found %d", minSockets, l.FDLimit)
 	}
 	if l.Cores < minCores {
-		return fmt.Errorf("field settings.limits.cores: at least %v are needed to answer anybody, found %v", minCores, l.Cores)
+		return fmt.Errorf("field settings.limits.cores: at least %v are needed to answer anybody, found %v",
+			minCores, l.Cores)
 	}
 	if l.RAMMB < minRAMMB {
 		return fmt.Errorf("field settings.limits.ram_mb: at least %v are needed to start, found %v", minRAMMB, l.RAMMB)
@@ -317,22 +327,27 @@
 	return nil
 }
 
+// The least limits with which a controller can work.
 const (
 	// minValueKB holds the record of one job.
 	minValueKB = 1.0
-	// minTxnOps is what a cancellation takes.
+	// minTxnOps is the number of operations of a cancellation.
 	minTxnOps = 3
-	// minSockets are those for the outside services, the other controllers
-	// and a few users and workers.
+	// minSockets suffices for the external services, the other controllers and a few
+	// users and worker agents.
 	minSockets = 64
-	// minCores was measured with five machines: at half of it nothing was ever
-	// accepted, with it little. What a fleet needs is in docs/operations.md.
+	// minCores was measured with five machines: at half of it no job was ever accepted,
+	// with it few. The requirements of a fleet are in docs/operations.md.
 	minCores = 0.0005
-	// minRAMMB is less than what a controller that has nothing to do holds.
+	// minRAMMB is less than the memory of an idle controller.
 	minRAMMB = 3.0
 )
 
-func notNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+// isAmount reports whether a value is finite and not negative.
+func isAmount(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+
+// isPositive reports whether a value is finite and above 0.
+func isPositive(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
 
 func checkAddr(addr string) error {
 	if addr == "" {
@@ -348,7 +363,7 @@
 	return nil
 }
 
-// HasTeam tells whether the site has a team of that name.
+// HasTeam reports whether the site has a team of that name.
 func (s *SiteInfo) HasTeam(name string) bool {
 	for _, t := range s.Teams {
 		if t.Name == name {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const good = `{"node":"n0","site":"a","api_addr":"10.0.0.1:80","peer_listen":"10.0.0.1:81","new_field":1,
+const valid = `{"node":"n0","site":"a","api_addr":"10.0.0.1:80","peer_listen":"10.0.0.1:81","new_field":1,
 "peers":[{"node":"n1","site":"a","addr":"10.0.0.2:81"}],
 "outside":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},
 "settings":{"nodes":2,"zones":["a"],"teams":[{"name":"t","cpus":1,"cpus_max":2}],
@@ -14,35 +14,40 @@
 "state":{"rps":80,"write_rps":25,"value_kb":16,"txn_ops":20},"cloud":{"rps":5,"list_lag_s":8},
 "limits":{"cores":0.06,"ram_mb":98,"fd_limit":800},"clock_off_ms":250}}`
 
-func TestGoodSettings(t *testing.T) {
-	s, err := Parse([]byte(good))
+func TestValidSettings(t *testing.T) {
+	s, err := Parse([]byte(valid))
 	if err != nil || s.Site.Workers.Lease().Seconds() != 24 || s.Peers[0].Addr != "10.0.0.2:81" {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("got settings %+v, error %v; want a lease of 24 s, the peer 10.0.0.2:81", s, err)
 	}
 }
 
-// Sizes that were seen to work with a few machines are no error either.
-func TestSmallSettings(t *testing.T) {
-	if _, err := Parse([]byte(strings.NewReplacer(`"cores":0.06`, `"cores":0.001`, `"ram_mb":98`, `"ram_mb":4`).Replace(good))); err != nil {
-		t.Error(err)
+// Sizes that were seen to work with a few machines are valid.
+func TestSmallLimitsAreValid(t *testing.T) {
+	small := strings.NewReplacer(`"cores":0.06`, `"cores":0.001`, `"ram_mb":98`, `"ram_mb":4`).Replace(valid)
+	if _, err := Parse([]byte(small)); err != nil {
+		t.Errorf("got error %v, want none", err)
 	}
 }
 
-// Large numbers are no error.
-func TestLargeSettings(t *testing.T) {
-	var teams []string
-	for i := range 2000 {
+func TestLargeSettingsAreValid(t *testing.T) {
+	const count = 2000
+	teams := make([]string, 0, count)
+	for i := range count {
 		teams = append(teams, fmt.Sprintf(`{"name":"t%d","cpus":1e5,"cpus_max":1e7}`, i))
 	}
-	s, err := Parse([]byte(strings.NewReplacer(`{"name":"t","cpus":1,"cpus_max":2}`, strings.Join(teams, ","),
-		`"rps":80,"write_rps":25,"value_kb":16,"txn_ops":20`, `"rps":1e6,"write_rps":1e6,"value_kb":1e4,"txn_ops":100000`,
-		`"fd_limit":800`, `"fd_limit":1000000`).Replace(good)))
-	if err != nil || len(s.Site.Teams) != 2000 {
-		t.Error(err)
+	large := strings.NewReplacer(
+		`{"name":"t","cpus":1,"cpus_max":2}`, strings.Join(teams, ","),
+		`"rps":80,"write_rps":25,"value_kb":16,"txn_ops":20`,
+		`"rps":1e6,"write_rps":1e6,"value_kb":1e4,"txn_ops":100000`,
+		`"fd_limit":800`, `"fd_limit":1000000`,
+	).Replace(valid)
+	s, err := Parse([]byte(large))
+	if err != nil || len(s.Site.Teams) != count {
+		t.Errorf("got settings %+v, error %v; want %d teams", s, err, count)
 	}
 }
 
-func TestBadSettingsNameTheField(t *testing.T) {
+func TestInvalidSettingsNameTheField(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`{"node"`, `"node"`, "not valid JSON"},
 		{`"n0"`, `""`, "node"},
@@ -63,24 +68,24 @@
 		{`"fd_limit":800`, `"fd_limit":3`, "fd_limit"},
 		{`[{"name":"t","cpus":1,"cpus_max":2}]`, `[]`, "teams"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
+		_, err := Parse([]byte(strings.Replace(valid, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", c.new, err)
+			t.Errorf("%s: got error %v, want one line with %q", c.new, err, c.want)
 		}
 	}
 	if _, err := Load("no/such/file"); err == nil || !strings.Contains(err.Error(), "no/such/file") {
-		t.Error(err)
+		t.Errorf("missing file: got error %v, want its path", err)
 	}
 }
 
-// withNext are good settings with limits to come.
+// withNext returns valid settings with announced limits.
 func withNext(next string) []byte {
-	return []byte(strings.Replace(good, `"txn_ops":20`, `"txn_ops":20,"next":`+next, 1))
+	return []byte(strings.Replace(valid, `"txn_ops":20`, `"txn_ops":20,"next":`+next, 1))
 }
 
-// The service changes its limits without notice, so the smaller of the present
-// ones and those to come hold from the start, each by itself.
-func TestLimitsToCome(t *testing.T) {
+// The key-value store changes its limits without notice, so the smaller of the current and
+// the announced ones applies from the start, for each limit by itself.
+func TestSmallerOfCurrentAndAnnouncedLimitsApplies(t *testing.T) {
 	for _, c := range []struct {
 		next string
 		want [4]float64
@@ -96,30 +101,30 @@
 	} {
 		s, err := Parse(withNext(c.next))
 		if err != nil {
-			t.Errorf("%s: %v", c.next, err)
+			t.Errorf("%s: got error %v, want none", c.next, err)
 			continue
 		}
 		l := s.Site.State
 		if got := [4]float64{l.RPS, l.WriteRPS, l.ValueKB, float64(l.TxnOps)}; got != c.want {
-			t.Errorf("%s: %v, want %v", c.next, got, c.want)
+			t.Errorf("%s: got limits %v, want %v", c.next, got, c.want)
 		}
 	}
 }
 
-// As few operations as a cancellation takes are enough: the bound of five was more
-// than anything needs, and would have kept a node from starting before an upgrade of
-// the state service to four.
-func TestFewOperationsToComeAreEnough(t *testing.T) {
+// A limit of as few operations as a cancellation takes is valid: the bound of five was more
+// than any transaction needs, and would have kept a node from starting before an upgrade of
+// the key-value store to four.
+func TestAnnouncedOperationsOfOneCancellationSuffice(t *testing.T) {
 	for _, ops := range []int{3, 4} {
 		s, err := Parse(withNext(fmt.Sprintf(`{"value_kb":2,"txn_ops":%d,"write_rps":18}`, ops)))
 		if err != nil || s.Site.State.TxnOps != ops || s.Site.State.ValueKB != 2 || s.Site.State.WriteRPS != 18 {
-			t.Errorf("%d operations: %v", ops, err)
+			t.Errorf("%d operations: got settings %+v, error %v; want them with 2 kB and 18 writes/s", ops, s, err)
 		}
 	}
 }
 
-// Nonsense among the limits to come ends the start, not some later moment.
-func TestBadLimitsToComeNameTheField(t *testing.T) {
+// An invalid announced limit is an error at the start, not at some later time.
+func TestInvalidAnnouncedLimitsNameTheField(t *testing.T) {
 	for _, c := range []struct{ next, want string }{
 		{`{"rps":-1}`, "settings.state.next.rps"},
 		{`{"rps":0}`, "settings.state.next.rps"},
@@ -141,7 +146,7 @@
 	} {
 		_, err := Parse(withNext(c.next))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", c.next, err)
+			t.Errorf("%s: got error %v, want one line with %q", c.next, err, c.want)
 		}
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy holds the operators' own settings, written in Starlark. A
-// script is run once, at start, with bounded steps and without any access to
-// the outside; whatever it sets is checked before anything is applied.
+// Package policy holds the operators' settings, written in Starlark. A script runs once,
+// at the start, with bounded steps and without access to files or the network; all its
+// settings are validated before any is applied.
 package policy
 
 import (
@@ -20,8 +20,9 @@
 //go:embed defaults.star
 var defaults string
 
-// Policy is what operators may choose. None of it can loosen a rule.
+// Policy holds the operators' settings. None of them can weaken a safety rule.
 type Policy struct {
+	// Shares holds the teams' shares; see Share.
 	Shares      map[string]float64
 	UseSpot     bool
 	Headroom    float64
@@ -29,28 +30,28 @@
 	IdleReturn  time.Duration
 	DrainDelay  time.Duration
 	LeaderLease time.Duration
-	// Preferences order the classes of jobs, the highest first.
+	// Preferences orders the classes of jobs, the highest first.
 	Preferences map[string]float64
-	// RestartLimit is how many estimates a task may run; 0 is without limit.
+	// RestartLimit is how many times its estimate a task may run; 0 is without limit.
 	RestartLimit float64
-	// Spill says when jobs are lent to other cells, if there are any.
+	// Spill holds the conditions of loans to other cells, if there are any.
 	Spill Spill
 }
 
-// Spill says when jobs are lent to other cells.
+// Spill holds the conditions of loans to other cells.
 type Spill struct {
-	// After is how long a job must have waited, and Gain by how much sooner it must be
-	// expected to begin there.
+	// After is how long a job must have waited, and Gain how much sooner it must be
+	// expected to start there.
 	After, Gain time.Duration
-	// Lends is how often a job may be lent, and Cooldown after what time again to the
-	// same cell.
+	// Lends is how often a job may be lent, and Cooldown the time before it may be lent
+	// to the same cell again.
 	Lends    int
 	Cooldown time.Duration
-	// GuestShare is the part of a cell's CPUs that other cells' jobs may use.
+	// GuestShare is the share of a cell's CPUs that guests may use.
 	GuestShare float64
 }
 
-// Share is a team's share, or the fallback if the operators name none.
+// Share returns a team's share, or the fallback if the operators set none.
 func (p *Policy) Share(team string, fallback float64) float64 {
 	if s, ok := p.Shares[team]; ok {
 		return s
@@ -61,7 +62,7 @@
 // fileOptions lets a script use conditions and loops outside functions.
 var fileOptions = &syntax.FileOptions{TopLevelControl: true}
 
-// maxSteps bounds the work of a script.
+// maxSteps bounds the execution steps of a script.
 const maxSteps = 1_000_000
 
 // Load reads the operators' script; an empty path means the defaults alone.
@@ -76,45 +77,46 @@
 	return Parse(path, string(raw))
 }
 
-// Parse runs a script over the defaults and checks the result.
+// Parse runs a script over the defaults and validates the result.
 func Parse(name, script string) (*Policy, error) {
-	values, err := run("defaults.star", defaults, nil)
+	values, err := execute("defaults.star", defaults, nil)
 	if err != nil {
 		return nil, err
 	}
 	known := values.Keys()
 	if script == "" {
-		return check(values, nil, name)
+		return validate(values, nil, name)
 	}
-	own, err := run(name, script, values)
+	overrides, err := execute(name, script, values)
 	if err != nil {
 		return nil, err
 	}
 	lines := assignments(name, script)
-	for _, k := range own.Keys() {
-		if _, ok := own[k].(starlark.Callable); ok || k[0] == '_' {
-			continue // the script's own helpers
+	for _, k := range overrides.Keys() {
+		if _, ok := overrides[k].(starlark.Callable); ok || k[0] == '_' {
+			continue // a helper of the script
 		}
 		if _, ok := values[k]; !ok {
 			sort.Strings(known)
-			return nil, fmt.Errorf("policy %s: unknown setting %s (known: %s)", lineOf(name, lines, k), k, strings.Join(known, ", "))
+			return nil, fmt.Errorf("policy %s: unknown setting %s (known: %s)",
+				lineOf(name, lines, k), k, strings.Join(known, ", "))
 		}
-		values[k] = own[k]
+		values[k] = overrides[k]
 	}
-	return check(values, lines, name)
+	return validate(values, lines, name)
 }
 
-// assignments finds the line on which a script last sets each name.
+// assignments returns the line on which a script last assigns each name.
 func assignments(name, script string) map[string]int32 {
 	lines := map[string]int32{}
 	file, err := fileOptions.Parse(name, script, 0)
 	if err != nil {
-		return lines // it has been run, so it can be parsed
+		return lines // does not happen: the script has been executed
 	}
 	syntax.Walk(file, func(n syntax.Node) bool {
 		switch n := n.(type) {
 		case *syntax.DefStmt:
-			return false // what a function sets is its own
+			return false // its assignments are local
 		case *syntax.AssignStmt:
 			start, _ := n.Span()
 			syntax.Walk(n.LHS, func(target syntax.Node) bool {
@@ -129,7 +131,7 @@
 	return lines
 }
 
-// lineOf says where a script sets a name: the file, and the line if it is known.
+// lineOf returns where a script assigns a setting: the file, and the line if it is known.
 func lineOf(file string, lines map[string]int32, setting string) string {
 	if line, ok := lines[setting]; ok {
 		return fmt.Sprintf("%s:%d", file, line)
@@ -137,7 +139,9 @@
 	return file
 }
 
-func run(name, script string, predeclared starlark.StringDict) (starlark.StringDict, error) {
+// execute runs a script. It can read each of the predeclared values with the prefix
+// default_.
+func execute(name, script string, predeclared starlark.StringDict) (starlark.StringDict, error) {
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxSteps)
 	env := starlark.StringDict{}
@@ -155,63 +159,73 @@
 	return out, nil
 }
 
-func check(v starlark.StringDict, lines map[string]int32, file string) (*Policy, error) {
+// validate converts the values of all settings to a Policy.
+func validate(v starlark.StringDict, lines map[string]int32, file string) (*Policy, error) {
 	p := &Policy{}
-	fail := func(key, want string) (*Policy, error) {
+	invalid := func(key, want string) (*Policy, error) {
 		return nil, fmt.Errorf("policy %s: %s must be %s, found %s", lineOf(file, lines, key), key, want, v[key])
 	}
 	spot, ok := v["use_spot"].(starlark.Bool)
 	if !ok {
-		return fail("use_spot", "True or False")
+		return invalid("use_spot", "True or False")
 	}
 	p.UseSpot = bool(spot)
-	var idle, lease, hold, after, gain, lends, cooldown float64
+	const secondsPerDay = 86400
+	var idle, lease, drainDelay, after, gain, lends, cooldown float64
 	var err error
 	for _, f := range []struct {
-		key    string
-		to     *float64
-		lo, hi float64
+		key      string
+		target   *float64
+		min, max float64
 	}{
-		{"headroom", &p.Headroom, 0, 10}, {"min_cpus", &p.MinCPUs, 0, 1e6},
-		{"idle_return_s", &idle, 0, 86400}, {"hold_s", &hold, 0, 86400}, {"leader_lease_s", &lease, 2, 600},
+		{"headroom", &p.Headroom, 0, 10},
+		{"min_cpus", &p.MinCPUs, 0, 1e6},
+		{"idle_return_s", &idle, 0, secondsPerDay},
+		{"hold_s", &drainDelay, 0, secondsPerDay},
+		{"leader_lease_s", &lease, 2, 600},
 		{"restart_limit", &p.RestartLimit, 0, 1000},
-		{"spill_after_s", &after, 0, 86400}, {"spill_gain_s", &gain, 0, 86400}, {"spill_lends", &lends, 0, 100},
-		{"spill_cooldown_s", &cooldown, 0, 86400}, {"guest_share", &p.Spill.GuestShare, 0, 1},
+		{"spill_after_s", &after, 0, secondsPerDay},
+		{"spill_gain_s", &gain, 0, secondsPerDay},
+		{"spill_lends", &lends, 0, 100},
+		{"spill_cooldown_s", &cooldown, 0, secondsPerDay},
+		{"guest_share", &p.Spill.GuestShare, 0, 1},
 	} {
 		x, ok := starlark.AsFloat(v[f.key])
-		if !ok || math.IsNaN(x) || x < f.lo || x > f.hi {
-			return fail(f.key, fmt.Sprintf("a number from %v to %v", f.lo, f.hi))
+		if !ok || math.IsNaN(x) || x < f.min || x > f.max {
+			return invalid(f.key, fmt.Sprintf("a number from %v to %v", f.min, f.max))
 		}
-		*f.to = x
+		*f.target = x
 	}
-	p.Spill.After, p.Spill.Gain = time.Duration(after*float64(time.Second)), time.Duration(gain*float64(time.Second))
-	p.Spill.Lends, p.Spill.Cooldown = int(lends), time.Duration(cooldown*float64(time.Second))
-	p.IdleReturn = time.Duration(idle * float64(time.Second))
-	p.DrainDelay = time.Duration(hold * float64(time.Second))
-	p.LeaderLease = time.Duration(lease * float64(time.Second))
+	p.Spill.After, p.Spill.Gain = seconds(after), seconds(gain)
+	p.Spill.Lends, p.Spill.Cooldown = int(lends), seconds(cooldown)
+	p.IdleReturn = seconds(idle)
+	p.DrainDelay = seconds(drainDelay)
+	p.LeaderLease = seconds(lease)
 	if p.RestartLimit > 0 && p.RestartLimit < 1 {
-		return fail("restart_limit", "0 or a number from 1 to 1000")
+		return invalid("restart_limit", "0 or a number from 1 to 1000")
 	}
 	if p.Shares, err = numberDict(v["team_shares"], 0); err != nil {
-		return fail("team_shares", "a dict of team names and shares above 0")
+		return invalid("team_shares", "a dict of team names and shares above 0")
 	}
 	if p.Preferences, err = numberDict(v["class_preference"], math.Inf(-1)); err != nil {
-		return fail("class_preference", "a dict of class names and numbers")
+		return invalid("class_preference", "a dict of class names and numbers")
 	}
 	return p, nil
 }
 
-// numberDict reads a dict of names and finite numbers above a bound.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// numberDict converts a dict of names and finite numbers above a bound.
 func numberDict(v starlark.Value, above float64) (map[string]float64, error) {
-	dict, ok := v.(*starlark.Dict)
-	if !ok {
+	dict, isDict := v.(*starlark.Dict)
+	if !isDict {
 		return nil, errors.New("not a dict")
 	}
 	out := map[string]float64{}
 	for _, item := range dict.Items() {
-		name, ok := starlark.AsString(item[0])
-		x, isNum := starlark.AsFloat(item[1])
-		if !ok || !isNum || !(x > above) || math.IsInf(x, 0) {
+		name, isString := starlark.AsString(item[0])
+		x, isNumber := starlark.AsFloat(item[1])
+		if !isString || !isNumber || !(x > above) || math.IsInf(x, 0) {
 			return nil, fmt.Errorf("entry %s", item[0])
 		}
 		out[name] = x
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestDefaultsAndOverrides(t *testing.T) {
+func TestScriptOverridesDefaults(t *testing.T) {
 	p, err := Parse("own.star", `
 def seconds(minutes):
     return 60 * minutes
@@ -19,13 +19,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.IdleReturn != 2*time.Minute || p.Share("red", 1) != 2 || p.Share("green", 7) != 7 || p.Headroom < 1 || !p.UseSpot ||
+	if p.IdleReturn != 2*time.Minute || p.Share("red", 1) != 2 || p.Share("green", 7) != 7 ||
+		p.Headroom < 1 || !p.UseSpot ||
 		p.Preferences["merit"] != 1 || p.Preferences["betyg"] != -0.5 || p.RestartLimit != 0 {
-		t.Errorf("%+v", p)
+		t.Errorf("got %+v, want the defaults with the script's settings", p)
 	}
 }
 
-func TestBadScriptsAreRefused(t *testing.T) {
+func TestInvalidScriptsAreRejected(t *testing.T) {
 	for _, c := range []struct{ script, want string }{
 		{"headrom = 1", "own.star:1: unknown setting headrom (known: class_preference, guest_share, headroom,"},
 		{"_half = 2\nheadroom = -1", "own.star:2: headroom must be a number from 0 to 10, found -1"},
@@ -48,7 +49,7 @@
 		{"leader_lease_s = 1", "leader_lease_s must be"},
 	} {
 		if p, err := Parse("own.star", c.script); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, %v", c.script, p, err)
+			t.Errorf("%q: got policy %v, error %v; want error with %q", c.script, p, err, c.want)
 		}
 	}
 }
