--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client is the users' side of the API, for the command line.
+// Package client is the client of the users' API, for the command line.
 package client
 
 import (
@@ -15,19 +15,22 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// Client speaks to one controller.
+// Client sends requests to one controller.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// New makes a client of the controller at an address.
+// timeout bounds a request with its response.
+const timeout = 5 * time.Second
+
+// New returns a client of the controller at an address.
 func New(addr string) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Timeout: 5 * time.Second}}
+	return &Client{base: "http://" + addr, http: &http.Client{Timeout: timeout}}
 }
 
-// maxResponseBytes bounds what is read of an answer.
-const maxAnswer = 1 << 20
+// maxResponse bounds what is read of a response.
+const maxResponse = 1 << 20
 
 // Submit submits a job, as JSON.
 func (c *Client) Submit(ctx context.Context, job []byte) (api.JobState, error) {
@@ -35,7 +38,7 @@
 	return st, c.call(ctx, http.MethodPost, "/api/jobs", job, &st)
 }
 
-// Show asks for a job's state.
+// Show requests a job's state.
 func (c *Client) Show(ctx context.Context, id string) (api.JobState, error) {
 	var st api.JobState
 	return st, c.call(ctx, http.MethodGet, "/api/jobs/"+url.PathEscape(id), nil, &st)
@@ -47,12 +50,17 @@
 	return st, c.call(ctx, http.MethodPost, "/api/jobs/"+url.PathEscape(id)+"/abort", nil, &st)
 }
 
-// Status asks for the operators' view of the controller, as JSON.
+// Status requests the operators' view of the controller, as JSON.
 func (c *Client) Status(ctx context.Context) (json.RawMessage, error) {
 	var raw json.RawMessage
 	return raw, c.call(ctx, http.MethodGet, "/status", nil, &raw)
 }
 
+// closeBody closes a response that is not needed any more; an error would not change what
+// was read of it.
+func closeBody(resp *http.Response) { _ = resp.Body.Close() }
+
+// call sends a request and decodes the response into out. An error is one line for users.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -60,18 +68,18 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		var u *url.Error
-		if errors.As(err, &u) {
-			err = u.Err
+		var urlErr *url.Error
+		if errors.As(err, &urlErr) {
+			err = urlErr.Err
 		}
 		return fmt.Errorf("controller not reached: %w", err)
 	}
-	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	defer closeBody(resp)
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err != nil {
 		return fmt.Errorf("controller: %w", err)
 	}
-	if resp.StatusCode >= 300 {
+	if resp.StatusCode >= http.StatusMultipleChoices {
 		var e struct {
 			Error string `json:"error"`
 		}
--- a/internal/client/job.go
+++ b/internal/client/job.go
@@ -8,7 +8,7 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// CheckID tells what is wrong with a job's id.
+// CheckID returns an error if a job ID is malformed.
 func CheckID(id string) error {
 	if !api.ValidID(id) {
 		return fmt.Errorf("%q is no job id (job-NUMBER)", id)
@@ -16,8 +16,8 @@
 	return nil
 }
 
-// AddDependencies adds jobs to those that a job, as JSON, awaits. What else it holds is
-// left to the controller to judge.
+// AddDependencies adds jobs to those that a job, as JSON, depends on. The controller
+// validates all its other fields.
 func AddDependencies(job []byte, ids []string) ([]byte, error) {
 	if len(ids) == 0 {
 		return job, nil
@@ -26,17 +26,17 @@
 	if err := json.Unmarshal(job, &fields); err != nil || fields == nil {
 		return nil, errors.New("not a JSON object")
 	}
-	var awaits []json.RawMessage
-	if old, ok := fields["Awaits"]; ok && json.Unmarshal(old, &awaits) != nil {
+	var dependencies []json.RawMessage
+	if present, ok := fields["Awaits"]; ok && json.Unmarshal(present, &dependencies) != nil {
 		return nil, errors.New("field Awaits is not a list")
 	}
 	for _, id := range ids {
 		if err := CheckID(id); err != nil {
 			return nil, err
 		}
-		awaits = append(awaits, json.RawMessage(`"`+id+`"`))
+		dependencies = append(dependencies, json.RawMessage(`"`+id+`"`))
 	}
-	raw, err := json.Marshal(awaits)
+	raw, err := json.Marshal(dependencies)
 	if err != nil {
 		return nil, fmt.Errorf("field Awaits: %w", err)
 	}
--- a/internal/client/job_test.go
+++ b/internal/client/job_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-func TestAddAwaits(t *testing.T) {
+func TestAddDependencies(t *testing.T) {
 	for _, c := range []struct {
 		name, job, ids string
 		want           string
 	}{
-		{"no ids: as it came", ` {"b":1, "a":2}` + "\n", "", ` {"b":1, "a":2}` + "\n"},
-		{"no ids: not looked at", "x", "", "x"},
+		{"no ids: unchanged", ` {"b":1, "a":2}` + "\n", "", ` {"b":1, "a":2}` + "\n"},
+		{"no ids: not parsed", "x", "", "x"},
 		{"none before", `{"NameId":"job-3"}`, "job-1 job-2", `{"Awaits":["job-1","job-2"],"NameId":"job-3"}`},
 		{"null before", `{"Awaits":null}`, "job-1", `{"Awaits":["job-1"]}`},
 		{"empty before", `{"Awaits":[]}`, "job-1", `{"Awaits":["job-1"]}`},
@@ -27,7 +27,7 @@
 	} {
 		got, err := AddDependencies([]byte(c.job), strings.Fields(c.ids))
 		if err != nil || string(got) != c.want {
-			t.Errorf("%s: %s, %v; want %s", c.name, got, err, c.want)
+			t.Errorf("%s: got %s, error %v; want %s", c.name, got, err, c.want)
 		}
 	}
 	for _, c := range []struct{ name, job, ids, want string }{
@@ -41,22 +41,24 @@
 		{"no id", "{}", "job-1 train", `"train" is no job id (job-NUMBER)`},
 		{"id with a quote", "{}", `job-1","job-2`, `"job-1\",\"job-2" is no job id (job-NUMBER)`},
 	} {
-		if got, err := AddDependencies([]byte(c.job), strings.Fields(c.ids)); err == nil || err.Error() != c.want || got != nil {
-			t.Errorf("%s: %s, %v; want %s", c.name, got, err, c.want)
+		got, err := AddDependencies([]byte(c.job), strings.Fields(c.ids))
+		if err == nil || err.Error() != c.want || got != nil {
+			t.Errorf("%s: got %s, error %v; want error %s", c.name, got, err, c.want)
 		}
 	}
 }
 
-// The caller's job is not written to.
-func TestAddAwaitsLeavesTheJob(t *testing.T) {
+// AddDependencies does not modify the caller's job.
+func TestAddDependenciesDoesNotModifyItsInput(t *testing.T) {
 	job := []byte(`{"Awaits": ["job-9"], "NameId": "job-3"}`)
 	before := bytes.Clone(job)
 	got, err := AddDependencies(job, []string{"job-1"})
 	if err != nil || !bytes.Equal(job, before) {
-		t.Fatalf("%s, %v", job, err)
+		t.Fatalf("got input %s, error %v; want it unchanged: %s", job, err, before)
 	}
 	var fields struct{ Awaits []string }
-	if err := json.Unmarshal(got, &fields); err != nil || !reflect.DeepEqual(fields.Awaits, []string{"job-9", "job-1"}) {
-		t.Errorf("%s, %v", got, err)
+	err = json.Unmarshal(got, &fields)
+	if err != nil || !reflect.DeepEqual(fields.Awaits, []string{"job-9", "job-1"}) {
+		t.Errorf("got %s, error %v; want job-9 and job-1", got, err)
 	}
 }
--- a/internal/deployfile/deployfile.go
+++ b/internal/deployfile/deployfile.go
@@ -1,5 +1,5 @@
-// Package deployfile reads the files that switch on parts of the program: TOML, checked
-// against a JSON schema. What is wrong with one is said in one line that names the field.
+// Package deployfile reads the files that turn on optional parts of the program: TOML,
+// validated against a JSON schema. An error is one line that names the field.
 package deployfile
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Load reads a file of some kind into settings, whose fields have the names of the file's
-// in JSON tags, and checks them further.
+// Load decodes a file of some kind into settings, whose JSON tags are the names of the
+// file's fields, and calls check to validate them further.
 func Load(kind, path string, schema []byte, settings any, check func() error) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -30,13 +30,13 @@
 	return nil
 }
 
-// Parse reads the contents of a file into settings.
+// Parse decodes the contents of a file into settings.
 func Parse(raw, schema []byte, settings any) error {
 	var document map[string]any
 	if err := toml.Unmarshal(raw, &document); err != nil {
 		return describe(err)
 	}
-	// The schema speaks of JSON, and so do the names of the settings' fields.
+	// The schema and the tags of the settings are those of JSON.
 	text, err := json.Marshal(document)
 	if err != nil {
 		return err
@@ -47,7 +47,7 @@
 	return json.Unmarshal(text, settings)
 }
 
-// describe is one line on what is wrong with the form of a file.
+// describe returns a syntax error as one line.
 func describe(err error) error {
 	var parse toml.ParseError
 	if errors.As(err, &parse) {
@@ -56,9 +56,10 @@
 	return err
 }
 
-// validate checks a document against the schema, and names the first field at fault.
+// validate validates a document against the schema; its error names the first invalid
+// field.
 func validate(text, schemaText []byte) error {
-	schema, err := compiled(schemaText)
+	schema, err := compile(schemaText)
 	if err != nil {
 		return err
 	}
@@ -81,7 +82,7 @@
 	return fmt.Errorf("field %s: %s", fieldName(invalid.InstanceLocation), message)
 }
 
-// fieldName is a place in a document as one would write it.
+// fieldName returns a location in a document as a path, such as cell[0].name.
 func fieldName(location []string) string {
 	if len(location) == 0 {
 		return "(file)"
@@ -100,8 +101,8 @@
 	return name
 }
 
-// compiled is the schema, ready for use.
-func compiled(schemaText []byte) (*jsonschema.Schema, error) {
+// compile compiles a schema.
+func compile(schemaText []byte) (*jsonschema.Schema, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
 		return nil, fmt.Errorf("schema: %w", err)
--- a/internal/jsonerror/jsonerror.go
+++ b/internal/jsonerror/jsonerror.go
@@ -1,5 +1,5 @@
-// Package jsonerror words the errors of encoding/json for people who write JSON and
-// do not know the Go types that it is read into.
+// Package jsonerror rewrites errors of encoding/json for people who write JSON and do not
+// know the Go types that it is decoded into.
 package jsonerror
 
 import (
@@ -12,9 +12,9 @@
 // contextBytes is how much of the input before a syntax error is shown.
 const contextBytes = 40
 
-// Describe words an error of json.Unmarshal on raw in one line: it names the field
-// and what must stand there, or shows the input in front of a syntax error. Any
-// other error is returned as it is.
+// Describe rewrites an error of json.Unmarshal on raw as one line: it names the field and
+// the type expected there, or shows the input before a syntax error. It returns any other
+// error unchanged.
 func Describe(raw []byte, err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -25,15 +25,14 @@
 	}
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
-		// What is not even JSON, a NaN say, has no field; what stands
-		// before it names one.
+		// A syntax error, such as a NaN, names no field; the input before it does.
 		end := min(int(syntax.Offset), len(raw))
 		return fmt.Errorf("not valid JSON: %w, after %q", err, raw[max(0, end-contextBytes):end])
 	}
 	return err
 }
 
-// kind names what JSON must hold where a Go type is read.
+// kind names the JSON value that a Go type is decoded from.
 func kind(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Float64:
--- a/internal/jsonerror/jsonerror_test.go
+++ b/internal/jsonerror/jsonerror_test.go
@@ -15,7 +15,8 @@
 		{`{"amount":"1"}`, "field amount: expected a number, found string"},
 		{`{"flag":0}`, "field flag: expected true or false, found number"},
 		{`{"inner":{"name":{}}}`, "field inner.name: expected a string, found object"},
-		{`{"amount":NaN}`, `not valid JSON: invalid character 'N' looking for beginning of value, after "{\"amount\":N"`},
+		{`{"amount":NaN}`,
+			`not valid JSON: invalid character 'N' looking for beginning of value, after "{\"amount\":N"`},
 		{`{`, `not valid JSON: unexpected end of JSON input, after "{"`},
 	} {
 		var in struct {
@@ -29,14 +30,14 @@
 		}
 		err := json.Unmarshal([]byte(c.raw), &in)
 		if err == nil {
-			t.Fatalf("%s: no error", c.raw)
+			t.Fatalf("%s: got no error from json.Unmarshal, want one", c.raw)
 		}
 		if got := Describe([]byte(c.raw), err).Error(); got != c.want {
-			t.Errorf("%s: %s, want %s", c.raw, got, c.want)
+			t.Errorf("%s: got %s, want %s", c.raw, got, c.want)
 		}
 	}
 	other := errors.New("another")
-	if got := Describe(nil, other); got != other {
-		t.Errorf("%v", got)
+	if got := Describe(nil, other); got != other { //nolint:errorlint // must be other itself, not wrap it
+		t.Errorf("got %v, want %v unchanged", got, other)
 	}
 }
