--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -1,7 +1,6 @@
 package cloud
 
 import (
-	"context"
 	"errors"
 	"io"
 	"net/http"
@@ -11,67 +10,73 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// script gives prepared answers, one after the other.
-type script struct {
-	answers []answer
-	paths   []string
+// scriptedTransport returns prepared responses, one after the other.
+type scriptedTransport struct {
+	responses []response
+	paths     []string
 }
 
-type answer struct {
+type response struct {
 	status int
 	body   string
 }
 
-func (s *script) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	s.paths = append(s.paths, r.URL.RequestURI())
-	a := s.answers[0]
-	s.answers = s.answers[1:]
-	return &http.Response{StatusCode: a.status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(a.body))}, nil
+	next := s.responses[0]
+	s.responses = s.responses[1:]
+	return &http.Response{
+		StatusCode: next.status,
+		Header:     http.Header{},
+		Body:       io.NopCloser(strings.NewReader(next.body)),
+	}, nil
 }
 
-func scripted(answers ...answer) (*Client, *script) {
-	s := &script{answers: answers}
+func newScriptedClient(responses ...response) (*Client, *scriptedTransport) {
+	s := &scriptedTransport{responses: responses}
 	c := NewClient("10.0.0.1:1", config.CloudLimits{RPS: 1000})
 	c.http.Transport = s
 	return c, s
 }
 
-func TestRentals(t *testing.T) {
-	ctx := context.Background()
+func TestLaunchOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		a          answer
-		hosts      int
-		fails      bool
-		noCapacity bool
+		name           string
+		response       response
+		wantHosts      int
+		wantErr        bool
+		wantNoCapacity bool
 	}{
-		{answer{200, `{"Hosts":["i-1","i-2"]}`}, 2, false, false},
-		{answer{503, `{"error":"no capacity"}`}, 0, true, true},
-		{answer{503, `{"error":"trouble"}`}, 0, true, false},
-		{answer{429, ``}, 0, true, false},
-		{answer{200, `not JSON`}, 0, true, false},
+		{"launched", response{200, `{"Hosts":["i-1","i-2"]}`}, 2, false, false},
+		{"no capacity", response{503, `{"error":"no capacity"}`}, 0, true, true},
+		{"other error", response{503, `{"error":"trouble"}`}, 0, true, false},
+		{"rate limit", response{429, ``}, 0, true, false},
+		{"malformed response", response{200, `not JSON`}, 0, true, false},
 	} {
-		cl, _ := scripted(c.a)
-		hosts, err := cl.Launch(ctx, LaunchRequest{Name: "r-1", Count: 2})
-		if len(hosts) != c.hosts || (err != nil) != c.fails || errors.Is(err, ErrNoCapacity) != c.noCapacity {
-			t.Errorf("%v: %v, %v", c.a, hosts, err)
+		cl, _ := newScriptedClient(c.response)
+		hosts, err := cl.Launch(t.Context(), LaunchRequest{Name: "r-1", Count: 2})
+		if len(hosts) != c.wantHosts || (err != nil) != c.wantErr || errors.Is(err, ErrNoCapacity) != c.wantNoCapacity {
+			t.Errorf("%s: got hosts %v, error %v; want %d hosts, error %v, no capacity %v",
+				c.name, hosts, err, c.wantHosts, c.wantErr, c.wantNoCapacity)
 		}
 	}
-	cl, _ := scripted(answer{200, `{"Frames":[]}`})
-	if _, err := cl.Types(ctx); err == nil {
-		t.Error("no machine types at all were taken for an answer")
+	cl, _ := newScriptedClient(response{200, `{"Frames":[]}`})
+	if _, err := cl.Types(t.Context()); err == nil {
+		t.Error("empty list of machine types: got no error, want one")
 	}
 }
 
-// A list that ends early would make machines look gone.
+// A list that ends early would show machines as terminated that are not.
 func TestListReadsAllPages(t *testing.T) {
-	cl, s := scripted(answer{200, `{"Hosts":[{"NameId":"i-1"},{"NameId":"i-2"}],"Truncated":true}`},
-		answer{200, `{"Hosts":[{"NameId":"i-3"}],"Truncated":false}`})
-	hosts, err := cl.List(context.Background())
+	cl, s := newScriptedClient(response{200, `{"Hosts":[{"NameId":"i-1"},{"NameId":"i-2"}],"Truncated":true}`},
+		response{200, `{"Hosts":[{"NameId":"i-3"}],"Truncated":false}`})
+	hosts, err := cl.List(t.Context())
 	if err != nil || len(hosts) != 3 || !strings.Contains(s.paths[1], "From=i-2") {
-		t.Errorf("%v, %v, asked %v", hosts, err, s.paths)
+		t.Errorf("got hosts %v, error %v, requests %v; want 3 hosts, the second page from i-2", hosts, err, s.paths)
 	}
-	cl, _ = scripted(answer{200, `{"Hosts":[{"NameId":"i-1"}],"Truncated":true}`}, answer{503, `{"error":"trouble"}`})
-	if hosts, err := cl.List(context.Background()); err == nil {
-		t.Errorf("half a list was taken: %v", hosts)
+	cl, _ = newScriptedClient(response{200, `{"Hosts":[{"NameId":"i-1"}],"Truncated":true}`},
+		response{503, `{"error":"trouble"}`})
+	if hosts, err := cl.List(t.Context()); err == nil {
+		t.Errorf("second page failed: got hosts %v, want an error", hosts)
 	}
 }
