--- a/internal/controller/completion.go
+++ b/internal/controller/completion.go
@@ -20,7 +20,7 @@
 			j.completionDirty = false
 			continue
 		}
-		first, ok := j.unrecorded(rw.tasksPerChunk)
+		first, ok := j.nextUnrecordedChunk(rw.tasksPerChunk)
 		if !ok {
 			j.completionDirty = false
 			rw.dirtyJobs = rw.dirtyJobs[1:]
@@ -41,15 +41,15 @@
 	}
 }
 
-// unrecorded finds the first part of a job with done tasks not on record whose
+// nextUnrecordedChunk finds the first part of a job with done tasks not on record whose
 // record may be written.
-func (j *job) unrecorded(per int) (first int, ok bool) {
+func (j *job) nextUnrecordedChunk(per int) (first int, ok bool) {
 	for from := 0; per > 0; from = first + per {
 		t, ok := j.done.Difference(j.recorded).NextSet(uint(from))
 		if !ok {
 			return 0, false
 		}
-		if first = int(t) / per * per; j.replaceableBy(first, per) {
+		if first = int(t) / per * per; j.mayRewriteRecord(first, per) {
 			return first, true
 		}
 	}
@@ -65,11 +65,11 @@
 	j.chunkSizes[first] = max(j.chunkSizes[first], tasks)
 }
 
-// replaceableBy tells whether the record that begins at first may be written with
+// mayRewriteRecord tells whether the record that begins at first may be written with
 // per tasks. One written under larger limits covers more: written over, the
 // tasks beyond would no longer count as done for the next leader. They are first put on
 // record under keys of their own, which all lie further on.
-func (j *job) replaceableBy(first, per int) bool {
+func (j *job) mayRewriteRecord(first, per int) bool {
 	extent := j.chunkSizes[first]
 	if extent <= per {
 		return true
--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -31,8 +31,8 @@
 	for _, n := range j.zones {
 		running += n
 	}
-	s, grant := &j.spec, &j.guest.Budget
-	return float64(running+1)*s.CPUs <= grant.CPUs+epsilon && (s.GPUs == 0 || float64(running+1)*s.GPUs <= grant.GPUs+epsilon)
+	s, budget := &j.spec, &j.guest.Budget
+	return float64(running+1)*s.CPUs <= budget.CPUs+epsilon && (s.GPUs == 0 || float64(running+1)*s.GPUs <= budget.GPUs+epsilon)
 }
 
 // pickGuest chooses the guest that a machine serves next, when no own job can use it.
@@ -56,8 +56,8 @@
 func (l *loans) advertise(now time.Time) loan.Advert {
 	lt := l.leaderTerm
 	a := loan.Advert{CancelS: lt.c.Settings.Site.Workers.CancelS}
-	room := l.findOpenCapacity(now)
-	a.CPUs, a.GPUs = room.freeCPUs, room.freeGPUs
+	capacity := l.findOpenCapacity(now)
+	a.CPUs, a.GPUs = capacity.freeCPUs, capacity.freeGPUs
 	guests := 0.0
 	for _, j := range lt.jobs {
 		if j.lent != nil || j.cancelPending || len(j.dependsOn) > 0 {
@@ -71,7 +71,7 @@
 		a.CPUs -= cpus
 		a.GPUs -= float64(j.flight.Untaken()) * j.spec.GPUs
 	}
-	a.CPUs = max(0, min(a.CPUs, lt.c.Policy.Spill.GuestShare*room.cpus-guests))
+	a.CPUs = max(0, min(a.CPUs, lt.c.Policy.Spill.GuestShare*capacity.cpus-guests))
 	a.GPUs = max(0, a.GPUs)
 	for _, t := range lt.c.types.load() {
 		a.Types = append(a.Types, t)
@@ -109,15 +109,15 @@
 	if len(l.guestFairShareOrder) == 0 {
 		return
 	}
-	lack := l.lackOfGuarantees(now)
-	if lack <= 0 {
-		l.shortSince = time.Time{}
+	shortage := l.guaranteeShortage(now)
+	if shortage <= 0 {
+		l.shortageSince = time.Time{}
 		return
 	}
-	if l.shortSince.IsZero() {
-		l.shortSince = now
+	if l.shortageSince.IsZero() {
+		l.shortageSince = now
 	}
-	if now.Sub(l.shortSince) < shortageDuration {
+	if now.Sub(l.shortageSince) < shortageDuration {
 		return
 	}
 	var running []*attempt
@@ -125,7 +125,7 @@
 		for _, j := range t.Items() {
 			for _, a := range j.activeAttempts {
 				if a.stop != nil {
-					lack -= j.spec.CPUs // its room is about to be free
+					shortage -= j.spec.CPUs // its room is about to be free
 				} else {
 					running = append(running, a)
 				}
@@ -134,19 +134,19 @@
 	}
 	slices.SortFunc(running, func(a, b *attempt) int { return b.sentAt.Compare(a.sentAt) })
 	for _, a := range running {
-		if lack <= 0 {
+		if shortage <= 0 {
 			return
 		}
-		lack -= a.job.spec.CPUs
+		shortage -= a.job.spec.CPUs
 		l.counts.Stopped++
 		l.leaderTerm.stop(a, 2*a.job.spec.Save(), now)
 	}
 }
 
-// lackOfGuarantees is how many CPUs waiting work within the teams' guarantees lacks.
-func (l *loans) lackOfGuarantees(now time.Time) float64 {
+// guaranteeShortage is how many CPUs waiting work within the teams' guarantees lacks.
+func (l *loans) guaranteeShortage(now time.Time) float64 {
 	lt := l.leaderTerm
-	lack := -l.findOpenCapacity(now).freeCPUs
+	shortage := -l.findOpenCapacity(now).freeCPUs
 	for _, t := range lt.fairShareOrder {
 		left := t.CPUs - t.UsedCPUs
 		for _, j := range t.Items() {
@@ -158,10 +158,10 @@
 			}
 			cpus := min(left, float64(j.flight.Untaken())*j.spec.CPUs)
 			left -= cpus
-			lack += cpus
+			shortage += cpus
 		}
 	}
-	return lack
+	return shortage
 }
 
 // openCapacity is what the open machines have, and have free.
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -37,8 +37,8 @@
 // the work before each job by the CPUs there are.
 func (l *loans) predictedStarts(now time.Time) []predictedStart {
 	lt := l.leaderTerm
-	room := l.findOpenCapacity(now)
-	free, work := room.freeCPUs, 0.0
+	capacity := l.findOpenCapacity(now)
+	free, work := capacity.freeCPUs, 0.0
 	for _, j := range lt.jobs {
 		// What runs is about half through.
 		work += float64(len(j.activeAttempts)) * j.spec.CPUs * j.spec.EstimateS / 2
@@ -66,10 +66,10 @@
 	}
 	out := make([]predictedStart, 0, len(jobs))
 	for _, j := range jobs {
-		want := float64(j.flight.Untaken()) * j.spec.CPUs
-		out = append(out, predictedStart{j, min(loan.PredictedWait(work, room.cpus, free), latest)})
-		free -= want
-		work += want * j.spec.EstimateS
+		cpus := float64(j.flight.Untaken()) * j.spec.CPUs
+		out = append(out, predictedStart{j, min(loan.PredictedWait(work, capacity.cpus, free), latest)})
+		free -= cpus
+		work += cpus * j.spec.EstimateS
 	}
 	return out
 }
@@ -95,14 +95,14 @@
 		if waits[i].wait-there < policy.Gain || now.Sub(j.runnableSince) < policy.After || spare < j.spec.CPUs || !l.lendable(j, n, now) {
 			continue
 		}
-		grant := l.budget(j, spare)
-		if grant.CPUs < j.spec.CPUs {
+		budget := l.budget(j, spare)
+		if budget.CPUs < j.spec.CPUs {
 			continue
 		}
-		spare -= grant.CPUs
+		spare -= budget.CPUs
 		out++
 		offers++
-		l.lendJob(j, n, grant)
+		l.lendJob(j, n, budget)
 	}
 }
 
@@ -155,27 +155,27 @@
 // requestReclaim wants back what could start here at once and has not begun there.
 func (l *loans) requestReclaim(waits []predictedStart, now time.Time) {
 	lt := l.leaderTerm
-	free, recalled := l.findOpenCapacity(now).freeCPUs, 0
+	free, requested := l.findOpenCapacity(now).freeCPUs, 0
 	for _, w := range waits {
 		free -= float64(w.job.flight.Untaken()) * w.job.spec.CPUs
 	}
 	for _, j := range lt.jobs {
 		if j.reclaimRequested {
-			recalled++
+			requested++
 			free -= float64(j.spec.Tasks) * j.spec.CPUs
 		}
 	}
 	for _, j := range lt.jobs {
-		if recalled >= maxReclaims {
+		if requested >= maxReclaims {
 			return
 		}
-		wants := float64(j.spec.Tasks) * j.spec.CPUs
-		if j.lent == nil || j.reclaimRequested || j.remote.Phase != loan.PhaseAccepted || wants > free || lt.unfenced > 0 {
+		cpus := float64(j.spec.Tasks) * j.spec.CPUs
+		if j.lent == nil || j.reclaimRequested || j.remote.Phase != loan.PhaseAccepted || cpus > free || lt.unfenced > 0 {
 			continue
 		}
 		j.reclaimRequested = true
-		free -= wants
-		recalled++
+		free -= cpus
+		requested++
 		lt.c.Log.Info("loan called back", "job", j.spec.ID, "from", j.lent.Host)
 	}
 }
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -49,11 +49,11 @@
 	changing map[string]bool
 	// reclaiming are names that this cell's records were found to know.
 	reclaiming map[string]bool
-	// logged holds what was said of refused requests, each once.
-	logged map[string]bool
-	// shortSince is since when a team's guarantee lacks room that guests use.
-	shortSince time.Time
-	nextScan   time.Time
+	// loggedOnce holds what was said of refused requests, each once.
+	loggedOnce map[string]bool
+	// shortageSince is since when a team's guarantee lacks room that guests use.
+	shortageSince time.Time
+	nextScan      time.Time
 }
 
 // minEpoch is the floor of a home cell's loans with the version of its record.
@@ -74,7 +74,7 @@
 
 func (l *loans) init(lt *leaderTerm) {
 	*l = loans{leaderTerm: lt, neighbours: map[string]*neighbour{}, minEpochs: map[string]minEpoch{}, ends: iradix.New[loanEnd](),
-		guestTeams: map[string]*queue.Team[*job]{}, changing: map[string]bool{}, reclaiming: map[string]bool{}, logged: map[string]bool{},
+		guestTeams: map[string]*queue.Team[*job]{}, changing: map[string]bool{}, reclaiming: map[string]bool{}, loggedOnce: map[string]bool{},
 		limiter: rate.NewLimiter(rate.Limit(lt.c.Settings.Site.State.WriteRPS*loanWriteShare), maxLoanOps)}
 	if lt.c.Cells == nil {
 		return
@@ -110,7 +110,7 @@
 	if l.leaderTerm.c.Cells == nil {
 		return
 	}
-	l.exchange(now)
+	l.exchangeWithNeighbours(now)
 	if now.Before(l.nextScan) {
 		return
 	}
@@ -159,16 +159,16 @@
 		l.queue = l.queue[1:]
 		l.busy = true
 		txn.Records = true
-		go l.write(c, txn)
+		go l.writeUntilKnown(c, txn)
 	}
 }
 
-// loanRetry is how long after a failure a transaction is sent again.
-const loanRetry = 300 * time.Millisecond
+// loanRetryInterval is how long after a failure a transaction is sent again.
+const loanRetryInterval = 300 * time.Millisecond
 
-// write sends a transaction until its outcome is known. One that may yet be carried out
+// writeUntilKnown sends a transaction until its outcome is known. One that may yet be carried out
 // is never left alone: what is decided next would rest on its not being so.
-func (l *loans) write(c *loanChange, txn kv.Txn) {
+func (l *loans) writeUntilKnown(c *loanChange, txn kv.Txn) {
 	lt := l.leaderTerm
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, 2*time.Second)
@@ -183,14 +183,14 @@
 			lt.sendToOwner(loanWrittenMsg{lt, c, kv.Result{}})
 			return
 		}
-		sleep(lt.ctx, loanRetry)
+		sleep(lt.ctx, loanRetryInterval)
 	}
 }
 
 type loanWrittenMsg struct {
 	leaderTerm *leaderTerm
 	change     *loanChange
-	res        kv.Result
+	result     kv.Result
 }
 
 func (m loanWrittenMsg) apply(c *Controller) {
@@ -200,29 +200,29 @@
 	}
 	l := &lt.loans
 	switch {
-	case m.res.Succeeded:
-		l.finished(m.change)
+	case m.result.Succeeded:
+		l.endChange(m.change)
 		l.counts.Written++
-		m.change.done(m.res.Revision)
-	case lt.checkTermConflict(m.res):
+		m.change.done(m.result.Revision)
+	case lt.checkTermConflict(m.result):
 		return
 	default:
 		// By an earlier try whose answer was lost, or since something else has
 		// changed: the records tell.
-		go l.read(m.change)
+		go l.readRecords(m.change)
 		return
 	}
 	l.writeNext(time.Now())
 }
 
-// finished lets the next change have its turn.
-func (l *loans) finished(c *loanChange) {
+// endChange lets the next change have its turn.
+func (l *loans) endChange(c *loanChange) {
 	l.busy = false
 	delete(l.changing, loanName(c.home, c.job))
 }
 
-// read reads all records that a change is about.
-func (l *loans) read(c *loanChange) {
+// readRecords reads all records that a change is about.
+func (l *loans) readRecords(c *loanChange) {
 	lt := l.leaderTerm
 	keys := []string{records.ActivePrefix + c.job, loan.EndKey(c.home, c.job), loan.MinEpochKey(c.home)}
 	for lt.ctx.Err() == nil {
@@ -239,7 +239,7 @@
 			lt.sendToOwner(loanReadMsg{lt, c, entries[0], entries[1], entries[2], final, isFinal})
 			return
 		}
-		sleep(lt.ctx, loanRetry)
+		sleep(lt.ctx, loanRetryInterval)
 	}
 }
 
@@ -259,8 +259,8 @@
 	leaderTerm            *leaderTerm
 	change                *loanChange
 	active, end, minEpoch kv.Entry
-	final                 api.JobState
-	isFinal               bool
+	terminal              api.JobState
+	hasEnded              bool
 }
 
 func (m loanReadMsg) apply(c *Controller) {
@@ -269,14 +269,14 @@
 		return
 	}
 	l := &lt.loans
-	l.finished(m.change)
+	l.endChange(m.change)
 	l.addRecord(m.minEpoch)
 	if m.end.ModRevision == 0 {
 		l.ends, _, _ = l.ends.Delete([]byte(loanName(m.change.home, m.change.job)))
 	} else {
 		l.addRecord(m.end)
 	}
-	if m.isFinal && len(l.reclaiming) < maxLoanNames {
+	if m.hasEnded && len(l.reclaiming) < maxLoanNames {
 		l.reclaiming[m.change.job] = true
 	}
 	j := lt.jobs[m.change.job]
@@ -288,10 +288,10 @@
 		lt.addJob(m.active.Key, m.active.Value, m.active.ModRevision)
 	case j == nil:
 	case j.guest != nil:
-		l.guestOver(j, m.end)
-	case m.isFinal && m.final.Phase == api.JobDone:
+		l.removeGuest(j, m.end)
+	case m.hasEnded && m.terminal.Phase == api.JobDone:
 		lt.jobFinished(j)
-	case m.isFinal:
+	case m.hasEnded:
 		lt.cancelJob(j)
 	}
 	l.writeNext(time.Now())
@@ -304,9 +304,9 @@
 	}
 	var err error
 	if home, ok := strings.CutPrefix(e.Key, loan.MinEpochKey("")); ok {
-		var floor loan.MinEpochRecord
-		if err = json.Unmarshal(e.Value, &floor); err == nil && e.ModRevision >= l.minEpochs[home].modRevision {
-			l.minEpochs[home] = minEpoch{floor.Epoch, e.ModRevision}
+		var rec loan.MinEpochRecord
+		if err = json.Unmarshal(e.Value, &rec); err == nil && e.ModRevision >= l.minEpochs[home].modRevision {
+			l.minEpochs[home] = minEpoch{rec.Epoch, e.ModRevision}
 		}
 	} else if home, job, ok := strings.Cut(strings.TrimPrefix(e.Key, loan.Prefix+"end/"), "/"); ok {
 		end := loanEnd{home: home, job: job, modRevision: e.ModRevision}
@@ -330,6 +330,6 @@
 	case rec.Lent != nil:
 		lt.loans.jobLent(j, rec.Lent)
 	case j.lent != nil:
-		lt.loans.reclaimed(j)
+		lt.loans.jobReclaimed(j)
 	}
 }
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// reclaimed takes in that a job is this cell's own again.
-func (l *loans) reclaimed(j *job) {
+// jobReclaimed takes in that a job is this cell's own again.
+func (l *loans) jobReclaimed(j *job) {
 	l.leaderTerm.c.Log.Info("loan taken back", "job", j.spec.ID, "from", j.lent.Host, "reason", j.remote.Reason)
 	if j.lastReclaimed == nil {
 		j.lastReclaimed = map[string]time.Time{}
@@ -78,11 +78,11 @@
 }
 
 // reserve counts a loan's grant as used by its team, and release no more.
-func (l *loans) reserve(j *job, grant loan.Budget) {
+func (l *loans) reserve(j *job, budget loan.Budget) {
 	l.release(j)
-	j.reservedBudget = grant
-	j.team.UsedCPUs += grant.CPUs
-	j.team.UsedGPUs += grant.GPUs
+	j.reservedBudget = budget
+	j.team.UsedCPUs += budget.CPUs
+	j.team.UsedGPUs += budget.GPUs
 }
 
 func (l *loans) release(j *job) {
@@ -92,16 +92,16 @@
 }
 
 // lendJob puts on record that a job is lent. From now on nothing of it starts here.
-func (l *loans) lendJob(j *job, n *neighbour, grant loan.Budget) {
+func (l *loans) lendJob(j *job, n *neighbour, budget loan.Budget) {
 	lt := l.leaderTerm
 	l.count++
 	l.counts.Lent++
 	spec := j.spec
 	spec.DependsOn = nil
-	record := &loan.Lent{Host: n.cell, Epoch: loan.NewEpoch(lt.term.Number, l.count), Spec: spec, Budget: grant, Since: j.runnableSince.UTC()}
+	record := &loan.Lent{Host: n.cell, Epoch: loan.NewEpoch(lt.term.Number, l.count), Spec: spec, Budget: budget, Since: j.runnableSince.UTC()}
 	j.team.Remove(j)
-	l.reserve(j, grant)
-	lt.c.Log.Info("loan", "job", spec.ID, "class", spec.Class, "to", n.cell, "epoch", record.Epoch, "cpus", grant.CPUs)
+	l.reserve(j, budget)
+	lt.c.Log.Info("loan", "job", spec.ID, "class", spec.Class, "to", n.cell, "epoch", record.Epoch, "cpus", budget.CPUs)
 	active := records.ActiveRecord{Accepted: j.accepted, Lent: record, LoanCount: j.loanCount + 1}
 	l.changeActive(j, active)
 }
@@ -120,8 +120,8 @@
 		}})
 }
 
-// exchange tells each neighbour of all loans to it.
-func (l *loans) exchange(now time.Time) {
+// exchangeWithNeighbours tells each neighbour of all loans to it.
+func (l *loans) exchangeWithNeighbours(now time.Time) {
 	lt := l.leaderTerm
 	for _, n := range l.neighbours {
 		if n.unreachable {
@@ -132,12 +132,12 @@
 			continue
 		}
 		n.busy, n.nextExchange = true, now.Add(exchangeInterval)
-		req := l.request(n)
+		req := l.buildRequest(n)
 		go func() {
 			ctx, cancel := context.WithTimeout(lt.ctx, exchangeTimeout)
 			defer cancel()
-			answer, err := lt.c.Link.Loans(ctx, n.cell, req)
-			lt.sendToOwner(loanResponseMsg{lt, n, now, answer, err})
+			response, err := lt.c.Link.Loans(ctx, n.cell, req)
+			lt.sendToOwner(loanResponseMsg{lt, n, now, response, err})
 		}()
 	}
 }
@@ -154,11 +154,11 @@
 // maxOfferBytes bounds the descriptions of jobs in a request.
 const maxOfferBytes = 64 << 10
 
-// request says what is wanted of each loan to a neighbour.
-func (l *loans) request(n *neighbour) *loan.Request {
+// buildRequest says what is wanted of each loan to a neighbour.
+func (l *loans) buildRequest(n *neighbour) *loan.Request {
 	lt := l.leaderTerm
 	req := &loan.Request{Home: lt.c.Cells.Cell, Term: lt.term.Number}
-	room := maxOfferBytes
+	bytesLeft := maxOfferBytes
 	for id, j := range lt.jobs {
 		if j.lent == nil || j.lent.Host != n.cell || j.handover {
 			continue
@@ -170,9 +170,9 @@
 		case j.reclaimRequested:
 			e.Desired = loan.DesiredReclaim
 		}
-		if j.remote.Phase == loan.PhaseUnknown && e.Desired == loan.DesiredRun && room > 0 {
+		if j.remote.Phase == loan.PhaseUnknown && e.Desired == loan.DesiredRun && bytesLeft > 0 {
 			e.Offer = &loan.Offer{Spec: j.lent.Spec, Budget: j.lent.Budget, Since: j.lent.Since}
-			room -= offerBytes + len(j.lent.Spec.Class) + len(j.lent.Spec.Image) + 16*len(j.lent.Spec.Types)
+			bytesLeft -= offerBytes + len(j.lent.Spec.Class) + len(j.lent.Spec.Image) + 16*len(j.lent.Spec.Types)
 		}
 		req.Entries = append(req.Entries, e)
 	}
@@ -190,7 +190,7 @@
 	leaderTerm *leaderTerm
 	neighbour  *neighbour
 	sent       time.Time
-	answer     *loan.Response
+	response   *loan.Response
 	err        error
 }
 
@@ -200,8 +200,8 @@
 	}
 	l, n, now := &m.leaderTerm.loans, m.neighbour, time.Now()
 	n.busy = false
-	if m.err == nil && m.answer.Refused != "" {
-		m.err = &RefusedError{Cell: n.cell, Reason: m.answer.Refused}
+	if m.err == nil && m.response.Refused != "" {
+		m.err = &RefusedError{Cell: n.cell, Reason: m.response.Refused}
 	}
 	if m.err != nil {
 		if n.lastError == "" {
@@ -214,9 +214,9 @@
 	if n.lastError != "" {
 		c.Log.Info("cell answers again", "cell", n.cell, "after", now.Sub(n.failingSince).Round(time.Second))
 	}
-	n.lastError, n.lastResponse, n.delay, n.advert = "", now, now.Sub(m.sent), m.answer.Advert
+	n.lastError, n.lastResponse, n.delay, n.advert = "", now, now.Sub(m.sent), m.response.Advert
 	clear(n.forget)
-	for _, s := range m.answer.States {
+	for _, s := range m.response.States {
 		l.applyState(n, s)
 	}
 }
@@ -263,17 +263,17 @@
 }
 
 // recordLentEnd records how a lent job ended.
-func (l *loans) recordLentEnd(j *job, final records.TerminalRecord) {
+func (l *loans) recordLentEnd(j *job, terminal records.TerminalRecord) {
 	lt, id := l.leaderTerm, j.spec.ID
 	active := records.ActivePrefix + id
 	j.handover = l.enqueueChange(&loanChange{home: lt.c.Cells.Cell, job: id,
 		build: func() (kv.Txn, bool) {
 			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
-			if final.Phase == api.JobCancelled {
+			if terminal.Phase == api.JobCancelled {
 				// As with a user's own cancellation, a watch sees why the record goes.
 				txn.Ops = append(txn.Ops, kv.Op{Put: records.CancelKey, Value: id})
 			}
-			txn.Ops = append(txn.Ops, kv.Op{Put: records.TerminalPrefix + id, Value: final}, kv.Op{Delete: active})
+			txn.Ops = append(txn.Ops, kv.Op{Put: records.TerminalPrefix + id, Value: terminal}, kv.Op{Delete: active})
 			// From now on others may read of its end before this node knows of it.
 			j.ending = true
 			return txn, !j.ended
@@ -281,7 +281,7 @@
 		done: func(uint64) {
 			switch {
 			case j.ended:
-			case final.Phase == api.JobDone:
+			case terminal.Phase == api.JobDone:
 				j.doneCount = j.spec.Tasks
 				l.counts.Done++
 				lt.jobFinished(j)
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -21,11 +21,11 @@
 	if err := c.send(ctx, m); err != nil {
 		return nil, err
 	}
-	answer, err := await(ctx, c, m.reply)
-	if err == nil && answer == nil {
+	response, err := await(ctx, c, m.reply)
+	if err == nil && response == nil {
 		err = api.ErrUnavailable
 	}
-	return answer, err
+	return response, err
 }
 
 type loanRequestMsg struct {
@@ -44,40 +44,40 @@
 // respond takes a request in and says how all loans of its cell stand.
 func (l *loans) respond(req *loan.Request, now time.Time) *loan.Response {
 	lt := l.leaderTerm
-	if reason := l.refusal(req); reason != "" {
+	if reason := l.requestRefusal(req); reason != "" {
 		l.logOnce("loans refused", req.Home, reason)
 		return &loan.Response{Refused: reason}
 	}
-	answer := &loan.Response{Host: lt.c.Cells.Cell, Term: lt.term.Number, Advert: l.advertise(now)}
+	response := &loan.Response{Host: lt.c.Cells.Cell, Term: lt.term.Number, Advert: l.advertise(now)}
 	named := map[string]bool{}
-	raise := loan.Epoch(0)
+	raiseTo := loan.Epoch(0)
 	for _, e := range req.Entries {
 		named[e.Job] = true
-		held := l.hostView(req.Home, e, &answer.Advert)
-		phase, step := loan.HostStep(e, held)
-		state := loan.State{Job: e.Job, Epoch: e.Epoch, Phase: phase, Reason: held.RefusalReason}
+		view := l.hostView(req.Home, e, &response.Advert)
+		phase, step := loan.HostStep(e, view)
+		state := loan.State{Job: e.Job, Epoch: e.Epoch, Phase: phase, Reason: view.RefusalReason}
 		if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Epoch == e.Epoch {
-			l.progress(j, &state)
+			l.fillProgress(j, &state)
 		} else {
-			state.Pending = l.onMachines(e.Job)
+			state.Pending = l.mayBeOnMachines(e.Job)
 		}
 		if step == loan.StepRaiseMinEpoch {
-			raise = max(raise, e.Epoch)
-			l.logOnce("loan not accepted", loanName(req.Home, e.Job), held.RefusalReason)
+			raiseTo = max(raiseTo, e.Epoch)
+			l.logOnce("loan not accepted", loanName(req.Home, e.Job), view.RefusalReason)
 		} else {
 			l.applyStep(req.Home, e, step)
 		}
-		answer.States = append(answer.States, state)
+		response.States = append(response.States, state)
 	}
-	if raise > l.minEpochs[req.Home].epoch {
-		l.raiseMinEpoch(req.Home, raise)
+	if raiseTo > l.minEpochs[req.Home].epoch {
+		l.raiseMinEpoch(req.Home, raiseTo)
 	}
-	answer.States = append(answer.States, l.unlistedGuests(req.Home, named)...)
-	return answer
+	response.States = append(response.States, l.unlistedGuests(req.Home, named)...)
+	return response
 }
 
-// refusal says why a request is not taken in at all, or "".
-func (l *loans) refusal(req *loan.Request) string {
+// requestRefusal says why a request is not taken in at all, or "".
+func (l *loans) requestRefusal(req *loan.Request) string {
 	cells := l.leaderTerm.c.Cells
 	if cells == nil {
 		return "no cells are configured here"
@@ -101,10 +101,10 @@
 // logOnce says something of a cell or job once.
 func (l *loans) logOnce(what, of, reason string) {
 	key := what + " " + of + " " + reason
-	if l.logged[key] || len(l.logged) >= maxLoanNames {
+	if l.loggedOnce[key] || len(l.loggedOnce) >= maxLoanNames {
 		return
 	}
-	l.logged[key] = true
+	l.loggedOnce[key] = true
 	l.leaderTerm.c.Log.Warn(what, "of", of, "reason", reason)
 }
 
@@ -122,14 +122,14 @@
 		return h
 	}
 	if e.Desired == loan.DesiredRun && e.Offer != nil && h.End == nil {
-		h.RefusalReason = l.refusalOf(home, e.Offer, advert)
+		h.RefusalReason = l.offerRefusal(home, e.Offer, advert)
 	}
 	return h
 }
 
-// refusalOf says why an offer is not accepted, or "", and takes what it needs off what
+// offerRefusal says why an offer is not accepted, or "", and takes what it needs off what
 // there is to spare.
-func (l *loans) refusalOf(home string, o *loan.Offer, advert *loan.Advert) string {
+func (l *loans) offerRefusal(home string, o *loan.Offer, advert *loan.Advert) string {
 	lt, s := l.leaderTerm, &o.Spec
 	if l.changing[loanName(home, s.ID)] {
 		return "" // it is being accepted
@@ -162,14 +162,14 @@
 	return ""
 }
 
-// progress tells how a guest stands.
-func (l *loans) progress(j *job, s *loan.State) {
+// fillProgress tells how a guest stands.
+func (l *loans) fillProgress(j *job, s *loan.State) {
 	st := j.state()
 	s.Done, s.Running, s.Pending = st.Done, st.Running, len(j.activeAttempts) > 0
 }
 
-// onMachines tells whether tasks of a job may be on machines, whatever is known of it.
-func (l *loans) onMachines(id string) bool {
+// mayBeOnMachines tells whether tasks of a job may be on machines, whatever is known of it.
+func (l *loans) mayBeOnMachines(id string) bool {
 	lt := l.leaderTerm
 	if lt.unfenced > 0 {
 		return true
@@ -196,12 +196,12 @@
 		if j.started() {
 			s.Phase = loan.PhaseStarted
 		}
-		l.progress(j, &s)
+		l.fillProgress(j, &s)
 		states = append(states, s)
 	}
 	l.ends.Root().WalkPrefix([]byte(home+"/"), func(_ []byte, end loanEnd) bool {
 		if !named[end.job] {
-			s := loan.State{Job: end.job, Epoch: end.Epoch, Phase: loan.PhaseCancelled, Ended: end.Ended, Pending: l.onMachines(end.job)}
+			s := loan.State{Job: end.job, Epoch: end.Epoch, Phase: loan.PhaseCancelled, Ended: end.Ended, Pending: l.mayBeOnMachines(end.job)}
 			if end.Phase == api.JobDone {
 				s.Phase = loan.PhaseDone
 			}
@@ -217,7 +217,7 @@
 	j := l.leaderTerm.jobs[e.Job]
 	switch step {
 	case loan.StepAccept:
-		l.accept(home, e)
+		l.acceptGuest(home, e)
 	case loan.StepClose:
 		l.returnGuest(j)
 	case loan.StepCancel:
@@ -227,8 +227,8 @@
 	}
 }
 
-// accept puts a guest's record, unless this cell knows the job or the floor has risen.
-func (l *loans) accept(home string, e loan.Entry) {
+// acceptGuest puts a guest's record, unless this cell knows the job or the floor has risen.
+func (l *loans) acceptGuest(home string, e loan.Entry) {
 	lt := l.leaderTerm
 	active := records.ActivePrefix + e.Job
 	rec := records.ActiveRecord{Accepted: time.Now().UTC(), Guest: &loan.Guest{Home: home, Epoch: e.Epoch, Spec: e.Offer.Spec, Budget: e.Offer.Budget, Since: e.Offer.Since}}
@@ -249,10 +249,10 @@
 
 // minEpochOp raises a floor in a transaction, and guards on its present version.
 func (l *loans) minEpochOp(txn *kv.Txn, home string, epoch loan.Epoch) {
-	floor := l.minEpochs[home]
+	current := l.minEpochs[home]
 	key := loan.MinEpochKey(home)
-	txn.Compares = append(txn.Compares, kv.Compare{Key: key, ModRevision: floor.modRevision})
-	txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: loan.MinEpochRecord{Epoch: max(epoch, floor.epoch)}})
+	txn.Compares = append(txn.Compares, kv.Compare{Key: key, ModRevision: current.modRevision})
+	txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: loan.MinEpochRecord{Epoch: max(epoch, current.epoch)}})
 }
 
 func (l *loans) minEpochRaised(home string, epoch loan.Epoch, revision uint64) {
@@ -287,7 +287,7 @@
 		done: func(revision uint64) {
 			l.minEpochRaised(home, epoch, revision)
 			l.counts.Returned++
-			l.guestOver(j, kv.Entry{})
+			l.removeGuest(j, kv.Entry{})
 		}})
 }
 
@@ -318,13 +318,13 @@
 			}
 			e := kv.Entry{Key: key, Value: raw, ModRevision: revision}
 			l.addRecord(e)
-			l.guestOver(j, e)
+			l.removeGuest(j, e)
 		}})
 }
 
-// guestOver drops a guest whose active record is gone. What of it is on machines is
+// removeGuest drops a guest whose active record is gone. What of it is on machines is
 // stopped by the answers to their reports.
-func (l *loans) guestOver(j *job, end kv.Entry) {
+func (l *loans) removeGuest(j *job, end kv.Entry) {
 	if j.ended {
 		return
 	}
--- a/internal/controller/outcome.go
+++ b/internal/controller/outcome.go
@@ -9,9 +9,9 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// verify reads how jobs ended whose record had changed when their end was written:
+// resolveOutcomes reads how jobs ended whose record had changed when their end was written:
 // mostly by this leader's own transaction, whose answer was lost.
-func (rw *recordWriter) verify(jobs []*job) {
+func (rw *recordWriter) resolveOutcomes(jobs []*job) {
 	for _, j := range jobs {
 		rw.finishing = slices.DeleteFunc(rw.finishing, func(o *job) bool { return o == j })
 		rw.leaderTerm.dependencies.pendingCancels = slices.DeleteFunc(rw.leaderTerm.dependencies.pendingCancels, func(o *job) bool { return o == j })
--- a/internal/controller/recordwriter.go
+++ b/internal/controller/recordwriter.go
@@ -35,12 +35,12 @@
 	shardCount       int
 	machinesPerShard int
 	maxShardBytes    int
-	nextShard        time.Time
-	busy             bool
+	nextRewrite      time.Time
+	writeInFlight    bool
 	// outcomeUnknown are the jobs whose end is to be read, one at a time.
 	outcomeUnknown []string
 	resolving      bool
-	waitUntil      time.Time
+	retryAt        time.Time
 	// lastProgress keeps progress records behind everything else.
 	nextCompletion time.Time
 }
@@ -97,19 +97,19 @@
 type completionWrite struct {
 	job   *job
 	first int
-	words []byte
+	bits  []byte
 }
 
 // writeBatch starts the next transaction if there is anything to write.
 func (rw *recordWriter) writeBatch(now time.Time) {
-	if rw.busy || now.Before(rw.waitUntil) {
+	if rw.writeInFlight || now.Before(rw.retryAt) {
 		return
 	}
 	b := rw.nextBatch(now)
 	if len(b.txn.Ops) == 0 {
 		return
 	}
-	rw.busy = true
+	rw.writeInFlight = true
 	lt := rw.leaderTerm
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, 2*time.Second)
@@ -178,7 +178,7 @@
 		if len(b.txn.Ops) > 0 && b.bytes+size > rw.maxBytes {
 			return
 		}
-		b.shard(rw.newShard(rw.registering[:n]))
+		b.addShard(rw.newShard(rw.registering[:n]))
 		rw.registering = rw.registering[n:]
 	}
 }
@@ -219,15 +219,15 @@
 		return
 	}
 	rw := &m.leaderTerm.recordWriter
-	rw.busy = false
+	rw.writeInFlight = false
 	now := time.Now()
 	switch {
 	case errors.Is(m.err, kv.ErrInvalid):
-		rw.waitUntil = now.Add(250 * time.Millisecond)
+		rw.retryAt = now.Add(250 * time.Millisecond)
 		rw.requeue(m.batch)
 		rw.shrinkLimits(m.batch, now)
 	case m.err != nil:
-		rw.waitUntil = now.Add(250 * time.Millisecond)
+		rw.retryAt = now.Add(250 * time.Millisecond)
 		// If it was carried out all the same, or is yet to be, the next try
 		// fails by its guards, and tells which jobs to look at.
 		rw.requeue(m.batch)
@@ -249,7 +249,7 @@
 				changed = append(changed, j)
 			}
 		}
-		rw.verify(changed)
+		rw.resolveOutcomes(changed)
 		for _, p := range m.batch.completions {
 			if !p.job.ended && slices.Contains(m.result.FailedKeys, records.ActivePrefix+p.job.spec.ID) {
 				p.job.completionDirty = false // cancelled; the watch will say so
@@ -293,7 +293,7 @@
 		// known to this leader only.
 		rw.tasksPerChunk = rw.tasksPerChunk / 16 * 8
 	default:
-		rw.waitUntil = now.Add(5 * time.Second) // an end: it has no size to lower
+		rw.retryAt = now.Add(5 * time.Second) // an end: it has no size to lower
 	}
 }
 
@@ -317,16 +317,16 @@
 	}
 	rw.shardsWritten(b)
 	for _, p := range b.completions {
-		p.job.chunkSizes[p.first] = 8 * len(p.words)
+		p.job.chunkSizes[p.first] = 8 * len(p.bits)
 		delete(p.job.moving, p.first)
-		for i, by := range p.words {
+		for i, by := range p.bits {
 			for bit := range 8 {
 				if by&(1<<bit) != 0 {
 					p.job.recorded.Set(uint(p.first + i*8 + bit))
 				}
 			}
 		}
-		if _, more := p.job.unrecorded(rw.tasksPerChunk); more && !p.job.ended && !p.job.finishing {
+		if _, more := p.job.nextUnrecordedChunk(rw.tasksPerChunk); more && !p.job.ended && !p.job.finishing {
 			rw.queueCompletion(p.job)
 		}
 	}
--- a/internal/controller/registry.go
+++ b/internal/controller/registry.go
@@ -62,8 +62,8 @@
 		CPUs: m.cpus, GPUs: m.gpus, MemoryGB: m.memory}
 }
 
-// shard adds a shard to a batch.
-func (b *batch) shard(s *shard) {
+// addShard adds a shard to a batch.
+func (b *batch) addShard(s *shard) {
 	var rec records.RegistryShardRecord
 	for _, m := range s.machines {
 		rec.Machines = append(rec.Machines, m.entry())
@@ -100,10 +100,10 @@
 		if len(s.machines) > 0 || len(b.txn.Ops) >= allowed {
 			return false
 		}
-		b.replace(s, allowed)
+		b.addShardDeletes(s, allowed)
 		return true
 	})
-	if len(rw.staleShards) == 0 || now.Before(rw.nextShard) || len(b.txn.Ops)+2 > allowed || b.bytes >= rw.maxBytes {
+	if len(rw.staleShards) == 0 || now.Before(rw.nextRewrite) || len(b.txn.Ops)+2 > allowed || b.bytes >= rw.maxBytes {
 		return
 	}
 	s := rw.staleShards[0]
@@ -115,13 +115,13 @@
 	if len(b.txn.Ops) > 0 && b.bytes+size > rw.maxBytes {
 		return
 	}
-	rw.nextShard = now.Add(rewriteInterval)
+	rw.nextRewrite = now.Add(rewriteInterval)
 	rw.staleShards = rw.staleShards[1:]
 	next := rw.newShard(s.machines[:n])
 	next.replaces = s
-	b.shard(next)
+	b.addShard(next)
 	if next.partial = n < len(s.machines); !next.partial {
-		b.replace(s, allowed)
+		b.addShardDeletes(s, allowed)
 	}
 }
 
@@ -133,8 +133,8 @@
 	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(o *shard) bool { return o == s })
 }
 
-// replace drops a shard in a batch. What finds no place stays behind.
-func (b *batch) replace(s *shard, allowed int) {
+// addShardDeletes drops a shard in a batch. What finds no place stays behind.
+func (b *batch) addShardDeletes(s *shard, allowed int) {
 	b.delete(s.key)
 	for _, key := range s.possiblyWritten {
 		if len(b.txn.Ops) < allowed {
--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -28,7 +28,7 @@
 	// lastBatch is the last batch of its reports, batch the last of orders, and
 	// got whether it has taken that in.
 	lastBatch, batch, acknowledged uint64
-	last                           []relay.Part
+	lastParts                      []relay.Part
 	busy                           bool
 	// pending are the machines whose orders have no outcome yet.
 	pending map[string]*relayedCommands
@@ -36,8 +36,8 @@
 	// if the present one may have been written all the same.
 	sizeHalvings   int
 	outcomeUnknown bool
-	// given are the machines with orders in the last batch.
-	given []string
+	// batchMachines are the machines with orders in the last batch.
+	batchMachines []string
 }
 
 type relayedCommands struct {
@@ -58,7 +58,7 @@
 			node = &relayNode{pending: map[string]*relayedCommands{}}
 			dl.nodes[name] = node
 		}
-		node.abandon(lt, now)
+		node.expirePending(lt, now)
 		if node.busy || !(mb.isUnreachable() || len(node.pending) > 0) {
 			continue
 		}
@@ -89,9 +89,9 @@
 	}
 }
 
-// abandon bounds how long a machine is held for a node that tells nothing any
+// expirePending bounds how long a machine is held for a node that tells nothing any
 // more: it gets no more work, and its return settles what became of its orders.
-func (n *relayNode) abandon(lt *leaderTerm, now time.Time) {
+func (n *relayNode) expirePending(lt *leaderTerm, now time.Time) {
 	for name, p := range n.pending {
 		if now.Sub(p.sentAt) < outcomeTimeout {
 			continue
@@ -133,7 +133,7 @@
 type uplinkReadMsg struct {
 	leaderTerm *leaderTerm
 	node       string
-	up         *peer.RelayUp
+	batch      *peer.RelayUp
 }
 
 func (m uplinkReadMsg) apply(c *Controller) {
@@ -143,7 +143,7 @@
 	}
 	node := lt.downlink.nodes[m.node]
 	node.busy = false
-	up := m.up
+	up := m.batch
 	if up == nil || up.Term != lt.term.Number || !c.holdsLease() || !lt.loaded {
 		return
 	}
@@ -161,42 +161,42 @@
 		}
 	}
 	now := time.Now()
-	answer := &peer.RelayDown{Term: lt.term.Number, Incarnation: node.incarnation, Seen: node.lastBatch}
+	down := &peer.RelayDown{Term: lt.term.Number, Incarnation: node.incarnation, Seen: node.lastBatch}
 	confirmed := node.acknowledged == node.batch
 	for _, hb := range up.Reports {
-		lt.handleRelayedHeartbeat(node, hb.Unpack(), answer, confirmed, now)
+		lt.handleRelayedHeartbeat(node, hb.Unpack(), down, confirmed, now)
 	}
 	if confirmed {
 		node.batch++
 	}
-	answer.Batch = node.batch
-	lt.writeDownlink(m.node, node, answer, confirmed)
+	down.Batch = node.batch
+	lt.writeDownlink(m.node, node, down, confirmed)
 }
 
 // handleRelayedHeartbeat takes a relayed report in and adds its orders to the answer.
-func (lt *leaderTerm) handleRelayedHeartbeat(node *relayNode, hb *api.Heartbeat, answer *peer.RelayDown, confirmed bool, now time.Time) {
-	mc := lt.machines[hb.Machine]
-	hold := !confirmed || node.pending[hb.Machine] != nil
-	if mc != nil {
-		mc.relayPending = hold
+func (lt *leaderTerm) handleRelayedHeartbeat(node *relayNode, hb *api.Heartbeat, down *peer.RelayDown, confirmed bool, now time.Time) {
+	m := lt.machines[hb.Machine]
+	withhold := !confirmed || node.pending[hb.Machine] != nil
+	if m != nil {
+		m.relayPending = withhold
 	}
 	response, err := lt.handleOwnHeartbeat(hb, now)
-	if mc = lt.machines[hb.Machine]; mc == nil {
+	if m = lt.machines[hb.Machine]; m == nil {
 		return
 	}
-	mc.relayPending, mc.lastCommands = false, nil
-	if err != nil || hold || len(response.Commands) == 0 || mc.heartbeatSeq != hb.Seq {
+	m.relayPending, m.lastCommands = false, nil
+	if err != nil || withhold || len(response.Commands) == 0 || m.heartbeatSeq != hb.Seq {
 		return
 	}
 	p := &relayedCommands{baseSeq: hb.Seq, sentAt: now}
 	for _, o := range response.Commands {
-		if a := mc.attempts[attemptKey{o.Task, o.Attempt}]; a != nil && o.Verb == api.VerbStart {
+		if a := m.attempts[attemptKey{o.Task, o.Attempt}]; a != nil && o.Verb == api.VerbStart {
 			a.direct = &directCommand{agentEpoch: hb.AgentEpoch, inFlight: true}
 			p.starts = append(p.starts, a)
 		}
 	}
 	node.pending[hb.Machine] = p
-	answer.Orders = append(answer.Orders, &peer.RelayOrders{Machine: hb.Machine, Session: hb.AgentEpoch, Base: hb.Seq, Orders: peer.PackOrders(response.Commands)})
+	down.Orders = append(down.Orders, &peer.RelayOrders{Machine: hb.Machine, Session: hb.AgentEpoch, Base: hb.Seq, Orders: peer.PackOrders(response.Commands)})
 }
 
 // applyOutcome records the outcome of orders: handed is the report in whose answer
@@ -212,55 +212,55 @@
 	}
 }
 
-// abandon takes back the latter half of a machine's orders.
-func (p *relayedCommands) abandon(lt *leaderTerm, o *peer.RelayOrders) {
+// revokeHalf takes back the latter half of a machine's orders.
+func (p *relayedCommands) revokeHalf(lt *leaderTerm, o *peer.RelayOrders) {
 	o.Orders = o.Orders[:len(o.Orders)/2]
-	back := &relayedCommands{}
+	revoked := &relayedCommands{}
 	p.starts = slices.DeleteFunc(p.starts, func(a *attempt) bool {
 		left := slices.ContainsFunc(o.Orders, func(o *peer.Order) bool { return o.Verb == api.VerbStart && attemptKey{o.Task, o.Attempt} == a.key })
 		if !left {
-			back.starts = append(back.starts, a)
+			revoked.starts = append(revoked.starts, a)
 		}
 		return !left
 	})
-	back.applyOutcome(lt, 0)
+	revoked.applyOutcome(lt, 0)
 }
 
 // writeDownlink writes the answer. What does not fit the record is taken back.
-func (lt *leaderTerm) writeDownlink(name string, node *relayNode, answer *peer.RelayDown, fresh bool) {
+func (lt *leaderTerm) writeDownlink(name string, node *relayNode, down *peer.RelayDown, fresh bool) {
 	size := max(maxRelayRecordBytes(lt.c.Settings.Site.State, 1)>>node.sizeHalvings, 256)
 	if fresh {
-		parts, err := relay.Pack(answer, answer.Batch, 1, size)
-		for errors.Is(err, relay.ErrTooLarge) && len(answer.Orders) > 0 {
-			if one := answer.Orders[0]; len(answer.Orders) == 1 && len(one.Orders) > 1 {
+		parts, err := relay.Pack(down, down.Batch, 1, size)
+		for errors.Is(err, relay.ErrTooLarge) && len(down.Orders) > 0 {
+			if only := down.Orders[0]; len(down.Orders) == 1 && len(only.Orders) > 1 {
 				// Taken back whole, they would be the same again next time.
-				node.pending[one.Machine].abandon(lt, one)
-				parts, err = relay.Pack(answer, answer.Batch, 1, size)
+				node.pending[only.Machine].revokeHalf(lt, only)
+				parts, err = relay.Pack(down, down.Batch, 1, size)
 				continue
 			}
-			cut := answer.Orders[len(answer.Orders)*3/4:]
-			answer.Orders = answer.Orders[:len(answer.Orders)*3/4]
-			for _, o := range cut {
+			dropped := down.Orders[len(down.Orders)*3/4:]
+			down.Orders = down.Orders[:len(down.Orders)*3/4]
+			for _, o := range dropped {
 				node.pending[o.Machine].applyOutcome(lt, 0)
 				delete(node.pending, o.Machine)
 			}
-			parts, err = relay.Pack(answer, answer.Batch, 1, size)
+			parts, err = relay.Pack(down, down.Batch, 1, size)
 		}
 		if err != nil {
 			lt.c.Log.Error("relay", "err", err)
 			return
 		}
-		node.last, node.outcomeUnknown, node.given = parts, false, nil
-		for _, o := range answer.Orders {
-			node.given = append(node.given, o.Machine)
+		node.lastParts, node.outcomeUnknown, node.batchMachines = parts, false, nil
+		for _, o := range down.Orders {
+			node.batchMachines = append(node.batchMachines, o.Machine)
 		}
 	}
-	if len(node.last) == 0 {
+	if len(node.lastParts) == 0 {
 		return
 	}
 	// Until it is confirmed the same batch is written again.
 	txn := kv.Txn{Records: true, Compares: []kv.Compare{lt.termCompare()},
-		Ops: []kv.Op{{Put: records.RelayPrefix + name + "/down", Value: node.last[0]}}}
+		Ops: []kv.Op{{Put: records.RelayPrefix + name + "/down", Value: node.lastParts[0]}}}
 	node.busy = true
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, relayTimeout)
@@ -291,17 +291,17 @@
 	}
 	c.Log.Error("relayed orders refused as too large", "node", m.node)
 	node.sizeHalvings = min(node.sizeHalvings+1, 8)
-	if len(node.last) == 0 || node.outcomeUnknown {
+	if len(node.lastParts) == 0 || node.outcomeUnknown {
 		return // it may be known to the node: its outcome, or abandon, decides
 	}
 	// It was never written, so nothing of it was handed out: it is as if the
 	// batch had not been.
-	for _, machine := range node.given {
+	for _, machine := range node.batchMachines {
 		if p := node.pending[machine]; p != nil {
 			p.applyOutcome(m.leaderTerm, 0)
 			delete(node.pending, machine)
 		}
 	}
 	node.batch--
-	node.last = nil
+	node.lastParts = nil
 }
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -155,42 +155,42 @@
 
 // write writes new reports and outcomes to the store.
 func (ul *relayUplink) write(c *Controller, now time.Time) {
-	extender := &c.leaseRenewer
-	leader := c.membership.members[extender.leader]
-	carrying := leader.isUnreachable() && extender.termRevision != 0 && now.Sub(extender.verifiedAt) < c.renewalPeriod()
+	renewer := &c.leaseRenewer
+	leader := c.membership.members[renewer.leader]
+	carrying := leader.isUnreachable() && renewer.termRevision != 0 && now.Sub(renewer.verifiedAt) < c.renewalPeriod()
 	for _, m := range ul.machines {
 		if m.commands != nil && (now.Sub(m.receivedAt) > relayCommandLifetime || !carrying) {
 			m.recordOutcome(0)
 		}
 	}
-	if extender.termRevision == 0 && !carrying {
+	if renewer.termRevision == 0 && !carrying {
 		// The leader is reached again or another leads: what is left to tell
 		// is told under the term that the orders belong to.
-		ul.forget(now)
+		ul.dropResolved(now)
 		if len(ul.machines) == 0 {
 			return
 		}
 	}
 	ul.batch++
 	lim := c.Settings.Site.State
-	most := min(maxRelayParts, lim.TxnOps)
-	size := max(maxRelayRecordBytes(lim, most)>>ul.sizeHalvings, 256)
-	up, told := ul.buildBatch(extender, carrying, size*most*relayCompression)
-	parts, err := ul.pack(c, up, most, size, now)
+	maxParts := min(maxRelayParts, lim.TxnOps)
+	size := max(maxRelayRecordBytes(lim, maxParts)>>ul.sizeHalvings, 256)
+	up, withOutcome := ul.buildBatch(renewer, carrying, size*maxParts*relayCompression)
+	parts, err := ul.packBatch(c, up, maxParts, size, now)
 	if err != nil {
 		c.Log.Error("relay", "err", err)
 		return
 	}
-	for _, m := range told[:len(up.Outcomes)] {
+	for _, m := range withOutcome[:len(up.Outcomes)] {
 		m.acknowledgedIn = ul.batch
 	}
 	for _, hb := range up.Reports {
 		m := ul.machines[hb.Machine]
 		m.dirty, m.sentAt = false, now
 	}
-	txn := ul.transaction(records.RelayPrefix+c.Settings.Node, parts, most)
+	txn := ul.batchTransaction(records.RelayPrefix+c.Settings.Node, parts, maxParts)
 	if carrying {
-		txn.Compares = []kv.Compare{{Key: election.TermKey, ModRevision: extender.termRevision}}
+		txn.Compares = []kv.Compare{{Key: election.TermKey, ModRevision: renewer.termRevision}}
 	}
 	// Where few changes are allowed, relaying must leave room for submissions.
 	if next := now.Add(config.Duration(float64(len(txn.Ops)) / (lim.WriteRPS * kv.RecordShare))); next.After(ul.next) {
@@ -201,29 +201,29 @@
 
 // buildBatch builds a batch of outcomes and, while the leader cannot be reached, of
 // about room bytes of reports. It returns with it the machines of the outcomes.
-func (ul *relayUplink) buildBatch(extender *leaseRenewer, carrying bool, room int) (up *peer.RelayUp, told []*relayedMachine) {
+func (ul *relayUplink) buildBatch(renewer *leaseRenewer, carrying bool, maxBytes int) (up *peer.RelayUp, withOutcome []*relayedMachine) {
 	up = &peer.RelayUp{Incarnation: ul.incarnation, Batch: ul.batch, Got: ul.acknowledged}
 	for _, m := range ul.oldestFirst() {
 		if m.outcome != nil {
-			told = append(told, m)
+			withOutcome = append(withOutcome, m)
 			up.Outcomes = append(up.Outcomes, m.outcome)
 			up.Term = m.term
 		}
-		if carrying && m.dirty && room > 0 && m.heartbeat.Term == extender.term {
-			room -= 100 + 40*len(m.heartbeat.Tasks)
+		if carrying && m.dirty && maxBytes > 0 && m.heartbeat.Term == renewer.term {
+			maxBytes -= 100 + 40*len(m.heartbeat.Tasks)
 			up.Reports = append(up.Reports, peer.PackReport(m.heartbeat))
 		}
 	}
 	if carrying {
-		up.Term = extender.term
+		up.Term = renewer.term
 	}
-	return up, told
+	return up, withOutcome
 }
 
-// pack divides a batch into at most so many records of a size. Of a batch that is
+// packBatch divides a batch into at most so many records of a size. Of a batch that is
 // too large, it leaves out reports first, then outcomes.
-func (ul *relayUplink) pack(c *Controller, up *peer.RelayUp, most, size int, now time.Time) ([]relay.Part, error) {
-	parts, err := relay.Pack(up, ul.batch, most, size)
+func (ul *relayUplink) packBatch(c *Controller, up *peer.RelayUp, maxParts, size int, now time.Time) ([]relay.Part, error) {
+	parts, err := relay.Pack(up, ul.batch, maxParts, size)
 	for errors.Is(err, relay.ErrTooLarge) && len(up.Reports)+len(up.Outcomes) > 0 {
 		// Outcomes are told until they are confirmed: what is left out comes
 		// with a later batch.
@@ -237,13 +237,13 @@
 		} else {
 			up.Outcomes = up.Outcomes[:len(up.Outcomes)/2]
 		}
-		parts, err = relay.Pack(up, ul.batch, most, size)
+		parts, err = relay.Pack(up, ul.batch, maxParts, size)
 	}
 	return parts, err
 }
 
-// transaction puts the parts of a batch in place of the last one's.
-func (ul *relayUplink) transaction(prefix string, parts []relay.Part, most int) kv.Txn {
+// batchTransaction puts the parts of a batch in place of the last one's.
+func (ul *relayUplink) batchTransaction(prefix string, parts []relay.Part, maxParts int) kv.Txn {
 	txn := kv.Txn{Records: true}
 	for _, p := range parts {
 		txn.Ops = append(txn.Ops, kv.Op{Put: prefix + "/up/" + strconv.Itoa(p.Index), Value: p})
@@ -251,7 +251,7 @@
 	if !ul.cleared {
 		// A leader of an earlier version takes the highest number for the present
 		// batch. What an earlier process has left would hide this one's from it.
-		for i := len(parts); i < most; i++ {
+		for i := len(parts); i < maxParts; i++ {
 			txn.Ops = append(txn.Ops, kv.Op{Delete: prefix + "/up/" + strconv.Itoa(i)})
 		}
 	}
@@ -285,8 +285,8 @@
 	}
 }
 
-// forget drops the machines about which nothing is left to tell.
-func (ul *relayUplink) forget(now time.Time) {
+// dropResolved drops the machines about which nothing is left to tell.
+func (ul *relayUplink) dropResolved(now time.Time) {
 	for name, m := range ul.machines {
 		if m.outcome == nil || now.Sub(m.receivedAt) > time.Minute {
 			delete(ul.machines, name)
@@ -317,13 +317,13 @@
 }
 
 // downlinkReadMsg brings what the leader has written; nil: nothing.
-type downlinkReadMsg struct{ down *peer.RelayDown }
+type downlinkReadMsg struct{ batch *peer.RelayDown }
 
 func (m downlinkReadMsg) apply(c *Controller) {
 	ul := &c.uplink
 	ul.busy = false
 	now := time.Now()
-	if d := m.down; d != nil && d.Incarnation == ul.incarnation {
+	if d := m.batch; d != nil && d.Incarnation == ul.incarnation {
 		ul.applyDownlink(c, d, now)
 	}
 	ul.write(c, now)
