--- a/internal/controller/completion.go
+++ b/internal/controller/completion.go
@@ -7,57 +7,79 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// addCompletions adds the done tasks of changed jobs.
+// addCompletions adds completion records of the dirty jobs.
 func (rw *recordWriter) addCompletions(b *batch, allowed int) {
 	if rw.tasksPerChunk == 0 {
 		return
 	}
-	size := (rw.tasksPerChunk/8+2)/3*4 + 100
-	for len(rw.dirtyJobs) > 0 && len(b.txn.Ops) < allowed && (b.bytes+size < rw.maxBytes || len(b.txn.Ops) == 0) {
+	size := (rw.tasksPerChunk/8+2)/3*4 + opOverheadBytes
+	for len(rw.dirtyJobs) > 0 && len(b.txn.Ops) < allowed &&
+		(b.bytes+size < rw.maxBytes || len(b.txn.Ops) == 0) {
 		j := rw.dirtyJobs[0]
-		if !j.completionDirty || j.finishing || j.ended {
-			rw.dirtyJobs = rw.dirtyJobs[1:]
-			j.completionDirty = false
+		// One record of a job at a time: the next chunk is searched when this one is
+		// on record.
+		rw.dirtyJobs = rw.dirtyJobs[1:]
+		wasDirty := j.completionDirty
+		j.completionDirty = false
+		if !wasDirty || j.finishing || j.ended {
 			continue
 		}
-		first, ok := j.nextUnrecordedChunk(rw.tasksPerChunk)
-		if !ok {
-			j.completionDirty = false
-			rw.dirtyJobs = rw.dirtyJobs[1:]
-			continue
+		if first, ok := j.nextUnrecordedChunk(rw.tasksPerChunk); ok {
+			rw.addCompletion(b, j, first)
 		}
-		words := j.completionBytes(first, rw.tasksPerChunk)
-		b.put(records.CompletionKey(j.spec.ID, first), records.CompletionRecord{Done: words})
-		// The record must not outlive its job: once that is over, another
-		// node has dropped the key guarded on here.
-		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: records.ActivePrefix + j.spec.ID, ModRevision: j.modRevision})
-		j.completionChunks[first] = true
-		j.holds(first, 8*len(words))
-		b.completions = append(b.completions, completionWrite{j, first, words})
-		// One record of a job at a time: the next is looked for when this
-		// one is on record.
-		j.completionDirty = false
-		rw.dirtyJobs = rw.dirtyJobs[1:]
 	}
 }
 
-// nextUnrecordedChunk finds the first part of a job with done tasks not on record whose
-// record may be written.
-func (j *job) nextUnrecordedChunk(per int) (first int, ok bool) {
-	for from := 0; per > 0; from = first + per {
-		t, ok := j.done.Difference(j.recorded).NextSet(uint(from))
+// addCompletion adds the completion record of a job's chunk that begins at first.
+func (rw *recordWriter) addCompletion(b *batch, j *job, first int) {
+	bits := j.completionBytes(first, rw.tasksPerChunk)
+	b.put(records.CompletionKey(j.spec.ID, first), records.CompletionRecord{Done: bits})
+	// The record must not outlive its job: once that has ended, another node has
+	// deleted the key compared here.
+	b.txn.Compares = append(b.txn.Compares, kv.Compare{
+		Key:         records.ActivePrefix + j.spec.ID,
+		ModRevision: j.modRevision,
+	})
+	j.completionChunks[first] = true
+	j.holds(first, 8*len(bits))
+	b.completions = append(b.completions, completionWrite{job: j, first: first, bits: bits})
+}
+
+// completionWritten marks the tasks of a written completion record as recorded, and queues
+// the job if more of its completed tasks are not on record.
+func (rw *recordWriter) completionWritten(w completionWrite) {
+	j := w.job
+	j.chunkSizes[w.first] = 8 * len(w.bits)
+	delete(j.moving, w.first)
+	for i, octet := range w.bits {
+		for bit := range 8 {
+			if octet&(1<<bit) != 0 {
+				j.recorded.Set(uint(w.first + i*8 + bit))
+			}
+		}
+	}
+	if _, more := j.nextUnrecordedChunk(rw.tasksPerChunk); more && !j.ended && !j.finishing {
+		rw.queueCompletion(j)
+	}
+}
+
+// nextUnrecordedChunk finds the first chunk of a job with completed tasks that are not on
+// record and whose record may be written.
+func (j *job) nextUnrecordedChunk(tasksPerChunk int) (first int, ok bool) {
+	for from := 0; tasksPerChunk > 0; from = first + tasksPerChunk {
+		task, ok := j.done.Difference(j.recorded).NextSet(uint(from))
 		if !ok {
 			return 0, false
 		}
-		if first = int(t) / per * per; j.mayRewriteRecord(first, per) {
+		if first = int(task) / tasksPerChunk * tasksPerChunk; j.mayRewriteRecord(first, tasksPerChunk) {
 			return first, true
 		}
 	}
 	return 0, false
 }
 
-// holds notes that the store may have a record that begins at first and covers
-// so many tasks.
+// holds records that the store may have a completion record that begins at first and
+// covers so many tasks.
 func (j *job) holds(first, tasks int) {
 	if j.chunkSizes == nil {
 		j.chunkSizes = map[int]int{}
@@ -65,20 +87,23 @@
 	j.chunkSizes[first] = max(j.chunkSizes[first], tasks)
 }
 
-// mayRewriteRecord tells whether the record that begins at first may be written with
-// per tasks. One written under larger limits covers more: written over, the
-// tasks beyond would no longer count as done for the next leader. They are first put on
-// record under keys of their own, which all lie further on.
-func (j *job) mayRewriteRecord(first, per int) bool {
+// mayRewriteRecord reports whether the record that begins at first may be written with
+// tasksPerChunk tasks. One written under larger limits covers more: once it is
+// overwritten, the next leader would no longer count the tasks beyond as done. They are
+// first put on record under keys of their own, which all lie further on.
+func (j *job) mayRewriteRecord(first, tasksPerChunk int) bool {
 	extent := j.chunkSizes[first]
-	if extent <= per {
+	if extent <= tasksPerChunk {
 		return true
 	}
 	moving := j.moving[first]
 	if moving == nil {
 		moving = bitset.New(uint(j.spec.Tasks))
-		for t, ok := j.recorded.NextSet(uint(first + per)); ok && t < uint(first+extent); t, ok = j.recorded.NextSet(t + 1) {
-			moving.Set(t)
+		end := uint(first + extent)
+		task, ok := j.recorded.NextSet(uint(first + tasksPerChunk))
+		for ok && task < end {
+			moving.Set(task)
+			task, ok = j.recorded.NextSet(task + 1)
 		}
 		j.recorded.InPlaceDifference(moving)
 		if j.moving == nil {
@@ -89,12 +114,13 @@
 	return moving.DifferenceCardinality(j.recorded) == 0
 }
 
-func (j *job) completionBytes(first, per int) []byte {
-	n := min(per, j.spec.Tasks-first)
-	words := make([]byte, (n+7)/8)
-	for i, ok := j.done.NextSet(uint(first)); ok && i < uint(first+n); i, ok = j.done.NextSet(i + 1) {
-		at := int(i) - first
-		words[at/8] |= 1 << (at % 8)
+// completionBytes is the bit set of the completed tasks of the chunk that begins at first.
+func (j *job) completionBytes(first, tasksPerChunk int) []byte {
+	count := min(tasksPerChunk, j.spec.Tasks-first)
+	bits := make([]byte, (count+7)/8)
+	for task, ok := j.done.NextSet(uint(first)); ok && task < uint(first+count); task, ok = j.done.NextSet(task + 1) {
+		offset := int(task) - first
+		bits[offset/8] |= 1 << (offset % 8)
 	}
-	return words
+	return bits
 }
--- a/internal/controller/outcome.go
+++ b/internal/controller/outcome.go
@@ -9,20 +9,28 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// resolveOutcomes reads how jobs ended whose record had changed when their end was written:
-// mostly by this leader's own transaction, whose answer was lost.
+const (
+	outcomeReadTimeout   = 4 * time.Second
+	outcomeRetryInterval = 300 * time.Millisecond
+)
+
+// resolveOutcomes reads how jobs ended whose active record had changed when their terminal
+// record was written: mostly by this leader's own transaction, whose response was lost.
 func (rw *recordWriter) resolveOutcomes(jobs []*job) {
+	deps := &rw.leaderTerm.dependencies
 	for _, j := range jobs {
-		rw.finishing = slices.DeleteFunc(rw.finishing, func(o *job) bool { return o == j })
-		rw.leaderTerm.dependencies.pendingCancels = slices.DeleteFunc(rw.leaderTerm.dependencies.pendingCancels, func(o *job) bool { return o == j })
+		isJob := func(o *job) bool { return o == j }
+		rw.finishing = slices.DeleteFunc(rw.finishing, isJob)
+		deps.pendingCancels = slices.DeleteFunc(deps.pendingCancels, isJob)
 		rw.outcomeUnknown = append(rw.outcomeUnknown, j.spec.ID)
 	}
 	rw.resolveNext()
 }
 
-// resolveNext looks at one job at a time. After a while of lost answers there are
-// many, and looked at side by side they used up each other's turns in the request
-// budget: none was ever read to its end, and the fleet was kept for work long done.
+// resolveNext reads the outcome of one job at a time. After a period of lost responses
+// there are many, and when they were read concurrently, they used up each other's share
+// of the request budget: none was ever read to its end, and the fleet was kept for work
+// long done.
 func (rw *recordWriter) resolveNext() {
 	if rw.resolving || len(rw.outcomeUnknown) == 0 {
 		return
@@ -36,17 +44,18 @@
 func (lt *leaderTerm) resolveOutcomeOf(id string) {
 	recordStore := records.Records{Store: lt.c.Store}
 	for lt.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
+		ctx, cancel := context.WithTimeout(lt.ctx, outcomeReadTimeout)
 		st, found, err := recordStore.Lookup(ctx, id)
 		cancel()
 		if err == nil {
-			lt.sendToOwner(outcomeResolvedMsg{lt, id, st, found})
+			lt.sendToOwner(outcomeResolvedMsg{leaderTerm: lt, id: id, state: st, found: found})
 			return
 		}
-		sleep(lt.ctx, 300*time.Millisecond)
+		sleep(lt.ctx, outcomeRetryInterval)
 	}
 }
 
+// outcomeResolvedMsg is a job's state as the store has it.
 type outcomeResolvedMsg struct {
 	leaderTerm *leaderTerm
 	id         string
--- a/internal/controller/recordwriter.go
+++ b/internal/controller/recordwriter.go
@@ -15,49 +15,67 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// recordWriter writes the leader's changes to the store: batched, one transaction
-// at a time, within a part of the write rate that leaves submissions theirs.
+// recordWriter writes the leader's changes to the key-value store: batched, one
+// transaction at a time, within a share of the write rate that leaves the rest to
+// submissions.
 type recordWriter struct {
 	leaderTerm *leaderTerm
 	limiter    *rate.Limiter
-	maxOps     int
-	maxBytes   int
-	// tasksPerChunk is how many tasks a progress record holds; 0: none is written.
+	// maxOps and maxBytes bound a transaction; a rejected batch lowers maxOps.
+	maxOps   int
+	maxBytes int
+	// tasksPerChunk is how many tasks a completion record covers; 0: none is written.
 	tasksPerChunk int
 
-	finishing      []*job
-	registering    []*machine
+	// finishing are the jobs whose terminal record is yet to be written.
+	finishing []*job
+	// registering are the machines that no shard names yet.
+	registering []*machine
+	// pendingDeletes are the keys of records that are no longer needed.
 	pendingDeletes []string
-	dirtyJobs      []*job
-	// staleShards are the shards of the roster on which machines are gone; shards
-	// counts those written, since none has the name of an earlier one.
-	staleShards      []*shard
+	// dirtyJobs are the jobs with completed tasks that are not on record.
+	dirtyJobs []*job
+	// staleShards are the shards of the registry that name terminated machines.
+	staleShards []*shard
+	// shardCount numbers the shards written: none takes the name of an earlier one.
 	shardCount       int
 	machinesPerShard int
 	maxShardBytes    int
-	nextRewrite      time.Time
-	writeInFlight    bool
-	// outcomeUnknown are the jobs whose end is to be read, one at a time.
+	// nextRewrite is the earliest time of the next rewrite of a stale shard.
+	nextRewrite   time.Time
+	writeInFlight bool
+	// retryAt is the earliest time of the next write after a failed one.
+	retryAt time.Time
+	// outcomeUnknown are the ids of jobs whose end is to be read, one at a time;
+	// resolving is set while one is being read.
 	outcomeUnknown []string
 	resolving      bool
-	retryAt        time.Time
-	// lastProgress keeps progress records behind everything else.
+	// nextCompletion keeps completion records behind everything else.
 	nextCompletion time.Time
 }
 
-const completionInterval = 500 * time.Millisecond
+const (
+	completionInterval = 500 * time.Millisecond
+	recordWriteTimeout = 2 * time.Second
+	recordRetryDelay   = 250 * time.Millisecond
+	// terminalRetryDelay follows the rejection of a batch that cannot be made smaller.
+	terminalRetryDelay = 5 * time.Second
+	// opOverheadBytes is about what an operation takes beside its key and value.
+	opOverheadBytes = 100
+)
 
 func (rw *recordWriter) init(lt *leaderTerm) {
 	lim := lt.c.Settings.Site.State
 	rw.leaderTerm = lt
 	rw.maxOps = lim.TxnOps
 	recordStore := lim.WriteRPS * kv.RecordShare
-	// A burst of records leaves room for submissions in the service's own.
+	// The burst is below the store's own, so that submissions still find capacity in it.
 	rw.limiter = rate.NewLimiter(rate.Limit(recordStore), max(2, min(lim.TxnOps, int(recordStore))))
 	rw.maxBytes = kv.MaxTxnBytes * 3 / 4
 	rw.maxShardBytes = min(int(lim.ValueKB*1024), rw.maxBytes)
 	rw.machinesPerShard = max(1, rw.maxShardBytes/2/shardEntryBytes)
-	// The bit set is written as base64; half the value's size leaves room.
+	// The bit set is written as base64, which takes a third more than the set itself:
+	// half of the largest value is a safe size.
 	rw.tasksPerChunk = rw.maxShardBytes / 2 * 8
 }
 
@@ -79,21 +97,23 @@
 
 func (rw *recordWriter) deleteKey(key string) { rw.pendingDeletes = append(rw.pendingDeletes, key) }
 
-// batch is one transaction with what it stands for.
+// batch is one transaction with the changes that it records.
 type batch struct {
-	txn      kv.Txn
+	txn kv.Txn
+	// bytes is about how large the transaction is.
 	bytes    int
 	finished []*job
-	// derivedCancels are cancelled with a job that they need.
+	// derivedCancels are the jobs cancelled because they depend on a cancelled one.
 	derivedCancels []*job
 	shards         []*shard
-	// replaced are shards that go with this batch.
+	// replaced are the shards that this batch deletes.
 	replaced []*shard
 	deletes  []string
-	// completions are the jobs whose done tasks the transaction records.
+	// completions are the chunks of completed tasks that the transaction records.
 	completions []completionWrite
 }
 
+// completionWrite is one completion record: the job's tasks from first on, as a bit set.
 type completionWrite struct {
 	job   *job
 	first int
@@ -112,10 +132,10 @@
 	rw.writeInFlight = true
 	lt := rw.leaderTerm
 	go func() {
-		ctx, cancel := context.WithTimeout(lt.ctx, 2*time.Second)
+		ctx, cancel := context.WithTimeout(lt.ctx, recordWriteTimeout)
 		defer cancel()
 		res, err := lt.c.Store.Txn(ctx, b.txn)
-		lt.sendToOwner(batchWrittenMsg{lt, b, now, res, err})
+		lt.sendToOwner(batchWrittenMsg{leaderTerm: lt, batch: b, sent: now, result: res, err: err})
 	}()
 }
 
@@ -143,7 +163,7 @@
 	return b
 }
 
-// addFinished adds the ends of jobs whose tasks are all done.
+// addFinished adds the terminal records of jobs whose tasks are all done.
 func (rw *recordWriter) addFinished(b *batch, allowed int, now time.Time) {
 	for len(rw.finishing) > 0 && b.bytes < rw.maxBytes {
 		j := rw.finishing[0]
@@ -157,15 +177,20 @@
 		rw.finishing = rw.finishing[1:]
 		active := records.ActivePrefix + j.spec.ID
 		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: active, ModRevision: j.modRevision})
-		b.put(records.TerminalPrefix+j.spec.ID, records.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now.UTC()})
+		b.put(records.TerminalPrefix+j.spec.ID, records.TerminalRecord{
+			Phase: api.JobDone,
+			Tasks: j.spec.Tasks,
+			Ended: now.UTC(),
+		})
 		b.delete(active)
 		b.finished = append(b.finished, j)
-		// From now on others may read of its end before this node knows of it.
+		// From now on others may read its terminal record before this node learns that it
+		// was written.
 		j.ending = true
 	}
 }
 
-// addRegistrations adds new machines to the roster.
+// addRegistrations adds new machines to the registry.
 func (rw *recordWriter) addRegistrations(b *batch, allowed int) {
 	rw.registering = slices.DeleteFunc(rw.registering, func(m *machine) bool { return m.terminated })
 	for len(rw.registering) > 0 && len(b.txn.Ops) < allowed && b.bytes < rw.maxBytes {
@@ -198,14 +223,15 @@
 		panic(err) // records hold only plain values
 	}
 	b.txn.Ops = append(b.txn.Ops, kv.Op{Put: key, Value: json.RawMessage(raw)})
-	b.bytes += len(raw) + 2*len(key) + 100
+	b.bytes += len(raw) + 2*len(key) + opOverheadBytes
 }
 
 func (b *batch) delete(key string) {
 	b.txn.Ops = append(b.txn.Ops, kv.Op{Delete: key})
-	b.bytes += 2*len(key) + 100
+	b.bytes += 2*len(key) + opOverheadBytes
 }
 
+// batchWrittenMsg is the result of a batch's transaction, sent at sent.
 type batchWrittenMsg struct {
 	leaderTerm *leaderTerm
 	batch      *batch
@@ -223,13 +249,13 @@
 	now := time.Now()
 	switch {
 	case errors.Is(m.err, kv.ErrInvalid):
-		rw.retryAt = now.Add(250 * time.Millisecond)
+		rw.retryAt = now.Add(recordRetryDelay)
 		rw.requeue(m.batch)
 		rw.shrinkLimits(m.batch, now)
 	case m.err != nil:
-		rw.retryAt = now.Add(250 * time.Millisecond)
-		// If it was carried out all the same, or is yet to be, the next try
-		// fails by its guards, and tells which jobs to look at.
+		rw.retryAt = now.Add(recordRetryDelay)
+		// If it was applied all the same, or is yet to be, the compares of the next
+		// try fail and name the jobs whose outcome is to be read.
 		rw.requeue(m.batch)
 		c.Log.Debug("records not written", "err", m.err)
 	case m.result.Succeeded:
@@ -238,45 +264,48 @@
 	case m.leaderTerm.checkTermConflict(m.result):
 	default:
 		rw.requeue(m.batch)
-		var changed []*job
-		for _, j := range m.batch.finished {
-			if slices.Contains(m.result.FailedKeys, records.ActivePrefix+j.spec.ID) {
-				changed = append(changed, j)
-			}
-		}
-		for _, j := range m.batch.derivedCancels {
-			if slices.Contains(m.result.FailedKeys, records.ActivePrefix+j.spec.ID) {
-				changed = append(changed, j)
-			}
+		rw.handleConflicts(m.batch, m.result.FailedKeys)
+	}
+	rw.writeBatch(now)
+}
+
+// handleConflicts takes the jobs whose active record has changed out of the requeued
+// changes of a batch: those about to end until their outcome is read, the others for good.
+func (rw *recordWriter) handleConflicts(b *batch, failedKeys []string) {
+	conflicts := func(j *job) bool { return slices.Contains(failedKeys, records.ActivePrefix+j.spec.ID) }
+	var changed []*job
+	for _, j := range slices.Concat(b.finished, b.derivedCancels) {
+		if conflicts(j) {
+			changed = append(changed, j)
 		}
-		rw.resolveOutcomes(changed)
-		for _, p := range m.batch.completions {
-			if !p.job.ended && slices.Contains(m.result.FailedKeys, records.ActivePrefix+p.job.spec.ID) {
-				p.job.completionDirty = false // cancelled; the watch will say so
-				p.job.completionChunks[p.first] = false
-				rw.dirtyJobs = slices.DeleteFunc(rw.dirtyJobs, func(j *job) bool { return j == p.job })
-			}
+	}
+	rw.resolveOutcomes(changed)
+	for _, w := range b.completions {
+		if !w.job.ended && conflicts(w.job) {
+			w.job.completionDirty = false // it was cancelled; the watch will show that
+			w.job.completionChunks[w.first] = false
+			rw.dirtyJobs = slices.DeleteFunc(rw.dirtyJobs, func(j *job) bool { return j == w.job })
 		}
 	}
-	rw.writeBatch(now)
 }
 
-// requeue queues the changes of a batch that was not carried out, or may not have been.
+// requeue queues the changes of a batch that was not applied, or whose outcome is unknown.
 func (rw *recordWriter) requeue(b *batch) {
 	rw.finishing = append(slices.Clone(b.finished), rw.finishing...)
-	rw.leaderTerm.dependencies.pendingCancels = append(slices.Clone(b.derivedCancels), rw.leaderTerm.dependencies.pendingCancels...)
+	deps := &rw.leaderTerm.dependencies
+	deps.pendingCancels = append(slices.Clone(b.derivedCancels), deps.pendingCancels...)
 	rw.requeueShards(b)
 	rw.pendingDeletes = append(slices.Clone(b.deletes), rw.pendingDeletes...)
-	for _, p := range b.completions {
-		rw.queueCompletion(p.job)
+	for _, w := range b.completions {
+		rw.queueCompletion(w.job)
 	}
 }
 
-// shrinkLimits reduces what a batch may hold after one was refused for good, although it
-// kept to the limits as this node knows them: a retry would be refused too.
+// shrinkLimits reduces what a batch may hold after the store rejected one as invalid,
+// although it kept to the limits as this node knows them: a retry would be rejected too.
 func (rw *recordWriter) shrinkLimits(b *batch, now time.Time) {
 	log := rw.leaderTerm.c.Log
-	log.Error("records refused as too large", "changes", len(b.txn.Ops), "bytes", b.bytes)
+	log.Error("records rejected as too large", "count", len(b.txn.Ops), "bytes", b.bytes)
 	switch {
 	case len(b.txn.Ops) > 2:
 		rw.maxOps = max(2, len(b.txn.Ops)/2)
@@ -289,22 +318,22 @@
 		rw.registering = slices.DeleteFunc(rw.registering, func(o *machine) bool { return o == m })
 		rw.rejectMachine(m)
 	case len(b.completions) > 0:
-		// Below eight tasks nothing is left to halve: what is done is then
-		// known to this leader only.
+		// Half of it, in whole bytes. Below eight tasks no chunk is left: completed
+		// tasks are then known to this leader only.
 		rw.tasksPerChunk = rw.tasksPerChunk / 16 * 8
 	default:
-		rw.retryAt = now.Add(5 * time.Second) // an end: it has no size to lower
+		rw.retryAt = now.Add(terminalRetryDelay) // a terminal record: it has no size to lower
 	}
 }
 
-// rejectMachine takes out of use a machine whose entry no shard can hold: the next leader would
+// rejectMachine evacuates a machine whose entry no shard can hold: the next leader would
 // not know of it, so it is never given a task.
 func (rw *recordWriter) rejectMachine(m *machine) {
-	rw.leaderTerm.c.Log.Error("machine's entry does not fit the roster", "machine", m.name)
+	rw.leaderTerm.c.Log.Error("machine's entry too large for the registry", "machine", m.name)
 	rw.leaderTerm.evacuate(m, "does not fit the roster")
 }
 
-// batchWritten updates the state of what a written batch has put on record.
+// batchWritten updates the jobs and machines that a written batch is about.
 func (rw *recordWriter) batchWritten(b *batch) {
 	lt := rw.leaderTerm
 	for _, j := range b.finished {
@@ -316,30 +345,20 @@
 		}
 	}
 	rw.shardsWritten(b)
-	for _, p := range b.completions {
-		p.job.chunkSizes[p.first] = 8 * len(p.bits)
-		delete(p.job.moving, p.first)
-		for i, by := range p.bits {
-			for bit := range 8 {
-				if by&(1<<bit) != 0 {
-					p.job.recorded.Set(uint(p.first + i*8 + bit))
-				}
-			}
-		}
-		if _, more := p.job.nextUnrecordedChunk(rw.tasksPerChunk); more && !p.job.ended && !p.job.finishing {
-			rw.queueCompletion(p.job)
-		}
+	for _, w := range b.completions {
+		rw.completionWritten(w)
 	}
 }
 
-// jobFinished removes a job whose end is on record.
+// jobFinished removes a job whose terminal record says that it is done.
 func (lt *leaderTerm) jobFinished(j *job) {
 	if j.ended {
 		return
 	}
 	lt.forget(j)
 	now := time.Now()
-	lt.c.final.Add(j.spec.ID, records.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}.JobState(j.spec.ID))
+	terminal := records.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}
+	lt.c.final.Add(j.spec.ID, terminal.JobState(j.spec.ID))
 	lt.dependencies.jobDone(j.spec.ID, now)
 	for first, written := range j.completionChunks {
 		if written {
@@ -347,7 +366,14 @@
 		}
 	}
 	lt.dependencyLists.drop(j)
-	lt.c.Log.Debug("job done", "job", j.spec.ID, "class", j.spec.Class, "tasks", j.spec.Tasks,
-		"lost", j.lostTasks, "firstStart", j.sinceRunnable(j.firstStart), "lastStart", j.sinceRunnable(j.lastStart), "estimate", j.spec.EstimateS, "longest", j.longest.Round(time.Second/10),
+	lt.c.Log.Debug("job done",
+		"job", j.spec.ID,
+		"class", j.spec.Class,
+		"tasks", j.spec.Tasks,
+		"lost", j.lostTasks,
+		"firstStart", j.sinceRunnable(j.firstStart),
+		"lastStart", j.sinceRunnable(j.lastStart),
+		"estimate", j.spec.EstimateS,
+		"longest", j.longest.Round(time.Second/10),
 		"late", math.Round(time.Since(j.objectives[0]).Seconds()))
 }
--- a/internal/controller/registry.go
+++ b/internal/controller/registry.go
@@ -9,24 +9,25 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// shard is one record of the roster.
+// shard is one record of the registry.
 //
-// A record is never written over: a transaction whose outcome is unknown may be
-// carried out late, and would bring back an earlier list, without the machines
-// added since. So each shard has a name of its own, of the term and a counter.
-// Whatever appears late only names machines that are on another shard too, or
-// are gone.
+// A record is never overwritten: a transaction whose outcome is unknown may be
+// applied late, and would restore an earlier list, without the machines added
+// since. So each shard has a key of its own, of the term and a counter. A shard
+// that appears late only names machines that another shard names too, or that
+// were terminated.
 type shard struct {
 	key      string
 	machines []*machine
-	stale    bool
-	// replaces is the shard whose place it takes, and perhaps are the names of
-	// those that should have taken its own, with outcomes unknown. They go
-	// only together with it, when the next is written: one of them may be all
-	// that is left.
-	replaces        *shard
+	// stale is set while the shard names terminated machines and awaits its rewrite.
+	stale bool
+	// replaces is the shard whose machines this one takes over.
+	replaces *shard
+	// possiblyWritten are the keys of shards that should have replaced this one, with
+	// outcomes unknown. They are deleted only together with it, when the next is
+	// written: one of them may be the only record left.
 	possiblyWritten []string
-	// partial is set if it takes over only some of those on the shard that it
+	// partial is set if it takes over only some machines of the shard that it
 	// replaces, which stays until the rest of them is on record elsewhere too.
 	partial bool
 }
@@ -34,15 +35,20 @@
 // shardEntryBytes is about how long a machine's entry is, in bytes.
 const shardEntryBytes = 150
 
+// shardFrameBytes is what a shard takes beside its entries.
+const shardFrameBytes = 32
+
 func (rw *recordWriter) newShard(members []*machine) *shard {
 	rw.shardCount++
-	return &shard{key: fmt.Sprintf("%s%d-%d", records.MachinePrefix, rw.leaderTerm.term.Number, rw.shardCount), machines: slices.Clone(members)}
+	return &shard{
+		key:      fmt.Sprintf("%s%d-%d", records.MachinePrefix, rw.leaderTerm.term.Number, rw.shardCount),
+		machines: slices.Clone(members),
+	}
 }
 
 // shardPrefix is how many of the first machines a new shard holds, and its size.
 func (rw *recordWriter) shardPrefix(members []*machine) (n, size int) {
-	const frame = 32 // of a shard, beside its entries
-	size = frame
+	size = shardFrameBytes
 	for n < min(rw.machinesPerShard, len(members)) {
 		raw, err := json.Marshal(members[n].entry())
 		if err != nil {
@@ -56,10 +62,18 @@
 	return n, size
 }
 
-// entry is a machine's entry on a shard.
+// entry is a machine's entry in a shard.
 func (m *machine) entry() records.MachineRecord {
-	return records.MachineRecord{Name: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot,
-		CPUs: m.cpus, GPUs: m.gpus, MemoryGB: m.memory}
+	return records.MachineRecord{
+		Name:     m.name,
+		Addr:     m.addr,
+		Type:     m.typ,
+		Zone:     m.zone,
+		Spot:     m.spot,
+		CPUs:     m.cpus,
+		GPUs:     m.gpus,
+		MemoryGB: m.memory,
+	}
 }
 
 // addShard adds a shard to a batch.
@@ -72,9 +86,9 @@
 	b.shards = append(b.shards, s)
 }
 
-// deregister removes a machine that is gone. Its shard is dropped with the last of
-// its machines, and otherwise rewritten when there is time: an entry too many
-// costs the next leader a question, one too few would be a task run twice.
+// deregister removes a terminated machine. Its shard is deleted with the last of
+// its machines, and otherwise rewritten at low priority: an entry too many costs
+// the next leader a resync, one too few could run a task twice.
 func (rw *recordWriter) deregister(m *machine) {
 	s := m.shard
 	if s == nil {
@@ -91,10 +105,10 @@
 // rewriteInterval keeps the rewriting of stale shards behind other records.
 const rewriteInterval = time.Second
 
-// rewriteStale replaces a stale shard by one with those who are left, and drops those on
-// which nobody is left. A shard written under larger limits may hold more than a
-// new one: it then stays until all of them are on new ones, one after the other.
-// Whatever is cut off between, each machine is on one of them.
+// rewriteStale replaces a stale shard by one with its remaining machines, and deletes
+// those without any. A shard written under larger limits may hold more machines than
+// a new one: it then stays until all of them are on new ones, one after the other.
+// Wherever this is interrupted, each machine is on one of them.
 func (rw *recordWriter) rewriteStale(b *batch, allowed int, now time.Time) {
 	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(s *shard) bool {
 		if len(s.machines) > 0 || len(b.txn.Ops) >= allowed {
@@ -125,15 +139,16 @@
 	}
 }
 
-// keepStale leaves a shard as it is that no new one can replace, until another of
-// its machines goes.
+// keepStale leaves a shard that no new one can replace as it is, until another of
+// its machines is terminated.
 func (rw *recordWriter) keepStale(s *shard) {
-	rw.leaderTerm.c.Log.Error("shard of the roster cannot be written again", "key", s.key)
+	rw.leaderTerm.c.Log.Error("registry shard cannot be rewritten", "key", s.key)
 	s.stale = false
 	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(o *shard) bool { return o == s })
 }
 
-// addShardDeletes drops a shard in a batch. What finds no place stays behind.
+// addShardDeletes deletes a shard, and with it those that may have been written in its
+// place. Of the latter, those beyond the allowed operations stay in the store.
 func (b *batch) addShardDeletes(s *shard, allowed int) {
 	b.delete(s.key)
 	for _, key := range s.possiblyWritten {
@@ -144,8 +159,8 @@
 	b.replaced = append(b.replaced, s)
 }
 
-// requeueShards handles a batch whose shards were not written, or may not have
-// been.
+// requeueShards queues the shards of a batch that was not applied, or whose outcome is
+// unknown.
 func (rw *recordWriter) requeueShards(b *batch) {
 	for _, s := range b.shards {
 		if s.replaces != nil {
@@ -155,18 +170,21 @@
 			}
 			continue
 		}
-		// Nothing was started on these machines yet.
+		// No task was started on these machines yet, so the record can be deleted in
+		// case it was written, and they are registered anew.
 		rw.pendingDeletes = append(rw.pendingDeletes, s.key)
 		rw.registering = append(rw.registering, s.machines...)
 	}
 	rw.staleShards = append(rw.staleShards, b.replaced...)
 }
 
-// shardsWritten handles a batch whose shards are on record.
+// shardsWritten marks the machines of a written batch's shards as registered.
 func (rw *recordWriter) shardsWritten(b *batch) {
 	for _, s := range b.shards {
 		if old := s.replaces; s.partial {
-			old.machines = slices.DeleteFunc(old.machines, func(m *machine) bool { return slices.Contains(s.machines, m) })
+			old.machines = slices.DeleteFunc(old.machines, func(m *machine) bool {
+				return slices.Contains(s.machines, m)
+			})
 			rw.staleShards = append(rw.staleShards, old)
 		}
 		s.replaces, s.partial = nil, false
