--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -16,37 +16,39 @@
 	"example.org/ivytrestle/internal/relay"
 )
 
-// relayDownlink is the leader's side.
+// relayDownlink is the leader's side of the relay.
 type relayDownlink struct {
 	nodes map[string]*relayNode
 	next  time.Time
 }
 
-// relayNode is one node that relays reports.
+// relayNode is one node that relays heartbeats.
 type relayNode struct {
 	incarnation string
-	// lastBatch is the last batch of its reports, batch the last of orders, and
-	// got whether it has taken that in.
+	// lastBatch is the node's last batch of heartbeats that was applied, batch the last
+	// batch of commands to it, and acknowledged the last that it has applied.
 	lastBatch, batch, acknowledged uint64
-	lastParts                      []relay.Part
-	busy                           bool
-	// pending are the machines whose orders have no outcome yet.
+	// lastParts are the record of the last batch of commands.
+	lastParts []relay.Part
+	busy      bool
+	// pending are the machines whose commands have no outcome yet.
 	pending map[string]*relayedCommands
-	// sizeHalvings is how often a batch was refused as too large, and unconfirmed is set
-	// if the present one may have been written all the same.
+	// sizeHalvings is how often a batch was rejected as too large, and outcomeUnknown is
+	// set if the present one may have been written in spite of an error.
 	sizeHalvings   int
 	outcomeUnknown bool
-	// batchMachines are the machines with orders in the last batch.
+	// batchMachines are the machines with commands in the last batch.
 	batchMachines []string
 }
 
+// relayedCommands are the commands sent to a machine in response to its heartbeat baseSeq.
 type relayedCommands struct {
 	baseSeq uint64
 	sentAt  time.Time
 	starts  []*attempt
 }
 
-// tick reads what nodes out of reach have written.
+// tick reads what unreachable nodes, and those with commands pending, have written.
 func (dl *relayDownlink) tick(lt *leaderTerm, now time.Time) {
 	if now.Before(dl.next) {
 		return
@@ -59,7 +61,7 @@
 			dl.nodes[name] = node
 		}
 		node.expirePending(lt, now)
-		if node.busy || !(mb.isUnreachable() || len(node.pending) > 0) {
+		if node.busy || !mb.isUnreachable() && len(node.pending) == 0 {
 			continue
 		}
 		node.busy = true
@@ -68,16 +70,15 @@
 			defer cancel()
 			up, err := readUplink(ctx, lt.c.Store, records.RelayPrefix+name+"/up/")
 			if err != nil {
-				lt.c.Log.Debug("relayed reports not read", "node", name, "err", err)
+				lt.c.Log.Debug("relayed heartbeats not read", "node", name, "err", err)
 			}
-			lt.sendToOwner(uplinkReadMsg{lt, name, up})
+			lt.sendToOwner(uplinkReadMsg{leaderTerm: lt, node: name, batch: up})
 		}()
 	}
 }
 
-// restarted handles the incarnation under which a node is seen. One that was
-// started anew hands nothing out that it was given before: the next reports
-// decide.
+// restarted handles the incarnation that a node reports. One that was restarted delivers
+// no command that it received before: the next heartbeats decide.
 func (dl *relayDownlink) restarted(lt *leaderTerm, name, incarnation string) {
 	node := dl.nodes[name]
 	if node == nil || incarnation == "" || node.incarnation == incarnation {
@@ -89,8 +90,8 @@
 	}
 }
 
-// expirePending bounds how long a machine is held for a node that tells nothing any
-// more: it gets no more work, and its return settles what became of its orders.
+// expirePending bounds how long commands wait for a node that reports no outcome. Their
+// machine gets no more work, and its termination resolves their outcome.
 func (n *relayNode) expirePending(lt *leaderTerm, now time.Time) {
 	for name, p := range n.pending {
 		if now.Sub(p.sentAt) < outcomeTimeout {
@@ -109,12 +110,13 @@
 	}
 }
 
+// readUplink reads the batch that a node has written; nil: there is none.
 func readUplink(ctx context.Context, st kv.Service, prefix string) (*peer.RelayUp, error) {
 	page, err := st.Range(ctx, prefix, "", 2*maxRelayParts)
 	if err != nil || len(page.Entries) == 0 {
 		return nil, err
 	}
-	var parts []relay.Part
+	parts := make([]relay.Part, 0, len(page.Entries))
 	for _, e := range page.Entries {
 		var p relay.Part
 		if err := json.Unmarshal(e.Value, &p); err != nil || !strings.HasPrefix(e.Key, prefix) {
@@ -129,7 +131,7 @@
 	return &up, nil
 }
 
-// uplinkReadMsg brings what a node has written; nil: nothing.
+// uplinkReadMsg carries the batch that a node has written; nil: there is none.
 type uplinkReadMsg struct {
 	leaderTerm *leaderTerm
 	node       string
@@ -162,21 +164,28 @@
 	}
 	now := time.Now()
 	down := &peer.RelayDown{Term: lt.term.Number, Incarnation: node.incarnation, Seen: node.lastBatch}
-	confirmed := node.acknowledged == node.batch
+	acknowledged := node.acknowledged == node.batch
 	for _, hb := range up.Reports {
-		lt.handleRelayedHeartbeat(node, hb.Unpack(), down, confirmed, now)
+		lt.handleRelayedHeartbeat(node, hb.Unpack(), down, acknowledged, now)
 	}
-	if confirmed {
+	if acknowledged {
 		node.batch++
 	}
 	down.Batch = node.batch
-	lt.writeDownlink(m.node, node, down, confirmed)
+	if acknowledged && !lt.packDownlink(node, down) {
+		return
+	}
+	lt.writeDownlink(m.node, node)
 }
 
-// handleRelayedHeartbeat takes a relayed report in and adds its orders to the answer.
-func (lt *leaderTerm) handleRelayedHeartbeat(node *relayNode, hb *api.Heartbeat, down *peer.RelayDown, confirmed bool, now time.Time) {
+// handleRelayedHeartbeat applies a relayed heartbeat and adds the commands that respond to
+// it to the batch. The machine gets none before the last batch is acknowledged, nor while
+// commands of its own are pending.
+func (lt *leaderTerm) handleRelayedHeartbeat(
+	node *relayNode, hb *api.Heartbeat, down *peer.RelayDown, acknowledged bool, now time.Time,
+) {
 	m := lt.machines[hb.Machine]
-	withhold := !confirmed || node.pending[hb.Machine] != nil
+	withhold := !acknowledged || node.pending[hb.Machine] != nil
 	if m != nil {
 		m.relayPending = withhold
 	}
@@ -189,90 +198,117 @@
 		return
 	}
 	p := &relayedCommands{baseSeq: hb.Seq, sentAt: now}
-	for _, o := range response.Commands {
-		if a := m.attempts[attemptKey{o.Task, o.Attempt}]; a != nil && o.Verb == api.VerbStart {
+	for _, cmd := range response.Commands {
+		if a := m.attempts[attemptKey{cmd.Task, cmd.Attempt}]; a != nil && cmd.Verb == api.VerbStart {
 			a.direct = &directCommand{agentEpoch: hb.AgentEpoch, inFlight: true}
 			p.starts = append(p.starts, a)
 		}
 	}
 	node.pending[hb.Machine] = p
-	down.Orders = append(down.Orders, &peer.RelayOrders{Machine: hb.Machine, Session: hb.AgentEpoch, Base: hb.Seq, Orders: peer.PackOrders(response.Commands)})
+	down.Orders = append(down.Orders, &peer.RelayOrders{
+		Machine: hb.Machine,
+		Session: hb.AgentEpoch,
+		Base:    hb.Seq,
+		Orders:  peer.PackOrders(response.Commands),
+	})
 }
 
-// applyOutcome records the outcome of orders: handed is the report in whose answer
-// they were handed out, or 0.
-func (p *relayedCommands) applyOutcome(lt *leaderTerm, handed uint64) {
+// applyOutcome records the outcome of commands: deliveredIn is the heartbeat in response
+// to which they were delivered, or 0.
+func (p *relayedCommands) applyOutcome(lt *leaderTerm, deliveredIn uint64) {
 	for _, a := range p.starts {
 		a.direct.inFlight = false
-		if handed > 0 {
-			a.direct.seq = handed + 1
+		if deliveredIn > 0 {
+			a.direct.seq = deliveredIn + 1
 		} else if a.lastSeenIn == 0 && a.machine.attempts[a.key] == a {
 			lt.offMachine(a)
 		}
 	}
 }
 
-// revokeHalf takes back the latter half of a machine's orders.
+// revokeHalf revokes the latter half of a machine's commands, which were never written.
 func (p *relayedCommands) revokeHalf(lt *leaderTerm, o *peer.RelayOrders) {
 	o.Orders = o.Orders[:len(o.Orders)/2]
 	revoked := &relayedCommands{}
 	p.starts = slices.DeleteFunc(p.starts, func(a *attempt) bool {
-		left := slices.ContainsFunc(o.Orders, func(o *peer.Order) bool { return o.Verb == api.VerbStart && attemptKey{o.Task, o.Attempt} == a.key })
-		if !left {
+		kept := slices.ContainsFunc(o.Orders, func(cmd *peer.Order) bool {
+			return cmd.Verb == api.VerbStart && attemptKey{cmd.Task, cmd.Attempt} == a.key
+		})
+		if !kept {
 			revoked.starts = append(revoked.starts, a)
 		}
-		return !left
+		return !kept
 	})
 	revoked.applyOutcome(lt, 0)
 }
 
-// writeDownlink writes the answer. What does not fit the record is taken back.
-func (lt *leaderTerm) writeDownlink(name string, node *relayNode, down *peer.RelayDown, fresh bool) {
-	size := max(maxRelayRecordBytes(lt.c.Settings.Site.State, 1)>>node.sizeHalvings, 256)
-	if fresh {
-		parts, err := relay.Pack(down, down.Batch, 1, size)
-		for errors.Is(err, relay.ErrTooLarge) && len(down.Orders) > 0 {
-			if only := down.Orders[0]; len(down.Orders) == 1 && len(only.Orders) > 1 {
-				// Taken back whole, they would be the same again next time.
-				node.pending[only.Machine].revokeHalf(lt, only)
-				parts, err = relay.Pack(down, down.Batch, 1, size)
-				continue
-			}
-			dropped := down.Orders[len(down.Orders)*3/4:]
-			down.Orders = down.Orders[:len(down.Orders)*3/4]
-			for _, o := range dropped {
-				node.pending[o.Machine].applyOutcome(lt, 0)
-				delete(node.pending, o.Machine)
-			}
-			parts, err = relay.Pack(down, down.Batch, 1, size)
-		}
-		if err != nil {
-			lt.c.Log.Error("relay", "err", err)
-			return
-		}
-		node.lastParts, node.outcomeUnknown, node.batchMachines = parts, false, nil
-		for _, o := range down.Orders {
-			node.batchMachines = append(node.batchMachines, o.Machine)
-		}
+// packDownlink packs a new batch of commands into the node's record. It revokes the
+// commands that do not fit, and returns false if even a batch without any does not.
+func (lt *leaderTerm) packDownlink(node *relayNode, down *peer.RelayDown) bool {
+	size := max(maxRelayRecordBytes(lt.c.Settings.Site.State, 1)>>node.sizeHalvings, minRelayRecordBytes)
+	parts, err := relay.Pack(down, down.Batch, 1, size)
+	for errors.Is(err, relay.ErrTooLarge) && len(down.Orders) > 0 {
+		node.shrinkBatch(lt, down)
+		parts, err = relay.Pack(down, down.Batch, 1, size)
 	}
+	if err != nil {
+		lt.c.Log.Error("relay batch not packed", "err", err)
+		return false
+	}
+	node.lastParts, node.outcomeUnknown, node.batchMachines = parts, false, nil
+	for _, o := range down.Orders {
+		node.batchMachines = append(node.batchMachines, o.Machine)
+	}
+	return true
+}
+
+// shrinkBatch revokes the commands of the last quarter of a batch's machines, and of a
+// single machine half of its commands: revoked as a whole, they would be the same again
+// next time.
+func (n *relayNode) shrinkBatch(lt *leaderTerm, down *peer.RelayDown) {
+	if only := down.Orders[0]; len(down.Orders) == 1 && len(only.Orders) > 1 {
+		n.pending[only.Machine].revokeHalf(lt, only)
+		return
+	}
+	kept := len(down.Orders) * 3 / 4
+	for _, o := range down.Orders[kept:] {
+		n.revoke(lt, o.Machine)
+	}
+	down.Orders = down.Orders[:kept]
+}
+
+// revoke records that a machine's pending commands will never be delivered.
+func (n *relayNode) revoke(lt *leaderTerm, machine string) {
+	if p := n.pending[machine]; p != nil {
+		p.applyOutcome(lt, 0)
+		delete(n.pending, machine)
+	}
+}
+
+// writeDownlink writes the node's record. Until a batch is acknowledged, the same one is
+// written again.
+func (lt *leaderTerm) writeDownlink(name string, node *relayNode) {
 	if len(node.lastParts) == 0 {
 		return
 	}
-	// Until it is confirmed the same batch is written again.
-	txn := kv.Txn{Records: true, Compares: []kv.Compare{lt.termCompare()},
-		Ops: []kv.Op{{Put: records.RelayPrefix + name + "/down", Value: node.lastParts[0]}}}
+	txn := kv.Txn{
+		Records:  true,
+		Compares: []kv.Compare{lt.termCompare()},
+		Ops:      []kv.Op{{Put: records.RelayPrefix + name + "/down", Value: node.lastParts[0]}},
+	}
 	node.busy = true
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, relayTimeout)
 		defer cancel()
 		_, err := lt.c.Store.Txn(ctx, txn)
 		if err != nil {
-			lt.c.Log.Debug("relayed orders not written", "err", err)
+			lt.c.Log.Debug("relayed commands not written", "node", name, "err", err)
 		}
-		lt.sendToOwner(downlinkWrittenMsg{lt, name, err})
+		lt.sendToOwner(downlinkWrittenMsg{leaderTerm: lt, node: name, err: err})
 	}()
 }
 
+// downlinkWrittenMsg is the result of the transaction that wrote a node's record.
 type downlinkWrittenMsg struct {
 	leaderTerm *leaderTerm
 	node       string
@@ -289,18 +325,15 @@
 		node.outcomeUnknown = true
 		return
 	}
-	c.Log.Error("relayed orders refused as too large", "node", m.node)
-	node.sizeHalvings = min(node.sizeHalvings+1, 8)
+	c.Log.Error("relayed commands rejected as too large", "node", m.node)
+	node.sizeHalvings = min(node.sizeHalvings+1, maxSizeHalvings)
 	if len(node.lastParts) == 0 || node.outcomeUnknown {
-		return // it may be known to the node: its outcome, or abandon, decides
+		return // the node may have read it: its outcomes, or their timeout, decide
 	}
-	// It was never written, so nothing of it was handed out: it is as if the
-	// batch had not been.
+	// It was never written, so none of its commands was delivered: the state before the
+	// batch is restored.
 	for _, machine := range node.batchMachines {
-		if p := node.pending[machine]; p != nil {
-			p.applyOutcome(m.leaderTerm, 0)
-			delete(node.pending, machine)
-		}
+		node.revoke(m.leaderTerm, machine)
 	}
 	node.batch--
 	node.lastParts = nil
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -20,83 +20,104 @@
 	"example.org/ivytrestle/internal/relay"
 )
 
-// While two zones cannot reach each other, both still reach the state service.
-// The node that extends the leases of the leader's machines on its side writes their
-// reports there, batched, and hands out the orders that the leader writes back.
-// This is how it stays safe:
+// While two zones cannot reach each other, both still reach the key-value store.
+// The node that renews the task leases of the leader's machines on its side writes
+// their heartbeats there, batched, and delivers the commands that the leader writes
+// back. Its safety rests on these rules:
 //
-//   - The leader decides all; the node only carries.
-//   - Orders that answer one report are handed out at most once, in the answer
-//     to a later report of the same session, within relayCommandLifetime, and only
-//     while the node may answer in the leader's term at all.
-//   - A start stays on its machine in the leader's mind, whatever reports show,
-//     until the node has told in the answer to which report it was handed out,
-//     or that it never will be. Then the next report decides.
-//   - Until then the leader gives the machine nothing more this way.
-//   - Each side repeats what the other has not confirmed, by batch numbers. A
-//     node that was started anew has forgotten its orders, so it hands none out.
+//   - The leader decides everything; the node only forwards.
+//   - Commands that answer one heartbeat are delivered at most once, in the response
+//     to a later heartbeat of the same agent epoch, within relayCommandLifetime, and
+//     only while the node may respond in the leader's term at all.
+//   - The leader counts a start as on its machine, whatever heartbeats show, until
+//     the node has reported to which heartbeat it was delivered in response, or that
+//     it never will be. Then the next heartbeat decides.
+//   - Until then the leader gives the machine no further commands over the relay.
+//   - Each side repeats what the other has not acknowledged, by batch numbers. A
+//     node that was restarted has lost its commands, so it delivers none.
 const (
 	relayInterval        = 700 * time.Millisecond
 	relayCommandLifetime = 4 * time.Second
-	// maxRelayParts bounds the records of a batch of reports.
+	// maxRelayParts bounds the records of a batch of heartbeats.
 	maxRelayParts = 3
-	// relayCompression is about how many bytes of reports fit one byte of a record.
+	// relayCompression is about how many bytes of heartbeats fit one byte of a record.
 	relayCompression = 3
-	// heartbeatRepeatInterval is when a report is relayed again that shows nothing new.
+	// heartbeatRepeatInterval is after how long a heartbeat without changes is relayed again.
 	heartbeatRepeatInterval = time.Second
 	relayTimeout            = 1500 * time.Millisecond
-	// outcomeTimeout is how long the outcome of orders is waited for.
+	// outcomeTimeout is how long the leader waits for the outcome of commands.
 	outcomeTimeout = 20 * time.Second
-	// relayMemory is the part of the memory that the machines whose reports are
+	// outcomeRetention is how long the node reports an outcome after another leader or
+	// a direct connection has replaced the relay.
+	outcomeRetention = time.Minute
+	// minRelayRecordBytes and maxSizeHalvings bound how far rejections shrink a record.
+	minRelayRecordBytes = 256
+	maxSizeHalvings     = 8
+	// relayedHeartbeatBytes and relayedTaskBytes are about what a heartbeat and each of
+	// its tasks take in a batch before it is compressed.
+	relayedHeartbeatBytes = 100
+	relayedTaskBytes      = 40
+	// relayMemory is the share of the memory that the machines whose heartbeats are
 	// relayed may take, and relayedMachineBytes about what one of them takes.
 	relayMemory         = 1.0 / 8
 	relayedMachineBytes = 2 << 10
 )
 
-// relayUplink is the node's side.
+// relayUplink is the follower's side of the relay.
 type relayUplink struct {
-	incarnation  string
+	incarnation string
+	// batch numbers the batches written, and acknowledged is the leader's last batch
+	// that was applied here.
 	batch        uint64
 	acknowledged uint64
 	busy         bool
 	next         time.Time
 	machines     map[string]*relayedMachine
-	// maxMachines bounds the machines that are remembered.
+	// maxMachines bounds the machines whose state is kept.
 	maxMachines int
-	// sizeHalvings is how often a batch was refused as too large.
+	// sizeHalvings is how often a batch was rejected as too large.
 	sizeHalvings int
 	// cleared is set once no record of an earlier process can stand beside a batch.
 	cleared bool
 }
 
-// maxRelayRecordBytes is the size of a record, of so many in a transaction.
+// maxRelayRecordBytes is the largest size of a record, if a transaction holds so many.
 func maxRelayRecordBytes(lim config.StateLimits, parts int) int {
 	return min(int(lim.ValueKB*1024), kv.MaxTxnBytes*3/4/parts)
 }
 
-// relayedMachine is one machine whose reports are relayed.
+// relayedMachine is one machine whose heartbeats are relayed.
 type relayedMachine struct {
+	// heartbeat is the latest one; dirty is set while it is to be relayed.
 	heartbeat *api.Heartbeat
 	dirty     bool
 	sentAt    time.Time
-	// commands wait to be handed out; they answer the report base.
+	// commands are yet to be delivered. They respond to heartbeat baseSeq of agentEpoch
+	// and were received at receivedAt, under term.
 	commands   []api.Command
 	agentEpoch uint64
 	baseSeq    uint64
 	receivedAt time.Time
 	term       uint64
-	// outcome is what became of them, told in acknowledgedIn until that is confirmed.
+	// outcome says whether the commands were delivered. It is repeated until the leader
+	// acknowledges batch acknowledgedIn, in which it was last sent.
 	outcome        *peer.RelayOutcome
 	acknowledgedIn uint64
 }
 
 func newRelayUp(lim config.Limits) relayUplink {
-	return relayUplink{incarnation: rand.Text(), machines: map[string]*relayedMachine{}, maxMachines: lim.Entries(relayMemory, relayedMachineBytes)}
+	return relayUplink{
+		incarnation: rand.Text(),
+		machines:    map[string]*relayedMachine{},
+		maxMachines: lim.Entries(relayMemory, relayedMachineBytes),
+	}
 }
 
-// recordHeartbeat stores a report that is answered here in place of the leader, and adds the
-// leader's orders to the answer.
-func (ul *relayUplink) recordHeartbeat(c *Controller, hb *api.Heartbeat, response *api.HeartbeatResponse, now time.Time) {
+// recordHeartbeat keeps a heartbeat to which this node responds on behalf of the leader, and
+// adds the leader's commands to the response.
+func (ul *relayUplink) recordHeartbeat(
+	_ *Controller, hb *api.Heartbeat, response *api.HeartbeatResponse, now time.Time,
+) {
 	m := ul.machines[hb.Machine]
 	if m == nil {
 		if len(ul.machines) >= ul.maxMachines {
@@ -105,16 +126,19 @@
 		m = &relayedMachine{}
 		ul.machines[strings.Clone(hb.Machine)] = m
 	}
-	changed := m.heartbeat == nil || m.heartbeat.AgentEpoch != hb.AgentEpoch || !slices.Equal(m.heartbeat.Tasks, hb.Tasks)
-	if m.heartbeat != nil && (hb.AgentEpoch < m.heartbeat.AgentEpoch || hb.AgentEpoch == m.heartbeat.AgentEpoch && hb.Seq <= m.heartbeat.Seq) {
-		return // a copy that comes late
+	previous := m.heartbeat
+	if previous != nil && (hb.AgentEpoch < previous.AgentEpoch ||
+		hb.AgentEpoch == previous.AgentEpoch && hb.Seq <= previous.Seq) {
+		return // a delayed copy
 	}
+	changed := previous == nil || previous.AgentEpoch != hb.AgentEpoch || !slices.Equal(previous.Tasks, hb.Tasks)
 	m.heartbeat = hb
 	m.dirty = m.dirty || changed || now.Sub(m.sentAt) > heartbeatRepeatInterval
 	if m.commands == nil {
 		return
 	}
-	if hb.AgentEpoch != m.agentEpoch || hb.Seq <= m.baseSeq || response.Term != m.term || now.Sub(m.receivedAt) > relayCommandLifetime {
+	if hb.AgentEpoch != m.agentEpoch || hb.Seq <= m.baseSeq ||
+		response.Term != m.term || now.Sub(m.receivedAt) > relayCommandLifetime {
 		m.recordOutcome(0)
 		return
 	}
@@ -122,21 +146,27 @@
 	m.recordOutcome(hb.Seq)
 }
 
-// recordOutcome notes what became of the orders.
-func (m *relayedMachine) recordOutcome(handed uint64) {
-	m.outcome = &peer.RelayOutcome{Machine: m.heartbeat.Machine, Session: m.agentEpoch, Base: m.baseSeq, Handed: handed}
+// recordOutcome records that the commands were delivered in response to heartbeat
+// deliveredIn, or, if that is 0, that they never will be.
+func (m *relayedMachine) recordOutcome(deliveredIn uint64) {
+	m.outcome = &peer.RelayOutcome{
+		Machine: m.heartbeat.Machine,
+		Session: m.agentEpoch,
+		Base:    m.baseSeq,
+		Handed:  deliveredIn,
+	}
 	m.commands, m.acknowledgedIn = nil, 0
 	m.dirty = true
 }
 
-// dropCommands gives up the orders of a machine whose reports reach the leader.
+// dropCommands discards the commands for a machine whose heartbeats reach the leader.
 func (ul *relayUplink) dropCommands(machine string) {
 	if m := ul.machines[machine]; m != nil && m.commands != nil {
 		m.recordOutcome(0)
 	}
 }
 
-// tick reads what the leader has written, if anything is relayed.
+// tick reads the leader's record, if anything is relayed.
 func (ul *relayUplink) tick(c *Controller, now time.Time) {
 	if ul.busy || now.Before(ul.next) || len(ul.machines) == 0 {
 		return
@@ -147,25 +177,32 @@
 		defer cancel()
 		down, err := readDownlink(ctx, c.Store, records.RelayPrefix+c.Settings.Node)
 		if err != nil {
-			c.Log.Debug("relayed orders not read", "err", err)
+			c.Log.Debug("relayed commands not read", "err", err)
 		}
-		c.send(context.Background(), downlinkReadMsg{down})
+		ul.post(c, downlinkReadMsg{down})
 	}()
 }
 
-// write writes new reports and outcomes to the store.
+// post sends a result to the controller's goroutine.
+func (ul *relayUplink) post(c *Controller, m message) {
+	// This fails only once the controller has ended, and the uplink with it.
+	_ = c.send(context.Background(), m)
+}
+
+// write writes new heartbeats and outcomes to the store.
 func (ul *relayUplink) write(c *Controller, now time.Time) {
 	renewer := &c.leaseRenewer
 	leader := c.membership.members[renewer.leader]
-	carrying := leader.isUnreachable() && renewer.termRevision != 0 && now.Sub(renewer.verifiedAt) < c.renewalPeriod()
+	relaying := leader.isUnreachable() && renewer.termRevision != 0 &&
+		now.Sub(renewer.verifiedAt) < c.renewalPeriod()
 	for _, m := range ul.machines {
-		if m.commands != nil && (now.Sub(m.receivedAt) > relayCommandLifetime || !carrying) {
+		if m.commands != nil && (now.Sub(m.receivedAt) > relayCommandLifetime || !relaying) {
 			m.recordOutcome(0)
 		}
 	}
-	if renewer.termRevision == 0 && !carrying {
-		// The leader is reached again or another leads: what is left to tell
-		// is told under the term that the orders belong to.
+	if renewer.termRevision == 0 && !relaying {
+		// The leader is reachable again or another node leads: the outcomes that are
+		// left are reported under the term of their commands.
 		ul.dropResolved(now)
 		if len(ul.machines) == 0 {
 			return
@@ -174,11 +211,11 @@
 	ul.batch++
 	lim := c.Settings.Site.State
 	maxParts := min(maxRelayParts, lim.TxnOps)
-	size := max(maxRelayRecordBytes(lim, maxParts)>>ul.sizeHalvings, 256)
-	up, withOutcome := ul.buildBatch(renewer, carrying, size*maxParts*relayCompression)
+	size := max(maxRelayRecordBytes(lim, maxParts)>>ul.sizeHalvings, minRelayRecordBytes)
+	up, withOutcome := ul.buildBatch(renewer, relaying, size*maxParts*relayCompression)
 	parts, err := ul.packBatch(c, up, maxParts, size, now)
 	if err != nil {
-		c.Log.Error("relay", "err", err)
+		c.Log.Error("relay batch not packed", "err", err)
 		return
 	}
 	for _, m := range withOutcome[:len(up.Outcomes)] {
@@ -189,19 +226,22 @@
 		m.dirty, m.sentAt = false, now
 	}
 	txn := ul.batchTransaction(records.RelayPrefix+c.Settings.Node, parts, maxParts)
-	if carrying {
+	if relaying {
 		txn.Compares = []kv.Compare{{Key: election.TermKey, ModRevision: renewer.termRevision}}
 	}
-	// Where few changes are allowed, relaying must leave room for submissions.
-	if next := now.Add(config.Duration(float64(len(txn.Ops)) / (lim.WriteRPS * kv.RecordShare))); next.After(ul.next) {
+	// Where the write rate is low, relaying must leave part of it to submissions.
+	recordRate := lim.WriteRPS * kv.RecordShare
+	if next := now.Add(config.Duration(float64(len(txn.Ops)) / recordRate)); next.After(ul.next) {
 		ul.next = next
 	}
 	ul.send(c, txn)
 }
 
-// buildBatch builds a batch of outcomes and, while the leader cannot be reached, of
-// about room bytes of reports. It returns with it the machines of the outcomes.
-func (ul *relayUplink) buildBatch(renewer *leaseRenewer, carrying bool, maxBytes int) (up *peer.RelayUp, withOutcome []*relayedMachine) {
+// buildBatch builds a batch of outcomes and, while the leader is unreachable, of about
+// maxBytes of heartbeats. It returns with it the machines of the outcomes.
+func (ul *relayUplink) buildBatch(
+	renewer *leaseRenewer, relaying bool, maxBytes int,
+) (up *peer.RelayUp, withOutcome []*relayedMachine) {
 	up = &peer.RelayUp{Incarnation: ul.incarnation, Batch: ul.batch, Got: ul.acknowledged}
 	for _, m := range ul.oldestFirst() {
 		if m.outcome != nil {
@@ -209,29 +249,32 @@
 			up.Outcomes = append(up.Outcomes, m.outcome)
 			up.Term = m.term
 		}
-		if carrying && m.dirty && maxBytes > 0 && m.heartbeat.Term == renewer.term {
-			maxBytes -= 100 + 40*len(m.heartbeat.Tasks)
+		if relaying && m.dirty && maxBytes > 0 && m.heartbeat.Term == renewer.term {
+			maxBytes -= relayedHeartbeatBytes + relayedTaskBytes*len(m.heartbeat.Tasks)
 			up.Reports = append(up.Reports, peer.PackReport(m.heartbeat))
 		}
 	}
-	if carrying {
+	if relaying {
 		up.Term = renewer.term
 	}
 	return up, withOutcome
 }
 
-// packBatch divides a batch into at most so many records of a size. Of a batch that is
-// too large, it leaves out reports first, then outcomes.
-func (ul *relayUplink) packBatch(c *Controller, up *peer.RelayUp, maxParts, size int, now time.Time) ([]relay.Part, error) {
+// packBatch divides a batch into at most so many records of a size. From a batch that is
+// too large, it leaves out heartbeats first, then outcomes.
+func (ul *relayUplink) packBatch(
+	c *Controller, up *peer.RelayUp, maxParts, size int, now time.Time,
+) ([]relay.Part, error) {
 	parts, err := relay.Pack(up, ul.batch, maxParts, size)
 	for errors.Is(err, relay.ErrTooLarge) && len(up.Reports)+len(up.Outcomes) > 0 {
-		// Outcomes are told until they are confirmed: what is left out comes
-		// with a later batch.
+		// Outcomes are repeated until they are acknowledged: those left out are part
+		// of a later batch.
 		if len(up.Reports) > 0 {
 			if len(up.Reports) == 1 {
-				// One that fits no batch must not keep the others from theirs.
+				// One that fits no batch must not hold back the others.
 				ul.machines[up.Reports[0].Machine].sentAt = now
-				c.Log.Warn("report too large to relay", "machine", up.Reports[0].Machine, "tasks", len(up.Reports[0].Tasks))
+				hb := up.Reports[0]
+				c.Log.Warn("heartbeat too large to relay", "machine", hb.Machine, "count", len(hb.Tasks))
 			}
 			up.Reports = up.Reports[:len(up.Reports)/2]
 		} else {
@@ -242,7 +285,7 @@
 	return parts, err
 }
 
-// batchTransaction puts the parts of a batch in place of the last one's.
+// batchTransaction replaces the parts of the last batch by those of a new one.
 func (ul *relayUplink) batchTransaction(prefix string, parts []relay.Part, maxParts int) kv.Txn {
 	txn := kv.Txn{Records: true}
 	for _, p := range parts {
@@ -250,7 +293,7 @@
 	}
 	if !ul.cleared {
 		// A leader of an earlier version takes the highest number for the present
-		// batch. What an earlier process has left would hide this one's from it.
+		// batch. The records of an earlier process would hide this one's from it.
 		for i := len(parts); i < maxParts; i++ {
 			txn.Ops = append(txn.Ops, kv.Op{Delete: prefix + "/up/" + strconv.Itoa(i)})
 		}
@@ -258,7 +301,7 @@
 	return txn
 }
 
-// send carries out a batch's transaction and posts its result.
+// send executes a batch's transaction and posts its result.
 func (ul *relayUplink) send(c *Controller, txn kv.Txn) {
 	ul.busy = true
 	go func() {
@@ -266,43 +309,50 @@
 		defer cancel()
 		res, err := c.Store.Txn(ctx, txn)
 		if err != nil {
-			c.Log.Debug("reports not relayed", "err", err)
+			c.Log.Debug("heartbeats not relayed", "err", err)
 		}
-		c.send(context.Background(), uplinkWrittenMsg{tooLarge: errors.Is(err, kv.ErrInvalid), written: err == nil && res.Succeeded})
+		ul.post(c, uplinkWrittenMsg{
+			tooLarge: errors.Is(err, kv.ErrInvalid),
+			written:  err == nil && res.Succeeded,
+		})
 	}()
 }
 
+// uplinkWrittenMsg is the result of a batch's transaction.
 type uplinkWrittenMsg struct{ tooLarge, written bool }
 
-// The reports of a batch that was refused come again with the next, which is
-// half as large.
+// apply halves the size of the next batches after a rejection. The heartbeats of the
+// rejected one are relayed again when they repeat or change.
 func (m uplinkWrittenMsg) apply(c *Controller) {
 	c.uplink.busy = false
 	c.uplink.cleared = c.uplink.cleared || m.written
 	if m.tooLarge {
-		c.Log.Error("reports refused as too large")
-		c.uplink.sizeHalvings = min(c.uplink.sizeHalvings+1, 8)
+		c.Log.Error("relayed heartbeats rejected as too large")
+		c.uplink.sizeHalvings = min(c.uplink.sizeHalvings+1, maxSizeHalvings)
 	}
 }
 
-// dropResolved drops the machines about which nothing is left to tell.
+// dropResolved drops the machines without an outcome to report, or with one that is too
+// old to matter.
 func (ul *relayUplink) dropResolved(now time.Time) {
 	for name, m := range ul.machines {
-		if m.outcome == nil || now.Sub(m.receivedAt) > time.Minute {
+		if m.outcome == nil || now.Sub(m.receivedAt) > outcomeRetention {
 			delete(ul.machines, name)
 		}
 	}
 }
 
+// oldestFirst lists the machines in the order in which their heartbeats were last relayed.
 func (ul *relayUplink) oldestFirst() []*relayedMachine {
-	ms := make([]*relayedMachine, 0, len(ul.machines))
+	machines := make([]*relayedMachine, 0, len(ul.machines))
 	for _, m := range ul.machines {
-		ms = append(ms, m)
+		machines = append(machines, m)
 	}
-	slices.SortFunc(ms, func(a, b *relayedMachine) int { return a.sentAt.Compare(b.sentAt) })
-	return ms
+	slices.SortFunc(machines, func(a, b *relayedMachine) int { return a.sentAt.Compare(b.sentAt) })
+	return machines
 }
 
+// readDownlink reads the leader's record for this node; nil: there is none.
 func readDownlink(ctx context.Context, st kv.Service, prefix string) (*peer.RelayDown, error) {
 	e, err := st.Get(ctx, prefix+"/down")
 	if err != nil || e.ModRevision == 0 {
@@ -316,7 +366,7 @@
 	return &down, relay.Unpack([]relay.Part{p}, &down)
 }
 
-// downlinkReadMsg brings what the leader has written; nil: nothing.
+// downlinkReadMsg carries the leader's record for this node; nil: there is none.
 type downlinkReadMsg struct{ batch *peer.RelayDown }
 
 func (m downlinkReadMsg) apply(c *Controller) {
@@ -329,7 +379,8 @@
 	ul.write(c, now)
 }
 
-// applyDownlink processes what the leader has written.
+// applyDownlink drops the outcomes that the leader has acknowledged and takes over the
+// commands of a new batch.
 func (ul *relayUplink) applyDownlink(c *Controller, d *peer.RelayDown, now time.Time) {
 	for _, m := range ul.machines {
 		if m.outcome != nil && m.acknowledgedIn != 0 && m.acknowledgedIn <= d.Seen {
@@ -346,7 +397,8 @@
 			m = &relayedMachine{heartbeat: &api.Heartbeat{Machine: o.Machine}}
 			ul.machines[o.Machine] = m
 		}
-		m.commands, m.agentEpoch, m.baseSeq, m.term, m.receivedAt = peer.UnpackOrders(o.Orders), o.Session, o.Base, d.Term, now
+		m.commands, m.agentEpoch, m.baseSeq = peer.UnpackOrders(o.Orders), o.Session, o.Base
+		m.term, m.receivedAt = d.Term, now
 		if d.Term != c.leaseRenewer.term || o.Session != m.heartbeat.AgentEpoch {
 			m.recordOutcome(0)
 		}
