--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -15,27 +15,32 @@
 func (l *loans) guestTeam(home string) *queue.Team[*job] {
 	t := l.guestTeams[home]
 	if t == nil {
-		// What it may use is bounded by the grants; the guarantees of the cell's own
-		// teams go before it.
-		t = &queue.Team[*job]{Name: "guests of " + home, LimitCPUs: math.MaxFloat64, LimitGPUs: math.MaxFloat64}
+		// Its use is bounded by the loans' budgets; the guarantees of the cell's own
+		// teams have priority over it.
+		t = &queue.Team[*job]{
+			Name:      "guests of " + home,
+			LimitCPUs: math.MaxFloat64,
+			LimitGPUs: math.MaxFloat64,
+		}
 		l.guestTeams[home] = t
 		l.guestFairShareOrder = append(l.guestFairShareOrder, t)
 	}
 	return t
 }
 
-// withinBudget tells whether a guest may start one more task. All that may be on a machine
-// counts.
+// withinBudget reports whether a guest may start one more task. All attempts that may be on a
+// machine count.
 func (j *job) withinBudget() bool {
 	running := 0
 	for _, n := range j.zones {
 		running += n
 	}
 	s, budget := &j.spec, &j.guest.Budget
-	return float64(running+1)*s.CPUs <= budget.CPUs+epsilon && (s.GPUs == 0 || float64(running+1)*s.GPUs <= budget.GPUs+epsilon)
+	tasks := float64(running + 1)
+	return tasks*s.CPUs <= budget.CPUs+epsilon && (s.GPUs == 0 || tasks*s.GPUs <= budget.GPUs+epsilon)
 }
 
-// pickGuest chooses the guest that a machine serves next, when no own job can use it.
+// pickGuest returns the guest that a machine serves next, when no job of the cell can use it.
 func (l *loans) pickGuest(m *machine, now time.Time) *job {
 	if len(l.guestFairShareOrder) == 0 {
 		return nil
@@ -51,8 +56,8 @@
 	return nil
 }
 
-// advertise is what this cell has to spare: the free room on its machines, less what waits
-// of its own jobs and of guests.
+// advertise returns the cell's spare capacity: what is free on its machines, less the demand
+// of queued tasks, of its own jobs and of guests.
 func (l *loans) advertise(now time.Time) loan.Advert {
 	lt := l.leaderTerm
 	a := loan.Advert{CancelS: lt.c.Settings.Site.Workers.CancelS}
@@ -81,10 +86,11 @@
 	return a
 }
 
-// returnGuestAfter is how long a guest may wait here for its first start.
+// returnGuestAfter is how long a guest may wait for its first start in this cell.
 const returnGuestAfter = 20 * time.Second
 
-// scanHost looks once a second after the guests.
+// scanHost records the completion of guests, returns those that have waited too long and
+// preempts guests for the cell's own work.
 func (l *loans) scanHost(now time.Time) {
 	lt := l.leaderTerm
 	for _, t := range l.guestFairShareOrder {
@@ -92,7 +98,7 @@
 			switch {
 			case j.handover || lt.unfenced > 0:
 			case j.doneCount == j.spec.Tasks:
-				l.guestDone(j) // it was not recorded yet
+				l.guestDone(j) // its end is not on record yet
 			case now.Sub(j.waitingSince) > returnGuestAfter && !j.started():
 				l.returnGuest(j)
 			}
@@ -101,10 +107,12 @@
 	l.preemptGuests(now)
 }
 
-// shortageDuration is how long a guarantee must lack room before guests are stopped for it.
+// shortageDuration is how long a guarantee must lack capacity before guests are preempted
+// for it.
 const shortageDuration = time.Second
 
-// preemptGuests stops guests whose room a team's guarantee needs, those that began last first.
+// preemptGuests stops guests' tasks whose capacity a team's guarantee needs, those that started
+// last first.
 func (l *loans) preemptGuests(now time.Time) {
 	if len(l.guestFairShareOrder) == 0 {
 		return
@@ -125,7 +133,7 @@
 		for _, j := range t.Items() {
 			for _, a := range j.activeAttempts {
 				if a.stop != nil {
-					shortage -= j.spec.CPUs // its room is about to be free
+					shortage -= j.spec.CPUs // its capacity is about to be free
 				} else {
 					running = append(running, a)
 				}
@@ -143,7 +151,8 @@
 	}
 }
 
-// guaranteeShortage is how many CPUs waiting work within the teams' guarantees lacks.
+// guaranteeShortage is how many CPUs queued tasks within the teams' guarantees lack; negative:
+// how many are free beyond them.
 func (l *loans) guaranteeShortage(now time.Time) float64 {
 	lt := l.leaderTerm
 	shortage := -l.findOpenCapacity(now).freeCPUs
@@ -164,13 +173,13 @@
 	return shortage
 }
 
-// openCapacity is what the open machines have, and have free.
+// openCapacity is the total and free capacity of the schedulable machines.
 type openCapacity struct {
 	at                       time.Time
 	cpus, freeCPUs, freeGPUs float64
 }
 
-// findOpenCapacity sums up the open machines, once a tick.
+// findOpenCapacity sums up the schedulable machines, once a tick.
 func (l *loans) findOpenCapacity(now time.Time) openCapacity {
 	if now.Sub(l.openCapacity.at) < tickInterval {
 		return l.openCapacity
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -11,7 +11,7 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// scanHome looks once a second at what to lend and what to take back.
+// scanHome decides which jobs to lend and which loans to reclaim.
 func (l *loans) scanHome(now time.Time) {
 	lt := l.leaderTerm
 	waits := l.predictedStarts(now)
@@ -20,27 +20,31 @@
 		return
 	}
 	for _, n := range l.neighbours {
-		if n.unreachable || now.Sub(n.lastResponse) > advertLifetime || !n.advert.Accepting || n.advert.CancelS > lt.c.Settings.Site.Workers.CancelS {
+		if n.unreachable || now.Sub(n.lastResponse) > advertLifetime || !n.advert.Accepting ||
+			n.advert.CancelS > lt.c.Settings.Site.Workers.CancelS {
 			continue
 		}
 		l.lendTo(n, waits, now)
 	}
 }
 
-// predictedStart is when a job of the queue is expected to begin here.
+// maxPredictedWait is the predicted wait where no machine can be launched to end it sooner.
+const maxPredictedWait = time.Duration(1<<62 - 1)
+
+// predictedStart is how long a queued job is expected to wait for its start in this cell.
 type predictedStart struct {
 	job  *job
 	wait time.Duration
 }
 
-// predictedStarts goes through what waits in the order in which it is served, and sums up
-// the work before each job by the CPUs there are.
+// predictedStarts predicts the wait of each queued job, in the order of the queue: the work
+// before it, divided by the CPUs of the cell.
 func (l *loans) predictedStarts(now time.Time) []predictedStart {
 	lt := l.leaderTerm
 	capacity := l.findOpenCapacity(now)
 	free, work := capacity.freeCPUs, 0.0
 	for _, j := range lt.jobs {
-		// What runs is about half through.
+		// On average, half of a running task's time remains.
 		work += float64(len(j.activeAttempts)) * j.spec.CPUs * j.spec.EstimateS / 2
 	}
 	var jobs []*job
@@ -60,21 +64,22 @@
 		}
 		return 0
 	})
-	latest := time.Duration(1<<62 - 1)
+	latest := maxPredictedWait
 	if len(lt.autoscaler.offers(now)) > 0 {
 		latest = lt.autoscaler.longestBoot() + lt.c.Settings.Site.Workers.HeartbeatInterval()
 	}
 	out := make([]predictedStart, 0, len(jobs))
 	for _, j := range jobs {
 		cpus := float64(j.flight.Untaken()) * j.spec.CPUs
-		out = append(out, predictedStart{j, min(loan.PredictedWait(work, capacity.cpus, free), latest)})
+		wait := min(loan.PredictedWait(work, capacity.cpus, free), latest)
+		out = append(out, predictedStart{job: j, wait: wait})
 		free -= cpus
 		work += cpus * j.spec.EstimateS
 	}
 	return out
 }
 
-// lendTo offers a neighbour the jobs that would gain most by it.
+// lendTo lends a neighbour the jobs that would gain most time by it.
 func (l *loans) lendTo(n *neighbour, waits []predictedStart, now time.Time) {
 	out, offers := 0, 0
 	for _, j := range l.leaderTerm.jobs {
@@ -92,7 +97,8 @@
 	for i := len(waits) - 1; i >= 0 && out < l.leaderTerm.c.Cells.MaxLoans && offers < maxOffers; i-- {
 		j := waits[i].job
 		there := n.delay + transferTime + fetchTime(&j.spec, n.advert.Types)
-		if waits[i].wait-there < policy.Gain || now.Sub(j.runnableSince) < policy.After || spare < j.spec.CPUs || !l.lendable(j, n, now) {
+		if waits[i].wait-there < policy.Gain || now.Sub(j.runnableSince) < policy.After ||
+			spare < j.spec.CPUs || !l.lendable(j, n, now) {
 			continue
 		}
 		budget := l.budget(j, spare)
@@ -106,18 +112,23 @@
 	}
 }
 
-// lendable tells whether a job may be lent to a neighbour at all.
+// lendable reports whether a job may be lent to a neighbour at all.
 func (l *loans) lendable(j *job, n *neighbour, now time.Time) bool {
 	lt := l.leaderTerm
 	policy := &lt.c.Policy.Spill
 	switch {
-	case j.lent != nil || j.guest != nil || j.handover || j.ended || j.finishing || j.cancelPending || len(j.dependsOn) > 0:
+	case j.lent != nil || j.guest != nil || j.handover:
+		return false
+	case j.ended || j.finishing || j.cancelPending || len(j.dependsOn) > 0:
 		return false
 	case l.changing[loanName(lt.c.Cells.Cell, j.spec.ID)]:
-		return false // what the watch has shown already is yet to be answered
+		return false // the watch has shown a change whose response is outstanding
 	case j.started() || j.lostTasks > 0 || j.done.Any() || len(j.completionChunks) > 0:
 		return false
-	case !records.FitsRecord(records.ActiveRecord{Lent: &loan.Lent{Host: n.cell, Spec: j.spec}}, lt.c.Settings.Site.State.ValueKB):
+	case !records.FitsRecord(
+		records.ActiveRecord{Lent: &loan.Lent{Host: n.cell, Spec: j.spec}},
+		lt.c.Settings.Site.State.ValueKB,
+	):
 		return false
 	case j.loanCount >= policy.Lends || now.Sub(j.lastReclaimed[n.cell]) < policy.Cooldown:
 		return false
@@ -125,14 +136,18 @@
 	return slices.ContainsFunc(n.advert.Types, func(t api.MachineType) bool { return taskFits(&j.spec, t) })
 }
 
-// budget is what a loan may use at a time: what the job wants, what its team may have, and
-// what there is to spare, in whole tasks.
+// budget is what a loan may use at a time, in whole tasks: the least of the job's demand, its
+// team's limit and the spare capacity.
 func (l *loans) budget(j *job, spare float64) loan.Budget {
 	s := &j.spec
 	lt := l.leaderTerm
+	unknownCPUs := lt.unfencedCPUs + lt.unattributedCPUs
 	tasks := 0
-	for tasks < s.Tasks && float64(tasks+1)*s.CPUs <= spare+epsilon &&
-		j.team.Allowed(float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs) {
+	for tasks < s.Tasks {
+		cpus, gpus := float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs
+		if cpus > spare+epsilon || !j.team.Allowed(cpus, gpus, unknownCPUs, lt.unfencedGPUs) {
+			break
+		}
 		tasks++
 		if s.CPUs <= 0 {
 			break
@@ -152,7 +167,8 @@
 	return config.Duration(longest)
 }
 
-// requestReclaim wants back what could start here at once and has not begun there.
+// requestReclaim requests the reclaim of loans that could start in this cell at once and have
+// not started at their host.
 func (l *loans) requestReclaim(waits []predictedStart, now time.Time) {
 	lt := l.leaderTerm
 	free, requested := l.findOpenCapacity(now).freeCPUs, 0
@@ -170,12 +186,13 @@
 			return
 		}
 		cpus := float64(j.spec.Tasks) * j.spec.CPUs
-		if j.lent == nil || j.reclaimRequested || j.remote.Phase != loan.PhaseAccepted || cpus > free || lt.unfenced > 0 {
+		if j.lent == nil || j.reclaimRequested || j.remote.Phase != loan.PhaseAccepted ||
+			cpus > free || lt.unfenced > 0 {
 			continue
 		}
 		j.reclaimRequested = true
 		free -= cpus
 		requested++
-		lt.c.Log.Info("loan called back", "job", j.spec.ID, "from", j.lent.Host)
+		lt.c.Log.Info("loan reclaim requested", "job", j.spec.ID, "cell", j.lent.Host)
 	}
 }
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -17,25 +17,25 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// CellLink is the way to other cells.
+// CellLink is the connection to other cells.
 type CellLink interface {
-	// Loans tells a cell's leader of the loans to that cell.
+	// Loans sends a cell's leader the desired state of the loans to that cell.
 	Loans(ctx context.Context, cell string, req *loan.Request) (*loan.Response, error)
 }
 
-// loans are the jobs that the leader's cell has lent to others, and those that it runs
-// for others. docs/spillover.md explains how a job moves.
+// loans are the jobs that the leader's cell has lent to other cells, and those that it
+// runs for them. docs/spillover.md explains how a job moves.
 type loans struct {
 	leaderTerm *leaderTerm
-	// count numbers this leader's loans.
+	// count numbers the loans of this term.
 	count uint32
 	// neighbours are the cells that jobs may be lent to.
 	neighbours map[string]*neighbour
 	// minEpochs and ends are this cell's records about the guests of each home cell.
 	minEpochs map[string]minEpoch
 	ends      *iradix.Tree[loanEnd]
-	// guestTeams are the queues of guests, one for each home cell, and guestFairShareOrder the
-	// same in the order in which they are served.
+	// guestTeams are the queues of guests, one for each home cell, and guestFairShareOrder
+	// are the same, in the order in which they are served.
 	guestTeams          map[string]*queue.Team[*job]
 	guestFairShareOrder []*queue.Team[*job]
 
@@ -44,54 +44,72 @@
 	queue        []*loanChange
 	busy         bool
 	limiter      *rate.Limiter
-	// changing are the jobs, by home cell and name, with a change that is queued or on
-	// its way.
+	// changing are the jobs, by home cell and name, with a change that is queued or being
+	// written.
 	changing map[string]bool
-	// reclaiming are names that this cell's records were found to know.
+	// reclaiming are the ids of jobs of which this cell was found to have a terminal record:
+	// no guest may take one of them.
 	reclaiming map[string]bool
-	// loggedOnce holds what was said of refused requests, each once.
+	// loggedOnce are the messages about refused requests, each of which is logged once.
 	loggedOnce map[string]bool
-	// shortageSince is since when a team's guarantee lacks room that guests use.
+	// shortageSince is since when a team's guarantee lacks capacity that guests use.
 	shortageSince time.Time
 	nextScan      time.Time
 }
 
-// minEpoch is the floor of a home cell's loans with the version of its record.
+// minEpoch is the minimum epoch of a home cell's loans with the mod revision of its record.
 type minEpoch struct {
 	epoch       loan.Epoch
 	modRevision uint64
 }
 
-// loanEnd is how a guest ended, with the version of its record.
+// loanEnd is how a guest ended, with the mod revision of its record.
 type loanEnd struct {
 	loan.End
 	home, job   string
 	modRevision uint64
 }
 
-// loanWriteShare is the part of the write rate that changes of loans may take.
-const loanWriteShare = 0.1
+const (
+	// loanWriteShare is the share of the write rate that changes of loans may take.
+	loanWriteShare   = 0.1
+	loanScanInterval = time.Second
+	loanWriteTimeout = 2 * time.Second
+	loanReadTimeout  = 4 * time.Second
+	// loanRetryInterval is how long after a failure a transaction is sent again.
+	loanRetryInterval = 300 * time.Millisecond
+	// maxLoanNames bounds what is kept of refused loans.
+	maxLoanNames = 4096
+	// maxLoanOps is the largest number of operations of a loan's change.
+	maxLoanOps = 3
+)
 
 func (l *loans) init(lt *leaderTerm) {
-	*l = loans{leaderTerm: lt, neighbours: map[string]*neighbour{}, minEpochs: map[string]minEpoch{}, ends: iradix.New[loanEnd](),
-		guestTeams: map[string]*queue.Team[*job]{}, changing: map[string]bool{}, reclaiming: map[string]bool{}, loggedOnce: map[string]bool{},
-		limiter: rate.NewLimiter(rate.Limit(lt.c.Settings.Site.State.WriteRPS*loanWriteShare), maxLoanOps)}
+	*l = loans{
+		leaderTerm: lt,
+		neighbours: map[string]*neighbour{},
+		minEpochs:  map[string]minEpoch{},
+		ends:       iradix.New[loanEnd](),
+		guestTeams: map[string]*queue.Team[*job]{},
+		changing:   map[string]bool{},
+		reclaiming: map[string]bool{},
+		loggedOnce: map[string]bool{},
+		limiter:    rate.NewLimiter(rate.Limit(lt.c.Settings.Site.State.WriteRPS*loanWriteShare), maxLoanOps),
+	}
 	if lt.c.Cells == nil {
 		return
 	}
 	for _, n := range lt.c.Cells.Neighbours {
-		l.neighbours[n.Cell] = &neighbour{cell: n.Cell, unreachable: n.Unreachable, forget: map[string]loan.Epoch{}}
+		l.neighbours[n.Cell] = &neighbour{
+			cell:        n.Cell,
+			unreachable: n.Unreachable,
+			forget:      map[string]loan.Epoch{},
+		}
 	}
 }
 
-// maxLoanNames bounds what is remembered of refused loans.
-const maxLoanNames = 4096
-
-// maxLoanOps is what the largest change of a loan takes.
-const maxLoanOps = 3
-
-// enabled tells whether new loans may be made and accepted: only once every node of the
-// cell has told that it knows of them.
+// enabled reports whether new loans may be made and accepted: only once every node of the
+// cell has announced that it supports them.
 func (l *loans) enabled() bool {
 	if l.leaderTerm.c.Cells == nil {
 		return false
@@ -104,7 +122,8 @@
 	return true
 }
 
-// tick is called once a tick of the leader.
+// tick writes queued changes, exchanges states with the neighbours and, once per
+// loanScanInterval, decides which loans to make, reclaim and end.
 func (l *loans) tick(now time.Time) {
 	l.writeNext(now)
 	if l.leaderTerm.c.Cells == nil {
@@ -114,7 +133,7 @@
 	if now.Before(l.nextScan) {
 		return
 	}
-	l.nextScan = now.Add(time.Second)
+	l.nextScan = now.Add(loanScanInterval)
 	l.scanHome(now)
 	l.scanHost(now)
 }
@@ -122,17 +141,18 @@
 // loanChange is a change of a loan's records.
 type loanChange struct {
 	home, job string
-	// build makes the transaction, when its turn has come, from what is known then; it
-	// returns false if the change has become needless.
+	// build builds the transaction when the change is due, from the state at that time; it
+	// returns false if the change is no longer needed.
 	build func() (kv.Txn, bool)
-	// done takes in that it was carried out, at a revision.
+	// done updates the state after the transaction was applied at a revision.
 	done func(revision uint64)
 }
 
+// loanName identifies a job of a home cell.
 func loanName(home, job string) string { return home + "/" + job }
 
 // enqueueChange queues a change. It returns false if there is one of that job already, whose
-// outcome decides what comes next.
+// outcome decides about the next.
 func (l *loans) enqueueChange(c *loanChange) bool {
 	name := loanName(c.home, c.job)
 	if l.changing[name] {
@@ -163,30 +183,28 @@
 	}
 }
 
-// loanRetryInterval is how long after a failure a transaction is sent again.
-const loanRetryInterval = 300 * time.Millisecond
-
-// writeUntilKnown sends a transaction until its outcome is known. One that may yet be carried out
-// is never left alone: what is decided next would rest on its not being so.
+// writeUntilKnown sends a transaction until its outcome is known. One that may yet be
+// applied is never abandoned: the next decision would rest on its not being applied.
 func (l *loans) writeUntilKnown(c *loanChange, txn kv.Txn) {
 	lt := l.leaderTerm
 	for lt.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(lt.ctx, 2*time.Second)
+		ctx, cancel := context.WithTimeout(lt.ctx, loanWriteTimeout)
 		res, err := lt.c.Store.Txn(ctx, txn)
 		cancel()
 		if err == nil {
-			lt.sendToOwner(loanWrittenMsg{lt, c, res})
+			lt.sendToOwner(loanWrittenMsg{leaderTerm: lt, change: c, result: res})
 			return
 		}
 		lt.c.Log.Debug("loan not written", "job", c.job, "home", c.home, "err", err)
 		if errors.Is(err, kv.ErrInvalid) {
-			lt.sendToOwner(loanWrittenMsg{lt, c, kv.Result{}})
+			lt.sendToOwner(loanWrittenMsg{leaderTerm: lt, change: c})
 			return
 		}
 		sleep(lt.ctx, loanRetryInterval)
 	}
 }
 
+// loanWrittenMsg is the result of a change's transaction.
 type loanWrittenMsg struct {
 	leaderTerm *leaderTerm
 	change     *loanChange
@@ -207,15 +225,15 @@
 	case lt.checkTermConflict(m.result):
 		return
 	default:
-		// By an earlier try whose answer was lost, or since something else has
-		// changed: the records tell.
+		// A compare failed, since an earlier try was applied whose response was lost or
+		// since another change was: the records show which.
 		go l.readRecords(m.change)
 		return
 	}
 	l.writeNext(time.Now())
 }
 
-// endChange lets the next change have its turn.
+// endChange removes a change, so that the next can be written.
 func (l *loans) endChange(c *loanChange) {
 	l.busy = false
 	delete(l.changing, loanName(c.home, c.job))
@@ -226,24 +244,34 @@
 	lt := l.leaderTerm
 	keys := []string{records.ActivePrefix + c.job, loan.EndKey(c.home, c.job), loan.MinEpochKey(c.home)}
 	for lt.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(lt.ctx, 4*time.Second)
+		ctx, cancel := context.WithTimeout(lt.ctx, loanReadTimeout)
 		entries, err := getAll(ctx, lt.c.Store, keys)
 		recordStore := records.Records{Store: lt.c.Store}
-		var final api.JobState
-		var isFinal bool
+		var terminal api.JobState
+		var hasEnded bool
 		if err == nil {
-			final, isFinal, err = recordStore.TerminalState(ctx, c.job)
+			terminal, hasEnded, err = recordStore.TerminalState(ctx, c.job)
 		}
 		cancel()
 		if err == nil {
-			lt.sendToOwner(loanReadMsg{lt, c, entries[0], entries[1], entries[2], final, isFinal})
+			lt.sendToOwner(loanReadMsg{
+				leaderTerm: lt,
+				change:     c,
+				active:     entries[0],
+				end:        entries[1],
+				minEpoch:   entries[2],
+				terminal:   terminal,
+				hasEnded:   hasEnded,
+			})
 			return
 		}
 		sleep(lt.ctx, loanRetryInterval)
 	}
 }
 
-func getAll(ctx context.Context, st kv.Service, keys []string) (entries []kv.Entry, err error) {
+// getAll reads keys one after the other.
+func getAll(ctx context.Context, st kv.Service, keys []string) ([]kv.Entry, error) {
+	entries := make([]kv.Entry, 0, len(keys))
 	for _, key := range keys {
 		e, err := st.Get(ctx, key)
 		if err != nil {
@@ -254,7 +282,7 @@
 	return entries, nil
 }
 
-// loanReadMsg brings the records that a change is about.
+// loanReadMsg carries the records that a change is about.
 type loanReadMsg struct {
 	leaderTerm            *leaderTerm
 	change                *loanChange
@@ -297,7 +325,7 @@
 	l.writeNext(time.Now())
 }
 
-// addRecord takes in one of the cell's records about guests.
+// addRecord adds one of the cell's records about guests to the state.
 func (l *loans) addRecord(e kv.Entry) {
 	if e.ModRevision == 0 {
 		return
@@ -306,7 +334,7 @@
 	if home, ok := strings.CutPrefix(e.Key, loan.MinEpochKey("")); ok {
 		var rec loan.MinEpochRecord
 		if err = json.Unmarshal(e.Value, &rec); err == nil && e.ModRevision >= l.minEpochs[home].modRevision {
-			l.minEpochs[home] = minEpoch{rec.Epoch, e.ModRevision}
+			l.minEpochs[home] = minEpoch{epoch: rec.Epoch, modRevision: e.ModRevision}
 		}
 	} else if home, job, ok := strings.Cut(strings.TrimPrefix(e.Key, loan.Prefix+"end/"), "/"); ok {
 		end := loanEnd{home: home, job: job, modRevision: e.ModRevision}
@@ -315,12 +343,12 @@
 		}
 	}
 	if err != nil {
-		l.leaderTerm.c.Log.Error("loan record", "key", e.Key, "err", err)
+		l.leaderTerm.c.Log.Error("loan record malformed", "key", e.Key, "err", err)
 	}
 }
 
-// applyLoan takes in what a job's record says of loans. It is called for each newer
-// version of the record, whoever wrote it.
+// applyLoan applies the loan of a job's active record. It is called for each newer version
+// of the record, whoever wrote it.
 func (lt *leaderTerm) applyLoan(j *job, rec records.ActiveRecord, modRevision uint64) {
 	if modRevision <= j.modRevision {
 		return
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -10,38 +10,43 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// neighbour is a cell that jobs may be lent to, as its last answer has it.
+// neighbour is a cell that jobs may be lent to, as of its last response.
 type neighbour struct {
 	cell string
-	// unreachable says that the operators have given the cell up.
+	// unreachable is set if the operators have declared the cell lost.
 	unreachable  bool
 	busy         bool
 	nextExchange time.Time
-	// lastResponse is when it last answered, and delay how long that took.
+	// lastResponse is when it last responded, and delay how long that took.
 	lastResponse time.Time
 	delay        time.Duration
 	advert       loan.Advert
-	// lastError is why it did not, and refused why it would not; failing is since when.
+	// lastError is why the last exchange failed, or "", and failingSince since when
+	// exchanges have failed.
 	lastError    string
 	failingSince time.Time
-	// forget are loans that it names and that are settled here.
+	// forget are the loans in its response whose end is on record in this cell.
 	forget map[string]loan.Epoch
 }
 
 const (
 	exchangeInterval = time.Second
 	exchangeTimeout  = 2 * time.Second
-	// advertLifetime is how long a cell's word on what it has to spare is relied on.
+	// advertLifetime is how long a cell's advert of spare capacity is valid.
 	advertLifetime = 4 * time.Second
-	// maxOffers bounds the offers to a cell that are not answered, and maxReclaims the
-	// loans that are wanted back at a time.
+	// maxOffers bounds the offers to a cell without a decision, and maxReclaims the loans
+	// with a reclaim requested at a time.
 	maxOffers   = 4
 	maxReclaims = 4
-	// transferTime is what the transactions on both sides take.
+	// transferTime is about how long the transactions on both sides take.
 	transferTime = time.Second
+	// maxOfferBytes bounds the job specs in a request, and offerBytes is about what one
+	// takes, besides long names.
+	maxOfferBytes = 64 << 10
+	offerBytes    = 400
 )
 
-// jobLent takes in that a job is lent, by its record.
+// jobLent updates a job whose active record says that it is lent.
 func (l *loans) jobLent(j *job, record *loan.Lent) {
 	if j.lent == nil || j.lent.Epoch != record.Epoch {
 		j.remote = loan.State{}
@@ -56,9 +61,9 @@
 	}
 }
 
-// jobReclaimed takes in that a job is this cell's own again.
+// jobReclaimed updates a job whose active record says that it is no longer lent.
 func (l *loans) jobReclaimed(j *job) {
-	l.leaderTerm.c.Log.Info("loan taken back", "job", j.spec.ID, "from", j.lent.Host, "reason", j.remote.Reason)
+	l.leaderTerm.c.Log.Info("loan taken back", "job", j.spec.ID, "cell", j.lent.Host, "reason", j.remote.Reason)
 	if j.lastReclaimed == nil {
 		j.lastReclaimed = map[string]time.Time{}
 	}
@@ -69,7 +74,7 @@
 	l.requeue(j)
 }
 
-// requeue puts a job that this cell owns back into its team's queue.
+// requeue adds a job that was lent to its team's queue again.
 func (l *loans) requeue(j *job) {
 	j.waitingSince = time.Now()
 	j.team.Remove(j)
@@ -77,7 +82,7 @@
 	l.leaderTerm.dispatchUntil = j.waitingSince.Add(dispatchFor)
 }
 
-// reserve counts a loan's grant as used by its team, and release no more.
+// reserve counts a loan's budget as used by its team.
 func (l *loans) reserve(j *job, budget loan.Budget) {
 	l.release(j)
 	j.reservedBudget = budget
@@ -85,42 +90,60 @@
 	j.team.UsedGPUs += budget.GPUs
 }
 
+// release ends the reservation of a loan's budget.
 func (l *loans) release(j *job) {
 	j.team.UsedCPUs -= j.reservedBudget.CPUs
 	j.team.UsedGPUs -= j.reservedBudget.GPUs
 	j.reservedBudget = loan.Budget{}
 }
 
-// lendJob puts on record that a job is lent. From now on nothing of it starts here.
+// lendJob records that a job is lent. From now on none of its tasks starts in this cell.
 func (l *loans) lendJob(j *job, n *neighbour, budget loan.Budget) {
 	lt := l.leaderTerm
 	l.count++
 	l.counts.Lent++
 	spec := j.spec
 	spec.DependsOn = nil
-	record := &loan.Lent{Host: n.cell, Epoch: loan.NewEpoch(lt.term.Number, l.count), Spec: spec, Budget: budget, Since: j.runnableSince.UTC()}
+	record := &loan.Lent{
+		Host:   n.cell,
+		Epoch:  loan.NewEpoch(lt.term.Number, l.count),
+		Spec:   spec,
+		Budget: budget,
+		Since:  j.runnableSince.UTC(),
+	}
 	j.team.Remove(j)
 	l.reserve(j, budget)
-	lt.c.Log.Info("loan", "job", spec.ID, "class", spec.Class, "to", n.cell, "epoch", record.Epoch, "cpus", budget.CPUs)
+	lt.c.Log.Info("loan",
+		"job", spec.ID,
+		"class", spec.Class,
+		"cell", n.cell,
+		"epoch", record.Epoch,
+		"cpus", budget.CPUs)
 	active := records.ActiveRecord{Accepted: j.accepted, Lent: record, LoanCount: j.loanCount + 1}
 	l.changeActive(j, active)
 }
 
-// changeActive puts another record in the place of a job's active one.
+// changeActive replaces a job's active record.
 func (l *loans) changeActive(j *job, rec records.ActiveRecord) {
+	lt := l.leaderTerm
 	key := records.ActivePrefix + j.spec.ID
-	j.handover = l.enqueueChange(&loanChange{home: l.leaderTerm.c.Cells.Cell, job: j.spec.ID,
+	j.handover = l.enqueueChange(&loanChange{
+		home: lt.c.Cells.Cell,
+		job:  j.spec.ID,
 		build: func() (kv.Txn, bool) {
-			return kv.Txn{Compares: []kv.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: j.modRevision}},
-				Ops: []kv.Op{{Put: key, Value: rec}}}, !j.ended
+			return kv.Txn{
+				Compares: []kv.Compare{lt.termCompare(), {Key: key, ModRevision: j.modRevision}},
+				Ops:      []kv.Op{{Put: key, Value: rec}},
+			}, !j.ended
 		},
 		done: func(revision uint64) {
 			j.handover = false
-			l.leaderTerm.applyLoan(j, rec, revision)
-		}})
+			lt.applyLoan(j, rec, revision)
+		},
+	})
 }
 
-// exchangeWithNeighbours tells each neighbour of all loans to it.
+// exchangeWithNeighbours sends each neighbour the desired state of all loans to it.
 func (l *loans) exchangeWithNeighbours(now time.Time) {
 	lt := l.leaderTerm
 	for _, n := range l.neighbours {
@@ -137,24 +160,26 @@
 			ctx, cancel := context.WithTimeout(lt.ctx, exchangeTimeout)
 			defer cancel()
 			response, err := lt.c.Link.Loans(ctx, n.cell, req)
-			lt.sendToOwner(loanResponseMsg{lt, n, now, response, err})
+			lt.sendToOwner(loanResponseMsg{leaderTerm: lt, neighbour: n, sent: now, response: response, err: err})
 		}()
 	}
 }
 
-// reclaimFromUnreachable takes back what was lent to a cell that the operators have given up.
+// reclaimFromUnreachable reclaims the loans to a cell that the operators have declared lost.
 func (l *loans) reclaimFromUnreachable(n *neighbour) {
 	for _, j := range l.leaderTerm.jobs {
 		if j.lent != nil && j.lent.Host == n.cell && !j.handover {
-			l.applyAction(j, loan.State{Job: j.spec.ID, Epoch: j.lent.Epoch, Phase: loan.PhaseClosed, Reason: "the cell is lost"})
+			l.applyAction(j, loan.State{
+				Job:    j.spec.ID,
+				Epoch:  j.lent.Epoch,
+				Phase:  loan.PhaseClosed,
+				Reason: "the cell is lost",
+			})
 		}
 	}
 }
 
-// maxOfferBytes bounds the descriptions of jobs in a request.
-const maxOfferBytes = 64 << 10
-
-// buildRequest says what is wanted of each loan to a neighbour.
+// buildRequest lists the desired state of each loan to a neighbour.
 func (l *loans) buildRequest(n *neighbour) *loan.Request {
 	lt := l.leaderTerm
 	req := &loan.Request{Home: lt.c.Cells.Cell, Term: lt.term.Number}
@@ -182,10 +207,7 @@
 	return req
 }
 
-// offerBytes is about what the description of a job takes, besides long names.
-const offerBytes = 400
-
-// loanResponseMsg brings a neighbour's answer.
+// loanResponseMsg is a neighbour's response to a request sent at sent.
 type loanResponseMsg struct {
 	leaderTerm *leaderTerm
 	neighbour  *neighbour
@@ -206,13 +228,13 @@
 	if m.err != nil {
 		if n.lastError == "" {
 			n.failingSince = now
-			c.Log.Info("cell does not answer", "cell", n.cell, "err", m.err)
+			c.Log.Info("loan exchange failing", "cell", n.cell, "err", m.err)
 		}
 		n.lastError = m.err.Error()
 		return
 	}
 	if n.lastError != "" {
-		c.Log.Info("cell answers again", "cell", n.cell, "after", now.Sub(n.failingSince).Round(time.Second))
+		c.Log.Info("loan exchange recovered", "cell", n.cell, "after", now.Sub(n.failingSince).Round(time.Second))
 	}
 	n.lastError, n.lastResponse, n.delay, n.advert = "", now, now.Sub(m.sent), m.response.Advert
 	clear(n.forget)
@@ -224,14 +246,15 @@
 // RefusedError is another cell's refusal of a whole request.
 type RefusedError struct{ Cell, Reason string }
 
+// Error names the cell and its reason.
 func (e *RefusedError) Error() string { return "cell " + e.Cell + " refuses: " + e.Reason }
 
-// applyState takes in how a loan stands at its host.
+// applyState applies the state of a loan at its host.
 func (l *loans) applyState(n *neighbour, s loan.State) {
 	lt := l.leaderTerm
 	j := lt.jobs[s.Job]
 	if j != nil && j.handover {
-		return // what is on its way decides
+		return // the change that is being written decides
 	}
 	if j == nil || j.lent == nil || j.lent.Host != n.cell || j.lent.Epoch != s.Epoch {
 		if s.Phase != loan.PhaseClosed && s.Phase != loan.PhaseUnknown && loan.ConfirmedBy(lt.term.Number, s.Epoch) {
@@ -241,7 +264,7 @@
 		return
 	}
 	if s.Phase == loan.PhaseStarted {
-		j.reclaimRequested = false // it stays where it runs
+		j.reclaimRequested = false // a job that has started stays at its host
 	}
 	if s.Phase >= j.remote.Phase {
 		j.remote = s
@@ -249,48 +272,60 @@
 	l.applyAction(j, s)
 }
 
-// applyAction carries out what follows from how a loan stands.
+// applyAction queues the change of records that follows from a loan's state at its host.
 func (l *loans) applyAction(j *job, s loan.State) {
 	switch loan.HomeStep(j.lent, s) {
 	case loan.ActionReclaim:
 		j.remote.Reason = s.Reason
 		l.changeActive(j, records.ActiveRecord{Spec: j.lent.Spec, Accepted: j.accepted, LoanCount: j.loanCount})
 	case loan.ActionDone:
-		l.recordLentEnd(j, records.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: time.Now().UTC()})
+		l.recordLentEnd(j, records.TerminalRecord{
+			Phase: api.JobDone,
+			Tasks: j.spec.Tasks,
+			Ended: time.Now().UTC(),
+		})
 	case loan.ActionCancel:
 		l.recordLentEnd(j, records.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
 	}
 }
 
-// recordLentEnd records how a lent job ended.
+// recordLentEnd writes the terminal record of a lent job.
 func (l *loans) recordLentEnd(j *job, terminal records.TerminalRecord) {
 	lt, id := l.leaderTerm, j.spec.ID
 	active := records.ActivePrefix + id
-	j.handover = l.enqueueChange(&loanChange{home: lt.c.Cells.Cell, job: id,
+	j.handover = l.enqueueChange(&loanChange{
+		home: lt.c.Cells.Cell,
+		job:  id,
 		build: func() (kv.Txn, bool) {
 			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
 			if terminal.Phase == api.JobCancelled {
-				// As with a user's own cancellation, a watch sees why the record goes.
+				// As with a user's own cancellation, a watch sees why the record is deleted.
 				txn.Ops = append(txn.Ops, kv.Op{Put: records.CancelKey, Value: id})
 			}
 			txn.Ops = append(txn.Ops, kv.Op{Put: records.TerminalPrefix + id, Value: terminal}, kv.Op{Delete: active})
-			// From now on others may read of its end before this node knows of it.
+			// From now on others may read its terminal record before this node learns that
+			// it was written.
 			j.ending = true
 			return txn, !j.ended
 		},
-		done: func(uint64) {
-			switch {
-			case j.ended:
-			case terminal.Phase == api.JobDone:
-				j.doneCount = j.spec.Tasks
-				l.counts.Done++
-				lt.jobFinished(j)
-			default:
-				l.counts.Cancelled++
-				lt.cancelJob(j)
-			}
-			if n := l.neighbours[j.lent.Host]; n != nil {
-				n.nextExchange = time.Time{} // it names the loan once more, and is told to forget it
-			}
-		}})
+		done: func(uint64) { l.lentEndRecorded(j, terminal.Phase) },
+	})
+}
+
+// lentEndRecorded updates a lent job whose terminal record was written.
+func (l *loans) lentEndRecorded(j *job, phase string) {
+	switch {
+	case j.ended:
+	case phase == api.JobDone:
+		j.doneCount = j.spec.Tasks
+		l.counts.Done++
+		l.leaderTerm.jobFinished(j)
+	default:
+		l.counts.Cancelled++
+		l.leaderTerm.cancelJob(j)
+	}
+	if n := l.neighbours[j.lent.Host]; n != nil {
+		// The next response names the loan once more, and the request after it says to forget it.
+		n.nextExchange = time.Time{}
+	}
 }
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -14,10 +14,10 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// Loans takes in what the leader of another cell says of the jobs that it lends to this
-// one. Only the leader answers.
+// Loans applies a request of another cell's leader, which lists the desired state of the
+// jobs that it lends to this cell. Only the leader responds.
 func (c *Controller) Loans(ctx context.Context, req *loan.Request) (*loan.Response, error) {
-	m := loanRequestMsg{req, make(chan *loan.Response, 1)}
+	m := loanRequestMsg{req: req, reply: make(chan *loan.Response, 1)}
 	if err := c.send(ctx, m); err != nil {
 		return nil, err
 	}
@@ -28,6 +28,7 @@
 	return response, err
 }
 
+// loanRequestMsg is another cell's request; its reply is nil unless this node leads.
 type loanRequestMsg struct {
 	req   *loan.Request
 	reply chan *loan.Response
@@ -41,11 +42,11 @@
 	m.reply <- c.leaderTerm.loans.respond(m.req, time.Now())
 }
 
-// respond takes a request in and says how all loans of its cell stand.
+// respond applies a request and returns the state of all loans of its home cell.
 func (l *loans) respond(req *loan.Request, now time.Time) *loan.Response {
 	lt := l.leaderTerm
 	if reason := l.requestRefusal(req); reason != "" {
-		l.logOnce("loans refused", req.Home, reason)
+		l.logOnce("loan request rejected", "cell", req.Home, "reason", reason)
 		return &loan.Response{Refused: reason}
 	}
 	response := &loan.Response{Host: lt.c.Cells.Cell, Term: lt.term.Number, Advert: l.advertise(now)}
@@ -63,7 +64,7 @@
 		}
 		if step == loan.StepRaiseMinEpoch {
 			raiseTo = max(raiseTo, e.Epoch)
-			l.logOnce("loan not accepted", loanName(req.Home, e.Job), view.RefusalReason)
+			l.logOnce("loan not accepted", "job", e.Job, "cell", req.Home, "reason", view.RefusalReason)
 		} else {
 			l.applyStep(req.Home, e, step)
 		}
@@ -76,7 +77,7 @@
 	return response
 }
 
-// requestRefusal says why a request is not taken in at all, or "".
+// requestRefusal is the reason for which a request as a whole is rejected, or "".
 func (l *loans) requestRefusal(req *loan.Request) string {
 	cells := l.leaderTerm.c.Cells
 	if cells == nil {
@@ -91,24 +92,29 @@
 			return fmt.Sprintf("%q is no job id", e.Job)
 		case e.Epoch == 0 || e.Desired < loan.DesiredRun || e.Desired > loan.DesiredForget:
 			return fmt.Sprintf("the loan of %s is malformed", e.Job)
-		case e.Offer != nil && (e.Offer.Spec.ID != e.Job || e.Offer.Spec.Tasks < 1 || e.Offer.Spec.Tasks > api.MaxTasks || e.Offer.Spec.CPUs < 0):
+		case e.Offer != nil && !validOffer(e.Job, &e.Offer.Spec):
 			return fmt.Sprintf("the description of %s is malformed", e.Job)
 		}
 	}
 	return ""
 }
 
-// logOnce says something of a cell or job once.
-func (l *loans) logOnce(what, of, reason string) {
-	key := what + " " + of + " " + reason
+// validOffer reports whether an offered job's spec is well-formed.
+func validOffer(id string, s *api.JobSpec) bool {
+	return s.ID == id && s.Tasks >= 1 && s.Tasks <= api.MaxTasks && s.CPUs >= 0
+}
+
+// logOnce logs a warning unless the same one was logged in this term.
+func (l *loans) logOnce(message string, attrs ...any) {
+	key := message + fmt.Sprintf(" %q", attrs)
 	if l.loggedOnce[key] || len(l.loggedOnce) >= maxLoanNames {
 		return
 	}
 	l.loggedOnce[key] = true
-	l.leaderTerm.c.Log.Warn(what, "of", of, "reason", reason)
+	l.leaderTerm.c.Log.Warn(message, attrs...)
 }
 
-// hostView is what this cell's records say of a job of a home cell.
+// hostView is the state of a home cell's job according to this cell's records.
 func (l *loans) hostView(home string, e loan.Entry, advert *loan.Advert) loan.HostView {
 	lt := l.leaderTerm
 	h := loan.HostView{MinEpoch: l.minEpochs[home].epoch}
@@ -117,7 +123,7 @@
 	}
 	if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Home == home {
 		h.GuestEpoch = j.guest.Epoch
-		// A machine that is not heard may hold tasks of it.
+		// An unfenced machine may run tasks of it.
 		h.Started = j.started() || lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision
 		return h
 	}
@@ -127,8 +133,8 @@
 	return h
 }
 
-// offerRefusal says why an offer is not accepted, or "", and takes what it needs off what
-// there is to spare.
+// offerRefusal is the reason for which an offer is not accepted, or "". It deducts what an
+// accepted one needs from the advertised capacity.
 func (l *loans) offerRefusal(home string, o *loan.Offer, advert *loan.Advert) string {
 	lt, s := l.leaderTerm, &o.Spec
 	if l.changing[loanName(home, s.ID)] {
@@ -162,13 +168,14 @@
 	return ""
 }
 
-// fillProgress tells how a guest stands.
+// fillProgress fills in the counts of a guest's tasks.
 func (l *loans) fillProgress(j *job, s *loan.State) {
-	st := j.state()
-	s.Done, s.Running, s.Pending = st.Done, st.Running, len(j.activeAttempts) > 0
+	job := j.state()
+	s.Done, s.Running, s.Pending = job.Done, job.Running, len(j.activeAttempts) > 0
 }
 
-// mayBeOnMachines tells whether tasks of a job may be on machines, whatever is known of it.
+// mayBeOnMachines reports whether tasks of a job may be on machines, also of a job that this
+// cell no longer knows.
 func (l *loans) mayBeOnMachines(id string) bool {
 	lt := l.leaderTerm
 	if lt.unfenced > 0 {
@@ -185,8 +192,8 @@
 	return false
 }
 
-// unlistedGuests are the loans of a cell that are here and that its request does not name. It is
-// told of them, and says what is to become of them.
+// unlistedGuests are the states of a home cell's loans that its request does not name. The
+// next request then contains their desired state.
 func (l *loans) unlistedGuests(home string, named map[string]bool) (states []loan.State) {
 	for id, j := range l.leaderTerm.jobs {
 		if j.guest == nil || j.guest.Home != home || named[id] {
@@ -201,7 +208,13 @@
 	}
 	l.ends.Root().WalkPrefix([]byte(home+"/"), func(_ []byte, end loanEnd) bool {
 		if !named[end.job] {
-			s := loan.State{Job: end.job, Epoch: end.Epoch, Phase: loan.PhaseCancelled, Ended: end.Ended, Pending: l.mayBeOnMachines(end.job)}
+			s := loan.State{
+				Job:     end.job,
+				Epoch:   end.Epoch,
+				Phase:   loan.PhaseCancelled,
+				Ended:   end.Ended,
+				Pending: l.mayBeOnMachines(end.job),
+			}
 			if end.Phase == api.JobDone {
 				s.Phase = loan.PhaseDone
 			}
@@ -212,7 +225,7 @@
 	return states
 }
 
-// applyStep changes this cell's records as a step says.
+// applyStep queues the change of this cell's records that a step requires.
 func (l *loans) applyStep(home string, e loan.Entry, step loan.Step) {
 	j := l.leaderTerm.jobs[e.Job]
 	switch step {
@@ -227,27 +240,52 @@
 	}
 }
 
-// acceptGuest puts a guest's record, unless this cell knows the job or the floor has risen.
+// acceptGuest writes a guest's active record, unless this cell has a record of the job or the
+// minimum epoch has reached the loan's.
 func (l *loans) acceptGuest(home string, e loan.Entry) {
 	lt := l.leaderTerm
 	active := records.ActivePrefix + e.Job
-	rec := records.ActiveRecord{Accepted: time.Now().UTC(), Guest: &loan.Guest{Home: home, Epoch: e.Epoch, Spec: e.Offer.Spec, Budget: e.Offer.Budget, Since: e.Offer.Since}}
-	l.enqueueChange(&loanChange{home: home, job: e.Job,
+	rec := records.ActiveRecord{
+		Accepted: time.Now().UTC(),
+		Guest: &loan.Guest{
+			Home:   home,
+			Epoch:  e.Epoch,
+			Spec:   e.Offer.Spec,
+			Budget: e.Offer.Budget,
+			Since:  e.Offer.Since,
+		},
+	}
+	l.enqueueChange(&loanChange{
+		home: home,
+		job:  e.Job,
 		build: func() (kv.Txn, bool) {
-			return kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: loan.MinEpochKey(home), ModRevision: l.minEpochs[home].modRevision},
-				{Key: active}, {Key: records.TerminalPrefix + e.Job}, {Key: loan.EndKey(home, e.Job)}},
-				Ops: []kv.Op{{Put: active, Value: rec}}}, e.Epoch > l.minEpochs[home].epoch && lt.jobs[e.Job] == nil
+			return kv.Txn{
+				Compares: []kv.Compare{
+					lt.termCompare(),
+					{Key: loan.MinEpochKey(home), ModRevision: l.minEpochs[home].modRevision},
+					{Key: active},
+					{Key: records.TerminalPrefix + e.Job},
+					{Key: loan.EndKey(home, e.Job)},
+				},
+				Ops: []kv.Op{{Put: active, Value: rec}},
+			}, e.Epoch > l.minEpochs[home].epoch && lt.jobs[e.Job] == nil
 		},
 		done: func(revision uint64) {
 			l.counts.Accepted++
-			lt.c.Log.Info("guest accepted", "job", e.Job, "home", home, "epoch", e.Epoch, "cpus", e.Offer.Budget.CPUs)
+			lt.c.Log.Info("guest accepted",
+				"job", e.Job,
+				"cell", home,
+				"epoch", e.Epoch,
+				"cpus", e.Offer.Budget.CPUs)
 			if lt.jobs[e.Job] == nil {
 				lt.addRecord(active, rec, revision)
 			}
-		}})
+		},
+	})
 }
 
-// minEpochOp raises a floor in a transaction, and guards on its present version.
+// minEpochOp raises a home cell's minimum epoch in a transaction, on condition that its record
+// has not changed.
 func (l *loans) minEpochOp(txn *kv.Txn, home string, epoch loan.Epoch) {
 	current := l.minEpochs[home]
 	key := loan.MinEpochKey(home)
@@ -255,32 +293,45 @@
 	txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: loan.MinEpochRecord{Epoch: max(epoch, current.epoch)}})
 }
 
+// minEpochRaised updates the minimum epoch after its record was written.
 func (l *loans) minEpochRaised(home string, epoch loan.Epoch, revision uint64) {
-	l.minEpochs[home] = minEpoch{max(epoch, l.minEpochs[home].epoch), revision}
+	l.minEpochs[home] = minEpoch{epoch: max(epoch, l.minEpochs[home].epoch), modRevision: revision}
 }
 
-// raiseMinEpoch closes all loans of a home cell up to an epoch that are not here.
+// minEpochChange stands in place of a job id in the change that raises a minimum epoch. It
+// is no valid job id, so no job's change collides with it.
+const minEpochChange = "floor"
+
+// raiseMinEpoch closes all loans of a home cell up to an epoch that this cell has not accepted.
 func (l *loans) raiseMinEpoch(home string, epoch loan.Epoch) {
-	l.enqueueChange(&loanChange{home: home, job: "floor",
+	l.enqueueChange(&loanChange{
+		home: home,
+		job:  minEpochChange,
 		build: func() (kv.Txn, bool) {
 			txn := kv.Txn{Compares: []kv.Compare{l.leaderTerm.termCompare()}}
 			l.minEpochOp(&txn, home, epoch)
 			return txn, epoch > l.minEpochs[home].epoch
 		},
-		done: func(revision uint64) { l.minEpochRaised(home, epoch, revision) }})
+		done: func(revision uint64) { l.minEpochRaised(home, epoch, revision) },
+	})
 }
 
-// scaleIn removes a guest that has not begun.
+// returnGuest removes a guest that has not started.
 func (l *loans) returnGuest(j *job) {
 	lt, home, epoch := l.leaderTerm, j.guest.Home, j.guest.Epoch
 	active := records.ActivePrefix + j.spec.ID
-	l.enqueueChange(&loanChange{home: home, job: j.spec.ID,
+	l.enqueueChange(&loanChange{
+		home: home,
+		job:  j.spec.ID,
 		build: func() (kv.Txn, bool) {
 			if j.ended || j.started() {
 				return kv.Txn{}, false
 			}
 			j.handover = true
-			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}, Ops: []kv.Op{{Delete: active}}}
+			txn := kv.Txn{
+				Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}},
+				Ops:      []kv.Op{{Delete: active}},
+			}
 			l.minEpochOp(&txn, home, epoch)
 			return txn, true
 		},
@@ -288,7 +339,8 @@
 			l.minEpochRaised(home, epoch, revision)
 			l.counts.Returned++
 			l.removeGuest(j, kv.Entry{})
-		}})
+		},
+	})
 }
 
 // guestDone records that all tasks of a guest are done.
@@ -300,11 +352,13 @@
 func (l *loans) endGuest(j *job, end loan.End) {
 	lt, home, id := l.leaderTerm, j.guest.Home, j.spec.ID
 	active, key := records.ActivePrefix+id, loan.EndKey(home, id)
-	l.enqueueChange(&loanChange{home: home, job: id,
+	l.enqueueChange(&loanChange{
+		home: home,
+		job:  id,
 		build: func() (kv.Txn, bool) {
 			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
 			if end.Phase == api.JobCancelled {
-				// All nodes of this cell must know before they renew leases.
+				// All nodes of this cell must learn of it before they renew task leases.
 				txn.Ops = append(txn.Ops, kv.Op{Put: records.CancelKey, Value: loan.GuestMarker + id})
 			}
 			txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: end}, kv.Op{Delete: active})
@@ -319,11 +373,12 @@
 			e := kv.Entry{Key: key, Value: raw, ModRevision: revision}
 			l.addRecord(e)
 			l.removeGuest(j, e)
-		}})
+		},
+	})
 }
 
-// removeGuest drops a guest whose active record is gone. What of it is on machines is
-// stopped by the answers to their reports.
+// removeGuest removes a guest whose active record was deleted. Its tasks on machines are
+// stopped by the responses to their heartbeats.
 func (l *loans) removeGuest(j *job, end kv.Entry) {
 	if j.ended {
 		return
@@ -342,22 +397,32 @@
 	for first := range j.completionChunks {
 		lt.recordWriter.deleteKey(records.CompletionKey(j.spec.ID, first))
 	}
-	lt.c.Log.Info("guest over", "job", j.spec.ID, "home", j.guest.Home, "done", j.doneCount, "tasks", j.spec.Tasks)
+	lt.c.Log.Info("guest ended",
+		"job", j.spec.ID,
+		"cell", j.guest.Home,
+		"done", j.doneCount,
+		"tasks", j.spec.Tasks)
 }
 
-// forgetEnd drops how a guest ended, once its home cell has recorded it.
+// forgetEnd deletes the record of a guest's end, once its home cell has recorded it.
 func (l *loans) forgetEnd(home string, e loan.Entry) {
 	name := []byte(loanName(home, e.Job))
 	key := loan.EndKey(home, e.Job)
-	l.enqueueChange(&loanChange{home: home, job: e.Job,
+	l.enqueueChange(&loanChange{
+		home: home,
+		job:  e.Job,
 		build: func() (kv.Txn, bool) {
 			end, ok := l.ends.Get(name)
-			txn := kv.Txn{Compares: []kv.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: end.modRevision}}, Ops: []kv.Op{{Delete: key}}}
+			txn := kv.Txn{
+				Compares: []kv.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: end.modRevision}},
+				Ops:      []kv.Op{{Delete: key}},
+			}
 			l.minEpochOp(&txn, home, e.Epoch)
 			return txn, ok
 		},
 		done: func(revision uint64) {
 			l.minEpochRaised(home, e.Epoch, revision)
 			l.ends, _, _ = l.ends.Delete(name)
-		}})
+		},
+	})
 }
--- a/internal/controller/loansstatus.go
+++ b/internal/controller/loansstatus.go
@@ -13,15 +13,15 @@
 	Cell       string            `json:"cell"`
 	Enabled    bool              `json:"enabled"`
 	Neighbours []NeighbourStatus `json:"neighbours"`
-	// Lent and Guests are the loans out and in; no more than maxLoansShown of each.
+	// Lent and Guests are the loans to and from other cells, at most maxLoansShown of each.
 	Lent   []LoanStatus `json:"lent"`
 	Guests []LoanStatus `json:"guests"`
-	// Ended is how many guests have ended whose home has yet to record it.
+	// Ended is how many guests have ended whose home cell has yet to record it.
 	Ended  int        `json:"ended_guests"`
 	Counts LoanCounts `json:"counts"`
 }
 
-// NeighbourStatus is how another cell stands.
+// NeighbourStatus is the state of the exchange with another cell.
 type NeighbourStatus struct {
 	Cell      string  `json:"cell"`
 	Lost      bool    `json:"lost,omitempty"`
@@ -34,7 +34,7 @@
 	Guests    int     `json:"guests"`
 }
 
-// LoanStatus is one loan.
+// LoanStatus is the state of one loan.
 type LoanStatus struct {
 	Job     string  `json:"job"`
 	Cell    string  `json:"cell"`
@@ -43,7 +43,7 @@
 	CPUs    float64 `json:"cpus"`
 	Done    int     `json:"done"`
 	Running int     `json:"running"`
-	// Waits says what it waits for, if anything.
+	// Waits is the reason why it is pending, if it is.
 	Waits string `json:"waits,omitempty"`
 }
 
@@ -83,8 +83,17 @@
 	}
 	s.Lent, s.Guests = firstLoans(s.Lent), firstLoans(s.Guests)
 	for _, n := range l.neighbours {
-		ns := NeighbourStatus{Cell: n.cell, Lost: n.unreachable, HeardS: -1, DelayMs: n.delay.Milliseconds(), SpareCPUs: n.advert.CPUs,
-			Accepting: n.advert.Accepting, LastError: n.lastError, Lent: lent[n.cell], Guests: guests[n.cell]}
+		ns := NeighbourStatus{
+			Cell:      n.cell,
+			Lost:      n.unreachable,
+			HeardS:    -1,
+			DelayMs:   n.delay.Milliseconds(),
+			SpareCPUs: n.advert.CPUs,
+			Accepting: n.advert.Accepting,
+			LastError: n.lastError,
+			Lent:      lent[n.cell],
+			Guests:    guests[n.cell],
+		}
 		if !n.lastResponse.IsZero() {
 			ns.HeardS = now.Sub(n.lastResponse).Seconds()
 		}
@@ -94,15 +103,23 @@
 	return s
 }
 
-// firstLoans are the first of some loans by name.
+// firstLoans sorts loans by job and returns the first maxLoansShown.
 func firstLoans(all []LoanStatus) []LoanStatus {
 	slices.SortFunc(all, func(a, b LoanStatus) int { return strings.Compare(a.Job, b.Job) })
 	return all[:min(len(all), maxLoansShown)]
 }
 
+// lentStatus is the status of a job that runs in another cell.
 func (l *loans) lentStatus(j *job) LoanStatus {
-	s := LoanStatus{Job: j.spec.ID, Cell: j.lent.Host, Epoch: j.lent.Epoch.String(), Phase: j.remote.Phase.String(),
-		CPUs: j.lent.Budget.CPUs, Done: j.remote.Done, Running: j.remote.Running}
+	s := LoanStatus{
+		Job:     j.spec.ID,
+		Cell:    j.lent.Host,
+		Epoch:   j.lent.Epoch.String(),
+		Phase:   j.remote.Phase.String(),
+		CPUs:    j.lent.Budget.CPUs,
+		Done:    j.remote.Done,
+		Running: j.remote.Running,
+	}
 	n := l.neighbours[j.lent.Host]
 	switch {
 	case n == nil:
@@ -119,10 +136,18 @@
 	return s
 }
 
+// guestStatus is the status of a job that runs here for another cell.
 func guestStatus(j *job) LoanStatus {
-	st := j.state()
-	s := LoanStatus{Job: j.spec.ID, Cell: j.guest.Home, Epoch: j.guest.Epoch.String(), Phase: loan.PhaseAccepted.String(),
-		CPUs: j.guest.Budget.CPUs, Done: st.Done, Running: st.Running}
+	state := j.state()
+	s := LoanStatus{
+		Job:     j.spec.ID,
+		Cell:    j.guest.Home,
+		Epoch:   j.guest.Epoch.String(),
+		Phase:   loan.PhaseAccepted.String(),
+		CPUs:    j.guest.Budget.CPUs,
+		Done:    state.Done,
+		Running: state.Running,
+	}
 	if j.started() {
 		s.Phase = loan.PhaseStarted.String()
 	}
