--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -60,9 +60,9 @@
 // of queued tasks, of its own jobs and of guests.
 func (l *loans) advertise(now time.Time) loan.Advert {
 	lt := l.leaderTerm
-	a := loan.Advert{CancelS: lt.c.Settings.Site.Workers.CancelS}
+	advert := loan.Advert{CancelS: lt.c.Settings.Site.Workers.CancelS}
 	capacity := l.findOpenCapacity(now)
-	a.CPUs, a.GPUs = capacity.freeCPUs, capacity.freeGPUs
+	advert.CPUs, advert.GPUs = capacity.freeCPUs, capacity.freeGPUs
 	guests := 0.0
 	for _, j := range lt.jobs {
 		if j.lent != nil || j.cancelPending || len(j.dependsOn) > 0 {
@@ -73,17 +73,17 @@
 			cpus = min(cpus, j.guest.Budget.CPUs)
 			guests += float64(len(j.activeAttempts))*j.spec.CPUs + cpus
 		}
-		a.CPUs -= cpus
-		a.GPUs -= float64(j.flight.Untaken()) * j.spec.GPUs
+		advert.CPUs -= cpus
+		advert.GPUs -= float64(j.flight.Untaken()) * j.spec.GPUs
 	}
-	a.CPUs = max(0, min(a.CPUs, lt.c.Policy.Spill.GuestShare*capacity.cpus-guests))
-	a.GPUs = max(0, a.GPUs)
+	advert.CPUs = max(0, min(advert.CPUs, lt.c.Policy.Spill.GuestShare*capacity.cpus-guests))
+	advert.GPUs = max(0, advert.GPUs)
 	for _, t := range lt.c.types.load() {
-		a.Types = append(a.Types, t)
+		advert.Types = append(advert.Types, t)
 	}
-	slices.SortFunc(a.Types, func(x, y api.MachineType) int { return strings.Compare(x.Name, y.Name) })
-	a.Accepting = a.CPUs > 0 && lt.unfenced == 0 && l.enabled()
-	return a
+	slices.SortFunc(advert.Types, func(x, y api.MachineType) int { return strings.Compare(x.Name, y.Name) })
+	advert.Accepting = advert.CPUs > 0 && lt.unfenced == 0 && l.enabled()
+	return advert
 }
 
 // returnGuestAfter is how long a guest may wait for its first start in this cell.
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -14,8 +14,8 @@
 // scanHome decides which jobs to lend and which loans to reclaim.
 func (l *loans) scanHome(now time.Time) {
 	lt := l.leaderTerm
-	waits := l.predictedStarts(now)
-	l.requestReclaim(waits, now)
+	predictions := l.predictedStarts(now)
+	l.requestReclaim(predictions, now)
 	if !l.enabled() || lt.unfenced > 0 || !lt.mayStart(now) {
 		return
 	}
@@ -24,7 +24,7 @@
 			n.advert.CancelS > lt.c.Settings.Site.Workers.CancelS {
 			continue
 		}
-		l.lendTo(n, waits, now)
+		l.lendTo(n, predictions, now)
 	}
 }
 
@@ -68,24 +68,24 @@
 	if len(lt.autoscaler.offers(now)) > 0 {
 		latest = lt.autoscaler.longestBoot() + lt.c.Settings.Site.Workers.HeartbeatInterval()
 	}
-	out := make([]predictedStart, 0, len(jobs))
+	predictions := make([]predictedStart, 0, len(jobs))
 	for _, j := range jobs {
 		cpus := float64(j.flight.Untaken()) * j.spec.CPUs
 		wait := min(loan.PredictedWait(work, capacity.cpus, free), latest)
-		out = append(out, predictedStart{job: j, wait: wait})
+		predictions = append(predictions, predictedStart{job: j, wait: wait})
 		free -= cpus
 		work += cpus * j.spec.EstimateS
 	}
-	return out
+	return predictions
 }
 
 // lendTo lends a neighbour the jobs that would gain most time by it.
-func (l *loans) lendTo(n *neighbour, waits []predictedStart, now time.Time) {
-	out, offers := 0, 0
+func (l *loans) lendTo(n *neighbour, predictions []predictedStart, now time.Time) {
+	lent, offers := 0, 0
 	for _, j := range l.leaderTerm.jobs {
 		switch {
 		case j.lent != nil && j.lent.Host == n.cell:
-			if out++; j.remote.Phase == loan.PhaseUnknown {
+			if lent++; j.remote.Phase == loan.PhaseUnknown {
 				offers++
 			}
 		case j.handover:
@@ -94,10 +94,10 @@
 	}
 	policy := &l.leaderTerm.c.Policy.Spill
 	spare := n.advert.CPUs
-	for i := len(waits) - 1; i >= 0 && out < l.leaderTerm.c.Cells.MaxLoans && offers < maxOffers; i-- {
-		j := waits[i].job
+	for i := len(predictions) - 1; i >= 0 && lent < l.leaderTerm.c.Cells.MaxLoans && offers < maxOffers; i-- {
+		j := predictions[i].job
 		there := n.delay + transferTime + fetchTime(&j.spec, n.advert.Types)
-		if waits[i].wait-there < policy.Gain || now.Sub(j.runnableSince) < policy.After ||
+		if predictions[i].wait-there < policy.Gain || now.Sub(j.runnableSince) < policy.After ||
 			spare < j.spec.CPUs || !l.lendable(j, n, now) {
 			continue
 		}
@@ -106,7 +106,7 @@
 			continue
 		}
 		spare -= budget.CPUs
-		out++
+		lent++
 		offers++
 		l.lendJob(j, n, budget)
 	}
@@ -169,10 +169,10 @@
 
 // requestReclaim requests the reclaim of loans that could start in this cell at once and have
 // not started at their host.
-func (l *loans) requestReclaim(waits []predictedStart, now time.Time) {
+func (l *loans) requestReclaim(predictions []predictedStart, now time.Time) {
 	lt := l.leaderTerm
 	free, requested := l.findOpenCapacity(now).freeCPUs, 0
-	for _, w := range waits {
+	for _, w := range predictions {
 		free -= float64(w.job.flight.Untaken()) * w.job.spec.CPUs
 	}
 	for _, j := range lt.jobs {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -39,17 +39,17 @@
 	guestTeams          map[string]*queue.Team[*job]
 	guestFairShareOrder []*queue.Team[*job]
 
-	counts       LoanCounts
-	openCapacity openCapacity
-	queue        []*loanChange
-	busy         bool
-	limiter      *rate.Limiter
+	counts        LoanCounts
+	openCapacity  openCapacity
+	changeQueue   []*loanChange
+	writeInFlight bool
+	limiter       *rate.Limiter
 	// changing are the jobs, by home cell and name, with a change that is queued or being
 	// written.
 	changing map[string]bool
-	// reclaiming are the ids of jobs of which this cell was found to have a terminal record:
+	// endedIDs are the ids of jobs of which this cell was found to have a terminal record:
 	// no guest may take one of them.
-	reclaiming map[string]bool
+	endedIDs map[string]bool
 	// loggedOnce are the messages about refused requests, each of which is logged once.
 	loggedOnce map[string]bool
 	// shortageSince is since when a team's guarantee lacks capacity that guests use.
@@ -92,7 +92,7 @@
 		ends:       iradix.New[loanEnd](),
 		guestTeams: map[string]*queue.Team[*job]{},
 		changing:   map[string]bool{},
-		reclaiming: map[string]bool{},
+		endedIDs:   map[string]bool{},
 		loggedOnce: map[string]bool{},
 		limiter:    rate.NewLimiter(rate.Limit(lt.c.Settings.Site.State.WriteRPS*loanWriteShare), maxLoanOps),
 	}
@@ -103,7 +103,7 @@
 		l.neighbours[n.Cell] = &neighbour{
 			cell:        n.Cell,
 			unreachable: n.Unreachable,
-			forget:      map[string]loan.Epoch{},
+			toForget:    map[string]loan.Epoch{},
 		}
 	}
 }
@@ -153,51 +153,51 @@
 
 // enqueueChange queues a change. It returns false if there is one of that job already, whose
 // outcome decides about the next.
-func (l *loans) enqueueChange(c *loanChange) bool {
-	name := loanName(c.home, c.job)
+func (l *loans) enqueueChange(change *loanChange) bool {
+	name := loanName(change.home, change.job)
 	if l.changing[name] {
 		return false
 	}
 	l.changing[name] = true
-	l.queue = append(l.queue, c)
+	l.changeQueue = append(l.changeQueue, change)
 	return true
 }
 
 // writeNext starts the next change if the write rate allows.
 func (l *loans) writeNext(now time.Time) {
-	for !l.busy && len(l.queue) > 0 {
-		c := l.queue[0]
-		txn, needed := c.build()
+	for !l.writeInFlight && len(l.changeQueue) > 0 {
+		change := l.changeQueue[0]
+		txn, needed := change.build()
 		if !needed {
-			l.queue = l.queue[1:]
-			delete(l.changing, loanName(c.home, c.job))
+			l.changeQueue = l.changeQueue[1:]
+			delete(l.changing, loanName(change.home, change.job))
 			continue
 		}
 		if !l.limiter.AllowN(now, len(txn.Ops)) {
 			return
 		}
-		l.queue = l.queue[1:]
-		l.busy = true
+		l.changeQueue = l.changeQueue[1:]
+		l.writeInFlight = true
 		txn.Records = true
-		go l.writeUntilKnown(c, txn)
+		go l.writeUntilKnown(change, txn)
 	}
 }
 
 // writeUntilKnown sends a transaction until its outcome is known. One that may yet be
 // applied is never abandoned: the next decision would rest on its not being applied.
-func (l *loans) writeUntilKnown(c *loanChange, txn kv.Txn) {
+func (l *loans) writeUntilKnown(change *loanChange, txn kv.Txn) {
 	lt := l.leaderTerm
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, loanWriteTimeout)
 		res, err := lt.c.Store.Txn(ctx, txn)
 		cancel()
 		if err == nil {
-			lt.sendToOwner(loanWrittenMsg{leaderTerm: lt, change: c, result: res})
+			lt.sendToOwner(loanWrittenMsg{leaderTerm: lt, change: change, result: res})
 			return
 		}
-		lt.c.Log.Debug("loan not written", "job", c.job, "home", c.home, "err", err)
+		lt.c.Log.Debug("loan not written", "job", change.job, "home", change.home, "err", err)
 		if errors.Is(err, kv.ErrInvalid) {
-			lt.sendToOwner(loanWrittenMsg{leaderTerm: lt, change: c})
+			lt.sendToOwner(loanWrittenMsg{leaderTerm: lt, change: change})
 			return
 		}
 		sleep(lt.ctx, loanRetryInterval)
@@ -234,15 +234,15 @@
 }
 
 // endChange removes a change, so that the next can be written.
-func (l *loans) endChange(c *loanChange) {
-	l.busy = false
-	delete(l.changing, loanName(c.home, c.job))
+func (l *loans) endChange(change *loanChange) {
+	l.writeInFlight = false
+	delete(l.changing, loanName(change.home, change.job))
 }
 
 // readRecords reads all records that a change is about.
-func (l *loans) readRecords(c *loanChange) {
+func (l *loans) readRecords(change *loanChange) {
 	lt := l.leaderTerm
-	keys := []string{records.ActivePrefix + c.job, loan.EndKey(c.home, c.job), loan.MinEpochKey(c.home)}
+	keys := []string{records.ActivePrefix + change.job, loan.EndKey(change.home, change.job), loan.MinEpochKey(change.home)}
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, loanReadTimeout)
 		entries, err := getAll(ctx, lt.c.Store, keys)
@@ -250,13 +250,13 @@
 		var terminal api.JobState
 		var hasEnded bool
 		if err == nil {
-			terminal, hasEnded, err = recordStore.TerminalState(ctx, c.job)
+			terminal, hasEnded, err = recordStore.TerminalState(ctx, change.job)
 		}
 		cancel()
 		if err == nil {
 			lt.sendToOwner(loanReadMsg{
 				leaderTerm: lt,
-				change:     c,
+				change:     change,
 				active:     entries[0],
 				end:        entries[1],
 				minEpoch:   entries[2],
@@ -270,10 +270,10 @@
 }
 
 // getAll reads keys one after the other.
-func getAll(ctx context.Context, st kv.Service, keys []string) ([]kv.Entry, error) {
+func getAll(ctx context.Context, store kv.Service, keys []string) ([]kv.Entry, error) {
 	entries := make([]kv.Entry, 0, len(keys))
 	for _, key := range keys {
-		e, err := st.Get(ctx, key)
+		e, err := store.Get(ctx, key)
 		if err != nil {
 			return nil, err
 		}
@@ -304,8 +304,8 @@
 	} else {
 		l.addRecord(m.end)
 	}
-	if m.hasEnded && len(l.reclaiming) < maxLoanNames {
-		l.reclaiming[m.change.job] = true
+	if m.hasEnded && len(l.endedIDs) < maxLoanNames {
+		l.endedIDs[m.change.job] = true
 	}
 	j := lt.jobs[m.change.job]
 	if j != nil {
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -15,7 +15,7 @@
 	cell string
 	// unreachable is set if the operators have declared the cell lost.
 	unreachable  bool
-	busy         bool
+	exchanging   bool
 	nextExchange time.Time
 	// lastResponse is when it last responded, and delay how long that took.
 	lastResponse time.Time
@@ -25,8 +25,8 @@
 	// exchanges have failed.
 	lastError    string
 	failingSince time.Time
-	// forget are the loans in its response whose end is on record in this cell.
-	forget map[string]loan.Epoch
+	// toForget are the loans in its response whose end is on record in this cell.
+	toForget map[string]loan.Epoch
 }
 
 const (
@@ -151,10 +151,10 @@
 			l.reclaimFromUnreachable(n)
 			continue
 		}
-		if n.busy || now.Before(n.nextExchange) || lt.c.Link == nil {
+		if n.exchanging || now.Before(n.nextExchange) || lt.c.Link == nil {
 			continue
 		}
-		n.busy, n.nextExchange = true, now.Add(exchangeInterval)
+		n.exchanging, n.nextExchange = true, now.Add(exchangeInterval)
 		req := l.buildRequest(n)
 		go func() {
 			ctx, cancel := context.WithTimeout(lt.ctx, exchangeTimeout)
@@ -201,7 +201,7 @@
 		}
 		req.Entries = append(req.Entries, e)
 	}
-	for job, epoch := range n.forget {
+	for job, epoch := range n.toForget {
 		req.Entries = append(req.Entries, loan.Entry{Job: job, Epoch: epoch, Desired: loan.DesiredForget})
 	}
 	return req
@@ -221,7 +221,7 @@
 		return
 	}
 	l, n, now := &m.leaderTerm.loans, m.neighbour, time.Now()
-	n.busy = false
+	n.exchanging = false
 	if m.err == nil && m.response.Refused != "" {
 		m.err = &RefusedError{Cell: n.cell, Reason: m.response.Refused}
 	}
@@ -237,7 +237,7 @@
 		c.Log.Info("loan exchange recovered", "cell", n.cell, "after", now.Sub(n.failingSince).Round(time.Second))
 	}
 	n.lastError, n.lastResponse, n.delay, n.advert = "", now, now.Sub(m.sent), m.response.Advert
-	clear(n.forget)
+	clear(n.toForget)
 	for _, s := range m.response.States {
 		l.applyState(n, s)
 	}
@@ -258,7 +258,7 @@
 	}
 	if j == nil || j.lent == nil || j.lent.Host != n.cell || j.lent.Epoch != s.Epoch {
 		if s.Phase != loan.PhaseClosed && s.Phase != loan.PhaseUnknown && loan.ConfirmedBy(lt.term.Number, s.Epoch) {
-			n.forget[s.Job] = s.Epoch
+			n.toForget[s.Job] = s.Epoch
 			n.nextExchange = time.Time{}
 		}
 		return
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -50,17 +50,17 @@
 		return &loan.Response{Refused: reason}
 	}
 	response := &loan.Response{Host: lt.c.Cells.Cell, Term: lt.term.Number, Advert: l.advertise(now)}
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	raiseTo := loan.Epoch(0)
 	for _, e := range req.Entries {
-		named[e.Job] = true
+		listed[e.Job] = true
 		view := l.hostView(req.Home, e, &response.Advert)
 		phase, step := loan.HostStep(e, view)
 		state := loan.State{Job: e.Job, Epoch: e.Epoch, Phase: phase, Reason: view.RefusalReason}
 		if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Epoch == e.Epoch {
 			l.fillProgress(j, &state)
 		} else {
-			state.Pending = l.mayBeOnMachines(e.Job)
+			state.Pending = l.mayBeOnMachine(e.Job)
 		}
 		if step == loan.StepRaiseMinEpoch {
 			raiseTo = max(raiseTo, e.Epoch)
@@ -73,7 +73,7 @@
 	if raiseTo > l.minEpochs[req.Home].epoch {
 		l.raiseMinEpoch(req.Home, raiseTo)
 	}
-	response.States = append(response.States, l.unlistedGuests(req.Home, named)...)
+	response.States = append(response.States, l.unlistedGuests(req.Home, listed)...)
 	return response
 }
 
@@ -117,20 +117,20 @@
 // hostView is the state of a home cell's job according to this cell's records.
 func (l *loans) hostView(home string, e loan.Entry, advert *loan.Advert) loan.HostView {
 	lt := l.leaderTerm
-	h := loan.HostView{MinEpoch: l.minEpochs[home].epoch}
+	view := loan.HostView{MinEpoch: l.minEpochs[home].epoch}
 	if end, ok := l.ends.Get([]byte(loanName(home, e.Job))); ok {
-		h.End = &end.End
+		view.End = &end.End
 	}
 	if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Home == home {
-		h.GuestEpoch = j.guest.Epoch
+		view.GuestEpoch = j.guest.Epoch
 		// An unfenced machine may run tasks of it.
-		h.Started = j.started() || lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision
-		return h
+		view.Started = j.started() || lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision
+		return view
 	}
-	if e.Desired == loan.DesiredRun && e.Offer != nil && h.End == nil {
-		h.RefusalReason = l.offerRefusal(home, e.Offer, advert)
+	if e.Desired == loan.DesiredRun && e.Offer != nil && view.End == nil {
+		view.RefusalReason = l.offerRefusal(home, e.Offer, advert)
 	}
-	return h
+	return view
 }
 
 // offerRefusal is the reason for which an offer is not accepted, or "". It deducts what an
@@ -150,7 +150,7 @@
 	switch {
 	case !l.enabled():
 		return "a controller here does not know of loans"
-	case lt.jobs[s.ID] != nil || l.reclaiming[s.ID]:
+	case lt.jobs[s.ID] != nil || l.endedIDs[s.ID]:
 		return "a job of that name is here"
 	case guests+len(l.changing) >= lt.c.Cells.MaxLoans:
 		return "too many loans"
@@ -174,9 +174,9 @@
 	s.Done, s.Running, s.Pending = job.Done, job.Running, len(j.activeAttempts) > 0
 }
 
-// mayBeOnMachines reports whether tasks of a job may be on machines, also of a job that this
+// mayBeOnMachine reports whether tasks of a job may be on machines, also of a job that this
 // cell no longer knows.
-func (l *loans) mayBeOnMachines(id string) bool {
+func (l *loans) mayBeOnMachine(id string) bool {
 	lt := l.leaderTerm
 	if lt.unfenced > 0 {
 		return true
@@ -194,9 +194,9 @@
 
 // unlistedGuests are the states of a home cell's loans that its request does not name. The
 // next request then contains their desired state.
-func (l *loans) unlistedGuests(home string, named map[string]bool) (states []loan.State) {
+func (l *loans) unlistedGuests(home string, listed map[string]bool) (states []loan.State) {
 	for id, j := range l.leaderTerm.jobs {
-		if j.guest == nil || j.guest.Home != home || named[id] {
+		if j.guest == nil || j.guest.Home != home || listed[id] {
 			continue
 		}
 		s := loan.State{Job: id, Epoch: j.guest.Epoch, Phase: loan.PhaseAccepted}
@@ -207,13 +207,13 @@
 		states = append(states, s)
 	}
 	l.ends.Root().WalkPrefix([]byte(home+"/"), func(_ []byte, end loanEnd) bool {
-		if !named[end.job] {
+		if !listed[end.job] {
 			s := loan.State{
 				Job:     end.job,
 				Epoch:   end.Epoch,
 				Phase:   loan.PhaseCancelled,
 				Ended:   end.Ended,
-				Pending: l.mayBeOnMachines(end.job),
+				Pending: l.mayBeOnMachine(end.job),
 			}
 			if end.Phase == api.JobDone {
 				s.Phase = loan.PhaseDone
@@ -386,8 +386,8 @@
 	lt := l.leaderTerm
 	lt.forget(j)
 	if end.ModRevision != 0 {
-		var e loan.End
-		if err := json.Unmarshal(end.Value, &e); err == nil && e.Phase == api.JobCancelled {
+		var recorded loan.End
+		if err := json.Unmarshal(end.Value, &recorded); err == nil && recorded.Phase == api.JobCancelled {
 			lt.c.recordCancellation(loan.GuestMarker + j.spec.ID)
 		}
 	}
--- a/internal/controller/outcome.go
+++ b/internal/controller/outcome.go
@@ -45,10 +45,10 @@
 	recordStore := records.Records{Store: lt.c.Store}
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, outcomeReadTimeout)
-		st, found, err := recordStore.Lookup(ctx, id)
+		state, found, err := recordStore.Lookup(ctx, id)
 		cancel()
 		if err == nil {
-			lt.sendToOwner(outcomeResolvedMsg{leaderTerm: lt, id: id, state: st, found: found})
+			lt.sendToOwner(outcomeResolvedMsg{leaderTerm: lt, id: id, state: state, found: found})
 			return
 		}
 		sleep(lt.ctx, outcomeRetryInterval)
--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -18,8 +18,8 @@
 
 // relayDownlink is the leader's side of the relay.
 type relayDownlink struct {
-	nodes map[string]*relayNode
-	next  time.Time
+	nodes    map[string]*relayNode
+	nextTick time.Time
 }
 
 // relayNode is one node that relays heartbeats.
@@ -30,7 +30,7 @@
 	lastBatch, batch, acknowledged uint64
 	// lastParts are the record of the last batch of commands.
 	lastParts []relay.Part
-	busy      bool
+	storeBusy bool
 	// pending are the machines whose commands have no outcome yet.
 	pending map[string]*relayedCommands
 	// sizeHalvings is how often a batch was rejected as too large, and outcomeUnknown is
@@ -50,10 +50,10 @@
 
 // tick reads what unreachable nodes, and those with commands pending, have written.
 func (dl *relayDownlink) tick(lt *leaderTerm, now time.Time) {
-	if now.Before(dl.next) {
+	if now.Before(dl.nextTick) {
 		return
 	}
-	dl.next = now.Add(relayInterval / 2)
+	dl.nextTick = now.Add(relayInterval / 2)
 	for name, mb := range lt.c.membership.members {
 		node := dl.nodes[name]
 		if node == nil {
@@ -61,10 +61,10 @@
 			dl.nodes[name] = node
 		}
 		node.expirePending(lt, now)
-		if node.busy || !mb.isUnreachable() && len(node.pending) == 0 {
+		if node.storeBusy || !mb.isUnreachable() && len(node.pending) == 0 {
 			continue
 		}
-		node.busy = true
+		node.storeBusy = true
 		go func() {
 			ctx, cancel := context.WithTimeout(lt.ctx, relayTimeout)
 			defer cancel()
@@ -111,8 +111,8 @@
 }
 
 // readUplink reads the batch that a node has written; nil: there is none.
-func readUplink(ctx context.Context, st kv.Service, prefix string) (*peer.RelayUp, error) {
-	page, err := st.Range(ctx, prefix, "", 2*maxRelayParts)
+func readUplink(ctx context.Context, store kv.Service, prefix string) (*peer.RelayUp, error) {
+	page, err := store.Range(ctx, prefix, "", 2*maxRelayParts)
 	if err != nil || len(page.Entries) == 0 {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 		return
 	}
 	node := lt.downlink.nodes[m.node]
-	node.busy = false
+	node.storeBusy = false
 	up := m.batch
 	if up == nil || up.Term != lt.term.Number || !c.holdsLease() || !lt.loaded {
 		return
@@ -296,7 +296,7 @@
 		Compares: []kv.Compare{lt.termCompare()},
 		Ops:      []kv.Op{{Put: records.RelayPrefix + name + "/down", Value: node.lastParts[0]}},
 	}
-	node.busy = true
+	node.storeBusy = true
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, relayTimeout)
 		defer cancel()
@@ -320,7 +320,7 @@
 		return
 	}
 	node := m.leaderTerm.downlink.nodes[m.node]
-	node.busy = false
+	node.storeBusy = false
 	if !errors.Is(m.err, kv.ErrInvalid) {
 		node.outcomeUnknown = true
 		return
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -70,8 +70,8 @@
 	// that was applied here.
 	batch        uint64
 	acknowledged uint64
-	busy         bool
-	next         time.Time
+	storeBusy    bool
+	nextTick     time.Time
 	machines     map[string]*relayedMachine
 	// maxMachines bounds the machines whose state is kept.
 	maxMachines int
@@ -168,10 +168,10 @@
 
 // tick reads the leader's record, if anything is relayed.
 func (ul *relayUplink) tick(c *Controller, now time.Time) {
-	if ul.busy || now.Before(ul.next) || len(ul.machines) == 0 {
+	if ul.storeBusy || now.Before(ul.nextTick) || len(ul.machines) == 0 {
 		return
 	}
-	ul.next, ul.busy = now.Add(relayInterval), true
+	ul.nextTick, ul.storeBusy = now.Add(relayInterval), true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 		defer cancel()
@@ -231,8 +231,8 @@
 	}
 	// Where the write rate is low, relaying must leave part of it to submissions.
 	recordRate := lim.WriteRPS * kv.RecordShare
-	if next := now.Add(config.Duration(float64(len(txn.Ops)) / recordRate)); next.After(ul.next) {
-		ul.next = next
+	if next := now.Add(config.Duration(float64(len(txn.Ops)) / recordRate)); next.After(ul.nextTick) {
+		ul.nextTick = next
 	}
 	ul.send(c, txn)
 }
@@ -303,7 +303,7 @@
 
 // send executes a batch's transaction and posts its result.
 func (ul *relayUplink) send(c *Controller, txn kv.Txn) {
-	ul.busy = true
+	ul.storeBusy = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 		defer cancel()
@@ -324,7 +324,7 @@
 // apply halves the size of the next batches after a rejection. The heartbeats of the
 // rejected one are relayed again when they repeat or change.
 func (m uplinkWrittenMsg) apply(c *Controller) {
-	c.uplink.busy = false
+	c.uplink.storeBusy = false
 	c.uplink.cleared = c.uplink.cleared || m.written
 	if m.tooLarge {
 		c.Log.Error("relayed heartbeats rejected as too large")
@@ -353,8 +353,8 @@
 }
 
 // readDownlink reads the leader's record for this node; nil: there is none.
-func readDownlink(ctx context.Context, st kv.Service, prefix string) (*peer.RelayDown, error) {
-	e, err := st.Get(ctx, prefix+"/down")
+func readDownlink(ctx context.Context, store kv.Service, prefix string) (*peer.RelayDown, error) {
+	e, err := store.Get(ctx, prefix+"/down")
 	if err != nil || e.ModRevision == 0 {
 		return nil, err
 	}
@@ -371,7 +371,7 @@
 
 func (m downlinkReadMsg) apply(c *Controller) {
 	ul := &c.uplink
-	ul.busy = false
+	ul.storeBusy = false
 	now := time.Now()
 	if d := m.batch; d != nil && d.Incarnation == ul.incarnation {
 		ul.applyDownlink(c, d, now)
