--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -242,7 +242,11 @@
 // readRecords reads all records that a change is about.
 func (l *loans) readRecords(change *loanChange) {
 	lt := l.leaderTerm
-	keys := []string{records.ActivePrefix + change.job, loan.EndKey(change.home, change.job), loan.MinEpochKey(change.home)}
+	keys := []string{
+		records.ActivePrefix + change.job,
+		loan.EndKey(change.home, change.job),
+		loan.MinEpochKey(change.home),
+	}
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, loanReadTimeout)
 		entries, err := getAll(ctx, lt.c.Store, keys)
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -272,8 +272,8 @@
 		if len(up.Reports) > 0 {
 			if len(up.Reports) == 1 {
 				// One that fits no batch must not hold back the others.
-				ul.machines[up.Reports[0].Machine].sentAt = now
 				hb := up.Reports[0]
+				ul.machines[hb.Machine].sentAt = now
 				c.Log.Warn("heartbeat too large to relay", "machine", hb.Machine, "count", len(hb.Tasks))
 			}
 			up.Reports = up.Reports[:len(up.Reports)/2]
