--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -15,27 +15,32 @@
 func (l *loans) guestTeam(home string) *queue.Team[*job] {
 	t := l.guestTeams[home]
 	if t == nil {
-		// What it may use is bounded by the grants; the guarantees of the cell's own
-		// teams go before it.
-		t = &queue.Team[*job]{Name: "guests of " + home, LimitCPUs: math.MaxFloat64, LimitGPUs: math.MaxFloat64}
+		// Its use is bounded by the loans' budgets; the guarantees of the cell's own
+		// teams have priority over it.
+		t = &queue.Team[*job]{
+			Name:      "guests of " + home,
+			LimitCPUs: math.MaxFloat64,
+			LimitGPUs: math.MaxFloat64,
+		}
 		l.guestTeams[home] = t
 		l.guestFairShareOrder = append(l.guestFairShareOrder, t)
 	}
 	return t
 }
 
-// withinBudget tells whether a guest may start one more task. All that may be on a machine
-// counts.
+// withinBudget reports whether a guest may start one more task. All attempts that may be on a
+// machine count.
 func (j *job) withinBudget() bool {
 	running := 0
 	for _, n := range j.zones {
 		running += n
 	}
-	s, grant := &j.spec, &j.guest.Budget
-	return float64(running+1)*s.CPUs <= grant.CPUs+epsilon && (s.GPUs == 0 || float64(running+1)*s.GPUs <= grant.GPUs+epsilon)
+	s, budget := &j.spec, &j.guest.Budget
+	tasks := float64(running + 1)
+	return tasks*s.CPUs <= budget.CPUs+epsilon && (s.GPUs == 0 || tasks*s.GPUs <= budget.GPUs+epsilon)
 }
 
-// pickGuest chooses the guest that a machine serves next, when no own job can use it.
+// pickGuest returns the guest that a machine serves next, when no job of the cell can use it.
 func (l *loans) pickGuest(m *machine, now time.Time) *job {
 	if len(l.guestFairShareOrder) == 0 {
 		return nil
@@ -51,13 +56,13 @@
 	return nil
 }
 
-// advertise is what this cell has to spare: the free room on its machines, less what waits
-// of its own jobs and of guests.
+// advertise returns the cell's spare capacity: what is free on its machines, less the demand
+// of queued tasks, of its own jobs and of guests.
 func (l *loans) advertise(now time.Time) loan.Advert {
 	lt := l.leaderTerm
-	a := loan.Advert{CancelS: lt.c.Settings.Site.Workers.CancelS}
-	room := l.findOpenCapacity(now)
-	a.CPUs, a.GPUs = room.freeCPUs, room.freeGPUs
+	advert := loan.Advert{CancelS: lt.c.Settings.Site.Workers.CancelS}
+	capacity := l.findOpenCapacity(now)
+	advert.CPUs, advert.GPUs = capacity.freeCPUs, capacity.freeGPUs
 	guests := 0.0
 	for _, j := range lt.jobs {
 		if j.lent != nil || j.cancelPending || len(j.dependsOn) > 0 {
@@ -68,23 +73,24 @@
 			cpus = min(cpus, j.guest.Budget.CPUs)
 			guests += float64(len(j.activeAttempts))*j.spec.CPUs + cpus
 		}
-		a.CPUs -= cpus
-		a.GPUs -= float64(j.flight.Untaken()) * j.spec.GPUs
+		advert.CPUs -= cpus
+		advert.GPUs -= float64(j.flight.Untaken()) * j.spec.GPUs
 	}
-	a.CPUs = max(0, min(a.CPUs, lt.c.Policy.Spill.GuestShare*room.cpus-guests))
-	a.GPUs = max(0, a.GPUs)
+	advert.CPUs = max(0, min(advert.CPUs, lt.c.Policy.Spill.GuestShare*capacity.cpus-guests))
+	advert.GPUs = max(0, advert.GPUs)
 	for _, t := range lt.c.types.load() {
-		a.Types = append(a.Types, t)
+		advert.Types = append(advert.Types, t)
 	}
-	slices.SortFunc(a.Types, func(x, y api.MachineType) int { return strings.Compare(x.Name, y.Name) })
-	a.Accepting = a.CPUs > 0 && lt.unfenced == 0 && l.enabled()
-	return a
+	slices.SortFunc(advert.Types, func(x, y api.MachineType) int { return strings.Compare(x.Name, y.Name) })
+	advert.Accepting = advert.CPUs > 0 && lt.unfenced == 0 && l.enabled()
+	return advert
 }
 
-// returnGuestAfter is how long a guest may wait here for its first start.
+// returnGuestAfter is how long a guest may wait for its first start in this cell.
 const returnGuestAfter = 20 * time.Second
 
-// scanHost looks once a second after the guests.
+// scanHost records the completion of guests, returns those that have waited too long and
+// preempts guests for the cell's own work.
 func (l *loans) scanHost(now time.Time) {
 	lt := l.leaderTerm
 	for _, t := range l.guestFairShareOrder {
@@ -92,7 +98,7 @@
 			switch {
 			case j.handover || lt.unfenced > 0:
 			case j.doneCount == j.spec.Tasks:
-				l.guestDone(j) // it was not recorded yet
+				l.guestDone(j) // its end is not on record yet
 			case now.Sub(j.waitingSince) > returnGuestAfter && !j.started():
 				l.returnGuest(j)
 			}
@@ -101,23 +107,25 @@
 	l.preemptGuests(now)
 }
 
-// shortageDuration is how long a guarantee must lack room before guests are stopped for it.
+// shortageDuration is how long a guarantee must lack capacity before guests are preempted
+// for it.
 const shortageDuration = time.Second
 
-// preemptGuests stops guests whose room a team's guarantee needs, those that began last first.
+// preemptGuests stops guests' tasks whose capacity a team's guarantee needs, those that started
+// last first.
 func (l *loans) preemptGuests(now time.Time) {
 	if len(l.guestFairShareOrder) == 0 {
 		return
 	}
-	lack := l.lackOfGuarantees(now)
-	if lack <= 0 {
-		l.shortSince = time.Time{}
+	shortage := l.guaranteeShortage(now)
+	if shortage <= 0 {
+		l.shortageSince = time.Time{}
 		return
 	}
-	if l.shortSince.IsZero() {
-		l.shortSince = now
+	if l.shortageSince.IsZero() {
+		l.shortageSince = now
 	}
-	if now.Sub(l.shortSince) < shortageDuration {
+	if now.Sub(l.shortageSince) < shortageDuration {
 		return
 	}
 	var running []*attempt
@@ -125,7 +133,7 @@
 		for _, j := range t.Items() {
 			for _, a := range j.activeAttempts {
 				if a.stop != nil {
-					lack -= j.spec.CPUs // its room is about to be free
+					shortage -= j.spec.CPUs // its capacity is about to be free
 				} else {
 					running = append(running, a)
 				}
@@ -134,19 +142,20 @@
 	}
 	slices.SortFunc(running, func(a, b *attempt) int { return b.sentAt.Compare(a.sentAt) })
 	for _, a := range running {
-		if lack <= 0 {
+		if shortage <= 0 {
 			return
 		}
-		lack -= a.job.spec.CPUs
+		shortage -= a.job.spec.CPUs
 		l.counts.Stopped++
 		l.leaderTerm.stop(a, 2*a.job.spec.Save(), now)
 	}
 }
 
-// lackOfGuarantees is how many CPUs waiting work within the teams' guarantees lacks.
-func (l *loans) lackOfGuarantees(now time.Time) float64 {
+// guaranteeShortage is how many CPUs queued tasks within the teams' guarantees lack; negative:
+// how many are free beyond them.
+func (l *loans) guaranteeShortage(now time.Time) float64 {
 	lt := l.leaderTerm
-	lack := -l.findOpenCapacity(now).freeCPUs
+	shortage := -l.findOpenCapacity(now).freeCPUs
 	for _, t := range lt.fairShareOrder {
 		left := t.CPUs - t.UsedCPUs
 		for _, j := range t.Items() {
@@ -158,19 +167,19 @@
 			}
 			cpus := min(left, float64(j.flight.Untaken())*j.spec.CPUs)
 			left -= cpus
-			lack += cpus
+			shortage += cpus
 		}
 	}
-	return lack
+	return shortage
 }
 
-// openCapacity is what the open machines have, and have free.
+// openCapacity is the total and free capacity of the schedulable machines.
 type openCapacity struct {
 	at                       time.Time
 	cpus, freeCPUs, freeGPUs float64
 }
 
-// findOpenCapacity sums up the open machines, once a tick.
+// findOpenCapacity sums up the schedulable machines, once a tick.
 func (l *loans) findOpenCapacity(now time.Time) openCapacity {
 	if now.Sub(l.openCapacity.at) < tickInterval {
 		return l.openCapacity
