--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -170,8 +170,8 @@
 // fewer.
 const maxRenewalRecords = 1000
 
-// opOverheadBytes is reserved for each put of a transaction, beside its value.
-const opOverheadBytes = 200
+// renewalOpOverheadBytes is reserved for each put of a transaction, beside its value.
+const renewalOpOverheadBytes = 200
 
 // publishRenewals writes which machines' leases are renewed here. A list that does not fit in one
 // record continues under further keys: leaders read each record under the prefix by itself,
@@ -188,7 +188,7 @@
 			c.Log.Warn("lease renewals left out", "machines", len(hosts), "records", len(recs), "max", maxRecords)
 			recs = recs[:maxRecords]
 		}
-		maxOps := max(1, min(lim.TxnOps, kv.MaxTxnBytes*3/4/(maxBytes+opOverheadBytes)))
+		maxOps := max(1, min(lim.TxnOps, kv.MaxTxnBytes*3/4/(maxBytes+renewalOpOverheadBytes)))
 		err := c.writeRenewals(ctx, recs, modRevision, maxOps)
 		if err == nil {
 			return
