--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -18,9 +18,9 @@
 	known   map[string]bool
 	// lastNumber is the number of the newest entry, from 1 on.
 	lastNumber uint64
-	// startedAt is from when on the log is whole.
-	startedAt time.Time
-	retention time.Duration
+	// completeSince is from when on the log is whole.
+	completeSince time.Time
+	retention     time.Duration
 	// maxEntries bounds the log.
 	maxEntries int
 }
@@ -45,19 +45,19 @@
 // NewLog makes the log of a process that begins now. Entries are retained until no
 // worker can have a task of theirs any more.
 func NewLog(w config.Workers, lim config.Limits, now time.Time) *Log {
-	return &Log{known: map[string]bool{}, startedAt: now, retention: config.Duration(w.CancelS) + 2*w.Lease(),
+	return &Log{known: map[string]bool{}, completeSince: now, retention: config.Duration(w.CancelS) + 2*w.Lease(),
 		maxEntries: lim.Entries(memoryShare, entryBytes)}
 }
 
 // Add notes a cancellation. One that is known already changes nothing.
 func (l *Log) Add(id string, now time.Time) {
-	drop := 0
-	for drop < len(l.entries) && (now.Sub(l.entries[drop].at) > l.retention || len(l.entries)-drop >= l.maxEntries) {
-		l.startedAt = l.entries[drop].at
-		delete(l.known, l.entries[drop].id)
-		drop++
+	expired := 0
+	for expired < len(l.entries) && (now.Sub(l.entries[expired].at) > l.retention || len(l.entries)-expired >= l.maxEntries) {
+		l.completeSince = l.entries[expired].at
+		delete(l.known, l.entries[expired].id)
+		expired++
 	}
-	l.entries = l.entries[drop:]
+	l.entries = l.entries[expired:]
 	if l.known[id] {
 		return
 	}
@@ -88,21 +88,21 @@
 
 // LastNumber is the number of the last entry that the news hold, or of the one before
 // them if they hold none.
-func (n *Delta) LastNumber() uint64 { return n.First + uint64(len(n.IDs)) - 1 }
+func (d *Delta) LastNumber() uint64 { return d.First + uint64(len(d.IDs)) - 1 }
 
 // Since is what an asker lacks that has read the log up to a number.
 func (l *Log) Since(number uint64, now time.Time) Delta {
 	oldest := l.lastNumber + 1 - uint64(len(l.entries))
 	from := min(max(number+1, oldest), l.lastNumber+1)
 	entries := l.entries[from-oldest:]
-	n := Delta{First: from, CompleteFor: now.Sub(l.startedAt)}
+	d := Delta{First: from, CompleteFor: now.Sub(l.completeSince)}
 	size := 0
 	for _, e := range entries {
 		if size += len(e.id) + idOverhead; size > maxDeltaBytes {
-			n.More = true
+			d.More = true
 			break
 		}
-		n.IDs = append(n.IDs, e.id)
+		d.IDs = append(d.IDs, e.id)
 	}
-	return n
+	return d
 }
--- a/internal/cancellation/log_test.go
+++ b/internal/cancellation/log_test.go
@@ -15,14 +15,14 @@
 	if p.position.Incarnation != incarnation {
 		from = 0
 	}
-	n := l.Since(from, now)
-	p.Apply(incarnation, &n, now, now)
-	return n.IDs
+	d := l.Since(from, now)
+	p.Apply(incarnation, &d, now, now)
+	return d.IDs
 }
 
 // A log is read in order and once; what it has dropped, or lost with its
 // process, counts as not known.
-func TestLog(t *testing.T) {
+func TestReaderFollowsLog(t *testing.T) {
 	w := config.Workers{LeaseS: 10, CancelS: 30}
 	start := time.Unix(1_000_000, 0)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
@@ -84,7 +84,7 @@
 
 // What 4,000 machines' jobs may lose at once is one answer's news, even for a process
 // with next to no memory: their cancellations are all known after one ping.
-func TestLogOfALargeFleet(t *testing.T) {
+func TestLargeFleetFitsOneDelta(t *testing.T) {
 	const cancelled = 4000
 	start := time.Unix(1_000_000, 0)
 	l := NewLog(config.Workers{LeaseS: 10, CancelS: 30}, config.Limits{RAMMB: 3}, start)
--- a/internal/cancellation/reader.go
+++ b/internal/cancellation/reader.go
@@ -12,15 +12,15 @@
 }
 
 // Apply takes in an answer to a question sent at a time.
-func (r *Reader) Apply(incarnation string, n *Delta, sent, now time.Time) {
+func (r *Reader) Apply(incarnation string, d *Delta, sent, now time.Time) {
 	if incarnation == "" {
 		return // one that keeps no log
 	}
-	if r.position.Incarnation != incarnation || n.First != r.position.Number+1 {
-		*r = Reader{completeSince: now.Add(-n.CompleteFor)}
+	if r.position.Incarnation != incarnation || d.First != r.position.Number+1 {
+		*r = Reader{completeSince: now.Add(-d.CompleteFor)}
 	}
-	r.position = Position{Incarnation: incarnation, Number: n.LastNumber()}
-	if !n.More {
+	r.position = Position{Incarnation: incarnation, Number: d.LastNumber()}
+	if !d.More {
 		r.knownUntil = sent
 	}
 }
--- a/internal/cells/cells.go
+++ b/internal/cells/cells.go
@@ -83,9 +83,9 @@
 			return fmt.Errorf("%s.cell: %s is named twice", field, n.Cell)
 		}
 		seen = append(seen, n.Cell)
-		for k, addr := range n.Addresses {
+		for j, addr := range n.Addresses {
 			if err := checkAddr(addr); err != nil {
-				return fmt.Errorf("%s.addresses[%d]: %w", field, k, err)
+				return fmt.Errorf("%s.addresses[%d]: %w", field, j, err)
 			}
 		}
 	}
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const good = `
+const validFile = `
 cell = "a"
 [listen]
 n0 = "127.0.0.1:1"
@@ -25,13 +25,13 @@
 	if s.Cell != "norrland" || s.MaxLoans != 100 || s.Listen["trellis-1"] != "10.0.0.2:8082" || s.Neighbour("gdynia") == nil || len(s.Neighbours[0].Addresses) != 3 || s.Neighbours[0].Unreachable {
 		t.Errorf("%+v", s)
 	}
-	if s, err = Parse([]byte(good), "n0"); err != nil || s.MaxLoans != defaultMaxLoans {
+	if s, err = Parse([]byte(validFile), "n0"); err != nil || s.MaxLoans != defaultMaxLoans {
 		t.Errorf("%+v %v", s, err)
 	}
 }
 
 // What is wrong with a file is said in one line that names the field.
-func TestBadFiles(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"no cell":           {`cell = "a"`, ``, "field (file): missing property 'cell'"},
 		"bad name":          {`cell = "a"`, `cell = "A b"`, "field cell: "},
@@ -49,9 +49,9 @@
 		"limit is a string": {`cell = "a"`, "cell = \"a\"\nmax_loans = \"3\"", "field max_loans: "},
 		"no TOML":           {`cell = "a"`, `cell = `, "line 2: "},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
+		text := strings.Replace(validFile, c.old, c.new, 1)
 		if name == "named twice" {
-			text = good + "[[neighbour]]\ncell = \"b\"\naddresses = [\"127.0.0.1:3\"]\n"
+			text = validFile + "[[neighbour]]\ncell = \"b\"\naddresses = [\"127.0.0.1:3\"]\n"
 			c.want = "field neighbour[1].cell: b is named twice"
 		}
 		_, err := Parse([]byte(text), "n0")
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -46,9 +46,9 @@
 	// LeaderChanged names the present leader as far as known; "" is nobody.
 	LeaderChanged(node string)
 	// ElectionWon begins a leadership valid until the given time.
-	ElectionWon(term Term, until time.Time)
+	ElectionWon(term Term, leaseExpiry time.Time)
 	// LeaseRenewed prolongs the leadership.
-	LeaseRenewed(term Term, until time.Time)
+	LeaseRenewed(term Term, leaseExpiry time.Time)
 	// LeaseLost ends the leadership for good.
 	LeaseLost(term Term)
 }
@@ -107,18 +107,18 @@
 		e.Observer.LeaderChanged("")
 		return e.campaign(ctx, cur.ModRevision, anyTerm)
 	}
-	var h LeaderRecord
-	if err := json.Unmarshal(cur.Value, &h); err != nil {
+	var record LeaderRecord
+	if err := json.Unmarshal(cur.Value, &record); err != nil {
 		return fmt.Errorf("leader key: %w", err)
 	}
-	if h.Node == e.Node {
+	if record.Node == e.Node {
 		// Whatever incarnation wrote it is over, or lost the answer to its
 		// transaction: a new term is taken at once, without waiting for the
 		// lease to end.
 		return e.campaign(ctx, cur.ModRevision, anyTerm)
 	}
-	e.Observer.LeaderChanged(h.Node)
-	resigned, err := e.follow(ctx, h.Node, cur.ModRevision)
+	e.Observer.LeaderChanged(record.Node)
+	resigned, err := e.follow(ctx, record.Node, cur.ModRevision)
 	if resigned != anyTerm {
 		// It acts for nobody any more in that term. Should it have begun a new one
 		// since, this does nothing: the notice may have come late.
@@ -132,7 +132,7 @@
 
 // follow waits until the leader key changes, or its holder has resigned. It returns the
 // term that the holder has resigned in, or anyTerm.
-func (e *Elector) follow(ctx context.Context, holder string, from uint64) (resigned uint64, err error) {
+func (e *Elector) follow(ctx context.Context, leader string, from uint64) (resigned uint64, err error) {
 	const block = 20 * time.Second
 	type seen struct {
 		ch  kv.Changes
@@ -153,7 +153,7 @@
 			select {
 			case s = <-done:
 			case r := <-e.Resignations:
-				if r.Node == holder && r.Term != anyTerm {
+				if r.Node == leader && r.Term != anyTerm {
 					return r.Term, nil
 				}
 				continue
@@ -169,34 +169,34 @@
 
 // campaign begins a new term if the leader key still has a version, and the term on record
 // is the one that is followed, or anyTerm.
-func (e *Elector) campaign(ctx context.Context, leaderMark, followed uint64) error {
+func (e *Elector) campaign(ctx context.Context, leaderRevision, followed uint64) error {
 	old, err := e.get(ctx, TermKey)
 	if err != nil {
 		return err
 	}
-	var tv TermRecord
+	var termRecord TermRecord
 	if old.ModRevision != 0 {
-		if err := json.Unmarshal(old.Value, &tv); err != nil {
+		if err := json.Unmarshal(old.Value, &termRecord); err != nil {
 			return fmt.Errorf("term key: %w", err)
 		}
 	}
-	if followed != anyTerm && tv.Number != followed {
+	if followed != anyTerm && termRecord.Number != followed {
 		return nil
 	}
-	tv.Number++
-	sent := time.Now()
-	cctx, cancel := context.WithTimeout(ctx, callTimeout)
-	lease, err := e.Store.GrantLease(cctx, e.Lease)
+	termRecord.Number++
+	sentAt := time.Now()
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+	lease, err := e.Store.GrantLease(callCtx, e.Lease)
 	cancel()
 	if err != nil {
 		return err
 	}
-	cctx, cancel = context.WithTimeout(ctx, callTimeout)
-	res, err := e.Store.Txn(cctx, kv.Txn{
-		Compares: []kv.Compare{{Key: LeaderKey, ModRevision: leaderMark}, {Key: TermKey, ModRevision: old.ModRevision}},
+	callCtx, cancel = context.WithTimeout(ctx, callTimeout)
+	res, err := e.Store.Txn(callCtx, kv.Txn{
+		Compares: []kv.Compare{{Key: LeaderKey, ModRevision: leaderRevision}, {Key: TermKey, ModRevision: old.ModRevision}},
 		Ops: []kv.Op{
 			{Put: LeaderKey, Value: LeaderRecord{Node: e.Node, Incarnation: e.Incarnation}, Lease: lease},
-			{Put: TermKey, Value: tv},
+			{Put: TermKey, Value: termRecord},
 		},
 	})
 	cancel()
@@ -206,15 +206,15 @@
 	if !res.Succeeded {
 		return nil
 	}
-	e.lead(ctx, Term{Number: tv.Number, ModRevision: res.Revision}, lease, sent.Add(leaseValidity(e.Lease)))
+	e.lead(ctx, Term{Number: termRecord.Number, ModRevision: res.Revision}, lease, sentAt.Add(leaseValidity(e.Lease)))
 	return nil
 }
 
 // lead renews the lease until the term is over.
-func (e *Elector) lead(ctx context.Context, term Term, lease uint64, until time.Time) {
+func (e *Elector) lead(ctx context.Context, term Term, lease uint64, leaseExpiry time.Time) {
 	e.Log.Info("leadership won", "term", term.Number)
 	e.Observer.LeaderChanged(e.Node)
-	e.Observer.ElectionWon(term, until)
+	e.Observer.ElectionWon(term, leaseExpiry)
 	defer e.Observer.LeaseLost(term)
 	for {
 		select {
@@ -228,13 +228,13 @@
 			continue
 		case <-time.After(e.Renew):
 		}
-		sent := time.Now()
-		cctx, cancel := context.WithTimeout(ctx, callTimeout)
-		err := e.Store.RenewLease(cctx, lease)
+		sentAt := time.Now()
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		err := e.Store.RenewLease(callCtx, lease)
 		cancel()
 		switch {
 		case err == nil:
-			e.Observer.LeaseRenewed(term, sent.Add(leaseValidity(e.Lease)))
+			e.Observer.LeaseRenewed(term, sentAt.Add(leaseValidity(e.Lease)))
 		case errors.Is(err, kv.ErrNoLease):
 			e.Log.Info("leadership lost", "term", term.Number, "why", "lease ended")
 			return
@@ -245,9 +245,9 @@
 }
 
 func (e *Elector) get(ctx context.Context, key string) (kv.Entry, error) {
-	cctx, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return e.Store.Get(cctx, key)
+	return e.Store.Get(callCtx, key)
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -21,11 +21,11 @@
 
 // A notice that a leader has resigned counts for the term that it names: one that comes
 // when the same node leads in a later term changes nothing.
-func TestResignationOfAnEarlierTerm(t *testing.T) {
+func TestResignationOfEarlierTermIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := kvtest.New()
 		var a, b observer
-		begin := func(node string, o *observer) (chan<- Resignation, context.CancelFunc) {
+		startElector := func(node string, o *observer) (chan<- Resignation, context.CancelFunc) {
 			ctx, cancel := context.WithCancel(context.Background())
 			resigned := make(chan Resignation, 1)
 			e := &Elector{Node: node, Incarnation: node, Store: st, Lease: 30 * time.Second, Renew: 3 * time.Second,
@@ -34,11 +34,11 @@
 			time.Sleep(time.Second)
 			return resigned, cancel
 		}
-		_, endA := begin("a", &a)
-		resigned, endB := begin("b", &b)
-		endA()
+		_, stopA := startElector("a", &a)
+		resigned, stopB := startElector("b", &b)
+		stopA()
 		time.Sleep(time.Second)
-		_, endA = begin("a", &a) // its next term
+		_, stopA = startElector("a", &a) // its next term
 		if a.term.Load() != 2 || b.term.Load() != 0 {
 			t.Fatalf("terms %d and %d", a.term.Load(), b.term.Load())
 		}
@@ -52,8 +52,8 @@
 		if b.term.Load() != 3 {
 			t.Errorf("term %d after a resignation", b.term.Load())
 		}
-		endA()
-		endB()
+		stopA()
+		stopB()
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -29,22 +29,22 @@
 // lately. At most most machines are asked for at once. How many an offer can
 // give is not known, so what remains waits for its answer, and dearer offers
 // are asked at the same time only while much remains: at most asks in all.
-func Plan(lack float64, offers []Offer, most, asks int) []LaunchRequest {
+func Plan(missingCPUs float64, offers []Offer, maxCount, maxRequests int) []LaunchRequest {
 	offers = slices.Clone(offers)
 	slices.SortFunc(offers, func(a, b Offer) int {
 		return cmp.Or(cmp.Compare(a.Price/a.CPUs, b.Price/b.CPUs), cmp.Compare(a.CPUs, b.CPUs),
 			cmp.Compare(a.Zone, b.Zone))
 	})
-	var out []LaunchRequest
+	var requests []LaunchRequest
 	for _, o := range offers {
-		if len(out) == asks || lack <= 0 || (len(out) > 0 && lack < float64(most)*o.CPUs) {
+		if len(requests) == maxRequests || missingCPUs <= 0 || (len(requests) > 0 && missingCPUs < float64(maxCount)*o.CPUs) {
 			break
 		}
-		n := min(int(math.Ceil(lack/o.CPUs)), most)
-		out = append(out, LaunchRequest{o, n})
-		lack -= float64(n) * o.CPUs
+		n := min(int(math.Ceil(missingCPUs/o.CPUs)), maxCount)
+		requests = append(requests, LaunchRequest{o, n})
+		missingCPUs -= float64(n) * o.CPUs
 	}
-	return out
+	return requests
 }
 
 // Kind is what the cloud's capacity depends on.
--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -13,24 +13,24 @@
 // Flight is the group of members that run one job. The tasks of an array
 // depend on nothing, so all are of one level and one rotation covers them.
 type Flight struct {
-	total   uint
-	untaken *bitset.BitSet
-	left    int
+	total        uint
+	untaken      *bitset.BitSet
+	untakenCount int
 	// cursors holds for each member where its rotated list goes on, so that
 	// no pull walks over the tasks finished before it.
-	cursors map[string]uint
-	joined  int
+	cursors     map[string]uint
+	joinedCount int
 }
 
 // New makes a flight without members for a job of n tasks.
 func New(n int) *Flight {
-	f := &Flight{total: uint(n), untaken: bitset.New(uint(n)), left: n, cursors: map[string]uint{}}
+	f := &Flight{total: uint(n), untaken: bitset.New(uint(n)), untakenCount: n, cursors: map[string]uint{}}
 	f.untaken.FlipRange(0, uint(n))
 	return f
 }
 
 // Untaken is the number of tasks that are neither done nor taken.
-func (f *Flight) Untaken() int { return f.left }
+func (f *Flight) Untaken() int { return f.untakenCount }
 
 // Member tells whether a machine is a member.
 func (f *Flight) Member(name string) bool { _, ok := f.cursors[name]; return ok }
@@ -41,9 +41,9 @@
 	if f.Member(name) {
 		return
 	}
-	_, frac := math.Modf(float64(f.joined) * (math.Sqrt(5) - 1) / 2)
+	_, frac := math.Modf(float64(f.joinedCount) * (math.Sqrt(5) - 1) / 2)
 	f.cursors[name] = uint(frac * float64(f.total))
-	f.joined++
+	f.joinedCount++
 }
 
 // Leave removes a member.
@@ -53,30 +53,30 @@
 func (f *Flight) Pull(name string) (int, bool) { return f.PullExcept(name, nil) }
 
 // PullExcept is Pull, passing over tasks that this member must not run.
-func (f *Flight) PullExcept(name string, barred func(task int) bool) (int, bool) {
-	cur, ok := f.cursors[name]
-	if !ok || f.left == 0 {
+func (f *Flight) PullExcept(name string, excluded func(task int) bool) (int, bool) {
+	cursor, ok := f.cursors[name]
+	if !ok || f.untakenCount == 0 {
 		return 0, false
 	}
-	start := cur
+	start := cursor
 	wrapped := false
 	for {
-		t, found := f.untaken.NextSet(cur)
+		t, found := f.untaken.NextSet(cursor)
 		if !found || (wrapped && t >= start) {
 			if wrapped {
 				return 0, false
 			}
 			wrapped = true
-			cur = 0
+			cursor = 0
 			continue
 		}
-		if barred == nil || !barred(int(t)) {
+		if excluded == nil || !excluded(int(t)) {
 			f.untaken.Clear(t)
-			f.left--
+			f.untakenCount--
 			f.cursors[name] = (t + 1) % f.total
 			return int(t), true
 		}
-		cur = t + 1
+		cursor = t + 1
 	}
 }
 
@@ -86,7 +86,7 @@
 		return false
 	}
 	f.untaken.Clear(uint(task))
-	f.left--
+	f.untakenCount--
 	return true
 }
 
@@ -94,6 +94,6 @@
 func (f *Flight) Release(task int) {
 	if !f.untaken.Test(uint(task)) {
 		f.untaken.Set(uint(task))
-		f.left++
+		f.untakenCount++
 	}
 }
--- a/internal/flight/flight_test.go
+++ b/internal/flight/flight_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestListsAreRotatedByMember(t *testing.T) {
+func TestListsAreRotatedByMemberIndex(t *testing.T) {
 	f := New(100)
 	first := map[int]bool{}
 	for _, m := range []string{"a", "b", "c", "d"} {
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestBarredTasksArePassedOver(t *testing.T) {
+func TestPullExceptSkipsExcludedTasks(t *testing.T) {
 	f := New(5)
 	f.Join("a")
 	f.Join("b")
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -139,7 +139,7 @@
 )
 
 // NewClient makes the client of a state service.
-func NewClient(addr string, lim config.StateLimits) *Client {
+func NewClient(addr string, limits config.StateLimits) *Client {
 	transport := func(conns int) *http.Client {
 		return &http.Client{Transport: &http.Transport{
 			DialContext:         netio.Dialer(2 * time.Second),
@@ -149,11 +149,11 @@
 			DisableCompression:  true,
 		}}
 	}
-	rps, wps := lim.RPS*nodeShare, lim.WriteRPS*(1-RecordShare)
+	requestRate, writeRate := limits.RPS*nodeShare, limits.WriteRPS*(1-RecordShare)
 	return &Client{
 		base: "http://" + addr, http: transport(12), watches: transport(4), renewals: transport(2),
-		requests: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
-		writes:   rate.NewLimiter(rate.Limit(wps), max(MinWriteBurst, int(wps))),
+		requests: rate.NewLimiter(rate.Limit(requestRate), max(1, int(requestRate))),
+		writes:   rate.NewLimiter(rate.Limit(writeRate), max(MinWriteBurst, int(writeRate))),
 	}
 }
 
@@ -164,8 +164,8 @@
 // of the requests is left to renewals and records.
 func (c *Client) ForUsers() *Client {
 	u := *c
-	rps := float64(c.requests.Limit()) * userShare
-	u.users = rate.NewLimiter(rate.Limit(rps), max(1, int(rps)))
+	requestRate := float64(c.requests.Limit()) * userShare
+	u.users = rate.NewLimiter(rate.Limit(requestRate), max(1, int(requestRate)))
 	return &u
 }
 
--- a/internal/kv/kvtest/kvtest.go
+++ b/internal/kv/kvtest/kvtest.go
@@ -14,7 +14,7 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-type value struct {
+type storedValue struct {
 	raw         json.RawMessage
 	modRevision uint64
 	lease       uint64
@@ -28,7 +28,7 @@
 // Fake is a state service in memory.
 type Fake struct {
 	mu             sync.Mutex
-	keys           map[string]value
+	keys           map[string]storedValue
 	revision       uint64
 	log            []change
 	changed        chan struct{}
@@ -36,22 +36,22 @@
 	leaseLifetimes map[uint64]time.Duration
 	lastLease      uint64
 	down           bool
-	held           []kv.Txn
-	// hold decides which transactions are kept back.
-	hold func(kv.Txn) bool
-	// lose decides whose answers are lost after they are carried out.
-	lose func(kv.Txn) bool
+	delayed        []kv.Txn
+	// delayMatch decides which transactions are kept back.
+	delayMatch func(kv.Txn) bool
+	// loseResponseMatch decides whose answers are lost after they are carried out.
+	loseResponseMatch func(kv.Txn) bool
 	// blind keeps watches from seeing anything.
 	blind bool
-	// valueBytes and ops are the service's limits; 0: none. tooLarge tells what
+	// maxValueBytes and ops are the service's limits; 0: none. tooLarge tells what
 	// was beyond them.
-	valueBytes, ops int
-	tooLarge        []string
+	maxValueBytes, maxOps int
+	tooLarge              []string
 }
 
 // New makes an empty store.
 func New() *Fake {
-	return &Fake{keys: map[string]value{}, changed: make(chan struct{}), revision: 1,
+	return &Fake{keys: map[string]storedValue{}, changed: make(chan struct{}), revision: 1,
 		leases: map[uint64]*time.Timer{}, leaseLifetimes: map[uint64]time.Duration{}}
 }
 
@@ -73,21 +73,21 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.blind = blind
-	f.wake()
+	f.notifyWatchers()
 }
 
 // Hold keeps back the transactions that match; their callers get no answer.
 func (f *Fake) Hold(match func(kv.Txn) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hold = match
+	f.delayMatch = match
 }
 
 // Lose carries matching transactions out but loses their answers.
 func (f *Fake) Lose(match func(kv.Txn) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lose = match
+	f.loseResponseMatch = match
 }
 
 // Release carries out what was held back, late, and tells the results.
@@ -95,11 +95,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []kv.Result
-	for _, txn := range f.held {
+	for _, txn := range f.delayed {
 		res, _ := f.apply(txn)
 		out = append(out, res)
 	}
-	f.held, f.hold = nil, nil
+	f.delayed, f.delayMatch = nil, nil
 	return out
 }
 
@@ -107,7 +107,7 @@
 func (f *Fake) Held() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.held)
+	return len(f.delayed)
 }
 
 // SetLimits has the service refuse values of more bytes, and transactions of
@@ -116,7 +116,7 @@
 func (f *Fake) SetLimits(valueBytes, ops int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.valueBytes, f.ops = valueBytes, ops
+	f.maxValueBytes, f.maxOps = valueBytes, ops
 }
 
 // TooLarge tells what was refused for its size, and why.
@@ -126,16 +126,16 @@
 	return slices.Clone(f.tooLarge)
 }
 
-// check refuses what is beyond the limits, whatever its conditions.
-func (f *Fake) check(txn kv.Txn) error {
-	if f.ops == 0 {
+// checkLimits refuses what is beyond the limits, whatever its conditions.
+func (f *Fake) checkLimits(txn kv.Txn) error {
+	if f.maxOps == 0 {
 		return nil
 	}
 	var why string
-	if len(txn.Ops) > f.ops {
+	if len(txn.Ops) > f.maxOps {
 		why = fmt.Sprintf("%d changes", len(txn.Ops))
 	}
-	if len(txn.Compares) > 4*f.ops {
+	if len(txn.Compares) > 4*f.maxOps {
 		why = fmt.Sprintf("%d conditions", len(txn.Compares))
 	}
 	for _, op := range txn.Ops {
@@ -143,7 +143,7 @@
 		if err != nil {
 			return err
 		}
-		if op.Put != "" && len(raw) > f.valueBytes {
+		if op.Put != "" && len(raw) > f.maxValueBytes {
 			why = fmt.Sprintf("%s of %d bytes", op.Put, len(raw))
 		}
 	}
@@ -169,12 +169,12 @@
 	return ok
 }
 
-func (f *Fake) wake() {
+func (f *Fake) notifyWatchers() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-func (f *Fake) refused() error {
+func (f *Fake) outageError() error {
 	if f.down {
 		return kv.ErrNotApplied
 	}
@@ -186,7 +186,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := f.keys[key]
-	return kv.Entry{Key: key, Value: v.raw, ModRevision: v.modRevision, Lease: v.lease}, f.refused()
+	return kv.Entry{Key: key, Value: v.raw, ModRevision: v.modRevision, Lease: v.lease}, f.outageError()
 }
 
 // Range implements store.Service.
@@ -203,24 +203,24 @@
 	if len(p.Entries) > most {
 		p.Entries, p.More = p.Entries[:most], true
 	}
-	return p, f.refused()
+	return p, f.outageError()
 }
 
 // Txn implements store.Service.
 func (f *Fake) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	f.mu.Lock()
-	if err := f.refused(); err != nil {
+	if err := f.outageError(); err != nil {
 		f.mu.Unlock()
 		return kv.Result{}, err
 	}
-	if f.hold != nil && f.hold(txn) {
-		f.held = append(f.held, txn)
+	if f.delayMatch != nil && f.delayMatch(txn) {
+		f.delayed = append(f.delayed, txn)
 		f.mu.Unlock()
 		<-ctx.Done()
 		return kv.Result{}, kv.ErrOutcomeUnknown
 	}
 	res, err := f.apply(txn)
-	lost := res.Succeeded && f.lose != nil && f.lose(txn)
+	lost := res.Succeeded && f.loseResponseMatch != nil && f.loseResponseMatch(txn)
 	f.mu.Unlock()
 	if lost {
 		<-ctx.Done()
@@ -230,7 +230,7 @@
 }
 
 func (f *Fake) apply(txn kv.Txn) (kv.Result, error) {
-	if err := f.check(txn); err != nil {
+	if err := f.checkLimits(txn); err != nil {
 		return kv.Result{}, err
 	}
 	res := kv.Result{Revision: f.revision}
@@ -262,10 +262,10 @@
 		if err != nil {
 			return kv.Result{}, err
 		}
-		f.keys[op.Put] = value{raw, f.revision, op.Lease}
+		f.keys[op.Put] = storedValue{raw, f.revision, op.Lease}
 		f.log = append(f.log, change{kv.Event{Put: op.Put, Value: raw, ModRevision: f.revision}, op.Put})
 	}
-	f.wake()
+	f.notifyWatchers()
 	return res, nil
 }
 
@@ -280,7 +280,7 @@
 func (f *Fake) GrantLease(_ context.Context, life time.Duration) (uint64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.refused(); err != nil {
+	if err := f.outageError(); err != nil {
 		return 0, err
 	}
 	f.lastLease++
@@ -296,7 +296,7 @@
 				f.remove(k)
 			}
 		}
-		f.wake()
+		f.notifyWatchers()
 	})
 	return id, nil
 }
@@ -305,7 +305,7 @@
 func (f *Fake) RenewLease(_ context.Context, lease uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.refused(); err != nil {
+	if err := f.outageError(); err != nil {
 		return err
 	}
 	t := f.leases[lease]
--- a/internal/kv/kvtest/kvtest_test.go
+++ b/internal/kv/kvtest/kvtest_test.go
@@ -11,7 +11,7 @@
 
 // The stand-in refuses what the real service would, and no more: or tests would
 // show nothing.
-func TestLimits(t *testing.T) {
+func TestTransactionLimits(t *testing.T) {
 	ctx := context.Background()
 	ops := func(n int) (out []kv.Op) {
 		for range n {
@@ -54,7 +54,7 @@
 }
 
 // What is stored when the limits change stays readable.
-func TestLimitsChange(t *testing.T) {
+func TestValueAboveLoweredLimitStaysReadable(t *testing.T) {
 	ctx := context.Background()
 	f := New()
 	if _, err := f.Txn(ctx, kv.Txn{Ops: []kv.Op{{Put: "k", Value: strings.Repeat("v", 500)}}}); err != nil {
--- a/internal/leasequorum/leasequorum.go
+++ b/internal/leasequorum/leasequorum.go
@@ -8,10 +8,10 @@
 import "time"
 
 const (
-	// driftShare is kept back for clocks that run apart, ten times what they may.
-	driftShare = 1.0 / 200
-	// effectTime is kept back for the time between the leader's check and its effect.
-	effectTime = 500 * time.Millisecond
+	// driftMargin is kept back for clocks that run apart, ten times what they may.
+	driftMargin = 1.0 / 200
+	// effectDelay is kept back for the time between the leader's check and its effect.
+	effectDelay = 500 * time.Millisecond
 )
 
 // RequiredVotes is how many of the other controllers a leader needs the grants of.
@@ -34,8 +34,8 @@
 }
 
 // NewVoter makes the voter of a process that begins now, with the life of a grant.
-func NewVoter(life time.Duration, now time.Time) *Voter {
-	return &Voter{voteLifetime: life, started: now}
+func NewVoter(voteLifetime time.Duration, now time.Time) *Voter {
+	return &Voter{voteLifetime: voteLifetime, started: now}
 }
 
 // Begin tells the voter of the latest term as the state service has shown it since the
@@ -63,7 +63,7 @@
 	if v.lastVote.After(latest) {
 		latest = v.lastVote
 	}
-	valid := v.voteLifetime + time.Duration(float64(v.voteLifetime)*driftShare) + effectTime
+	valid := v.voteLifetime + time.Duration(float64(v.voteLifetime)*driftMargin) + effectDelay
 	return max(0, latest.Add(valid).Sub(now))
 }
 
@@ -74,24 +74,24 @@
 }
 
 // NewVoteSet makes the holder of a term that begins, with the life of a grant.
-func NewVoteSet(life time.Duration) *VoteSet {
-	return &VoteSet{voteLifetime: life, expiries: map[string]time.Time{}}
+func NewVoteSet(voteLifetime time.Duration) *VoteSet {
+	return &VoteSet{voteLifetime: voteLifetime, expiries: map[string]time.Time{}}
 }
 
 // Add notes another controller's grant, which counts from when it was asked for.
-func (s *VoteSet) Add(controller string, asked time.Time) {
-	if until := asked.Add(s.voteLifetime); until.After(s.expiries[controller]) {
-		s.expiries[controller] = until
+func (s *VoteSet) Add(controller string, sentAt time.Time) {
+	if expiry := sentAt.Add(s.voteLifetime); expiry.After(s.expiries[controller]) {
+		s.expiries[controller] = expiry
 	}
 }
 
 // HasQuorum tells whether the leader holds so many grants.
-func (s *VoteSet) HasQuorum(needed int, now time.Time) bool {
+func (s *VoteSet) HasQuorum(required int, now time.Time) bool {
 	count := 0
-	for _, until := range s.expiries {
-		if now.Before(until) {
+	for _, expiry := range s.expiries {
+		if now.Before(expiry) {
 			count++
 		}
 	}
-	return count >= needed
+	return count >= required
 }
--- a/internal/leasequorum/leasequorum_test.go
+++ b/internal/leasequorum/leasequorum_test.go
@@ -8,11 +8,11 @@
 
 // Whatever the size of the group, a leader's grants and the promises of those who replace
 // it cannot be had at the same time.
-func TestQuorumsMeet(t *testing.T) {
+func TestVoteAndPromiseQuorumsIntersect(t *testing.T) {
 	for n := 1; n <= 9; n++ {
 		others := n - 1
-		if left := others - RequiredPromises(n); left >= RequiredVotes(n) && RequiredVotes(n) > 0 {
-			t.Errorf("%d controllers: %d promises leave %d that can grant, and %d grants are needed", n, RequiredPromises(n), left, RequiredVotes(n))
+		if remaining := others - RequiredPromises(n); remaining >= RequiredVotes(n) && RequiredVotes(n) > 0 {
+			t.Errorf("%d controllers: %d promises leave %d that can grant, and %d grants are needed", n, RequiredPromises(n), remaining, RequiredVotes(n))
 		}
 	}
 	if RequiredVotes(3) != 1 || RequiredPromises(3) != 2 || RequiredVotes(5) != 2 || RequiredPromises(5) != 3 {
@@ -20,15 +20,15 @@
 	}
 }
 
-// simulated is a group on simulated time: each controller has a clock that runs a little
+// simulation is a group on simulated time: each controller has a clock that runs a little
 // fast or slow, processes end and come back, and messages take their time.
-type simulated struct {
-	random *rand.Rand
-	now    time.Duration
-	n      int
-	life   time.Duration
-	voters []*Voter
-	drift  []float64
+type simulation struct {
+	random       *rand.Rand
+	now          time.Duration
+	size         int
+	voteLifetime time.Duration
+	voters       []*Voter
+	drift        []float64
 	// term is the one on record.
 	term uint64
 	// leaders are those of each term that may still decide.
@@ -37,39 +37,39 @@
 }
 
 type simulatedLeader struct {
-	node   int
-	term   uint64
-	holder *VoteSet
+	node  int
+	term  uint64
+	votes *VoteSet
 }
 
 type simulatedEvent struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
 // clock is what a controller's clock shows.
-func (s *simulated) clock(node int) time.Time {
+func (s *simulation) clock(node int) time.Time {
 	return time.Unix(1_000_000, 0).Add(time.Duration(float64(s.now) * (1 + s.drift[node])))
 }
 
-func (s *simulated) after(d time.Duration, do func()) {
+func (s *simulation) schedule(d time.Duration, do func()) {
 	s.events = append(s.events, simulatedEvent{s.now + d, do})
 }
 
 // delay is how long a message takes; now and then it is held up.
-func (s *simulated) delay() time.Duration {
+func (s *simulation) delay() time.Duration {
 	if s.random.IntN(10) == 0 {
 		return time.Duration(s.random.IntN(6000)) * time.Millisecond
 	}
 	return time.Duration(s.random.IntN(50)) * time.Millisecond
 }
 
-func (s *simulated) restart(node int) {
-	v := NewVoter(s.life, s.clock(node))
+func (s *simulation) restart(node int) {
+	v := NewVoter(s.voteLifetime, s.clock(node))
 	s.voters[node] = v
-	s.after(s.delay(), func() {
+	s.schedule(s.delay(), func() {
 		term := s.term
-		s.after(s.delay(), func() {
+		s.schedule(s.delay(), func() {
 			if s.voters[node] == v {
 				v.Begin(term)
 			}
@@ -77,64 +77,64 @@
 	})
 }
 
-// ask has a leader ask another controller for a grant.
-func (s *simulated) ask(l *simulatedLeader, node int) {
-	asked := s.clock(l.node)
-	s.after(s.delay(), func() {
+// requestVote has a leader ask another controller for a grant.
+func (s *simulation) requestVote(l *simulatedLeader, node int) {
+	sentAt := s.clock(l.node)
+	s.schedule(s.delay(), func() {
 		granted := s.voters[node].Vote(l.term, s.clock(node))
-		s.after(s.delay(), func() {
+		s.schedule(s.delay(), func() {
 			if granted {
-				l.holder.Add(string(rune('a'+node)), asked)
+				l.votes.Add(string(rune('a'+node)), sentAt)
 			}
 		})
 	})
 }
 
-// replace has a controller collect promises against the present term, wait, and take over.
-func (s *simulated) replace(node int) {
+// takeOver has a controller collect promises against the present term, wait, and take over.
+func (s *simulation) takeOver(node int) {
 	term, promised := s.term, 0
 	longest := time.Duration(0)
-	began := s.clock(node)
-	take := func(wait time.Duration) {
+	startedAt := s.clock(node)
+	countPromise := func(wait time.Duration) {
 		promised++
-		if until := s.clock(node).Add(wait).Sub(began); until > longest {
-			longest = until
+		if expiry := s.clock(node).Add(wait).Sub(startedAt); expiry > longest {
+			longest = expiry
 		}
-		if promised == RequiredPromises(s.n) {
-			var wake func()
-			wake = func() {
-				if s.clock(node).Sub(began) < longest {
-					s.after(20*time.Millisecond, wake)
+		if promised == RequiredPromises(s.size) {
+			var tryElection func()
+			tryElection = func() {
+				if s.clock(node).Sub(startedAt) < longest {
+					s.schedule(20*time.Millisecond, tryElection)
 					return
 				}
 				if s.term == term { // the transaction's guard
 					s.term++
-					s.leaders = append(s.leaders, &simulatedLeader{node, s.term, NewVoteSet(s.life)})
+					s.leaders = append(s.leaders, &simulatedLeader{node, s.term, NewVoteSet(s.voteLifetime)})
 				}
 			}
-			wake()
+			tryElection()
 		}
 	}
-	for other := range s.n {
+	for other := range s.size {
 		if other == int(s.leaders[len(s.leaders)-1].node) {
 			continue
 		}
 		if other == node {
-			take(s.voters[node].Promise(term, s.clock(node)))
+			countPromise(s.voters[node].Promise(term, s.clock(node)))
 			continue
 		}
-		s.after(s.delay(), func() {
+		s.schedule(s.delay(), func() {
 			wait := s.voters[other].Promise(term, s.clock(other))
-			s.after(s.delay(), func() { take(wait) })
+			s.schedule(s.delay(), func() { countPromise(wait) })
 		})
 	}
 }
 
-// deciding are the leaders that may decide at this moment. One decides up to effectTime
+// termsWithQuorum are the leaders that may decide at this moment. One decides up to effectDelay
 // after it has looked.
-func (s *simulated) deciding() (terms []uint64) {
+func (s *simulation) termsWithQuorum() (terms []uint64) {
 	for _, l := range s.leaders {
-		if l.holder.HasQuorum(RequiredVotes(s.n), s.clock(l.node).Add(-effectTime)) {
+		if l.votes.HasQuorum(RequiredVotes(s.size), s.clock(l.node).Add(-effectDelay)) {
 			terms = append(terms, l.term)
 		}
 	}
@@ -143,47 +143,47 @@
 
 // Two leaders never decide at the same time, with clocks that run apart, processes that end
 // and come back, messages that are late, and several who want to take over.
-func TestOneLeaderDecides(t *testing.T) {
+func TestAtMostOneLeaderHasQuorum(t *testing.T) {
 	takeovers := 0
 	for seed := range uint64(120) {
-		s := &simulated{random: rand.New(rand.NewPCG(seed, 3)), n: 3 + 2*int(seed%2), life: 3 * time.Second, term: 1}
-		for range s.n {
+		s := &simulation{random: rand.New(rand.NewPCG(seed, 3)), size: 3 + 2*int(seed%2), voteLifetime: 3 * time.Second, term: 1}
+		for range s.size {
 			s.drift = append(s.drift, (s.random.Float64()-0.5)/1000)
 			s.voters = append(s.voters, nil)
 		}
 		s.term = 0
-		for node := range s.n {
+		for node := range s.size {
 			s.restart(node)
 		}
 		s.now = 20 * time.Second
 		s.term = 1
-		s.leaders = []*simulatedLeader{{0, 1, NewVoteSet(s.life)}}
+		s.leaders = []*simulatedLeader{{0, 1, NewVoteSet(s.voteLifetime)}}
 		for ; s.now < 4*time.Minute; s.now += 20 * time.Millisecond {
 			due := s.events
 			s.events = nil
 			for _, e := range due {
 				if e.at <= s.now {
-					e.do()
+					e.run()
 				} else {
 					s.events = append(s.events, e)
 				}
 			}
 			if s.now%time.Second == 0 {
 				for _, l := range s.leaders[max(0, len(s.leaders)-2):] { // the last one goes on for a while
-					for node := range s.n {
+					for node := range s.size {
 						if node != l.node {
-							s.ask(l, node)
+							s.requestVote(l, node)
 						}
 					}
 				}
 			}
 			switch s.random.IntN(600) {
 			case 0:
-				s.restart(s.random.IntN(s.n))
+				s.restart(s.random.IntN(s.size))
 			case 1, 2:
-				s.replace((s.leaders[len(s.leaders)-1].node + 1 + s.random.IntN(s.n-1)) % s.n)
+				s.takeOver((s.leaders[len(s.leaders)-1].node + 1 + s.random.IntN(s.size-1)) % s.size)
 			}
-			if terms := s.deciding(); len(terms) > 1 {
+			if terms := s.termsWithQuorum(); len(terms) > 1 {
 				t.Fatalf("seed %d, after %v: leaders of terms %v decide", seed, s.now, terms)
 			}
 		}
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -6,20 +6,20 @@
 )
 
 type item struct {
-	id       string
-	rank     int
-	latest   time.Time
-	prospect Feasibility
-	prefer   float64
+	id          string
+	rank        int
+	latestStart time.Time
+	feasibility Feasibility
+	preference  float64
 }
 
 func (i item) ID() string               { return i.id }
 func (i item) Rank() int                { return i.rank }
-func (i item) LatestStart() time.Time   { return i.latest }
-func (i item) Feasibility() Feasibility { return i.prospect }
-func (i item) Preference() float64      { return i.prefer }
+func (i item) LatestStart() time.Time   { return i.latestStart }
+func (i item) Feasibility() Feasibility { return i.feasibility }
+func (i item) Preference() float64      { return i.preference }
 
-func TestOrderWithinATeam(t *testing.T) {
+func TestItemsAreServedInOrder(t *testing.T) {
 	t0 := time.Unix(0, 0)
 	var q Team[item]
 	for _, i := range []item{
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestTeamsTakeTurnsByShares(t *testing.T) {
+func TestTeamsAreServedByShare(t *testing.T) {
 	a, b := &Team[item]{Name: "a", Share: 1}, &Team[item]{Name: "b", Share: 3}
 	served := map[string]int{}
 	for range 40 {
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestTriageDefersTheLargest(t *testing.T) {
+func TestDeferInfeasibleDefersLargest(t *testing.T) {
 	now := time.Unix(0, 0)
 	load := func(aim int, work float64) *Load {
 		return &Load{Deadline: now.Add(time.Duration(aim) * time.Second), CPUSeconds: work}
--- a/internal/queue/triage.go
+++ b/internal/queue/triage.go
@@ -22,18 +22,18 @@
 // be late, let the largest so far give way. An aim counts jobs, not work.
 func DeferInfeasible(loads []*Load, cpus float64, now time.Time) {
 	slices.SortStableFunc(loads, func(a, b *Load) int { return a.Deadline.Compare(b.Deadline) })
-	sum := 0.0
-	var in []*Load // by work, the largest last
+	totalCPUSeconds := 0.0
+	var onTime []*Load // by work, the largest last
 	for _, l := range loads {
 		l.Defer = false
-		at, _ := slices.BinarySearchFunc(in, l.CPUSeconds, func(o *Load, w float64) int { return cmp.Compare(o.CPUSeconds, w) })
-		in = slices.Insert(in, at, l)
-		sum += l.CPUSeconds
-		if sum > cpus*l.Deadline.Sub(now).Seconds() {
-			last := in[len(in)-1]
+		position, _ := slices.BinarySearchFunc(onTime, l.CPUSeconds, func(o *Load, w float64) int { return cmp.Compare(o.CPUSeconds, w) })
+		onTime = slices.Insert(onTime, position, l)
+		totalCPUSeconds += l.CPUSeconds
+		if totalCPUSeconds > cpus*l.Deadline.Sub(now).Seconds() {
+			last := onTime[len(onTime)-1]
 			last.Defer = true
-			sum -= last.CPUSeconds
-			in = in[:len(in)-1]
+			totalCPUSeconds -= last.CPUSeconds
+			onTime = onTime[:len(onTime)-1]
 		}
 	}
 }
--- a/internal/records/dependencies.go
+++ b/internal/records/dependencies.go
@@ -41,8 +41,8 @@
 // digestBytes is how much of a hash a list's keys hold.
 const digestBytes = 16
 
-// longestDependencyList has the longest form that a list can have.
-var longestDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), Records: api.MaxBody}
+// maxDependencyList has the longest form that a list can have.
+var maxDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), Records: api.MaxBody}
 
 // listedElsewhere is the record with a list in place of the names.
 func (rec ActiveRecord) listedElsewhere(list *DependencyList) ActiveRecord {
@@ -74,17 +74,17 @@
 
 // splitDependencies divides awaited jobs into records for values of so many KiB.
 func splitDependencies(ids []string, valueKB float64) (*DependencyList, []DependencyRecord) {
-	room := kv.MaxTxnBytes / 2
+	capacity := kv.MaxTxnBytes / 2
 	if valueKB > 0 {
-		room = min(room, int(valueKB*1024))
+		capacity = min(capacity, int(valueKB*1024))
 	}
-	room -= len(`{"jobs":[]}`)
+	capacity -= len(`{"jobs":[]}`)
 	var parts []DependencyRecord
 	left := 0
 	for _, id := range ids {
 		size := len(id) + len(`"",`)
 		if len(parts) == 0 || size > left {
-			parts, left = append(parts, DependencyRecord{}), room
+			parts, left = append(parts, DependencyRecord{}), capacity
 		}
 		last := &parts[len(parts)-1]
 		last.Jobs = append(last.Jobs, id)
@@ -97,49 +97,49 @@
 	return &DependencyList{Digest: hex.EncodeToString(hash.Sum(nil)[:digestBytes]), Records: len(parts)}, parts
 }
 
-// listOps bounds the changes of a transaction that writes a list: a node's write
+// maxListOps bounds the changes of a transaction that writes a list: a node's write
 // budget lets no more through at once, however small its part.
-const listOps = kv.MinWriteBurst
+const maxListOps = kv.MinWriteBurst
 
 // writeDependencies writes the records of a job's list that are not written yet. The job
 // is accepted only afterwards; what is left of a submission that is never repeated
 // is found by the next leader. It returns false if the job is known meanwhile.
 func (r *Records) writeDependencies(ctx context.Context, id string, list *DependencyList, parts []DependencyRecord) (bool, error) {
 	written := map[string]bool{}
-	rows, err := r.readRange(ctx, list.prefix(id))
+	entries, err := r.readRange(ctx, list.prefix(id))
 	if err != nil {
 		return false, err
 	}
-	for _, e := range rows {
+	for _, e := range entries {
 		written[e.Key] = true
 	}
-	most := listOps
+	most := maxListOps
 	if r.Limits.TxnOps > 0 {
 		most = min(most, r.Limits.TxnOps)
 	}
 	// Once the job is known no record is written any more, however late.
-	unknown := []kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}
-	txn, size := kv.Txn{Compares: unknown}, 0
+	jobUnknown := []kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}
+	txn, size := kv.Txn{Compares: jobUnknown}, 0
 	for i, key := range list.Keys(id) {
 		if !written[key] {
 			txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: parts[i]})
-			size += partBytes(parts[i])
+			size += txnBytes(parts[i])
 		}
 		last := i == len(parts)-1
-		if len(txn.Ops) == 0 || !last && len(txn.Ops) < most && size+partBytes(parts[i+1]) <= kv.MaxTxnBytes*3/4 {
+		if len(txn.Ops) == 0 || !last && len(txn.Ops) < most && size+txnBytes(parts[i+1]) <= kv.MaxTxnBytes*3/4 {
 			continue
 		}
-		res, err := r.txn(ctx, txn)
+		res, err := r.commit(ctx, txn)
 		if err != nil || !res.Succeeded {
 			return false, err
 		}
-		txn, size = kv.Txn{Compares: unknown}, 0
+		txn, size = kv.Txn{Compares: jobUnknown}, 0
 	}
 	return true, nil
 }
 
-// partBytes is about how much of a transaction a part of a list takes.
-func partBytes(part DependencyRecord) int {
+// txnBytes is about how much of a transaction a part of a list takes.
+func txnBytes(part DependencyRecord) int {
 	size := 200
 	for _, id := range part.Jobs {
 		size += len(id) + len(`"",`)
@@ -149,15 +149,15 @@
 
 // readRange reads all keys with a prefix.
 func (r *Records) readRange(ctx context.Context, prefix string) ([]kv.Entry, error) {
-	var rows []kv.Entry
+	var entries []kv.Entry
 	for from := ""; ; {
-		p, err := r.page(ctx, prefix, from)
+		p, err := r.readPage(ctx, prefix, from)
 		if err != nil {
 			return nil, err
 		}
-		rows = append(rows, p.Entries...)
+		entries = append(entries, p.Entries...)
 		if !p.More || len(p.Entries) == 0 {
-			return rows, nil
+			return entries, nil
 		}
 		from = p.Entries[len(p.Entries)-1].Key
 	}
@@ -166,7 +166,7 @@
 // EachKey tells of all keys with a prefix.
 func (r *Records) EachKey(ctx context.Context, prefix string, tell func(key string)) error {
 	for from := ""; ; {
-		p, err := r.page(ctx, prefix, from)
+		p, err := r.readPage(ctx, prefix, from)
 		if err != nil {
 			return err
 		}
@@ -180,27 +180,27 @@
 	}
 }
 
-// pageEntries is how many keys a range is asked for at a time.
-const pageEntries = 1000
+// maxPageEntries is how many keys a range is asked for at a time.
+const maxPageEntries = 1000
 
-func (r *Records) page(ctx context.Context, prefix, from string) (kv.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*tryTimeout)
+func (r *Records) readPage(ctx context.Context, prefix, from string) (kv.Page, error) {
+	ctx, cancel := context.WithTimeout(ctx, 2*requestTimeout)
 	defer cancel()
-	return r.Store.Range(ctx, prefix, from, pageEntries)
+	return r.Store.Range(ctx, prefix, from, maxPageEntries)
 }
 
 // ReadDependencies reads the list of a job's awaited jobs. It never returns a part of it.
 func (r *Records) ReadDependencies(ctx context.Context, id string, list *DependencyList) ([]string, error) {
-	rows, err := r.readRange(ctx, list.prefix(id))
+	entries, err := r.readRange(ctx, list.prefix(id))
 	if err != nil {
 		return nil, err
 	}
 	keys := list.Keys(id)
-	if len(rows) != len(keys) {
-		return nil, fmt.Errorf("%w: %d of %d records list what %s awaits", kv.ErrOutcomeUnknown, len(rows), len(keys), id)
+	if len(entries) != len(keys) {
+		return nil, fmt.Errorf("%w: %d of %d records list what %s awaits", kv.ErrOutcomeUnknown, len(entries), len(keys), id)
 	}
 	var ids []string
-	for i, e := range rows {
+	for i, e := range entries {
 		var part DependencyRecord
 		if err := json.Unmarshal(e.Value, &part); err != nil || e.Key != keys[i] {
 			return nil, fmt.Errorf("%w: record %s: %w", kv.ErrOutcomeUnknown, e.Key, err)
@@ -229,8 +229,8 @@
 
 // dependencySearch follows what jobs await, directly or through others.
 type dependencySearch struct {
-	records *Records
-	reads   int
+	records     *Records
+	singleReads int
 	// active is what all active jobs await, once it is read.
 	active map[string]dependencySet
 	// ended are the jobs found that are not active.
@@ -243,43 +243,43 @@
 	list *DependencyList
 }
 
-// run looks at jobs and at all that they await and that is active.
-func (s *dependencySearch) run(ctx context.Context, ids []string) error {
+// walk looks at jobs and at all that they await and that is active.
+func (s *dependencySearch) walk(ctx context.Context, ids []string) error {
 	if len(ids) > maxSingleReads {
-		s.reads = maxSingleReads
+		s.singleReads = maxSingleReads
 	}
-	seen := make(map[string]bool, len(ids))
-	for todo := slices.Clone(ids); len(todo) > 0; {
-		id := todo[len(todo)-1]
-		if todo = todo[:len(todo)-1]; seen[id] {
+	visited := make(map[string]bool, len(ids))
+	for pending := slices.Clone(ids); len(pending) > 0; {
+		id := pending[len(pending)-1]
+		if pending = pending[:len(pending)-1]; visited[id] {
 			continue
 		}
-		seen[id] = true
-		next, isActive, err := s.job(ctx, id)
+		visited[id] = true
+		next, isActive, err := s.dependenciesOf(ctx, id)
 		if err != nil {
 			return err
 		}
 		if !isActive {
 			s.ended = append(s.ended, id)
 		}
-		todo = append(todo, next...)
+		pending = append(pending, next...)
 	}
 	return nil
 }
 
-// job reads what a job awaits, and whether it is active.
-func (s *dependencySearch) job(ctx context.Context, id string) (ids []string, isActive bool, err error) {
+// dependenciesOf reads what a job awaits, and whether it is active.
+func (s *dependencySearch) dependenciesOf(ctx context.Context, id string) (ids []string, isActive bool, err error) {
 	var a dependencySet
-	if s.active == nil && s.reads < maxSingleReads {
-		s.reads++
-		e, err := s.records.get(ctx, ActivePrefix+id)
+	if s.active == nil && s.singleReads < maxSingleReads {
+		s.singleReads++
+		e, err := s.records.getEntry(ctx, ActivePrefix+id)
 		if err != nil || e.ModRevision == 0 || isGuestRecord(e) {
 			return nil, false, err
 		}
 		a = dependenciesOf(e)
 	} else {
 		if s.active == nil {
-			if s.active, err = s.records.allActive(ctx); err != nil {
+			if s.active, err = s.records.readActiveDependencies(ctx); err != nil {
 				return nil, false, err
 			}
 		}
@@ -294,11 +294,11 @@
 	return a.ids, true, err
 }
 
-// dependenciesAccepted looks whether jobs were accepted and whether one of them is cancelled, or
+// checkDependencies looks whether jobs were accepted and whether one of them is cancelled, or
 // is to be with one that it needs itself.
-func (r *Records) dependenciesAccepted(ctx context.Context, ids []string) (withdrawn bool, err error) {
+func (r *Records) checkDependencies(ctx context.Context, ids []string) (cancelled bool, err error) {
 	s := dependencySearch{records: r}
-	if err := s.run(ctx, ids); err != nil {
+	if err := s.walk(ctx, ids); err != nil {
 		return false, err
 	}
 	ends, err := r.TerminalRecords(ctx, s.ended)
@@ -310,9 +310,9 @@
 		if !found && slices.Contains(ids, id) {
 			return false, &UnknownDependencyError{id}
 		}
-		withdrawn = withdrawn || end.Phase == api.JobCancelled
+		cancelled = cancelled || end.Phase == api.JobCancelled
 	}
-	return withdrawn, nil
+	return cancelled, nil
 }
 
 // cancelPending tells whether an active job needs one, directly or through others,
@@ -326,7 +326,7 @@
 		}
 	}
 	s := dependencySearch{records: r}
-	if err := s.run(ctx, a.ids); err != nil {
+	if err := s.walk(ctx, a.ids); err != nil {
 		return false, err
 	}
 	ends, err := r.TerminalRecords(ctx, s.ended)
@@ -370,8 +370,8 @@
 	}
 }
 
-// allActive reads what all active jobs await.
-func (r *Records) allActive(ctx context.Context) (map[string]dependencySet, error) {
+// readActiveDependencies reads what all active jobs await.
+func (r *Records) readActiveDependencies(ctx context.Context) (map[string]dependencySet, error) {
 	release, err := acquire(ctx, r.scans)
 	if err != nil {
 		return nil, err
@@ -379,7 +379,7 @@
 	defer release()
 	all := map[string]dependencySet{}
 	for from := ""; ; {
-		p, err := r.page(ctx, ActivePrefix, from)
+		p, err := r.readPage(ctx, ActivePrefix, from)
 		if err != nil {
 			return nil, err
 		}
@@ -408,7 +408,7 @@
 		}
 	}
 	if len(unread) > maxSingleReads {
-		return ends, r.rangeTerminalRecords(ctx, unread, ends)
+		return ends, r.readTerminalRanges(ctx, unread, ends)
 	}
 	for _, id := range unread {
 		end, found, err := r.terminalRecord(ctx, id)
@@ -439,13 +439,13 @@
 	return r.terminalCache.Get(id)
 }
 
-// rangeTerminalRecords reads how jobs ended, in ranges that each begin at one of them:
+// readTerminalRanges reads how jobs ended, in ranges that each begin at one of them:
 // it takes at most a request for each job, and one for each page of final records.
-func (r *Records) rangeTerminalRecords(ctx context.Context, ids []string, ends map[string]TerminalRecord) error {
+func (r *Records) readTerminalRanges(ctx context.Context, ids []string, ends map[string]TerminalRecord) error {
 	ids = slices.Clone(ids)
 	slices.Sort(ids)
 	for len(ids) > 0 {
-		p, err := r.page(ctx, TerminalPrefix, TerminalPrefix+justBefore(ids[0]))
+		p, err := r.readPage(ctx, TerminalPrefix, TerminalPrefix+predecessor(ids[0]))
 		if err != nil {
 			return err
 		}
@@ -472,9 +472,9 @@
 	return nil
 }
 
-// justBefore is a string that comes before a job's name and after all other names
+// predecessor is a string that comes before a job's name and after all other names
 // that do.
-func justBefore(id string) string {
+func predecessor(id string) string {
 	last := len(id) - 1
 	return id[:last] + string(id[last]-1) + "~"
 }
@@ -498,8 +498,8 @@
 	return a
 }
 
-// accept tries once to make a job's record.
-func (r *Records) accept(ctx context.Context, a *acceptance) (st api.JobState, created bool, err error) {
+// tryAccept tries once to make a job's record.
+func (r *Records) tryAccept(ctx context.Context, a *acceptance) (st api.JobState, created bool, err error) {
 	id := a.spec.ID
 	if len(a.spec.DependsOn) > maxSingleReads || a.list != nil {
 		release, err := acquire(ctx, r.longLists)
@@ -509,15 +509,15 @@
 		defer release()
 		// What is known already is not worth a long search, and must not have a
 		// list written.
-		if st, found, err := r.lookup(ctx, id); err != nil || found {
+		if st, found, err := r.tryLookup(ctx, id); err != nil || found {
 			return st, false, err
 		}
 	}
-	withdrawn, err := r.dependenciesAccepted(ctx, a.spec.DependsOn)
+	cancelled, err := r.checkDependencies(ctx, a.spec.DependsOn)
 	if errors.Is(err, errUnknownDependency) {
 		// What is known already keeps its state whatever it names.
-		if st, found, lerr := r.lookup(ctx, id); lerr != nil || found {
-			return st, false, lerr
+		if st, found, lookupErr := r.tryLookup(ctx, id); lookupErr != nil || found {
+			return st, false, lookupErr
 		}
 	}
 	if err != nil {
@@ -525,42 +525,42 @@
 	}
 	// One that is cancelled from now on finds the job among those that need it,
 	// whoever leads then.
-	if !withdrawn && a.list != nil {
+	if !cancelled && a.list != nil {
 		if ok, err := r.writeDependencies(ctx, id, a.list, a.parts); err != nil {
 			return st, false, err
 		} else if !ok {
-			return r.retryAfterConflict(ctx, id)
+			return r.lookupAfterConflict(ctx, id)
 		}
 	}
-	txn, first := a.transaction(withdrawn)
-	res, err := r.txn(ctx, txn)
+	txn, first := a.transaction(cancelled)
+	res, err := r.commit(ctx, txn)
 	if err != nil {
 		return st, false, err
 	}
 	if res.Succeeded {
 		return first, true, nil
 	}
-	return r.retryAfterConflict(ctx, id)
+	return r.lookupAfterConflict(ctx, id)
 }
 
 // transaction returns the transaction that makes the job's record, and the state
 // that the job then has: withdrawn if a job that it awaits is.
-func (a *acceptance) transaction(withdrawn bool) (kv.Txn, api.JobState) {
+func (a *acceptance) transaction(cancelled bool) (kv.Txn, api.JobState) {
 	id := a.spec.ID
 	txn := kv.Txn{Compares: []kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}}
-	if withdrawn {
-		final := TerminalRecord{Phase: api.JobCancelled, Tasks: a.spec.Tasks}
-		txn.Ops = []kv.Op{{Put: TerminalPrefix + id, Value: final}}
-		return txn, final.JobState(id)
+	if cancelled {
+		terminal := TerminalRecord{Phase: api.JobCancelled, Tasks: a.spec.Tasks}
+		txn.Ops = []kv.Op{{Put: TerminalPrefix + id, Value: terminal}}
+		return txn, terminal.JobState(id)
 	}
 	txn.Ops = []kv.Op{{Put: ActivePrefix + id, Value: a.record}}
 	return txn, api.JobState{ID: id, Phase: api.JobPending}
 }
 
-// retryAfterConflict looks up a job that turned out to be known; perhaps by a transaction of
+// lookupAfterConflict looks up a job that turned out to be known; perhaps by a transaction of
 // this very submission, whose answer was lost.
-func (r *Records) retryAfterConflict(ctx context.Context, id string) (api.JobState, bool, error) {
-	st, found, err := r.lookup(ctx, id)
+func (r *Records) lookupAfterConflict(ctx context.Context, id string) (api.JobState, bool, error) {
+	st, found, err := r.tryLookup(ctx, id)
 	if err == nil && !found {
 		err = fmt.Errorf("%w: job %s changed meanwhile", kv.ErrOutcomeUnknown, id)
 	}
--- a/internal/records/dependencies_test.go
+++ b/internal/records/dependencies_test.go
@@ -19,37 +19,37 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// countedStore counts the requests that reach the state service, and refuses those
+// countingStore counts the requests that reach the state service, and refuses those
 // beyond a number.
-type countedStore struct {
+type countingStore struct {
 	*kvtest.Fake
 	requests, writes atomic.Int64
 	// most is how many requests are answered; 0: all.
 	most int
 }
 
-func (c *countedStore) count() error {
+func (c *countingStore) count() error {
 	if n := c.requests.Add(1); c.most > 0 && int(n) > c.most {
 		return kv.ErrNotApplied
 	}
 	return nil
 }
 
-func (c *countedStore) Get(ctx context.Context, key string) (kv.Entry, error) {
+func (c *countingStore) Get(ctx context.Context, key string) (kv.Entry, error) {
 	if err := c.count(); err != nil {
 		return kv.Entry{}, err
 	}
 	return c.Fake.Get(ctx, key)
 }
 
-func (c *countedStore) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
+func (c *countingStore) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
 	if err := c.count(); err != nil {
 		return kv.Page{}, err
 	}
 	return c.Fake.Range(ctx, prefix, from, most)
 }
 
-func (c *countedStore) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
+func (c *countingStore) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	if err := c.count(); err != nil {
 		return kv.Result{}, err
 	}
@@ -57,10 +57,10 @@
 	return c.Fake.Txn(ctx, txn)
 }
 
-func newCountedStore() *countedStore { return &countedStore{Fake: kvtest.New()} }
+func newCountingStore() *countingStore { return &countingStore{Fake: kvtest.New()} }
 
-// putJob writes a job's record as some node would: an active one, or a final one.
-func putJob(t *testing.T, s kv.Service, id, phase string, dependsOn ...string) {
+// putRecord writes a job's record as some node would: an active one, or a final one.
+func putRecord(t *testing.T, s kv.Service, id, phase string, dependsOn ...string) {
 	t.Helper()
 	op := kv.Op{Put: records.TerminalPrefix + id, Value: records.TerminalRecord{Phase: phase, Tasks: 1}}
 	if phase == api.JobPending {
@@ -81,12 +81,12 @@
 	return keys
 }
 
-// fullBody are as many names as a submission has room for, all of jobs that are done.
-func fullBody(t *testing.T, s kv.Service) (ids []string) {
+// putMaxDependencies are as many names as a submission has room for, all of jobs that are done.
+func putMaxDependencies(t *testing.T, s kv.Service) (ids []string) {
 	t.Helper()
 	for size := 400; size+len(`"job-1000",`) <= api.MaxBody; size += len(`"job-1000",`) {
 		ids = append(ids, fmt.Sprint("job-", 1000+len(ids)))
-		putJob(t, s, ids[len(ids)-1], api.JobDone)
+		putRecord(t, s, ids[len(ids)-1], api.JobDone)
 	}
 	return ids
 }
@@ -98,14 +98,14 @@
 // A job may name as many others as its submission has room for, however small the
 // values of the state service are; no value and no transaction is too large.
 func TestMoreAwaitedJobsThanARecordHolds(t *testing.T) {
-	for _, lim := range smallLimits {
-		t.Run(fmt.Sprintf("%v KiB, %d changes", lim.ValueKB, lim.TxnOps), func(t *testing.T) {
-			st := newCountedStore()
-			ids := fullBody(t, st)
-			st.SetLimits(int(lim.ValueKB*1024), lim.TxnOps)
-			recordStore := records.NewRecords(st, lim)
+	for _, limits := range smallLimits {
+		t.Run(fmt.Sprintf("%v KiB, %d changes", limits.ValueKB, limits.TxnOps), func(t *testing.T) {
+			st := newCountingStore()
+			ids := putMaxDependencies(t, st)
+			st.SetLimits(int(limits.ValueKB*1024), limits.TxnOps)
+			recordStore := records.NewRecords(st, limits)
 			spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
-			if !records.Fits(spec, lim.ValueKB) {
+			if !records.Fits(spec, limits.ValueKB) {
 				t.Fatal("does not fit")
 			}
 			st.requests.Store(0)
@@ -138,7 +138,7 @@
 			if int(st.writes.Load()) > 0 {
 				t.Errorf("%d changes for repeats and refusals", int(st.writes.Load()))
 			}
-			putJob(t, st, "job-999999", api.JobCancelled)
+			putRecord(t, st, "job-999999", api.JobCancelled)
 			accept("one of them is cancelled", api.JobCancelled, true)
 			if keys := keysUnder(t, st, records.DependencyPrefix+"job-2/"); len(keys) > 0 {
 				t.Errorf("left of a job that is over: %v", keys)
@@ -164,37 +164,37 @@
 // answer is lost, a job that is active has its whole list, and a repeated
 // submission writes only what is missing.
 func TestLongListCutAnywhere(t *testing.T) {
-	lim := config.StateLimits{ValueKB: 1, TxnOps: 3}
+	limits := config.StateLimits{ValueKB: 1, TxnOps: 3}
 	for cut := range 6 {
 		for trouble, set := range map[string]func(*kvtest.Fake, func(kv.Txn) bool){"held": (*kvtest.Fake).Hold, "lost": (*kvtest.Fake).Lose} {
 			t.Run(fmt.Sprint(trouble, " ", cut), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					st := newCountedStore()
+					st := newCountingStore()
 					var ids []string
 					for i := range 1000 { // 13 records
 						ids = append(ids, fmt.Sprint("job-", 1000+i))
-						putJob(t, st, ids[i], api.JobDone)
+						putRecord(t, st, ids[i], api.JobDone)
 					}
 					spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
-					recordStore := records.NewRecords(st, lim)
+					recordStore := records.NewRecords(st, limits)
 					n := 0
 					set(st.Fake, func(kv.Txn) bool { n++; return n > cut })
 					ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 					_, _, err := recordStore.Accept(ctx, spec, time.Unix(1, 0))
 					cancel()
 					if st.Has(records.ActivePrefix + "job-1") {
-						whole(t, &recordStore, ids)
+						checkWholeList(t, &recordStore, ids)
 					} else if err == nil {
 						t.Error("accepted without a record")
 					}
 					set(st.Fake, nil)
-					other := records.NewRecords(st, lim) // at another node
+					other := records.NewRecords(st, limits) // at another node
 					ctx, cancel = context.WithTimeout(t.Context(), 5*time.Second)
 					defer cancel()
 					if _, _, err := other.Accept(ctx, spec, time.Unix(2, 0)); err != nil {
 						t.Fatal(err)
 					}
-					whole(t, &other, ids)
+					checkWholeList(t, &other, ids)
 					list := activeRecord(t, st, "job-1").DependencyList
 					if keys := len(keysUnder(t, st, records.DependencyPrefix)); keys != list.Records {
 						t.Errorf("%d records", keys)
@@ -216,8 +216,8 @@
 	}
 }
 
-// whole checks that job-1 is read with all names, or not at all once a record lacks.
-func whole(t *testing.T, recordStore *records.Records, ids []string) {
+// checkWholeList checks that job-1 is read with all names, or not at all once a record lacks.
+func checkWholeList(t *testing.T, recordStore *records.Records, ids []string) {
 	t.Helper()
 	list := activeRecord(t, recordStore.Store, "job-1").DependencyList
 	if got, err := recordStore.ReadDependencies(t.Context(), "job-1", list); err != nil || !slices.Equal(got, ids) {
@@ -227,8 +227,8 @@
 
 // A list of which a record is missing is no shorter list.
 func TestListWithoutARecord(t *testing.T) {
-	st := newCountedStore()
-	ids := fullBody(t, st)
+	st := newCountingStore()
+	ids := putMaxDependencies(t, st)
 	recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 12})
 	if _, _, err := recordStore.Accept(t.Context(), &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
@@ -248,7 +248,7 @@
 		cancel()
 		st.Txn(t.Context(), kv.Txn{Ops: []kv.Op{{Put: key, Value: e.Value}}})
 	}
-	whole(t, &recordStore, ids)
+	checkWholeList(t, &recordStore, ids)
 }
 
 // pipelineShapes are what the job with a number awaits, by the form of the pipeline.
@@ -271,10 +271,10 @@
 	const jobs, mostRequests = 3000, 40
 	for name, need := range pipelineShapes {
 		t.Run(name, func(t *testing.T) {
-			st := newCountedStore()
-			putJob(t, st, "job-0", api.JobPending)
+			st := newCountingStore()
+			putRecord(t, st, "job-0", api.JobPending)
 			for i := 1; i < jobs; i++ {
-				putJob(t, st, fmt.Sprint("job-", i), api.JobPending, need(i)...)
+				putRecord(t, st, fmt.Sprint("job-", i), api.JobPending, need(i)...)
 			}
 			recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 3})
 			accept := func(id, want string) {
@@ -305,11 +305,11 @@
 // some of them; what a try has read the next one need not read again.
 func TestManyFinishedJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := newCountedStore()
+		st := newCountingStore()
 		var ids []string
 		for i := range 40_000 {
 			id := fmt.Sprintf("job-%06d", i)
-			putJob(t, st, id, api.JobDone)
+			putRecord(t, st, id, api.JobDone)
 			if i%10 == 0 {
 				ids = append(ids, id)
 			}
@@ -368,7 +368,7 @@
 func TestManyLongSubmissionsAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &slowRanges{Fake: kvtest.New()}
-		ids := fullBody(t, st.Fake)
+		ids := putMaxDependencies(t, st.Fake)
 		recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 128, TxnOps: 12})
 		var accepted, refused atomic.Int32
 		var all sync.WaitGroup
--- a/internal/records/jobcache.go
+++ b/internal/records/jobcache.go
@@ -32,9 +32,9 @@
 }
 
 const (
-	// jobsCached bounds the jobs in a cache, and maxCachedDependencies the names that each
+	// maxCachedJobs bounds the jobs in a cache, and maxCachedDependencies the names that each
 	// of them awaits.
-	jobsCached            = 2048
+	maxCachedJobs         = 2048
 	maxCachedDependencies = 32
 	// comparesPerOp is how many conditions a transaction may have for each change
 	// that the limits allow.
@@ -44,36 +44,36 @@
 )
 
 // newJobCache makes an empty cache.
-func newJobCache(lim config.StateLimits) *jobCache {
-	jobs, err := lru.New[string, cachedJob](jobsCached)
+func newJobCache(limits config.StateLimits) *jobCache {
+	jobs, err := lru.New[string, cachedJob](maxCachedJobs)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
-	return &jobCache{jobs: jobs, maxCompares: comparesPerOp * lim.TxnOps}
+	return &jobCache{jobs: jobs, maxCompares: comparesPerOp * limits.TxnOps}
 }
 
 // compares returns the conditions under which jobs are accepted and neither they nor any
 // that they need is cancelled. It returns false if this node cannot tell.
 func (c *jobCache) compares(ids []string) ([]kv.Compare, bool) {
-	var guards []kv.Compare
-	seen := map[string]bool{}
-	for todo := slices.Clone(ids); len(todo) > 0; {
-		id := todo[len(todo)-1]
-		if todo = todo[:len(todo)-1]; seen[id] {
+	var compares []kv.Compare
+	visited := map[string]bool{}
+	for pending := slices.Clone(ids); len(pending) > 0; {
+		id := pending[len(pending)-1]
+		if pending = pending[:len(pending)-1]; visited[id] {
 			continue
 		}
-		seen[id] = true
+		visited[id] = true
 		job, ok := c.jobs.Get(id)
-		if !ok || len(guards) >= c.maxCompares-reservedCompares {
+		if !ok || len(compares) >= c.maxCompares-reservedCompares {
 			return nil, false
 		}
 		if job.modRevision == 0 {
 			continue // done, and with it all that it needed
 		}
-		guards = append(guards, kv.Compare{Key: ActivePrefix + id, ModRevision: job.modRevision})
-		todo = append(todo, job.dependsOn...)
+		compares = append(compares, kv.Compare{Key: ActivePrefix + id, ModRevision: job.modRevision})
+		pending = append(pending, job.dependsOn...)
 	}
-	return guards, true
+	return compares, true
 }
 
 // applyRead caches a record that was read.
@@ -117,12 +117,12 @@
 
 // add remembers a job, unless it awaits so many that they are listed elsewhere or
 // would take much memory.
-func (c *jobCache) add(id string, modRevision uint64, needs dependencySet) {
-	if needs.list != nil || len(needs.ids) > maxCachedDependencies {
+func (c *jobCache) add(id string, modRevision uint64, set dependencySet) {
+	if set.list != nil || len(set.ids) > maxCachedDependencies {
 		return
 	}
 	job := cachedJob{modRevision: modRevision}
-	for _, a := range needs.ids {
+	for _, a := range set.ids {
 		job.dependsOn = append(job.dependsOn, strings.Clone(a))
 	}
 	c.jobs.Add(strings.Clone(id), job)
--- a/internal/records/jobcache_test.go
+++ b/internal/records/jobcache_test.go
@@ -16,19 +16,19 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// counted counts the requests to a state service, and those of them that failed by
+// countingFake counts the requests to a state service, and those of them that failed by
 // their conditions.
-type counted struct {
+type countingFake struct {
 	*kvtest.Fake
 	requests, conflicts atomic.Int64
 }
 
-func (c *counted) Get(ctx context.Context, key string) (kv.Entry, error) {
+func (c *countingFake) Get(ctx context.Context, key string) (kv.Entry, error) {
 	c.requests.Add(1)
 	return c.Fake.Get(ctx, key)
 }
 
-func (c *counted) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
+func (c *countingFake) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	c.requests.Add(1)
 	res, err := c.Fake.Txn(ctx, txn)
 	if err == nil && !res.Succeeded {
@@ -37,19 +37,19 @@
 	return res, err
 }
 
-// urval submits a pipeline of six jobs: job-1, then job-2 to job-4, then job-5 and,
+// acceptPipeline submits a pipeline of six jobs: job-1, then job-2 to job-4, then job-5 and,
 // unless it is left to the test, job-6.
-func urval(t *testing.T, r *records.Records) {
+func acceptPipeline(t *testing.T, r *records.Records) {
 	t.Helper()
-	for _, s := range []*api.JobSpec{awaiting("job-1"), awaiting("job-2", "job-1"), awaiting("job-3", "job-1"),
-		awaiting("job-4", "job-1"), awaiting("job-5", "job-2", "job-3", "job-4")} {
+	for _, s := range []*api.JobSpec{specWithDependencies("job-1"), specWithDependencies("job-2", "job-1"), specWithDependencies("job-3", "job-1"),
+		specWithDependencies("job-4", "job-1"), specWithDependencies("job-5", "job-2", "job-3", "job-4")} {
 		if _, created, err := r.Accept(context.Background(), s, accepted); !created || err != nil {
 			t.Fatal(s.ID, created, err)
 		}
 	}
 }
 
-func awaiting(id string, dependsOn ...string) *api.JobSpec {
+func specWithDependencies(id string, dependsOn ...string) *api.JobSpec {
 	s := plainSpec
 	s.ID, s.DependsOn = id, dependsOn
 	return &s
@@ -68,10 +68,10 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := &counted{Fake: kvtest.New()}
+			st := &countingFake{Fake: kvtest.New()}
 			r := newRecords(st, config.StateLimits{TxnOps: c.ops})
-			urval(t, r)
-			if _, created, err := r.Accept(context.Background(), awaiting("job-6", "job-5"), accepted); !created || err != nil {
+			acceptPipeline(t, r)
+			if _, created, err := r.Accept(context.Background(), specWithDependencies("job-6", "job-5"), accepted); !created || err != nil {
 				t.Fatal(created, err)
 			}
 			if atOnce := int(st.requests.Load()) == 6; atOnce != c.atOnce {
@@ -83,21 +83,21 @@
 
 // A job that awaits many is not remembered, so that the cache stays small; it is read.
 func TestJobThatAwaitsManyIsNotRemembered(t *testing.T) {
-	for awaited, remembered := range map[int]bool{32: true, 33: false} {
-		st := &counted{Fake: kvtest.New()}
+	for dependencies, remembered := range map[int]bool{32: true, 33: false} {
+		st := &countingFake{Fake: kvtest.New()}
 		r := newRecords(st, config.StateLimits{TxnOps: 20})
 		var ids []string
-		for i := range awaited {
+		for i := range dependencies {
 			ids = append(ids, fmt.Sprint("job-1", i))
-			answer(r, awaiting(ids[i]))
+			submitStatus(r, specWithDependencies(ids[i]))
 		}
-		answer(r, awaiting("job-2", ids...))
+		submitStatus(r, specWithDependencies("job-2", ids...))
 		st.requests.Store(0)
-		if got := answer(r, awaiting("job-3", "job-2")); got != "201 pending" {
+		if got := submitStatus(r, specWithDependencies("job-3", "job-2")); got != "201 pending" {
 			t.Errorf("answer %s", got)
 		}
 		if atOnce := int(st.requests.Load()) == 1; atOnce != remembered {
-			t.Errorf("%d awaited: %d requests", awaited, int(st.requests.Load()))
+			t.Errorf("%d awaited: %d requests", dependencies, int(st.requests.Load()))
 		}
 	}
 }
@@ -138,28 +138,28 @@
 		spec      *api.JobSpec
 		want      string
 	}{
-		"nothing":                    {nil, awaiting("job-6", "job-5"), "201 pending"},
-		"named one cancelled":        {cancel("job-5"), awaiting("job-6", "job-5"), "201 withdrawn"},
-		"one before it cancelled":    {cancel("job-3"), awaiting("job-6", "job-5"), "201 withdrawn"},
-		"first cancelled":            {cancel("job-1"), awaiting("job-6", "job-5"), "201 withdrawn"},
-		"not what it needs":          {cancel("job-5"), awaiting("job-6", "job-4"), "201 pending"},
-		"first done":                 {finish("job-1"), awaiting("job-6", "job-5"), "201 pending"},
-		"named one done":             {finish("job-1", "job-2"), awaiting("job-6", "job-2"), "201 pending"},
-		"accepted elsewhere already": {accept(awaiting("job-6", "job-5")), awaiting("job-6", "job-5"), "200 pending"},
-		"named one by another node":  {accept(awaiting("job-7", "job-5")), awaiting("job-6", "job-7"), "201 pending"},
-		"never accepted":             {nil, awaiting("job-6", "job-5", "job-9"), "422"},
-		"outage":                     {down, awaiting("job-6", "job-5"), "503"},
+		"nothing":                    {nil, specWithDependencies("job-6", "job-5"), "201 pending"},
+		"named one cancelled":        {cancel("job-5"), specWithDependencies("job-6", "job-5"), "201 withdrawn"},
+		"one before it cancelled":    {cancel("job-3"), specWithDependencies("job-6", "job-5"), "201 withdrawn"},
+		"first cancelled":            {cancel("job-1"), specWithDependencies("job-6", "job-5"), "201 withdrawn"},
+		"not what it needs":          {cancel("job-5"), specWithDependencies("job-6", "job-4"), "201 pending"},
+		"first done":                 {finish("job-1"), specWithDependencies("job-6", "job-5"), "201 pending"},
+		"named one done":             {finish("job-1", "job-2"), specWithDependencies("job-6", "job-2"), "201 pending"},
+		"accepted elsewhere already": {accept(specWithDependencies("job-6", "job-5")), specWithDependencies("job-6", "job-5"), "200 pending"},
+		"named one by another node":  {accept(specWithDependencies("job-7", "job-5")), specWithDependencies("job-6", "job-7"), "201 pending"},
+		"never accepted":             {nil, specWithDependencies("job-6", "job-5", "job-9"), "422"},
+		"outage":                     {down, specWithDependencies("job-6", "job-5"), "503"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fake := kvtest.New()
 				r := newRecords(fake, config.StateLimits{TxnOps: 20})
-				urval(t, r)
+				acceptPipeline(t, r)
 				if c.meanwhile != nil {
 					c.meanwhile(t, &records.Records{Store: fake})
 				}
-				if got := answer(r, c.spec); got != c.want {
+				if got := submitStatus(r, c.spec); got != c.want {
 					t.Errorf("answer %s, want %s", got, c.want)
 				}
 				if pending := c.want == "201 pending" || c.want == "200 pending"; fake.Has(records.ActivePrefix+c.spec.ID) != pending {
@@ -191,9 +191,9 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := &counted{Fake: kvtest.New()}
+			st := &countingFake{Fake: kvtest.New()}
 			r := newRecords(st, config.StateLimits{TxnOps: 20})
-			urval(t, r)
+			acceptPipeline(t, r)
 			if err := c.change(&records.Records{Store: st.Fake}); err != nil {
 				t.Fatal(err)
 			}
@@ -213,7 +213,7 @@
 func TestRememberedAsDone(t *testing.T) {
 	fake := kvtest.New()
 	r := newRecords(fake, config.StateLimits{TxnOps: 20})
-	urval(t, r)
+	acceptPipeline(t, r)
 	txn := kv.Txn{Ops: []kv.Op{
 		{Put: records.TerminalPrefix + "job-1", Value: records.TerminalRecord{Phase: api.JobDone, Tasks: 1}},
 		{Delete: records.ActivePrefix + "job-1"},
@@ -231,15 +231,15 @@
 // A transaction that fails counts towards the service's limits: what it has shown to
 // be old is not guarded on again.
 func TestOldVersionsAreTriedOnce(t *testing.T) {
-	st := &counted{Fake: kvtest.New()}
+	st := &countingFake{Fake: kvtest.New()}
 	r := newRecords(st, config.StateLimits{TxnOps: 20})
-	urval(t, r)
+	acceptPipeline(t, r)
 	other := records.Records{Store: st.Fake}
 	if _, _, err := other.Cancel(context.Background(), "job-5"); err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"job-6", "job-7", "job-8"} {
-		if got := answer(r, awaiting(id, "job-5")); got != "201 withdrawn" {
+		if got := submitStatus(r, specWithDependencies(id, "job-5")); got != "201 withdrawn" {
 			t.Errorf("%s: %s", id, got)
 		}
 	}
@@ -248,8 +248,8 @@
 	}
 }
 
-// answer submits a job as a user sees it.
-func answer(r *records.Records, s *api.JobSpec) string {
+// submitStatus submits a job as a user sees it.
+func submitStatus(r *records.Records, s *api.JobSpec) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	st, created, err := r.Accept(ctx, s, accepted)
@@ -273,9 +273,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			fake := kvtest.New()
 			r := newRecords(fake, config.StateLimits{TxnOps: 20})
-			urval(t, r)
+			acceptPipeline(t, r)
 			fake.Lose(submission)
-			if got := answer(r, awaiting("job-6", "job-5")); got != "200 pending" {
+			if got := submitStatus(r, specWithDependencies("job-6", "job-5")); got != "200 pending" {
 				t.Errorf("answer %s", got)
 			}
 		})
@@ -284,9 +284,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			fake := kvtest.New()
 			r := newRecords(fake, config.StateLimits{TxnOps: 20})
-			urval(t, r)
+			acceptPipeline(t, r)
 			fake.Hold(submission)
-			if got := answer(r, awaiting("job-6", "job-5")); got != "503" {
+			if got := submitStatus(r, specWithDependencies("job-6", "job-5")); got != "503" {
 				t.Errorf("answer %s", got)
 			}
 			if _, _, err := r.Cancel(context.Background(), "job-5"); err != nil {
@@ -310,27 +310,27 @@
 // active record does not say what it awaits, so a cancellation among those would be
 // overlooked. Nor is one accepted at once whose record has no room for its names.
 func TestJobsWithAwaitsListsAreRead(t *testing.T) {
-	st := &counted{Fake: kvtest.New()}
+	st := &countingFake{Fake: kvtest.New()}
 	r := newRecords(st, config.StateLimits{TxnOps: 20, ValueKB: 1})
 	var ids []string
 	for i := range 32 {
 		ids = append(ids, fmt.Sprintf("job-1%024d", i))
-		answer(r, awaiting(ids[i]))
+		submitStatus(r, specWithDependencies(ids[i]))
 	}
-	if got := answer(r, awaiting("job-2", ids...)); got != "201 pending" {
+	if got := submitStatus(r, specWithDependencies("job-2", ids...)); got != "201 pending" {
 		t.Fatal(got)
 	}
 	if rec := activeRecord(t, st, "job-2"); rec.DependencyList == nil || len(rec.Spec.DependsOn) != 1 {
 		t.Fatalf("the record holds the names: %+v", rec)
 	}
-	if got := answer(r, awaiting("job-3", "job-2")); got != "201 pending" {
+	if got := submitStatus(r, specWithDependencies("job-3", "job-2")); got != "201 pending" {
 		t.Fatal(got)
 	}
 	other := newRecords(st.Fake, config.StateLimits{})
 	if _, found, err := other.Cancel(context.Background(), ids[7]); !found || err != nil {
 		t.Fatal(found, err)
 	}
-	if got := answer(r, awaiting("job-4", "job-2")); got != "201 withdrawn" {
+	if got := submitStatus(r, specWithDependencies("job-4", "job-2")); got != "201 withdrawn" {
 		t.Errorf("after a cancellation: %s", got)
 	}
 }
@@ -338,9 +338,9 @@
 // The end of a job is read once. A later search, which finds its active record gone,
 // must leave it remembered, or each submission after that would read again.
 func TestEndReadEarlierIsRemembered(t *testing.T) {
-	st := &counted{Fake: kvtest.New()}
-	putJob(t, st, "job-1", api.JobDone)
-	putJob(t, st, "job-3", api.JobDone)
+	st := &countingFake{Fake: kvtest.New()}
+	putRecord(t, st, "job-1", api.JobDone)
+	putRecord(t, st, "job-3", api.JobDone)
 	r := newRecords(st, config.StateLimits{TxnOps: 20})
 	for i, c := range []struct {
 		awaits   []string
@@ -352,7 +352,7 @@
 		{[]string{"job-1"}, 1},
 	} {
 		st.requests.Store(0)
-		if got := answer(r, awaiting(fmt.Sprint("job-2", i), c.awaits...)); got != "201 pending" || int(st.requests.Load()) != c.requests {
+		if got := submitStatus(r, specWithDependencies(fmt.Sprint("job-2", i), c.awaits...)); got != "201 pending" || int(st.requests.Load()) != c.requests {
 			t.Errorf("submission %d: %s after %d requests, want %d", i, got, int(st.requests.Load()), c.requests)
 		}
 	}
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -69,7 +69,7 @@
 // that it awaits need not: they may be listed in records of their own.
 func Fits(spec *api.JobSpec, valueKB float64) bool {
 	rec := ActiveRecord{Spec: *spec, Accepted: time.Unix(0, 1).UTC()}
-	return rec.fits(valueKB) || len(spec.DependsOn) > 0 && rec.listedElsewhere(longestDependencyList).fits(valueKB)
+	return rec.fits(valueKB) || len(spec.DependsOn) > 0 && rec.listedElsewhere(maxDependencyList).fits(valueKB)
 }
 
 // fits tells whether the record fits a value of so many KiB; 0: of any size.
@@ -82,15 +82,15 @@
 			long += len(name) + 3
 		}
 	}
-	room := float64(kv.MaxTxnBytes - 2048) // its keys are in the transaction, too
+	capacity := float64(kv.MaxTxnBytes - 2048) // its keys are in the transaction, too
 	if valueKB > 0 {
-		room = min(room, valueKB*1024)
+		capacity = min(capacity, valueKB*1024)
 	}
-	if float64(6*long) < room-1024 {
+	if float64(6*long) < capacity-1024 {
 		return true // even if every byte is escaped
 	}
 	raw, err := json.Marshal(rec)
-	return err == nil && float64(len(raw)+32) <= room
+	return err == nil && float64(len(raw)+32) <= capacity
 }
 
 // FitsRecord tells whether an active record fits a value of so many KiB.
@@ -185,23 +185,23 @@
 const maxCachedTerminal = 8192
 
 // NewRecords makes the Records that serve a node's users.
-func NewRecords(s kv.Service, lim config.StateLimits) Records {
+func NewRecords(s kv.Service, limits config.StateLimits) Records {
 	ends, err := lru.New[string, TerminalRecord](maxCachedTerminal)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
-	return Records{Store: s, Limits: lim, terminalCache: ends,
+	return Records{Store: s, Limits: limits, terminalCache: ends,
 		scans: make(chan struct{}, maxScans), longLists: make(chan struct{}, maxLongLists),
-		derivedWrites: make(chan struct{}, 1), cache: newJobCache(lim)}
+		derivedWrites: make(chan struct{}, 1), cache: newJobCache(limits)}
 }
 
-// tryTimeout bounds one request to the service on a user's behalf. What takes two
+// requestTimeout bounds one request to the service on a user's behalf. What takes two
 // of them has it for each: a first that waited for its turn must not be done in
 // vain because there is no time left for the second.
-const tryTimeout = 800 * time.Millisecond
+const requestTimeout = 800 * time.Millisecond
 
-func (r *Records) get(ctx context.Context, key string) (kv.Entry, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+func (r *Records) getEntry(ctx context.Context, key string) (kv.Entry, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	e, err := r.Store.Get(ctx, key)
 	if err == nil {
@@ -210,8 +210,8 @@
 	return e, err
 }
 
-func (r *Records) txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+func (r *Records) commit(ctx context.Context, txn kv.Txn) (kv.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	res, err := r.Store.Txn(ctx, txn)
 	if err == nil && res.Succeeded {
@@ -224,30 +224,30 @@
 // returned with created false.
 func (r *Records) Accept(ctx context.Context, spec *api.JobSpec, now time.Time) (st api.JobState, created bool, err error) {
 	a := r.newAcceptance(spec, now)
-	if r.acceptAtOnce(ctx, a) {
+	if r.acceptInOneTxn(ctx, a) {
 		return api.JobState{ID: spec.ID, Phase: api.JobPending}, true, nil
 	}
 	err = kv.Retry(ctx, func() error {
-		st, created, err = r.accept(ctx, a)
+		st, created, err = r.tryAccept(ctx, a)
 		return err
 	})
 	return st, created, err
 }
 
-// acceptAtOnce accepts a job that awaits others in one transaction if this node has
+// acceptInOneTxn accepts a job that awaits others in one transaction if this node has
 // read or written the records of those. Where it fails or its outcome is unknown, all
 // is looked at one by one.
-func (r *Records) acceptAtOnce(ctx context.Context, a *acceptance) bool {
+func (r *Records) acceptInOneTxn(ctx context.Context, a *acceptance) bool {
 	id := a.spec.ID
 	if r.cache == nil || len(a.spec.DependsOn) == 0 || a.list != nil {
 		return false
 	}
-	awaited, ok := r.cache.compares(a.spec.DependsOn)
+	dependencies, ok := r.cache.compares(a.spec.DependsOn)
 	if !ok {
 		return false
 	}
-	res, err := r.txn(ctx, kv.Txn{
-		Compares: append([]kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}, awaited...),
+	res, err := r.commit(ctx, kv.Txn{
+		Compares: append([]kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}, dependencies...),
 		Ops:      []kv.Op{{Put: ActivePrefix + id, Value: a.record}},
 	})
 	return err == nil && res.Succeeded
@@ -257,19 +257,19 @@
 // the record does not hold what runs.
 func (r *Records) Lookup(ctx context.Context, id string) (st api.JobState, found bool, err error) {
 	err = kv.Retry(ctx, func() error {
-		st, found, err = r.lookup(ctx, id)
+		st, found, err = r.tryLookup(ctx, id)
 		return err
 	})
 	return st, found, err
 }
 
-// lookup reads the active record before the final one: a job that moves
+// tryLookup reads the active record before the final one: a job that moves
 // between the two reads is then seen at least once.
-func (r *Records) lookup(ctx context.Context, id string) (api.JobState, bool, error) {
-	if r.stillWaits(ctx, id) {
+func (r *Records) tryLookup(ctx context.Context, id string) (api.JobState, bool, error) {
+	if r.isPendingByCache(ctx, id) {
 		return api.JobState{ID: id, Phase: api.JobPending}, true, nil
 	}
-	e, err := r.get(ctx, ActivePrefix+id)
+	e, err := r.getEntry(ctx, ActivePrefix+id)
 	if err != nil {
 		return api.JobState{}, false, err
 	}
@@ -296,7 +296,7 @@
 	case r.derivedWrites <- struct{}{}:
 		go func() {
 			defer func() { <-r.derivedWrites }()
-			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tryTimeout)
+			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 			defer cancel()
 			r.Cancel(ctx, id) // what fails is tried again when somebody asks again
 		}()
@@ -305,18 +305,18 @@
 	return api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}
 }
 
-// stillWaits tells whether a job that awaits others is active and nothing that it needs
+// isPendingByCache tells whether a job that awaits others is active and nothing that it needs
 // is over: one comparison shows it, if this node has read or written their records.
 // Otherwise it returns false, and all is to be read.
-func (r *Records) stillWaits(ctx context.Context, id string) bool {
+func (r *Records) isPendingByCache(ctx context.Context, id string) bool {
 	if r.cache == nil {
 		return false
 	}
-	guards, ok := r.cache.compares([]string{id})
-	if !ok || len(guards) < 2 {
+	compares, ok := r.cache.compares([]string{id})
+	if !ok || len(compares) < 2 {
 		return false // one read tells as much
 	}
-	res, err := r.txn(ctx, kv.Txn{Compares: guards})
+	res, err := r.commit(ctx, kv.Txn{Compares: compares})
 	return err == nil && res.Succeeded
 }
 
@@ -330,7 +330,7 @@
 }
 
 func (r *Records) terminalRecord(ctx context.Context, id string) (end TerminalRecord, found bool, err error) {
-	e, err := r.get(ctx, TerminalPrefix+id)
+	e, err := r.getEntry(ctx, TerminalPrefix+id)
 	if err != nil || e.ModRevision == 0 {
 		return end, false, err
 	}
@@ -343,7 +343,7 @@
 // Cancel ends a job unless it is over. It returns the job's final state.
 func (r *Records) Cancel(ctx context.Context, id string) (st api.JobState, found bool, err error) {
 	err = kv.Retry(ctx, func() error {
-		e, err := r.get(ctx, ActivePrefix+id)
+		e, err := r.getEntry(ctx, ActivePrefix+id)
 		if err != nil {
 			return err
 		}
@@ -362,14 +362,14 @@
 		if rec.Lent != nil {
 			return r.cancelLent(ctx, e, rec)
 		}
-		final := TerminalRecord{Phase: api.JobCancelled, Tasks: rec.Spec.Tasks}
-		res, err := r.txn(ctx, kv.Txn{
+		terminal := TerminalRecord{Phase: api.JobCancelled, Tasks: rec.Spec.Tasks}
+		res, err := r.commit(ctx, kv.Txn{
 			Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
 			// The cancel key comes first: a watch then tells why the record
 			// goes before it tells that it is gone.
 			Ops: []kv.Op{
 				{Put: CancelKey, Value: id},
-				{Put: TerminalPrefix + id, Value: final},
+				{Put: TerminalPrefix + id, Value: terminal},
 				{Delete: e.Key},
 			},
 		})
@@ -379,7 +379,7 @@
 		if !res.Succeeded {
 			return fmt.Errorf("%w: job %s changed meanwhile", kv.ErrOutcomeUnknown, id)
 		}
-		st, found = final.JobState(id), true
+		st, found = terminal.JobState(id), true
 		return nil
 	})
 	return st, found, err
@@ -394,7 +394,7 @@
 	asked := *rec.Lent
 	asked.Cancel = true
 	rec.Lent = &asked
-	res, err := r.txn(ctx, kv.Txn{Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}}, Ops: []kv.Op{{Put: e.Key, Value: rec}}})
+	res, err := r.commit(ctx, kv.Txn{Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}}, Ops: []kv.Op{{Put: e.Key, Value: rec}}})
 	if err != nil {
 		return err
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -21,15 +21,15 @@
 	Data  []byte `json:"data"`
 }
 
-// maxMessage bounds what is unpacked.
-const maxMessage = 4 << 20
+// maxMessageBytes bounds what is unpacked.
+const maxMessageBytes = 4 << 20
 
 // ErrTooLarge means that a message does not fit the records allowed.
 var ErrTooLarge = errors.New("relay: too large")
 
 // Pack packs a message into at most parts records of at most size bytes each,
 // as they are written.
-func Pack(m proto.Message, batch uint64, parts, size int) ([]Part, error) {
+func Pack(m proto.Message, batch uint64, maxParts, maxPartBytes int) ([]Part, error) {
 	raw, err := proto.Marshal(m)
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
@@ -43,16 +43,16 @@
 	w.Write(raw)
 	w.Close()
 	const frame = 128 // of a record, beside its data
-	each := (size - frame) / 4 * 3
-	if each <= 0 || buf.Len() > parts*each {
+	maxDataBytes := (maxPartBytes - frame) / 4 * 3
+	if maxDataBytes <= 0 || buf.Len() > maxParts*maxDataBytes {
 		return nil, ErrTooLarge
 	}
-	of := max(1, (buf.Len()+each-1)/each)
-	out := make([]Part, of)
-	for i := range out {
-		out[i] = Part{Batch: batch, Index: i, Of: of, Data: buf.Next(each)}
+	count := max(1, (buf.Len()+maxDataBytes-1)/maxDataBytes)
+	packed := make([]Part, count)
+	for i := range packed {
+		packed[i] = Part{Batch: batch, Index: i, Of: count, Data: buf.Next(maxDataBytes)}
 	}
-	return out, nil
+	return packed, nil
 }
 
 // Unpack puts a message together from its records. Records of other batches may stand
@@ -64,16 +64,16 @@
 	if first < 0 {
 		return errors.New("relay: the first record is missing")
 	}
-	batch, of := parts[first].Batch, parts[first].Of
+	batch, count := parts[first].Batch, parts[first].Of
 	var data []byte
-	for i := range of {
-		at := slices.IndexFunc(parts, func(p Part) bool { return p.Batch == batch && p.Index == i })
-		if at < 0 {
+	for i := range count {
+		index := slices.IndexFunc(parts, func(p Part) bool { return p.Batch == batch && p.Index == i })
+		if index < 0 {
 			return fmt.Errorf("relay: record %d of batch %d is missing", i, batch)
 		}
-		data = append(data, parts[at].Data...)
+		data = append(data, parts[index].Data...)
 	}
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxMessage))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxMessageBytes))
 	if err != nil {
 		return fmt.Errorf("relay: %w", err)
 	}
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -9,7 +9,7 @@
 )
 
 // The example is good; a bad file is refused in one line that names it and the field.
-func TestFiles(t *testing.T) {
+func TestLoad(t *testing.T) {
 	s, err := Load("../../deploy/standby-example.toml")
 	if err != nil || s.VoteLifetime() != 3*time.Second {
 		t.Fatalf("%+v, %v", s, err)
