--- a/internal/records/accept.go
+++ b/internal/records/accept.go
@@ -3,16 +3,17 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"time"
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/kv"
 )
 
-// Accept makes a job's record. A job known already keeps its state, which is
+// Accept makes a job's record. A job that is known already keeps its state, which is
 // returned with created false.
-func (r *Records) Accept(ctx context.Context, spec *api.JobSpec, now time.Time) (st api.JobState, created bool, err error) {
+func (r *Records) Accept(
+	ctx context.Context, spec *api.JobSpec, now time.Time,
+) (st api.JobState, created bool, err error) {
 	a := r.newAcceptance(spec, now)
 	if r.acceptInOneTxn(ctx, a) {
 		return api.JobState{ID: spec.ID, Phase: api.JobPending}, true, nil
@@ -21,14 +22,13 @@
 		st, created, err = r.tryAccept(ctx, a)
 		return err
 	})
-	return st, created, err
+	return st, created, wrapError("accept", spec.ID, err)
 }
 
-// acceptInOneTxn accepts a job that awaits others in one transaction if this node has
-// read or written the records of those. Where it fails or its outcome is unknown, all
-// is looked at one by one.
+// acceptInOneTxn accepts a job with dependencies in one transaction if this node has the
+// records of those in its cache. If that fails, or its outcome is unknown, it returns
+// false, and the records have to be read one by one.
 func (r *Records) acceptInOneTxn(ctx context.Context, a *acceptance) bool {
-	id := a.spec.ID
 	if r.cache == nil || len(a.spec.DependsOn) == 0 || a.list != nil {
 		return false
 	}
@@ -37,17 +37,22 @@
 		return false
 	}
 	res, err := r.commit(ctx, kv.Txn{
-		Compares: append([]kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}, dependencies...),
-		Ops:      []kv.Op{{Put: ActivePrefix + id, Value: a.record}},
+		Compares: append(absent(a.spec.ID), dependencies...),
+		Ops:      []kv.Op{{Put: ActivePrefix + a.spec.ID, Value: a.record}},
 	})
 	return err == nil && res.Succeeded
 }
 
+// absent are the compares that hold while a job has neither an active nor a terminal record.
+func absent(id string) []kv.Compare {
+	return []kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}
+}
+
 // acceptance is what is needed to accept a job.
 type acceptance struct {
 	spec *api.JobSpec
 	// record becomes the job's active record; list and parts are set if its
-	// awaited jobs are listed elsewhere.
+	// dependencies are listed elsewhere.
 	record ActiveRecord
 	list   *DependencyList
 	parts  []DependencyRecord
@@ -62,7 +67,7 @@
 	return a
 }
 
-// tryAccept tries once to make a job's record.
+// tryAccept makes one attempt to make a job's record.
 func (r *Records) tryAccept(ctx context.Context, a *acceptance) (st api.JobState, created bool, err error) {
 	id := a.spec.ID
 	if len(a.spec.DependsOn) > maxSingleReads || a.list != nil {
@@ -71,15 +76,15 @@
 			return st, false, err
 		}
 		defer release()
-		// What is known already is not worth a long search, and must not have a
-		// list written.
+		// A job that is known already must neither cost a long search nor have a list
+		// written.
 		if st, found, err := r.tryLookup(ctx, id); err != nil || found {
 			return st, false, err
 		}
 	}
 	cancelled, err := r.checkDependencies(ctx, a.spec.DependsOn)
 	if errors.Is(err, errUnknownDependency) {
-		// What is known already keeps its state whatever it names.
+		// A job that is known already keeps its state whatever this submission names.
 		if st, found, lookupErr := r.tryLookup(ctx, id); lookupErr != nil || found {
 			return st, false, lookupErr
 		}
@@ -87,12 +92,14 @@
 	if err != nil {
 		return st, false, err
 	}
-	// One that is cancelled from now on finds the job among those that need it,
-	// whoever leads then.
+	// A dependency that is cancelled from now on finds the job among its dependents,
+	// whichever node leads then.
 	if !cancelled && a.list != nil {
-		if ok, err := r.writeDependencies(ctx, id, a.list, a.parts); err != nil {
+		written, err := r.writeDependencies(ctx, id, a.list, a.parts)
+		if err != nil {
 			return st, false, err
-		} else if !ok {
+		}
+		if !written {
 			return r.lookupAfterConflict(ctx, id)
 		}
 	}
@@ -107,11 +114,11 @@
 	return r.lookupAfterConflict(ctx, id)
 }
 
-// transaction returns the transaction that makes the job's record, and the state
-// that the job then has: withdrawn if a job that it awaits is.
+// transaction returns the transaction that makes the job's record, and the state that the
+// job then has: cancelled if one of its dependencies is.
 func (a *acceptance) transaction(cancelled bool) (kv.Txn, api.JobState) {
 	id := a.spec.ID
-	txn := kv.Txn{Compares: []kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}}
+	txn := kv.Txn{Compares: absent(id)}
 	if cancelled {
 		terminal := TerminalRecord{Phase: api.JobCancelled, Tasks: a.spec.Tasks}
 		txn.Ops = []kv.Op{{Put: TerminalPrefix + id, Value: terminal}}
@@ -121,12 +128,12 @@
 	return txn, api.JobState{ID: id, Phase: api.JobPending}
 }
 
-// lookupAfterConflict looks up a job that turned out to be known; perhaps by a transaction of
-// this very submission, whose answer was lost.
+// lookupAfterConflict looks up a job that turned out to be known, perhaps by an earlier
+// transaction of this submission whose response was lost.
 func (r *Records) lookupAfterConflict(ctx context.Context, id string) (api.JobState, bool, error) {
 	st, found, err := r.tryLookup(ctx, id)
 	if err == nil && !found {
-		err = fmt.Errorf("%w: job %s changed meanwhile", kv.ErrOutcomeUnknown, id)
+		err = conflictError(ActivePrefix + id)
 	}
 	return st, false, err
 }
--- a/internal/records/cancel.go
+++ b/internal/records/cancel.go
@@ -2,78 +2,84 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/kv"
 )
 
-// ErrLent means that a job is lent to another cell, which has yet to confirm that it is
-// cancelled. That it is to be is on record.
-var ErrLent = errors.New("state service: the job is lent to another cell")
+// ErrLent means that a job is lent to another cell, which has yet to confirm the
+// cancellation. That the job is to be cancelled is on record.
+var ErrLent = errors.New("lent to another cell, which has yet to confirm the cancellation")
 
-// Cancel ends a job unless it is over. It returns the job's final state.
+// Cancel ends a job unless it has ended. It returns the job's terminal state.
 func (r *Records) Cancel(ctx context.Context, id string) (st api.JobState, found bool, err error) {
 	err = kv.Retry(ctx, func() error {
-		e, err := r.getEntry(ctx, ActivePrefix+id)
-		if err != nil {
-			return err
-		}
-		if e.ModRevision == 0 {
-			st, found, err = r.TerminalState(ctx, id)
-			return err
-		}
-		var rec ActiveRecord
-		if err := json.Unmarshal(e.Value, &rec); err != nil {
-			return fmt.Errorf("record %s: %w", e.Key, err)
-		}
-		if rec.Guest != nil {
-			st, found, err = r.TerminalState(ctx, id)
-			return err
-		}
-		if rec.Lent != nil {
-			return r.cancelLent(ctx, e, rec)
-		}
-		terminal := TerminalRecord{Phase: api.JobCancelled, Tasks: rec.Spec.Tasks}
-		res, err := r.commit(ctx, kv.Txn{
-			Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
-			// The cancel key comes first: a watch then tells why the record
-			// goes before it tells that it is gone.
-			Ops: []kv.Op{
-				{Put: CancelKey, Value: id},
-				{Put: TerminalPrefix + id, Value: terminal},
-				{Delete: e.Key},
-			},
-		})
-		if err != nil {
-			return err
-		}
-		if !res.Succeeded {
-			return fmt.Errorf("%w: job %s changed meanwhile", kv.ErrOutcomeUnknown, id)
-		}
-		st, found = terminal.JobState(id), true
-		return nil
+		st, found, err = r.tryCancel(ctx, id)
+		return err
 	})
-	return st, found, err
+	return st, found, wrapError("cancel", id, err)
 }
 
-// cancelLent notes that a lent job is to be cancelled. Its user is told only once the cell
-// that has it has recorded that, and its tasks are gone there.
+// tryCancel makes one attempt to cancel a job.
+func (r *Records) tryCancel(ctx context.Context, id string) (api.JobState, bool, error) {
+	e, err := r.getEntry(ctx, ActivePrefix+id)
+	if err != nil {
+		return api.JobState{}, false, err
+	}
+	if e.ModRevision == 0 {
+		return r.TerminalState(ctx, id)
+	}
+	var rec ActiveRecord
+	if err := decodeRecord(e, &rec); err != nil {
+		return api.JobState{}, false, err
+	}
+	switch {
+	case rec.Guest != nil:
+		return r.TerminalState(ctx, id)
+	case rec.Lent != nil:
+		return api.JobState{}, false, r.cancelLent(ctx, e, rec)
+	}
+	terminal := TerminalRecord{Phase: api.JobCancelled, Tasks: rec.Spec.Tasks}
+	err = r.replace(ctx, e,
+		// The cancel key goes first, so that a watch shows the reason before it shows
+		// that the active record was deleted.
+		kv.Op{Put: CancelKey, Value: id},
+		kv.Op{Put: TerminalPrefix + id, Value: terminal},
+		kv.Op{Delete: e.Key},
+	)
+	if err != nil {
+		return api.JobState{}, false, err
+	}
+	return terminal.JobState(id), true, nil
+}
+
+// cancelLent records that a lent job is to be cancelled. Its user sees it cancelled only
+// once the other cell has recorded that and runs no task of it any more.
 func (r *Records) cancelLent(ctx context.Context, e kv.Entry, rec ActiveRecord) error {
 	if rec.Lent.Cancel {
 		return ErrLent
 	}
-	asked := *rec.Lent
-	asked.Cancel = true
-	rec.Lent = &asked
-	res, err := r.commit(ctx, kv.Txn{Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}}, Ops: []kv.Op{{Put: e.Key, Value: rec}}})
+	lent := *rec.Lent
+	lent.Cancel = true
+	rec.Lent = &lent
+	if err := r.replace(ctx, e, kv.Op{Put: e.Key, Value: rec}); err != nil {
+		return err
+	}
+	return ErrLent
+}
+
+// replace commits operations unless an entry has changed since it was read.
+func (r *Records) replace(ctx context.Context, e kv.Entry, ops ...kv.Op) error {
+	res, err := r.commit(ctx, kv.Txn{
+		Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
+		Ops:      ops,
+	})
 	if err != nil {
 		return err
 	}
 	if !res.Succeeded {
-		return fmt.Errorf("%w: %s changed meanwhile", kv.ErrOutcomeUnknown, e.Key)
+		return conflictError(e.Key)
 	}
-	return ErrLent
+	return nil
 }
--- a/internal/records/dependencies.go
+++ b/internal/records/dependencies.go
@@ -12,12 +12,13 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// errUnknownDependency means that a job names one that nobody has accepted.
-var errUnknownDependency = errors.New("state service: never accepted")
+// errUnknownDependency means that a job depends on one that no node has accepted.
+var errUnknownDependency = errors.New("dependency never accepted")
 
-// UnknownDependencyError names a job that another one awaits and nobody has accepted.
+// UnknownDependencyError names a dependency that no node has accepted.
 type UnknownDependencyError struct{ ID string }
 
+// Error implements error. Users are shown this text.
 func (e *UnknownDependencyError) Error() string {
 	return "awaits " + e.ID + ", which was never accepted"
 }
@@ -25,27 +26,27 @@
 // Is makes it an errUnknownDependency.
 func (e *UnknownDependencyError) Is(target error) bool { return target == errUnknownDependency }
 
-// maxSingleReads is how many jobs are read one by one; more are looked for in
-// ranges, which take few requests however many jobs there are.
+// maxSingleReads is how many jobs are read one by one. More are searched in ranges, which
+// take few requests however many jobs there are.
 const maxSingleReads = 24
 
-// dependencySearch follows what jobs await, directly or through others.
+// dependencySearch walks the dependencies of jobs, direct and indirect.
 type dependencySearch struct {
 	records     *Records
 	singleReads int
-	// active is what all active jobs await, once it is read.
+	// active holds the dependencies of all active jobs, once they are read.
 	active map[string]dependencySet
-	// ended are the jobs found that are not active.
+	// ended are the jobs reached that are not active.
 	ended []string
 }
 
-// dependencySet is what an active job awaits: names, or a list of them.
+// dependencySet is what an active job depends on: names, or a list of them.
 type dependencySet struct {
 	ids  []string
 	list *DependencyList
 }
 
-// walk looks at jobs and at all that they await and that is active.
+// walk visits jobs and, of those that are active, all dependencies.
 func (s *dependencySearch) walk(ctx context.Context, ids []string) error {
 	if len(ids) > maxSingleReads {
 		s.singleReads = maxSingleReads
@@ -69,69 +70,76 @@
 	return nil
 }
 
-// dependenciesOf reads what a job awaits, and whether it is active.
+// dependenciesOf reads what a job depends on, and whether it is active.
 func (s *dependencySearch) dependenciesOf(ctx context.Context, id string) (ids []string, isActive bool, err error) {
-	var a dependencySet
+	set, isActive, err := s.readSet(ctx, id)
+	if err != nil || !isActive {
+		return nil, false, err
+	}
+	ids, err = s.records.resolve(ctx, id, set)
+	return ids, true, err
+}
+
+// readSet reads a job's active record; after maxSingleReads of them it reads those of all jobs.
+func (s *dependencySearch) readSet(ctx context.Context, id string) (set dependencySet, isActive bool, err error) {
 	if s.active == nil && s.singleReads < maxSingleReads {
 		s.singleReads++
 		e, err := s.records.getEntry(ctx, ActivePrefix+id)
 		if err != nil || e.ModRevision == 0 || isGuestRecord(e) {
-			return nil, false, err
-		}
-		a = dependenciesOf(e)
-	} else {
-		if s.active == nil {
-			if s.active, err = s.records.readActiveDependencies(ctx); err != nil {
-				return nil, false, err
-			}
+			return dependencySet{}, false, err
 		}
-		var ok bool
-		if a, ok = s.active[id]; !ok {
-			return nil, false, nil
+		return dependenciesOf(e), true, nil
+	}
+	if s.active == nil {
+		if s.active, err = s.records.readActiveDependencies(ctx); err != nil {
+			return dependencySet{}, false, err
 		}
 	}
-	if a.list != nil {
-		a.ids, err = s.records.ReadDependencies(ctx, id, a.list)
+	set, isActive = s.active[id]
+	return set, isActive, nil
+}
+
+// resolve returns the names of a job's dependencies, which it reads if they are in a list.
+func (r *Records) resolve(ctx context.Context, id string, set dependencySet) ([]string, error) {
+	if set.list == nil {
+		return set.ids, nil
 	}
-	return a.ids, true, err
+	return r.ReadDependencies(ctx, id, set.list)
 }
 
-// checkDependencies looks whether jobs were accepted and whether one of them is cancelled, or
-// is to be with one that it needs itself.
+// checkDependencies fails with UnknownDependencyError if one of some jobs was never accepted,
+// and reports whether one of them is cancelled, or is to be with a dependency of its own.
 func (r *Records) checkDependencies(ctx context.Context, ids []string) (cancelled bool, err error) {
-	s := dependencySearch{records: r}
-	if err := s.walk(ctx, ids); err != nil {
+	search := dependencySearch{records: r}
+	if err := search.walk(ctx, ids); err != nil {
 		return false, err
 	}
-	ends, err := r.TerminalRecords(ctx, s.ended)
+	ends, err := r.TerminalRecords(ctx, search.ended)
 	if err != nil {
 		return false, err
 	}
-	for _, id := range s.ended {
+	for _, id := range search.ended {
 		end, found := ends[id]
 		if !found && slices.Contains(ids, id) {
-			return false, &UnknownDependencyError{id}
+			return false, &UnknownDependencyError{ID: id}
 		}
 		cancelled = cancelled || end.Phase == api.JobCancelled
 	}
 	return cancelled, nil
 }
 
-// cancelPending tells whether an active job needs one, directly or through others,
-// that is cancelled.
+// cancelPending reports whether a dependency of an active job, direct or indirect, is
+// cancelled.
 func (r *Records) cancelPending(ctx context.Context, e kv.Entry) (bool, error) {
-	a := dependenciesOf(e)
-	if a.list != nil {
-		var err error
-		if a.ids, err = r.ReadDependencies(ctx, strings.TrimPrefix(e.Key, ActivePrefix), a.list); err != nil {
-			return false, err
-		}
+	ids, err := r.resolve(ctx, strings.TrimPrefix(e.Key, ActivePrefix), dependenciesOf(e))
+	if err != nil {
+		return false, err
 	}
-	s := dependencySearch{records: r}
-	if err := s.walk(ctx, a.ids); err != nil {
+	search := dependencySearch{records: r}
+	if err := search.walk(ctx, ids); err != nil {
 		return false, err
 	}
-	ends, err := r.TerminalRecords(ctx, s.ended)
+	ends, err := r.TerminalRecords(ctx, search.ended)
 	for _, end := range ends {
 		if end.Phase == api.JobCancelled {
 			return true, err
@@ -140,38 +148,33 @@
 	return false, err
 }
 
-// dependenciesOf is what an active job needs.
+// dependenciesOf returns what the job of an active record depends on.
 func dependenciesOf(e kv.Entry) dependencySet {
 	if !bytes.Contains(e.Value, []byte(`"Awaits"`)) {
-		return dependencySet{} // most need none
+		return dependencySet{} // most jobs have no dependencies, and need no decoding
 	}
 	var rec ActiveRecord
 	if json.Unmarshal(e.Value, &rec) != nil {
 		return dependencySet{}
 	}
-	return dependencySet{rec.Spec.DependsOn, rec.DependencyList}
+	return dependencySet{ids: rec.Spec.DependsOn, list: rec.DependencyList}
 }
 
-// readActiveDependencies reads what all active jobs await.
+// readActiveDependencies reads the dependencies of all active jobs.
 func (r *Records) readActiveDependencies(ctx context.Context) (map[string]dependencySet, error) {
 	release, err := acquire(ctx, r.scans)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	all := map[string]dependencySet{}
-	for from := ""; ; {
-		p, err := r.readPage(ctx, ActivePrefix, from)
-		if err != nil {
-			return nil, err
-		}
-		for _, e := range p.Entries {
-			if from = e.Key; !isGuestRecord(e) {
-				all[strings.Clone(strings.TrimPrefix(e.Key, ActivePrefix))] = dependenciesOf(e)
-			}
-		}
-		if !p.More || len(p.Entries) == 0 {
-			return all, nil
+	active := map[string]dependencySet{}
+	err = r.forEachEntry(ctx, ActivePrefix, func(e kv.Entry) {
+		if !isGuestRecord(e) {
+			active[strings.Clone(strings.TrimPrefix(e.Key, ActivePrefix))] = dependenciesOf(e)
 		}
+	})
+	if err != nil {
+		return nil, err
 	}
+	return active, nil
 }
--- a/internal/records/jobcache.go
+++ b/internal/records/jobcache.go
@@ -12,19 +12,19 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// jobCache remembers the jobs whose records this node has read or written. An active
-// record never changes, and a job that is done stays done. So a transaction that
-// guards on the remembered versions of all active jobs that a new one awaits, directly
-// or through others, shows in one request that they were accepted and that none is
-// cancelled. Read one by one they would use up the users' request budget: the jobs of
-// a pipeline are submitted within a second or two.
+// jobCache holds the jobs whose records this node has read or written. The record of an
+// active job never changes while it keeps its version, and a job that is done stays done.
+// So a transaction that compares the cached versions of all active jobs that a new one
+// depends on, directly or indirectly, shows in one request that they were accepted and that
+// none is cancelled. Reading them one by one would use up the users' request rate: the jobs
+// of a pipeline are submitted within a second or two.
 type jobCache struct {
 	jobs *lru.Cache[string, cachedJob]
-	// maxCompares is how many conditions a transaction may have.
+	// maxCompares is how many compares a transaction may have.
 	maxCompares int
 }
 
-// cachedJob is an accepted job that is not cancelled as far as this node knows.
+// cachedJob is an accepted job that was not cancelled when its record was cached.
 type cachedJob struct {
 	// modRevision is the version of the active record, or 0 if the job is done.
 	modRevision uint64
@@ -32,14 +32,14 @@
 }
 
 const (
-	// maxCachedJobs bounds the jobs in a cache, and maxCachedDependencies the names that each
-	// of them awaits.
+	// maxCachedJobs bounds the jobs in a cache, and maxCachedDependencies the
+	// dependencies of each.
 	maxCachedJobs         = 2048
 	maxCachedDependencies = 32
-	// comparesPerOp is how many conditions a transaction may have for each change
+	// comparesPerOp is how many compares a transaction may have for each operation
 	// that the limits allow.
 	comparesPerOp = 4
-	// reservedCompares are the conditions that a new job itself takes.
+	// reservedCompares are the compares that a new job itself takes.
 	reservedCompares = 2
 )
 
@@ -52,8 +52,9 @@
 	return &jobCache{jobs: jobs, maxCompares: comparesPerOp * limits.TxnOps}
 }
 
-// compares returns the conditions under which jobs are accepted and neither they nor any
-// that they need is cancelled. It returns false if this node cannot tell.
+// compares returns the compares that hold only while some jobs are accepted and neither they
+// nor any of their dependencies is cancelled. It returns false if the cache lacks one of
+// those, or if they are too many for a transaction.
 func (c *jobCache) compares(ids []string) ([]kv.Compare, bool) {
 	var compares []kv.Compare
 	visited := map[string]bool{}
@@ -68,7 +69,7 @@
 			return nil, false
 		}
 		if job.modRevision == 0 {
-			continue // done, and with it all that it needed
+			continue // done, and so are all its dependencies
 		}
 		compares = append(compares, kv.Compare{Key: ActivePrefix + id, ModRevision: job.modRevision})
 		pending = append(pending, job.dependsOn...)
@@ -85,45 +86,44 @@
 		if e.ModRevision != 0 && !isGuestRecord(e) {
 			c.add(id, e.ModRevision, dependenciesOf(e))
 		} else {
-			c.jobs.Remove(id) // it is over; its final record tells more
+			c.jobs.Remove(id) // it has ended; its terminal record says how
 		}
 	case strings.HasPrefix(e.Key, TerminalPrefix):
-		var f TerminalRecord
-		if json.Unmarshal(e.Value, &f) == nil {
-			c.jobEnded(strings.TrimPrefix(e.Key, TerminalPrefix), f)
+		var terminal TerminalRecord
+		if json.Unmarshal(e.Value, &terminal) == nil {
+			c.jobEnded(strings.TrimPrefix(e.Key, TerminalPrefix), terminal)
 		}
 	}
 }
 
-// jobEnded caches how a job ended. One that is done stays so; one that is cancelled is
-// not remembered.
-func (c *jobCache) jobEnded(id string, end TerminalRecord) {
-	if c != nil && end.Phase == api.JobDone {
+// jobEnded caches that a job is done, which it stays. A cancelled job is not cached.
+func (c *jobCache) jobEnded(id string, terminal TerminalRecord) {
+	if c != nil && terminal.Phase == api.JobDone {
 		c.add(id, 0, dependencySet{})
 	}
 }
 
-// applyWrite updates the cache by a transaction that was carried out at a revision.
+// applyWrite caches the active records of a transaction that was applied at a revision.
 func (c *jobCache) applyWrite(txn kv.Txn, revision uint64) {
 	if c == nil {
 		return
 	}
 	for _, op := range txn.Ops {
 		if rec, ok := op.Value.(ActiveRecord); ok && rec.Spec.ID != "" {
-			c.add(rec.Spec.ID, revision, dependencySet{rec.Spec.DependsOn, rec.DependencyList})
+			c.add(rec.Spec.ID, revision, dependencySet{ids: rec.Spec.DependsOn, list: rec.DependencyList})
 		}
 	}
 }
 
-// add remembers a job, unless it awaits so many that they are listed elsewhere or
-// would take much memory.
+// add caches a job, unless its dependencies are listed elsewhere or would take much memory.
 func (c *jobCache) add(id string, modRevision uint64, set dependencySet) {
 	if set.list != nil || len(set.ids) > maxCachedDependencies {
 		return
 	}
 	job := cachedJob{modRevision: modRevision}
-	for _, a := range set.ids {
-		job.dependsOn = append(job.dependsOn, strings.Clone(a))
+	for _, dependency := range set.ids {
+		// A clone, so that the cache does not keep in memory what the name is a part of.
+		job.dependsOn = append(job.dependsOn, strings.Clone(dependency))
 	}
 	c.jobs.Add(strings.Clone(id), job)
 }
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Prefixes of the service's keys. Active and final jobs are apart, so that a
-// new leader reads only what still matters.
+// Prefixes and names of the keys. Active and terminal records are apart, so that a new
+// leader reads only the jobs that have not ended.
 const (
 	ActivePrefix       = "a/"
 	TerminalPrefix     = "f/"
@@ -17,15 +17,15 @@
 	RelayPrefix        = "relay/"
 	MachineTypesKey    = "types"
 	// CancelKey changes in every transaction that cancels a job. It lies under
-	// ActivePrefix, so a watch shows it together with the jobs cancelled.
+	// ActivePrefix, so that one watch shows it together with the jobs cancelled.
 	CancelKey = ActivePrefix + "!cancel"
 )
 
-// DependencyPrefix is the prefix of the records that list the awaited jobs of those
-// whose active record has no room for them.
+// DependencyPrefix is the prefix of the records that list the dependencies of jobs whose
+// active record has no space for them.
 const DependencyPrefix = "awaits/"
 
-// CompletionKey is the key of the part of a job's progress that begins at task.
+// CompletionKey is the key of the part of a job's completion that begins at task.
 func CompletionKey(id string, task int) string {
 	return CompletionPrefix + id + "/" + strconv.Itoa(task)
 }
@@ -40,6 +40,7 @@
 	return id, task, err == nil && task >= 0
 }
 
+// prefix is the prefix of the records of a job's list.
 func (l *DependencyList) prefix(id string) string {
 	return DependencyPrefix + id + "/" + l.Digest + "/"
 }
@@ -53,10 +54,10 @@
 	return keys
 }
 
-// ParseDependencyKey tells whose list a record belongs to.
+// ParseDependencyKey returns the job and the digest of the list that a record belongs to.
 func ParseDependencyKey(key string) (id, digest string, ok bool) {
 	parts := strings.Split(strings.TrimPrefix(key, DependencyPrefix), "/")
-	if len(parts) != 3 {
+	if len(parts) != 3 { // job, digest, number
 		return "", "", false
 	}
 	return parts[0], parts[1], true
--- a/internal/records/lookup.go
+++ b/internal/records/lookup.go
@@ -2,25 +2,23 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/kv"
 )
 
-// Lookup reads a job's record. A job that is active is reported as pending, since
-// the record does not hold what runs.
+// Lookup reads a job's state from its records. An active job is returned as pending, since
+// no record says what runs.
 func (r *Records) Lookup(ctx context.Context, id string) (st api.JobState, found bool, err error) {
 	err = kv.Retry(ctx, func() error {
 		st, found, err = r.tryLookup(ctx, id)
 		return err
 	})
-	return st, found, err
+	return st, found, wrapError("look up", id, err)
 }
 
-// tryLookup reads the active record before the final one: a job that moves
-// between the two reads is then seen at least once.
+// tryLookup makes one attempt to look up a job. It reads the active record before the
+// terminal one: a job that ends between the two reads is then seen at least once.
 func (r *Records) tryLookup(ctx context.Context, id string) (api.JobState, bool, error) {
 	if r.isPendingByCache(ctx, id) {
 		return api.JobState{ID: id, Phase: api.JobPending}, true, nil
@@ -42,11 +40,11 @@
 	return api.JobState{ID: id, Phase: api.JobPending}, true, nil
 }
 
-// deriveCancelled returns the state of a job that needs a cancelled one. All who read the
-// records come to it, whether or not it is written yet: a cancelled job stays cancelled,
-// and what needs it never begins. While nobody leads, or a leader that knows nothing of
-// awaited jobs, nobody else writes it; but one at a time, so that thousands of such jobs
-// leave submissions their part of the write rate.
+// deriveCancelled returns the state of a job that depends on a cancelled one. All who read
+// the records derive the same state, whether or not it is written yet: a cancelled job
+// stays cancelled, and what depends on it never starts. While no node leads, or a leader
+// that knows nothing of dependencies, nobody else writes it; so it is written here, if no
+// other derived cancellation is being written.
 func (r *Records) deriveCancelled(ctx context.Context, id string) api.JobState {
 	select {
 	case r.derivedWrites <- struct{}{}:
@@ -54,44 +52,48 @@
 			defer func() { <-r.derivedWrites }()
 			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 			defer cancel()
-			r.Cancel(ctx, id) // what fails is tried again when somebody asks again
+			// A failure is dropped: the next lookup of the job derives the same state
+			// and tries the write again.
+			_, _, _ = r.Cancel(ctx, id)
 		}()
 	default:
 	}
 	return api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}
 }
 
-// isPendingByCache tells whether a job that awaits others is active and nothing that it needs
-// is over: one comparison shows it, if this node has read or written their records.
-// Otherwise it returns false, and all is to be read.
+// isPendingByCache reports whether a job with dependencies is active and none of those has
+// ended since this node cached their records: one comparison shows it. If it returns false,
+// the records have to be read.
 func (r *Records) isPendingByCache(ctx context.Context, id string) bool {
 	if r.cache == nil {
 		return false
 	}
 	compares, ok := r.cache.compares([]string{id})
 	if !ok || len(compares) < 2 {
-		return false // one read tells as much
+		return false // one read shows as much as one comparison
 	}
 	res, err := r.commit(ctx, kv.Txn{Compares: compares})
 	return err == nil && res.Succeeded
 }
 
-// TerminalState reads a job's final record.
+// TerminalState returns a job's state by its terminal record.
 func (r *Records) TerminalState(ctx context.Context, id string) (api.JobState, bool, error) {
-	end, found, err := r.terminalRecord(ctx, id)
+	terminal, found, err := r.terminalRecord(ctx, id)
 	if err != nil || !found {
 		return api.JobState{}, false, err
 	}
-	return end.JobState(id), true, nil
+	return terminal.JobState(id), true, nil
 }
 
-func (r *Records) terminalRecord(ctx context.Context, id string) (end TerminalRecord, found bool, err error) {
+// terminalRecord reads a job's terminal record.
+func (r *Records) terminalRecord(ctx context.Context, id string) (TerminalRecord, bool, error) {
 	e, err := r.getEntry(ctx, TerminalPrefix+id)
 	if err != nil || e.ModRevision == 0 {
-		return end, false, err
+		return TerminalRecord{}, false, err
 	}
-	if err := json.Unmarshal(e.Value, &end); err != nil {
-		return end, false, fmt.Errorf("record %s: %w", e.Key, err)
+	var terminal TerminalRecord
+	if err := decodeRecord(e, &terminal); err != nil {
+		return TerminalRecord{}, false, err
 	}
-	return end, true, nil
+	return terminal, true, nil
 }
--- a/internal/records/values.go
+++ b/internal/records/values.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"time"
 
 	"example.org/ivytrestle/internal/api"
@@ -10,12 +11,12 @@
 	"example.org/ivytrestle/internal/loan"
 )
 
-// ActiveRecord is an accepted job that is not over. It never changes.
+// ActiveRecord is an accepted job that has not ended. Only a loan changes it.
 type ActiveRecord struct {
 	Spec     api.JobSpec `json:"spec"`
 	Accepted time.Time   `json:"accepted"`
-	// DependencyList tells where the awaited jobs are listed if this record has no room for
-	// them. Spec.Awaits then holds only DependenciesElsewhere.
+	// DependencyList names the records that list the dependencies if this one has no
+	// space for them. Spec.DependsOn then holds only DependenciesElsewhere.
 	DependencyList *DependencyList `json:"awaits_list,omitempty"`
 	// Lent is set while the job is lent to another cell, and Guest if it runs here for
 	// one. Spec is then empty, and the job's description is there.
@@ -25,26 +26,34 @@
 	LoanCount int `json:"lends,omitempty"`
 }
 
-// isGuestRecord tells whether an active record is of a job that runs for another cell. For
-// the users of this one no such job was accepted.
+// isGuestRecord reports whether an active record is of a job that runs for another cell.
+// For the users of this cell no such job was accepted.
 func isGuestRecord(e kv.Entry) bool {
 	if !bytes.Contains(e.Value, []byte(`"guest"`)) {
-		return false // nearly all
+		return false // nearly all, without decoding them
 	}
 	var rec ActiveRecord
 	return json.Unmarshal(e.Value, &rec) == nil && rec.Guest != nil
 }
 
-// TerminalRecord is a job that is over.
+// decodeRecord decodes the value of an entry. Its error names the key.
+func decodeRecord(e kv.Entry, into any) error {
+	if err := json.Unmarshal(e.Value, into); err != nil {
+		return fmt.Errorf("decode record %s: %w", e.Key, err)
+	}
+	return nil
+}
+
+// TerminalRecord is how a job ended.
 type TerminalRecord struct {
 	Phase string `json:"phase"`
 	Tasks int    `json:"tasks"`
-	// Ended is when the job was done; zero if it is cancelled, or if a version
-	// wrote the record that did not tell.
+	// Ended is when the job was done. It is zero if the job was cancelled, or if the
+	// record is of a version that did not write it.
 	Ended time.Time `json:"ended,omitzero"`
 }
 
-// JobState is the state reported to users of a job that is over.
+// JobState is the state of an ended job as users see it.
 func (f TerminalRecord) JobState(id string) api.JobState {
 	st := api.JobState{ID: id, Phase: f.Phase}
 	if f.Phase == api.JobDone {
@@ -53,14 +62,14 @@
 	return st
 }
 
-// CompletionRecord holds the done tasks of a part of a job as a bit set.
+// CompletionRecord holds the completed tasks of a part of a job as a bit set.
 type CompletionRecord struct {
 	Done []byte `json:"done"`
 }
 
-// RegistryShardRecord is a shard of the roster: machines that may hold tasks. Machines
-// that come together share one, or a large fleet would wait for its turn within
-// the write rate, one record each.
+// RegistryShardRecord is a shard of the registry: machines that may hold tasks. Machines
+// that register at the same time share one: with a record each, a large fleet would wait
+// for the write rate.
 type RegistryShardRecord struct {
 	Machines []MachineRecord `json:"machines"`
 }
@@ -77,57 +86,76 @@
 	MemoryGB float64 `json:"memory_gb"`
 }
 
-// LeaseRenewalRecord names the machines whose leases a node extends for a leader
-// that cannot reach them.
+// LeaseRenewalRecord names the machines whose task leases a node renews on behalf of a
+// leader that cannot reach them.
 type LeaseRenewalRecord struct {
 	Term  uint64   `json:"term"`
 	Hosts []string `json:"hosts"`
 }
 
-// DependencyList tells which records list a job's awaited jobs. Its digest makes the
-// keys depend on the names: two submissions of one job that name others never
-// write the same keys, and a repeated submission finds what the first has written.
+// DependencyList says which records list a job's dependencies. Its digest makes the keys
+// depend on the names: two submissions of one job with different dependencies never write
+// the same keys, and a repeated submission finds what the first has written.
 type DependencyList struct {
 	Digest  string `json:"digest"`
 	Records int    `json:"records"`
 }
 
-// DependencyRecord is a part of a list of awaited jobs.
+// DependencyRecord is a part of a list of dependencies.
 type DependencyRecord struct {
 	Jobs []string `json:"jobs"`
 }
 
-// Fits tells whether an accepted job's record fits a value of so many KiB. The jobs
-// that it awaits need not: they may be listed in records of their own.
+const (
+	bytesPerKB = 1024
+	// txnKeyBytes is left in a transaction for its keys.
+	txnKeyBytes = 2048
+	// shortFieldBytes is more than all fields of a record take but the names in it.
+	shortFieldBytes = 1024
+	// quoteBytes is what a name takes in a JSON list besides itself.
+	quoteBytes = len(`"",`)
+	// maxEscapedBytes is what a byte takes in JSON at most.
+	maxEscapedBytes = len(`\u0000`)
+	// encodingMargin is left for the encoding of a record that was measured.
+	encodingMargin = 32
+	// growthMargin is left for numbers in a record that may grow.
+	growthMargin = 256
+)
+
+// Fits reports whether an accepted job's record fits a value of valueKB KiB. Its
+// dependencies need not: they may be listed in records of their own.
 func Fits(spec *api.JobSpec, valueKB float64) bool {
 	rec := ActiveRecord{Spec: *spec, Accepted: time.Unix(0, 1).UTC()}
-	return rec.fits(valueKB) || len(spec.DependsOn) > 0 && rec.listedElsewhere(maxDependencyList).fits(valueKB)
+	if rec.fits(valueKB) {
+		return true
+	}
+	return len(spec.DependsOn) > 0 && rec.listedElsewhere(maxDependencyList).fits(valueKB)
 }
 
-// fits tells whether the record fits a value of so many KiB; 0: of any size.
+// fits reports whether the record fits a value of valueKB KiB; 0: of any size that a
+// transaction can hold.
 func (rec ActiveRecord) fits(valueKB float64) bool {
 	spec := &rec.Spec
-	// Everything else in a record is bounded, and short.
-	long := len(spec.Class) + len(spec.Image) + len(spec.Zone) + len(spec.Team)
+	// All other fields of a record are bounded, and short.
+	nameBytes := len(spec.Class) + len(spec.Image) + len(spec.Zone) + len(spec.Team)
 	for _, names := range [][]string{spec.Types, spec.DependsOn} {
 		for _, name := range names {
-			long += len(name) + 3
+			nameBytes += len(name) + quoteBytes
 		}
 	}
-	capacity := float64(kv.MaxTxnBytes - 2048) // its keys are in the transaction, too
+	capacity := float64(kv.MaxTxnBytes - txnKeyBytes)
 	if valueKB > 0 {
-		capacity = min(capacity, valueKB*1024)
+		capacity = min(capacity, valueKB*bytesPerKB)
 	}
-	if float64(6*long) < capacity-1024 {
-		return true // even if every byte is escaped
+	if float64(maxEscapedBytes*nameBytes) < capacity-shortFieldBytes {
+		return true // even if every byte is escaped, so that encoding it can be left out
 	}
 	raw, err := json.Marshal(rec)
-	return err == nil && float64(len(raw)+32) <= capacity
+	return err == nil && float64(len(raw)+encodingMargin) <= capacity
 }
 
-// FitsRecord tells whether an active record fits a value of so many KiB.
+// FitsRecord reports whether an active record fits a value of valueKB KiB.
 func FitsRecord(rec ActiveRecord, valueKB float64) bool {
 	raw, err := json.Marshal(rec)
-	const margin = 256 // for numbers that may grow
-	return err == nil && float64(len(raw)+margin) <= min(valueKB*1024, kv.MaxTxnBytes/2)
+	return err == nil && float64(len(raw)+growthMargin) <= min(valueKB*bytesPerKB, kv.MaxTxnBytes/2)
 }
