--- a/internal/records/dependencies_test.go
+++ b/internal/records/dependencies_test.go
@@ -19,17 +19,16 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// countingStore counts the requests that reach the state service, and refuses those
-// beyond a number.
+// countingStore counts the requests that reach the store, and rejects those beyond a number.
 type countingStore struct {
 	*kvtest.Fake
 	requests, writes atomic.Int64
-	// most is how many requests are answered; 0: all.
-	most int
+	// maxRequests is how many requests are answered; 0: all.
+	maxRequests int
 }
 
 func (c *countingStore) count() error {
-	if n := c.requests.Add(1); c.most > 0 && int(n) > c.most {
+	if n := c.requests.Add(1); c.maxRequests > 0 && int(n) > c.maxRequests {
 		return kv.ErrNotApplied
 	}
 	return nil
@@ -42,11 +41,11 @@
 	return c.Fake.Get(ctx, key)
 }
 
-func (c *countingStore) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
+func (c *countingStore) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
 	if err := c.count(); err != nil {
 		return kv.Page{}, err
 	}
-	return c.Fake.Range(ctx, prefix, from, most)
+	return c.Fake.Range(ctx, prefix, from, limit)
 }
 
 func (c *countingStore) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
@@ -59,29 +58,37 @@
 
 func newCountingStore() *countingStore { return &countingStore{Fake: kvtest.New()} }
 
-// putRecord writes a job's record as some node would: an active one, or a final one.
+// putRecord writes a job's record as some node would: an active one, or a terminal one.
 func putRecord(t *testing.T, s kv.Service, id, phase string, dependsOn ...string) {
 	t.Helper()
 	op := kv.Op{Put: records.TerminalPrefix + id, Value: records.TerminalRecord{Phase: phase, Tasks: 1}}
 	if phase == api.JobPending {
-		op = kv.Op{Put: records.ActivePrefix + id, Value: records.ActiveRecord{Spec: api.JobSpec{ID: id, Tasks: 1, DependsOn: dependsOn}}}
+		spec := api.JobSpec{ID: id, Tasks: 1, DependsOn: dependsOn}
+		op = kv.Op{Put: records.ActivePrefix + id, Value: records.ActiveRecord{Spec: spec}}
 	}
-	if _, err := s.Txn(t.Context(), kv.Txn{Ops: []kv.Op{op}}); err != nil {
-		t.Fatal(err)
+	commit(t, s, op)
+}
+
+// commit commits operations without compares.
+func commit(t *testing.T, s kv.Service, ops ...kv.Op) {
+	t.Helper()
+	if res, err := s.Txn(t.Context(), kv.Txn{Ops: ops}); err != nil || !res.Succeeded {
+		t.Fatalf("commit %+v: %+v, %v", ops, res, err)
 	}
 }
 
 // keysUnder are the keys with a prefix.
 func keysUnder(t *testing.T, s kv.Service, prefix string) (keys []string) {
 	t.Helper()
-	recordStore := records.Records{Store: s}
-	if err := recordStore.EachKey(t.Context(), prefix, func(key string) { keys = append(keys, key) }); err != nil {
+	recs := records.Records{Store: s}
+	if err := recs.EachKey(t.Context(), prefix, func(key string) { keys = append(keys, key) }); err != nil {
 		t.Fatal(err)
 	}
 	return keys
 }
 
-// putMaxDependencies are as many names as a submission has room for, all of jobs that are done.
+// putMaxDependencies writes as many jobs, all done, as one submission can name, and returns
+// their names.
 func putMaxDependencies(t *testing.T, s kv.Service) (ids []string) {
 	t.Helper()
 	for size := 400; size+len(`"job-1000",`) <= api.MaxBody; size += len(`"job-1000",`) {
@@ -92,64 +99,74 @@
 }
 
 var smallLimits = []config.StateLimits{
-	{ValueKB: 1, TxnOps: 3}, {ValueKB: 2, TxnOps: 3}, {ValueKB: 2, TxnOps: 12}, {ValueKB: 16, TxnOps: 20}, {ValueKB: 128, TxnOps: 20},
+	{ValueKB: 1, TxnOps: 3},
+	{ValueKB: 2, TxnOps: 3},
+	{ValueKB: 2, TxnOps: 12},
+	{ValueKB: 16, TxnOps: 20},
+	{ValueKB: 128, TxnOps: 20},
 }
 
-// A job may name as many others as its submission has room for, however small the
-// values of the state service are; no value and no transaction is too large.
-func TestMoreAwaitedJobsThanARecordHolds(t *testing.T) {
+// A job may depend on as many others as its submission has space for, however small the
+// values of the store are; no value and no transaction is too large.
+func TestMoreDependenciesThanARecordHolds(t *testing.T) {
 	for _, limits := range smallLimits {
-		t.Run(fmt.Sprintf("%v KiB, %d changes", limits.ValueKB, limits.TxnOps), func(t *testing.T) {
-			st := newCountingStore()
-			ids := putMaxDependencies(t, st)
-			st.SetLimits(int(limits.ValueKB*1024), limits.TxnOps)
-			recordStore := records.NewRecords(st, limits)
-			spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
-			if !records.Fits(spec, limits.ValueKB) {
-				t.Fatal("does not fit")
-			}
-			st.requests.Store(0)
-			accept := func(what, phase string, created bool) {
-				t.Helper()
-				got, isNew, err := recordStore.Accept(t.Context(), spec, time.Unix(1, 0))
-				if err != nil || got.Phase != phase || isNew != created {
-					t.Errorf("%s: %+v, %v, %v", what, got, isNew, err)
-				}
-			}
-			accept("first", api.JobPending, true)
-			if parts := len(keysUnder(t, st, records.DependencyPrefix)); int(st.requests.Load()) > 20+parts {
-				t.Errorf("%d jobs in %d records: %d requests", len(ids), parts, int(st.requests.Load()))
-			}
-			a := activeRecord(t, st, "job-1")
-			if got, err := recordStore.ReadDependencies(t.Context(), "job-1", a.DependencyList); err != nil || !slices.Equal(got, ids) {
-				t.Errorf("%d of %d names, %v", len(got), len(ids), err)
-			}
-			if !slices.Equal(a.Spec.DependsOn, []string{records.DependenciesElsewhere}) {
-				t.Errorf("a version that knows of no lists reads %d names", len(a.Spec.DependsOn))
-			}
-			st.writes.Store(0)
-			accept("repeated", api.JobPending, false)
-			spec.DependsOn = append(slices.Clone(ids), "job-999999")
-			accept("repeated, naming what was never accepted", api.JobPending, false)
-			spec.ID = "job-2"
-			if _, _, err := recordStore.Accept(t.Context(), spec, time.Unix(1, 0)); !errors.As(err, new(*records.UnknownDependencyError)) {
-				t.Errorf("never accepted: %v", err)
-			}
-			if int(st.writes.Load()) > 0 {
-				t.Errorf("%d changes for repeats and refusals", int(st.writes.Load()))
-			}
-			putRecord(t, st, "job-999999", api.JobCancelled)
-			accept("one of them is cancelled", api.JobCancelled, true)
-			if keys := keysUnder(t, st, records.DependencyPrefix+"job-2/"); len(keys) > 0 {
-				t.Errorf("left of a job that is over: %v", keys)
-			}
-			if refused := st.TooLarge(); len(refused) > 0 {
-				t.Errorf("refused: %v", refused)
-			}
+		t.Run(fmt.Sprintf("%v KiB, %d operations", limits.ValueKB, limits.TxnOps), func(t *testing.T) {
+			testMaxDependencies(t, limits)
 		})
 	}
 }
 
+func testMaxDependencies(t *testing.T, limits config.StateLimits) {
+	t.Helper()
+	store := newCountingStore()
+	ids := putMaxDependencies(t, store)
+	store.SetLimits(int(limits.ValueKB*1024), limits.TxnOps)
+	recs := records.NewRecords(store, limits)
+	spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
+	if !records.Fits(spec, limits.ValueKB) {
+		t.Fatal("does not fit")
+	}
+	store.requests.Store(0)
+	accept := func(submission, phase string, created bool) {
+		t.Helper()
+		got, isNew, err := recs.Accept(t.Context(), spec, time.Unix(1, 0))
+		if err != nil || got.Phase != phase || isNew != created {
+			t.Errorf("%s: got %+v, created %v, %v, want phase %s, created %v",
+				submission, got, isNew, err, phase, created)
+		}
+	}
+	accept("first", api.JobPending, true)
+	parts := len(keysUnder(t, store, records.DependencyPrefix))
+	if n := int(store.requests.Load()); n > 20+parts {
+		t.Errorf("%d jobs in %d records: %d requests, want at most %d", len(ids), parts, n, 20+parts)
+	}
+	rec := activeRecord(t, store, "job-1")
+	checkDependencies(t, &recs, ids)
+	if !slices.Equal(rec.Spec.DependsOn, []string{records.DependenciesElsewhere}) {
+		t.Errorf("a version that knows of no lists reads %d names", len(rec.Spec.DependsOn))
+	}
+	store.writes.Store(0)
+	accept("repeated", api.JobPending, false)
+	spec.DependsOn = append(slices.Clone(ids), "job-999999")
+	accept("repeated, naming what was never accepted", api.JobPending, false)
+	spec.ID = "job-2"
+	_, _, err := recs.Accept(t.Context(), spec, time.Unix(1, 0))
+	if !errors.As(err, new(*records.UnknownDependencyError)) {
+		t.Errorf("never accepted: got %v, want UnknownDependencyError", err)
+	}
+	if n := store.writes.Load(); n > 0 {
+		t.Errorf("%d operations for repeated and rejected submissions, want 0", n)
+	}
+	putRecord(t, store, "job-999999", api.JobCancelled)
+	accept("one of them is cancelled", api.JobCancelled, true)
+	if keys := keysUnder(t, store, records.DependencyPrefix+"job-2/"); len(keys) > 0 {
+		t.Errorf("left of a job that has ended: %v", keys)
+	}
+	if rejected := store.TooLarge(); len(rejected) > 0 {
+		t.Errorf("rejected as too large: %v", rejected)
+	}
+}
+
 // activeRecord reads a job's active record.
 func activeRecord(t *testing.T, s kv.Service, id string) (rec records.ActiveRecord) {
 	t.Helper()
@@ -160,102 +177,116 @@
 	return decode(t, e.Key, e.Value, rec).(records.ActiveRecord)
 }
 
-// Whichever transaction of a long list is not carried out, or only late, or its
-// answer is lost, a job that is active has its whole list, and a repeated
-// submission writes only what is missing.
-func TestLongListCutAnywhere(t *testing.T) {
-	limits := config.StateLimits{ValueKB: 1, TxnOps: 3}
-	for cut := range 6 {
-		for trouble, set := range map[string]func(*kvtest.Fake, func(kv.Txn) bool){"held": (*kvtest.Fake).Hold, "lost": (*kvtest.Fake).Lose} {
-			t.Run(fmt.Sprint(trouble, " ", cut), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) {
-					st := newCountingStore()
-					var ids []string
-					for i := range 1000 { // 13 records
-						ids = append(ids, fmt.Sprint("job-", 1000+i))
-						putRecord(t, st, ids[i], api.JobDone)
-					}
-					spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
-					recordStore := records.NewRecords(st, limits)
-					n := 0
-					set(st.Fake, func(kv.Txn) bool { n++; return n > cut })
-					ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
-					_, _, err := recordStore.Accept(ctx, spec, time.Unix(1, 0))
-					cancel()
-					if st.Has(records.ActivePrefix + "job-1") {
-						checkWholeList(t, &recordStore, ids)
-					} else if err == nil {
-						t.Error("accepted without a record")
-					}
-					set(st.Fake, nil)
-					other := records.NewRecords(st, limits) // at another node
-					ctx, cancel = context.WithTimeout(t.Context(), 5*time.Second)
-					defer cancel()
-					if _, _, err := other.Accept(ctx, spec, time.Unix(2, 0)); err != nil {
-						t.Fatal(err)
-					}
-					checkWholeList(t, &other, ids)
-					list := activeRecord(t, st, "job-1").DependencyList
-					if keys := len(keysUnder(t, st, records.DependencyPrefix)); keys != list.Records {
-						t.Errorf("%d records", keys)
-					}
-					// The job ends, its list is removed, and then what was late comes.
-					if _, _, err := other.Cancel(ctx, "job-1"); err != nil {
-						t.Fatal(err)
-					}
-					for _, key := range list.Keys("job-1") {
-						st.Txn(ctx, kv.Txn{Ops: []kv.Op{{Delete: key}}})
-					}
-					st.Release()
-					if keys := keysUnder(t, st, records.DependencyPrefix); len(keys) > 0 {
-						t.Errorf("written after its end: %v", keys)
-					}
-				})
+// Whichever transaction of a long list is applied only late or never, or its response is lost,
+// an active job has its whole list, and a repeated submission writes only what is missing.
+func TestLongListInterruptedAnywhere(t *testing.T) {
+	faults := map[string]func(*kvtest.Fake, func(kv.Txn) bool){
+		"delayed":       (*kvtest.Fake).Hold,
+		"response lost": (*kvtest.Fake).Lose,
+	}
+	for applied := range 6 {
+		for name, inject := range faults {
+			t.Run(fmt.Sprint(name, " after ", applied), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { testInterruptedList(t, applied, inject) })
 			})
 		}
 	}
 }
 
-// checkWholeList checks that job-1 is read with all names, or not at all once a record lacks.
-func checkWholeList(t *testing.T, recordStore *records.Records, ids []string) {
+// testInterruptedList accepts a job with a long list while a fault affects all transactions
+// after some that are applied, and then at another node without the fault.
+func testInterruptedList(t *testing.T, applied int, inject func(*kvtest.Fake, func(kv.Txn) bool)) {
 	t.Helper()
-	list := activeRecord(t, recordStore.Store, "job-1").DependencyList
-	if got, err := recordStore.ReadDependencies(t.Context(), "job-1", list); err != nil || !slices.Equal(got, ids) {
-		t.Errorf("%d of %d names, %v", len(got), len(ids), err)
+	limits := config.StateLimits{ValueKB: 1, TxnOps: 3}
+	store := newCountingStore()
+	ids := make([]string, 1000) // 13 records
+	for i := range ids {
+		ids[i] = fmt.Sprint("job-", 1000+i)
+		putRecord(t, store, ids[i], api.JobDone)
+	}
+	spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
+	recs := records.NewRecords(store, limits)
+	n := 0
+	inject(store.Fake, func(kv.Txn) bool { n++; return n > applied })
+	ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
+	_, _, err := recs.Accept(ctx, spec, time.Unix(1, 0))
+	cancel()
+	if store.Has(records.ActivePrefix + "job-1") {
+		checkDependencies(t, &recs, ids)
+	} else if err == nil {
+		t.Error("accepted without a record")
+	}
+	inject(store.Fake, nil)
+	other := records.NewRecords(store, limits) // at another node
+	ctx, cancel = context.WithTimeout(t.Context(), 5*time.Second)
+	defer cancel()
+	if _, _, err := other.Accept(ctx, spec, time.Unix(2, 0)); err != nil {
+		t.Fatal(err)
+	}
+	checkDependencies(t, &other, ids)
+	list := activeRecord(t, store, "job-1").DependencyList
+	if keys := len(keysUnder(t, store, records.DependencyPrefix)); keys != list.Records {
+		t.Errorf("got %d records, want %d", keys, list.Records)
+	}
+	// The job ends, its list is removed, and then the delayed transactions are applied.
+	if _, _, err := other.Cancel(ctx, "job-1"); err != nil {
+		t.Fatal(err)
+	}
+	for _, key := range list.Keys("job-1") {
+		commit(t, store, kv.Op{Delete: key})
+	}
+	store.Release()
+	if keys := keysUnder(t, store, records.DependencyPrefix); len(keys) > 0 {
+		t.Errorf("written after the job's end: %v", keys)
 	}
 }
 
-// A list of which a record is missing is no shorter list.
-func TestListWithoutARecord(t *testing.T) {
-	st := newCountingStore()
-	ids := putMaxDependencies(t, st)
-	recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 12})
-	if _, _, err := recordStore.Accept(t.Context(), &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); err != nil {
+// checkDependencies checks that the list of job-1 is read with all names.
+func checkDependencies(t *testing.T, recs *records.Records, ids []string) {
+	t.Helper()
+	list := activeRecord(t, recs.Store, "job-1").DependencyList
+	got, err := recs.ReadDependencies(t.Context(), "job-1", list)
+	if err != nil || !slices.Equal(got, ids) {
+		t.Errorf("got %d of %d dependencies, %v", len(got), len(ids), err)
+	}
+}
+
+// A list of which a record is missing is not taken for a shorter list.
+func TestListWithMissingRecord(t *testing.T) {
+	store := newCountingStore()
+	ids := putMaxDependencies(t, store)
+	recs := records.NewRecords(store, config.StateLimits{ValueKB: 2, TxnOps: 12})
+	spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
+	if _, _, err := recs.Accept(t.Context(), spec, time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	list := activeRecord(t, st, "job-1").DependencyList
+	list := activeRecord(t, store, "job-1").DependencyList
 	for _, i := range []int{0, 3, list.Records - 1} {
 		key := list.Keys("job-1")[i]
-		e, _ := st.Get(t.Context(), key)
-		st.Txn(t.Context(), kv.Txn{Ops: []kv.Op{{Delete: key}}})
-		if got, err := recordStore.ReadDependencies(t.Context(), "job-1", list); err == nil {
-			t.Errorf("without record %d: %d names", i, len(got))
+		e, err := store.Get(t.Context(), key)
+		if err != nil {
+			t.Fatal(err)
+		}
+		commit(t, store, kv.Op{Delete: key})
+		if got, err := recs.ReadDependencies(t.Context(), "job-1", list); err == nil {
+			t.Errorf("without record %d: got %d dependencies, want an error", i, len(got))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
-		if got, _, err := recordStore.Lookup(ctx, "job-1"); err == nil {
-			t.Errorf("without record %d: told %+v", i, got)
+		if got, _, err := recs.Lookup(ctx, "job-1"); err == nil {
+			t.Errorf("without record %d: got %+v, want an error", i, got)
 		}
 		cancel()
-		st.Txn(t.Context(), kv.Txn{Ops: []kv.Op{{Put: key, Value: e.Value}}})
+		commit(t, store, kv.Op{Put: key, Value: e.Value})
 	}
-	checkWholeList(t, &recordStore, ids)
+	checkDependencies(t, &recs, ids)
 }
 
-// pipelineShapes are what the job with a number awaits, by the form of the pipeline.
+// pipelineShapes are the dependencies of the job with a number, by the shape of the pipeline.
 var pipelineShapes = map[string]func(i int) []string{
 	"chain": func(i int) []string { return []string{fmt.Sprint("job-", i-1)} },
 	"fan":   func(int) []string { return []string{"job-0"} },
-	"diamonds": func(i int) []string { // a ladder of levels of two, each awaiting both before
+	// Levels of two jobs, each of which depends on both of the level before.
+	"diamonds": func(i int) []string {
 		if i <= 2 {
 			return []string{"job-0"}
 		}
@@ -264,131 +295,152 @@
 	},
 }
 
-// Whether a job is to be cancelled with one that it needs is known exactly, however
-// far that is, and with a bounded number of requests: nobody else knows it while
-// nobody leads, and a submission must be answered in time.
-func TestCancelledFarBack(t *testing.T) {
-	const jobs, mostRequests = 3000, 40
-	for name, need := range pipelineShapes {
+// Whether a job is to be cancelled with a dependency is known exactly, however indirect that
+// is, and with a bounded number of requests: nobody else knows it while no node leads, and a
+// submission must be answered in time.
+func TestCancelledIndirectDependency(t *testing.T) {
+	const jobs, maxRequests = 3000, 40
+	for name, dependsOn := range pipelineShapes {
 		t.Run(name, func(t *testing.T) {
-			st := newCountingStore()
-			putRecord(t, st, "job-0", api.JobPending)
+			store := newCountingStore()
+			putRecord(t, store, "job-0", api.JobPending)
 			for i := 1; i < jobs; i++ {
-				putRecord(t, st, fmt.Sprint("job-", i), api.JobPending, need(i)...)
+				putRecord(t, store, fmt.Sprint("job-", i), api.JobPending, dependsOn(i)...)
 			}
-			recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 2, TxnOps: 3})
-			accept := func(id, want string) {
+			recs := records.NewRecords(store, config.StateLimits{ValueKB: 2, TxnOps: 3})
+			check := func(operation, want string, got api.JobState, err error) {
 				t.Helper()
-				st.requests.Store(0)
-				spec := &api.JobSpec{ID: id, Tasks: 1, DependsOn: need(jobs)}
-				if got, _, err := recordStore.Accept(t.Context(), spec, time.Unix(1, 0)); err != nil || got.Phase != want {
-					t.Errorf("%s: %+v, %v", id, got, err)
+				if err != nil || got.Phase != want {
+					t.Errorf("%s: got %+v, %v, want phase %s", operation, got, err, want)
 				}
-				if int(st.requests.Load()) > mostRequests {
-					t.Errorf("%s: %d requests", id, int(st.requests.Load()))
+				if n := store.requests.Load(); n > maxRequests {
+					t.Errorf("%s: %d requests, want at most %d", operation, n, maxRequests)
 				}
+				store.requests.Store(0)
 			}
+			accept := func(id, want string) {
+				t.Helper()
+				spec := &api.JobSpec{ID: id, Tasks: 1, DependsOn: dependsOn(jobs)}
+				got, _, err := recs.Accept(t.Context(), spec, time.Unix(1, 0))
+				check("accept "+id, want, got, err)
+			}
+			store.requests.Store(0)
 			accept("job-9001", api.JobPending)
-			if _, _, err := recordStore.Cancel(t.Context(), "job-0"); err != nil {
+			if _, _, err := recs.Cancel(t.Context(), "job-0"); err != nil {
 				t.Fatal(err)
 			}
+			store.requests.Store(0)
 			accept("job-9002", api.JobCancelled)
-			st.requests.Store(0)
-			if got, _, err := recordStore.Lookup(t.Context(), "job-9001"); err != nil || got.Phase != api.JobCancelled || int(st.requests.Load()) > mostRequests {
-				t.Errorf("asked for: %+v, %v, %d requests", got, err, int(st.requests.Load()))
-			}
+			got, _, err := recs.Lookup(t.Context(), "job-9001")
+			check("look up job-9001", api.JobCancelled, got, err)
 		})
 	}
 }
 
-// Thousands of finished jobs are looked up in a request for each page that holds
-// some of them; what a try has read the next one need not read again.
-func TestManyFinishedJobs(t *testing.T) {
+// Thousands of ended jobs are looked up in a request for each page that holds some of them. A
+// retry need not read again what an earlier attempt has read.
+func TestManyEndedDependencies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := newCountingStore()
-		var ids []string
-		for i := range 40_000 {
-			id := fmt.Sprintf("job-%06d", i)
-			putRecord(t, st, id, api.JobDone)
-			if i%10 == 0 {
-				ids = append(ids, id)
-			}
-		}
-		recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 16, TxnOps: 12})
-		submit := func(id string, dependsOn []string) error {
-			st.requests.Store(0)
+		store := newCountingStore()
+		ids := putDoneJobs(t, store, 40_000)
+		recs := records.NewRecords(store, config.StateLimits{ValueKB: 16, TxnOps: 12})
+		submit := func(id string, dependsOn []string) (requests int, err error) {
+			store.requests.Store(0)
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
-			_, _, err := recordStore.Accept(ctx, &api.JobSpec{ID: id, Tasks: 1, DependsOn: dependsOn}, time.Unix(1, 0))
-			return err
+			spec := &api.JobSpec{ID: id, Tasks: 1, DependsOn: dependsOn}
+			_, _, err = recs.Accept(ctx, spec, time.Unix(1, 0))
+			return int(store.requests.Load()), err
 		}
-		tries := 1
-		for st.most = 20; submit("job-1", ids) != nil && tries < 10; {
-			tries++
+		store.maxRequests = 20
+		attempts := 1
+		for ; attempts < 10; attempts++ {
+			if _, err := submit("job-1", ids); err == nil {
+				break
+			}
 		}
-		if tries < 2 || tries > 4 {
-			t.Errorf("%d tries of %d requests", tries, st.most)
+		if attempts < 2 || attempts > 4 {
+			t.Errorf("%d attempts of %d requests, want 2 to 4", attempts, store.maxRequests)
 		}
-		if err := submit("job-2", ids); err != nil || int(st.requests.Load()) > 15 {
-			t.Errorf("again: %d requests, %v", int(st.requests.Load()), err)
+		if n, err := submit("job-2", ids); err != nil || n > 15 {
+			t.Errorf("again: %d requests, %v, want at most 15", n, err)
 		}
-		st.most = 0
-		recordStore = records.NewRecords(st, recordStore.Limits) // that remembers nothing
-		if err := submit("job-4", ids); err != nil || int(st.requests.Load()) > 50 {
-			t.Errorf("in one try: %d requests, %v", int(st.requests.Load()), err)
+		store.maxRequests = 0
+		recs = records.NewRecords(store, recs.Limits) // with an empty cache
+		n, err := submit("job-4", ids)
+		if err != nil || n > 50 {
+			t.Errorf("in one attempt: %d requests, %v, want at most 50", n, err)
 		}
-		t.Logf("%d names in one try: %d requests", len(ids), int(st.requests.Load()))
+		t.Logf("%d dependencies in one attempt: %d requests", len(ids), n)
 		for _, missing := range []string{"job-000000000", "job-0001", "job-020000000", "job-9", "job-0"} {
-			var never *records.UnknownDependencyError
-			if err := submit("job-3", append(slices.Clone(ids[:100]), missing)); !errors.As(err, &never) || !strings.HasSuffix(never.ID, missing) {
-				t.Errorf("%s: %v", missing, err)
+			_, err := submit("job-3", append(slices.Clone(ids[:100]), missing))
+			var unknown *records.UnknownDependencyError
+			if !errors.As(err, &unknown) || !strings.HasSuffix(unknown.ID, missing) {
+				t.Errorf("%s: got %v, want UnknownDependencyError", missing, err)
 			}
 		}
 	})
 }
 
-// slowRanges is a store whose ranges take a second, and which counts how many are
-// asked for at the same time.
+// putDoneJobs writes n jobs that are done, and returns the name of every tenth.
+func putDoneJobs(t *testing.T, s kv.Service, n int) (ids []string) {
+	t.Helper()
+	for i := range n {
+		id := fmt.Sprintf("job-%06d", i)
+		putRecord(t, s, id, api.JobDone)
+		if i%10 == 0 {
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+// slowRanges is a store whose ranges take a second, and which counts how many are in progress
+// at the same time.
 type slowRanges struct {
 	*kvtest.Fake
-	now, most atomic.Int32
+	inProgress, maxInProgress atomic.Int32
 }
 
-func (s *slowRanges) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
-	if n := s.now.Add(1); n > s.most.Load() {
-		s.most.Store(n)
+func (s *slowRanges) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
+	if n := s.inProgress.Add(1); n > s.maxInProgress.Load() {
+		s.maxInProgress.Store(n)
 	}
-	defer s.now.Add(-1)
+	defer s.inProgress.Add(-1)
 	time.Sleep(time.Second)
-	return s.Fake.Range(ctx, prefix, from, most)
+	return s.Fake.Range(ctx, prefix, from, limit)
 }
 
-// However many submissions come that name many jobs, few are held in memory at the
-// same time with all that is read for them; the others wait, or are refused for now.
+// However many submissions with many dependencies arrive, few are held in memory at the same
+// time with all that is read for them; the others wait, or are rejected for now.
 func TestManyLongSubmissionsAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := &slowRanges{Fake: kvtest.New()}
-		ids := putMaxDependencies(t, st.Fake)
-		recordStore := records.NewRecords(st, config.StateLimits{ValueKB: 128, TxnOps: 12})
-		var accepted, refused atomic.Int32
-		var all sync.WaitGroup
+		store := &slowRanges{Fake: kvtest.New()}
+		ids := putMaxDependencies(t, store.Fake)
+		recs := records.NewRecords(store, config.StateLimits{ValueKB: 128, TxnOps: 12})
+		var accepted, rejected atomic.Int32
+		var wg sync.WaitGroup
 		for i := range 20 {
-			all.Go(func() {
+			wg.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				defer cancel()
-				switch _, _, err := recordStore.Accept(ctx, &api.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1, DependsOn: ids}, time.Unix(1, 0)); {
+				spec := &api.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1, DependsOn: ids}
+				switch _, _, err := recs.Accept(ctx, spec, time.Unix(1, 0)); {
 				case err == nil:
 					accepted.Add(1)
 				case errors.Is(err, kv.ErrNotApplied):
-					refused.Add(1)
+					rejected.Add(1)
 				default:
 					t.Error(err)
 				}
 			})
 		}
-		all.Wait()
-		if most := st.most.Load(); most > 4 || accepted.Load() < 10 || accepted.Load()+refused.Load() != 20 {
-			t.Errorf("%d at a time, %d accepted, %d refused", most, accepted.Load(), refused.Load())
+		wg.Wait()
+		if n := store.maxInProgress.Load(); n > 4 {
+			t.Errorf("%d ranges at a time, want at most 4", n)
+		}
+		if accepted.Load() < 10 || accepted.Load()+rejected.Load() != 20 {
+			t.Errorf("%d accepted, %d rejected, want at least 10 accepted of 20", accepted.Load(), rejected.Load())
 		}
 	})
 }
