--- a/internal/records/fits_test.go
+++ b/internal/records/fits_test.go
@@ -7,17 +7,27 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// A record must fit the transaction that writes it, too, however large a value
-// may be.
+// A record must fit the transaction that writes it, too, however large a value may be.
 func TestRecordFitsItsTransaction(t *testing.T) {
 	for _, c := range []struct {
+		name    string
 		bytes   int
 		valueKB float64
 		want    bool
-	}{{60000, 128, true}, {63000, 128, true}, {64000, 128, false}, {700, 1, true}, {1000, 1, false}, {60000, 59, true}, {60000, 58, false}} {
-		s := &api.JobSpec{ID: "job-1", Types: []string{strings.Repeat("t", c.bytes)}}
-		if got := Fits(s, c.valueKB); got != c.want {
-			t.Errorf("%d bytes of types, values of %v KiB: %v", c.bytes, c.valueKB, got)
-		}
+	}{
+		{"large value", 60000, 128, true},
+		{"transaction nearly full", 63000, 128, true},
+		{"transaction too large", 64000, 128, false},
+		{"small value", 700, 1, true},
+		{"small value too large", 1000, 1, false},
+		{"value nearly full", 60000, 59, true},
+		{"value too large", 60000, 58, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			spec := &api.JobSpec{ID: "job-1", Types: []string{strings.Repeat("t", c.bytes)}}
+			if got := Fits(spec, c.valueKB); got != c.want {
+				t.Errorf("%d bytes of types, values of %v KiB: got %v, want %v", c.bytes, c.valueKB, got, c.want)
+			}
+		})
 	}
 }
--- a/internal/records/jobcache_test.go
+++ b/internal/records/jobcache_test.go
@@ -16,8 +16,7 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// countingFake counts the requests to a state service, and those of them that failed by
-// their conditions.
+// countingFake counts the requests to a store, and the transactions whose compares failed.
 type countingFake struct {
 	*kvtest.Fake
 	requests, conflicts atomic.Int64
@@ -37,225 +36,226 @@
 	return res, err
 }
 
-// acceptPipeline submits a pipeline of six jobs: job-1, then job-2 to job-4, then job-5 and,
-// unless it is left to the test, job-6.
+// acceptPipeline submits a pipeline of five jobs: job-1, then job-2 to job-4, then job-5.
 func acceptPipeline(t *testing.T, r *records.Records) {
 	t.Helper()
-	for _, s := range []*api.JobSpec{specWithDependencies("job-1"), specWithDependencies("job-2", "job-1"), specWithDependencies("job-3", "job-1"),
-		specWithDependencies("job-4", "job-1"), specWithDependencies("job-5", "job-2", "job-3", "job-4")} {
-		if _, created, err := r.Accept(context.Background(), s, accepted); !created || err != nil {
-			t.Fatal(s.ID, created, err)
-		}
+	for _, spec := range []*api.JobSpec{
+		specWithDependencies("job-1"),
+		specWithDependencies("job-2", "job-1"),
+		specWithDependencies("job-3", "job-1"),
+		specWithDependencies("job-4", "job-1"),
+		specWithDependencies("job-5", "job-2", "job-3", "job-4"),
+	} {
+		mustAccept(t, r, spec)
+	}
+}
+
+// mustAccept accepts a job that is not known yet.
+func mustAccept(t *testing.T, r *records.Records, spec *api.JobSpec) {
+	t.Helper()
+	if _, created, err := r.Accept(t.Context(), spec, accepted); !created || err != nil {
+		t.Fatalf("accept %s: created %v, %v", spec.ID, created, err)
+	}
+}
+
+// mustCancel cancels a job that has not ended.
+func mustCancel(t *testing.T, r *records.Records, id string) {
+	t.Helper()
+	if st, found, err := r.Cancel(t.Context(), id); !found || err != nil || st.Phase != api.JobCancelled {
+		t.Fatalf("cancel %s: got %+v, found %v, %v", id, st, found, err)
+	}
+}
+
+// finish writes that jobs are done, as a leader would.
+func finish(t *testing.T, s kv.Service, ids ...string) {
+	t.Helper()
+	for _, id := range ids {
+		commit(t, s,
+			kv.Op{Put: records.TerminalPrefix + id, Value: records.TerminalRecord{Phase: api.JobDone, Tasks: 1}},
+			kv.Op{Delete: records.ActivePrefix + id},
+		)
 	}
 }
 
 func specWithDependencies(id string, dependsOn ...string) *api.JobSpec {
-	s := plainSpec
-	s.ID, s.DependsOn = id, dependsOn
-	return &s
+	spec := plainSpec
+	spec.ID, spec.DependsOn = id, dependsOn
+	return &spec
 }
 
-// Submissions of a pipeline's jobs waited for the users' request budget: each read
-// all that it needed, directly or through others, one by one.
-func TestPipelineTakesOneRequestAJob(t *testing.T) {
-	cases := map[string]struct {
-		ops    int
-		atOnce bool
+// Accepting a pipeline takes one request a job. Reading all dependencies one by one, direct and
+// indirect, would make submissions wait for the users' request rate.
+func TestPipelineTakesOneRequestPerJob(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		ops     int
+		inOneGo bool
 	}{
-		// The last job has seven conditions, of four for each change allowed.
-		"conditions fit": {2, true},
-		"too many":       {1, false},
-	}
-	for name, c := range cases {
-		t.Run(name, func(t *testing.T) {
+		// The last job has seven compares, of four for each operation allowed.
+		{"compares fit", 2, true},
+		{"too many compares", 1, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
 			st := &countingFake{Fake: kvtest.New()}
 			r := newRecords(st, config.StateLimits{TxnOps: c.ops})
 			acceptPipeline(t, r)
-			if _, created, err := r.Accept(context.Background(), specWithDependencies("job-6", "job-5"), accepted); !created || err != nil {
-				t.Fatal(created, err)
-			}
-			if atOnce := int(st.requests.Load()) == 6; atOnce != c.atOnce {
-				t.Errorf("%d requests for six jobs", int(st.requests.Load()))
+			mustAccept(t, r, specWithDependencies("job-6", "job-5"))
+			if n := st.requests.Load(); (n == 6) != c.inOneGo {
+				t.Errorf("%d requests for six jobs, want six: %v", n, c.inOneGo)
 			}
 		})
 	}
 }
 
-// A job that awaits many is not remembered, so that the cache stays small; it is read.
-func TestJobThatAwaitsManyIsNotRemembered(t *testing.T) {
-	for dependencies, remembered := range map[int]bool{32: true, 33: false} {
-		st := &countingFake{Fake: kvtest.New()}
-		r := newRecords(st, config.StateLimits{TxnOps: 20})
-		var ids []string
-		for i := range dependencies {
-			ids = append(ids, fmt.Sprint("job-1", i))
-			submitStatus(r, specWithDependencies(ids[i]))
-		}
-		submitStatus(r, specWithDependencies("job-2", ids...))
-		st.requests.Store(0)
-		if got := submitStatus(r, specWithDependencies("job-3", "job-2")); got != "201 pending" {
-			t.Errorf("answer %s", got)
-		}
-		if atOnce := int(st.requests.Load()) == 1; atOnce != remembered {
-			t.Errorf("%d awaited: %d requests", dependencies, int(st.requests.Load()))
-		}
+// A job with many dependencies is not cached, so that the cache stays small; it is read.
+func TestJobWithManyDependenciesIsNotCached(t *testing.T) {
+	for dependencies, cached := range map[int]bool{32: true, 33: false} {
+		t.Run(fmt.Sprint(dependencies, " dependencies"), func(t *testing.T) {
+			st := &countingFake{Fake: kvtest.New()}
+			r := newRecords(st, config.StateLimits{TxnOps: 20})
+			ids := make([]string, dependencies)
+			for i := range ids {
+				ids[i] = fmt.Sprint("job-1", i)
+				submitStatus(t, r, specWithDependencies(ids[i]))
+			}
+			submitStatus(t, r, specWithDependencies("job-2", ids...))
+			st.requests.Store(0)
+			if got := submitStatus(t, r, specWithDependencies("job-3", "job-2")); got != "201 pending" {
+				t.Errorf("got %s, want 201 pending", got)
+			}
+			if n := st.requests.Load(); (n == 1) != cached {
+				t.Errorf("%d requests, want one: %v", n, cached)
+			}
+		})
 	}
 }
 
-// What a node remembers of jobs may be old: the job is accepted or refused as if all
+// What a node has cached of jobs may be old: a job is accepted or rejected as if all records
 // had been read.
-func TestRememberedJobsChangeMeanwhile(t *testing.T) {
-	cancel := func(id string) func(*testing.T, *records.Records) {
-		return func(t *testing.T, other *records.Records) {
-			if st, found, err := other.Cancel(context.Background(), id); !found || err != nil || st.Phase != api.JobCancelled {
-				t.Fatal(st, found, err)
-			}
-		}
+func TestCachedJobsChangeMeanwhile(t *testing.T) {
+	type change func(t *testing.T, fake *kvtest.Fake)
+	none := func(*testing.T, *kvtest.Fake) {}
+	down := func(_ *testing.T, fake *kvtest.Fake) { fake.SetDown(true) }
+	cancel := func(id string) change {
+		return func(t *testing.T, fake *kvtest.Fake) { t.Helper(); mustCancel(t, &records.Records{Store: fake}, id) }
 	}
-	finish := func(ids ...string) func(*testing.T, *records.Records) {
-		return func(t *testing.T, other *records.Records) {
-			for _, id := range ids {
-				txn := kv.Txn{Ops: []kv.Op{
-					{Put: records.TerminalPrefix + id, Value: records.TerminalRecord{Phase: api.JobDone, Tasks: 1}},
-					{Delete: records.ActivePrefix + id},
-				}}
-				if res, err := other.Store.Txn(context.Background(), txn); !res.Succeeded || err != nil {
-					t.Fatal(res, err)
-				}
-			}
-		}
+	done := func(ids ...string) change {
+		return func(t *testing.T, fake *kvtest.Fake) { t.Helper(); finish(t, fake, ids...) }
 	}
-	accept := func(s *api.JobSpec) func(*testing.T, *records.Records) {
-		return func(t *testing.T, other *records.Records) {
-			if _, created, err := other.Accept(context.Background(), s, accepted); !created || err != nil {
-				t.Fatal(created, err)
-			}
+	accept := func(id string, dependsOn ...string) change {
+		return func(t *testing.T, fake *kvtest.Fake) {
+			t.Helper()
+			mustAccept(t, &records.Records{Store: fake}, specWithDependencies(id, dependsOn...))
 		}
 	}
-	down := func(t *testing.T, other *records.Records) { other.Store.(*kvtest.Fake).SetDown(true) }
-	cases := map[string]struct {
-		meanwhile func(t *testing.T, other *records.Records)
-		spec      *api.JobSpec
+	for _, c := range []struct {
+		name      string
+		meanwhile change
+		dependsOn []string
 		want      string
 	}{
-		"nothing":                    {nil, specWithDependencies("job-6", "job-5"), "201 pending"},
-		"named one cancelled":        {cancel("job-5"), specWithDependencies("job-6", "job-5"), "201 withdrawn"},
-		"one before it cancelled":    {cancel("job-3"), specWithDependencies("job-6", "job-5"), "201 withdrawn"},
-		"first cancelled":            {cancel("job-1"), specWithDependencies("job-6", "job-5"), "201 withdrawn"},
-		"not what it needs":          {cancel("job-5"), specWithDependencies("job-6", "job-4"), "201 pending"},
-		"first done":                 {finish("job-1"), specWithDependencies("job-6", "job-5"), "201 pending"},
-		"named one done":             {finish("job-1", "job-2"), specWithDependencies("job-6", "job-2"), "201 pending"},
-		"accepted elsewhere already": {accept(specWithDependencies("job-6", "job-5")), specWithDependencies("job-6", "job-5"), "200 pending"},
-		"named one by another node":  {accept(specWithDependencies("job-7", "job-5")), specWithDependencies("job-6", "job-7"), "201 pending"},
-		"never accepted":             {nil, specWithDependencies("job-6", "job-5", "job-9"), "422"},
-		"outage":                     {down, specWithDependencies("job-6", "job-5"), "503"},
-	}
-	for name, c := range cases {
-		t.Run(name, func(t *testing.T) {
+		{"nothing", none, []string{"job-5"}, "201 pending"},
+		{"dependency cancelled", cancel("job-5"), []string{"job-5"}, "201 withdrawn"},
+		{"indirect dependency cancelled", cancel("job-3"), []string{"job-5"}, "201 withdrawn"},
+		{"first cancelled", cancel("job-1"), []string{"job-5"}, "201 withdrawn"},
+		{"other job cancelled", cancel("job-5"), []string{"job-4"}, "201 pending"},
+		{"first done", done("job-1"), []string{"job-5"}, "201 pending"},
+		{"dependency done", done("job-1", "job-2"), []string{"job-2"}, "201 pending"},
+		{"accepted by another node", accept("job-6", "job-5"), []string{"job-5"}, "200 pending"},
+		{"dependency accepted by another node", accept("job-7", "job-5"), []string{"job-7"}, "201 pending"},
+		{"dependency never accepted", none, []string{"job-5", "job-9"}, "422"},
+		{"outage", down, []string{"job-5"}, "503"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fake := kvtest.New()
 				r := newRecords(fake, config.StateLimits{TxnOps: 20})
 				acceptPipeline(t, r)
-				if c.meanwhile != nil {
-					c.meanwhile(t, &records.Records{Store: fake})
-				}
-				if got := submitStatus(r, c.spec); got != c.want {
-					t.Errorf("answer %s, want %s", got, c.want)
+				c.meanwhile(t, fake)
+				if got := submitStatus(t, r, specWithDependencies("job-6", c.dependsOn...)); got != c.want {
+					t.Errorf("got %s, want %s", got, c.want)
 				}
-				if pending := c.want == "201 pending" || c.want == "200 pending"; fake.Has(records.ActivePrefix+c.spec.ID) != pending {
-					t.Errorf("active on record: %v", !pending)
+				pending := c.want == "201 pending" || c.want == "200 pending"
+				if got := fake.Has(records.ActivePrefix + "job-6"); got != pending {
+					t.Errorf("active record present: got %v, want %v", got, pending)
 				}
 			})
 		})
 	}
 }
 
-// Questions about a job that waits, while the leader cannot be asked, used up the
-// users' request budget: each read all that the job needs. Now one comparison answers
-// them, unless something has changed.
-func TestQuestionAboutAWaitingJob(t *testing.T) {
-	cases := map[string]struct {
-		change func(*records.Records) error
-		want   string
-		once   bool
+// Lookups of a job with dependencies, while the leader cannot be reached, take one comparison
+// each unless something has changed. Reading all dependencies would use up the users' request
+// rate.
+func TestLookupOfJobWithDependencies(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		cancelled string
+		want      string
+		oneTxn    bool
 	}{
-		"unchanged": {func(*records.Records) error { return nil }, api.JobPending, true},
-		"cancelled": {func(r *records.Records) error {
-			_, _, err := r.Cancel(context.Background(), "job-5")
-			return err
-		}, api.JobCancelled, false},
-		"one that it needs cancelled": {func(r *records.Records) error {
-			_, _, err := r.Cancel(context.Background(), "job-1")
-			return err
-		}, api.JobCancelled, false},
-	}
-	for name, c := range cases {
-		t.Run(name, func(t *testing.T) {
+		{"unchanged", "", api.JobPending, true},
+		{"cancelled", "job-5", api.JobCancelled, false},
+		{"indirect dependency cancelled", "job-1", api.JobCancelled, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
 			st := &countingFake{Fake: kvtest.New()}
 			r := newRecords(st, config.StateLimits{TxnOps: 20})
 			acceptPipeline(t, r)
-			if err := c.change(&records.Records{Store: st.Fake}); err != nil {
-				t.Fatal(err)
+			if c.cancelled != "" {
+				mustCancel(t, &records.Records{Store: st.Fake}, c.cancelled)
 			}
 			st.requests.Store(0)
-			got, found, err := r.Lookup(context.Background(), "job-5")
+			got, found, err := r.Lookup(t.Context(), "job-5")
 			if got.Phase != c.want || !found || err != nil {
-				t.Errorf("%+v, %v, %v", got, found, err)
+				t.Errorf("got %+v, found %v, %v, want phase %s", got, found, err, c.want)
 			}
-			if once := int(st.requests.Load()) == 1; once != c.once {
-				t.Errorf("%d requests", int(st.requests.Load()))
+			if n := st.requests.Load(); (n == 1) != c.oneTxn {
+				t.Errorf("%d requests, want one: %v", n, c.oneTxn)
 			}
 		})
 	}
 }
 
-// A job that is remembered as done stays so, also for those who ask again.
-func TestRememberedAsDone(t *testing.T) {
+// A job that is cached as done stays so, also for repeated lookups.
+func TestDoneJobStaysCached(t *testing.T) {
 	fake := kvtest.New()
 	r := newRecords(fake, config.StateLimits{TxnOps: 20})
 	acceptPipeline(t, r)
-	txn := kv.Txn{Ops: []kv.Op{
-		{Put: records.TerminalPrefix + "job-1", Value: records.TerminalRecord{Phase: api.JobDone, Tasks: 1}},
-		{Delete: records.ActivePrefix + "job-1"},
-	}}
-	if res, err := fake.Txn(context.Background(), txn); !res.Succeeded || err != nil {
-		t.Fatal(res, err)
-	}
+	finish(t, fake, "job-1")
 	for range 3 {
-		if st, found, err := r.Lookup(context.Background(), "job-1"); st.Phase != api.JobDone || !found || err != nil {
-			t.Errorf("%+v, %v, %v", st, found, err)
+		if st, found, err := r.Lookup(t.Context(), "job-1"); st.Phase != api.JobDone || !found || err != nil {
+			t.Errorf("got %+v, found %v, %v, want phase %s", st, found, err, api.JobDone)
 		}
 	}
 }
 
-// A transaction that fails counts towards the service's limits: what it has shown to
-// be old is not guarded on again.
-func TestOldVersionsAreTriedOnce(t *testing.T) {
+// A failed transaction counts towards the store's limits: versions that it has shown to be old
+// are not compared again.
+func TestOldVersionsAreComparedOnce(t *testing.T) {
 	st := &countingFake{Fake: kvtest.New()}
 	r := newRecords(st, config.StateLimits{TxnOps: 20})
 	acceptPipeline(t, r)
-	other := records.Records{Store: st.Fake}
-	if _, _, err := other.Cancel(context.Background(), "job-5"); err != nil {
-		t.Fatal(err)
-	}
+	mustCancel(t, &records.Records{Store: st.Fake}, "job-5")
 	for _, id := range []string{"job-6", "job-7", "job-8"} {
-		if got := submitStatus(r, specWithDependencies(id, "job-5")); got != "201 withdrawn" {
-			t.Errorf("%s: %s", id, got)
+		if got := submitStatus(t, r, specWithDependencies(id, "job-5")); got != "201 withdrawn" {
+			t.Errorf("%s: got %s, want 201 withdrawn", id, got)
 		}
 	}
-	if int(st.conflicts.Load()) != 1 {
-		t.Errorf("%d transactions failed", int(st.conflicts.Load()))
+	if n := st.conflicts.Load(); n != 1 {
+		t.Errorf("%d transactions failed, want 1", n)
 	}
 }
 
-// submitStatus submits a job as a user sees it.
-func submitStatus(r *records.Records, s *api.JobSpec) string {
-	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+// submitStatus submits a job and returns the status that its user would see.
+func submitStatus(t *testing.T, r *records.Records, spec *api.JobSpec) string {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	st, created, err := r.Accept(ctx, s, accepted)
-	var never *records.UnknownDependencyError
+	st, created, err := r.Accept(ctx, spec, accepted)
+	var unknown *records.UnknownDependencyError
 	switch {
-	case errors.As(err, &never):
+	case errors.As(err, &unknown):
 		return "422"
 	case err != nil:
 		return "503"
@@ -265,37 +265,35 @@
 	return fmt.Sprint("201 ", st.Phase)
 }
 
-// The answer to the one transaction is lost, or it is carried out late, after a job
-// that it guards on was cancelled.
-func TestAcceptedAtOnceWithoutAnAnswer(t *testing.T) {
+// The response to the only transaction of a submission is lost, or the transaction is applied
+// late, after a job whose version it compares was cancelled.
+func TestSubmissionOfUnknownOutcome(t *testing.T) {
 	submission := func(txn kv.Txn) bool { return len(txn.Ops) > 0 && txn.Ops[0].Put == records.ActivePrefix+"job-6" }
-	t.Run("lost", func(t *testing.T) {
+	t.Run("response lost", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			fake := kvtest.New()
 			r := newRecords(fake, config.StateLimits{TxnOps: 20})
 			acceptPipeline(t, r)
 			fake.Lose(submission)
-			if got := submitStatus(r, specWithDependencies("job-6", "job-5")); got != "200 pending" {
-				t.Errorf("answer %s", got)
+			if got := submitStatus(t, r, specWithDependencies("job-6", "job-5")); got != "200 pending" {
+				t.Errorf("got %s, want 200 pending", got)
 			}
 		})
 	})
-	t.Run("late", func(t *testing.T) {
+	t.Run("applied late", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			fake := kvtest.New()
 			r := newRecords(fake, config.StateLimits{TxnOps: 20})
 			acceptPipeline(t, r)
 			fake.Hold(submission)
-			if got := submitStatus(r, specWithDependencies("job-6", "job-5")); got != "503" {
-				t.Errorf("answer %s", got)
+			if got := submitStatus(t, r, specWithDependencies("job-6", "job-5")); got != "503" {
+				t.Errorf("got %s, want 503", got)
 			}
-			if _, _, err := r.Cancel(context.Background(), "job-5"); err != nil {
-				t.Fatal(err)
-			}
-			// Held are this one and the repeats of one by one, which guard on less: only
-			// the first is let through.
+			mustCancel(t, r, "job-5")
+			// Delayed are this transaction and those of the retries, which compare less:
+			// only the first is checked.
 			if res := fake.Release(); len(res) == 0 || res[0].Succeeded {
-				t.Errorf("carried out after a job that it awaits was cancelled: %+v", res)
+				t.Errorf("applied after a dependency was cancelled: %+v", res)
 			}
 		})
 	})
@@ -306,45 +304,42 @@
 	return &r
 }
 
-// A job whose awaited jobs are listed in records of their own is not remembered: its
-// active record does not say what it awaits, so a cancellation among those would be
-// overlooked. Nor is one accepted at once whose record has no room for its names.
-func TestJobsWithAwaitsListsAreRead(t *testing.T) {
+// A job whose dependencies are listed in records of their own is not cached: its active record
+// does not name them, so a cancellation among them would be missed. Nor is a job accepted in
+// one transaction if its record has no space for its dependencies.
+func TestJobsWithDependencyListsAreRead(t *testing.T) {
 	st := &countingFake{Fake: kvtest.New()}
 	r := newRecords(st, config.StateLimits{TxnOps: 20, ValueKB: 1})
-	var ids []string
-	for i := range 32 {
-		ids = append(ids, fmt.Sprintf("job-1%024d", i))
-		submitStatus(r, specWithDependencies(ids[i]))
+	ids := make([]string, 32)
+	for i := range ids {
+		ids[i] = fmt.Sprintf("job-1%024d", i)
+		submitStatus(t, r, specWithDependencies(ids[i]))
 	}
-	if got := submitStatus(r, specWithDependencies("job-2", ids...)); got != "201 pending" {
-		t.Fatal(got)
+	if got := submitStatus(t, r, specWithDependencies("job-2", ids...)); got != "201 pending" {
+		t.Fatalf("got %s, want 201 pending", got)
 	}
 	if rec := activeRecord(t, st, "job-2"); rec.DependencyList == nil || len(rec.Spec.DependsOn) != 1 {
 		t.Fatalf("the record holds the names: %+v", rec)
 	}
-	if got := submitStatus(r, specWithDependencies("job-3", "job-2")); got != "201 pending" {
-		t.Fatal(got)
-	}
-	other := newRecords(st.Fake, config.StateLimits{})
-	if _, found, err := other.Cancel(context.Background(), ids[7]); !found || err != nil {
-		t.Fatal(found, err)
+	if got := submitStatus(t, r, specWithDependencies("job-3", "job-2")); got != "201 pending" {
+		t.Fatalf("got %s, want 201 pending", got)
 	}
-	if got := submitStatus(r, specWithDependencies("job-4", "job-2")); got != "201 withdrawn" {
-		t.Errorf("after a cancellation: %s", got)
+	mustCancel(t, newRecords(st.Fake, config.StateLimits{}), ids[7])
+	if got := submitStatus(t, r, specWithDependencies("job-4", "job-2")); got != "201 withdrawn" {
+		t.Errorf("after a cancellation: got %s, want 201 withdrawn", got)
 	}
 }
 
-// The end of a job is read once. A later search, which finds its active record gone,
-// must leave it remembered, or each submission after that would read again.
-func TestEndReadEarlierIsRemembered(t *testing.T) {
+// The terminal record of a job is read once. A later search, which finds its active record
+// deleted, must leave it cached; otherwise every later submission would read it again.
+func TestTerminalRecordStaysCached(t *testing.T) {
 	st := &countingFake{Fake: kvtest.New()}
 	putRecord(t, st, "job-1", api.JobDone)
 	putRecord(t, st, "job-3", api.JobDone)
 	r := newRecords(st, config.StateLimits{TxnOps: 20})
 	for i, c := range []struct {
-		awaits   []string
-		requests int
+		dependsOn []string
+		requests  int64
 	}{
 		{[]string{"job-1"}, 3}, // two reads and the transaction
 		{[]string{"job-1"}, 1},
@@ -352,8 +347,9 @@
 		{[]string{"job-1"}, 1},
 	} {
 		st.requests.Store(0)
-		if got := submitStatus(r, specWithDependencies(fmt.Sprint("job-2", i), c.awaits...)); got != "201 pending" || int(st.requests.Load()) != c.requests {
-			t.Errorf("submission %d: %s after %d requests, want %d", i, got, int(st.requests.Load()), c.requests)
+		got := submitStatus(t, r, specWithDependencies(fmt.Sprint("job-2", i), c.dependsOn...))
+		if n := st.requests.Load(); got != "201 pending" || n != c.requests {
+			t.Errorf("submission %d: got %s after %d requests, want 201 pending after %d", i, got, n, c.requests)
 		}
 	}
 }
--- a/internal/records/keys_test.go
+++ b/internal/records/keys_test.go
@@ -2,13 +2,17 @@
 
 import "testing"
 
-func TestCompletionKeys(t *testing.T) {
-	if id, first, ok := ParseCompletionKey(CompletionKey("job-1", 32768)); id != "job-1" || first != 32768 || !ok {
-		t.Errorf("%s %d %v", id, first, ok)
+func TestCompletionKeyRoundTrip(t *testing.T) {
+	id, first, ok := ParseCompletionKey(CompletionKey("job-1", 32768))
+	if id != "job-1" || first != 32768 || !ok {
+		t.Errorf("got %s, %d, %v, want job-1, 32768, true", id, first, ok)
 	}
-	for _, bad := range []string{"p/job-1", "p/job-1/x", "p/job-1/-1", ""} {
-		if _, _, ok := ParseCompletionKey(bad); ok {
-			t.Errorf("%q was taken", bad)
+}
+
+func TestParseCompletionKeyRejects(t *testing.T) {
+	for _, key := range []string{"p/job-1", "p/job-1/x", "p/job-1/-1", ""} {
+		if _, _, ok := ParseCompletionKey(key); ok {
+			t.Errorf("%q was accepted", key)
 		}
 	}
 }
