--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,7 +1,7 @@
-// Package election decides which controller leads. The leader holds the key
-// "leader" under a lease of the state service, and every new leadership bumps
-// "term" in the same transaction. A late transaction of an earlier leader
-// fails, since all of them guard on the version of "term".
+// Package election elects the leader among the controllers. The leader holds the key "leader"
+// under a lease of the key-value store, and each new leader increments "term" in the same
+// transaction. A late transaction of an earlier leader fails, since all of them compare the
+// version of "term".
 package election
 
 import (
@@ -22,11 +22,10 @@
 	TermKey   = "term"
 )
 
-// Term is one leadership of this process.
+// Term is a term in which this process leads.
 type Term struct {
 	Number uint64
-	// ModRevision is the version of the term key, on which the leader's
-	// transactions guard.
+	// ModRevision is the version of the term key, which the leader's transactions compare.
 	ModRevision uint64
 }
 
@@ -41,15 +40,15 @@
 	Number uint64 `json:"number"`
 }
 
-// Observer is told of the election's course. Calls come from one goroutine.
+// Observer receives the events of the election. All its methods are called by one goroutine.
 type Observer interface {
-	// LeaderChanged names the present leader as far as known; "" is nobody.
+	// LeaderChanged names the present leader as far as it is known; "" is none.
 	LeaderChanged(node string)
-	// ElectionWon begins a leadership valid until the given time.
+	// ElectionWon begins a term in which this process leads until leaseExpiry.
 	ElectionWon(term Term, leaseExpiry time.Time)
-	// LeaseRenewed prolongs the leadership.
+	// LeaseRenewed extends the lease of the term.
 	LeaseRenewed(term Term, leaseExpiry time.Time)
-	// LeaseLost ends the leadership for good.
+	// LeaseLost ends the term for good.
 	LeaseLost(term Term)
 }
 
@@ -58,46 +57,55 @@
 	Node        string
 	Incarnation string
 	Store       kv.Service
-	Lease       time.Duration
-	Renew       time.Duration
-	Observer    Observer
-	Log         *slog.Logger
-	// StepDowns ends the present leadership when something else has shown that
-	// the term is over.
+	// Lease is the lifetime of the leader lease, and Renew the interval of its renewals.
+	Lease    time.Duration
+	Renew    time.Duration
+	Observer Observer
+	Log      *slog.Logger
+	// StepDowns carries terms that something else has shown to be over. The elector
+	// steps down if it leads in that term.
 	StepDowns <-chan uint64
-	// Resignations names leaders that have stopped to act, or no longer may, so that
-	// their lease need not be waited for.
+	// Resignations names leaders that no longer act, or no longer may, so that the
+	// expiry of their lease need not be awaited.
 	Resignations <-chan Resignation
 }
 
-// Resignation says that a node has stopped to act as leader of a term.
+// Resignation says that a node no longer acts as leader of a term.
 type Resignation struct {
 	Node string
 	Term uint64
 }
 
-const callTimeout = 2 * time.Second
+const (
+	// callTimeout bounds one request to the store.
+	callTimeout = 2 * time.Second
+	// driftDivisor gives the part of a lease that is kept back for clock drift. The
+	// monotonic clocks drift apart by up to 0.05%; this is ten times that.
+	driftDivisor = 200
+	// effectDelay is kept back for the time between the check of a lease and its effect.
+	effectDelay = 250 * time.Millisecond
+	// minRoundDelay is the wait after a failed round; up to maxRoundJitter is added.
+	minRoundDelay  = 200 * time.Millisecond
+	maxRoundJitter = 300 * time.Millisecond
+)
 
-// leaseValidity is how long after sending a renewal the lease can be relied on. The
-// steady clocks drift apart by up to 0.05%; ten times that, and a quarter of a
-// second for the time between the check and its effect, is kept back.
+// leaseValidity is how long after sending a renewal the lease can be relied on.
 func leaseValidity(lease time.Duration) time.Duration {
-	return lease - lease/200 - 250*time.Millisecond
+	return lease - lease/driftDivisor - effectDelay
 }
 
-// Run takes part until the context ends.
+// Run takes part in the election until the context ends.
 func (e *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := e.runRound(ctx); err != nil {
-			e.Log.Debug("election round", "err", err)
-			sleep(ctx, 200*time.Millisecond+rand.N(300*time.Millisecond))
+			e.Log.Debug("election round failed", "err", err)
+			sleep(ctx, minRoundDelay+rand.N(maxRoundJitter))
 		}
 	}
 }
 
-// runRound looks at the leader key once: it takes over if the key is free or
-// held by an earlier incarnation of this node, and otherwise waits for it to
-// change.
+// runRound reads the leader key once. It campaigns if the key is free or held by an earlier
+// incarnation of this node, and otherwise waits for it to change.
 func (e *Elector) runRound(ctx context.Context) error {
 	cur, err := e.get(ctx, LeaderKey)
 	if err != nil {
@@ -109,66 +117,86 @@
 	}
 	var record LeaderRecord
 	if err := json.Unmarshal(cur.Value, &record); err != nil {
-		return fmt.Errorf("leader key: %w", err)
+		return fmt.Errorf("decode leader key: %w", err)
 	}
 	if record.Node == e.Node {
-		// Whatever incarnation wrote it is over, or lost the answer to its
-		// transaction: a new term is taken at once, without waiting for the
-		// lease to end.
+		// The incarnation that wrote it has ended, or is this one and lost the response
+		// to its transaction: a new term begins at once, before the lease expires.
 		return e.campaign(ctx, cur.ModRevision, anyTerm)
 	}
 	e.Observer.LeaderChanged(record.Node)
 	resigned, err := e.follow(ctx, record.Node, cur.ModRevision)
 	if resigned != anyTerm {
-		// It acts for nobody any more in that term. Should it have begun a new one
-		// since, this does nothing: the notice may have come late.
+		// It no longer acts in that term. If it has begun a new one since, the campaign
+		// does nothing, for the resignation may have arrived late.
 		return e.campaign(ctx, cur.ModRevision, resigned)
 	}
 	return err
 }
 
-// anyTerm is in place of a term where it does not matter which one is followed.
+// anyTerm stands for a term where it does not matter which one is followed.
 const anyTerm = 0
 
-// follow waits until the leader key changes, or its holder has resigned. It returns the
-// term that the holder has resigned in, or anyTerm.
+const (
+	// watchBlock is how long one watch of the leader key waits for a change.
+	watchBlock = 20 * time.Second
+	// watchGrace is left for its response.
+	watchGrace = 10 * time.Second
+)
+
+// follow waits until the leader key changes, or the leader has resigned. It returns the term
+// in which the leader has resigned, or anyTerm.
 func (e *Elector) follow(ctx context.Context, leader string, from uint64) (resigned uint64, err error) {
-	const block = 20 * time.Second
-	type seen struct {
-		ch  kv.Changes
-		err error
-	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for {
-		done := make(chan seen, 1)
-		go func() {
-			wctx, cancel := context.WithTimeout(ctx, block+10*time.Second)
-			defer cancel()
-			ch, err := e.Store.Watch(wctx, LeaderKey, from, block)
-			done <- seen{ch, err}
-		}()
-		var s seen
-		for s = (seen{}); ; {
-			select {
-			case s = <-done:
-			case r := <-e.Resignations:
-				if r.Node == leader && r.Term != anyTerm {
-					return r.Term, nil
-				}
-				continue
-			}
-			break
+		result := e.awaitWatch(e.watchLeaderKey(ctx, from), leader)
+		if result.resigned != anyTerm {
+			return result.resigned, nil
 		}
-		if s.err != nil || len(s.ch.Events) > 0 {
-			return anyTerm, s.err
+		if result.err != nil || len(result.changes.Events) > 0 {
+			return anyTerm, result.err
 		}
-		from = max(from, s.ch.Revision)
+		from = max(from, result.changes.Revision)
 	}
 }
 
-// campaign begins a new term if the leader key still has a version, and the term on record
-// is the one that is followed, or anyTerm.
+// watchResult is what ended the wait for a change of the leader key.
+type watchResult struct {
+	changes  kv.Changes
+	err      error
+	resigned uint64
+}
+
+// watchLeaderKey sends the result of one watch when it has ended.
+func (e *Elector) watchLeaderKey(ctx context.Context, from uint64) <-chan watchResult {
+	done := make(chan watchResult, 1)
+	go func() {
+		ctx, cancel := context.WithTimeout(ctx, watchBlock+watchGrace)
+		defer cancel()
+		changes, err := e.Store.Watch(ctx, LeaderKey, from, watchBlock)
+		done <- watchResult{changes: changes, err: err}
+	}()
+	return done
+}
+
+// awaitWatch waits for the result of a watch, or for the leader's resignation. Those of other
+// nodes are dropped.
+func (e *Elector) awaitWatch(watch <-chan watchResult, leader string) watchResult {
+	for {
+		select {
+		case result := <-watch:
+			return result
+		case r := <-e.Resignations:
+			if r.Node == leader && r.Term != anyTerm {
+				return watchResult{resigned: r.Term}
+			}
+		}
+	}
+}
+
+// campaign begins a new term if the leader key still has the version leaderRevision, and the
+// term on record is the followed one or followed is anyTerm.
 func (e *Elector) campaign(ctx context.Context, leaderRevision, followed uint64) error {
 	old, err := e.get(ctx, TermKey)
 	if err != nil {
@@ -177,7 +205,7 @@
 	var termRecord TermRecord
 	if old.ModRevision != 0 {
 		if err := json.Unmarshal(old.Value, &termRecord); err != nil {
-			return fmt.Errorf("term key: %w", err)
+			return fmt.Errorf("decode term key: %w", err)
 		}
 	}
 	if followed != anyTerm && termRecord.Number != followed {
@@ -189,11 +217,14 @@
 	lease, err := e.Store.GrantLease(callCtx, e.Lease)
 	cancel()
 	if err != nil {
-		return err
+		return fmt.Errorf("grant leader lease: %w", err)
 	}
 	callCtx, cancel = context.WithTimeout(ctx, callTimeout)
 	res, err := e.Store.Txn(callCtx, kv.Txn{
-		Compares: []kv.Compare{{Key: LeaderKey, ModRevision: leaderRevision}, {Key: TermKey, ModRevision: old.ModRevision}},
+		Compares: []kv.Compare{
+			{Key: LeaderKey, ModRevision: leaderRevision},
+			{Key: TermKey, ModRevision: old.ModRevision},
+		},
 		Ops: []kv.Op{
 			{Put: LeaderKey, Value: LeaderRecord{Node: e.Node, Incarnation: e.Incarnation}, Lease: lease},
 			{Put: TermKey, Value: termRecord},
@@ -201,7 +232,7 @@
 	})
 	cancel()
 	if err != nil {
-		return err
+		return fmt.Errorf("begin term %d: %w", termRecord.Number, err)
 	}
 	if !res.Succeeded {
 		return nil
@@ -210,7 +241,7 @@
 	return nil
 }
 
-// lead renews the lease until the term is over.
+// lead renews the lease until the term ends.
 func (e *Elector) lead(ctx context.Context, term Term, lease uint64, leaseExpiry time.Time) {
 	e.Log.Info("leadership won", "term", term.Number)
 	e.Observer.LeaderChanged(e.Node)
@@ -222,7 +253,7 @@
 			return
 		case n := <-e.StepDowns:
 			if n == term.Number {
-				e.Log.Info("leadership lost", "term", term.Number, "why", "term superseded")
+				e.Log.Info("leadership lost", "term", term.Number, "reason", "term superseded")
 				return
 			}
 			continue
@@ -236,7 +267,7 @@
 		case err == nil:
 			e.Observer.LeaseRenewed(term, sentAt.Add(leaseValidity(e.Lease)))
 		case errors.Is(err, kv.ErrNoLease):
-			e.Log.Info("leadership lost", "term", term.Number, "why", "lease ended")
+			e.Log.Info("leadership lost", "term", term.Number, "reason", "lease expired")
 			return
 		default:
 			e.Log.Debug("lease not renewed", "term", term.Number, "err", err)
@@ -244,12 +275,14 @@
 	}
 }
 
+// get reads one key.
 func (e *Elector) get(ctx context.Context, key string) (kv.Entry, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return e.Store.Get(callCtx, key)
 }
 
+// sleep waits for a time, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -11,7 +11,7 @@
 	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
-// observer notes the terms that a candidate has won.
+// observer stores the term that an elector has won.
 type observer struct{ term atomic.Uint64 }
 
 func (*observer) LeaderChanged(string)                 {}
@@ -19,17 +19,25 @@
 func (*observer) LeaseRenewed(Term, time.Time)         {}
 func (o *observer) LeaseLost(Term)                     { o.term.Store(0) }
 
-// A notice that a leader has resigned counts for the term that it names: one that comes
-// when the same node leads in a later term changes nothing.
+// A resignation counts for the term that it names: one that arrives when the same node leads
+// in a later term changes nothing.
 func TestResignationOfEarlierTermIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := kvtest.New()
 		var a, b observer
 		startElector := func(node string, o *observer) (chan<- Resignation, context.CancelFunc) {
-			ctx, cancel := context.WithCancel(context.Background())
+			ctx, cancel := context.WithCancel(t.Context())
 			resigned := make(chan Resignation, 1)
-			e := &Elector{Node: node, Incarnation: node, Store: st, Lease: 30 * time.Second, Renew: 3 * time.Second,
-				Observer: o, Log: slog.New(slog.DiscardHandler), Resignations: resigned}
+			e := &Elector{
+				Node:         node,
+				Incarnation:  node,
+				Store:        st,
+				Lease:        30 * time.Second,
+				Renew:        3 * time.Second,
+				Observer:     o,
+				Log:          slog.New(slog.DiscardHandler),
+				Resignations: resigned,
+			}
 			go e.Run(ctx)
 			time.Sleep(time.Second)
 			return resigned, cancel
@@ -40,17 +48,17 @@
 		time.Sleep(time.Second)
 		_, stopA = startElector("a", &a) // its next term
 		if a.term.Load() != 2 || b.term.Load() != 0 {
-			t.Fatalf("terms %d and %d", a.term.Load(), b.term.Load())
+			t.Fatalf("got terms %d and %d, want 2 and 0", a.term.Load(), b.term.Load())
 		}
 		resigned <- Resignation{Node: "a", Term: 1}
 		time.Sleep(3 * time.Second)
 		if b.term.Load() != 0 {
-			t.Error("a notice of an earlier term was followed")
+			t.Errorf("got term %d after a resignation of an earlier term, want 0", b.term.Load())
 		}
 		resigned <- Resignation{Node: "a", Term: 2}
 		time.Sleep(3 * time.Second)
 		if b.term.Load() != 3 {
-			t.Errorf("term %d after a resignation", b.term.Load())
+			t.Errorf("got term %d after the leader resigned, want 3", b.term.Load())
 		}
 		stopA()
 		stopB()
