--- a/internal/leasequorum/leasequorum.go
+++ b/internal/leasequorum/leasequorum.go
@@ -1,52 +1,54 @@
-// Package grant lets a group of controllers replace a leader that is gone without waiting
-// for its lease at the state service. A leader that is bound to grants decides only while
-// enough of the others grant it that, each for a short time. Those who want to replace it
-// get promises of enough of them to grant its term nothing more, and wait until what was
-// granted has run out. The package is pure; docs/standby.md explains the protocol.
+// Package leasequorum lets a group of controllers replace a failed leader before its lease at
+// the key-value store expires. The leader acts only while a quorum of the other controllers
+// votes for it, each vote for a short time. Those who want to replace it collect promises of
+// enough controllers to vote no more in its term, and wait until the votes given have
+// expired. The package is pure; docs/standby.md explains the protocol.
 package leasequorum
 
 import "time"
 
 const (
-	// driftMargin is kept back for clocks that run apart, ten times what they may.
+	// driftMargin is the part of a vote's lifetime that is added for clock drift: ten times
+	// what clocks may drift.
 	driftMargin = 1.0 / 200
-	// effectDelay is kept back for the time between the leader's check and its effect.
+	// effectDelay is added for the time between the leader's check and its effect.
 	effectDelay = 500 * time.Millisecond
 )
 
-// RequiredVotes is how many of the other controllers a leader needs the grants of.
+// RequiredVotes is how many of the other controllers must vote for a leader.
 func RequiredVotes(controllers int) int { return controllers / 2 }
 
-// RequiredPromises is how many controllers, with the one that asks, must promise to grant a
-// leader nothing more: so many that the rest cannot make up the grants that it needs.
+// RequiredPromises is how many controllers, including the one that requests them, must promise
+// to vote for a leader no more: so many that the rest cannot be a quorum.
 func RequiredPromises(controllers int) int { return controllers - RequiredVotes(controllers) }
 
-// Voter is a controller's memory of what it has granted and promised. All of it ends with
-// the process; Begin says how the next one makes up for that.
+// Voter holds what a controller has voted and promised. The state is lost with the process;
+// Begin says how the next process makes up for that.
 type Voter struct {
 	voteLifetime time.Duration
 	started      time.Time
-	ready        bool
-	// promisedTerm is the highest term that is granted nothing.
+	// ready is set by Begin. Before that the voter does not vote.
+	ready bool
+	// promisedTerm is the highest term in which it does not vote.
 	promisedTerm uint64
-	// lastVote is when it granted last, whatever term.
+	// lastVote is when it voted last, in whatever term.
 	lastVote time.Time
 }
 
-// NewVoter makes the voter of a process that begins now, with the life of a grant.
+// NewVoter makes the voter of a process that starts now.
 func NewVoter(voteLifetime time.Duration, now time.Time) *Voter {
 	return &Voter{voteLifetime: voteLifetime, started: now}
 }
 
-// Begin tells the voter of the latest term as the state service has shown it since the
-// process began. Earlier processes of this controller may have promised to grant that
-// term, or an earlier one, nothing more; so it grants them nothing.
+// Begin makes the voter ready, with the latest term that the key-value store has shown since
+// the process started. Earlier processes of this controller may have promised not to vote in
+// that term or an earlier one, so the voter does not vote in them.
 func (v *Voter) Begin(term uint64) {
 	v.ready = true
 	v.promisedTerm = max(v.promisedTerm, term)
 }
 
-// Vote answers a leader that asks for a grant in its term.
+// Vote reports whether the voter votes for the leader of a term.
 func (v *Voter) Vote(term uint64, now time.Time) bool {
 	if !v.ready || term <= v.promisedTerm {
 		return false
@@ -55,8 +57,8 @@
 	return true
 }
 
-// Promise makes the voter grant a term, and all before it, nothing more. It returns for how
-// long what it, or an earlier process of this controller, has granted may still be valid.
+// Promise makes the voter vote no more in a term and all before it. It returns for how long the
+// votes of this process, or of an earlier one of this controller, may still be valid.
 func (v *Voter) Promise(term uint64, now time.Time) (wait time.Duration) {
 	v.promisedTerm = max(v.promisedTerm, term)
 	latest := v.started
@@ -67,25 +69,26 @@
 	return max(0, latest.Add(valid).Sub(now))
 }
 
-// VoteSet is what a leader has been granted in its term.
+// VoteSet holds the votes for a leader in its term.
 type VoteSet struct {
 	voteLifetime time.Duration
 	expiries     map[string]time.Time
 }
 
-// NewVoteSet makes the holder of a term that begins, with the life of a grant.
+// NewVoteSet makes the empty set of a term that begins.
 func NewVoteSet(voteLifetime time.Duration) *VoteSet {
 	return &VoteSet{voteLifetime: voteLifetime, expiries: map[string]time.Time{}}
 }
 
-// Add notes another controller's grant, which counts from when it was asked for.
+// Add adds another controller's vote. Its lifetime starts when it was requested, not when it
+// arrived, so that it expires here before it does at the voter.
 func (s *VoteSet) Add(controller string, sentAt time.Time) {
 	if expiry := sentAt.Add(s.voteLifetime); expiry.After(s.expiries[controller]) {
 		s.expiries[controller] = expiry
 	}
 }
 
-// HasQuorum tells whether the leader holds so many grants.
+// HasQuorum reports whether at least required votes are valid.
 func (s *VoteSet) HasQuorum(required int, now time.Time) bool {
 	count := 0
 	for _, expiry := range s.expiries {
--- a/internal/leasequorum/leasequorum_test.go
+++ b/internal/leasequorum/leasequorum_test.go
@@ -6,22 +6,27 @@
 	"time"
 )
 
-// Whatever the size of the group, a leader's grants and the promises of those who replace
-// it cannot be had at the same time.
+// Whatever the size of the group, a leader cannot have a quorum of votes once those who replace
+// it have the promises that they need, and neither is larger than it must be.
 func TestVoteAndPromiseQuorumsIntersect(t *testing.T) {
 	for n := 1; n <= 9; n++ {
-		others := n - 1
-		if remaining := others - RequiredPromises(n); remaining >= RequiredVotes(n) && RequiredVotes(n) > 0 {
-			t.Errorf("%d controllers: %d promises leave %d that can grant, and %d grants are needed", n, RequiredPromises(n), remaining, RequiredVotes(n))
+		votes, promises := RequiredVotes(n), RequiredPromises(n)
+		if remaining := n - 1 - promises; remaining >= votes && votes > 0 {
+			t.Errorf("%d controllers: %d promises leave %d that can vote, and %d votes are a quorum",
+				n, promises, remaining, votes)
 		}
 	}
-	if RequiredVotes(3) != 1 || RequiredPromises(3) != 2 || RequiredVotes(5) != 2 || RequiredPromises(5) != 3 {
-		t.Error("not the least that is safe")
+	for _, c := range []struct{ controllers, votes, promises int }{{3, 1, 2}, {5, 2, 3}} {
+		votes, promises := RequiredVotes(c.controllers), RequiredPromises(c.controllers)
+		if votes != c.votes || promises != c.promises {
+			t.Errorf("%d controllers: got %d votes and %d promises, want %d and %d",
+				c.controllers, votes, promises, c.votes, c.promises)
+		}
 	}
 }
 
-// simulation is a group on simulated time: each controller has a clock that runs a little
-// fast or slow, processes end and come back, and messages take their time.
+// simulation is a group in simulated time: each controller has a clock that runs a little fast or
+// slow, processes end and restart, and messages are delayed.
 type simulation struct {
 	random       *rand.Rand
 	now          time.Duration
@@ -29,9 +34,9 @@
 	voteLifetime time.Duration
 	voters       []*Voter
 	drift        []float64
-	// term is the one on record.
+	// term is the term on record.
 	term uint64
-	// leaders are those of each term that may still decide.
+	// leaders are those of all terms, in order.
 	leaders []*simulatedLeader
 	events  []simulatedEvent
 }
@@ -53,10 +58,10 @@
 }
 
 func (s *simulation) schedule(d time.Duration, do func()) {
-	s.events = append(s.events, simulatedEvent{s.now + d, do})
+	s.events = append(s.events, simulatedEvent{at: s.now + d, run: do})
 }
 
-// delay is how long a message takes; now and then it is held up.
+// delay is how long a message takes; one in ten is late.
 func (s *simulation) delay() time.Duration {
 	if s.random.IntN(10) == 0 {
 		return time.Duration(s.random.IntN(6000)) * time.Millisecond
@@ -77,61 +82,76 @@
 	})
 }
 
-// requestVote has a leader ask another controller for a grant.
+// requestVote makes a leader request the vote of another controller.
 func (s *simulation) requestVote(l *simulatedLeader, node int) {
 	sentAt := s.clock(l.node)
 	s.schedule(s.delay(), func() {
-		granted := s.voters[node].Vote(l.term, s.clock(node))
+		voted := s.voters[node].Vote(l.term, s.clock(node))
 		s.schedule(s.delay(), func() {
-			if granted {
+			if voted {
 				l.votes.Add(string(rune('a'+node)), sentAt)
 			}
 		})
 	})
 }
 
-// takeOver has a controller collect promises against the present term, wait, and take over.
+// takeover is a controller's attempt to replace the leader of a term.
+type takeover struct {
+	simulation *simulation
+	node       int
+	term       uint64
+	startedAt  time.Time
+	promises   int
+	// longest is for how long, from startedAt, votes may still be valid.
+	longest time.Duration
+}
+
+// takeOver makes a controller collect promises against the present term, wait until the votes
+// given have expired, and become leader.
 func (s *simulation) takeOver(node int) {
-	term, promised := s.term, 0
-	longest := time.Duration(0)
-	startedAt := s.clock(node)
-	countPromise := func(wait time.Duration) {
-		promised++
-		if expiry := s.clock(node).Add(wait).Sub(startedAt); expiry > longest {
-			longest = expiry
-		}
-		if promised == RequiredPromises(s.size) {
-			var tryElection func()
-			tryElection = func() {
-				if s.clock(node).Sub(startedAt) < longest {
-					s.schedule(20*time.Millisecond, tryElection)
-					return
-				}
-				if s.term == term { // the transaction's guard
-					s.term++
-					s.leaders = append(s.leaders, &simulatedLeader{node, s.term, NewVoteSet(s.voteLifetime)})
-				}
-			}
-			tryElection()
-		}
-	}
+	t := &takeover{simulation: s, node: node, term: s.term, startedAt: s.clock(node)}
+	term := s.term
 	for other := range s.size {
-		if other == int(s.leaders[len(s.leaders)-1].node) {
+		if other == s.leaders[len(s.leaders)-1].node {
 			continue
 		}
 		if other == node {
-			countPromise(s.voters[node].Promise(term, s.clock(node)))
+			t.countPromise(s.voters[node].Promise(term, s.clock(node)))
 			continue
 		}
 		s.schedule(s.delay(), func() {
 			wait := s.voters[other].Promise(term, s.clock(other))
-			s.schedule(s.delay(), func() { countPromise(wait) })
+			s.schedule(s.delay(), func() { t.countPromise(wait) })
 		})
 	}
 }
 
-// termsWithQuorum are the leaders that may decide at this moment. One decides up to effectDelay
-// after it has looked.
+// countPromise adds a promise after which votes may be valid for a while.
+func (t *takeover) countPromise(wait time.Duration) {
+	t.promises++
+	t.longest = max(t.longest, t.simulation.clock(t.node).Add(wait).Sub(t.startedAt))
+	if t.promises == RequiredPromises(t.simulation.size) {
+		t.elect()
+	}
+}
+
+// elect makes the controller the leader once the votes have expired, unless another one has
+// become leader since.
+func (t *takeover) elect() {
+	s := t.simulation
+	if s.clock(t.node).Sub(t.startedAt) < t.longest {
+		s.schedule(step, t.elect)
+		return
+	}
+	if s.term == t.term { // what the transaction compares
+		s.term++
+		votes := NewVoteSet(s.voteLifetime)
+		s.leaders = append(s.leaders, &simulatedLeader{node: t.node, term: s.term, votes: votes})
+	}
+}
+
+// termsWithQuorum are the terms of the leaders that may act now. A leader acts up to
+// effectDelay after it has checked its votes.
 func (s *simulation) termsWithQuorum() (terms []uint64) {
 	for _, l := range s.leaders {
 		if l.votes.HasQuorum(RequiredVotes(s.size), s.clock(l.node).Add(-effectDelay)) {
@@ -141,55 +161,85 @@
 	return terms
 }
 
-// Two leaders never decide at the same time, with clocks that run apart, processes that end
-// and come back, messages that are late, and several who want to take over.
-func TestAtMostOneLeaderHasQuorum(t *testing.T) {
-	takeovers := 0
-	for seed := range uint64(120) {
-		s := &simulation{random: rand.New(rand.NewPCG(seed, 3)), size: 3 + 2*int(seed%2), voteLifetime: 3 * time.Second, term: 1}
-		for range s.size {
-			s.drift = append(s.drift, (s.random.Float64()-0.5)/1000)
-			s.voters = append(s.voters, nil)
+// step is the resolution of simulated time.
+const step = 20 * time.Millisecond
+
+// newSimulation makes a group whose first leader has just been elected.
+func newSimulation(seed uint64) *simulation {
+	s := &simulation{
+		random:       rand.New(rand.NewPCG(seed, 3)),
+		size:         3 + 2*int(seed%2),
+		voteLifetime: 3 * time.Second,
+	}
+	for range s.size {
+		s.drift = append(s.drift, (s.random.Float64()-0.5)/1000)
+		s.voters = append(s.voters, nil)
+	}
+	for node := range s.size {
+		s.restart(node)
+	}
+	s.now = 20 * time.Second
+	s.term = 1
+	s.leaders = []*simulatedLeader{{node: 0, term: 1, votes: NewVoteSet(s.voteLifetime)}}
+	return s
+}
+
+// advance runs what is due, has the last two leaders request votes every second, and now and
+// then restarts a controller or has one take over.
+func (s *simulation) advance() {
+	s.runDue()
+	if s.now%time.Second == 0 {
+		s.requestVotes()
+	}
+	switch s.random.IntN(600) {
+	case 0:
+		s.restart(s.random.IntN(s.size))
+	case 1, 2:
+		s.takeOver((s.leaders[len(s.leaders)-1].node + 1 + s.random.IntN(s.size-1)) % s.size)
+	}
+}
+
+// runDue runs the events that are due. What they schedule runs in a later step.
+func (s *simulation) runDue() {
+	due := s.events
+	s.events = nil
+	for _, e := range due {
+		if e.at <= s.now {
+			e.run()
+		} else {
+			s.events = append(s.events, e)
 		}
-		s.term = 0
+	}
+}
+
+// requestVotes has the last two leaders request all votes: one that is replaced goes on for a
+// while.
+func (s *simulation) requestVotes() {
+	for _, l := range s.leaders[max(0, len(s.leaders)-2):] {
 		for node := range s.size {
-			s.restart(node)
-		}
-		s.now = 20 * time.Second
-		s.term = 1
-		s.leaders = []*simulatedLeader{{0, 1, NewVoteSet(s.voteLifetime)}}
-		for ; s.now < 4*time.Minute; s.now += 20 * time.Millisecond {
-			due := s.events
-			s.events = nil
-			for _, e := range due {
-				if e.at <= s.now {
-					e.run()
-				} else {
-					s.events = append(s.events, e)
-				}
-			}
-			if s.now%time.Second == 0 {
-				for _, l := range s.leaders[max(0, len(s.leaders)-2):] { // the last one goes on for a while
-					for node := range s.size {
-						if node != l.node {
-							s.requestVote(l, node)
-						}
-					}
-				}
-			}
-			switch s.random.IntN(600) {
-			case 0:
-				s.restart(s.random.IntN(s.size))
-			case 1, 2:
-				s.takeOver((s.leaders[len(s.leaders)-1].node + 1 + s.random.IntN(s.size-1)) % s.size)
+			if node != l.node {
+				s.requestVote(l, node)
 			}
+		}
+	}
+}
+
+// Two leaders never have a quorum at the same time, with clocks that drift, processes that end
+// and restart, messages that are late, and several controllers that want to take over.
+func TestAtMostOneLeaderHasQuorum(t *testing.T) {
+	const minTakeovers = 300
+	takeovers := 0
+	for seed := range uint64(120) {
+		s := newSimulation(seed)
+		for ; s.now < 4*time.Minute; s.now += step {
+			s.advance()
 			if terms := s.termsWithQuorum(); len(terms) > 1 {
-				t.Fatalf("seed %d, after %v: leaders of terms %v decide", seed, s.now, terms)
+				t.Fatalf("seed %d, after %v: leaders of terms %v have a quorum", seed, s.now, terms)
 			}
 		}
 		takeovers += len(s.leaders) - 1
 	}
-	if takeovers < 300 {
-		t.Errorf("only %d takeovers", takeovers)
+	if takeovers < minTakeovers {
+		t.Errorf("%d takeovers, want at least %d", takeovers, minTakeovers)
 	}
 }
