--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -1,7 +1,7 @@
-// Package cancellation keeps the log of cancellations that each node has: what it
-// knows of them, in the order in which it learned of them, and how far others have
-// read it. It knows neither nodes nor the store; its owner adds entries and carries
-// news between nodes. Nothing in it is safe for concurrent use.
+// Package cancellation keeps the log of cancellations that each node has, in the order in
+// which it learned of them, and how far it has read the logs of others. It depends on neither
+// nodes nor the store: its owner adds entries and carries deltas between nodes. Nothing in it
+// is safe for concurrent use.
 package cancellation
 
 import (
@@ -11,17 +11,17 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// Log is the cancellations that this process knows of, in the order in which it
-// learned of them. It forgets those whose tasks must be long gone.
+// Log holds the cancellations that this process knows of, in the order in which it learned of
+// them. It drops those of which no worker can have a task any more.
 type Log struct {
 	entries []entry
 	known   map[string]bool
 	// lastNumber is the number of the newest entry, from 1 on.
 	lastNumber uint64
-	// completeSince is from when on the log is whole.
+	// completeSince is since when the log holds all cancellations that were added.
 	completeSince time.Time
 	retention     time.Duration
-	// maxEntries bounds the log.
+	// maxEntries bounds the log; beyond it the oldest entries are dropped.
 	maxEntries int
 }
 
@@ -32,30 +32,37 @@
 
 const (
 	// memoryShare is the part of the memory that a log may take, and entryBytes about
-	// what one of its entries takes.
+	// what an entry takes.
 	memoryShare = 1.0 / 32
 	entryBytes  = 128
-	// maxDeltaBytes bounds what one answer carries of a log: half of what a message
-	// between controllers may hold, in any version.
+	// maxDeltaBytes bounds a delta: half of what a message between controllers may hold,
+	// in any version.
 	maxDeltaBytes = 128 << 10
 	// idOverhead is what a message takes for an id, besides its bytes.
 	idOverhead = 4
 )
 
-// NewLog makes the log of a process that begins now. Entries are retained until no
+// NewLog makes the log of a process that starts now. Entries are retained until no
 // worker can have a task of theirs any more.
 func NewLog(w config.Workers, lim config.Limits, now time.Time) *Log {
-	return &Log{known: map[string]bool{}, completeSince: now, retention: config.Duration(w.CancelS) + 2*w.Lease(),
-		maxEntries: lim.Entries(memoryShare, entryBytes)}
+	return &Log{
+		known:         map[string]bool{},
+		completeSince: now,
+		retention:     config.Duration(w.CancelS) + 2*w.Lease(),
+		maxEntries:    lim.Entries(memoryShare, entryBytes),
+	}
 }
 
-// Add notes a cancellation. One that is known already changes nothing.
+// Add adds a cancellation, unless the log holds it already.
 func (l *Log) Add(id string, now time.Time) {
 	expired := 0
-	for expired < len(l.entries) && (now.Sub(l.entries[expired].at) > l.retention || len(l.entries)-expired >= l.maxEntries) {
-		l.completeSince = l.entries[expired].at
-		delete(l.known, l.entries[expired].id)
-		expired++
+	for ; expired < len(l.entries); expired++ {
+		oldest := l.entries[expired]
+		if now.Sub(oldest.at) <= l.retention && len(l.entries)-expired < l.maxEntries {
+			break
+		}
+		l.completeSince = oldest.at
+		delete(l.known, oldest.id)
 	}
 	l.entries = l.entries[expired:]
 	if l.known[id] {
@@ -64,7 +71,7 @@
 	id = strings.Clone(id)
 	l.known[id] = true
 	l.lastNumber++
-	l.entries = append(l.entries, entry{id, now})
+	l.entries = append(l.entries, entry{id: id, at: now})
 }
 
 // Position is how far a node has read another one's log.
@@ -75,22 +82,22 @@
 	Number uint64
 }
 
-// Delta is what a node's log holds beyond a position.
+// Delta is what a node's log holds after a position.
 type Delta struct {
 	IDs []string
-	// First is the number of the first of them, or would be.
+	// First is the number of the first of them, or of the next entry if there is none.
 	First uint64
-	// More is set if there are more than this.
+	// More is set if the log holds entries after these.
 	More bool
-	// CompleteFor is for how long the log has been whole.
+	// CompleteFor is for how long the log has been complete.
 	CompleteFor time.Duration
 }
 
-// LastNumber is the number of the last entry that the news hold, or of the one before
-// them if they hold none.
+// LastNumber is the number of the delta's last entry, or of the one before First if the delta
+// is empty.
 func (d *Delta) LastNumber() uint64 { return d.First + uint64(len(d.IDs)) - 1 }
 
-// Since is what an asker lacks that has read the log up to a number.
+// Since returns what a reader lacks that has read the log up to a number.
 func (l *Log) Since(number uint64, now time.Time) Delta {
 	oldest := l.lastNumber + 1 - uint64(len(l.entries))
 	from := min(max(number+1, oldest), l.lastNumber+1)
--- a/internal/cancellation/log_test.go
+++ b/internal/cancellation/log_test.go
@@ -9,90 +9,122 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// readLog reads a log as another node does.
-func readLog(l *Log, p *Reader, incarnation string, now time.Time) []string {
-	from := p.position.Number
-	if p.position.Incarnation != incarnation {
+// readLog applies the next delta of a log to a reader, as another node does.
+func readLog(l *Log, reader *Reader, incarnation string, now time.Time) []string {
+	from := reader.position.Number
+	if reader.position.Incarnation != incarnation {
 		from = 0
 	}
 	d := l.Since(from, now)
-	p.Apply(incarnation, &d, now, now)
+	reader.Apply(incarnation, &d, now, now)
 	return d.IDs
 }
 
-// A log is read in order and once; what it has dropped, or lost with its
-// process, counts as not known.
-func TestReaderFollowsLog(t *testing.T) {
-	w := config.Workers{LeaseS: 10, CancelS: 30}
-	start := time.Unix(1_000_000, 0)
-	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-	l := NewLog(w, config.Limits{RAMMB: 65}, start)
-	var p Reader
-	if ids := readLog(l, &p, "x", at(1)); len(ids) != 0 || !p.completeSince.Equal(start) || !p.knownUntil.Equal(at(1)) {
-		t.Fatalf("empty: %v %+v", ids, p)
+var (
+	testWorkers = config.Workers{LeaseS: 10, CancelS: 30}
+	start       = time.Unix(1_000_000, 0)
+)
+
+// at is a time some seconds after start.
+func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
+
+// checkReader checks since and until when a reader knows all cancellations.
+func checkReader(t *testing.T, reader *Reader, completeSince, knownUntil time.Time) {
+	t.Helper()
+	if !reader.CompleteSince().Equal(completeSince) || !reader.KnownUntil().Equal(knownUntil) {
+		t.Errorf("complete since %v until %v, want since %v until %v",
+			reader.CompleteSince(), reader.KnownUntil(), completeSince, knownUntil)
 	}
+}
+
+// checkRead reads a log and checks what the reader learns.
+func checkRead(t *testing.T, l *Log, reader *Reader, now time.Time, want ...string) {
+	t.Helper()
+	if got := readLog(l, reader, "x", now); !slices.Equal(got, want) {
+		t.Errorf("read %v, want %v", got, want)
+	}
+}
+
+// A log is read in order, and each entry once.
+func TestReaderFollowsLog(t *testing.T) {
+	l := NewLog(testWorkers, config.Limits{RAMMB: 65}, start)
+	var reader Reader
+	checkRead(t, l, &reader, at(1))
+	checkReader(t, &reader, start, at(1))
 	l.Add("job-1", at(2))
 	l.Add("job-2", at(2))
 	l.Add("job-1", at(3))
-	if ids := readLog(l, &p, "x", at(4)); !slices.Equal(ids, []string{"job-1", "job-2"}) || !p.completeSince.Equal(start) || !p.knownUntil.Equal(at(4)) {
-		t.Fatalf("two: %v %+v", ids, p)
-	}
-	if ids := readLog(l, &p, "x", at(5)); len(ids) != 0 || !p.completeSince.Equal(start) {
-		t.Fatalf("again: %v %+v", ids, p)
-	}
-	// Far too many at once: they come in parts, and the last of them counts.
+	checkRead(t, l, &reader, at(4), "job-1", "job-2")
+	checkReader(t, &reader, start, at(4))
+	checkRead(t, l, &reader, at(5))
+	checkReader(t, &reader, start, at(5))
+}
+
+// Too many entries for one delta are read in parts, and the reader knows all only after the
+// last of them. Entries that are dropped before they are read leave it incomplete.
+func TestReaderOfMoreThanOneDelta(t *testing.T) {
+	l := NewLog(testWorkers, config.Limits{RAMMB: 65}, start)
+	var reader Reader
+	checkRead(t, l, &reader, at(5))
 	name := func(i int) string { return fmt.Sprintf("many-%06d", i) }
 	part := maxDeltaBytes / (len(name(0)) + idOverhead)
 	for i := range part + 1 {
 		l.Add(name(i), at(6))
 	}
-	if ids := readLog(l, &p, "x", at(7)); len(ids) != part || !p.knownUntil.Equal(at(5)) {
-		t.Fatalf("part: %d %+v", len(ids), p)
+	if ids := readLog(l, &reader, "x", at(7)); len(ids) != part {
+		t.Fatalf("first delta: %d entries, want %d", len(ids), part)
 	}
-	if ids := readLog(l, &p, "x", at(8)); len(ids) != 1 || !p.knownUntil.Equal(at(8)) || !p.completeSince.Equal(start) {
-		t.Fatalf("rest: %v %+v", ids, p)
+	checkReader(t, &reader, start, at(5))
+	if ids := readLog(l, &reader, "x", at(8)); len(ids) != 1 {
+		t.Fatalf("second delta: %d entries, want 1", len(ids))
 	}
-	// More than it can hold while nobody asked: from then on it is not whole.
+	checkReader(t, &reader, start, at(8))
+	// More than the log can hold, while nobody reads it.
 	for i := range l.maxEntries + 5 {
 		l.Add(fmt.Sprint("more-", i), at(9))
 	}
 	if len(l.entries) > l.maxEntries || len(l.known) != len(l.entries) {
-		t.Fatalf("holds %d and %d", len(l.entries), len(l.known))
+		t.Fatalf("holds %d entries and %d names, want at most %d of each", len(l.entries), len(l.known), l.maxEntries)
 	}
-	readLog(l, &p, "x", at(10))
-	if p.completeSince.Before(at(9)) {
-		t.Fatalf("whole from %v on though entries were dropped", p.completeSince)
+	readLog(l, &reader, "x", at(10))
+	if reader.completeSince.Before(at(9)) {
+		t.Fatalf("complete since %v though entries were dropped at %v", reader.completeSince, at(9))
 	}
-	// Old ones are forgotten, and the reader that has them is not troubled.
-	var q Reader
-	l = NewLog(w, config.Limits{}, start)
+}
+
+// Old entries are dropped, and a reader that has them stays complete. The log of another
+// process is read from its start, though the numbers would fit.
+func TestReaderOfTrimmedAndOfNewLog(t *testing.T) {
+	var reader Reader
+	l := NewLog(testWorkers, config.Limits{}, start)
 	l.Add("job-1", at(1))
-	readLog(l, &q, "x", at(2))
+	readLog(l, &reader, "x", at(2))
 	l.Add("job-2", at(200))
-	if ids := readLog(l, &q, "x", at(201)); len(l.entries) != 1 || !slices.Equal(ids, []string{"job-2"}) || !q.completeSince.Equal(start) {
-		t.Fatalf("old: %v %+v", ids, q)
+	checkRead(t, l, &reader, at(201), "job-2")
+	if len(l.entries) != 1 || !reader.completeSince.Equal(start) {
+		t.Fatalf("%d entries, complete since %v, want 1, since %v", len(l.entries), reader.completeSince, start)
+	}
+	l = NewLog(testWorkers, config.Limits{}, at(300))
+	for _, id := range []string{"job-7", "job-8", "job-9"} {
+		l.Add(id, at(301))
 	}
-	// Another process has another log, though the numbers fit.
-	l = NewLog(w, config.Limits{}, at(300))
-	l.Add("job-7", at(301))
-	l.Add("job-8", at(301))
-	l.Add("job-9", at(301))
-	if ids := readLog(l, &q, "y", at(302)); len(ids) != 3 || q.completeSince.Before(at(300)) {
-		t.Fatalf("restarted: %v %+v", ids, q)
+	ids := readLog(l, &reader, "y", at(302))
+	if len(ids) != 3 || reader.completeSince.Before(at(300)) {
+		t.Fatalf("restarted: %v, complete since %v, want three, since %v", ids, reader.completeSince, at(300))
 	}
 }
 
-// What 4,000 machines' jobs may lose at once is one answer's news, even for a process
-// with next to no memory: their cancellations are all known after one ping.
+// The cancellations of as many jobs as 4,000 machines may lose at once fit one delta, even for
+// a process with next to no memory: all are known after one ping.
 func TestLargeFleetFitsOneDelta(t *testing.T) {
 	const cancelled = 4000
-	start := time.Unix(1_000_000, 0)
-	l := NewLog(config.Workers{LeaseS: 10, CancelS: 30}, config.Limits{RAMMB: 3}, start)
+	l := NewLog(testWorkers, config.Limits{RAMMB: 3}, start)
 	for i := range cancelled {
 		l.Add(fmt.Sprintf("job-%06d", i), start)
 	}
-	var p Reader
-	if ids := readLog(l, &p, "x", start); len(ids) != cancelled || !p.completeSince.Equal(start) || !p.knownUntil.Equal(start) {
-		t.Errorf("%d of %d known, whole from %v", len(ids), cancelled, p.completeSince)
+	var reader Reader
+	if ids := readLog(l, &reader, "x", start); len(ids) != cancelled {
+		t.Errorf("%d cancellations known, want %d", len(ids), cancelled)
 	}
+	checkReader(t, &reader, start, start)
 }
--- a/internal/cancellation/reader.go
+++ b/internal/cancellation/reader.go
@@ -6,15 +6,16 @@
 // nothing.
 type Reader struct {
 	position Position
-	// completeSince is from when on all cancellations of the other's log are known,
-	// and until when: when the last question was sent that was answered in full.
+	// All cancellations that were added to the other's log from completeSince until
+	// knownUntil are known here. knownUntil is when the last request was sent whose
+	// response held the rest of the log.
 	completeSince, knownUntil time.Time
 }
 
-// Apply takes in an answer to a question sent at a time.
+// Apply applies the delta in the response to a request sent at a time.
 func (r *Reader) Apply(incarnation string, d *Delta, sent, now time.Time) {
 	if incarnation == "" {
-		return // one that keeps no log
+		return // of a version that keeps no log
 	}
 	if r.position.Incarnation != incarnation || d.First != r.position.Number+1 {
 		*r = Reader{completeSince: now.Add(-d.CompleteFor)}
@@ -25,8 +26,8 @@
 	}
 }
 
-// CompleteSince is from when on all cancellations of the other's log are known here.
+// CompleteSince is since when all cancellations of the other's log are known here.
 func (r *Reader) CompleteSince() time.Time { return r.completeSince }
 
-// KnownUntil is before when all that the other has logged is known here.
+// KnownUntil is until when all cancellations of the other's log are known here.
 func (r *Reader) KnownUntil() time.Time { return r.knownUntil }
