--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay packs the messages between a node and a leader that cannot
-// reach each other into records of the state service. It is pure.
+// Package relay packs the messages between a node and a leader that cannot reach each other
+// into records of the key-value store. It is pure.
 package relay
 
 import (
@@ -13,37 +13,41 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Part is one record of a packed message. Data is written as base64.
+// Part is one record of a packed message.
 type Part struct {
+	// Batch is the number of the message.
 	Batch uint64 `json:"batch"`
-	Index int    `json:"index"`
-	Of    int    `json:"of"`
-	Data  []byte `json:"data"`
+	// Index is the number of the part, from 0 on, and Of how many there are.
+	Index int `json:"index"`
+	Of    int `json:"of"`
+	// Data is base64 in JSON.
+	Data []byte `json:"data"`
 }
 
-// maxMessageBytes bounds what is unpacked.
+// maxMessageBytes bounds an unpacked message.
 const maxMessageBytes = 4 << 20
 
 // ErrTooLarge means that a message does not fit the records allowed.
-var ErrTooLarge = errors.New("relay: too large")
+var ErrTooLarge = errors.New("relay: message too large")
 
-// Pack packs a message into at most parts records of at most size bytes each,
-// as they are written.
+// errMissingPart means that a record of a message is missing.
+var errMissingPart = errors.New("part missing")
+
+// partOverhead is what a record takes besides its data.
+const partOverhead = 128
+
+// Pack packs a message into at most maxParts records of at most maxPartBytes bytes each, as they
+// are written.
 func Pack(m proto.Message, batch uint64, maxParts, maxPartBytes int) ([]Part, error) {
 	raw, err := proto.Marshal(m)
 	if err != nil {
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("relay: encode batch %d: %w", batch, err)
 	}
-	var buf bytes.Buffer
-	w, err := flate.NewWriter(&buf, flate.BestSpeed)
+	buf, err := compress(raw)
 	if err != nil {
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("relay: compress batch %d: %w", batch, err)
 	}
-	// Writes to a buffer do not fail.
-	w.Write(raw)
-	w.Close()
-	const frame = 128 // of a record, beside its data
-	maxDataBytes := (maxPartBytes - frame) / 4 * 3
+	maxDataBytes := (maxPartBytes - partOverhead) / 4 * 3 // four characters of base64 hold three bytes
 	if maxDataBytes <= 0 || buf.Len() > maxParts*maxDataBytes {
 		return nil, ErrTooLarge
 	}
@@ -55,27 +59,41 @@
 	return packed, nil
 }
 
-// Unpack puts a message together from its records. Records of other batches may stand
-// beside them: each batch is written as a whole, so the first record tells which is
-// the present one. Its number need not be the highest, since a process that is started
-// anew counts from the first again.
+// Unpack restores a message from its records. Records of other batches may be among them: each
+// batch is written as a whole, so the part with index 0 shows which is the present one. Its
+// number need not be the highest, since a restarted process counts from the first again.
 func Unpack(parts []Part, m proto.Message) error {
 	first := slices.IndexFunc(parts, func(p Part) bool { return p.Index == 0 })
 	if first < 0 {
-		return errors.New("relay: the first record is missing")
+		return fmt.Errorf("relay: %w: the first", errMissingPart)
 	}
 	batch, count := parts[first].Batch, parts[first].Of
 	var data []byte
 	for i := range count {
 		index := slices.IndexFunc(parts, func(p Part) bool { return p.Batch == batch && p.Index == i })
 		if index < 0 {
-			return fmt.Errorf("relay: record %d of batch %d is missing", i, batch)
+			return fmt.Errorf("relay: %w: %d of batch %d", errMissingPart, i, batch)
 		}
 		data = append(data, parts[index].Data...)
 	}
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxMessageBytes))
 	if err != nil {
-		return fmt.Errorf("relay: %w", err)
+		return fmt.Errorf("relay: decompress batch %d: %w", batch, err)
+	}
+	if err := proto.Unmarshal(raw, m); err != nil {
+		return fmt.Errorf("relay: decode batch %d: %w", batch, err)
+	}
+	return nil
+}
+
+func compress(raw []byte) (*bytes.Buffer, error) {
+	var buf bytes.Buffer
+	w, err := flate.NewWriter(&buf, flate.BestSpeed)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := w.Write(raw); err != nil {
+		return nil, err
 	}
-	return proto.Unmarshal(raw, m)
+	return &buf, w.Close()
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,15 +11,27 @@
 	"example.org/ivytrestle/internal/peer"
 )
 
-// uplinkWithHeartbeats are those of machines with 40 tasks each.
+// uplinkWithHeartbeats makes a message with the heartbeats of n machines with 40 tasks each.
 func uplinkWithHeartbeats(n int) *peer.RelayUp {
 	uplink := &peer.RelayUp{Term: 7, Batch: 3}
 	for i := range n {
-		r := &peer.Report{Machine: fmt.Sprintf("i-%06d", i), Addr: fmt.Sprintf("10.1.0.%d:9000", i), Type: "small", Zone: "b", Session: 1, Seq: uint64(100 + i), Term: 7}
+		heartbeat := &peer.Report{
+			Machine: fmt.Sprintf("i-%06d", i),
+			Addr:    fmt.Sprintf("10.1.0.%d:9000", i),
+			Type:    "small",
+			Zone:    "b",
+			Session: 1,
+			Seq:     uint64(100 + i),
+			Term:    7,
+		}
 		for j := range 40 {
-			r.Tasks = append(r.Tasks, &peer.TaskReport{Task: fmt.Sprintf("job-%06d/%d", 1000+(i*7+j)/9, i+j), Attempt: 7<<32 | uint64(i*40+j), Phase: "running"})
+			heartbeat.Tasks = append(heartbeat.Tasks, &peer.TaskReport{
+				Task:    fmt.Sprintf("job-%06d/%d", 1000+(i*7+j)/9, i+j),
+				Attempt: 7<<32 | uint64(i*40+j),
+				Phase:   "running",
+			})
 		}
-		uplink.Reports = append(uplink.Reports, r)
+		uplink.Reports = append(uplink.Reports, heartbeat)
 	}
 	return uplink
 }
@@ -31,30 +43,31 @@
 		t.Fatalf("%d parts, %v", len(parts), err)
 	}
 	for _, p := range parts {
-		if raw, _ := json.Marshal(p); len(raw) > 8<<10 {
-			t.Errorf("a record of %d bytes", len(raw))
+		raw, err := json.Marshal(p)
+		if err != nil || len(raw) > 8<<10 {
+			t.Errorf("part %d: %d bytes, %v, want at most %d", p.Index, len(raw), err, 8<<10)
 		}
 	}
-	// Records come in any order, beside one of an earlier, longer message.
+	// Parts may be in any order, among them one of an earlier, longer message.
 	mixed := append([]Part{{Batch: 2, Index: len(parts), Of: len(parts) + 1}}, parts[1:]...)
 	mixed = append(mixed, parts[0])
 	var unpacked peer.RelayUp
 	if err := Unpack(mixed, &unpacked); err != nil || !proto.Equal(uplink, &unpacked) {
-		t.Errorf("not the same: %v", err)
+		t.Errorf("in another order: %v, or not the same message", err)
 	}
-	// A process that is started anew counts from the first batch again, beside what an
-	// earlier one has left.
+	// A restarted process counts from the first batch again, while parts of an earlier
+	// process are left.
 	left := append([]Part{{Batch: 57, Index: len(parts), Of: len(parts) + 1}}, parts...)
 	if err := Unpack(left, &unpacked); err != nil || !proto.Equal(uplink, &unpacked) {
-		t.Errorf("beside a higher batch: %v", err)
+		t.Errorf("beside a higher batch: %v, or not the same message", err)
 	}
-	if err := Unpack(parts[1:], &unpacked); err == nil {
-		t.Error("put together without its first record")
+	if err := Unpack(parts[1:], &unpacked); !errors.Is(err, errMissingPart) {
+		t.Errorf("without the first part: got %v, want %v", err, errMissingPart)
 	}
-	if err := Unpack(nil, &unpacked); err == nil {
-		t.Error("put together from nothing")
+	if err := Unpack(nil, &unpacked); !errors.Is(err, errMissingPart) {
+		t.Errorf("without any part: got %v, want %v", err, errMissingPart)
 	}
 	if _, err := Pack(uplinkWithHeartbeats(400), 3, 2, 8<<10); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("too large: %v", err)
+		t.Errorf("too large: got %v, want %v", err, ErrTooLarge)
 	}
 }
