--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -1,6 +1,7 @@
 package queue
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
@@ -22,22 +23,27 @@
 func TestItemsAreServedInOrder(t *testing.T) {
 	t0 := time.Unix(0, 0)
 	var q Team[item]
-	for _, i := range []item{
-		{"hopeless", 0, t0, Infeasible, 0}, {"deferred", 0, t0, Deferred, 9}, {"later", 2, t0.Add(2), Feasible, 0},
-		{"low", 3, t0.Add(1), Feasible, 0}, {"urgent", 1, t0.Add(3), Feasible, 0}, {"preferred", 3, t0.Add(9), Feasible, 0.5},
+	for _, added := range []item{
+		{id: "infeasible", latestStart: t0, feasibility: Infeasible},
+		{id: "deferred", latestStart: t0, feasibility: Deferred, preference: 9},
+		{id: "later", rank: 2, latestStart: t0.Add(2)},
+		{id: "low", rank: 3, latestStart: t0.Add(1)},
+		{id: "urgent", rank: 1, latestStart: t0.Add(3)},
+		{id: "preferred", rank: 3, latestStart: t0.Add(9), preference: 0.5},
 	} {
-		q.Add(i)
+		q.Add(added)
 	}
-	got := ""
+	got := make([]string, 0, len(q.Items()))
 	for _, i := range q.Items() {
-		got += i.id + " "
+		got = append(got, i.id)
 	}
-	if got != "urgent preferred low later deferred hopeless " {
-		t.Error(got)
+	want := []string{"urgent", "preferred", "low", "later", "deferred", "infeasible"}
+	if !slices.Equal(got, want) {
+		t.Errorf("got %v, want %v", got, want)
 	}
 	q.Remove(item{id: "low"})
-	if len(q.Items()) != 5 {
-		t.Error("not removed")
+	if n := len(q.Items()); n != 5 {
+		t.Errorf("%d items after one was removed, want 5", n)
 	}
 }
 
@@ -51,33 +57,42 @@
 		served[teams[0].Name]++
 	}
 	if served["a"] != 10 || served["b"] != 30 {
-		t.Error(served)
+		t.Errorf("served %v, want 10 of a and 30 of b", served)
 	}
 }
 
 func TestGuaranteeAndLimit(t *testing.T) {
 	q := Team[item]{CPUs: 4, LimitCPUs: 8, UsedCPUs: 3}
-	if !q.Guaranteed(1, 0) || q.Guaranteed(2, 0) || !q.Allowed(5, 0, 0, 0) || q.Allowed(6, 0, 0, 0) {
-		t.Error("bounds are wrong")
-	}
-	// What may be running on machines not heard of counts against the limit.
-	if q.Allowed(2, 0, 4, 0) || q.Allowed(1, 1, 0, 0) {
-		t.Error("uncertain use or missing GPUs were not counted")
+	for _, c := range []struct {
+		name      string
+		got, want bool
+	}{
+		{"at the guarantee", q.Guaranteed(1, 0), true},
+		{"beyond the guarantee", q.Guaranteed(2, 0), false},
+		{"at the limit", q.Allowed(5, 0, 0, 0), true},
+		{"beyond the limit", q.Allowed(6, 0, 0, 0), false},
+		// What may be running on unfenced machines counts against the limit.
+		{"beyond the limit with uncertain use", q.Allowed(2, 0, 4, 0), false},
+		{"GPUs beyond the limit", q.Allowed(1, 1, 0, 0), false},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s: got %v, want %v", c.name, c.got, c.want)
+		}
 	}
 }
 
 func TestDeferInfeasibleDefersLargest(t *testing.T) {
 	now := time.Unix(0, 0)
-	load := func(aim int, work float64) *Load {
-		return &Load{Deadline: now.Add(time.Duration(aim) * time.Second), CPUSeconds: work}
+	load := func(deadlineS int, work float64) *Load {
+		return &Load{Deadline: now.Add(time.Duration(deadlineS) * time.Second), CPUSeconds: work}
 	}
 	big, a, b, c := load(10, 80), load(10, 20), load(12, 30), load(20, 40)
 	DeferInfeasible([]*Load{c, b, a, big}, 10, now)
 	if !big.Defer || a.Defer || b.Defer || c.Defer {
-		t.Errorf("deferred: big %v, others %v %v %v", big.Defer, a.Defer, b.Defer, c.Defer)
+		t.Errorf("deferred: largest %v, others %v %v %v, want only the largest", big.Defer, a.Defer, b.Defer, c.Defer)
 	}
 	DeferInfeasible([]*Load{c, b, a, big}, 100, now)
 	if big.Defer {
-		t.Error("deferred although all can be in time")
+		t.Error("largest deferred although all can be in time")
 	}
 }
