--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet decides what to rent. It is pure.
+// Package fleet decides which machines to launch. It is pure.
 package fleet
 
 import (
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// Offer is a kind of machine that can be rented in a zone.
+// Offer is a kind of machine that can be launched in a zone.
 type Offer struct {
 	Type  string
 	Zone  string
 	Spot  bool
 	CPUs  float64
 	Price float64
-	Boot  time.Duration
+	// Boot is how long such a machine takes to start.
+	Boot time.Duration
 }
 
-// LaunchRequest is a number of machines of an offer.
+// LaunchRequest asks for a number of machines of an offer.
 type LaunchRequest struct {
 	Offer
 	Count int
 }
 
-// Plan covers a lack of CPUs with the cheapest offers. Offers are tried in the
-// order of the price of a CPU; the caller leaves out those that were refused
-// lately. At most most machines are asked for at once. How many an offer can
-// give is not known, so what remains waits for its answer, and dearer offers
-// are asked at the same time only while much remains: at most asks in all.
+// Plan covers missing CPUs with the cheapest offers, in the order of the price of a CPU; the
+// caller leaves out offers that were rejected lately. A request is for at most maxCount
+// machines. How many an offer can provide is not known, so what remains waits for the response,
+// and more expensive offers are requested at the same time only while much remains: at most
+// maxRequests in all.
 func Plan(missingCPUs float64, offers []Offer, maxCount, maxRequests int) []LaunchRequest {
 	offers = slices.Clone(offers)
 	slices.SortFunc(offers, func(a, b Offer) int {
@@ -37,11 +38,12 @@
 	})
 	var requests []LaunchRequest
 	for _, o := range offers {
-		if len(requests) == maxRequests || missingCPUs <= 0 || (len(requests) > 0 && missingCPUs < float64(maxCount)*o.CPUs) {
+		small := missingCPUs < float64(maxCount)*o.CPUs
+		if len(requests) == maxRequests || missingCPUs <= 0 || (len(requests) > 0 && small) {
 			break
 		}
 		n := min(int(math.Ceil(missingCPUs/o.CPUs)), maxCount)
-		requests = append(requests, LaunchRequest{o, n})
+		requests = append(requests, LaunchRequest{Offer: o, Count: n})
 		missingCPUs -= float64(n) * o.CPUs
 	}
 	return requests
@@ -55,4 +57,4 @@
 }
 
 // Kind names the offer's kind.
-func (o Offer) Kind() Kind { return Kind{o.Type, o.Zone, o.Spot} }
+func (o Offer) Kind() Kind { return Kind{Type: o.Type, Zone: o.Zone, Spot: o.Spot} }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -1,33 +1,37 @@
 package fleet
 
-import "testing"
+import (
+	"slices"
+	"testing"
+)
 
 func TestPlan(t *testing.T) {
 	spot := Offer{Type: "s", Spot: true, CPUs: 16, Price: 0.4}
-	dear := Offer{Type: "s", CPUs: 16, Price: 0.9}
+	expensive := Offer{Type: "s", CPUs: 16, Price: 0.9}
 	large := Offer{Type: "l", CPUs: 64, Price: 3}
-	all := []Offer{dear, large, spot}
+	byPrice := []Offer{spot, large, expensive}
 	for _, c := range []struct {
-		lack float64
-		asks int
-		want []int // machines of spot, large, dear
+		name        string
+		missingCPUs float64
+		maxRequests int
+		want        []int // machines of byPrice
 	}{
-		{0, 3, nil},
-		{17, 3, []int{2}},
-		// The rest of a small lack waits for what the cheapest can give.
-		{60 * 16, 3, []int{50}},
-		{1e4, 3, []int{50, 50, 50}},
-		{1e4, 2, []int{50, 50}},
+		{"nothing missing", 0, 3, nil},
+		{"cheapest covers it", 17, 3, []int{2}},
+		// The rest of a small lack waits for what the cheapest offer can provide.
+		{"little remains", 60 * 16, 3, []int{50}},
+		{"much remains", 1e4, 3, []int{50, 50, 50}},
+		{"requests limited", 1e4, 2, []int{50, 50}},
 	} {
-		got := Plan(c.lack, all, 50, c.asks)
-		if len(got) != len(c.want) {
-			t.Errorf("lack %v: %v", c.lack, got)
-			continue
-		}
-		for i, p := range got {
-			if p.Count != c.want[i] || p.Offer != []Offer{spot, large, dear}[i] {
-				t.Errorf("lack %v: purchase %d is %v", c.lack, i, p)
+		t.Run(c.name, func(t *testing.T) {
+			var want []LaunchRequest
+			for i, count := range c.want {
+				want = append(want, LaunchRequest{Offer: byPrice[i], Count: count})
 			}
-		}
+			got := Plan(c.missingCPUs, []Offer{expensive, large, spot}, 50, c.maxRequests)
+			if !slices.Equal(got, want) {
+				t.Errorf("got %v, want %v", got, want)
+			}
+		})
 	}
 }
