--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -1,7 +1,6 @@
-// Package flight holds the list schedules of a job. Each member of a flight
-// has the whole job's task list in Hu level order, rotated by its index, and
-// pulls the next task that nobody has taken. The package is pure: it knows
-// neither clocks nor machines.
+// Package flight holds the list schedules of a job. Each member of a flight has the whole job's
+// task list in Hu level order, rotated by its index, and pulls the next task that no member has
+// taken. The package is pure: it depends on neither clocks nor machines.
 package flight
 
 import (
@@ -16,8 +15,8 @@
 	total        uint
 	untaken      *bitset.BitSet
 	untakenCount int
-	// cursors holds for each member where its rotated list goes on, so that
-	// no pull walks over the tasks finished before it.
+	// cursors holds for each member where its rotated list continues, so that no pull
+	// walks over the tasks completed before it.
 	cursors     map[string]uint
 	joinedCount int
 }
@@ -32,11 +31,14 @@
 // Untaken is the number of tasks that are neither done nor taken.
 func (f *Flight) Untaken() int { return f.untakenCount }
 
-// Member tells whether a machine is a member.
-func (f *Flight) Member(name string) bool { _, ok := f.cursors[name]; return ok }
+// Member reports whether a machine is a member.
+func (f *Flight) Member(name string) bool {
+	_, ok := f.cursors[name]
+	return ok
+}
 
-// Join makes a machine a member. Its list starts where its index rotates it
-// to; successive indices are spread by the golden ratio.
+// Join makes a machine a member. Its index rotates its list; the starts of successive indices
+// are spread by the golden ratio.
 func (f *Flight) Join(name string) {
 	if f.Member(name) {
 		return
@@ -52,7 +54,7 @@
 // Pull takes the next untaken task in the member's list.
 func (f *Flight) Pull(name string) (int, bool) { return f.PullExcept(name, nil) }
 
-// PullExcept is Pull, passing over tasks that this member must not run.
+// PullExcept is Pull without the tasks that this member must not run.
 func (f *Flight) PullExcept(name string, excluded func(task int) bool) (int, bool) {
 	cursor, ok := f.cursors[name]
 	if !ok || f.untakenCount == 0 {
@@ -90,7 +92,7 @@
 	return true
 }
 
-// Release gives a task back to the lists.
+// Release returns a task to the lists.
 func (f *Flight) Release(task int) {
 	if !f.untaken.Test(uint(task)) {
 		f.untaken.Set(uint(task))
--- a/internal/flight/flight_test.go
+++ b/internal/flight/flight_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	if len(seen) != 1000 {
-		t.Errorf("%d tasks pulled", len(seen))
+		t.Errorf("%d tasks pulled, want 1000", len(seen))
 	}
 	if _, ok := f.Pull("a"); ok {
 		t.Error("pulled from an empty list")
@@ -36,12 +36,12 @@
 		first[task] = true
 	}
 	if len(first) != 4 || !first[0] {
-		t.Errorf("first pulls %v", first)
+		t.Errorf("first pulls %v, want four tasks, one of them 0", first)
 	}
 	for a := range first {
 		for b := range first {
 			if a != b && a-b < 5 && b-a < 5 {
-				t.Errorf("members begin next to each other: %v", first)
+				t.Errorf("members start next to each other: %v, want at least 5 apart", first)
 			}
 		}
 	}
@@ -53,14 +53,14 @@
 	f.Join("b")
 	for range 4 {
 		if task, ok := f.PullExcept("a", func(task int) bool { return task == 2 }); !ok || task == 2 {
-			t.Fatalf("pulled %d, %v", task, ok)
+			t.Fatalf("pulled %d, %v, want a task other than 2", task, ok)
 		}
 	}
 	if _, ok := f.PullExcept("a", func(task int) bool { return task == 2 }); ok {
-		t.Error("pulled a barred task")
+		t.Error("pulled an excluded task")
 	}
 	if task, ok := f.Pull("b"); !ok || task != 2 {
-		t.Errorf("another member pulled %d, %v", task, ok)
+		t.Errorf("another member pulled %d, %v, want 2, true", task, ok)
 	}
 	f.Release(3)
 	f.Release(3)
