--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -1,5 +1,5 @@
-// Package standby reads and checks the file that lets other controllers replace a leader
-// which is gone before its lease at the state service ends.
+// Package standby reads and checks the file that lets other controllers replace a failed leader
+// before its lease at the key-value store expires.
 package standby
 
 import (
@@ -12,11 +12,12 @@
 
 // Settings say how a leader is replaced.
 type Settings struct {
-	// VoteLifetimeS is for how long the other controllers grant the leader that it decides.
+	// VoteLifetimeS is for how long, in seconds, a vote of another controller for the leader
+	// is valid.
 	VoteLifetimeS float64 `json:"grant_s"`
 }
 
-// VoteLifetime is how long a grant lasts.
+// VoteLifetime is for how long a vote is valid.
 func (s *Settings) VoteLifetime() time.Duration { return config.Duration(s.VoteLifetimeS) }
 
 //go:embed schema.json
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -8,29 +8,42 @@
 	"time"
 )
 
-// The example is good; a bad file is refused in one line that names it and the field.
-func TestLoad(t *testing.T) {
+func TestLoadExample(t *testing.T) {
 	s, err := Load("../../deploy/standby-example.toml")
 	if err != nil || s.VoteLifetime() != 3*time.Second {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("got %+v, %v, want a vote lifetime of 3s", s, err)
 	}
+}
+
+// An invalid file is rejected with one line that names the file and the field.
+func TestLoadInvalidFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "standby.toml")
-	for text, want := range map[string]string{
-		"":                         "field (file): missing property 'grant_s'",
-		"grant_s = 0.5":            "field grant_s: ",
-		"grant_s = \"3\"":          "field grant_s: ",
-		"grant_s = 3.0\ngrant = 1": "field (file): additional properties 'grant' not allowed",
-		"grant_s 3":                "line 1: ",
+	for _, c := range []struct{ name, text, want string }{
+		{"empty", "", "field (file): missing property 'grant_s'"},
+		{"too short", "grant_s = 0.5", "field grant_s: "},
+		{"wrong type", "grant_s = \"3\"", "field grant_s: "},
+		{"unknown field", "grant_s = 3.0\ngrant = 1", "field (file): additional properties 'grant' not allowed"},
+		{"not TOML", "grant_s 3", "line 1: "},
 	} {
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		_, err := Load(path)
-		if err == nil || !strings.HasPrefix(err.Error(), "standby "+path+": "+want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want %s", text, err, want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if err := os.WriteFile(path, []byte(c.text), 0o644); err != nil {
+				t.Fatal(err)
+			}
+			_, err := Load(path)
+			if err == nil {
+				t.Fatalf("%q was accepted", c.text)
+			}
+			want := "standby " + path + ": " + c.want
+			if !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v, want one line that begins %s", err, want)
+			}
+		})
 	}
-	if _, err := Load(path + ".none"); err == nil || !strings.HasPrefix(err.Error(), "standby: open ") {
-		t.Errorf("a missing file: %v", err)
+}
+
+func TestLoadMissingFile(t *testing.T) {
+	_, err := Load(filepath.Join(t.TempDir(), "none.toml"))
+	if err == nil || !strings.HasPrefix(err.Error(), "standby: open ") {
+		t.Errorf("got %v, want a failure to open the file", err)
 	}
 }
