--- a/internal/cells/cells.go
+++ b/internal/cells/cells.go
@@ -1,5 +1,5 @@
-// Package cells reads and checks the file that names the cells which lend each other
-// capacity: this one, and its neighbours.
+// Package cells reads and checks the file that names the cells which lend each other capacity:
+// this one and its neighbours.
 package cells
 
 import (
@@ -11,11 +11,12 @@
 	"example.org/ivytrestle/internal/deployfile"
 )
 
-// Settings are the cells as one of them sees them.
+// Settings are a cell's name, its listeners for other cells and its neighbours.
 type Settings struct {
-	// Cell is the name of this one.
+	// Cell is the name of this cell.
 	Cell string `json:"cell"`
-	// Listen is where each of its controllers, by name, listens for other cells.
+	// Listen is the address at which each of its controllers, by name, listens for other
+	// cells.
 	Listen map[string]string `json:"listen"`
 	// MaxLoans bounds the loans out to a neighbour, and those in from one.
 	MaxLoans   int         `json:"max_loans"`
@@ -27,15 +28,15 @@
 	Cell string `json:"cell"`
 	// Addresses are those of its controllers' listeners for other cells.
 	Addresses []string `json:"addresses"`
-	// Unreachable says that the cell is gone for good, with all its machines: what was lent
-	// to it is taken back without its word.
+	// Unreachable says that the cell has failed for good, with all its machines: what was
+	// lent to it is reclaimed without its confirmation.
 	Unreachable bool `json:"lost"`
 }
 
-// defaultMaxLoans is MaxLoans where the file does not say.
+// defaultMaxLoans is MaxLoans if the file does not set it.
 const defaultMaxLoans = 100
 
-// Neighbour returns the neighbour of a name, or nil.
+// Neighbour returns the neighbour with a name, or nil.
 func (s *Settings) Neighbour(cell string) *Neighbour {
 	for i := range s.Neighbours {
 		if s.Neighbours[i].Cell == cell {
@@ -63,7 +64,7 @@
 	return s, s.check(node)
 }
 
-// check finds what a schema cannot say.
+// check checks what a schema cannot express.
 func (s *Settings) check(node string) error {
 	if s.Listen[node] == "" {
 		return fmt.Errorf("field listen: no address for this controller, %s", node)
@@ -73,7 +74,7 @@
 			return fmt.Errorf("field listen.%s: %w", name, err)
 		}
 	}
-	seen := []string{}
+	seen := make([]string, 0, len(s.Neighbours))
 	for i, n := range s.Neighbours {
 		field := fmt.Sprintf("field neighbour[%d]", i)
 		switch {
@@ -92,6 +93,7 @@
 	return nil
 }
 
+// checkAddr checks that an address has the form host:port.
 func checkAddr(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || host == "" || port == "" {
