--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -1,7 +1,6 @@
-// Package flight holds the list schedules of a job. Each member of a flight
-// has the whole job's task list in Hu level order, rotated by its index, and
-// pulls the next task that nobody has taken. The package is pure: it knows
-// neither clocks nor machines.
+// Package flight holds the list schedules of a job. Each member of a flight has the whole job's
+// task list in Hu level order, rotated by its index, and pulls the next task that no member has
+// taken. The package is pure: it depends on neither clocks nor machines.
 package flight
 
 import (
@@ -13,37 +12,40 @@
 // Flight is the group of members that run one job. The tasks of an array
 // depend on nothing, so all are of one level and one rotation covers them.
 type Flight struct {
-	total   uint
-	untaken *bitset.BitSet
-	left    int
-	// cursors holds for each member where its rotated list goes on, so that
-	// no pull walks over the tasks finished before it.
-	cursors map[string]uint
-	joined  int
+	total        uint
+	untaken      *bitset.BitSet
+	untakenCount int
+	// cursors holds for each member where its rotated list continues, so that no pull
+	// walks over the tasks completed before it.
+	cursors     map[string]uint
+	joinedCount int
 }
 
 // New makes a flight without members for a job of n tasks.
 func New(n int) *Flight {
-	f := &Flight{total: uint(n), untaken: bitset.New(uint(n)), left: n, cursors: map[string]uint{}}
+	f := &Flight{total: uint(n), untaken: bitset.New(uint(n)), untakenCount: n, cursors: map[string]uint{}}
 	f.untaken.FlipRange(0, uint(n))
 	return f
 }
 
 // Untaken is the number of tasks that are neither done nor taken.
-func (f *Flight) Untaken() int { return f.left }
+func (f *Flight) Untaken() int { return f.untakenCount }
 
-// Member tells whether a machine is a member.
-func (f *Flight) Member(name string) bool { _, ok := f.cursors[name]; return ok }
+// Member reports whether a machine is a member.
+func (f *Flight) Member(name string) bool {
+	_, ok := f.cursors[name]
+	return ok
+}
 
-// Join makes a machine a member. Its list starts where its index rotates it
-// to; successive indices are spread by the golden ratio.
+// Join makes a machine a member. Its index rotates its list; the starts of successive indices
+// are spread by the golden ratio.
 func (f *Flight) Join(name string) {
 	if f.Member(name) {
 		return
 	}
-	_, frac := math.Modf(float64(f.joined) * (math.Sqrt(5) - 1) / 2)
+	_, frac := math.Modf(float64(f.joinedCount) * (math.Sqrt(5) - 1) / 2)
 	f.cursors[name] = uint(frac * float64(f.total))
-	f.joined++
+	f.joinedCount++
 }
 
 // Leave removes a member.
@@ -52,31 +54,31 @@
 // Pull takes the next untaken task in the member's list.
 func (f *Flight) Pull(name string) (int, bool) { return f.PullExcept(name, nil) }
 
-// PullExcept is Pull, passing over tasks that this member must not run.
-func (f *Flight) PullExcept(name string, barred func(task int) bool) (int, bool) {
-	cur, ok := f.cursors[name]
-	if !ok || f.left == 0 {
+// PullExcept is Pull without the tasks that this member must not run.
+func (f *Flight) PullExcept(name string, excluded func(task int) bool) (int, bool) {
+	cursor, ok := f.cursors[name]
+	if !ok || f.untakenCount == 0 {
 		return 0, false
 	}
-	start := cur
+	start := cursor
 	wrapped := false
 	for {
-		t, found := f.untaken.NextSet(cur)
+		t, found := f.untaken.NextSet(cursor)
 		if !found || (wrapped && t >= start) {
 			if wrapped {
 				return 0, false
 			}
 			wrapped = true
-			cur = 0
+			cursor = 0
 			continue
 		}
-		if barred == nil || !barred(int(t)) {
+		if excluded == nil || !excluded(int(t)) {
 			f.untaken.Clear(t)
-			f.left--
+			f.untakenCount--
 			f.cursors[name] = (t + 1) % f.total
 			return int(t), true
 		}
-		cur = t + 1
+		cursor = t + 1
 	}
 }
 
@@ -86,14 +88,14 @@
 		return false
 	}
 	f.untaken.Clear(uint(task))
-	f.left--
+	f.untakenCount--
 	return true
 }
 
-// Release gives a task back to the lists.
+// Release returns a task to the lists.
 func (f *Flight) Release(task int) {
 	if !f.untaken.Test(uint(task)) {
 		f.untaken.Set(uint(task))
-		f.left++
+		f.untakenCount++
 	}
 }
--- a/internal/records/dependencies.go
+++ b/internal/records/dependencies.go
@@ -3,219 +3,22 @@
 import (
 	"bytes"
 	"context"
-	"crypto/sha256"
-	"encoding/hex"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"slices"
 	"strings"
-	"time"
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/kv"
 )
 
-// DependencyPrefix is the prefix of the records that list the awaited jobs of those
-// whose active record has no room for them.
-const DependencyPrefix = "awaits/"
+// errUnknownDependency means that a job depends on one that no node has accepted.
+var errUnknownDependency = errors.New("dependency never accepted")
 
-// DependenciesElsewhere stands for the awaited jobs in an active record that has no room
-// for them. It is no job's name, so a reader that does not know of lists waits for
-// it and never starts the job.
-const DependenciesElsewhere = "job-"
-
-// DependencyList tells which records list a job's awaited jobs. Its digest makes the
-// keys depend on the names: two submissions of one job that name others never
-// write the same keys, and a repeated submission finds what the first has written.
-type DependencyList struct {
-	Digest  string `json:"digest"`
-	Records int    `json:"records"`
-}
-
-// DependencyRecord is a part of a list of awaited jobs.
-type DependencyRecord struct {
-	Jobs []string `json:"jobs"`
-}
-
-// digestBytes is how much of a hash a list's keys hold.
-const digestBytes = 16
-
-// longestDependencyList has the longest form that a list can have.
-var longestDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), Records: api.MaxBody}
-
-// listedElsewhere is the record with a list in place of the names.
-func (rec ActiveRecord) listedElsewhere(list *DependencyList) ActiveRecord {
-	rec.Spec.DependsOn, rec.DependencyList = []string{DependenciesElsewhere}, list
-	return rec
-}
-
-func (l *DependencyList) prefix(id string) string {
-	return DependencyPrefix + id + "/" + l.Digest + "/"
-}
-
-// Keys are the keys of the records of a job's list, in order.
-func (l *DependencyList) Keys(id string) []string {
-	keys := make([]string, l.Records)
-	for i := range keys {
-		keys[i] = fmt.Sprintf("%s%05d", l.prefix(id), i)
-	}
-	return keys
-}
-
-// ParseDependencyKey tells whose list a record belongs to.
-func ParseDependencyKey(key string) (id, digest string, ok bool) {
-	parts := strings.Split(strings.TrimPrefix(key, DependencyPrefix), "/")
-	if len(parts) != 3 {
-		return "", "", false
-	}
-	return parts[0], parts[1], true
-}
-
-// splitDependencies divides awaited jobs into records for values of so many KiB.
-func splitDependencies(ids []string, valueKB float64) (*DependencyList, []DependencyRecord) {
-	room := kv.MaxTxnBytes / 2
-	if valueKB > 0 {
-		room = min(room, int(valueKB*1024))
-	}
-	room -= len(`{"jobs":[]}`)
-	var parts []DependencyRecord
-	left := 0
-	for _, id := range ids {
-		size := len(id) + len(`"",`)
-		if len(parts) == 0 || size > left {
-			parts, left = append(parts, DependencyRecord{}), room
-		}
-		last := &parts[len(parts)-1]
-		last.Jobs = append(last.Jobs, id)
-		left -= size
-	}
-	hash := sha256.New()
-	for _, part := range parts {
-		fmt.Fprintln(hash, strings.Join(part.Jobs, " "))
-	}
-	return &DependencyList{Digest: hex.EncodeToString(hash.Sum(nil)[:digestBytes]), Records: len(parts)}, parts
-}
-
-// listOps bounds the changes of a transaction that writes a list: a node's write
-// budget lets no more through at once, however small its part.
-const listOps = kv.MinWriteBurst
-
-// writeDependencies writes the records of a job's list that are not written yet. The job
-// is accepted only afterwards; what is left of a submission that is never repeated
-// is found by the next leader. It returns false if the job is known meanwhile.
-func (r *Records) writeDependencies(ctx context.Context, id string, list *DependencyList, parts []DependencyRecord) (bool, error) {
-	written := map[string]bool{}
-	rows, err := r.readRange(ctx, list.prefix(id))
-	if err != nil {
-		return false, err
-	}
-	for _, e := range rows {
-		written[e.Key] = true
-	}
-	most := listOps
-	if r.Limits.TxnOps > 0 {
-		most = min(most, r.Limits.TxnOps)
-	}
-	// Once the job is known no record is written any more, however late.
-	unknown := []kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}
-	txn, size := kv.Txn{Compares: unknown}, 0
-	for i, key := range list.Keys(id) {
-		if !written[key] {
-			txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: parts[i]})
-			size += partBytes(parts[i])
-		}
-		last := i == len(parts)-1
-		if len(txn.Ops) == 0 || !last && len(txn.Ops) < most && size+partBytes(parts[i+1]) <= kv.MaxTxnBytes*3/4 {
-			continue
-		}
-		res, err := r.txn(ctx, txn)
-		if err != nil || !res.Succeeded {
-			return false, err
-		}
-		txn, size = kv.Txn{Compares: unknown}, 0
-	}
-	return true, nil
-}
-
-// partBytes is about how much of a transaction a part of a list takes.
-func partBytes(part DependencyRecord) int {
-	size := 200
-	for _, id := range part.Jobs {
-		size += len(id) + len(`"",`)
-	}
-	return size
-}
-
-// readRange reads all keys with a prefix.
-func (r *Records) readRange(ctx context.Context, prefix string) ([]kv.Entry, error) {
-	var rows []kv.Entry
-	for from := ""; ; {
-		p, err := r.page(ctx, prefix, from)
-		if err != nil {
-			return nil, err
-		}
-		rows = append(rows, p.Entries...)
-		if !p.More || len(p.Entries) == 0 {
-			return rows, nil
-		}
-		from = p.Entries[len(p.Entries)-1].Key
-	}
-}
-
-// EachKey tells of all keys with a prefix.
-func (r *Records) EachKey(ctx context.Context, prefix string, tell func(key string)) error {
-	for from := ""; ; {
-		p, err := r.page(ctx, prefix, from)
-		if err != nil {
-			return err
-		}
-		for _, e := range p.Entries {
-			from = e.Key
-			tell(from)
-		}
-		if !p.More || len(p.Entries) == 0 {
-			return nil
-		}
-	}
-}
-
-// pageEntries is how many keys a range is asked for at a time.
-const pageEntries = 1000
-
-func (r *Records) page(ctx context.Context, prefix, from string) (kv.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*tryTimeout)
-	defer cancel()
-	return r.Store.Range(ctx, prefix, from, pageEntries)
-}
-
-// ReadDependencies reads the list of a job's awaited jobs. It never returns a part of it.
-func (r *Records) ReadDependencies(ctx context.Context, id string, list *DependencyList) ([]string, error) {
-	rows, err := r.readRange(ctx, list.prefix(id))
-	if err != nil {
-		return nil, err
-	}
-	keys := list.Keys(id)
-	if len(rows) != len(keys) {
-		return nil, fmt.Errorf("%w: %d of %d records list what %s awaits", kv.ErrOutcomeUnknown, len(rows), len(keys), id)
-	}
-	var ids []string
-	for i, e := range rows {
-		var part DependencyRecord
-		if err := json.Unmarshal(e.Value, &part); err != nil || e.Key != keys[i] {
-			return nil, fmt.Errorf("%w: record %s: %w", kv.ErrOutcomeUnknown, e.Key, err)
-		}
-		ids = append(ids, part.Jobs...)
-	}
-	return ids, nil
-}
-
-// errUnknownDependency means that a job names one that nobody has accepted.
-var errUnknownDependency = errors.New("state service: never accepted")
-
-// UnknownDependencyError names a job that another one awaits and nobody has accepted.
+// UnknownDependencyError names a dependency that no node has accepted.
 type UnknownDependencyError struct{ ID string }
 
+// Error implements error. Users are shown this text.
 func (e *UnknownDependencyError) Error() string {
 	return "awaits " + e.ID + ", which was never accepted"
 }
@@ -223,113 +26,120 @@
 // Is makes it an errUnknownDependency.
 func (e *UnknownDependencyError) Is(target error) bool { return target == errUnknownDependency }
 
-// maxSingleReads is how many jobs are read one by one; more are looked for in
-// ranges, which take few requests however many jobs there are.
+// maxSingleReads is how many jobs are read one by one. More are searched in ranges, which
+// take few requests however many jobs there are.
 const maxSingleReads = 24
 
-// dependencySearch follows what jobs await, directly or through others.
+// dependencySearch walks the dependencies of jobs, direct and indirect.
 type dependencySearch struct {
-	records *Records
-	reads   int
-	// active is what all active jobs await, once it is read.
+	records     *Records
+	singleReads int
+	// active holds the dependencies of all active jobs, once they are read.
 	active map[string]dependencySet
-	// ended are the jobs found that are not active.
+	// ended are the jobs reached that are not active.
 	ended []string
 }
 
-// dependencySet is what an active job awaits: names, or a list of them.
+// dependencySet is what an active job depends on: names, or a list of them.
 type dependencySet struct {
 	ids  []string
 	list *DependencyList
 }
 
-// run looks at jobs and at all that they await and that is active.
-func (s *dependencySearch) run(ctx context.Context, ids []string) error {
+// walk visits jobs and, of those that are active, all dependencies.
+func (s *dependencySearch) walk(ctx context.Context, ids []string) error {
 	if len(ids) > maxSingleReads {
-		s.reads = maxSingleReads
+		s.singleReads = maxSingleReads
 	}
-	seen := make(map[string]bool, len(ids))
-	for todo := slices.Clone(ids); len(todo) > 0; {
-		id := todo[len(todo)-1]
-		if todo = todo[:len(todo)-1]; seen[id] {
+	visited := make(map[string]bool, len(ids))
+	for pending := slices.Clone(ids); len(pending) > 0; {
+		id := pending[len(pending)-1]
+		if pending = pending[:len(pending)-1]; visited[id] {
 			continue
 		}
-		seen[id] = true
-		next, isActive, err := s.job(ctx, id)
+		visited[id] = true
+		next, isActive, err := s.dependenciesOf(ctx, id)
 		if err != nil {
 			return err
 		}
 		if !isActive {
 			s.ended = append(s.ended, id)
 		}
-		todo = append(todo, next...)
+		pending = append(pending, next...)
 	}
 	return nil
 }
 
-// job reads what a job awaits, and whether it is active.
-func (s *dependencySearch) job(ctx context.Context, id string) (ids []string, isActive bool, err error) {
-	var a dependencySet
-	if s.active == nil && s.reads < maxSingleReads {
-		s.reads++
-		e, err := s.records.get(ctx, ActivePrefix+id)
+// dependenciesOf reads what a job depends on, and whether it is active.
+func (s *dependencySearch) dependenciesOf(ctx context.Context, id string) (ids []string, isActive bool, err error) {
+	set, isActive, err := s.readSet(ctx, id)
+	if err != nil || !isActive {
+		return nil, false, err
+	}
+	ids, err = s.records.resolve(ctx, id, set)
+	return ids, true, err
+}
+
+// readSet reads a job's active record; after maxSingleReads of them it reads those of all jobs.
+func (s *dependencySearch) readSet(ctx context.Context, id string) (set dependencySet, isActive bool, err error) {
+	if s.active == nil && s.singleReads < maxSingleReads {
+		s.singleReads++
+		e, err := s.records.getEntry(ctx, ActivePrefix+id)
 		if err != nil || e.ModRevision == 0 || isGuestRecord(e) {
-			return nil, false, err
+			return dependencySet{}, false, err
 		}
-		a = dependenciesOf(e)
-	} else {
-		if s.active == nil {
-			if s.active, err = s.records.allActive(ctx); err != nil {
-				return nil, false, err
-			}
-		}
-		var ok bool
-		if a, ok = s.active[id]; !ok {
-			return nil, false, nil
+		return dependenciesOf(e), true, nil
+	}
+	if s.active == nil {
+		if s.active, err = s.records.readActiveDependencies(ctx); err != nil {
+			return dependencySet{}, false, err
 		}
 	}
-	if a.list != nil {
-		a.ids, err = s.records.ReadDependencies(ctx, id, a.list)
+	set, isActive = s.active[id]
+	return set, isActive, nil
+}
+
+// resolve returns the names of a job's dependencies, which it reads if they are in a list.
+func (r *Records) resolve(ctx context.Context, id string, set dependencySet) ([]string, error) {
+	if set.list == nil {
+		return set.ids, nil
 	}
-	return a.ids, true, err
+	return r.ReadDependencies(ctx, id, set.list)
 }
 
-// dependenciesAccepted looks whether jobs were accepted and whether one of them is cancelled, or
-// is to be with one that it needs itself.
-func (r *Records) dependenciesAccepted(ctx context.Context, ids []string) (withdrawn bool, err error) {
-	s := dependencySearch{records: r}
-	if err := s.run(ctx, ids); err != nil {
+// checkDependencies fails with UnknownDependencyError if one of some jobs was never accepted,
+// and reports whether one of them is cancelled, or is to be with a dependency of its own.
+func (r *Records) checkDependencies(ctx context.Context, ids []string) (cancelled bool, err error) {
+	search := dependencySearch{records: r}
+	if err := search.walk(ctx, ids); err != nil {
 		return false, err
 	}
-	ends, err := r.TerminalRecords(ctx, s.ended)
+	ends, err := r.TerminalRecords(ctx, search.ended)
 	if err != nil {
 		return false, err
 	}
-	for _, id := range s.ended {
+	for _, id := range search.ended {
 		end, found := ends[id]
 		if !found && slices.Contains(ids, id) {
-			return false, &UnknownDependencyError{id}
+			return false, &UnknownDependencyError{ID: id}
 		}
-		withdrawn = withdrawn || end.Phase == api.JobCancelled
+		cancelled = cancelled || end.Phase == api.JobCancelled
 	}
-	return withdrawn, nil
+	return cancelled, nil
 }
 
-// cancelPending tells whether an active job needs one, directly or through others,
-// that is cancelled.
+// cancelPending reports whether a dependency of an active job, direct or indirect, is
+// cancelled.
 func (r *Records) cancelPending(ctx context.Context, e kv.Entry) (bool, error) {
-	a := dependenciesOf(e)
-	if a.list != nil {
-		var err error
-		if a.ids, err = r.ReadDependencies(ctx, strings.TrimPrefix(e.Key, ActivePrefix), a.list); err != nil {
-			return false, err
-		}
+	ids, err := r.resolve(ctx, strings.TrimPrefix(e.Key, ActivePrefix), dependenciesOf(e))
+	if err != nil {
+		return false, err
 	}
-	s := dependencySearch{records: r}
-	if err := s.run(ctx, a.ids); err != nil {
+	search := dependencySearch{records: r}
+	if err := search.walk(ctx, ids); err != nil {
 		return false, err
 	}
-	ends, err := r.TerminalRecords(ctx, s.ended)
+	ends, err := r.TerminalRecords(ctx, search.ended)
 	for _, end := range ends {
 		if end.Phase == api.JobCancelled {
 			return true, err
@@ -338,231 +148,33 @@
 	return false, err
 }
 
-// dependenciesOf is what an active job needs.
+// dependenciesOf returns what the job of an active record depends on.
 func dependenciesOf(e kv.Entry) dependencySet {
 	if !bytes.Contains(e.Value, []byte(`"Awaits"`)) {
-		return dependencySet{} // most need none
+		return dependencySet{} // most jobs have no dependencies, and need no decoding
 	}
 	var rec ActiveRecord
 	if json.Unmarshal(e.Value, &rec) != nil {
 		return dependencySet{}
 	}
-	return dependencySet{rec.Spec.DependsOn, rec.DependencyList}
+	return dependencySet{ids: rec.Spec.DependsOn, list: rec.DependencyList}
 }
 
-// maxScans bounds the ranges over all active jobs, and maxLongLists the
-// submissions that name many jobs, that are held in memory at the same time.
-const (
-	maxScans     = 2
-	maxLongLists = 4
-)
-
-// acquire waits for one of some slots; without any there is no bound.
-func acquire(ctx context.Context, slots chan struct{}) (release func(), err error) {
-	if slots == nil {
-		return func() {}, nil
-	}
-	select {
-	case slots <- struct{}{}:
-		return func() { <-slots }, nil
-	case <-ctx.Done():
-		return nil, fmt.Errorf("%w: too many at a time", kv.ErrNotApplied)
-	}
-}
-
-// allActive reads what all active jobs await.
-func (r *Records) allActive(ctx context.Context) (map[string]dependencySet, error) {
+// readActiveDependencies reads the dependencies of all active jobs.
+func (r *Records) readActiveDependencies(ctx context.Context) (map[string]dependencySet, error) {
 	release, err := acquire(ctx, r.scans)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	all := map[string]dependencySet{}
-	for from := ""; ; {
-		p, err := r.page(ctx, ActivePrefix, from)
-		if err != nil {
-			return nil, err
-		}
-		for _, e := range p.Entries {
-			if from = e.Key; !isGuestRecord(e) {
-				all[strings.Clone(strings.TrimPrefix(e.Key, ActivePrefix))] = dependenciesOf(e)
-			}
-		}
-		if !p.More || len(p.Entries) == 0 {
-			return all, nil
-		}
-	}
-}
-
-// TerminalRecords reads how jobs ended that are not active. What never ended is left out. What
-// was read before a failure is returned with it.
-func (r *Records) TerminalRecords(ctx context.Context, ids []string) (map[string]TerminalRecord, error) {
-	ends := make(map[string]TerminalRecord, len(ids))
-	var unread []string
-	for _, id := range ids {
-		if end, ok := r.cachedTerminal(id); ok {
-			ends[id] = end
-			r.cache.jobEnded(id, end)
-		} else {
-			unread = append(unread, id)
-		}
-	}
-	if len(unread) > maxSingleReads {
-		return ends, r.rangeTerminalRecords(ctx, unread, ends)
-	}
-	for _, id := range unread {
-		end, found, err := r.terminalRecord(ctx, id)
-		if err != nil {
-			return ends, err
-		}
-		if found {
-			ends[id] = end
-			r.cacheTerminal(id, end)
-		}
-	}
-	return ends, nil
-}
-
-// cacheTerminal notes how a job ended. That never changes, so what one try has read
-// the next need not.
-func (r *Records) cacheTerminal(id string, end TerminalRecord) {
-	if r.terminalCache != nil {
-		r.terminalCache.Add(strings.Clone(id), end)
-	}
-	r.cache.jobEnded(id, end)
-}
-
-func (r *Records) cachedTerminal(id string) (TerminalRecord, bool) {
-	if r.terminalCache == nil {
-		return TerminalRecord{}, false
-	}
-	return r.terminalCache.Get(id)
-}
-
-// rangeTerminalRecords reads how jobs ended, in ranges that each begin at one of them:
-// it takes at most a request for each job, and one for each page of final records.
-func (r *Records) rangeTerminalRecords(ctx context.Context, ids []string, ends map[string]TerminalRecord) error {
-	ids = slices.Clone(ids)
-	slices.Sort(ids)
-	for len(ids) > 0 {
-		p, err := r.page(ctx, TerminalPrefix, TerminalPrefix+justBefore(ids[0]))
-		if err != nil {
-			return err
-		}
-		for _, e := range p.Entries {
-			id := strings.TrimPrefix(e.Key, TerminalPrefix)
-			for len(ids) > 0 && ids[0] < id {
-				ids = ids[1:] // never ended
-			}
-			if len(ids) == 0 || ids[0] != id {
-				continue
-			}
-			var f TerminalRecord
-			if err := json.Unmarshal(e.Value, &f); err != nil {
-				return fmt.Errorf("record %s: %w", e.Key, err)
-			}
-			ends[id] = f
-			r.cacheTerminal(id, f)
-			ids = ids[1:]
-		}
-		if !p.More || len(p.Entries) == 0 {
-			return nil
-		}
-	}
-	return nil
-}
-
-// justBefore is a string that comes before a job's name and after all other names
-// that do.
-func justBefore(id string) string {
-	last := len(id) - 1
-	return id[:last] + string(id[last]-1) + "~"
-}
-
-// acceptance is what is needed to accept a job.
-type acceptance struct {
-	spec *api.JobSpec
-	// record becomes the job's active record; list and parts are set if its
-	// awaited jobs are listed elsewhere.
-	record ActiveRecord
-	list   *DependencyList
-	parts  []DependencyRecord
-}
-
-func (r *Records) newAcceptance(spec *api.JobSpec, now time.Time) *acceptance {
-	a := &acceptance{spec: spec, record: ActiveRecord{Spec: *spec, Accepted: now.UTC()}}
-	if len(spec.DependsOn) > 0 && !a.record.fits(r.Limits.ValueKB) {
-		a.list, a.parts = splitDependencies(spec.DependsOn, r.Limits.ValueKB)
-		a.record = a.record.listedElsewhere(a.list)
-	}
-	return a
-}
-
-// accept tries once to make a job's record.
-func (r *Records) accept(ctx context.Context, a *acceptance) (st api.JobState, created bool, err error) {
-	id := a.spec.ID
-	if len(a.spec.DependsOn) > maxSingleReads || a.list != nil {
-		release, err := acquire(ctx, r.longLists)
-		if err != nil {
-			return st, false, err
-		}
-		defer release()
-		// What is known already is not worth a long search, and must not have a
-		// list written.
-		if st, found, err := r.lookup(ctx, id); err != nil || found {
-			return st, false, err
+	active := map[string]dependencySet{}
+	err = r.forEachEntry(ctx, ActivePrefix, func(e kv.Entry) {
+		if !isGuestRecord(e) {
+			active[strings.Clone(strings.TrimPrefix(e.Key, ActivePrefix))] = dependenciesOf(e)
 		}
-	}
-	withdrawn, err := r.dependenciesAccepted(ctx, a.spec.DependsOn)
-	if errors.Is(err, errUnknownDependency) {
-		// What is known already keeps its state whatever it names.
-		if st, found, lerr := r.lookup(ctx, id); lerr != nil || found {
-			return st, false, lerr
-		}
-	}
-	if err != nil {
-		return st, false, err
-	}
-	// One that is cancelled from now on finds the job among those that need it,
-	// whoever leads then.
-	if !withdrawn && a.list != nil {
-		if ok, err := r.writeDependencies(ctx, id, a.list, a.parts); err != nil {
-			return st, false, err
-		} else if !ok {
-			return r.retryAfterConflict(ctx, id)
-		}
-	}
-	txn, first := a.transaction(withdrawn)
-	res, err := r.txn(ctx, txn)
+	})
 	if err != nil {
-		return st, false, err
-	}
-	if res.Succeeded {
-		return first, true, nil
-	}
-	return r.retryAfterConflict(ctx, id)
-}
-
-// transaction returns the transaction that makes the job's record, and the state
-// that the job then has: withdrawn if a job that it awaits is.
-func (a *acceptance) transaction(withdrawn bool) (kv.Txn, api.JobState) {
-	id := a.spec.ID
-	txn := kv.Txn{Compares: []kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}}
-	if withdrawn {
-		final := TerminalRecord{Phase: api.JobCancelled, Tasks: a.spec.Tasks}
-		txn.Ops = []kv.Op{{Put: TerminalPrefix + id, Value: final}}
-		return txn, final.JobState(id)
-	}
-	txn.Ops = []kv.Op{{Put: ActivePrefix + id, Value: a.record}}
-	return txn, api.JobState{ID: id, Phase: api.JobPending}
-}
-
-// retryAfterConflict looks up a job that turned out to be known; perhaps by a transaction of
-// this very submission, whose answer was lost.
-func (r *Records) retryAfterConflict(ctx context.Context, id string) (api.JobState, bool, error) {
-	st, found, err := r.lookup(ctx, id)
-	if err == nil && !found {
-		err = fmt.Errorf("%w: job %s changed meanwhile", kv.ErrOutcomeUnknown, id)
+		return nil, err
 	}
-	return st, false, err
+	return active, nil
 }
--- /dev/null
+++ b/internal/records/terminal.go
@@ -0,0 +1,95 @@
+package records
+
+import (
+	"context"
+	"slices"
+	"strings"
+)
+
+// maxCachedTerminal is how many terminal records are cached: more than there can be
+// dependencies in one submission.
+const maxCachedTerminal = 8192
+
+// TerminalRecords reads how jobs ended that are not active. Jobs that never ended are left
+// out. What was read before a failure is returned with it.
+func (r *Records) TerminalRecords(ctx context.Context, ids []string) (map[string]TerminalRecord, error) {
+	found := make(map[string]TerminalRecord, len(ids))
+	var unread []string
+	for _, id := range ids {
+		if terminal, ok := r.cachedTerminal(id); ok {
+			found[id] = terminal
+			r.cache.jobEnded(id, terminal)
+		} else {
+			unread = append(unread, id)
+		}
+	}
+	if len(unread) > maxSingleReads {
+		return found, r.readTerminalRanges(ctx, unread, found)
+	}
+	for _, id := range unread {
+		terminal, ok, err := r.terminalRecord(ctx, id)
+		if err != nil {
+			return found, err
+		}
+		if ok {
+			found[id] = terminal
+			r.cacheTerminal(id, terminal)
+		}
+	}
+	return found, nil
+}
+
+// cacheTerminal caches how a job ended. That never changes, so a retry need not read again
+// what an earlier attempt has read.
+func (r *Records) cacheTerminal(id string, terminal TerminalRecord) {
+	if r.terminalCache != nil {
+		r.terminalCache.Add(strings.Clone(id), terminal)
+	}
+	r.cache.jobEnded(id, terminal)
+}
+
+func (r *Records) cachedTerminal(id string) (TerminalRecord, bool) {
+	if r.terminalCache == nil {
+		return TerminalRecord{}, false
+	}
+	return r.terminalCache.Get(id)
+}
+
+// readTerminalRanges adds to found how jobs ended. It reads ranges that each begin at one of
+// the jobs: at most one request for each job, and one for each page of terminal records.
+func (r *Records) readTerminalRanges(ctx context.Context, ids []string, found map[string]TerminalRecord) error {
+	ids = slices.Clone(ids)
+	slices.Sort(ids)
+	for len(ids) > 0 {
+		page, err := r.readPage(ctx, TerminalPrefix, TerminalPrefix+predecessor(ids[0]))
+		if err != nil {
+			return err
+		}
+		for _, e := range page.Entries {
+			id := strings.TrimPrefix(e.Key, TerminalPrefix)
+			for len(ids) > 0 && ids[0] < id {
+				ids = ids[1:] // never ended
+			}
+			if len(ids) == 0 || ids[0] != id {
+				continue
+			}
+			var terminal TerminalRecord
+			if err := decodeRecord(e, &terminal); err != nil {
+				return err
+			}
+			found[id] = terminal
+			r.cacheTerminal(id, terminal)
+			ids = ids[1:]
+		}
+		if !page.More || len(page.Entries) == 0 {
+			return nil
+		}
+	}
+	return nil
+}
+
+// predecessor is a string that sorts before a job's name and after all other names that do.
+func predecessor(id string) string {
+	last := len(id) - 1
+	return id[:last] + string(id[last]-1) + "~"
+}
