--- a/internal/controller/answerchecker_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -19,11 +19,11 @@
 type answerChecker struct {
 	fail func(string)
 
-	mu       sync.Mutex
-	count    int
-	faults   int
-	answered int
-	jobs     map[string]*answerLog
+	mu         sync.Mutex
+	count      int
+	violations int
+	answered   int
+	jobs       map[string]*answerLog
 }
 
 // answerLog is what is known of one job beside the nodes: what its user has asked
@@ -33,11 +33,11 @@
 	done                 map[string]bool
 	doneAt               time.Time
 	submitted, cancelled bool
-	// known is the number of the first answer that told it as accepted, over of
+	// firstAcceptance is the number of the first answer that told it as accepted, over of
 	// the first that told its end.
-	known, over int
-	end         string
-	endAt       time.Time
+	firstAcceptance, firstEnd int
+	end                       string
+	endAt                     time.Time
 	// byPhase counts the answers by phase; lines are the last ones.
 	byPhase map[string]int
 	lines   []string
@@ -57,9 +57,9 @@
 	return j
 }
 
-// question numbers a question. Its change is what the user wants, known before any
+// recordRequest numbers a question. Its change is what the user wants, known before any
 // answer can follow from it.
-func (h *answerChecker) question(id string, change func(*answerLog)) int {
+func (h *answerChecker) recordRequest(id string, change func(*answerLog)) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if change != nil {
@@ -80,19 +80,19 @@
 	}
 }
 
-// reply is what a user got.
-type reply struct {
-	asked   int
-	verb    string
-	node    string
-	st      api.JobState
-	created bool
-	err     error
+// userResponse is what a user got.
+type userResponse struct {
+	requestNumber int
+	verb          string
+	node          string
+	st            api.JobState
+	created       bool
+	err           error
 }
 
-// answer takes an answer in that has come now. An error other than ErrUnknownJob
+// recordResponse takes an answer in that has come now. An error other than ErrUnknownJob
 // is none.
-func (h *answerChecker) answer(id string, a reply) {
+func (h *answerChecker) recordResponse(id string, a userResponse) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.count++
@@ -107,31 +107,31 @@
 		what = "unknown"
 	}
 	j.byPhase[what]++
-	j.lines = append(j.lines, fmt.Sprintf("%s #%d-#%d %s at %s: %s", time.Now().Format("05.000"), a.asked, h.count, a.verb, a.node, what))
+	j.lines = append(j.lines, fmt.Sprintf("%s #%d-#%d %s at %s: %s", time.Now().Format("05.000"), a.requestNumber, h.count, a.verb, a.node, what))
 	if len(j.lines) > 12 {
 		j.lines = j.lines[1:]
 	}
-	if why := j.fault(id, a, unknown); why != "" {
-		if h.faults++; h.faults <= 3 {
+	if why := j.violation(id, a, unknown); why != "" {
+		if h.violations++; h.violations <= 3 {
 			h.fail(fmt.Sprintf("%s: %s\n\t%s", id, why, strings.Join(j.lines, "\n\t")))
 		}
 	}
 	if unknown {
 		return
 	}
-	if j.known == 0 {
-		j.known = h.count
+	if j.firstAcceptance == 0 {
+		j.firstAcceptance = h.count
 	}
-	if a.st.Final() && j.over == 0 {
-		j.over, j.end, j.endAt = h.count, a.st.Phase, time.Now()
+	if a.st.Final() && j.firstEnd == 0 {
+		j.firstEnd, j.end, j.endAt = h.count, a.st.Phase, time.Now()
 	}
 }
 
-// fault says which rule an answer breaks, if any.
-func (j *answerLog) fault(id string, a reply, unknown bool) string {
-	later := func(than int) bool { return than != 0 && a.asked > than }
+// violation says which rule an answer breaks, if any.
+func (j *answerLog) violation(id string, a userResponse, unknown bool) string {
+	later := func(than int) bool { return than != 0 && a.requestNumber > than }
 	switch {
-	case unknown && later(j.known):
+	case unknown && later(j.firstAcceptance):
 		return "forgotten"
 	case unknown:
 		return ""
@@ -139,7 +139,7 @@
 		return "invented"
 	case a.st.ID != id:
 		return "another job's state"
-	case a.created && later(j.known):
+	case a.created && later(j.firstAcceptance):
 		return "accepted once more"
 	case a.st.Final() && j.end != "" && j.end != a.st.Phase:
 		return "told another end than before"
@@ -147,7 +147,7 @@
 		return "withdrawn though nobody has cancelled it"
 	case a.st.Phase == api.JobDone && len(j.done) < j.tasks:
 		return "done before its tasks are"
-	case !a.st.Final() && later(j.over):
+	case !a.st.Final() && later(j.firstEnd):
 		return "told something older than its end"
 	case a.verb == "cancel" && !a.st.Final():
 		return "a cancellation answered with neither end"
@@ -160,19 +160,19 @@
 func (h *answerChecker) ask(n *node, id string) (api.JobState, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
-	a := reply{asked: h.question(id, nil), verb: "question", node: n.Settings.Node}
+	a := userResponse{requestNumber: h.recordRequest(id, nil), verb: "question", node: n.Settings.Node}
 	a.st, a.err = n.Job(ctx, id)
-	h.answer(id, a)
+	h.recordResponse(id, a)
 	return a.st, a.err
 }
 
 func (h *answerChecker) submit(n *node, s *api.JobSpec) (created bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
-	a := reply{verb: "submission", node: n.Settings.Node}
-	a.asked = h.question(s.ID, func(j *answerLog) { j.submitted, j.tasks = true, s.Tasks })
+	a := userResponse{verb: "submission", node: n.Settings.Node}
+	a.requestNumber = h.recordRequest(s.ID, func(j *answerLog) { j.submitted, j.tasks = true, s.Tasks })
 	a.st, a.created, a.err = n.Submit(ctx, s)
-	h.answer(s.ID, a)
+	h.recordResponse(s.ID, a)
 	return a.created, a.err
 }
 
@@ -180,18 +180,18 @@
 func (h *answerChecker) resubmitInvalid(n *node, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
-	a := reply{asked: h.question(id, nil), verb: "invalid repeat", node: n.Settings.Node}
+	a := userResponse{requestNumber: h.recordRequest(id, nil), verb: "invalid repeat", node: n.Settings.Node}
 	a.st, a.err = n.RecordedJob(ctx, id)
-	h.answer(id, a)
+	h.recordResponse(id, a)
 }
 
 func (h *answerChecker) cancel(n *node, id string) (api.JobState, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	a := reply{verb: "cancel", node: n.Settings.Node}
-	a.asked = h.question(id, func(j *answerLog) { j.cancelled = true })
+	a := userResponse{verb: "cancel", node: n.Settings.Node}
+	a.requestNumber = h.recordRequest(id, func(j *answerLog) { j.cancelled = true })
 	a.st, a.err = n.Cancel(ctx, id)
-	h.answer(id, a)
+	h.recordResponse(id, a)
 	return a.st, a.err
 }
 
@@ -260,19 +260,19 @@
 	} {
 		var got []string
 		h := &answerChecker{fail: func(s string) { got = append(got, s) }, jobs: map[string]*answerLog{}}
-		h.question("job-1", func(j *answerLog) { j.submitted, j.cancelled, j.tasks = c.submitted, c.withdraw, 2 })
+		h.recordRequest("job-1", func(j *answerLog) { j.submitted, j.cancelled, j.tasks = c.submitted, c.withdraw, 2 })
 		for i := range c.completed {
 			h.completed(fmt.Sprint("job-1/", i))
 		}
 		for _, s := range c.steps {
-			a := reply{asked: s.asked, verb: s.verb, st: at(s.phase), created: s.verb == "created"}
+			a := userResponse{requestNumber: s.asked, verb: s.verb, st: at(s.phase), created: s.verb == "created"}
 			if s.asked == 0 {
-				a.asked = h.question("job-1", nil)
+				a.requestNumber = h.recordRequest("job-1", nil)
 			}
 			if s.phase == unknown {
 				a.err = api.ErrUnknownJob
 			}
-			h.answer("job-1", a)
+			h.recordResponse("job-1", a)
 		}
 		if all := strings.Join(got, "; "); (c.want == "") != (all == "") || !strings.Contains(all, c.want) {
 			t.Errorf("%s: got %q, want %q", c.name, all, c.want)
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -32,25 +32,25 @@
 	jobs map[string]*cellJob
 	// cut are the ways, from cell to cell, on which nothing arrives; deaf those on which
 	// no answer comes back.
-	cut, deaf map[string]bool
+	cut, responseCut map[string]bool
 	// repeat has requests arrive again later, with the age that they then have.
 	repeat time.Duration
 	// delay is how long a request takes to arrive.
 	delay  time.Duration
 	random *rand.Rand
-	// took counts the requests that arrived.
-	took int
+	// delivered counts the requests that arrived.
+	delivered int
 }
 
 // cell is one of the cells.
 type cell struct {
 	*cluster
-	group *cellGroup
-	name  string
-	nodes []*node
-	ks    []*worker
-	// began is when tasks began, by machine and task.
-	began map[string]time.Time
+	group  *cellGroup
+	name   string
+	nodes  []*node
+	agents []*worker
+	// startedAt is when tasks began, by machine and task.
+	startedAt map[string]time.Time
 	// hangUntil is until when its machines neither report nor carry anything out.
 	hangUntil time.Time
 }
@@ -59,33 +59,33 @@
 type cellJob struct {
 	home *cell
 	spec *api.JobSpec
-	// takes is how long its tasks run.
-	takes time.Duration
-	// over is the final state that a user was told.
-	over string
-	// cancelled is set once a cancellation was confirmed.
-	cancelled time.Time
-	ranAway   bool
+	// duration is how long its tasks run.
+	duration time.Duration
+	// endPhase is the final state that a user was told.
+	endPhase string
+	// cancelledAt is set once a cancellation was confirmed.
+	cancelledAt time.Time
+	lent        bool
 }
 
 // simulateCells runs a test with cells of so many machines each.
 func simulateCells(t *testing.T, machines []int, f func(g *cellGroup)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		g := &cellGroup{t: t, jobs: map[string]*cellJob{}, cut: map[string]bool{}, deaf: map[string]bool{}, random: rand.New(rand.NewPCG(1, 2))}
+		g := &cellGroup{t: t, jobs: map[string]*cellJob{}, cut: map[string]bool{}, responseCut: map[string]bool{}, random: rand.New(rand.NewPCG(1, 2))}
 		for i, n := range machines {
-			g.add(fmt.Sprint("cell-", string(rune('a'+i))), len(machines), n)
+			g.addCell(fmt.Sprint("cell-", string(rune('a'+i))), len(machines), n)
 		}
 		for _, c := range g.cells {
-			c.begin()
+			c.startNodes()
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		g.tasks.Go(func() { g.live(ctx) })
+		g.tasks.Go(func() { g.runMachines(ctx) })
 		defer func() {
 			cancel()
 			g.tasks.Wait()
 			for _, c := range g.cells {
-				for _, n := range c.at() {
+				for _, n := range c.currentNodes() {
 					n.crash()
 				}
 			}
@@ -95,10 +95,10 @@
 	})
 }
 
-func (g *cellGroup) add(name string, of, machines int) {
+func (g *cellGroup) addCell(name string, of, machines int) {
 	w := newCluster(g.t)
 	w.teams = []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 16}, {Name: "blue", CPUs: 4, LimitCPUs: 12}}
-	c := &cell{cluster: w, group: g, name: name, began: map[string]time.Time{}}
+	c := &cell{cluster: w, group: g, name: name, startedAt: map[string]time.Time{}}
 	w.cells = &cells.Settings{Cell: name, MaxLoans: 50}
 	for i := range of {
 		if other := fmt.Sprint("cell-", string(rune('a'+i))); other != name {
@@ -107,40 +107,40 @@
 	}
 	w.link = cellLink{g, name}
 	for i := range machines {
-		c.ks = append(c.ks, w.worker(fmt.Sprintf("i-%s%02d", name[5:], i), "a", true))
+		c.agents = append(c.agents, w.worker(fmt.Sprintf("i-%s%02d", name[5:], i), "a", true))
 	}
 	g.cells = append(g.cells, c)
 }
 
-// begin starts the cell's two controllers.
-func (c *cell) begin() {
+// startNodes starts the cell's two controllers.
+func (c *cell) startNodes() {
 	for i := range 2 {
 		n := c.start(fmt.Sprintf("n%d", i))
 		n.look(func(o *Controller) {
 			o.Policy.Spill.After, o.Policy.Spill.Gain, o.Policy.Spill.GuestShare = 2*time.Second, 2*time.Second, 1
 			o.Policy.MinCPUs = 1000
 		})
-		c.set(i, n)
+		c.setNode(i, n)
 	}
 }
 
-// crash ends a controller and starts it anew after a while.
-func (c *cell) crash(i int, away time.Duration) {
-	c.at()[i].crash()
+// restartNode ends a controller and starts it anew after a while.
+func (c *cell) restartNode(i int, away time.Duration) {
+	c.currentNodes()[i].crash()
 	time.Sleep(away)
 	n := c.start(fmt.Sprintf("n%d", i))
 	n.look(func(o *Controller) {
 		o.Policy.Spill.After, o.Policy.Spill.Gain, o.Policy.Spill.GuestShare = 2*time.Second, 2*time.Second, 1
 		o.Policy.MinCPUs = 1000
 	})
-	c.set(i, n)
+	c.setNode(i, n)
 }
 
 // leader is the controller that leads, or nil.
 func (c *cell) leader() *node {
-	for _, n := range c.at() {
+	for _, n := range c.currentNodes() {
 		leads := false
-		n.tryLook(func(o *Controller) { leads = o.holdsLease() && o.leaderTerm.loaded })
+		n.tryInspect(func(o *Controller) { leads = o.holdsLease() && o.leaderTerm.loaded })
 		if leads {
 			return n
 		}
@@ -165,29 +165,29 @@
 	time.Sleep(3*time.Millisecond + delay)
 	g.mu.Lock()
 	way := k.from + ">" + to
-	cut, deaf, repeat := g.cut[way], g.deaf[way], g.repeat
+	cut, deaf, repeat := g.cut[way], g.responseCut[way], g.repeat
 	if repeat > 0 {
 		repeat = time.Duration(g.random.Int64N(int64(repeat)))
 	}
-	g.took++
+	g.delivered++
 	g.mu.Unlock()
 	if cut {
 		return nil, errCut
 	}
 	target := g.cells[slices.IndexFunc(g.cells, func(c *cell) bool { return c.name == to })]
 	if repeat > 0 {
-		time.AfterFunc(repeat, func() { target.take(req) }) // a copy that comes late
+		time.AfterFunc(repeat, func() { target.deliverLoans(req) }) // a copy that comes late
 	}
-	answer, err := target.take(req)
+	answer, err := target.deliverLoans(req)
 	if deaf {
 		return nil, errCut
 	}
 	return answer, err
 }
 
-// take has the cell's leader take a request in.
-func (c *cell) take(req *loan.Request) (*loan.Response, error) {
-	for _, n := range c.at() {
+// deliverLoans has the cell's leader take a request in.
+func (c *cell) deliverLoans(req *loan.Request) (*loan.Response, error) {
+	for _, n := range c.currentNodes() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		answer, err := n.Loans(ctx, req)
 		cancel()
@@ -204,22 +204,22 @@
 	g.cut[from+">"+to] = cut
 }
 
-func (g *cellGroup) setDeaf(from, to string, deaf bool) {
+func (g *cellGroup) setResponseCut(from, to string, deaf bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.deaf[from+">"+to] = deaf
+	g.responseCut[from+">"+to] = deaf
 }
 
-// live has all machines report and run their tasks, and checks what runs, ten times in
+// runMachines has all machines report and run their tasks, and checks what runs, ten times in
 // three seconds.
-func (g *cellGroup) live(ctx context.Context) {
+func (g *cellGroup) runMachines(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, c := range g.cells {
-			for _, k := range c.working() {
+			for _, k := range c.responsiveAgents() {
 				if ctx.Err() != nil {
 					return
 				}
-				c.work(k)
+				c.runAgent(k)
 			}
 		}
 		g.check()
@@ -227,24 +227,24 @@
 	}
 }
 
-// working are the machines that do not hang.
-func (c *cell) working() []*worker {
+// responsiveAgents are the machines that do not hang.
+func (c *cell) responsiveAgents() []*worker {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
 	if time.Now().Before(c.hangUntil) {
 		return nil
 	}
-	return c.ks
+	return c.agents
 }
 
-// at are the cell's controllers as they are at present.
-func (c *cell) at() []*node {
+// currentNodes are the cell's controllers as they are at present.
+func (c *cell) currentNodes() []*node {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
 	return slices.Clone(c.nodes)
 }
 
-func (c *cell) set(i int, n *node) {
+func (c *cell) setNode(i int, n *node) {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
 	for len(c.nodes) <= i {
@@ -253,26 +253,26 @@
 	c.nodes[i] = n
 }
 
-// work ends the tasks of a machine whose time is over, and has it report.
-func (c *cell) work(k *worker) {
+// runAgent ends the tasks of a machine whose time is over, and has it report.
+func (c *cell) runAgent(k *worker) {
 	k.mu.Lock()
 	for i := range k.rep.Tasks {
 		task := &k.rep.Tasks[i]
 		name := k.rep.Machine + " " + task.Task
 		if task.Phase == api.TaskExited {
-			delete(c.began, name)
+			delete(c.startedAt, name)
 			continue
 		}
-		if c.began[name].IsZero() {
-			c.began[name] = time.Now()
+		if c.startedAt[name].IsZero() {
+			c.startedAt[name] = time.Now()
 		}
 		id, _, _ := splitRef(task.Task)
-		if j := c.group.job(id); j != nil && time.Since(c.began[name]) >= j.takes {
+		if j := c.group.job(id); j != nil && time.Since(c.startedAt[name]) >= j.duration {
 			task.Phase, task.Cause = api.TaskExited, api.CauseDone
 		}
 	}
 	k.mu.Unlock()
-	for _, n := range c.at() {
+	for _, n := range c.currentNodes() {
 		if commands, err := k.send(n); err == nil {
 			k.obey(commands)
 			return
@@ -288,7 +288,7 @@
 	on := map[string]string{}
 	used := map[string]float64{}
 	for _, c := range g.cells {
-		for _, k := range c.ks {
+		for _, k := range c.agents {
 			for _, task := range k.running() {
 				machine := c.name + "/" + k.rep.Machine
 				if on[task] != "" {
@@ -299,13 +299,13 @@
 				j := g.jobs[id]
 				used[j.home.name+" "+j.spec.Team] += j.spec.CPUs
 				if c != j.home {
-					j.ranAway = true
+					j.lent = true
 				}
-				if !j.cancelled.IsZero() && time.Since(j.cancelled) > 30*time.Second {
-					g.t.Errorf("%s runs %v after its cancellation", task, time.Since(j.cancelled))
+				if !j.cancelledAt.IsZero() && time.Since(j.cancelledAt) > 30*time.Second {
+					g.t.Errorf("%s runs %v after its cancellation", task, time.Since(j.cancelledAt))
 				}
-				if j.over == api.JobDone || j.over != "" && c != j.home {
-					g.t.Errorf("%s runs on %s though its job is called %s", task, machine, j.over)
+				if j.endPhase == api.JobDone || j.endPhase != "" && c != j.home {
+					g.t.Errorf("%s runs on %s though its job is called %s", task, machine, j.endPhase)
 				}
 			}
 		}
@@ -326,29 +326,29 @@
 	return g.jobs[id]
 }
 
-// told notes what a user was told of a job.
-func (g *cellGroup) told(j *cellJob, phase string) {
+// recordPhase notes what a user was told of a job.
+func (g *cellGroup) recordPhase(j *cellJob, phase string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if j.over != "" && phase != j.over {
-		g.t.Errorf("%s was called %s, and now %s", j.spec.ID, j.over, phase)
+	if j.endPhase != "" && phase != j.endPhase {
+		g.t.Errorf("%s was called %s, and now %s", j.spec.ID, j.endPhase, phase)
 	}
 	if phase == api.JobDone || phase == api.JobCancelled {
-		j.over = phase
+		j.endPhase = phase
 	}
-	if phase == api.JobCancelled && j.cancelled.IsZero() {
-		j.cancelled = time.Now()
+	if phase == api.JobCancelled && j.cancelledAt.IsZero() {
+		j.cancelledAt = time.Now()
 	}
 }
 
-// order submits a job in a cell.
-func (g *cellGroup) order(c *cell, s *api.JobSpec, takes time.Duration) {
+// submit submits a job in a cell.
+func (g *cellGroup) submit(c *cell, s *api.JobSpec, takes time.Duration) {
 	g.t.Helper()
 	g.mu.Lock()
-	g.jobs[s.ID] = &cellJob{home: c, spec: s, takes: takes}
+	g.jobs[s.ID] = &cellJob{home: c, spec: s, duration: takes}
 	g.mu.Unlock()
 	for range 20 {
-		for _, n := range c.at() {
+		for _, n := range c.currentNodes() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			_, _, err := n.Submit(ctx, s)
 			cancel()
@@ -366,7 +366,7 @@
 	g.t.Helper()
 	j := g.job(id)
 	last := ""
-	for _, n := range j.home.at() {
+	for _, n := range j.home.currentNodes() {
 		phase := j.home.phase(n, id)
 		switch phase {
 		case api.JobPending, api.JobRunning, api.JobDone, api.JobCancelled:
@@ -376,7 +376,7 @@
 			continue // not answered
 		}
 		last = phase
-		g.told(j, phase)
+		g.recordPhase(j, phase)
 	}
 	return last
 }
@@ -386,10 +386,10 @@
 	j := g.job(id)
 	for i := range seconds {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		st, err := j.home.at()[i%2].Cancel(ctx, id)
+		st, err := j.home.currentNodes()[i%2].Cancel(ctx, id)
 		cancel()
 		if err == nil {
-			g.told(j, st.Phase)
+			g.recordPhase(j, st.Phase)
 			return st.Phase
 		}
 		time.Sleep(time.Second)
@@ -397,8 +397,8 @@
 	return "not confirmed"
 }
 
-// settle waits until all jobs are over and no cell knows anything more of a loan.
-func (g *cellGroup) settle(most time.Duration) {
+// awaitAllEnded waits until all jobs are over and no cell knows anything more of a loan.
+func (g *cellGroup) awaitAllEnded(most time.Duration) {
 	g.t.Helper()
 	for until := time.Now().Add(most); time.Now().Before(until); time.Sleep(2 * time.Second) {
 		left := []string{}
@@ -416,7 +416,7 @@
 
 func (g *cellGroup) unfinished() (ids []string) {
 	for id, j := range g.jobs {
-		if j.over == "" {
+		if j.endPhase == "" {
 			ids = append(ids, id+" of "+j.home.name)
 		}
 	}
@@ -436,32 +436,32 @@
 	return keys
 }
 
-// away counts the jobs of which tasks ran in another cell.
-func (g *cellGroup) away() (count int) {
+// countLent counts the jobs of which tasks ran in another cell.
+func (g *cellGroup) countLent() (count int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, j := range g.jobs {
-		if j.ranAway {
+		if j.lent {
 			count++
 		}
 	}
 	return count
 }
 
-func (g *cellGroup) ranAway(id string) bool {
+func (g *cellGroup) wasLent(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.jobs[id].ranAway
+	return g.jobs[id].lent
 }
 
-// burst submits jobs of four tasks at a cell.
-func (g *cellGroup) burst(c *cell, first, jobs int, takes time.Duration) (ids []string) {
+// submitBurst submits jobs of four tasks at a cell.
+func (g *cellGroup) submitBurst(c *cell, first, jobs int, takes time.Duration) (ids []string) {
 	for i := range jobs {
 		s := spec(fmt.Sprintf("job-%d", first+i), 3+i%4) // some begin in part
 		if i%3 == 2 {
 			s.Team = "blue"
 		}
-		g.order(c, s, takes)
+		g.submit(c, s, takes)
 		ids = append(ids, s.ID)
 	}
 	return ids
@@ -471,25 +471,25 @@
 // nothing of it is left anywhere.
 func TestSpillover(t *testing.T) {
 	simulateCells(t, []int{1, 3, 3}, func(g *cellGroup) {
-		g.burst(g.cells[0], 100, 12, 20*time.Second)
-		g.settle(5 * time.Minute)
-		if g.away() < 3 {
-			t.Errorf("%d of %d jobs ran in another cell", g.away(), len(g.jobs))
+		g.submitBurst(g.cells[0], 100, 12, 20*time.Second)
+		g.awaitAllEnded(5 * time.Minute)
+		if g.countLent() < 3 {
+			t.Errorf("%d of %d jobs ran in another cell", g.countLent(), len(g.jobs))
 		}
 		for id, j := range g.jobs {
-			if j.over != api.JobDone {
-				t.Errorf("%s: %s", id, j.over)
+			if j.endPhase != api.JobDone {
+				t.Errorf("%s: %s", id, j.endPhase)
 			}
 		}
 	})
 }
 
-// lentOut waits until a job of a cell runs as a guest in another one, and returns it.
-func (g *cellGroup) lentOut(ids []string) string {
+// awaitLent waits until a job of a cell runs as a guest in another one, and returns it.
+func (g *cellGroup) awaitLent(ids []string) string {
 	g.t.Helper()
 	for range 60 {
 		for _, id := range ids {
-			if g.ranAway(id) {
+			if g.wasLent(id) {
 				return id
 			}
 		}
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -23,10 +23,10 @@
 	ctx   context.Context
 	tasks sync.WaitGroup
 
-	smu   sync.Mutex
+	mu    sync.Mutex
 	links *links
 	names []string
-	up    map[string]*node
+	nodes map[string]*node
 	gates map[string]*slowGate
 	hosts []*host
 }
@@ -60,7 +60,7 @@
 func newCheckedCluster(t *testing.T, machines int, reportS float64, f func(s *checkedCluster)) {
 	w := newCluster(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &checkedCluster{cluster: w, ctx: ctx, links: &links{}, names: []string{"n0", "n1"}, up: map[string]*node{}, gates: map[string]*slowGate{}}
+	s := &checkedCluster{cluster: w, ctx: ctx, links: &links{}, names: []string{"n0", "n1"}, nodes: map[string]*node{}, gates: map[string]*slowGate{}}
 	w.reportS = reportS
 	w.director = s
 	s.h = &runChecker{w: w, t0: time.Now(), jobs: map[string]*observedJob{}, runs: map[run]bool{}, hosts: map[string]*host{}}
@@ -68,7 +68,7 @@
 		cancel()
 		s.tasks.Wait()
 	}()
-	s.tasks.Go(s.live)
+	s.tasks.Go(s.runMachines)
 	s.begin("n0")
 	s.begin("n1")
 	for i := range machines {
@@ -80,32 +80,32 @@
 
 // begin starts a controller, crash ends one.
 func (s *checkedCluster) begin(name string) {
-	s.smu.Lock()
+	s.mu.Lock()
 	if s.gates[name] == nil {
 		s.gates[name] = &slowGate{gate: &gate{Fake: s.store}}
 	}
 	g := s.gates[name]
-	s.smu.Unlock()
+	s.mu.Unlock()
 	n := s.links.add(name, s.startWith(name, g, s.links))
-	s.smu.Lock()
-	defer s.smu.Unlock()
-	s.up[name] = n
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.nodes[name] = n
 }
 
 func (s *checkedCluster) crash(name string) {
-	s.smu.Lock()
-	defer s.smu.Unlock()
-	if n := s.up[name]; n != nil {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if n := s.nodes[name]; n != nil {
 		n.crash()
 		s.links.nodes.Delete(name)
-		delete(s.up, name)
+		delete(s.nodes, name)
 	}
 }
 
 func (s *checkedCluster) node(name string) *node {
-	s.smu.Lock()
-	defer s.smu.Unlock()
-	return s.up[name]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.nodes[name]
 }
 
 // leader is the node that leads, or "".
@@ -113,7 +113,7 @@
 	for _, name := range s.names {
 		if n := s.node(name); n != nil {
 			leads := false
-			n.tryLook(func(c *Controller) { leads = c.holdsLease() && c.leaderTerm.loaded })
+			n.tryInspect(func(c *Controller) { leads = c.holdsLease() && c.leaderTerm.loaded })
 			if leads {
 				return name
 			}
@@ -143,9 +143,9 @@
 	}
 }
 
-// users repeats a request at the controllers, one after the other, until it is
+// retryRequest repeats a request at the controllers, one after the other, until it is
 // answered; first says which comes first.
-func (s *checkedCluster) users(what string, first int, ask func(ctx context.Context, n *node) error) {
+func (s *checkedCluster) retryRequest(what string, first int, ask func(ctx context.Context, n *node) error) {
 	s.t.Helper()
 	err := errors.New("no controller")
 	for try := first; try < first+60; try++ {
@@ -169,9 +169,9 @@
 func (s *checkedCluster) order(takes time.Duration, spec *api.JobSpec) {
 	s.t.Helper()
 	s.h.mu.Lock()
-	s.h.jobs[spec.ID] = &observedJob{spec: spec, takes: takes, begun: map[string]int{}, done: map[string]int{}}
+	s.h.jobs[spec.ID] = &observedJob{spec: spec, takes: takes, starts: map[string]int{}, done: map[string]int{}}
 	s.h.mu.Unlock()
-	s.users("submit "+spec.ID, spec.Tasks, func(ctx context.Context, n *node) error {
+	s.retryRequest("submit "+spec.ID, spec.Tasks, func(ctx context.Context, n *node) error {
 		_, _, err := n.Submit(ctx, spec)
 		return err
 	})
@@ -182,13 +182,13 @@
 	s.t.Helper()
 	for _, id := range ids {
 		s.h.mu.Lock()
-		s.h.jobs[id].asked = time.Now()
+		s.h.jobs[id].cancelRequestedAt = time.Now()
 		s.h.mu.Unlock()
 		s.tasks.Go(func() {
-			s.users("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
+			s.retryRequest("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
 				st, err := n.Cancel(ctx, id)
 				if err == nil {
-					s.h.observed(id, st.Phase)
+					s.h.recordPhase(id, st.Phase)
 				}
 				return err
 			})
@@ -200,7 +200,7 @@
 func (s *checkedCluster) settle(within time.Duration) {
 	s.t.Helper()
 	s.h.mu.Lock()
-	s.h.calm = true
+	s.h.healed = true
 	var ids []string
 	for id := range s.h.jobs {
 		ids = append(ids, id)
@@ -213,7 +213,7 @@
 			if n := s.node(s.names[0]); n != nil {
 				last = s.phase(n, id)
 				if last == api.JobDone || last == api.JobCancelled {
-					s.h.observed(id, last)
+					s.h.recordPhase(id, last)
 					break
 				}
 			}
@@ -228,7 +228,7 @@
 
 // add is a machine that is up from now on.
 func (s *checkedCluster) add(name, zone string, spot bool) *host {
-	k := &host{worker: s.worker(name, zone, spot), s: s, left: map[run]time.Duration{}, heard: time.Now(), next: time.Now()}
+	k := &host{worker: s.worker(name, zone, spot), s: s, remaining: map[run]time.Duration{}, lastAcknowledged: time.Now(), nextHeartbeat: time.Now()}
 	s.h.mu.Lock()
 	s.h.hosts[name] = k
 	s.hosts = append(s.hosts, k)
@@ -236,17 +236,17 @@
 	return k
 }
 
-// live is what the machines do. One clock drives them all: the race detector
+// runMachines is what the machines do. One clock drives them all: the race detector
 // cannot follow a bubble with very many timers.
-func (s *checkedCluster) live() {
+func (s *checkedCluster) runMachines() {
 	for s.ctx.Err() == nil {
 		s.h.mu.Lock()
 		hosts := slices.Clone(s.hosts)
 		s.h.mu.Unlock()
 		for _, k := range hosts {
-			k.live(time.Now())
+			k.step(time.Now())
 		}
-		s.h.look()
+		s.h.checkRuns()
 		idle(s.ctx, tick)
 	}
 }
@@ -255,7 +255,7 @@
 func (s *checkedCluster) holders(job string) (ks []*host) {
 	for _, k := range s.hosts {
 		s.h.mu.Lock()
-		s.h.purge()
+		s.h.dropTerminated()
 		for r := range s.h.runs {
 			if r.machine == k.rep.Machine && r.job() == job && !slices.Contains(ks, k) {
 				ks = append(ks, k)
@@ -268,7 +268,7 @@
 
 // SendCommands implements Director: the way of orders straight to machines.
 func (s *checkedCluster) SendCommands(ctx context.Context, addr string, o *api.CommandBatch) (uint64, error) {
-	hb, err := s.direct(ctx, addr, func(k *host) bool {
+	hb, err := s.deliverToMachine(ctx, addr, func(k *host) bool {
 		if o.Term < k.rep.Term || o.AgentEpoch != k.rep.AgentEpoch {
 			return false
 		}
@@ -285,7 +285,7 @@
 
 // Resync implements Director.
 func (s *checkedCluster) Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error) {
-	return s.direct(ctx, addr, func(k *host) bool {
+	return s.deliverToMachine(ctx, addr, func(k *host) bool {
 		if term < k.rep.Term {
 			return false
 		}
@@ -295,9 +295,9 @@
 	})
 }
 
-// direct brings something to a machine; a hung or slow one does it late, even if
+// deliverToMachine brings something to a machine; a hung or slow one does it late, even if
 // its sender has given up by then.
-func (s *checkedCluster) direct(ctx context.Context, addr string, do func(*host) bool) (*api.Heartbeat, error) {
+func (s *checkedCluster) deliverToMachine(ctx context.Context, addr string, do func(*host) bool) (*api.Heartbeat, error) {
 	s.h.mu.Lock()
 	k := s.h.hosts[addr]
 	s.h.mu.Unlock()
@@ -316,7 +316,7 @@
 	// nothing once s.ctx has ended.
 	go func() {
 		idle(s.ctx, orderDelay)
-		k.awake()
+		k.lockWhenResponsive()
 		var hb *api.Heartbeat
 		if s.ctx.Err() == nil && !s.cloud.gone(addr) && do(k) {
 			k.rep.Seq++
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -185,7 +185,7 @@
 // leader is the node with the highest term that may act.
 func (s *standbyCluster) leader() (best *node, term uint64) {
 	for _, n := range s.all() {
-		n.tryLook(func(c *Controller) {
+		n.tryInspect(func(c *Controller) {
 			if c.holdsLease() && c.leaderTerm.loaded && c.leaderTerm.term.Number > term {
 				best, term = n, c.leaderTerm.term.Number
 			}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -35,7 +35,7 @@
 	capacity    int
 	loseRent    bool
 	refuseTurns bool
-	made        map[string][]string
+	launched    map[string][]string
 }
 
 func (f *fakeCloud) Types(context.Context) ([]api.MachineType, error) { return f.types, nil }
@@ -47,16 +47,16 @@
 	if f.capacity == 0 {
 		return nil, cloud.ErrNoCapacity
 	}
-	if f.made[r.Name] == nil {
+	if f.launched[r.Name] == nil {
 		for range min(r.Count, f.capacity) {
-			f.made[r.Name] = append(f.made[r.Name], fmt.Sprintf("i-9%05d", len(f.made)*100+len(f.made[r.Name])))
+			f.launched[r.Name] = append(f.launched[r.Name], fmt.Sprintf("i-9%05d", len(f.launched)*100+len(f.launched[r.Name])))
 		}
 	}
 	if f.loseRent {
 		f.loseRent = false
 		return nil, errors.New("no answer")
 	}
-	return f.made[r.Name], nil
+	return f.launched[r.Name], nil
 }
 
 func (f *fakeCloud) Terminate(_ context.Context, names []string) error {
@@ -135,8 +135,8 @@
 	return &hb, nil
 }
 
-// requestsEnd is longer than any request of a node lasts that has its own time limit.
-const requestsEnd = 30 * time.Second
+// maxRequestDuration is longer than any request of a node lasts that has its own time limit.
+const maxRequestDuration = 30 * time.Second
 
 // newCluster makes a cluster without nodes. When the test is over, also one that failed
 // half-way, its nodes are ended and awaited: time stands still once the test's own
@@ -145,12 +145,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &cluster{t: t, ctx: ctx, store: kvtest.New(),
 		cloud: &fakeCloud{types: []api.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.4,
-			BootS: 20, Zones: []string{"a", "b"}}}, made: map[string][]string{}},
+			BootS: 20, Zones: []string{"a", "b"}}}, launched: map[string][]string{}},
 		teams: []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 16}, {Name: "blue", CPUs: 8, LimitCPUs: 8}}}
 	t.Cleanup(func() {
 		cancel()
 		w.running.Wait()
-		time.Sleep(requestsEnd)
+		time.Sleep(maxRequestDuration)
 	})
 	return w
 }
@@ -232,24 +232,24 @@
 	crash context.CancelFunc
 }
 
-// lookMsg lets a test look at what the owner holds.
-type lookMsg struct {
+// inspectMsg lets a test look at what the owner holds.
+type inspectMsg struct {
 	f    func(*Controller)
 	done chan struct{}
 }
 
-func (m lookMsg) apply(c *Controller) { m.f(c); close(m.done) }
+func (m inspectMsg) apply(c *Controller) { m.f(c); close(m.done) }
 
 // look looks at a node that runs.
 func (n *node) look(f func(*Controller)) {
-	if !n.tryLook(f) {
+	if !n.tryInspect(f) {
 		panic("look at a controller that has ended")
 	}
 }
 
-// tryLook looks at a node that may be ended meanwhile, and tells whether it could.
-func (n *node) tryLook(f func(*Controller)) bool {
-	m := lookMsg{f, make(chan struct{})}
+// tryInspect looks at a node that may be ended meanwhile, and tells whether it could.
+func (n *node) tryInspect(f func(*Controller)) bool {
+	m := inspectMsg{f, make(chan struct{})}
 	if n.send(context.Background(), m) != nil {
 		return false
 	}
@@ -338,13 +338,13 @@
 	return k
 }
 
-// reporter is a node of any version as workers reach it.
-type reporter interface {
+// heartbeatReceiver is a node of any version as workers reach it.
+type heartbeatReceiver interface {
 	Heartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error)
 }
 
 // report sends a report and carries the orders out, as a worker does.
-func (k *worker) report(n reporter) []api.Command {
+func (k *worker) report(n heartbeatReceiver) []api.Command {
 	commands, err := k.send(n)
 	if err != nil {
 		return nil
@@ -354,7 +354,7 @@
 }
 
 // send sends a report; its orders are lost unless obeyed.
-func (k *worker) send(n reporter) ([]api.Command, error) {
+func (k *worker) send(n heartbeatReceiver) ([]api.Command, error) {
 	k.mu.Lock()
 	k.rep.Seq++
 	hb := k.rep
@@ -363,7 +363,7 @@
 	return k.deliver(n, &hb)
 }
 
-func (k *worker) deliver(n reporter, hb *api.Heartbeat) ([]api.Command, error) {
+func (k *worker) deliver(n heartbeatReceiver, hb *api.Heartbeat) ([]api.Command, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
 	response, err := n.Heartbeat(ctx, hb)
@@ -397,7 +397,7 @@
 }
 
 // serve reports once a second for some seconds.
-func (k *worker) serve(n reporter, seconds int) {
+func (k *worker) serve(n heartbeatReceiver, seconds int) {
 	for range seconds {
 		k.report(n)
 		time.Sleep(time.Second)
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -16,8 +16,8 @@
 func TestWritesOfALoan(t *testing.T) {
 	simulateCells(t, []int{1, 4}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
-		ids := g.burst(home, 100, 9, 5*time.Second)
-		g.settle(4 * time.Minute)
+		ids := g.submitBurst(home, 100, 9, 5*time.Second)
+		g.awaitAllEnded(4 * time.Minute)
 		counts := func(c *cell) (s CellsStatus) {
 			c.leader().look(func(o *Controller) { s = *o.leaderTerm.loans.status(time.Now()) })
 			return s
@@ -79,7 +79,7 @@
 func TestLoansInStatus(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
-		id := g.lentOut(g.burst(home, 100, 6, 20*time.Second))
+		id := g.awaitLent(g.submitBurst(home, 100, 6, 20*time.Second))
 		time.Sleep(2 * time.Second)
 		g.setCut("cell-a", "cell-b", true)
 		time.Sleep(3 * time.Second)
@@ -98,7 +98,7 @@
 			host.same("guests", []any{len(s.Guests) > 0, s.Neighbours[0].Guests > 0, s.Guests[0].Cell}, []any{true, true, "cell-a"})
 		})
 		g.setCut("cell-a", "cell-b", false)
-		g.settle(4 * time.Minute)
+		g.awaitAllEnded(4 * time.Minute)
 	})
 }
 
@@ -107,7 +107,7 @@
 	simulateCells(t, []int{2, 2}, func(g *cellGroup) {
 		for i, c := range g.cells {
 			n := g.cells[1-i]
-			ids := g.burst(c, 100*(i+1), 2, 5*time.Second)
+			ids := g.submitBurst(c, 100*(i+1), 2, 5*time.Second)
 			lent := false
 			for range 100 {
 				c.leader().look(func(o *Controller) {
@@ -125,14 +125,14 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 		}
-		g.settle(4 * time.Minute)
+		g.awaitAllEnded(4 * time.Minute)
 		for id, j := range g.jobs {
-			if j.over != api.JobDone {
-				t.Errorf("%s: %s", id, j.over)
+			if j.endPhase != api.JobDone {
+				t.Errorf("%s: %s", id, j.endPhase)
 			}
 		}
-		if g.away() < 2 {
-			t.Errorf("%d ran in the other cell", g.away())
+		if g.countLent() < 2 {
+			t.Errorf("%d ran in the other cell", g.countLent())
 		}
 	})
 }
@@ -143,9 +143,9 @@
 		g.mu.Lock()
 		g.delay = 1200 * time.Millisecond
 		g.mu.Unlock()
-		g.burst(g.cells[0], 100, 8, 15*time.Second)
-		g.settle(5 * time.Minute)
-		if g.away() == 0 {
+		g.submitBurst(g.cells[0], 100, 8, 15*time.Second)
+		g.awaitAllEnded(5 * time.Minute)
+		if g.countLent() == 0 {
 			t.Error("nothing was lent")
 		}
 	})
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -62,7 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(w *cluster) {
 				n := w.start("n0")
-				w.running.Go(func() { n.tryLook(func(*Controller) { time.Sleep(time.Second); n.crash() }) })
+				w.running.Go(func() { n.tryInspect(func(*Controller) { time.Sleep(time.Second); n.crash() }) })
 				time.Sleep(time.Millisecond)
 				begun, calls := time.Now(), 2*cap(n.mailbox)
 				answers := make(chan error, calls)
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -14,15 +14,15 @@
 // runChecker follows what the machines of a test really run, from outside. It fails
 // the test where a rule of the protocol is broken, whoever is to blame.
 type runChecker struct {
-	w      *cluster
-	t0     time.Time
-	mu     sync.Mutex
-	jobs   map[string]*observedJob
-	runs   map[run]bool
-	hosts  map[string]*host
-	broken int
-	again  []string // tasks begun after they had completed
-	calm   bool     // all troubles are over
+	w         *cluster
+	t0        time.Time
+	mu        sync.Mutex
+	jobs      map[string]*observedJob
+	runs      map[run]bool
+	hosts     map[string]*host
+	broken    int
+	restarted []string // tasks begun after they had completed
+	healed    bool     // all troubles are over
 }
 
 // run is an attempt at a task that is on a machine.
@@ -38,23 +38,23 @@
 	spec *api.JobSpec
 	// takes is how long its tasks run.
 	takes time.Duration
-	// withdrawn is when its user was told that it is cancelled, and asked
+	// cancelledAt is when its user was told that it is cancelled, and asked
 	// when the user first wanted that.
-	withdrawn time.Time
-	asked     time.Time
-	// finished is when its user was told that it is done.
-	finished time.Time
+	cancelledAt       time.Time
+	cancelRequestedAt time.Time
+	// doneAt is when its user was told that it is done.
+	doneAt time.Time
 	// apart is how much longer each task runs than the one before it.
 	apart time.Duration
-	// begun and done count starts and completions by task.
-	begun, done map[string]int
-	// waits is for how long a task has waited beside a machine with room.
-	waits time.Duration
+	// starts and done count starts and completions by task.
+	starts, done map[string]int
+	// pendingFor is for how long a task has waited beside a machine with room.
+	pendingFor time.Duration
 }
 
-// mostWait is for how long a job may wait while a machine that fits has room and
+// maxPendingTime is for how long a job may wait while a machine that fits has room and
 // its team is under its limit.
-const mostWait = 90 * time.Second
+const maxPendingTime = 90 * time.Second
 
 func (h *runChecker) fail(format string, args ...any) {
 	h.w.t.Helper()
@@ -63,8 +63,8 @@
 	}
 }
 
-// purge drops what was on machines that the cloud has taken back.
-func (h *runChecker) purge() {
+// dropTerminated drops what was on machines that the cloud has taken back.
+func (h *runChecker) dropTerminated() {
 	for r := range h.runs {
 		if h.w.cloud.gone(r.machine) {
 			delete(h.runs, r)
@@ -72,11 +72,11 @@
 	}
 }
 
-// start takes in that a task is on a machine from now on.
-func (h *runChecker) start(k *host, task string, attempt uint64) {
+// recordStart takes in that a task is on a machine from now on.
+func (h *runChecker) recordStart(k *host, task string, attempt uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.purge()
+	h.dropTerminated()
 	r := run{k.rep.Machine, task, attempt}
 	p := h.jobs[r.job()]
 	if p == nil {
@@ -105,8 +105,8 @@
 			h.fail("%s starts on %s: team %s uses %v CPUs", task, r.machine, s.Team, used+s.CPUs)
 		}
 	}
-	if !p.withdrawn.IsZero() && time.Since(p.withdrawn) > h.cancelTime() {
-		h.fail("%s starts on %s %v after its cancellation", task, r.machine, time.Since(p.withdrawn))
+	if !p.cancelledAt.IsZero() && time.Since(p.cancelledAt) > h.cancelTime() {
+		h.fail("%s starts on %s %v after its cancellation", task, r.machine, time.Since(p.cancelledAt))
 	}
 	switch {
 	case s.Zone != "" && s.Zone != k.rep.Zone, k.rep.Spot && !s.Spot, s.Types != nil && !slices.Contains(s.Types, k.rep.Type),
@@ -118,17 +118,17 @@
 			h.fail("%s starts on %s too early: %s is not done on record", task, r.machine, id)
 		}
 	}
-	if at := h.withdrawnBefore(s.ID); !at.IsZero() && time.Since(at) > h.cancelTime() {
+	if at := h.dependencyCancelledAt(s.ID); !at.IsZero() && time.Since(at) > h.cancelTime() {
 		h.fail("%s starts on %s %v after the cancellation of a job that it needs", task, r.machine, time.Since(at))
 	}
-	if p.begun[task]++; p.done[task] > 0 {
-		h.again = append(h.again, task)
+	if p.starts[task]++; p.done[task] > 0 {
+		h.restarted = append(h.restarted, task)
 	}
 	h.runs[r] = true
 }
 
-// end takes in that a task is off a machine.
-func (h *runChecker) end(k *host, task string, attempt uint64, cause string) {
+// recordEnd takes in that a task is off a machine.
+func (h *runChecker) recordEnd(k *host, task string, attempt uint64, cause string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := run{k.rep.Machine, task, attempt}
@@ -138,8 +138,8 @@
 	delete(h.runs, r)
 }
 
-// completed tells whether the result of a task is kept.
-func (h *runChecker) completed(task string) bool {
+// isCompleted tells whether the result of a task is kept.
+func (h *runChecker) isCompleted(task string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.jobs[run{task: task}.job()]
@@ -163,12 +163,12 @@
 	return ids
 }
 
-// withdrawnBefore is when the first user was told that a job is cancelled that
+// dependencyCancelledAt is when the first user was told that a job is cancelled that
 // another needs.
-func (h *runChecker) withdrawnBefore(id string) (at time.Time) {
+func (h *runChecker) dependencyCancelledAt(id string) (at time.Time) {
 	for _, a := range h.before(id)[1:] {
-		if p := h.jobs[a]; p != nil && !p.withdrawn.IsZero() && !p.asked.IsZero() && (at.IsZero() || p.withdrawn.Before(at)) {
-			at = p.withdrawn
+		if p := h.jobs[a]; p != nil && !p.cancelledAt.IsZero() && !p.cancelRequestedAt.IsZero() && (at.IsZero() || p.cancelledAt.Before(at)) {
+			at = p.cancelledAt
 		}
 	}
 	return at
@@ -176,23 +176,23 @@
 
 func (h *runChecker) cancelTime() time.Duration { return 30 * time.Second }
 
-// look looks at what is on the machines; it is called at every tick.
-func (h *runChecker) look() {
+// checkRuns looks at what is on the machines; it is called at every tick.
+func (h *runChecker) checkRuns() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.purge()
+	h.dropTerminated()
 	for r := range h.runs {
-		if p := h.jobs[r.job()]; !p.withdrawn.IsZero() && time.Since(p.withdrawn) > h.cancelTime() {
-			h.fail("%s is on %s %v after its cancellation", r.task, r.machine, time.Since(p.withdrawn))
+		if p := h.jobs[r.job()]; !p.cancelledAt.IsZero() && time.Since(p.cancelledAt) > h.cancelTime() {
+			h.fail("%s is on %s %v after its cancellation", r.task, r.machine, time.Since(p.cancelledAt))
 		}
 	}
-	if h.calm {
-		h.waiting(tick)
+	if h.healed {
+		h.checkPending(tick)
 	}
 }
 
-// waiting fails the test if a job waits for too long beside free room.
-func (h *runChecker) waiting(since time.Duration) {
+// checkPending fails the test if a job waits for too long beside free room.
+func (h *runChecker) checkPending(since time.Duration) {
 	used, onHost, taken := map[string]float64{}, map[string]float64{}, map[string]int{}
 	for r := range h.runs {
 		s := h.jobs[r.job()].spec
@@ -203,8 +203,8 @@
 	for id, p := range h.jobs {
 		s := p.spec
 		early := slices.ContainsFunc(s.DependsOn, func(a string) bool { return !h.w.store.Has(records.TerminalPrefix + a) })
-		if early || !p.asked.IsZero() || len(p.done)+taken[id] >= s.Tasks {
-			p.waits = 0
+		if early || !p.cancelRequestedAt.IsZero() || len(p.done)+taken[id] >= s.Tasks {
+			p.pendingFor = 0
 			continue
 		}
 		room := false
@@ -215,21 +215,21 @@
 		for _, t := range h.w.teams {
 			room = room && (t.Name != s.Team || used[s.Team]+s.CPUs <= t.LimitCPUs)
 		}
-		if p.waits += since; !room || s.OneZone || s.Spread {
-			p.waits = 0 // where those may start depends on their other tasks
+		if p.pendingFor += since; !room || s.OneZone || s.Spread {
+			p.pendingFor = 0 // where those may start depends on their other tasks
 		}
-		if p.waits > mostWait {
+		if p.pendingFor > maxPendingTime {
 			h.fail("%s waits beside free room", id)
-			p.waits = -time.Hour
+			p.pendingFor = -time.Hour
 		}
 	}
 }
 
-// observed takes in what a user was told of a job.
-func (h *runChecker) observed(id, phase string) {
+// recordPhase takes in what a user was told of a job.
+func (h *runChecker) recordPhase(id, phase string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tell(id, phase)
+	h.checkPhase(id, phase)
 }
 
 // answered is observed for a question asked at some time. If another user was told of
@@ -237,27 +237,27 @@
 func (h *runChecker) answered(id, phase string, sentAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if p := h.jobs[id]; p.withdrawn.Before(sentAt) && p.finished.Before(sentAt) {
-		h.tell(id, phase)
+	if p := h.jobs[id]; p.cancelledAt.Before(sentAt) && p.doneAt.Before(sentAt) {
+		h.checkPhase(id, phase)
 	}
 }
 
-// tell is observed with the lock held.
-func (h *runChecker) tell(id, phase string) {
+// checkPhase is observed with the lock held.
+func (h *runChecker) checkPhase(id, phase string) {
 	p := h.jobs[id]
-	if at := h.withdrawnBefore(id); phase != api.JobCancelled && !at.IsZero() && time.Since(at) > h.cancelTime() {
+	if at := h.dependencyCancelledAt(id); phase != api.JobCancelled && !at.IsZero() && time.Since(at) > h.cancelTime() {
 		h.fail("%s is orphaned: called %s %v after the cancellation of a job that it needs", id, phase, time.Since(at))
 	}
 	switch {
-	case !p.withdrawn.IsZero() && phase != api.JobCancelled, !p.finished.IsZero() && phase != api.JobDone:
+	case !p.cancelledAt.IsZero() && phase != api.JobCancelled, !p.doneAt.IsZero() && phase != api.JobDone:
 		h.fail("%s is called %s after its end", id, phase)
-	case phase == api.JobCancelled && !slices.ContainsFunc(h.before(id), func(a string) bool { return h.jobs[a] != nil && !h.jobs[a].asked.IsZero() }):
+	case phase == api.JobCancelled && !slices.ContainsFunc(h.before(id), func(a string) bool { return h.jobs[a] != nil && !h.jobs[a].cancelRequestedAt.IsZero() }):
 		h.fail("%s is called withdrawn, and nobody cancelled it", id)
-	case phase == api.JobCancelled && p.withdrawn.IsZero():
-		p.withdrawn = time.Now()
+	case phase == api.JobCancelled && p.cancelledAt.IsZero():
+		p.cancelledAt = time.Now()
 	case phase == api.JobDone:
-		if p.finished.IsZero() {
-			p.finished = time.Now()
+		if p.doneAt.IsZero() {
+			p.doneAt = time.Now()
 		}
 		if len(p.done) < p.spec.Tasks {
 			h.fail("%s is called done with %d of %d tasks", id, len(p.done), p.spec.Tasks)
@@ -269,7 +269,7 @@
 func (h *runChecker) onMachines(job string) (tasks []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.purge()
+	h.dropTerminated()
 	for r := range h.runs {
 		if r.job() == job {
 			tasks = append(tasks, r.task)
@@ -284,7 +284,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.jobs {
-		for task, n := range p.begun {
+		for task, n := range p.starts {
 			if n > 1 {
 				tasks = append(tasks, task)
 			}
@@ -298,7 +298,7 @@
 func (h *runChecker) begunWhenDone() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.again
+	return h.restarted
 }
 
 const tick = 100 * time.Millisecond
--- a/internal/controller/simulatedhost_test.go
+++ b/internal/controller/simulatedhost_test.go
@@ -13,12 +13,12 @@
 type host struct {
 	*worker
 	s *checkedCluster
-	// heard is when the last answered report was sent, sent and next when the
+	// lastAcknowledged is when the last answered report was sent, sent and next when the
 	// last one was and the next one is.
-	heard, sent, next time.Time
-	at                int
-	inFlight, changed bool
-	left              map[run]time.Duration
+	lastAcknowledged, lastSent, nextHeartbeat time.Time
+	nodeIndex                                 int
+	inFlight, changed                         bool
+	remaining                                 map[run]time.Duration
 	// What the troubles do to it: cut and mute machines reach no controller,
 	// and nothing reaches cut and deaf ones. What comes to a hung one waits.
 	cut, mute, deaf bool
@@ -30,50 +30,50 @@
 	reports []api.Heartbeat
 }
 
-// live is what a machine does at a tick, until it is returned.
-func (k *host) live(now time.Time) {
+// step is what a machine does at a tick, until it is returned.
+func (k *host) step(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if now.Before(k.hung) || k.s.cloud.gone(k.rep.Machine) {
 		return
 	}
-	k.expire(now)
-	k.advance()
-	due := !now.Before(k.next) || k.changed && now.Sub(k.sent) >= 500*time.Millisecond
+	k.expireLease(now)
+	k.advanceTasks()
+	due := !now.Before(k.nextHeartbeat) || k.changed && now.Sub(k.lastSent) >= 500*time.Millisecond
 	if due && !k.inFlight {
-		k.post(now)
+		k.postHeartbeat(now)
 	}
 }
 
-func (k *host) lease() time.Duration {
+func (k *host) taskLease() time.Duration {
 	return max(10*time.Second, time.Duration(5*k.s.reportS*float64(time.Second)))
 }
 
-// expire kills the tasks when the lease has ended.
-func (k *host) expire(now time.Time) {
-	if now.Sub(k.heard) <= k.lease() {
+// expireLease kills the tasks when the lease has ended.
+func (k *host) expireLease(now time.Time) {
+	if now.Sub(k.lastAcknowledged) <= k.taskLease() {
 		return
 	}
 	for _, t := range k.rep.Tasks {
 		if t.Phase != api.TaskExited {
-			k.s.h.end(k, t.Task, t.Attempt, "killed")
+			k.s.h.recordEnd(k, t.Task, t.Attempt, "killed")
 		}
 	}
 	k.rep.Tasks = nil
-	clear(k.left)
+	clear(k.remaining)
 	k.rep.AgentEpoch++
-	k.heard, k.changed = now, true
+	k.lastAcknowledged, k.changed = now, true
 }
 
-// advance brings the tasks on by a tick.
-func (k *host) advance() {
+// advanceTasks brings the tasks on by a tick.
+func (k *host) advanceTasks() {
 	for i := range k.rep.Tasks {
 		t := &k.rep.Tasks[i]
 		if t.Phase == api.TaskExited {
 			continue
 		}
 		r := run{k.rep.Machine, t.Task, t.Attempt}
-		if k.left[r] -= tick; k.left[r] > 0 {
+		if k.remaining[r] -= tick; k.remaining[r] > 0 {
 			continue
 		}
 		cause := api.CauseDone
@@ -87,19 +87,19 @@
 func (k *host) exitTask(t *api.TaskStatus, cause string) {
 	t.Phase, t.Cause = api.TaskExited, cause
 	k.changed = true
-	k.s.h.end(k, t.Task, t.Attempt, cause)
+	k.s.h.recordEnd(k, t.Task, t.Attempt, cause)
 }
 
-// post sends a report to the machine's controller.
-func (k *host) post(now time.Time) {
+// postHeartbeat sends a report to the machine's controller.
+func (k *host) postHeartbeat(now time.Time) {
 	k.rep.Seq++
 	hb := k.rep
 	hb.Tasks = slices.Clone(k.rep.Tasks)
 	k.reports = append(k.reports, hb)
-	k.sent, k.inFlight, k.changed = now, true, false
+	k.lastSent, k.inFlight, k.changed = now, true, false
 	every := time.Duration(max(1, k.s.reportS) * float64(time.Second))
-	k.next = now.Add(every - every/4 + every/2*time.Duration(hb.Seq*7%10)/10)
-	n := k.s.node(k.s.names[k.at])
+	k.nextHeartbeat = now.Add(every - every/4 + every/2*time.Duration(hb.Seq*7%10)/10)
+	n := k.s.node(k.s.names[k.nodeIndex])
 	if k.cut || k.mute {
 		n = nil
 	}
@@ -112,17 +112,17 @@
 			response, err = n.Heartbeat(ctx, &own)
 			cancel()
 		}
-		k.answered(now, hb.AgentEpoch, response, err)
+		k.handleResponse(now, hb.AgentEpoch, response, err)
 	})
 }
 
-// answered takes in what became of a report.
-func (k *host) answered(sent time.Time, agentEpoch uint64, response api.HeartbeatResponse, err error) {
+// handleResponse takes in what became of a report.
+func (k *host) handleResponse(sent time.Time, agentEpoch uint64, response api.HeartbeatResponse, err error) {
 	k.mu.Lock()
 	delay := k.linkDelay
 	k.mu.Unlock()
 	idle(k.s.ctx, delay)
-	k.awake()
+	k.lockWhenResponsive()
 	defer k.mu.Unlock()
 	var other *api.NotLeaderError
 	lost := (k.deaf || k.cut) && !k.mute
@@ -139,15 +139,15 @@
 			return
 		}
 		k.changed = k.changed || response.Term > k.rep.Term
-		k.rep.Term, k.heard = response.Term, sent
+		k.rep.Term, k.lastAcknowledged = response.Term, sent
 		k.obey(response.Commands)
-	case errors.As(err, &other) && slices.Contains(k.s.names, other.Leader) && other.Leader != k.s.names[k.at]:
-		k.at = slices.Index(k.s.names, other.Leader)
-		k.next = time.Now()
+	case errors.As(err, &other) && slices.Contains(k.s.names, other.Leader) && other.Leader != k.s.names[k.nodeIndex]:
+		k.nodeIndex = slices.Index(k.s.names, other.Leader)
+		k.nextHeartbeat = time.Now()
 	default:
-		k.at = (k.at + 1) % len(k.s.names)
-		k.next, k.changed = time.Now().Add(time.Second), false
-		k.sent = time.Now().Add(500 * time.Millisecond) // not sooner, whatever changes
+		k.nodeIndex = (k.nodeIndex + 1) % len(k.s.names)
+		k.nextHeartbeat, k.changed = time.Now().Add(time.Second), false
+		k.lastSent = time.Now().Add(500 * time.Millisecond) // not sooner, whatever changes
 	}
 }
 
@@ -159,8 +159,8 @@
 	}
 }
 
-// awake waits while the machine hangs, and returns with its lock held.
-func (k *host) awake() {
+// lockWhenResponsive waits while the machine hangs, and returns with its lock held.
+func (k *host) lockWhenResponsive() {
 	for {
 		k.mu.Lock()
 		rest := time.Until(k.hung)
@@ -182,13 +182,13 @@
 		r := run{k.rep.Machine, o.Task, o.Attempt}
 		switch {
 		case o.Verb == api.VerbStart && i < 0:
-			k.begin(r)
+			k.startTask(r)
 		case o.Verb == api.VerbStop && i >= 0 && k.rep.Tasks[i].Phase != api.TaskExited:
 			k.s.h.mu.Lock()
 			p := k.s.h.jobs[r.job()].spec
 			k.s.h.mu.Unlock()
 			if t := &k.rep.Tasks[i]; t.Phase == api.TaskRunning && p.CheckpointS > 0 && o.GraceS != nil && *o.GraceS >= p.SaveS && p.SaveS > 0 {
-				t.Phase, k.left[r], k.changed = api.TaskSaving, p.Save(), true
+				t.Phase, k.remaining[r], k.changed = api.TaskSaving, p.Save(), true
 			} else if t.Phase == api.TaskRunning || o.GraceS == nil || *o.GraceS == 0 {
 				k.exitTask(t, api.CauseHalted)
 			}
@@ -198,8 +198,8 @@
 	}
 }
 
-// begin starts a task, or refuses it.
-func (k *host) begin(r run) {
+// startTask starts a task, or refuses it.
+func (k *host) startTask(r run) {
 	t := api.TaskStatus{Task: r.task, Attempt: r.attempt, Phase: api.TaskRunning}
 	k.s.h.mu.Lock()
 	p := k.s.h.jobs[r.job()]
@@ -222,10 +222,10 @@
 	case used+p.spec.CPUs > 4:
 		t.Phase, t.Cause = api.TaskExited, api.CauseNoRoom
 	default:
-		k.s.h.start(k, r.task, r.attempt)
+		k.s.h.recordStart(k, r.task, r.attempt)
 		_, i, _ := splitRef(r.task)
-		if k.left[r] = p.takes + time.Duration(i)*p.apart; k.s.h.completed(r.task) {
-			k.left[r] = 0 // its result is kept
+		if k.remaining[r] = p.takes + time.Duration(i)*p.apart; k.s.h.isCompleted(r.task) {
+			k.remaining[r] = 0 // its result is kept
 		}
 	}
 	k.rep.Tasks = append(k.rep.Tasks, t)
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -78,24 +78,24 @@
 					simulateCells(t, []int{1, 1}, func(g *cellGroup) {
 						c := g.cells[s.cell]
 						begin(c, s.match)
-						ids := g.burst(g.cells[0], 100, 8, 6*time.Second)
+						ids := g.submitBurst(g.cells[0], 100, 8, 6*time.Second)
 						if step == "close" || step == "take back" {
 							// The host is full of its own work, so it refuses or gives back.
-							g.burst(g.cells[1], 200, 6, 6*time.Second)
+							g.submitBurst(g.cells[1], 200, 6, 6*time.Second)
 						}
 						time.Sleep(8 * time.Second)
 						if change && trouble != "outage" {
-							c.crash(0, 40*time.Second)
+							c.restartNode(0, 40*time.Second)
 						}
 						time.Sleep(3 * time.Second)
 						c.store.SetDown(false)
 						c.store.Hold(nil)
 						c.store.Lose(nil)
 						c.store.Release()
-						g.settle(6 * time.Minute)
+						g.awaitAllEnded(6 * time.Minute)
 						for _, id := range ids {
-							if g.job(id).over != api.JobDone {
-								t.Errorf("%s: %s", id, g.job(id).over)
+							if g.job(id).endPhase != api.JobDone {
+								t.Errorf("%s: %s", id, g.job(id).endPhase)
 							}
 						}
 					})
@@ -111,11 +111,11 @@
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		host.store.Hold(has(records.ActivePrefix, "guest"))
-		g.burst(home, 100, 6, 8*time.Second)
+		g.submitBurst(home, 100, 6, 8*time.Second)
 		time.Sleep(6 * time.Second)
 		// The next leader of the host refuses what it is offered.
 		host.nodes[0].crash()
-		host.set(0, host.start("n0"))
+		host.setNode(0, host.start("n0"))
 		host.store.Hold(nil)
 		for _, n := range host.nodes {
 			n.look(func(c *Controller) { c.Policy.Spill.GuestShare = 0 })
@@ -128,7 +128,7 @@
 		for _, res := range late {
 			host.same("carried out late", res.Succeeded, false)
 		}
-		g.settle(5 * time.Minute)
+		g.awaitAllEnded(5 * time.Minute)
 	})
 }
 
@@ -143,7 +143,7 @@
 			held = held || hold
 			return hold
 		})
-		ids := g.burst(home, 100, 6, 8*time.Second)
+		ids := g.submitBurst(home, 100, 6, 8*time.Second)
 		for range 100 {
 			time.Sleep(50 * time.Millisecond)
 			given := false
@@ -168,7 +168,7 @@
 		for _, res := range late {
 			host.same("carried out again", res.Succeeded, false)
 		}
-		g.settle(5 * time.Minute)
+		g.awaitAllEnded(5 * time.Minute)
 		host.same("jobs", len(ids), 6)
 	})
 }
@@ -177,7 +177,7 @@
 func TestLoansCountAgainstLimitsAfterATakeover(t *testing.T) {
 	simulateCells(t, []int{1, 4}, func(g *cellGroup) {
 		home := g.cells[0]
-		g.burst(home, 100, 8, 30*time.Second)
+		g.submitBurst(home, 100, 8, 30*time.Second)
 		time.Sleep(10 * time.Second)
 		lent := func() (grants, used float64) {
 			home.leader().look(func(c *Controller) {
@@ -193,13 +193,13 @@
 			return grants, used
 		}
 		before, _ := lent()
-		home.crash(0, 100*time.Millisecond)
+		home.restartNode(0, 100*time.Millisecond)
 		time.Sleep(3 * time.Second)
 		grants, used := lent()
 		if before == 0 || grants != before || used < grants {
 			t.Errorf("lent %v before, %v after; %v in use", before, grants, used)
 		}
-		g.settle(5 * time.Minute)
+		g.awaitAllEnded(5 * time.Minute)
 	})
 }
 
@@ -218,7 +218,7 @@
 				var ids []string
 				for round := range 6 {
 					c := g.cells[(int(seed)+round/2)%3]
-					ids = append(ids, g.burst(c, 100*(round+1), 6, time.Duration(4+random.IntN(12))*time.Second)...)
+					ids = append(ids, g.submitBurst(c, 100*(round+1), 6, time.Duration(4+random.IntN(12))*time.Second)...)
 					g.trouble(random)
 					time.Sleep(time.Duration(random.IntN(8000)) * time.Millisecond)
 					if random.IntN(2) == 0 {
@@ -229,13 +229,13 @@
 					}
 				}
 				g.mend()
-				g.settle(12 * time.Minute)
+				g.awaitAllEnded(12 * time.Minute)
 				for _, c := range g.cells {
 					if n := c.leader(); n != nil {
 						n.look(func(o *Controller) { lends += int(o.leaderTerm.loans.count) })
 					}
 				}
-				away += g.away()
+				away += g.countLent()
 			})
 		})
 	}
@@ -255,16 +255,16 @@
 		g.setCut(c.name, other.name, true)
 		time.AfterFunc(lasting, func() { g.setCut(c.name, other.name, false) })
 	case 1:
-		g.setDeaf(c.name, other.name, true)
-		time.AfterFunc(lasting, func() { g.setDeaf(c.name, other.name, false) })
+		g.setResponseCut(c.name, other.name, true)
+		time.AfterFunc(lasting, func() { g.setResponseCut(c.name, other.name, false) })
 	case 2:
 		c.store.SetDown(true)
 		time.AfterFunc(min(lasting, 9*time.Second), func() { c.store.SetDown(false) })
 	case 3:
-		c.crash(random.IntN(2), time.Duration(random.IntN(4000))*time.Millisecond)
+		c.restartNode(random.IntN(2), time.Duration(random.IntN(4000))*time.Millisecond)
 	case 4:
-		c.crash(0, 100*time.Millisecond)
-		c.crash(1, 100*time.Millisecond)
+		c.restartNode(0, 100*time.Millisecond)
+		c.restartNode(1, 100*time.Millisecond)
 	case 5:
 		c.store.Lose(func(kv.Txn) bool { return g.chance(4) })
 		time.AfterFunc(lasting, func() { c.store.Lose(nil) })
@@ -285,7 +285,7 @@
 	time.Sleep(30 * time.Second)
 	g.mu.Lock()
 	clear(g.cut)
-	clear(g.deaf)
+	clear(g.responseCut)
 	g.repeat = 0
 	g.mu.Unlock()
 	for _, c := range g.cells {
@@ -301,7 +301,7 @@
 func TestHomeRestartsWhileItsJobRunsAway(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home := g.cells[0]
-		id := g.lentOut(g.burst(home, 100, 6, 15*time.Second))
+		id := g.awaitLent(g.submitBurst(home, 100, 6, 15*time.Second))
 		for _, n := range home.nodes {
 			n.crash()
 		}
@@ -310,9 +310,9 @@
 		if len(host.keysUnder("loan/end/")) == 0 {
 			t.Error("the host has forgotten the end before home knows it")
 		}
-		home.begin()
-		g.settle(4 * time.Minute)
-		home.same("end", g.job(id).over, api.JobDone)
+		home.startNodes()
+		g.awaitAllEnded(4 * time.Minute)
+		home.same("end", g.job(id).endPhase, api.JobDone)
 	})
 }
 
@@ -327,16 +327,16 @@
 			time.AfterFunc(4*time.Second, func() { g.cells[1].store.Hold(nil); g.cells[1].store.Release() })
 			return id
 		},
-		"while it runs": func(g *cellGroup, ids []string) string { return g.lentOut(ids) },
+		"while it runs": func(g *cellGroup, ids []string) string { return g.awaitLent(ids) },
 		"while its machines hang": func(g *cellGroup, ids []string) string {
-			id := g.lentOut(ids)
+			id := g.awaitLent(ids)
 			g.mu.Lock()
 			g.cells[1].hangUntil = time.Now().Add(6 * time.Second)
 			g.mu.Unlock()
 			return id
 		},
 		"as it ends": func(g *cellGroup, ids []string) string {
-			id := g.lentOut(ids)
+			id := g.awaitLent(ids)
 			time.Sleep(11500 * time.Millisecond)
 			return id
 		},
@@ -357,9 +357,9 @@
 					if name == "as it ends" {
 						takes = 12 * time.Second
 					}
-					id := when(g, g.burst(g.cells[0], 100, 6, takes))
+					id := when(g, g.submitBurst(g.cells[0], 100, 6, takes))
 					if crash >= 0 {
-						g.tasks.Go(func() { g.cells[crash].crash(0, 200*time.Millisecond) })
+						g.tasks.Go(func() { g.cells[crash].restartNode(0, 200*time.Millisecond) })
 					}
 					told := g.cancel(id, 60)
 					if told != api.JobCancelled && !(told == api.JobDone && name == "as it ends") {
@@ -369,14 +369,14 @@
 					if marked := err == nil && strings.Contains(string(e.Value), loan.GuestMarker+id); strings.HasPrefix(name, "while") && !marked {
 						t.Errorf("the host's cancel key says %s", e.Value)
 					}
-					g.settle(10 * time.Minute)
+					g.awaitAllEnded(10 * time.Minute)
 				})
 			})
 		}
 	}
 	t.Run("host out of reach", func(t *testing.T) {
 		simulateCells(t, []int{1, 2}, func(g *cellGroup) {
-			id := g.lentOut(g.burst(g.cells[0], 100, 6, 12*time.Second))
+			id := g.awaitLent(g.submitBurst(g.cells[0], 100, 6, 12*time.Second))
 			g.setCut("cell-a", "cell-b", true)
 			began := time.Now()
 			_, err := g.cells[0].nodes[0].Cancel(context.Background(), id)
@@ -388,7 +388,7 @@
 			if told := g.cancel(id, 20); told != api.JobCancelled && told != api.JobDone {
 				t.Errorf("told %s", told)
 			}
-			g.settle(4 * time.Minute)
+			g.awaitAllEnded(4 * time.Minute)
 		})
 	})
 }
@@ -420,7 +420,7 @@
 func TestOneNameInTwoCells(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
-		id := g.lentOut(g.burst(home, 100, 6, 12*time.Second))
+		id := g.awaitLent(g.submitBurst(home, 100, 6, 12*time.Second))
 		host.same("asked for at the host", host.phase(host.nodes[1], id), api.ErrUnknownJob.Error())
 		host.same("asked for at its leader", host.phase(host.nodes[0], id), api.ErrUnknownJob.Error())
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -431,16 +431,16 @@
 		if _, err := host.nodes[0].Cancel(context.Background(), id); err == nil {
 			t.Error("the guest was cancelled at the host")
 		}
-		g.settle(4 * time.Minute)
+		g.awaitAllEnded(4 * time.Minute)
 	})
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		for i := range 6 { // over, and known, at the host
 			host.put(records.TerminalPrefix+fmt.Sprint("job-10", i), records.TerminalRecord{Phase: api.JobDone, Tasks: 1})
 		}
-		g.burst(home, 100, 6, 6*time.Second)
-		g.settle(4 * time.Minute)
-		home.same("ran at the host", g.away(), 0)
+		g.submitBurst(home, 100, 6, 6*time.Second)
+		g.awaitAllEnded(4 * time.Minute)
+		home.same("ran at the host", g.countLent(), 0)
 	})
 }
 
@@ -449,12 +449,12 @@
 func TestHostFillsUp(t *testing.T) {
 	simulateCells(t, []int{1, 1}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
-		g.burst(home, 100, 8, 50*time.Second)
+		g.submitBurst(home, 100, 8, 50*time.Second)
 		time.Sleep(6 * time.Second)
-		g.burst(host, 200, 8, 50*time.Second)
+		g.submitBurst(host, 200, 8, 50*time.Second)
 		time.Sleep(15 * time.Second)
 		guests := 0.0
-		for _, k := range host.ks {
+		for _, k := range host.agents {
 			for _, task := range k.running() {
 				if id, _, _ := splitRef(task); g.job(id).home == home {
 					guests++
@@ -462,10 +462,10 @@
 			}
 		}
 		host.same("guests while a guarantee waits", guests, 0.0)
-		g.settle(20 * time.Minute)
+		g.awaitAllEnded(20 * time.Minute)
 		for id, j := range g.jobs {
-			if j.over != api.JobDone {
-				t.Errorf("%s: %s", id, j.over)
+			if j.endPhase != api.JobDone {
+				t.Errorf("%s: %s", id, j.endPhase)
 			}
 		}
 	})
@@ -475,7 +475,7 @@
 func TestGuestThatCannotBegin(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
-		g.burst(home, 100, 6, 10*time.Second)
+		g.submitBurst(home, 100, 6, 10*time.Second)
 		held := ""
 		for range 200 {
 			host.nodes[0].look(func(c *Controller) {
@@ -494,7 +494,7 @@
 		time.Sleep(returnGuestAfter + 5*time.Second)
 		host.same("still a guest", host.store.Has(records.ActivePrefix+held), false)
 		host.same("was one", held != "", true)
-		g.settle(5 * time.Minute)
+		g.awaitAllEnded(5 * time.Minute)
 	})
 }
 
@@ -503,12 +503,12 @@
 func TestHostIsLostForGood(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
-		id := g.lentOut(g.burst(home, 100, 6, 10*time.Second))
+		id := g.awaitLent(g.submitBurst(home, 100, 6, 10*time.Second))
 		for _, n := range host.nodes {
 			n.crash()
 		}
 		g.mu.Lock()
-		host.ks = nil // its machines are gone with it
+		host.agents = nil // its machines are gone with it
 		g.mu.Unlock()
 		time.Sleep(3 * time.Minute)
 		home.same("while it is only silent", g.poll(id) == api.JobDone, false)
@@ -521,14 +521,14 @@
 			n.crash()
 		}
 		home.cells = &cells.Settings{Cell: "cell-a", MaxLoans: 50, Neighbours: []cells.Neighbour{{Cell: "cell-b", Unreachable: true}}}
-		home.begin()
+		home.startNodes()
 		for range 90 {
 			if g.poll(id) == api.JobDone {
 				break
 			}
 			time.Sleep(2 * time.Second)
 		}
-		home.same("taken back", g.job(id).over, api.JobDone)
+		home.same("taken back", g.job(id).endPhase, api.JobDone)
 	})
 }
 
@@ -560,7 +560,7 @@
 			"no such type": {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1", Epoch: 3, Offer: offer(func(o *loan.Offer) { o.Spec.Types = []string{"huge"} })}}},
 				"", "a task fits no machine type"},
 		} {
-			answer, err := host.take(&c.req)
+			answer, err := host.deliverLoans(&c.req)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -582,14 +582,14 @@
 		home := g.cells[0]
 		n := home.leader()
 		n.look(func(c *Controller) { c.membership.members["n9"] = &member{} })
-		g.burst(home, 100, 6, 10*time.Second)
+		g.submitBurst(home, 100, 6, 10*time.Second)
 		time.Sleep(8 * time.Second)
-		home.same("lent", g.away(), 0)
+		home.same("lent", g.countLent(), 0)
 		n.look(func(c *Controller) { c.membership.members["n9"].SupportsLoans = true })
 		time.Sleep(8 * time.Second)
-		if g.away() == 0 {
+		if g.countLent() == 0 {
 			t.Error("nothing was lent once all know")
 		}
-		g.settle(4 * time.Minute)
+		g.awaitAllEnded(4 * time.Minute)
 	})
 }
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -14,28 +14,28 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// way is one node's way to the store. Requests take a while there and back, so
+// storePath is one node's way to the store. Requests take a while there and back, so
 // that what others do can come between.
-type way struct {
+type storePath struct {
 	gate
-	there, back time.Duration
-	tally       *tally
+	requestDelay, responseDelay time.Duration
+	tally                       *requestCounts
 }
 
-// tally counts what the nodes ask of the store, by second.
-type tally struct {
+// requestCounts counts what the nodes ask of the store, by second.
+type requestCounts struct {
 	mu                        sync.Mutex
 	requests, writes, watches map[int64]int
 }
 
-func (y *tally) add(m map[int64]int, n int) {
+func (y *requestCounts) add(m map[int64]int, n int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	m[time.Now().Unix()] += n
 }
 
 // counts are the largest count of a second and the sum.
-func (y *tally) counts(m map[int64]int) (most, sum int) {
+func (y *requestCounts) counts(m map[int64]int) (most, sum int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	for _, n := range m {
@@ -46,7 +46,7 @@
 }
 
 // reset begins anew.
-func (y *tally) reset() {
+func (y *requestCounts) reset() {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	clear(y.requests)
@@ -55,16 +55,16 @@
 }
 
 // trip carries a request out after its way there, and its answer after its way back.
-func trip[T any](ctx context.Context, y *way, f func() (T, error)) (T, error) {
+func trip[T any](ctx context.Context, y *storePath, f func() (T, error)) (T, error) {
 	var none T
 	y.tally.add(y.tally.requests, 1)
-	for _, leg := range []time.Duration{y.there, y.back} {
+	for _, leg := range []time.Duration{y.requestDelay, y.responseDelay} {
 		select {
 		case <-ctx.Done():
 			return none, kv.ErrOutcomeUnknown
 		case <-time.After(leg):
 		}
-		if leg == y.there && f != nil {
+		if leg == y.requestDelay && f != nil {
 			v, err := f()
 			if err != nil {
 				return v, err
@@ -75,20 +75,20 @@
 	return none, nil
 }
 
-func (y *way) Get(ctx context.Context, key string) (kv.Entry, error) {
+func (y *storePath) Get(ctx context.Context, key string) (kv.Entry, error) {
 	return trip(ctx, y, func() (kv.Entry, error) { return y.gate.Get(ctx, key) })
 }
 
-func (y *way) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
+func (y *storePath) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	y.tally.add(y.tally.writes, len(txn.Ops))
 	return trip(ctx, y, func() (kv.Result, error) { return y.gate.Txn(ctx, txn) })
 }
 
-func (y *way) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
+func (y *storePath) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
 	return trip(ctx, y, func() (kv.Page, error) { return y.gate.Range(ctx, prefix, from, most) })
 }
 
-func (y *way) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
+func (y *storePath) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
 	y.tally.add(y.tally.requests, 1)
 	y.tally.add(y.tally.watches, 1)
 	return y.gate.Watch(ctx, prefix, from, block)
@@ -98,9 +98,9 @@
 // time and with its lease.
 type userHost struct {
 	*worker
-	began map[string]time.Time
-	// sent is when its last report was sent, leased when the last answered one was.
-	sent, leased time.Time
+	startedAt map[string]time.Time
+	// lastSent is when its last report was sent, leased when the last answered one was.
+	lastSent, lastAcknowledged time.Time
 	// changed wakes it to report.
 	changed chan struct{}
 	// starts counts the starts that it was ordered.
@@ -112,8 +112,8 @@
 	*cluster
 	checker *answerChecker
 	links   *links
-	ways    []*way
-	tally   *tally
+	ways    []*storePath
+	tally   *requestCounts
 	hosts   []*userHost
 	// takes is how long tasks run, by job; others run until ended.
 	takes sync.Map
@@ -121,27 +121,27 @@
 
 	mu    sync.Mutex
 	nodes []*node
-	// stayed are the tasks that were on machines for too long after a confirmed
+	// overdueTasks are the tasks that were on machines for too long after a confirmed
 	// cancellation.
-	stayed []string
-	over   atomic.Bool
+	overdueTasks []string
+	stopped      atomic.Bool
 }
 
 func newUserCluster(w *cluster, hosts int) *userCluster {
 	w.zones = map[string]string{"n0": "a", "n1": "a", "n2": "a"}
 	w.teams[0].LimitCPUs = 1000
 	tn := &userCluster{cluster: w, checker: newAnswerChecker(w.t), links: &links{}, nodes: make([]*node, 3),
-		tally: &tally{requests: map[int64]int{}, writes: map[int64]int{}, watches: map[int64]int{}}}
+		tally: &requestCounts{requests: map[int64]int{}, writes: map[int64]int{}, watches: map[int64]int{}}}
 	for i := range 3 {
-		y := &way{there: time.Duration(2+3*i) * time.Millisecond, back: time.Duration(1+2*i) * time.Millisecond, tally: tn.tally}
+		y := &storePath{requestDelay: time.Duration(2+3*i) * time.Millisecond, responseDelay: time.Duration(1+2*i) * time.Millisecond, tally: tn.tally}
 		y.gate.Fake = w.store
 		tn.ways = append(tn.ways, y)
 		tn.begin(i)
 	}
 	for i := range hosts {
-		h := &userHost{worker: w.worker(fmt.Sprintf("i-%d", i+1), "a", false), began: map[string]time.Time{}, leased: time.Now(), changed: make(chan struct{}, 1)}
+		h := &userHost{worker: w.worker(fmt.Sprintf("i-%d", i+1), "a", false), startedAt: map[string]time.Time{}, lastAcknowledged: time.Now(), changed: make(chan struct{}, 1)}
 		tn.hosts = append(tn.hosts, h)
-		tn.users.Go(func() { tn.live(h) })
+		tn.users.Go(func() { tn.runMachine(h) })
 	}
 	time.Sleep(3 * time.Second)
 	return tn
@@ -175,8 +175,8 @@
 	return tn.nodes[i%3]
 }
 
-// all are the nodes that are up.
-func (tn *userCluster) all() []*node {
+// runningNodes are the nodes that are up.
+func (tn *userCluster) runningNodes() []*node {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(tn.nodes), func(n *node) bool { return n == nil })
@@ -196,17 +196,17 @@
 	}
 }
 
-// live has a machine report once a second and at every change.
-func (tn *userCluster) live(h *userHost) {
-	for changed := false; !tn.over.Load(); {
+// runMachine has a machine report once a second and at every change.
+func (tn *userCluster) runMachine(h *userHost) {
+	for changed := false; !tn.stopped.Load(); {
 		now := time.Now()
-		if h.lapse(now); h.end(tn, now, "") || changed || now.Sub(h.sent) >= time.Second {
-			h.tell(tn)
+		if h.expireLease(now); h.completeTasks(tn, now, "") || changed || now.Sub(h.lastSent) >= time.Second {
+			h.heartbeatAnyNode(tn)
 		}
 		for _, ref := range h.running() {
 			id, _, _ := strings.Cut(ref, "/")
 			if end, at := tn.checker.end(id); end == api.JobCancelled && now.Sub(at) > 30*time.Second {
-				tn.stays(ref)
+				tn.recordOverdue(ref)
 			}
 		}
 		select {
@@ -218,11 +218,11 @@
 	}
 }
 
-func (tn *userCluster) stays(ref string) {
+func (tn *userCluster) recordOverdue(ref string) {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
-	if !slices.Contains(tn.stayed, ref) {
-		tn.stayed = append(tn.stayed, ref)
+	if !slices.Contains(tn.overdueTasks, ref) {
+		tn.overdueTasks = append(tn.overdueTasks, ref)
 	}
 }
 
@@ -230,19 +230,19 @@
 func (tn *userCluster) gone() {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
-	tn.same("on machines too long after a confirmed cancellation", tn.stayed, []string(nil))
+	tn.same("on machines too long after a confirmed cancellation", tn.overdueTasks, []string(nil))
 }
 
-// tell sends a report to whichever node answers it.
-func (h *userHost) tell(tn *userCluster) {
-	h.sent = time.Now()
-	sent := h.sent
-	for _, n := range tn.all() {
+// heartbeatAnyNode sends a report to whichever node answers it.
+func (h *userHost) heartbeatAnyNode(tn *userCluster) {
+	h.lastSent = time.Now()
+	sent := h.lastSent
+	for _, n := range tn.runningNodes() {
 		commands, err := h.send(n)
 		if err != nil {
 			continue
 		}
-		h.leased = sent
+		h.lastAcknowledged = sent
 		h.obey(commands)
 		for _, o := range commands {
 			if o.Verb == api.VerbStart {
@@ -251,8 +251,8 @@
 		}
 		h.mu.Lock()
 		for _, t := range h.rep.Tasks {
-			if _, ok := h.began[t.Task]; !ok {
-				h.began[t.Task] = time.Now()
+			if _, ok := h.startedAt[t.Task]; !ok {
+				h.startedAt[t.Task] = time.Now()
 			}
 		}
 		h.mu.Unlock()
@@ -260,41 +260,41 @@
 	}
 }
 
-// lapse ends the machine's lease if no report was answered in time.
-func (h *userHost) lapse(now time.Time) {
-	if now.Sub(h.leased) <= 10*time.Second {
+// expireLease ends the machine's lease if no report was answered in time.
+func (h *userHost) expireLease(now time.Time) {
+	if now.Sub(h.lastAcknowledged) <= 10*time.Second {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.rep.AgentEpoch++
-	h.rep.Tasks, h.leased = nil, now
-	clear(h.began)
+	h.rep.Tasks, h.lastAcknowledged = nil, now
+	clear(h.startedAt)
 }
 
-// end completes the tasks whose time is over, and those of the job named.
-func (h *userHost) end(tn *userCluster, now time.Time, named string) (any bool) {
+// completeTasks completes the tasks whose time is over, and those of the job named.
+func (h *userHost) completeTasks(tn *userCluster, now time.Time, named string) (completed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range h.rep.Tasks {
 		t := &h.rep.Tasks[i]
 		id, _, _ := strings.Cut(t.Task, "/")
 		takes, ok := tn.takes.Load(id)
-		if t.Phase != api.TaskRunning || !(id == named || ok && now.Sub(h.began[t.Task]) >= takes.(time.Duration)) {
+		if t.Phase != api.TaskRunning || !(id == named || ok && now.Sub(h.startedAt[t.Task]) >= takes.(time.Duration)) {
 			continue
 		}
 		t.Phase, t.Cause = api.TaskExited, api.CauseDone
 		tn.checker.completed(t.Task)
-		any = true
+		completed = true
 	}
-	return any
+	return completed
 }
 
 // finish ends the tasks of a job now, wherever they run.
 func (tn *userCluster) finish(id string) {
 	n := 0
 	for _, h := range tn.hosts {
-		if h.end(tn, time.Now(), id) {
+		if h.completeTasks(tn, time.Now(), id) {
 			h.changed <- struct{}{}
 			n++
 		}
@@ -361,10 +361,10 @@
 
 // close ends machines, users and nodes, with what these have on the way.
 func (tn *userCluster) close() {
-	tn.over.Store(true)
+	tn.stopped.Store(true)
 	tn.users.Wait()
 	tn.store.Lose(nil)
-	for _, n := range tn.all() {
+	for _, n := range tn.runningNodes() {
 		n.crash()
 	}
 }
@@ -399,7 +399,7 @@
 // follow has a job's user ask until told of its end, each time at another node.
 func (tn *userCluster) follow(i int, id string, every time.Duration) {
 	tn.background(func() {
-		for ; !tn.over.Load(); i++ {
+		for ; !tn.stopped.Load(); i++ {
 			if st, err := tn.checker.ask(tn.at(i), id); err == nil && st.Final() {
 				return
 			}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -118,19 +118,19 @@
 }
 
 // reached are the nodes that a machine reaches.
-func (v *mixed) reached(k *worker) []reporter {
-	var first reporter = v.old
+func (v *mixed) reached(k *worker) []heartbeatReceiver {
+	var first heartbeatReceiver = v.old
 	if v.heir != nil {
 		first = v.heir
 	}
 	// Beyond a cut is the node that does not lead.
 	switch far := k.rep.Zone == farZone; {
 	case !v.l.cut.Load():
-		return []reporter{first, v.new}
+		return []heartbeatReceiver{first, v.new}
 	case far == v.old.leads():
-		return []reporter{v.new}
+		return []heartbeatReceiver{v.new}
 	}
-	return []reporter{first}
+	return []heartbeatReceiver{first}
 }
 
 // replaceOld ends the old node and starts this version in its place.
@@ -140,7 +140,7 @@
 }
 
 // tryAll sends one report, to each node in turn until one answers.
-func (k *worker) tryAll(nodes ...reporter) bool {
+func (k *worker) tryAll(nodes ...heartbeatReceiver) bool {
 	for _, n := range nodes {
 		if commands, err := k.send(n); err == nil {
 			k.obey(commands)
