--- a/internal/controller/answerchecker_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -12,10 +12,9 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// answerChecker checks what users were told of every job, by every node. Questions and answers
-// are numbered in the order in which they were sent and came, so that it also holds
-// within one instant of the fake clock. The first answers that no user may get fail
-// the test.
+// answerChecker checks what every node answers users about every job. Requests and answers are
+// numbered in the order in which they were sent and received, so that the rules also hold
+// within one instant of the fake clock. The first violations fail the test.
 type answerChecker struct {
 	fail func(string)
 
@@ -26,15 +25,15 @@
 	jobs       map[string]*answerLog
 }
 
-// answerLog is what is known of one job beside the nodes: what its user has asked
-// for, what its tasks have done, and what was told.
+// answerLog is what is known of one job independently of the nodes: what its user has
+// requested, what its tasks have done, and what was answered.
 type answerLog struct {
 	tasks                int
 	done                 map[string]bool
 	doneAt               time.Time
 	submitted, cancelled bool
-	// firstAcceptance is the number of the first answer that told it as accepted, over of
-	// the first that told its end.
+	// firstAcceptance is the number of the first answer with the job as accepted, firstEnd
+	// that of the first with its end; 0 if there was none.
 	firstAcceptance, firstEnd int
 	end                       string
 	endAt                     time.Time
@@ -44,7 +43,11 @@
 }
 
 func newAnswerChecker(t *testing.T) *answerChecker {
-	return &answerChecker{fail: func(s string) { t.Error(s) }, jobs: map[string]*answerLog{}}
+	t.Helper()
+	return &answerChecker{
+		fail: func(s string) { t.Helper(); t.Error(s) },
+		jobs: map[string]*answerLog{},
+	}
 }
 
 // of is the answer log of a job; the caller holds the lock.
@@ -57,7 +60,7 @@
 	return j
 }
 
-// recordRequest numbers a question. Its change is what the user wants, known before any
+// recordRequest numbers a request. Its change is what the user wants, recorded before any
 // answer can follow from it.
 func (h *answerChecker) recordRequest(id string, change func(*answerLog)) int {
 	h.mu.Lock()
@@ -69,7 +72,7 @@
 	return h.count
 }
 
-// completed notes that a task has ended by itself on its machine.
+// completed records that a task has ended by itself on its machine.
 func (h *answerChecker) completed(task string) {
 	id, _, _ := strings.Cut(task, "/")
 	h.mu.Lock()
@@ -80,7 +83,7 @@
 	}
 }
 
-// userResponse is what a user got.
+// userResponse is the outcome of one user's request, which has the given number.
 type userResponse struct {
 	requestNumber int
 	verb          string
@@ -90,8 +93,8 @@
 	err           error
 }
 
-// recordResponse takes an answer in that has come now. An error other than ErrUnknownJob
-// is none.
+// recordResponse checks an answer that was received now. An error other than ErrUnknownJob is
+// no answer.
 func (h *answerChecker) recordResponse(id string, a userResponse) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -102,18 +105,19 @@
 		return
 	}
 	h.answered++
-	what := a.st.Phase
+	phase := a.st.Phase
 	if unknown {
-		what = "unknown"
+		phase = "unknown"
 	}
-	j.byPhase[what]++
-	j.lines = append(j.lines, fmt.Sprintf("%s #%d-#%d %s at %s: %s", time.Now().Format("05.000"), a.requestNumber, h.count, a.verb, a.node, what))
+	j.byPhase[phase]++
+	j.lines = append(j.lines, fmt.Sprintf("%s #%d-#%d %s at %s: %s",
+		time.Now().Format("05.000"), a.requestNumber, h.count, a.verb, a.node, phase))
 	if len(j.lines) > 12 {
 		j.lines = j.lines[1:]
 	}
-	if why := j.violation(id, a, unknown); why != "" {
+	if rule := j.violation(id, a, unknown); rule != "" {
 		if h.violations++; h.violations <= 3 {
-			h.fail(fmt.Sprintf("%s: %s\n\t%s", id, why, strings.Join(j.lines, "\n\t")))
+			h.fail(fmt.Sprintf("%s: %s\n\t%s", id, rule, strings.Join(j.lines, "\n\t")))
 		}
 	}
 	if unknown {
@@ -127,7 +131,7 @@
 	}
 }
 
-// violation says which rule an answer breaks, if any.
+// violation names the rule that an answer breaks, or is "".
 func (j *answerLog) violation(id string, a userResponse, unknown bool) string {
 	later := func(than int) bool { return than != 0 && a.requestNumber > than }
 	switch {
@@ -142,21 +146,21 @@
 	case a.created && later(j.firstAcceptance):
 		return "accepted once more"
 	case a.st.Final() && j.end != "" && j.end != a.st.Phase:
-		return "told another end than before"
+		return "another end than before"
 	case a.st.Phase == api.JobCancelled && !j.cancelled:
-		return "withdrawn though nobody has cancelled it"
+		return "cancelled though nobody has cancelled it"
 	case a.st.Phase == api.JobDone && len(j.done) < j.tasks:
 		return "done before its tasks are"
 	case !a.st.Final() && later(j.firstEnd):
-		return "told something older than its end"
+		return "something older than its end"
 	case a.verb == "cancel" && !a.st.Final():
 		return "a cancellation answered with neither end"
 	}
 	return ""
 }
 
-// What users do, with the time that each waits for an answer.
-
+// ask requests the state of a job, as submit, resubmitInvalid and cancel request something
+// else, with the time for which a user waits for the answer.
 func (h *answerChecker) ask(n *node, id string) (api.JobState, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
@@ -195,7 +199,7 @@
 	return a.st, a.err
 }
 
-// insist repeats what a user wants until it is answered, as users do.
+// insist repeats a user's request once a second until it is answered, for a minute at most.
 func insist(f func() error) error {
 	var err error
 	for begun := time.Now(); time.Since(begun) < time.Minute; time.Sleep(time.Second) {
@@ -213,7 +217,8 @@
 	return h.answered
 }
 
-// end is how a job was told to have ended, and when.
+// end is the phase in which a job ended by the first answer that had its end, and when that
+// was received.
 func (h *answerChecker) end(id string) (string, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -228,54 +233,134 @@
 	return h.of(id).doneAt
 }
 
-// The rules that every meeting is held to must themselves be seen to fail.
+// The rules that the other tests rely on must themselves be seen to fail.
 func TestAnswerCheckerRules(t *testing.T) {
 	at := func(phase string) api.JobState { return api.JobState{ID: "job-1", Phase: phase} }
 	const unknown = "unknown"
 	type step struct {
-		asked int // 0: after all before it
-		verb  string
-		phase string
+		number int // of the request; 0: sent after all answers before it
+		verb   string
+		phase  string
 	}
 	for _, c := range []struct {
-		name                string
-		submitted, withdraw bool
-		completed           int
-		steps               []step
-		want                string
+		name                 string
+		submitted, cancelled bool
+		completed            int
+		steps                []step
+		want                 string
 	}{
-		{"nothing wrong", true, true, 2, []step{{0, "q", unknown}, {0, "q", "pending"}, {0, "q", "running"}, {0, "q", "pending"}, {0, "cancel", "done"}, {0, "q", "done"}}, ""},
-		{"asked before the end was told", true, true, 0, []step{{0, "q", "pending"}, {0, "cancel", "withdrawn"}, {1, "q", "running"}}, ""},
-		{"asked before it was told as accepted", true, false, 0, []step{{0, "q", "pending"}, {1, "q", unknown}}, ""},
-		{"invented", false, false, 0, []step{{0, "q", "pending"}}, "invented"},
-		{"forgotten", true, false, 0, []step{{0, "q", "pending"}, {0, "q", unknown}}, "forgotten"},
-		{"forgotten after its end", true, false, 2, []step{{0, "q", "done"}, {0, "q", unknown}}, "forgotten"},
-		{"running after the end", true, true, 0, []step{{0, "cancel", "withdrawn"}, {0, "q", "running"}}, "something older"},
-		{"pending after the end", true, false, 2, []step{{0, "q", "done"}, {0, "submission", "pending"}}, "something older"},
-		{"another end", true, true, 2, []step{{0, "cancel", "withdrawn"}, {1, "q", "done"}}, "another end"},
-		{"nobody cancelled", true, false, 0, []step{{0, "q", "withdrawn"}}, "nobody has cancelled"},
-		{"one task missing", true, false, 1, []step{{0, "q", "done"}}, "before its tasks"},
-		{"cancellation without an end", true, true, 0, []step{{0, "cancel", "pending"}}, "neither end"},
-		{"accepted twice", true, false, 0, []step{{0, "q", "pending"}, {0, "created", "pending"}}, "once more"},
+		{
+			name:      "no violation",
+			submitted: true,
+			cancelled: true,
+			completed: 2,
+			steps: []step{
+				{0, "q", unknown},
+				{0, "q", "pending"},
+				{0, "q", "running"},
+				{0, "q", "pending"},
+				{0, "cancel", "done"},
+				{0, "q", "done"},
+			},
+		},
+		{
+			name:      "requested before the end was answered",
+			submitted: true,
+			cancelled: true,
+			steps:     []step{{0, "q", "pending"}, {0, "cancel", "withdrawn"}, {1, "q", "running"}},
+		},
+		{
+			name:      "requested before it was answered as accepted",
+			submitted: true,
+			steps:     []step{{0, "q", "pending"}, {1, "q", unknown}},
+		},
+		{
+			name:  "never submitted",
+			steps: []step{{0, "q", "pending"}},
+			want:  "invented",
+		},
+		{
+			name:      "unknown after it was accepted",
+			submitted: true,
+			steps:     []step{{0, "q", "pending"}, {0, "q", unknown}},
+			want:      "forgotten",
+		},
+		{
+			name:      "unknown after its end",
+			submitted: true,
+			completed: 2,
+			steps:     []step{{0, "q", "done"}, {0, "q", unknown}},
+			want:      "forgotten",
+		},
+		{
+			name:      "running after the end",
+			submitted: true,
+			cancelled: true,
+			steps:     []step{{0, "cancel", "withdrawn"}, {0, "q", "running"}},
+			want:      "something older",
+		},
+		{
+			name:      "pending after the end",
+			submitted: true,
+			completed: 2,
+			steps:     []step{{0, "q", "done"}, {0, "submission", "pending"}},
+			want:      "something older",
+		},
+		{
+			name:      "another end",
+			submitted: true,
+			cancelled: true,
+			completed: 2,
+			steps:     []step{{0, "cancel", "withdrawn"}, {1, "q", "done"}},
+			want:      "another end",
+		},
+		{
+			name:      "nobody cancelled",
+			submitted: true,
+			steps:     []step{{0, "q", "withdrawn"}},
+			want:      "nobody has cancelled",
+		},
+		{
+			name:      "one task missing",
+			submitted: true,
+			completed: 1,
+			steps:     []step{{0, "q", "done"}},
+			want:      "before its tasks",
+		},
+		{
+			name:      "cancellation without an end",
+			submitted: true,
+			cancelled: true,
+			steps:     []step{{0, "cancel", "pending"}},
+			want:      "neither end",
+		},
+		{
+			name:      "accepted twice",
+			submitted: true,
+			steps:     []step{{0, "q", "pending"}, {0, "created", "pending"}},
+			want:      "once more",
+		},
 	} {
-		var got []string
-		h := &answerChecker{fail: func(s string) { got = append(got, s) }, jobs: map[string]*answerLog{}}
-		h.recordRequest("job-1", func(j *answerLog) { j.submitted, j.cancelled, j.tasks = c.submitted, c.withdraw, 2 })
-		for i := range c.completed {
-			h.completed(fmt.Sprint("job-1/", i))
-		}
-		for _, s := range c.steps {
-			a := userResponse{requestNumber: s.asked, verb: s.verb, st: at(s.phase), created: s.verb == "created"}
-			if s.asked == 0 {
-				a.requestNumber = h.recordRequest("job-1", nil)
+		t.Run(c.name, func(t *testing.T) {
+			var got []string
+			h := &answerChecker{fail: func(s string) { got = append(got, s) }, jobs: map[string]*answerLog{}}
+			h.recordRequest("job-1", func(j *answerLog) { j.submitted, j.cancelled, j.tasks = c.submitted, c.cancelled, 2 })
+			for i := range c.completed {
+				h.completed(fmt.Sprint("job-1/", i))
 			}
-			if s.phase == unknown {
-				a.err = api.ErrUnknownJob
+			for _, s := range c.steps {
+				a := userResponse{requestNumber: s.number, verb: s.verb, st: at(s.phase), created: s.verb == "created"}
+				if s.number == 0 {
+					a.requestNumber = h.recordRequest("job-1", nil)
+				}
+				if s.phase == unknown {
+					a.err = api.ErrUnknownJob
+				}
+				h.recordResponse("job-1", a)
 			}
-			h.recordResponse("job-1", a)
-		}
-		if all := strings.Join(got, "; "); (c.want == "") != (all == "") || !strings.Contains(all, c.want) {
-			t.Errorf("%s: got %q, want %q", c.name, all, c.want)
-		}
+			if all := strings.Join(got, "; "); (c.want == "") != (all == "") || !strings.Contains(all, c.want) {
+				t.Errorf("got violations %q, want %q", all, c.want)
+			}
+		})
 	}
 }
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -19,8 +19,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// cellGroup is some cells that lend each other capacity, with machines that run tasks, and
-// with a checker over all of them.
+// cellGroup is some cells that lend each other capacity, with machines that run tasks, and a
+// checker over all of them.
 type cellGroup struct {
 	t     *testing.T
 	cells []*cell
@@ -30,16 +30,17 @@
 	// mu guards what follows, and the jobs' own fields.
 	mu   sync.Mutex
 	jobs map[string]*cellJob
-	// cut are the ways, from cell to cell, on which nothing arrives; deaf those on which
-	// no answer comes back.
+	// cut are the links, from cell to cell, on which no request arrives; responseCut those on
+	// which no response does.
 	cut, responseCut map[string]bool
-	// repeat has requests arrive again later, with the age that they then have.
+	// repeat is within what time a request is delivered once more, with the age that it then
+	// has; 0 means never.
 	repeat time.Duration
 	// delay is how long a request takes to arrive.
 	delay  time.Duration
 	random *rand.Rand
-	// delivered counts the requests that arrived.
-	delivered int
+	// requests counts the requests sent, also those that were cut.
+	requests int
 }
 
 // cell is one of the cells.
@@ -49,30 +50,36 @@
 	name   string
 	nodes  []*node
 	agents []*worker
-	// startedAt is when tasks began, by machine and task.
+	// startedAt is when tasks started, by machine and task.
 	startedAt map[string]time.Time
-	// hangUntil is until when its machines neither report nor carry anything out.
+	// hangUntil is until when its machines neither send heartbeats nor apply commands.
 	hangUntil time.Time
 }
 
-// cellJob is a job as its user knows it.
+// cellJob is a job as its user observes it.
 type cellJob struct {
 	home *cell
 	spec *api.JobSpec
 	// duration is how long its tasks run.
 	duration time.Duration
-	// endPhase is the final state that a user was told.
+	// endPhase is the final phase that a user got as an answer, or "".
 	endPhase string
-	// cancelledAt is set once a cancellation was confirmed.
+	// cancelledAt is when a cancellation was confirmed.
 	cancelledAt time.Time
 	lent        bool
 }
 
-// simulateCells runs a test with cells of so many machines each.
+// simulateCells runs a test with one cell for each number of machines.
 func simulateCells(t *testing.T, machines []int, f func(g *cellGroup)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		g := &cellGroup{t: t, jobs: map[string]*cellJob{}, cut: map[string]bool{}, responseCut: map[string]bool{}, random: rand.New(rand.NewPCG(1, 2))}
+		g := &cellGroup{
+			t:           t,
+			jobs:        map[string]*cellJob{},
+			cut:         map[string]bool{},
+			responseCut: map[string]bool{},
+			random:      rand.New(rand.NewPCG(1, 2)),
+		}
 		for i, n := range machines {
 			g.addCell(fmt.Sprint("cell-", string(rune('a'+i))), len(machines), n)
 		}
@@ -115,27 +122,29 @@
 // startNodes starts the cell's two controllers.
 func (c *cell) startNodes() {
 	for i := range 2 {
-		n := c.start(fmt.Sprintf("n%d", i))
-		n.look(func(o *Controller) {
-			o.Policy.Spill.After, o.Policy.Spill.Gain, o.Policy.Spill.GuestShare = 2*time.Second, 2*time.Second, 1
-			o.Policy.MinCPUs = 1000
-		})
-		c.setNode(i, n)
+		c.startNode(i)
 	}
 }
 
-// restartNode ends a controller and starts it anew after a while.
-func (c *cell) restartNode(i int, away time.Duration) {
-	c.currentNodes()[i].crash()
-	time.Sleep(away)
+// startNode starts a controller with the spillover policy of these tests, which scales
+// nothing in.
+func (c *cell) startNode(i int) {
 	n := c.start(fmt.Sprintf("n%d", i))
-	n.look(func(o *Controller) {
-		o.Policy.Spill.After, o.Policy.Spill.Gain, o.Policy.Spill.GuestShare = 2*time.Second, 2*time.Second, 1
-		o.Policy.MinCPUs = 1000
+	n.look(func(ctl *Controller) {
+		spill := &ctl.Policy.Spill
+		spill.After, spill.Gain, spill.GuestShare = 2*time.Second, 2*time.Second, 1
+		ctl.Policy.MinCPUs = 1000
 	})
 	c.setNode(i, n)
 }
 
+// restartNode crashes a controller and starts it again after a while.
+func (c *cell) restartNode(i int, away time.Duration) {
+	c.currentNodes()[i].crash()
+	time.Sleep(away)
+	c.startNode(i)
+}
+
 // leader is the controller that leads, or nil.
 func (c *cell) leader() *node {
 	for _, n := range c.currentNodes() {
@@ -148,7 +157,7 @@
 	return nil
 }
 
-// cellLink is one cell's way to the others.
+// cellLink is one cell's link to the others.
 type cellLink struct {
 	group *cellGroup
 	from  string
@@ -164,35 +173,36 @@
 	g.mu.Unlock()
 	time.Sleep(3*time.Millisecond + delay)
 	g.mu.Lock()
-	way := k.from + ">" + to
-	cut, deaf, repeat := g.cut[way], g.responseCut[way], g.repeat
+	link := k.from + ">" + to
+	cut, responseCut, repeat := g.cut[link], g.responseCut[link], g.repeat
 	if repeat > 0 {
 		repeat = time.Duration(g.random.Int64N(int64(repeat)))
 	}
-	g.delivered++
+	g.requests++
 	g.mu.Unlock()
 	if cut {
 		return nil, errCut
 	}
 	target := g.cells[slices.IndexFunc(g.cells, func(c *cell) bool { return c.name == to })]
 	if repeat > 0 {
-		time.AfterFunc(repeat, func() { target.deliverLoans(req) }) // a copy that comes late
+		// The response to a late copy reaches nobody.
+		time.AfterFunc(repeat, func() { _, _ = target.deliverLoans(req) })
 	}
-	answer, err := target.deliverLoans(req)
-	if deaf {
+	response, err := target.deliverLoans(req)
+	if responseCut {
 		return nil, errCut
 	}
-	return answer, err
+	return response, err
 }
 
-// deliverLoans has the cell's leader take a request in.
+// deliverLoans delivers a request to the cell's leader.
 func (c *cell) deliverLoans(req *loan.Request) (*loan.Response, error) {
 	for _, n := range c.currentNodes() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		answer, err := n.Loans(ctx, req)
+		response, err := n.Loans(ctx, req)
 		cancel()
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
 	}
 	return nil, api.ErrUnavailable
@@ -210,8 +220,8 @@
 	g.responseCut[from+">"+to] = deaf
 }
 
-// runMachines has all machines report and run their tasks, and checks what runs, ten times in
-// three seconds.
+// runMachines has all machines send heartbeats and run their tasks, and checks what runs, ten
+// times in three seconds.
 func (g *cellGroup) runMachines(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, c := range g.cells {
@@ -253,7 +263,8 @@
 	c.nodes[i] = n
 }
 
-// runAgent ends the tasks of a machine whose time is over, and has it report.
+// runAgent ends the tasks of a machine whose time is up, and sends a heartbeat to the first
+// node that responds.
 func (c *cell) runAgent(k *worker) {
 	k.mu.Lock()
 	for i := range k.rep.Tasks {
@@ -280,58 +291,64 @@
 	}
 }
 
-// check looks at all machines of all cells: each task is on one at the most, each team
-// within its limit, and nothing runs long after it was cancelled.
+// check checks all machines of all cells: each task is on at most one, each team is within its
+// limit, and nothing runs for long after it was cancelled.
 func (g *cellGroup) check() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	on := map[string]string{}
+	machineOf := map[string]string{}
 	used := map[string]float64{}
 	for _, c := range g.cells {
 		for _, k := range c.agents {
+			machine := c.name + "/" + k.rep.Machine
 			for _, task := range k.running() {
-				machine := c.name + "/" + k.rep.Machine
-				if on[task] != "" {
-					g.t.Errorf("%s runs on %s and on %s", task, on[task], machine)
+				if machineOf[task] != "" {
+					g.t.Errorf("%s runs on %s and on %s", task, machineOf[task], machine)
 				}
-				on[task] = machine
+				machineOf[task] = machine
 				id, _, _ := splitRef(task)
 				j := g.jobs[id]
 				used[j.home.name+" "+j.spec.Team] += j.spec.CPUs
-				if c != j.home {
-					j.lent = true
-				}
-				if !j.cancelledAt.IsZero() && time.Since(j.cancelledAt) > 30*time.Second {
-					g.t.Errorf("%s runs %v after its cancellation", task, time.Since(j.cancelledAt))
-				}
-				if j.endPhase == api.JobDone || j.endPhase != "" && c != j.home {
-					g.t.Errorf("%s runs on %s though its job is called %s", task, machine, j.endPhase)
-				}
+				g.checkMayRun(j, c, task, machine)
 			}
 		}
 	}
 	for _, c := range g.cells {
 		for _, team := range c.teams {
-			if used[c.name+" "+team.Name] > team.LimitCPUs {
-				g.t.Errorf("team %s of %s uses %v of %v", team.Name, c.name, used[c.name+" "+team.Name], team.LimitCPUs)
+			if cpus := used[c.name+" "+team.Name]; cpus > team.LimitCPUs {
+				g.t.Errorf("team %s of %s uses %v CPUs, limit %v", team.Name, c.name, cpus, team.LimitCPUs)
 			}
 		}
 	}
 }
 
-// job is a job by its name.
+// checkMayRun checks that a task may still run on a machine of a cell, and records that its
+// job was lent. The caller holds the lock.
+func (g *cellGroup) checkMayRun(j *cellJob, c *cell, task, machine string) {
+	if c != j.home {
+		j.lent = true
+	}
+	if !j.cancelledAt.IsZero() && time.Since(j.cancelledAt) > 30*time.Second {
+		g.t.Errorf("%s runs %v after its cancellation", task, time.Since(j.cancelledAt))
+	}
+	if j.endPhase == api.JobDone || j.endPhase != "" && c != j.home {
+		g.t.Errorf("%s runs on %s though its job is answered as %s", task, machine, j.endPhase)
+	}
+}
+
+// job returns a job by its id, or nil.
 func (g *cellGroup) job(id string) *cellJob {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.jobs[id]
 }
 
-// recordPhase notes what a user was told of a job.
+// recordPhase checks and records the phase of a job that a user got as an answer.
 func (g *cellGroup) recordPhase(j *cellJob, phase string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if j.endPhase != "" && phase != j.endPhase {
-		g.t.Errorf("%s was called %s, and now %s", j.spec.ID, j.endPhase, phase)
+		g.t.Errorf("%s was answered as %s, and now as %s", j.spec.ID, j.endPhase, phase)
 	}
 	if phase == api.JobDone || phase == api.JobCancelled {
 		j.endPhase = phase
@@ -341,7 +358,7 @@
 	}
 }
 
-// submit submits a job in a cell.
+// submit submits a job in a cell until it is accepted.
 func (g *cellGroup) submit(c *cell, s *api.JobSpec, takes time.Duration) {
 	g.t.Helper()
 	g.mu.Lock()
@@ -361,7 +378,8 @@
 	g.t.Fatalf("%s not accepted", s.ID)
 }
 
-// poll asks each node of a job's cell, and checks what it says.
+// poll requests a job's state at each node of its cell, and checks the answers. It returns the
+// last of them.
 func (g *cellGroup) poll(id string) string {
 	g.t.Helper()
 	j := g.job(id)
@@ -381,7 +399,7 @@
 	return last
 }
 
-// cancel asks to cancel a job, until that is confirmed or for so many seconds.
+// cancel requests to cancel a job, until that is confirmed or for so many seconds.
 func (g *cellGroup) cancel(id string, seconds int) string {
 	j := g.job(id)
 	for i := range seconds {
@@ -397,23 +415,24 @@
 	return "not confirmed"
 }
 
-// awaitAllEnded waits until all jobs are over and no cell knows anything more of a loan.
+// awaitAllEnded waits until all jobs have ended and no cell has a record of a loan left.
 func (g *cellGroup) awaitAllEnded(most time.Duration) {
 	g.t.Helper()
 	for until := time.Now().Add(most); time.Now().Before(until); time.Sleep(2 * time.Second) {
-		left := []string{}
+		active := 0
 		for id := range g.jobs {
 			if p := g.poll(id); p != api.JobDone && p != api.JobCancelled {
-				left = append(left, id)
+				active++
 			}
 		}
-		if len(left) == 0 && len(g.loanRecords()) == 0 {
+		if active == 0 && len(g.loanRecords()) == 0 {
 			return
 		}
 	}
 	g.t.Errorf("not over: %v, loans %v", g.unfinished(), g.loanRecords())
 }
 
+// unfinished lists the jobs of which no end was answered, with their cells.
 func (g *cellGroup) unfinished() (ids []string) {
 	for id, j := range g.jobs {
 		if j.endPhase == "" {
@@ -424,7 +443,7 @@
 	return ids
 }
 
-// loanRecords are the records of active jobs, and of guests that have ended, in all cells.
+// loanRecords lists the records of active jobs, and of guests that have ended, in all cells.
 func (g *cellGroup) loanRecords() (keys []string) {
 	for _, c := range g.cells {
 		for _, prefix := range []string{records.ActivePrefix + "job-", loan.EndKey("", "")[:len("loan/end/")]} {
@@ -448,16 +467,17 @@
 	return count
 }
 
+// wasLent reports whether a task of a job ran in another cell.
 func (g *cellGroup) wasLent(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.jobs[id].lent
 }
 
-// submitBurst submits jobs of four tasks at a cell.
+// submitBurst submits jobs of three to six tasks in a cell.
 func (g *cellGroup) submitBurst(c *cell, first, jobs int, takes time.Duration) (ids []string) {
 	for i := range jobs {
-		s := spec(fmt.Sprintf("job-%d", first+i), 3+i%4) // some begin in part
+		s := spec(fmt.Sprintf("job-%d", first+i), 3+i%4) // some start in part
 		if i%3 == 2 {
 			s.Team = "blue"
 		}
@@ -467,8 +487,8 @@
 	return ids
 }
 
-// A cell with more work than machines lends to its neighbours; all comes to one end, and
-// nothing of it is left anywhere.
+// A cell with more work than machines lends to its neighbours; all jobs end, and no cell keeps
+// a record of a loan.
 func TestSpillover(t *testing.T) {
 	simulateCells(t, []int{1, 3, 3}, func(g *cellGroup) {
 		g.submitBurst(g.cells[0], 100, 12, 20*time.Second)
@@ -484,7 +504,7 @@
 	})
 }
 
-// awaitLent waits until a job of a cell runs as a guest in another one, and returns it.
+// awaitLent waits until one of some jobs runs as a guest in another cell, and returns its id.
 func (g *cellGroup) awaitLent(ids []string) string {
 	g.t.Helper()
 	for range 60 {
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"maps"
 	"slices"
 	"sync"
 	"testing"
@@ -14,12 +15,13 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// checkedCluster is a deployment whose machines and controllers act by themselves.
+// checkedCluster is a deployment whose machines and controllers run by themselves, with a
+// checker of what the machines run.
 type checkedCluster struct {
 	*cluster
 	h *runChecker
-	// ctx ends when the test does, before the nodes do; tasks are the goroutines of
-	// machines, users and troubles, which end with it.
+	// ctx ends when the test does, before the nodes do; tasks are the goroutines of machines,
+	// users and injected faults, which end with it.
 	ctx   context.Context
 	tasks sync.WaitGroup
 
@@ -31,7 +33,7 @@
 	hosts []*host
 }
 
-// slowGate is a way to the store over which a page takes a while.
+// slowGate is an access to the store over which a page of a range takes a while.
 type slowGate struct{ *gate }
 
 func (g *slowGate) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
@@ -48,8 +50,8 @@
 	})
 }
 
-// simulateSeldom is simulateChecked with machines that report every 5 s, and so get their
-// starts by direct orders.
+// simulateSeldom is simulateChecked with machines that send a heartbeat every 5 s, and so get
+// their starts in command batches.
 func simulateSeldom(t *testing.T, machines int, f func(s *checkedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -58,12 +60,26 @@
 }
 
 func newCheckedCluster(t *testing.T, machines int, reportS float64, f func(s *checkedCluster)) {
+	t.Helper()
 	w := newCluster(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &checkedCluster{cluster: w, ctx: ctx, links: &links{}, names: []string{"n0", "n1"}, nodes: map[string]*node{}, gates: map[string]*slowGate{}}
+	s := &checkedCluster{
+		cluster: w,
+		ctx:     ctx,
+		links:   &links{},
+		names:   []string{"n0", "n1"},
+		nodes:   map[string]*node{},
+		gates:   map[string]*slowGate{},
+	}
 	w.reportS = reportS
 	w.director = s
-	s.h = &runChecker{w: w, t0: time.Now(), jobs: map[string]*observedJob{}, runs: map[run]bool{}, hosts: map[string]*host{}}
+	s.h = &runChecker{
+		w:     w,
+		t0:    time.Now(),
+		jobs:  map[string]*observedJob{},
+		runs:  map[run]bool{},
+		hosts: map[string]*host{},
+	}
 	defer func() {
 		cancel()
 		s.tasks.Wait()
@@ -78,7 +94,7 @@
 	f(s)
 }
 
-// begin starts a controller, crash ends one.
+// begin starts a controller.
 func (s *checkedCluster) begin(name string) {
 	s.mu.Lock()
 	if s.gates[name] == nil {
@@ -92,6 +108,7 @@
 	s.nodes[name] = n
 }
 
+// crash ends a controller at once.
 func (s *checkedCluster) crash(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +125,7 @@
 	return s.nodes[name]
 }
 
-// leader is the node that leads, or "".
+// leader is the name of the node that leads, or "".
 func (s *checkedCluster) leader() string {
 	for _, name := range s.names {
 		if n := s.node(name); n != nil {
@@ -122,8 +139,8 @@
 	return ""
 }
 
-// handOver makes the leadership pass to the other controller: the store refuses
-// the leader alone for a while.
+// handOver makes the other controller lead: the store rejects the requests of the leader alone
+// for a while.
 func (s *checkedCluster) handOver() {
 	if name := s.leader(); name != "" {
 		s.gates[name].set(true)
@@ -134,7 +151,7 @@
 	}
 }
 
-// restart ends the leader, which is back after a while.
+// restart ends the leader, and starts it again after a while.
 func (s *checkedCluster) restart(after time.Duration) {
 	if name := s.leader(); name != "" {
 		s.crash(name)
@@ -143,15 +160,15 @@
 	}
 }
 
-// retryRequest repeats a request at the controllers, one after the other, until it is
-// answered; first says which comes first.
-func (s *checkedCluster) retryRequest(what string, first int, ask func(ctx context.Context, n *node) error) {
+// retryRequest sends a user's request to the controllers in turn until one responds without an
+// error; first selects the first of them.
+func (s *checkedCluster) retryRequest(what string, first int, request func(ctx context.Context, n *node) error) {
 	s.t.Helper()
 	err := errors.New("no controller")
 	for try := first; try < first+60; try++ {
 		if n := s.node(s.names[try%len(s.names)]); n != nil {
 			ctx, cancel := context.WithTimeout(s.ctx, 5*time.Second)
-			err = ask(ctx, n)
+			err = request(ctx, n)
 			cancel()
 			if err == nil {
 				return
@@ -165,7 +182,7 @@
 	s.t.Errorf("%s: %v", what, err)
 }
 
-// order submits a job whose tasks run for some time.
+// order submits a job each of whose tasks runs for a given time.
 func (s *checkedCluster) order(takes time.Duration, spec *api.JobSpec) {
 	s.t.Helper()
 	s.h.mu.Lock()
@@ -196,17 +213,13 @@
 	}
 }
 
-// settle says that all troubles are over, and waits until all jobs are.
+// settle says that all faults are healed, and waits until all jobs have ended.
 func (s *checkedCluster) settle(within time.Duration) {
 	s.t.Helper()
 	s.h.mu.Lock()
 	s.h.healed = true
-	var ids []string
-	for id := range s.h.jobs {
-		ids = append(ids, id)
-	}
+	ids := slices.Sorted(maps.Keys(s.h.jobs))
 	s.h.mu.Unlock()
-	slices.Sort(ids)
 	deadline := time.Now().Add(within)
 	for _, id := range ids {
 		for last := ""; ; {
@@ -218,7 +231,7 @@
 				}
 			}
 			if time.Now().After(deadline) {
-				s.t.Errorf("%s: %s after the troubles", id, last)
+				s.t.Errorf("%s: got phase %q after all faults were healed, want done or cancelled", id, last)
 				break
 			}
 			time.Sleep(500 * time.Millisecond)
@@ -226,9 +239,15 @@
 	}
 }
 
-// add is a machine that is up from now on.
+// add adds a machine that is up from now on.
 func (s *checkedCluster) add(name, zone string, spot bool) *host {
-	k := &host{worker: s.worker(name, zone, spot), s: s, remaining: map[run]time.Duration{}, lastAcknowledged: time.Now(), nextHeartbeat: time.Now()}
+	k := &host{
+		worker:           s.worker(name, zone, spot),
+		s:                s,
+		remaining:        map[run]time.Duration{},
+		lastAcknowledged: time.Now(),
+		nextHeartbeat:    time.Now(),
+	}
 	s.h.mu.Lock()
 	s.h.hosts[name] = k
 	s.hosts = append(s.hosts, k)
@@ -236,8 +255,8 @@
 	return k
 }
 
-// runMachines is what the machines do. One clock drives them all: the race detector
-// cannot follow a bubble with very many timers.
+// runMachines runs all machines until the test ends. One clock drives them all: the race
+// detector cannot follow a bubble with very many timers.
 func (s *checkedCluster) runMachines() {
 	for s.ctx.Err() == nil {
 		s.h.mu.Lock()
@@ -251,7 +270,7 @@
 	}
 }
 
-// holders are the machines on which a job's tasks are.
+// holders lists the machines on which a job's tasks are.
 func (s *checkedCluster) holders(job string) (ks []*host) {
 	for _, k := range s.hosts {
 		s.h.mu.Lock()
@@ -266,15 +285,15 @@
 	return ks
 }
 
-// SendCommands implements Director: the way of orders straight to machines.
-func (s *checkedCluster) SendCommands(ctx context.Context, addr string, o *api.CommandBatch) (uint64, error) {
+// SendCommands implements CommandSender.
+func (s *checkedCluster) SendCommands(ctx context.Context, addr string, batch *api.CommandBatch) (uint64, error) {
 	hb, err := s.deliverToMachine(ctx, addr, func(k *host) bool {
-		if o.Term < k.rep.Term || o.AgentEpoch != k.rep.AgentEpoch {
+		if batch.Term < k.rep.Term || batch.AgentEpoch != k.rep.AgentEpoch {
 			return false
 		}
-		k.changed = k.changed || o.Term > k.rep.Term
-		k.rep.Term = o.Term
-		k.obey(o.Commands)
+		k.changed = k.changed || batch.Term > k.rep.Term
+		k.rep.Term = batch.Term
+		k.obey(batch.Commands)
 		return true
 	})
 	if err != nil {
@@ -283,7 +302,7 @@
 	return hb.Seq, nil
 }
 
-// Resync implements Director.
+// Resync implements CommandSender.
 func (s *checkedCluster) Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error) {
 	return s.deliverToMachine(ctx, addr, func(k *host) bool {
 		if term < k.rep.Term {
@@ -295,9 +314,9 @@
 	})
 }
 
-// deliverToMachine brings something to a machine; a hung or slow one does it late, even if
-// its sender has given up by then.
-func (s *checkedCluster) deliverToMachine(ctx context.Context, addr string, do func(*host) bool) (*api.Heartbeat, error) {
+// deliverToMachine delivers a request to a machine; a hung or slow one applies it late, even
+// if its sender has timed out by then.
+func (s *checkedCluster) deliverToMachine(ctx context.Context, addr string, apply func(*host) bool) (*api.Heartbeat, error) {
 	s.h.mu.Lock()
 	k := s.h.hosts[addr]
 	s.h.mu.Unlock()
@@ -318,7 +337,7 @@
 		idle(s.ctx, orderDelay)
 		k.lockWhenResponsive()
 		var hb *api.Heartbeat
-		if s.ctx.Err() == nil && !s.cloud.gone(addr) && do(k) {
+		if s.ctx.Err() == nil && !s.cloud.gone(addr) && apply(k) {
 			k.rep.Seq++
 			own := k.rep
 			own.Tasks = slices.Clone(k.rep.Tasks)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -24,14 +24,14 @@
 	"example.org/ivytrestle/internal/standby"
 )
 
-// fakeCloud rents nothing by itself; tests script what it answers.
+// fakeCloud is a cloud that launches nothing by itself; tests script its responses.
 type fakeCloud struct {
 	mu       sync.Mutex
 	types    []api.MachineType
 	rentals  []cloud.LaunchRequest
 	returned []string
 	hosts    []cloud.Machine
-	// capacity is how many machines each rental gets.
+	// capacity is the number of machines that each launch request gets.
 	capacity    int
 	loseRent    bool
 	refuseTurns bool
@@ -54,7 +54,7 @@
 	}
 	if f.loseRent {
 		f.loseRent = false
-		return nil, errors.New("no answer")
+		return nil, errors.New("no response")
 	}
 	return f.launched[r.Name], nil
 }
@@ -63,7 +63,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.refuseTurns {
-		return errors.New("trouble")
+		return errors.New("terminate rejected")
 	}
 	f.returned = append(f.returned, names...)
 	return nil
@@ -81,33 +81,36 @@
 	return slices.Contains(f.returned, name)
 }
 
-// cluster is a simulated deployment of scripted peers on a fake clock.
+// cluster is a simulated deployment on a fake clock: nodes, store, cloud and scripted
+// machines.
 type cluster struct {
 	t     *testing.T
 	store *kvtest.Fake
 	cloud *fakeCloud
 	teams []config.Team
-	// director takes the orders sent straight to machines; nil: none are sent.
+	// director sends commands outside heartbeat responses; nil: none are sent.
 	director CommandSender
-	reportS  float64
-	// cancelS is how long a cancellation may take; 0: 30 s.
+	// reportS is the heartbeat interval in seconds, at least 1.
+	reportS float64
+	// cancelS is how long a cancellation may take, in seconds; 0 means 30.
 	cancelS float64
-	// state are the service's limits as the nodes know them; none: those of a
-	// usual site.
+	// state holds the limits of the key-value store as the nodes know them; the zero value
+	// means those of a usual site.
 	state config.StateLimits
 	// cells and link are set if there are other cells.
 	cells *cells.Settings
 	link  CellLink
-	// standby is set if leaders are replaced before their leases end.
+	// standby is set if a failover may elect a leader before the lease of the last one
+	// expires.
 	standby *standby.Settings
-	// zones are the nodes' zones.
+	// zones maps each node to its zone.
 	zones map[string]string
-	// dead are the machines that do not answer when asked directly, and tardy
-	// those whose answer does not come within the time for it.
+	// dead holds the machines that fail probes, tardy those that do not respond to one before
+	// it times out.
 	dead, tardy sync.Map
-	// machines are the scripted machines by address.
+	// machines maps addresses to scripted machines.
 	machines sync.Map
-	// ctx ends when the cluster does, and with it all nodes; running counts what runs
+	// ctx ends with the cluster, and ends all nodes; running counts the goroutines that run
 	// until then.
 	ctx     context.Context
 	running sync.WaitGroup
@@ -120,7 +123,7 @@
 		return nil, ctx.Err()
 	}
 	if _, dead := w.dead.Load(addr); dead {
-		return nil, errors.New("no answer")
+		return nil, errors.New("no response")
 	}
 	k, ok := w.machines.Load(addr)
 	if !ok {
@@ -135,18 +138,31 @@
 	return &hb, nil
 }
 
-// maxRequestDuration is longer than any request of a node lasts that has its own time limit.
+// maxRequestDuration is longer than any request of a node takes that has its own timeout.
 const maxRequestDuration = 30 * time.Second
 
-// newCluster makes a cluster without nodes. When the test is over, also one that failed
-// half-way, its nodes are ended and awaited: time stands still once the test's own
-// goroutine has returned, and whoever waits for time then is reported as a deadlock.
+// newCluster makes a cluster without nodes. At the end of the test, also of one that failed
+// half-way, its nodes are stopped and waited for: time stands still once the test's own
+// goroutine has returned, and a goroutine that then waits for time is reported as a deadlock.
 func newCluster(t *testing.T) *cluster {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &cluster{t: t, ctx: ctx, store: kvtest.New(),
-		cloud: &fakeCloud{types: []api.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.4,
-			BootS: 20, Zones: []string{"a", "b"}}}, launched: map[string][]string{}},
-		teams: []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 16}, {Name: "blue", CPUs: 8, LimitCPUs: 8}}}
+	small := api.MachineType{
+		Name:      "small",
+		CPUs:      4,
+		MemoryGB:  16,
+		Price:     1,
+		SpotPrice: 0.4,
+		BootS:     20,
+		Zones:     []string{"a", "b"},
+	}
+	w := &cluster{
+		t:     t,
+		ctx:   ctx,
+		store: kvtest.New(),
+		cloud: &fakeCloud{types: []api.MachineType{small}, launched: map[string][]string{}},
+		teams: []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 16}, {Name: "blue", CPUs: 8, LimitCPUs: 8}},
+	}
 	t.Cleanup(func() {
 		cancel()
 		w.running.Wait()
@@ -155,7 +171,7 @@
 	return w
 }
 
-// gate is one node's way to the store, which can refuse that node alone.
+// gate is one node's access to the store, which can be closed for that node alone.
 type gate struct {
 	*kvtest.Fake
 	mu     sync.Mutex
@@ -212,8 +228,8 @@
 	return g.Fake.RenewLease(ctx, lease)
 }
 
-// Watch hangs while the gate is closed, also one that was open before: what it
-// sees meanwhile is told when the gate is open again.
+// Watch blocks while the gate is closed, also if it was called before that: it returns the
+// changes it saw meanwhile once the gate is open again.
 func (g *gate) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
 	ch, err := g.Fake.Watch(ctx, prefix, from, block)
 	for g.err() != nil {
@@ -232,7 +248,7 @@
 	crash context.CancelFunc
 }
 
-// inspectMsg lets a test look at what the owner holds.
+// inspectMsg lets a test read the state that the controller's goroutine owns.
 type inspectMsg struct {
 	f    func(*Controller)
 	done chan struct{}
@@ -240,14 +256,14 @@
 
 func (m inspectMsg) apply(c *Controller) { m.f(c); close(m.done) }
 
-// look looks at a node that runs.
+// look calls f with the state of a running node.
 func (n *node) look(f func(*Controller)) {
 	if !n.tryInspect(f) {
-		panic("look at a controller that has ended")
+		panic("inspected a controller that has ended")
 	}
 }
 
-// tryInspect looks at a node that may be ended meanwhile, and tells whether it could.
+// tryInspect is look for a node that may end meanwhile; it reports whether f was called.
 func (n *node) tryInspect(f func(*Controller)) bool {
 	m := inspectMsg{f, make(chan struct{})}
 	if n.send(context.Background(), m) != nil {
@@ -267,32 +283,70 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	pol.MinCPUs = 100 // no machine is spare
-	s := &config.Settings{Node: name, Zone: w.zones[name], Site: config.SiteInfo{Teams: w.teams,
-		Objectives: []config.Objective{{Kind: "finished", Class: "c", WithinS: 90}},
-		Workers:    config.Workers{HeartbeatS: max(1, w.reportS), LeaseS: max(10, 5*w.reportS), CancelS: cmp.Or(w.cancelS, 30)},
-		State:      cmp.Or(w.state, config.StateLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}),
-		Cloud:      config.CloudLimits{RPS: 5, ListLagS: 4},
-		Limits:     config.Limits{FDLimit: 2400}}}
-	if peers != nil {
-		for _, other := range []string{"n0", "n1", "n2"} {
-			if other != name && (other != "n2" || w.zones["n2"] != "") {
-				s.Peers = append(s.Peers, config.Peer{Node: other, Zone: w.zones[other]})
-			}
-		}
-	}
+	pol.MinCPUs = 100 // the autoscaler finds no machine to scale in
 	log := slog.New(slog.DiscardHandler)
-	c := New(Config{Settings: s, Policy: pol, Store: st, Cloud: w.cloud, Peers: peers, Prober: w, CommandSender: w.director, Log: log, Cells: w.cells, Link: w.link, Standby: w.standby})
+	c := New(Config{
+		Settings:      w.settings(name, peers != nil),
+		Policy:        pol,
+		Store:         st,
+		Cloud:         w.cloud,
+		Peers:         peers,
+		Prober:        w,
+		CommandSender: w.director,
+		Log:           log,
+		Cells:         w.cells,
+		Link:          w.link,
+		Standby:       w.standby,
+	})
+	elector := &election.Elector{
+		Node:         name,
+		Incarnation:  fmt.Sprint(time.Now().UnixNano()),
+		Store:        st,
+		Lease:        pol.LeaderLease,
+		Renew:        3 * time.Second,
+		Observer:     c,
+		Log:          log,
+		StepDowns:    c.StepDowns(),
+		Resignations: c.Resignations(),
+	}
 	ctx, cancel := context.WithCancel(w.ctx)
-	cand := &election.Elector{Node: name, Incarnation: fmt.Sprint(time.Now().UnixNano()), Store: st,
-		Lease: pol.LeaderLease, Renew: 3 * time.Second, Observer: c, Log: log, StepDowns: c.StepDowns(), Resignations: c.Resignations()}
 	w.running.Go(func() { c.Run(ctx) })
-	w.running.Go(func() { cand.Run(ctx) })
+	w.running.Go(func() { elector.Run(ctx) })
 	time.Sleep(500 * time.Millisecond)
 	return &node{c, cancel}
 }
 
-// simulate runs a test on the fake clock, and ends what it started.
+// settings returns the settings of a node, with the other nodes as its peers if it has any.
+// Node n2 is part of the cluster only if it has a zone.
+func (w *cluster) settings(name string, hasPeers bool) *config.Settings {
+	s := &config.Settings{
+		Node: name,
+		Zone: w.zones[name],
+		Site: config.SiteInfo{
+			Teams:      w.teams,
+			Objectives: []config.Objective{{Kind: "finished", Class: "c", WithinS: 90}},
+			Workers: config.Workers{
+				HeartbeatS: max(1, w.reportS),
+				LeaseS:     max(10, 5*w.reportS),
+				CancelS:    cmp.Or(w.cancelS, 30),
+			},
+			State:  cmp.Or(w.state, config.StateLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}),
+			Cloud:  config.CloudLimits{RPS: 5, ListLagS: 4},
+			Limits: config.Limits{FDLimit: 2400},
+		},
+	}
+	if !hasPeers {
+		return s
+	}
+	for _, other := range []string{"n0", "n1", "n2"} {
+		if other != name && (other != "n2" || w.zones["n2"] != "") {
+			s.Peers = append(s.Peers, config.Peer{Node: other, Zone: w.zones[other]})
+		}
+	}
+	return s
+}
+
+// simulate runs a test on the fake clock with an empty cluster, which ends with the test.
 func simulate(t *testing.T, f func(w *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { f(newCluster(t)) })
@@ -313,7 +367,7 @@
 	time.Sleep(200 * time.Millisecond)
 }
 
-// phase is what a node tells a user of a job.
+// phase is a job's phase as a node answers it to a user, or the error's text.
 func (w *cluster) phase(n *node, id string) string {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
@@ -325,7 +379,7 @@
 	return st.Phase
 }
 
-// worker is a scripted machine.
+// worker is a scripted worker agent. Its heartbeats are sent by the test.
 type worker struct {
 	w   *cluster
 	mu  sync.Mutex
@@ -333,17 +387,24 @@
 }
 
 func (w *cluster) worker(name, zone string, spot bool) *worker {
-	k := &worker{w: w, rep: api.Heartbeat{Machine: name, Addr: name, Type: "small", Zone: zone, Spot: spot, AgentEpoch: 1}}
+	k := &worker{w: w, rep: api.Heartbeat{
+		Machine:    name,
+		Addr:       name,
+		Type:       "small",
+		Zone:       zone,
+		Spot:       spot,
+		AgentEpoch: 1,
+	}}
 	w.machines.Store(name, k)
 	return k
 }
 
-// heartbeatReceiver is a node of any version as workers reach it.
+// heartbeatReceiver is a node of any version as worker agents reach it.
 type heartbeatReceiver interface {
 	Heartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error)
 }
 
-// report sends a report and carries the orders out, as a worker does.
+// report sends a heartbeat and applies the commands of its response, as an agent does.
 func (k *worker) report(n heartbeatReceiver) []api.Command {
 	commands, err := k.send(n)
 	if err != nil {
@@ -353,7 +414,7 @@
 	return commands
 }
 
-// send sends a report; its orders are lost unless obeyed.
+// send sends a heartbeat; the commands of its response are lost unless the test applies them.
 func (k *worker) send(n heartbeatReceiver) ([]api.Command, error) {
 	k.mu.Lock()
 	k.rep.Seq++
@@ -363,6 +424,8 @@
 	return k.deliver(n, &hb)
 }
 
+// deliver sends a given heartbeat, which may be a copy of an earlier one. A response with an
+// earlier fencing token is rejected.
 func (k *worker) deliver(n heartbeatReceiver, hb *api.Heartbeat) ([]api.Command, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
@@ -373,30 +436,40 @@
 		k.rep.Term = response.Term
 		return response.Commands, nil
 	}
-	return nil, errors.Join(err, errors.New("dropped"))
+	return nil, errors.Join(err, errors.New("response rejected"))
 }
 
+// obey applies commands as an agent does.
 func (k *worker) obey(commands []api.Command) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.carryOut(commands)
 }
 
+// carryOut is obey with the lock held.
 func (k *worker) carryOut(commands []api.Command) {
-	for _, o := range commands {
-		i := slices.IndexFunc(k.rep.Tasks, func(t api.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
+	for _, cmd := range commands {
+		i := taskIndex(k.rep.Tasks, cmd)
 		switch {
-		case o.Verb == api.VerbStart && i < 0:
-			k.rep.Tasks = append(k.rep.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
-		case o.Verb == api.VerbStop && i >= 0:
+		case cmd.Verb == api.VerbStart && i < 0:
+			started := api.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, Phase: api.TaskRunning}
+			k.rep.Tasks = append(k.rep.Tasks, started)
+		case cmd.Verb == api.VerbStop && i >= 0:
 			k.rep.Tasks[i].Phase, k.rep.Tasks[i].Cause = api.TaskExited, api.CauseHalted
-		case o.Verb == api.VerbReap && i >= 0:
+		case cmd.Verb == api.VerbReap && i >= 0:
 			k.rep.Tasks = slices.Delete(k.rep.Tasks, i, i+1)
 		}
 	}
 }
 
-// serve reports once a second for some seconds.
+// taskIndex returns the index of the attempt that a command names, or -1.
+func taskIndex(tasks []api.TaskStatus, cmd api.Command) int {
+	return slices.IndexFunc(tasks, func(t api.TaskStatus) bool {
+		return t.Task == cmd.Task && t.Attempt == cmd.Attempt
+	})
+}
+
+// serve sends a heartbeat once a second for some seconds.
 func (k *worker) serve(n heartbeatReceiver, seconds int) {
 	for range seconds {
 		k.report(n)
@@ -404,7 +477,7 @@
 	}
 }
 
-// exit ends every running task with a cause.
+// exit ends every running task with the given cause.
 func (k *worker) exit(cause string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -415,7 +488,7 @@
 	}
 }
 
-// running lists the tasks on the machine.
+// running lists the tasks on the machine that have not exited.
 func (k *worker) running() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -429,6 +502,7 @@
 	return out
 }
 
+// same fails the test unless got and want are equal as JSON.
 func (w *cluster) same(what string, got, want any) {
 	w.t.Helper()
 	g, _ := json.Marshal(got)
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -11,8 +11,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// runChecker follows what the machines of a test really run, from outside. It fails
-// the test where a rule of the protocol is broken, whoever is to blame.
+// runChecker follows from outside what the machines of a test really run. It fails the test
+// where a rule of the protocol is broken, by whichever process.
 type runChecker struct {
 	w         *cluster
 	t0        time.Time
@@ -21,8 +21,8 @@
 	runs      map[run]bool
 	hosts     map[string]*host
 	broken    int
-	restarted []string // tasks begun after they had completed
-	healed    bool     // all troubles are over
+	restarted []string // tasks started again after they had completed
+	healed    bool     // no fault is injected any more
 }
 
 // run is an attempt at a task that is on a machine.
@@ -33,29 +33,31 @@
 
 func (r run) job() string { return r.task[:strings.LastIndexByte(r.task, '/')] }
 
-// observedJob is what users and machines know of a job.
+// observedJob is what users and machines observe of a job.
 type observedJob struct {
 	spec *api.JobSpec
 	// takes is how long its tasks run.
 	takes time.Duration
-	// cancelledAt is when its user was told that it is cancelled, and asked
-	// when the user first wanted that.
+	// cancelledAt is when its user first got the answer that it is cancelled, and
+	// cancelRequestedAt when the user first requested that.
 	cancelledAt       time.Time
 	cancelRequestedAt time.Time
-	// doneAt is when its user was told that it is done.
+	// doneAt is when its user first got the answer that it is done.
 	doneAt time.Time
 	// apart is how much longer each task runs than the one before it.
 	apart time.Duration
 	// starts and done count starts and completions by task.
 	starts, done map[string]int
-	// pendingFor is for how long a task has waited beside a machine with room.
+	// pendingFor is for how long a task has been pending while a machine had free capacity for
+	// it.
 	pendingFor time.Duration
 }
 
-// maxPendingTime is for how long a job may wait while a machine that fits has room and
-// its team is under its limit.
+// maxPendingTime is for how long a job may be pending while a machine that fits has free
+// capacity and its team is under its limit.
 const maxPendingTime = 90 * time.Second
 
+// fail reports a broken rule. Only the first five fail the test with a message.
 func (h *runChecker) fail(format string, args ...any) {
 	h.w.t.Helper()
 	if h.broken++; h.broken <= 5 {
@@ -63,7 +65,7 @@
 	}
 }
 
-// dropTerminated drops what was on machines that the cloud has taken back.
+// dropTerminated drops the runs on machines that were terminated.
 func (h *runChecker) dropTerminated() {
 	for r := range h.runs {
 		if h.w.cloud.gone(r.machine) {
@@ -72,7 +74,8 @@
 	}
 }
 
-// recordStart takes in that a task is on a machine from now on.
+// recordStart records that a task is on a machine from now on, and checks that it may start
+// there.
 func (h *runChecker) recordStart(k *host, task string, attempt uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -83,51 +86,94 @@
 		h.fail("%s starts on %s, and nobody submitted it", task, r.machine)
 		return
 	}
-	s := p.spec
-	here, elsewhere, used := 0, 0, 0.0
-	for o := range h.runs {
-		if o.task == task {
-			h.fail("%s starts on %s as attempt %x while it is on %s as attempt %x", task, r.machine, attempt, o.machine, o.attempt)
+	h.checkOnlyRun(r)
+	h.checkTeamLimit(r, p.spec)
+	h.checkPlacement(r, p.spec, &k.rep)
+	h.checkNotCancelled(r, p)
+	h.checkDependencies(r, p.spec)
+	if p.starts[task]++; p.done[task] > 0 {
+		h.restarted = append(h.restarted, task)
+	}
+	h.runs[r] = true
+}
+
+// checkOnlyRun checks that the task is on no machine when it starts.
+func (h *runChecker) checkOnlyRun(r run) {
+	h.w.t.Helper()
+	for other := range h.runs {
+		if other.task == r.task {
+			h.fail("%s starts on %s as attempt %x while it is on %s as attempt %x",
+				r.task, r.machine, r.attempt, other.machine, other.attempt)
 		}
-		if other := h.jobs[o.job()]; other.spec.Team == s.Team {
-			used += other.spec.CPUs
+	}
+}
+
+// checkTeamLimit checks that the start keeps the job's team within its limit.
+func (h *runChecker) checkTeamLimit(r run, s *api.JobSpec) {
+	h.w.t.Helper()
+	used := 0.0
+	for other := range h.runs {
+		if o := h.jobs[other.job()].spec; o.Team == s.Team {
+			used += o.CPUs
 		}
-		if o.job() == s.ID {
-			if h.hosts[o.machine].rep.Zone == k.rep.Zone {
-				here++
-			} else {
-				elsewhere++
-			}
+	}
+	for _, team := range h.w.teams {
+		if team.Name == s.Team && used+s.CPUs > team.LimitCPUs+epsilon {
+			h.fail("%s starts on %s: team %s uses %v CPUs, limit %v",
+				r.task, r.machine, s.Team, used+s.CPUs, team.LimitCPUs)
 		}
 	}
-	for _, t := range h.w.teams {
-		if t.Name == s.Team && used+s.CPUs > t.LimitCPUs+epsilon {
-			h.fail("%s starts on %s: team %s uses %v CPUs", task, r.machine, s.Team, used+s.CPUs)
+}
+
+// checkPlacement checks the job's constraints on zone, type and kind of its machines.
+func (h *runChecker) checkPlacement(r run, s *api.JobSpec, machine *api.Heartbeat) {
+	h.w.t.Helper()
+	here, elsewhere := 0, 0
+	for other := range h.runs {
+		switch {
+		case other.job() != s.ID:
+		case h.hosts[other.machine].rep.Zone == machine.Zone:
+			here++
+		default:
+			elsewhere++
 		}
 	}
+	switch {
+	case s.Zone != "" && s.Zone != machine.Zone,
+		machine.Spot && !s.Spot,
+		s.Types != nil && !slices.Contains(s.Types, machine.Type),
+		s.OneZone && elsewhere > 0,
+		s.Spread && here+1 > (s.Tasks+1)/2:
+		h.fail("%s starts on %s in zone %s (%d of the job there, %d elsewhere)",
+			r.task, r.machine, machine.Zone, here, elsewhere)
+	}
+}
+
+// checkNotCancelled checks that neither the job nor one that it depends on was cancelled so
+// long ago that nothing of it may start.
+func (h *runChecker) checkNotCancelled(r run, p *observedJob) {
+	h.w.t.Helper()
 	if !p.cancelledAt.IsZero() && time.Since(p.cancelledAt) > h.cancelTime() {
-		h.fail("%s starts on %s %v after its cancellation", task, r.machine, time.Since(p.cancelledAt))
+		h.fail("%s starts on %s %v after its cancellation", r.task, r.machine, time.Since(p.cancelledAt))
 	}
-	switch {
-	case s.Zone != "" && s.Zone != k.rep.Zone, k.rep.Spot && !s.Spot, s.Types != nil && !slices.Contains(s.Types, k.rep.Type),
-		s.OneZone && elsewhere > 0, s.Spread && here+1 > (s.Tasks+1)/2:
-		h.fail("%s starts on %s in zone %s (%d of the job there, %d elsewhere)", task, r.machine, k.rep.Zone, here, elsewhere)
+	if at := h.dependencyCancelledAt(p.spec.ID); !at.IsZero() && time.Since(at) > h.cancelTime() {
+		h.fail("%s starts on %s %v after the cancellation of a job that it depends on",
+			r.task, r.machine, time.Since(at))
 	}
+}
+
+// checkDependencies checks that all jobs that the job depends on are done on record.
+func (h *runChecker) checkDependencies(r run, s *api.JobSpec) {
+	h.w.t.Helper()
 	for _, id := range s.DependsOn {
-		if a := h.jobs[id]; a == nil || len(a.done) < a.spec.Tasks || !h.w.store.Has(records.TerminalPrefix+id) {
-			h.fail("%s starts on %s too early: %s is not done on record", task, r.machine, id)
+		dep := h.jobs[id]
+		if dep == nil || len(dep.done) < dep.spec.Tasks || !h.w.store.Has(records.TerminalPrefix+id) {
+			h.fail("%s starts on %s too early: %s is not done on record", r.task, r.machine, id)
 		}
 	}
-	if at := h.dependencyCancelledAt(s.ID); !at.IsZero() && time.Since(at) > h.cancelTime() {
-		h.fail("%s starts on %s %v after the cancellation of a job that it needs", task, r.machine, time.Since(at))
-	}
-	if p.starts[task]++; p.done[task] > 0 {
-		h.restarted = append(h.restarted, task)
-	}
-	h.runs[r] = true
 }
 
-// recordEnd takes in that a task is off a machine.
+// recordEnd records that a task is off a machine.
 func (h *runChecker) recordEnd(k *host, task string, attempt uint64, cause string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -138,7 +184,7 @@
 	delete(h.runs, r)
 }
 
-// isCompleted tells whether the result of a task is kept.
+// isCompleted reports whether a task has completed, so that its result is durable.
 func (h *runChecker) isCompleted(task string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -146,7 +192,7 @@
 	return p != nil && p.done[task] > 0
 }
 
-// before lists a job and all that it needs, directly or through others.
+// before lists a job and all that it depends on, directly or through others.
 func (h *runChecker) before(id string) []string {
 	ids := []string{id}
 	for i := 0; i < len(ids); i++ {
@@ -163,11 +209,15 @@
 	return ids
 }
 
-// dependencyCancelledAt is when the first user was told that a job is cancelled that
-// another needs.
+// dependencyCancelledAt is when a user first got the answer that a job is cancelled which the
+// given one depends on; zero if none is.
 func (h *runChecker) dependencyCancelledAt(id string) (at time.Time) {
 	for _, a := range h.before(id)[1:] {
-		if p := h.jobs[a]; p != nil && !p.cancelledAt.IsZero() && !p.cancelRequestedAt.IsZero() && (at.IsZero() || p.cancelledAt.Before(at)) {
+		p := h.jobs[a]
+		if p == nil || p.cancelledAt.IsZero() || p.cancelRequestedAt.IsZero() {
+			continue
+		}
+		if at.IsZero() || p.cancelledAt.Before(at) {
 			at = p.cancelledAt
 		}
 	}
@@ -176,7 +226,7 @@
 
 func (h *runChecker) cancelTime() time.Duration { return 30 * time.Second }
 
-// checkRuns looks at what is on the machines; it is called at every tick.
+// checkRuns checks what is on the machines; it is called at every tick.
 func (h *runChecker) checkRuns() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -191,49 +241,62 @@
 	}
 }
 
-// checkPending fails the test if a job waits for too long beside free room.
+// checkPending fails the test if a job is pending for too long while there is free capacity
+// for it.
 func (h *runChecker) checkPending(since time.Duration) {
-	used, onHost, taken := map[string]float64{}, map[string]float64{}, map[string]int{}
+	byTeam, byMachine, running := map[string]float64{}, map[string]float64{}, map[string]int{}
 	for r := range h.runs {
 		s := h.jobs[r.job()].spec
-		used[s.Team] += s.CPUs
-		onHost[r.machine] += s.CPUs
-		taken[s.ID]++
+		byTeam[s.Team] += s.CPUs
+		byMachine[r.machine] += s.CPUs
+		running[s.ID]++
 	}
 	for id, p := range h.jobs {
 		s := p.spec
-		early := slices.ContainsFunc(s.DependsOn, func(a string) bool { return !h.w.store.Has(records.TerminalPrefix + a) })
-		if early || !p.cancelRequestedAt.IsZero() || len(p.done)+taken[id] >= s.Tasks {
+		blocked := slices.ContainsFunc(s.DependsOn, func(dep string) bool {
+			return !h.w.store.Has(records.TerminalPrefix + dep)
+		})
+		if blocked || !p.cancelRequestedAt.IsZero() || len(p.done)+running[id] >= s.Tasks {
 			p.pendingFor = 0
 			continue
 		}
-		room := false
-		for _, k := range h.hosts {
-			room = room || !h.w.cloud.gone(k.rep.Machine) && onHost[k.rep.Machine]+s.CPUs <= 4 &&
-				(s.Zone == "" || s.Zone == k.rep.Zone) && (s.Spot || !k.rep.Spot)
-		}
-		for _, t := range h.w.teams {
-			room = room && (t.Name != s.Team || used[s.Team]+s.CPUs <= t.LimitCPUs)
-		}
-		if p.pendingFor += since; !room || s.OneZone || s.Spread {
-			p.pendingFor = 0 // where those may start depends on their other tasks
+		// Where a job of one zone, or one that is spread, may start depends on its other tasks.
+		if p.pendingFor += since; !h.hasCapacity(s, byTeam, byMachine) || s.OneZone || s.Spread {
+			p.pendingFor = 0
 		}
 		if p.pendingFor > maxPendingTime {
-			h.fail("%s waits beside free room", id)
+			h.fail("%s is pending for more than %v while there is free capacity", id, maxPendingTime)
 			p.pendingFor = -time.Hour
 		}
 	}
 }
 
-// recordPhase takes in what a user was told of a job.
+// hasCapacity reports whether a machine has free capacity for a task of the job, and the
+// job's team is under its limit, given the CPUs in use by team and by machine.
+func (h *runChecker) hasCapacity(s *api.JobSpec, byTeam, byMachine map[string]float64) bool {
+	for _, team := range h.w.teams {
+		if team.Name == s.Team && byTeam[s.Team]+s.CPUs > team.LimitCPUs {
+			return false
+		}
+	}
+	for _, k := range h.hosts {
+		if !h.w.cloud.gone(k.rep.Machine) && byMachine[k.rep.Machine]+s.CPUs <= 4 &&
+			(s.Zone == "" || s.Zone == k.rep.Zone) && (s.Spot || !k.rep.Spot) {
+			return true
+		}
+	}
+	return false
+}
+
+// recordPhase checks the phase of a job that a user got as an answer.
 func (h *runChecker) recordPhase(id, phase string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.checkPhase(id, phase)
 }
 
-// answered is observed for a question asked at some time. If another user was told of
-// the job's end since, or at that instant, the answer may be older.
+// answered is recordPhase for a request sent at some time. If another user got the answer of
+// the job's end since, or at that instant, this answer may be older.
 func (h *runChecker) answered(id, phase string, sentAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -242,17 +305,18 @@
 	}
 }
 
-// checkPhase is observed with the lock held.
+// checkPhase is recordPhase with the lock held.
 func (h *runChecker) checkPhase(id, phase string) {
 	p := h.jobs[id]
 	if at := h.dependencyCancelledAt(id); phase != api.JobCancelled && !at.IsZero() && time.Since(at) > h.cancelTime() {
-		h.fail("%s is orphaned: called %s %v after the cancellation of a job that it needs", id, phase, time.Since(at))
+		h.fail("%s is orphaned: answered as %s %v after the cancellation of a job that it depends on",
+			id, phase, time.Since(at))
 	}
 	switch {
 	case !p.cancelledAt.IsZero() && phase != api.JobCancelled, !p.doneAt.IsZero() && phase != api.JobDone:
-		h.fail("%s is called %s after its end", id, phase)
-	case phase == api.JobCancelled && !slices.ContainsFunc(h.before(id), func(a string) bool { return h.jobs[a] != nil && !h.jobs[a].cancelRequestedAt.IsZero() }):
-		h.fail("%s is called withdrawn, and nobody cancelled it", id)
+		h.fail("%s is answered as %s after its end", id, phase)
+	case phase == api.JobCancelled && !h.cancelRequested(id):
+		h.fail("%s is answered as cancelled, and nobody cancelled it", id)
 	case phase == api.JobCancelled && p.cancelledAt.IsZero():
 		p.cancelledAt = time.Now()
 	case phase == api.JobDone:
@@ -260,11 +324,19 @@
 			p.doneAt = time.Now()
 		}
 		if len(p.done) < p.spec.Tasks {
-			h.fail("%s is called done with %d of %d tasks", id, len(p.done), p.spec.Tasks)
+			h.fail("%s is answered as done with %d of %d tasks", id, len(p.done), p.spec.Tasks)
 		}
 	}
 }
 
+// cancelRequested reports whether a user has requested to cancel the job or one that it
+// depends on.
+func (h *runChecker) cancelRequested(id string) bool {
+	return slices.ContainsFunc(h.before(id), func(a string) bool {
+		return h.jobs[a] != nil && !h.jobs[a].cancelRequestedAt.IsZero()
+	})
+}
+
 // onMachines lists the tasks of a job that are on machines.
 func (h *runChecker) onMachines(job string) (tasks []string) {
 	h.mu.Lock()
@@ -279,7 +351,7 @@
 	return tasks
 }
 
-// begunTwice lists the tasks that have begun more than once.
+// begunTwice lists the tasks that started more than once.
 func (h *runChecker) begunTwice() (tasks []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -294,11 +366,12 @@
 	return tasks
 }
 
-// begunWhenDone lists the tasks that began again after they had completed.
+// begunWhenDone lists the tasks that started again after they had completed.
 func (h *runChecker) begunWhenDone() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.restarted
 }
 
+// tick is the step of simulated machines and of the checks on them.
 const tick = 100 * time.Millisecond
--- a/internal/controller/simulatedhost_test.go
+++ b/internal/controller/simulatedhost_test.go
@@ -9,28 +9,28 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// host is a machine that behaves as the protocol's worker does, by itself.
+// host is a machine whose agent runs by itself, as the protocol's worker agent does.
 type host struct {
 	*worker
 	s *checkedCluster
-	// lastAcknowledged is when the last answered report was sent, sent and next when the
-	// last one was and the next one is.
+	// lastAcknowledged is when the last heartbeat with a response was sent; lastSent is when
+	// the last one was sent, and nextHeartbeat when the next one is due.
 	lastAcknowledged, lastSent, nextHeartbeat time.Time
 	nodeIndex                                 int
 	inFlight, changed                         bool
 	remaining                                 map[run]time.Duration
-	// What the troubles do to it: cut and mute machines reach no controller,
-	// and nothing reaches cut and deaf ones. What comes to a hung one waits.
+	// The injected faults. Cut and mute machines reach no controller, and nothing reaches cut
+	// and deaf ones. What is sent to a hung one waits.
 	cut, mute, deaf bool
 	hung            time.Time
-	// orderDelay holds up direct orders, answerDelay their answers, and
-	// linkDelay the answers to reports.
+	// orderDelay delays command batches, answerDelay the responses to them, and linkDelay the
+	// responses to heartbeats.
 	orderDelay, answerDelay, linkDelay time.Duration
-	// reports are copies of all that it sent.
+	// reports are copies of all heartbeats it sent.
 	reports []api.Heartbeat
 }
 
-// step is what a machine does at a tick, until it is returned.
+// step runs the machine for one tick, unless it is hung or terminated.
 func (k *host) step(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -49,7 +49,7 @@
 	return max(10*time.Second, time.Duration(5*k.s.reportS*float64(time.Second)))
 }
 
-// expireLease kills the tasks when the lease has ended.
+// expireLease kills the tasks when the task lease has expired, and begins a new agent epoch.
 func (k *host) expireLease(now time.Time) {
 	if now.Sub(k.lastAcknowledged) <= k.taskLease() {
 		return
@@ -65,7 +65,7 @@
 	k.lastAcknowledged, k.changed = now, true
 }
 
-// advanceTasks brings the tasks on by a tick.
+// advanceTasks runs the tasks for one tick, and ends those whose time is up.
 func (k *host) advanceTasks() {
 	for i := range k.rep.Tasks {
 		t := &k.rep.Tasks[i]
@@ -90,15 +90,15 @@
 	k.s.h.recordEnd(k, t.Task, t.Attempt, cause)
 }
 
-// postHeartbeat sends a report to the machine's controller.
+// postHeartbeat sends a heartbeat to the node that the machine reports to.
 func (k *host) postHeartbeat(now time.Time) {
 	k.rep.Seq++
 	hb := k.rep
 	hb.Tasks = slices.Clone(k.rep.Tasks)
 	k.reports = append(k.reports, hb)
 	k.lastSent, k.inFlight, k.changed = now, true, false
-	every := time.Duration(max(1, k.s.reportS) * float64(time.Second))
-	k.nextHeartbeat = now.Add(every - every/4 + every/2*time.Duration(hb.Seq*7%10)/10)
+	interval := time.Duration(max(1, k.s.reportS) * float64(time.Second))
+	k.nextHeartbeat = now.Add(interval - interval/4 + interval/2*time.Duration(hb.Seq*7%10)/10)
 	n := k.s.node(k.s.names[k.nodeIndex])
 	if k.cut || k.mute {
 		n = nil
@@ -116,7 +116,7 @@
 	})
 }
 
-// handleResponse takes in what became of a report.
+// handleResponse applies the response to a heartbeat, or tries another node if there was none.
 func (k *host) handleResponse(sent time.Time, agentEpoch uint64, response api.HeartbeatResponse, err error) {
 	k.mu.Lock()
 	delay := k.linkDelay
@@ -127,7 +127,7 @@
 	var other *api.NotLeaderError
 	lost := (k.deaf || k.cut) && !k.mute
 	if lost || time.Since(sent) >= 4*time.Second {
-		err = errors.New("no answer")
+		err = errors.New("no response")
 		k.mu.Unlock()
 		idle(k.s.ctx, time.Until(sent.Add(4*time.Second)))
 		k.mu.Lock()
@@ -151,8 +151,8 @@
 	}
 }
 
-// idle is pause, but sets no timer for no time: the race detector fails on
-// timers that are due when a bubble's goroutine selects on them.
+// idle is sleep, but sets no timer for no time: the race detector fails on timers that are due
+// when a bubble's goroutine selects on them.
 func idle(ctx context.Context, d time.Duration) {
 	if d > 0 {
 		sleep(ctx, d)
@@ -172,33 +172,40 @@
 	}
 }
 
-// obey carries orders out as a worker does.
+// obey applies commands as an agent does.
 func (k *host) obey(commands []api.Command) {
 	if k.s.cloud.gone(k.rep.Machine) {
 		return
 	}
-	for _, o := range commands {
-		i := slices.IndexFunc(k.rep.Tasks, func(t api.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
-		r := run{k.rep.Machine, o.Task, o.Attempt}
+	for _, cmd := range commands {
+		i := taskIndex(k.rep.Tasks, cmd)
+		r := run{machine: k.rep.Machine, task: cmd.Task, attempt: cmd.Attempt}
 		switch {
-		case o.Verb == api.VerbStart && i < 0:
+		case cmd.Verb == api.VerbStart && i < 0:
 			k.startTask(r)
-		case o.Verb == api.VerbStop && i >= 0 && k.rep.Tasks[i].Phase != api.TaskExited:
-			k.s.h.mu.Lock()
-			p := k.s.h.jobs[r.job()].spec
-			k.s.h.mu.Unlock()
-			if t := &k.rep.Tasks[i]; t.Phase == api.TaskRunning && p.CheckpointS > 0 && o.GraceS != nil && *o.GraceS >= p.SaveS && p.SaveS > 0 {
-				t.Phase, k.remaining[r], k.changed = api.TaskSaving, p.Save(), true
-			} else if t.Phase == api.TaskRunning || o.GraceS == nil || *o.GraceS == 0 {
-				k.exitTask(t, api.CauseHalted)
-			}
-		case o.Verb == api.VerbReap && i >= 0 && k.rep.Tasks[i].Phase == api.TaskExited:
+		case cmd.Verb == api.VerbStop && i >= 0 && k.rep.Tasks[i].Phase != api.TaskExited:
+			k.stopTask(r, &k.rep.Tasks[i], cmd.GraceS)
+		case cmd.Verb == api.VerbReap && i >= 0 && k.rep.Tasks[i].Phase == api.TaskExited:
 			k.rep.Tasks = slices.Delete(k.rep.Tasks, i, i+1)
 		}
 	}
 }
 
-// startTask starts a task, or refuses it.
+// stopTask ends a task, or has it save a checkpoint first if the grace period suffices.
+func (k *host) stopTask(r run, t *api.TaskStatus, graceS *float64) {
+	k.s.h.mu.Lock()
+	p := k.s.h.jobs[r.job()].spec
+	k.s.h.mu.Unlock()
+	canSave := p.CheckpointS > 0 && p.SaveS > 0 && graceS != nil && *graceS >= p.SaveS
+	switch {
+	case t.Phase == api.TaskRunning && canSave:
+		t.Phase, k.remaining[r], k.changed = api.TaskSaving, p.Save(), true
+	case t.Phase == api.TaskRunning, graceS == nil, *graceS == 0:
+		k.exitTask(t, api.CauseHalted)
+	}
+}
+
+// startTask starts a task, or rejects it.
 func (k *host) startTask(r run) {
 	t := api.TaskStatus{Task: r.task, Attempt: r.attempt, Phase: api.TaskRunning}
 	k.s.h.mu.Lock()
@@ -225,14 +232,13 @@
 		k.s.h.recordStart(k, r.task, r.attempt)
 		_, i, _ := splitRef(r.task)
 		if k.remaining[r] = p.takes + time.Duration(i)*p.apart; k.s.h.isCompleted(r.task) {
-			k.remaining[r] = 0 // its result is kept
+			k.remaining[r] = 0 // its result is durable
 		}
 	}
 	k.rep.Tasks = append(k.rep.Tasks, t)
 }
 
-// trouble changes what goes wrong with a machine. What it does to probes is up
-// to the cluster.
+// trouble changes the machine's injected faults. The cluster answers probes accordingly.
 func (k *host) trouble(f func(*host)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -257,7 +263,7 @@
 
 func (k *host) hang(d time.Duration) { k.trouble(func(k *host) { k.hung = time.Now().Add(d) }) }
 
-// well ends all troubles of a machine.
+// well heals all injected faults of a machine.
 func (k *host) well() {
 	k.trouble(func(k *host) {
 		k.cut, k.mute, k.deaf = false, false, false
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -14,15 +14,15 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// storePath is one node's way to the store. Requests take a while there and back, so
-// that what others do can come between.
+// storePath is one node's access to the store. Requests and responses take a while, so that
+// what other nodes do can happen in between.
 type storePath struct {
 	gate
 	requestDelay, responseDelay time.Duration
 	tally                       *requestCounts
 }
 
-// requestCounts counts what the nodes ask of the store, by second.
+// requestCounts counts the requests of the nodes to the store, by second.
 type requestCounts struct {
 	mu                        sync.Mutex
 	requests, writes, watches map[int64]int
@@ -34,7 +34,7 @@
 	m[time.Now().Unix()] += n
 }
 
-// counts are the largest count of a second and the sum.
+// counts returns the largest count of a second, and the sum.
 func (y *requestCounts) counts(m map[int64]int) (most, sum int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
@@ -45,7 +45,7 @@
 	return most, sum
 }
 
-// reset begins anew.
+// reset sets all counts to zero.
 func (y *requestCounts) reset() {
 	y.mu.Lock()
 	defer y.mu.Unlock()
@@ -54,38 +54,39 @@
 	clear(y.watches)
 }
 
-// trip carries a request out after its way there, and its answer after its way back.
-func trip[T any](ctx context.Context, y *storePath, f func() (T, error)) (T, error) {
-	var none T
+// roundTrip applies a request after its delay, and returns the response after its own. A
+// failure is returned without delay.
+func roundTrip[T any](ctx context.Context, y *storePath, apply func() (T, error)) (T, error) {
+	var result T
 	y.tally.add(y.tally.requests, 1)
-	for _, leg := range []time.Duration{y.requestDelay, y.responseDelay} {
+	for _, delay := range []time.Duration{y.requestDelay, y.responseDelay} {
 		select {
 		case <-ctx.Done():
-			return none, kv.ErrOutcomeUnknown
-		case <-time.After(leg):
+			return result, kv.ErrOutcomeUnknown
+		case <-time.After(delay):
 		}
-		if leg == y.requestDelay && f != nil {
-			v, err := f()
+		if delay == y.requestDelay && apply != nil {
+			v, err := apply()
 			if err != nil {
 				return v, err
 			}
-			none, f = v, nil
+			result, apply = v, nil
 		}
 	}
-	return none, nil
+	return result, nil
 }
 
 func (y *storePath) Get(ctx context.Context, key string) (kv.Entry, error) {
-	return trip(ctx, y, func() (kv.Entry, error) { return y.gate.Get(ctx, key) })
+	return roundTrip(ctx, y, func() (kv.Entry, error) { return y.gate.Get(ctx, key) })
 }
 
 func (y *storePath) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	y.tally.add(y.tally.writes, len(txn.Ops))
-	return trip(ctx, y, func() (kv.Result, error) { return y.gate.Txn(ctx, txn) })
+	return roundTrip(ctx, y, func() (kv.Result, error) { return y.gate.Txn(ctx, txn) })
 }
 
 func (y *storePath) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
-	return trip(ctx, y, func() (kv.Page, error) { return y.gate.Range(ctx, prefix, from, most) })
+	return roundTrip(ctx, y, func() (kv.Page, error) { return y.gate.Range(ctx, prefix, from, most) })
 }
 
 func (y *storePath) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
@@ -94,20 +95,21 @@
 	return y.gate.Watch(ctx, prefix, from, block)
 }
 
-// userHost is a scripted machine that reports by itself, whose tasks end after their
-// time and with its lease.
+// userHost is a machine that sends heartbeats by itself. Its tasks end after their time, and
+// with its task lease.
 type userHost struct {
 	*worker
 	startedAt map[string]time.Time
-	// lastSent is when its last report was sent, leased when the last answered one was.
+	// lastSent is when its last heartbeat was sent, lastAcknowledged when the last one with a
+	// response was.
 	lastSent, lastAcknowledged time.Time
-	// changed wakes it to report.
+	// changed makes it send a heartbeat at once.
 	changed chan struct{}
-	// starts counts the starts that it was ordered.
+	// starts counts the start commands that it received.
 	starts atomic.Int64
 }
 
-// userCluster is three nodes with their machines and users, who note all they are told.
+// userCluster is three nodes with their machines and users, whose answers are all checked.
 type userCluster struct {
 	*cluster
 	checker *answerChecker
@@ -115,14 +117,14 @@
 	ways    []*storePath
 	tally   *requestCounts
 	hosts   []*userHost
-	// takes is how long tasks run, by job; others run until ended.
+	// takes is how long tasks run, by job; others run until the test ends them.
 	takes sync.Map
 	users sync.WaitGroup
 
 	mu    sync.Mutex
 	nodes []*node
-	// overdueTasks are the tasks that were on machines for too long after a confirmed
-	// cancellation.
+	// overdueTasks are the tasks that were on machines for too long after the confirmed
+	// cancellation of their jobs.
 	overdueTasks []string
 	stopped      atomic.Bool
 }
@@ -130,16 +132,34 @@
 func newUserCluster(w *cluster, hosts int) *userCluster {
 	w.zones = map[string]string{"n0": "a", "n1": "a", "n2": "a"}
 	w.teams[0].LimitCPUs = 1000
-	tn := &userCluster{cluster: w, checker: newAnswerChecker(w.t), links: &links{}, nodes: make([]*node, 3),
-		tally: &requestCounts{requests: map[int64]int{}, writes: map[int64]int{}, watches: map[int64]int{}}}
+	tn := &userCluster{
+		cluster: w,
+		checker: newAnswerChecker(w.t),
+		links:   &links{},
+		nodes:   make([]*node, 3),
+		tally: &requestCounts{
+			requests: map[int64]int{},
+			writes:   map[int64]int{},
+			watches:  map[int64]int{},
+		},
+	}
 	for i := range 3 {
-		y := &storePath{requestDelay: time.Duration(2+3*i) * time.Millisecond, responseDelay: time.Duration(1+2*i) * time.Millisecond, tally: tn.tally}
-		y.gate.Fake = w.store
+		y := &storePath{
+			requestDelay:  time.Duration(2+3*i) * time.Millisecond,
+			responseDelay: time.Duration(1+2*i) * time.Millisecond,
+			tally:         tn.tally,
+		}
+		y.Fake = w.store
 		tn.ways = append(tn.ways, y)
 		tn.begin(i)
 	}
 	for i := range hosts {
-		h := &userHost{worker: w.worker(fmt.Sprintf("i-%d", i+1), "a", false), startedAt: map[string]time.Time{}, lastAcknowledged: time.Now(), changed: make(chan struct{}, 1)}
+		h := &userHost{
+			worker:           w.worker(fmt.Sprintf("i-%d", i+1), "a", false),
+			startedAt:        map[string]time.Time{},
+			lastAcknowledged: time.Now(),
+			changed:          make(chan struct{}, 1),
+		}
 		tn.hosts = append(tn.hosts, h)
 		tn.users.Go(func() { tn.runMachine(h) })
 	}
@@ -147,7 +167,7 @@
 	return tn
 }
 
-// begin starts a node, or starts it anew after a crash.
+// begin starts a node, or starts it again after a crash.
 func (tn *userCluster) begin(i int) {
 	name := fmt.Sprint("n", i)
 	n := tn.links.add(name, tn.startWith(name, tn.ways[i], tn.links))
@@ -156,7 +176,7 @@
 	tn.nodes[i] = n
 }
 
-// crash ends a node; users and machines no longer come to it.
+// crash ends a node; users and machines no longer reach it.
 func (tn *userCluster) crash(i int) {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
@@ -165,7 +185,7 @@
 	tn.nodes[i] = nil
 }
 
-// at is a node as it is at present, or the next if that is down.
+// at returns the current process of a node, or of the next node that is up.
 func (tn *userCluster) at(i int) *node {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
@@ -175,14 +195,14 @@
 	return tn.nodes[i%3]
 }
 
-// runningNodes are the nodes that are up.
+// runningNodes returns the nodes that are up.
 func (tn *userCluster) runningNodes() []*node {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(tn.nodes), func(n *node) bool { return n == nil })
 }
 
-// leader waits until a node leads, and is its number.
+// leader waits until a node leads, and returns its number.
 func (tn *userCluster) leader() int {
 	for {
 		for i := range 3 {
@@ -196,7 +216,7 @@
 	}
 }
 
-// runMachine has a machine report once a second and at every change.
+// runMachine has a machine send a heartbeat once a second and at every change.
 func (tn *userCluster) runMachine(h *userHost) {
 	for changed := false; !tn.stopped.Load(); {
 		now := time.Now()
@@ -218,6 +238,7 @@
 	}
 }
 
+// recordOverdue records a task that is on a machine for too long after its cancellation.
 func (tn *userCluster) recordOverdue(ref string) {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
@@ -226,14 +247,15 @@
 	}
 }
 
-// gone sees that no task of a cancelled job has stayed for longer than it may.
+// gone checks that no task of a cancelled job was on a machine for longer than it may be.
 func (tn *userCluster) gone() {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
 	tn.same("on machines too long after a confirmed cancellation", tn.overdueTasks, []string(nil))
 }
 
-// heartbeatAnyNode sends a report to whichever node answers it.
+// heartbeatAnyNode sends a heartbeat to the first node that responds, and applies its
+// commands.
 func (h *userHost) heartbeatAnyNode(tn *userCluster) {
 	h.lastSent = time.Now()
 	sent := h.lastSent
@@ -244,8 +266,8 @@
 		}
 		h.lastAcknowledged = sent
 		h.obey(commands)
-		for _, o := range commands {
-			if o.Verb == api.VerbStart {
+		for _, cmd := range commands {
+			if cmd.Verb == api.VerbStart {
 				h.starts.Add(1)
 			}
 		}
@@ -260,7 +282,8 @@
 	}
 }
 
-// expireLease ends the machine's lease if no report was answered in time.
+// expireLease ends the tasks, and begins a new agent epoch, if no heartbeat had a response in
+// time.
 func (h *userHost) expireLease(now time.Time) {
 	if now.Sub(h.lastAcknowledged) <= 10*time.Second {
 		return
@@ -272,7 +295,8 @@
 	clear(h.startedAt)
 }
 
-// completeTasks completes the tasks whose time is over, and those of the job named.
+// completeTasks completes the tasks whose time is up, and those of the job named. It reports
+// whether there were any.
 func (h *userHost) completeTasks(tn *userCluster, now time.Time, named string) (completed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -280,7 +304,8 @@
 		t := &h.rep.Tasks[i]
 		id, _, _ := strings.Cut(t.Task, "/")
 		takes, ok := tn.takes.Load(id)
-		if t.Phase != api.TaskRunning || !(id == named || ok && now.Sub(h.startedAt[t.Task]) >= takes.(time.Duration)) {
+		timeUp := ok && now.Sub(h.startedAt[t.Task]) >= takes.(time.Duration)
+		if t.Phase != api.TaskRunning || id != named && !timeUp {
 			continue
 		}
 		t.Phase, t.Cause = api.TaskExited, api.CauseDone
@@ -290,25 +315,27 @@
 	return completed
 }
 
-// finish ends the tasks of a job now, wherever they run.
+// finish completes the tasks of a job now, wherever they run.
 func (tn *userCluster) finish(id string) {
-	n := 0
+	tn.t.Helper()
+	machines := 0
 	for _, h := range tn.hosts {
 		if h.completeTasks(tn, time.Now(), id) {
 			h.changed <- struct{}{}
-			n++
+			machines++
 		}
 	}
-	if n == 0 {
-		tn.t.Errorf("%s has no task to end", id)
+	if machines == 0 {
+		tn.t.Errorf("%s has no running task to complete", id)
 	}
 }
 
-// background does what some user does while the others go on.
+// background runs what one user does while the others go on.
 func (tn *userCluster) background(f func()) { tn.users.Go(f) }
 
-// pollAll asks about a job at all nodes in turn, with gap between two questions
-// whether or not they are answered; some repeat the submission.
+// pollAll requests a job's state at all nodes in turn, with gap between two requests whether
+// or not they are answered; some requests repeat the submission. The checker records the
+// answers; an error is an outcome that these users accept.
 func (tn *userCluster) pollAll(s *api.JobSpec, gap, span time.Duration) {
 	submitted := func() bool {
 		tn.checker.mu.Lock()
@@ -321,11 +348,11 @@
 			tn.background(func() {
 				switch {
 				case i%5 == 4 && submitted():
-					tn.checker.submit(n, s)
+					_, _ = tn.checker.submit(n, s)
 				case i%17 == 3:
 					tn.checker.resubmitInvalid(n, s.ID)
 				default:
-					tn.checker.ask(n, s.ID)
+					_, _ = tn.checker.ask(n, s.ID)
 				}
 			})
 			time.Sleep(gap)
@@ -333,33 +360,35 @@
 	})
 }
 
+// accept submits a job at a node until it is accepted.
 func (tn *userCluster) accept(i int, s *api.JobSpec) {
+	tn.t.Helper()
 	if err := insist(func() error { _, err := tn.checker.submit(tn.at(i), s); return err }); err != nil {
 		tn.t.Errorf("submission of %s: %v", s.ID, err)
 	}
 }
 
-func (tn *userCluster) cancel(i int, id string) string {
-	var st api.JobState
-	if err := insist(func() (err error) { st, err = tn.checker.cancel(tn.at(i), id); return err }); err != nil {
+// cancel cancels a job at a node until that is confirmed.
+func (tn *userCluster) cancel(i int, id string) {
+	tn.t.Helper()
+	if err := insist(func() error { _, err := tn.checker.cancel(tn.at(i), id); return err }); err != nil {
 		tn.t.Errorf("cancellation of %s: %v", id, err)
 	}
-	return st.Phase
 }
 
-// finally waits for the users and sees that all nodes tell the same of a job.
+// finally checks that all nodes answer the wanted phases of some jobs.
 func (tn *userCluster) finally(want map[string]string) {
 	for id, phase := range want {
 		for i := range 3 {
 			st, err := tn.checker.ask(tn.at(i), id)
 			if got := st.Phase; err != nil || got != phase {
-				tn.t.Errorf("%s at node %d in the end: %q, %v, want %s", id, i, got, err, phase)
+				tn.t.Errorf("%s at node %d in the end: got %q, %v, want %q", id, i, got, err, phase)
 			}
 		}
 	}
 }
 
-// close ends machines, users and nodes, with what these have on the way.
+// close ends machines, users and nodes. The store loses no response any more.
 func (tn *userCluster) close() {
 	tn.stopped.Store(true)
 	tn.users.Wait()
@@ -369,7 +398,7 @@
 	}
 }
 
-// written is the version of a record, 0 if there is none.
+// written is the mod revision of a record, 0 if there is none.
 func (tn *userCluster) written(key string) uint64 {
 	e, err := tn.store.Get(context.Background(), key)
 	if err != nil {
@@ -378,7 +407,7 @@
 	return e.ModRevision
 }
 
-// starts is how many starts the machines were ordered.
+// starts is the number of start commands that the machines received.
 func (tn *userCluster) starts() (n int64) {
 	for _, h := range tn.hosts {
 		n += h.starts.Load()
@@ -386,7 +415,7 @@
 	return n
 }
 
-// held is how many tasks are on machines, in whatever state.
+// held is the number of tasks on machines, in whatever phase.
 func (tn *userCluster) held() (n int) {
 	for _, h := range tn.hosts {
 		h.mu.Lock()
@@ -396,14 +425,15 @@
 	return n
 }
 
-// follow has a job's user ask until told of its end, each time at another node.
-func (tn *userCluster) follow(i int, id string, every time.Duration) {
+// follow has a job's user request its state until the answer is its end, each time at another
+// node.
+func (tn *userCluster) follow(i int, id string, interval time.Duration) {
 	tn.background(func() {
 		for ; !tn.stopped.Load(); i++ {
 			if st, err := tn.checker.ask(tn.at(i), id); err == nil && st.Final() {
 				return
 			}
-			time.Sleep(every)
+			time.Sleep(interval)
 		}
 	})
 }
