--- a/internal/controller/answerchecker_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -233,127 +233,137 @@
 	return h.of(id).doneAt
 }
 
+// answerStep is an answer that a node gives in a test of the checker's rules.
+type answerStep struct {
+	number int // of the request; 0: sent after all answers before it
+	verb   string
+	phase  string
+}
+
+// unknownJob stands for the answer that a job is unknown.
+const unknownJob = "unknown"
+
+// answerCheckerCases are answers about a job of two tasks, and a part of the violation that
+// the checker must find in them, or "" for none.
+var answerCheckerCases = []struct {
+	name                 string
+	submitted, cancelled bool
+	completed            int
+	steps                []answerStep
+	want                 string
+}{
+	{
+		name:      "no violation",
+		submitted: true,
+		cancelled: true,
+		completed: 2,
+		steps: []answerStep{
+			{0, "q", unknownJob},
+			{0, "q", "pending"},
+			{0, "q", "running"},
+			{0, "q", "pending"},
+			{0, "cancel", "done"},
+			{0, "q", "done"},
+		},
+	},
+	{
+		name:      "requested before the end was answered",
+		submitted: true,
+		cancelled: true,
+		steps:     []answerStep{{0, "q", "pending"}, {0, "cancel", "withdrawn"}, {1, "q", "running"}},
+	},
+	{
+		name:      "requested before it was answered as accepted",
+		submitted: true,
+		steps:     []answerStep{{0, "q", "pending"}, {1, "q", unknownJob}},
+	},
+	{
+		name:  "never submitted",
+		steps: []answerStep{{0, "q", "pending"}},
+		want:  "invented",
+	},
+	{
+		name:      "unknown after it was accepted",
+		submitted: true,
+		steps:     []answerStep{{0, "q", "pending"}, {0, "q", unknownJob}},
+		want:      "forgotten",
+	},
+	{
+		name:      "unknown after its end",
+		submitted: true,
+		completed: 2,
+		steps:     []answerStep{{0, "q", "done"}, {0, "q", unknownJob}},
+		want:      "forgotten",
+	},
+	{
+		name:      "running after the end",
+		submitted: true,
+		cancelled: true,
+		steps:     []answerStep{{0, "cancel", "withdrawn"}, {0, "q", "running"}},
+		want:      "something older",
+	},
+	{
+		name:      "pending after the end",
+		submitted: true,
+		completed: 2,
+		steps:     []answerStep{{0, "q", "done"}, {0, "submission", "pending"}},
+		want:      "something older",
+	},
+	{
+		name:      "another end",
+		submitted: true,
+		cancelled: true,
+		completed: 2,
+		steps:     []answerStep{{0, "cancel", "withdrawn"}, {1, "q", "done"}},
+		want:      "another end",
+	},
+	{
+		name:      "nobody cancelled",
+		submitted: true,
+		steps:     []answerStep{{0, "q", "withdrawn"}},
+		want:      "nobody has cancelled",
+	},
+	{
+		name:      "one task missing",
+		submitted: true,
+		completed: 1,
+		steps:     []answerStep{{0, "q", "done"}},
+		want:      "before its tasks",
+	},
+	{
+		name:      "cancellation without an end",
+		submitted: true,
+		cancelled: true,
+		steps:     []answerStep{{0, "cancel", "pending"}},
+		want:      "neither end",
+	},
+	{
+		name:      "accepted twice",
+		submitted: true,
+		steps:     []answerStep{{0, "q", "pending"}, {0, "created", "pending"}},
+		want:      "once more",
+	},
+}
+
 // The rules that the other tests rely on must themselves be seen to fail.
 func TestAnswerCheckerRules(t *testing.T) {
-	at := func(phase string) api.JobState { return api.JobState{ID: "job-1", Phase: phase} }
-	const unknown = "unknown"
-	type step struct {
-		number int // of the request; 0: sent after all answers before it
-		verb   string
-		phase  string
-	}
-	for _, c := range []struct {
-		name                 string
-		submitted, cancelled bool
-		completed            int
-		steps                []step
-		want                 string
-	}{
-		{
-			name:      "no violation",
-			submitted: true,
-			cancelled: true,
-			completed: 2,
-			steps: []step{
-				{0, "q", unknown},
-				{0, "q", "pending"},
-				{0, "q", "running"},
-				{0, "q", "pending"},
-				{0, "cancel", "done"},
-				{0, "q", "done"},
-			},
-		},
-		{
-			name:      "requested before the end was answered",
-			submitted: true,
-			cancelled: true,
-			steps:     []step{{0, "q", "pending"}, {0, "cancel", "withdrawn"}, {1, "q", "running"}},
-		},
-		{
-			name:      "requested before it was answered as accepted",
-			submitted: true,
-			steps:     []step{{0, "q", "pending"}, {1, "q", unknown}},
-		},
-		{
-			name:  "never submitted",
-			steps: []step{{0, "q", "pending"}},
-			want:  "invented",
-		},
-		{
-			name:      "unknown after it was accepted",
-			submitted: true,
-			steps:     []step{{0, "q", "pending"}, {0, "q", unknown}},
-			want:      "forgotten",
-		},
-		{
-			name:      "unknown after its end",
-			submitted: true,
-			completed: 2,
-			steps:     []step{{0, "q", "done"}, {0, "q", unknown}},
-			want:      "forgotten",
-		},
-		{
-			name:      "running after the end",
-			submitted: true,
-			cancelled: true,
-			steps:     []step{{0, "cancel", "withdrawn"}, {0, "q", "running"}},
-			want:      "something older",
-		},
-		{
-			name:      "pending after the end",
-			submitted: true,
-			completed: 2,
-			steps:     []step{{0, "q", "done"}, {0, "submission", "pending"}},
-			want:      "something older",
-		},
-		{
-			name:      "another end",
-			submitted: true,
-			cancelled: true,
-			completed: 2,
-			steps:     []step{{0, "cancel", "withdrawn"}, {1, "q", "done"}},
-			want:      "another end",
-		},
-		{
-			name:      "nobody cancelled",
-			submitted: true,
-			steps:     []step{{0, "q", "withdrawn"}},
-			want:      "nobody has cancelled",
-		},
-		{
-			name:      "one task missing",
-			submitted: true,
-			completed: 1,
-			steps:     []step{{0, "q", "done"}},
-			want:      "before its tasks",
-		},
-		{
-			name:      "cancellation without an end",
-			submitted: true,
-			cancelled: true,
-			steps:     []step{{0, "cancel", "pending"}},
-			want:      "neither end",
-		},
-		{
-			name:      "accepted twice",
-			submitted: true,
-			steps:     []step{{0, "q", "pending"}, {0, "created", "pending"}},
-			want:      "once more",
-		},
-	} {
+	for _, c := range answerCheckerCases {
 		t.Run(c.name, func(t *testing.T) {
 			var got []string
 			h := &answerChecker{fail: func(s string) { got = append(got, s) }, jobs: map[string]*answerLog{}}
-			h.recordRequest("job-1", func(j *answerLog) { j.submitted, j.cancelled, j.tasks = c.submitted, c.cancelled, 2 })
+			h.recordRequest("job-1", func(j *answerLog) {
+				j.submitted, j.cancelled, j.tasks = c.submitted, c.cancelled, 2
+			})
 			for i := range c.completed {
 				h.completed(fmt.Sprint("job-1/", i))
 			}
 			for _, s := range c.steps {
-				a := userResponse{requestNumber: s.number, verb: s.verb, st: at(s.phase), created: s.verb == "created"}
+				a := userResponse{requestNumber: s.number, verb: s.verb, created: s.verb == "created"}
+				a.st = api.JobState{ID: "job-1", Phase: s.phase}
 				if s.number == 0 {
 					a.requestNumber = h.recordRequest("job-1", nil)
 				}
-				if s.phase == unknown {
+				if s.phase == unknownJob {
 					a.err = api.ErrUnknownJob
 				}
 				h.recordResponse("job-1", a)
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -316,7 +316,9 @@
 
 // deliverToMachine delivers a request to a machine; a hung or slow one applies it late, even
 // if its sender has timed out by then.
-func (s *checkedCluster) deliverToMachine(ctx context.Context, addr string, apply func(*host) bool) (*api.Heartbeat, error) {
+func (s *checkedCluster) deliverToMachine(
+	ctx context.Context, addr string, apply func(*host) bool,
+) (*api.Heartbeat, error) {
 	s.h.mu.Lock()
 	k := s.h.hosts[addr]
 	s.h.mu.Unlock()
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -49,7 +49,8 @@
 	}
 	if f.launched[r.Name] == nil {
 		for range min(r.Count, f.capacity) {
-			f.launched[r.Name] = append(f.launched[r.Name], fmt.Sprintf("i-9%05d", len(f.launched)*100+len(f.launched[r.Name])))
+			machine := fmt.Sprintf("i-9%05d", len(f.launched)*100+len(f.launched[r.Name]))
+			f.launched[r.Name] = append(f.launched[r.Name], machine)
 		}
 	}
 	if f.loseRent {
