--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -19,10 +19,9 @@
 	"example.org/ivytrestle/internal/relay"
 )
 
-// The records as the first version that others had to work beside knows them, as
-// far as a scripted node needs them. internal/store/golden_test.go holds all their
-// fields. Whatever else a record holds is passed over, as that version does.
-
+// The records as the version in production knows them, the first that others had to work
+// beside, as far as a scripted node needs them. The golden tests hold all their fields.
+// Whatever else a record holds is ignored, as that version does.
 type oldSpec struct {
 	ID    string  `json:"NameId"`
 	Class string  `json:"Jobclass"`
@@ -39,17 +38,17 @@
 	Takes float64 `json:"ExpectS"`
 }
 
-type oldActive struct {
+type oldActiveRecord struct {
 	Spec     oldSpec   `json:"spec"`
 	Accepted time.Time `json:"accepted"`
 }
 
-type oldFinal struct {
+type oldTerminalRecord struct {
 	Phase string `json:"phase"`
 	Tasks int    `json:"tasks"`
 }
 
-type oldProgress struct {
+type oldCompletionRecord struct {
 	Done []byte `json:"done"`
 }
 
@@ -73,7 +72,7 @@
 	Hosts []string `json:"hosts"`
 }
 
-type oldHolder struct {
+type oldLeaderRecord struct {
 	Node        string `json:"node"`
 	Incarnation string `json:"incarnation"`
 }
@@ -89,50 +88,61 @@
 	Data  []byte `json:"data"`
 }
 
-// oldNode is a scripted node of the version in production: what the others, the
-// store, users and machines see of one. It knows nothing of jobs that await others,
-// and what it does not know it neither heeds nor writes.
+// oldNode is a scripted node of the version in production: what the other nodes, the store,
+// users and machines see of one. It knows no dependencies of jobs, and what it does not know
+// it neither applies nor writes.
 type oldNode struct {
 	w           *cluster
 	name        string
 	st          *gate
 	links       *links
 	incarnation string
-	began       time.Time
-	// passesOver are the records without a team or tasks, which the version in
-	// production logs and passes over; each other one must be readable.
-	passesOver []string
+	startedAt   time.Time
+	// skippedRecords are the records without a team or tasks, which the version in production
+	// logs and skips; each other one must be readable.
+	skippedRecords []string
 
 	mu sync.Mutex
-	// cancels is its log of cancellations.
-	cancels []string
-	// kvStateSince is since when the store has answered; zero: it does not.
-	storeSince time.Time
-	leader     string
-	leadership *oldLeadership
-	// What it knows of the other nodes' logs.
-	read map[string]cancellation.Position
-
-	// As a follower beyond a cut.
-	lost     int
-	verified time.Time
-	term     uint64
-	mark     uint64
-	active   map[string]bool
-	kept     map[string]time.Time
-	relayed  map[string]*api.Heartbeat
-	orders   map[string]*peer.RelayOrders
-	outcomes []*peer.RelayOutcome
-	batch    uint64
-	got      uint64
-	// parts is into how many records it packs a batch; 0: it relays nothing.
+	// cancellationLog has the cancellations in the order in which it learned of them.
+	cancellationLog []string
+	// kvReachableSince is since when the store has responded; zero: it does not.
+	kvReachableSince time.Time
+	leader           string
+	leaderTerm       *oldLeaderTerm
+	// logPositions are up to where it has read the other nodes' cancellation logs.
+	logPositions map[string]cancellation.Position
+
+	// What follows is its state as a follower in a network partition.
+	missedPings       int
+	verifiedAt        time.Time
+	term              uint64
+	modRevision       uint64
+	activeJobs        map[string]bool
+	renewedMachines   map[string]time.Time
+	relayedHeartbeats map[string]*api.Heartbeat
+	relayedCommands   map[string]*peer.RelayOrders
+	outcomes          []*peer.RelayOutcome
+	uplinkBatch       uint64
+	downlinkBatch     uint64
+	// parts is the number of records into which it packs a batch; 0: it relays nothing.
 	parts int
 }
 
 // startOld starts a scripted node of the version in production.
 func (w *cluster) startOld(name string, st *gate, l *links) *oldNode {
-	o := &oldNode{w: w, name: name, st: st, links: l, began: time.Now(), incarnation: fmt.Sprint("old", time.Now().UnixNano()),
-		read: map[string]cancellation.Position{}, kept: map[string]time.Time{}, relayed: map[string]*api.Heartbeat{}, orders: map[string]*peer.RelayOrders{}, parts: 1}
+	o := &oldNode{
+		w:                 w,
+		name:              name,
+		st:                st,
+		links:             l,
+		startedAt:         time.Now(),
+		incarnation:       fmt.Sprint("old", time.Now().UnixNano()),
+		logPositions:      map[string]cancellation.Position{},
+		renewedMachines:   map[string]time.Time{},
+		relayedHeartbeats: map[string]*api.Heartbeat{},
+		relayedCommands:   map[string]*peer.RelayOrders{},
+		parts:             1,
+	}
 	l.nodes.Store(name, o)
 	w.running.Go(func() {
 		for w.ctx.Err() == nil && o.running() {
@@ -143,7 +153,7 @@
 	return o
 }
 
-// crash ends the process: it neither answers nor writes any more.
+// crash ends the process: it neither responds nor writes any more.
 func (o *oldNode) crash() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -151,7 +161,7 @@
 		return
 	}
 	o.links.nodes.CompareAndDelete(o.name, linked(o))
-	o.links, o.leadership = nil, nil
+	o.links, o.leaderTerm = nil, nil
 }
 
 func (o *oldNode) running() bool {
@@ -160,8 +170,8 @@
 	return o.links != nil
 }
 
-// look lets a test look at what it holds.
-func (o *oldNode) look(f func(o *oldNode)) {
+// inspect calls f with the node's state.
+func (o *oldNode) inspect(f func(o *oldNode)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	f(o)
@@ -170,15 +180,15 @@
 func (o *oldNode) leads() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.leadership != nil
+	return o.leaderTerm != nil
 }
 
-// others are the nodes that it knows of.
+// others are the names of the other nodes.
 func (o *oldNode) others() []string {
 	return slices.DeleteFunc([]string{"n0", "n1"}, func(name string) bool { return name == o.name })
 }
 
-// tick is what it does five times a second.
+// tick does what the node does five times a second.
 func (o *oldNode) tick(ctx context.Context) {
 	o.ping(ctx)
 	leadership, ch := o.watch(ctx)
@@ -189,38 +199,38 @@
 	case o.links == nil:
 		return
 	case err != nil:
-		o.storeSince = time.Time{}
-	case o.storeSince.IsZero():
-		o.storeSince = time.Now()
+		o.kvReachableSince = time.Time{}
+	case o.kvReachableSince.IsZero():
+		o.kvReachableSince = time.Now()
 	}
 	if err != nil {
 		return
 	}
-	var h oldHolder
-	if e.ModRevision != 0 && json.Unmarshal(e.Value, &h) != nil {
+	var record oldLeaderRecord
+	if e.ModRevision != 0 && json.Unmarshal(e.Value, &record) != nil {
 		o.w.t.Error("leader key cannot be read")
 	}
-	o.leader = h.Node
+	o.leader = record.Node
 	switch {
-	case e.ModRevision == 0 || h.Node == o.name && (o.leadership == nil || h.Incarnation != o.incarnation):
+	case e.ModRevision == 0 || record.Node == o.name && (o.leaderTerm == nil || record.Incarnation != o.incarnation):
 		o.takeOver(ctx, e.ModRevision)
-	case h.Node != o.name:
-		o.leadership = nil
-		if o.lost > 2 {
-			o.keep(ctx)
+	case record.Node != o.name:
+		o.leaderTerm = nil
+		if o.missedPings > 2 {
+			o.renewAndRelay(ctx)
 		}
-	case o.leadership == leadership:
+	case o.leaderTerm == leadership:
 		leadership.tick(ctx, ch)
 	}
 }
 
-// watch is what has changed of the active jobs for the present leadership. The lock must
-// not be held while time passes: others would wait for it outside the fake clock.
-func (o *oldNode) watch(ctx context.Context) (*oldLeadership, kv.Changes) {
+// watch returns the changes of the active jobs for the present leader term. The lock must not
+// be held while time passes: others would wait for it outside the fake clock.
+func (o *oldNode) watch(ctx context.Context) (*oldLeaderTerm, kv.Changes) {
 	o.mu.Lock()
-	r, from := o.leadership, uint64(0)
+	r, from := o.leaderTerm, uint64(0)
 	if r != nil {
-		from = r.from
+		from = r.watchedRevision
 	}
 	o.mu.Unlock()
 	if r == nil {
@@ -235,7 +245,7 @@
 	return r, ch
 }
 
-// ping asks the others what they know of cancellations.
+// ping requests from the other nodes the cancellations that they have learned of.
 func (o *oldNode) ping(ctx context.Context) {
 	o.mu.Lock()
 	l := o.links
@@ -246,39 +256,42 @@
 	for _, name := range o.others() {
 		pctx, cancel := context.WithTimeout(ctx, 800*time.Millisecond)
 		o.mu.Lock()
-		from := o.read[name]
+		from := o.logPositions[name]
 		o.mu.Unlock()
 		st, err := l.Ping(pctx, name, from)
 		cancel()
 		o.mu.Lock()
-		if o.lost++; err == nil {
-			o.lost = 0
+		if o.missedPings++; err == nil {
+			o.missedPings = 0
 			if st.Incarnation == from.Incarnation && st.Cancellations.First != from.Number+1 {
-				// It would take what it knew of the log for nothing.
-				o.w.t.Errorf("%s: the log goes on with %d after %d", name, st.Cancellations.First, from.Number)
+				// It would discard what it knew of the log.
+				o.w.t.Errorf("%s: got a log from %d on, want %d", name, st.Cancellations.First, from.Number+1)
+			}
+			o.logPositions[name] = cancellation.Position{
+				Incarnation: st.Incarnation,
+				Number:      st.Cancellations.First + uint64(len(st.Cancellations.IDs)) - 1,
 			}
-			o.read[name] = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancellations.First + uint64(len(st.Cancellations.IDs)) - 1}
 			for _, id := range st.Cancellations.IDs {
-				o.cancelled(id)
+				o.recordCancellation(id)
 			}
 		}
 		o.mu.Unlock()
 	}
 }
 
-// cancelled notes a cancellation.
-func (o *oldNode) cancelled(id string) {
-	if !slices.Contains(o.cancels, id) {
-		o.cancels = append(o.cancels, id)
+// recordCancellation appends a cancellation to the log, and drops the job.
+func (o *oldNode) recordCancellation(id string) {
+	if !slices.Contains(o.cancellationLog, id) {
+		o.cancellationLog = append(o.cancellationLog, id)
 	}
-	if o.leadership == nil {
+	if o.leaderTerm == nil {
 		return
 	}
-	if j := o.leadership.jobs[id]; j != nil {
-		for key := range j.progress {
-			o.leadership.drops = append(o.leadership.drops, kv.Op{Delete: key})
+	if j := o.leaderTerm.jobs[id]; j != nil {
+		for key := range j.completionKeys {
+			o.leaderTerm.staleRecords = append(o.leaderTerm.staleRecords, kv.Op{Delete: key})
 		}
-		delete(o.leadership.jobs, id)
+		delete(o.leaderTerm.jobs, id)
 	}
 }
 
@@ -287,17 +300,21 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	st := PeerStatus{Leader: o.leader, Incarnation: o.incarnation, CancellationsKnownAge: -1}
-	if !o.storeSince.IsZero() {
-		st.KVReachableFor = max(time.Since(o.storeSince), time.Millisecond)
+	if !o.kvReachableSince.IsZero() {
+		st.KVReachableFor = max(time.Since(o.kvReachableSince), time.Millisecond)
 	}
-	if o.leadership != nil {
-		st.Term, st.CancellationsKnownAge = o.leadership.term, 0
+	if o.leaderTerm != nil {
+		st.Term, st.CancellationsKnownAge = o.leaderTerm.term, 0
 	}
 	if from.Incarnation != o.incarnation {
 		from.Number = 0
 	}
-	n := min(from.Number, uint64(len(o.cancels)))
-	st.Cancellations = cancellation.Delta{IDs: slices.Clone(o.cancels[n:]), First: n + 1, CompleteFor: time.Since(o.began)}
+	n := min(from.Number, uint64(len(o.cancellationLog)))
+	st.Cancellations = cancellation.Delta{
+		IDs:         slices.Clone(o.cancellationLog[n:]),
+		First:       n + 1,
+		CompleteFor: time.Since(o.startedAt),
+	}
 	return st, nil
 }
 
@@ -311,11 +328,11 @@
 	return nil
 }
 
-// resign hands the leadership over.
+// resign hands over to another node.
 func (o *oldNode) resign(to string) {
 	o.mu.Lock()
-	r, l := o.leadership, o.links
-	o.leadership, o.leader = nil, to
+	r, l := o.leaderTerm, o.links
+	o.leaderTerm, o.leader = nil, to
 	o.mu.Unlock()
 	if err := l.Resign(context.Background(), to, o.name, r.term); err != nil {
 		o.w.t.Error(err)
@@ -328,7 +345,7 @@
 	return o.Job(ctx, id)
 }
 
-// Job is what its users are told of a job. A record under a/ that goes between the
+// Job is the state of a job as its users get it. A record under a/ that is deleted between the
 // two reads is under f/ by then.
 func (o *oldNode) Job(ctx context.Context, id string) (api.JobState, error) {
 	for _, prefix := range []string{"a/", "f/"} {
@@ -336,7 +353,7 @@
 		if err != nil {
 			return api.JobState{}, err
 		}
-		var f oldFinal
+		var f oldTerminalRecord
 		switch {
 		case e.ModRevision == 0:
 		case prefix == "a/":
@@ -347,7 +364,7 @@
 			}
 			if f.Phase == api.JobCancelled {
 				o.mu.Lock()
-				o.cancelled(id)
+				o.recordCancellation(id)
 				o.mu.Unlock()
 			}
 			return api.JobState{ID: id, Phase: f.Phase}, nil
@@ -356,11 +373,27 @@
 	return api.JobState{}, api.ErrUnknownJob
 }
 
-// submit accepts a job. It knows no field for awaited jobs.
+// submit accepts a job. It knows no field for dependencies.
 func (o *oldNode) submit(s *api.JobSpec) {
 	o.w.t.Helper()
-	rec := oldActive{oldSpec{ID: s.ID, Class: s.Class, Team: s.Team, Shape: s.Shape, Rank: s.Priority, Tasks: s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs,
-		Mem: s.MemoryGB, Image: s.Image, Pull: s.ImageGB, Spot: s.Spot, Takes: s.EstimateS}, time.Now().UTC()}
+	rec := oldActiveRecord{
+		Spec: oldSpec{
+			ID:    s.ID,
+			Class: s.Class,
+			Team:  s.Team,
+			Shape: s.Shape,
+			Rank:  s.Priority,
+			Tasks: s.Tasks,
+			CPUs:  s.CPUs,
+			GPUs:  s.GPUs,
+			Mem:   s.MemoryGB,
+			Image: s.Image,
+			Pull:  s.ImageGB,
+			Spot:  s.Spot,
+			Takes: s.EstimateS,
+		},
+		Accepted: time.Now().UTC(),
+	}
 	res, err := o.st.Txn(context.Background(), kv.Txn{Compares: []kv.Compare{{Key: "a/" + s.ID}, {Key: "f/" + s.ID}},
 		Ops: []kv.Op{{Put: "a/" + s.ID, Value: rec}}})
 	if err != nil || !res.Succeeded {
@@ -369,7 +402,7 @@
 	time.Sleep(200 * time.Millisecond)
 }
 
-// cancel cancels a job by its own transaction, and tells its user the end.
+// cancel cancels a job by its own transaction, and returns its final phase.
 func (o *oldNode) cancel(id string) string {
 	ctx := context.Background()
 	for {
@@ -381,56 +414,62 @@
 			st, _ := o.Job(ctx, id)
 			return st.Phase
 		}
-		var rec oldActive
+		var rec oldActiveRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil {
 			o.w.t.Fatal(err)
 		}
-		res, err := o.st.Txn(ctx, kv.Txn{Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
-			Ops: []kv.Op{{Put: "a/!cancel", Value: id}, {Put: "f/" + id, Value: oldFinal{"withdrawn", rec.Spec.Tasks}}, {Delete: e.Key}}})
+		res, err := o.st.Txn(ctx, kv.Txn{
+			Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
+			Ops: []kv.Op{
+				{Put: "a/!cancel", Value: id},
+				{Put: "f/" + id, Value: oldTerminalRecord{Phase: "withdrawn", Tasks: rec.Spec.Tasks}},
+				{Delete: e.Key},
+			},
+		})
 		if err == nil && res.Succeeded {
 			o.mu.Lock()
-			o.cancelled(id)
+			o.recordCancellation(id)
 			o.mu.Unlock()
 			return api.JobCancelled
 		}
 	}
 }
 
-// oldLeadership is what it knows as leader of one term.
-type oldLeadership struct {
-	o                *oldNode
-	term, mark, from uint64
-	lease            uint64
-	jobs             map[string]*oldJob
-	machines         map[string]*oldMachine
-	// shards are the keys of the roster that it has read, with what is on them.
-	shards   map[string][]string
-	written  int
-	attempts uint64
-	renewed  time.Time
-	// drops are progress records of jobs that are over.
-	drops []kv.Op
+// oldLeaderTerm is its state as leader of one term.
+type oldLeaderTerm struct {
+	o                                  *oldNode
+	term, modRevision, watchedRevision uint64
+	lease                              uint64
+	jobs                               map[string]*oldJob
+	machines                           map[string]*oldMachine
+	// shards are the keys of the registry that it has read or written, with the machines on them.
+	shards        map[string][]string
+	shardsWritten int
+	attempts      uint64
+	renewedAt     time.Time
+	// staleRecords deletes the completion records of jobs that have ended.
+	staleRecords []kv.Op
 }
 
 type oldJob struct {
-	spec oldSpec
-	mark uint64
-	done map[int]bool
-	// on is where its tasks are.
-	on map[int]string
-	// progress are its progress records.
-	progress map[string]bool
+	spec        oldSpec
+	modRevision uint64
+	done        map[int]bool
+	// machineOf is the machine of each task that is on one.
+	machineOf map[int]string
+	// completionKeys are the keys of its completion records.
+	completionKeys map[string]bool
 }
 
 type oldMachine struct {
-	rec          oldMachineRecord
-	session, seq uint64
-	heard        bool
+	record          oldMachineRecord
+	agentEpoch, seq uint64
+	fenced          bool
 }
 
-// campaign takes the leadership: the leader key under a lease and the next term in
-// one transaction. Then it reads what it needs.
-func (o *oldNode) takeOver(ctx context.Context, leaderMark uint64) {
+// takeOver begins a leader term: it writes the leader key under a lease and the next term in
+// one transaction, and then reads the records.
+func (o *oldNode) takeOver(ctx context.Context, leaderModRevision uint64) {
 	e, err := o.st.Get(ctx, "term")
 	var t oldTerm
 	if err != nil || e.ModRevision != 0 && json.Unmarshal(e.Value, &t) != nil {
@@ -441,33 +480,49 @@
 	if err != nil {
 		return
 	}
-	res, err := o.st.Txn(ctx, kv.Txn{Compares: []kv.Compare{{Key: "leader", ModRevision: leaderMark}, {Key: "term", ModRevision: e.ModRevision}},
-		Ops: []kv.Op{{Put: "leader", Value: oldHolder{o.name, o.incarnation}, Lease: lease}, {Put: "term", Value: t}}})
+	res, err := o.st.Txn(ctx, kv.Txn{
+		Compares: []kv.Compare{
+			{Key: "leader", ModRevision: leaderModRevision},
+			{Key: "term", ModRevision: e.ModRevision},
+		},
+		Ops: []kv.Op{
+			{Put: "leader", Value: oldLeaderRecord{Node: o.name, Incarnation: o.incarnation}, Lease: lease},
+			{Put: "term", Value: t},
+		},
+	})
 	if err != nil || !res.Succeeded {
 		return
 	}
-	r := &oldLeadership{o: o, term: t.Number, mark: res.Revision, lease: lease, jobs: map[string]*oldJob{}, machines: map[string]*oldMachine{}, shards: map[string][]string{}}
+	r := &oldLeaderTerm{
+		o:           o,
+		term:        t.Number,
+		modRevision: res.Revision,
+		lease:       lease,
+		jobs:        map[string]*oldJob{},
+		machines:    map[string]*oldMachine{},
+		shards:      map[string][]string{},
+	}
 	if r.load(ctx) {
-		o.leadership, o.leader = r, o.name
+		o.leaderTerm, o.leader = r, o.name
 	}
 }
 
-// load reads active jobs, progress and roster.
-func (r *oldLeadership) load(ctx context.Context) bool {
+// load reads active jobs, completion records and the registry.
+func (r *oldLeaderTerm) load(ctx context.Context) bool {
 	active, err1 := r.o.st.Range(ctx, "a/", "", 500)
-	progress, err2 := r.o.st.Range(ctx, "p/", "", 500)
+	completions, err2 := r.o.st.Range(ctx, "p/", "", 500)
 	shards, err3 := r.o.st.Range(ctx, "m/", "", 500)
 	if errors.Join(err1, err2, err3) != nil {
 		return false
 	}
-	r.from = active.Revision
+	r.watchedRevision = active.Revision
 	for _, e := range active.Entries {
-		if e.Key != "a/!cancel" { // all else under a/ is taken for a job
+		if e.Key != "a/!cancel" { // the version takes every other key under a/ for a job
 			r.addJob(e.Key, e.Value, e.ModRevision)
 		}
 	}
-	for _, e := range progress.Entries {
-		r.addProgress(e)
+	for _, e := range completions.Entries {
+		r.addCompletion(e)
 	}
 	for _, e := range shards.Entries {
 		var s oldShard
@@ -476,43 +531,48 @@
 		}
 		for _, m := range s.Machines {
 			r.shards[e.Key] = append(r.shards[e.Key], m.Name)
-			r.machines[m.Name] = &oldMachine{rec: m}
+			r.machines[m.Name] = &oldMachine{record: m}
 		}
 	}
 	return true
 }
 
-func (r *oldLeadership) addJob(key string, value []byte, modRevision uint64) {
-	var rec oldActive
+func (r *oldLeaderTerm) addJob(key string, value []byte, modRevision uint64) {
+	var rec oldActiveRecord
 	err := json.Unmarshal(value, &rec)
-	if err == nil && rec.Spec.Tasks < 1 && rec.Spec.Team == "" && slices.Contains(r.o.passesOver, key) {
+	if err == nil && rec.Spec.Tasks < 1 && rec.Spec.Team == "" && slices.Contains(r.o.skippedRecords, key) {
 		return
 	}
 	if err != nil || rec.Spec.Tasks < 1 || "a/"+rec.Spec.ID != key {
 		r.o.w.t.Errorf("the version in production cannot read %s: %s", key, value)
 		return
 	}
-	if r.jobs[rec.Spec.ID] == nil && !slices.Contains(r.o.cancels, rec.Spec.ID) {
-		r.jobs[rec.Spec.ID] = &oldJob{spec: rec.Spec, mark: modRevision, done: map[int]bool{}, on: map[int]string{}, progress: map[string]bool{}}
+	if r.jobs[rec.Spec.ID] == nil && !slices.Contains(r.o.cancellationLog, rec.Spec.ID) {
+		r.jobs[rec.Spec.ID] = &oldJob{
+			spec:           rec.Spec,
+			modRevision:    modRevision,
+			done:           map[int]bool{},
+			machineOf:      map[int]string{},
+			completionKeys: map[string]bool{},
+		}
 	}
 }
 
-// addCompletion takes a progress record in, which may begin at any task and have any
-// length.
-func (r *oldLeadership) addProgress(e kv.Entry) {
+// addCompletion applies a completion record, which may begin at any task and have any length.
+func (r *oldLeaderTerm) addCompletion(e kv.Entry) {
 	id, first, _ := strings.Cut(strings.TrimPrefix(e.Key, "p/"), "/")
 	from, err := strconv.Atoi(first)
-	var p oldProgress
+	var p oldCompletionRecord
 	if err != nil || json.Unmarshal(e.Value, &p) != nil {
 		r.o.w.t.Errorf("the version in production cannot read %s", e.Key)
 		return
 	}
 	j := r.jobs[id]
 	if j == nil {
-		r.drops = append(r.drops, kv.Op{Delete: e.Key})
+		r.staleRecords = append(r.staleRecords, kv.Op{Delete: e.Key})
 		return
 	}
-	j.progress[e.Key] = true
+	j.completionKeys[e.Key] = true
 	for i := range 8 * len(p.Done) {
 		if p.Done[i/8]&(1<<(i%8)) != 0 && from+i < j.spec.Tasks {
 			j.done[from+i] = true
@@ -520,15 +580,15 @@
 	}
 }
 
-// tick renews the leadership and follows the active jobs.
-func (r *oldLeadership) tick(ctx context.Context, ch kv.Changes) {
-	if time.Since(r.renewed) > 3*time.Second && r.o.st.RenewLease(ctx, r.lease) == nil {
-		r.renewed = time.Now()
+// tick renews the leader lease and applies the changes of the active jobs.
+func (r *oldLeaderTerm) tick(ctx context.Context, ch kv.Changes) {
+	if time.Since(r.renewedAt) > 3*time.Second && r.o.st.RenewLease(ctx, r.lease) == nil {
+		r.renewedAt = time.Now()
 	}
-	if len(r.drops) > 0 && r.write(kv.Txn{Ops: r.drops}) {
-		r.drops = nil
+	if len(r.staleRecords) > 0 && r.write(kv.Txn{Ops: r.staleRecords}) {
+		r.staleRecords = nil
 	}
-	r.from = max(r.from, ch.Revision)
+	r.watchedRevision = max(r.watchedRevision, ch.Revision)
 	for _, e := range ch.Events {
 		var id string
 		switch {
@@ -536,35 +596,35 @@
 			if err := json.Unmarshal(e.Value, &id); err != nil {
 				r.o.w.t.Error(err)
 			}
-			r.o.cancelled(id)
+			r.o.recordCancellation(id)
 		case e.Put != "":
 			r.addJob(e.Put, e.Value, e.ModRevision)
 		case r.jobs[strings.TrimPrefix(e.Delete, "a/")] != nil:
-			// It takes it that another leads, and begins a term anew.
-			r.o.w.t.Errorf("%s goes without a cancellation under the old leader of term %d", e.Delete, r.term)
-			r.o.leadership = nil
+			// It concludes that another node leads, and begins a new term.
+			r.o.w.t.Errorf("%s deleted without a cancellation under the old leader of term %d", e.Delete, r.term)
+			r.o.leaderTerm = nil
 			return
 		}
 	}
 }
 
-// write writes under its term, or ends its leadership.
-func (r *oldLeadership) write(txn kv.Txn) bool {
-	txn.Compares = append(txn.Compares, kv.Compare{Key: "term", ModRevision: r.mark})
+// write writes under its term, and steps down if that is no longer the current one.
+func (r *oldLeaderTerm) write(txn kv.Txn) bool {
+	txn.Compares = append(txn.Compares, kv.Compare{Key: "term", ModRevision: r.modRevision})
 	res, err := r.o.st.Txn(context.Background(), txn)
 	if err == nil && slices.Contains(res.FailedKeys, "term") {
-		r.o.leadership = nil
+		r.o.leaderTerm = nil
 	}
 	return err == nil && res.Succeeded
 }
 
-// Heartbeat takes a worker's report in.
+// Heartbeat handles a worker agent's heartbeat.
 func (o *oldNode) Heartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	o.mu.Lock()
-	r, leader, l := o.leadership, o.leader, o.links
+	r, leader, l := o.leaderTerm, o.leader, o.links
 	if l != nil && r == nil {
 		defer o.mu.Unlock()
-		return o.extendLease(hb)
+		return o.renewOnBehalf(hb)
 	}
 	o.mu.Unlock()
 	if l == nil {
@@ -580,7 +640,7 @@
 func (o *oldNode) ForwardedHeartbeat(_ context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r := o.leadership
+	r := o.leaderTerm
 	if r == nil || hb.Term > r.term {
 		return api.HeartbeatResponse{}, &api.NotLeaderError{Leader: o.leader}
 	}
@@ -590,48 +650,56 @@
 		return response, nil // so that it learns the term
 	}
 	if m == nil {
-		m = &oldMachine{rec: oldMachineRecord{hb.Machine, hb.Addr, hb.Type, hb.Zone, hb.Spot, 4, 0, 16}}
-		if !r.write(kv.Txn{Ops: []kv.Op{r.newShard([]oldMachineRecord{m.rec})}}) {
+		m = &oldMachine{record: oldMachineRecord{
+			Name:     hb.Machine,
+			Addr:     hb.Addr,
+			Type:     hb.Type,
+			Zone:     hb.Zone,
+			Spot:     hb.Spot,
+			CPUs:     4,
+			MemoryGB: 16,
+		}}
+		if !r.write(kv.Txn{Ops: []kv.Op{r.newShard([]oldMachineRecord{m.record})}}) {
 			return response, nil
 		}
 		r.machines[hb.Machine] = m
 	}
-	if hb.AgentEpoch < m.session || hb.AgentEpoch == m.session && hb.Seq <= m.seq {
+	if hb.AgentEpoch < m.agentEpoch || hb.AgentEpoch == m.agentEpoch && hb.Seq <= m.seq {
 		return response, nil
 	}
-	m.session, m.seq, m.heard = hb.AgentEpoch, hb.Seq, true
-	response.Commands = r.place(m, hb, r.reconcile(hb))
+	m.agentEpoch, m.seq, m.fenced = hb.AgentEpoch, hb.Seq, true
+	response.Commands = r.assignTasks(m, hb, r.reconcile(hb))
 	return response, nil
 }
 
-// newShard is a shard of the roster under a name of its own.
-func (r *oldLeadership) newShard(machines []oldMachineRecord) kv.Op {
-	r.written++
-	key := fmt.Sprintf("m/%d-%d", r.term, r.written)
+// newShard is a shard of the registry under a key of its own.
+func (r *oldLeaderTerm) newShard(machines []oldMachineRecord) kv.Op {
+	r.shardsWritten++
+	key := fmt.Sprintf("m/%d-%d", r.term, r.shardsWritten)
 	for _, m := range machines {
 		r.shards[key] = append(r.shards[key], m.Name)
 	}
 	return kv.Op{Put: key, Value: oldShard{machines}}
 }
 
-// merge writes all machines on one shard that has room for them under its limits,
-// and drops the others.
-func (r *oldLeadership) merge() bool {
+// mergeShards writes all machines on one shard, which has space for them under its limits, and
+// deletes the others.
+func (r *oldLeaderTerm) mergeShards() bool {
 	var txn kv.Txn
 	for key := range r.shards {
 		txn.Ops = append(txn.Ops, kv.Op{Delete: key})
 	}
 	r.shards = map[string][]string{}
-	var all []oldMachineRecord
+	all := make([]oldMachineRecord, 0, len(r.machines))
 	for _, name := range slices.Sorted(maps.Keys(r.machines)) {
-		all = append(all, r.machines[name].rec)
+		all = append(all, r.machines[name].record)
 	}
 	txn.Ops = append(txn.Ops, r.newShard(all))
 	return r.write(txn)
 }
 
-// reconcile takes in what a machine's tasks do.
-func (r *oldLeadership) reconcile(hb *api.Heartbeat) (commands []api.Command) {
+// reconcile applies the status of a machine's tasks.
+func (r *oldLeaderTerm) reconcile(hb *api.Heartbeat) (commands []api.Command) {
 	shown := map[string]bool{}
 	zero := 0.0
 	for _, t := range hb.Tasks {
@@ -644,44 +712,51 @@
 		case j == nil:
 			commands = append(commands, api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
 		case t.Phase != api.TaskExited:
-			j.on[i] = hb.Machine
-		case t.Cause != api.CauseDone || r.completed(j, i):
-			delete(j.on, i)
+			j.machineOf[i] = hb.Machine
+		case t.Cause != api.CauseDone || r.recordCompletion(j, i):
+			delete(j.machineOf, i)
 			commands = append(commands, api.Command{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
 	for id, j := range r.jobs {
-		for i, machine := range j.on {
+		for i, machine := range j.machineOf {
 			if machine == hb.Machine && !shown[fmt.Sprint(id, "/", i)] {
-				delete(j.on, i)
+				delete(j.machineOf, i)
 			}
 		}
 	}
 	return commands
 }
 
-// completed records that a task is done: its result is dropped only then.
-func (r *oldLeadership) completed(j *oldJob, task int) bool {
+// recordCompletion records that a task is done, and reports whether it is on record: its
+// result is reaped only then.
+func (r *oldLeaderTerm) recordCompletion(j *oldJob, task int) bool {
 	if j.done[task] {
 		return true
 	}
 	j.done[task] = true
-	guard := []kv.Compare{{Key: "a/" + j.spec.ID, ModRevision: j.mark}}
+	unchanged := []kv.Compare{{Key: "a/" + j.spec.ID, ModRevision: j.modRevision}}
 	if len(j.done) < j.spec.Tasks {
 		key := "p/" + j.spec.ID + "/0"
 		bits := make([]byte, (j.spec.Tasks+7)/8)
 		for i := range j.done {
 			bits[i/8] |= 1 << (i % 8)
 		}
-		if !r.write(kv.Txn{Compares: guard, Ops: []kv.Op{{Put: key, Value: oldProgress{bits}}}}) {
+		if !r.write(kv.Txn{Compares: unchanged, Ops: []kv.Op{{Put: key, Value: oldCompletionRecord{bits}}}}) {
 			delete(j.done, task)
 			return false
 		}
-		j.progress[key] = true
+		j.completionKeys[key] = true
 		return true
 	}
-	txn := kv.Txn{Compares: guard, Ops: []kv.Op{{Put: "f/" + j.spec.ID, Value: oldFinal{"done", j.spec.Tasks}}, {Delete: "a/" + j.spec.ID}}}
-	for key := range j.progress {
+	txn := kv.Txn{
+		Compares: unchanged,
+		Ops: []kv.Op{
+			{Put: "f/" + j.spec.ID, Value: oldTerminalRecord{Phase: "done", Tasks: j.spec.Tasks}},
+			{Delete: "a/" + j.spec.ID},
+		},
+	}
+	for key := range j.completionKeys {
 		txn.Ops = append(txn.Ops, kv.Op{Delete: key})
 	}
 	if !r.write(txn) {
@@ -692,54 +767,77 @@
 	return true
 }
 
-// mostOrders bounds the orders of one answer.
-const mostOrders = 200
+// oldMaxCommands bounds the commands of one heartbeat response.
+const oldMaxCommands = 200
 
-// place starts what waits, of any active job, within machine and team. Work of
-// earlier terms waits until all machines on the roster are heard.
-func (r *oldLeadership) place(m *oldMachine, hb *api.Heartbeat, commands []api.Command) []api.Command {
-	free, used := m.rec.CPUs, map[string]float64{}
+// assignTasks starts pending tasks of any active job, within the machine's capacity and the
+// team's limit. Jobs of earlier terms stay pending until all machines of the registry are
+// fenced.
+func (r *oldLeaderTerm) assignTasks(m *oldMachine, hb *api.Heartbeat, commands []api.Command) []api.Command {
+	free, used := m.record.CPUs, map[string]float64{}
 	for _, t := range hb.Tasks {
 		if id, _, _ := splitRef(t.Task); t.Phase != api.TaskExited && r.jobs[id] != nil {
 			free -= r.jobs[id].spec.CPUs
 		}
 	}
-	all := true
-	for _, o := range r.machines {
-		all = all && (o.heard || r.o.w.cloud.gone(o.rec.Name))
-	}
 	for _, j := range r.jobs {
-		used[j.spec.Team] += j.spec.CPUs * float64(len(j.on))
+		used[j.spec.Team] += j.spec.CPUs * float64(len(j.machineOf))
 	}
-	jobs := slices.SortedFunc(maps.Values(r.jobs), func(a, b *oldJob) int { return int(a.mark) - int(b.mark) })
+	allFenced := r.allFenced()
+	jobs := slices.SortedFunc(maps.Values(r.jobs), func(a, b *oldJob) int {
+		return int(a.modRevision) - int(b.modRevision)
+	})
 	for _, j := range jobs {
-		most := 0.0
-		for _, t := range r.o.w.teams {
-			if t.Name == j.spec.Team {
-				most = t.LimitCPUs
-			}
+		if !allFenced && j.modRevision <= r.modRevision {
+			continue
 		}
+		limit := r.teamLimit(j.spec.Team)
 		for i := range j.spec.Tasks {
-			if len(commands) >= mostOrders {
+			if len(commands) >= oldMaxCommands {
 				return commands
 			}
-			if j.done[i] || j.on[i] != "" || free < j.spec.CPUs || used[j.spec.Team]+j.spec.CPUs > most || !all && j.mark <= r.mark {
+			fits := free >= j.spec.CPUs && used[j.spec.Team]+j.spec.CPUs <= limit
+			if j.done[i] || j.machineOf[i] != "" || !fits {
 				continue
 			}
 			free -= j.spec.CPUs
 			used[j.spec.Team] += j.spec.CPUs
-			j.on[i] = m.rec.Name
+			j.machineOf[i] = m.record.Name
 			r.attempts++
-			commands = append(commands, api.Command{Verb: api.VerbStart, Task: fmt.Sprint(j.spec.ID, "/", i), Attempt: r.term<<32 | r.attempts})
+			commands = append(commands, api.Command{
+				Verb:    api.VerbStart,
+				Task:    fmt.Sprint(j.spec.ID, "/", i),
+				Attempt: r.term<<32 | r.attempts,
+			})
 		}
 	}
 	return commands
 }
 
-// keep is what it does beyond a cut: it reads whether the leader still leads and
-// which jobs are active, writes which machines it keeps alive, all in one record,
-// relays their reports and takes the leader's orders in.
-func (o *oldNode) keep(ctx context.Context) {
+// allFenced reports whether all machines of the registry are fenced or terminated.
+func (r *oldLeaderTerm) allFenced() bool {
+	for _, m := range r.machines {
+		if !m.fenced && !r.o.w.cloud.gone(m.record.Name) {
+			return false
+		}
+	}
+	return true
+}
+
+// teamLimit is a team's limit in CPUs, 0 if there is no such team.
+func (r *oldLeaderTerm) teamLimit(name string) float64 {
+	for _, team := range r.o.w.teams {
+		if team.Name == name {
+			return team.LimitCPUs
+		}
+	}
+	return 0
+}
+
+// renewAndRelay does what a follower does in a partition: it reads the term and which jobs are
+// active, writes in one record which machines' leases it renews, relays their heartbeats, and
+// reads the leader's commands.
+func (o *oldNode) renewAndRelay(ctx context.Context) {
 	now := time.Now()
 	e, err1 := o.st.Get(ctx, "term")
 	page, err2 := o.st.Range(ctx, "a/", "", 500)
@@ -747,46 +845,59 @@
 	if errors.Join(err1, err2, json.Unmarshal(e.Value, &t)) != nil {
 		return
 	}
-	o.term, o.mark, o.verified, o.active = t.Number, e.ModRevision, now, map[string]bool{}
-	for _, row := range page.Entries {
-		o.active[strings.TrimPrefix(row.Key, "a/")] = true
+	o.term, o.modRevision, o.verifiedAt, o.activeJobs = t.Number, e.ModRevision, now, map[string]bool{}
+	for _, entry := range page.Entries {
+		o.activeJobs[strings.TrimPrefix(entry.Key, "a/")] = true
 	}
-	guard := []kv.Compare{{Key: "term", ModRevision: o.mark}}
-	k := oldLeaseExtension{Term: o.term}
-	for name, seen := range o.kept {
+	sameTerm := []kv.Compare{{Key: "term", ModRevision: o.modRevision}}
+	extension := oldLeaseExtension{Term: o.term}
+	for name, seen := range o.renewedMachines {
 		if now.Sub(seen) < 8*time.Second {
-			k.Hosts = append(k.Hosts, name)
+			extension.Hosts = append(extension.Hosts, name)
 		}
 	}
-	if len(k.Hosts) > 0 {
-		o.st.Txn(ctx, kv.Txn{Compares: guard, Ops: []kv.Op{{Put: "keep/" + o.name, Value: k}}})
+	if len(extension.Hosts) > 0 {
+		// Written again with the next tick if it fails.
+		_, _ = o.st.Txn(ctx, kv.Txn{Compares: sameTerm, Ops: []kv.Op{{Put: "keep/" + o.name, Value: extension}}})
 	}
-	o.takeOrders(ctx)
-	if len(o.relayed)+len(o.outcomes) == 0 || o.parts == 0 {
-		return
+	o.readDownlink(ctx)
+	if len(o.relayedHeartbeats)+len(o.outcomes) > 0 && o.parts > 0 {
+		o.writeUplink(ctx, sameTerm)
 	}
-	o.batch++
-	up := &peer.RelayUp{Term: o.term, Incarnation: o.incarnation, Batch: o.batch, Got: o.got, Outcomes: o.outcomes}
-	for _, hb := range o.relayed {
+}
+
+// writeUplink relays heartbeats and the outcomes of commands, in as many records as the test
+// wants.
+func (o *oldNode) writeUplink(ctx context.Context, compares []kv.Compare) {
+	o.uplinkBatch++
+	up := &peer.RelayUp{Term: o.term, Incarnation: o.incarnation, Batch: o.uplinkBatch, Got: o.downlinkBatch, Outcomes: o.outcomes}
+	for _, hb := range o.relayedHeartbeats {
 		up.Reports = append(up.Reports, peer.PackReport(hb))
 	}
-	parts, err := relay.Pack(up, o.batch, 1, 8<<10)
+	parts, err := relay.Pack(up, o.uplinkBatch, 1, 8<<10)
 	if err != nil {
 		o.w.t.Error(err)
 		return
 	}
-	data, txn := parts[0].Data, kv.Txn{Compares: guard}
+	data, txn := parts[0].Data, kv.Txn{Compares: compares}
 	for i := range o.parts {
-		piece := data[len(data)*i/o.parts : len(data)*(i+1)/o.parts]
-		txn.Ops = append(txn.Ops, kv.Op{Put: fmt.Sprint("relay/", o.name, "/up/", i), Value: oldPart{o.batch, i, o.parts, piece}})
+		txn.Ops = append(txn.Ops, kv.Op{
+			Put: fmt.Sprint("relay/", o.name, "/up/", i),
+			Value: oldPart{
+				Batch: o.uplinkBatch,
+				Index: i,
+				Of:    o.parts,
+				Data:  data[len(data)*i/o.parts : len(data)*(i+1)/o.parts],
+			},
+		})
 	}
 	if _, err := o.st.Txn(ctx, txn); err == nil {
-		clear(o.relayed)
+		clear(o.relayedHeartbeats)
 	}
 }
 
-// takeOrders reads what the leader has written for its machines.
-func (o *oldNode) takeOrders(ctx context.Context) {
+// readDownlink reads the commands that the leader has written for this node's machines.
+func (o *oldNode) readDownlink(ctx context.Context) {
 	e, err := o.st.Get(ctx, "relay/"+o.name+"/down")
 	var p relay.Part
 	var down peer.RelayDown
@@ -796,35 +907,41 @@
 	if err := relay.Unpack([]relay.Part{p}, &down); err != nil {
 		o.w.t.Error(err)
 	}
-	if down.Incarnation != o.incarnation || down.Batch <= o.got {
+	if down.Incarnation != o.incarnation || down.Batch <= o.downlinkBatch {
 		return
 	}
-	o.got, o.outcomes = down.Batch, nil
+	o.downlinkBatch, o.outcomes = down.Batch, nil
 	for _, commands := range down.Orders {
-		o.orders[commands.Machine] = commands
+		o.relayedCommands[commands.Machine] = commands
 	}
 }
 
-// renewOnBehalf answers a report in the leader's stead, for a bounded time. It starts
-// nothing but what the leader has ordered through the store.
-func (o *oldNode) extendLease(hb *api.Heartbeat) (api.HeartbeatResponse, error) {
-	if o.lost <= 2 || time.Since(o.verified) > 13*time.Second || hb.Term > o.term {
+// renewOnBehalf responds to a heartbeat under the leader's term, for a bounded time. It starts
+// only what the leader has commanded through the store.
+func (o *oldNode) renewOnBehalf(hb *api.Heartbeat) (api.HeartbeatResponse, error) {
+	if o.missedPings <= 2 || time.Since(o.verifiedAt) > 13*time.Second || hb.Term > o.term {
 		return api.HeartbeatResponse{}, &api.NotLeaderError{Leader: o.leader}
 	}
 	own := *hb
 	own.Tasks = slices.Clone(hb.Tasks)
-	o.kept[hb.Machine], o.relayed[hb.Machine] = time.Now(), &own
+	o.renewedMachines[hb.Machine], o.relayedHeartbeats[hb.Machine] = time.Now(), &own
 	response := api.HeartbeatResponse{Term: o.term, Commands: []api.Command{}}
 	zero := 0.0
 	for _, t := range hb.Tasks {
-		if id, _, _ := splitRef(t.Task); t.Phase != api.TaskExited && !o.active[id] {
-			response.Commands = append(response.Commands, api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
+		if id, _, _ := splitRef(t.Task); t.Phase != api.TaskExited && !o.activeJobs[id] {
+			stop := api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero}
+			response.Commands = append(response.Commands, stop)
 		}
 	}
-	if p := o.orders[hb.Machine]; p != nil && p.Session == hb.AgentEpoch && hb.Seq > p.Base {
+	if p := o.relayedCommands[hb.Machine]; p != nil && p.Session == hb.AgentEpoch && hb.Seq > p.Base {
 		response.Commands = append(response.Commands, peer.UnpackOrders(p.Orders)...)
-		o.outcomes = append(o.outcomes, &peer.RelayOutcome{Machine: hb.Machine, Session: p.Session, Base: p.Base, Handed: hb.Seq})
-		delete(o.orders, hb.Machine)
+		o.outcomes = append(o.outcomes, &peer.RelayOutcome{
+			Machine: hb.Machine,
+			Session: p.Session,
+			Base:    p.Base,
+			Handed:  hb.Seq,
+		})
+		delete(o.relayedCommands, hb.Machine)
 	}
 	return response, nil
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -340,9 +340,9 @@
 		name string
 		ops  func(v *mixed) []kv.Op
 	}{
-		{"progress", func(*mixed) []kv.Op { return []kv.Op{{Put: "p/job-1/0", Value: oldProgress{[]byte{1}}}} }},
+		{"progress", func(*mixed) []kv.Op { return []kv.Op{{Put: "p/job-1/0", Value: oldCompletionRecord{[]byte{1}}}} }},
 		{"end", func(*mixed) []kv.Op {
-			return []kv.Op{{Put: "f/job-1", Value: oldFinal{"done", 30}}, {Delete: "a/job-1"}}
+			return []kv.Op{{Put: "f/job-1", Value: oldTerminalRecord{"done", 30}}, {Delete: "a/job-1"}}
 		}},
 		{"shard", func(v *mixed) []kv.Op {
 			var ops []kv.Op
@@ -352,7 +352,7 @@
 			return append(ops, kv.Op{Put: "m/1-9", Value: oldShard{}})
 		}},
 		{"leadership", func(v *mixed) []kv.Op {
-			return []kv.Op{{Put: "leader", Value: oldHolder{"n0", v.old.incarnation}}}
+			return []kv.Op{{Put: "leader", Value: oldLeaderRecord{"n0", v.old.incarnation}}}
 		}},
 	} {
 		t.Run(late.name, func(t *testing.T) {
@@ -361,7 +361,7 @@
 				v.old.submit(spec("job-1", 30))
 				v.seconds(15)
 				var modRevision uint64
-				v.old.look(func(o *oldNode) { modRevision = o.leadership.mark })
+				v.old.inspect(func(o *oldNode) { modRevision = o.leaderTerm.modRevision })
 				v.old.crash()
 				for i := 0; i < 40 && !v.newLeads(); i++ {
 					v.seconds(1)
@@ -593,7 +593,7 @@
 		v.cancelNew("job-1")
 		v.seconds(2)
 		v.same("go on", v.ks[0].running(), []string{"job-3/0", "job-4/0"})
-		v.old.look(func(o *oldNode) { v.same("read so far", o.read["n1"].Number, 2) })
+		v.old.inspect(func(o *oldNode) { v.same("read so far", o.logPositions["n1"].Number, 2) })
 		v.new.crash()
 		v.beginNew()
 		v.cancelNew("job-3")
@@ -688,7 +688,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			playMixed(t, 1, false, func(v *mixed) {
 				v.takes = 1000
-				v.old.look(func(o *oldNode) { o.parts = c.parts })
+				v.old.inspect(func(o *oldNode) { o.parts = c.parts })
 				for i := range 3 {
 					v.ks = append(v.ks, v.worker(fmt.Sprint("i-2", i), farZone, false))
 				}
@@ -773,10 +773,10 @@
 				more(12)
 				for i := 0; i < 3 || v.old.leads(); i++ {
 					if v.old.leads() {
-						v.old.look(func(o *oldNode) {
-							v.same("one shard", o.leadership.merge(), true)
-							v.same("knows all machines", len(o.leadership.machines), machines)
-							v.same("knows all that is done", len(o.leadership.jobs["job-1"].done) >= done, true)
+						v.old.inspect(func(o *oldNode) {
+							v.same("one shard", o.leaderTerm.mergeShards(), true)
+							v.same("knows all machines", len(o.leaderTerm.machines), machines)
+							v.same("knows all that is done", len(o.leaderTerm.jobs["job-1"].done) >= done, true)
 						})
 						more(4)
 						v.same("too large to come", v.largest(records.MachinePrefix) > 1024 && v.largest(records.CompletionPrefix) > 1024, true)
@@ -849,7 +849,7 @@
 // version finds the loan as it was.
 func TestLoansUnderAnOldLeader(t *testing.T) {
 	playMixed(t, 2, true, func(v *mixed) {
-		v.old.passesOver = []string{records.ActivePrefix + "job-1", records.ActivePrefix + "job-2"}
+		v.old.skippedRecords = []string{records.ActivePrefix + "job-1", records.ActivePrefix + "job-2"}
 		lent, guest := spec("job-1", 2), spec("job-2", 2)
 		v.put(records.ActivePrefix+"job-1", records.ActiveRecord{Accepted: time.Now(), LoanCount: 1,
 			Lent: &loan.Lent{Host: "cell-b", Epoch: 5, Spec: *lent, Budget: loan.Budget{CPUs: 2}, Since: time.Now()}})
