--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -12,60 +12,71 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// A machine that shows no order carried out in report after report gets no
-// more work and is returned, whether or not it answers probes; one lost answer
-// condemns nobody.
-func TestDeafMachineIsReturned(t *testing.T) {
+// A machine that shows no command applied in heartbeat after heartbeat gets no more work and
+// is terminated, whether or not it responds to probes.
+func TestMachineWithCommandsUndeliveredIsTerminated(t *testing.T) {
 	for _, answersProbes := range []bool{false, true} {
-		simulate(t, func(w *cluster) {
-			n := w.start("n0")
-			deaf, well := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
-			deaf.serve(n, 2)
-			w.submit(n, spec("job-1", 1))
-			if !answersProbes {
-				w.dead.Store("i-1", true)
-			}
-			starts, reports := 0, 0
-			for ; reports < 60 && !w.cloud.gone("i-1"); reports++ {
-				commands, err := deaf.send(n)
-				if err != nil {
-					break
+		t.Run(fmt.Sprint("answers probes ", answersProbes), func(t *testing.T) {
+			simulate(t, func(w *cluster) {
+				n := w.start("n0")
+				deaf, healthy := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
+				deaf.serve(n, 2)
+				w.submit(n, spec("job-1", 1))
+				if !answersProbes {
+					w.dead.Store("i-1", true)
 				}
-				for _, o := range commands {
-					if o.Verb == api.VerbStart {
-						starts++
+				starts, heartbeats := 0, 0
+				for ; heartbeats < 60 && !w.cloud.gone("i-1"); heartbeats++ {
+					commands, err := deaf.send(n)
+					if err != nil {
+						break
 					}
+					starts += countStarts(commands, "job-1/")
+					time.Sleep(time.Second)
 				}
-				time.Sleep(time.Second)
-			}
-			w.same("returned", w.cloud.gone("i-1"), true)
-			if starts < 2 || starts > 5 {
-				t.Errorf("answers probes %v: %d starts in %d reports", answersProbes, starts, reports)
-			}
-			well.serve(n, 5)
-			w.same("runs elsewhere", len(well.running()), 1)
+				w.same("terminated", w.cloud.gone("i-1"), true)
+				if starts < 2 || starts > 5 {
+					t.Errorf("got %d starts in %d heartbeats, want 2 to 5", starts, heartbeats)
+				}
+				healthy.serve(n, 5)
+				w.same("tasks elsewhere", len(healthy.running()), 1)
+			})
 		})
 	}
+}
+
+// countStarts counts the starts of tasks with the given prefix among commands.
+func countStarts(commands []api.Command, prefix string) (starts int) {
+	for _, cmd := range commands {
+		if cmd.Verb == api.VerbStart && strings.HasPrefix(cmd.Task, prefix) {
+			starts++
+		}
+	}
+	return starts
+}
+
+// Single lost responses, between others that arrive, are no reason to terminate a machine.
+func TestSingleLostResponsesKeepMachine(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
 		for i := range 12 {
 			w.submit(n, spec("job-"+string(rune('1'+i)), 1))
-			if _, err := k.send(n); err != nil { // its answer is lost
+			if _, err := k.send(n); err != nil { // its response is lost
 				t.Fatal(err)
 			}
 			k.serve(n, 2)
 			k.exit(api.CauseDone)
 			k.serve(n, 2)
 		}
-		w.same("kept", w.cloud.gone("i-1"), false)
+		w.same("terminated", w.cloud.gone("i-1"), false)
 	})
 }
 
-// A machine whose lease ends although it is answered does not hear the answers,
-// even if there was nothing to order.
-func TestSessionsThatEndShowADeafMachine(t *testing.T) {
+// A machine whose task lease expires although its heartbeats are responded to does not get the
+// responses, even if they had no commands.
+func TestExpiredAgentEpochsRevealUndeliveredCommands(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
@@ -81,18 +92,18 @@
 			}
 			time.Sleep(time.Second)
 		}
-		w.same("returned", w.cloud.gone("i-1"), true)
+		w.same("terminated", w.cloud.gone("i-1"), true)
 	})
 }
 
-// A deaf machine on the roster shows the old token in report after report. A
-// takeover must not wait for it without end, and its capacity must not stay
-// charged against every team.
-func TestTakeoverDoesNotWaitForADeafMachine(t *testing.T) {
+// A machine of the registry that gets no responses shows the old fencing token in heartbeat
+// after heartbeat. A takeover must not wait for it without end, and its resources must not
+// stay reserved against every team.
+func TestTakeoverDoesNotWaitForMachineWithCommandsUndelivered(t *testing.T) {
 	for _, answersProbes := range []bool{false, true} {
 		simulate(t, func(w *cluster) {
 			a := w.start("n0")
-			deaf, well := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
+			deaf, healthy := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 			deaf.serve(a, 2)
 			w.submit(a, spec("job-1", 4))
 			deaf.serve(a, 2)
@@ -106,19 +117,19 @@
 			for range 20 {
 				old.Seq++
 				hb := old
-				deaf.deliver(b, &hb)
-				well.report(b)
+				_, _ = deaf.deliver(b, &hb) // the response is lost, whatever it is
+				healthy.report(b)
 				time.Sleep(time.Second)
 			}
-			w.same("returned", w.cloud.gone("i-1"), true)
-			w.same("runs elsewhere", len(well.running()), 4)
+			w.same("terminated", w.cloud.gone("i-1"), true)
+			w.same("tasks elsewhere", len(healthy.running()), 4)
 		})
 	}
 }
 
-// A copy of an old report, however late, changes nothing in this term: no sign
-// of life, no attempt, no orders.
-func TestLateCopyIsNoSignOfLife(t *testing.T) {
+// A copy of an old heartbeat, however late, changes nothing in this term: it does not show
+// that the machine is alive, adds no attempt and gets no commands.
+func TestLateHeartbeatCopyIsIgnored(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
@@ -128,74 +139,74 @@
 		copied := k.rep
 		copied.Tasks = slices.Clone(k.rep.Tasks)
 		k.serve(n, 2)
-		w.dead.Store("i-1", true) // dies; copies of its reports go on
+		w.dead.Store("i-1", true) // dies; copies of its heartbeats still arrive
 		for range 12 {
 			hb := copied
 			if commands, err := k.deliver(n, &hb); err == nil {
-				w.same("orders for a copy", len(commands), 0)
+				w.same("commands for a copy", len(commands), 0)
 			}
 			other.report(n)
 			time.Sleep(time.Second)
 		}
-		w.same("returned", w.cloud.gone("i-1"), true)
-		w.same("runs elsewhere", len(other.running()), 1)
+		w.same("terminated", w.cloud.gone("i-1"), true)
+		w.same("tasks elsewhere", len(other.running()), 1)
 	})
 }
 
-// After a takeover a copy may come before the machine's own report, or from a
-// machine that an earlier leader has returned, which this one cannot know.
-func TestLateCopyAfterATakeover(t *testing.T) {
+// After a takeover a copy may arrive before the machine's own heartbeat, or from a machine
+// that an earlier leader has terminated, which this one cannot know.
+func TestLateHeartbeatCopyAfterTakeover(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		a := w.start("n0")
-		gone, k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
-		fresh := gone.rep // its very first report, with no token
-		fresh.Seq = 1
+		dead, k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
+		first := dead.rep // its very first heartbeat, with no fencing token
+		first.Seq = 1
 		w.submit(a, spec("job-1", 1))
-		gone.serve(a, 3)
-		w.same("first run", len(gone.running()), 1)
-		copied := gone.rep
-		copied.Tasks = slices.Clone(gone.rep.Tasks)
+		dead.serve(a, 3)
+		w.same("first run", len(dead.running()), 1)
+		copied := dead.rep
+		copied.Tasks = slices.Clone(dead.rep.Tasks)
 		w.dead.Store("i-1", true)
 		for range 8 {
 			k.report(a)
 			time.Sleep(time.Second)
 		}
-		w.same("returned", w.cloud.gone("i-1"), true)
+		w.same("terminated", w.cloud.gone("i-1"), true)
 		w.same("second run", len(k.running()), 1)
 		a.crash()
 		b := w.start("n0")
 		for i := range 12 {
-			for _, hb := range []api.Heartbeat{fresh, copied} {
+			for _, hb := range []api.Heartbeat{first, copied} {
 				hb.Seq += uint64(i % 2)
-				if commands, err := gone.deliver(b, &hb); err == nil {
-					w.same("orders for a copy", len(commands), 0)
+				if commands, err := dead.deliver(b, &hb); err == nil {
+					w.same("commands for a copy", len(commands), 0)
 				}
 			}
-			for _, o := range append(k.report(b), other.report(b)...) {
-				w.same("order", o, nil)
+			for _, cmd := range append(k.report(b), other.report(b)...) {
+				w.same("command", cmd, nil)
 			}
 			time.Sleep(time.Second)
 		}
 		w.same("second run goes on", len(k.running()), 1)
-		w.same("roster", w.roster(), []string{"i-2", "i-3"})
-		w.same("returned", w.cloud.returned, []string{"i-1"})
+		w.same("registry", w.roster(), []string{"i-2", "i-3"})
+		w.same("terminated", w.cloud.returned, []string{"i-1"})
 		w.same("phase", w.phase(b, "job-1"), "running")
 	})
 }
 
-// While reports are held up by a cut, runs seem long that have ended: neither
-// are they restarted, nor are their machines taken for slow.
-func TestRunsBeyondACutAreNotSlow(t *testing.T) {
+// While heartbeats are delayed by a partition, runs that have ended seem long: neither are
+// they restarted as stragglers, nor are their machines quarantined as slow.
+func TestRunsDuringPartitionAreNotStragglers(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		near, far := w.worker("i-1", "a", false), w.worker("i-2", "b", false)
 		s := spec("job-1", 40)
 		s.EstimateS = 4
 		w.submit(n, s)
-		round := func(cut bool) {
+		round := func(partitioned bool) {
 			for range 5 {
 				near.report(n)
-				if !cut {
+				if !partitioned {
 					far.report(n)
 				}
 				time.Sleep(time.Second)
@@ -208,26 +219,26 @@
 		for range 5 {
 			round(true)
 		}
-		held := far.rep // sent as the cut began, delivered as it ends
-		held.Tasks = nil
+		delayed := far.rep // sent as the partition began, delivered as it heals
+		delayed.Tasks = nil
 		for _, task := range far.rep.Tasks {
 			task.Phase, task.Cause = api.TaskRunning, ""
-			held.Tasks = append(held.Tasks, task)
+			delayed.Tasks = append(delayed.Tasks, task)
 		}
 		far.rep.Seq++
-		far.deliver(n, &held)
+		_, _ = far.deliver(n, &delayed) // the response is not applied, whatever it is
 		n.look(func(c *Controller) { w.same("restarted", len(c.leaderTerm.jobs["job-1"].restarted), 0) })
 		round(false)
 		round(false)
 		round(false)
-		w.same("taken for slow", w.cloud.gone("i-2"), false)
+		w.same("terminated as slow", w.cloud.gone("i-2"), false)
 	})
 }
 
-// Under lasting overload the largest job gives way again and again to others
-// that can be in time, and those that are hopeless to those that are not. Each
-// must begin all the same, and go on.
-func TestLargestJobBeginsUnderLastingOverload(t *testing.T) {
+// Under lasting overload the largest job is deferred again and again for others that can be in
+// time, as infeasible jobs are for feasible ones. Each must start all the same, and make
+// progress.
+func TestLargestJobStartsUnderLastingOverload(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
@@ -235,7 +246,7 @@
 		big := spec("job-1", 60)
 		big.EstimateS = 60
 		w.submit(n, big)
-		begun, started := time.Duration(0), 0
+		firstStart, started := time.Duration(0), 0
 		t0 := time.Now()
 		for i := range 1200 {
 			if i%2 == 0 {
@@ -243,34 +254,31 @@
 				s.EstimateS = 5
 				w.submit(n, s)
 			}
-			for _, o := range k.report(n) {
-				if o.Verb == api.VerbStart && strings.HasPrefix(o.Task, "job-1/") {
-					if started++; begun == 0 {
-						begun = time.Since(t0)
-					}
-				}
+			started += countStarts(k.report(n), "job-1/")
+			if started > 0 && firstStart == 0 {
+				firstStart = time.Since(t0)
 			}
 			if i%5 == 4 {
 				k.exit(api.CauseDone)
 			}
 			time.Sleep(800 * time.Millisecond)
 		}
-		if begun == 0 || begun > 4*time.Minute {
-			t.Errorf("begun after %v", begun)
+		if started == 0 || firstStart > 4*time.Minute {
+			t.Errorf("got %d starts, the first after %v, want one within 4m", started, firstStart)
 		}
 		if started < 40 {
-			t.Errorf("only %d of its tasks started", started)
+			t.Errorf("got %d starts of its tasks, want at least 40", started)
 		}
 	})
 }
 
-// Where many machines seem slow at once, it is not the machines: only a few
-// are quarantined.
-func TestFewMachinesAreTakenForSlow(t *testing.T) {
+// Where many machines seem slow at once, the machines are not the cause: only a few are
+// quarantined.
+func TestFewMachinesAreQuarantinedAsSlow(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		var ks []*worker
-		for i := range 12 {
-			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
+		agents := make([]*worker, 12)
+		for i := range agents {
+			agents[i] = w.worker(fmt.Sprint("i-", i), "a", false)
 		}
 		w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 100
 		n := w.start("n0")
@@ -278,7 +286,7 @@
 		s.EstimateS = 60
 		w.submit(n, s)
 		for second := range 60 {
-			for i, k := range ks {
+			for i, k := range agents {
 				k.report(n)
 				if i < 3 && second%4 == 3 || second%20 == 19 {
 					k.exit(api.CauseDone)
@@ -286,20 +294,20 @@
 			}
 			time.Sleep(time.Second)
 		}
-		if gone := len(w.cloud.returned); gone < 1 || gone > 3 { // nine without the guard
-			t.Errorf("%d machines returned", gone)
+		if terminated := len(w.cloud.returned); terminated < 1 || terminated > 3 { // nine without the guard
+			t.Errorf("got %d machines terminated, want 1 to 3", terminated)
 		}
 	})
 }
 
-// A controller that is back within a fraction of a second, in the middle of its
-// own election: what its earlier incarnation sent and is carried out late must
-// not end or share the new one's term, nor change a job accepted meanwhile.
-func TestLateRequestsOfAnEarlierIncarnation(t *testing.T) {
+// A controller that is restarted within a fraction of a second, in the middle of its own
+// election: the requests of its earlier incarnation that the store applies late must not end
+// or share the new one's term, nor change a job accepted meanwhile.
+func TestLateRequestsOfEarlierIncarnation(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		w.store.Hold(touches("leader"))
 		a := w.start("n0")
-		w.same("takeover on its way", w.store.Held(), 1)
+		w.same("delayed takeovers", w.store.Held(), 1)
 		a.crash()
 		time.Sleep(100 * time.Millisecond)
 		w.store.Hold(nil)
@@ -309,7 +317,7 @@
 		term := k.rep.Term
 		w.same("new incarnation leads", term > 0, true)
 		for _, res := range w.store.Release() {
-			w.same("late takeover carried out", res.Succeeded, false)
+			w.same("late takeover applied", res.Succeeded, false)
 		}
 		k.serve(b, 8)
 		w.same("term", k.rep.Term, term)
@@ -330,14 +338,17 @@
 		k.serve(c, 4)
 		w.same("phase", w.phase(c, "job-1"), "done")
 		for _, res := range w.store.Release() {
-			w.same("late record carried out", res.Succeeded, false)
+			w.same("late record applied", res.Succeeded, false)
 		}
 		w.same("phase", w.phase(c, "job-1"), "done")
 		k.serve(c, 3)
 		w.same("started again", len(k.running()), 0)
 	})
-	// The late takeover may also come first: the new incarnation finds its own
-	// name, and must take a term of its own.
+}
+
+// The takeover of the earlier incarnation may also be applied first: the new one finds its
+// own name in the leader key, and must begin a term of its own.
+func TestAppliedTakeoverOfEarlierIncarnation(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		w.store.Lose(touches("leader"))
 		a := w.start("n0")
@@ -351,10 +362,10 @@
 	})
 }
 
-// A task on a machine that has gone deaf cannot be stopped by orders. If its
-// job is cancelled, the machine is returned in the time that a cancellation
-// has, although its reports go on.
-func TestCancelledJobOnADeafMachine(t *testing.T) {
+// A task on a machine that gets no responses cannot be stopped by commands. If its job is
+// cancelled, the machine is terminated within the time that a cancellation may take, although
+// its heartbeats still arrive.
+func TestCancelledJobOnMachineWithCommandsUndelivered(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		deaf := w.worker("i-1", "a", false)
@@ -367,18 +378,18 @@
 		}
 		t0 := time.Now()
 		for !w.cloud.gone("i-1") && time.Since(t0) < time.Minute {
-			deaf.send(n) // what it is answered does not reach it
+			_, _ = deaf.send(n) // no response reaches it
 			time.Sleep(time.Second)
 		}
 		if took := time.Since(t0); took >= 30*time.Second {
-			t.Errorf("returned after %v", took)
+			t.Errorf("terminated after %v, want less than 30s", took)
 		}
 	})
 }
 
-// Once troubles are over every job is answered for within seconds, at every
-// node: no job may be left out because of what went on before.
-func TestAllPollsAreAnsweredAfterTroubles(t *testing.T) {
+// Once all faults are healed every node answers for every job within seconds: no job may be
+// left out because of earlier faults.
+func TestAllPollsAreAnsweredAfterFaultsHeal(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		l, a, b, ga, gb := w.pair()
 		for i := range 12 {
@@ -411,11 +422,11 @@
 	})
 }
 
-// A machine that is started anew under its name, back before it was missed,
-// counts its reports from the first again: all would be dropped as older ones,
-// its tasks would be thought to run, and probes would find it alive. It is
-// returned, and only then do its tasks begin elsewhere.
-func TestMachineStartedAnew(t *testing.T) {
+// A machine that is restarted under its name before its heartbeats were missed numbers them
+// from the first again: all would be dropped as older ones, its tasks would be taken for
+// running, and probes would find it alive. It is terminated, and only then do its tasks start
+// elsewhere.
+func TestMachineRestartedUnderItsName(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
@@ -427,20 +438,20 @@
 		k.rep.Seq, k.rep.Term, k.rep.Tasks = 0, 0, nil
 		for range 15 {
 			if !w.cloud.gone("i-1") {
-				w.same("begun elsewhere before the return", other.running(), []string(nil))
+				w.same("tasks elsewhere before the termination", other.running(), []string(nil))
 				k.report(a)
 			}
 			other.report(a)
 			time.Sleep(time.Second)
 		}
-		w.same("returned", w.cloud.gone("i-1"), true)
-		w.same("begun elsewhere", len(other.running()), 4)
+		w.same("terminated", w.cloud.gone("i-1"), true)
+		w.same("tasks elsewhere", len(other.running()), 4)
 	})
 }
 
-// A leader that still holds itself for entitled hears from a machine that another
-// has begun a later term: it stops to lead, and does not end over the report.
-func TestReportOfALaterTermEndsTheLeadership(t *testing.T) {
+// A leader whose lease has not expired learns from a machine's heartbeat that another has
+// begun a later term: it steps down, and does not crash on the heartbeat.
+func TestHeartbeatOfLaterTermMakesLeaderStepDown(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
@@ -450,12 +461,12 @@
 		n.look(func(c *Controller) {
 			defer func() {
 				if p := recover(); p != nil {
-					t.Errorf("ends over a report: %v", p)
+					t.Errorf("panics on a heartbeat: %v", p)
 				}
 			}()
 			m := heartbeatMsg{heartbeat: &hb, reply: make(chan heartbeatReply, 1), receivedAt: time.Now()}
 			m.apply(c)
-			w.same("refused", (<-m.reply).err, &api.NotLeaderError{})
+			w.same("rejected", (<-m.reply).err, &api.NotLeaderError{})
 			w.same("leads", c.leaderTerm != nil, false)
 		})
 	})
