--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -710,7 +710,8 @@
 		case j == nil && t.Phase == api.TaskExited:
 			commands = append(commands, api.Command{Verb: api.VerbReap, Task: t.Task, Attempt: t.Attempt})
 		case j == nil:
-			commands = append(commands, api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
+			stop := api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero}
+			commands = append(commands, stop)
 		case t.Phase != api.TaskExited:
 			j.machineOf[i] = hb.Machine
 		case t.Cause != api.CauseDone || r.recordCompletion(j, i):
@@ -870,7 +871,13 @@
 // wants.
 func (o *oldNode) writeUplink(ctx context.Context, compares []kv.Compare) {
 	o.uplinkBatch++
-	up := &peer.RelayUp{Term: o.term, Incarnation: o.incarnation, Batch: o.uplinkBatch, Got: o.downlinkBatch, Outcomes: o.outcomes}
+	up := &peer.RelayUp{
+		Term:        o.term,
+		Incarnation: o.incarnation,
+		Batch:       o.uplinkBatch,
+		Got:         o.downlinkBatch,
+		Outcomes:    o.outcomes,
+	}
 	for _, hb := range o.relayedHeartbeats {
 		up.Reports = append(up.Reports, peer.PackReport(hb))
 	}
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -15,89 +16,93 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// has tells whether a transaction puts a record under a prefix that holds some text.
-func has(prefix, text string) func(kv.Txn) bool {
+// putsActive reports whether a transaction puts an active record that matches.
+func putsActive(match func(records.ActiveRecord) bool) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool {
-		for _, op := range txn.Ops {
-			if !strings.HasPrefix(op.Put, prefix) {
-				continue
-			}
-			switch rec := op.Value.(type) {
-			case records.ActiveRecord:
-				if text == "lent" && rec.Lent != nil || text == "guest" && rec.Guest != nil || text == "plain" && rec.Spec.ID != "" && rec.LoanCount > 0 {
-					return true
-				}
-			default:
-				if text == "" {
-					return true
-				}
-			}
-		}
-		return false
+		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool {
+			rec, ok := op.Value.(records.ActiveRecord)
+			return ok && strings.HasPrefix(op.Put, records.ActivePrefix) && match(rec)
+		})
 	}
 }
 
-// drops tells whether a transaction removes a record under a prefix.
-func drops(prefix string) func(kv.Txn) bool {
+// The active record of a job that is lent, of a guest, and of a job that was lent.
+var (
+	putsLent      = putsActive(func(rec records.ActiveRecord) bool { return rec.Lent != nil })
+	putsGuest     = putsActive(func(rec records.ActiveRecord) bool { return rec.Guest != nil })
+	putsReclaimed = putsActive(func(rec records.ActiveRecord) bool { return rec.Spec.ID != "" && rec.LoanCount > 0 })
+)
+
+// puts reports whether a transaction puts a record under a prefix, other than an active one.
+func puts(prefix string) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool {
-		for _, op := range txn.Ops {
-			if strings.HasPrefix(op.Delete, prefix) {
-				return true
-			}
-		}
-		return false
+		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool {
+			_, active := op.Value.(records.ActiveRecord)
+			return !active && strings.HasPrefix(op.Put, prefix)
+		})
 	}
 }
 
-// Each step of a loan has its answer lost, is carried out late or fails for a while, also
-// while the leader that sent it ends: the job still comes to one end, in one cell.
+// deletes reports whether a transaction deletes a record under a prefix.
+func deletes(prefix string) func(kv.Txn) bool {
+	return func(txn kv.Txn) bool {
+		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool { return strings.HasPrefix(op.Delete, prefix) })
+	}
+}
+
+// loanStep is a step of a loan: the cell that writes it, and its transaction.
+type loanStep struct {
+	name  string
+	cell  int
+	match func(kv.Txn) bool
+	// hostBusy is set if the host needs work of its own to reject or return loans.
+	hostBusy bool
+}
+
+// storeFault is what goes wrong with a transaction.
+type storeFault struct {
+	name   string
+	inject func(c *cell, match func(kv.Txn) bool)
+	// restart is set if the leader may restart while the fault lasts.
+	restart bool
+}
+
+// Each step of a loan has its response lost, is applied late or fails for a while, also
+// while the leader that sent it ends: the job still has one end, in one cell.
 func TestLoanStepsThatFail(t *testing.T) {
-	steps := map[string]struct {
-		cell  int
-		match func(kv.Txn) bool
-	}{
-		"lend":      {0, has(records.ActivePrefix, "lent")},
-		"accept":    {1, has(records.ActivePrefix, "guest")},
-		"close":     {1, has(loan.MinEpochKey(""), "")},
-		"take back": {0, has(records.ActivePrefix, "plain")},
-		"end there": {1, has(loan.EndKey("", "")[:len("loan/end/")], "")},
-		"end here":  {0, has(records.TerminalPrefix, "")},
-		"forget":    {1, drops("loan/end/")},
+	steps := []loanStep{
+		{name: "lend", cell: 0, match: putsLent},
+		{name: "accept", cell: 1, match: putsGuest},
+		{name: "close", cell: 1, match: puts(loan.MinEpochKey("")), hostBusy: true},
+		{name: "reclaim", cell: 0, match: putsReclaimed, hostBusy: true},
+		{name: "end at host", cell: 1, match: puts(loan.EndKey("", "")[:len("loan/end/")])},
+		{name: "end at home", cell: 0, match: puts(records.TerminalPrefix)},
+		{name: "forget", cell: 1, match: deletes("loan/end/")},
 	}
-	troubles := map[string]func(c *cell, match func(kv.Txn) bool){
-		"lost": func(c *cell, match func(kv.Txn) bool) { c.store.Lose(match) },
-		"late": func(c *cell, match func(kv.Txn) bool) { c.store.Hold(match) },
-		"outage": func(c *cell, _ func(kv.Txn) bool) {
-			time.AfterFunc(2500*time.Millisecond, func() { c.store.SetDown(true) })
+	faults := []storeFault{
+		{
+			name:    "response lost",
+			inject:  func(c *cell, match func(kv.Txn) bool) { c.store.Lose(match) },
+			restart: true,
+		},
+		{
+			name:    "applied late",
+			inject:  func(c *cell, match func(kv.Txn) bool) { c.store.Hold(match) },
+			restart: true,
+		},
+		{
+			name: "outage",
+			inject: func(c *cell, _ func(kv.Txn) bool) {
+				time.AfterFunc(2500*time.Millisecond, func() { c.store.SetDown(true) })
+			},
 		},
 	}
-	for step, s := range steps {
-		for trouble, begin := range troubles {
-			for _, change := range []bool{false, true} {
-				t.Run(fmt.Sprint(step, " ", trouble, " ", change), func(t *testing.T) {
+	for _, step := range steps {
+		for _, fault := range faults {
+			for _, restart := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s, %s, restart %v", step.name, fault.name, restart), func(t *testing.T) {
 					simulateCells(t, []int{1, 1}, func(g *cellGroup) {
-						c := g.cells[s.cell]
-						begin(c, s.match)
-						ids := g.submitBurst(g.cells[0], 100, 8, 6*time.Second)
-						if step == "close" || step == "take back" {
-							// The host is full of its own work, so it refuses or gives back.
-							g.submitBurst(g.cells[1], 200, 6, 6*time.Second)
-						}
-						time.Sleep(8 * time.Second)
-						if change && trouble != "outage" {
-							c.restartNode(0, 40*time.Second)
-						}
-						time.Sleep(3 * time.Second)
-						c.store.SetDown(false)
-						c.store.Hold(nil)
-						c.store.Lose(nil)
-						c.store.Release()
-						g.awaitAllEnded(6 * time.Minute)
-						for _, id := range ids {
-							if g.job(id).endPhase != api.JobDone {
-								t.Errorf("%s: %s", id, g.job(id).endPhase)
-							}
-						}
+						testLoanStep(t, g, step, fault, restart && fault.restart)
 					})
 				})
 			}
@@ -105,15 +110,45 @@
 	}
 }
 
-// An acceptance without an answer is carried out minutes later, when the host has closed
-// the loan and home runs the job itself: it fails by the floor.
+func testLoanStep(t *testing.T, g *cellGroup, step loanStep, fault storeFault, restart bool) {
+	t.Helper()
+	c := g.cells[step.cell]
+	fault.inject(c, step.match)
+	ids := g.submitBurst(g.cells[0], 100, 8, 6*time.Second)
+	if step.hostBusy {
+		g.submitBurst(g.cells[1], 200, 6, 6*time.Second)
+	}
+	time.Sleep(8 * time.Second)
+	if restart {
+		c.restartNode(0, 40*time.Second)
+	}
+	time.Sleep(3 * time.Second)
+	c.healStore()
+	g.awaitAllEnded(6 * time.Minute)
+	for _, id := range ids {
+		if got := g.job(id).endPhase; got != api.JobDone {
+			t.Errorf("%s: got end %q, want %q", id, got, api.JobDone)
+		}
+	}
+}
+
+// healStore ends all faults of the cell's store, and applies what it has delayed.
+func (c *cell) healStore() {
+	c.store.SetDown(false)
+	c.store.Lose(nil)
+	c.store.Hold(nil)
+	c.store.Release()
+}
+
+// An acceptance without a response is applied minutes later, when the host has closed the
+// loan and home runs the job itself: it fails by the minimum epoch.
 func TestAcceptanceMinutesLate(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
-		host.store.Hold(has(records.ActivePrefix, "guest"))
+		host.store.Hold(putsGuest)
 		g.submitBurst(home, 100, 6, 8*time.Second)
 		time.Sleep(6 * time.Second)
-		// The next leader of the host refuses what it is offered.
+		// The next leader of the host rejects offers.
 		host.nodes[0].crash()
 		host.setNode(0, host.start("n0"))
 		host.store.Hold(nil)
@@ -123,39 +158,30 @@
 		time.Sleep(50 * time.Second)
 		late := host.store.Release()
 		if len(late) == 0 {
-			t.Error("nothing was held")
+			t.Error("no transaction was delayed")
 		}
 		for _, res := range late {
-			host.same("carried out late", res.Succeeded, false)
+			host.same("applied late", res.Succeeded, false)
 		}
 		g.awaitAllEnded(5 * time.Minute)
 	})
 }
 
-// The first copy of an acceptance is carried out after a second one, when the host has
-// given the loan back, under the same leader: only the floor stands against it.
-func TestAcceptanceCarriedOutAgain(t *testing.T) {
+// The first copy of an acceptance is applied after a second one, when the host has returned
+// the loan, under the same leader: only the minimum epoch rejects it.
+func TestAcceptanceAppliedAgain(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
-		held := false
+		delayed := false
 		host.store.Hold(func(txn kv.Txn) bool {
-			hold := !held && has(records.ActivePrefix, "guest")(txn)
-			held = held || hold
-			return hold
+			delay := !delayed && putsGuest(txn)
+			delayed = delayed || delay
+			return delay
 		})
 		ids := g.submitBurst(home, 100, 6, 8*time.Second)
 		for range 100 {
 			time.Sleep(50 * time.Millisecond)
-			given := false
-			host.nodes[0].look(func(c *Controller) {
-				for _, j := range c.leaderTerm.jobs {
-					if j.guest != nil && !j.started() {
-						c.leaderTerm.loans.returnGuest(j)
-						given = true
-					}
-				}
-			})
-			if given {
+			if host.returnGuests() {
 				break
 			}
 		}
@@ -163,90 +189,112 @@
 		time.Sleep(10 * time.Second)
 		late := host.store.Release()
 		if len(late) != 1 {
-			t.Errorf("%d held", len(late))
+			t.Errorf("got %d delayed transactions, want 1", len(late))
 		}
 		for _, res := range late {
-			host.same("carried out again", res.Succeeded, false)
+			host.same("applied again", res.Succeeded, false)
 		}
 		g.awaitAllEnded(5 * time.Minute)
 		host.same("jobs", len(ids), 6)
 	})
 }
 
-// The next leader at home counts what is lent against the limits of its teams.
+// returnGuests has the first node return all guests that have not started, and reports
+// whether there were any.
+func (c *cell) returnGuests() (returned bool) {
+	c.nodes[0].look(func(ctl *Controller) {
+		for _, j := range ctl.leaderTerm.jobs {
+			if j.guest != nil && !j.started() {
+				ctl.leaderTerm.loans.returnGuest(j)
+				returned = true
+			}
+		}
+	})
+	return returned
+}
+
+// The next leader at home counts the budgets of loans against the limits of its teams.
 func TestLoansCountAgainstLimitsAfterATakeover(t *testing.T) {
 	simulateCells(t, []int{1, 4}, func(g *cellGroup) {
 		home := g.cells[0]
 		g.submitBurst(home, 100, 8, 30*time.Second)
 		time.Sleep(10 * time.Second)
-		lent := func() (grants, used float64) {
+		lent := func() (budgets, used float64) {
 			home.leader().look(func(c *Controller) {
 				for _, j := range c.leaderTerm.jobs {
 					if j.lent != nil {
-						grants += j.lent.Budget.CPUs
+						budgets += j.lent.Budget.CPUs
 					}
 				}
 				for _, team := range c.leaderTerm.teams {
 					used += team.UsedCPUs
 				}
 			})
-			return grants, used
+			return budgets, used
 		}
 		before, _ := lent()
 		home.restartNode(0, 100*time.Millisecond)
 		time.Sleep(3 * time.Second)
-		grants, used := lent()
-		if before == 0 || grants != before || used < grants {
-			t.Errorf("lent %v before, %v after; %v in use", before, grants, used)
+		after, used := lent()
+		if before == 0 || after != before || used < after {
+			t.Errorf("got budgets of %v CPUs before, %v after; %v CPUs in use", before, after, used)
 		}
 		g.awaitAllEnded(5 * time.Minute)
 	})
 }
 
-// Links fail in all ways while both cells change their leaders, lend to each other, and
-// users cancel: seeds of random troubles, three cells of which each lends to the next.
-func TestSpilloverUnderRandomTroubles(t *testing.T) {
-	away, lends := 0, 0
+// Links fail in all ways while the cells change their leaders, lend to each other, and users
+// cancel: seeds of random faults, three cells of which each lends to the next.
+func TestSpilloverUnderRandomFaults(t *testing.T) {
+	lentJobs, loans := 0, 0
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			simulateCells(t, []int{2, 2, 2}, func(g *cellGroup) {
-				g.mu.Lock()
-				g.random = rand.New(rand.NewPCG(seed, 11))
-				g.repeat = 20 * time.Second
-				g.mu.Unlock()
-				random := rand.New(rand.NewPCG(seed, 12))
-				var ids []string
-				for round := range 6 {
-					c := g.cells[(int(seed)+round/2)%3]
-					ids = append(ids, g.submitBurst(c, 100*(round+1), 6, time.Duration(4+random.IntN(12))*time.Second)...)
-					g.trouble(random)
-					time.Sleep(time.Duration(random.IntN(8000)) * time.Millisecond)
-					if random.IntN(2) == 0 {
-						g.cancel(ids[random.IntN(len(ids))], 3)
-					}
-					for _, id := range ids {
-						g.poll(id)
-					}
-				}
-				g.mend()
-				g.awaitAllEnded(12 * time.Minute)
+				g.runRandomFaults(seed)
 				for _, c := range g.cells {
 					if n := c.leader(); n != nil {
-						n.look(func(o *Controller) { lends += int(o.leaderTerm.loans.count) })
+						n.look(func(ctl *Controller) { loans += int(ctl.leaderTerm.loans.count) })
 					}
 				}
-				away += g.countLent()
+				lentJobs += g.countLent()
 			})
 		})
 	}
-	if away < 20 {
-		t.Errorf("only %d jobs ran in another cell: little was tested", away)
+	if lentJobs < 20 {
+		t.Errorf("got %d jobs that ran in another cell, want at least 20: little was tested", lentJobs)
+	}
+	t.Logf("%d jobs ran in another cell, %d loans by the last leaders", lentJobs, loans)
+}
+
+// runRandomFaults submits jobs, injects faults and cancels jobs at random, and waits until
+// all jobs have ended.
+func (g *cellGroup) runRandomFaults(seed uint64) {
+	g.t.Helper()
+	g.mu.Lock()
+	g.random = rand.New(rand.NewPCG(seed, 11))
+	g.repeat = 20 * time.Second
+	g.mu.Unlock()
+	random := rand.New(rand.NewPCG(seed, 12))
+	ids := make([]string, 0, 36)
+	for round := range 6 {
+		c := g.cells[(int(seed)+round/2)%3]
+		duration := time.Duration(4+random.IntN(12)) * time.Second
+		ids = append(ids, g.submitBurst(c, 100*(round+1), 6, duration)...)
+		g.injectFault(random)
+		time.Sleep(time.Duration(random.IntN(8000)) * time.Millisecond)
+		if random.IntN(2) == 0 {
+			g.cancel(ids[random.IntN(len(ids))], 3)
+		}
+		for _, id := range ids {
+			g.poll(id)
+		}
 	}
-	t.Logf("%d jobs ran in another cell, %d loans by the last leaders", away, lends)
+	g.heal()
+	g.awaitAllEnded(12 * time.Minute)
 }
 
-// trouble lets one thing go wrong for a while.
-func (g *cellGroup) trouble(random *rand.Rand) {
+// injectFault injects one fault for a while.
+func (g *cellGroup) injectFault(random *rand.Rand) {
 	c := g.cells[random.IntN(len(g.cells))]
 	other := g.cells[random.IntN(len(g.cells))]
 	lasting := time.Duration(2+random.IntN(25)) * time.Second
@@ -274,14 +322,15 @@
 	}
 }
 
-// chance is true one time in so many; it may be asked from anywhere.
+// chance is true one time in n; it may be called from any goroutine.
 func (g *cellGroup) chance(n int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.random.IntN(n) == 0
 }
 
-func (g *cellGroup) mend() {
+// heal waits until the injected faults have ended, and ends those that have not.
+func (g *cellGroup) heal() {
 	time.Sleep(30 * time.Second)
 	g.mu.Lock()
 	clear(g.cut)
@@ -289,16 +338,13 @@
 	g.repeat = 0
 	g.mu.Unlock()
 	for _, c := range g.cells {
-		c.store.SetDown(false)
-		c.store.Lose(nil)
-		c.store.Hold(nil)
-		c.store.Release()
+		c.healStore()
 	}
 }
 
-// The home cell is gone entirely while its job runs away, and comes back: the job has
-// stayed where it was, and its end is told once home has recorded it.
-func TestHomeRestartsWhileItsJobRunsAway(t *testing.T) {
+// All controllers of the home cell end while its job is lent, and restart: the job stays at
+// its host, and its end is answered once home has recorded it.
+func TestHomeRestartsWhileItsJobIsLent(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home := g.cells[0]
 		id := g.awaitLent(g.submitBurst(home, 100, 6, 15*time.Second))
@@ -308,7 +354,7 @@
 		time.Sleep(40 * time.Second)
 		host := g.cells[1]
 		if len(host.keysUnder("loan/end/")) == 0 {
-			t.Error("the host has forgotten the end before home knows it")
+			t.Error("the host has deleted the record of the end before home has read it")
 		}
 		home.startNodes()
 		g.awaitAllEnded(4 * time.Minute)
@@ -316,32 +362,61 @@
 	})
 }
 
-// Users cancel a lent job: before it is accepted, while it waits there, while it runs,
-// while it is called back, and as it ends. While the host cannot be reached they get 503
-// at once, and once it can the cancellation is confirmed.
-func TestCancellationOfALentJob(t *testing.T) {
-	for name, when := range map[string]func(g *cellGroup, ids []string) string{
-		"before acceptance": func(g *cellGroup, ids []string) string {
-			g.cells[1].store.Hold(has(records.ActivePrefix, "guest"))
-			id := g.onRecord(ids)
+// lentCancellation is a moment at which a user cancels a lent job.
+type lentCancellation struct {
+	name     string
+	duration time.Duration
+	// await waits for the moment, and returns the job to cancel.
+	await func(g *cellGroup, ids []string) string
+	// mayBeDone is set if the job may be done before the cancellation, and marked if the host
+	// must have its cancel key written for the guest.
+	mayBeDone, marked bool
+}
+
+var lentCancellations = []lentCancellation{
+	{
+		name:     "before acceptance",
+		duration: time.Minute,
+		await: func(g *cellGroup, ids []string) string {
+			g.cells[1].store.Hold(putsGuest)
+			id := g.awaitLentOnRecord(ids)
 			time.AfterFunc(4*time.Second, func() { g.cells[1].store.Hold(nil); g.cells[1].store.Release() })
 			return id
 		},
-		"while it runs": func(g *cellGroup, ids []string) string { return g.awaitLent(ids) },
-		"while its machines hang": func(g *cellGroup, ids []string) string {
+	},
+	{
+		name:     "while it runs",
+		duration: time.Minute,
+		await:    (*cellGroup).awaitLent,
+		marked:   true,
+	},
+	{
+		name:     "while its machines hang",
+		duration: time.Minute,
+		await: func(g *cellGroup, ids []string) string {
 			id := g.awaitLent(ids)
 			g.mu.Lock()
 			g.cells[1].hangUntil = time.Now().Add(6 * time.Second)
 			g.mu.Unlock()
 			return id
 		},
-		"as it ends": func(g *cellGroup, ids []string) string {
+		marked: true,
+	},
+	{
+		name:     "as it ends",
+		duration: 12 * time.Second,
+		await: func(g *cellGroup, ids []string) string {
 			id := g.awaitLent(ids)
 			time.Sleep(11500 * time.Millisecond)
 			return id
 		},
-		"called back": func(g *cellGroup, ids []string) string {
-			id := g.onRecord(ids)
+		mayBeDone: true,
+	},
+	{
+		name:     "reclaim requested",
+		duration: time.Minute,
+		await: func(g *cellGroup, ids []string) string {
+			id := g.awaitLentOnRecord(ids)
 			g.cells[0].leader().look(func(c *Controller) {
 				if j := c.leaderTerm.jobs[id]; j != nil {
 					j.reclaimRequested = true
@@ -349,52 +424,62 @@
 			})
 			return id
 		},
-	} {
+	},
+}
+
+// Users cancel a lent job: before it is accepted, while it runs, while its host's machines
+// hang, as it ends, and while home reclaims it; also while a leader of either cell restarts.
+func TestCancellationOfLentJob(t *testing.T) {
+	for _, c := range lentCancellations {
 		for _, crash := range []int{-1, 0, 1} {
-			t.Run(fmt.Sprint(name, " ", crash), func(t *testing.T) {
-				simulateCells(t, []int{1, 2}, func(g *cellGroup) {
-					takes := time.Minute
-					if name == "as it ends" {
-						takes = 12 * time.Second
-					}
-					id := when(g, g.submitBurst(g.cells[0], 100, 6, takes))
-					if crash >= 0 {
-						g.tasks.Go(func() { g.cells[crash].restartNode(0, 200*time.Millisecond) })
-					}
-					told := g.cancel(id, 60)
-					if told != api.JobCancelled && !(told == api.JobDone && name == "as it ends") {
-						t.Errorf("told %s", told)
-					}
-					e, err := g.cells[1].store.Get(context.Background(), records.CancelKey)
-					if marked := err == nil && strings.Contains(string(e.Value), loan.GuestMarker+id); strings.HasPrefix(name, "while") && !marked {
-						t.Errorf("the host's cancel key says %s", e.Value)
-					}
-					g.awaitAllEnded(10 * time.Minute)
-				})
+			t.Run(fmt.Sprint(c.name, " ", crash), func(t *testing.T) {
+				simulateCells(t, []int{1, 2}, func(g *cellGroup) { testLentCancellation(t, g, c, crash) })
 			})
 		}
 	}
-	t.Run("host out of reach", func(t *testing.T) {
-		simulateCells(t, []int{1, 2}, func(g *cellGroup) {
-			id := g.awaitLent(g.submitBurst(g.cells[0], 100, 6, 12*time.Second))
-			g.setCut("cell-a", "cell-b", true)
-			began := time.Now()
-			_, err := g.cells[0].nodes[0].Cancel(context.Background(), id)
-			if err == nil || time.Since(began) > time.Second {
-				t.Errorf("answered %v after %v", err, time.Since(began))
-			}
-			g.cells[0].same("meanwhile", g.cancel(id, 5), "not confirmed")
-			g.setCut("cell-a", "cell-b", false)
-			if told := g.cancel(id, 20); told != api.JobCancelled && told != api.JobDone {
-				t.Errorf("told %s", told)
-			}
-			g.awaitAllEnded(4 * time.Minute)
-		})
+}
+
+// testLentCancellation cancels a lent job, while the leader of a cell restarts if crash is
+// its number.
+func testLentCancellation(t *testing.T, g *cellGroup, c lentCancellation, crash int) {
+	t.Helper()
+	id := c.await(g, g.submitBurst(g.cells[0], 100, 6, c.duration))
+	if crash >= 0 {
+		g.tasks.Go(func() { g.cells[crash].restartNode(0, 200*time.Millisecond) })
+	}
+	if got := g.cancel(id, 60); got != api.JobCancelled && (got != api.JobDone || !c.mayBeDone) {
+		t.Errorf("got phase %q, want %q", got, api.JobCancelled)
+	}
+	e, err := g.cells[1].store.Get(context.Background(), records.CancelKey)
+	marked := err == nil && strings.Contains(string(e.Value), loan.GuestMarker+id)
+	if c.marked && !marked {
+		t.Errorf("got the host's cancel key %s, %v, want it to name %s", e.Value, err, id)
+	}
+	g.awaitAllEnded(10 * time.Minute)
+}
+
+// While the host of a lent job cannot be reached a cancellation fails at once, and once it
+// can it is confirmed.
+func TestCancellationOfLentJobWithHostUnreachable(t *testing.T) {
+	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
+		id := g.awaitLent(g.submitBurst(g.cells[0], 100, 6, 12*time.Second))
+		g.setCut("cell-a", "cell-b", true)
+		began := time.Now()
+		_, err := g.cells[0].nodes[0].Cancel(context.Background(), id)
+		if err == nil || time.Since(began) > time.Second {
+			t.Errorf("got %v after %v, want an error within 1s", err, time.Since(began))
+		}
+		g.cells[0].same("meanwhile", g.cancel(id, 5), "not confirmed")
+		g.setCut("cell-a", "cell-b", false)
+		if got := g.cancel(id, 20); got != api.JobCancelled && got != api.JobDone {
+			t.Errorf("got phase %q, want %q or %q", got, api.JobCancelled, api.JobDone)
+		}
+		g.awaitAllEnded(4 * time.Minute)
 	})
 }
 
-// onRecord waits until one of some jobs is lent on record, and returns it.
-func (g *cellGroup) onRecord(ids []string) (lent string) {
+// awaitLentOnRecord waits until one of some jobs is lent on record, and returns its id.
+func (g *cellGroup) awaitLentOnRecord(ids []string) (lent string) {
 	g.t.Helper()
 	for range 100 {
 		if n := g.job(ids[0]).home.leader(); n != nil {
@@ -415,14 +500,14 @@
 	return ""
 }
 
-// A job's name that both cells know never runs as two jobs: the host refuses the loan, and
-// who submits it there while the guest is here gets no answer that is about the guest.
+// A job id that is used in both cells never runs as two jobs: the host rejects the loan, and a
+// user who submits the id there while the guest is present gets no answer about the guest.
 func TestOneNameInTwoCells(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		id := g.awaitLent(g.submitBurst(home, 100, 6, 12*time.Second))
-		host.same("asked for at the host", host.phase(host.nodes[1], id), api.ErrUnknownJob.Error())
-		host.same("asked for at its leader", host.phase(host.nodes[0], id), api.ErrUnknownJob.Error())
+		host.same("phase at the host", host.phase(host.nodes[1], id), api.ErrUnknownJob.Error())
+		host.same("phase at its leader", host.phase(host.nodes[0], id), api.ErrUnknownJob.Error())
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		if _, _, err := host.nodes[0].Submit(ctx, spec(id, 1)); err == nil {
@@ -435,17 +520,18 @@
 	})
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
-		for i := range 6 { // over, and known, at the host
-			host.put(records.TerminalPrefix+fmt.Sprint("job-10", i), records.TerminalRecord{Phase: api.JobDone, Tasks: 1})
+		for i := range 6 { // the host has had jobs with these ids
+			ended := records.TerminalRecord{Phase: api.JobDone, Tasks: 1}
+			host.put(records.TerminalPrefix+fmt.Sprint("job-10", i), ended)
 		}
 		g.submitBurst(home, 100, 6, 6*time.Second)
 		g.awaitAllEnded(4 * time.Minute)
-		home.same("ran at the host", g.countLent(), 0)
+		home.same("jobs that ran at the host", g.countLent(), 0)
 	})
 }
 
-// A host that fills up with its own work gives back what it has not begun, and stops guests
-// for its teams' guarantees; nothing is lost, and nothing bounces without end.
+// A host that fills up with its own work returns what it has not started, and preempts guests
+// for its teams' guarantees; nothing is lost, and no job is lent back and forth without end.
 func TestHostFillsUp(t *testing.T) {
 	simulateCells(t, []int{1, 1}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
@@ -461,45 +547,45 @@
 				}
 			}
 		}
-		host.same("guests while a guarantee waits", guests, 0.0)
+		host.same("guests while a team is below its guarantee", guests, 0.0)
 		g.awaitAllEnded(20 * time.Minute)
 		for id, j := range g.jobs {
 			if j.endPhase != api.JobDone {
-				t.Errorf("%s: %s", id, j.endPhase)
+				t.Errorf("%s: got end %q, want %q", id, j.endPhase, api.JobDone)
 			}
 		}
 	})
 }
 
-// A host gives back what it could not begin for a while.
-func TestGuestThatCannotBegin(t *testing.T) {
+// A host returns a guest that it could not start for a while.
+func TestGuestThatCannotStart(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		g.submitBurst(home, 100, 6, 10*time.Second)
-		held := ""
+		guest := ""
 		for range 200 {
 			host.nodes[0].look(func(c *Controller) {
 				for id, j := range c.leaderTerm.jobs {
-					if held == "" && j.guest != nil && !j.started() {
+					if guest == "" && j.guest != nil && !j.started() {
 						j.backoffUntil = time.Now().Add(time.Hour)
-						held = id
+						guest = id
 					}
 				}
 			})
-			if held != "" {
+			if guest != "" {
 				break
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 		time.Sleep(returnGuestAfter + 5*time.Second)
-		host.same("still a guest", host.store.Has(records.ActivePrefix+held), false)
-		host.same("was one", held != "", true)
+		host.same("still a guest", host.store.Has(records.ActivePrefix+guest), false)
+		host.same("was a guest", guest != "", true)
 		g.awaitAllEnded(5 * time.Minute)
 	})
 }
 
-// A host that does not come back keeps what was lent to it, known and waiting; once the
-// operators have given it up, home takes that back and runs it.
+// A host that is down for good keeps what was lent to it, known and pending; once the
+// operators have declared it unreachable, home reclaims the job and runs it.
 func TestHostIsLostForGood(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
@@ -508,19 +594,23 @@
 			n.crash()
 		}
 		g.mu.Lock()
-		host.agents = nil // its machines are gone with it
+		host.agents = nil // its machines are down with it
 		g.mu.Unlock()
 		time.Sleep(3 * time.Minute)
-		home.same("while it is only silent", g.poll(id) == api.JobDone, false)
+		home.same("done while the host is not declared unreachable", g.poll(id) == api.JobDone, false)
 		n := home.leader()
 		n.look(func(c *Controller) {
 			st := c.leaderTerm.jobs[id].state()
-			home.same("told where it is", st.Cell, host.name)
+			home.same("cell of the job", st.Cell, host.name)
 		})
 		for _, n := range home.nodes {
 			n.crash()
 		}
-		home.cells = &cells.Settings{Cell: "cell-a", MaxLoans: 50, Neighbours: []cells.Neighbour{{Cell: "cell-b", Unreachable: true}}}
+		home.cells = &cells.Settings{
+			Cell:       "cell-a",
+			MaxLoans:   50,
+			Neighbours: []cells.Neighbour{{Cell: "cell-b", Unreachable: true}},
+		}
 		home.startNodes()
 		for range 90 {
 			if g.poll(id) == api.JobDone {
@@ -528,55 +618,107 @@
 			}
 			time.Sleep(2 * time.Second)
 		}
-		home.same("taken back", g.job(id).endPhase, api.JobDone)
+		home.same("end after the reclaim", g.job(id).endPhase, api.JobDone)
 	})
 }
 
-// What is malformed, of a cell that is not configured, or larger than limits is refused
-// with a reason, and changes nothing.
-func TestRefusedLoanRequests(t *testing.T) {
+// rejectedLoan is a loan of a request that a host must reject, as a whole or for a reason of
+// the loan's own.
+type rejectedLoan struct {
+	name    string
+	home    string
+	entry   loan.Entry
+	refused string
+	reason  string
+}
+
+// offeredLoan is the offer of a job of two tasks with a budget for them, changed.
+func offeredLoan(epoch loan.Epoch, change func(o *loan.Offer)) loan.Entry {
+	o := &loan.Offer{Spec: *spec("job-1", 2), Budget: loan.Budget{CPUs: 2}, Since: time.Now()}
+	if change != nil {
+		change(o)
+	}
+	return loan.Entry{Job: "job-1", Epoch: epoch, Offer: o}
+}
+
+func rejectedLoans() []rejectedLoan {
+	otherJob := offeredLoan(1, nil)
+	otherJob.Job = "job-2"
+	return []rejectedLoan{
+		{
+			name:    "unknown cell",
+			home:    "cell-x",
+			entry:   offeredLoan(1, nil),
+			refused: `cell "cell-x" is not configured here`,
+		},
+		{
+			name:    "no job id",
+			home:    "cell-a",
+			entry:   loan.Entry{Job: "../job-1", Epoch: 1},
+			refused: `"../job-1" is no job id`,
+		},
+		{
+			name:    "no epoch",
+			home:    "cell-a",
+			entry:   loan.Entry{Job: "job-1"},
+			refused: "the loan of job-1 is malformed",
+		},
+		{
+			name:    "unknown desired state",
+			home:    "cell-a",
+			entry:   loan.Entry{Job: "job-1", Epoch: 1, Desired: 9},
+			refused: "the loan of job-1 is malformed",
+		},
+		{
+			name:    "spec of another job",
+			home:    "cell-a",
+			entry:   otherJob,
+			refused: "the description of job-2 is malformed",
+		},
+		{
+			name:   "budget below a task",
+			home:   "cell-a",
+			entry:  offeredLoan(1, func(o *loan.Offer) { o.Budget.CPUs = 0.5 }),
+			reason: "the grant holds no task",
+		},
+		{
+			name:   "too large",
+			home:   "cell-a",
+			entry:  offeredLoan(2, func(o *loan.Offer) { o.Spec.Class = strings.Repeat("c", 9000) }),
+			reason: "larger than a record",
+		},
+		{
+			name:   "unknown machine type",
+			home:   "cell-a",
+			entry:  offeredLoan(3, func(o *loan.Offer) { o.Spec.Types = []string{"huge"} }),
+			reason: "a task fits no machine type",
+		},
+	}
+}
+
+// A request that is malformed, of a cell that is not configured, or larger than limits is
+// rejected with a reason, and changes nothing.
+func TestRejectedLoanRequests(t *testing.T) {
 	simulateCells(t, []int{1, 1}, func(g *cellGroup) {
 		host := g.cells[1]
-		offer := func(change func(o *loan.Offer)) *loan.Offer {
-			o := &loan.Offer{Spec: *spec("job-1", 2), Budget: loan.Budget{CPUs: 2}, Since: time.Now()}
-			change(o)
-			return o
-		}
-		none := func(*loan.Offer) {}
-		for name, c := range map[string]struct {
-			req     loan.Request
-			refused string
-			reason  string
-		}{
-			"unknown cell": {loan.Request{Home: "cell-x", Entries: []loan.Entry{{Job: "job-1", Epoch: 1, Offer: offer(none)}}}, `cell "cell-x" is not configured here`, ""},
-			"no job":       {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "../job-1", Epoch: 1}}}, `"../job-1" is no job id`, ""},
-			"no epoch":     {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1"}}}, "the loan of job-1 is malformed", ""},
-			"no such wish": {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1", Epoch: 1, Desired: 9}}}, "the loan of job-1 is malformed", ""},
-			"another job":  {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-2", Epoch: 1, Offer: offer(none)}}}, "the description of job-2 is malformed", ""},
-			"no grant": {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1", Epoch: 1, Offer: offer(func(o *loan.Offer) { o.Budget.CPUs = 0.5 })}}},
-				"", "the grant holds no task"},
-			"too large": {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1", Epoch: 2, Offer: offer(func(o *loan.Offer) { o.Spec.Class = strings.Repeat("c", 9000) })}}},
-				"", "larger than a record"},
-			"no such type": {loan.Request{Home: "cell-a", Entries: []loan.Entry{{Job: "job-1", Epoch: 3, Offer: offer(func(o *loan.Offer) { o.Spec.Types = []string{"huge"} })}}},
-				"", "a task fits no machine type"},
-		} {
-			answer, err := host.deliverLoans(&c.req)
+		for _, c := range rejectedLoans() {
+			response, err := host.deliverLoans(&loan.Request{Home: c.home, Entries: []loan.Entry{c.entry}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			reason := ""
-			for _, s := range answer.States {
+			for _, s := range response.States {
 				reason = s.Reason
 			}
-			host.same(name, []string{answer.Refused, reason}, []string{c.refused, c.reason})
+			host.same(c.name, []string{response.Refused, reason}, []string{c.refused, c.reason})
 		}
 		time.Sleep(2 * time.Second)
 		host.same("records", host.keysUnder(records.ActivePrefix+"job-"), []string(nil))
 	})
 }
 
-// Lending begins only once every node of the cell knows of loans, and stops when one is
-// heard that does not.
+// Lending begins only once every node of the cell supports loans, and stops when a node
+// appears that does not.
 func TestLendingWaitsForAllNodes(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home := g.cells[0]
@@ -588,7 +730,7 @@
 		n.look(func(c *Controller) { c.membership.members["n9"].SupportsLoans = true })
 		time.Sleep(8 * time.Second)
 		if g.countLent() == 0 {
-			t.Error("nothing was lent once all know")
+			t.Error("nothing was lent once all nodes support loans")
 		}
 		g.awaitAllEnded(4 * time.Minute)
 	})
