--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -13,21 +13,33 @@
 	"example.org/ivytrestle/internal/relay"
 )
 
-// largeFleet is how many machines a cell may have.
+// largeFleet is the number of machines that a cell may have.
 const largeFleet = 4000
 
 func hostName(i int) string { return fmt.Sprintf("i-%06d", i) }
 
-// While zones are apart each machine of a large fleet has its reports relayed, in turn,
-// also by a node with next to no memory.
+// While zones are partitioned each machine of a large fleet has its heartbeats relayed, in
+// turn, also by a node with next to no memory.
 func TestLargeFleetIsRelayed(t *testing.T) {
 	const parts, size = 3, 8 << 10
 	now := time.Unix(1_000_000, 0)
 	ul := newRelayUp(config.Limits{RAMMB: 3})
 	for i := range largeFleet {
-		hb := &api.Heartbeat{Machine: hostName(i), Addr: "10.0.0.1:9000", Type: "small", Zone: "b", AgentEpoch: 1, Seq: 1, Term: 3}
+		hb := &api.Heartbeat{
+			Machine:    hostName(i),
+			Addr:       "10.0.0.1:9000",
+			Type:       "small",
+			Zone:       "b",
+			AgentEpoch: 1,
+			Seq:        1,
+			Term:       3,
+		}
 		for task := range 8 {
-			hb.Tasks = append(hb.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%06d/%d", i, task), Attempt: uint64(i), Phase: api.TaskRunning})
+			hb.Tasks = append(hb.Tasks, api.TaskStatus{
+				Task:    fmt.Sprintf("job-%06d/%d", i, task),
+				Attempt: uint64(i),
+				Phase:   api.TaskRunning,
+			})
 		}
 		ul.recordHeartbeat(nil, hb, &api.HeartbeatResponse{Term: 3}, now)
 	}
@@ -39,7 +51,7 @@
 		up, _ := ul.buildBatch(&leaseRenewer{term: 3}, true, size*parts*relayCompression)
 		packed, err := relay.Pack(up, ul.batch, parts, size)
 		if err != nil {
-			t.Fatalf("round %d, %d reports: %v", rounds, len(up.Reports), err)
+			t.Fatalf("round %d, %d heartbeats: %v", rounds, len(up.Reports), err)
 		}
 		var got peer.RelayUp
 		if err := relay.Unpack(packed, &got); err != nil {
@@ -52,26 +64,19 @@
 		}
 	}
 	if len(sent) != largeFleet {
-		t.Errorf("%d of %d machines relayed in %d rounds", len(sent), largeFleet, rounds)
+		t.Errorf("got %d machines relayed in %d rounds, want %d", len(sent), rounds, largeFleet)
 	}
 	t.Logf("%d machines in %d rounds", len(sent), rounds)
 }
 
-// A new leader takes the whole roster of a large fleet in, hears each machine, looks at
-// as many jobs as there are machines, and goes on knowing all that it returns.
+// A new leader reads the whole registry of a large fleet, fences each machine, checks the
+// feasibility of many jobs, and knows all machines that it has terminated.
 func TestLargeFleetIsTakenOver(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		const perShard, jobs = 40, 900
-		for first := 0; first < largeFleet; first += perShard {
-			var rec records.RegistryShardRecord
-			for i := first; i < first+perShard; i++ {
-				rec.Machines = append(rec.Machines, records.MachineRecord{Name: hostName(i), Addr: hostName(i), Type: "small", Zone: "a", CPUs: 4, MemoryGB: 16})
-			}
-			w.put(fmt.Sprintf("%s1-%d", records.MachinePrefix, first), rec)
-		}
+		w.registerLargeFleet()
 		n := w.start("n0")
 		time.Sleep(time.Second)
-		n.look(func(c *Controller) { w.same("unheard", c.leaderTerm.unfenced, largeFleet) })
+		n.look(func(c *Controller) { w.same("unfenced", c.leaderTerm.unfenced, largeFleet) })
 		for i := range largeFleet {
 			k := w.worker(hostName(i), "a", false)
 			k.report(n) // it learns the term
@@ -79,26 +84,54 @@
 		}
 		n.look(func(c *Controller) {
 			lt := c.leaderTerm
-			w.same("heard", []int{lt.unfenced, len(lt.machines)}, []int{0, largeFleet})
-			for i := range jobs {
-				raw, err := json.Marshal(records.ActiveRecord{Spec: *spec(fmt.Sprintf("job-%06d", i), 1), Accepted: time.Now()})
-				if err != nil {
-					t.Fatal(err)
-				}
-				lt.addJob(records.ActivePrefix+fmt.Sprintf("job-%06d", i), raw, uint64(1000+i))
-			}
-			lt.deferInfeasible(time.Now())
-			looked := 0
-			for _, j := range lt.jobs {
-				if !j.load.Deadline.IsZero() {
-					looked++
-				}
-			}
-			w.same("jobs looked at", looked, jobs)
+			w.same("unfenced, machines", []int{lt.unfenced, len(lt.machines)}, []int{0, largeFleet})
+			const jobs = 900
+			w.same("jobs with a deadline", addAndDefer(t, lt, jobs), jobs)
 			for i := range largeFleet {
 				lt.terminated.Add(hostName(i), true)
 			}
-			w.same("returned are known", lt.terminated.Len(), largeFleet)
+			w.same("terminated machines known", lt.terminated.Len(), largeFleet)
 		})
 	})
 }
+
+// registerLargeFleet writes a registry with all machines of a large fleet.
+func (w *cluster) registerLargeFleet() {
+	w.t.Helper()
+	const perShard = 40
+	for first := 0; first < largeFleet; first += perShard {
+		var shard records.RegistryShardRecord
+		for i := first; i < first+perShard; i++ {
+			shard.Machines = append(shard.Machines, records.MachineRecord{
+				Name:     hostName(i),
+				Addr:     hostName(i),
+				Type:     "small",
+				Zone:     "a",
+				CPUs:     4,
+				MemoryGB: 16,
+			})
+		}
+		w.put(fmt.Sprintf("%s1-%d", records.MachinePrefix, first), shard)
+	}
+}
+
+// addAndDefer adds jobs, has the leader defer what is infeasible, and returns the number of
+// jobs that have a deadline then.
+func addAndDefer(t *testing.T, lt *leaderTerm, jobs int) (withDeadline int) {
+	t.Helper()
+	for i := range jobs {
+		id := fmt.Sprintf("job-%06d", i)
+		raw, err := json.Marshal(records.ActiveRecord{Spec: *spec(id, 1), Accepted: time.Now()})
+		if err != nil {
+			t.Fatal(err)
+		}
+		lt.addJob(records.ActivePrefix+id, raw, uint64(1000+i))
+	}
+	lt.deferInfeasible(time.Now())
+	for _, j := range lt.jobs {
+		if !j.load.Deadline.IsZero() {
+			withDeadline++
+		}
+	}
+	return withDeadline
+}
--- a/internal/controller/leaderterm_test.go
+++ b/internal/controller/leaderterm_test.go
@@ -9,28 +9,28 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// A transaction of an earlier leader that is carried out late must fail, or it
-// would change what the next leader has read.
-func TestLateTransactionOfAnEarlierLeaderFails(t *testing.T) {
+// A transaction of an earlier leader that is applied late must fail, or it would change what
+// the next leader has read.
+func TestLateTransactionOfEarlierLeaderFails(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		w.store.Hold(touches(records.MachinePrefix))
 		k := w.worker("i-1", "a", false)
 		w.submit(a, spec("job-1", 1))
 		k.serve(a, 2)
-		w.same("held", w.store.Held() > 0, true)
-		w.same("no start before the roster is durable", len(k.running()), 0)
+		w.same("transactions delayed", w.store.Held() > 0, true)
+		w.same("starts before the registry is durable", len(k.running()), 0)
 		a.crash()
 		w.start("n0")
 		for _, res := range w.store.Release() {
-			w.same("late transaction carried out", res.Succeeded, false)
+			w.same("late transaction applied", res.Succeeded, false)
 		}
-		w.same("roster", w.roster(), []string(nil))
+		w.same("registry", w.roster(), []string(nil))
 	})
 }
 
-// A machine that has not been heard in this term may hold any earlier task.
-func TestTakeoverWaitsForUnheardMachines(t *testing.T) {
+// A machine that is unfenced in this term may run any earlier task.
+func TestTakeoverWaitsForUnfencedMachines(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		k1, k2, k3 := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
@@ -45,9 +45,9 @@
 		k3.exit(api.CauseDone)
 		k1.serve(b, 2)
 		k3.serve(b, 2)
-		// k2 is silent: nothing of the old job starts, and its four CPUs count
+		// k2 sends no heartbeat: nothing of the old job starts, and its four CPUs count
 		// against the limit of every team: of 8 blue ones, 4 remain.
-		w.same("old job waits", len(k1.running())+len(k3.running()), 0)
+		w.same("starts of the old job", len(k1.running())+len(k3.running()), 0)
 		s := spec("job-2", 8)
 		s.Team = "blue"
 		w.submit(b, s)
@@ -58,13 +58,13 @@
 		k2.report(b)
 		k1.serve(b, 3)
 		k3.serve(b, 3)
-		w.same("all heard", len(k1.running())+len(k3.running()) > 4, true)
+		w.same("more than 4 tasks once all are fenced", len(k1.running())+len(k3.running()) > 4, true)
 	})
 }
 
-// Until a machine has this term as its token it may still carry out an answer
-// of the earlier leader, so one report in the new term is not enough.
-func TestMachineIsHeardOnlyWithThisTerm(t *testing.T) {
+// Until a machine has this term as its fencing token it may still apply a response of the
+// earlier leader, so one heartbeat in the new term is not enough.
+func TestMachineIsFencedOnlyWithThisTerm(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		k := w.worker("i-1", "a", false)
@@ -72,20 +72,20 @@
 		w.submit(a, spec("job-1", 2))
 		commands, err := k.send(a) // on its way when the leader crashes
 		if err != nil || len(commands) != 2 {
-			t.Fatalf("orders %v, %v", commands, err)
+			t.Fatalf("got commands %v, %v, want two", commands, err)
 		}
 		a.crash()
 		b := w.start("n0")
 		k2 := w.worker("i-2", "a", false)
 		k2.serve(b, 3)
-		w.same("nothing elsewhere", len(k2.running()), 0)
+		w.same("tasks elsewhere", len(k2.running()), 0)
 		hb := k.rep
 		hb.Seq++
 		if _, err := k.deliver(b, &hb); err != nil {
 			t.Fatal(err)
 		}
 		k2.serve(b, 2)
-		w.same("nothing elsewhere yet", len(k2.running()), 0)
+		w.same("tasks elsewhere after one heartbeat", len(k2.running()), 0)
 		k.rep.Seq++
 		k.report(b)
 		k2.serve(b, 2)
@@ -93,6 +93,7 @@
 	})
 }
 
+// No attempt number is used twice, also by different leaders.
 func TestAttemptsAreNeverReusedAcrossTerms(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		seen := map[uint64]bool{}
@@ -101,10 +102,10 @@
 			n := w.start("n0")
 			w.submit(n, spec("job-1", 20))
 			for range 4 {
-				for _, o := range k.report(n) {
-					if o.Verb == api.VerbStart {
-						w.same("reused", seen[o.Attempt], false)
-						seen[o.Attempt] = true
+				for _, cmd := range k.report(n) {
+					if cmd.Verb == api.VerbStart {
+						w.same("reused", seen[cmd.Attempt], false)
+						seen[cmd.Attempt] = true
 					}
 				}
 				k.exit(api.CauseError)
@@ -116,9 +117,9 @@
 	})
 }
 
-// Past its validity a leader acts for nobody; once a renewal is answered, the
-// lease was never over and it goes on with the same term.
-func TestLeaderStopsWhenItsLeaseMayBeOver(t *testing.T) {
+// Once its leader lease may have expired a leader responds to nobody; if a renewal succeeds
+// after that, the lease had not expired, and the leader goes on in the same term.
+func TestLeaderStopsWhenItsLeaseMayHaveExpired(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
@@ -131,18 +132,18 @@
 		}
 		k.serve(n, 12)
 		if _, err := k.send(n); err == nil {
-			t.Error("answered after the lease may have ended")
+			t.Error("got a response after the lease may have expired")
 		}
 		w.store.SetDown(false)
 		time.Sleep(4 * time.Second)
 		if _, err := k.send(n); err != nil || k.rep.Term != term {
-			t.Errorf("after the outage: %v, term %d, was %d", err, k.rep.Term, term)
+			t.Errorf("after the outage: got %v, term %d, want term %d", err, k.rep.Term, term)
 		}
 	})
 }
 
-// A restarted leader need not wait for its own lease to end.
-func TestRestartedLeaderTakesANewTermAtOnce(t *testing.T) {
+// A restarted leader need not wait for its own lease to expire.
+func TestRestartedLeaderBeginsNewTermAtOnce(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		b := w.start("n1")
@@ -152,18 +153,18 @@
 		a.crash()
 		a = w.start("n0")
 		if _, err := k.send(b); err == nil {
-			t.Error("a follower answered")
+			t.Error("got a response of a follower")
 		}
 		if _, err := k.send(a); err != nil || k.rep.Term <= first {
-			t.Errorf("%v, term %d after %d", err, k.rep.Term, first)
+			t.Errorf("got %v, term %d, want a term after %d", err, k.rep.Term, first)
 		}
 	})
 }
 
-// The store refuses the leader alone until another has taken over and ended a
-// job. When the old leader is let in again, the first thing it sees is that
-// the job's record is gone: it must not take that for a cancellation.
-func TestLeaderShutOutOfTheStore(t *testing.T) {
+// The store rejects the leader alone until another has taken over and ended a job. When the
+// old leader reaches the store again, it first sees that the job's active record is deleted:
+// it must not take that for a cancellation.
+func TestLeaderRejectedByStore(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		g := &gate{Fake: w.store}
 		a := w.startWith("n0", g, nil)
@@ -187,17 +188,17 @@
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
 			if got := w.phase(a, "job-1"); got == "withdrawn" {
-				t.Fatal("told as cancelled")
+				t.Fatal("got a done job as cancelled")
 			}
 		}
 		w.same("old leader", w.phase(a, "job-1"), "done")
 	})
 }
 
-// A new leader asks the machines that it has not heard, by the addresses on
-// the roster: one that is dead would hold all earlier jobs back for as long as
-// it is waited for. One that is alive is waited for.
-func TestTakeoverAsksUnheardMachines(t *testing.T) {
+// A new leader probes the unfenced machines, at the addresses in the registry: a dead one
+// would delay all earlier jobs for as long as the leader waits for it. It does wait for one
+// that is alive.
+func TestTakeoverProbesUnfencedMachines(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		ks := make([]*worker, 5)
@@ -221,8 +222,8 @@
 			}
 			time.Sleep(time.Second)
 		}
-		w.same("dead machine returned", w.cloud.gone("i-0"), true)
-		w.same("live machine waited for", w.cloud.gone("i-1"), false)
+		w.same("dead machine terminated", w.cloud.gone("i-0"), true)
+		w.same("live machine terminated", w.cloud.gone("i-1"), false)
 		for range 3 {
 			ks[1].report(b)
 			ks[2].report(b)
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -11,17 +11,17 @@
 	"example.org/ivytrestle/internal/cancellation"
 )
 
-// links connects nodes as peers; it can be cut.
+// links connects nodes as peers; all links can be cut at once.
 type links struct {
 	nodes sync.Map
 	cut   atomic.Bool
-	// refuse says that a cut link refuses connections.
+	// refuse makes cut links refuse connections.
 	refuse atomic.Bool
 }
 
 func (l *links) add(name string, n *node) *node { l.nodes.Store(name, n); return n }
 
-// linked is a node as the others reach it.
+// linked is a node as its peers reach it.
 type linked interface {
 	PeerJob(ctx context.Context, id string) (api.JobState, error)
 	PeerStatus(ctx context.Context, from cancellation.Position) (PeerStatus, error)
@@ -29,7 +29,7 @@
 	LeaderResigned(ctx context.Context, node string, term uint64) error
 }
 
-// to is the node at the other end, if it can be reached.
+// to returns the node at the other end, if it can be reached.
 func (l *links) to(name string) (linked, error) {
 	n, ok := l.nodes.Load(name)
 	if l.cut.Load() || !ok {
@@ -76,19 +76,19 @@
 	return n.LeaderResigned(ctx, self, term)
 }
 
-// granting is a node that knows of grants.
-type granting interface {
+// voter is a node that knows votes.
+type voter interface {
 	PeerVote(ctx context.Context, term uint64) (bool, error)
 	PeerPromise(ctx context.Context, term uint64) (time.Duration, error)
 }
 
-// grantingTo is the node at the other end, if it can be reached and knows of grants.
-func (l *links) grantingTo(name string) (granting, error) {
+// voterAt returns the node at the other end, if it can be reached and knows votes.
+func (l *links) voterAt(name string) (voter, error) {
 	n, err := l.to(name)
 	if err != nil {
 		return nil, err
 	}
-	g, ok := n.(granting)
+	g, ok := n.(voter)
 	if !ok {
 		return nil, api.ErrUnavailable
 	}
@@ -96,7 +96,7 @@
 }
 
 func (l *links) Vote(ctx context.Context, name string, term uint64) (bool, error) {
-	n, err := l.grantingTo(name)
+	n, err := l.voterAt(name)
 	if err != nil {
 		return false, err
 	}
@@ -104,7 +104,7 @@
 }
 
 func (l *links) Promise(ctx context.Context, name string, term uint64) (time.Duration, error) {
-	n, err := l.grantingTo(name)
+	n, err := l.voterAt(name)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -11,9 +11,9 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// What a loan costs the two state services is bounded: at home one change more than a job
+// What a loan costs the two key-value stores is bounded: at home one change more than a job
 // that runs there, at the host five.
-func TestWritesOfALoan(t *testing.T) {
+func TestWritesOfLoan(t *testing.T) {
 	simulateCells(t, []int{1, 4}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		ids := g.submitBurst(home, 100, 9, 5*time.Second)
@@ -26,25 +26,30 @@
 		if out.Lent == 0 || out.Done+out.Reclaimed != out.Lent || in.Accepted != out.Lent {
 			t.Fatalf("home %+v, host %+v of %d jobs", out, in, len(ids))
 		}
-		// Each is lent and ended or taken back, accepted, ended and forgotten.
+		// Each is lent and ended or reclaimed at home; accepted, ended and forgotten at the host.
 		home.same("changes at home", out.Written, 2*out.Lent)
 		if in.Written > 3*out.Lent {
-			t.Errorf("%d changes at the host for %d loans", in.Written, out.Lent)
+			t.Errorf("got %d changes at the host for %d loans, want at most %d", in.Written, out.Lent, 3*out.Lent)
 		}
 	})
 }
 
-// lendingLeader is the leader of a full cell with a neighbour that has room.
+// lendingLeader is the leader of a full cell with a neighbour that has free capacity.
 func lendingLeader(b *testing.B, machines, jobs int) *leaderTerm {
 	b.Helper()
 	lt, _ := full(b, machines, 40)
 	c := lt.c
 	c.Cells = &cells.Settings{Cell: "cell-a", MaxLoans: 100, Neighbours: []cells.Neighbour{{Cell: "cell-b"}}}
-	c.Policy.Spill.After = time.Hour // it looks, and lends nothing
+	c.Policy.Spill.After = time.Hour // it scans its jobs, and lends nothing
 	lt.loans.init(lt)
 	n := lt.loans.neighbours["cell-b"]
 	n.lastResponse = time.Now().Add(time.Hour)
-	n.advert = loan.Advert{Accepting: true, CPUs: 1e4, CancelS: 30, Types: []api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Zones: []string{"a"}}}}
+	n.advert = loan.Advert{
+		Accepting: true,
+		CPUs:      1e4,
+		CancelS:   30,
+		Types:     []api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Zones: []string{"a"}}},
+	}
 	now := time.Now()
 	for i := range jobs {
 		s := spec(fmt.Sprint("job-9", i), 10)
@@ -54,15 +59,22 @@
 	for i := range 100 {
 		s := spec(fmt.Sprint("job-8", i), 10)
 		s.Team = "guest"
-		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Guest: &loan.Guest{Home: "cell-b", Epoch: 1, Spec: *s, Budget: loan.Budget{CPUs: 10}}, Accepted: now}, uint64(50_000+i))
+		guest := &loan.Guest{Home: "cell-b", Epoch: 1, Spec: *s, Budget: loan.Budget{CPUs: 10}}
+		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Guest: guest, Accepted: now}, uint64(50_000+i))
 	}
 	return lt
 }
 
-// What the loans cost a leader in a second: what to lend and to call back, what guests
-// must make room for, and one request of a neighbour.
+// What the loans cost a leader in a second: what to lend and to reclaim, which guests to
+// preempt, and one request of a neighbour.
 func BenchmarkLoansSecond(b *testing.B) {
-	for _, n := range []struct{ machines, jobs int }{{250, 100}, {250, 1000}, {1000, 1000}, {4000, 1000}, {4000, 5000}} {
+	for _, n := range []struct{ machines, jobs int }{
+		{250, 100},
+		{250, 1000},
+		{1000, 1000},
+		{4000, 1000},
+		{4000, 5000},
+	} {
 		b.Run(fmt.Sprintf("%d machines, %d jobs", n.machines, n.jobs), func(b *testing.B) {
 			lt := lendingLeader(b, n.machines, n.jobs)
 			for b.Loop() {
@@ -75,7 +87,7 @@
 	}
 }
 
-// The view of the loans names cells, phases and what is waited for.
+// The loans in the status name cells, phases and what they wait for.
 func TestLoansInStatus(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
@@ -85,17 +97,20 @@
 		time.Sleep(3 * time.Second)
 		home.leader().look(func(c *Controller) {
 			s := c.leaderTerm.status(time.Now()).Cells
-			home.same("neighbour", []any{s.Neighbours[0].Cell, s.Neighbours[0].LastError, s.Neighbours[0].Lent > 0}, []any{"cell-b", errCut.Error(), true})
+			n := s.Neighbours[0]
+			home.same("neighbour", []any{n.Cell, n.LastError, n.Lent > 0}, []any{"cell-b", errCut.Error(), true})
 			for _, l := range s.Lent {
 				if l.Job == id {
-					home.same("loan", []any{l.Cell, l.Phase, l.Waits}, []any{"cell-b", "begun", "its cell does not answer: cut"})
+					want := []any{"cell-b", "begun", "its cell does not answer: cut"}
+					home.same("loan", []any{l.Cell, l.Phase, l.Waits}, want)
 				}
 			}
-			home.same("told", c.leaderTerm.jobs[id].state().Cell, "cell-b")
+			home.same("cell of the job", c.leaderTerm.jobs[id].state().Cell, "cell-b")
 		})
 		host.leader().look(func(c *Controller) {
 			s := c.leaderTerm.status(time.Now()).Cells
-			host.same("guests", []any{len(s.Guests) > 0, s.Neighbours[0].Guests > 0, s.Guests[0].Cell}, []any{true, true, "cell-a"})
+			got := []any{len(s.Guests) > 0, s.Neighbours[0].Guests > 0, s.Guests[0].Cell}
+			host.same("guests", got, []any{true, true, "cell-a"})
 		})
 		g.setCut("cell-a", "cell-b", false)
 		g.awaitAllEnded(4 * time.Minute)
@@ -106,20 +121,9 @@
 func TestTwoCellsOfferAtOnce(t *testing.T) {
 	simulateCells(t, []int{2, 2}, func(g *cellGroup) {
 		for i, c := range g.cells {
-			n := g.cells[1-i]
 			ids := g.submitBurst(c, 100*(i+1), 2, 5*time.Second)
-			lent := false
 			for range 100 {
-				c.leader().look(func(o *Controller) {
-					l := &o.leaderTerm.loans
-					for _, id := range ids {
-						if j := o.leaderTerm.jobs[id]; j != nil && !j.started() && j.loanCount == 0 && !j.handover {
-							l.lendJob(j, l.neighbours[n.name], loan.Budget{CPUs: j.spec.CPUs})
-							lent = true
-						}
-					}
-				})
-				if lent {
+				if c.lendPending(ids, g.cells[1-i].name) {
 					break
 				}
 				time.Sleep(5 * time.Millisecond)
@@ -128,13 +132,29 @@
 		g.awaitAllEnded(4 * time.Minute)
 		for id, j := range g.jobs {
 			if j.endPhase != api.JobDone {
-				t.Errorf("%s: %s", id, j.endPhase)
+				t.Errorf("%s: got end %q, want %q", id, j.endPhase, api.JobDone)
 			}
 		}
-		if g.countLent() < 2 {
-			t.Errorf("%d ran in the other cell", g.countLent())
+		if got := g.countLent(); got < 2 {
+			t.Errorf("got %d jobs that ran in the other cell, want at least 2", got)
+		}
+	})
+}
+
+// lendPending has the leader lend to a neighbour those of some jobs that have not started and
+// were never lent, and reports whether there were any.
+func (c *cell) lendPending(ids []string, to string) (lent bool) {
+	c.leader().look(func(ctl *Controller) {
+		l := &ctl.leaderTerm.loans
+		for _, id := range ids {
+			j := ctl.leaderTerm.jobs[id]
+			if j != nil && !j.started() && j.loanCount == 0 && !j.handover {
+				l.lendJob(j, l.neighbours[to], loan.Budget{CPUs: j.spec.CPUs})
+				lent = true
+			}
 		}
 	})
+	return lent
 }
 
 // Over a slow link work is lent all the same, and none of it is lost.
@@ -151,9 +171,9 @@
 	})
 }
 
-// A grant is whole tasks, within what the neighbour can spare and what the team's limits
+// A budget is whole tasks, within what the neighbour can spare and what the team's limits
 // leave, of CPUs and of GPUs; a guest never uses more than it.
-func TestGrantsInWholeTasks(t *testing.T) {
+func TestBudgetsInWholeTasks(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		w.teams[0].LimitGPUs = 3
 		n := w.start("n0")
@@ -181,12 +201,12 @@
 				got := l.budget(j, g.spare)
 				w.same(fmt.Sprint(g), got, g.want)
 				j.guest = &loan.Guest{Budget: got}
-				begun := 0
-				for j.withinBudget() && begun < 100 {
-					begun++
+				started := 0
+				for j.withinBudget() && started < 100 {
+					started++
 					j.zones["a"]++
 				}
-				w.same("begun of "+fmt.Sprint(g), float64(begun)*g.cpus, got.CPUs)
+				w.same("CPUs started of "+fmt.Sprint(g), float64(started)*g.cpus, got.CPUs)
 			}
 			c.leaderTerm.teams["red"].UsedCPUs = 0
 		})
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -12,17 +12,24 @@
 	"example.org/ivytrestle/internal/election"
 )
 
-// callers are the calls that wait for the owner's reply.
+// callers are the calls that wait for a reply of the controller's goroutine.
 var callers = map[string]func(ctx context.Context, n *node) error{
-	"report": func(ctx context.Context, n *node) error {
-		_, err := n.Heartbeat(ctx, &api.Heartbeat{Machine: "i-1", Addr: "i-1", Type: "small", Zone: "a", AgentEpoch: 1, Seq: 1})
+	"heartbeat": func(ctx context.Context, n *node) error {
+		_, err := n.Heartbeat(ctx, &api.Heartbeat{
+			Machine:    "i-1",
+			Addr:       "i-1",
+			Type:       "small",
+			Zone:       "a",
+			AgentEpoch: 1,
+			Seq:        1,
+		})
 		return err
 	},
 	"job":         func(ctx context.Context, n *node) error { _, err := n.Job(ctx, "job-1"); return err },
-	"known":       func(ctx context.Context, n *node) error { _, err := n.RecordedJob(ctx, "job-1"); return err },
+	"recorded":    func(ctx context.Context, n *node) error { _, err := n.RecordedJob(ctx, "job-1"); return err },
 	"status":      func(ctx context.Context, n *node) error { _, err := n.Status(ctx); return err },
 	"loans":       func(ctx context.Context, n *node) error { _, err := n.Loans(ctx, nil); return err },
-	"peer grant":  func(ctx context.Context, n *node) error { _, err := n.PeerVote(ctx, 1); return err },
+	"vote":        func(ctx context.Context, n *node) error { _, err := n.PeerVote(ctx, 1); return err },
 	"promise":     func(ctx context.Context, n *node) error { _, err := n.PeerPromise(ctx, 1); return err },
 	"resignation": func(ctx context.Context, n *node) error { return n.LeaderResigned(ctx, "n1", 1) },
 	"peer status": func(ctx context.Context, n *node) error {
@@ -31,9 +38,9 @@
 	},
 }
 
-// A controller that has ended refuses what comes to it at once, whether or not its
-// mailbox has room: nobody reads that any more.
-func TestEndedControllerRefuses(t *testing.T) {
+// A controller that has ended rejects calls at once, whether or not its mailbox is full:
+// nobody reads that any more.
+func TestEndedControllerRejectsCalls(t *testing.T) {
 	for name, call := range callers {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(w *cluster) {
@@ -52,9 +59,8 @@
 	}
 }
 
-// What is in the mailbox when the controller ends is answered then, not at the end of
-// the caller's time.
-func TestQueuedCallsEndWithTheController(t *testing.T) {
+// Calls that are in the mailbox when the controller ends return then, not when they time out.
+func TestQueuedCallsEndWithController(t *testing.T) {
 	for name, call := range callers {
 		if name == "resignation" {
 			continue // waits for no reply
@@ -65,23 +71,27 @@
 				w.running.Go(func() { n.tryInspect(func(*Controller) { time.Sleep(time.Second); n.crash() }) })
 				time.Sleep(time.Millisecond)
 				begun, calls := time.Now(), 2*cap(n.mailbox)
-				answers := make(chan error, calls)
+				returned := make(chan struct{}, calls)
 				for range calls {
-					go func() { answers <- call(context.Background(), n) }()
+					go func() {
+						// Some calls may succeed: Run chooses among what is ready.
+						_ = call(context.Background(), n)
+						returned <- struct{}{}
+					}()
 				}
 				for range calls {
-					<-answers // some are still carried out: Run chooses among what is ready
+					<-returned
 				}
 				if took := time.Since(begun); took > 2*time.Second {
-					t.Errorf("answered after %v", took)
+					t.Errorf("calls returned after %v, want at most 2s", took)
 				}
 			})
 		})
 	}
 }
 
-// The election may tell a controller that has ended any number of things.
-func TestEndedControllerDoesNotBlockTheElection(t *testing.T) {
+// An elector may notify a controller that has ended any number of times.
+func TestEndedControllerDoesNotBlockElector(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		n.crash()
@@ -95,8 +105,8 @@
 	})
 }
 
-// A user whose job is recorded is told so, also by a controller that has just ended.
-func TestRecordedRequestsSucceedAtAnEndedController(t *testing.T) {
+// A request that is on record succeeds, also at a controller that has just ended.
+func TestRecordedRequestsSucceedAtEndedController(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
@@ -105,7 +115,7 @@
 		for range 2 * cap(n.mailbox) {
 			st, err := n.Cancel(context.Background(), "job-1")
 			if err != nil || st.Phase != api.JobCancelled {
-				t.Fatalf("cancellation: %v, %v", st.Phase, err)
+				t.Fatalf("got phase %q, %v, want %q", st.Phase, err, api.JobCancelled)
 			}
 		}
 	})
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -647,7 +647,8 @@
 		v.runSeconds(2)
 		v.same("running beside a new process", v.agents[0].running(), []string{"job-4/0"})
 		st, err := v.new.PeerStatus(context.Background(), cancellation.Position{})
-		v.same("complete only since it started", []any{st.Cancellations.CompleteFor < 5*time.Second, err}, []any{true, nil})
+		sinceStart := st.Cancellations.CompleteFor < 5*time.Second
+		v.same("complete only since it started", []any{sinceStart, err}, []any{true, nil})
 	})
 }
 
