--- a/internal/controller/answerchecker_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -202,7 +202,7 @@
 // insist repeats a user's request once a second until it is answered, for a minute at most.
 func insist(f func() error) error {
 	var err error
-	for begun := time.Now(); time.Since(begun) < time.Minute; time.Sleep(time.Second) {
+	for startTime := time.Now(); time.Since(startTime) < time.Minute; time.Sleep(time.Second) {
 		if err = f(); err == nil || errors.Is(err, api.ErrUnknownJob) {
 			return err
 		}
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -214,10 +214,10 @@
 	g.cut[from+">"+to] = cut
 }
 
-func (g *cellGroup) setResponseCut(from, to string, deaf bool) {
+func (g *cellGroup) setResponseCut(from, to string, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.responseCut[from+">"+to] = deaf
+	g.responseCut[from+">"+to] = cut
 }
 
 // runMachines has all machines send heartbeats and run their tasks, and checks what runs, ten
@@ -416,9 +416,9 @@
 }
 
 // awaitAllEnded waits until all jobs have ended and no cell has a record of a loan left.
-func (g *cellGroup) awaitAllEnded(most time.Duration) {
+func (g *cellGroup) awaitAllEnded(within time.Duration) {
 	g.t.Helper()
-	for until := time.Now().Add(most); time.Now().Before(until); time.Sleep(2 * time.Second) {
+	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(2 * time.Second) {
 		active := 0
 		for id := range g.jobs {
 			if p := g.poll(id); p != api.JobDone && p != api.JobCancelled {
@@ -429,7 +429,7 @@
 			return
 		}
 	}
-	g.t.Errorf("not over: %v, loans %v", g.unfinished(), g.loanRecords())
+	g.t.Errorf("not ended within %v: %v, loans %v", within, g.unfinished(), g.loanRecords())
 }
 
 // unfinished lists the jobs of which no end was answered, with their cells.
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -36,8 +36,8 @@
 // slowGate is an access to the store over which a page of a range takes a while.
 type slowGate struct{ *gate }
 
-func (g *slowGate) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
-	page, err := g.gate.Range(ctx, prefix, from, most)
+func (g *slowGate) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
+	page, err := g.gate.Range(ctx, prefix, from, limit)
 	idle(ctx, 150*time.Millisecond)
 	return page, err
 }
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -322,11 +322,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			simulateStandby(t, c.voteLifetimeS, func(s *standbyCluster) {
 				n, term := s.leader()
-				began := time.Now()
+				startTime := time.Now()
 				s.endNode(n.Settings.Node)
 				time.Sleep(45 * time.Second)
 				at, _ := s.startTimes(term + 1)
-				if took := at.Sub(began); at.IsZero() || took < c.least || took > c.most {
+				if took := at.Sub(startTime); at.IsZero() || took < c.least || took > c.most {
 					t.Errorf("next start after %v, want %v to %v", took, c.least, c.most)
 				} else {
 					t.Logf("next start after %v", took)
@@ -489,11 +489,11 @@
 	s.t.Helper()
 	n, term := s.leader()
 	n.look(func(c *Controller) { s.same("quorum required", c.leaderTerm.quorumRequired, false) })
-	began := time.Now()
+	startTime := time.Now()
 	s.endNode(n.Settings.Node)
 	time.Sleep(45 * time.Second)
 	at, _ := s.startTimes(term + 1)
-	if took := at.Sub(began); took < 20*time.Second {
+	if took := at.Sub(startTime); took < 20*time.Second {
 		s.t.Errorf("next start after %v, want at least 20s", took)
 	}
 }
@@ -519,10 +519,10 @@
 		s.endNode(n.Settings.Node)
 		time.Sleep(10 * time.Second)
 		s.store.SetDown(false)
-		began := time.Now()
+		startTime := time.Now()
 		time.Sleep(20 * time.Second)
 		at, _ := s.startTimes(term + 1)
-		if took := at.Sub(began); took < 0 || took > 8*time.Second {
+		if took := at.Sub(startTime); took < 0 || took > 8*time.Second {
 			t.Errorf("next start %v after the outage, want 0 to 8s", took)
 		}
 	})
@@ -607,7 +607,7 @@
 	for _, voteLifetimeS := range []float64{0, 3} {
 		simulateStandby(t, voteLifetimeS, func(s *standbyCluster) {
 			n, term := s.leader()
-			began := time.Now()
+			startTime := time.Now()
 			n.Drain(context.Background())
 			if n.Ready() {
 				t.Error("a draining leader is ready for users")
@@ -616,7 +616,7 @@
 			s.endNode(n.Settings.Node)
 			time.Sleep(4 * time.Second)
 			at, _ := s.startTimes(term + 1)
-			if took := at.Sub(began); took < 0 || took > 2*time.Second {
+			if took := at.Sub(startTime); took < 0 || took > 2*time.Second {
 				t.Errorf("next start after %v, want 0 to 2s", took)
 			}
 		})
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -19,15 +19,15 @@
 		t.Run(fmt.Sprint("answers probes ", answersProbes), func(t *testing.T) {
 			simulate(t, func(w *cluster) {
 				n := w.start("n0")
-				deaf, healthy := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
-				deaf.serve(n, 2)
+				partitioned, healthy := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
+				partitioned.serve(n, 2)
 				w.submit(n, spec("job-1", 1))
 				if !answersProbes {
 					w.dead.Store("i-1", true)
 				}
 				starts, heartbeats := 0, 0
 				for ; heartbeats < 60 && !w.cloud.gone("i-1"); heartbeats++ {
-					commands, err := deaf.send(n)
+					commands, err := partitioned.send(n)
 					if err != nil {
 						break
 					}
@@ -103,21 +103,21 @@
 	for _, answersProbes := range []bool{false, true} {
 		simulate(t, func(w *cluster) {
 			a := w.start("n0")
-			deaf, healthy := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
-			deaf.serve(a, 2)
+			partitioned, healthy := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
+			partitioned.serve(a, 2)
 			w.submit(a, spec("job-1", 4))
-			deaf.serve(a, 2)
-			w.same("running", len(deaf.running()), 4)
+			partitioned.serve(a, 2)
+			w.same("running", len(partitioned.running()), 4)
 			a.crash()
 			if !answersProbes {
 				w.dead.Store("i-1", true)
 			}
 			b := w.start("n0")
-			old := deaf.rep
+			old := partitioned.rep
 			for range 20 {
 				old.Seq++
 				hb := old
-				_, _ = deaf.deliver(b, &hb) // the response is lost, whatever it is
+				_, _ = partitioned.deliver(b, &hb) // the response is lost, whatever it is
 				healthy.report(b)
 				time.Sleep(time.Second)
 			}
@@ -368,17 +368,17 @@
 func TestCancelledJobOnMachineWithCommandsUndelivered(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
-		deaf := w.worker("i-1", "a", false)
+		partitioned := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 2))
-		deaf.serve(n, 3)
-		w.same("running", len(deaf.running()), 2)
+		partitioned.serve(n, 3)
+		w.same("running", len(partitioned.running()), 2)
 		w.dead.Store("i-1", true)
 		if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
 		t0 := time.Now()
 		for !w.cloud.gone("i-1") && time.Since(t0) < time.Minute {
-			_, _ = deaf.send(n) // no response reaches it
+			_, _ = partitioned.send(n) // no response reaches it
 			time.Sleep(time.Second)
 		}
 		if took := time.Since(t0); took >= 30*time.Second {
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -208,18 +208,18 @@
 	return g.Fake.Txn(ctx, txn)
 }
 
-func (g *gate) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
+func (g *gate) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
 	if err := g.err(); err != nil {
 		return kv.Page{}, err
 	}
-	return g.Fake.Range(ctx, prefix, from, most)
+	return g.Fake.Range(ctx, prefix, from, limit)
 }
 
-func (g *gate) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
+func (g *gate) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	if err := g.err(); err != nil {
 		return 0, err
 	}
-	return g.Fake.GrantLease(ctx, life)
+	return g.Fake.GrantLease(ctx, ttl)
 }
 
 func (g *gate) RenewLease(ctx context.Context, lease uint64) error {
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -47,13 +47,13 @@
 				n := w.start("n0")
 				n.crash()
 				time.Sleep(time.Second)
-				begun := time.Now()
+				startTime := time.Now()
 				for range 2 * cap(n.mailbox) {
 					if err := call(context.Background(), n); !errors.Is(err, api.ErrUnavailable) {
 						t.Fatalf("got %v, want %v", err, api.ErrUnavailable)
 					}
 				}
-				w.same("time taken", time.Since(begun), time.Duration(0))
+				w.same("time taken", time.Since(startTime), time.Duration(0))
 			})
 		})
 	}
@@ -70,7 +70,7 @@
 				n := w.start("n0")
 				w.running.Go(func() { n.tryInspect(func(*Controller) { time.Sleep(time.Second); n.crash() }) })
 				time.Sleep(time.Millisecond)
-				begun, calls := time.Now(), 2*cap(n.mailbox)
+				startTime, calls := time.Now(), 2*cap(n.mailbox)
 				returned := make(chan struct{}, calls)
 				for range calls {
 					go func() {
@@ -82,7 +82,7 @@
 				for range calls {
 					<-returned
 				}
-				if took := time.Since(begun); took > 2*time.Second {
+				if took := time.Since(startTime); took > 2*time.Second {
 					t.Errorf("calls returned after %v, want at most 2s", took)
 				}
 			})
--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -191,7 +191,7 @@
 // tick does what the node does five times a second.
 func (o *oldNode) tick(ctx context.Context) {
 	o.ping(ctx)
-	leadership, ch := o.watch(ctx)
+	lt, ch := o.watch(ctx)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e, err := o.st.Get(ctx, "leader")
@@ -219,8 +219,8 @@
 		if o.missedPings > 2 {
 			o.renewAndRelay(ctx)
 		}
-	case o.leaderTerm == leadership:
-		leadership.tick(ctx, ch)
+	case o.leaderTerm == lt:
+		lt.tick(ctx, ch)
 	}
 }
 
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -464,10 +464,10 @@
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		id := g.awaitLent(g.submitBurst(g.cells[0], 100, 6, 12*time.Second))
 		g.setCut("cell-a", "cell-b", true)
-		began := time.Now()
+		startTime := time.Now()
 		_, err := g.cells[0].nodes[0].Cancel(context.Background(), id)
-		if err == nil || time.Since(began) > time.Second {
-			t.Errorf("got %v after %v, want an error within 1s", err, time.Since(began))
+		if err == nil || time.Since(startTime) > time.Second {
+			t.Errorf("got %v after %v, want an error within 1s", err, time.Since(startTime))
 		}
 		g.cells[0].same("meanwhile", g.cancel(id, 5), "not confirmed")
 		g.setCut("cell-a", "cell-b", false)
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -35,14 +35,14 @@
 }
 
 // counts returns the largest count of a second, and the sum.
-func (y *requestCounts) counts(m map[int64]int) (most, sum int) {
+func (y *requestCounts) counts(m map[int64]int) (largest, sum int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	for _, n := range m {
-		most = max(most, n)
+		largest = max(largest, n)
 		sum += n
 	}
-	return most, sum
+	return largest, sum
 }
 
 // reset sets all counts to zero.
@@ -85,8 +85,8 @@
 	return roundTrip(ctx, y, func() (kv.Result, error) { return y.gate.Txn(ctx, txn) })
 }
 
-func (y *storePath) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
-	return roundTrip(ctx, y, func() (kv.Page, error) { return y.gate.Range(ctx, prefix, from, most) })
+func (y *storePath) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
+	return roundTrip(ctx, y, func() (kv.Page, error) { return y.gate.Range(ctx, prefix, from, limit) })
 }
 
 func (y *storePath) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
