--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -31,7 +31,7 @@
 					if err != nil {
 						break
 					}
-					starts += countStarts(commands, "job-1/")
+					starts += countStarts(commands, "")
 					time.Sleep(time.Second)
 				}
 				w.same("terminated", w.cloud.gone("i-1"), true)
@@ -45,7 +45,7 @@
 	}
 }
 
-// countStarts counts the starts of tasks with the given prefix among commands.
+// countStarts counts the starts among commands, of tasks whose names have the given prefix.
 func countStarts(commands []api.Command, prefix string) (starts int) {
 	for _, cmd := range commands {
 		if cmd.Verb == api.VerbStart && strings.HasPrefix(cmd.Task, prefix) {
