--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -19,8 +19,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// cellGroup is some cells that lend each other capacity, with machines that run tasks, and
-// with a checker over all of them.
+// cellGroup is some cells that lend each other capacity, with machines that run tasks, and a
+// checker over all of them.
 type cellGroup struct {
 	t     *testing.T
 	cells []*cell
@@ -30,62 +30,69 @@
 	// mu guards what follows, and the jobs' own fields.
 	mu   sync.Mutex
 	jobs map[string]*cellJob
-	// cut are the ways, from cell to cell, on which nothing arrives; deaf those on which
-	// no answer comes back.
-	cut, deaf map[string]bool
-	// repeat has requests arrive again later, with the age that they then have.
+	// cut are the links, from cell to cell, on which no request arrives; responseCut those on
+	// which no response does.
+	cut, responseCut map[string]bool
+	// repeat is within what time a request is delivered once more, with the age that it then
+	// has; 0 means never.
 	repeat time.Duration
 	// delay is how long a request takes to arrive.
 	delay  time.Duration
 	random *rand.Rand
-	// took counts the requests that arrived.
-	took int
+	// requests counts the requests sent, also those that were cut.
+	requests int
 }
 
 // cell is one of the cells.
 type cell struct {
 	*cluster
-	group *cellGroup
-	name  string
-	nodes []*node
-	ks    []*worker
-	// began is when tasks began, by machine and task.
-	began map[string]time.Time
-	// hangUntil is until when its machines neither report nor carry anything out.
+	group  *cellGroup
+	name   string
+	nodes  []*node
+	agents []*worker
+	// startedAt is when tasks started, by machine and task.
+	startedAt map[string]time.Time
+	// hangUntil is until when its machines neither send heartbeats nor apply commands.
 	hangUntil time.Time
 }
 
-// cellJob is a job as its user knows it.
+// cellJob is a job as its user observes it.
 type cellJob struct {
 	home *cell
 	spec *api.JobSpec
-	// takes is how long its tasks run.
-	takes time.Duration
-	// over is the final state that a user was told.
-	over string
-	// cancelled is set once a cancellation was confirmed.
-	cancelled time.Time
-	ranAway   bool
+	// duration is how long its tasks run.
+	duration time.Duration
+	// endPhase is the final phase that a user got as an answer, or "".
+	endPhase string
+	// cancelledAt is when a cancellation was confirmed.
+	cancelledAt time.Time
+	lent        bool
 }
 
-// simulateCells runs a test with cells of so many machines each.
+// simulateCells runs a test with one cell for each number of machines.
 func simulateCells(t *testing.T, machines []int, f func(g *cellGroup)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		g := &cellGroup{t: t, jobs: map[string]*cellJob{}, cut: map[string]bool{}, deaf: map[string]bool{}, random: rand.New(rand.NewPCG(1, 2))}
+		g := &cellGroup{
+			t:           t,
+			jobs:        map[string]*cellJob{},
+			cut:         map[string]bool{},
+			responseCut: map[string]bool{},
+			random:      rand.New(rand.NewPCG(1, 2)),
+		}
 		for i, n := range machines {
-			g.add(fmt.Sprint("cell-", string(rune('a'+i))), len(machines), n)
+			g.addCell(fmt.Sprint("cell-", string(rune('a'+i))), len(machines), n)
 		}
 		for _, c := range g.cells {
-			c.begin()
+			c.startNodes()
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		g.tasks.Go(func() { g.live(ctx) })
+		g.tasks.Go(func() { g.runMachines(ctx) })
 		defer func() {
 			cancel()
 			g.tasks.Wait()
 			for _, c := range g.cells {
-				for _, n := range c.at() {
+				for _, n := range c.currentNodes() {
 					n.crash()
 				}
 			}
@@ -95,10 +102,10 @@
 	})
 }
 
-func (g *cellGroup) add(name string, of, machines int) {
+func (g *cellGroup) addCell(name string, of, machines int) {
 	w := newCluster(g.t)
 	w.teams = []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 16}, {Name: "blue", CPUs: 4, LimitCPUs: 12}}
-	c := &cell{cluster: w, group: g, name: name, began: map[string]time.Time{}}
+	c := &cell{cluster: w, group: g, name: name, startedAt: map[string]time.Time{}}
 	w.cells = &cells.Settings{Cell: name, MaxLoans: 50}
 	for i := range of {
 		if other := fmt.Sprint("cell-", string(rune('a'+i))); other != name {
@@ -107,40 +114,42 @@
 	}
 	w.link = cellLink{g, name}
 	for i := range machines {
-		c.ks = append(c.ks, w.worker(fmt.Sprintf("i-%s%02d", name[5:], i), "a", true))
+		c.agents = append(c.agents, w.worker(fmt.Sprintf("i-%s%02d", name[5:], i), "a", true))
 	}
 	g.cells = append(g.cells, c)
 }
 
-// begin starts the cell's two controllers.
-func (c *cell) begin() {
+// startNodes starts the cell's two controllers.
+func (c *cell) startNodes() {
 	for i := range 2 {
-		n := c.start(fmt.Sprintf("n%d", i))
-		n.look(func(o *Controller) {
-			o.Policy.Spill.After, o.Policy.Spill.Gain, o.Policy.Spill.GuestShare = 2*time.Second, 2*time.Second, 1
-			o.Policy.MinCPUs = 1000
-		})
-		c.set(i, n)
+		c.startNode(i)
 	}
 }
 
-// crash ends a controller and starts it anew after a while.
-func (c *cell) crash(i int, away time.Duration) {
-	c.at()[i].crash()
-	time.Sleep(away)
+// startNode starts a controller with the spillover policy of these tests, which scales
+// nothing in.
+func (c *cell) startNode(i int) {
 	n := c.start(fmt.Sprintf("n%d", i))
-	n.look(func(o *Controller) {
-		o.Policy.Spill.After, o.Policy.Spill.Gain, o.Policy.Spill.GuestShare = 2*time.Second, 2*time.Second, 1
-		o.Policy.MinCPUs = 1000
+	n.look(func(ctl *Controller) {
+		spill := &ctl.Policy.Spill
+		spill.After, spill.Gain, spill.GuestShare = 2*time.Second, 2*time.Second, 1
+		ctl.Policy.MinCPUs = 1000
 	})
-	c.set(i, n)
+	c.setNode(i, n)
+}
+
+// restartNode crashes a controller and starts it again after a while.
+func (c *cell) restartNode(i int, away time.Duration) {
+	c.currentNodes()[i].crash()
+	time.Sleep(away)
+	c.startNode(i)
 }
 
 // leader is the controller that leads, or nil.
 func (c *cell) leader() *node {
-	for _, n := range c.at() {
+	for _, n := range c.currentNodes() {
 		leads := false
-		n.tryLook(func(o *Controller) { leads = o.holdsLease() && o.leaderTerm.loaded })
+		n.tryInspect(func(o *Controller) { leads = o.holdsLease() && o.leaderTerm.loaded })
 		if leads {
 			return n
 		}
@@ -148,7 +157,7 @@
 	return nil
 }
 
-// cellLink is one cell's way to the others.
+// cellLink is one cell's link to the others.
 type cellLink struct {
 	group *cellGroup
 	from  string
@@ -164,35 +173,36 @@
 	g.mu.Unlock()
 	time.Sleep(3*time.Millisecond + delay)
 	g.mu.Lock()
-	way := k.from + ">" + to
-	cut, deaf, repeat := g.cut[way], g.deaf[way], g.repeat
+	link := k.from + ">" + to
+	cut, responseCut, repeat := g.cut[link], g.responseCut[link], g.repeat
 	if repeat > 0 {
 		repeat = time.Duration(g.random.Int64N(int64(repeat)))
 	}
-	g.took++
+	g.requests++
 	g.mu.Unlock()
 	if cut {
 		return nil, errCut
 	}
 	target := g.cells[slices.IndexFunc(g.cells, func(c *cell) bool { return c.name == to })]
 	if repeat > 0 {
-		time.AfterFunc(repeat, func() { target.take(req) }) // a copy that comes late
+		// The response to a late copy reaches nobody.
+		time.AfterFunc(repeat, func() { _, _ = target.deliverLoans(req) })
 	}
-	answer, err := target.take(req)
-	if deaf {
+	response, err := target.deliverLoans(req)
+	if responseCut {
 		return nil, errCut
 	}
-	return answer, err
+	return response, err
 }
 
-// take has the cell's leader take a request in.
-func (c *cell) take(req *loan.Request) (*loan.Response, error) {
-	for _, n := range c.at() {
+// deliverLoans delivers a request to the cell's leader.
+func (c *cell) deliverLoans(req *loan.Request) (*loan.Response, error) {
+	for _, n := range c.currentNodes() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		answer, err := n.Loans(ctx, req)
+		response, err := n.Loans(ctx, req)
 		cancel()
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
 	}
 	return nil, api.ErrUnavailable
@@ -204,22 +214,22 @@
 	g.cut[from+">"+to] = cut
 }
 
-func (g *cellGroup) setDeaf(from, to string, deaf bool) {
+func (g *cellGroup) setResponseCut(from, to string, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.deaf[from+">"+to] = deaf
+	g.responseCut[from+">"+to] = cut
 }
 
-// live has all machines report and run their tasks, and checks what runs, ten times in
-// three seconds.
-func (g *cellGroup) live(ctx context.Context) {
+// runMachines has all machines send heartbeats and run their tasks, and checks what runs, ten
+// times in three seconds.
+func (g *cellGroup) runMachines(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, c := range g.cells {
-			for _, k := range c.working() {
+			for _, k := range c.responsiveAgents() {
 				if ctx.Err() != nil {
 					return
 				}
-				c.work(k)
+				c.runAgent(k)
 			}
 		}
 		g.check()
@@ -227,24 +237,24 @@
 	}
 }
 
-// working are the machines that do not hang.
-func (c *cell) working() []*worker {
+// responsiveAgents are the machines that do not hang.
+func (c *cell) responsiveAgents() []*worker {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
 	if time.Now().Before(c.hangUntil) {
 		return nil
 	}
-	return c.ks
+	return c.agents
 }
 
-// at are the cell's controllers as they are at present.
-func (c *cell) at() []*node {
+// currentNodes are the cell's controllers as they are at present.
+func (c *cell) currentNodes() []*node {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
 	return slices.Clone(c.nodes)
 }
 
-func (c *cell) set(i int, n *node) {
+func (c *cell) setNode(i int, n *node) {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
 	for len(c.nodes) <= i {
@@ -253,26 +263,27 @@
 	c.nodes[i] = n
 }
 
-// work ends the tasks of a machine whose time is over, and has it report.
-func (c *cell) work(k *worker) {
+// runAgent ends the tasks of a machine whose time is up, and sends a heartbeat to the first
+// node that responds.
+func (c *cell) runAgent(k *worker) {
 	k.mu.Lock()
 	for i := range k.rep.Tasks {
 		task := &k.rep.Tasks[i]
 		name := k.rep.Machine + " " + task.Task
 		if task.Phase == api.TaskExited {
-			delete(c.began, name)
+			delete(c.startedAt, name)
 			continue
 		}
-		if c.began[name].IsZero() {
-			c.began[name] = time.Now()
+		if c.startedAt[name].IsZero() {
+			c.startedAt[name] = time.Now()
 		}
 		id, _, _ := splitRef(task.Task)
-		if j := c.group.job(id); j != nil && time.Since(c.began[name]) >= j.takes {
+		if j := c.group.job(id); j != nil && time.Since(c.startedAt[name]) >= j.duration {
 			task.Phase, task.Cause = api.TaskExited, api.CauseDone
 		}
 	}
 	k.mu.Unlock()
-	for _, n := range c.at() {
+	for _, n := range c.currentNodes() {
 		if commands, err := k.send(n); err == nil {
 			k.obey(commands)
 			return
@@ -280,75 +291,81 @@
 	}
 }
 
-// check looks at all machines of all cells: each task is on one at the most, each team
-// within its limit, and nothing runs long after it was cancelled.
+// check checks all machines of all cells: each task is on at most one, each team is within its
+// limit, and nothing runs for long after it was cancelled.
 func (g *cellGroup) check() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	on := map[string]string{}
+	machineOf := map[string]string{}
 	used := map[string]float64{}
 	for _, c := range g.cells {
-		for _, k := range c.ks {
+		for _, k := range c.agents {
+			machine := c.name + "/" + k.rep.Machine
 			for _, task := range k.running() {
-				machine := c.name + "/" + k.rep.Machine
-				if on[task] != "" {
-					g.t.Errorf("%s runs on %s and on %s", task, on[task], machine)
+				if machineOf[task] != "" {
+					g.t.Errorf("%s runs on %s and on %s", task, machineOf[task], machine)
 				}
-				on[task] = machine
+				machineOf[task] = machine
 				id, _, _ := splitRef(task)
 				j := g.jobs[id]
 				used[j.home.name+" "+j.spec.Team] += j.spec.CPUs
-				if c != j.home {
-					j.ranAway = true
-				}
-				if !j.cancelled.IsZero() && time.Since(j.cancelled) > 30*time.Second {
-					g.t.Errorf("%s runs %v after its cancellation", task, time.Since(j.cancelled))
-				}
-				if j.over == api.JobDone || j.over != "" && c != j.home {
-					g.t.Errorf("%s runs on %s though its job is called %s", task, machine, j.over)
-				}
+				g.checkMayRun(j, c, task, machine)
 			}
 		}
 	}
 	for _, c := range g.cells {
 		for _, team := range c.teams {
-			if used[c.name+" "+team.Name] > team.LimitCPUs {
-				g.t.Errorf("team %s of %s uses %v of %v", team.Name, c.name, used[c.name+" "+team.Name], team.LimitCPUs)
+			if cpus := used[c.name+" "+team.Name]; cpus > team.LimitCPUs {
+				g.t.Errorf("team %s of %s uses %v CPUs, limit %v", team.Name, c.name, cpus, team.LimitCPUs)
 			}
 		}
 	}
 }
 
-// job is a job by its name.
+// checkMayRun checks that a task may still run on a machine of a cell, and records that its
+// job was lent. The caller holds the lock.
+func (g *cellGroup) checkMayRun(j *cellJob, c *cell, task, machine string) {
+	if c != j.home {
+		j.lent = true
+	}
+	if !j.cancelledAt.IsZero() && time.Since(j.cancelledAt) > 30*time.Second {
+		g.t.Errorf("%s runs %v after its cancellation", task, time.Since(j.cancelledAt))
+	}
+	if j.endPhase == api.JobDone || j.endPhase != "" && c != j.home {
+		g.t.Errorf("%s runs on %s though its job is answered as %s", task, machine, j.endPhase)
+	}
+}
+
+// job returns a job by its id, or nil.
 func (g *cellGroup) job(id string) *cellJob {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.jobs[id]
 }
 
-// told notes what a user was told of a job.
-func (g *cellGroup) told(j *cellJob, phase string) {
+// recordPhase checks and records the phase of a job that a user got as an answer.
+func (g *cellGroup) recordPhase(j *cellJob, phase string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if j.over != "" && phase != j.over {
-		g.t.Errorf("%s was called %s, and now %s", j.spec.ID, j.over, phase)
+	if j.endPhase != "" && phase != j.endPhase {
+		g.t.Errorf("%s was answered as %s, and now as %s", j.spec.ID, j.endPhase, phase)
 	}
 	if phase == api.JobDone || phase == api.JobCancelled {
-		j.over = phase
+		j.endPhase = phase
 	}
-	if phase == api.JobCancelled && j.cancelled.IsZero() {
-		j.cancelled = time.Now()
+	if phase == api.JobCancelled && j.cancelledAt.IsZero() {
+		j.cancelledAt = time.Now()
 	}
 }
 
-// order submits a job in a cell.
-func (g *cellGroup) order(c *cell, s *api.JobSpec, takes time.Duration) {
+// submit submits a job in a cell until it is accepted.
+func (g *cellGroup) submit(c *cell, s *api.JobSpec, takes time.Duration) {
 	g.t.Helper()
 	g.mu.Lock()
-	g.jobs[s.ID] = &cellJob{home: c, spec: s, takes: takes}
+	g.jobs[s.ID] = &cellJob{home: c, spec: s, duration: takes}
 	g.mu.Unlock()
 	for range 20 {
-		for _, n := range c.at() {
+		for _, n := range c.currentNodes() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			_, _, err := n.Submit(ctx, s)
 			cancel()
@@ -361,12 +378,13 @@
 	g.t.Fatalf("%s not accepted", s.ID)
 }
 
-// poll asks each node of a job's cell, and checks what it says.
+// poll requests a job's state at each node of its cell, and checks the answers. It returns the
+// last of them.
 func (g *cellGroup) poll(id string) string {
 	g.t.Helper()
 	j := g.job(id)
 	last := ""
-	for _, n := range j.home.at() {
+	for _, n := range j.home.currentNodes() {
 		phase := j.home.phase(n, id)
 		switch phase {
 		case api.JobPending, api.JobRunning, api.JobDone, api.JobCancelled:
@@ -376,20 +394,20 @@
 			continue // not answered
 		}
 		last = phase
-		g.told(j, phase)
+		g.recordPhase(j, phase)
 	}
 	return last
 }
 
-// cancel asks to cancel a job, until that is confirmed or for so many seconds.
+// cancel requests to cancel a job, until that is confirmed or for so many seconds.
 func (g *cellGroup) cancel(id string, seconds int) string {
 	j := g.job(id)
 	for i := range seconds {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		st, err := j.home.at()[i%2].Cancel(ctx, id)
+		st, err := j.home.currentNodes()[i%2].Cancel(ctx, id)
 		cancel()
 		if err == nil {
-			g.told(j, st.Phase)
+			g.recordPhase(j, st.Phase)
 			return st.Phase
 		}
 		time.Sleep(time.Second)
@@ -397,26 +415,27 @@
 	return "not confirmed"
 }
 
-// settle waits until all jobs are over and no cell knows anything more of a loan.
-func (g *cellGroup) settle(most time.Duration) {
+// awaitAllEnded waits until all jobs have ended and no cell has a record of a loan left.
+func (g *cellGroup) awaitAllEnded(within time.Duration) {
 	g.t.Helper()
-	for until := time.Now().Add(most); time.Now().Before(until); time.Sleep(2 * time.Second) {
-		left := []string{}
+	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(2 * time.Second) {
+		active := 0
 		for id := range g.jobs {
 			if p := g.poll(id); p != api.JobDone && p != api.JobCancelled {
-				left = append(left, id)
+				active++
 			}
 		}
-		if len(left) == 0 && len(g.loanRecords()) == 0 {
+		if active == 0 && len(g.loanRecords()) == 0 {
 			return
 		}
 	}
-	g.t.Errorf("not over: %v, loans %v", g.unfinished(), g.loanRecords())
+	g.t.Errorf("not ended within %v: %v, loans %v", within, g.unfinished(), g.loanRecords())
 }
 
+// unfinished lists the jobs of which no end was answered, with their cells.
 func (g *cellGroup) unfinished() (ids []string) {
 	for id, j := range g.jobs {
-		if j.over == "" {
+		if j.endPhase == "" {
 			ids = append(ids, id+" of "+j.home.name)
 		}
 	}
@@ -424,7 +443,7 @@
 	return ids
 }
 
-// loanRecords are the records of active jobs, and of guests that have ended, in all cells.
+// loanRecords lists the records of active jobs, and of guests that have ended, in all cells.
 func (g *cellGroup) loanRecords() (keys []string) {
 	for _, c := range g.cells {
 		for _, prefix := range []string{records.ActivePrefix + "job-", loan.EndKey("", "")[:len("loan/end/")]} {
@@ -436,60 +455,61 @@
 	return keys
 }
 
-// away counts the jobs of which tasks ran in another cell.
-func (g *cellGroup) away() (count int) {
+// countLent counts the jobs of which tasks ran in another cell.
+func (g *cellGroup) countLent() (count int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, j := range g.jobs {
-		if j.ranAway {
+		if j.lent {
 			count++
 		}
 	}
 	return count
 }
 
-func (g *cellGroup) ranAway(id string) bool {
+// wasLent reports whether a task of a job ran in another cell.
+func (g *cellGroup) wasLent(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.jobs[id].ranAway
+	return g.jobs[id].lent
 }
 
-// burst submits jobs of four tasks at a cell.
-func (g *cellGroup) burst(c *cell, first, jobs int, takes time.Duration) (ids []string) {
+// submitBurst submits jobs of three to six tasks in a cell.
+func (g *cellGroup) submitBurst(c *cell, first, jobs int, takes time.Duration) (ids []string) {
 	for i := range jobs {
-		s := spec(fmt.Sprintf("job-%d", first+i), 3+i%4) // some begin in part
+		s := spec(fmt.Sprintf("job-%d", first+i), 3+i%4) // some start in part
 		if i%3 == 2 {
 			s.Team = "blue"
 		}
-		g.order(c, s, takes)
+		g.submit(c, s, takes)
 		ids = append(ids, s.ID)
 	}
 	return ids
 }
 
-// A cell with more work than machines lends to its neighbours; all comes to one end, and
-// nothing of it is left anywhere.
+// A cell with more work than machines lends to its neighbours; all jobs end, and no cell keeps
+// a record of a loan.
 func TestSpillover(t *testing.T) {
 	simulateCells(t, []int{1, 3, 3}, func(g *cellGroup) {
-		g.burst(g.cells[0], 100, 12, 20*time.Second)
-		g.settle(5 * time.Minute)
-		if g.away() < 3 {
-			t.Errorf("%d of %d jobs ran in another cell", g.away(), len(g.jobs))
+		g.submitBurst(g.cells[0], 100, 12, 20*time.Second)
+		g.awaitAllEnded(5 * time.Minute)
+		if g.countLent() < 3 {
+			t.Errorf("%d of %d jobs ran in another cell", g.countLent(), len(g.jobs))
 		}
 		for id, j := range g.jobs {
-			if j.over != api.JobDone {
-				t.Errorf("%s: %s", id, j.over)
+			if j.endPhase != api.JobDone {
+				t.Errorf("%s: %s", id, j.endPhase)
 			}
 		}
 	})
 }
 
-// lentOut waits until a job of a cell runs as a guest in another one, and returns it.
-func (g *cellGroup) lentOut(ids []string) string {
+// awaitLent waits until one of some jobs runs as a guest in another cell, and returns its id.
+func (g *cellGroup) awaitLent(ids []string) string {
 	g.t.Helper()
 	for range 60 {
 		for _, id := range ids {
-			if g.ranAway(id) {
+			if g.wasLent(id) {
 				return id
 			}
 		}
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"maps"
 	"slices"
 	"sync"
 	"testing"
@@ -14,28 +15,29 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// checkedCluster is a deployment whose machines and controllers act by themselves.
+// checkedCluster is a deployment whose machines and controllers run by themselves, with a
+// checker of what the machines run.
 type checkedCluster struct {
 	*cluster
 	h *runChecker
-	// ctx ends when the test does, before the nodes do; tasks are the goroutines of
-	// machines, users and troubles, which end with it.
+	// ctx ends when the test does, before the nodes do; tasks are the goroutines of machines,
+	// users and injected faults, which end with it.
 	ctx   context.Context
 	tasks sync.WaitGroup
 
-	smu   sync.Mutex
+	mu    sync.Mutex
 	links *links
 	names []string
-	up    map[string]*node
+	nodes map[string]*node
 	gates map[string]*slowGate
 	hosts []*host
 }
 
-// slowGate is a way to the store over which a page takes a while.
+// slowGate is an access to the store over which a page of a range takes a while.
 type slowGate struct{ *gate }
 
-func (g *slowGate) Range(ctx context.Context, prefix, from string, most int) (kv.Page, error) {
-	page, err := g.gate.Range(ctx, prefix, from, most)
+func (g *slowGate) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
+	page, err := g.gate.Range(ctx, prefix, from, limit)
 	idle(ctx, 150*time.Millisecond)
 	return page, err
 }
@@ -48,8 +50,8 @@
 	})
 }
 
-// simulateSeldom is simulateChecked with machines that report every 5 s, and so get their
-// starts by direct orders.
+// simulateSeldom is simulateChecked with machines that send a heartbeat every 5 s, and so get
+// their starts in command batches.
 func simulateSeldom(t *testing.T, machines int, f func(s *checkedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -58,17 +60,31 @@
 }
 
 func newCheckedCluster(t *testing.T, machines int, reportS float64, f func(s *checkedCluster)) {
+	t.Helper()
 	w := newCluster(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &checkedCluster{cluster: w, ctx: ctx, links: &links{}, names: []string{"n0", "n1"}, up: map[string]*node{}, gates: map[string]*slowGate{}}
+	s := &checkedCluster{
+		cluster: w,
+		ctx:     ctx,
+		links:   &links{},
+		names:   []string{"n0", "n1"},
+		nodes:   map[string]*node{},
+		gates:   map[string]*slowGate{},
+	}
 	w.reportS = reportS
 	w.director = s
-	s.h = &runChecker{w: w, t0: time.Now(), jobs: map[string]*observedJob{}, runs: map[run]bool{}, hosts: map[string]*host{}}
+	s.h = &runChecker{
+		w:     w,
+		t0:    time.Now(),
+		jobs:  map[string]*observedJob{},
+		runs:  map[run]bool{},
+		hosts: map[string]*host{},
+	}
 	defer func() {
 		cancel()
 		s.tasks.Wait()
 	}()
-	s.tasks.Go(s.live)
+	s.tasks.Go(s.runMachines)
 	s.begin("n0")
 	s.begin("n1")
 	for i := range machines {
@@ -78,42 +94,43 @@
 	f(s)
 }
 
-// begin starts a controller, crash ends one.
+// begin starts a controller.
 func (s *checkedCluster) begin(name string) {
-	s.smu.Lock()
+	s.mu.Lock()
 	if s.gates[name] == nil {
 		s.gates[name] = &slowGate{gate: &gate{Fake: s.store}}
 	}
 	g := s.gates[name]
-	s.smu.Unlock()
+	s.mu.Unlock()
 	n := s.links.add(name, s.startWith(name, g, s.links))
-	s.smu.Lock()
-	defer s.smu.Unlock()
-	s.up[name] = n
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.nodes[name] = n
 }
 
+// crash ends a controller at once.
 func (s *checkedCluster) crash(name string) {
-	s.smu.Lock()
-	defer s.smu.Unlock()
-	if n := s.up[name]; n != nil {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if n := s.nodes[name]; n != nil {
 		n.crash()
 		s.links.nodes.Delete(name)
-		delete(s.up, name)
+		delete(s.nodes, name)
 	}
 }
 
 func (s *checkedCluster) node(name string) *node {
-	s.smu.Lock()
-	defer s.smu.Unlock()
-	return s.up[name]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.nodes[name]
 }
 
-// leader is the node that leads, or "".
+// leader is the name of the node that leads, or "".
 func (s *checkedCluster) leader() string {
 	for _, name := range s.names {
 		if n := s.node(name); n != nil {
 			leads := false
-			n.tryLook(func(c *Controller) { leads = c.holdsLease() && c.leaderTerm.loaded })
+			n.tryInspect(func(c *Controller) { leads = c.holdsLease() && c.leaderTerm.loaded })
 			if leads {
 				return name
 			}
@@ -122,8 +139,8 @@
 	return ""
 }
 
-// handOver makes the leadership pass to the other controller: the store refuses
-// the leader alone for a while.
+// handOver makes the other controller lead: the store rejects the requests of the leader alone
+// for a while.
 func (s *checkedCluster) handOver() {
 	if name := s.leader(); name != "" {
 		s.gates[name].set(true)
@@ -134,7 +151,7 @@
 	}
 }
 
-// restart ends the leader, which is back after a while.
+// restart ends the leader, and starts it again after a while.
 func (s *checkedCluster) restart(after time.Duration) {
 	if name := s.leader(); name != "" {
 		s.crash(name)
@@ -143,15 +160,15 @@
 	}
 }
 
-// users repeats a request at the controllers, one after the other, until it is
-// answered; first says which comes first.
-func (s *checkedCluster) users(what string, first int, ask func(ctx context.Context, n *node) error) {
+// retryRequest sends a user's request to the controllers in turn until one responds without an
+// error; first selects the first of them.
+func (s *checkedCluster) retryRequest(what string, first int, request func(ctx context.Context, n *node) error) {
 	s.t.Helper()
 	err := errors.New("no controller")
 	for try := first; try < first+60; try++ {
 		if n := s.node(s.names[try%len(s.names)]); n != nil {
 			ctx, cancel := context.WithTimeout(s.ctx, 5*time.Second)
-			err = ask(ctx, n)
+			err = request(ctx, n)
 			cancel()
 			if err == nil {
 				return
@@ -165,13 +182,13 @@
 	s.t.Errorf("%s: %v", what, err)
 }
 
-// order submits a job whose tasks run for some time.
+// order submits a job each of whose tasks runs for a given time.
 func (s *checkedCluster) order(takes time.Duration, spec *api.JobSpec) {
 	s.t.Helper()
 	s.h.mu.Lock()
-	s.h.jobs[spec.ID] = &observedJob{spec: spec, takes: takes, begun: map[string]int{}, done: map[string]int{}}
+	s.h.jobs[spec.ID] = &observedJob{spec: spec, takes: takes, starts: map[string]int{}, done: map[string]int{}}
 	s.h.mu.Unlock()
-	s.users("submit "+spec.ID, spec.Tasks, func(ctx context.Context, n *node) error {
+	s.retryRequest("submit "+spec.ID, spec.Tasks, func(ctx context.Context, n *node) error {
 		_, _, err := n.Submit(ctx, spec)
 		return err
 	})
@@ -182,13 +199,13 @@
 	s.t.Helper()
 	for _, id := range ids {
 		s.h.mu.Lock()
-		s.h.jobs[id].asked = time.Now()
+		s.h.jobs[id].cancelRequestedAt = time.Now()
 		s.h.mu.Unlock()
 		s.tasks.Go(func() {
-			s.users("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
+			s.retryRequest("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
 				st, err := n.Cancel(ctx, id)
 				if err == nil {
-					s.h.observed(id, st.Phase)
+					s.h.recordPhase(id, st.Phase)
 				}
 				return err
 			})
@@ -196,29 +213,25 @@
 	}
 }
 
-// settle says that all troubles are over, and waits until all jobs are.
+// settle says that all faults are healed, and waits until all jobs have ended.
 func (s *checkedCluster) settle(within time.Duration) {
 	s.t.Helper()
 	s.h.mu.Lock()
-	s.h.calm = true
-	var ids []string
-	for id := range s.h.jobs {
-		ids = append(ids, id)
-	}
+	s.h.healed = true
+	ids := slices.Sorted(maps.Keys(s.h.jobs))
 	s.h.mu.Unlock()
-	slices.Sort(ids)
 	deadline := time.Now().Add(within)
 	for _, id := range ids {
 		for last := ""; ; {
 			if n := s.node(s.names[0]); n != nil {
 				last = s.phase(n, id)
 				if last == api.JobDone || last == api.JobCancelled {
-					s.h.observed(id, last)
+					s.h.recordPhase(id, last)
 					break
 				}
 			}
 			if time.Now().After(deadline) {
-				s.t.Errorf("%s: %s after the troubles", id, last)
+				s.t.Errorf("%s: got phase %q after all faults were healed, want done or cancelled", id, last)
 				break
 			}
 			time.Sleep(500 * time.Millisecond)
@@ -226,9 +239,15 @@
 	}
 }
 
-// add is a machine that is up from now on.
+// add adds a machine that is up from now on.
 func (s *checkedCluster) add(name, zone string, spot bool) *host {
-	k := &host{worker: s.worker(name, zone, spot), s: s, left: map[run]time.Duration{}, heard: time.Now(), next: time.Now()}
+	k := &host{
+		worker:           s.worker(name, zone, spot),
+		s:                s,
+		remaining:        map[run]time.Duration{},
+		lastAcknowledged: time.Now(),
+		nextHeartbeat:    time.Now(),
+	}
 	s.h.mu.Lock()
 	s.h.hosts[name] = k
 	s.hosts = append(s.hosts, k)
@@ -236,26 +255,26 @@
 	return k
 }
 
-// live is what the machines do. One clock drives them all: the race detector
-// cannot follow a bubble with very many timers.
-func (s *checkedCluster) live() {
+// runMachines runs all machines until the test ends. One clock drives them all: the race
+// detector cannot follow a bubble with very many timers.
+func (s *checkedCluster) runMachines() {
 	for s.ctx.Err() == nil {
 		s.h.mu.Lock()
 		hosts := slices.Clone(s.hosts)
 		s.h.mu.Unlock()
 		for _, k := range hosts {
-			k.live(time.Now())
+			k.step(time.Now())
 		}
-		s.h.look()
+		s.h.checkRuns()
 		idle(s.ctx, tick)
 	}
 }
 
-// holders are the machines on which a job's tasks are.
+// holders lists the machines on which a job's tasks are.
 func (s *checkedCluster) holders(job string) (ks []*host) {
 	for _, k := range s.hosts {
 		s.h.mu.Lock()
-		s.h.purge()
+		s.h.dropTerminated()
 		for r := range s.h.runs {
 			if r.machine == k.rep.Machine && r.job() == job && !slices.Contains(ks, k) {
 				ks = append(ks, k)
@@ -266,15 +285,15 @@
 	return ks
 }
 
-// SendCommands implements Director: the way of orders straight to machines.
-func (s *checkedCluster) SendCommands(ctx context.Context, addr string, o *api.CommandBatch) (uint64, error) {
-	hb, err := s.direct(ctx, addr, func(k *host) bool {
-		if o.Term < k.rep.Term || o.AgentEpoch != k.rep.AgentEpoch {
+// SendCommands implements CommandSender.
+func (s *checkedCluster) SendCommands(ctx context.Context, addr string, batch *api.CommandBatch) (uint64, error) {
+	hb, err := s.deliverToMachine(ctx, addr, func(k *host) bool {
+		if batch.Term < k.rep.Term || batch.AgentEpoch != k.rep.AgentEpoch {
 			return false
 		}
-		k.changed = k.changed || o.Term > k.rep.Term
-		k.rep.Term = o.Term
-		k.obey(o.Commands)
+		k.changed = k.changed || batch.Term > k.rep.Term
+		k.rep.Term = batch.Term
+		k.obey(batch.Commands)
 		return true
 	})
 	if err != nil {
@@ -283,9 +302,9 @@
 	return hb.Seq, nil
 }
 
-// Resync implements Director.
+// Resync implements CommandSender.
 func (s *checkedCluster) Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error) {
-	return s.direct(ctx, addr, func(k *host) bool {
+	return s.deliverToMachine(ctx, addr, func(k *host) bool {
 		if term < k.rep.Term {
 			return false
 		}
@@ -295,9 +314,11 @@
 	})
 }
 
-// direct brings something to a machine; a hung or slow one does it late, even if
-// its sender has given up by then.
-func (s *checkedCluster) direct(ctx context.Context, addr string, do func(*host) bool) (*api.Heartbeat, error) {
+// deliverToMachine delivers a request to a machine; a hung or slow one applies it late, even
+// if its sender has timed out by then.
+func (s *checkedCluster) deliverToMachine(
+	ctx context.Context, addr string, apply func(*host) bool,
+) (*api.Heartbeat, error) {
 	s.h.mu.Lock()
 	k := s.h.hosts[addr]
 	s.h.mu.Unlock()
@@ -316,9 +337,9 @@
 	// nothing once s.ctx has ended.
 	go func() {
 		idle(s.ctx, orderDelay)
-		k.awake()
+		k.lockWhenResponsive()
 		var hb *api.Heartbeat
-		if s.ctx.Err() == nil && !s.cloud.gone(addr) && do(k) {
+		if s.ctx.Err() == nil && !s.cloud.gone(addr) && apply(k) {
 			k.rep.Seq++
 			own := k.rep
 			own.Tasks = slices.Clone(k.rep.Tasks)
