--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -12,7 +12,7 @@
 // just when a job is accepted, ends or is cancelled. No node may tell anything
 // older: not the leader whose watch lags, nor one that has just begun or ceased to
 // lead.
-func TestAnswersNeverGetOlder(t *testing.T) {
+func TestResponsesAreMonotonic(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		// before comes well before the moment, trouble at the moment.
@@ -81,7 +81,7 @@
 // A cancellation, a question or a repeated submission meets the end of a job's last
 // task, with no other trouble: by a few milliseconds earlier or later, at the leader
 // and elsewhere. Whatever it is told, all are told from then on.
-func TestRequestsAroundTheEnd(t *testing.T) {
+func TestRequestsRacingWithCompletion(t *testing.T) {
 	const jobs, tries, step = 8, 15, 3 * time.Millisecond
 	for _, c := range []struct {
 		name string
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -18,16 +18,16 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// ask sends a node a user's request.
-func ask(n *node, method, path, body string) *httptest.ResponseRecorder {
+// serveRequest sends a node a user's request.
+func serveRequest(n *node, method, path, body string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	api.Handler(n.Controller, slog.New(slog.DiscardHandler)).ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return w
 }
 
-// job is the body of a submission, changed. A field that is changed to "@..." is
+// submissionBody is the body of a submission, changed. A field that is changed to "@..." is
 // written as what follows.
-func (w *cluster) job(id string, change map[string]any) string {
+func (w *cluster) submissionBody(id string, change map[string]any) string {
 	m := map[string]any{"NameId": id, "Jobclass": "c", "Owner": "red", "Shape": "array", "Precedence": "low", "Shoots": 5,
 		"Cores": 1.0, "Cards": 0.0, "MemoryGb": 1.0, "Rootstock": "img", "PullGb": 1.0, "Frames": nil, "Bed": nil,
 		"SamePlace": false, "Scatter": false, "Windfall": true, "ExpectS": 30.0, "GraftS": 0.0, "PressS": 0.0, "DueS": nil}
@@ -44,9 +44,9 @@
 	return string(raw)
 }
 
-// stored is what the store holds of jobs, with the marks, so that nothing that
+// jobRevisions is what the store holds of jobs, with the marks, so that nothing that
 // is written again goes unseen.
-func (w *cluster) stored() map[string]uint64 {
+func (w *cluster) jobRevisions() map[string]uint64 {
 	marks := map[string]uint64{}
 	for _, prefix := range []string{records.ActivePrefix, records.TerminalPrefix, records.CompletionPrefix} {
 		p, _ := w.store.Range(context.Background(), prefix, "", 1<<20) // in an outage as well
@@ -57,10 +57,10 @@
 	return marks
 }
 
-// stalled is a store in which a new leader never comes to the end of its reading.
-type stalled struct{ *kvtest.Fake }
+// stalledReads is a store in which a new leader never comes to the end of its reading.
+type stalledReads struct{ *kvtest.Fake }
 
-func (stalled) Range(ctx context.Context, _, _ string, _ int) (kv.Page, error) {
+func (stalledReads) Range(ctx context.Context, _, _ string, _ int) (kv.Page, error) {
 	<-ctx.Done()
 	return kv.Page{}, kv.ErrOutcomeUnknown
 }
@@ -82,8 +82,8 @@
 	w.same("jobs", []string{w.phase(n, "job-1"), w.phase(n, "job-2"), w.phase(n, "job-3")}, []string{"done", "withdrawn", "pending"})
 }
 
-// places are how a node can stand when a request comes.
-var places = []struct {
+// nodeStates are how a node can stand when a request comes.
+var nodeStates = []struct {
 	name string
 	// untyped is set if the node does not know the machine types, down in
 	// an outage of the state service.
@@ -105,7 +105,7 @@
 		a := w.start("n0")
 		w.seedJobs(a)
 		a.crash()
-		b := w.startWith("n0", stalled{w.store}, nil)
+		b := w.startWith("n0", stalledReads{w.store}, nil)
 		b.look(func(c *Controller) { w.same("takes over", c.leaderTerm != nil && !c.leaderTerm.loaded, true) })
 		return b
 	}},
@@ -123,8 +123,8 @@
 	}},
 }
 
-// manyTypes adds machine types of which each has something that the others lack.
-func (w *cluster) manyTypes() {
+// addMachineTypes adds machine types of which each has something that the others lack.
+func (w *cluster) addMachineTypes() {
 	w.cloud.types = append(w.cloud.types,
 		api.MachineType{Name: "wide", CPUs: 8, MemoryGB: 16, Price: 2, SpotPrice: 1, BootS: 20, Zones: []string{"a"}},
 		api.MachineType{Name: "cards", CPUs: 2, GPUs: 2, MemoryGB: 8, Price: 4, SpotPrice: 2, BootS: 20, Zones: []string{"b"}},
@@ -135,16 +135,16 @@
 
 type change = map[string]any
 
-// manyTimes is a list that names a job so many times.
-func manyTimes(id string, n int) (list []any) {
+// repeatedID is a list that names a job so many times.
+func repeatedID(id string, n int) (list []any) {
 	for range n {
 		list = append(list, id)
 	}
 	return list
 }
 
-// numbered is a list of so many jobs, from a number on.
-func numbered(from, n int) (list []any) {
+// jobIDs is a list of so many jobs, from a number on.
+func jobIDs(from, n int) (list []any) {
 	for i := range n {
 		list = append(list, fmt.Sprint("job-", from+i))
 	}
@@ -154,16 +154,16 @@
 // Submissions that are invalid or can never run, and repeats of known jobs: what
 // each is answered wherever it comes, and that none changes what is stored. No
 // node may refuse for good what it cannot tell, and none may accept what cannot run.
-func TestBadSubmissions(t *testing.T) {
-	for _, place := range places {
+func TestInvalidSubmissionsAreRejectedInEveryNodeState(t *testing.T) {
+	for _, place := range nodeStates {
 		t.Run(place.name, func(t *testing.T) {
 			simulate(t, func(w *cluster) {
-				w.manyTypes()
+				w.addMachineTypes()
 				n := place.make(w)
-				before := w.stored()
+				before := w.jobRevisions()
 				check := func(name, body string, want int, phase string) {
 					t.Helper()
-					got := ask(n, "POST", "/api/jobs", body)
+					got := serveRequest(n, "POST", "/api/jobs", body)
 					var st api.JobState
 					if err := json.Unmarshal(got.Body.Bytes(), &st); err != nil {
 						t.Errorf("%s: %v", name, err)
@@ -203,8 +203,8 @@
 					{"awaits no id", change{"Awaits": []any{"job-1", "job-x"}}, 400},
 
 					{"awaits one never accepted", change{"Awaits": []any{"job-99"}}, 422},
-					{"awaits it many times", change{"Awaits": manyTimes("job-99", 40)}, 422},
-					{"awaits many never accepted", change{"Awaits": numbered(1000, 20)}, 422},
+					{"awaits it many times", change{"Awaits": repeatedID("job-99", 40)}, 422},
+					{"awaits many never accepted", change{"Awaits": jobIDs(1000, 20)}, 422},
 
 					{"unknown team", change{"Owner": "green"}, 422},
 					{"team of another case", change{"Owner": "Red"}, 422},
@@ -237,12 +237,12 @@
 					case place.untyped && c.want == 422:
 						want, again = 503, 503 // what cannot run is not known
 					}
-					check(c.name, w.job("job-9", c.change), want, "")
+					check(c.name, w.submissionBody("job-9", c.change), want, "")
 					for id, phase := range map[string]string{"job-1": "done", "job-2": "withdrawn", "job-3": "pending"} {
 						if again != 200 {
 							phase = ""
 						}
-						check(c.name+", "+id, w.job(id, c.change), again, phase)
+						check(c.name+", "+id, w.submissionBody(id, c.change), again, phase)
 					}
 				}
 				for id, phase := range map[string]string{"job-9": "", "job-1": "done", "job-2": "withdrawn", "job-3": "pending"} {
@@ -253,16 +253,16 @@
 					case id == "job-9":
 						want = 400
 					}
-					check("awaits itself, "+id, w.job(id, change{"Awaits": []any{"job-99", id}}), want, phase)
+					check("awaits itself, "+id, w.submissionBody(id, change{"Awaits": []any{"job-99", id}}), want, phase)
 					// More than are read one by one: what is known is answered all the same.
 					if id != "job-9" && !place.untyped {
-						check("awaits many, "+id, w.job(id, change{"Awaits": numbered(1000, 400)}), want, phase)
+						check("awaits many, "+id, w.submissionBody(id, change{"Awaits": jobIDs(1000, 400)}), want, phase)
 					}
 				}
 				for name, body := range map[string]string{
-					"nothing": "", "no JSON": "{", "null": "null", "list": "[" + w.job("job-1", nil) + "]", "no id": w.job("", change{"NameId": nil}),
-					"id of another form": w.job("job-1/0", nil), "two": w.job("job-1", nil) + w.job("job-1", nil),
-					"too large": w.job("job-1", nil) + strings.Repeat(" ", api.MaxBody),
+					"nothing": "", "no JSON": "{", "null": "null", "list": "[" + w.submissionBody("job-1", nil) + "]", "no id": w.submissionBody("", change{"NameId": nil}),
+					"id of another form": w.submissionBody("job-1/0", nil), "two": w.submissionBody("job-1", nil) + w.submissionBody("job-1", nil),
+					"too large": w.submissionBody("job-1", nil) + strings.Repeat(" ", api.MaxBody),
 				} {
 					check(name, body, 400, "")
 				}
@@ -272,17 +272,17 @@
 					if place.untyped || place.down {
 						want, phase = 503, ""
 					}
-					check("repeat of "+id, w.job(id, change{"Shoots": 7, "Owner": "blue"}), want, phase)
+					check("repeat of "+id, w.submissionBody(id, change{"Shoots": 7, "Owner": "blue"}), want, phase)
 				}
-				w.same("stored", w.stored(), before)
+				w.same("stored", w.jobRevisions(), before)
 
 				// What is refused was not the submission at large: a good one is taken.
 				want, phase := 201, "pending"
 				if place.untyped || place.down {
 					want, phase = 503, ""
 				}
-				check("good", w.job("job-9", nil), want, phase)
-				_, taken := w.stored()["a/job-9"]
+				check("good", w.submissionBody("job-9", nil), want, phase)
+				_, taken := w.jobRevisions()["a/job-9"]
 				w.same("good one stored", taken, want == 201)
 			})
 		})
@@ -291,12 +291,12 @@
 
 // Cancelling and asking about jobs that are over, unknown or malformed, wherever
 // it comes.
-func TestBadCancels(t *testing.T) {
-	for _, place := range places {
+func TestCancelAndStatusOfEndedOrUnknownJobs(t *testing.T) {
+	for _, place := range nodeStates {
 		t.Run(place.name, func(t *testing.T) {
 			simulate(t, func(w *cluster) {
 				n := place.make(w)
-				before := w.stored()
+				before := w.jobRevisions()
 				for _, c := range []struct {
 					id    string
 					want  int
@@ -309,7 +309,7 @@
 						want, phase = 503, ""
 					}
 					for range 2 {
-						got := ask(n, "POST", "/api/jobs/"+c.id+"/abort", "")
+						got := serveRequest(n, "POST", "/api/jobs/"+c.id+"/abort", "")
 						var st api.JobState
 						if err := json.Unmarshal(got.Body.Bytes(), &st); err != nil {
 							t.Error(err)
@@ -319,18 +319,18 @@
 						}
 					}
 					// What is over may be told from memory, also in an outage.
-					got := ask(n, "GET", "/api/jobs/"+c.id, "")
+					got := serveRequest(n, "GET", "/api/jobs/"+c.id, "")
 					if ok := got.Code == c.want || place.down && got.Code == 503 && api.ValidID(c.id); !ok ||
 						got.Code == 200 && !strings.Contains(got.Body.String(), `"Phase":"`+c.phase+`"`) {
 						t.Errorf("poll of %s: %d (%s), want %d %q", c.id, got.Code, got.Body, c.want, c.phase)
 					}
 				}
-				w.same("stored", w.stored(), before)
+				w.same("stored", w.jobRevisions(), before)
 				// A job that is cancelled before it is submitted is not cancelled.
 				if place.down || place.untyped {
 					return
 				}
-				got := ask(n, "POST", "/api/jobs", w.job("job-9", nil))
+				got := serveRequest(n, "POST", "/api/jobs", w.submissionBody("job-9", nil))
 				w.same("submitted later", got.Code, 201)
 			})
 		})
@@ -338,9 +338,9 @@
 }
 
 // Amounts that JSON cannot hold fit nothing.
-func TestSubmitOfNoNumbers(t *testing.T) {
+func TestNonFiniteResourcesAreUnschedulable(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.manyTypes()
+		w.addMachineTypes()
 		n := w.start("n0")
 		for _, v := range []float64{math.NaN(), math.Inf(1)} {
 			for name, set := range map[string]func(*api.JobSpec){
@@ -354,14 +354,14 @@
 				}
 			}
 		}
-		w.same("stored", len(w.stored()), 0)
+		w.same("stored", len(w.jobRevisions()), 0)
 	})
 }
 
 // Tasks in one zone of which at most half may be in one zone: that is a bound
 // at each moment, so the job runs part by part. No such pair of flags makes a
 // job one that can never run, and each that is accepted must run to its end.
-func TestOneZoneOfWhichHalfMayBeThere(t *testing.T) {
+func TestSpreadJobInOneZoneRunsInParts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change change
@@ -379,7 +379,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulate(t, func(w *cluster) {
-				w.manyTypes()
+				w.addMachineTypes()
 				n := w.start("n0")
 				workers := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "b", false), w.worker("i-3", "b", false)}
 				workers[2].rep.Type = "cards"
@@ -387,7 +387,7 @@
 					k.serve(n, 2)
 				}
 				c.change["Shoots"] = c.tasks
-				got := ask(n, "POST", "/api/jobs", w.job("job-1", c.change))
+				got := serveRequest(n, "POST", "/api/jobs", w.submissionBody("job-1", c.change))
 				w.same("accepted", got.Code, 201)
 				for range 60 {
 					ran := map[string]int{}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -17,7 +17,7 @@
 
 // after is a job that awaits others.
 func after(id, team string, tasks int, dependsOn ...string) *api.JobSpec {
-	s := job1(id, team, tasks)
+	s := teamSpec(id, team, tasks)
 	s.DependsOn = dependsOn
 	return s
 }
@@ -25,7 +25,7 @@
 // diamond is a pipeline of two teams: 1, then 2 and 3, then 4, then 5, which awaits
 // 1 as well.
 func (s *checkedCluster) diamond(takes time.Duration) {
-	s.order(takes, job1("job-1", "red", 4))
+	s.order(takes, teamSpec("job-1", "red", 4))
 	s.order(takes, after("job-2", "red", 3, "job-1"))
 	s.order(takes*2, after("job-3", "blue", 2, "job-1"))
 	s.order(takes, after("job-4", "red", 2, "job-2", "job-3"))
@@ -64,7 +64,7 @@
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
-			eachChange(t, 0, 16*time.Second, 1700*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+			forEachLeaderChange(t, 0, 16*time.Second, 1700*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
 				simulateChecked(t, 4, func(s *checkedCluster) {
 					s.diamond(3 * time.Second)
 					s.follow(diamondJobs...)
@@ -92,10 +92,10 @@
 func TestCancellationTakesWhatFollows(t *testing.T) {
 	for _, victim := range []string{"job-1", "job-2", "job-4"} {
 		t.Run(victim, func(t *testing.T) {
-			eachChange(t, -600*time.Millisecond, 1200*time.Millisecond, 150*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+			forEachLeaderChange(t, -600*time.Millisecond, 1200*time.Millisecond, 150*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
 				simulateChecked(t, 4, func(s *checkedCluster) {
 					s.diamond(8 * time.Second)
-					s.order(2*time.Second, job1("job-9", "blue", 2)) // needs nothing
+					s.order(2*time.Second, teamSpec("job-9", "blue", 2)) // needs nothing
 					s.follow(append(diamondJobs, "job-6", "job-7")...)
 					time.Sleep(3 * time.Second)
 					if off < 0 {
@@ -197,7 +197,7 @@
 // it go on.
 func TestCancellationAnsweredWithDone(t *testing.T) {
 	simulateChecked(t, 2, func(s *checkedCluster) {
-		s.order(2*time.Second, job1("job-1", "red", 1))
+		s.order(2*time.Second, teamSpec("job-1", "red", 1))
 		s.order(2*time.Second, after("job-2", "red", 1, "job-1"))
 		for s.phase(s.node("n0"), "job-1") != api.JobDone {
 			time.Sleep(100 * time.Millisecond)
--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -10,22 +10,22 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-func accepts(id string) func(kv.Txn) bool {
+func isAcceptance(id string) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool {
 		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool { return op.Put == records.ActivePrefix+id })
 	}
 }
 
-func cancels(id string) func(kv.Txn) bool {
+func isCancellation(id string) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool { return !txn.Records && touches(records.TerminalPrefix+id)(txn) }
 }
 
-func ends(id string) func(kv.Txn) bool {
+func isCompletion(id string) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix+id)(txn) }
 }
 
-// once matches the first transaction only.
-func once(match func(kv.Txn) bool) func(kv.Txn) bool {
+// firstMatch matches the first transaction only.
+func firstMatch(match func(kv.Txn) bool) func(kv.Txn) bool {
 	done := false
 	return func(txn kv.Txn) bool {
 		if done {
@@ -39,7 +39,7 @@
 // A transaction is carried out and only its answer is lost, while others read what
 // it wrote; the writer may then be refused for a while. It tells the same as they
 // do, and neither fails what it has done nor does it once more.
-func TestLostAnswers(t *testing.T) {
+func TestLostTransactionResponses(t *testing.T) {
 	for _, c := range []struct {
 		name, key string
 		lose      func(kv.Txn) bool
@@ -51,15 +51,15 @@
 		starts int64
 		held   int
 	}{
-		{"acceptance", records.ActivePrefix + "job-1", accepts("job-1"), []int{0, 1}, func(tn *userCluster, by int) error {
+		{"acceptance", records.ActivePrefix + "job-1", isAcceptance("job-1"), []int{0, 1}, func(tn *userCluster, by int) error {
 			_, err := tn.checker.submit(tn.at(by), spec("job-1", 2))
 			return err
 		}, "running", 2, 2},
-		{"cancellation", records.TerminalPrefix + "job-1", cancels("job-1"), []int{0, 2}, func(tn *userCluster, by int) error {
+		{"cancellation", records.TerminalPrefix + "job-1", isCancellation("job-1"), []int{0, 2}, func(tn *userCluster, by int) error {
 			_, err := tn.checker.cancel(tn.at(by), "job-1")
 			return err
 		}, "withdrawn", 2, 0},
-		{"end", records.TerminalPrefix + "job-1", ends("job-1"), []int{0}, func(tn *userCluster, _ int) error {
+		{"end", records.TerminalPrefix + "job-1", isCompletion("job-1"), []int{0}, func(tn *userCluster, _ int) error {
 			tn.finish("job-1")
 			return nil
 		}, "done", 2, 0},
@@ -74,7 +74,7 @@
 							tn.accept(1, spec("job-1", 2))
 							time.Sleep(3 * time.Second)
 						}
-						w.store.Lose(once(c.lose))
+						w.store.Lose(firstMatch(c.lose))
 						tn.pollAll(spec("job-1", 2), 7*time.Millisecond, 3*time.Second)
 						tn.background(func() {
 							err := c.act(tn, by)
@@ -117,7 +117,7 @@
 // A transaction without an answer is carried out late, when newer ones of the same
 // controller have been: it must not bring a job back, end it anew, or change how it
 // ended.
-func TestLateTransactions(t *testing.T) {
+func TestDelayedTransactionsDoNotUndoNewerOnes(t *testing.T) {
 	// Each act follows the one before by half a second.
 	accept := func(tn *userCluster) { tn.accept(0, spec("job-1", 1)) }
 	cancel := func(tn *userCluster) { tn.cancel(0, "job-1") }
@@ -131,18 +131,18 @@
 		acts    []func(tn *userCluster)
 		want    string // "": either end
 	}{
-		{"acceptance, repeated", accepts("job-1"), false, false, false, []func(*userCluster){accept}, "running"},
-		{"acceptance, cancelled since", accepts("job-1"), false, false, false, []func(*userCluster){accept, cancel}, "withdrawn"},
-		{"acceptance, ended since", accepts("job-1"), false, false, false, []func(*userCluster){accept, func(*userCluster) { time.Sleep(2 * time.Second) }, end}, "done"},
-		{"cancellation, repeated", cancels("job-1"), false, true, false, []func(*userCluster){cancel}, "withdrawn"},
-		{"cancellation, given up, ended since", cancels("job-1"), true, true, false, []func(*userCluster){func(tn *userCluster) { tn.checker.cancel(tn.at(0), "job-1") }, func(tn *userCluster) {
+		{"acceptance, repeated", isAcceptance("job-1"), false, false, false, []func(*userCluster){accept}, "running"},
+		{"acceptance, cancelled since", isAcceptance("job-1"), false, false, false, []func(*userCluster){accept, cancel}, "withdrawn"},
+		{"acceptance, ended since", isAcceptance("job-1"), false, false, false, []func(*userCluster){accept, func(*userCluster) { time.Sleep(2 * time.Second) }, end}, "done"},
+		{"cancellation, repeated", isCancellation("job-1"), false, true, false, []func(*userCluster){cancel}, "withdrawn"},
+		{"cancellation, given up, ended since", isCancellation("job-1"), true, true, false, []func(*userCluster){func(tn *userCluster) { tn.checker.cancel(tn.at(0), "job-1") }, func(tn *userCluster) {
 			if len(tn.hosts[0].running())+len(tn.hosts[1].running()) > 0 {
 				end(tn)
 			}
 		}}, ""},
-		{"end, repeated", ends("job-1"), false, true, false, []func(*userCluster){end}, "done"},
-		{"end, cancelled since", ends("job-1"), false, true, false, []func(*userCluster){end, cancel}, ""},
-		{"end, cancelled since at another node", ends("job-1"), false, true, true, []func(*userCluster){end, func(tn *userCluster) { tn.cancel(1, "job-1") }}, ""},
+		{"end, repeated", isCompletion("job-1"), false, true, false, []func(*userCluster){end}, "done"},
+		{"end, cancelled since", isCompletion("job-1"), false, true, false, []func(*userCluster){end, cancel}, ""},
+		{"end, cancelled since at another node", isCompletion("job-1"), false, true, true, []func(*userCluster){end, func(tn *userCluster) { tn.cancel(1, "job-1") }}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			late, seen := 0, map[string]int{}
@@ -157,7 +157,7 @@
 					if w.store.SetBlind(c.blind); c.every {
 						w.store.Hold(c.hold)
 					} else {
-						w.store.Hold(once(c.hold))
+						w.store.Hold(firstMatch(c.hold))
 					}
 					tn.pollAll(spec("job-1", 1), 60*time.Millisecond, 14*time.Second)
 					tn.background(func() {
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -12,8 +12,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// job1 is a job of a team that may use all machines.
-func job1(id, team string, tasks int) *api.JobSpec {
+// teamSpec is a job of a team that may use all machines.
+func teamSpec(id, team string, tasks int) *api.JobSpec {
 	s := spec(id, tasks)
 	s.Team = team
 	return s
@@ -29,11 +29,11 @@
 	"late":     func(s *checkedCluster) { s.restart(6 * time.Second) },
 }
 
-// simulations are the two ways in which starts reach machines.
-var simulations = map[string]func(*testing.T, int, func(*checkedCluster)){"answers": simulateChecked, "direct": simulateSeldom}
+// deliveryModes are the two ways in which starts reach machines.
+var deliveryModes = map[string]func(*testing.T, int, func(*checkedCluster)){"answers": simulateChecked, "direct": simulateSeldom}
 
-// eachChange sweeps the moment of a leader change, of each kind.
-func eachChange(t *testing.T, from, to, step time.Duration, f func(t *testing.T, off time.Duration, change func(*checkedCluster))) {
+// forEachLeaderChange sweeps the moment of a leader change, of each kind.
+func forEachLeaderChange(t *testing.T, from, to, step time.Duration, f func(t *testing.T, off time.Duration, change func(*checkedCluster))) {
 	for kind, change := range leaderChanges {
 		for off := from; off < to; off += step {
 			t.Run(fmt.Sprint(kind, " ", off), func(t *testing.T) { f(t, off, change) })
@@ -45,12 +45,12 @@
 // or hang, and the leader changes. What is on those machines counts until it is
 // off them: neither a machine that the new leader has not heard nor one that holds
 // tasks of a job that is over may be left out of the teams' use.
-func TestLimitsWhileMachinesAreCutAndTheLeaderChanges(t *testing.T) {
-	for way, simulate := range simulations {
+func TestTeamLimitsHoldWithUnreachableMachinesAcrossLeaderChanges(t *testing.T) {
+	for way, simulate := range deliveryModes {
 		t.Run(way, func(t *testing.T) {
-			eachChange(t, 0, 5*time.Second, 700*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+			forEachLeaderChange(t, 0, 5*time.Second, 700*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
 				simulate(t, 9, func(s *checkedCluster) {
-					for _, j := range []*api.JobSpec{job1("job-1", "red", 8), job1("job-2", "red", 8), job1("job-3", "blue", 4), job1("job-4", "blue", 4)} {
+					for _, j := range []*api.JobSpec{teamSpec("job-1", "red", 8), teamSpec("job-2", "red", 8), teamSpec("job-3", "blue", 4), teamSpec("job-4", "blue", 4)} {
 						s.order(4*time.Minute, j)
 						time.Sleep(2 * time.Second)
 					}
@@ -67,7 +67,7 @@
 					time.Sleep(off)
 					change(s)
 					for i := range 12 { // work that is new in the next term
-						s.order(10*time.Second, job1(fmt.Sprint("job-1", i), []string{"red", "blue"}[i%2], 4))
+						s.order(10*time.Second, teamSpec(fmt.Sprint("job-1", i), []string{"red", "blue"}[i%2], 4))
 						time.Sleep(700 * time.Millisecond)
 					}
 					time.Sleep(12 * time.Second)
@@ -84,13 +84,13 @@
 
 // Jobs are cancelled in the seconds in which one controller's work changes hands:
 // at the one that ends, at the one that begins, and before anybody leads.
-func TestCancelledWhileWorkChangesHands(t *testing.T) {
-	for way, simulate := range simulations {
+func TestCancellationDuringLeaderChange(t *testing.T) {
+	for way, simulate := range deliveryModes {
 		t.Run(way, func(t *testing.T) {
-			eachChange(t, -2*time.Second, 4*time.Second, 270*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+			forEachLeaderChange(t, -2*time.Second, 4*time.Second, 270*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
 				simulate(t, 5, func(s *checkedCluster) {
 					for i := range 8 {
-						s.order(5*time.Minute, job1(fmt.Sprint("job-", i), []string{"red", "blue"}[i%2], 2))
+						s.order(5*time.Minute, teamSpec(fmt.Sprint("job-", i), []string{"red", "blue"}[i%2], 2))
 					}
 					time.Sleep(4 * time.Second)
 					cancels := func() {
@@ -124,12 +124,12 @@
 // and the leader ends. Nothing may start on a machine before its place on the
 // roster is durable: the next leader would not know that it may hold tasks, and
 // would begin them elsewhere.
-func TestNoStartBeforeTheRosterIsDurable(t *testing.T) {
-	for way, simulate := range simulations {
+func TestNoStartBeforeRegistrationIsDurable(t *testing.T) {
+	for way, simulate := range deliveryModes {
 		for off := 500 * time.Millisecond; off <= 5*time.Second; off += 500 * time.Millisecond {
 			t.Run(fmt.Sprint(way, " ", off), func(t *testing.T) {
 				simulate(t, 2, func(s *checkedCluster) {
-					s.order(2*time.Minute, job1("job-1", "red", 14))
+					s.order(2*time.Minute, teamSpec("job-1", "red", 14))
 					time.Sleep(3 * time.Second)
 					s.store.Hold(touches(records.MachinePrefix))
 					fresh := []*host{s.add("i-8", "a", false), s.add("i-9", "b", false)}
@@ -155,9 +155,9 @@
 	}
 }
 
-// replay brings copies of a machine's reports to every controller, latest first.
+// replayHeartbeats brings copies of a machine's reports to every controller, latest first.
 // Their answers reach nobody.
-func (k *host) replay(reports []api.Heartbeat) {
+func (k *host) replayHeartbeats(reports []api.Heartbeat) {
 	for i := range reports {
 		hb := reports[len(reports)-1-i]
 		for _, name := range k.s.names {
@@ -175,8 +175,8 @@
 	}
 }
 
-// sentSoFar are copies of the reports that a machine has sent.
-func (k *host) sentSoFar() []api.Heartbeat {
+// sentHeartbeats are copies of the reports that a machine has sent.
+func (k *host) sentHeartbeats() []api.Heartbeat {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.reports)
@@ -186,13 +186,13 @@
 // attempt, from before tasks began and from while they ran, within a term, just
 // as a new leader begins, and after it has acted. They are no news: no task is
 // taken for gone, or for being there, on their account, and no machine for alive.
-func TestOldReportsArriveAfterNewerOnes(t *testing.T) {
-	eachChange(t, -time.Second, 5*time.Second, 500*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+func TestReorderedHeartbeatsAreIgnored(t *testing.T) {
+	forEachLeaderChange(t, -time.Second, 5*time.Second, 500*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
 		simulateChecked(t, 5, func(s *checkedCluster) {
 			gone := s.hosts[4]
 			gone.trouble(func(k *host) { k.cut = true }) // dies, and is returned
-			s.order(25*time.Second, job1("job-1", "red", 4))
-			s.order(3*time.Minute, job1("job-2", "red", 4))
+			s.order(25*time.Second, teamSpec("job-1", "red", 4))
+			s.order(3*time.Minute, teamSpec("job-2", "red", 4))
 			time.Sleep(3 * time.Second)
 			late := map[*host][]api.Heartbeat{}
 			// The first machine's session ends, and its tasks begin anew.
@@ -202,11 +202,11 @@
 			first.well()
 			time.Sleep(3 * time.Second)
 			for _, k := range s.hosts {
-				late[k] = k.sentSoFar()
+				late[k] = k.sentHeartbeats()
 			}
 			replay := func() {
 				for k, reports := range late {
-					s.tasks.Go(func() { k.replay(reports) })
+					s.tasks.Go(func() { k.replayHeartbeats(reports) })
 				}
 				time.Sleep(700 * time.Millisecond)
 			}
@@ -227,8 +227,8 @@
 			s.cancel("job-2")
 			time.Sleep(5 * time.Second)
 			replay()
-			s.order(5*time.Second, job1("job-3", "red", 12))
-			s.order(5*time.Second, job1("job-4", "blue", 8))
+			s.order(5*time.Second, teamSpec("job-3", "red", 12))
+			s.order(5*time.Second, teamSpec("job-4", "blue", 8))
 			time.Sleep(2 * time.Second)
 			replay()
 			s.settle(2 * time.Minute)
@@ -241,12 +241,12 @@
 // Jobs of two or three tasks end far apart across a change of leader, while their
 // progress may not be on record yet: what is done stays done, nothing is lost and
 // nothing runs again.
-func TestTasksEndFarApartAcrossAChange(t *testing.T) {
+func TestCompletionsAcrossLeaderChange(t *testing.T) {
 	for _, lag := range []bool{false, true} {
-		eachChange(t, 0, 5*time.Second, 500*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+		forEachLeaderChange(t, 0, 5*time.Second, 500*time.Millisecond, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
 			simulateChecked(t, 4, func(s *checkedCluster) {
 				for i := range 6 {
-					j := job1(fmt.Sprint("job-", i), []string{"red", "blue"}[i%2], 2+i%2)
+					j := teamSpec(fmt.Sprint("job-", i), []string{"red", "blue"}[i%2], 2+i%2)
 					s.order(4*time.Second+time.Duration(i)*700*time.Millisecond, j)
 					s.h.mu.Lock()
 					s.h.jobs[j.ID].apart = 20 * time.Second
@@ -270,7 +270,7 @@
 // Controllers hand over and back, all end and one returns, all are away for
 // longer than a lease, and leaders change ten times in two minutes, also inside
 // an outage. Each script begins at several offsets from the work.
-func TestControllersComeAndGo(t *testing.T) {
+func TestControllerRestartsAndHandovers(t *testing.T) {
 	scripts := map[string]func(s *checkedCluster){
 		"over and back": func(s *checkedCluster) {
 			for range 4 {
@@ -329,10 +329,10 @@
 		for off := time.Duration(0); off < 3*time.Second; off += 400 * time.Millisecond {
 			t.Run(fmt.Sprint(name, " ", off), func(t *testing.T) {
 				simulateChecked(t, 7, func(s *checkedCluster) {
-					s.order(3*time.Second, job1("job-0", "blue", 30))
-					s.order(90*time.Second, job1("job-1", "red", 10))
-					s.order(15*time.Second, job1("job-2", "red", 20))
-					s.order(4*time.Minute, job1("job-3", "blue", 4))
+					s.order(3*time.Second, teamSpec("job-0", "blue", 30))
+					s.order(90*time.Second, teamSpec("job-1", "red", 10))
+					s.order(15*time.Second, teamSpec("job-2", "red", 20))
+					s.order(4*time.Minute, teamSpec("job-3", "blue", 4))
 					time.Sleep(off)
 					s.tasks.Go(func() {
 						time.Sleep(4 * time.Second)
@@ -350,7 +350,7 @@
 // next leader's answer (deaf), reach no controller while direct commands reach
 // them (mute), or hear answers and commands late, in any order (slow). Their tasks begin
 // elsewhere only when they are off these machines, and do begin once the troubles are over.
-func TestLeaderEndsWhileMachinesAreOutOfReach(t *testing.T) {
+func TestLeaderChangeWhileMachinesAreUnreachable(t *testing.T) {
 	troubles := map[string]func(*host){
 		"cut":  func(k *host) { k.cut = true },
 		"deaf": func(k *host) { k.deaf = true },
@@ -359,11 +359,11 @@
 	}
 	for name, trouble := range troubles {
 		for _, long := range []time.Duration{6 * time.Second, 25 * time.Second} {
-			eachChange(t, -2*time.Second, 3*time.Second, time.Second, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+			forEachLeaderChange(t, -2*time.Second, 3*time.Second, time.Second, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
 				t.Run(fmt.Sprint(name, " ", long), func(t *testing.T) {
 					simulateChecked(t, 7, func(s *checkedCluster) {
-						s.order(70*time.Second, job1("job-1", "red", 12))
-						s.order(2*time.Minute, job1("job-2", "blue", 8))
+						s.order(70*time.Second, teamSpec("job-1", "red", 12))
+						s.order(2*time.Minute, teamSpec("job-2", "blue", 8))
 						time.Sleep(4 * time.Second)
 						if off < 0 {
 							change(s)
@@ -378,7 +378,7 @@
 						}
 						time.Sleep(time.Second)
 						s.cancel("job-2")
-						s.order(20*time.Second, job1("job-3", "blue", 8))
+						s.order(20*time.Second, teamSpec("job-3", "blue", 8))
 						time.Sleep(long)
 						for _, k := range s.hosts {
 							k.well()
@@ -397,7 +397,7 @@
 // within its lease and then goes on, while its job is cancelled, and perhaps the
 // leader changes. What may still begin counts as begun, and a task that begins late
 // is gone from its machine in the time that a cancellation has.
-func TestDirectCommandsHeldUp(t *testing.T) {
+func TestDelayedDirectCommands(t *testing.T) {
 	troubles := map[string]func(*host){
 		"order":  func(k *host) { k.orderDelay = 9 * time.Second },
 		"held":   func(k *host) { k.orderDelay = 50 * time.Second },
@@ -412,15 +412,15 @@
 			for off := time.Duration(0); off < 4*time.Second; off += 400 * time.Millisecond {
 				t.Run(fmt.Sprint(name, " ", change, " ", off), func(t *testing.T) {
 					simulateSeldom(t, 5, func(s *checkedCluster) {
-						wide := job1("job-0", "red", 3) // keeps three machines in use
+						wide := teamSpec("job-0", "red", 3) // keeps three machines in use
 						wide.CPUs = 3
 						s.order(3*time.Minute, wide)
 						time.Sleep(6 * time.Second)
 						for _, k := range s.holders("job-0") {
 							k.trouble(trouble)
 						}
-						s.order(4*time.Minute, job1("job-1", "red", 12))
-						s.order(30*time.Second, job1("job-2", "blue", 6))
+						s.order(4*time.Minute, teamSpec("job-1", "red", 12))
+						s.order(30*time.Second, teamSpec("job-2", "blue", 6))
 						time.Sleep(off)
 						// Small jobs come first, where there is the least room.
 						s.cancel([]string{"job-1", "job-2"}[:1+off/(400*time.Millisecond)%2]...)
@@ -428,7 +428,7 @@
 							time.Sleep(300 * time.Millisecond)
 							s.restart(300 * time.Millisecond)
 						}
-						s.order(20*time.Second, job1("job-3", "red", 16))
+						s.order(20*time.Second, teamSpec("job-3", "red", 16))
 						time.Sleep(55 * time.Second)
 						for _, k := range s.hosts {
 							k.well()
@@ -446,12 +446,12 @@
 // Jobs bound to one zone, arrays too, lose machines, with and without a change of
 // leader: their other tasks at that moment say where the next may start, also
 // those on machines that are not heard.
-func TestJobsBoundToAZoneLoseMachines(t *testing.T) {
-	eachChange(t, 0, 4*time.Second, time.Second, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
+func TestZoneBoundJobsLoseMachines(t *testing.T) {
+	forEachLeaderChange(t, 0, 4*time.Second, time.Second, func(t *testing.T, off time.Duration, change func(*checkedCluster)) {
 		for lost := range 3 {
 			t.Run(fmt.Sprint(lost, " lost"), func(t *testing.T) {
 				simulateChecked(t, 8, func(s *checkedCluster) {
-					one, zone, apart := job1("job-1", "red", 7), job1("job-2", "red", 3), job1("job-3", "blue", 8)
+					one, zone, apart := teamSpec("job-1", "red", 7), teamSpec("job-2", "red", 3), teamSpec("job-3", "blue", 8)
 					one.OneZone, zone.Zone, apart.Spread = true, "b", true
 					for _, j := range []*api.JobSpec{one, zone, apart} {
 						s.order(time.Minute, j)
@@ -484,7 +484,7 @@
 // After all sorts of troubles no job is left waiting for 90 s while a machine that
 // fits has room and its team is under its limit: what the troubles left uncertain
 // (machines not heard, tasks that may be there) is cleared up in the end.
-func TestNothingWaitsAfterTroubles(t *testing.T) {
+func TestNoJobIsStarvedAfterFaults(t *testing.T) {
 	for seed := range 24 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			with := simulateChecked
@@ -494,7 +494,7 @@
 			with(t, 8, func(s *checkedCluster) {
 				rnd := rand.New(rand.NewPCG(uint64(seed), 1))
 				for i := range 30 {
-					j := job1(fmt.Sprint("job-", i), []string{"red", "blue"}[i%2], 1+rnd.IntN(6))
+					j := teamSpec(fmt.Sprint("job-", i), []string{"red", "blue"}[i%2], 1+rnd.IntN(6))
 					switch rnd.IntN(8) {
 					case 0:
 						j.Zone = "a"
@@ -523,7 +523,7 @@
 					case 9:
 						s.cancel(fmt.Sprint("job-", rnd.IntN(i+1)))
 					case 10:
-						s.tasks.Go(func() { k.replay(k.sentSoFar()) })
+						s.tasks.Go(func() { k.replayHeartbeats(k.sentHeartbeats()) })
 					case 11:
 						s.store.Hold(touches(records.MachinePrefix))
 						s.tasks.Go(func() {
@@ -548,12 +548,12 @@
 // A machine that reaches no controller while it answers direct questions loses its
 // tasks with its session. Its answers show that: its tasks begin elsewhere while it
 // is still mute, and are not called running for as long as that lasts.
-func TestMuteMachineLosesItsTasks(t *testing.T) {
-	for way, simulate := range simulations {
+func TestMachineWithoutUplinkLosesItsTasks(t *testing.T) {
+	for way, simulate := range deliveryModes {
 		for off := time.Duration(0); off < 3*time.Second; off += 300 * time.Millisecond {
 			t.Run(fmt.Sprint(way, " ", off), func(t *testing.T) {
 				simulate(t, 3, func(s *checkedCluster) {
-					s.order(3*time.Minute, job1("job-1", "red", 4))
+					s.order(3*time.Minute, teamSpec("job-1", "red", 4))
 					time.Sleep(5*time.Second + off)
 					for _, k := range s.holders("job-1") {
 						k.trouble(func(k *host) { k.mute = true })
@@ -573,7 +573,7 @@
 // There is more work than room, urgent and not, over slow links: answers take long
 // to reach the machines, some so long that they are dropped. No rule breaks, urgent
 // work is done before the rest, and all is done in the end.
-func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
+func TestOverloadOverSlowLinks(t *testing.T) {
 	for _, delay := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 3900 * time.Millisecond} {
 		for _, change := range []bool{false, true} {
 			t.Run(fmt.Sprint(delay, " ", change), func(t *testing.T) {
@@ -583,7 +583,7 @@
 					}
 					var urgent, low []string
 					for i := range 20 {
-						j := job1(fmt.Sprint("job-", i), []string{"red", "blue"}[i%2], 6)
+						j := teamSpec(fmt.Sprint("job-", i), []string{"red", "blue"}[i%2], 6)
 						if i >= 12 {
 							j.Priority = "urgent"
 							urgent = append(urgent, j.ID)
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -13,7 +13,7 @@
 
 // Small jobs come four a second for minutes, a quarter of them cancelled. What that
 // costs must not grow: the writes and watches of a second, and the jobs in memory.
-func TestManySmallJobs(t *testing.T) {
+func TestLoadOfManySmallJobsIsBounded(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		tn := newUserCluster(w, 10)
 		defer tn.close()
@@ -106,7 +106,7 @@
 
 // Whatever is accepted and not cancelled stays known and is done in the end, with
 // changes of leader of every kind and answers lost meanwhile.
-func TestAcceptedJobsAreDoneAcrossLeaders(t *testing.T) {
+func TestAcceptedJobsCompleteAcrossLeaderChanges(t *testing.T) {
 	for shift := time.Duration(0); shift < 4*time.Second; shift += 700 * time.Millisecond {
 		t.Run(fmt.Sprint(shift), func(t *testing.T) {
 			simulate(t, func(w *cluster) {
