--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -8,6 +8,12 @@
 	"example.org/ivytrestle/internal/api"
 )
 
+// poll asks a node for a job's state. The answer checker judges the response; the error is
+// dropped, since a node may fail any single request.
+func (tn *userCluster) poll(node int, id string) {
+	_, _ = tn.checker.ask(tn.at(node), id)
+}
+
 // Users ask at all nodes within milliseconds, repeat the submission and cancel,
 // just when a job is accepted, ends or is cancelled. No node may tell anything
 // older: not the leader whose watch lags, nor one that has just begun or ceased to
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -11,101 +11,195 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// Small jobs come four a second for minutes, a quarter of them cancelled. What that
-// costs must not grow: the writes and watches of a second, and the jobs in memory.
+// leaderPeaks are the highest numbers of jobs and of records to write that a leader held in
+// memory.
+type leaderPeaks struct{ jobs, pendingRecords int }
+
+// sample updates the peaks from the leader's state.
+func (p *leaderPeaks) sample(tn *userCluster) {
+	tn.t.Helper()
+	tn.at(0).look(func(c *Controller) {
+		lt := c.leaderTerm
+		if lt == nil {
+			tn.t.Error("the leader has stepped down")
+			return
+		}
+		rw := &lt.recordWriter
+		pending := len(rw.finishing) + len(rw.pendingDeletes) + len(rw.dirtyJobs) + len(rw.outcomeUnknown)
+		p.jobs = max(p.jobs, len(lt.jobs))
+		p.pendingRecords = max(p.pendingRecords, pending)
+	})
+}
+
+// runSmallJob submits and follows a job of one task; of every four users one cancels theirs
+// after up to four seconds and asks all nodes at once.
+func (tn *userCluster) runSmallJob(i int) {
+	s := spec(fmt.Sprint("job-", i), 1)
+	tn.takes.Store(s.ID, 2*time.Second)
+	tn.background(func() {
+		tn.accept(i, s)
+		tn.follow(i, s.ID, 700*time.Millisecond)
+		if i%4 != 1 {
+			return
+		}
+		time.Sleep(time.Duration(i*37%4000) * time.Millisecond)
+		tn.cancel(i/4, s.ID)
+		for k := range 6 {
+			tn.background(func() { tn.poll(k, s.ID) })
+		}
+	})
+}
+
+// checkEnds checks that users learned in time how each job ended, also at the nodes that they
+// did not ask before, and returns how many jobs were cancelled.
+func (tn *userCluster) checkEnds(jobs int) (cancelled int) {
+	tn.t.Helper()
+	const maxDelay = 3*time.Second + 700*time.Millisecond
+	want := map[string]string{}
+	late := 0
+	for i := range jobs {
+		id := fmt.Sprint("job-", i)
+		end, at := tn.checker.end(id)
+		want[id] = end
+		if end == api.JobCancelled {
+			cancelled++
+		} else if at.Sub(tn.checker.doneAt(id)) > maxDelay {
+			late++
+		}
+		tn.same("an end of "+id, end != "", true)
+	}
+	tn.same("ends answered late", late, 0)
+	tn.finally(want)
+	tn.gone()
+	return cancelled
+}
+
+// checkNothingLeft checks that ended jobs leave neither state in the leader's memory nor
+// records.
+func (tn *userCluster) checkNothingLeft() {
+	tn.t.Helper()
+	tn.at(0).look(func(c *Controller) {
+		if c.leaderTerm == nil {
+			return
+		}
+		tn.same("jobs left", len(c.leaderTerm.jobs), 0)
+		for _, m := range c.leaderTerm.machines {
+			tn.same("attempts left", len(m.attempts), 0)
+		}
+	})
+	for _, prefix := range []string{records.ActivePrefix + "job-", records.CompletionPrefix} {
+		page, err := tn.store.Range(context.Background(), prefix, "", 10)
+		if err != nil || len(page.Entries) > 0 {
+			tn.t.Errorf("records under %s: got %v, %v, want none", prefix, page.Entries, err)
+		}
+	}
+}
+
+// Small jobs arrive four a second for minutes, and a quarter of them is cancelled. The cost
+// must not grow with their number: neither the writes and watches of a second nor the jobs in
+// memory.
 func TestLoadOfManySmallJobsIsBounded(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		tn := newUserCluster(w, 10)
 		defer tn.close()
 		const jobs = 720
-		want := map[string]string{}
-		inMemory, lists := 0, 0
+		var peaks leaderPeaks
 		tn.tally.reset()
 		for i := range jobs {
-			s := spec(fmt.Sprint("job-", i), 1)
-			tn.takes.Store(s.ID, 2*time.Second)
-			tn.background(func() {
-				tn.accept(i, s)
-				tn.follow(i, s.ID, 700*time.Millisecond)
-				if i%4 == 1 {
-					time.Sleep(time.Duration(i*37%4000) * time.Millisecond)
-					tn.cancel(i/4, s.ID)
-					for k := range 6 {
-						tn.background(func() { tn.checker.ask(tn.at(k), s.ID) })
-					}
-				}
-			})
+			tn.runSmallJob(i)
 			// Four within some milliseconds, since one watch may show them all.
-			if time.Sleep(8 * time.Millisecond); i%4 == 3 {
+			time.Sleep(8 * time.Millisecond)
+			if i%4 == 3 {
 				time.Sleep(968 * time.Millisecond)
-				tn.at(0).look(func(c *Controller) {
-					lt := c.leaderTerm
-					if lt == nil {
-						t.Error("the leader leads no more")
-						return
-					}
-					inMemory = max(inMemory, len(lt.jobs))
-					lists = max(lists, len(lt.recordWriter.finishing)+len(lt.recordWriter.pendingDeletes)+len(lt.recordWriter.dirtyJobs)+len(lt.recordWriter.outcomeUnknown))
-				})
+				peaks.sample(tn)
 			}
 		}
 		time.Sleep(15 * time.Second)
-		late, cancelled := 0, 0
-		for i := range jobs {
-			id := fmt.Sprint("job-", i)
-			end, at := tn.checker.end(id)
-			if want[id] = end; end == api.JobCancelled {
-				cancelled++
-			} else if at.Sub(tn.checker.doneAt(id)) > 3*time.Second+700*time.Millisecond {
-				late++
-			}
-			w.same("an end", end != "", true)
-		}
-		w.same("told late of an end", late, 0)
-		tn.finally(want)
-		tn.gone()
-		mostRequests, _ := tn.tally.counts(tn.tally.requests)
-		mostWrites, writes := tn.tally.counts(tn.tally.writes)
-		mostWatches, watches := tn.tally.counts(tn.tally.watches)
+		cancelled := tn.checkEnds(jobs)
+		maxRequests, _ := tn.tally.counts(tn.tally.requests)
+		maxWrites, writes := tn.tally.counts(tn.tally.writes)
+		maxWatches, watches := tn.tally.counts(tn.tally.watches)
 		for _, b := range []struct {
-			what      string
-			got, most int
+			name       string
+			got, limit int
 		}{
-			{"requests in a second", mostRequests, 45},
-			{"writes in a second", mostWrites, 25},
-			// Its record, its end in the record's place, and the mark of a
-			// cancellation; a few for machines.
+			{"requests in a second", maxRequests, 45},
+			{"writes in a second", maxWrites, 25},
+			// The active record, the terminal record in its place, and CancelKey
+			// with a cancellation; a few for machines.
 			{"writes", writes, 3*jobs + cancelled + 60},
-			{"watches in a second", mostWatches, 10},
+			{"watches in a second", maxWatches, 10},
 			{"watches", watches, 700},
-			{"jobs in memory", inMemory, 16},
-			{"records to write", lists, 20},
+			{"jobs in memory", peaks.jobs, 16},
+			{"records to write", peaks.pendingRecords, 20},
 		} {
-			if b.got > b.most {
-				t.Errorf("%s: %d, more than %d", b.what, b.got, b.most)
+			if b.got > b.limit {
+				t.Errorf("%s: got %d, want at most %d", b.name, b.got, b.limit)
 			}
 		}
-		w.same("cancelled in time", cancelled > 100, true)
-		tn.at(0).look(func(c *Controller) {
-			if c.leaderTerm == nil {
-				return
-			}
-			w.same("jobs left", len(c.leaderTerm.jobs), 0)
-			for _, m := range c.leaderTerm.machines {
-				w.same("attempts left", len(m.attempts), 0)
-			}
-		})
-		for _, prefix := range []string{records.ActivePrefix + "job-", records.CompletionPrefix} {
-			p, err := w.store.Range(context.Background(), prefix, "", 10)
-			if err != nil || len(p.Entries) > 0 {
-				t.Errorf("records left under %s: %v, %v", prefix, p.Entries, err)
-			}
+		w.same("more than 100 cancelled", cancelled > 100, true)
+		tn.checkNothingLeft()
+	})
+}
+
+// changeLeaders replaces the leader in three ways: it restarts at once; the key-value store
+// rejects it alone, so that it steps down; it stays down until its lease has expired.
+func (tn *userCluster) changeLeaders(after time.Duration) {
+	time.Sleep(after)
+	i := tn.leader()
+	tn.crash(i)
+	tn.begin(i)
+	time.Sleep(25 * time.Second)
+	i = tn.leader()
+	tn.ways[i].set(true)
+	time.Sleep(15 * time.Second)
+	tn.ways[i].set(false)
+	time.Sleep(10 * time.Second)
+	i = tn.leader()
+	tn.crash(i)
+	time.Sleep(40 * time.Second)
+	tn.begin(i)
+}
+
+// loseEveryFifth drops the response to every fifth transaction that changes something, and
+// returns the number dropped so far.
+func (w *cluster) loseEveryFifth() (lost func() int) {
+	writes, dropped := 0, 0
+	w.store.Lose(func(txn kv.Txn) bool {
+		if len(txn.Ops) == 0 {
+			return false
+		}
+		writes++
+		if writes%5 != 0 {
+			return false
 		}
+		dropped++
+		return true
 	})
+	return func() int { return dropped }
 }
 
-// Whatever is accepted and not cancelled stays known and is done in the end, with
-// changes of leader of every kind and answers lost meanwhile.
+// cancelsJob is true of the users, one of ten, that cancel their job.
+func cancelsJob(i int) bool { return i%10 == 3 }
+
+// runRepeatedJob submits a job, follows it, cancels it or not, and repeats the submission.
+func (tn *userCluster) runRepeatedJob(i int) {
+	s := spec(fmt.Sprint("job-", i), 1+i%3)
+	tn.takes.Store(s.ID, time.Duration(2+i%7)*time.Second)
+	tn.background(func() {
+		tn.accept(i, s)
+		tn.follow(i, s.ID, 1500*time.Millisecond)
+		if cancelsJob(i) {
+			time.Sleep(time.Duration(i%4) * time.Second)
+			tn.cancel(i+1, s.ID)
+		}
+		time.Sleep(2 * time.Second)
+		tn.accept(i+2, s)
+	})
+}
+
+// What is accepted and not cancelled stays known and is done in the end, across leader changes
+// of every kind and with responses lost meanwhile.
 func TestAcceptedJobsCompleteAcrossLeaderChanges(t *testing.T) {
 	for shift := time.Duration(0); shift < 4*time.Second; shift += 700 * time.Millisecond {
 		t.Run(fmt.Sprint(shift), func(t *testing.T) {
@@ -113,62 +207,27 @@
 				tn := newUserCluster(w, 5)
 				defer tn.close()
 				time.Sleep(10 * time.Second)
-				// Every fifth transaction's answer is lost.
-				writes, lost := 0, 0
-				w.store.Lose(func(txn kv.Txn) bool {
-					if len(txn.Ops) == 0 {
-						return false
-					}
-					if writes++; writes%5 == 0 {
-						lost++
-					}
-					return writes%5 == 0
-				})
-				tn.background(func() {
-					time.Sleep(15*time.Second + shift)
-					i := tn.leader() // back at once
-					tn.crash(i)
-					tn.begin(i)
-					time.Sleep(25 * time.Second)
-					i = tn.leader() // refused alone: resigns
-					tn.ways[i].set(true)
-					time.Sleep(15 * time.Second)
-					tn.ways[i].set(false)
-					time.Sleep(10 * time.Second)
-					i = tn.leader() // away until its lease is over
-					tn.crash(i)
-					time.Sleep(40 * time.Second)
-					tn.begin(i)
-				})
+				lost := w.loseEveryFifth()
+				tn.background(func() { tn.changeLeaders(15*time.Second + shift) })
 				const jobs = 60
-				want := map[string]string{}
 				for i := range jobs {
-					s := spec(fmt.Sprint("job-", i), 1+i%3)
-					tn.takes.Store(s.ID, time.Duration(2+i%7)*time.Second)
-					want[s.ID] = "done"
-					tn.background(func() {
-						tn.accept(i, s)
-						tn.follow(i, s.ID, 1500*time.Millisecond)
-						if i%10 == 3 {
-							time.Sleep(time.Duration(i%4) * time.Second)
-							tn.cancel(i+1, s.ID)
-						}
-						time.Sleep(2 * time.Second)
-						tn.accept(i+2, s)
-					})
+					tn.runRepeatedJob(i)
 					time.Sleep(1700 * time.Millisecond)
 				}
 				time.Sleep(75 * time.Second)
 				w.store.Lose(nil)
+				want := map[string]string{}
 				for i := range jobs {
-					if id := fmt.Sprint("job-", i); i%10 == 3 {
+					id := fmt.Sprint("job-", i)
+					want[id] = "done"
+					if cancelsJob(i) {
 						want[id], _ = tn.checker.end(id)
 					}
 				}
 				tn.finally(want)
 				tn.gone()
-				w.same("on machines", tn.held(), 0)
-				w.same("answers lost", lost > 20, true)
+				w.same("tasks on machines", tn.held(), 0)
+				w.same("more than 20 responses lost", lost() > 20, true)
 			})
 		})
 	}
