--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -10,19 +10,23 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-func isAcceptance(id string) func(kv.Txn) bool {
-	return func(txn kv.Txn) bool {
-		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool { return op.Put == records.ActivePrefix+id })
-	}
-}
+const (
+	// racedJob is the job whose transactions lose their response or are delayed.
+	racedJob         = "job-1"
+	racedJobActive   = records.ActivePrefix + racedJob
+	racedJobTerminal = records.TerminalPrefix + racedJob
+)
 
-func isCancellation(id string) func(kv.Txn) bool {
-	return func(txn kv.Txn) bool { return !txn.Records && touches(records.TerminalPrefix+id)(txn) }
+// isAcceptance matches the transaction that accepts the job.
+func isAcceptance(txn kv.Txn) bool {
+	return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool { return op.Put == racedJobActive })
 }
 
-func isCompletion(id string) func(kv.Txn) bool {
-	return func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix+id)(txn) }
-}
+// isCancellation matches the transaction by which a user cancels the job.
+func isCancellation(txn kv.Txn) bool { return !txn.Records && touches(racedJobTerminal)(txn) }
+
+// isCompletion matches the leader's transaction that records how the job ended.
+func isCompletion(txn kv.Txn) bool { return txn.Records && touches(racedJobTerminal)(txn) }
 
 // firstMatch matches the first transaction only.
 func firstMatch(match func(kv.Txn) bool) func(kv.Txn) bool {
@@ -36,168 +40,261 @@
 	}
 }
 
-// A transaction is carried out and only its answer is lost, while others read what
-// it wrote; the writer may then be refused for a while. It tells the same as they
-// do, and neither fails what it has done nor does it once more.
-func TestLostTransactionResponses(t *testing.T) {
-	for _, c := range []struct {
-		name, key string
-		lose      func(kv.Txn) bool
-		// by are the nodes that may write it; n0 leads.
-		by   []int
-		act  func(tn *userCluster, by int) error
-		want string
-		// starts and held are of the machines in the end.
-		starts int64
-		held   int
-	}{
-		{"acceptance", records.ActivePrefix + "job-1", isAcceptance("job-1"), []int{0, 1}, func(tn *userCluster, by int) error {
-			_, err := tn.checker.submit(tn.at(by), spec("job-1", 2))
+// checkNoJobs checks that the first node, which leads, holds no job in memory.
+func (tn *userCluster) checkNoJobs() {
+	tn.t.Helper()
+	tn.at(0).look(func(c *Controller) { tn.same("jobs left", len(c.leaderTerm.jobs), 0) })
+}
+
+// lostResponse is a transaction that is applied while its response is lost.
+type lostResponse struct {
+	name string
+	// key is the record that the transaction writes.
+	key   string
+	match func(kv.Txn) bool
+	// writers are the nodes that may write it; n0 leads.
+	writers []int
+	request func(tn *userCluster, node int) error
+	// wantPhase, wantStarts and wantTasks are the job's phase, the starts and the tasks on
+	// machines in the end.
+	wantPhase  string
+	wantStarts int64
+	wantTasks  int
+}
+
+var lostResponses = []lostResponse{
+	{
+		name: "acceptance", key: racedJobActive, match: isAcceptance, writers: []int{0, 1},
+		request: func(tn *userCluster, node int) error {
+			_, err := tn.checker.submit(tn.at(node), spec(racedJob, 2))
 			return err
-		}, "running", 2, 2},
-		{"cancellation", records.TerminalPrefix + "job-1", isCancellation("job-1"), []int{0, 2}, func(tn *userCluster, by int) error {
-			_, err := tn.checker.cancel(tn.at(by), "job-1")
+		},
+		wantPhase: "running", wantStarts: 2, wantTasks: 2,
+	},
+	{
+		name: "cancellation", key: racedJobTerminal, match: isCancellation, writers: []int{0, 2},
+		request: func(tn *userCluster, node int) error {
+			_, err := tn.checker.cancel(tn.at(node), racedJob)
 			return err
-		}, "withdrawn", 2, 0},
-		{"end", records.TerminalPrefix + "job-1", isCompletion("job-1"), []int{0}, func(tn *userCluster, _ int) error {
-			tn.finish("job-1")
+		},
+		wantPhase: "withdrawn", wantStarts: 2, wantTasks: 0,
+	},
+	{
+		name: "end", key: racedJobTerminal, match: isCompletion, writers: []int{0},
+		request: func(tn *userCluster, _ int) error {
+			tn.finish(racedJob)
 			return nil
-		}, "done", 2, 0},
-	} {
-		for _, by := range c.by {
-			for _, refused := range []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
-				t.Run(fmt.Sprint(c.name, " by n", by, ", then refused for ", refused), func(t *testing.T) {
-					simulate(t, func(w *cluster) {
-						tn := newUserCluster(w, 2)
-						defer tn.close()
-						if c.name != "acceptance" {
-							tn.accept(1, spec("job-1", 2))
-							time.Sleep(3 * time.Second)
-						}
-						w.store.Lose(firstMatch(c.lose))
-						tn.pollAll(spec("job-1", 2), 7*time.Millisecond, 3*time.Second)
-						tn.background(func() {
-							err := c.act(tn, by)
-							if refused == 0 && err != nil {
-								t.Errorf("told as if it had failed: %v", err)
-							}
-							if err != nil {
-								err = insist(func() error { return c.act(tn, by) })
-							}
-							if err != nil {
-								t.Errorf("in the end: %v", err)
-							}
-						})
-						for !w.store.Has(c.key) {
-							time.Sleep(time.Millisecond)
-						}
-						first := tn.written(c.key)
-						tn.ways[by].set(refused > 0)
-						time.Sleep(refused)
-						tn.ways[by].set(false)
-						time.Sleep(12 * time.Second)
-						tn.finally(map[string]string{"job-1": c.want})
-						w.same("written once", tn.written(c.key), first)
-						w.same("starts", tn.starts(), c.starts)
-						w.same("on machines", tn.held(), c.held)
-						if c.want == "done" && refused == 0 {
-							_, endedAt := tn.checker.end("job-1")
-							w.same("told in time", endedAt.Sub(tn.checker.doneAt("job-1")) < 3*time.Second, true)
-						}
-						if c.want != "running" {
-							tn.at(0).look(func(o *Controller) { w.same("jobs left", len(o.leaderTerm.jobs), 0) })
-						}
-					})
+		},
+		wantPhase: "done", wantStarts: 2, wantTasks: 0,
+	},
+}
+
+// requestInBackground sends the request until it is answered. If the key-value store rejects
+// nothing afterwards, the first one must succeed.
+func (lr *lostResponse) requestInBackground(tn *userCluster, writer int, rejected time.Duration) {
+	tn.background(func() {
+		err := lr.request(tn, writer)
+		if rejected == 0 && err != nil {
+			tn.t.Errorf("request that was applied: got error %v, want none", err)
+		}
+		if err != nil {
+			err = insist(func() error { return lr.request(tn, writer) })
+		}
+		if err != nil {
+			tn.t.Errorf("request in the end: got error %v, want none", err)
+		}
+	})
+}
+
+// run loses the response to the transaction of a writer, whose requests the key-value store
+// then rejects for a while.
+func (lr *lostResponse) run(w *cluster, writer int, rejected time.Duration) {
+	w.t.Helper()
+	tn := newUserCluster(w, 2)
+	defer tn.close()
+	if lr.name != "acceptance" {
+		tn.accept(1, spec(racedJob, 2))
+		time.Sleep(3 * time.Second)
+	}
+	w.store.Lose(firstMatch(lr.match))
+	tn.pollAll(spec(racedJob, 2), 7*time.Millisecond, 3*time.Second)
+	lr.requestInBackground(tn, writer, rejected)
+	for !w.store.Has(lr.key) {
+		time.Sleep(time.Millisecond)
+	}
+	first := tn.written(lr.key)
+	tn.ways[writer].set(rejected > 0)
+	time.Sleep(rejected)
+	tn.ways[writer].set(false)
+	time.Sleep(12 * time.Second)
+	tn.finally(map[string]string{racedJob: lr.wantPhase})
+	w.same("mod revision, written once", tn.written(lr.key), first)
+	w.same("starts", tn.starts(), lr.wantStarts)
+	w.same("tasks on machines", tn.held(), lr.wantTasks)
+	if lr.wantPhase == "done" && rejected == 0 {
+		_, endedAt := tn.checker.end(racedJob)
+		w.same("end answered in time", endedAt.Sub(tn.checker.doneAt(racedJob)) < 3*time.Second, true)
+	}
+	if lr.wantPhase != "running" {
+		tn.checkNoJobs()
+	}
+}
+
+// A transaction is applied and only its response is lost, while others read what it wrote; the
+// writer may then be rejected for a while. Its answers agree with theirs, and it neither fails
+// what it has done nor does it once more.
+func TestLostTransactionResponses(t *testing.T) {
+	durations := []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}
+	for _, lr := range lostResponses {
+		for _, writer := range lr.writers {
+			for _, rejected := range durations {
+				t.Run(fmt.Sprint(lr.name, " by n", writer, ", then rejected for ", rejected), func(t *testing.T) {
+					simulate(t, func(w *cluster) { lr.run(w, writer, rejected) })
 				})
 			}
 		}
 	}
 }
 
-// A transaction without an answer is carried out late, when newer ones of the same
-// controller have been: it must not bring a job back, end it anew, or change how it
-// ended.
+// delayedTransaction is a transaction that is applied late and without a response.
+type delayedTransaction struct {
+	name  string
+	match func(kv.Txn) bool
+	// allMatches delays all transactions that match until the release, not only the first.
+	allMatches bool
+	// running is set if the job runs at the beginning.
+	running bool
+	// blind is set if the watches show nothing meanwhile.
+	blind bool
+	// requests follow each other by half a second.
+	requests []func(tn *userCluster)
+	// wantPhase is how the job stands in the end; "" is either end.
+	wantPhase string
+}
+
+func acceptRacedJob(tn *userCluster) { tn.accept(0, spec(racedJob, 1)) }
+
+func cancelRacedJob(tn *userCluster) { tn.cancel(0, racedJob) }
+
+func cancelRacedJobElsewhere(tn *userCluster) { tn.cancel(1, racedJob) }
+
+// cancelRacedJobOnce cancels without a repetition. The error is dropped: the transaction gets
+// no response, and what the user is answered is up to the answer checker.
+func cancelRacedJobOnce(tn *userCluster) { _, _ = tn.checker.cancel(tn.at(0), racedJob) }
+
+func endRacedJob(tn *userCluster) { tn.finish(racedJob) }
+
+func endRacedJobIfRunning(tn *userCluster) {
+	if len(tn.hosts[0].running())+len(tn.hosts[1].running()) > 0 {
+		endRacedJob(tn)
+	}
+}
+
+func waitForStart(*userCluster) { time.Sleep(2 * time.Second) }
+
+var delayedTransactions = []delayedTransaction{
+	{
+		name: "acceptance, repeated", match: isAcceptance,
+		requests: []func(*userCluster){acceptRacedJob}, wantPhase: "running",
+	},
+	{
+		name: "acceptance, cancelled since", match: isAcceptance,
+		requests: []func(*userCluster){acceptRacedJob, cancelRacedJob}, wantPhase: "withdrawn",
+	},
+	{
+		name: "acceptance, ended since", match: isAcceptance,
+		requests: []func(*userCluster){acceptRacedJob, waitForStart, endRacedJob}, wantPhase: "done",
+	},
+	{
+		name: "cancellation, repeated", match: isCancellation, running: true,
+		requests: []func(*userCluster){cancelRacedJob}, wantPhase: "withdrawn",
+	},
+	{
+		name: "cancellation, abandoned, ended since", match: isCancellation, allMatches: true, running: true,
+		requests: []func(*userCluster){cancelRacedJobOnce, endRacedJobIfRunning},
+	},
+	{
+		name: "end, repeated", match: isCompletion, running: true,
+		requests: []func(*userCluster){endRacedJob}, wantPhase: "done",
+	},
+	{
+		name: "end, cancelled since", match: isCompletion, running: true,
+		requests: []func(*userCluster){endRacedJob, cancelRacedJob},
+	},
+	{
+		name: "end, cancelled since at another node", match: isCompletion, running: true, blind: true,
+		requests: []func(*userCluster){endRacedJob, cancelRacedJobElsewhere},
+	},
+}
+
+// run applies the delayed transaction after some time. It returns the job's phase in the end,
+// and whether the job had ended by the time of the release.
+func (dt *delayedTransaction) run(w *cluster, release time.Duration) (phase string, late bool) {
+	w.t.Helper()
+	tn := newUserCluster(w, 2)
+	defer tn.close()
+	if dt.running {
+		acceptRacedJob(tn)
+		time.Sleep(3 * time.Second)
+	}
+	w.store.SetBlind(dt.blind)
+	if dt.allMatches {
+		w.store.Hold(dt.match)
+	} else {
+		w.store.Hold(firstMatch(dt.match))
+	}
+	tn.pollAll(spec(racedJob, 1), 60*time.Millisecond, 14*time.Second)
+	tn.background(func() {
+		for _, request := range dt.requests {
+			request(tn)
+			time.Sleep(500 * time.Millisecond)
+		}
+	})
+	time.Sleep(release)
+	before := tn.written(racedJobTerminal)
+	late = before != 0
+	w.same("transactions are delayed", w.store.Held() > 0, true)
+	for _, res := range w.store.Release() {
+		w.same("delayed transaction applied over an end", late && res.Succeeded, false)
+	}
+	time.Sleep(13*time.Second - release)
+	w.store.SetBlind(false)
+	time.Sleep(3 * time.Second)
+	phase = dt.wantPhase
+	if phase == "" {
+		phase, _ = tn.checker.end(racedJob)
+	}
+	tn.finally(map[string]string{racedJob: phase})
+	if late {
+		w.same("mod revision, written once", tn.written(racedJobTerminal), before)
+	}
+	if phase != "running" {
+		w.same("tasks on machines", tn.held(), 0)
+		tn.checkNoJobs()
+	}
+	return phase, late
+}
+
+// A transaction without a response is applied late, after newer ones of the same controller:
+// it must not bring a job back, end it anew, or change how it ended.
 func TestDelayedTransactionsDoNotUndoNewerOnes(t *testing.T) {
-	// Each act follows the one before by half a second.
-	accept := func(tn *userCluster) { tn.accept(0, spec("job-1", 1)) }
-	cancel := func(tn *userCluster) { tn.cancel(0, "job-1") }
-	end := func(tn *userCluster) { tn.finish("job-1") }
-	for _, c := range []struct {
-		name    string
-		hold    func(kv.Txn) bool
-		every   bool // held back until the release, not only the first
-		running bool // to begin with
-		blind   bool // the watches show nothing meanwhile
-		acts    []func(tn *userCluster)
-		want    string // "": either end
-	}{
-		{"acceptance, repeated", isAcceptance("job-1"), false, false, false, []func(*userCluster){accept}, "running"},
-		{"acceptance, cancelled since", isAcceptance("job-1"), false, false, false, []func(*userCluster){accept, cancel}, "withdrawn"},
-		{"acceptance, ended since", isAcceptance("job-1"), false, false, false, []func(*userCluster){accept, func(*userCluster) { time.Sleep(2 * time.Second) }, end}, "done"},
-		{"cancellation, repeated", isCancellation("job-1"), false, true, false, []func(*userCluster){cancel}, "withdrawn"},
-		{"cancellation, given up, ended since", isCancellation("job-1"), true, true, false, []func(*userCluster){func(tn *userCluster) { tn.checker.cancel(tn.at(0), "job-1") }, func(tn *userCluster) {
-			if len(tn.hosts[0].running())+len(tn.hosts[1].running()) > 0 {
-				end(tn)
-			}
-		}}, ""},
-		{"end, repeated", isCompletion("job-1"), false, true, false, []func(*userCluster){end}, "done"},
-		{"end, cancelled since", isCompletion("job-1"), false, true, false, []func(*userCluster){end, cancel}, ""},
-		{"end, cancelled since at another node", isCompletion("job-1"), false, true, true, []func(*userCluster){end, func(tn *userCluster) { tn.cancel(1, "job-1") }}, ""},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			late, seen := 0, map[string]int{}
+	for _, dt := range delayedTransactions {
+		t.Run(dt.name, func(t *testing.T) {
+			lateCount, seen := 0, map[string]int{}
 			for release := 100 * time.Millisecond; release < 9*time.Second; release += 420 * time.Millisecond {
 				simulate(t, func(w *cluster) {
-					tn := newUserCluster(w, 2)
-					defer tn.close()
-					if c.running {
-						tn.accept(0, spec("job-1", 1))
-						time.Sleep(3 * time.Second)
-					}
-					if w.store.SetBlind(c.blind); c.every {
-						w.store.Hold(c.hold)
-					} else {
-						w.store.Hold(firstMatch(c.hold))
-					}
-					tn.pollAll(spec("job-1", 1), 60*time.Millisecond, 14*time.Second)
-					tn.background(func() {
-						for _, act := range c.acts {
-							act(tn)
-							time.Sleep(500 * time.Millisecond)
-						}
-					})
-					time.Sleep(release)
-					final, before := records.TerminalPrefix+"job-1", uint64(0)
-					if before = tn.written(final); before != 0 {
-						late++
-					}
-					w.same("held back", w.store.Held() > 0, true)
-					for _, res := range w.store.Release() {
-						w.same("carried out over an end", before != 0 && res.Succeeded, false)
-					}
-					time.Sleep(13*time.Second - release)
-					w.store.SetBlind(false)
-					time.Sleep(3 * time.Second)
-					want := c.want
-					if end, _ := tn.checker.end("job-1"); want == "" {
-						want = end
-					}
-					seen[want]++
-					tn.finally(map[string]string{"job-1": want})
-					if before != 0 {
-						w.same("written once", tn.written(final), before)
-					}
-					if want != "running" {
-						w.same("on machines", tn.held(), 0)
-						tn.at(0).look(func(o *Controller) { w.same("jobs left", len(o.leaderTerm.jobs), 0) })
+					phase, late := dt.run(w, release)
+					seen[phase]++
+					if late {
+						lateCount++
 					}
 				})
 			}
-			if c.want != "running" && late == 0 {
-				t.Error("nothing was late")
+			if dt.wantPhase != "running" && lateCount == 0 {
+				t.Error("got no release after the job's end, want some")
 			}
-			if c.want == "" && (seen["done"] == 0 || seen["withdrawn"] == 0) {
-				t.Errorf("ends seen: %v", seen)
+			if dt.wantPhase == "" && (seen["done"] == 0 || seen["withdrawn"] == 0) {
+				t.Errorf("ends: got %v, want both done and withdrawn", seen)
 			}
 		})
 	}
