--- a/internal/controller/twofaults_test.go
+++ b/internal/controller/twofaults_test.go
@@ -9,8 +9,8 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// faultCluster is a leader a and a follower b, and a machine with two tasks of job-1
-// and one of job-2 that keeps its lease like a worker.
+// faultCluster is a leader and a follower, and a machine with two tasks of job-1 and one of
+// job-2 that keeps its task lease as a worker agent does.
 type faultCluster struct {
 	*cluster
 	links                    *links
@@ -18,20 +18,24 @@
 	leaderGate, followerGate *gate
 	k                        *worker
 	startedAt                time.Time
-	// cancelledAt is when a user was told that job-1 is cancelled.
+	// cancelledAt is when a user got the response that job-1 is cancelled.
 	cancelledAt time.Time
-	// renewedAt is when the last answered report was sent.
+	// renewedAt is when the last heartbeat that got a response was sent.
 	renewedAt time.Time
-	// lostAt is when job-2 was lost with the lease, without being cancelled.
+	// lostAt is when job-2, which is not cancelled, was lost with the task lease.
 	lostAt time.Time
 }
 
+// gapLease is the task lease of the machine.
 const gapLease = 10 * time.Second
 
-// runFaultScript runs a script of what happens when, in milliseconds, for some seconds. The
-// machine reports once a second to whoever answers. Whatever happens, job-1 is
-// gone in the time that its cancellation has.
-func runFaultScript(t *testing.T, seconds int, script map[int]func(g *faultCluster)) (lost time.Duration) {
+// faultScript is what happens when, in milliseconds.
+type faultScript map[int]func(g *faultCluster)
+
+// runFaultScript runs a script for some seconds and returns after how long job-2 was lost, or 0.
+// The machine sends a heartbeat once a second to whoever responds. Whatever happens, the tasks of
+// job-1 end within the time limit of their cancellation.
+func runFaultScript(t *testing.T, seconds int, script faultScript) (lost time.Duration) {
 	t.Helper()
 	simulate(t, func(w *cluster) {
 		g := &faultCluster{cluster: w}
@@ -40,7 +44,7 @@
 		w.submit(g.leader, spec("job-1", 2))
 		w.submit(g.leader, spec("job-2", 1))
 		g.k.serve(g.leader, 4)
-		w.same("running", len(g.k.running()), 3)
+		w.same("running tasks", len(g.k.running()), 3)
 		g.startedAt, g.renewedAt = time.Now(), time.Now()
 		for ms := 0; ms < seconds*1000; ms += 50 {
 			if f := script[ms]; f != nil {
@@ -52,7 +56,7 @@
 			g.check()
 			time.Sleep(50 * time.Millisecond)
 		}
-		w.same("cancellation told", g.cancelledAt.IsZero(), false)
+		w.same("never cancelled", g.cancelledAt.IsZero(), false)
 		if !g.lostAt.IsZero() {
 			lost = g.lostAt.Sub(g.startedAt)
 		}
@@ -60,7 +64,7 @@
 	return lost
 }
 
-// heartbeat is one report, and the end of the lease if none was answered.
+// heartbeat sends one heartbeat and ends the task lease if it is time.
 func (g *faultCluster) heartbeat() {
 	for _, n := range []*node{g.leader, g.follower} {
 		sent := time.Now()
@@ -73,6 +77,7 @@
 	g.expire()
 }
 
+// expire ends the machine's tasks when their lease has expired.
 func (g *faultCluster) expire() {
 	if time.Since(g.renewedAt) <= gapLease {
 		return
@@ -86,6 +91,7 @@
 	g.k.rep.AgentEpoch++
 }
 
+// check fails the test if a task of job-1 runs beyond the time limit of its cancellation.
 func (g *faultCluster) check() {
 	g.expire()
 	if g.cancelledAt.IsZero() || time.Since(g.cancelledAt) <= 30*time.Second {
@@ -93,12 +99,14 @@
 	}
 	for _, task := range g.k.running() {
 		if strings.HasPrefix(task, "job-1/") {
-			g.t.Fatalf("%s runs %v after its cancellation was told", task, time.Since(g.cancelledAt))
+			g.t.Fatalf("%s still runs %v after its cancellation was confirmed", task, time.Since(g.cancelledAt))
 		}
 	}
 }
 
+// cancelAt cancels job-1 at a node.
 func (g *faultCluster) cancelAt(n *node) {
+	g.t.Helper()
 	st, err := n.Cancel(context.Background(), "job-1")
 	if err != nil {
 		g.t.Fatal(err)
@@ -107,99 +115,191 @@
 	g.cancelledAt = time.Now()
 }
 
-// The store refuses the leader alone, another node confirms a cancellation, and
-// then the store is down for everybody for longer than a cancellation may take,
-// while machines go on reporting to the leader. It hears of the cancellation
-// from the other node, and all else goes on; or, without proof that it knows all
-// of them, it renews no lease so late that a cancelled task could live too long.
-func TestCancellationsWhileTheLeaderIsRejected(t *testing.T) {
-	refuse := func(g *faultCluster) { g.leaderGate.set(true) }
-	down := func(g *faultCluster) { g.store.SetDown(true) }
-	cancel := func(g *faultCluster) { g.cancelAt(g.follower) }
-	apart := func(g *faultCluster) { g.links.cut.Store(true) }
-	// Cancelled by a node that has ended since, without a word.
-	elsewhere := func(g *faultCluster) {
-		other := g.startWith("n9", g.store, nil)
-		if _, err := other.Cancel(context.Background(), "job-1"); err != nil {
-			g.t.Fatal(err)
-		}
-		other.crash()
+// Events of the scripts.
+
+func rejectLeader(g *faultCluster) { g.leaderGate.set(true) }
+
+func startOutage(g *faultCluster) { g.store.SetDown(true) }
+
+func endOutage(g *faultCluster) { g.store.SetDown(false) }
+
+func cancelAtFollower(g *faultCluster) { g.cancelAt(g.follower) }
+
+func cutNodes(g *faultCluster) { g.links.cut.Store(true) }
+
+func healNodes(g *faultCluster) { g.links.cut.Store(false) }
+
+// cancelElsewhere cancels at a node that crashes before it informs another.
+func cancelElsewhere(g *faultCluster) {
+	other := g.startWith("n9", g.store, nil)
+	if _, err := other.Cancel(context.Background(), "job-1"); err != nil {
+		g.t.Fatal(err)
 	}
-	restart := func(g *faultCluster) {
-		g.follower.crash()
-		g.follower = g.links.add("n1", g.startWith("n1", g.followerGate, g.links))
+	other.crash()
+}
+
+func restartFollower(g *faultCluster) {
+	g.follower.crash()
+	g.follower = g.links.add("n1", g.startWith("n1", g.followerGate, g.links))
+}
+
+func crashFollower(g *faultCluster) {
+	g.follower.crash()
+	cutNodes(g)
+}
+
+func pollFollower(g *faultCluster) {
+	g.same("phase at the follower", g.phase(g.follower, "job-1"), api.JobCancelled)
+	g.cancelledAt = time.Now()
+}
+
+func repeatSubmission(g *faultCluster) {
+	st, _, err := g.follower.Submit(context.Background(), spec("job-1", 2))
+	if err != nil {
+		g.t.Fatal(err)
 	}
-	for _, c := range []struct {
-		name   string
-		script map[int]func(g *faultCluster)
-		// kept says that all that was not cancelled lives as long as the
-		// leadership and a lease.
-		kept bool
-	}{
-		{"refused, cancelled, down", map[int]func(*faultCluster){1000: refuse, 2000: cancel, 3000: down}, true},
-		{"cancelled at the moment of the refusal", map[int]func(*faultCluster){1000: refuse, 1050: cancel, 1100: down}, true},
-		{"cancelled just before the refusal", map[int]func(*faultCluster){1000: cancel, 1050: refuse, 1100: down}, true},
-		{"nobody refused", map[int]func(*faultCluster){1000: cancel, 3000: down}, true},
-		{"the confirming node ends at once", map[int]func(*faultCluster){1000: refuse, 2000: cancel, 2050: restart, 3000: down}, false},
-		{"it ends in the outage", map[int]func(*faultCluster){1000: refuse, 2000: cancel, 2050: down, 2100: restart}, false},
-		{"it never comes back", map[int]func(*faultCluster){1000: refuse, 2000: cancel, 2050: func(g *faultCluster) { g.follower.crash(); apart(g) }, 3000: down}, false},
-		{"the nodes apart too", map[int]func(*faultCluster){1000: refuse, 1050: apart, 2000: cancel, 3000: down}, false},
-		{"apart first", map[int]func(*faultCluster){1000: apart, 1050: cancel, 1100: refuse, 1150: down}, false},
-		{"apart for a while", map[int]func(*faultCluster){1000: refuse, 1050: apart, 2000: cancel, 3000: down,
-			5000: func(g *faultCluster) { g.links.cut.Store(false) }}, true},
-		{"told by a node that only read it", map[int]func(*faultCluster){1000: refuse, 2000: elsewhere, 2550: func(g *faultCluster) {
-			g.same("asked", g.phase(g.follower, "job-1"), api.JobCancelled)
-			g.cancelledAt = time.Now()
-		}, 2600: down}, true},
-		{"told to a repeated submission", map[int]func(*faultCluster){1000: refuse, 2000: elsewhere, 2550: func(g *faultCluster) {
-			st, _, err := g.follower.Submit(context.Background(), spec("job-1", 2))
-			if err != nil {
-				g.t.Fatal(err)
-			}
-			g.same("repeated", st.Phase, api.JobCancelled)
-			g.cancelledAt = time.Now()
-		}, 2600: down}, true},
-		{"told by the leader itself, whose watch is dead", map[int]func(*faultCluster){1000: func(g *faultCluster) {
-			g.store.SetBlind(true)
-			g.cancelAt(g.leader)
-		}, 1050: down}, true},
-		{"a second leader, refused in turn", map[int]func(*faultCluster){1000: refuse, 14_000: func(g *faultCluster) {
-			g.same("the other leads", g.follower.holdsLease(), true)
-			g.leaderGate.set(false)
-		}, 24_000: func(g *faultCluster) { g.followerGate.set(true) }, 25_000: func(g *faultCluster) { g.cancelAt(g.leader) }, 25_050: down}, true},
-	} {
+	g.same("phase of the repeated submission", st.Phase, api.JobCancelled)
+	g.cancelledAt = time.Now()
+}
+
+func cancelAtLeaderWithoutWatch(g *faultCluster) {
+	g.store.SetBlind(true)
+	g.cancelAt(g.leader)
+}
+
+func acceptFormerLeader(g *faultCluster) {
+	g.same("the follower leads", g.follower.holdsLease(), true)
+	g.leaderGate.set(false)
+}
+
+func rejectFollower(g *faultCluster) { g.followerGate.set(true) }
+
+func cancelAtFormerLeader(g *faultCluster) { g.cancelAt(g.leader) }
+
+var rejectedLeaderScripts = []struct {
+	name   string
+	script faultScript
+	// wantKept is set if what is not cancelled lives as long as the leader's lease and a task
+	// lease.
+	wantKept bool
+}{
+	{
+		"rejected, cancelled, outage",
+		faultScript{1000: rejectLeader, 2000: cancelAtFollower, 3000: startOutage},
+		true,
+	},
+	{
+		"cancelled at the moment of the rejection",
+		faultScript{1000: rejectLeader, 1050: cancelAtFollower, 1100: startOutage},
+		true,
+	},
+	{
+		"cancelled just before the rejection",
+		faultScript{1000: cancelAtFollower, 1050: rejectLeader, 1100: startOutage},
+		true,
+	},
+	{
+		"nobody rejected",
+		faultScript{1000: cancelAtFollower, 3000: startOutage},
+		true,
+	},
+	{
+		"the confirming node restarts at once",
+		faultScript{1000: rejectLeader, 2000: cancelAtFollower, 2050: restartFollower, 3000: startOutage},
+		false,
+	},
+	{
+		"it restarts in the outage",
+		faultScript{1000: rejectLeader, 2000: cancelAtFollower, 2050: startOutage, 2100: restartFollower},
+		false,
+	},
+	{
+		"it never returns",
+		faultScript{1000: rejectLeader, 2000: cancelAtFollower, 2050: crashFollower, 3000: startOutage},
+		false,
+	},
+	{
+		"the nodes are cut off from each other, too",
+		faultScript{1000: rejectLeader, 1050: cutNodes, 2000: cancelAtFollower, 3000: startOutage},
+		false,
+	},
+	{
+		"cut off first",
+		faultScript{1000: cutNodes, 1050: cancelAtFollower, 1100: rejectLeader, 1150: startOutage},
+		false,
+	},
+	{
+		"cut off for a while",
+		faultScript{1000: rejectLeader, 1050: cutNodes, 2000: cancelAtFollower, 3000: startOutage, 5000: healNodes},
+		true,
+	},
+	{
+		"confirmed by a node that only read it",
+		faultScript{1000: rejectLeader, 2000: cancelElsewhere, 2550: pollFollower, 2600: startOutage},
+		true,
+	},
+	{
+		"confirmed to a repeated submission",
+		faultScript{1000: rejectLeader, 2000: cancelElsewhere, 2550: repeatSubmission, 2600: startOutage},
+		true,
+	},
+	{
+		"confirmed by the leader itself, whose watch shows nothing",
+		faultScript{1000: cancelAtLeaderWithoutWatch, 1050: startOutage},
+		true,
+	},
+	{
+		"a second leader, rejected in turn",
+		faultScript{
+			1000: rejectLeader, 14_000: acceptFormerLeader, 24_000: rejectFollower,
+			25_000: cancelAtFormerLeader, 25_050: startOutage,
+		},
+		true,
+	},
+}
+
+// The key-value store rejects the leader alone, another node confirms a cancellation, and then
+// the store is down for everybody for longer than a cancellation may take, while machines go on
+// sending heartbeats to the leader. It learns of the cancellation from the other node, and all
+// else continues; or, without proof that it knows all of them, it renews no task lease so late
+// that a cancelled task could live too long.
+func TestCancellationsWhileTheLeaderIsRejected(t *testing.T) {
+	for _, c := range rejectedLeaderScripts {
 		t.Run(c.name, func(t *testing.T) {
 			lost := runFaultScript(t, 80, c.script)
-			if kept := lost == 0 || lost > 34*time.Second; kept != c.kept {
-				t.Errorf("what was not cancelled lived until %v", lost)
+			if kept := lost == 0 || lost > 34*time.Second; kept != c.wantKept {
+				t.Errorf("lost after %v: got kept %v, want %v", lost, kept, c.wantKept)
 			}
 		})
 	}
-	// Whatever the moments, within the leader's rounds of questions.
+	// Whatever the moments, within the leader's rounds of pings.
 	for ms := 50; ms <= 2400; ms += 150 {
-		runFaultScript(t, 45, map[int]func(*faultCluster){1000: refuse, 1000 + ms/50*50: cancel, 1050 + ms/50*50: down})
-		runFaultScript(t, 45, map[int]func(*faultCluster){1000: refuse, 1000 + ms/50*50: cancel, 1050 + ms/50*50: restart, 1100 + ms/50*50: down})
+		runFaultScript(t, 45, faultScript{1000: rejectLeader, 1000 + ms: cancelAtFollower, 1050 + ms: startOutage})
+		runFaultScript(t, 45, faultScript{
+			1000: rejectLeader, 1000 + ms: cancelAtFollower, 1050 + ms: restartFollower, 1100 + ms: startOutage,
+		})
 	}
 }
 
-// A plain outage that is longer than a cancellation may take costs no task as
-// long as the leadership and a lease cover it, since the nodes
-// tell each other what they know. Should one of them not answer, leases end in time.
+// A plain outage that is longer than a cancellation may take loses no task as long as the leader's
+// lease and a task lease cover it, since the nodes exchange what they know. Should one of them
+// not answer, task leases expire in time.
 func TestOutageLongerThanACancellation(t *testing.T) {
-	confirmed := func(g *faultCluster) { g.cancelAt(g.follower) }
-	down, up := func(g *faultCluster) { g.store.SetDown(true) }, func(g *faultCluster) { g.store.SetDown(false) }
-	if lost := runFaultScript(t, 60, map[int]func(*faultCluster){500: confirmed, 3000: down, 35_500: up}); lost != 0 {
-		t.Errorf("lost after %v", lost)
+	lost := runFaultScript(t, 60, faultScript{500: cancelAtFollower, 3000: startOutage, 35_500: endOutage})
+	if lost != 0 {
+		t.Errorf("got a loss after %v, want none", lost)
 	}
-	lost := runFaultScript(t, 60, map[int]func(*faultCluster){500: confirmed, 3000: down, 4000: func(g *faultCluster) { g.follower.crash(); g.links.cut.Store(true) }, 35_500: up})
+	lost = runFaultScript(t, 60, faultScript{
+		500: cancelAtFollower, 3000: startOutage, 4000: crashFollower, 35_500: endOutage,
+	})
 	if lost < 20*time.Second || lost > 34*time.Second {
-		t.Errorf("a node missing: lost after %v", lost)
+		t.Errorf("a node is down: got a loss after %v, want one after 20 to 34 s", lost)
 	}
 }
 
-// A leader that has lost the store and the other nodes, but not its workers,
-// soon starts nothing any more, since anything may have been called off; in an
-// outage that another node sees as well it goes on.
+// A leader that reaches neither the key-value store nor the other nodes, but its machines, soon
+// starts nothing any more, since any job may have been cancelled; in an outage that another node
+// sees as well it continues.
 func TestLeaderWithoutCancellationLogStartsNothing(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		for ms := 0; ms < 3000; ms += 300 {
@@ -224,26 +324,26 @@
 				before := len(k.running())
 				k.serve(a, 4)
 				if started := len(k.running()) - before; started > 0 == alone {
-					t.Errorf("alone %v after %d ms: %d started", alone, ms, started)
+					t.Errorf("alone %v after %d ms: got %d started, want any: %v", alone, ms, started, !alone)
 				}
 			})
 		}
 	}
 }
 
-// With a lease as long as a cancellation may take nothing can be promised of it,
-// but machines are served while the store answers.
+// With a task lease as long as a cancellation may take no time limit can be guaranteed, but
+// heartbeats get responses while the key-value store answers.
 func TestServiceWithShortCancellationLimit(t *testing.T) {
-	for _, cancel := range []float64{0.5, 9, 10, 10.6, 12, 20.5} {
+	for _, cancelS := range []float64{0.5, 9, 10, 10.6, 12, 20.5} {
 		simulate(t, func(w *cluster) {
-			w.cancelS = cancel
+			w.cancelS = cancelS
 			_, a, b, _, _ := w.pair()
 			k := w.worker("i-1", "", false)
 			w.submit(a, spec("job-1", 2))
 			for range 30 {
 				commands, err := k.send(a)
 				if err != nil {
-					t.Fatalf("cancel_s %v: not answered: %v", cancel, err)
+					t.Fatalf("cancel_s %v: heartbeat: got %v, want a response", cancelS, err)
 				}
 				k.obey(commands)
 				time.Sleep(time.Second)
@@ -259,10 +359,10 @@
 	}
 }
 
-// A leader that has just begun knows of earlier cancellations only by what is
-// left in the store: its answers to pings do not bring them. So a node that
-// extends leases relies on them only when each machine that is still alive
-// must have been answered in this term.
+// A leader that has just been elected knows of earlier cancellations only by what is left in the
+// key-value store: its answers to pings do not contain them. So a node that renews task leases on
+// behalf of the leader relies on these answers only when each machine that is still alive must
+// have got a response in this term.
 func TestFollowerDoesNotRelyOnANewLeader(t *testing.T) {
 	for after := 9 * time.Second; after < gapLease; after += 100 * time.Millisecond {
 		simulate(t, func(w *cluster) {
@@ -271,30 +371,30 @@
 			w.submit(a, spec("job-1", 2))
 			k.serve(a, 4)
 			w.same("running", len(k.running()), 2)
-			gone := w.startWith("n9", w.store, nil) // tells the user, and then nobody
+			confirming := w.startWith("n9", w.store, nil) // informs the user, and then nobody
 			k.report(a)
 			a.crash()
-			if _, err := gone.Cancel(context.Background(), "job-1"); err != nil {
+			if _, err := confirming.Cancel(context.Background(), "job-1"); err != nil {
 				t.Fatal(err)
 			}
 			confirmed := time.Now()
-			gone.crash()
+			confirming.crash()
 			a = l.add("n0", w.startWith("n0", w.store, l))
 			time.Sleep(after - time.Since(confirmed))
 			a.look(func(c *Controller) { k.rep.Term = c.leaderTerm.term.Number }) // it was resynced
 			w.same("second term", k.rep.Term > 1, true)
 			l.cut.Store(true)
 			gb.set(true)
-			var heard time.Time
+			var renewedAt time.Time
 			for range 300 {
 				if commands, err := k.send(b); err == nil {
 					k.obey(commands)
-					heard = time.Now()
+					renewedAt = time.Now()
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			if end := heard.Add(gapLease); len(k.running()) > 0 && end.After(confirmed.Add(30*time.Second)) {
-				t.Errorf("cut after %v: a cancelled task may run for %v", after, end.Sub(confirmed))
+			if end := renewedAt.Add(gapLease); len(k.running()) > 0 && end.After(confirmed.Add(30*time.Second)) {
+				t.Errorf("cut after %v: a cancelled task may run for %v, want at most 30 s", after, end.Sub(confirmed))
 			}
 		})
 	}
