--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -9,24 +9,35 @@
 	"testing"
 	"time"
 
+	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/records"
 )
 
-// oldShard is a shard as an earlier version writes it under larger limits.
+// oldShard writes a registry shard as an earlier version does under larger limits.
 func (w *cluster) oldShard(key string, n int) {
 	w.t.Helper()
 	var rec records.RegistryShardRecord
 	for i := range n {
 		name := fmt.Sprintf("i-%06d", i)
-		rec.Machines = append(rec.Machines, records.MachineRecord{Name: name, Addr: name, Type: "small", Zone: "a", CPUs: 4, MemoryGB: 16})
+		rec.Machines = append(rec.Machines,
+			records.MachineRecord{Name: name, Addr: name, Type: "small", Zone: "a", CPUs: 4, MemoryGB: 16})
 	}
 	if _, err := w.store.Txn(context.Background(), kv.Txn{Ops: []kv.Op{{Put: key, Value: rec}}}); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// inUse lists the machines that may be given tasks.
+// numberedWorkers are machines of zone a, named as those of oldShard.
+func (w *cluster) numberedWorkers(count int) []*worker {
+	workers := make([]*worker, count)
+	for i := range workers {
+		workers[i] = w.worker(fmt.Sprintf("i-%06d", i), "a", false)
+	}
+	return workers
+}
+
+// inUse lists the machines that may be assigned tasks.
 func inUse(n *node) (names []string) {
 	n.look(func(c *Controller) {
 		if c.leaderTerm == nil {
@@ -41,73 +52,105 @@
 	return names
 }
 
-// A shard of the version in production may hold more machines than the service
-// takes by now in one value. When it is written again it is split, and whatever
-// is cut off between, refused, lost or late, each machine is on some shard.
+// Faults while records are written under smaller limits than before.
+const (
+	noFault       = "none"
+	responsesLost = "responses lost"
+	writesDelayed = "writes delayed"
+	leaderCrashes = "leader crashes"
+)
+
+// oldShardKey is the shard of the earlier version.
+const oldShardKey = records.MachinePrefix + "0-1"
+
+// shardSplit is a run in which a leader splits the shard of an earlier version.
+type shardSplit struct {
+	*cluster
+	leader *node
+	fault  string
+}
+
+// injectFault begins or ends the fault in the given second.
+func (ss *shardSplit) injectFault(second int) {
+	switch {
+	case ss.fault == responsesLost && second%3 == 0:
+		ss.store.Lose(touches(records.MachinePrefix))
+	case ss.fault == writesDelayed && second%4 == 0:
+		ss.store.Hold(touches(records.MachinePrefix))
+	case ss.fault == writesDelayed && second%4 == 3:
+		ss.store.Release()
+	case ss.fault == leaderCrashes && second%25 == 22:
+		ss.leader.crash()
+		ss.leader = ss.start("n0")
+	default:
+		ss.store.Lose(nil)
+	}
+}
+
+// checkRegistered fails the test if a machine in use is on no shard.
+func (ss *shardSplit) checkRegistered(second int) {
+	ss.t.Helper()
+	used := inUse(ss.leader)
+	onShards := ss.roster()
+	for _, name := range used {
+		if !slices.Contains(onShards, name) {
+			ss.t.Fatalf("second %d: %s may be in use and is on no shard", second, name)
+		}
+	}
+}
+
+// run has 26 machines send heartbeats, one of which then dies so that the shard is written again.
+func (ss *shardSplit) run() {
+	ss.t.Helper()
+	workers := ss.numberedWorkers(26)
+	reportAll(workers, ss.leader, 3)
+	ss.same("machines read", len(inUse(ss.leader)), 26)
+	ss.same("shards before a change", ss.keysUnder(records.MachinePrefix), []string{oldShardKey})
+	ss.dead.Store(workers[0].rep.Machine, true)
+	for second := range 100 {
+		ss.injectFault(second)
+		for range 4 {
+			for _, k := range workers[1:] {
+				k.report(ss.leader)
+			}
+			time.Sleep(250 * time.Millisecond)
+			ss.checkRegistered(second)
+		}
+	}
+	ss.store.Lose(nil)
+	ss.store.Release()
+	reportAll(workers[1:], ss.leader, 10)
+	ss.same("machines in use", len(inUse(ss.leader)), 25)
+	if ss.store.Has(oldShardKey) {
+		ss.t.Errorf("shards: got %v, want them without %s", ss.keysUnder(records.MachinePrefix), oldShardKey)
+	}
+	ss.leader.crash()
+	next := ss.start("n0")
+	reportAll(workers[1:], next, 3)
+	ss.same("machines read by the next leader", len(inUse(next)), 25)
+	ss.neverTooLarge()
+}
+
+// A shard of the version in production may hold more machines than the key-value store now
+// accepts in one value. When it is written again it is split, and whatever is cut off in
+// between, rejected, lost or delayed, each machine is on some shard.
 func TestLargeShardIsSplit(t *testing.T) {
 	for _, l := range []limits{{3, 1, 25}, {5, 1, 25}, {12, 2, 25}} {
-		for _, trouble := range []string{"none", "answers lost", "late", "leader crashes"} {
-			t.Run(l.String()+" "+trouble, func(t *testing.T) {
+		for _, fault := range []string{noFault, responsesLost, writesDelayed, leaderCrashes} {
+			t.Run(l.String()+" "+fault, func(t *testing.T) {
 				simulate(t, func(w *cluster) {
-					w.oldShard(records.MachinePrefix+"0-1", 26)
+					w.oldShard(oldShardKey, 26)
 					w.state = l.settings()
 					w.enforce(l) // from now on
-					a := w.start("n0")
-					var ks []*worker
-					for i := range 26 {
-						ks = append(ks, w.worker(fmt.Sprintf("i-%06d", i), "a", false))
-					}
-					reportAll(ks, a, 3)
-					w.same("read", len(inUse(a)), 26)
-					w.same("not written without need", w.keysUnder(records.MachinePrefix), []string{records.MachinePrefix + "0-1"})
-					w.dead.Store(ks[0].rep.Machine, true)
-					for i := range 100 {
-						switch {
-						case trouble == "answers lost" && i%3 == 0:
-							w.store.Lose(touches(records.MachinePrefix))
-						case trouble == "late" && i%4 == 0:
-							w.store.Hold(touches(records.MachinePrefix))
-						case trouble == "late" && i%4 == 3:
-							w.store.Release()
-						case trouble == "leader crashes" && i%25 == 22:
-							a.crash()
-							a = w.start("n0")
-						default:
-							w.store.Lose(nil)
-						}
-						for range 4 {
-							for _, k := range ks[1:] {
-								k.report(a)
-							}
-							time.Sleep(250 * time.Millisecond)
-							used := inUse(a)
-							on := w.roster()
-							for _, name := range used {
-								if !slices.Contains(on, name) {
-									w.t.Fatalf("second %d: %s may be in use and is on no shard", i, name)
-								}
-							}
-						}
-					}
-					w.store.Lose(nil)
-					w.store.Release()
-					reportAll(ks[1:], a, 10)
-					w.same("in use", len(inUse(a)), 25)
-					if w.store.Has(records.MachinePrefix + "0-1") {
-						w.t.Errorf("the large shard is still there: %v", w.keysUnder(records.MachinePrefix))
-					}
-					a.crash()
-					b := w.start("n0")
-					reportAll(ks[1:], b, 3)
-					w.same("read by the next leader", len(inUse(b)), 25)
-					w.neverTooLarge()
+					ss := &shardSplit{cluster: w, leader: w.start("n0"), fault: fault}
+					ss.run()
 				})
 			})
 		}
 	}
 }
 
-// doneOnRecord are the done tasks of a job as the next leader reads them.
+// doneOnRecord are the completed tasks of a job as the next leader reads them.
 func (w *cluster) doneOnRecord(id string) map[int]bool {
 	w.t.Helper()
 	done := map[int]bool{}
@@ -130,68 +173,106 @@
 	return done
 }
 
-// A progress record written under larger limits speaks of more tasks than a new
-// one may. It is not written over before those beyond are on record elsewhere:
-// at no moment, whatever is lost or late, does the next leader find less done.
-func TestLongProgressRecord(t *testing.T) {
-	for _, trouble := range []string{"none", "answers lost", "leader crashes"} {
-		t.Run(trouble, func(t *testing.T) {
+// longCompletion is a run with a completion record written under larger limits.
+type longCompletion struct {
+	*cluster
+	leader  *node
+	workers []*worker
+	fault   string
+	spec    *api.JobSpec
+	// done are the completed tasks on record at the last check.
+	done map[int]bool
+}
+
+// writeRecords accepts the job with six of seven of the first tasks completed, all in one record.
+func (lc *longCompletion) writeRecords(completedBefore int) {
+	lc.t.Helper()
+	bits := make([]byte, lc.spec.Tasks/8)
+	lc.done = map[int]bool{}
+	for i := range completedBefore {
+		if i%7 != 0 {
+			bits[i/8] |= 1 << (i % 8)
+			lc.done[i] = true
+		}
+	}
+	_, err := lc.store.Txn(context.Background(), kv.Txn{Ops: []kv.Op{
+		{Put: records.ActivePrefix + lc.spec.ID, Value: records.ActiveRecord{Spec: *lc.spec, Accepted: time.Now()}},
+		{Put: records.CompletionKey(lc.spec.ID, 0), Value: records.CompletionRecord{Done: bits}},
+	}})
+	if err != nil {
+		lc.t.Fatal(err)
+	}
+}
+
+// injectFault begins or ends the fault in the given round.
+func (lc *longCompletion) injectFault(round int) {
+	switch {
+	case lc.fault == responsesLost && round%2 == 0:
+		lc.store.Lose(touches(records.CompletionPrefix))
+	case lc.fault == leaderCrashes && round%4 == 3:
+		lc.leader.crash()
+		lc.leader = lc.start("n0")
+		reportAll(lc.workers, lc.leader, 3)
+	default:
+		lc.store.Lose(nil)
+	}
+}
+
+// checkDone fails the test if a task that was on record as completed no longer is.
+func (lc *longCompletion) checkDone(round int) {
+	lc.t.Helper()
+	onRecord := lc.doneOnRecord(lc.spec.ID)
+	for task := range lc.done {
+		if !onRecord[task] {
+			lc.t.Fatalf("round %d: task %d was completed and is not on record", round, task)
+		}
+	}
+	lc.done = onRecord
+}
+
+// run completes tasks in rounds and checks the records ten times a second.
+func (lc *longCompletion) run() {
+	lc.t.Helper()
+	reportAll(lc.workers, lc.leader, 4)
+	for round := range 12 {
+		lc.injectFault(round)
+		exitAll(lc.workers)
+		for range 20 {
+			for _, k := range lc.workers {
+				k.report(lc.leader)
+			}
+			time.Sleep(100 * time.Millisecond)
+			lc.checkDone(round)
+		}
+	}
+}
+
+// A completion record written under larger limits covers more tasks than a new one may. It is
+// not overwritten before those beyond are on record elsewhere: at no moment, whatever is lost or
+// delayed, does the next leader find fewer completed tasks.
+func TestLongCompletionRecordLosesNoTasks(t *testing.T) {
+	const tasks, completedBefore = 30000, 14000 // new records hold 4096
+	for _, fault := range []string{noFault, responsesLost, leaderCrashes} {
+		t.Run(fault, func(t *testing.T) {
 			simulate(t, func(w *cluster) {
-				const tasks, before = 30000, 14000 // new records hold 4096
 				w.store.SetLimits(8<<10, 12)
 				s := spec("job-1", tasks)
 				s.CPUs, s.MemoryGB = 0.01, 0.01
-				bits := make([]byte, tasks/8)
-				was := map[int]bool{}
-				for i := range before {
-					if i%7 != 0 {
-						bits[i/8] |= 1 << (i % 8)
-						was[i] = true
-					}
-				}
-				if _, err := w.store.Txn(context.Background(), kv.Txn{Ops: []kv.Op{
-					{Put: records.ActivePrefix + s.ID, Value: records.ActiveRecord{Spec: *s, Accepted: time.Now()}},
-					{Put: records.CompletionKey(s.ID, 0), Value: records.CompletionRecord{Done: bits}},
-				}}); err != nil {
-					w.t.Fatal(err)
-				}
+				lc := &longCompletion{cluster: w, fault: fault, spec: s}
+				lc.writeRecords(completedBefore)
 				l := limits{3, 1, 25}
 				w.state = l.settings()
 				w.enforce(l)
-				a := w.start("n0")
-				ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false)}
-				reportAll(ks, a, 4)
-				for i := range 12 {
-					switch {
-					case trouble == "answers lost" && i%2 == 0:
-						w.store.Lose(touches(records.CompletionPrefix))
-					case trouble == "leader crashes" && i%4 == 3:
-						a.crash()
-						a = w.start("n0")
-						reportAll(ks, a, 3)
-					default:
-						w.store.Lose(nil)
-					}
-					exitAll(ks)
-					for range 20 {
-						for _, k := range ks {
-							k.report(a)
-						}
-						time.Sleep(100 * time.Millisecond)
-						on := w.doneOnRecord(s.ID)
-						for task := range was {
-							if !on[task] {
-								w.t.Fatalf("round %d: task %d was done and is not on record", i, task)
-							}
-						}
-						was = on
-					}
-				}
-				if len(was) < before-before/7+1000 {
-					w.t.Errorf("%d tasks are on record", len(was))
+				lc.leader = w.start("n0")
+				lc.workers = []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false)}
+				lc.run()
+				if minDone := completedBefore - completedBefore/7 + 1000; len(lc.done) < minDone {
+					w.t.Errorf("tasks on record: got %d, want at least %d", len(lc.done), minDone)
 				}
-				if p, err := w.store.Get(context.Background(), records.CompletionKey(s.ID, 0)); err != nil || len(p.Value) > 1<<10 {
-					w.t.Errorf("the long record was never written again: %d bytes, %v", len(p.Value), err)
+				record, err := w.store.Get(context.Background(), records.CompletionKey(s.ID, 0))
+				if err != nil || len(record.Value) > 1<<10 {
+					w.t.Errorf("the long record was never rewritten: got %d bytes, %v, want at most %d",
+						len(record.Value), err, 1<<10)
 				}
 				w.neverTooLarge()
 			})
@@ -199,23 +280,19 @@
 	}
 }
 
-// The service may be smaller than the settings say. What it refuses for its size
-// does not come again unchanged: batches, shards and progress records shrink, and
-// work goes on.
-func TestRefusedForSize(t *testing.T) {
-	for _, real := range []limits{{2, 1, 25}, {3, 1, 25}, {12, 1, 25}} {
-		t.Run(real.String(), func(t *testing.T) {
+// The key-value store may have smaller limits than the settings say. What it rejects for its size
+// is not retried unchanged: batches, shards and completion records shrink, and work continues.
+func TestWritesRejectedForSizeShrink(t *testing.T) {
+	for _, actual := range []limits{{2, 1, 25}, {3, 1, 25}, {12, 1, 25}} {
+		t.Run(actual.String(), func(t *testing.T) {
 			simulate(t, func(w *cluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
 				w.state = limits{20, 16, 100}.settings()
-				w.enforce(real)
+				w.enforce(actual)
 				a := w.start("n0")
-				var ks []*worker
-				for i := range 24 {
-					ks = append(ks, w.worker(fmt.Sprintf("i-%06d", i), "a", false))
-				}
+				ks := w.numberedWorkers(24)
 				reportAll(ks, a, 8)
-				w.same("on the roster", len(w.roster()), 24)
+				w.same("registered machines", len(w.roster()), 24)
 				w.submit(a, spec("job-1", 90))
 				for i := range 30 {
 					w.submit(a, spec(fmt.Sprintf("small-%d", i), 1))
@@ -225,17 +302,17 @@
 					exitAll(ks)
 				}
 				reportAll(ks, a, 20)
-				w.same("still active", w.keysUnder(records.ActivePrefix), []string(nil))
+				w.same("active records", w.keysUnder(records.ActivePrefix), []string(nil))
 				if n := len(w.store.TooLarge()); n == 0 || n > 12 {
-					w.t.Errorf("refused for size %d times: %v", n, w.store.TooLarge())
+					w.t.Errorf("rejected for size %d times: %v", n, w.store.TooLarge())
 				}
 			})
 		})
 	}
 }
 
-// A progress record that is refused for its size comes again with fewer tasks.
-func TestProgressRefusedForSize(t *testing.T) {
+// A completion record that is rejected for its size is retried with fewer tasks.
+func TestCompletionRejectedForSizeIsSplit(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		w.state = limits{20, 16, 100}.settings()
 		w.store.SetLimits(1<<10, 20)
@@ -253,17 +330,17 @@
 		done := 0
 		a.look(func(c *Controller) { done = c.leaderTerm.jobs["job-1"].doneCount })
 		if on := w.doneOnRecord("job-1"); len(on) != done || done < 800 {
-			w.t.Errorf("%d tasks are on record, %d done", len(on), done)
+			w.t.Errorf("tasks on record: got %d, want the %d completed ones, at least 800", len(on), done)
 		}
 		if n := len(w.store.TooLarge()); n == 0 || n > 8 {
-			w.t.Errorf("refused for size %d times: %v", n, w.store.TooLarge())
+			w.t.Errorf("rejected for size %d times: %v", n, w.store.TooLarge())
 		}
 	})
 }
 
-// A machine whose entry fits no record is never given a task, since the next
-// leader would not know of it, and goes back; the others are not held up.
-func TestEntryFitsNoShard(t *testing.T) {
+// A machine whose entry fits no record is never assigned a task, since the next leader would not
+// know of it, and is terminated; the others are not delayed.
+func TestMachineThatFitsNoShardIsTerminated(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		l := limits{5, 1, 25}
 		w.state = l.settings()
@@ -274,10 +351,10 @@
 		reportAll(ks, a, 3)
 		w.submit(a, spec("job-1", 8))
 		reportAll(ks, a, 6)
-		w.same("on it", long.running(), []string(nil))
-		w.same("on the other", len(ks[1].running()), 4)
-		w.same("on the roster", w.roster(), []string{"i-2"})
-		w.same("given back", w.cloud.gone(long.rep.Machine), true)
+		w.same("tasks on it", long.running(), []string(nil))
+		w.same("tasks on the other", len(ks[1].running()), 4)
+		w.same("registered machines", w.roster(), []string{"i-2"})
+		w.same("terminated", w.cloud.gone(long.rep.Machine), true)
 		w.neverTooLarge()
 	})
 }
