--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -10,6 +10,7 @@
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cancellation"
 	"example.org/ivytrestle/internal/election"
+	"example.org/ivytrestle/internal/loan"
 )
 
 // callers are the calls that wait for a reply of the controller's goroutine.
@@ -25,10 +26,13 @@
 		})
 		return err
 	},
-	"job":         func(ctx context.Context, n *node) error { _, err := n.Job(ctx, "job-1"); return err },
-	"recorded":    func(ctx context.Context, n *node) error { _, err := n.RecordedJob(ctx, "job-1"); return err },
-	"status":      func(ctx context.Context, n *node) error { _, err := n.Status(ctx); return err },
-	"loans":       func(ctx context.Context, n *node) error { _, err := n.Loans(ctx, nil); return err },
+	"job":      func(ctx context.Context, n *node) error { _, err := n.Job(ctx, "job-1"); return err },
+	"recorded": func(ctx context.Context, n *node) error { _, err := n.RecordedJob(ctx, "job-1"); return err },
+	"status":   func(ctx context.Context, n *node) error { _, err := n.Status(ctx); return err },
+	"loans": func(ctx context.Context, n *node) error {
+		_, err := n.Loans(ctx, &loan.Request{Home: "south"})
+		return err
+	},
 	"vote":        func(ctx context.Context, n *node) error { _, err := n.PeerVote(ctx, 1); return err },
 	"promise":     func(ctx context.Context, n *node) error { _, err := n.PeerPromise(ctx, 1); return err },
 	"resignation": func(ctx context.Context, n *node) error { return n.LeaderResigned(ctx, "n1", 1) },
