--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -90,9 +90,9 @@
 	maxPolls   = 160
 )
 
-// MaxHeldRequests is about how many bytes the requests in flight hold: a submission's
+// MaxInFlightBytes is about how many bytes the requests in flight hold: a submission's
 // body as received and as decoded, or a poll.
-const MaxHeldRequests = maxSubmits*(2*MaxBody) + maxPolls*(8<<10)
+const MaxInFlightBytes = maxSubmits*(2*MaxBody) + maxPolls*(8<<10)
 
 // withSlot serves a request if a slot is free and rejects it otherwise.
 func (s *server) withSlot(slots chan struct{}, serve http.HandlerFunc) http.HandlerFunc {
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -37,12 +37,12 @@
 
 // Causes of a task's exit.
 const (
-	CauseDone   = "done"
-	CauseHalted = "halted"
-	CauseError  = "error"
-	CauseNoRoom = "no_room"
-	CauseBusy   = "busy"
-	CauseNoSuch = "no_such"
+	CauseDone       = "done"
+	CauseHalted     = "halted"
+	CauseError      = "error"
+	CauseNoCapacity = "no_room"
+	CauseBusy       = "busy"
+	CauseNoSuch     = "no_such"
 )
 
 // Verbs of commands.
@@ -383,7 +383,7 @@
 // constant for a known phase or cause, and a copy otherwise.
 func cloneString(s string) string {
 	for _, known := range [...]string{"", TaskRunning, TaskExited, CauseDone, TaskPulling, TaskSaving,
-		CauseHalted, CauseError, CauseNoRoom, CauseBusy, CauseNoSuch} {
+		CauseHalted, CauseError, CauseNoCapacity, CauseBusy, CauseNoSuch} {
 		if s == known {
 			return known
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,7 +22,7 @@
 	APIAddr    string   `json:"api_addr"`
 	PeerListen string   `json:"peer_listen"`
 	Peers      []Peer   `json:"peers"`
-	Outside    Outside  `json:"outside"`
+	Services   Services `json:"outside"`
 	Site       SiteInfo `json:"settings"`
 }
 
@@ -33,8 +33,8 @@
 	Addr string `json:"addr"`
 }
 
-// Outside holds the addresses of the region's services: the cloud and the key-value store.
-type Outside struct {
+// Services holds the addresses of the region's services: the cloud and the key-value store.
+type Services struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
 }
@@ -46,7 +46,7 @@
 	Teams      []Team      `json:"teams"`
 	Objectives []Objective `json:"objectives"`
 	Workers    Workers     `json:"workers"`
-	State      StateLimits `json:"state"`
+	State      KVLimits    `json:"state"`
 	Cloud      CloudLimits `json:"cloud"`
 	Limits     Limits      `json:"limits"`
 	ClockOffMs float64     `json:"clock_off_ms"`
@@ -78,21 +78,21 @@
 	CancelS    float64 `json:"cancel_s"`
 }
 
-// StateLimits bounds the use of the key-value store. Once the settings are parsed it holds
+// KVLimits bounds the use of the key-value store. Once the settings are parsed it holds
 // the smaller of the current limits and the announced ones: the store changes over without
 // notice, and always rejects what is beyond its limits.
-type StateLimits struct {
+type KVLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
 	ValueKB  float64 `json:"value_kb"`
 	TxnOps   int     `json:"txn_ops"`
 	// Next holds the announced limits as read from the settings.
-	Next *NextStateLimits `json:"next"`
+	Next *NextKVLimits `json:"next"`
 }
 
-// NextStateLimits holds limits that the key-value store will have at some later time. An
+// NextKVLimits holds limits that the key-value store will have at some later time. An
 // absent one does not change.
-type NextStateLimits struct {
+type NextKVLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
 	ValueKB  *float64 `json:"value_kb"`
@@ -100,7 +100,7 @@
 }
 
 // applyNext lowers the limits to the announced ones.
-func (l *StateLimits) applyNext() {
+func (l *KVLimits) applyNext() {
 	next := l.Next
 	if next == nil {
 		return
@@ -119,7 +119,7 @@
 
 // check returns an error if a deployment cannot work within the limits; field is their
 // place in the settings.
-func (l *StateLimits) check(field string) error {
+func (l *KVLimits) check(field string) error {
 	for _, limit := range []struct {
 		name  string
 		value float64
@@ -144,7 +144,7 @@
 }
 
 // checkNext checks the announced limits, the absent ones replaced by the current ones.
-func (l *StateLimits) checkNext(field string) error {
+func (l *KVLimits) checkNext(field string) error {
 	if l.Next == nil {
 		return nil
 	}
@@ -225,7 +225,7 @@
 	}
 	for _, a := range []struct{ field, addr string }{
 		{"api_addr", s.APIAddr}, {"peer_listen", s.PeerListen},
-		{"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.State},
+		{"outside.cloud", s.Services.Cloud}, {"outside.state", s.Services.State},
 	} {
 		if err := checkAddr(a.addr); err != nil {
 			return fmt.Errorf("field %s: %w", a.field, err)
--- a/internal/controller/answerchecker_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -199,8 +199,8 @@
 	return a.st, a.err
 }
 
-// insist repeats a user's request once a second until it is answered, for a minute at most.
-func insist(f func() error) error {
+// retryUntilAnswered repeats a user's request once a second until it is answered, for a minute at most.
+func retryUntilAnswered(f func() error) error {
 	var err error
 	for startTime := time.Now(); time.Since(startTime) < time.Minute; time.Sleep(time.Second) {
 		if err = f(); err == nil || errors.Is(err, api.ErrUnknownJob) {
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -11,7 +11,7 @@
 // poll asks a node for a job's state. The answer checker judges the response; the error is
 // dropped, since a node may fail any single request.
 func (tn *userCluster) poll(node int, id string) {
-	_, _ = tn.checker.ask(tn.at(node), id)
+	_, _ = tn.checker.ask(tn.nodeAt(node), id)
 }
 
 // answerCase is a fault at the moment when users act on their jobs.
@@ -33,13 +33,13 @@
 var answerCases = []answerCase{
 	{name: "no fault", step: 13 * time.Millisecond},
 	{name: "watches delayed", step: 100 * time.Millisecond, fault: func(tn *userCluster) {
-		tn.store.SetBlind(true)
+		tn.store.SetWatchesBlind(true)
 		time.Sleep(1500 * time.Millisecond)
-		tn.store.SetBlind(false)
+		tn.store.SetWatchesBlind(false)
 	}},
 	{name: "leader restarts", step: 60 * time.Millisecond, fault: func(tn *userCluster) {
 		tn.crash(0)
-		tn.begin(0)
+		tn.startNode(0)
 	}},
 	{name: "another leader", step: 700 * time.Millisecond, fault: func(tn *userCluster) {
 		rejectFirstNode(tn)
@@ -60,7 +60,7 @@
 	tn.accept(1, cancelled)
 	time.Sleep(3 * time.Second)
 	for _, s := range []*api.JobSpec{completed, cancelled} {
-		w.same("phase of "+s.ID, w.phase(tn.at(0), s.ID), "running")
+		w.checkEqual("phase of "+s.ID, w.phase(tn.nodeAt(0), s.ID), "running")
 	}
 	if c.before != nil {
 		c.before(tn)
@@ -81,10 +81,10 @@
 		tn.cancel(try+1, acceptedAndCancelled.ID)
 	})
 	time.Sleep(12 * time.Second)
-	w.same("more than 200 answers", tn.checker.answers() > 200, true)
-	tn.finally(map[string]string{"job-1": "done", "job-2": "running", "job-3": "withdrawn", "job-4": "withdrawn"})
-	tn.gone()
-	w.same("job that was never submitted", w.phase(tn.at(try), "job-9"), api.ErrUnknownJob.Error())
+	w.checkEqual("more than 200 answers", tn.checker.answers() > 200, true)
+	tn.checkFinalPhases(map[string]string{"job-1": "done", "job-2": "running", "job-3": "withdrawn", "job-4": "withdrawn"})
+	tn.checkNoneOverdue()
+	w.checkEqual("job that was never submitted", w.phase(tn.nodeAt(try), "job-9"), api.ErrUnknownJob.Error())
 }
 
 // Users ask all nodes within milliseconds, repeat the submission and cancel, just when a job is
@@ -156,7 +156,7 @@
 		tn.accept(i, specs[i])
 	}
 	time.Sleep(4 * time.Second)
-	w.same("running tasks", tn.held(), raceJobs)
+	w.checkEqual("running tasks", tn.tasksOnMachines(), raceJobs)
 	// A tick's place in the second must not decide.
 	time.Sleep(time.Duration(try) * 7 * time.Millisecond)
 	tn.background(func() {
@@ -171,7 +171,7 @@
 	time.Sleep(3080 * time.Millisecond)
 	want := map[string]string{}
 	for i, s := range specs {
-		state, err := tn.checker.ask(tn.at(i), s.ID)
+		state, err := tn.checker.ask(tn.nodeAt(i), s.ID)
 		if err != nil || !state.Final() {
 			w.t.Errorf("%s, 3 s after its end: got %v, %v, want an end", s.ID, state, err)
 		}
@@ -179,9 +179,9 @@
 		want[s.ID] = state.Phase
 	}
 	time.Sleep(2 * time.Second)
-	tn.finally(want)
-	w.same("tasks on machines", tn.held(), 0)
-	w.same("starts", tn.starts(), raceJobs)
+	tn.checkFinalPhases(want)
+	w.checkEqual("tasks on machines", tn.tasksOnMachines(), 0)
+	w.checkEqual("starts", tn.starts(), raceJobs)
 }
 
 // A cancellation, a poll or a repeated submission races with the end of a job's last task,
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -64,7 +64,7 @@
 			return j
 		}
 	}
-	return lt.loans.pickGuest(m, now)
+	return lt.loans.nextGuest(m, now)
 }
 
 // nextGuaranteed is the first job, over all teams, whose next task is within its team's
@@ -117,7 +117,7 @@
 			if j.flight.Untaken() == 0 || !goesFirst {
 				continue
 			}
-			if (best == nil || j.runnableSince.Before(best.runnableSince)) && lt.eligible(j, m, now) {
+			if (best == nil || j.runnableSince.Before(best.runnableSince)) && lt.isEligible(j, m, now) {
 				best = j
 			}
 		}
@@ -132,13 +132,13 @@
 	t *queue.Team[*job], m *machine, guaranteed, preferred bool, now time.Time,
 ) *job {
 	for _, j := range t.Items() {
-		if j.flight.Untaken() == 0 || t.Guaranteed(j.spec.CPUs, j.spec.GPUs) != guaranteed || !lt.eligible(j, m, now) {
+		if j.flight.Untaken() == 0 || t.WithinGuarantee(j.spec.CPUs, j.spec.GPUs) != guaranteed || !lt.isEligible(j, m, now) {
 			continue
 		}
 		if (preferred || j.isUrgent(now)) && !lt.prefers(j, m, now) {
 			continue
 		}
-		if !lt.betterElsewhere(j, m, now) {
+		if !lt.hasBetterMachines(j, m, now) {
 			return j
 		}
 	}
@@ -149,8 +149,8 @@
 // of them.
 const maxFailuresOnMachine = 2
 
-// eligible tells whether the next task of a job may start on a machine.
-func (lt *leaderTerm) eligible(j *job, m *machine, now time.Time) bool {
+// isEligible tells whether the next task of a job may start on a machine.
+func (lt *leaderTerm) isEligible(j *job, m *machine, now time.Time) bool {
 	s := &j.spec
 	switch {
 	case j.ended || j.finishing || j.handover || j.lent != nil || now.Before(j.backoffUntil):
@@ -160,9 +160,9 @@
 	case lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision:
 		// A machine that is not fenced may hold any task accepted before this term.
 		return false
-	case !m.fits(s) || !typeAllowed(s, m.typ) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.Spot):
+	case !m.fits(s) || !typeAllowed(s, m.machineType) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.Spot):
 		return false
-	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
+	case !j.team.WithinLimit(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return false
 	case j.failuresByMachine[m.name] >= maxFailuresOnMachine || j.allUntakenExcluded(m):
 		return false
@@ -170,28 +170,28 @@
 		return false
 	}
 	if s.OneZone {
-		for z, n := range j.zones {
+		for z, n := range j.attemptsByZone {
 			if n > 0 && z != m.zone {
 				return false
 			}
 		}
 	}
-	return !s.Spread || j.zones[m.zone] < (s.Tasks+1)/2
+	return !s.Spread || j.attemptsByZone[m.zone] < (s.Tasks+1)/2
 }
 
 // minCostGain is by how many seconds the placement cost of a machine must be lower for it to be
 // the better one.
 const minCostGain = 0.5
 
-// betterElsewhere tells whether machines with a lower placement cost have capacity for all
+// hasBetterMachines tells whether machines with a lower placement cost have capacity for all
 // pending tasks of a job. They are left to pull it at their next heartbeats: the work gathers
 // where its image is, on cheap machines and on those in use, and the others become empty and are
 // terminated. A job that has waited longer than lt.grace is assigned to any machine.
-func (lt *leaderTerm) betterElsewhere(j *job, m *machine, now time.Time) bool {
+func (lt *leaderTerm) hasBetterMachines(j *job, m *machine, now time.Time) bool {
 	if now.Sub(j.waitingSince) > lt.grace {
 		return false
 	}
-	if now.Sub(j.capacity.computedAt) >= tickInterval {
+	if now.Sub(j.capacity.computedAt) >= leaderTickInterval {
 		lt.findCapacity(j, now)
 	}
 	return j.capacity.slotsUpTo(lt.placementCost(j, m)-minCostGain) >= j.flight.Untaken()
--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -20,7 +20,7 @@
 			k.serve(n, 3)
 			total += len(k.running())
 		}
-		w.same("tasks", total, 6)
+		w.checkEqual("tasks", total, 6)
 	})
 }
 
@@ -35,7 +35,7 @@
 			ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "b", false), w.worker("i-3", "b", true)}
 			for range 3 {
 				for i, k := range ks {
-					k.report(n)
+					k.heartbeat(n)
 					got[i] = len(k.running())
 				}
 				time.Sleep(time.Second)
@@ -46,11 +46,11 @@
 			n = w.start("n0")
 			return got
 		}
-		w.same("any", place(func(*api.JobSpec) {}), [3]int{4, 1, 0})
-		w.same("zone", place(func(s *api.JobSpec) { s.Zone = "b" }), [3]int{0, 4, 1})
-		w.same("no spot", place(func(s *api.JobSpec) { s.Zone, s.Spot = "b", false }), [3]int{0, 4, 0})
-		w.same("one zone", place(func(s *api.JobSpec) { s.OneZone = true }), [3]int{4, 0, 0})
-		w.same("spread", place(func(s *api.JobSpec) { s.Spread = true }), [3]int{3, 2, 0})
+		w.checkEqual("any", place(func(*api.JobSpec) {}), [3]int{4, 1, 0})
+		w.checkEqual("zone", place(func(s *api.JobSpec) { s.Zone = "b" }), [3]int{0, 4, 1})
+		w.checkEqual("no spot", place(func(s *api.JobSpec) { s.Zone, s.Spot = "b", false }), [3]int{0, 4, 0})
+		w.checkEqual("one zone", place(func(s *api.JobSpec) { s.OneZone = true }), [3]int{4, 0, 0})
+		w.checkEqual("spread", place(func(s *api.JobSpec) { s.Spread = true }), [3]int{3, 2, 0})
 	})
 }
 
@@ -67,7 +67,7 @@
 			k.exit(api.CauseError)
 		}
 		k.serve(n, 3)
-		w.same("faulty machine returned", w.cloud.gone("i-1"), true)
+		w.checkEqual("faulty machine returned", w.cloud.terminated("i-1"), true)
 	})
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
@@ -75,18 +75,18 @@
 		w.submit(n, spec("job-1", 3))
 		for range 40 {
 			for _, k := range ks {
-				k.report(n)
+				k.heartbeat(n)
 				k.exit(api.CauseError)
 			}
 			time.Sleep(time.Second)
 		}
 		for _, k := range ks {
-			w.same("kept", w.cloud.gone(k.rep.Machine), false)
+			w.checkEqual("kept", w.cloud.terminated(k.status.Machine), false)
 		}
 		w.submit(n, spec("job-2", 8))
 		for range 4 {
 			for _, k := range ks {
-				k.report(n)
+				k.heartbeat(n)
 			}
 			time.Sleep(time.Second)
 		}
@@ -98,7 +98,7 @@
 				}
 			}
 		}
-		w.same("another job runs beside it", sum, 8)
+		w.checkEqual("another job runs beside it", sum, 8)
 	})
 }
 
@@ -115,10 +115,10 @@
 		restarts := 0
 		for second := range 60 {
 			for _, k := range []*worker{fast, slow} {
-				for _, o := range k.report(n) {
+				for _, o := range k.heartbeat(n) {
 					if o.Verb == api.VerbStop {
 						restarts++
-						w.same("on the slow machine", k == slow, true)
+						w.checkEqual("on the slow machine", k == slow, true)
 					}
 				}
 			}
@@ -128,12 +128,12 @@
 				fast.exit(api.CauseDone)
 			}
 			if second == 10 {
-				w.same("nothing restarted yet", restarts, 0)
+				w.checkEqual("nothing restarted yet", restarts, 0)
 			}
 			time.Sleep(time.Second)
 		}
-		w.same("restarts", restarts, 4)
-		w.same("phase", w.phase(n, "job-1"), "done")
+		w.checkEqual("restarts", restarts, 4)
+		w.checkEqual("phase", w.phase(n, "job-1"), "done")
 	})
 	simulate(t, func(w *cluster) {
 		n := w.start("n0")
@@ -143,8 +143,8 @@
 		w.submit(n, s)
 		for range 40 {
 			for _, k := range ks {
-				for _, o := range k.report(n) {
-					w.same("stopped", o.Verb == api.VerbStop, false)
+				for _, o := range k.heartbeat(n) {
+					w.checkEqual("stopped", o.Verb == api.VerbStop, false)
 				}
 			}
 			time.Sleep(time.Second)
@@ -165,21 +165,21 @@
 		w.submit(n, a)
 		w.submit(n, b)
 		time.Sleep(2 * time.Second)
-		commands, err := k.send(n)
+		commands, err := k.sendHeartbeat(n)
 		if err != nil {
 			t.Fatal(err)
 		}
-		k.obey(commands)
-		w.same("first image", k.running(), []string{"job-1/0", "job-1/1"})
-		for i := range k.rep.Tasks {
-			k.rep.Tasks[i].Phase = api.TaskPulling
+		k.applyCommands(commands)
+		w.checkEqual("first image", k.running(), []string{"job-1/0", "job-1/1"})
+		for i := range k.status.Tasks {
+			k.status.Tasks[i].Phase = api.TaskPulling
 		}
 		k.serve(n, 2)
-		w.same("while it is fetched", len(k.running()), 2)
-		for i := range k.rep.Tasks {
-			k.rep.Tasks[i].Phase = api.TaskRunning
+		w.checkEqual("while it is fetched", len(k.running()), 2)
+		for i := range k.status.Tasks {
+			k.status.Tasks[i].Phase = api.TaskRunning
 		}
 		k.serve(n, 1)
-		w.same("once it is there", len(k.running()), 4)
+		w.checkEqual("once it is there", len(k.running()), 4)
 	})
 }
--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -40,9 +40,9 @@
 	direct *directCommand
 	// exited is set once the attempt has ended and its resources are released.
 	exited bool
-	// lastSeenIn is the number of the machine's last heartbeat that showed the attempt, 0
+	// lastSeenHeartbeat is the number of the machine's last heartbeat that showed the attempt, 0
 	// if none has.
-	lastSeenIn int
+	lastSeenHeartbeat int
 	// exitHandled is set once the cause of the exit has been acted on.
 	exitHandled bool
 }
@@ -51,7 +51,7 @@
 // worker agent. Only an agent-initiated heartbeat shows that it is not, or a new agent
 // epoch.
 func (a *attempt) startInFlight(hb *api.Heartbeat) bool {
-	return a.lastSeenIn == 0 && a.sentAgentEpoch == hb.AgentEpoch
+	return a.lastSeenHeartbeat == 0 && a.sentAgentEpoch == hb.AgentEpoch
 }
 
 // stopRequest is the decision to stop an attempt.
@@ -74,7 +74,7 @@
 	m.usedMemory += sign * s.MemoryGB
 	t.UsedCPUs += sign * s.CPUs
 	t.UsedGPUs += sign * s.GPUs
-	a.job.zones[m.zone] += int(sign)
+	a.job.attemptsByZone[m.zone] += int(sign)
 }
 
 // splitRef is the reverse of taskRef.
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -18,7 +18,7 @@
 	}
 	hasStarted := status.Phase == api.TaskRunning || status.Phase == api.TaskSaving || status.Cause == api.CauseDone
 	if a.job != nil && hasStarted {
-		lt.recordImage(m, &a.job.spec, now)
+		lt.addImage(m, &a.job.spec, now)
 	}
 	if status.Phase == api.TaskExited {
 		a.exited = true
@@ -44,10 +44,10 @@
 		if a.job != nil {
 			if a.job.firstStart.IsZero() {
 				a.job.firstStart = now
-				record(lt.counts.firstStart, now.Sub(a.job.runnableSince))
+				recordLatency(lt.counts.firstStart, now.Sub(a.job.runnableSince))
 			}
 			a.job.lastStart = now
-			lt.recordImage(a.machine, &a.job.spec, now)
+			lt.addImage(a.machine, &a.job.spec, now)
 		}
 	}
 	if status.Phase != api.TaskExited {
@@ -74,25 +74,25 @@
 		if !a.runningAt.IsZero() {
 			lt.recordRun(a, now.Sub(a.runningAt), now)
 		}
-		lt.taskDone(j, a.task, now)
+		lt.completeTask(j, a.task, now)
 		j.failureRounds = 0
 		m.cordonDuration = 0
 		clear(m.taskErrorsByJob)
-		lt.recordImage(m, &j.spec, now)
+		lt.addImage(m, &j.spec, now)
 	}
-	lt.release(a)
+	lt.releaseTask(a)
 	switch status.Cause {
 	case api.CauseError:
 		lt.taskFailed(a, now)
-	case api.CauseNoRoom, api.CauseBusy, api.CauseNoSuch:
+	case api.CauseNoCapacity, api.CauseBusy, api.CauseNoSuch:
 		lt.c.Log.Debug("start rejected", "machine", m.name, "task", a.key.ref, "reason", status.Cause)
 		m.cordonedUntil = now.Add(time.Second)
 	}
 }
 
-// release makes an attempt's task pending again, unless it is done or another attempt has
+// releaseTask makes an attempt's task pending again, unless it is done or another attempt has
 // taken it over.
-func (lt *leaderTerm) release(a *attempt) {
+func (lt *leaderTerm) releaseTask(a *attempt) {
 	j := a.job
 	if j == nil || j.activeAttempts[a.task] != a {
 		return
@@ -105,14 +105,14 @@
 	}
 }
 
-// offMachine removes an attempt that is no longer on its machine.
-func (lt *leaderTerm) offMachine(a *attempt) {
+// removeAttempt removes an attempt that is no longer on its machine.
+func (lt *leaderTerm) removeAttempt(a *attempt) {
 	delete(a.machine.attempts, a.key)
 	if !a.exited {
 		a.exited = true
 		a.reserve(-1)
 	}
-	lt.release(a)
+	lt.releaseTask(a)
 }
 
 // isReapable tells whether an exited attempt may be dropped from the heartbeats: a completed
@@ -180,7 +180,7 @@
 	lt.evacuate(m, "fails tasks")
 	for _, a := range m.attempts {
 		if !a.exited && a.job != nil {
-			lt.stop(a, a.job.spec.Save()*2, now)
+			lt.requestStop(a, a.job.spec.Save()*2, now)
 		}
 	}
 }
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -155,7 +155,7 @@
 
 // cpuPrice is the price of a CPU of a machine, 0 if its type is not known.
 func (as *autoscaler) cpuPrice(m *machine) float64 {
-	mt, ok := as.leaderTerm.c.types.load()[m.typ]
+	mt, ok := as.leaderTerm.c.types.load()[m.machineType]
 	if !ok || mt.CPUs == 0 {
 		return 0
 	}
--- a/internal/controller/autoscaler_constrained.go
+++ b/internal/controller/autoscaler_constrained.go
@@ -110,7 +110,7 @@
 	missingCPUs = demand.cpus
 	for _, m := range as.leaderTerm.machines {
 		switch {
-		case m.evacuating || m.terminated || m.cpus == 0 || !mayUse(demand.spec, m.typ, m.zone, m.spot):
+		case m.evacuating || m.terminated || m.cpus == 0 || !mayUse(demand.spec, m.machineType, m.zone, m.spot):
 		case m.draining:
 			draining = append(draining, m)
 		default:
--- a/internal/controller/autoscaler_drain.go
+++ b/internal/controller/autoscaler_drain.go
@@ -85,7 +85,7 @@
 		for _, a := range m.attempts {
 			if as.isWorthMoving(a, now) {
 				freeCPUs -= a.job.spec.CPUs
-				as.leaderTerm.stop(a, 2*a.job.spec.Save()+time.Second, now)
+				as.leaderTerm.requestStop(a, 2*a.job.spec.Save()+time.Second, now)
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 		if m.evacuating || m.terminated || !m.fenced || m.cpus == 0 || len(m.attempts) > 0 {
 			continue
 		}
-		inUseLately := !m.draining && now.Sub(m.idleSince) < as.leaderTerm.c.Policy.IdleReturn
+		inUseLately := !m.draining && now.Sub(m.idleSince) < as.leaderTerm.c.Policy.IdleTimeout
 		if inUseLately || now.Sub(m.addedAt) < minUptime {
 			continue
 		}
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -13,7 +13,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	sum := 0
-	for _, r := range f.rentals {
+	for _, r := range f.launches {
 		sum += r.Count
 	}
 	return sum
@@ -38,20 +38,20 @@
 			simulate(t, func(w *cluster) {
 				w.teams = []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 64}}
 				n := w.start("n0")
-				n.look(func(c *Controller) {
+				n.inspect(func(c *Controller) {
 					c.Policy.MinCPUs, c.Policy.Headroom = 0, 0
 					c.Settings.Site.Objectives = append(c.Settings.Site.Objectives,
 						config.Objective{Kind: "finished", Class: "soon", WithinS: 90}, config.Objective{Kind: "wait", Class: "soon", WithinS: 30})
 				})
 				time.Sleep(20 * time.Second) // what was refused may be asked for again
 				w.cloud.mu.Lock()
-				w.cloud.capacity, w.cloud.rentals = 10, nil
+				w.cloud.capacity, w.cloud.launches = 10, nil
 				w.cloud.mu.Unlock()
 				s := spec("job-1", 16)
 				c.change(s)
 				w.submit(n, s)
 				time.Sleep(2 * time.Second)
-				w.same("rented", w.cloud.rented(), c.rented)
+				w.checkEqual("rented", w.cloud.rented(), c.rented)
 			})
 		})
 	}
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -116,7 +116,7 @@
 	w.submit(n, spec("job-3", 1))
 	time.Sleep(time.Second)
 	for _, known := range knownJobs {
-		w.same("phase of "+known.id, w.phase(n, known.id), known.phase)
+		w.checkEqual("phase of "+known.id, w.phase(n, known.id), known.phase)
 	}
 }
 
@@ -136,13 +136,13 @@
 	{name: "follower", start: func(w *cluster) *node {
 		_, a, b, _, _ := w.pair()
 		w.seedJobs(a)
-		b.look(func(c *Controller) { w.same("follows n0", c.leaderTerm == nil && c.leader == "n0", true) })
+		b.inspect(func(c *Controller) { w.checkEqual("follows n0", c.leaderTerm == nil && c.leader == "n0", true) })
 		return b
 	}},
 	{name: "taking over", start: func(w *cluster) *node {
 		startSeededLeader(w).crash()
 		b := w.startWith("n0", stalledReads{w.store}, nil)
-		b.look(func(c *Controller) { w.same("is taking over", c.leaderTerm != nil && !c.leaderTerm.loaded, true) })
+		b.inspect(func(c *Controller) { w.checkEqual("is taking over", c.leaderTerm != nil && !c.leaderTerm.loaded, true) })
 		return b
 	}},
 	{name: "without machine types", typesUnknown: true, start: func(w *cluster) *node {
@@ -352,7 +352,7 @@
 	}
 	sc.check("valid", sc.submissionBody("job-9", nil), wantCode, phase)
 	_, stored := sc.jobRevisions()[records.ActivePrefix+"job-9"]
-	sc.same("valid job is stored", stored, wantCode == http.StatusCreated)
+	sc.checkEqual("valid job is stored", stored, wantCode == http.StatusCreated)
 }
 
 // Submissions that are invalid or can never run, and repeats of known jobs, get the same
@@ -369,7 +369,7 @@
 				sc.checkSelfDependencies()
 				sc.checkMalformed()
 				sc.checkRepeats()
-				w.same("revisions of jobs", w.jobRevisions(), before)
+				w.checkEqual("revisions of jobs", w.jobRevisions(), before)
 				sc.checkValid()
 			})
 		})
@@ -425,13 +425,13 @@
 				n := state.start(w)
 				before := w.jobRevisions()
 				w.checkCancelTargets(n, state)
-				w.same("revisions of jobs", w.jobRevisions(), before)
+				w.checkEqual("revisions of jobs", w.jobRevisions(), before)
 				if state.kvDown || state.typesUnknown {
 					return
 				}
 				// The cancellation before the submission has no effect on it.
 				response := w.serveRequest(n, http.MethodPost, "/api/jobs", w.submissionBody("job-9", nil))
-				w.same("code of a later submission", response.Code, http.StatusCreated)
+				w.checkEqual("code of a later submission", response.Code, http.StatusCreated)
 			})
 		})
 	}
@@ -457,7 +457,7 @@
 				}
 			}
 		}
-		w.same("records of jobs", len(w.jobRevisions()), 0)
+		w.checkEqual("records of jobs", len(w.jobRevisions()), 0)
 	})
 }
 
@@ -468,9 +468,9 @@
 	for range 60 {
 		running := map[string]int{}
 		for _, k := range workers {
-			k.report(n)
+			k.heartbeat(n)
 			if count := len(k.running()); count > 0 {
-				running[k.rep.Zone] += count
+				running[k.status.Zone] += count
 			}
 		}
 		for zone, count := range running {
@@ -514,15 +514,15 @@
 				workers := []*worker{
 					w.worker("i-1", "a", false), w.worker("i-2", "b", false), w.worker("i-3", "b", false),
 				}
-				workers[2].rep.Type = "cards"
+				workers[2].status.Type = "cards"
 				for _, k := range workers {
 					k.serve(n, 2)
 				}
 				c.change["Shoots"] = c.tasks
 				body := w.submissionBody("job-1", c.change)
-				w.same("code", w.serveRequest(n, http.MethodPost, "/api/jobs", body).Code, http.StatusCreated)
+				w.checkEqual("code", w.serveRequest(n, http.MethodPost, "/api/jobs", body).Code, http.StatusCreated)
 				w.runSpread(n, workers, c.maxPerZone, c.maxZones)
-				w.same("phase", w.phase(n, "job-1"), "done")
+				w.checkEqual("phase", w.phase(n, "job-1"), "done")
 			})
 		})
 	}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -24,7 +24,7 @@
 	s := &config.Settings{Node: "n0", Site: config.SiteInfo{
 		Teams:   []config.Team{{Name: "red", CPUs: 1e4, LimitCPUs: 1e5}, {Name: "blue", CPUs: 1e4, LimitCPUs: 1e5}},
 		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
-		State:   config.StateLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}}}
+		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}}}
 	c := New(Config{Settings: s, Policy: pol, Store: kvtest.New(), Cloud: &fakeCloud{}, Log: slog.New(slog.DiscardHandler)})
 	c.types.set([]api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Price: 1, Zones: []string{"a"}}})
 	now := time.Now()
@@ -38,18 +38,18 @@
 	}
 	reports := make([]*api.Heartbeat, machines)
 	for i := range reports {
-		k := &worker{rep: api.Heartbeat{Machine: fmt.Sprint("i-", i), Addr: "x", Type: "small", Zone: "a", AgentEpoch: 1, Term: 1}}
-		m := lt.addMachine(k.rep.Machine, "small", "a", false, now)
+		k := &worker{status: api.Heartbeat{Machine: fmt.Sprint("i-", i), Addr: "x", Type: "small", Zone: "a", AgentEpoch: 1, Term: 1}}
+		m := lt.addMachine(k.status.Machine, "small", "a", false, now)
 		m.fenced, m.registration = true, registered
 		for range 3 {
-			k.rep.Seq++
-			response, err := lt.handleOwnHeartbeat(&k.rep, now.Add(time.Minute))
+			k.status.Seq++
+			response, err := lt.handleAgentHeartbeat(&k.status, now.Add(time.Minute))
 			if err != nil {
 				b.Fatal(err)
 			}
-			k.carryOut(response.Commands)
+			k.applyCommandsLocked(response.Commands)
 		}
-		reports[i] = &k.rep
+		reports[i] = &k.status
 	}
 	return lt, reports
 }
@@ -65,7 +65,7 @@
 			for i := 0; b.Loop(); i++ {
 				hb := reports[i%len(reports)]
 				hb.Seq++
-				if _, err := lt.handleOwnHeartbeat(hb, now); err != nil {
+				if _, err := lt.handleAgentHeartbeat(hb, now); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -84,7 +84,7 @@
 				hb := reports[i%len(reports)]
 				hb.Seq++
 				hb.Tasks[0].Phase, hb.Tasks[0].Cause = api.TaskExited, api.CauseHalted
-				response, err := lt.handleOwnHeartbeat(hb, now)
+				response, err := lt.handleAgentHeartbeat(hb, now)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -18,22 +18,22 @@
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, spec("job-2", 1))
 		k.serve(n, 3)
-		w.store.Hold(touches(records.TerminalPrefix + "job-1"))
+		w.store.Delay(touches(records.TerminalPrefix + "job-1"))
 		k.exit(api.CauseDone)
-		k.report(n)
+		k.heartbeat(n)
 		time.Sleep(300 * time.Millisecond)
-		w.same("held", w.store.Held(), 1)
-		w.store.Hold(nil)
+		w.checkEqual("held", w.store.DelayedCount(), 1)
+		w.store.Delay(nil)
 		st, err := n.Cancel(context.Background(), "job-1")
 		if err != nil || st.Phase != api.JobCancelled {
 			t.Fatalf("abort: %v %v", st, err)
 		}
-		for _, res := range w.store.Release() {
-			w.same("late end", res.Succeeded, false)
+		for _, res := range w.store.ApplyDelayed() {
+			w.checkEqual("late end", res.Succeeded, false)
 		}
 		for range 8 {
 			k.serve(n, 1)
-			w.same("phase", w.phase(n, "job-1"), "withdrawn")
+			w.checkEqual("phase", w.phase(n, "job-1"), "withdrawn")
 		}
 		st, err = n.Cancel(context.Background(), "job-2")
 		if err != nil || st.Phase != api.JobDone {
@@ -50,18 +50,18 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(a, spec("job-1", 2))
 		k.serve(a, 3)
-		w.same("running", len(k.running()), 2)
-		w.store.SetBlind(true)
+		w.checkEqual("running", len(k.running()), 2)
+		w.store.SetWatchesBlind(true)
 		if st, err := b.Cancel(context.Background(), "job-1"); err != nil || st.Phase != api.JobCancelled {
 			t.Fatalf("abort: %v %v", st, err)
 		}
 		if got := w.phase(a, "job-1"); got == api.JobRunning || got == api.JobPending {
 			t.Errorf("the leader says %s after another node said withdrawn", got)
 		}
-		w.store.SetBlind(false)
+		w.store.SetWatchesBlind(false)
 		k.serve(a, 3)
-		w.same("stopped", len(k.running()), 0)
-		w.same("leader", w.phase(a, "job-1"), "withdrawn")
-		w.same("other", w.phase(b, "job-1"), "withdrawn")
+		w.checkEqual("stopped", len(k.running()), 0)
+		w.checkEqual("leader", w.phase(a, "job-1"), "withdrawn")
+		w.checkEqual("other", w.phase(b, "job-1"), "withdrawn")
 	})
 }
--- a/internal/controller/cancelcascade_test.go
+++ b/internal/controller/cancelcascade_test.go
@@ -44,7 +44,7 @@
 func (w *cluster) activeJobs() int {
 	w.t.Helper()
 	count := 0
-	err := (&records.Records{Store: w.store}).EachKey(context.Background(), records.ActivePrefix+"job-", func(string) { count++ })
+	err := (&records.Records{Store: w.store}).ForEachKey(context.Background(), records.ActivePrefix+"job-", func(string) { count++ })
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -64,23 +64,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(w *cluster) {
-				w.state = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12}
+				w.state = config.KVLimits{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12}
 				ids := w.awaiting(jobs, need)
 				some := []string{ids[1], ids[2], ids[jobs/2], ids[jobs-2], ids[jobs-1]}
 				leader, other := w.start("n0"), w.start("n1")
-				w.same("before", w.told(leader, some), map[string]int{api.JobPending: len(some)})
+				w.checkEqual("before", w.told(leader, some), map[string]int{api.JobPending: len(some)})
 				if _, err := other.Cancel(context.Background(), ids[0]); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(time.Second)
 				all := map[string]int{api.JobCancelled: jobs}
-				w.same("told by the leader", w.told(leader, ids), all)
-				w.same("told by the other node", w.told(other, some), map[string]int{api.JobCancelled: len(some)})
+				w.checkEqual("told by the leader", w.told(leader, ids), all)
+				w.checkEqual("told by the other node", w.told(other, some), map[string]int{api.JobCancelled: len(some)})
 				if left := w.activeJobs(); left < jobs*9/10 {
 					t.Errorf("only %d records left: the write rate is not kept to", left)
 				}
 				leader.crash()
-				w.same("while nobody leads", w.told(other, some), map[string]int{api.JobCancelled: len(some)})
+				w.checkEqual("while nobody leads", w.told(other, some), map[string]int{api.JobCancelled: len(some)})
 				leader = w.start("n0")
 				for range 20 {
 					for phase, count := range w.told(leader, some) {
@@ -90,12 +90,12 @@
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				w.same("told by the next leader", w.told(leader, ids), all)
+				w.checkEqual("told by the next leader", w.told(leader, ids), all)
 				time.Sleep(15 * time.Minute)
-				w.same("records left", w.activeJobs(), 0)
-				w.same("told at last", w.told(leader, ids), all)
-				leader.look(func(c *Controller) {
-					w.same("in memory", len(c.leaderTerm.jobs)+len(c.leaderTerm.dependencies.pendingCancels)+len(c.leaderTerm.dependencies.dependents), 0)
+				w.checkEqual("records left", w.activeJobs(), 0)
+				w.checkEqual("told at last", w.told(leader, ids), all)
+				leader.inspect(func(c *Controller) {
+					w.checkEqual("in memory", len(c.leaderTerm.jobs)+len(c.leaderTerm.dependencies.pendingCancels)+len(c.leaderTerm.dependencies.dependents), 0)
 				})
 			})
 		})
@@ -111,16 +111,16 @@
 		if _, err := n.Cancel(context.Background(), ids[0]); err != nil {
 			t.Fatal(err)
 		}
-		w.store.Hold(touches(records.TerminalPrefix)) // what follows is not recorded
-		n.look(func(c *Controller) {
+		w.store.Delay(touches(records.TerminalPrefix)) // what follows is not recorded
+		n.inspect(func(c *Controller) {
 			dg := &c.leaderTerm.dependencies
 			for _, j := range c.leaderTerm.jobs {
 				j.cancelPending = false // as a leader has it that has not read the end yet
 			}
 			dg.pendingCancels, dg.lookingUp = nil, true
 		})
-		w.same("called", w.told(n, ids[1:]), map[string]int{api.JobCancelled: 2})
-		n.look(func(c *Controller) { c.leaderTerm.dependencies.lookingUp = false })
+		w.checkEqual("called", w.told(n, ids[1:]), map[string]int{api.JobCancelled: 2})
+		n.inspect(func(c *Controller) { c.leaderTerm.dependencies.lookingUp = false })
 		time.Sleep(2 * time.Second) // what is held is given up
 	})
 }
@@ -131,18 +131,18 @@
 	simulate(t, func(w *cluster) {
 		ids := w.awaiting(3, func(i int) []string { return []string{fmt.Sprint("job-", i-1)} })
 		n := w.start("n0")
-		w.store.Hold(func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix)(txn) })
+		w.store.Delay(func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix)(txn) })
 		if _, err := n.Cancel(context.Background(), ids[0]); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		n.look(func(c *Controller) {
+		n.inspect(func(c *Controller) {
 			for _, id := range ids[1:] {
 				c.recordCancellation(id)
 			}
 		})
-		w.store.Hold(nil)
+		w.store.Delay(nil)
 		time.Sleep(5 * time.Second)
-		w.same("records left", w.activeJobs(), 0)
+		w.checkEqual("records left", w.activeJobs(), 0)
 	})
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -31,7 +31,7 @@
 
 // recordCancellation applies a cancellation that is on record.
 func (c *Controller) recordCancellation(id string) {
-	c.final.Add(id, api.JobState{ID: id, Phase: api.JobCancelled})
+	c.finalStates.Add(id, api.JobState{ID: id, Phase: api.JobCancelled})
 	c.cancellations.Add(id, time.Now())
 	if c.leaderTerm != nil {
 		if j := c.leaderTerm.jobs[id]; j != nil && !j.cancelPending {
@@ -45,7 +45,7 @@
 
 // isCancelled reports whether a job, or a guest under its marked id, is known to be cancelled.
 func (c *Controller) isCancelled(id string) bool {
-	st, ok := c.final.Peek(id)
+	st, ok := c.finalStates.Peek(id)
 	return ok && st.Phase == api.JobCancelled
 }
 
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -55,7 +55,7 @@
 // fetchesBeforeHeartbeat tells whether a machine fetches a job's image in less than two
 // heartbeat intervals.
 func (lt *leaderTerm) fetchesBeforeHeartbeat(j *job, m *machine) bool {
-	rate := lt.c.types.load()[m.typ].FetchGBs
+	rate := lt.c.types.load()[m.machineType].FetchGBs
 	return rate > 0 && j.spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.HeartbeatS
 }
 
@@ -73,7 +73,7 @@
 // placementCost is how badly a machine suits a job, in seconds lost: the time to fetch the
 // image, and a measure of what it costs to keep the machine.
 func (lt *leaderTerm) placementCost(j *job, m *machine) float64 {
-	mt := lt.c.types.load()[m.typ]
+	mt := lt.c.types.load()[m.machineType]
 	cost := 0.0
 	if !m.images.has(j.spec.Image) && mt.FetchGBs > 0 {
 		cost += j.spec.ImageGB / mt.FetchGBs
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -32,7 +32,7 @@
 				}
 			}
 		}
-		if got := j.elsewhere(&machine{name: name}); got != want {
+		if got := j.runsElsewhere(&machine{name: name}); got != want {
 			t.Errorf("elsewhere than on %s: %+v, want %+v", name, got, want)
 		}
 	}
@@ -55,7 +55,7 @@
 		w.submit(a, first)
 		ks[0].serve(a, 2)
 		ks[1].serve(a, 2)
-		w.same("gathered", len(ks[0].running())+len(ks[1].running()), 8)
+		w.checkEqual("gathered", len(ks[0].running())+len(ks[1].running()), 8)
 		ks[0].exit(api.CauseDone)
 		ks[1].exit(api.CauseDone)
 		ks[0].serve(a, 3)
@@ -63,19 +63,19 @@
 		second := spec("job-2", 10)
 		second.ImageGB = 6
 		w.submit(a, second)
-		a.look(func(c *Controller) {
+		a.inspect(func(c *Controller) {
 			j, now := c.leaderTerm.jobs["job-2"], time.Now()
 			better := func() bool {
 				j.capacity.computedAt = time.Time{}
-				return c.leaderTerm.betterElsewhere(j, c.leaderTerm.machines["i-2"], now)
+				return c.leaderTerm.hasBetterMachines(j, c.leaderTerm.machines["i-2"], now)
 			}
-			w.same("more waits than the better have room for", better(), false)
+			w.checkEqual("more waits than the better have room for", better(), false)
 			j.flight.Take(0)
 			j.flight.Take(1)
-			w.same("as much waits as the better have room for", better(), true)
-			w.same("one of the better", c.leaderTerm.betterElsewhere(j, c.leaderTerm.machines["i-0"], now), false)
+			w.checkEqual("as much waits as the better have room for", better(), true)
+			w.checkEqual("one of the better", c.leaderTerm.hasBetterMachines(j, c.leaderTerm.machines["i-0"], now), false)
 			j.waitingSince = now.Add(-c.leaderTerm.grace - time.Second)
-			w.same("it has waited for long enough", better(), false)
+			w.checkEqual("it has waited for long enough", better(), false)
 		})
 	})
 }
@@ -89,8 +89,8 @@
 		stays, spot := w.worker("i-1", "a", false), w.worker("i-2", "a", true)
 		both := func(n int) {
 			for range n {
-				spot.report(a) // it is the cheaper one, and asks first
-				stays.report(a)
+				spot.heartbeat(a) // it is the cheaper one, and asks first
+				stays.heartbeat(a)
 				time.Sleep(time.Second)
 			}
 		}
@@ -100,11 +100,11 @@
 		w.submit(a, plain)
 		w.submit(a, saves)
 		both(3)
-		w.same("on the machine that stays", stays.running(), []string{"job-1/0", "job-1/1"})
-		w.same("on the machine that may be taken", spot.running(), []string{"job-2/0", "job-2/1"})
+		w.checkEqual("on the machine that stays", stays.running(), []string{"job-1/0", "job-1/1"})
+		w.checkEqual("on the machine that may be taken", spot.running(), []string{"job-2/0", "job-2/1"})
 		w.submit(a, spec("job-3", 4))
 		both(4)
-		w.same("all have begun", len(stays.running())+len(spot.running()), 8)
+		w.checkEqual("all have begun", len(stays.running())+len(spot.running()), 8)
 	})
 }
 
@@ -119,20 +119,20 @@
 		w.submit(n, s)
 		most := 0
 		for range 60 {
-			k.report(n)
-			most = max(most, len(k.rep.Tasks))
+			k.heartbeat(n)
+			most = max(most, len(k.status.Tasks))
 			if most > maxAttempts {
 				t.Fatalf("%d tasks on a machine", most)
 			}
 			time.Sleep(time.Second)
-			if len(k.rep.Tasks) == maxAttempts {
+			if len(k.status.Tasks) == maxAttempts {
 				k.exit(api.CauseDone)
 			}
 		}
-		w.same("fills the machine", most, maxAttempts)
+		w.checkEqual("fills the machine", most, maxAttempts)
 		k.exit(api.CauseDone)
 		k.serve(n, 4)
-		w.same("phase", w.phase(n, s.ID), api.JobDone)
+		w.checkEqual("phase", w.phase(n, s.ID), api.JobDone)
 		line, err := json.Marshal(map[string]any{"Shoot": s.ID + "/99999", "Sprout": uint64(math.MaxUint64), "Phase": "exited", "Cause": "halted", "Kept": true})
 		if err != nil {
 			t.Fatal(err)
@@ -162,7 +162,7 @@
 			if errors.As(err, &never) == c.fits {
 				t.Errorf("%d names: %v", c.names, err)
 			}
-			w.same("stored", w.store.Has(records.ActivePrefix+s.ID), c.fits)
+			w.checkEqual("stored", w.store.Has(records.ActivePrefix+s.ID), c.fits)
 		}
 	})
 }
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -130,7 +130,7 @@
 // nothing in.
 func (c *cell) startNode(i int) {
 	n := c.start(fmt.Sprintf("n%d", i))
-	n.look(func(ctl *Controller) {
+	n.inspect(func(ctl *Controller) {
 		spill := &ctl.Policy.Spill
 		spill.After, spill.Gain, spill.GuestShare = 2*time.Second, 2*time.Second, 1
 		ctl.Policy.MinCPUs = 1000
@@ -267,9 +267,9 @@
 // node that responds.
 func (c *cell) runAgent(k *worker) {
 	k.mu.Lock()
-	for i := range k.rep.Tasks {
-		task := &k.rep.Tasks[i]
-		name := k.rep.Machine + " " + task.Task
+	for i := range k.status.Tasks {
+		task := &k.status.Tasks[i]
+		name := k.status.Machine + " " + task.Task
 		if task.Phase == api.TaskExited {
 			delete(c.startedAt, name)
 			continue
@@ -284,8 +284,8 @@
 	}
 	k.mu.Unlock()
 	for _, n := range c.currentNodes() {
-		if commands, err := k.send(n); err == nil {
-			k.obey(commands)
+		if commands, err := k.sendHeartbeat(n); err == nil {
+			k.applyCommands(commands)
 			return
 		}
 	}
@@ -300,7 +300,7 @@
 	used := map[string]float64{}
 	for _, c := range g.cells {
 		for _, k := range c.agents {
-			machine := c.name + "/" + k.rep.Machine
+			machine := c.name + "/" + k.status.Machine
 			for _, task := range k.running() {
 				if machineOf[task] != "" {
 					g.t.Errorf("%s runs on %s and on %s", task, machineOf[task], machine)
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -19,7 +19,7 @@
 // checker of what the machines run.
 type checkedCluster struct {
 	*cluster
-	h *runChecker
+	checker *runChecker
 	// ctx ends when the test does, before the nodes do; tasks are the goroutines of machines,
 	// users and injected faults, which end with it.
 	ctx   context.Context
@@ -38,7 +38,7 @@
 
 func (g *slowGate) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
 	page, err := g.gate.Range(ctx, prefix, from, limit)
-	idle(ctx, 150*time.Millisecond)
+	sleepUnlessZero(ctx, 150*time.Millisecond)
 	return page, err
 }
 
@@ -50,9 +50,9 @@
 	})
 }
 
-// simulateSeldom is simulateChecked with machines that send a heartbeat every 5 s, and so get
+// simulateSlowHeartbeats is simulateChecked with machines that send a heartbeat every 5 s, and so get
 // their starts in command batches.
-func simulateSeldom(t *testing.T, machines int, f func(s *checkedCluster)) {
+func simulateSlowHeartbeats(t *testing.T, machines int, f func(s *checkedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		newCheckedCluster(t, machines, 5, f)
@@ -71,9 +71,9 @@
 		nodes:   map[string]*node{},
 		gates:   map[string]*slowGate{},
 	}
-	w.reportS = reportS
-	w.director = s
-	s.h = &runChecker{
+	w.heartbeatS = reportS
+	w.commandSender = s
+	s.checker = &runChecker{
 		w:     w,
 		t0:    time.Now(),
 		jobs:  map[string]*observedJob{},
@@ -85,17 +85,17 @@
 		s.tasks.Wait()
 	}()
 	s.tasks.Go(s.runMachines)
-	s.begin("n0")
-	s.begin("n1")
+	s.startNode("n0")
+	s.startNode("n1")
 	for i := range machines {
-		s.add(fmt.Sprint("i-", i+1), []string{"a", "b"}[i%2], false)
+		s.addMachine(fmt.Sprint("i-", i+1), []string{"a", "b"}[i%2], false)
 	}
 	time.Sleep(2*time.Second + 1500*time.Millisecond*time.Duration(reportS))
 	f(s)
 }
 
-// begin starts a controller.
-func (s *checkedCluster) begin(name string) {
+// startNode starts a controller.
+func (s *checkedCluster) startNode(name string) {
 	s.mu.Lock()
 	if s.gates[name] == nil {
 		s.gates[name] = &slowGate{gate: &gate{Fake: s.store}}
@@ -145,7 +145,7 @@
 	if name := s.leader(); name != "" {
 		s.gates[name].set(true)
 		s.tasks.Go(func() {
-			idle(s.ctx, 8*time.Second)
+			sleepUnlessZero(s.ctx, 8*time.Second)
 			s.gates[name].set(false)
 		})
 	}
@@ -156,7 +156,7 @@
 	if name := s.leader(); name != "" {
 		s.crash(name)
 		time.Sleep(after)
-		s.begin(name)
+		s.startNode(name)
 	}
 }
 
@@ -182,12 +182,12 @@
 	s.t.Errorf("%s: %v", what, err)
 }
 
-// order submits a job each of whose tasks runs for a given time.
-func (s *checkedCluster) order(takes time.Duration, spec *api.JobSpec) {
+// submitJob submits a job each of whose tasks runs for a given time.
+func (s *checkedCluster) submitJob(takes time.Duration, spec *api.JobSpec) {
 	s.t.Helper()
-	s.h.mu.Lock()
-	s.h.jobs[spec.ID] = &observedJob{spec: spec, takes: takes, starts: map[string]int{}, done: map[string]int{}}
-	s.h.mu.Unlock()
+	s.checker.mu.Lock()
+	s.checker.jobs[spec.ID] = &observedJob{spec: spec, duration: takes, starts: map[string]int{}, completions: map[string]int{}}
+	s.checker.mu.Unlock()
 	s.retryRequest("submit "+spec.ID, spec.Tasks, func(ctx context.Context, n *node) error {
 		_, _, err := n.Submit(ctx, spec)
 		return err
@@ -198,14 +198,14 @@
 func (s *checkedCluster) cancel(ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
-		s.h.mu.Lock()
-		s.h.jobs[id].cancelRequestedAt = time.Now()
-		s.h.mu.Unlock()
+		s.checker.mu.Lock()
+		s.checker.jobs[id].cancelRequestedAt = time.Now()
+		s.checker.mu.Unlock()
 		s.tasks.Go(func() {
 			s.retryRequest("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
 				st, err := n.Cancel(ctx, id)
 				if err == nil {
-					s.h.recordPhase(id, st.Phase)
+					s.checker.recordPhase(id, st.Phase)
 				}
 				return err
 			})
@@ -213,20 +213,20 @@
 	}
 }
 
-// settle says that all faults are healed, and waits until all jobs have ended.
-func (s *checkedCluster) settle(within time.Duration) {
+// awaitAllEnded says that all faults are healed, and waits until all jobs have ended.
+func (s *checkedCluster) awaitAllEnded(within time.Duration) {
 	s.t.Helper()
-	s.h.mu.Lock()
-	s.h.healed = true
-	ids := slices.Sorted(maps.Keys(s.h.jobs))
-	s.h.mu.Unlock()
+	s.checker.mu.Lock()
+	s.checker.healed = true
+	ids := slices.Sorted(maps.Keys(s.checker.jobs))
+	s.checker.mu.Unlock()
 	deadline := time.Now().Add(within)
 	for _, id := range ids {
 		for last := ""; ; {
 			if n := s.node(s.names[0]); n != nil {
 				last = s.phase(n, id)
 				if last == api.JobDone || last == api.JobCancelled {
-					s.h.recordPhase(id, last)
+					s.checker.recordPhase(id, last)
 					break
 				}
 			}
@@ -239,8 +239,8 @@
 	}
 }
 
-// add adds a machine that is up from now on.
-func (s *checkedCluster) add(name, zone string, spot bool) *host {
+// addMachine adds a machine that is up from now on.
+func (s *checkedCluster) addMachine(name, zone string, spot bool) *host {
 	k := &host{
 		worker:           s.worker(name, zone, spot),
 		s:                s,
@@ -248,10 +248,10 @@
 		lastAcknowledged: time.Now(),
 		nextHeartbeat:    time.Now(),
 	}
-	s.h.mu.Lock()
-	s.h.hosts[name] = k
+	s.checker.mu.Lock()
+	s.checker.hosts[name] = k
 	s.hosts = append(s.hosts, k)
-	s.h.mu.Unlock()
+	s.checker.mu.Unlock()
 	return k
 }
 
@@ -259,28 +259,28 @@
 // detector cannot follow a bubble with very many timers.
 func (s *checkedCluster) runMachines() {
 	for s.ctx.Err() == nil {
-		s.h.mu.Lock()
+		s.checker.mu.Lock()
 		hosts := slices.Clone(s.hosts)
-		s.h.mu.Unlock()
+		s.checker.mu.Unlock()
 		for _, k := range hosts {
 			k.step(time.Now())
 		}
-		s.h.checkRuns()
-		idle(s.ctx, tick)
+		s.checker.checkRuns()
+		sleepUnlessZero(s.ctx, tick)
 	}
 }
 
-// holders lists the machines on which a job's tasks are.
-func (s *checkedCluster) holders(job string) (ks []*host) {
+// machinesRunning lists the machines on which a job's tasks are.
+func (s *checkedCluster) machinesRunning(job string) (ks []*host) {
 	for _, k := range s.hosts {
-		s.h.mu.Lock()
-		s.h.dropTerminated()
-		for r := range s.h.runs {
-			if r.machine == k.rep.Machine && r.job() == job && !slices.Contains(ks, k) {
+		s.checker.mu.Lock()
+		s.checker.dropTerminated()
+		for r := range s.checker.runs {
+			if r.machine == k.status.Machine && r.job() == job && !slices.Contains(ks, k) {
 				ks = append(ks, k)
 			}
 		}
-		s.h.mu.Unlock()
+		s.checker.mu.Unlock()
 	}
 	return ks
 }
@@ -288,12 +288,12 @@
 // SendCommands implements CommandSender.
 func (s *checkedCluster) SendCommands(ctx context.Context, addr string, batch *api.CommandBatch) (uint64, error) {
 	hb, err := s.deliverToMachine(ctx, addr, func(k *host) bool {
-		if batch.Term < k.rep.Term || batch.AgentEpoch != k.rep.AgentEpoch {
+		if batch.Term < k.status.Term || batch.AgentEpoch != k.status.AgentEpoch {
 			return false
 		}
-		k.changed = k.changed || batch.Term > k.rep.Term
-		k.rep.Term = batch.Term
-		k.obey(batch.Commands)
+		k.changed = k.changed || batch.Term > k.status.Term
+		k.status.Term = batch.Term
+		k.applyCommands(batch.Commands)
 		return true
 	})
 	if err != nil {
@@ -305,11 +305,11 @@
 // Resync implements CommandSender.
 func (s *checkedCluster) Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error) {
 	return s.deliverToMachine(ctx, addr, func(k *host) bool {
-		if term < k.rep.Term {
+		if term < k.status.Term {
 			return false
 		}
-		k.changed = k.changed || term > k.rep.Term
-		k.rep.Term = term
+		k.changed = k.changed || term > k.status.Term
+		k.status.Term = term
 		return true
 	})
 }
@@ -319,14 +319,14 @@
 func (s *checkedCluster) deliverToMachine(
 	ctx context.Context, addr string, apply func(*host) bool,
 ) (*api.Heartbeat, error) {
-	s.h.mu.Lock()
-	k := s.h.hosts[addr]
-	s.h.mu.Unlock()
-	if k == nil || s.cloud.gone(addr) {
+	s.checker.mu.Lock()
+	k := s.checker.hosts[addr]
+	s.checker.mu.Unlock()
+	if k == nil || s.cloud.terminated(addr) {
 		return nil, api.ErrCommandsNotApplied
 	}
 	k.mu.Lock()
-	closed, orderDelay, answerDelay := k.cut || k.deaf, k.orderDelay, k.answerDelay
+	closed, orderDelay, answerDelay := k.cut || k.commandsUndelivered, k.commandDelay, k.commandResponseDelay
 	k.mu.Unlock()
 	if closed {
 		<-ctx.Done()
@@ -336,17 +336,17 @@
 	// Controllers call this while the test ends, so tasks does not count it: it waits for
 	// nothing once s.ctx has ended.
 	go func() {
-		idle(s.ctx, orderDelay)
+		sleepUnlessZero(s.ctx, orderDelay)
 		k.lockWhenResponsive()
 		var hb *api.Heartbeat
-		if s.ctx.Err() == nil && !s.cloud.gone(addr) && apply(k) {
-			k.rep.Seq++
-			own := k.rep
-			own.Tasks = slices.Clone(k.rep.Tasks)
+		if s.ctx.Err() == nil && !s.cloud.terminated(addr) && apply(k) {
+			k.status.Seq++
+			own := k.status
+			own.Tasks = slices.Clone(k.status.Tasks)
 			hb = &own
 		}
 		k.mu.Unlock()
-		idle(s.ctx, answerDelay)
+		sleepUnlessZero(s.ctx, answerDelay)
 		out <- hb
 	}()
 	select {
--- a/internal/controller/completion.go
+++ b/internal/controller/completion.go
@@ -33,7 +33,7 @@
 // addCompletion adds the completion record of a job's chunk that begins at first.
 func (rw *recordWriter) addCompletion(b *batch, j *job, first int) {
 	bits := j.completionBytes(first, rw.tasksPerChunk)
-	b.put(records.CompletionKey(j.spec.ID, first), records.CompletionRecord{Done: bits})
+	b.addPut(records.CompletionKey(j.spec.ID, first), records.CompletionRecord{Done: bits})
 	// The record must not outlive its job: once that has ended, another node has
 	// deleted the key compared here.
 	b.txn.Compares = append(b.txn.Compares, kv.Compare{
@@ -41,7 +41,7 @@
 		ModRevision: j.modRevision,
 	})
 	j.completionChunks[first] = true
-	j.holds(first, 8*len(bits))
+	j.recordExtent(first, 8*len(bits))
 	b.completions = append(b.completions, completionWrite{job: j, first: first, bits: bits})
 }
 
@@ -49,8 +49,8 @@
 // the job if more of its completed tasks are not on record.
 func (rw *recordWriter) completionWritten(w completionWrite) {
 	j := w.job
-	j.chunkSizes[w.first] = 8 * len(w.bits)
-	delete(j.moving, w.first)
+	j.completionChunkSizes[w.first] = 8 * len(w.bits)
+	delete(j.migratingCompletion, w.first)
 	for i, octet := range w.bits {
 		for bit := range 8 {
 			if octet&(1<<bit) != 0 {
@@ -78,13 +78,13 @@
 	return 0, false
 }
 
-// holds records that the store may have a completion record that begins at first and
+// recordExtent records that the store may have a completion record that begins at first and
 // covers so many tasks.
-func (j *job) holds(first, tasks int) {
-	if j.chunkSizes == nil {
-		j.chunkSizes = map[int]int{}
+func (j *job) recordExtent(first, tasks int) {
+	if j.completionChunkSizes == nil {
+		j.completionChunkSizes = map[int]int{}
 	}
-	j.chunkSizes[first] = max(j.chunkSizes[first], tasks)
+	j.completionChunkSizes[first] = max(j.completionChunkSizes[first], tasks)
 }
 
 // mayRewriteRecord reports whether the record that begins at first may be written with
@@ -92,11 +92,11 @@
 // overwritten, the next leader would no longer count the tasks beyond as done. They are
 // first put on record under keys of their own, which all lie further on.
 func (j *job) mayRewriteRecord(first, tasksPerChunk int) bool {
-	extent := j.chunkSizes[first]
+	extent := j.completionChunkSizes[first]
 	if extent <= tasksPerChunk {
 		return true
 	}
-	moving := j.moving[first]
+	moving := j.migratingCompletion[first]
 	if moving == nil {
 		moving = bitset.New(uint(j.spec.Tasks))
 		end := uint(first + extent)
@@ -106,10 +106,10 @@
 			task, ok = j.recorded.NextSet(task + 1)
 		}
 		j.recorded.InPlaceDifference(moving)
-		if j.moving == nil {
-			j.moving = map[int]*bitset.BitSet{}
+		if j.migratingCompletion == nil {
+			j.migratingCompletion = map[int]*bitset.BitSet{}
 		}
-		j.moving[first] = moving
+		j.migratingCompletion[first] = moving
 	}
 	return moving.DifferenceCardinality(j.recorded) == 0
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -102,14 +102,14 @@
 	redirectedAt map[string]time.Time
 	// redirects holds the last redirect of each machine to a reachable leader.
 	redirects map[string]redirect
-	// final caches the states of jobs that have ended.
-	final         *lru.Cache[string, api.JobState]
+	// finalStates caches the states of jobs that have ended.
+	finalStates   *lru.Cache[string, api.JobState]
 	cancellations *cancellation.Log
 	failover      failover
 	// draining is set once the process is about to end: the node leads no more.
 	draining bool
-	// reads are the lookups in the store that users wait for, by job.
-	reads map[string]*lookupRound
+	// lookups are the lookups in the store that users wait for, by job.
+	lookups map[string]*lookupRound
 }
 
 // message is an event for the owner goroutine, which applies it to its state.
@@ -142,20 +142,20 @@
 		ended:         make(chan struct{}),
 		stepDowns:     make(chan uint64, electionBacklog),
 		resignations:  make(chan election.Resignation, electionBacklog),
-		uplink:        newRelayUp(site.Limits),
+		uplink:        newRelayUplink(site.Limits),
 		membership:    newMembership(cfg.Settings.Peers, now),
 		redirectedAt:  map[string]time.Time{},
 		redirects:     map[string]redirect{},
-		final:         final,
+		finalStates:   final,
 		cancellations: cancellation.NewLog(site.Workers, site.Limits, now),
-		reads:         map[string]*lookupRound{},
+		lookups:       map[string]*lookupRound{},
 	}
 }
 
-// A leader checks its timers every tickInterval. A follower has none that cannot wait
+// A leader checks its timers every leaderTickInterval. A follower has none that cannot wait
 // longer, and each tick wakes the process.
 const (
-	tickInterval         = 100 * time.Millisecond
+	leaderTickInterval   = 100 * time.Millisecond
 	followerTickInterval = 500 * time.Millisecond
 )
 
@@ -163,7 +163,7 @@
 func (c *Controller) resetTicker(tick *time.Ticker, current time.Duration) time.Duration {
 	interval := followerTickInterval
 	if c.leaderTerm != nil {
-		interval = tickInterval
+		interval = leaderTickInterval
 	}
 	if interval != current {
 		tick.Reset(interval)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -63,7 +63,7 @@
 	}
 	pending := false
 	for _, id := range j.spec.DependsOn {
-		state, ended := dg.leaderTerm.c.final.Get(id)
+		state, ended := dg.leaderTerm.c.finalStates.Get(id)
 		if ended && state.Phase == api.JobCancelled {
 			pending = true
 			continue
@@ -132,7 +132,7 @@
 	j.objectives = dg.leaderTerm.objectives(j)
 	j.updateFeasibility(now)
 	j.team.Add(j)
-	dg.leaderTerm.dispatchUntil = now.Add(dispatchFor)
+	dg.leaderTerm.dispatchUntil = now.Add(dispatchWindow)
 }
 
 // jobDone removes a job that is done on record from the dependencies of others, and enqueues those
@@ -206,8 +206,8 @@
 		j := dg.pendingCancels[n]
 		active := records.ActivePrefix + j.spec.ID
 		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: active, ModRevision: j.modRevision})
-		b.put(records.TerminalPrefix+j.spec.ID, records.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
-		b.delete(active)
+		b.addPut(records.TerminalPrefix+j.spec.ID, records.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
+		b.addDelete(active)
 		j.ending = true
 		n++
 	}
@@ -245,8 +245,8 @@
 // propagateDeadline tightens the objectives and the priority of a dependency by those of a job that
 // depends on it, and tells whether that changed anything.
 func (dg *dependencyGraph) propagateDeadline(j, dependency *job) (changed bool) {
-	if j.rank < dependency.rank {
-		dependency.rank, changed = j.rank, true
+	if j.priorityRank < dependency.priorityRank {
+		dependency.priorityRank, changed = j.priorityRank, true
 	}
 	due := dg.dependentDeadlines(j)
 	if len(due) == 0 {
@@ -285,12 +285,12 @@
 		}
 	}
 	heartbeatInterval := dg.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()
-	return j.spec.Estimate() + config.Duration(fetch) + heartbeatInterval + stageLag
+	return j.spec.Estimate() + config.Duration(fetch) + heartbeatInterval + expectedStageLag
 }
 
-// stageLag is about how long it takes until a job's end is on record and the tasks of those that
+// expectedStageLag is about how long it takes until a job's end is on record and the tasks of those that
 // depend on it are assigned.
-const stageLag = time.Second
+const expectedStageLag = time.Second
 
 // lookupNext reads how dependencies ended that are not active. Those whose record could not be
 // read are read again after lookupRetryInterval.
@@ -361,7 +361,7 @@
 
 // applyTerminalRecord applies the terminal record of a job to those that depend on it.
 func (dg *dependencyGraph) applyTerminalRecord(id string, end records.TerminalRecord) {
-	finalMsg{end.JobState(id)}.apply(dg.leaderTerm.c)
+	finalStateMsg{end.JobState(id)}.apply(dg.leaderTerm.c)
 	if end.Phase != api.JobDone {
 		return
 	}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -25,11 +25,11 @@
 // diamond is a pipeline of two teams: 1, then 2 and 3, then 4, then 5, which awaits
 // 1 as well.
 func (s *checkedCluster) diamond(takes time.Duration) {
-	s.order(takes, teamSpec("job-1", "red", 4))
-	s.order(takes, after("job-2", "red", 3, "job-1"))
-	s.order(takes*2, after("job-3", "blue", 2, "job-1"))
-	s.order(takes, after("job-4", "red", 2, "job-2", "job-3"))
-	s.order(takes, after("job-5", "blue", 1, "job-4", "job-1"))
+	s.submitJob(takes, teamSpec("job-1", "red", 4))
+	s.submitJob(takes, after("job-2", "red", 3, "job-1"))
+	s.submitJob(takes*2, after("job-3", "blue", 2, "job-1"))
+	s.submitJob(takes, after("job-4", "red", 2, "job-2", "job-3"))
+	s.submitJob(takes, after("job-5", "blue", 1, "job-4", "job-1"))
 }
 
 var diamondJobs = []string{"job-1", "job-2", "job-3", "job-4", "job-5"}
@@ -43,7 +43,7 @@
 					if n := s.node(name); n != nil {
 						sentAt := time.Now()
 						if p := s.phase(n, id); slices.Contains([]string{"pending", "running", "done", "withdrawn"}, p) {
-							s.h.answered(id, p, sentAt)
+							s.checker.recordPhaseSince(id, p, sentAt)
 						}
 					}
 				}
@@ -59,8 +59,8 @@
 func TestPipelineRunsInOrder(t *testing.T) {
 	troubles := map[string]func(s *checkedCluster){
 		"none":         func(*checkedCluster) {},
-		"ends late":    func(s *checkedCluster) { s.store.Hold(touches(records.TerminalPrefix)) },
-		"answers lost": func(s *checkedCluster) { s.store.Lose(touches(records.TerminalPrefix)) },
+		"ends late":    func(s *checkedCluster) { s.store.Delay(touches(records.TerminalPrefix)) },
+		"answers lost": func(s *checkedCluster) { s.store.LoseResponses(touches(records.TerminalPrefix)) },
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
@@ -74,13 +74,13 @@
 						time.Sleep(time.Second)
 						c.change(s)
 						time.Sleep(3 * time.Second)
-						s.store.Release()
-						s.store.Lose(nil)
-						s.settle(3 * time.Minute)
+						s.store.ApplyDelayed()
+						s.store.LoseResponses(nil)
+						s.awaitAllEnded(3 * time.Minute)
 						for _, id := range diamondJobs {
-							s.same("end of "+id, s.phase(s.node("n0"), id), api.JobDone)
+							s.checkEqual("end of "+id, s.phase(s.node("n0"), id), api.JobDone)
 						}
-						s.same("begun when done", s.h.begunWhenDone(), []string(nil))
+						s.checkEqual("begun when done", s.checker.restartedWhenDone(), []string(nil))
 					})
 				})
 			}
@@ -99,7 +99,7 @@
 					simulateChecked(t, 4, func(s *checkedCluster) {
 						off, change := c.offset, c.change
 						s.diamond(8 * time.Second)
-						s.order(2*time.Second, teamSpec("job-9", "blue", 2)) // needs nothing
+						s.submitJob(2*time.Second, teamSpec("job-9", "blue", 2)) // needs nothing
 						s.follow(append(diamondJobs, "job-6", "job-7")...)
 						time.Sleep(3 * time.Second)
 						if off < 0 {
@@ -111,10 +111,10 @@
 							time.Sleep(off)
 							s.tasks.Go(func() { change(s) })
 						}
-						s.order(2*time.Second, after("job-6", "red", 1, victim))
-						s.order(2*time.Second, after("job-7", "blue", 1, "job-6", "job-9"))
+						s.submitJob(2*time.Second, after("job-6", "red", 1, victim))
+						s.submitJob(2*time.Second, after("job-7", "blue", 1, "job-6", "job-9"))
 						time.Sleep(45 * time.Second)
-						s.settle(2 * time.Minute)
+						s.awaitAllEnded(2 * time.Minute)
 						gone := []string{"job-4", "job-5", "job-6", "job-7"}
 						switch victim {
 						case "job-1":
@@ -127,7 +127,7 @@
 							if slices.Contains(gone, id) || id == victim {
 								want = api.JobCancelled
 							}
-							s.same("end of "+id, s.phase(s.node("n0"), id), want)
+							s.checkEqual("end of "+id, s.phase(s.node("n0"), id), want)
 						}
 					})
 				})
@@ -147,7 +147,7 @@
 		k.serve(n, 3)
 		k.exit(api.CauseDone)
 		k.serve(n, 4)
-		w.same("first", w.phase(n, "job-1"), api.JobDone)
+		w.checkEqual("first", w.phase(n, "job-1"), api.JobDone)
 		w.submit(n, spec("job-2", 1))
 		w.submit(n, after("job-3", "red", 1, "job-2"))
 		submit := func(id string, dependsOn ...string) string {
@@ -165,35 +165,35 @@
 			}
 			return "201 " + st.Phase
 		}
-		w.same("never accepted", submit("job-10", "job-1", "job-99"), "422 awaits job-99, which was never accepted")
-		w.same("nothing stored", w.store.Has(records.ActivePrefix+"job-10"), false)
-		w.same("known, whatever it names", submit("job-3", "job-99"), "200 pending")
-		w.same("all done", submit("job-11", "job-1"), "201 pending")
-		w.same("in any state", submit("job-12", "job-1", "job-2", "job-3"), "201 pending")
+		w.checkEqual("never accepted", submit("job-10", "job-1", "job-99"), "422 awaits job-99, which was never accepted")
+		w.checkEqual("nothing stored", w.store.Has(records.ActivePrefix+"job-10"), false)
+		w.checkEqual("known, whatever it names", submit("job-3", "job-99"), "200 pending")
+		w.checkEqual("all done", submit("job-11", "job-1"), "201 pending")
+		w.checkEqual("in any state", submit("job-12", "job-1", "job-2", "job-3"), "201 pending")
 		var many []string
 		for i := range 40 {
 			w.submit(n, spec(fmt.Sprint("job-5", i), 1))
 			many = append(many, fmt.Sprint("job-5", i))
 		}
-		w.same("many", submit("job-13", many...), "201 pending")
-		w.same("many, one of them never", submit("job-14", append(many, "job-98")...), "422 awaits job-98, which was never accepted")
+		w.checkEqual("many", submit("job-13", many...), "201 pending")
+		w.checkEqual("many, one of them never", submit("job-14", append(many, "job-98")...), "422 awaits job-98, which was never accepted")
 		if _, err := n.Cancel(context.Background(), "job-2"); err != nil {
 			t.Fatal(err)
 		}
-		w.same("names a cancelled one", submit("job-15", "job-2"), "201 withdrawn")
-		w.same("and one that needs it", submit("job-16", "job-12"), "201 withdrawn")
+		w.checkEqual("names a cancelled one", submit("job-15", "job-2"), "201 withdrawn")
+		w.checkEqual("and one that needs it", submit("job-16", "job-12"), "201 withdrawn")
 		time.Sleep(2 * time.Second)
 		for _, id := range []string{"job-3", "job-12", "job-15", "job-16"} {
-			w.same(id, w.phase(n, id), api.JobCancelled)
+			w.checkEqual(id, w.phase(n, id), api.JobCancelled)
 		}
-		w.same("again", submit("job-15", "job-2"), "200 withdrawn")
+		w.checkEqual("again", submit("job-15", "job-2"), "200 withdrawn")
 		w.store.SetDown(true)
-		w.same("in an outage", submit("job-17", "job-99"), "503")
+		w.checkEqual("in an outage", submit("job-17", "job-99"), "503")
 		w.store.SetDown(false)
 		time.Sleep(4 * time.Second)
-		n.look(func(c *Controller) {
-			w.same("may run", len(c.leaderTerm.jobs["job-11"].dependsOn), 0)
-			w.same("in the queue", slices.Contains(c.leaderTerm.teams["red"].Items(), c.leaderTerm.jobs["job-11"]), true)
+		n.inspect(func(c *Controller) {
+			w.checkEqual("may run", len(c.leaderTerm.jobs["job-11"].dependsOn), 0)
+			w.checkEqual("in the queue", slices.Contains(c.leaderTerm.teams["red"].Items(), c.leaderTerm.jobs["job-11"]), true)
 		})
 	})
 }
@@ -202,14 +202,14 @@
 // it go on.
 func TestCancellationAnsweredWithDone(t *testing.T) {
 	simulateChecked(t, 2, func(s *checkedCluster) {
-		s.order(2*time.Second, teamSpec("job-1", "red", 1))
-		s.order(2*time.Second, after("job-2", "red", 1, "job-1"))
+		s.submitJob(2*time.Second, teamSpec("job-1", "red", 1))
+		s.submitJob(2*time.Second, after("job-2", "red", 1, "job-1"))
 		for s.phase(s.node("n0"), "job-1") != api.JobDone {
 			time.Sleep(100 * time.Millisecond)
 		}
 		s.cancel("job-1")
-		s.settle(time.Minute)
-		s.same("after it", s.phase(s.node("n0"), "job-2"), api.JobDone)
+		s.awaitAllEnded(time.Minute)
+		s.checkEqual("after it", s.phase(s.node("n0"), "job-2"), api.JobDone)
 	})
 }
 
@@ -225,12 +225,12 @@
 		if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
-		w.same("needs another that needs it", w.phase(b, "job-3"), api.JobCancelled)
-		w.same("needs it", w.phase(b, "job-2"), api.JobCancelled)
+		w.checkEqual("needs another that needs it", w.phase(b, "job-3"), api.JobCancelled)
+		w.checkEqual("needs it", w.phase(b, "job-2"), api.JobCancelled)
 		if _, created, err := b.Submit(context.Background(), after("job-4", "red", 1, "job-3")); err != nil || !created {
 			t.Errorf("submitted after: %v", err)
 		}
-		w.same("after the last", w.phase(b, "job-4"), api.JobCancelled)
+		w.checkEqual("after the last", w.phase(b, "job-4"), api.JobCancelled)
 	})
 }
 
@@ -243,28 +243,28 @@
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, after("job-2", "red", 100, "job-1"))
 		k.serve(n, 100)
-		n.look(func(c *Controller) {
+		n.inspect(func(c *Controller) {
 			lt := c.leaderTerm
-			w.same("demand", lt.autoscaler.demand(), 1.0)
-			w.same("in the queue", len(lt.teams["red"].Items()), 1)
-			w.same("overlooked", lt.starved, 0)
+			w.checkEqual("demand", lt.autoscaler.demand(), 1.0)
+			w.checkEqual("in the queue", len(lt.teams["red"].Items()), 1)
+			w.checkEqual("overlooked", lt.starved, 0)
 			counts, _ := lt.pendingReasons(time.Now())
-			w.same("why it waits", counts, map[string]int{"awaits others": 1})
+			w.checkEqual("why it waits", counts, map[string]int{"awaits others": 1})
 		})
 		st, err := n.Job(context.Background(), "job-2")
-		w.same("waits for", st.DependsOn, []string{"job-1"})
-		w.same("phase", st.Phase, api.JobPending)
+		w.checkEqual("waits for", st.DependsOn, []string{"job-1"})
+		w.checkEqual("phase", st.Phase, api.JobPending)
 		if err != nil {
 			t.Error(err)
 		}
 		k.exit(api.CauseDone)
 		k.serve(n, 3)
-		w.same("begun", len(k.running()), 4)
-		n.look(func(c *Controller) {
+		w.checkEqual("begun", len(k.running()), 4)
+		n.inspect(func(c *Controller) {
 			j := c.leaderTerm.jobs["job-2"]
-			w.same("since it could run", time.Since(j.runnableSince) < 5*time.Second, true)
-			w.same("its aim", time.Until(j.objectives[0]) > 80*time.Second, true)
-			w.same("demand", c.leaderTerm.autoscaler.demand(), 16.0)
+			w.checkEqual("since it could run", time.Since(j.runnableSince) < 5*time.Second, true)
+			w.checkEqual("its aim", time.Until(j.objectives[0]) > 80*time.Second, true)
+			w.checkEqual("demand", c.leaderTerm.autoscaler.demand(), 16.0)
 		})
 	})
 }
@@ -273,7 +273,7 @@
 // and teams too, as the latest time to begin that leaves time for what follows.
 func TestUrgencyFlowsBackward(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.director = nil
+		w.commandSender = nil
 		n := w.start("n0")
 		for _, s := range []*api.JobSpec{spec("job-1", 1), after("job-2", "red", 1, "job-1"), after("job-3", "blue", 1, "job-1"), spec("job-8", 1)} {
 			s.Class = "stage" // without aims of its own
@@ -284,19 +284,19 @@
 		w.submit(n, last)
 		accepted := time.Now()
 		time.Sleep(1500 * time.Millisecond) // the queues are put in order once a second
-		n.look(func(c *Controller) {
+		n.inspect(func(c *Controller) {
 			lt := c.leaderTerm
-			takes := 30*time.Second + time.Second + stageLag // estimate, a report, and the lag
+			takes := 30*time.Second + time.Second + expectedStageLag // estimate, a report, and the lag
 			for id, stages := range map[string]int{"job-4": 0, "job-2": 1, "job-3": 1, "job-1": 2} {
 				j := lt.jobs[id]
 				want := accepted.Add(300*time.Second - time.Duration(stages)*takes)
 				if d := j.objectives[0].Sub(want); d < -time.Second || d > time.Second {
 					t.Errorf("%s should be complete %v from the wanted time", id, d)
 				}
-				w.same(id+" rank", j.rank, api.PriorityRank("urgent"))
+				w.checkEqual(id+" rank", j.priorityRank, api.PriorityRank("urgent"))
 			}
-			w.same("of another pipeline", lt.jobs["job-8"].rank, api.PriorityRank("low"))
-			w.same("served first", lt.teams["red"].Items()[0].ID(), "job-1")
+			w.checkEqual("of another pipeline", lt.jobs["job-8"].priorityRank, api.PriorityRank("low"))
+			w.checkEqual("served first", lt.teams["red"].Items()[0].ID(), "job-1")
 		})
 	})
 }
@@ -330,7 +330,7 @@
 				n.crash()
 				n = w.start("n0")
 				time.Sleep(2 * time.Second)
-				n.look(func(c *Controller) { w.same("in the queue", len(c.leaderTerm.teams["red"].Items()), 1) })
+				n.inspect(func(c *Controller) { w.checkEqual("in the queue", len(c.leaderTerm.teams["red"].Items()), 1) })
 				if _, err := n.Cancel(context.Background(), "job-0"); err != nil {
 					t.Fatal(err)
 				}
@@ -344,8 +344,8 @@
 						t.Fatalf("job-%d: %s", i, got)
 					}
 				}
-				n.look(func(c *Controller) {
-					w.same("left in memory", len(c.leaderTerm.jobs)+len(c.leaderTerm.dependencies.dependents)+len(c.leaderTerm.dependencies.pendingCancels), 0)
+				n.inspect(func(c *Controller) {
+					w.checkEqual("left in memory", len(c.leaderTerm.jobs)+len(c.leaderTerm.dependencies.dependents)+len(c.leaderTerm.dependencies.pendingCancels), 0)
 				})
 			})
 		})
@@ -356,13 +356,13 @@
 // what is cancelled with a job that it needs must still be so in time.
 func TestCancellationsPassOnUnderLoad(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.state = config.StateLimits{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
+		w.state = config.KVLimits{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
 		for i := range 20 {
 			w.submit(n, after(fmt.Sprint("job-2", i), "red", 1, "job-1"))
 		}
-		n.look(func(c *Controller) { c.leaderTerm.teams["blue"].LimitCPUs = 1000 })
+		n.inspect(func(c *Controller) { c.leaderTerm.teams["blue"].LimitCPUs = 1000 })
 		var ks []*worker
 		for i := range 30 {
 			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
@@ -377,21 +377,21 @@
 		work := func(seconds int) {
 			for range seconds {
 				for _, k := range ks {
-					k.report(n)
+					k.heartbeat(n)
 					k.exit(api.CauseDone)
 				}
 				time.Sleep(time.Second)
 			}
 		}
 		work(3)
-		n.look(func(c *Controller) { c.leaderTerm.jobs["job-1"].backoffUntil = time.Now().Add(time.Hour) })
+		n.inspect(func(c *Controller) { c.leaderTerm.jobs["job-1"].backoffUntil = time.Now().Add(time.Hour) })
 		if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
 		work(20)
-		n.look(func(c *Controller) { w.same("ends wait", len(c.leaderTerm.recordWriter.finishing) > 20, true) })
+		n.inspect(func(c *Controller) { w.checkEqual("ends wait", len(c.leaderTerm.recordWriter.finishing) > 20, true) })
 		for i := range 20 {
-			w.same("needs it", w.phase(n, fmt.Sprint("job-2", i)), api.JobCancelled)
+			w.checkEqual("needs it", w.phase(n, fmt.Sprint("job-2", i)), api.JobCancelled)
 		}
 	})
 }
@@ -403,10 +403,13 @@
 		return touches(records.TerminalPrefix)(txn) && !touches(records.CancelKey)(txn)
 	}
 	for name, trouble := range map[string]func(w *cluster){
-		"answers lost": func(w *cluster) { w.store.Lose(derived) },
-		"never":        func(w *cluster) { w.store.Hold(derived) },
-		"late":         func(w *cluster) { w.store.Hold(derived); time.AfterFunc(5*time.Second, func() { w.store.Release() }) },
-		"outage":       func(w *cluster) { time.AfterFunc(100*time.Millisecond, func() { w.store.SetDown(true) }) },
+		"answers lost": func(w *cluster) { w.store.LoseResponses(derived) },
+		"never":        func(w *cluster) { w.store.Delay(derived) },
+		"late": func(w *cluster) {
+			w.store.Delay(derived)
+			time.AfterFunc(5*time.Second, func() { w.store.ApplyDelayed() })
+		},
+		"outage": func(w *cluster) { time.AfterFunc(100*time.Millisecond, func() { w.store.SetDown(true) }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(w *cluster) {
@@ -420,19 +423,19 @@
 				}
 				time.Sleep(12 * time.Second)
 				w.store.SetDown(false)
-				w.store.Hold(nil)
-				w.store.Lose(nil)
+				w.store.Delay(nil)
+				w.store.LoseResponses(nil)
 				time.Sleep(10 * time.Second)
 				for i := range 4 {
 					id := fmt.Sprint("job-", i+1)
-					w.same(id+" active", w.store.Has(records.ActivePrefix+id), false)
+					w.checkEqual(id+" active", w.store.Has(records.ActivePrefix+id), false)
 				}
 				for i := range 4 { // not before: who asks for them ends them, too
 					id := fmt.Sprint("job-", i+1)
-					w.same(id, w.phase(n, id), api.JobCancelled)
+					w.checkEqual(id, w.phase(n, id), api.JobCancelled)
 				}
-				n.look(func(c *Controller) {
-					w.same("still to do", len(c.leaderTerm.jobs)+len(c.leaderTerm.dependencies.pendingCancels)+len(c.leaderTerm.dependencies.dependents), 0)
+				n.inspect(func(c *Controller) {
+					w.checkEqual("still to do", len(c.leaderTerm.jobs)+len(c.leaderTerm.dependencies.pendingCancels)+len(c.leaderTerm.dependencies.dependents), 0)
 				})
 			})
 		})
@@ -451,34 +454,34 @@
 			w.cloud.mu.Lock()
 			defer w.cloud.mu.Unlock()
 			sum := 0
-			for _, r := range w.cloud.rentals {
+			for _, r := range w.cloud.launches {
 				if !r.Spot && (zone == "" || r.Zone == zone) {
 					sum += r.Count
 				}
 			}
 			return sum
 		}
-		n.look(func(c *Controller) { c.Policy.MinCPUs = 0 })
+		n.inspect(func(c *Controller) { c.Policy.MinCPUs = 0 })
 		cheap.serve(n, 20) // what was refused may be asked for again
 		w.cloud.mu.Lock()
-		w.cloud.capacity, w.cloud.rentals = 10, nil
+		w.cloud.capacity, w.cloud.launches = 10, nil
 		w.cloud.mu.Unlock()
 		first, second := spec("job-1", 1), after("job-2", "red", 2, "job-1")
 		second.Spot = false
 		w.submit(n, first)
 		w.submit(n, second)
-		w.same("before what it awaits has begun", ordinary(""), 0)
+		w.checkEqual("before what it awaits has begun", ordinary(""), 0)
 		cheap.serve(n, 5)
-		w.same("begun", len(cheap.running()), 1)
-		w.same("rented in time", ordinary(""), 1)
+		w.checkEqual("begun", len(cheap.running()), 1)
+		w.checkEqual("rented in time", ordinary(""), 1)
 		zone := spec("job-3", 6)
 		zone.Spot, zone.Zone = false, "b"
 		w.submit(n, zone)
 		cheap.serve(n, 8)
-		w.same("in its zone", ordinary("b"), 2)
+		w.checkEqual("in its zone", ordinary("b"), 2)
 		before := ordinary("")
 		cheap.serve(n, 8)
-		w.same("not again while they boot", ordinary(""), before)
+		w.checkEqual("not again while they boot", ordinary(""), before)
 	})
 }
 
@@ -516,7 +519,7 @@
 			simulate(t, func(w *cluster) {
 				n := w.start("n0")
 				measure := func(jobs int) (deadline, cancel uint64) {
-					n.look(func(c *Controller) {
+					n.inspect(func(c *Controller) {
 						lt := c.leaderTerm
 						add := func(id, dependsOn int, dueS float64) {
 							s := spec(fmt.Sprint("job-", id), 1)
@@ -538,13 +541,13 @@
 						for _, j := range lt.dependencies.pendingCancels {
 							pending[j] = true
 						}
-						w.same("cancelled, each once", []int{len(pending), len(lt.dependencies.pendingCancels)}, []int{jobs, jobs})
+						w.checkEqual("cancelled, each once", []int{len(pending), len(lt.dependencies.pendingCancels)}, []int{jobs, jobs})
 						for j := range pending {
 							lt.cancelJob(j)
 						}
-						w.same("left", len(lt.jobs)+len(lt.dependencies.dependents), 0)
+						w.checkEqual("left", len(lt.jobs)+len(lt.dependencies.dependents), 0)
 						lt.dependencies.pendingCancels = nil
-						c.final.Purge()
+						c.finalStates.Purge()
 					})
 					return deadline, cancel
 				}
@@ -562,7 +565,7 @@
 // As many jobs as the share of the write rate holds are cancelled with the one that
 // they need within the time that a cancellation has, however small transactions are.
 func TestWideFanIsCancelledInTime(t *testing.T) {
-	for _, lim := range []config.StateLimits{
+	for _, lim := range []config.KVLimits{
 		{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, {RPS: 120, WriteRPS: 25, ValueKB: 2, TxnOps: 3}, {RPS: 80, WriteRPS: 10, ValueKB: 2, TxnOps: 4},
 	} {
 		t.Run(fmt.Sprint(lim.WriteRPS, " ", lim.TxnOps), func(t *testing.T) {
@@ -584,7 +587,7 @@
 				if len(left) > 0 {
 					t.Errorf("%d of %d jobs left", len(left), jobs)
 				}
-				w.same("refused", w.store.TooLarge(), []string(nil))
+				w.checkEqual("refused", w.store.RejectedAsTooLarge(), []string(nil))
 			})
 		})
 	}
--- a/internal/controller/dependencylists.go
+++ b/internal/controller/dependencylists.go
@@ -117,7 +117,7 @@
 	for dl.leaderTerm.ctx.Err() == nil {
 		keys := map[string][]string{}
 		recordStore := records.Records{Store: dl.leaderTerm.c.Store}
-		err := recordStore.EachKey(dl.leaderTerm.ctx, records.DependencyPrefix, func(key string) {
+		err := recordStore.ForEachKey(dl.leaderTerm.ctx, records.DependencyPrefix, func(key string) {
 			if id, _, ok := records.ParseDependencyKey(key); ok {
 				keys[id] = append(keys[id], key)
 			}
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -42,7 +42,7 @@
 		for _, newLeader := range []bool{false, true} {
 			t.Run(fmt.Sprint(end, " ", newLeader), func(t *testing.T) {
 				simulate(t, func(w *cluster) {
-					w.state = config.StateLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
+					w.state = config.KVLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
 					w.store.SetLimits(2048, 3)
 					n := w.start("n0")
 					k := w.worker("i-1", "a", false)
@@ -55,27 +55,27 @@
 						n = w.start("n0")
 					}
 					k.serve(n, 6)
-					w.same("begun", k.running(), []string{"job-1/0"})
-					n.look(func(c *Controller) {
+					w.checkEqual("begun", k.running(), []string{"job-1/0"})
+					n.inspect(func(c *Controller) {
 						if held := len(c.leaderTerm.jobs["job-2"].spec.DependsOn); held > maxSingleLookups+2 {
 							t.Errorf("%d names held while one job is waited for", held)
 						}
 					})
-					w.same("told", w.phase(n, "job-2"), api.JobPending)
+					w.checkEqual("told", w.phase(n, "job-2"), api.JobPending)
 					st, _ := n.Job(context.Background(), "job-2")
-					w.same("waits for", st.DependsOn, []string{"job-1"})
+					w.checkEqual("waits for", st.DependsOn, []string{"job-1"})
 					if end == api.JobDone {
 						k.exit(api.CauseDone)
 						k.serve(n, 4)
-						w.same("begun when done", k.running(), []string{"job-2/0"})
+						w.checkEqual("begun when done", k.running(), []string{"job-2/0"})
 						k.exit(api.CauseDone)
 					} else if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 						t.Fatal(err)
 					}
 					k.serve(n, 8)
-					w.same("its end", w.phase(n, "job-2"), end)
-					w.same("left of its list", w.keysUnder(records.DependencyPrefix), []string(nil))
-					w.same("refused", w.store.TooLarge(), []string(nil))
+					w.checkEqual("its end", w.phase(n, "job-2"), end)
+					w.checkEqual("left of its list", w.keysUnder(records.DependencyPrefix), []string(nil))
+					w.checkEqual("refused", w.store.RejectedAsTooLarge(), []string(nil))
 				})
 			})
 		}
@@ -86,7 +86,7 @@
 // that is active and for those of jobs that may be about to be accepted.
 func TestListsThatAreLeft(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.state = config.StateLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
+		w.state = config.KVLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, after("job-2", "red", 1, append(w.manyDone(300), "job-1")...))
@@ -98,7 +98,7 @@
 		w.start("n0")
 		time.Sleep(5 * time.Second)
 		want := append(slices.Clone(own), records.DependencyPrefix+"job-7/coming/00000")
-		w.same("kept", w.keysUnder(records.DependencyPrefix), want)
+		w.checkEqual("kept", w.keysUnder(records.DependencyPrefix), want)
 	})
 }
 
@@ -113,7 +113,7 @@
 		w.submit(n, after("job-2", "red", 1, "job-1"))
 		k.serve(n, 40)
 		k.exit(api.CauseDone)
-		k.report(n)
+		k.heartbeat(n)
 		done := time.Now()
 		for range 10 {
 			if time.Sleep(100 * time.Millisecond); w.store.Has(records.TerminalPrefix + "job-1") {
@@ -126,7 +126,7 @@
 		n = w.start("n0")
 		w.submit(n, after("job-3", "red", 1, "job-1", "job-8"))
 		time.Sleep(3 * time.Second)
-		n.look(func(c *Controller) {
+		n.inspect(func(c *Controller) {
 			j := c.leaderTerm.jobs["job-2"]
 			if d := j.runnableSince.Sub(done); len(j.dependsOn) > 0 || d < 0 || d > 2*time.Second {
 				t.Errorf("counts from %v after the end of what it awaited", d)
@@ -179,13 +179,13 @@
 				st.closed.Store(true)
 				n = w.startWith("n0", st, nil)
 				k.serve(n, 30)
-				w.same("begun", k.running(), []string(nil))
+				w.checkEqual("begun", k.running(), []string(nil))
 				if sentAt := st.asked.Load(); sentAt < 5 || sentAt > 150 {
 					t.Errorf("asked %d times", sentAt)
 				}
 				st.closed.Store(false)
 				k.serve(n, 5)
-				w.same("begun then", k.running(), []string{"job-1/0"})
+				w.checkEqual("begun then", k.running(), []string{"job-1/0"})
 			})
 		})
 	}
@@ -196,8 +196,8 @@
 // it; and so is one whose awaited jobs the leader does not know of yet.
 func TestSubmittedDuringACascadeAtANodeCutOff(t *testing.T) {
 	for name, trouble := range map[string]func(w *cluster){
-		"the leader sees no change":     func(w *cluster) { w.store.SetBlind(true) },
-		"the cascade is not written":    func(w *cluster) { w.store.Hold(func(txn kv.Txn) bool { return txn.Records }) },
+		"the leader sees no change":     func(w *cluster) { w.store.SetWatchesBlind(true) },
+		"the cascade is not written":    func(w *cluster) { w.store.Delay(func(txn kv.Txn) bool { return txn.Records }) },
 		"the leader does both in order": func(*cluster) {},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -218,14 +218,14 @@
 					}
 				}
 				time.Sleep(4 * time.Second)
-				w.store.SetBlind(false)
-				w.store.Release()
+				w.store.SetWatchesBlind(false)
+				w.store.ApplyDelayed()
 				time.Sleep(10 * time.Second)
-				w.same("still active", w.keysUnder(records.ActivePrefix+"job-"), []string(nil))
+				w.checkEqual("still active", w.keysUnder(records.ActivePrefix+"job-"), []string(nil))
 				for _, n := range []*node{leader, other} {
 					for i := range 5 {
 						id := fmt.Sprint("job-", 1+i)
-						w.same(id, w.phase(n, id), api.JobCancelled)
+						w.checkEqual(id, w.phase(n, id), api.JobCancelled)
 					}
 				}
 			})
@@ -240,19 +240,19 @@
 		leader, other := w.start("n0"), w.start("n1")
 		k := w.worker("i-1", "a", false)
 		k.serve(leader, 2)
-		w.store.SetBlind(true)
+		w.store.SetWatchesBlind(true)
 		w.submit(other, spec("job-1", 1))
 		w.submit(leader, after("job-2", "red", 1, "job-1"))
 		w.submit(other, after("job-3", "red", 1, "job-2", "job-1"))
 		k.serve(leader, 5)
-		w.same("begun unseen", k.running(), []string(nil))
-		w.store.SetBlind(false)
+		w.checkEqual("begun unseen", k.running(), []string(nil))
+		w.store.SetWatchesBlind(false)
 		k.serve(leader, 6)
-		w.same("begun", k.running(), []string{"job-1/0"})
+		w.checkEqual("begun", k.running(), []string{"job-1/0"})
 		for _, id := range []string{"job-2/0", "job-3/0"} {
 			k.exit(api.CauseDone)
 			k.serve(leader, 4)
-			w.same("begun next", k.running(), []string{id})
+			w.checkEqual("begun next", k.running(), []string{id})
 		}
 	})
 }
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -35,7 +35,7 @@
 //     rejects commands of earlier leaders.
 const (
 	minDirectHeartbeatInterval = 2 * time.Second
-	dispatchFor                = 1500 * time.Millisecond
+	dispatchWindow             = 1500 * time.Millisecond
 	directTimeout              = 1500 * time.Millisecond
 	// A node that was paused lately may be so again, and then finds that the timeout has passed
 	// before it could read the response: the machine would be terminated for nothing.
@@ -62,7 +62,7 @@
 // its machine.
 func (a *attempt) mayStillStart(hb *api.Heartbeat) bool {
 	d := a.direct
-	if d == nil || a.lastSeenIn != 0 || hb.AgentEpoch > d.agentEpoch {
+	if d == nil || a.lastSeenHeartbeat != 0 || hb.AgentEpoch > d.agentEpoch {
 		return false
 	}
 	return d.inFlight || d.outcomeUnknown || hb.Seq < d.seq
@@ -72,7 +72,7 @@
 // outcome.
 func (m *machine) isEmpty() bool {
 	for _, a := range m.attempts {
-		if a.direct == nil || !a.direct.outcomeUnknown || a.lastSeenIn != 0 {
+		if a.direct == nil || !a.direct.outcomeUnknown || a.lastSeenHeartbeat != 0 {
 			return false
 		}
 	}
@@ -186,14 +186,14 @@
 		case m.err == nil:
 			a.direct.seq = m.seq
 		case errors.Is(m.err, api.ErrCommandsNotApplied):
-			if a.lastSeenIn == 0 && m.machine.attempts[a.key] == a {
-				m.leaderTerm.offMachine(a)
+			if a.lastSeenHeartbeat == 0 && m.machine.attempts[a.key] == a {
+				m.leaderTerm.removeAttempt(a)
 			}
 		case m.machine.agentEpoch == a.direct.agentEpoch:
 			a.direct.outcomeUnknown = true
 			m.leaderTerm.evacuate(m.machine, reasonUnanswered)
 			if a.job.ended {
-				m.leaderTerm.resolveOutcome(a)
+				m.leaderTerm.terminateIfOutcomeUnknown(a)
 			}
 		}
 	}
@@ -206,11 +206,11 @@
 // reasonUnanswered is why a machine is evacuated on which a start may still be applied.
 const reasonUnanswered = "order unanswered"
 
-// resolveOutcome terminates a machine on which a task of a job that has ended might still start:
+// terminateIfOutcomeUnknown terminates a machine on which a task of a job that has ended might still start:
 // nothing else prevents that in time.
-func (lt *leaderTerm) resolveOutcome(a *attempt) {
+func (lt *leaderTerm) terminateIfOutcomeUnknown(a *attempt) {
 	m := a.machine
-	startMayApply := a.direct != nil && a.direct.outcomeUnknown && a.lastSeenIn == 0
+	startMayApply := a.direct != nil && a.direct.outcomeUnknown && a.lastSeenHeartbeat == 0
 	if startMayApply && !m.terminated && !m.terminating {
 		lt.evacuate(m, reasonUnanswered)
 		lt.autoscaler.scaleIn(m)
--- a/internal/controller/directcommands_test.go
+++ b/internal/controller/directcommands_test.go
@@ -33,13 +33,13 @@
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		// As a machine does: its token must not be higher, its session the same.
-		if k.rep.Term > o.Term || k.rep.AgentEpoch != o.AgentEpoch {
+		if k.status.Term > o.Term || k.status.AgentEpoch != o.AgentEpoch {
 			return 0
 		}
-		k.rep.Term = o.Term
-		k.carryOut(o.Commands)
-		k.rep.Seq++
-		return k.rep.Seq
+		k.status.Term = o.Term
+		k.applyCommandsLocked(o.Commands)
+		k.status.Seq++
+		return k.status.Seq
 	}
 	if d.hold {
 		d.held = append(d.held, carryOut)
@@ -64,13 +64,13 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.rep.Term > term {
+	if k.status.Term > term {
 		return nil, api.ErrCommandsNotApplied
 	}
-	k.rep.Term = term
-	k.rep.Seq++
-	hb := k.rep
-	hb.Tasks = slices.Clone(k.rep.Tasks)
+	k.status.Term = term
+	k.status.Seq++
+	hb := k.status
+	hb.Tasks = slices.Clone(k.status.Tasks)
 	return &hb, nil
 }
 
@@ -105,12 +105,12 @@
 // seldom is a cluster whose machines report every 5 s, with n of them.
 func (w *cluster) seldom(n int) (*node, *wire, []*worker) {
 	d := &wire{machines: map[string]*worker{}}
-	w.director, w.reportS = d, 5
+	w.commandSender, w.heartbeatS = d, 5
 	a := w.start("n0")
 	var ks []*worker
 	for i := range n {
 		k := w.worker(fmt.Sprint("i-", i), "a", false)
-		d.machines[k.rep.Machine] = k
+		d.machines[k.status.Machine] = k
 		ks = append(ks, k)
 		k.serve(a, 3)
 	}
@@ -122,28 +122,28 @@
 func TestStartsGoStraightToMachines(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		n, d, ks := w.seldom(2)
-		stale := ks[0].rep // on its way while the order is carried out
+		stale := ks[0].status // on its way while the order is carried out
 		stale.Seq++
-		ks[0].rep.Seq++
+		ks[0].status.Seq++
 		w.submit(n, spec("job-1", 6))
 		time.Sleep(time.Second)
-		w.same("begun", len(ks[0].running())+len(ks[1].running()), 6)
+		w.checkEqual("begun", len(ks[0].running())+len(ks[1].running()), 6)
 		if _, err := ks[0].deliver(n, &stale); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
 		for _, k := range ks {
-			for _, o := range k.report(n) {
-				w.same("order", o, nil)
+			for _, o := range k.heartbeat(n) {
+				w.checkEqual("order", o, nil)
 			}
 		}
-		w.same("still", len(ks[0].running())+len(ks[1].running()), 6)
+		w.checkEqual("still", len(ks[0].running())+len(ks[1].running()), 6)
 		d.set(true, false)
 		w.submit(n, spec("job-2", 1))
 		time.Sleep(time.Second)
 		ks[0].serve(n, 6)
 		ks[1].serve(n, 1)
-		w.same("refused, begun by a report's answer", len(ks[0].running())+len(ks[1].running()), 7)
+		w.checkEqual("refused, begun by a report's answer", len(ks[0].running())+len(ks[1].running()), 7)
 	})
 }
 
@@ -162,31 +162,31 @@
 		if len(k.running()) == 0 {
 			k, other = other, k
 		}
-		w.same("one machine is full", len(k.running()), 4)
-		w.cloud.refuseTurns = true
+		w.checkEqual("one machine is full", len(k.running()), 4)
+		w.cloud.rejectTerminate = true
 		d.set(false, true)
 		w.submit(n, spec("job-2", 1))
 		time.Sleep(500 * time.Millisecond)
-		w.same("while it is on its way", len(other.report(n)), 0)
+		w.checkEqual("while it is on its way", len(other.heartbeat(n)), 0)
 		time.Sleep(2500 * time.Millisecond)
 		d.set(false, false)
 		k.exit(api.CauseDone)
 		for range 20 {
-			for _, o := range append(k.report(n), other.report(n)...) {
-				w.same("started again", o.Verb == api.VerbStart, false)
+			for _, o := range append(k.heartbeat(n), other.heartbeat(n)...) {
+				w.checkEqual("started again", o.Verb == api.VerbStart, false)
 			}
 			time.Sleep(time.Second)
 		}
 		w.submit(n, spec("job-4", 6))
 		k.serve(n, 2)
 		other.serve(n, 2)
-		w.same("more work there", len(other.running()), 0)
-		w.same("carried out late", d.release(), 1)
-		w.same("there", other.running(), []string{"job-2/0"})
+		w.checkEqual("more work there", len(other.running()), 0)
+		w.checkEqual("carried out late", d.release(), 1)
+		w.checkEqual("there", other.running(), []string{"job-2/0"})
 		other.serve(n, 2)
 		other.exit(api.CauseDone)
 		other.serve(n, 3)
-		w.same("phase", w.phase(n, "job-2"), "done")
+		w.checkEqual("phase", w.phase(n, "job-2"), "done")
 		// A new session refuses the order for good.
 		k.exit(api.CauseDone)
 		k.serve(n, 3)
@@ -201,18 +201,18 @@
 		time.Sleep(3 * time.Second)
 		d.set(false, false)
 		victim := k
-		n.look(func(c *Controller) {
+		n.inspect(func(c *Controller) {
 			for _, a := range c.leaderTerm.jobs["job-3"].activeAttempts {
 				victim = d.machines[a.machine.name]
 			}
 		})
-		victim.rep.AgentEpoch++
-		victim.rep.Tasks = nil
-		victim.report(n)
-		w.same("not carried out in a new session", d.release(), 0)
+		victim.status.AgentEpoch++
+		victim.status.Tasks = nil
+		victim.heartbeat(n)
+		w.checkEqual("not carried out in a new session", d.release(), 0)
 		k.serve(n, 3)
 		third.serve(n, 3)
-		w.same("begun elsewhere", len(k.running())+len(third.running()), 1)
+		w.checkEqual("begun elsewhere", len(k.running())+len(third.running()), 1)
 	})
 }
 
@@ -231,13 +231,13 @@
 			w.submit(n, spec("job-1", 1))
 			time.Sleep(3 * time.Second)
 			d.set(false, false)
-			w.same("carried out late", d.release(), 1)
+			w.checkEqual("carried out late", d.release(), 1)
 			late.serve(n, 2)
-			w.same("there", late.running(), []string{"job-0/0", "job-1/0"})
-			w.same("returned while its tasks run", w.cloud.gone("i-0"), false)
+			w.checkEqual("there", late.running(), []string{"job-0/0", "job-1/0"})
+			w.checkEqual("returned while its tasks run", w.cloud.terminated("i-0"), false)
 			late.exit(cause)
 			late.serve(n, 6)
-			w.same("returned after its tasks", w.cloud.gone("i-0"), true)
+			w.checkEqual("returned after its tasks", w.cloud.terminated("i-0"), true)
 		})
 	}
 }
@@ -250,21 +250,21 @@
 			n, d, ks := w.seldom(1)
 			w.submit(n, spec("job-0", 1)) // keeps the machine in use
 			time.Sleep(time.Second)
-			ks[0].report(n)
+			ks[0].heartbeat(n)
 			d.set(false, true)
 			w.submit(n, spec("job-1", 1))
 			if !cancelFirst {
 				time.Sleep(3 * time.Second)
-				w.same("waits", w.cloud.gone("i-0"), false)
+				w.checkEqual("waits", w.cloud.terminated("i-0"), false)
 			}
 			if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 				t.Fatal(err)
 			}
 			for range 4 {
-				ks[0].report(n)
+				ks[0].heartbeat(n)
 				time.Sleep(time.Second)
 			}
-			w.same("returned", w.cloud.gone("i-0"), true)
+			w.checkEqual("returned", w.cloud.terminated("i-0"), true)
 		})
 	}
 }
@@ -281,12 +281,12 @@
 		d.set(false, false)
 		b := w.start("n0")
 		for range 4 {
-			ks[0].report(b)
-			ks[1].report(b)
+			ks[0].heartbeat(b)
+			ks[1].heartbeat(b)
 			time.Sleep(time.Second)
 		}
-		w.same("begun once", len(ks[0].running())+len(ks[1].running()), 1)
-		w.same("carried out late", d.release(), 0)
+		w.checkEqual("begun once", len(ks[0].running())+len(ks[1].running()), 1)
+		w.checkEqual("carried out late", d.release(), 0)
 	})
 }
 
@@ -300,7 +300,7 @@
 		w.submit(a, spec("job-1", 8))
 		time.Sleep(2 * time.Second)
 		for _, k := range ks {
-			k.report(a)
+			k.heartbeat(a)
 		}
 		var busy, idle []*worker
 		for _, k := range ks {
@@ -310,34 +310,34 @@
 				idle = append(idle, k)
 			}
 		}
-		w.same("busy machines", len(busy), 2)
+		w.checkEqual("busy machines", len(busy), 2)
 		a.crash()
-		w.dead.Store(busy[0].rep.Machine, true)
+		w.dead.Store(busy[0].status.Machine, true)
 		b := w.start("n0")
 		w.submit(b, spec("job-2", 3))
 		time.Sleep(time.Second)
-		b.look(func(c *Controller) { w.same("unheard after a second", c.leaderTerm.unfenced, 1) })
-		w.same("goes on", len(busy[1].running()) >= 4, true)
+		b.inspect(func(c *Controller) { w.checkEqual("unheard after a second", c.leaderTerm.unfenced, 1) })
+		w.checkEqual("goes on", len(busy[1].running()) >= 4, true)
 		time.Sleep(4 * time.Second)
-		w.same("returned", w.cloud.gone(busy[0].rep.Machine), true)
+		w.checkEqual("returned", w.cloud.terminated(busy[0].status.Machine), true)
 		for _, k := range idle {
-			k.report(b)
+			k.heartbeat(b)
 		}
 		running := len(busy[1].running())
 		for _, k := range idle {
 			running += len(k.running())
 		}
-		w.same("all run", running, 11)
+		w.checkEqual("all run", running, 11)
 		d.set(true, false) // the next job waits for reports
 		w.submit(b, spec("job-3", 1))
 		time.Sleep(4 * time.Second)
-		b.look(func(c *Controller) {
-			m := c.leaderTerm.machines[idle[5].rep.Machine]
-			hb := idle[5].rep
+		b.inspect(func(c *Controller) {
+			m := c.leaderTerm.machines[idle[5].status.Machine]
+			hb := idle[5].status
 			hb.Seq, hb.AgentEpoch = m.heartbeatSeq+1, m.agentEpoch
 			c.leaderTerm.resyncing++
 			resyncResultMsg{c.leaderTerm, m, time.Now(), &hb, nil}.apply(c)
-			w.same("given in a resync", len(m.attempts), 0)
+			w.checkEqual("given in a resync", len(m.attempts), 0)
 		})
 	})
 }
@@ -357,13 +357,13 @@
 		ks[1].serve(b, 2)
 		w.submit(b, spec("job-1", 4))
 		time.Sleep(6 * time.Second) // the refused orders keep the machines back
-		commands, err := ks[0].send(b)
+		commands, err := ks[0].sendHeartbeat(b)
 		if err != nil || len(commands) != 4 {
 			t.Fatalf("orders %v, error %v", commands, err)
 		}
 		resynced := func(k *worker) {
-			b.look(func(c *Controller) {
-				m := c.leaderTerm.machines[k.rep.Machine]
+			b.inspect(func(c *Controller) {
+				m := c.leaderTerm.machines[k.status.Machine]
 				hb, err := d.Resync(context.Background(), m.addr, c.leaderTerm.term.Number)
 				if err != nil {
 					t.Fatal(err)
@@ -374,24 +374,24 @@
 		}
 		resynced(ks[0])
 		ks[1].serve(b, 3)
-		w.same("begun elsewhere", ks[1].running(), []string(nil))
-		ks[0].obey(commands)
+		w.checkEqual("begun elsewhere", ks[1].running(), []string(nil))
+		ks[0].applyCommands(commands)
 		ks[0].serve(b, 2)
-		w.same("begun", len(ks[0].running()), 4)
+		w.checkEqual("begun", len(ks[0].running()), 4)
 
 		// An answer that is lost is known by the machine's next own report, or
 		// by its next session, even if a resync shows that.
 		w.submit(b, spec("job-2", 2))
 		time.Sleep(6 * time.Second)
-		lost, err := ks[1].send(b)
+		lost, err := ks[1].sendHeartbeat(b)
 		if err != nil || len(lost) != 2 {
 			t.Fatalf("orders %v, error %v", lost, err)
 		}
-		ks[1].rep.AgentEpoch, ks[1].rep.Seq = ks[1].rep.AgentEpoch+1, 0
+		ks[1].status.AgentEpoch, ks[1].status.Seq = ks[1].status.AgentEpoch+1, 0
 		resynced(ks[1])
-		b.look(func(c *Controller) { w.same("untaken again", c.leaderTerm.jobs["job-2"].flight.Untaken(), 2) })
+		b.inspect(func(c *Controller) { w.checkEqual("untaken again", c.leaderTerm.jobs["job-2"].flight.Untaken(), 2) })
 		ks[1].serve(b, 6)
-		w.same("repeated", len(ks[1].running()), 2)
+		w.checkEqual("repeated", len(ks[1].running()), 2)
 	})
 }
 
@@ -403,13 +403,13 @@
 		const fleet, fallen = 1100, 100
 		w.teams[0].CPUs, w.teams[0].LimitCPUs = 5000, 5000
 		d := &wire{machines: map[string]*worker{}}
-		w.director, w.reportS = d, 5
+		w.commandSender, w.heartbeatS = d, 5
 		a := w.start("n0")
 		w.submit(a, spec("job-1", 5000))
 		var ks []*worker
 		for i := range fleet {
 			k := w.worker(fmt.Sprintf("i-%04d", i), "a", false)
-			d.machines[k.rep.Machine] = k
+			d.machines[k.status.Machine] = k
 			ks = append(ks, k)
 		}
 		once := func(tasks map[string]bool, k *worker) {
@@ -422,12 +422,12 @@
 		}
 		round := func(n *node, ks []*worker) (running int) {
 			for _, k := range ks {
-				k.report(n)
+				k.heartbeat(n)
 			}
 			time.Sleep(time.Second)
 			tasks := map[string]bool{}
 			for _, k := range d.machines {
-				if !w.cloud.gone(k.rep.Machine) {
+				if !w.cloud.terminated(k.status.Machine) {
 					once(tasks, k)
 				}
 			}
@@ -436,22 +436,22 @@
 		for range 4 {
 			round(a, ks)
 		}
-		w.same("running", round(a, ks), 4*fleet)
+		w.checkEqual("running", round(a, ks), 4*fleet)
 		a.crash()
 		for _, k := range ks[:fallen] {
-			w.dead.Store(k.rep.Machine, true)
+			w.dead.Store(k.status.Machine, true)
 		}
 		b := w.start("n0") // half a second of it
 		b.crash()
 		c := w.start("n0")
 		time.Sleep(500 * time.Millisecond)
-		c.look(func(c *Controller) { w.same("unheard after a second", c.leaderTerm.unfenced <= fallen, true) })
+		c.inspect(func(c *Controller) { w.checkEqual("unheard after a second", c.leaderTerm.unfenced <= fallen, true) })
 		for range 6 {
 			round(c, ks[fallen:])
 		}
-		c.look(func(c *Controller) { w.same("unheard", c.leaderTerm.unfenced, 0) })
-		w.same("returned", len(w.cloud.returned), fallen)
-		w.same("running again", round(c, ks[fallen:]), 4*(fleet-fallen))
+		c.inspect(func(c *Controller) { w.checkEqual("unheard", c.leaderTerm.unfenced, 0) })
+		w.checkEqual("returned", len(w.cloud.terminatedNames), fallen)
+		w.checkEqual("running again", round(c, ks[fallen:]), 4*(fleet-fallen))
 	})
 }
 
@@ -464,23 +464,23 @@
 		const fleet = 50
 		w.teams[0].CPUs, w.teams[0].LimitCPUs = 500, 500
 		d := &wire{machines: map[string]*worker{}}
-		w.director, w.reportS = d, 5
+		w.commandSender, w.heartbeatS = d, 5
 		a := w.start("n0")
 		w.submit(a, spec("job-1", fleet))
 		var ks []*worker
 		for i := range fleet {
 			k := w.worker(fmt.Sprintf("i-%02d", i), "a", false)
-			d.machines[k.rep.Machine] = k
+			d.machines[k.status.Machine] = k
 			ks = append(ks, k)
 		}
 		for range 4 { // reports spread over 5 s
 			for _, k := range ks {
-				k.report(a)
+				k.heartbeat(a)
 				time.Sleep(5 * time.Second / fleet)
 			}
 		}
 		for _, k := range ks {
-			w.dead.Store(k.rep.Machine, true)
+			w.dead.Store(k.status.Machine, true)
 		}
 		d.set(true, false)
 		d.taken()
@@ -492,17 +492,17 @@
 		if n := d.taken(); n == 0 || n > 40 {
 			t.Errorf("%d direct orders", n)
 		}
-		w.same("taken for dead", w.cloud.returned, []string(nil))
+		w.checkEqual("taken for dead", w.cloud.terminatedNames, []string(nil))
 		d.set(false, false)
 		pass := func(k *worker) {
-			k.rep.Seq++
-			hb := k.rep
-			hb.Tasks = slices.Clone(k.rep.Tasks)
+			k.status.Seq++
+			hb := k.status
+			hb.Tasks = slices.Clone(k.status.Tasks)
 			response, err := a.ForwardedHeartbeat(context.Background(), &hb)
 			if err != nil {
 				t.Fatal(err)
 			}
-			k.obey(response.Commands)
+			k.applyCommands(response.Commands)
 		}
 		d.taken()
 		for range 3 {
@@ -515,9 +515,9 @@
 		for _, k := range ks {
 			running += len(k.running())
 		}
-		w.same("running", running, fleet+100+9)
+		w.checkEqual("running", running, fleet+100+9)
 		w.submit(a, spec("job-4", 4))
 		time.Sleep(time.Second)
-		w.same("sent straight to machines out of reach", d.taken(), 0)
+		w.checkEqual("sent straight to machines out of reach", d.taken(), 0)
 	})
 }
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -168,7 +168,7 @@
 	}
 	s.gates[name] = &gate{Fake: s.store}
 	n := s.startWith(name, s.gates[name], meshEnd{s.mesh, name})
-	n.look(func(c *Controller) { c.Policy.MinCPUs = 1000 })
+	n.inspect(func(c *Controller) { c.Policy.MinCPUs = 1000 })
 	s.mesh.mu.Lock()
 	defer s.mesh.mu.Unlock()
 	s.mesh.nodes[name] = n
@@ -242,9 +242,9 @@
 	for _, k := range s.agents {
 		for _, task := range k.running() {
 			if machineOf[task] != "" {
-				s.t.Errorf("%s runs on %s and %s", task, machineOf[task], k.rep.Machine)
+				s.t.Errorf("%s runs on %s and %s", task, machineOf[task], k.status.Machine)
 			}
-			machineOf[task] = k.rep.Machine
+			machineOf[task] = k.status.Machine
 		}
 	}
 }
@@ -252,23 +252,23 @@
 // runAgent ends tasks that have run for a while, and sends a machine's heartbeat to the first
 // node that responds.
 func (s *standbyCluster) runAgent(k *worker) {
-	if s.rounds[k.rep.Machine]++; s.rounds[k.rep.Machine]%5 == 0 {
+	if s.rounds[k.status.Machine]++; s.rounds[k.status.Machine]%5 == 0 {
 		k.exit(api.CauseDone)
 	}
 	for _, n := range s.runningNodes() {
 		name := n.Settings.Node
 		s.mu.Lock()
-		only, never := s.reportsOnlyTo[k.rep.Machine], s.neverReportsTo[k.rep.Machine]
+		only, never := s.reportsOnlyTo[k.status.Machine], s.neverReportsTo[k.status.Machine]
 		s.mu.Unlock()
 		if only != "" && only != name || never == name {
 			continue
 		}
-		commands, err := k.send(n)
+		commands, err := k.sendHeartbeat(n)
 		if err != nil {
 			continue
 		}
-		s.checkStarts(k.rep.Term, commands)
-		k.obey(commands)
+		s.checkStarts(k.status.Term, commands)
+		k.applyCommands(commands)
 		return
 	}
 }
@@ -459,7 +459,7 @@
 	if storeToo {
 		// It does not learn of the next term, and nothing else holds it back.
 		s.gates[leader].set(true)
-		n.look(func(c *Controller) { c.leaderTerm.cancellationsConfirmedAt = time.Now().Add(time.Hour) })
+		n.inspect(func(c *Controller) { c.leaderTerm.cancellationsConfirmedAt = time.Now().Add(time.Hour) })
 	}
 	time.Sleep(13 * time.Second)
 	_, nextTerm := s.leader()
@@ -472,12 +472,12 @@
 	simulateStandby(t, 3, func(s *standbyCluster) {
 		n, _ := s.leader()
 		for _, other := range s.runningNodes() {
-			other.look(func(c *Controller) {
+			other.inspect(func(c *Controller) {
 				c.failover.lastNewTerm = time.Now().Add(time.Hour)
 				c.failover.voter.Begin(1000) // as if started after all terms to come
 			})
 		}
-		n.look(func(c *Controller) { c.leaderTerm.stepDown() })
+		n.inspect(func(c *Controller) { c.leaderTerm.stepDown() })
 		time.Sleep(5 * time.Second)
 		s.checkReplacedByLeaseExpiry()
 	})
@@ -488,7 +488,7 @@
 func (s *standbyCluster) checkReplacedByLeaseExpiry() {
 	s.t.Helper()
 	n, term := s.leader()
-	n.look(func(c *Controller) { s.same("quorum required", c.leaderTerm.quorumRequired, false) })
+	n.inspect(func(c *Controller) { s.checkEqual("quorum required", c.leaderTerm.quorumRequired, false) })
 	startTime := time.Now()
 	s.endNode(n.Settings.Node)
 	time.Sleep(45 * time.Second)
@@ -507,9 +507,9 @@
 		time.Sleep(12 * time.Second)
 		epochs := 0
 		for _, k := range s.agents {
-			epochs += int(k.rep.AgentEpoch)
+			epochs += int(k.status.AgentEpoch)
 		}
-		s.same("sum of agent epochs", epochs, len(s.agents))
+		s.checkEqual("sum of agent epochs", epochs, len(s.agents))
 		s.store.SetDown(false)
 		time.Sleep(5 * time.Second)
 		if next, now := s.leader(); next != n || now != term {
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -26,20 +26,20 @@
 					w.dead.Store("i-1", true)
 				}
 				starts, heartbeats := 0, 0
-				for ; heartbeats < 60 && !w.cloud.gone("i-1"); heartbeats++ {
-					commands, err := partitioned.send(n)
+				for ; heartbeats < 60 && !w.cloud.terminated("i-1"); heartbeats++ {
+					commands, err := partitioned.sendHeartbeat(n)
 					if err != nil {
 						break
 					}
 					starts += countStarts(commands, "")
 					time.Sleep(time.Second)
 				}
-				w.same("terminated", w.cloud.gone("i-1"), true)
+				w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
 				if starts < 2 || starts > 5 {
 					t.Errorf("got %d starts in %d heartbeats, want 2 to 5", starts, heartbeats)
 				}
 				healthy.serve(n, 5)
-				w.same("tasks elsewhere", len(healthy.running()), 1)
+				w.checkEqual("tasks elsewhere", len(healthy.running()), 1)
 			})
 		})
 	}
@@ -63,14 +63,14 @@
 		k.serve(n, 2)
 		for i := range 12 {
 			w.submit(n, spec("job-"+string(rune('1'+i)), 1))
-			if _, err := k.send(n); err != nil { // its response is lost
+			if _, err := k.sendHeartbeat(n); err != nil { // its response is lost
 				t.Fatal(err)
 			}
 			k.serve(n, 2)
 			k.exit(api.CauseDone)
 			k.serve(n, 2)
 		}
-		w.same("terminated", w.cloud.gone("i-1"), false)
+		w.checkEqual("terminated", w.cloud.terminated("i-1"), false)
 	})
 }
 
@@ -83,16 +83,16 @@
 		k.serve(n, 2)
 		w.dead.Store("i-1", true)
 		for range 10 {
-			if w.cloud.gone("i-1") {
+			if w.cloud.terminated("i-1") {
 				return
 			}
-			k.rep.AgentEpoch++
-			if _, err := k.send(n); err != nil {
+			k.status.AgentEpoch++
+			if _, err := k.sendHeartbeat(n); err != nil {
 				break
 			}
 			time.Sleep(time.Second)
 		}
-		w.same("terminated", w.cloud.gone("i-1"), true)
+		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
 	})
 }
 
@@ -107,22 +107,22 @@
 			partitioned.serve(a, 2)
 			w.submit(a, spec("job-1", 4))
 			partitioned.serve(a, 2)
-			w.same("running", len(partitioned.running()), 4)
+			w.checkEqual("running", len(partitioned.running()), 4)
 			a.crash()
 			if !answersProbes {
 				w.dead.Store("i-1", true)
 			}
 			b := w.start("n0")
-			old := partitioned.rep
+			old := partitioned.status
 			for range 20 {
 				old.Seq++
 				hb := old
 				_, _ = partitioned.deliver(b, &hb) // the response is lost, whatever it is
-				healthy.report(b)
+				healthy.heartbeat(b)
 				time.Sleep(time.Second)
 			}
-			w.same("terminated", w.cloud.gone("i-1"), true)
-			w.same("tasks elsewhere", len(healthy.running()), 4)
+			w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
+			w.checkEqual("tasks elsewhere", len(healthy.running()), 4)
 		})
 	}
 }
@@ -135,21 +135,21 @@
 		k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		w.submit(n, spec("job-1", 1))
 		k.serve(n, 3)
-		w.same("running", len(k.running()), 1)
-		copied := k.rep
-		copied.Tasks = slices.Clone(k.rep.Tasks)
+		w.checkEqual("running", len(k.running()), 1)
+		copied := k.status
+		copied.Tasks = slices.Clone(k.status.Tasks)
 		k.serve(n, 2)
 		w.dead.Store("i-1", true) // dies; copies of its heartbeats still arrive
 		for range 12 {
 			hb := copied
 			if commands, err := k.deliver(n, &hb); err == nil {
-				w.same("commands for a copy", len(commands), 0)
+				w.checkEqual("commands for a copy", len(commands), 0)
 			}
-			other.report(n)
+			other.heartbeat(n)
 			time.Sleep(time.Second)
 		}
-		w.same("terminated", w.cloud.gone("i-1"), true)
-		w.same("tasks elsewhere", len(other.running()), 1)
+		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
+		w.checkEqual("tasks elsewhere", len(other.running()), 1)
 	})
 }
 
@@ -159,38 +159,38 @@
 	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		dead, k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
-		first := dead.rep // its very first heartbeat, with no fencing token
+		first := dead.status // its very first heartbeat, with no fencing token
 		first.Seq = 1
 		w.submit(a, spec("job-1", 1))
 		dead.serve(a, 3)
-		w.same("first run", len(dead.running()), 1)
-		copied := dead.rep
-		copied.Tasks = slices.Clone(dead.rep.Tasks)
+		w.checkEqual("first run", len(dead.running()), 1)
+		copied := dead.status
+		copied.Tasks = slices.Clone(dead.status.Tasks)
 		w.dead.Store("i-1", true)
 		for range 8 {
-			k.report(a)
+			k.heartbeat(a)
 			time.Sleep(time.Second)
 		}
-		w.same("terminated", w.cloud.gone("i-1"), true)
-		w.same("second run", len(k.running()), 1)
+		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
+		w.checkEqual("second run", len(k.running()), 1)
 		a.crash()
 		b := w.start("n0")
 		for i := range 12 {
 			for _, hb := range []api.Heartbeat{first, copied} {
 				hb.Seq += uint64(i % 2)
 				if commands, err := dead.deliver(b, &hb); err == nil {
-					w.same("commands for a copy", len(commands), 0)
+					w.checkEqual("commands for a copy", len(commands), 0)
 				}
 			}
-			for _, cmd := range append(k.report(b), other.report(b)...) {
-				w.same("command", cmd, nil)
+			for _, cmd := range append(k.heartbeat(b), other.heartbeat(b)...) {
+				w.checkEqual("command", cmd, nil)
 			}
 			time.Sleep(time.Second)
 		}
-		w.same("second run goes on", len(k.running()), 1)
-		w.same("registry", w.roster(), []string{"i-2", "i-3"})
-		w.same("terminated", w.cloud.returned, []string{"i-1"})
-		w.same("phase", w.phase(b, "job-1"), "running")
+		w.checkEqual("second run goes on", len(k.running()), 1)
+		w.checkEqual("registry", w.registeredMachines(), []string{"i-2", "i-3"})
+		w.checkEqual("terminated", w.cloud.terminatedNames, []string{"i-1"})
+		w.checkEqual("phase", w.phase(b, "job-1"), "running")
 	})
 }
 
@@ -205,9 +205,9 @@
 		w.submit(n, s)
 		round := func(partitioned bool) {
 			for range 5 {
-				near.report(n)
+				near.heartbeat(n)
 				if !partitioned {
-					far.report(n)
+					far.heartbeat(n)
 				}
 				time.Sleep(time.Second)
 			}
@@ -219,19 +219,19 @@
 		for range 5 {
 			round(true)
 		}
-		delayed := far.rep // sent as the partition began, delivered as it heals
+		delayed := far.status // sent as the partition began, delivered as it heals
 		delayed.Tasks = nil
-		for _, task := range far.rep.Tasks {
+		for _, task := range far.status.Tasks {
 			task.Phase, task.Cause = api.TaskRunning, ""
 			delayed.Tasks = append(delayed.Tasks, task)
 		}
-		far.rep.Seq++
+		far.status.Seq++
 		_, _ = far.deliver(n, &delayed) // the response is not applied, whatever it is
-		n.look(func(c *Controller) { w.same("restarted", len(c.leaderTerm.jobs["job-1"].restarted), 0) })
+		n.inspect(func(c *Controller) { w.checkEqual("restarted", len(c.leaderTerm.jobs["job-1"].restartedTasks), 0) })
 		round(false)
 		round(false)
 		round(false)
-		w.same("terminated as slow", w.cloud.gone("i-2"), false)
+		w.checkEqual("terminated as slow", w.cloud.terminated("i-2"), false)
 	})
 }
 
@@ -254,7 +254,7 @@
 				s.EstimateS = 5
 				w.submit(n, s)
 			}
-			started += countStarts(k.report(n), "job-1/")
+			started += countStarts(k.heartbeat(n), "job-1/")
 			if started > 0 && firstStart == 0 {
 				firstStart = time.Since(t0)
 			}
@@ -287,14 +287,14 @@
 		w.submit(n, s)
 		for second := range 60 {
 			for i, k := range agents {
-				k.report(n)
+				k.heartbeat(n)
 				if i < 3 && second%4 == 3 || second%20 == 19 {
 					k.exit(api.CauseDone)
 				}
 			}
 			time.Sleep(time.Second)
 		}
-		if terminated := len(w.cloud.returned); terminated < 1 || terminated > 3 { // nine without the guard
+		if terminated := len(w.cloud.terminatedNames); terminated < 1 || terminated > 3 { // nine without the guard
 			t.Errorf("got %d machines terminated, want 1 to 3", terminated)
 		}
 	})
@@ -305,24 +305,24 @@
 // or share the new one's term, nor change a job accepted meanwhile.
 func TestLateRequestsOfEarlierIncarnation(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.store.Hold(touches("leader"))
+		w.store.Delay(touches("leader"))
 		a := w.start("n0")
-		w.same("delayed takeovers", w.store.Held(), 1)
+		w.checkEqual("delayed takeovers", w.store.DelayedCount(), 1)
 		a.crash()
 		time.Sleep(100 * time.Millisecond)
-		w.store.Hold(nil)
+		w.store.Delay(nil)
 		b := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(b, 2)
-		term := k.rep.Term
-		w.same("new incarnation leads", term > 0, true)
-		for _, res := range w.store.Release() {
-			w.same("late takeover applied", res.Succeeded, false)
+		term := k.status.Term
+		w.checkEqual("new incarnation leads", term > 0, true)
+		for _, res := range w.store.ApplyDelayed() {
+			w.checkEqual("late takeover applied", res.Succeeded, false)
 		}
 		k.serve(b, 8)
-		w.same("term", k.rep.Term, term)
+		w.checkEqual("term", k.status.Term, term)
 
-		w.store.Hold(touches(records.ActivePrefix))
+		w.store.Delay(touches(records.ActivePrefix))
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if _, _, err := b.Submit(ctx, spec("job-1", 1)); err == nil {
@@ -330,19 +330,19 @@
 		}
 		b.crash()
 		time.Sleep(100 * time.Millisecond)
-		w.store.Hold(nil)
+		w.store.Delay(nil)
 		c := w.start("n0")
 		w.submit(c, spec("job-1", 1))
 		k.serve(c, 4)
 		k.exit(api.CauseDone)
 		k.serve(c, 4)
-		w.same("phase", w.phase(c, "job-1"), "done")
-		for _, res := range w.store.Release() {
-			w.same("late record applied", res.Succeeded, false)
+		w.checkEqual("phase", w.phase(c, "job-1"), "done")
+		for _, res := range w.store.ApplyDelayed() {
+			w.checkEqual("late record applied", res.Succeeded, false)
 		}
-		w.same("phase", w.phase(c, "job-1"), "done")
+		w.checkEqual("phase", w.phase(c, "job-1"), "done")
 		k.serve(c, 3)
-		w.same("started again", len(k.running()), 0)
+		w.checkEqual("started again", len(k.running()), 0)
 	})
 }
 
@@ -350,15 +350,15 @@
 // own name in the leader key, and must begin a term of its own.
 func TestAppliedTakeoverOfEarlierIncarnation(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.store.Lose(touches("leader"))
+		w.store.LoseResponses(touches("leader"))
 		a := w.start("n0")
 		a.crash()
 		time.Sleep(100 * time.Millisecond)
-		w.store.Lose(nil)
+		w.store.LoseResponses(nil)
 		b := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(b, 2)
-		w.same("term of its own", k.rep.Term, 2)
+		w.checkEqual("term of its own", k.status.Term, 2)
 	})
 }
 
@@ -371,14 +371,14 @@
 		partitioned := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 2))
 		partitioned.serve(n, 3)
-		w.same("running", len(partitioned.running()), 2)
+		w.checkEqual("running", len(partitioned.running()), 2)
 		w.dead.Store("i-1", true)
 		if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
 		t0 := time.Now()
-		for !w.cloud.gone("i-1") && time.Since(t0) < time.Minute {
-			_, _ = partitioned.send(n) // no response reaches it
+		for !w.cloud.terminated("i-1") && time.Since(t0) < time.Minute {
+			_, _ = partitioned.sendHeartbeat(n) // no response reaches it
 			time.Sleep(time.Second)
 		}
 		if took := time.Since(t0); took >= 30*time.Second {
@@ -415,10 +415,10 @@
 		}
 		for i := range 12 {
 			for _, n := range []*node{a, b} {
-				w.same(fmt.Sprint("job ", i), w.phase(n, fmt.Sprint("job-", i)), "done")
+				w.checkEqual(fmt.Sprint("job ", i), w.phase(n, fmt.Sprint("job-", i)), "done")
 			}
 		}
-		w.same("ready", a.Ready() && b.Ready(), true)
+		w.checkEqual("ready", a.Ready() && b.Ready(), true)
 	})
 }
 
@@ -433,19 +433,19 @@
 		k.serve(a, 3)
 		w.submit(a, spec("job-1", 4))
 		k.serve(a, 6)
-		w.same("running", len(k.running()), 4)
+		w.checkEqual("running", len(k.running()), 4)
 		other.serve(a, 3)
-		k.rep.Seq, k.rep.Term, k.rep.Tasks = 0, 0, nil
+		k.status.Seq, k.status.Term, k.status.Tasks = 0, 0, nil
 		for range 15 {
-			if !w.cloud.gone("i-1") {
-				w.same("tasks elsewhere before the termination", other.running(), []string(nil))
-				k.report(a)
+			if !w.cloud.terminated("i-1") {
+				w.checkEqual("tasks elsewhere before the termination", other.running(), []string(nil))
+				k.heartbeat(a)
 			}
-			other.report(a)
+			other.heartbeat(a)
 			time.Sleep(time.Second)
 		}
-		w.same("terminated", w.cloud.gone("i-1"), true)
-		w.same("tasks elsewhere", len(other.running()), 4)
+		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
+		w.checkEqual("tasks elsewhere", len(other.running()), 4)
 	})
 }
 
@@ -456,9 +456,9 @@
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
-		hb := k.rep
+		hb := k.status
 		hb.Term, hb.Seq = hb.Term+1, hb.Seq+1
-		n.look(func(c *Controller) {
+		n.inspect(func(c *Controller) {
 			defer func() {
 				if p := recover(); p != nil {
 					t.Errorf("panics on a heartbeat: %v", p)
@@ -466,8 +466,8 @@
 			}()
 			m := heartbeatMsg{heartbeat: &hb, reply: make(chan heartbeatReply, 1), receivedAt: time.Now()}
 			m.apply(c)
-			w.same("rejected", (<-m.reply).err, &api.NotLeaderError{})
-			w.same("leads", c.leaderTerm != nil, false)
+			w.checkEqual("rejected", (<-m.reply).err, &api.NotLeaderError{})
+			w.checkEqual("leads", c.leaderTerm != nil, false)
 		})
 	})
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -26,16 +26,16 @@
 
 // fakeCloud is a cloud that launches nothing by itself; tests script its responses.
 type fakeCloud struct {
-	mu       sync.Mutex
-	types    []api.MachineType
-	rentals  []cloud.LaunchRequest
-	returned []string
-	hosts    []cloud.Machine
+	mu              sync.Mutex
+	types           []api.MachineType
+	launches        []cloud.LaunchRequest
+	terminatedNames []string
+	machines        []cloud.Machine
 	// capacity is the number of machines that each launch request gets.
-	capacity    int
-	loseRent    bool
-	refuseTurns bool
-	launched    map[string][]string
+	capacity           int
+	loseLaunchResponse bool
+	rejectTerminate    bool
+	launched           map[string][]string
 }
 
 func (f *fakeCloud) Types(context.Context) ([]api.MachineType, error) { return f.types, nil }
@@ -43,7 +43,7 @@
 func (f *fakeCloud) Launch(_ context.Context, r cloud.LaunchRequest) ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rentals = append(f.rentals, r)
+	f.launches = append(f.launches, r)
 	if f.capacity == 0 {
 		return nil, cloud.ErrNoCapacity
 	}
@@ -53,8 +53,8 @@
 			f.launched[r.Name] = append(f.launched[r.Name], machine)
 		}
 	}
-	if f.loseRent {
-		f.loseRent = false
+	if f.loseLaunchResponse {
+		f.loseLaunchResponse = false
 		return nil, errors.New("no response")
 	}
 	return f.launched[r.Name], nil
@@ -63,23 +63,23 @@
 func (f *fakeCloud) Terminate(_ context.Context, names []string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.refuseTurns {
+	if f.rejectTerminate {
 		return errors.New("terminate rejected")
 	}
-	f.returned = append(f.returned, names...)
+	f.terminatedNames = append(f.terminatedNames, names...)
 	return nil
 }
 
 func (f *fakeCloud) List(context.Context) ([]cloud.Machine, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.hosts), nil
+	return slices.Clone(f.machines), nil
 }
 
-func (f *fakeCloud) gone(name string) bool {
+func (f *fakeCloud) terminated(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Contains(f.returned, name)
+	return slices.Contains(f.terminatedNames, name)
 }
 
 // cluster is a simulated deployment on a fake clock: nodes, store, cloud and scripted
@@ -89,15 +89,15 @@
 	store *kvtest.Fake
 	cloud *fakeCloud
 	teams []config.Team
-	// director sends commands outside heartbeat responses; nil: none are sent.
-	director CommandSender
-	// reportS is the heartbeat interval in seconds, at least 1.
-	reportS float64
+	// commandSender sends commands outside heartbeat responses; nil: none are sent.
+	commandSender CommandSender
+	// heartbeatS is the heartbeat interval in seconds, at least 1.
+	heartbeatS float64
 	// cancelS is how long a cancellation may take, in seconds; 0 means 30.
 	cancelS float64
 	// state holds the limits of the key-value store as the nodes know them; the zero value
 	// means those of a usual site.
-	state config.StateLimits
+	state config.KVLimits
 	// cells and link are set if there are other cells.
 	cells *cells.Settings
 	link  CellLink
@@ -108,7 +108,7 @@
 	zones map[string]string
 	// dead holds the machines that fail probes, tardy those that do not respond to one before
 	// it times out.
-	dead, tardy sync.Map
+	dead, unresponsive sync.Map
 	// machines maps addresses to scripted machines.
 	machines sync.Map
 	// ctx ends with the cluster, and ends all nodes; running counts the goroutines that run
@@ -119,7 +119,7 @@
 
 // Probe implements Prober.
 func (w *cluster) Probe(ctx context.Context, addr string) (*api.Heartbeat, error) {
-	if _, tardy := w.tardy.Load(addr); tardy {
+	if _, tardy := w.unresponsive.Load(addr); tardy {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -133,9 +133,9 @@
 	m := k.(*worker)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.rep.Seq++
-	hb := m.rep
-	hb.Tasks = slices.Clone(m.rep.Tasks)
+	m.status.Seq++
+	hb := m.status
+	hb.Tasks = slices.Clone(m.status.Tasks)
 	return &hb, nil
 }
 
@@ -257,8 +257,8 @@
 
 func (m inspectMsg) apply(c *Controller) { m.f(c); close(m.done) }
 
-// look calls f with the state of a running node.
-func (n *node) look(f func(*Controller)) {
+// inspect calls f with the state of a running node.
+func (n *node) inspect(f func(*Controller)) {
 	if !n.tryInspect(f) {
 		panic("inspected a controller that has ended")
 	}
@@ -293,7 +293,7 @@
 		Cloud:         w.cloud,
 		Peers:         peers,
 		Prober:        w,
-		CommandSender: w.director,
+		CommandSender: w.commandSender,
 		Log:           log,
 		Cells:         w.cells,
 		Link:          w.link,
@@ -327,11 +327,11 @@
 			Teams:      w.teams,
 			Objectives: []config.Objective{{Kind: "finished", Class: "c", WithinS: 90}},
 			Workers: config.Workers{
-				HeartbeatS: max(1, w.reportS),
-				LeaseS:     max(10, 5*w.reportS),
+				HeartbeatS: max(1, w.heartbeatS),
+				LeaseS:     max(10, 5*w.heartbeatS),
 				CancelS:    cmp.Or(w.cancelS, 30),
 			},
-			State:  cmp.Or(w.state, config.StateLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}),
+			State:  cmp.Or(w.state, config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}),
 			Cloud:  config.CloudLimits{RPS: 5, ListLagS: 4},
 			Limits: config.Limits{FDLimit: 2400},
 		},
@@ -382,13 +382,13 @@
 
 // worker is a scripted worker agent. Its heartbeats are sent by the test.
 type worker struct {
-	w   *cluster
-	mu  sync.Mutex
-	rep api.Heartbeat
+	w      *cluster
+	mu     sync.Mutex
+	status api.Heartbeat
 }
 
 func (w *cluster) worker(name, zone string, spot bool) *worker {
-	k := &worker{w: w, rep: api.Heartbeat{
+	k := &worker{w: w, status: api.Heartbeat{
 		Machine:    name,
 		Addr:       name,
 		Type:       "small",
@@ -405,22 +405,22 @@
 	Heartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error)
 }
 
-// report sends a heartbeat and applies the commands of its response, as an agent does.
-func (k *worker) report(n heartbeatReceiver) []api.Command {
-	commands, err := k.send(n)
+// heartbeat sends a heartbeat and applies the commands of its response, as an agent does.
+func (k *worker) heartbeat(n heartbeatReceiver) []api.Command {
+	commands, err := k.sendHeartbeat(n)
 	if err != nil {
 		return nil
 	}
-	k.obey(commands)
+	k.applyCommands(commands)
 	return commands
 }
 
-// send sends a heartbeat; the commands of its response are lost unless the test applies them.
-func (k *worker) send(n heartbeatReceiver) ([]api.Command, error) {
+// sendHeartbeat sends a heartbeat; the commands of its response are lost unless the test applies them.
+func (k *worker) sendHeartbeat(n heartbeatReceiver) ([]api.Command, error) {
 	k.mu.Lock()
-	k.rep.Seq++
-	hb := k.rep
-	hb.Tasks = slices.Clone(k.rep.Tasks)
+	k.status.Seq++
+	hb := k.status
+	hb.Tasks = slices.Clone(k.status.Tasks)
 	k.mu.Unlock()
 	return k.deliver(n, &hb)
 }
@@ -433,32 +433,32 @@
 	response, err := n.Heartbeat(ctx, hb)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err == nil && response.Term >= k.rep.Term {
-		k.rep.Term = response.Term
+	if err == nil && response.Term >= k.status.Term {
+		k.status.Term = response.Term
 		return response.Commands, nil
 	}
 	return nil, errors.Join(err, errors.New("response rejected"))
 }
 
-// obey applies commands as an agent does.
-func (k *worker) obey(commands []api.Command) {
+// applyCommands applies commands as an agent does.
+func (k *worker) applyCommands(commands []api.Command) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.carryOut(commands)
+	k.applyCommandsLocked(commands)
 }
 
-// carryOut is obey with the lock held.
-func (k *worker) carryOut(commands []api.Command) {
+// applyCommandsLocked is obey with the lock held.
+func (k *worker) applyCommandsLocked(commands []api.Command) {
 	for _, cmd := range commands {
-		i := taskIndex(k.rep.Tasks, cmd)
+		i := taskIndex(k.status.Tasks, cmd)
 		switch {
 		case cmd.Verb == api.VerbStart && i < 0:
 			started := api.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, Phase: api.TaskRunning}
-			k.rep.Tasks = append(k.rep.Tasks, started)
+			k.status.Tasks = append(k.status.Tasks, started)
 		case cmd.Verb == api.VerbStop && i >= 0:
-			k.rep.Tasks[i].Phase, k.rep.Tasks[i].Cause = api.TaskExited, api.CauseHalted
+			k.status.Tasks[i].Phase, k.status.Tasks[i].Cause = api.TaskExited, api.CauseHalted
 		case cmd.Verb == api.VerbReap && i >= 0:
-			k.rep.Tasks = slices.Delete(k.rep.Tasks, i, i+1)
+			k.status.Tasks = slices.Delete(k.status.Tasks, i, i+1)
 		}
 	}
 }
@@ -473,7 +473,7 @@
 // serve sends a heartbeat once a second for some seconds.
 func (k *worker) serve(n heartbeatReceiver, seconds int) {
 	for range seconds {
-		k.report(n)
+		k.heartbeat(n)
 		time.Sleep(time.Second)
 	}
 }
@@ -482,9 +482,9 @@
 func (k *worker) exit(cause string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for i := range k.rep.Tasks {
-		if k.rep.Tasks[i].Phase == api.TaskRunning {
-			k.rep.Tasks[i].Phase, k.rep.Tasks[i].Cause = api.TaskExited, cause
+	for i := range k.status.Tasks {
+		if k.status.Tasks[i].Phase == api.TaskRunning {
+			k.status.Tasks[i].Phase, k.status.Tasks[i].Cause = api.TaskExited, cause
 		}
 	}
 }
@@ -494,7 +494,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []string
-	for _, t := range k.rep.Tasks {
+	for _, t := range k.status.Tasks {
 		if t.Phase != api.TaskExited {
 			out = append(out, t.Task)
 		}
@@ -503,8 +503,8 @@
 	return out
 }
 
-// same fails the test unless got and want are equal as JSON.
-func (w *cluster) same(what string, got, want any) {
+// checkEqual fails the test unless got and want are equal as JSON.
+func (w *cluster) checkEqual(what string, got, want any) {
 	w.t.Helper()
 	g, _ := json.Marshal(got)
 	e, _ := json.Marshal(want)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -11,10 +11,10 @@
 // below 64 KiB.
 const maxCommands = 200
 
-// handleOwnHeartbeat applies an agent-initiated heartbeat and returns the response with its
+// handleAgentHeartbeat applies an agent-initiated heartbeat and returns the response with its
 // commands. But for direct starts, commands are sent in responses only: the worker agent drops
 // a late response, while a command sent on its own could be applied minutes later.
-func (lt *leaderTerm) handleOwnHeartbeat(hb *api.Heartbeat, now time.Time) (api.HeartbeatResponse, error) {
+func (lt *leaderTerm) handleAgentHeartbeat(hb *api.Heartbeat, now time.Time) (api.HeartbeatResponse, error) {
 	return lt.handleHeartbeat(hb, agentInitiated, now)
 }
 
@@ -63,7 +63,7 @@
 	if m == nil {
 		// The heartbeat's strings share its body's memory.
 		m = lt.addMachine(strings.Clone(hb.Machine), strings.Clone(hb.Type), strings.Clone(hb.Zone), hb.Spot, now)
-		lt.c.Log.Info("first heartbeat of machine", "machine", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot)
+		lt.c.Log.Info("first heartbeat of machine", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot)
 	}
 	if hb.AgentEpoch < m.agentEpoch || (hb.AgentEpoch == m.agentEpoch && hb.Seq <= m.heartbeatSeq) {
 		return response, nil // older than the newest one applied
@@ -106,7 +106,7 @@
 		}
 		m.lastCommands = nil
 	}
-	m.heartbeats++
+	m.heartbeatCount++
 	if now.Sub(m.lastHeartbeat) > lt.heartbeatTimeout() {
 		m.markUnmeasured()
 	}
@@ -116,7 +116,7 @@
 		m.addr = strings.Clone(hb.Addr)
 	}
 	if m.cpus == 0 {
-		if mt, ok := lt.c.types.load()[m.typ]; ok {
+		if mt, ok := lt.c.types.load()[m.machineType]; ok {
 			m.cpus, m.gpus, m.memory = mt.CPUs, mt.GPUs, mt.MemoryGB
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 	for _, command := range m.lastCommands {
 		a := m.attempts[attemptKey{command.Task, command.Attempt}]
-		shown := a != nil && a.lastSeenIn == m.heartbeats
+		shown := a != nil && a.lastSeenHeartbeat == m.heartbeatCount
 		stopping := shown && command.Verb == api.VerbStop && a.phase != api.TaskRunning
 		if (command.Verb == api.VerbStart) == shown || stopping {
 			m.unappliedResponses = 0
@@ -194,17 +194,17 @@
 		}
 		s := &a.job.spec
 		if s.CheckpointS > 0 {
-			lt.stop(a, timeLeft, now)
+			lt.requestStop(a, timeLeft, now)
 		} else if a.runningAt.IsZero() || a.runningAt.Add(s.Estimate()).After(m.preemptAt) {
 			// It would not end in time; elsewhere it can start now.
-			lt.stop(a, 0, now)
+			lt.requestStop(a, 0, now)
 		}
 	}
 }
 
-// stop marks an attempt to be stopped by the responses to its machine's heartbeats. Of several
+// requestStop marks an attempt to be stopped by the responses to its machine's heartbeats. Of several
 // requests, the one with the shortest grace holds.
-func (lt *leaderTerm) stop(a *attempt, grace time.Duration, now time.Time) {
+func (lt *leaderTerm) requestStop(a *attempt, grace time.Duration, now time.Time) {
 	if a.stop != nil && a.stop.grace <= grace {
 		return
 	}
@@ -223,7 +223,7 @@
 		lt.checkApplied(m, now)
 	}
 	for key, a := range m.attempts {
-		if a.lastSeenIn != m.heartbeats {
+		if a.lastSeenHeartbeat != m.heartbeatCount {
 			startInFlight := a.mayStillStart(hb) || (origin == solicited && a.startInFlight(hb))
 			if !startInFlight {
 				lt.removeMissing(a)
@@ -234,7 +234,7 @@
 			continue
 		}
 		if !a.isWanted() {
-			lt.stop(a, 0, now)
+			lt.requestStop(a, 0, now)
 		}
 		if a.stop != nil {
 			grace := max(0, a.stop.grace-now.Sub(a.stop.since)).Seconds()
@@ -264,7 +264,7 @@
 		if a == nil {
 			a = lt.adoptAttempt(m, key, status, now)
 		}
-		a.lastSeenIn = m.heartbeats
+		a.lastSeenHeartbeat = m.heartbeatCount
 		lt.applyTaskStatus(a, status, now)
 		if a.exited && lt.isReapable(a) && len(reaps) < maxCommands {
 			reaps = append(reaps, api.Command{Verb: api.VerbReap, Task: status.Task, Attempt: status.Attempt})
@@ -279,10 +279,10 @@
 	if !a.exited && !a.exitHandled && a.phase == "" {
 		lt.c.Log.Debug("start not applied", "machine", a.machine.name, "task", a.key.ref, "attempt", a.key.id)
 	}
-	lt.offMachine(a)
+	lt.removeAttempt(a)
 }
 
-// recordImage records in memory that a machine has a job's image.
-func (lt *leaderTerm) recordImage(m *machine, s *api.JobSpec, now time.Time) {
-	m.images.use(s, lt.c.types.load()[m.typ].CacheGB, now)
+// addImage records in memory that a machine has a job's image.
+func (lt *leaderTerm) addImage(m *machine, s *api.JobSpec, now time.Time) {
+	m.images.add(s, lt.c.types.load()[m.machineType].CacheGB, now)
 }
--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -101,7 +101,7 @@
 	if !c.leaderTerm.mayRenewLeases(now) && m.heartbeat.Term <= c.leaderTerm.term.Number {
 		return heartbeatReply{err: api.ErrUnavailable}
 	}
-	response, err := c.leaderTerm.handleOwnHeartbeat(m.heartbeat, now)
+	response, err := c.leaderTerm.handleAgentHeartbeat(m.heartbeat, now)
 	// A heartbeat that shows a later term has ended this node's own.
 	if c.leaderTerm != nil {
 		if mc := c.leaderTerm.machines[m.heartbeat.Machine]; mc != nil {
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -23,9 +23,9 @@
 // has tells whether an image is cached.
 func (c *imageCache) has(image string) bool { _, ok := c.used[image]; return ok }
 
-// use records that a job's image is on the machine, and evicts the least recently used images
+// add records that a job's image is on the machine, and evicts the least recently used images
 // that exceed the capacity.
-func (c *imageCache) use(s *api.JobSpec, capacityGB float64, now time.Time) {
+func (c *imageCache) add(s *api.JobSpec, capacityGB float64, now time.Time) {
 	if c.used == nil {
 		c.used = map[string]cachedImage{}
 	}
@@ -58,7 +58,7 @@
 
 // fetchTime is how long a machine takes to fetch a job's image, if it must.
 func (lt *leaderTerm) fetchTime(j *job, m *machine) time.Duration {
-	rate := lt.c.types.load()[m.typ].FetchGBs
+	rate := lt.c.types.load()[m.machineType].FetchGBs
 	if rate <= 0 || m.images.has(j.spec.Image) || m.fetching[j.spec.Image] {
 		return 0
 	}
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -11,7 +11,7 @@
 	var c imageCache
 	t0 := time.Unix(0, 0)
 	use := func(image string, gb float64, at int) {
-		c.use(&api.JobSpec{Image: image, ImageGB: gb}, 10, t0.Add(time.Duration(at)*time.Second))
+		c.add(&api.JobSpec{Image: image, ImageGB: gb}, 10, t0.Add(time.Duration(at)*time.Second))
 	}
 	use("a", 4, 0)
 	use("b", 4, 1)
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -49,10 +49,10 @@
 	starved bool
 	// load is the job's part in the last decision on which jobs to defer.
 	load queue.Load
-	// rank orders jobs by priority, preference by the preference of the job's class.
-	rank       int
-	preference float64
-	team       *queue.Team[*job]
+	// priorityRank orders jobs by priority, preference by the preference of the job's class.
+	priorityRank int
+	preference   float64
+	team         *queue.Team[*job]
 
 	// flight has the tasks that no attempt holds and the machines that work on the job.
 	flight *flight.Flight
@@ -65,19 +65,19 @@
 	recorded  *bitset.BitSet
 	// completionChunks are the completion records written, by their first task.
 	completionChunks map[int]bool
-	// chunkSizes is how many tasks each of them may cover. moving are the tasks that must
+	// completionChunkSizes is how many tasks each of them may cover. moving are the tasks that must
 	// be on record elsewhere before a record is overwritten by a shorter one.
-	chunkSizes map[int]int
-	moving     map[int]*bitset.BitSet
+	completionChunkSizes map[int]int
+	migratingCompletion  map[int]*bitset.BitSet
 	// completionDirty is set while the job is queued for its next completion record.
 	completionDirty bool
 
 	// runs measures the completed runs of the job's tasks.
 	runs jobRuns
-	// zones counts the job's reserved attempts by zone.
-	zones map[string]int
-	// restarted are the tasks that were restarted as stragglers; each is only once.
-	restarted map[int]bool
+	// attemptsByZone counts the job's reserved attempts by zone.
+	attemptsByZone map[string]int
+	// restartedTasks are the tasks that were restarted as stragglers; each is only once.
+	restartedTasks map[int]bool
 	// excludedMachine is the machine that a task must avoid: where it last failed or was a
 	// straggler.
 	excludedMachine map[int]string
@@ -97,7 +97,7 @@
 	// lostTasks, firstStart, lastStart and longest are logged at the job's end.
 	lostTasks             int
 	firstStart, lastStart time.Time
-	longest               time.Duration
+	longestRun            time.Duration
 
 	// lent is set while the job is lent to another cell, guest if it runs here for one.
 	lent  *loan.Lent
@@ -124,7 +124,7 @@
 
 // Rank, with LatestStart, Preference, Feasibility and ID, makes a job an item of its team's
 // queue.
-func (j *job) Rank() int { return j.rank }
+func (j *job) Rank() int { return j.priorityRank }
 
 // LatestStart is the latest start that meets the job's next objective.
 func (j *job) LatestStart() time.Time { return j.latestStart }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -18,7 +18,7 @@
 func (lt *leaderTerm) addJob(key string, value []byte, modRevision uint64) {
 	id := key[len(records.ActivePrefix):]
 	j := lt.jobs[id]
-	if _, ok := lt.c.final.Get(id); ok || j != nil && j.modRevision >= modRevision {
+	if _, ok := lt.c.finalStates.Get(id); ok || j != nil && j.modRevision >= modRevision {
 		return
 	}
 	var rec records.ActiveRecord
@@ -56,10 +56,10 @@
 	lt.jobs[id] = j
 	switch {
 	case rec.Lent != nil:
-		lt.loans.jobLent(j, rec.Lent)
+		lt.loans.applyLent(j, rec.Lent)
 	case len(j.spec.DependsOn) == 0:
 		team.Add(j)
-		lt.dispatchUntil = time.Now().Add(dispatchFor)
+		lt.dispatchUntil = time.Now().Add(dispatchWindow)
 	case lt.loaded:
 		lt.dependencies.resolveDependencies(j)
 		lt.dependencies.propagateDeadlines(j)
@@ -74,7 +74,7 @@
 	return &job{
 		spec:              spec,
 		team:              team,
-		rank:              api.PriorityRank(spec.Priority),
+		priorityRank:      api.PriorityRank(spec.Priority),
 		waitingSince:      time.Now(),
 		flight:            flight.New(spec.Tasks),
 		activeAttempts:    map[int]*attempt{},
@@ -82,8 +82,8 @@
 		recorded:          bitset.New(tasks),
 		completionChunks:  map[int]bool{},
 		runs:              jobRuns{byMachine: map[string]*runStats{}},
-		zones:             map[string]int{},
-		restarted:         map[int]bool{},
+		attemptsByZone:    map[string]int{},
+		restartedTasks:    map[int]bool{},
 		excludedMachine:   map[int]string{},
 		failuresByMachine: map[string]int{},
 	}
@@ -132,10 +132,10 @@
 // cancelJob removes a job that was cancelled. Its attempts are stopped by the responses to
 // their machines' heartbeats.
 func (lt *leaderTerm) cancelJob(j *job) {
-	lt.forget(j)
+	lt.removeJob(j)
 	lt.c.recordCancellation(j.spec.ID)
 	for _, a := range j.activeAttempts {
-		lt.resolveOutcome(a)
+		lt.terminateIfOutcomeUnknown(a)
 	}
 	for first := range j.completionChunks {
 		lt.recordWriter.deleteKey(records.CompletionKey(j.spec.ID, first))
@@ -143,8 +143,8 @@
 	lt.dependencyLists.drop(j)
 }
 
-// forget removes a job that has ended from all state.
-func (lt *leaderTerm) forget(j *job) {
+// removeJob removes a job that has ended from all state.
+func (lt *leaderTerm) removeJob(j *job) {
 	j.ended = true
 	j.completionDirty = false
 	delete(lt.jobs, j.spec.ID)
@@ -153,9 +153,9 @@
 	j.team.Remove(j)
 }
 
-// taskDone marks a task as completed, and has that put on record, or the job ended if it was
+// completeTask marks a task as completed, and has that put on record, or the job ended if it was
 // the last.
-func (lt *leaderTerm) taskDone(j *job, task int, now time.Time) {
+func (lt *leaderTerm) completeTask(j *job, task int, now time.Time) {
 	if j.done.Test(uint(task)) {
 		return
 	}
@@ -164,7 +164,7 @@
 	lt.counts.done++
 	j.flight.Take(task)
 	if a := j.activeAttempts[task]; a != nil && !a.exited {
-		lt.stop(a, 0, now)
+		lt.requestStop(a, 0, now)
 	}
 	if j.ended {
 		return
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -23,7 +23,7 @@
 func TestLargeFleetIsRelayed(t *testing.T) {
 	const parts, size = 3, 8 << 10
 	now := time.Unix(1_000_000, 0)
-	ul := newRelayUp(config.Limits{RAMMB: 3})
+	ul := newRelayUplink(config.Limits{RAMMB: 3})
 	for i := range largeFleet {
 		hb := &api.Heartbeat{
 			Machine:    hostName(i),
@@ -76,21 +76,21 @@
 		w.registerLargeFleet()
 		n := w.start("n0")
 		time.Sleep(time.Second)
-		n.look(func(c *Controller) { w.same("unfenced", c.leaderTerm.unfenced, largeFleet) })
+		n.inspect(func(c *Controller) { w.checkEqual("unfenced", c.leaderTerm.unfenced, largeFleet) })
 		for i := range largeFleet {
 			k := w.worker(hostName(i), "a", false)
-			k.report(n) // it learns the term
-			k.report(n)
+			k.heartbeat(n) // it learns the term
+			k.heartbeat(n)
 		}
-		n.look(func(c *Controller) {
+		n.inspect(func(c *Controller) {
 			lt := c.leaderTerm
-			w.same("unfenced, machines", []int{lt.unfenced, len(lt.machines)}, []int{0, largeFleet})
+			w.checkEqual("unfenced, machines", []int{lt.unfenced, len(lt.machines)}, []int{0, largeFleet})
 			const jobs = 900
-			w.same("jobs with a deadline", addAndDefer(t, lt, jobs), jobs)
+			w.checkEqual("jobs with a deadline", addAndDefer(t, lt, jobs), jobs)
 			for i := range largeFleet {
 				lt.terminated.Add(hostName(i), true)
 			}
-			w.same("terminated machines known", lt.terminated.Len(), largeFleet)
+			w.checkEqual("terminated machines known", lt.terminated.Len(), largeFleet)
 		})
 	})
 }
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -135,7 +135,7 @@
 		renewalRevisions: map[string]uint64{},
 		imageLocations:   map[string]float64{},
 		counts:           newCounters(),
-		maxFetches:       unlimitedFetches,
+		maxFetches:       maxConcurrentFetches,
 		maxDials:         maxConcurrentDials(c.Settings.Site.Limits.FDLimit),
 	}
 	lt.readIndex.leaderTerm = lt
--- a/internal/controller/leaderterm_test.go
+++ b/internal/controller/leaderterm_test.go
@@ -14,18 +14,18 @@
 func TestLateTransactionOfEarlierLeaderFails(t *testing.T) {
 	simulate(t, func(w *cluster) {
 		a := w.start("n0")
-		w.store.Hold(touches(records.MachinePrefix))
+		w.store.Delay(touches(records.MachinePrefix))
 		k := w.worker("i-1", "a", false)
 		w.submit(a, spec("job-1", 1))
 		k.serve(a, 2)
-		w.same("transactions delayed", w.store.Held() > 0, true)
-		w.same("starts before the registry is durable", len(k.running()), 0)
+		w.checkEqual("transactions delayed", w.store.DelayedCount() > 0, true)
+		w.checkEqual("starts before the registry is durable", len(k.running()), 0)
 		a.crash()
 		w.start("n0")
-		for _, res := range w.store.Release() {
-			w.same("late transaction applied", res.Succeeded, false)
+		for _, res := range w.store.ApplyDelayed() {
+			w.checkEqual("late transaction applied", res.Succeeded, false)
 		}
-		w.same("registry", w.roster(), []string(nil))
+		w.checkEqual("registry", w.registeredMachines(), []string(nil))
 	})
 }
 
@@ -38,7 +38,7 @@
 		k1.serve(a, 3)
 		k2.serve(a, 3)
 		k3.serve(a, 3)
-		w.same("all started", len(k1.running())+len(k2.running())+len(k3.running()), 8)
+		w.checkEqual("all started", len(k1.running())+len(k2.running())+len(k3.running()), 8)
 		a.crash()
 		b := w.start("n0")
 		k1.exit(api.CauseHalted)
@@ -47,18 +47,18 @@
 		k3.serve(b, 2)
 		// k2 sends no heartbeat: nothing of the old job starts, and its four CPUs count
 		// against the limit of every team: of 8 blue ones, 4 remain.
-		w.same("starts of the old job", len(k1.running())+len(k3.running()), 0)
+		w.checkEqual("starts of the old job", len(k1.running())+len(k3.running()), 0)
 		s := spec("job-2", 8)
 		s.Team = "blue"
 		w.submit(b, s)
 		k3.serve(b, 2)
 		k1.serve(b, 2)
-		w.same("new job within the limit", len(k3.running())+len(k1.running()), 4)
-		k2.report(b)
-		k2.report(b)
+		w.checkEqual("new job within the limit", len(k3.running())+len(k1.running()), 4)
+		k2.heartbeat(b)
+		k2.heartbeat(b)
 		k1.serve(b, 3)
 		k3.serve(b, 3)
-		w.same("more than 4 tasks once all are fenced", len(k1.running())+len(k3.running()) > 4, true)
+		w.checkEqual("more than 4 tasks once all are fenced", len(k1.running())+len(k3.running()) > 4, true)
 	})
 }
 
@@ -70,7 +70,7 @@
 		k := w.worker("i-1", "a", false)
 		k.serve(a, 2)
 		w.submit(a, spec("job-1", 2))
-		commands, err := k.send(a) // on its way when the leader crashes
+		commands, err := k.sendHeartbeat(a) // on its way when the leader crashes
 		if err != nil || len(commands) != 2 {
 			t.Fatalf("got commands %v, %v, want two", commands, err)
 		}
@@ -78,18 +78,18 @@
 		b := w.start("n0")
 		k2 := w.worker("i-2", "a", false)
 		k2.serve(b, 3)
-		w.same("tasks elsewhere", len(k2.running()), 0)
-		hb := k.rep
+		w.checkEqual("tasks elsewhere", len(k2.running()), 0)
+		hb := k.status
 		hb.Seq++
 		if _, err := k.deliver(b, &hb); err != nil {
 			t.Fatal(err)
 		}
 		k2.serve(b, 2)
-		w.same("tasks elsewhere after one heartbeat", len(k2.running()), 0)
-		k.rep.Seq++
-		k.report(b)
+		w.checkEqual("tasks elsewhere after one heartbeat", len(k2.running()), 0)
+		k.status.Seq++
+		k.heartbeat(b)
 		k2.serve(b, 2)
-		w.same("started", len(k.running())+len(k2.running()), 2)
+		w.checkEqual("started", len(k.running())+len(k2.running()), 2)
 	})
 }
 
@@ -102,9 +102,9 @@
 			n := w.start("n0")
 			w.submit(n, spec("job-1", 20))
 			for range 4 {
-				for _, cmd := range k.report(n) {
+				for _, cmd := range k.heartbeat(n) {
 					if cmd.Verb == api.VerbStart {
-						w.same("reused", seen[cmd.Attempt], false)
+						w.checkEqual("reused", seen[cmd.Attempt], false)
 						seen[cmd.Attempt] = true
 					}
 				}
@@ -113,7 +113,7 @@
 			}
 			n.crash()
 		}
-		w.same("starts seen", len(seen) > 6, true)
+		w.checkEqual("starts seen", len(seen) > 6, true)
 	})
 }
 
@@ -124,20 +124,20 @@
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
-		term := k.rep.Term
+		term := k.status.Term
 		w.store.SetDown(true)
 		k.serve(n, 20)
-		if _, err := k.send(n); err != nil {
+		if _, err := k.sendHeartbeat(n); err != nil {
 			t.Errorf("within the lease: %v", err)
 		}
 		k.serve(n, 12)
-		if _, err := k.send(n); err == nil {
+		if _, err := k.sendHeartbeat(n); err == nil {
 			t.Error("got a response after the lease may have expired")
 		}
 		w.store.SetDown(false)
 		time.Sleep(4 * time.Second)
-		if _, err := k.send(n); err != nil || k.rep.Term != term {
-			t.Errorf("after the outage: got %v, term %d, want term %d", err, k.rep.Term, term)
+		if _, err := k.sendHeartbeat(n); err != nil || k.status.Term != term {
+			t.Errorf("after the outage: got %v, term %d, want term %d", err, k.status.Term, term)
 		}
 	})
 }
@@ -149,14 +149,14 @@
 		b := w.start("n1")
 		k := w.worker("i-1", "a", false)
 		k.serve(a, 2)
-		first := k.rep.Term
+		first := k.status.Term
 		a.crash()
 		a = w.start("n0")
-		if _, err := k.send(b); err == nil {
+		if _, err := k.sendHeartbeat(b); err == nil {
 			t.Error("got a response of a follower")
 		}
-		if _, err := k.send(a); err != nil || k.rep.Term <= first {
-			t.Errorf("got %v, term %d, want a term after %d", err, k.rep.Term, first)
+		if _, err := k.sendHeartbeat(a); err != nil || k.status.Term <= first {
+			t.Errorf("got %v, term %d, want a term after %d", err, k.status.Term, first)
 		}
 	})
 }
@@ -172,10 +172,10 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(b, spec("job-1", 1))
 		k.serve(a, 3)
-		w.same("running", len(k.running()), 1)
+		w.checkEqual("running", len(k.running()), 1)
 		g.set(true)
 		for range 40 {
-			if k.report(a); k.report(b) != nil {
+			if k.heartbeat(a); k.heartbeat(b) != nil {
 				break
 			}
 			time.Sleep(time.Second)
@@ -183,7 +183,7 @@
 		k.serve(b, 2)
 		k.exit(api.CauseDone)
 		k.serve(b, 4)
-		w.same("new leader", w.phase(b, "job-1"), "done")
+		w.checkEqual("new leader", w.phase(b, "job-1"), "done")
 		g.set(false)
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
@@ -191,7 +191,7 @@
 				t.Fatal("got a done job as cancelled")
 			}
 		}
-		w.same("old leader", w.phase(a, "job-1"), "done")
+		w.checkEqual("old leader", w.phase(a, "job-1"), "done")
 	})
 }
 
@@ -208,27 +208,27 @@
 		}
 		w.submit(a, spec("job-1", 8))
 		for range 2 {
-			ks[0].report(a)
-			ks[1].report(a)
+			ks[0].heartbeat(a)
+			ks[1].heartbeat(a)
 			time.Sleep(time.Second)
 		}
-		w.same("started", len(ks[0].running())+len(ks[1].running()), 8)
+		w.checkEqual("started", len(ks[0].running())+len(ks[1].running()), 8)
 		a.crash()
 		w.dead.Store("i-0", true)
 		b := w.start("n0")
 		for range 7 {
 			for _, k := range ks[2:] {
-				k.report(b)
+				k.heartbeat(b)
 			}
 			time.Sleep(time.Second)
 		}
-		w.same("dead machine terminated", w.cloud.gone("i-0"), true)
-		w.same("live machine terminated", w.cloud.gone("i-1"), false)
+		w.checkEqual("dead machine terminated", w.cloud.terminated("i-0"), true)
+		w.checkEqual("live machine terminated", w.cloud.terminated("i-1"), false)
 		for range 3 {
-			ks[1].report(b)
-			ks[2].report(b)
+			ks[1].heartbeat(b)
+			ks[2].heartbeat(b)
 			time.Sleep(time.Second)
 		}
-		w.same("restarted", len(ks[2].running()), 4)
+		w.checkEqual("restarted", len(ks[2].running()), 4)
 	})
 }
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -33,8 +33,8 @@
 	verifiedAt time.Time
 	// termRevision is the version of the term key, if the store has shown it.
 	termRevision uint64
-	// leaderAway is set while the leader is unreachable.
-	leaderAway bool
+	// leaderUnreachable is set while the leader is unreachable.
+	leaderUnreachable bool
 	// activeJobs are the active jobs as the store last showed them; nil: not known.
 	activeJobs map[string]bool
 	// machines holds, by machine, when its lease was last renewed here.
@@ -69,7 +69,7 @@
 	hb *api.Heartbeat, leader string, unreachable bool, now time.Time,
 ) (api.HeartbeatResponse, bool) {
 	lr := &c.leaseRenewer
-	if !lr.leaderAway && !unreachable || leader == "" || leader != lr.leader {
+	if !lr.leaderUnreachable && !unreachable || leader == "" || leader != lr.leader {
 		return api.HeartbeatResponse{}, false
 	}
 	if now.Sub(lr.verifiedAt) > c.renewalPeriod() || lr.term == 0 || !lr.mayRespond(hb.Term, now) {
@@ -272,9 +272,9 @@
 
 func (m leaderUnreachableMsg) apply(c *Controller) {
 	lr := &c.leaseRenewer
-	if lr.leader == m.leader && !lr.leaderAway {
+	if lr.leader == m.leader && !lr.leaderUnreachable {
 		c.Log.Info("leases renewed on behalf of unreachable leader", "leader", m.leader, "term", lr.term)
-		lr.leaderAway = true
+		lr.leaderUnreachable = true
 	}
 }
 
@@ -294,7 +294,7 @@
 	}
 	if lr.leader != m.leader || lr.term != m.term {
 		// Another term has begun, or this node was restarted during a partition.
-		*lr = leaseRenewer{leader: m.leader, term: m.term, leaderAway: true}
+		*lr = leaseRenewer{leader: m.leader, term: m.term, leaderUnreachable: true}
 	}
 	lr.activeJobs, lr.verifiedAt, lr.termRevision = m.activeJobs, m.verifiedAt, m.termRevision
 }
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -39,7 +39,7 @@
 
 // inUse lists the machines that may be assigned tasks.
 func inUse(n *node) (names []string) {
-	n.look(func(c *Controller) {
+	n.inspect(func(c *Controller) {
 		if c.leaderTerm == nil {
 			return
 		}
@@ -74,16 +74,16 @@
 func (ss *shardSplit) injectFault(second int) {
 	switch {
 	case ss.fault == responsesLost && second%3 == 0:
-		ss.store.Lose(touches(records.MachinePrefix))
+		ss.store.LoseResponses(touches(records.MachinePrefix))
 	case ss.fault == writesDelayed && second%4 == 0:
-		ss.store.Hold(touches(records.MachinePrefix))
+		ss.store.Delay(touches(records.MachinePrefix))
 	case ss.fault == writesDelayed && second%4 == 3:
-		ss.store.Release()
+		ss.store.ApplyDelayed()
 	case ss.fault == leaderCrashes && second%25 == 22:
 		ss.leader.crash()
 		ss.leader = ss.start("n0")
 	default:
-		ss.store.Lose(nil)
+		ss.store.LoseResponses(nil)
 	}
 }
 
@@ -91,7 +91,7 @@
 func (ss *shardSplit) checkRegistered(second int) {
 	ss.t.Helper()
 	used := inUse(ss.leader)
-	onShards := ss.roster()
+	onShards := ss.registeredMachines()
 	for _, name := range used {
 		if !slices.Contains(onShards, name) {
 			ss.t.Fatalf("second %d: %s may be in use and is on no shard", second, name)
@@ -103,32 +103,32 @@
 func (ss *shardSplit) run() {
 	ss.t.Helper()
 	workers := ss.numberedWorkers(26)
-	reportAll(workers, ss.leader, 3)
-	ss.same("machines read", len(inUse(ss.leader)), 26)
-	ss.same("shards before a change", ss.keysUnder(records.MachinePrefix), []string{oldShardKey})
-	ss.dead.Store(workers[0].rep.Machine, true)
+	heartbeatAll(workers, ss.leader, 3)
+	ss.checkEqual("machines read", len(inUse(ss.leader)), 26)
+	ss.checkEqual("shards before a change", ss.keysUnder(records.MachinePrefix), []string{oldShardKey})
+	ss.dead.Store(workers[0].status.Machine, true)
 	for second := range 100 {
 		ss.injectFault(second)
 		for range 4 {
 			for _, k := range workers[1:] {
-				k.report(ss.leader)
+				k.heartbeat(ss.leader)
 			}
 			time.Sleep(250 * time.Millisecond)
 			ss.checkRegistered(second)
 		}
 	}
-	ss.store.Lose(nil)
-	ss.store.Release()
-	reportAll(workers[1:], ss.leader, 10)
-	ss.same("machines in use", len(inUse(ss.leader)), 25)
+	ss.store.LoseResponses(nil)
+	ss.store.ApplyDelayed()
+	heartbeatAll(workers[1:], ss.leader, 10)
+	ss.checkEqual("machines in use", len(inUse(ss.leader)), 25)
 	if ss.store.Has(oldShardKey) {
 		ss.t.Errorf("shards: got %v, want them without %s", ss.keysUnder(records.MachinePrefix), oldShardKey)
 	}
 	ss.leader.crash()
 	next := ss.start("n0")
-	reportAll(workers[1:], next, 3)
-	ss.same("machines read by the next leader", len(inUse(next)), 25)
-	ss.neverTooLarge()
+	heartbeatAll(workers[1:], next, 3)
+	ss.checkEqual("machines read by the next leader", len(inUse(next)), 25)
+	ss.checkNothingTooLarge()
 }
 
 // A shard of the version in production may hold more machines than the key-value store now
@@ -208,13 +208,13 @@
 func (lc *longCompletion) injectFault(round int) {
 	switch {
 	case lc.fault == responsesLost && round%2 == 0:
-		lc.store.Lose(touches(records.CompletionPrefix))
+		lc.store.LoseResponses(touches(records.CompletionPrefix))
 	case lc.fault == leaderCrashes && round%4 == 3:
 		lc.leader.crash()
 		lc.leader = lc.start("n0")
-		reportAll(lc.workers, lc.leader, 3)
+		heartbeatAll(lc.workers, lc.leader, 3)
 	default:
-		lc.store.Lose(nil)
+		lc.store.LoseResponses(nil)
 	}
 }
 
@@ -233,13 +233,13 @@
 // run completes tasks in rounds and checks the records ten times a second.
 func (lc *longCompletion) run() {
 	lc.t.Helper()
-	reportAll(lc.workers, lc.leader, 4)
+	heartbeatAll(lc.workers, lc.leader, 4)
 	for round := range 12 {
 		lc.injectFault(round)
 		exitAll(lc.workers)
 		for range 20 {
 			for _, k := range lc.workers {
-				k.report(lc.leader)
+				k.heartbeat(lc.leader)
 			}
 			time.Sleep(100 * time.Millisecond)
 			lc.checkDone(round)
@@ -274,7 +274,7 @@
 					w.t.Errorf("the long record was never rewritten: got %d bytes, %v, want at most %d",
 						len(record.Value), err, 1<<10)
 				}
-				w.neverTooLarge()
+				w.checkNothingTooLarge()
 			})
 		})
 	}
@@ -291,20 +291,20 @@
 				w.enforce(actual)
 				a := w.start("n0")
 				ks := w.numberedWorkers(24)
-				reportAll(ks, a, 8)
-				w.same("registered machines", len(w.roster()), 24)
+				heartbeatAll(ks, a, 8)
+				w.checkEqual("registered machines", len(w.registeredMachines()), 24)
 				w.submit(a, spec("job-1", 90))
 				for i := range 30 {
 					w.submit(a, spec(fmt.Sprintf("small-%d", i), 1))
 				}
 				for range 4 {
-					reportAll(ks, a, 8)
+					heartbeatAll(ks, a, 8)
 					exitAll(ks)
 				}
-				reportAll(ks, a, 20)
-				w.same("active records", w.keysUnder(records.ActivePrefix), []string(nil))
-				if n := len(w.store.TooLarge()); n == 0 || n > 12 {
-					w.t.Errorf("rejected for size %d times: %v", n, w.store.TooLarge())
+				heartbeatAll(ks, a, 20)
+				w.checkEqual("active records", w.keysUnder(records.ActivePrefix), []string(nil))
+				if n := len(w.store.RejectedAsTooLarge()); n == 0 || n > 12 {
+					w.t.Errorf("rejected for size %d times: %v", n, w.store.RejectedAsTooLarge())
 				}
 			})
 		})
@@ -318,22 +318,22 @@
 		w.store.SetLimits(1<<10, 20)
 		a := w.start("n0")
 		ks := []*worker{w.worker("i-1", "a", false)}
-		reportAll(ks, a, 3)
+		heartbeatAll(ks, a, 3)
 		s := spec("job-1", 40000)
 		s.CPUs, s.MemoryGB = 0.001, 0.001
 		w.submit(a, s)
 		for range 4 {
-			reportAll(ks, a, 3)
+			heartbeatAll(ks, a, 3)
 			exitAll(ks)
 		}
-		reportAll(ks, a, 8)
+		heartbeatAll(ks, a, 8)
 		done := 0
-		a.look(func(c *Controller) { done = c.leaderTerm.jobs["job-1"].doneCount })
+		a.inspect(func(c *Controller) { done = c.leaderTerm.jobs["job-1"].doneCount })
 		if on := w.doneOnRecord("job-1"); len(on) != done || done < 800 {
 			w.t.Errorf("tasks on record: got %d, want the %d completed ones, at least 800", len(on), done)
 		}
-		if n := len(w.store.TooLarge()); n == 0 || n > 8 {
-			w.t.Errorf("rejected for size %d times: %v", n, w.store.TooLarge())
+		if n := len(w.store.RejectedAsTooLarge()); n == 0 || n > 8 {
+			w.t.Errorf("rejected for size %d times: %v", n, w.store.RejectedAsTooLarge())
 		}
 	})
 }
@@ -348,13 +348,13 @@
 		a := w.start("n0")
 		long := w.worker(strings.Repeat("i", 1100), "a", false)
 		ks := []*worker{long, w.worker("i-2", "a", false)}
-		reportAll(ks, a, 3)
+		heartbeatAll(ks, a, 3)
 		w.submit(a, spec("job-1", 8))
-		reportAll(ks, a, 6)
-		w.same("tasks on it", long.running(), []string(nil))
-		w.same("tasks on the other", len(ks[1].running()), 4)
-		w.same("registered machines", w.roster(), []string{"i-2"})
-		w.same("terminated", w.cloud.gone(long.rep.Machine), true)
-		w.neverTooLarge()
+		heartbeatAll(ks, a, 6)
+		w.checkEqual("tasks on it", long.running(), []string(nil))
+		w.checkEqual("tasks on the other", len(ks[1].running()), 4)
+		w.checkEqual("registered machines", w.registeredMachines(), []string{"i-2"})
+		w.checkEqual("terminated", w.cloud.terminated(long.status.Machine), true)
+		w.checkNothingTooLarge()
 	})
 }
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -20,7 +20,7 @@
 	w.state = l.settings()
 	w.enforce(l)
 	a := w.start("n0")
-	a.look(func(c *Controller) {
+	a.inspect(func(c *Controller) {
 		for _, name := range hosts {
 			c.leaderTerm.addMachine(name, "small", "a", false, time.Now())
 		}
@@ -32,12 +32,12 @@
 	b := New(Config{Settings: &config.Settings{Node: "n1", Peers: []config.Peer{{Node: "n0"}, {Node: "n2"}}, Site: config.SiteInfo{State: w.state}},
 		Store: w.store, Log: a.Log})
 	b.publishRenewals(context.Background(), hosts, 1, e.ModRevision)
-	a.look(func(c *Controller) {
+	a.inspect(func(c *Controller) {
 		c.leaderTerm.renewalsReadAt = time.Time{}
 		c.leaderTerm.readRenewals(time.Now())
 	})
 	time.Sleep(100 * time.Millisecond)
-	a.look(func(c *Controller) {
+	a.inspect(func(c *Controller) {
 		for _, m := range c.leaderTerm.machines {
 			if m.leaseRenewedUntil.After(time.Now()) {
 				kept++
@@ -59,22 +59,22 @@
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *cluster) {
-				w.same("extended", extendedBy(w, l, names(300)), 300)
-				w.neverTooLarge()
+				w.checkEqual("extended", extendedBy(w, l, names(300)), 300)
+				w.checkNothingTooLarge()
 			})
 		})
 	}
 	simulate(t, func(w *cluster) {
 		// One too long for any record does not hold up the others.
-		w.same("extended", extendedBy(w, limits{3, 1, 8}, append(names(40), strings.Repeat("i", 1100))), 40)
-		w.neverTooLarge()
+		w.checkEqual("extended", extendedBy(w, limits{3, 1, 8}, append(names(40), strings.Repeat("i", 1100))), 40)
+		w.checkNothingTooLarge()
 	})
 	simulate(t, func(w *cluster) {
-		w.same("extended of a large fleet", extendedBy(w, limits{3, 1, 8}, names(5000)), 5000)
+		w.checkEqual("extended of a large fleet", extendedBy(w, limits{3, 1, 8}, names(5000)), 5000)
 		if n := len(w.keysUnder(records.LeaseRenewalPrefix)); 3*n > maxRenewalRecords || n < 5000/100 {
 			w.t.Errorf("%d records of one node of three", n)
 		}
-		w.neverTooLarge()
+		w.checkNothingTooLarge()
 	})
 	simulate(t, func(w *cluster) {
 		// The service turns out smaller than the settings say.
@@ -83,8 +83,8 @@
 		w.enforce(limits{12, 1, 25})
 		e, _ := w.store.Get(context.Background(), election.TermKey)
 		a.publishRenewals(context.Background(), names(200), 1, e.ModRevision)
-		w.same("records", len(w.keysUnder(records.LeaseRenewalPrefix)) > 2, true)
-		if n := len(w.store.TooLarge()); n == 0 || n > 3 {
+		w.checkEqual("records", len(w.keysUnder(records.LeaseRenewalPrefix)) > 2, true)
+		if n := len(w.store.RejectedAsTooLarge()); n == 0 || n > 3 {
 			w.t.Errorf("refused %d times", n)
 		}
 	})
@@ -111,8 +111,8 @@
 				before := len(ch.Events)
 				for range 10 {
 					for range 8 {
-						near.report(a)
-						far.report(b)
+						near.heartbeat(a)
+						far.heartbeat(b)
 						time.Sleep(time.Second)
 					}
 					ran += len(far.running())
@@ -120,17 +120,17 @@
 					near.exit(api.CauseDone)
 				}
 				for range 12 {
-					near.report(a)
-					far.report(b)
+					near.heartbeat(a)
+					far.heartbeat(b)
 					time.Sleep(time.Second)
 				}
 				ch, err = w.store.Watch(context.Background(), records.RelayPrefix+"n1/up/", 0, time.Second)
 				if rate := float64(len(ch.Events)-before) / time.Since(began).Seconds(); err != nil || rate > l.writes*kv.RecordShare {
 					w.t.Errorf("%v changes a second for relayed reports, %v", rate, err)
 				}
-				w.same("phase", w.phase(a, "job-1"), "done")
-				w.same("ran beyond the cut", ran > 100, true)
-				w.neverTooLarge()
+				w.checkEqual("phase", w.phase(a, "job-1"), "done")
+				w.checkEqual("ran beyond the cut", ran > 100, true)
+				w.checkNothingTooLarge()
 			})
 		})
 	}
@@ -151,8 +151,8 @@
 		ran := 0
 		for range 10 {
 			for range 12 {
-				near.report(a)
-				far.report(b)
+				near.heartbeat(a)
+				far.heartbeat(b)
 				time.Sleep(time.Second)
 			}
 			ran += len(far.running())
@@ -160,13 +160,13 @@
 			far.exit(api.CauseDone)
 		}
 		for range 12 {
-			near.report(a)
-			far.report(b)
+			near.heartbeat(a)
+			far.heartbeat(b)
 			time.Sleep(time.Second)
 		}
-		w.same("phase", w.phase(a, "job-1"), "done")
-		if n := len(w.store.TooLarge()); ran < 100 || n == 0 || n > 16 {
-			w.t.Errorf("%d ran beyond the cut, refused for size %d times: %v", ran, n, w.store.TooLarge())
+		w.checkEqual("phase", w.phase(a, "job-1"), "done")
+		if n := len(w.store.RejectedAsTooLarge()); ran < 100 || n == 0 || n > 16 {
+			w.t.Errorf("%d ran beyond the cut, refused for size %d times: %v", ran, n, w.store.RejectedAsTooLarge())
 		}
 	})
 }
@@ -181,24 +181,24 @@
 		_, a, b, _, _, far := w.beyondTheCut()
 		other := w.worker("i-3", "b", false)
 		for i := range maxAttempts {
-			far.rep.Tasks = append(far.rep.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%d/%d", i*i*7919%99991, i), Attempt: uint64(i * 104729), Phase: api.TaskRunning})
+			far.status.Tasks = append(far.status.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%d/%d", i*i*7919%99991, i), Attempt: uint64(i * 104729), Phase: api.TaskRunning})
 		}
 		heard := func() (n int) {
-			a.look(func(c *Controller) {
+			a.inspect(func(c *Controller) {
 				if m := c.leaderTerm.machines["i-3"]; m != nil {
-					n = m.heartbeats
+					n = m.heartbeatCount
 				}
 			})
 			return n
 		}
 		for range 12 {
-			far.report(b)
-			other.report(b)
+			far.heartbeat(b)
+			other.heartbeat(b)
 			time.Sleep(time.Second)
 		}
 		if n := heard(); n < 3 {
 			w.t.Errorf("heard %d times of the other machine", n)
 		}
-		w.neverTooLarge()
+		w.checkNothingTooLarge()
 	})
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -25,26 +25,26 @@
 	return fmt.Sprintf("%d changes, %d KiB, %v writes", l.ops, l.valueKB, l.writes)
 }
 
-func (l limits) settings() config.StateLimits {
-	return config.StateLimits{RPS: 100, WriteRPS: l.writes, ValueKB: float64(l.valueKB), TxnOps: l.ops}
+func (l limits) settings() config.KVLimits {
+	return config.KVLimits{RPS: 100, WriteRPS: l.writes, ValueKB: float64(l.valueKB), TxnOps: l.ops}
 }
 
 // enforce has the service refuse what is beyond the limits.
 func (w *cluster) enforce(l limits) { w.store.SetLimits(l.valueKB<<10, l.ops) }
 
-// neverTooLarge is checked at the end: nothing was refused for its size.
-func (w *cluster) neverTooLarge() {
+// checkNothingTooLarge is checked at the end: nothing was refused for its size.
+func (w *cluster) checkNothingTooLarge() {
 	w.t.Helper()
-	if refused := w.store.TooLarge(); len(refused) > 0 {
+	if refused := w.store.RejectedAsTooLarge(); len(refused) > 0 {
 		w.t.Errorf("refused %d times for size: %v", len(refused), refused[:min(5, len(refused))])
 	}
 }
 
-// reportAll has machines report once a second.
-func reportAll(ks []*worker, n *node, seconds int) {
+// heartbeatAll has machines report once a second.
+func heartbeatAll(ks []*worker, n *node, seconds int) {
 	for range seconds {
 		for _, k := range ks {
-			k.report(n)
+			k.heartbeat(n)
 		}
 		time.Sleep(time.Second)
 	}
@@ -86,35 +86,35 @@
 				for i := range 24 {
 					ks = append(ks, w.worker(fmt.Sprintf("i-%06d", i), "a", false))
 				}
-				reportAll(ks, a, 8)
-				w.same("on the roster", len(w.roster()), 24)
+				heartbeatAll(ks, a, 8)
+				w.checkEqual("on the roster", len(w.registeredMachines()), 24)
 				w.submit(a, spec("job-1", 60))
 				w.submit(a, spec("job-2", 30))
-				reportAll(ks, a, 6)
+				heartbeatAll(ks, a, 6)
 				if len(runningOf(ks, "job-1"))+len(runningOf(ks, "job-2")) < 60 {
 					w.t.Fatalf("only %d and %d run", len(runningOf(ks, "job-1")), len(runningOf(ks, "job-2")))
 				}
 				exitAll(ks[:8])
-				reportAll(ks, a, 6)
+				heartbeatAll(ks, a, 6)
 				st, err := a.Cancel(context.Background(), "job-2")
-				w.same("cancelled", []any{st.Phase, err}, []any{api.JobCancelled, nil})
-				reportAll(ks, a, 6)
-				w.same("of the cancelled job", runningOf(ks, "job-2"), []string(nil))
+				w.checkEqual("cancelled", []any{st.Phase, err}, []any{api.JobCancelled, nil})
+				heartbeatAll(ks, a, 6)
+				w.checkEqual("of the cancelled job", runningOf(ks, "job-2"), []string(nil))
 				a.crash()
 				b := w.start("n0")
-				reportAll(ks, b, 8)
+				heartbeatAll(ks, b, 8)
 				for range 4 {
 					exitAll(ks)
-					reportAll(ks, b, 5)
+					heartbeatAll(ks, b, 5)
 				}
-				w.same("after a takeover", w.phase(b, "job-1"), "done")
-				w.same("cancelled still", w.phase(b, "job-2"), api.JobCancelled)
-				w.dead.Store(ks[0].rep.Machine, true)
-				w.dead.Store(ks[1].rep.Machine, true)
-				reportAll(ks[2:], b, 40)
-				w.same("on the roster at last", len(w.roster()), 22)
-				w.same("progress left", w.keysUnder(records.CompletionPrefix), []string(nil))
-				w.neverTooLarge()
+				w.checkEqual("after a takeover", w.phase(b, "job-1"), "done")
+				w.checkEqual("cancelled still", w.phase(b, "job-2"), api.JobCancelled)
+				w.dead.Store(ks[0].status.Machine, true)
+				w.dead.Store(ks[1].status.Machine, true)
+				heartbeatAll(ks[2:], b, 40)
+				w.checkEqual("on the roster at last", len(w.registeredMachines()), 22)
+				w.checkEqual("progress left", w.keysUnder(records.CompletionPrefix), []string(nil))
+				w.checkNothingTooLarge()
 			})
 		})
 	}
@@ -149,9 +149,9 @@
 				for i := range 26 {
 					ks = append(ks, w.worker(fmt.Sprintf("i-%06d", i), "a", false))
 				}
-				reportAll(ks, a, 8)
+				heartbeatAll(ks, a, 8)
 				w.submit(a, spec("job-1", 80))
-				reportAll(ks, a, 4)
+				heartbeatAll(ks, a, 4)
 				exitAll(ks[:10])
 				if when == "during a takeover" {
 					a.crash()
@@ -160,19 +160,19 @@
 				} else {
 					w.enforce(to)
 				}
-				w.dead.Store(ks[3].rep.Machine, true)
+				w.dead.Store(ks[3].status.Machine, true)
 				ks = slices.Delete(ks, 3, 4)
-				reportAll(ks, a, 40)
+				heartbeatAll(ks, a, 40)
 				for range 4 {
 					exitAll(ks)
-					reportAll(ks, a, 6)
+					heartbeatAll(ks, a, 6)
 				}
-				w.same("phase", w.phase(a, "job-1"), "done")
-				w.same("on the roster", len(w.roster()), 25)
+				w.checkEqual("phase", w.phase(a, "job-1"), "done")
+				w.checkEqual("on the roster", len(w.registeredMachines()), 25)
 				if w.store.Has(records.MachinePrefix + "0-1") {
 					w.t.Error("the large shard is still there")
 				}
-				w.neverTooLarge()
+				w.checkNothingTooLarge()
 			})
 		})
 	}
@@ -192,17 +192,17 @@
 				for i := range 24 {
 					ks = append(ks, w.worker(fmt.Sprintf("i-%06d-%s", i, strings.Repeat("n", 10*i)), "a", false))
 				}
-				reportAll(ks, a, 30)
-				w.same("on the roster", len(w.roster()), 24)
+				heartbeatAll(ks, a, 30)
+				w.checkEqual("on the roster", len(w.registeredMachines()), 24)
 				for i := range 60 {
 					w.submit(a, spec(fmt.Sprintf("job-%d", i), 1))
 				}
-				reportAll(ks, a, 10)
+				heartbeatAll(ks, a, 10)
 				exitAll(ks)
-				reportAll(ks, a, 90)
-				w.same("still active", w.keysUnder(records.ActivePrefix), []string(nil))
-				w.same("ends", len(w.keysUnder(records.TerminalPrefix)), 60)
-				w.neverTooLarge()
+				heartbeatAll(ks, a, 90)
+				w.checkEqual("still active", w.keysUnder(records.ActivePrefix), []string(nil))
+				w.checkEqual("ends", len(w.keysUnder(records.TerminalPrefix)), 60)
+				w.checkNothingTooLarge()
 			})
 		})
 	}
@@ -224,8 +224,8 @@
 			}
 			w.start("n0")
 			time.Sleep(time.Second)
-			w.same("stored", w.store.Has(records.MachineTypesKey), c.stored)
-			w.neverTooLarge()
+			w.checkEqual("stored", w.store.Has(records.MachineTypesKey), c.stored)
+			w.checkNothingTooLarge()
 		})
 	}
 }
@@ -241,7 +241,7 @@
 		a := w.start("n0")
 		time.Sleep(time.Second)
 		var txns []kv.Txn
-		a.look(func(c *Controller) {
+		a.inspect(func(c *Controller) {
 			lt := c.leaderTerm
 			rec := &lt.recordWriter
 			for i := range 700 {
@@ -269,7 +269,7 @@
 				rec.batchWritten(b)
 				txns = append(txns, b.txn)
 			}
-			w.same("left", []int{len(rec.registering), len(rec.dirtyJobs), len(rec.finishing)}, []int{0, 0, 0})
+			w.checkEqual("left", []int{len(rec.registering), len(rec.dirtyJobs), len(rec.finishing)}, []int{0, 0, 0})
 		})
 		most := 0
 		for _, txn := range txns {
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -15,8 +15,8 @@
 type links struct {
 	nodes sync.Map
 	cut   atomic.Bool
-	// refuse makes cut links refuse connections.
-	refuse atomic.Bool
+	// refuseConnections makes cut links refuse connections.
+	refuseConnections atomic.Bool
 }
 
 func (l *links) add(name string, n *node) *node { l.nodes.Store(name, n); return n }
@@ -49,7 +49,7 @@
 func (l *links) Ping(ctx context.Context, name string, from cancellation.Position) (PeerStatus, error) {
 	n, err := l.to(name)
 	if err != nil {
-		if l.refuse.Load() {
+		if l.refuseConnections.Load() {
 			err = ErrConnectionRefused
 		}
 		return PeerStatus{}, err
@@ -60,7 +60,7 @@
 func (l *links) ForwardHeartbeat(ctx context.Context, name string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	n, err := l.to(name)
 	if err != nil {
-		if l.refuse.Load() {
+		if l.refuseConnections.Load() {
 			err = ErrConnectionRefused
 		}
 		return api.HeartbeatResponse{}, err
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -19,7 +19,7 @@
 		ids := g.submitBurst(home, 100, 9, 5*time.Second)
 		g.awaitAllEnded(4 * time.Minute)
 		counts := func(c *cell) (s CellsStatus) {
-			c.leader().look(func(o *Controller) { s = *o.leaderTerm.loans.status(time.Now()) })
+			c.leader().inspect(func(o *Controller) { s = *o.leaderTerm.loans.status(time.Now()) })
 			return s
 		}
 		out, in := counts(home).Counts, counts(host).Counts
@@ -27,7 +27,7 @@
 			t.Fatalf("home %+v, host %+v of %d jobs", out, in, len(ids))
 		}
 		// Each is lent and ended or reclaimed at home; accepted, ended and forgotten at the host.
-		home.same("changes at home", out.Written, 2*out.Lent)
+		home.checkEqual("changes at home", out.Written, 2*out.Lent)
 		if in.Written > 3*out.Lent {
 			t.Errorf("got %d changes at the host for %d loans, want at most %d", in.Written, out.Lent, 3*out.Lent)
 		}
@@ -79,8 +79,8 @@
 			lt := lendingLeader(b, n.machines, n.jobs)
 			for b.Loop() {
 				now := time.Now()
-				lt.loans.scanHome(now)
-				lt.loans.scanHost(now)
+				lt.loans.reviewLending(now)
+				lt.loans.reviewGuests(now)
 				lt.loans.respond(&loan.Request{Home: "cell-b", Term: 1}, now)
 			}
 		})
@@ -95,22 +95,22 @@
 		time.Sleep(2 * time.Second)
 		g.setCut("cell-a", "cell-b", true)
 		time.Sleep(3 * time.Second)
-		home.leader().look(func(c *Controller) {
+		home.leader().inspect(func(c *Controller) {
 			s := c.leaderTerm.status(time.Now()).Cells
 			n := s.Neighbours[0]
-			home.same("neighbour", []any{n.Cell, n.LastError, n.Lent > 0}, []any{"cell-b", errCut.Error(), true})
+			home.checkEqual("neighbour", []any{n.Cell, n.LastError, n.Lent > 0}, []any{"cell-b", errCut.Error(), true})
 			for _, l := range s.Lent {
 				if l.Job == id {
 					want := []any{"cell-b", "begun", "its cell does not answer: cut"}
-					home.same("loan", []any{l.Cell, l.Phase, l.Waits}, want)
+					home.checkEqual("loan", []any{l.Cell, l.Phase, l.Waits}, want)
 				}
 			}
-			home.same("cell of the job", c.leaderTerm.jobs[id].state().Cell, "cell-b")
+			home.checkEqual("cell of the job", c.leaderTerm.jobs[id].state().Cell, "cell-b")
 		})
-		host.leader().look(func(c *Controller) {
+		host.leader().inspect(func(c *Controller) {
 			s := c.leaderTerm.status(time.Now()).Cells
 			got := []any{len(s.Guests) > 0, s.Neighbours[0].Guests > 0, s.Guests[0].Cell}
-			host.same("guests", got, []any{true, true, "cell-a"})
+			host.checkEqual("guests", got, []any{true, true, "cell-a"})
 		})
 		g.setCut("cell-a", "cell-b", false)
 		g.awaitAllEnded(4 * time.Minute)
@@ -144,7 +144,7 @@
 // lendPending has the leader lend to a neighbour those of some jobs that have not started and
 // were never lent, and reports whether there were any.
 func (c *cell) lendPending(ids []string, to string) (lent bool) {
-	c.leader().look(func(ctl *Controller) {
+	c.leader().inspect(func(ctl *Controller) {
 		l := &ctl.leaderTerm.loans
 		for _, id := range ids {
 			j := ctl.leaderTerm.jobs[id]
@@ -177,7 +177,7 @@
 	simulate(t, func(w *cluster) {
 		w.teams[0].LimitGPUs = 3
 		n := w.start("n0")
-		n.look(func(c *Controller) {
+		n.inspect(func(c *Controller) {
 			l := &c.leaderTerm.loans
 			for _, g := range []struct {
 				tasks      int
@@ -199,14 +199,14 @@
 				team.UsedCPUs = g.used
 				j := newJob(*s, team)
 				got := l.budget(j, g.spare)
-				w.same(fmt.Sprint(g), got, g.want)
+				w.checkEqual(fmt.Sprint(g), got, g.want)
 				j.guest = &loan.Guest{Budget: got}
 				started := 0
 				for j.withinBudget() && started < 100 {
 					started++
-					j.zones["a"]++
+					j.attemptsByZone["a"]++
 				}
-				w.same("CPUs started of "+fmt.Sprint(g), float64(started)*g.cpus, got.CPUs)
+				w.checkEqual("CPUs started of "+fmt.Sprint(g), float64(started)*g.cpus, got.CPUs)
 			}
 			c.leaderTerm.teams["red"].UsedCPUs = 0
 		})
--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -32,7 +32,7 @@
 // machine count.
 func (j *job) withinBudget() bool {
 	running := 0
-	for _, n := range j.zones {
+	for _, n := range j.attemptsByZone {
 		running += n
 	}
 	s, budget := &j.spec, &j.guest.Budget
@@ -40,15 +40,15 @@
 	return tasks*s.CPUs <= budget.CPUs+epsilon && (s.GPUs == 0 || tasks*s.GPUs <= budget.GPUs+epsilon)
 }
 
-// pickGuest returns the guest that a machine serves next, when no job of the cell can use it.
-func (l *loans) pickGuest(m *machine, now time.Time) *job {
+// nextGuest returns the guest that a machine serves next, when no job of the cell can use it.
+func (l *loans) nextGuest(m *machine, now time.Time) *job {
 	if len(l.guestFairShareOrder) == 0 {
 		return nil
 	}
 	queue.SortByShare(l.guestFairShareOrder)
 	for _, t := range l.guestFairShareOrder {
 		for _, j := range t.Items() {
-			if j.flight.Untaken() > 0 && l.leaderTerm.eligible(j, m, now) {
+			if j.flight.Untaken() > 0 && l.leaderTerm.isEligible(j, m, now) {
 				return j
 			}
 		}
@@ -86,12 +86,12 @@
 	return advert
 }
 
-// returnGuestAfter is how long a guest may wait for its first start in this cell.
-const returnGuestAfter = 20 * time.Second
+// guestStartTimeout is how long a guest may wait for its first start in this cell.
+const guestStartTimeout = 20 * time.Second
 
-// scanHost records the completion of guests, returns those that have waited too long and
+// reviewGuests records the completion of guests, returns those that have waited too long and
 // preempts guests for the cell's own work.
-func (l *loans) scanHost(now time.Time) {
+func (l *loans) reviewGuests(now time.Time) {
 	lt := l.leaderTerm
 	for _, t := range l.guestFairShareOrder {
 		for _, j := range t.Items() {
@@ -99,7 +99,7 @@
 			case j.handover || lt.unfenced > 0:
 			case j.doneCount == j.spec.Tasks:
 				l.guestDone(j) // its end is not on record yet
-			case now.Sub(j.waitingSince) > returnGuestAfter && !j.started():
+			case now.Sub(j.waitingSince) > guestStartTimeout && !j.started():
 				l.returnGuest(j)
 			}
 		}
@@ -147,7 +147,7 @@
 		}
 		shortage -= a.job.spec.CPUs
 		l.counts.Stopped++
-		l.leaderTerm.stop(a, 2*a.job.spec.Save(), now)
+		l.leaderTerm.requestStop(a, 2*a.job.spec.Save(), now)
 	}
 }
 
@@ -181,7 +181,7 @@
 
 // findOpenCapacity sums up the schedulable machines, once a tick.
 func (l *loans) findOpenCapacity(now time.Time) openCapacity {
-	if now.Sub(l.openCapacity.at) < tickInterval {
+	if now.Sub(l.openCapacity.at) < leaderTickInterval {
 		return l.openCapacity
 	}
 	l.openCapacity = openCapacity{at: now}
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -11,8 +11,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// scanHome decides which jobs to lend and which loans to reclaim.
-func (l *loans) scanHome(now time.Time) {
+// reviewLending decides which jobs to lend and which loans to reclaim.
+func (l *loans) reviewLending(now time.Time) {
 	lt := l.leaderTerm
 	predictions := l.predictedStarts(now)
 	l.requestReclaim(predictions, now)
@@ -145,7 +145,7 @@
 	tasks := 0
 	for tasks < s.Tasks {
 		cpus, gpus := float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs
-		if cpus > spare+epsilon || !j.team.Allowed(cpus, gpus, unknownCPUs, lt.unfencedGPUs) {
+		if cpus > spare+epsilon || !j.team.WithinLimit(cpus, gpus, unknownCPUs, lt.unfencedGPUs) {
 			break
 		}
 		tasks++
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -134,8 +134,8 @@
 		return
 	}
 	l.nextScan = now.Add(loanScanInterval)
-	l.scanHome(now)
-	l.scanHost(now)
+	l.reviewLending(now)
+	l.reviewGuests(now)
 }
 
 // loanChange is a change of a loan's records.
@@ -360,7 +360,7 @@
 	j.modRevision, j.loanCount = modRevision, rec.LoanCount
 	switch {
 	case rec.Lent != nil:
-		lt.loans.jobLent(j, rec.Lent)
+		lt.loans.applyLent(j, rec.Lent)
 	case j.lent != nil:
 		lt.loans.jobReclaimed(j)
 	}
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -46,8 +46,8 @@
 	offerBytes    = 400
 )
 
-// jobLent updates a job whose active record says that it is lent.
-func (l *loans) jobLent(j *job, record *loan.Lent) {
+// applyLent updates a job whose active record says that it is lent.
+func (l *loans) applyLent(j *job, record *loan.Lent) {
 	if j.lent == nil || j.lent.Epoch != record.Epoch {
 		j.remote = loan.State{}
 		j.reclaimRequested = false
@@ -79,7 +79,7 @@
 	j.waitingSince = time.Now()
 	j.team.Remove(j)
 	j.team.Add(j)
-	l.leaderTerm.dispatchUntil = j.waitingSince.Add(dispatchFor)
+	l.leaderTerm.dispatchUntil = j.waitingSince.Add(dispatchWindow)
 }
 
 // reserve counts a loan's budget as used by its team.
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -384,7 +384,7 @@
 		return
 	}
 	lt := l.leaderTerm
-	lt.forget(j)
+	lt.removeJob(j)
 	if end.ModRevision != 0 {
 		var recorded loan.End
 		if err := json.Unmarshal(end.Value, &recorded); err == nil && recorded.Phase == api.JobCancelled {
@@ -392,7 +392,7 @@
 		}
 	}
 	for _, a := range j.activeAttempts {
-		lt.resolveOutcome(a)
+		lt.terminateIfOutcomeUnknown(a)
 	}
 	for first := range j.completionChunks {
 		lt.recordWriter.deleteKey(records.CompletionKey(j.spec.ID, first))
--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -43,7 +43,7 @@
 // checkNoJobs checks that the first node, which leads, holds no job in memory.
 func (tn *userCluster) checkNoJobs() {
 	tn.t.Helper()
-	tn.at(0).look(func(c *Controller) { tn.same("jobs left", len(c.leaderTerm.jobs), 0) })
+	tn.nodeAt(0).inspect(func(c *Controller) { tn.checkEqual("jobs left", len(c.leaderTerm.jobs), 0) })
 }
 
 // lostResponse is a transaction that is applied while its response is lost.
@@ -66,7 +66,7 @@
 	{
 		name: "acceptance", key: racedJobActive, match: isAcceptance, writers: []int{0, 1},
 		request: func(tn *userCluster, node int) error {
-			_, err := tn.checker.submit(tn.at(node), spec(racedJob, 2))
+			_, err := tn.checker.submit(tn.nodeAt(node), spec(racedJob, 2))
 			return err
 		},
 		wantPhase: "running", wantStarts: 2, wantTasks: 2,
@@ -74,7 +74,7 @@
 	{
 		name: "cancellation", key: racedJobTerminal, match: isCancellation, writers: []int{0, 2},
 		request: func(tn *userCluster, node int) error {
-			_, err := tn.checker.cancel(tn.at(node), racedJob)
+			_, err := tn.checker.cancel(tn.nodeAt(node), racedJob)
 			return err
 		},
 		wantPhase: "withdrawn", wantStarts: 2, wantTasks: 0,
@@ -98,7 +98,7 @@
 			tn.t.Errorf("request that was applied: got error %v, want none", err)
 		}
 		if err != nil {
-			err = insist(func() error { return lr.request(tn, writer) })
+			err = retryUntilAnswered(func() error { return lr.request(tn, writer) })
 		}
 		if err != nil {
 			tn.t.Errorf("request in the end: got error %v, want none", err)
@@ -116,24 +116,24 @@
 		tn.accept(1, spec(racedJob, 2))
 		time.Sleep(3 * time.Second)
 	}
-	w.store.Lose(firstMatch(lr.match))
+	w.store.LoseResponses(firstMatch(lr.match))
 	tn.pollAll(spec(racedJob, 2), 7*time.Millisecond, 3*time.Second)
 	lr.requestInBackground(tn, writer, rejected)
 	for !w.store.Has(lr.key) {
 		time.Sleep(time.Millisecond)
 	}
-	first := tn.written(lr.key)
+	first := tn.modRevision(lr.key)
 	tn.ways[writer].set(rejected > 0)
 	time.Sleep(rejected)
 	tn.ways[writer].set(false)
 	time.Sleep(12 * time.Second)
-	tn.finally(map[string]string{racedJob: lr.wantPhase})
-	w.same("mod revision, written once", tn.written(lr.key), first)
-	w.same("starts", tn.starts(), lr.wantStarts)
-	w.same("tasks on machines", tn.held(), lr.wantTasks)
+	tn.checkFinalPhases(map[string]string{racedJob: lr.wantPhase})
+	w.checkEqual("mod revision, written once", tn.modRevision(lr.key), first)
+	w.checkEqual("starts", tn.starts(), lr.wantStarts)
+	w.checkEqual("tasks on machines", tn.tasksOnMachines(), lr.wantTasks)
 	if lr.wantPhase == "done" && rejected == 0 {
 		_, endedAt := tn.checker.end(racedJob)
-		w.same("end answered in time", endedAt.Sub(tn.checker.doneAt(racedJob)) < 3*time.Second, true)
+		w.checkEqual("end answered in time", endedAt.Sub(tn.checker.doneAt(racedJob)) < 3*time.Second, true)
 	}
 	if lr.wantPhase != "running" {
 		tn.checkNoJobs()
@@ -180,7 +180,7 @@
 
 // cancelRacedJobOnce cancels without a repetition. The error is dropped: the transaction gets
 // no response, and what the user is answered is up to the answer checker.
-func cancelRacedJobOnce(tn *userCluster) { _, _ = tn.checker.cancel(tn.at(0), racedJob) }
+func cancelRacedJobOnce(tn *userCluster) { _, _ = tn.checker.cancel(tn.nodeAt(0), racedJob) }
 
 func endRacedJob(tn *userCluster) { tn.finish(racedJob) }
 
@@ -237,11 +237,11 @@
 		acceptRacedJob(tn)
 		time.Sleep(3 * time.Second)
 	}
-	w.store.SetBlind(dt.blind)
+	w.store.SetWatchesBlind(dt.blind)
 	if dt.allMatches {
-		w.store.Hold(dt.match)
+		w.store.Delay(dt.match)
 	} else {
-		w.store.Hold(firstMatch(dt.match))
+		w.store.Delay(firstMatch(dt.match))
 	}
 	tn.pollAll(spec(racedJob, 1), 60*time.Millisecond, 14*time.Second)
 	tn.background(func() {
@@ -251,25 +251,25 @@
 		}
 	})
 	time.Sleep(release)
-	before := tn.written(racedJobTerminal)
+	before := tn.modRevision(racedJobTerminal)
 	late = before != 0
-	w.same("transactions are delayed", w.store.Held() > 0, true)
-	for _, res := range w.store.Release() {
-		w.same("delayed transaction applied over an end", late && res.Succeeded, false)
+	w.checkEqual("transactions are delayed", w.store.DelayedCount() > 0, true)
+	for _, res := range w.store.ApplyDelayed() {
+		w.checkEqual("delayed transaction applied over an end", late && res.Succeeded, false)
 	}
 	time.Sleep(13*time.Second - release)
-	w.store.SetBlind(false)
+	w.store.SetWatchesBlind(false)
 	time.Sleep(3 * time.Second)
 	phase = dt.wantPhase
 	if phase == "" {
 		phase, _ = tn.checker.end(racedJob)
 	}
-	tn.finally(map[string]string{racedJob: phase})
+	tn.checkFinalPhases(map[string]string{racedJob: phase})
 	if late {
-		w.same("mod revision, written once", tn.written(racedJobTerminal), before)
+		w.checkEqual("mod revision, written once", tn.modRevision(racedJobTerminal), before)
 	}
 	if phase != "running" {
-		w.same("tasks on machines", tn.held(), 0)
+		w.checkEqual("tasks on machines", tn.tasksOnMachines(), 0)
 		tn.checkNoJobs()
 	}
 	return phase, late
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -20,10 +20,10 @@
 // machine is a rented machine that has sent a heartbeat or is in the registry.
 type machine struct {
 	name, addr string
-	// typ is the machine type by which the cloud rents it.
-	typ  string
-	zone string
-	spot bool
+	// machineType is the machine type by which the cloud rents it.
+	machineType string
+	zone        string
+	spot        bool
 	// cpus, gpus and memory (in GB) are the machine's size; 0 while its type is not known.
 	cpus, gpus float64
 	memory     float64
@@ -33,8 +33,8 @@
 
 	// agentEpoch and heartbeatSeq are those of the newest heartbeat.
 	agentEpoch, heartbeatSeq uint64
-	// heartbeats counts the heartbeats applied.
-	heartbeats int
+	// heartbeatCount counts the heartbeats applied.
+	heartbeatCount int
 	// lastCommands are the commands of the last response, sent at lastCommandsAt.
 	lastCommands   []api.Command
 	lastCommandsAt time.Time
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -36,7 +36,7 @@
 		return
 	}
 	m.evacuating, m.reason = true, reason
-	lt.c.Log.Info("machine evacuating", "machine", m.name, "type", m.typ, "reason", reason, "count", len(m.attempts))
+	lt.c.Log.Info("machine evacuating", "machine", m.name, "type", m.machineType, "reason", reason, "count", len(m.attempts))
 }
 
 // machineTerminated removes a machine whose termination the cloud has confirmed. Only this, or a
@@ -47,7 +47,7 @@
 	delete(lt.machines, m.name)
 	lt.markFenced(m)
 	for _, a := range m.attempts {
-		lt.offMachine(a)
+		lt.removeAttempt(a)
 	}
 	for _, j := range lt.jobs {
 		j.flight.Leave(m.name)
@@ -77,7 +77,7 @@
 func (lt *leaderTerm) addMachine(name, typ, zone string, spot bool, now time.Time) *machine {
 	m := &machine{
 		name:              name,
-		typ:               typ,
+		machineType:       typ,
 		zone:              zone,
 		spot:              spot,
 		unattributedTotal: &lt.unattributedCPUs,
