--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -74,7 +74,7 @@
 	simulate func(*testing.T, int, func(*checkedCluster))
 }{
 	{"answers", simulateChecked},
-	{"direct", simulateSeldom},
+	{"direct", simulateSlowHeartbeats},
 }
 
 // Faults of a machine's connections.
@@ -82,32 +82,32 @@
 func cutConnections(k *host) { k.cut = true }
 
 // loseResponses lets heartbeats through, but not their responses.
-func loseResponses(k *host) { k.deaf = true }
+func loseResponses(k *host) { k.commandsUndelivered = true }
 
 // loseHeartbeats lets direct commands through, but no heartbeats.
-func loseHeartbeats(k *host) { k.mute = true }
+func loseHeartbeats(k *host) { k.heartbeatsUndelivered = true }
 
 // delayMessages delays direct commands by one time and heartbeat responses by another.
 func delayMessages(command, response time.Duration) func(*host) {
-	return func(k *host) { k.orderDelay, k.linkDelay = command, response }
+	return func(k *host) { k.commandDelay, k.heartbeatResponseDelay = command, response }
 }
 
 func delayCommands(d time.Duration) func(*host) {
-	return func(k *host) { k.orderDelay = d }
+	return func(k *host) { k.commandDelay = d }
 }
 
 func delayCommandResponses(d time.Duration) func(*host) {
-	return func(k *host) { k.answerDelay = d }
+	return func(k *host) { k.commandResponseDelay = d }
 }
 
 func hangFor(d time.Duration) func(*host) {
-	return func(k *host) { k.hung = time.Now().Add(d) }
+	return func(k *host) { k.hungUntil = time.Now().Add(d) }
 }
 
 // healMachines ends the faults of all machines.
 func (s *checkedCluster) healMachines() {
 	for _, k := range s.hosts {
-		k.well()
+		k.heal()
 	}
 }
 
@@ -119,13 +119,13 @@
 		teamSpec("job-1", "red", 8), teamSpec("job-2", "red", 8),
 		teamSpec("job-3", "blue", 4), teamSpec("job-4", "blue", 4),
 	} {
-		s.order(4*time.Minute, j)
+		s.submitJob(4*time.Minute, j)
 		time.Sleep(2 * time.Second)
 	}
 	for i, id := range []string{"job-1", "job-3"} {
-		for n, k := range s.holders(id) {
+		for n, k := range s.machinesRunning(id) {
 			if (n+i)%2 == 0 {
-				k.trouble(cutConnections)
+				k.injectFaults(cutConnections)
 			} else {
 				k.hang(8 * time.Second)
 			}
@@ -135,13 +135,13 @@
 	time.Sleep(c.offset)
 	c.change(s)
 	for i := range 12 { // work that is new in the next term
-		s.order(10*time.Second, teamSpec(fmt.Sprint("job-1", i), alternatingTeam(i), 4))
+		s.submitJob(10*time.Second, teamSpec(fmt.Sprint("job-1", i), alternatingTeam(i), 4))
 		time.Sleep(700 * time.Millisecond)
 	}
 	time.Sleep(12 * time.Second)
 	s.healMachines()
 	s.cancel("job-2", "job-4")
-	s.settle(3 * time.Minute)
+	s.awaitAllEnded(3 * time.Minute)
 }
 
 // Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and
@@ -165,7 +165,7 @@
 	s.t.Helper()
 	const jobs, cancelled = 8, 6
 	for i := range jobs {
-		s.order(5*time.Minute, teamSpec(fmt.Sprint("job-", i), alternatingTeam(i), 2))
+		s.submitJob(5*time.Minute, teamSpec(fmt.Sprint("job-", i), alternatingTeam(i), 2))
 	}
 	time.Sleep(4 * time.Second)
 	c.around(s, func() {
@@ -177,10 +177,10 @@
 	time.Sleep(40 * time.Second)
 	for i := range cancelled {
 		id := fmt.Sprint("job-", i)
-		s.same("tasks of "+id+" on machines", s.h.onMachines(id), []string(nil))
+		s.checkEqual("tasks of "+id+" on machines", s.checker.onMachines(id), []string(nil))
 	}
 	s.cancel("job-6", "job-7")
-	s.settle(time.Minute)
+	s.awaitAllEnded(time.Minute)
 }
 
 // Jobs are cancelled in the seconds of a leader change: at the former leader, at the next one,
@@ -200,26 +200,26 @@
 // runDelayedRegistration adds machines whose registration is delayed past the leader's restart.
 func (s *checkedCluster) runDelayedRegistration(restartAfter time.Duration) {
 	s.t.Helper()
-	s.order(2*time.Minute, teamSpec("job-1", "red", 14))
+	s.submitJob(2*time.Minute, teamSpec("job-1", "red", 14))
 	time.Sleep(3 * time.Second)
-	s.store.Hold(touches(records.MachinePrefix))
-	added := []*host{s.add("i-8", "a", false), s.add("i-9", "b", false)}
+	s.store.Delay(touches(records.MachinePrefix))
+	added := []*host{s.addMachine("i-8", "a", false), s.addMachine("i-9", "b", false)}
 	time.Sleep(restartAfter)
 	for _, k := range added {
-		s.same("tasks on "+k.rep.Machine, k.running(), []string(nil))
-		k.trouble(cutConnections)
+		s.checkEqual("tasks on "+k.status.Machine, k.running(), []string(nil))
+		k.injectFaults(cutConnections)
 	}
 	s.restart(0)
-	for _, res := range s.store.Release() {
-		s.same("delayed registration applied", res.Succeeded, false)
+	for _, res := range s.store.ApplyDelayed() {
+		s.checkEqual("delayed registration applied", res.Succeeded, false)
 	}
-	s.add("i-5", "a", false)
-	s.add("i-6", "b", false)
+	s.addMachine("i-5", "a", false)
+	s.addMachine("i-6", "b", false)
 	time.Sleep(8 * time.Second)
 	for _, k := range added {
-		k.well()
+		k.heal()
 	}
-	s.settle(4 * time.Minute)
+	s.awaitAllEnded(4 * time.Minute)
 }
 
 // New machines are up within two seconds while writes are delayed, and the leader restarts.
@@ -261,7 +261,7 @@
 func (k *host) sentHeartbeats() []api.Heartbeat {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return slices.Clone(k.reports)
+	return slices.Clone(k.heartbeats)
 }
 
 // recordedHeartbeats are the heartbeats that machines have sent up to a moment.
@@ -286,15 +286,15 @@
 // runReorderedHeartbeats replays old heartbeats before, during and after a leader change.
 func (s *checkedCluster) runReorderedHeartbeats(c leaderChangeCase) {
 	s.t.Helper()
-	s.hosts[4].trouble(cutConnections) // for good: i-5 is terminated
-	s.order(25*time.Second, teamSpec("job-1", "red", 4))
-	s.order(3*time.Minute, teamSpec("job-2", "red", 4))
+	s.hosts[4].injectFaults(cutConnections) // for good: i-5 is terminated
+	s.submitJob(25*time.Second, teamSpec("job-1", "red", 4))
+	s.submitJob(3*time.Minute, teamSpec("job-2", "red", 4))
 	time.Sleep(3 * time.Second)
 	// The first machine's agent epoch ends, and its tasks start anew.
-	first := s.holders("job-2")[0]
-	first.trouble(loseHeartbeats)
+	first := s.machinesRunning("job-2")[0]
+	first.injectFaults(loseHeartbeats)
 	time.Sleep(13 * time.Second)
-	first.well()
+	first.heal()
 	time.Sleep(3 * time.Second)
 	recorded := s.recordHeartbeats()
 	recorded.replay(s)
@@ -302,17 +302,17 @@
 	c.around(s, func() { recorded.replay(s) })
 	time.Sleep(10 * time.Second)
 	recorded.replay(s)
-	s.same("registry", s.roster(), []string{"i-1", "i-2", "i-3", "i-4"})
+	s.checkEqual("registry", s.registeredMachines(), []string{"i-1", "i-2", "i-3", "i-4"})
 	s.cancel("job-2")
 	time.Sleep(5 * time.Second)
 	recorded.replay(s)
-	s.order(5*time.Second, teamSpec("job-3", "red", 12))
-	s.order(5*time.Second, teamSpec("job-4", "blue", 8))
+	s.submitJob(5*time.Second, teamSpec("job-3", "red", 12))
+	s.submitJob(5*time.Second, teamSpec("job-4", "blue", 8))
 	time.Sleep(2 * time.Second)
 	recorded.replay(s)
-	s.settle(2 * time.Minute)
-	s.same("terminated machines", s.cloud.returned, []string{"i-5"})
-	s.same("started after completion", s.h.begunWhenDone(), []string(nil))
+	s.awaitAllEnded(2 * time.Minute)
+	s.checkEqual("terminated machines", s.cloud.terminatedNames, []string{"i-5"})
+	s.checkEqual("started after completion", s.checker.restartedWhenDone(), []string(nil))
 }
 
 // Old heartbeats arrive after newer ones: of an earlier agent epoch, of an earlier attempt, from
@@ -333,21 +333,21 @@
 	s.t.Helper()
 	for i := range 6 {
 		j := teamSpec(fmt.Sprint("job-", i), alternatingTeam(i), 2+i%2)
-		s.order(4*time.Second+time.Duration(i)*700*time.Millisecond, j)
-		s.h.mu.Lock()
-		s.h.jobs[j.ID].apart = 20 * time.Second
-		s.h.mu.Unlock()
+		s.submitJob(4*time.Second+time.Duration(i)*700*time.Millisecond, j)
+		s.checker.mu.Lock()
+		s.checker.jobs[j.ID].durationStep = 20 * time.Second
+		s.checker.mu.Unlock()
 	}
 	if delayRecords {
 		time.Sleep(2 * time.Second)
-		s.store.Hold(touches(records.CompletionPrefix))
+		s.store.Delay(touches(records.CompletionPrefix))
 	}
 	time.Sleep(c.offset)
 	c.change(s)
 	time.Sleep(time.Second)
-	s.store.Release()
-	s.settle(2 * time.Minute)
-	s.same("started twice", s.h.begunTwice(), []string(nil))
+	s.store.ApplyDelayed()
+	s.awaitAllEnded(2 * time.Minute)
+	s.checkEqual("started twice", s.checker.startedTwice(), []string(nil))
 }
 
 // Tasks of jobs of two or three end far apart across a leader change, while their completion
@@ -376,25 +376,25 @@
 
 func crashAllRestartOne(s *checkedCluster) {
 	s.crashAll()
-	s.begin("n1")
+	s.startNode("n1")
 	time.Sleep(35 * time.Second)
-	s.begin("n0")
+	s.startNode("n0")
 }
 
 func crashAllRestartLeader(s *checkedCluster) {
 	last := s.leader()
 	s.crashAll()
 	time.Sleep(700 * time.Millisecond)
-	s.begin(last)
+	s.startNode(last)
 	time.Sleep(10 * time.Second)
-	s.begin(map[string]string{"n0": "n1", "n1": "n0"}[last])
+	s.startNode(map[string]string{"n0": "n1", "n1": "n0"}[last])
 }
 
 func crashAllBeyondLease(s *checkedCluster) {
 	s.crashAll()
 	time.Sleep(14 * time.Second)
-	s.begin("n1")
-	s.begin("n0")
+	s.startNode("n1")
+	s.startNode("n0")
 }
 
 func changeLeaderTenTimes(s *checkedCluster) {
@@ -440,17 +440,17 @@
 		for offset := time.Duration(0); offset < 3*time.Second; offset += 400 * time.Millisecond {
 			t.Run(fmt.Sprint(c.name, " ", offset), func(t *testing.T) {
 				simulateChecked(t, 7, func(s *checkedCluster) {
-					s.order(3*time.Second, teamSpec("job-0", "blue", 30))
-					s.order(90*time.Second, teamSpec("job-1", "red", 10))
-					s.order(15*time.Second, teamSpec("job-2", "red", 20))
-					s.order(4*time.Minute, teamSpec("job-3", "blue", 4))
+					s.submitJob(3*time.Second, teamSpec("job-0", "blue", 30))
+					s.submitJob(90*time.Second, teamSpec("job-1", "red", 10))
+					s.submitJob(15*time.Second, teamSpec("job-2", "red", 20))
+					s.submitJob(4*time.Minute, teamSpec("job-3", "blue", 4))
 					time.Sleep(offset)
 					s.tasks.Go(func() {
 						time.Sleep(4 * time.Second)
 						s.cancel("job-3")
 					})
 					c.script(s)
-					s.settle(6 * time.Minute)
+					s.awaitAllEnded(6 * time.Minute)
 				})
 			})
 		}
@@ -460,15 +460,15 @@
 // runUnreachableMachines changes the leader while two machines of a job have a fault.
 func (s *checkedCluster) runUnreachableMachines(c leaderChangeCase, fault func(*host), lasts time.Duration) {
 	s.t.Helper()
-	s.order(70*time.Second, teamSpec("job-1", "red", 12))
-	s.order(2*time.Minute, teamSpec("job-2", "blue", 8))
+	s.submitJob(70*time.Second, teamSpec("job-1", "red", 12))
+	s.submitJob(2*time.Minute, teamSpec("job-2", "blue", 8))
 	time.Sleep(4 * time.Second)
 	if c.offset < 0 {
 		c.change(s)
 		time.Sleep(-c.offset)
 	}
-	for _, k := range s.holders("job-1")[:2] {
-		k.trouble(fault)
+	for _, k := range s.machinesRunning("job-1")[:2] {
+		k.injectFaults(fault)
 	}
 	if c.offset >= 0 {
 		time.Sleep(c.offset)
@@ -476,12 +476,12 @@
 	}
 	time.Sleep(time.Second)
 	s.cancel("job-2")
-	s.order(20*time.Second, teamSpec("job-3", "blue", 8))
+	s.submitJob(20*time.Second, teamSpec("job-3", "blue", 8))
 	time.Sleep(lasts)
 	s.healMachines()
-	s.add("i-8", "a", false)
-	s.add("i-9", "b", false)
-	s.settle(4 * time.Minute)
+	s.addMachine("i-8", "a", false)
+	s.addMachine("i-9", "b", false)
+	s.awaitAllEnded(4 * time.Minute)
 }
 
 // The leader changes while machines with long tasks are unreachable, receive no response of the
@@ -515,25 +515,25 @@
 	s.t.Helper()
 	wide := teamSpec("job-0", "red", 3) // keeps three machines in use
 	wide.CPUs = 3
-	s.order(3*time.Minute, wide)
+	s.submitJob(3*time.Minute, wide)
 	time.Sleep(6 * time.Second)
-	for _, k := range s.holders("job-0") {
-		k.trouble(fault)
+	for _, k := range s.machinesRunning("job-0") {
+		k.injectFaults(fault)
 	}
-	s.order(4*time.Minute, teamSpec("job-1", "red", 12))
-	s.order(30*time.Second, teamSpec("job-2", "blue", 6))
+	s.submitJob(4*time.Minute, teamSpec("job-1", "red", 12))
+	s.submitJob(30*time.Second, teamSpec("job-2", "blue", 6))
 	time.Sleep(cancelAfter)
 	s.cancel(cancelled...)
 	if restart {
 		time.Sleep(300 * time.Millisecond)
 		s.restart(300 * time.Millisecond)
 	}
-	s.order(20*time.Second, teamSpec("job-3", "red", 16))
+	s.submitJob(20*time.Second, teamSpec("job-3", "red", 16))
 	time.Sleep(55 * time.Second)
 	s.healMachines()
-	s.add("i-7", "a", false)
-	s.add("i-8", "b", false)
-	s.settle(4 * time.Minute)
+	s.addMachine("i-7", "a", false)
+	s.addMachine("i-8", "b", false)
+	s.awaitAllEnded(4 * time.Minute)
 }
 
 // A direct command or its response is delayed for seconds, or the machine hangs within its lease
@@ -559,7 +559,7 @@
 				// Small jobs start first, where the least capacity is free.
 				cancelled := []string{"job-1", "job-2"}[:1+offset/step%2]
 				t.Run(fmt.Sprint(f.name, ", restart ", restart, " ", offset), func(t *testing.T) {
-					simulateSeldom(t, 5, func(s *checkedCluster) {
+					simulateSlowHeartbeats(t, 5, func(s *checkedCluster) {
 						s.runDelayedCommands(f.fault, offset, cancelled, restart)
 					})
 				})
@@ -570,8 +570,8 @@
 
 // zoneOf is the zone of a machine that runs tasks of a job, or "".
 func (s *checkedCluster) zoneOf(job string) (zone string) {
-	for _, k := range s.holders(job) {
-		zone = k.rep.Zone
+	for _, k := range s.machinesRunning(job) {
+		zone = k.status.Zone
 	}
 	return zone
 }
@@ -579,9 +579,9 @@
 // cutMachines cuts some machines of a zone off.
 func (s *checkedCluster) cutMachines(zone string, count int) {
 	for _, k := range s.hosts {
-		if k.rep.Zone == zone && count > 0 {
+		if k.status.Zone == zone && count > 0 {
 			count--
-			k.trouble(cutConnections)
+			k.injectFaults(cutConnections)
 		}
 	}
 }
@@ -593,17 +593,17 @@
 	oneZone, zone, spread := teamSpec("job-1", "red", 7), teamSpec("job-2", "red", 3), teamSpec("job-3", "blue", 8)
 	oneZone.OneZone, zone.Zone, spread.Spread = true, "b", true
 	for _, j := range []*api.JobSpec{oneZone, zone, spread} {
-		s.order(time.Minute, j)
+		s.submitJob(time.Minute, j)
 		time.Sleep(1500 * time.Millisecond)
 	}
 	s.cutMachines(s.zoneOf("job-1"), cut)
 	time.Sleep(c.offset)
 	c.change(s)
 	time.Sleep(15 * time.Second)
-	s.add("i-91", "a", false)
-	s.add("i-92", "b", false)
-	s.add("i-93", "a", true)
-	s.settle(5 * time.Minute)
+	s.addMachine("i-91", "a", false)
+	s.addMachine("i-92", "b", false)
+	s.addMachine("i-93", "a", true)
+	s.awaitAllEnded(5 * time.Minute)
 }
 
 // Jobs bound to one zone, arrays too, lose machines around a leader change: their
@@ -641,15 +641,15 @@
 	k := s.hosts[rnd.IntN(len(s.hosts))]
 	switch rnd.IntN(12) {
 	case 0:
-		k.trouble(cutConnections)
+		k.injectFaults(cutConnections)
 	case 1:
-		k.trouble(loseResponses)
+		k.injectFaults(loseResponses)
 	case 2:
-		k.trouble(loseHeartbeats)
+		k.injectFaults(loseHeartbeats)
 	case 3, 4:
 		k.hang(time.Duration(rnd.IntN(9)) * time.Second)
 	case 5, 6:
-		k.well()
+		k.heal()
 	case 7:
 		s.handOver()
 	case 8:
@@ -659,10 +659,10 @@
 	case 10:
 		s.tasks.Go(func() { k.replayHeartbeats(k.sentHeartbeats()) })
 	case 11:
-		s.store.Hold(touches(records.MachinePrefix))
+		s.store.Delay(touches(records.MachinePrefix))
 		s.tasks.Go(func() {
-			idle(s.ctx, 5*time.Second)
-			s.store.Release()
+			sleepUnlessZero(s.ctx, 5*time.Second)
+			s.store.ApplyDelayed()
 		})
 	}
 }
@@ -675,21 +675,21 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			simulateMode := simulateChecked
 			if seed%3 == 2 {
-				simulateMode = simulateSeldom
+				simulateMode = simulateSlowHeartbeats
 			}
 			simulateMode(t, 8, func(s *checkedCluster) {
 				rnd := rand.New(rand.NewPCG(uint64(seed), 1))
 				for i := range 30 {
 					j := randomSpec(rnd, i)
-					s.order(time.Duration(5+rnd.IntN(40))*time.Second, j)
+					s.submitJob(time.Duration(5+rnd.IntN(40))*time.Second, j)
 					s.injectRandomFault(rnd, i+1)
 					time.Sleep(time.Duration(rnd.IntN(3000)) * time.Millisecond)
 				}
 				s.healMachines()
 				for i := range 4 {
-					s.add(fmt.Sprint("i-9", i), []string{"a", "b"}[i%2], false)
+					s.addMachine(fmt.Sprint("i-9", i), []string{"a", "b"}[i%2], false)
 				}
-				s.settle(8 * time.Minute)
+				s.awaitAllEnded(8 * time.Minute)
 			})
 		})
 	}
@@ -703,15 +703,15 @@
 		for offset := time.Duration(0); offset < 3*time.Second; offset += 300 * time.Millisecond {
 			t.Run(fmt.Sprint(mode.name, " ", offset), func(t *testing.T) {
 				mode.simulate(t, 3, func(s *checkedCluster) {
-					s.order(3*time.Minute, teamSpec("job-1", "red", 4))
+					s.submitJob(3*time.Minute, teamSpec("job-1", "red", 4))
 					time.Sleep(5*time.Second + offset)
-					for _, k := range s.holders("job-1") {
-						k.trouble(loseHeartbeats)
+					for _, k := range s.machinesRunning("job-1") {
+						k.injectFaults(loseHeartbeats)
 					}
 					time.Sleep(time.Minute)
-					s.same("started elsewhere", len(s.h.onMachines("job-1")), 4)
+					s.checkEqual("started elsewhere", len(s.checker.onMachines("job-1")), 4)
 					s.healMachines()
-					s.settle(4 * time.Minute)
+					s.awaitAllEnded(4 * time.Minute)
 				})
 			})
 		}
@@ -731,17 +731,17 @@
 			low = append(low, j.ID)
 			j.DeadlineS = 70 // sooner than the others' objective
 		}
-		s.order(9*time.Second, j)
+		s.submitJob(9*time.Second, j)
 	}
 	return low, urgent
 }
 
 // doneTasksPer100 is the number of completed tasks for each hundred jobs.
 func (s *checkedCluster) doneTasksPer100(ids []string) (count int) {
-	s.h.mu.Lock()
-	defer s.h.mu.Unlock()
+	s.checker.mu.Lock()
+	defer s.checker.mu.Unlock()
 	for _, id := range ids {
-		count += len(s.h.jobs[id].done)
+		count += len(s.checker.jobs[id].completions)
 	}
 	return count * 100 / len(ids)
 }
@@ -750,7 +750,7 @@
 func (s *checkedCluster) runOverload(delay time.Duration, restart bool) {
 	s.t.Helper()
 	for _, k := range s.hosts {
-		k.trouble(func(k *host) { k.linkDelay = delay })
+		k.injectFaults(func(k *host) { k.heartbeatResponseDelay = delay })
 	}
 	low, urgent := s.submitOverload()
 	time.Sleep(5 * time.Second)
@@ -763,7 +763,7 @@
 		s.t.Errorf("tasks done of each hundred jobs: got %d of urgent and %d of low ones, want more urgent", u, l)
 	}
 	s.healMachines()
-	s.settle(10 * time.Minute)
+	s.awaitAllEnded(10 * time.Minute)
 }
 
 // There is more work than capacity, urgent and not, over slow links: responses take long to reach
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -57,7 +57,7 @@
 						t.Fatalf("got %v, want %v", err, api.ErrUnavailable)
 					}
 				}
-				w.same("time taken", time.Since(startTime), time.Duration(0))
+				w.checkEqual("time taken", time.Since(startTime), time.Duration(0))
 			})
 		})
 	}
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -18,7 +18,7 @@
 // sample updates the peaks from the leader's state.
 func (p *leaderPeaks) sample(tn *userCluster) {
 	tn.t.Helper()
-	tn.at(0).look(func(c *Controller) {
+	tn.nodeAt(0).inspect(func(c *Controller) {
 		lt := c.leaderTerm
 		if lt == nil {
 			tn.t.Error("the leader has stepped down")
@@ -38,7 +38,7 @@
 	tn.takes.Store(s.ID, 2*time.Second)
 	tn.background(func() {
 		tn.accept(i, s)
-		tn.follow(i, s.ID, 700*time.Millisecond)
+		tn.pollUntilFinal(i, s.ID, 700*time.Millisecond)
 		if i%4 != 1 {
 			return
 		}
@@ -66,11 +66,11 @@
 		} else if at.Sub(tn.checker.doneAt(id)) > maxDelay {
 			late++
 		}
-		tn.same("an end of "+id, end != "", true)
+		tn.checkEqual("an end of "+id, end != "", true)
 	}
-	tn.same("ends answered late", late, 0)
-	tn.finally(want)
-	tn.gone()
+	tn.checkEqual("ends answered late", late, 0)
+	tn.checkFinalPhases(want)
+	tn.checkNoneOverdue()
 	return cancelled
 }
 
@@ -78,13 +78,13 @@
 // records.
 func (tn *userCluster) checkNothingLeft() {
 	tn.t.Helper()
-	tn.at(0).look(func(c *Controller) {
+	tn.nodeAt(0).inspect(func(c *Controller) {
 		if c.leaderTerm == nil {
 			return
 		}
-		tn.same("jobs left", len(c.leaderTerm.jobs), 0)
+		tn.checkEqual("jobs left", len(c.leaderTerm.jobs), 0)
 		for _, m := range c.leaderTerm.machines {
-			tn.same("attempts left", len(m.attempts), 0)
+			tn.checkEqual("attempts left", len(m.attempts), 0)
 		}
 	})
 	for _, prefix := range []string{records.ActivePrefix + "job-", records.CompletionPrefix} {
@@ -137,7 +137,7 @@
 				t.Errorf("%s: got %d, want at most %d", b.name, b.got, b.limit)
 			}
 		}
-		w.same("more than 100 cancelled", cancelled > 100, true)
+		w.checkEqual("more than 100 cancelled", cancelled > 100, true)
 		tn.checkNothingLeft()
 	})
 }
@@ -148,7 +148,7 @@
 	time.Sleep(after)
 	i := tn.leader()
 	tn.crash(i)
-	tn.begin(i)
+	tn.startNode(i)
 	time.Sleep(25 * time.Second)
 	i = tn.leader()
 	tn.ways[i].set(true)
@@ -158,14 +158,14 @@
 	i = tn.leader()
 	tn.crash(i)
 	time.Sleep(40 * time.Second)
-	tn.begin(i)
+	tn.startNode(i)
 }
 
 // loseEveryFifth drops the response to every fifth transaction that changes something, and
 // returns the number dropped so far.
 func (w *cluster) loseEveryFifth() (lost func() int) {
 	writes, dropped := 0, 0
-	w.store.Lose(func(txn kv.Txn) bool {
+	w.store.LoseResponses(func(txn kv.Txn) bool {
 		if len(txn.Ops) == 0 {
 			return false
 		}
@@ -188,7 +188,7 @@
 	tn.takes.Store(s.ID, time.Duration(2+i%7)*time.Second)
 	tn.background(func() {
 		tn.accept(i, s)
-		tn.follow(i, s.ID, 1500*time.Millisecond)
+		tn.pollUntilFinal(i, s.ID, 1500*time.Millisecond)
 		if cancelsJob(i) {
 			time.Sleep(time.Duration(i%4) * time.Second)
 			tn.cancel(i+1, s.ID)
@@ -215,7 +215,7 @@
 					time.Sleep(1700 * time.Millisecond)
 				}
 				time.Sleep(75 * time.Second)
-				w.store.Lose(nil)
+				w.store.LoseResponses(nil)
 				want := map[string]string{}
 				for i := range jobs {
 					id := fmt.Sprint("job-", i)
@@ -224,10 +224,10 @@
 						want[id], _ = tn.checker.end(id)
 					}
 				}
-				tn.finally(want)
-				tn.gone()
-				w.same("tasks on machines", tn.held(), 0)
-				w.same("more than 20 responses lost", lost() > 20, true)
+				tn.checkFinalPhases(want)
+				tn.checkNoneOverdue()
+				w.checkEqual("tasks on machines", tn.tasksOnMachines(), 0)
+				w.checkEqual("more than 20 responses lost", lost() > 20, true)
 			})
 		})
 	}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -203,7 +203,7 @@
 	m.status.Cancellations = cancellation.Delta{}
 	mb.PeerStatus, mb.lastPong = m.status, m.sentAt
 	if c.leaderTerm != nil {
-		c.leaderTerm.downlink.restarted(c.leaderTerm, m.node, m.status.Incarnation)
+		c.leaderTerm.downlink.handleRestart(c.leaderTerm, m.node, m.status.Incarnation)
 	}
 	if m.node == c.leader {
 		c.leaseRenewer.reset(m.node, m.status.Term, m.cancellationsKnownAt(c, mb, now))
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -10,13 +10,13 @@
 // cancellation has, while users cancel and ask at all nodes: what was told holds,
 // and once the store is back all is answered.
 func TestAnswersAroundAnOutage(t *testing.T) {
-	aloneThenOut(t, func(tn *userCluster, want map[string]string) { tn.finally(want) })
+	aloneThenOut(t, func(tn *userCluster, want map[string]string) { tn.checkFinalPhases(want) })
 }
 
 // Nor does a task run on for longer than a cancellation has: the leader hears of what
 // was cancelled through the others while it alone was refused.
 func TestCancelledTasksAroundAnOutage(t *testing.T) {
-	aloneThenOut(t, func(tn *userCluster, _ map[string]string) { tn.gone() })
+	aloneThenOut(t, func(tn *userCluster, _ map[string]string) { tn.checkNoneOverdue() })
 }
 
 func aloneThenOut(t *testing.T, judge func(tn *userCluster, want map[string]string)) {
@@ -38,7 +38,7 @@
 					tn.accept(i, s)
 				}
 				time.Sleep(3 * time.Second)
-				w.same("running", tn.held(), jobs)
+				w.checkEqual("running", tn.tasksOnMachines(), jobs)
 				tn.background(func() {
 					tn.ways[0].set(true)
 					time.Sleep(alone)
@@ -61,13 +61,13 @@
 				for i := range jobs {
 					id := fmt.Sprint("job-", i)
 					for k := range 3 {
-						if _, err := tn.checker.ask(tn.at(k), id); err != nil {
+						if _, err := tn.checker.ask(tn.nodeAt(k), id); err != nil {
 							t.Errorf("%s at node %d, 8 s after the outage: %v", id, k, err)
 						}
 					}
 				}
 				time.Sleep(60 * time.Second)
-				w.same("on machines", tn.held(), 0)
+				w.checkEqual("on machines", tn.tasksOnMachines(), 0)
 				judge(tn, want)
 			})
 		})
--- a/internal/controller/outcome_test.go
+++ b/internal/controller/outcome_test.go
@@ -47,11 +47,11 @@
 		for i := range 15 {
 			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
 		}
-		n.look(func(c *Controller) { c.leaderTerm.teams["red"].LimitCPUs = 1000 })
+		n.inspect(func(c *Controller) { c.leaderTerm.teams["red"].LimitCPUs = 1000 })
 		all := func(seconds int) {
 			for range seconds {
 				for _, k := range ks {
-					k.report(n)
+					k.heartbeat(n)
 				}
 				time.Sleep(time.Second)
 			}
@@ -61,22 +61,22 @@
 			w.submit(n, spec(fmt.Sprintf("job-%d", i), 1))
 		}
 		all(4)
-		w.store.Lose(func(txn kv.Txn) bool { return txn.Records })
+		w.store.LoseResponses(func(txn kv.Txn) bool { return txn.Records })
 		st.closed.Store(true)
 		for _, k := range ks {
 			k.exit(api.CauseDone)
 		}
 		all(40)
-		w.store.Lose(nil)
+		w.store.LoseResponses(nil)
 		st.closed.Store(false)
 		all(20)
 		for _, k := range ks {
 			k.mu.Lock()
-			if len(k.rep.Tasks) > 0 {
-				t.Errorf("%s still holds %d tasks that are done", k.rep.Machine, len(k.rep.Tasks))
+			if len(k.status.Tasks) > 0 {
+				t.Errorf("%s still holds %d tasks that are done", k.status.Machine, len(k.status.Tasks))
 			}
 			k.mu.Unlock()
 		}
-		n.look(func(c *Controller) { w.same("jobs left", len(c.leaderTerm.jobs), 0) })
+		n.inspect(func(c *Controller) { w.checkEqual("jobs left", len(c.leaderTerm.jobs), 0) })
 	})
 }
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -6,9 +6,9 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// unlimitedFetches bounds the images that a machine fetches at the same time while capacity is
+// maxConcurrentFetches bounds the images that a machine fetches at the same time while capacity is
 // not short.
-const unlimitedFetches = 4
+const maxConcurrentFetches = 4
 
 // minDeferredLoads bounds the work of deferInfeasible: it considers that many jobs, or one for
 // each machine of a larger fleet.
@@ -22,12 +22,12 @@
 	// Images that are fetched at the same time share the machine's rate. While capacity is
 	// short, one after the other is better: the first tasks start sooner, and no capacity is
 	// reserved for those whose image arrives last.
-	lt.maxFetches = unlimitedFetches
+	lt.maxFetches = maxConcurrentFetches
 	if pending > free {
 		lt.maxFetches = 1
 	}
 	for _, t := range lt.fairShareOrder {
-		t.Resort()
+		t.InvalidateOrder()
 	}
 }
 
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -12,7 +12,7 @@
 // hold keeps the owner of a node from doing anything for a while, as a processor
 // does whose share is used up.
 func (n *node) hold(d time.Duration) {
-	n.look(func(*Controller) { time.Sleep(d) })
+	n.inspect(func(*Controller) { time.Sleep(d) })
 }
 
 // A leader with too little processor time finds that the time for its question
@@ -26,26 +26,26 @@
 		ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false), w.worker("i-4", "a", false)}
 		for range 3 {
 			for _, k := range ks {
-				k.report(n)
+				k.heartbeat(n)
 			}
 			time.Sleep(time.Second)
 		}
-		w.tardy.Store("i-1", true)
+		w.unresponsive.Store("i-1", true)
 		for range 10 {
 			for _, k := range ks[1:] {
-				k.report(n)
+				k.heartbeat(n)
 			}
 			time.Sleep(300 * time.Millisecond)
 			n.hold(700 * time.Millisecond)
 		}
-		w.same("given back while held up", w.cloud.gone("i-1"), false)
+		w.checkEqual("given back while held up", w.cloud.terminated("i-1"), false)
 		for range 6 {
 			for _, k := range ks[1:] {
-				k.report(n)
+				k.heartbeat(n)
 			}
 			time.Sleep(time.Second)
 		}
-		w.same("given back after", w.cloud.gone("i-1"), true)
+		w.checkEqual("given back after", w.cloud.terminated("i-1"), true)
 	})
 }
 
@@ -59,12 +59,12 @@
 		w.submit(n, spec("job-1", 1))
 		w.store.SetDown(true) // no renewal is answered from here on
 		var until time.Time
-		n.look(func(c *Controller) { until = c.leaderTerm.leaseExpiry })
+		n.inspect(func(c *Controller) { until = c.leaderTerm.leaseExpiry })
 		time.Sleep(time.Until(until) - 200*time.Millisecond)
 		held := make(chan struct{})
 		go func() { n.hold(500 * time.Millisecond); close(held) }()
 		time.Sleep(time.Millisecond)
-		commands, err := k.send(n) // queued in time, looked at too late
+		commands, err := k.sendHeartbeat(n) // queued in time, looked at too late
 		<-held
 		if err == nil || len(commands) > 0 {
 			t.Errorf("answered with %v after the entitlement had ended", commands)
@@ -83,17 +83,17 @@
 		held := make(chan struct{})
 		go func() { n.hold(heartbeatMaxAge + 100*time.Millisecond); close(held) }()
 		time.Sleep(time.Millisecond)
-		k.rep.Seq++
-		hb := k.rep
+		k.status.Seq++
+		hb := k.status
 		_, err := n.Heartbeat(context.Background(), &hb)
 		<-held
 		if !errors.Is(err, api.ErrUnavailable) {
 			t.Errorf("answered: %v", err)
 		}
 		started := 0
-		n.look(func(c *Controller) { started = len(c.leaderTerm.jobs["job-1"].activeAttempts) })
-		w.same("starts ordered", started, 0)
+		n.inspect(func(c *Controller) { started = len(c.leaderTerm.jobs["job-1"].activeAttempts) })
+		w.checkEqual("starts ordered", started, 0)
 		k.serve(n, 2)
-		w.same("runs after the next report", len(k.running()), 1)
+		w.checkEqual("runs after the next report", len(k.running()), 1)
 	})
 }
--- a/internal/controller/pendingreason_test.go
+++ b/internal/controller/pendingreason_test.go
@@ -18,7 +18,7 @@
 		ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)}
 		for range 4 {
 			for _, k := range ks {
-				k.report(n)
+				k.heartbeat(n)
 			}
 			time.Sleep(time.Second)
 		}
@@ -28,21 +28,21 @@
 		w.submit(n, spec("job-3", 4))
 		for range 3 {
 			for _, k := range ks {
-				k.report(n)
+				k.heartbeat(n)
 			}
 			time.Sleep(time.Second)
 		}
 		w.submit(n, spec("job-4", 1)) // all machines are in use
-		n.look(func(c *Controller) {
+		n.inspect(func(c *Controller) {
 			got, oldest := c.leaderTerm.pendingReasons(time.Now())
-			w.same("waits", got, map[string]int{"team limit": 1, "no room": 1})
-			w.same("oldest", oldest.spec.ID, "job-2")
+			w.checkEqual("waits", got, map[string]int{"team limit": 1, "no room": 1})
+			w.checkEqual("oldest", oldest.spec.ID, "job-2")
 			c.leaderTerm.unfenced++
 			oldest.modRevision = c.leaderTerm.term.ModRevision // accepted before this term
-			w.same("before a takeover is over", c.leaderTerm.pendingReason(oldest, time.Now()), "takeover")
+			w.checkEqual("before a takeover is over", c.leaderTerm.pendingReason(oldest, time.Now()), "takeover")
 			c.leaderTerm.unfenced--
 			oldest.backoffUntil = time.Now().Add(time.Second)
-			w.same("held", c.leaderTerm.pendingReason(oldest, time.Now()), "fails everywhere")
+			w.checkEqual("held", c.leaderTerm.pendingReason(oldest, time.Now()), "fails everywhere")
 		})
 	})
 }
@@ -56,23 +56,23 @@
 	}{{2, true}, {4, false}, {0, false}} {
 		simulate(t, func(w *cluster) {
 			n := w.start("n0")
-			n.look(func(o *Controller) { o.Policy.RestartLimit = c.limit })
+			n.inspect(func(o *Controller) { o.Policy.RestartLimit = c.limit })
 			slow, well := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 			sp := spec("job-1", 8)
 			sp.EstimateS = 10
 			w.submit(n, sp)
 			stopped := false
 			for second := range 32 {
-				for _, o := range slow.report(n) {
+				for _, o := range slow.heartbeat(n) {
 					stopped = stopped || o.Verb == api.VerbStop
 				}
-				well.report(n)
+				well.heartbeat(n)
 				if second == 14 {
 					well.exit(api.CauseDone)
 				}
 				time.Sleep(time.Second)
 			}
-			w.same("stopped", stopped, c.want)
+			w.checkEqual("stopped", stopped, c.want)
 		})
 	}
 }
--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -106,7 +106,7 @@
 }
 
 func (m *pollMsg) apply(c *Controller) {
-	if st, ok := c.final.Get(m.id); ok {
+	if st, ok := c.finalStates.Get(m.id); ok {
 		m.reply <- pollReply{state: st, answered: true}
 		return
 	}
@@ -135,7 +135,7 @@
 
 // pollReplyFor answers a poll from the leader's memory, once that is known to be up to date.
 func (lt *leaderTerm) pollReplyFor(id string) pollReply {
-	if st, ok := lt.c.final.Get(id); ok {
+	if st, ok := lt.c.finalStates.Get(id); ok {
 		return pollReply{state: st, answered: true}
 	}
 	j := lt.jobs[id]
--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -818,7 +818,7 @@
 // allFenced reports whether all machines of the registry are fenced or terminated.
 func (r *oldLeaderTerm) allFenced() bool {
 	for _, m := range r.machines {
-		if !m.fenced && !r.o.w.cloud.gone(m.record.Name) {
+		if !m.fenced && !r.o.w.cloud.terminated(m.record.Name) {
 			return false
 		}
 	}
--- a/internal/controller/reads_test.go
+++ b/internal/controller/reads_test.go
@@ -39,7 +39,7 @@
 		st.gets.Store(0)
 		var all sync.WaitGroup
 		for range 40 {
-			all.Go(func() { w.same("phase", w.phase(n, "job-1"), api.JobPending) })
+			all.Go(func() { w.checkEqual("phase", w.phase(n, "job-1"), api.JobPending) })
 		}
 		all.Wait()
 		if gets := st.gets.Load(); gets > 3 {
@@ -53,7 +53,7 @@
 			if _, err := leader.Cancel(context.Background(), id); err != nil {
 				t.Fatal(err)
 			}
-			w.same("asked once it was told", w.phase(n, id), api.JobCancelled)
+			w.checkEqual("asked once it was told", w.phase(n, id), api.JobCancelled)
 			all.Wait()
 		}
 	})
--- a/internal/controller/reaps_test.go
+++ b/internal/controller/reaps_test.go
@@ -17,22 +17,22 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
 		k.serve(n, 3)
-		w.same("running", k.running(), []string{"job-1/0"})
+		w.checkEqual("running", k.running(), []string{"job-1/0"})
 		// Starts that nobody can serve end at once; such tasks stay in the reports
 		// until they are reaped.
 		for i := range 3 * maxCommands {
-			k.rep.Tasks = append(k.rep.Tasks, api.TaskStatus{Task: "job-2/" + string(rune('0'+i%10)), Attempt: uint64(1000 + i),
+			k.status.Tasks = append(k.status.Tasks, api.TaskStatus{Task: "job-2/" + string(rune('0'+i%10)), Attempt: uint64(1000 + i),
 				Phase: api.TaskExited, Cause: api.CauseNoSuch})
 		}
 		if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		commands := k.report(n)
-		w.same("orders of one answer", len(commands), maxCommands)
-		w.same("first order", commands[0].Verb+" "+commands[0].Task, "stop job-1/0")
-		w.same("stopped", len(k.running()), 0)
+		commands := k.heartbeat(n)
+		w.checkEqual("orders of one answer", len(commands), maxCommands)
+		w.checkEqual("first order", commands[0].Verb+" "+commands[0].Task, "stop job-1/0")
+		w.checkEqual("stopped", len(k.running()), 0)
 		k.serve(n, 4)
-		w.same("reaped", len(k.rep.Tasks), 0)
+		w.checkEqual("reaped", len(k.status.Tasks), 0)
 	})
 }
--- a/internal/controller/recordwriter.go
+++ b/internal/controller/recordwriter.go
@@ -177,12 +177,12 @@
 		rw.finishing = rw.finishing[1:]
 		active := records.ActivePrefix + j.spec.ID
 		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: active, ModRevision: j.modRevision})
-		b.put(records.TerminalPrefix+j.spec.ID, records.TerminalRecord{
+		b.addPut(records.TerminalPrefix+j.spec.ID, records.TerminalRecord{
 			Phase: api.JobDone,
 			Tasks: j.spec.Tasks,
 			Ended: now.UTC(),
 		})
-		b.delete(active)
+		b.addDelete(active)
 		b.finished = append(b.finished, j)
 		// From now on others may read its terminal record before this node learns that it
 		// was written.
@@ -211,13 +211,13 @@
 // addDeletes adds the deletion of records that are no longer needed.
 func (rw *recordWriter) addDeletes(b *batch, allowed int) {
 	for len(rw.pendingDeletes) > 0 && len(b.txn.Ops) < allowed {
-		b.delete(rw.pendingDeletes[0])
+		b.addDelete(rw.pendingDeletes[0])
 		b.deletes = append(b.deletes, rw.pendingDeletes[0])
 		rw.pendingDeletes = rw.pendingDeletes[1:]
 	}
 }
 
-func (b *batch) put(key string, value any) {
+func (b *batch) addPut(key string, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		panic(err) // records hold only plain values
@@ -226,7 +226,7 @@
 	b.bytes += len(raw) + 2*len(key) + opOverheadBytes
 }
 
-func (b *batch) delete(key string) {
+func (b *batch) addDelete(key string) {
 	b.txn.Ops = append(b.txn.Ops, kv.Op{Delete: key})
 	b.bytes += 2*len(key) + opOverheadBytes
 }
@@ -259,7 +259,7 @@
 		rw.requeue(m.batch)
 		c.Log.Debug("records not written", "err", m.err)
 	case m.result.Succeeded:
-		record(m.leaderTerm.counts.recorded, now.Sub(m.sent))
+		recordLatency(m.leaderTerm.counts.recorded, now.Sub(m.sent))
 		rw.batchWritten(m.batch)
 	case m.leaderTerm.checkTermConflict(m.result):
 	default:
@@ -355,10 +355,10 @@
 	if j.ended {
 		return
 	}
-	lt.forget(j)
+	lt.removeJob(j)
 	now := time.Now()
 	terminal := records.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}
-	lt.c.final.Add(j.spec.ID, terminal.JobState(j.spec.ID))
+	lt.c.finalStates.Add(j.spec.ID, terminal.JobState(j.spec.ID))
 	lt.dependencies.jobDone(j.spec.ID, now)
 	for first, written := range j.completionChunks {
 		if written {
@@ -374,6 +374,6 @@
 		"firstStart", j.sinceRunnable(j.firstStart),
 		"lastStart", j.sinceRunnable(j.lastStart),
 		"estimate", j.spec.EstimateS,
-		"longest", j.longest.Round(time.Second/10),
+		"longest", j.longestRun.Round(time.Second/10),
 		"late", math.Round(time.Since(j.objectives[0]).Seconds()))
 }
--- a/internal/controller/registry.go
+++ b/internal/controller/registry.go
@@ -50,7 +50,7 @@
 func (rw *recordWriter) shardPrefix(members []*machine) (n, size int) {
 	size = shardFrameBytes
 	for n < min(rw.machinesPerShard, len(members)) {
-		raw, err := json.Marshal(members[n].entry())
+		raw, err := json.Marshal(members[n].registryEntry())
 		if err != nil {
 			panic(err) // records hold only plain values
 		}
@@ -62,12 +62,12 @@
 	return n, size
 }
 
-// entry is a machine's entry in a shard.
-func (m *machine) entry() records.MachineRecord {
+// registryEntry is a machine's entry in a shard.
+func (m *machine) registryEntry() records.MachineRecord {
 	return records.MachineRecord{
 		Name:     m.name,
 		Addr:     m.addr,
-		Type:     m.typ,
+		Type:     m.machineType,
 		Zone:     m.zone,
 		Spot:     m.spot,
 		CPUs:     m.cpus,
@@ -80,9 +80,9 @@
 func (b *batch) addShard(s *shard) {
 	var rec records.RegistryShardRecord
 	for _, m := range s.machines {
-		rec.Machines = append(rec.Machines, m.entry())
+		rec.Machines = append(rec.Machines, m.registryEntry())
 	}
-	b.put(s.key, rec)
+	b.addPut(s.key, rec)
 	b.shards = append(b.shards, s)
 }
 
@@ -150,10 +150,10 @@
 // addShardDeletes deletes a shard, and with it those that may have been written in its
 // place. Of the latter, those beyond the allowed operations stay in the store.
 func (b *batch) addShardDeletes(s *shard, allowed int) {
-	b.delete(s.key)
+	b.addDelete(s.key)
 	for _, key := range s.possiblyWritten {
 		if len(b.txn.Ops) < allowed {
-			b.delete(key)
+			b.addDelete(key)
 		}
 	}
 	b.replaced = append(b.replaced, s)
@@ -194,6 +194,6 @@
 				rw.deregister(m)
 			}
 		}
-		rw.leaderTerm.dispatchUntil = time.Now().Add(dispatchFor)
+		rw.leaderTerm.dispatchUntil = time.Now().Add(dispatchWindow)
 	}
 }
--- a/internal/controller/registry_test.go
+++ b/internal/controller/registry_test.go
@@ -33,8 +33,8 @@
 	return shards
 }
 
-// roster lists the machines on the roster.
-func (w *cluster) roster() (names []string) {
+// registeredMachines lists the machines on the roster.
+func (w *cluster) registeredMachines() (names []string) {
 	for _, s := range w.shardsOf() {
 		names = append(names, s...)
 	}
@@ -50,32 +50,32 @@
 		var ks []*worker
 		for i := range 60 {
 			ks = append(ks, w.worker(fmt.Sprintf("i-%02d", i), "a", false))
-			ks[i].send(a) // learns the term
+			ks[i].sendHeartbeat(a) // learns the term
 		}
 		for _, k := range ks {
-			k.send(a)
+			k.sendHeartbeat(a)
 		}
 		time.Sleep(2 * time.Second)
-		w.same("on the roster", len(w.roster()), 60)
+		w.checkEqual("on the roster", len(w.registeredMachines()), 60)
 		if n := len(w.shardsOf()); n > 6 {
 			t.Errorf("%d shards for 60 machines", n)
 		}
 		for _, k := range ks[:57] {
-			w.dead.Store(k.rep.Machine, true)
+			w.dead.Store(k.status.Machine, true)
 		}
 		for range 60 {
 			for _, k := range ks[57:] {
-				k.report(a)
+				k.heartbeat(a)
 			}
 			time.Sleep(time.Second)
 		}
 		left := 0
-		a.look(func(c *Controller) { left = len(c.leaderTerm.machines) })
-		if names := w.roster(); left >= 60 || len(names) != left {
+		a.inspect(func(c *Controller) { left = len(c.leaderTerm.machines) })
+		if names := w.registeredMachines(); left >= 60 || len(names) != left {
 			t.Errorf("%d machines are left, on the roster %v", left, names)
 		}
 		b := w.start("n0")
-		b.look(func(c *Controller) { w.same("read by the next leader", len(c.leaderTerm.machines), left) })
+		b.inspect(func(c *Controller) { w.checkEqual("read by the next leader", len(c.leaderTerm.machines), left) })
 	})
 }
 
@@ -90,35 +90,35 @@
 		for round := range 60 {
 			switch rnd.IntN(4) {
 			case 0:
-				w.store.Lose(shards)
+				w.store.LoseResponses(shards)
 			case 1:
-				w.store.Hold(shards)
+				w.store.Delay(shards)
 			default:
-				w.store.Lose(nil)
-				w.store.Release()
+				w.store.LoseResponses(nil)
+				w.store.ApplyDelayed()
 			}
 			for range rnd.IntN(8) {
 				ks = append(ks, w.worker(fmt.Sprintf("i-%d-%d", round, len(ks)), "a", false))
 			}
 			for len(ks) > 30 {
-				w.dead.Store(ks[0].rep.Machine, true)
+				w.dead.Store(ks[0].status.Machine, true)
 				ks = ks[1:]
 			}
 			for range 3 {
 				for _, k := range ks {
-					k.report(a)
+					k.heartbeat(a)
 				}
 				for range 20 {
 					time.Sleep(50 * time.Millisecond)
-					names, inUse := w.roster(), []string(nil)
-					a.look(func(c *Controller) {
+					names, inUse := w.registeredMachines(), []string(nil)
+					a.inspect(func(c *Controller) {
 						for name, m := range c.leaderTerm.machines {
 							if m.registration == registered {
 								inUse = append(inUse, name)
 							}
 						}
 					})
-					names = append(names, w.roster()...) // some may have come, or gone, just now
+					names = append(names, w.registeredMachines()...) // some may have come, or gone, just now
 					for _, name := range inUse {
 						if !slices.Contains(names, name) {
 							t.Fatalf("round %d: %s may be in use and is not on the roster", round, name)
@@ -127,9 +127,9 @@
 				}
 			}
 		}
-		w.store.Release()
+		w.store.ApplyDelayed()
 		time.Sleep(5 * time.Second)
-		w.same("machines left", len(ks) > 0, true)
+		w.checkEqual("machines left", len(ks) > 0, true)
 	})
 }
 
@@ -139,17 +139,17 @@
 	simulate(t, func(w *cluster) {
 		a := w.start("n0")
 		w.worker("i-1", "a", false).serve(a, 3)
-		a.look(func(c *Controller) {
+		a.inspect(func(c *Controller) {
 			rec := &c.leaderTerm.recordWriter
 			old := c.leaderTerm.machines["i-1"].shard
 			next := rec.newShard(old.machines)
 			next.replaces, old.stale = old, true
 			rec.requeueShards(&batch{shards: []*shard{next}, replaced: []*shard{old}})
-			w.same("dropped by themselves", len(rec.pendingDeletes), 0)
+			w.checkEqual("dropped by themselves", len(rec.pendingDeletes), 0)
 			b := &batch{}
 			rec.rewriteStale(b, 10, time.Now())
-			w.same("put", b.txn.Ops[0].Put != "" && b.txn.Ops[0].Put != next.key, true)
-			w.same("dropped with it", []string{b.txn.Ops[1].Delete, b.txn.Ops[2].Delete}, []string{old.key, next.key})
+			w.checkEqual("put", b.txn.Ops[0].Put != "" && b.txn.Ops[0].Put != next.key, true)
+			w.checkEqual("dropped with it", []string{b.txn.Ops[1].Delete, b.txn.Ops[2].Delete}, []string{old.key, next.key})
 		})
 	})
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -25,7 +25,7 @@
 		"too old":              {1, 12, 3, relayCommandLifetime + time.Millisecond, 0},
 		"the report they meet": {1, 11, 3, time.Second, 11},
 	} {
-		ul := newRelayUp(config.Limits{})
+		ul := newRelayUplink(config.Limits{})
 		ul.machines["i-1"] = &relayedMachine{heartbeat: &api.Heartbeat{Machine: "i-1", AgentEpoch: 1, Seq: 10}, agentEpoch: 1, baseSeq: 10, term: 3, receivedAt: t0,
 			commands: []api.Command{{Verb: api.VerbStart, Task: "job-1/0", Attempt: 5}}}
 		for i := range 2 {
@@ -50,18 +50,18 @@
 		busy.Zone = "a"
 		w.submit(a, busy)
 		w.submit(a, spec("job-1", 2))
-		a.look(func(c *Controller) {
+		a.inspect(func(c *Controller) {
 			node := c.leaderTerm.downlink.nodes["n1"]
 			for i, held := range []bool{true, true, false} {
 				delete(node.pending, "i-2")
 				if i == 0 {
 					node.pending["i-2"] = &relayedCommands{}
 				}
-				hb := far.rep
+				hb := far.status
 				hb.Seq = c.leaderTerm.machines["i-2"].heartbeatSeq + 1
 				var down peer.RelayDown
 				c.leaderTerm.handleRelayedHeartbeat(node, &hb, &down, i != 1, time.Now())
-				w.same("held", len(down.Orders) == 0, held)
+				w.checkEqual("held", len(down.Orders) == 0, held)
 			}
 		})
 	})
--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// restarted handles the incarnation that a node reports. One that was restarted delivers
+// handleRestart handles the incarnation that a node reports. One that was restarted delivers
 // no command that it received before: the next heartbeats decide.
-func (dl *relayDownlink) restarted(lt *leaderTerm, name, incarnation string) {
+func (dl *relayDownlink) handleRestart(lt *leaderTerm, name, incarnation string) {
 	node := dl.nodes[name]
 	if node == nil || incarnation == "" || node.incarnation == incarnation {
 		return
@@ -99,11 +99,11 @@
 		}
 		delete(n.pending, name)
 		for _, a := range p.starts {
-			if a.direct.inFlight = false; a.lastSeenIn == 0 && a.machine.attempts[a.key] == a {
+			if a.direct.inFlight = false; a.lastSeenHeartbeat == 0 && a.machine.attempts[a.key] == a {
 				a.direct.outcomeUnknown = true
 				lt.evacuate(a.machine, "order unanswered")
 				if a.job.ended {
-					lt.resolveOutcome(a)
+					lt.terminateIfOutcomeUnknown(a)
 				}
 			}
 		}
@@ -149,7 +149,7 @@
 	if up == nil || up.Term != lt.term.Number || !c.holdsLease() || !lt.loaded {
 		return
 	}
-	if lt.downlink.restarted(lt, m.node, up.Incarnation); node.incarnation != up.Incarnation {
+	if lt.downlink.handleRestart(lt, m.node, up.Incarnation); node.incarnation != up.Incarnation {
 		*node = relayNode{incarnation: up.Incarnation, batch: up.Got, pending: map[string]*relayedCommands{}}
 	}
 	if up.Batch <= node.lastBatch {
@@ -189,7 +189,7 @@
 	if m != nil {
 		m.relayPending = withhold
 	}
-	response, err := lt.handleOwnHeartbeat(hb, now)
+	response, err := lt.handleAgentHeartbeat(hb, now)
 	if m = lt.machines[hb.Machine]; m == nil {
 		return
 	}
@@ -220,8 +220,8 @@
 		a.direct.inFlight = false
 		if deliveredIn > 0 {
 			a.direct.seq = deliveredIn + 1
-		} else if a.lastSeenIn == 0 && a.machine.attempts[a.key] == a {
-			lt.offMachine(a)
+		} else if a.lastSeenHeartbeat == 0 && a.machine.attempts[a.key] == a {
+			lt.removeAttempt(a)
 		}
 	}
 }
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -82,7 +82,7 @@
 }
 
 // maxRelayRecordBytes is the largest size of a record, if a transaction holds so many.
-func maxRelayRecordBytes(lim config.StateLimits, parts int) int {
+func maxRelayRecordBytes(lim config.KVLimits, parts int) int {
 	return min(int(lim.ValueKB*1024), kv.MaxTxnBytes*3/4/parts)
 }
 
@@ -105,7 +105,7 @@
 	acknowledgedIn uint64
 }
 
-func newRelayUp(lim config.Limits) relayUplink {
+func newRelayUplink(lim config.Limits) relayUplink {
 	return relayUplink{
 		incarnation: rand.Text(),
 		machines:    map[string]*relayedMachine{},
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -31,21 +31,21 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 6))
 		k.serve(n, 4)
-		w.same("first four", len(k.running()), 4)
-		w.same("phase", w.phase(n, "job-1"), "running")
+		w.checkEqual("first four", len(k.running()), 4)
+		w.checkEqual("phase", w.phase(n, "job-1"), "running")
 		k.exit(api.CauseDone)
 		k.serve(n, 3)
-		w.same("last two", k.running(), []string{"job-1/4", "job-1/5"})
+		w.checkEqual("last two", k.running(), []string{"job-1/4", "job-1/5"})
 		k.exit(api.CauseDone)
 		k.serve(n, 3)
-		w.same("phase", w.phase(n, "job-1"), "done")
-		w.same("reaped", len(k.rep.Tasks), 0)
+		w.checkEqual("phase", w.phase(n, "job-1"), "done")
+		w.checkEqual("reaped", len(k.status.Tasks), 0)
 		// The repeat of a submission after the job is over, with other contents.
 		st, created, err := n.Submit(context.Background(), spec("job-1", 9))
 		if err != nil || created || st.Phase != api.JobDone {
 			t.Errorf("repeat: %v %v %v", st, created, err)
 		}
-		w.same("unknown job", w.phase(n, "job-2"), api.ErrUnknownJob.Error())
+		w.checkEqual("unknown job", w.phase(n, "job-2"), api.ErrUnknownJob.Error())
 	})
 }
 
@@ -57,16 +57,16 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
 		k.serve(n, 3)
-		w.store.Hold(touches(records.TerminalPrefix))
+		w.store.Delay(touches(records.TerminalPrefix))
 		k.exit(api.CauseDone)
 		k.serve(n, 2)
 		if got := w.phase(n, "job-1"); got == api.JobDone {
 			t.Error("told done before it was on record")
 		}
-		w.same("kept on the worker", len(k.rep.Tasks), 1)
-		w.store.Release()
+		w.checkEqual("kept on the worker", len(k.status.Tasks), 1)
+		w.store.ApplyDelayed()
 		k.serve(n, 4)
-		w.same("phase", w.phase(n, "job-1"), "done")
+		w.checkEqual("phase", w.phase(n, "job-1"), "done")
 	})
 }
 
@@ -77,19 +77,19 @@
 		k1, k2 := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		w.submit(n, spec("job-1", 1))
 		k1.serve(n, 3)
-		w.same("running", k1.running(), []string{"job-1/0"})
-		w.cloud.refuseTurns = true
+		w.checkEqual("running", k1.running(), []string{"job-1/0"})
+		w.cloud.rejectTerminate = true
 		w.dead.Store("i-1", true)
 		k2.serve(n, 40)
-		w.same("not started again", len(k2.running()), 0)
+		w.checkEqual("not started again", len(k2.running()), 0)
 		w.cloud.mu.Lock()
-		w.cloud.refuseTurns = false
+		w.cloud.rejectTerminate = false
 		w.cloud.mu.Unlock()
 		k2.serve(n, 5)
-		w.same("returned", w.cloud.gone("i-1"), true)
-		w.same("started again", k2.running(), []string{"job-1/0"})
+		w.checkEqual("returned", w.cloud.terminated("i-1"), true)
+		w.checkEqual("started again", k2.running(), []string{"job-1/0"})
 		// What was held up on its way from the machine changes nothing.
-		if _, err := k1.send(n); err == nil {
+		if _, err := k1.sendHeartbeat(n); err == nil {
 			t.Error("a machine that is gone was answered")
 		}
 	})
@@ -103,18 +103,18 @@
 		k1.serve(n, 2)
 		k2.serve(n, 2)
 		k1.mu.Lock()
-		old := k1.rep
+		old := k1.status
 		k1.mu.Unlock()
 		old.Tasks = nil
 		w.submit(n, spec("job-1", 1))
 		k1.serve(n, 2)
-		w.same("running", len(k1.running()), 1)
+		w.checkEqual("running", len(k1.running()), 1)
 		commands, err := k1.deliver(n, &old)
 		if err != nil || len(commands) != 0 {
 			t.Errorf("an old report got %v, %v", commands, err)
 		}
 		k2.serve(n, 3)
-		w.same("started once", len(k2.running()), 0)
+		w.checkEqual("started once", len(k2.running()), 0)
 	})
 }
 
@@ -126,12 +126,12 @@
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
 		w.submit(n, spec("job-1", 1))
-		lost, _ := k.send(n)
+		lost, _ := k.sendHeartbeat(n)
 		if len(lost) != 1 {
 			t.Fatalf("orders %v", lost)
 		}
 		time.Sleep(4 * time.Second)
-		again := k.report(n)
+		again := k.heartbeat(n)
 		if len(again) != 1 || again[0].Attempt == lost[0].Attempt {
 			t.Errorf("first %v, then %v", lost, again)
 		}
@@ -142,14 +142,14 @@
 // the machines would be rented twice. A later term's names are different.
 func TestRentalIsRepeatedUnderItsName(t *testing.T) {
 	simulate(t, func(w *cluster) {
-		w.cloud.capacity, w.cloud.loseRent = 1, true
+		w.cloud.capacity, w.cloud.loseLaunchResponse = 1, true
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 3))
 		time.Sleep(8 * time.Second)
 		n.crash()
 		w.cloud.mu.Lock()
-		first := w.cloud.rentals
-		w.cloud.rentals = nil
+		first := w.cloud.launches
+		w.cloud.launches = nil
 		w.cloud.mu.Unlock()
 		if len(first) < 2 || first[0].Name != first[1].Name {
 			t.Fatalf("rentals %v", first)
@@ -160,9 +160,9 @@
 		n.crash()
 		w.cloud.mu.Lock()
 		defer w.cloud.mu.Unlock()
-		w.same("rented again", len(w.cloud.rentals) > 0, true)
-		for _, r := range w.cloud.rentals {
-			w.same("name reused", r.Name == first[0].Name, false)
+		w.checkEqual("rented again", len(w.cloud.launches) > 0, true)
+		for _, r := range w.cloud.launches {
+			w.checkEqual("name reused", r.Name == first[0].Name, false)
 		}
 	})
 }
@@ -178,18 +178,18 @@
 		w.submit(n, s)
 		k1.serve(n, 3)
 		left := 9.0
-		k1.rep.PreemptionNoticeS = &left
-		commands := k1.report(n)
+		k1.status.PreemptionNoticeS = &left
+		commands := k1.heartbeat(n)
 		if len(commands) == 0 {
-			commands = k1.report(n)
+			commands = k1.heartbeat(n)
 		}
 		if len(commands) != 2 || commands[0].Verb != api.VerbStop || *commands[0].GraceS < 2 {
 			t.Fatalf("orders %v", commands)
 		}
 		k1.serve(n, 2)
 		k2.serve(n, 3)
-		w.same("elsewhere", len(k2.running()), 2)
-		w.same("returned", w.cloud.gone("i-1"), true)
+		w.checkEqual("elsewhere", len(k2.running()), 2)
+		w.checkEqual("returned", w.cloud.terminated("i-1"), true)
 	})
 }
 
@@ -205,13 +205,13 @@
 			t.Error("accepted during an outage")
 		}
 		w.store.SetDown(false)
-		w.store.Lose(touches(records.ActivePrefix))
+		w.store.LoseResponses(touches(records.ActivePrefix))
 		st, _, err := n.Submit(context.Background(), spec("job-2", 1))
 		if err != nil || st.Phase != api.JobPending {
 			t.Errorf("lost answer: %v %v", st, err)
 		}
-		w.store.Lose(nil)
-		w.same("known", w.phase(n, "job-2"), "pending")
+		w.store.LoseResponses(nil)
+		w.checkEqual("known", w.phase(n, "job-2"), "pending")
 	})
 }
 
@@ -230,9 +230,9 @@
 			change(s)
 			_, _, err := n.Submit(context.Background(), s)
 			var never *api.UnschedulableError
-			w.same(name, errors.As(err, &never), true)
+			w.checkEqual(name, errors.As(err, &never), true)
 		}
-		w.same("not accepted", w.phase(n, "job-1"), api.ErrUnknownJob.Error())
+		w.checkEqual("not accepted", w.phase(n, "job-1"), api.ErrUnknownJob.Error())
 	})
 }
 
@@ -249,8 +249,8 @@
 			k := w.worker("i-1", "a", false)
 			w.submit(a, spec("job-1", 2))
 			k.serve(a, 4)
-			w.same("running", len(k.running()), 2)
-			if _, err := k.send(b); err == nil {
+			w.checkEqual("running", len(k.running()), 2)
+			if _, err := k.sendHeartbeat(b); err == nil {
 				t.Error("a follower answered without need")
 			}
 			w.submit(a, spec("job-2", 1))
@@ -259,13 +259,13 @@
 			time.Sleep(4 * time.Second)
 			kept := 0
 			for range 40 {
-				commands, err := k.send(b)
+				commands, err := k.sendHeartbeat(b)
 				if err != nil {
 					break
 				}
 				for _, o := range commands {
 					// Only the leader starts anything, through the store.
-					w.same("started", o.Verb == api.VerbStart && storeToo, false)
+					w.checkEqual("started", o.Verb == api.VerbStart && storeToo, false)
 				}
 				kept++
 				time.Sleep(time.Second)
@@ -280,12 +280,14 @@
 				}
 				k.serve(b, 5)
 				for _, task := range k.running() {
-					w.same("cancelled job still runs", strings.HasPrefix(task, "job-1/"), false)
+					w.checkEqual("cancelled job still runs", strings.HasPrefix(task, "job-1/"), false)
 				}
 			}
 			l.cut.Store(false)
 			time.Sleep(3 * time.Second)
-			b.look(func(c *Controller) { w.same("still keeps them after the cut", c.leaseRenewer.leaderAway, false) })
+			b.inspect(func(c *Controller) {
+				w.checkEqual("still keeps them after the cut", c.leaseRenewer.leaderUnreachable, false)
+			})
 		})
 	}
 }
@@ -317,6 +319,6 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 2))
 		k.serve(n, 8)
-		w.same("started after the watch was given up", len(k.running()), 2)
+		w.checkEqual("started after the watch was given up", len(k.running()), 2)
 	})
 }
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -36,18 +36,18 @@
 // observedJob is what users and machines observe of a job.
 type observedJob struct {
 	spec *api.JobSpec
-	// takes is how long its tasks run.
-	takes time.Duration
+	// duration is how long its tasks run.
+	duration time.Duration
 	// cancelledAt is when its user first got the answer that it is cancelled, and
 	// cancelRequestedAt when the user first requested that.
 	cancelledAt       time.Time
 	cancelRequestedAt time.Time
 	// doneAt is when its user first got the answer that it is done.
 	doneAt time.Time
-	// apart is how much longer each task runs than the one before it.
-	apart time.Duration
+	// durationStep is how much longer each task runs than the one before it.
+	durationStep time.Duration
 	// starts and done count starts and completions by task.
-	starts, done map[string]int
+	starts, completions map[string]int
 	// pendingFor is for how long a task has been pending while a machine had free capacity for
 	// it.
 	pendingFor time.Duration
@@ -68,7 +68,7 @@
 // dropTerminated drops the runs on machines that were terminated.
 func (h *runChecker) dropTerminated() {
 	for r := range h.runs {
-		if h.w.cloud.gone(r.machine) {
+		if h.w.cloud.terminated(r.machine) {
 			delete(h.runs, r)
 		}
 	}
@@ -80,7 +80,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dropTerminated()
-	r := run{k.rep.Machine, task, attempt}
+	r := run{k.status.Machine, task, attempt}
 	p := h.jobs[r.job()]
 	if p == nil {
 		h.fail("%s starts on %s, and nobody submitted it", task, r.machine)
@@ -88,10 +88,10 @@
 	}
 	h.checkOnlyRun(r)
 	h.checkTeamLimit(r, p.spec)
-	h.checkPlacement(r, p.spec, &k.rep)
+	h.checkPlacement(r, p.spec, &k.status)
 	h.checkNotCancelled(r, p)
 	h.checkDependencies(r, p.spec)
-	if p.starts[task]++; p.done[task] > 0 {
+	if p.starts[task]++; p.completions[task] > 0 {
 		h.restarted = append(h.restarted, task)
 	}
 	h.runs[r] = true
@@ -132,7 +132,7 @@
 	for other := range h.runs {
 		switch {
 		case other.job() != s.ID:
-		case h.hosts[other.machine].rep.Zone == machine.Zone:
+		case h.hosts[other.machine].status.Zone == machine.Zone:
 			here++
 		default:
 			elsewhere++
@@ -167,7 +167,7 @@
 	h.w.t.Helper()
 	for _, id := range s.DependsOn {
 		dep := h.jobs[id]
-		if dep == nil || len(dep.done) < dep.spec.Tasks || !h.w.store.Has(records.TerminalPrefix+id) {
+		if dep == nil || len(dep.completions) < dep.spec.Tasks || !h.w.store.Has(records.TerminalPrefix+id) {
 			h.fail("%s starts on %s too early: %s is not done on record", r.task, r.machine, id)
 		}
 	}
@@ -177,9 +177,9 @@
 func (h *runChecker) recordEnd(k *host, task string, attempt uint64, cause string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := run{k.rep.Machine, task, attempt}
+	r := run{k.status.Machine, task, attempt}
 	if p := h.jobs[r.job()]; p != nil && cause == api.CauseDone {
-		p.done[task]++
+		p.completions[task]++
 	}
 	delete(h.runs, r)
 }
@@ -189,7 +189,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.jobs[run{task: task}.job()]
-	return p != nil && p.done[task] > 0
+	return p != nil && p.completions[task] > 0
 }
 
 // before lists a job and all that it depends on, directly or through others.
@@ -256,7 +256,7 @@
 		blocked := slices.ContainsFunc(s.DependsOn, func(dep string) bool {
 			return !h.w.store.Has(records.TerminalPrefix + dep)
 		})
-		if blocked || !p.cancelRequestedAt.IsZero() || len(p.done)+running[id] >= s.Tasks {
+		if blocked || !p.cancelRequestedAt.IsZero() || len(p.completions)+running[id] >= s.Tasks {
 			p.pendingFor = 0
 			continue
 		}
@@ -280,8 +280,8 @@
 		}
 	}
 	for _, k := range h.hosts {
-		if !h.w.cloud.gone(k.rep.Machine) && byMachine[k.rep.Machine]+s.CPUs <= 4 &&
-			(s.Zone == "" || s.Zone == k.rep.Zone) && (s.Spot || !k.rep.Spot) {
+		if !h.w.cloud.terminated(k.status.Machine) && byMachine[k.status.Machine]+s.CPUs <= 4 &&
+			(s.Zone == "" || s.Zone == k.status.Zone) && (s.Spot || !k.status.Spot) {
 			return true
 		}
 	}
@@ -295,9 +295,9 @@
 	h.checkPhase(id, phase)
 }
 
-// answered is recordPhase for a request sent at some time. If another user got the answer of
+// recordPhaseSince is recordPhase for a request sent at some time. If another user got the answer of
 // the job's end since, or at that instant, this answer may be older.
-func (h *runChecker) answered(id, phase string, sentAt time.Time) {
+func (h *runChecker) recordPhaseSince(id, phase string, sentAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if p := h.jobs[id]; p.cancelledAt.Before(sentAt) && p.doneAt.Before(sentAt) {
@@ -323,8 +323,8 @@
 		if p.doneAt.IsZero() {
 			p.doneAt = time.Now()
 		}
-		if len(p.done) < p.spec.Tasks {
-			h.fail("%s is answered as done with %d of %d tasks", id, len(p.done), p.spec.Tasks)
+		if len(p.completions) < p.spec.Tasks {
+			h.fail("%s is answered as done with %d of %d tasks", id, len(p.completions), p.spec.Tasks)
 		}
 	}
 }
@@ -351,8 +351,8 @@
 	return tasks
 }
 
-// begunTwice lists the tasks that started more than once.
-func (h *runChecker) begunTwice() (tasks []string) {
+// startedTwice lists the tasks that started more than once.
+func (h *runChecker) startedTwice() (tasks []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.jobs {
@@ -366,8 +366,8 @@
 	return tasks
 }
 
-// begunWhenDone lists the tasks that started again after they had completed.
-func (h *runChecker) begunWhenDone() []string {
+// restartedWhenDone lists the tasks that started again after they had completed.
+func (h *runChecker) restartedWhenDone() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.restarted
--- a/internal/controller/simulatedhost_test.go
+++ b/internal/controller/simulatedhost_test.go
@@ -21,20 +21,20 @@
 	remaining                                 map[run]time.Duration
 	// The injected faults. Cut and mute machines reach no controller, and nothing reaches cut
 	// and deaf ones. What is sent to a hung one waits.
-	cut, mute, deaf bool
-	hung            time.Time
-	// orderDelay delays command batches, answerDelay the responses to them, and linkDelay the
+	cut, heartbeatsUndelivered, commandsUndelivered bool
+	hungUntil                                       time.Time
+	// commandDelay delays command batches, commandResponseDelay the responses to them, and heartbeatResponseDelay the
 	// responses to heartbeats.
-	orderDelay, answerDelay, linkDelay time.Duration
-	// reports are copies of all heartbeats it sent.
-	reports []api.Heartbeat
+	commandDelay, commandResponseDelay, heartbeatResponseDelay time.Duration
+	// heartbeats are copies of all heartbeats it sent.
+	heartbeats []api.Heartbeat
 }
 
 // step runs the machine for one tick, unless it is hung or terminated.
 func (k *host) step(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if now.Before(k.hung) || k.s.cloud.gone(k.rep.Machine) {
+	if now.Before(k.hungUntil) || k.s.cloud.terminated(k.status.Machine) {
 		return
 	}
 	k.expireLease(now)
@@ -46,7 +46,7 @@
 }
 
 func (k *host) taskLease() time.Duration {
-	return max(10*time.Second, time.Duration(5*k.s.reportS*float64(time.Second)))
+	return max(10*time.Second, time.Duration(5*k.s.heartbeatS*float64(time.Second)))
 }
 
 // expireLease kills the tasks when the task lease has expired, and begins a new agent epoch.
@@ -54,25 +54,25 @@
 	if now.Sub(k.lastAcknowledged) <= k.taskLease() {
 		return
 	}
-	for _, t := range k.rep.Tasks {
+	for _, t := range k.status.Tasks {
 		if t.Phase != api.TaskExited {
-			k.s.h.recordEnd(k, t.Task, t.Attempt, "killed")
+			k.s.checker.recordEnd(k, t.Task, t.Attempt, "killed")
 		}
 	}
-	k.rep.Tasks = nil
+	k.status.Tasks = nil
 	clear(k.remaining)
-	k.rep.AgentEpoch++
+	k.status.AgentEpoch++
 	k.lastAcknowledged, k.changed = now, true
 }
 
 // advanceTasks runs the tasks for one tick, and ends those whose time is up.
 func (k *host) advanceTasks() {
-	for i := range k.rep.Tasks {
-		t := &k.rep.Tasks[i]
+	for i := range k.status.Tasks {
+		t := &k.status.Tasks[i]
 		if t.Phase == api.TaskExited {
 			continue
 		}
-		r := run{k.rep.Machine, t.Task, t.Attempt}
+		r := run{k.status.Machine, t.Task, t.Attempt}
 		if k.remaining[r] -= tick; k.remaining[r] > 0 {
 			continue
 		}
@@ -87,20 +87,20 @@
 func (k *host) exitTask(t *api.TaskStatus, cause string) {
 	t.Phase, t.Cause = api.TaskExited, cause
 	k.changed = true
-	k.s.h.recordEnd(k, t.Task, t.Attempt, cause)
+	k.s.checker.recordEnd(k, t.Task, t.Attempt, cause)
 }
 
 // postHeartbeat sends a heartbeat to the node that the machine reports to.
 func (k *host) postHeartbeat(now time.Time) {
-	k.rep.Seq++
-	hb := k.rep
-	hb.Tasks = slices.Clone(k.rep.Tasks)
-	k.reports = append(k.reports, hb)
+	k.status.Seq++
+	hb := k.status
+	hb.Tasks = slices.Clone(k.status.Tasks)
+	k.heartbeats = append(k.heartbeats, hb)
 	k.lastSent, k.inFlight, k.changed = now, true, false
-	interval := time.Duration(max(1, k.s.reportS) * float64(time.Second))
+	interval := time.Duration(max(1, k.s.heartbeatS) * float64(time.Second))
 	k.nextHeartbeat = now.Add(interval - interval/4 + interval/2*time.Duration(hb.Seq*7%10)/10)
 	n := k.s.node(k.s.names[k.nodeIndex])
-	if k.cut || k.mute {
+	if k.cut || k.heartbeatsUndelivered {
 		n = nil
 	}
 	k.s.tasks.Go(func() {
@@ -119,28 +119,28 @@
 // handleResponse applies the response to a heartbeat, or tries another node if there was none.
 func (k *host) handleResponse(sent time.Time, agentEpoch uint64, response api.HeartbeatResponse, err error) {
 	k.mu.Lock()
-	delay := k.linkDelay
+	delay := k.heartbeatResponseDelay
 	k.mu.Unlock()
-	idle(k.s.ctx, delay)
+	sleepUnlessZero(k.s.ctx, delay)
 	k.lockWhenResponsive()
 	defer k.mu.Unlock()
 	var other *api.NotLeaderError
-	lost := (k.deaf || k.cut) && !k.mute
+	lost := (k.commandsUndelivered || k.cut) && !k.heartbeatsUndelivered
 	if lost || time.Since(sent) >= 4*time.Second {
 		err = errors.New("no response")
 		k.mu.Unlock()
-		idle(k.s.ctx, time.Until(sent.Add(4*time.Second)))
+		sleepUnlessZero(k.s.ctx, time.Until(sent.Add(4*time.Second)))
 		k.mu.Lock()
 	}
 	k.inFlight = false
 	switch {
 	case err == nil:
-		if agentEpoch != k.rep.AgentEpoch || response.Term < k.rep.Term {
+		if agentEpoch != k.status.AgentEpoch || response.Term < k.status.Term {
 			return
 		}
-		k.changed = k.changed || response.Term > k.rep.Term
-		k.rep.Term, k.lastAcknowledged = response.Term, sent
-		k.obey(response.Commands)
+		k.changed = k.changed || response.Term > k.status.Term
+		k.status.Term, k.lastAcknowledged = response.Term, sent
+		k.applyCommands(response.Commands)
 	case errors.As(err, &other) && slices.Contains(k.s.names, other.Leader) && other.Leader != k.s.names[k.nodeIndex]:
 		k.nodeIndex = slices.Index(k.s.names, other.Leader)
 		k.nextHeartbeat = time.Now()
@@ -151,9 +151,9 @@
 	}
 }
 
-// idle is sleep, but sets no timer for no time: the race detector fails on timers that are due
+// sleepUnlessZero is sleep, but sets no timer for no time: the race detector fails on timers that are due
 // when a bubble's goroutine selects on them.
-func idle(ctx context.Context, d time.Duration) {
+func sleepUnlessZero(ctx context.Context, d time.Duration) {
 	if d > 0 {
 		sleep(ctx, d)
 	}
@@ -163,39 +163,39 @@
 func (k *host) lockWhenResponsive() {
 	for {
 		k.mu.Lock()
-		rest := time.Until(k.hung)
+		rest := time.Until(k.hungUntil)
 		if rest <= 0 || k.s.ctx.Err() != nil {
 			return
 		}
 		k.mu.Unlock()
-		idle(k.s.ctx, rest)
+		sleepUnlessZero(k.s.ctx, rest)
 	}
 }
 
-// obey applies commands as an agent does.
-func (k *host) obey(commands []api.Command) {
-	if k.s.cloud.gone(k.rep.Machine) {
+// applyCommands applies commands as an agent does.
+func (k *host) applyCommands(commands []api.Command) {
+	if k.s.cloud.terminated(k.status.Machine) {
 		return
 	}
 	for _, cmd := range commands {
-		i := taskIndex(k.rep.Tasks, cmd)
-		r := run{machine: k.rep.Machine, task: cmd.Task, attempt: cmd.Attempt}
+		i := taskIndex(k.status.Tasks, cmd)
+		r := run{machine: k.status.Machine, task: cmd.Task, attempt: cmd.Attempt}
 		switch {
 		case cmd.Verb == api.VerbStart && i < 0:
 			k.startTask(r)
-		case cmd.Verb == api.VerbStop && i >= 0 && k.rep.Tasks[i].Phase != api.TaskExited:
-			k.stopTask(r, &k.rep.Tasks[i], cmd.GraceS)
-		case cmd.Verb == api.VerbReap && i >= 0 && k.rep.Tasks[i].Phase == api.TaskExited:
-			k.rep.Tasks = slices.Delete(k.rep.Tasks, i, i+1)
+		case cmd.Verb == api.VerbStop && i >= 0 && k.status.Tasks[i].Phase != api.TaskExited:
+			k.stopTask(r, &k.status.Tasks[i], cmd.GraceS)
+		case cmd.Verb == api.VerbReap && i >= 0 && k.status.Tasks[i].Phase == api.TaskExited:
+			k.status.Tasks = slices.Delete(k.status.Tasks, i, i+1)
 		}
 	}
 }
 
 // stopTask ends a task, or has it save a checkpoint first if the grace period suffices.
 func (k *host) stopTask(r run, t *api.TaskStatus, graceS *float64) {
-	k.s.h.mu.Lock()
-	p := k.s.h.jobs[r.job()].spec
-	k.s.h.mu.Unlock()
+	k.s.checker.mu.Lock()
+	p := k.s.checker.jobs[r.job()].spec
+	k.s.checker.mu.Unlock()
 	canSave := p.CheckpointS > 0 && p.SaveS > 0 && graceS != nil && *graceS >= p.SaveS
 	switch {
 	case t.Phase == api.TaskRunning && canSave:
@@ -208,65 +208,67 @@
 // startTask starts a task, or rejects it.
 func (k *host) startTask(r run) {
 	t := api.TaskStatus{Task: r.task, Attempt: r.attempt, Phase: api.TaskRunning}
-	k.s.h.mu.Lock()
-	p := k.s.h.jobs[r.job()]
+	k.s.checker.mu.Lock()
+	p := k.s.checker.jobs[r.job()]
 	used := 0.0
-	for _, o := range k.rep.Tasks {
+	for _, o := range k.status.Tasks {
 		if o.Phase == api.TaskExited {
 			continue
 		}
-		used += k.s.h.jobs[run{task: o.Task}.job()].spec.CPUs
+		used += k.s.checker.jobs[run{task: o.Task}.job()].spec.CPUs
 		if o.Task == r.task {
 			t.Phase, t.Cause = api.TaskExited, api.CauseBusy
 		}
 	}
-	k.s.h.mu.Unlock()
+	k.s.checker.mu.Unlock()
 	k.changed = true
 	switch {
 	case t.Phase == api.TaskExited:
 	case p == nil:
 		t.Phase, t.Cause = api.TaskExited, api.CauseNoSuch
 	case used+p.spec.CPUs > 4:
-		t.Phase, t.Cause = api.TaskExited, api.CauseNoRoom
+		t.Phase, t.Cause = api.TaskExited, api.CauseNoCapacity
 	default:
-		k.s.h.recordStart(k, r.task, r.attempt)
+		k.s.checker.recordStart(k, r.task, r.attempt)
 		_, i, _ := splitRef(r.task)
-		if k.remaining[r] = p.takes + time.Duration(i)*p.apart; k.s.h.isCompleted(r.task) {
+		if k.remaining[r] = p.duration + time.Duration(i)*p.durationStep; k.s.checker.isCompleted(r.task) {
 			k.remaining[r] = 0 // its result is durable
 		}
 	}
-	k.rep.Tasks = append(k.rep.Tasks, t)
+	k.status.Tasks = append(k.status.Tasks, t)
 }
 
-// trouble changes the machine's injected faults. The cluster answers probes accordingly.
-func (k *host) trouble(f func(*host)) {
+// injectFaults changes the machine's injected faults. The cluster answers probes accordingly.
+func (k *host) injectFaults(f func(*host)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f(k)
-	name := k.rep.Machine
+	name := k.status.Machine
 	k.s.dead.Delete(name)
-	k.s.tardy.Delete(name)
+	k.s.unresponsive.Delete(name)
 	if k.cut {
 		k.s.dead.Store(name, true)
 	}
-	if k.deaf {
-		k.s.tardy.Store(name, true)
+	if k.commandsUndelivered {
+		k.s.unresponsive.Store(name, true)
 	}
-	if rest := time.Until(k.hung); rest > 0 {
-		k.s.tardy.Store(name, true)
+	if rest := time.Until(k.hungUntil); rest > 0 {
+		k.s.unresponsive.Store(name, true)
 		k.s.tasks.Go(func() {
-			idle(k.s.ctx, rest)
-			k.trouble(func(*host) {})
+			sleepUnlessZero(k.s.ctx, rest)
+			k.injectFaults(func(*host) {})
 		})
 	}
 }
 
-func (k *host) hang(d time.Duration) { k.trouble(func(k *host) { k.hung = time.Now().Add(d) }) }
+func (k *host) hang(d time.Duration) {
+	k.injectFaults(func(k *host) { k.hungUntil = time.Now().Add(d) })
+}
 
-// well heals all injected faults of a machine.
-func (k *host) well() {
-	k.trouble(func(k *host) {
-		k.cut, k.mute, k.deaf = false, false, false
-		k.orderDelay, k.answerDelay, k.linkDelay = 0, 0, 0
+// heal heals all injected faults of a machine.
+func (k *host) heal() {
+	k.injectFaults(func(k *host) {
+		k.cut, k.heartbeatsUndelivered, k.commandsUndelivered = false, false, false
+		k.commandDelay, k.commandResponseDelay, k.heartbeatResponseDelay = 0, 0, 0
 	})
 }
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -82,12 +82,12 @@
 	faults := []storeFault{
 		{
 			name:    "response lost",
-			inject:  func(c *cell, match func(kv.Txn) bool) { c.store.Lose(match) },
+			inject:  func(c *cell, match func(kv.Txn) bool) { c.store.LoseResponses(match) },
 			restart: true,
 		},
 		{
 			name:    "applied late",
-			inject:  func(c *cell, match func(kv.Txn) bool) { c.store.Hold(match) },
+			inject:  func(c *cell, match func(kv.Txn) bool) { c.store.Delay(match) },
 			restart: true,
 		},
 		{
@@ -135,9 +135,9 @@
 // healStore ends all faults of the cell's store, and applies what it has delayed.
 func (c *cell) healStore() {
 	c.store.SetDown(false)
-	c.store.Lose(nil)
-	c.store.Hold(nil)
-	c.store.Release()
+	c.store.LoseResponses(nil)
+	c.store.Delay(nil)
+	c.store.ApplyDelayed()
 }
 
 // An acceptance without a response is applied minutes later, when the host has closed the
@@ -145,23 +145,23 @@
 func TestAcceptanceMinutesLate(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
-		host.store.Hold(putsGuest)
+		host.store.Delay(putsGuest)
 		g.submitBurst(home, 100, 6, 8*time.Second)
 		time.Sleep(6 * time.Second)
 		// The next leader of the host rejects offers.
 		host.nodes[0].crash()
 		host.setNode(0, host.start("n0"))
-		host.store.Hold(nil)
+		host.store.Delay(nil)
 		for _, n := range host.nodes {
-			n.look(func(c *Controller) { c.Policy.Spill.GuestShare = 0 })
+			n.inspect(func(c *Controller) { c.Policy.Spill.GuestShare = 0 })
 		}
 		time.Sleep(50 * time.Second)
-		late := host.store.Release()
+		late := host.store.ApplyDelayed()
 		if len(late) == 0 {
 			t.Error("no transaction was delayed")
 		}
 		for _, res := range late {
-			host.same("applied late", res.Succeeded, false)
+			host.checkEqual("applied late", res.Succeeded, false)
 		}
 		g.awaitAllEnded(5 * time.Minute)
 	})
@@ -173,7 +173,7 @@
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		delayed := false
-		host.store.Hold(func(txn kv.Txn) bool {
+		host.store.Delay(func(txn kv.Txn) bool {
 			delay := !delayed && putsGuest(txn)
 			delayed = delayed || delay
 			return delay
@@ -185,24 +185,24 @@
 				break
 			}
 		}
-		host.nodes[0].look(func(c *Controller) { c.Policy.Spill.GuestShare = 0 })
+		host.nodes[0].inspect(func(c *Controller) { c.Policy.Spill.GuestShare = 0 })
 		time.Sleep(10 * time.Second)
-		late := host.store.Release()
+		late := host.store.ApplyDelayed()
 		if len(late) != 1 {
 			t.Errorf("got %d delayed transactions, want 1", len(late))
 		}
 		for _, res := range late {
-			host.same("applied again", res.Succeeded, false)
+			host.checkEqual("applied again", res.Succeeded, false)
 		}
 		g.awaitAllEnded(5 * time.Minute)
-		host.same("jobs", len(ids), 6)
+		host.checkEqual("jobs", len(ids), 6)
 	})
 }
 
 // returnGuests has the first node return all guests that have not started, and reports
 // whether there were any.
 func (c *cell) returnGuests() (returned bool) {
-	c.nodes[0].look(func(ctl *Controller) {
+	c.nodes[0].inspect(func(ctl *Controller) {
 		for _, j := range ctl.leaderTerm.jobs {
 			if j.guest != nil && !j.started() {
 				ctl.leaderTerm.loans.returnGuest(j)
@@ -220,7 +220,7 @@
 		g.submitBurst(home, 100, 8, 30*time.Second)
 		time.Sleep(10 * time.Second)
 		lent := func() (budgets, used float64) {
-			home.leader().look(func(c *Controller) {
+			home.leader().inspect(func(c *Controller) {
 				for _, j := range c.leaderTerm.jobs {
 					if j.lent != nil {
 						budgets += j.lent.Budget.CPUs
@@ -253,7 +253,7 @@
 				g.runRandomFaults(seed)
 				for _, c := range g.cells {
 					if n := c.leader(); n != nil {
-						n.look(func(ctl *Controller) { loans += int(ctl.leaderTerm.loans.count) })
+						n.inspect(func(ctl *Controller) { loans += int(ctl.leaderTerm.loans.count) })
 					}
 				}
 				lentJobs += g.countLent()
@@ -314,11 +314,11 @@
 		c.restartNode(0, 100*time.Millisecond)
 		c.restartNode(1, 100*time.Millisecond)
 	case 5:
-		c.store.Lose(func(kv.Txn) bool { return g.chance(4) })
-		time.AfterFunc(lasting, func() { c.store.Lose(nil) })
+		c.store.LoseResponses(func(kv.Txn) bool { return g.chance(4) })
+		time.AfterFunc(lasting, func() { c.store.LoseResponses(nil) })
 	case 6:
-		c.store.Hold(func(txn kv.Txn) bool { return txn.Records && g.chance(4) })
-		time.AfterFunc(lasting, func() { c.store.Hold(nil); c.store.Release() })
+		c.store.Delay(func(txn kv.Txn) bool { return txn.Records && g.chance(4) })
+		time.AfterFunc(lasting, func() { c.store.Delay(nil); c.store.ApplyDelayed() })
 	}
 }
 
@@ -358,7 +358,7 @@
 		}
 		home.startNodes()
 		g.awaitAllEnded(4 * time.Minute)
-		home.same("end", g.job(id).endPhase, api.JobDone)
+		home.checkEqual("end", g.job(id).endPhase, api.JobDone)
 	})
 }
 
@@ -378,9 +378,9 @@
 		name:     "before acceptance",
 		duration: time.Minute,
 		await: func(g *cellGroup, ids []string) string {
-			g.cells[1].store.Hold(putsGuest)
+			g.cells[1].store.Delay(putsGuest)
 			id := g.awaitLentOnRecord(ids)
-			time.AfterFunc(4*time.Second, func() { g.cells[1].store.Hold(nil); g.cells[1].store.Release() })
+			time.AfterFunc(4*time.Second, func() { g.cells[1].store.Delay(nil); g.cells[1].store.ApplyDelayed() })
 			return id
 		},
 	},
@@ -417,7 +417,7 @@
 		duration: time.Minute,
 		await: func(g *cellGroup, ids []string) string {
 			id := g.awaitLentOnRecord(ids)
-			g.cells[0].leader().look(func(c *Controller) {
+			g.cells[0].leader().inspect(func(c *Controller) {
 				if j := c.leaderTerm.jobs[id]; j != nil {
 					j.reclaimRequested = true
 				}
@@ -469,7 +469,7 @@
 		if err == nil || time.Since(startTime) > time.Second {
 			t.Errorf("got %v after %v, want an error within 1s", err, time.Since(startTime))
 		}
-		g.cells[0].same("meanwhile", g.cancel(id, 5), "not confirmed")
+		g.cells[0].checkEqual("meanwhile", g.cancel(id, 5), "not confirmed")
 		g.setCut("cell-a", "cell-b", false)
 		if got := g.cancel(id, 20); got != api.JobCancelled && got != api.JobDone {
 			t.Errorf("got phase %q, want %q or %q", got, api.JobCancelled, api.JobDone)
@@ -483,7 +483,7 @@
 	g.t.Helper()
 	for range 100 {
 		if n := g.job(ids[0]).home.leader(); n != nil {
-			n.look(func(c *Controller) {
+			n.inspect(func(c *Controller) {
 				for _, id := range ids {
 					if j := c.leaderTerm.jobs[id]; j != nil && j.lent != nil {
 						lent = id
@@ -506,8 +506,8 @@
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		id := g.awaitLent(g.submitBurst(home, 100, 6, 12*time.Second))
-		host.same("phase at the host", host.phase(host.nodes[1], id), api.ErrUnknownJob.Error())
-		host.same("phase at its leader", host.phase(host.nodes[0], id), api.ErrUnknownJob.Error())
+		host.checkEqual("phase at the host", host.phase(host.nodes[1], id), api.ErrUnknownJob.Error())
+		host.checkEqual("phase at its leader", host.phase(host.nodes[0], id), api.ErrUnknownJob.Error())
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		if _, _, err := host.nodes[0].Submit(ctx, spec(id, 1)); err == nil {
@@ -526,7 +526,7 @@
 		}
 		g.submitBurst(home, 100, 6, 6*time.Second)
 		g.awaitAllEnded(4 * time.Minute)
-		home.same("jobs that ran at the host", g.countLent(), 0)
+		home.checkEqual("jobs that ran at the host", g.countLent(), 0)
 	})
 }
 
@@ -547,7 +547,7 @@
 				}
 			}
 		}
-		host.same("guests while a team is below its guarantee", guests, 0.0)
+		host.checkEqual("guests while a team is below its guarantee", guests, 0.0)
 		g.awaitAllEnded(20 * time.Minute)
 		for id, j := range g.jobs {
 			if j.endPhase != api.JobDone {
@@ -564,7 +564,7 @@
 		g.submitBurst(home, 100, 6, 10*time.Second)
 		guest := ""
 		for range 200 {
-			host.nodes[0].look(func(c *Controller) {
+			host.nodes[0].inspect(func(c *Controller) {
 				for id, j := range c.leaderTerm.jobs {
 					if guest == "" && j.guest != nil && !j.started() {
 						j.backoffUntil = time.Now().Add(time.Hour)
@@ -577,9 +577,9 @@
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		time.Sleep(returnGuestAfter + 5*time.Second)
-		host.same("still a guest", host.store.Has(records.ActivePrefix+guest), false)
-		host.same("was a guest", guest != "", true)
+		time.Sleep(guestStartTimeout + 5*time.Second)
+		host.checkEqual("still a guest", host.store.Has(records.ActivePrefix+guest), false)
+		host.checkEqual("was a guest", guest != "", true)
 		g.awaitAllEnded(5 * time.Minute)
 	})
 }
@@ -597,11 +597,11 @@
 		host.agents = nil // its machines are down with it
 		g.mu.Unlock()
 		time.Sleep(3 * time.Minute)
-		home.same("done while the host is not declared unreachable", g.poll(id) == api.JobDone, false)
+		home.checkEqual("done while the host is not declared unreachable", g.poll(id) == api.JobDone, false)
 		n := home.leader()
-		n.look(func(c *Controller) {
+		n.inspect(func(c *Controller) {
 			st := c.leaderTerm.jobs[id].state()
-			home.same("cell of the job", st.Cell, host.name)
+			home.checkEqual("cell of the job", st.Cell, host.name)
 		})
 		for _, n := range home.nodes {
 			n.crash()
@@ -618,7 +618,7 @@
 			}
 			time.Sleep(2 * time.Second)
 		}
-		home.same("end after the reclaim", g.job(id).endPhase, api.JobDone)
+		home.checkEqual("end after the reclaim", g.job(id).endPhase, api.JobDone)
 	})
 }
 
@@ -710,10 +710,10 @@
 			for _, s := range response.States {
 				reason = s.Reason
 			}
-			host.same(c.name, []string{response.Refused, reason}, []string{c.refused, c.reason})
+			host.checkEqual(c.name, []string{response.Refused, reason}, []string{c.refused, c.reason})
 		}
 		time.Sleep(2 * time.Second)
-		host.same("records", host.keysUnder(records.ActivePrefix+"job-"), []string(nil))
+		host.checkEqual("records", host.keysUnder(records.ActivePrefix+"job-"), []string(nil))
 	})
 }
 
@@ -723,11 +723,11 @@
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home := g.cells[0]
 		n := home.leader()
-		n.look(func(c *Controller) { c.membership.members["n9"] = &member{} })
+		n.inspect(func(c *Controller) { c.membership.members["n9"] = &member{} })
 		g.submitBurst(home, 100, 6, 10*time.Second)
 		time.Sleep(8 * time.Second)
-		home.same("lent", g.countLent(), 0)
-		n.look(func(c *Controller) { c.membership.members["n9"].SupportsLoans = true })
+		home.checkEqual("lent", g.countLent(), 0)
+		n.inspect(func(c *Controller) { c.membership.members["n9"].SupportsLoans = true })
 		time.Sleep(8 * time.Second)
 		if g.countLent() == 0 {
 			t.Error("nothing was lent once all nodes support loans")
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -84,8 +84,8 @@
 	return counters{firstStart: newHistogram(), recorded: newHistogram()}
 }
 
-// record adds a duration to a histogram, clamped to its bounds.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
+// recordLatency adds a duration to a histogram, clamped to its bounds.
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
 	// RecordValue only fails for values out of bounds.
 	_ = h.RecordValue(min(max(d.Milliseconds(), 1), h.HighestTrackableValue()))
 }
@@ -188,7 +188,7 @@
 		return "fails everywhere"
 	case lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision:
 		return "takeover"
-	case !j.team.Allowed(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
+	case !j.team.WithinLimit(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return "team limit"
 	case j.load.Defer || j.infeasible:
 		return "gives way"
--- a/internal/controller/storedjobs.go
+++ b/internal/controller/storedjobs.go
@@ -49,11 +49,11 @@
 const lookupTimeout = time.Second
 
 func (m lookupMsg) apply(c *Controller) {
-	if r := c.reads[m.id]; r != nil {
+	if r := c.lookups[m.id]; r != nil {
 		r.next = append(r.next, m.reply)
 		return
 	}
-	c.reads[m.id] = &lookupRound{current: []chan lookupReply{m.reply}}
+	c.lookups[m.id] = &lookupRound{current: []chan lookupReply{m.reply}}
 	c.startLookup(m.id)
 }
 
@@ -76,26 +76,26 @@
 
 func (m lookupDoneMsg) apply(c *Controller) {
 	if m.reply.err == nil && m.reply.found && m.reply.state.Final() {
-		finalMsg{m.reply.state}.apply(c)
+		finalStateMsg{m.reply.state}.apply(c)
 	}
-	round := c.reads[m.id]
+	round := c.lookups[m.id]
 	for _, reply := range round.current {
 		reply <- m.reply
 	}
 	if len(round.next) == 0 {
-		delete(c.reads, m.id)
+		delete(c.lookups, m.id)
 		return
 	}
 	round.current, round.next = round.next, nil
 	c.startLookup(m.id)
 }
 
-// finalMsg carries a job's final state that this node has read or written. The leader's memory
+// finalStateMsg carries a job's final state that this node has read or written. The leader's memory
 // and the cancellation log must not fall behind the responses to users: the store may be
 // unreachable from the next moment on.
-type finalMsg struct{ st api.JobState }
+type finalStateMsg struct{ st api.JobState }
 
-func (m finalMsg) apply(c *Controller) {
+func (m finalStateMsg) apply(c *Controller) {
 	if m.st.Derived {
 		return // the leader derives it by itself, and has yet to record it
 	}
@@ -108,14 +108,14 @@
 			c.leaderTerm.jobFinished(j)
 		}
 	}
-	c.final.Add(m.st.ID, m.st)
+	c.finalStates.Add(m.st.ID, m.st)
 }
 
 // publishFinalState hands a final state to the owner before the response to the user is sent.
 // An owner that has ended has no state that could fall behind that response, so its end is no
 // error.
 func (c *Controller) publishFinalState(ctx context.Context, st api.JobState) error {
-	err := c.send(ctx, finalMsg{st})
+	err := c.send(ctx, finalStateMsg{st})
 	if errors.Is(err, api.ErrUnavailable) {
 		return nil
 	}
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -66,8 +66,8 @@
 	jr.all.add(took, overran)
 }
 
-// elsewhere sums up the job's completed runs on all machines but one.
-func (j *job) elsewhere(m *machine) runStats {
+// runsElsewhere sums up the job's completed runs on all machines but one.
+func (j *job) runsElsewhere(m *machine) runStats {
 	others := j.runs.all
 	if mine := j.runs.byMachine[m.name]; mine != nil {
 		others.count -= mine.count
@@ -87,9 +87,9 @@
 	if a.unmeasured {
 		return
 	}
-	j.longest = max(j.longest, took)
+	j.longestRun = max(j.longestRun, took)
 	j.runs.add(m.name, took, took > overrunFactor*j.spec.Estimate())
-	others := j.elsewhere(m)
+	others := j.runsElsewhere(m)
 	if others.count < minSampleRuns || took < time.Second {
 		return // a task whose result was kept ends at once, which measures nothing
 	}
@@ -102,7 +102,7 @@
 		lt.evacuate(m, reasonSlow)
 		for _, other := range m.attempts {
 			if !other.exited && other.job != nil && other.job.spec.CheckpointS > 0 {
-				lt.stop(other, 2*other.job.spec.Save()+time.Second, now)
+				lt.requestStop(other, 2*other.job.spec.Save()+time.Second, now)
 			}
 		}
 	}
@@ -152,10 +152,10 @@
 			if !lt.isStraggler(a, limit, now) {
 				continue
 			}
-			j.restarted[a.task] = true
+			j.restartedTasks[a.task] = true
 			j.excludedMachine[a.task] = a.machine.name
 			lt.c.Log.Debug("straggler restarted", "task", a.key.ref, "machine", a.machine.name)
-			lt.stop(a, j.spec.Save()*2, now)
+			lt.requestStop(a, j.spec.Save()*2, now)
 		}
 	}
 }
@@ -167,13 +167,13 @@
 func (lt *leaderTerm) isStraggler(a *attempt, limit time.Duration, now time.Time) bool {
 	j, m := a.job, a.machine
 	took := now.Sub(a.runningAt)
-	if a.exited || a.stop != nil || a.runningAt.IsZero() || took <= limit || j.restarted[a.task] {
+	if a.exited || a.stop != nil || a.runningAt.IsZero() || took <= limit || j.restartedTasks[a.task] {
 		return false
 	}
 	if now.Sub(m.lastHeartbeat) > lt.heartbeatTimeout() {
 		return false // the run may have ended long ago
 	}
-	others := j.elsewhere(m)
+	others := j.runsElsewhere(m)
 	return others.count >= minSampleRuns && others.overrunCount == 0 &&
 		float64(took) >= stragglerFactor*float64(others.longest) && j.overrunsOn(m, limit, now) >= minOverruns
 }
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -189,12 +189,12 @@
 		return
 	}
 	j.completionChunks[first] = true
-	j.holds(first, 8*len(rec.Done))
+	j.recordExtent(first, 8*len(rec.Done))
 	for i, b := range rec.Done {
 		for bit := range 8 {
 			if task := first + i*8 + bit; b&(1<<bit) != 0 && task < j.spec.Tasks {
 				j.recorded.Set(uint(task))
-				lt.taskDone(j, task, now)
+				lt.completeTask(j, task, now)
 			}
 		}
 	}
--- a/internal/controller/twofaults_test.go
+++ b/internal/controller/twofaults_test.go
@@ -26,8 +26,8 @@
 	lostAt time.Time
 }
 
-// gapLease is the task lease of the machine.
-const gapLease = 10 * time.Second
+// faultTaskLease is the task lease of the machine.
+const faultTaskLease = 10 * time.Second
 
 // faultScript is what happens when, in milliseconds.
 type faultScript map[int]func(g *faultCluster)
@@ -44,7 +44,7 @@
 		w.submit(g.leader, spec("job-1", 2))
 		w.submit(g.leader, spec("job-2", 1))
 		g.k.serve(g.leader, 4)
-		w.same("running tasks", len(g.k.running()), 3)
+		w.checkEqual("running tasks", len(g.k.running()), 3)
 		g.startedAt, g.renewedAt = time.Now(), time.Now()
 		for ms := 0; ms < seconds*1000; ms += 50 {
 			if f := script[ms]; f != nil {
@@ -56,7 +56,7 @@
 			g.check()
 			time.Sleep(50 * time.Millisecond)
 		}
-		w.same("never cancelled", g.cancelledAt.IsZero(), false)
+		w.checkEqual("never cancelled", g.cancelledAt.IsZero(), false)
 		if !g.lostAt.IsZero() {
 			lost = g.lostAt.Sub(g.startedAt)
 		}
@@ -68,8 +68,8 @@
 func (g *faultCluster) heartbeat() {
 	for _, n := range []*node{g.leader, g.follower} {
 		sent := time.Now()
-		if commands, err := g.k.send(n); err == nil {
-			g.k.obey(commands)
+		if commands, err := g.k.sendHeartbeat(n); err == nil {
+			g.k.applyCommands(commands)
 			g.renewedAt = sent
 			break
 		}
@@ -79,16 +79,16 @@
 
 // expire ends the machine's tasks when their lease has expired.
 func (g *faultCluster) expire() {
-	if time.Since(g.renewedAt) <= gapLease {
+	if time.Since(g.renewedAt) <= faultTaskLease {
 		return
 	}
 	g.k.mu.Lock()
 	defer g.k.mu.Unlock()
-	if len(g.k.rep.Tasks) > 0 && g.lostAt.IsZero() {
+	if len(g.k.status.Tasks) > 0 && g.lostAt.IsZero() {
 		g.lostAt = time.Now()
 	}
-	g.k.rep.Tasks, g.renewedAt = nil, time.Now()
-	g.k.rep.AgentEpoch++
+	g.k.status.Tasks, g.renewedAt = nil, time.Now()
+	g.k.status.AgentEpoch++
 }
 
 // check fails the test if a task of job-1 runs beyond the time limit of its cancellation.
@@ -111,7 +111,7 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.same("cancelled", st.Phase, api.JobCancelled)
+	g.checkEqual("cancelled", st.Phase, api.JobCancelled)
 	g.cancelledAt = time.Now()
 }
 
@@ -149,7 +149,7 @@
 }
 
 func pollFollower(g *faultCluster) {
-	g.same("phase at the follower", g.phase(g.follower, "job-1"), api.JobCancelled)
+	g.checkEqual("phase at the follower", g.phase(g.follower, "job-1"), api.JobCancelled)
 	g.cancelledAt = time.Now()
 }
 
@@ -158,17 +158,17 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.same("phase of the repeated submission", st.Phase, api.JobCancelled)
+	g.checkEqual("phase of the repeated submission", st.Phase, api.JobCancelled)
 	g.cancelledAt = time.Now()
 }
 
 func cancelAtLeaderWithoutWatch(g *faultCluster) {
-	g.store.SetBlind(true)
+	g.store.SetWatchesBlind(true)
 	g.cancelAt(g.leader)
 }
 
 func acceptFormerLeader(g *faultCluster) {
-	g.same("the follower leads", g.follower.holdsLease(), true)
+	g.checkEqual("the follower leads", g.follower.holdsLease(), true)
 	g.leaderGate.set(false)
 }
 
@@ -308,7 +308,7 @@
 				k := w.worker("i-1", "", false)
 				w.submit(a, spec("job-1", 6))
 				k.serve(a, 3)
-				w.same("running", len(k.running()), 4)
+				w.checkEqual("running", len(k.running()), 4)
 				time.Sleep(time.Duration(ms) * time.Millisecond)
 				if alone {
 					ga.set(true)
@@ -341,20 +341,20 @@
 			k := w.worker("i-1", "", false)
 			w.submit(a, spec("job-1", 2))
 			for range 30 {
-				commands, err := k.send(a)
+				commands, err := k.sendHeartbeat(a)
 				if err != nil {
 					t.Fatalf("cancel_s %v: heartbeat: got %v, want a response", cancelS, err)
 				}
-				k.obey(commands)
+				k.applyCommands(commands)
 				time.Sleep(time.Second)
 			}
 			k.serve(a, 3)
-			w.same("running", len(k.running()), 2)
+			w.checkEqual("running", len(k.running()), 2)
 			if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 				t.Fatal(err)
 			}
 			k.serve(a, 3)
-			w.same("stopped", len(k.running()), 0)
+			w.checkEqual("stopped", len(k.running()), 0)
 		})
 	}
 }
@@ -364,15 +364,15 @@
 // behalf of the leader relies on these answers only when each machine that is still alive must
 // have got a response in this term.
 func TestFollowerDoesNotRelyOnANewLeader(t *testing.T) {
-	for after := 9 * time.Second; after < gapLease; after += 100 * time.Millisecond {
+	for after := 9 * time.Second; after < faultTaskLease; after += 100 * time.Millisecond {
 		simulate(t, func(w *cluster) {
 			l, a, b, _, gb := w.pair()
 			k := w.worker("i-1", "", false)
 			w.submit(a, spec("job-1", 2))
 			k.serve(a, 4)
-			w.same("running", len(k.running()), 2)
+			w.checkEqual("running", len(k.running()), 2)
 			confirming := w.startWith("n9", w.store, nil) // informs the user, and then nobody
-			k.report(a)
+			k.heartbeat(a)
 			a.crash()
 			if _, err := confirming.Cancel(context.Background(), "job-1"); err != nil {
 				t.Fatal(err)
@@ -381,19 +381,19 @@
 			confirming.crash()
 			a = l.add("n0", w.startWith("n0", w.store, l))
 			time.Sleep(after - time.Since(confirmed))
-			a.look(func(c *Controller) { k.rep.Term = c.leaderTerm.term.Number }) // it was resynced
-			w.same("second term", k.rep.Term > 1, true)
+			a.inspect(func(c *Controller) { k.status.Term = c.leaderTerm.term.Number }) // it was resynced
+			w.checkEqual("second term", k.status.Term > 1, true)
 			l.cut.Store(true)
 			gb.set(true)
 			var renewedAt time.Time
 			for range 300 {
-				if commands, err := k.send(b); err == nil {
-					k.obey(commands)
+				if commands, err := k.sendHeartbeat(b); err == nil {
+					k.applyCommands(commands)
 					renewedAt = time.Now()
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			if end := renewedAt.Add(gapLease); len(k.running()) > 0 && end.After(confirmed.Add(30*time.Second)) {
+			if end := renewedAt.Add(faultTaskLease); len(k.running()) > 0 && end.After(confirmed.Add(30*time.Second)) {
 				t.Errorf("cut after %v: a cancelled task may run for %v, want at most 30 s", after, end.Sub(confirmed))
 			}
 		})
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -151,7 +151,7 @@
 		}
 		y.Fake = w.store
 		tn.ways = append(tn.ways, y)
-		tn.begin(i)
+		tn.startNode(i)
 	}
 	for i := range hosts {
 		h := &userHost{
@@ -167,8 +167,8 @@
 	return tn
 }
 
-// begin starts a node, or starts it again after a crash.
-func (tn *userCluster) begin(i int) {
+// startNode starts a node, or starts it again after a crash.
+func (tn *userCluster) startNode(i int) {
 	name := fmt.Sprint("n", i)
 	n := tn.links.add(name, tn.startWith(name, tn.ways[i], tn.links))
 	tn.mu.Lock()
@@ -185,8 +185,8 @@
 	tn.nodes[i] = nil
 }
 
-// at returns the current process of a node, or of the next node that is up.
-func (tn *userCluster) at(i int) *node {
+// nodeAt returns the current process of a node, or of the next node that is up.
+func (tn *userCluster) nodeAt(i int) *node {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
 	for tn.nodes[i%3] == nil {
@@ -206,7 +206,7 @@
 func (tn *userCluster) leader() int {
 	for {
 		for i := range 3 {
-			n := tn.at(i)
+			n := tn.nodeAt(i)
 			st, err := n.PeerStatus(context.Background(), cancellation.Position{})
 			if err == nil && st.Term > 0 {
 				return int(n.Settings.Node[1] - '0')
@@ -247,11 +247,11 @@
 	}
 }
 
-// gone checks that no task of a cancelled job was on a machine for longer than it may be.
-func (tn *userCluster) gone() {
+// checkNoneOverdue checks that no task of a cancelled job was on a machine for longer than it may be.
+func (tn *userCluster) checkNoneOverdue() {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
-	tn.same("on machines too long after a confirmed cancellation", tn.overdueTasks, []string(nil))
+	tn.checkEqual("on machines too long after a confirmed cancellation", tn.overdueTasks, []string(nil))
 }
 
 // heartbeatAnyNode sends a heartbeat to the first node that responds, and applies its
@@ -260,19 +260,19 @@
 	h.lastSent = time.Now()
 	sent := h.lastSent
 	for _, n := range tn.runningNodes() {
-		commands, err := h.send(n)
+		commands, err := h.sendHeartbeat(n)
 		if err != nil {
 			continue
 		}
 		h.lastAcknowledged = sent
-		h.obey(commands)
+		h.applyCommands(commands)
 		for _, cmd := range commands {
 			if cmd.Verb == api.VerbStart {
 				h.starts.Add(1)
 			}
 		}
 		h.mu.Lock()
-		for _, t := range h.rep.Tasks {
+		for _, t := range h.status.Tasks {
 			if _, ok := h.startedAt[t.Task]; !ok {
 				h.startedAt[t.Task] = time.Now()
 			}
@@ -290,8 +290,8 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.rep.AgentEpoch++
-	h.rep.Tasks, h.lastAcknowledged = nil, now
+	h.status.AgentEpoch++
+	h.status.Tasks, h.lastAcknowledged = nil, now
 	clear(h.startedAt)
 }
 
@@ -300,8 +300,8 @@
 func (h *userHost) completeTasks(tn *userCluster, now time.Time, named string) (completed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for i := range h.rep.Tasks {
-		t := &h.rep.Tasks[i]
+	for i := range h.status.Tasks {
+		t := &h.status.Tasks[i]
 		id, _, _ := strings.Cut(t.Task, "/")
 		takes, ok := tn.takes.Load(id)
 		timeUp := ok && now.Sub(h.startedAt[t.Task]) >= takes.(time.Duration)
@@ -344,7 +344,7 @@
 	}
 	tn.background(func() {
 		for i := 0; time.Duration(i)*gap < span; i++ {
-			n := tn.at(i)
+			n := tn.nodeAt(i)
 			tn.background(func() {
 				switch {
 				case i%5 == 4 && submitted():
@@ -363,7 +363,7 @@
 // accept submits a job at a node until it is accepted.
 func (tn *userCluster) accept(i int, s *api.JobSpec) {
 	tn.t.Helper()
-	if err := insist(func() error { _, err := tn.checker.submit(tn.at(i), s); return err }); err != nil {
+	if err := retryUntilAnswered(func() error { _, err := tn.checker.submit(tn.nodeAt(i), s); return err }); err != nil {
 		tn.t.Errorf("submission of %s: %v", s.ID, err)
 	}
 }
@@ -371,16 +371,16 @@
 // cancel cancels a job at a node until that is confirmed.
 func (tn *userCluster) cancel(i int, id string) {
 	tn.t.Helper()
-	if err := insist(func() error { _, err := tn.checker.cancel(tn.at(i), id); return err }); err != nil {
+	if err := retryUntilAnswered(func() error { _, err := tn.checker.cancel(tn.nodeAt(i), id); return err }); err != nil {
 		tn.t.Errorf("cancellation of %s: %v", id, err)
 	}
 }
 
-// finally checks that all nodes answer the wanted phases of some jobs.
-func (tn *userCluster) finally(want map[string]string) {
+// checkFinalPhases checks that all nodes answer the wanted phases of some jobs.
+func (tn *userCluster) checkFinalPhases(want map[string]string) {
 	for id, phase := range want {
 		for i := range 3 {
-			st, err := tn.checker.ask(tn.at(i), id)
+			st, err := tn.checker.ask(tn.nodeAt(i), id)
 			if got := st.Phase; err != nil || got != phase {
 				tn.t.Errorf("%s at node %d in the end: got %q, %v, want %q", id, i, got, err, phase)
 			}
@@ -392,14 +392,14 @@
 func (tn *userCluster) close() {
 	tn.stopped.Store(true)
 	tn.users.Wait()
-	tn.store.Lose(nil)
+	tn.store.LoseResponses(nil)
 	for _, n := range tn.runningNodes() {
 		n.crash()
 	}
 }
 
-// written is the mod revision of a record, 0 if there is none.
-func (tn *userCluster) written(key string) uint64 {
+// modRevision is the mod revision of a record, 0 if there is none.
+func (tn *userCluster) modRevision(key string) uint64 {
 	e, err := tn.store.Get(context.Background(), key)
 	if err != nil {
 		tn.t.Error(err)
@@ -415,22 +415,22 @@
 	return n
 }
 
-// held is the number of tasks on machines, in whatever phase.
-func (tn *userCluster) held() (n int) {
+// tasksOnMachines is the number of tasks on machines, in whatever phase.
+func (tn *userCluster) tasksOnMachines() (n int) {
 	for _, h := range tn.hosts {
 		h.mu.Lock()
-		n += len(h.rep.Tasks)
+		n += len(h.status.Tasks)
 		h.mu.Unlock()
 	}
 	return n
 }
 
-// follow has a job's user request its state until the answer is its end, each time at another
+// pollUntilFinal has a job's user request its state until the answer is its end, each time at another
 // node.
-func (tn *userCluster) follow(i int, id string, interval time.Duration) {
+func (tn *userCluster) pollUntilFinal(i int, id string, interval time.Duration) {
 	tn.background(func() {
 		for ; !tn.stopped.Load(); i++ {
-			if st, err := tn.checker.ask(tn.at(i), id); err == nil && st.Final() {
+			if st, err := tn.checker.ask(tn.nodeAt(i), id); err == nil && st.Final() {
 				return
 			}
 			time.Sleep(interval)
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -86,7 +86,7 @@
 			v.agents = append(v.agents, w.worker(fmt.Sprint("i-", i+1), "a", false))
 		}
 		time.Sleep(10 * time.Second)
-		w.same("the old node leads", v.old.leads(), oldLeads)
+		w.checkEqual("the old node leads", v.old.leads(), oldLeads)
 		f(v)
 		v.old.crash()
 		v.new.crash()
@@ -106,7 +106,7 @@
 
 // newLeads reports whether the node of this version leads.
 func (v *mixed) newLeads() (leads bool) {
-	v.new.look(func(c *Controller) { leads = c.holdsLease() && c.leaderTerm.loaded })
+	v.new.inspect(func(c *Controller) { leads = c.holdsLease() && c.leaderTerm.loaded })
 	return leads
 }
 
@@ -116,9 +116,9 @@
 	v.t.Helper()
 	for range n {
 		for _, k := range v.agents {
-			if name := k.rep.Machine; k != v.silentAgent && k.heartbeatAny(v.reachableNodes(k)...) {
+			if name := k.status.Machine; k != v.silentAgent && k.heartbeatAny(v.reachableNodes(k)...) {
 				v.lastAcknowledged[name] = time.Now()
-			} else if time.Since(v.lastAcknowledged[name]) >= gapLease {
+			} else if time.Since(v.lastAcknowledged[name]) >= faultTaskLease {
 				k.expireLease()
 			}
 			v.advanceTasks(k)
@@ -135,7 +135,7 @@
 		first = v.successor
 	}
 	// In a partition the far zone has the node that does not lead.
-	switch far := k.rep.Zone == farZone; {
+	switch far := k.status.Zone == farZone; {
 	case !v.links.cut.Load():
 		return []heartbeatReceiver{first, v.new}
 	case far == v.old.leads():
@@ -153,8 +153,8 @@
 // heartbeatAny sends one heartbeat to each node in turn until one responds.
 func (k *worker) heartbeatAny(nodes ...heartbeatReceiver) bool {
 	for _, n := range nodes {
-		if commands, err := k.send(n); err == nil {
-			k.obey(commands)
+		if commands, err := k.sendHeartbeat(n); err == nil {
+			k.applyCommands(commands)
 			return true
 		}
 	}
@@ -165,9 +165,9 @@
 func (k *worker) expireLease() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.rep.Tasks) > 0 {
-		k.rep.Tasks = nil
-		k.rep.AgentEpoch++
+	if len(k.status.Tasks) > 0 {
+		k.status.Tasks = nil
+		k.status.AgentEpoch++
 	}
 }
 
@@ -175,14 +175,14 @@
 func (v *mixed) advanceTasks(k *worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for i := range k.rep.Tasks {
-		t := &k.rep.Tasks[i]
-		key := fmt.Sprint(k.rep.Machine, t.Attempt)
+	for i := range k.status.Tasks {
+		t := &k.status.Tasks[i]
+		key := fmt.Sprint(k.status.Machine, t.Attempt)
 		if t.Phase == api.TaskExited {
 			continue
 		}
 		if v.secondsRun[key] == 0 && v.completed[t.Task] {
-			v.t.Errorf("%s starts again on %s after it has completed", t.Task, k.rep.Machine)
+			v.t.Errorf("%s starts again on %s after it has completed", t.Task, k.status.Machine)
 		}
 		if v.secondsRun[key] == 0 && !v.mayStart(t.Task) {
 			v.startedEarly = append(v.startedEarly, t.Task)
@@ -204,19 +204,19 @@
 func (v *mixed) check() {
 	v.t.Helper()
 	if !v.storeDown {
-		v.registered = v.roster()
+		v.registered = v.registeredMachines()
 	}
 	machineOf := map[string]string{}
 	for _, k := range v.agents {
 		tasks := k.running()
-		if len(tasks) > 0 && !slices.Contains(v.registered, k.rep.Machine) {
-			v.t.Errorf("%s runs tasks and is on no shard of the registry", k.rep.Machine)
+		if len(tasks) > 0 && !slices.Contains(v.registered, k.status.Machine) {
+			v.t.Errorf("%s runs tasks and is on no shard of the registry", k.status.Machine)
 		}
 		for _, task := range tasks {
 			if machineOf[task] != "" {
-				v.t.Errorf("%s runs on %s and %s", task, machineOf[task], k.rep.Machine)
+				v.t.Errorf("%s runs on %s and %s", task, machineOf[task], k.status.Machine)
 			}
-			machineOf[task] = k.rep.Machine
+			machineOf[task] = k.status.Machine
 		}
 	}
 }
@@ -245,7 +245,7 @@
 // checkPhases checks that both nodes answer the same phase of a job.
 func (v *mixed) checkPhases(id, phase string) {
 	v.t.Helper()
-	v.same(id, v.phases(id), []string{phase, phase})
+	v.checkEqual(id, v.phases(id), []string{phase, phase})
 }
 
 // handOver makes the other version lead, each handing over in its way. One machine sends no
@@ -269,7 +269,7 @@
 	v.silentAgent = v.agents[0]
 	v.runSeconds(4)
 	v.silentAgent = nil
-	v.same("leaders after a handover", []bool{v.old.leads(), v.newLeads()}, []bool{!toNew, toNew})
+	v.checkEqual("leaders after a handover", []bool{v.old.leads(), v.newLeads()}, []bool{!toNew, toNew})
 }
 
 // setStoreDown begins an outage of the store for all, or ends it.
@@ -315,7 +315,7 @@
 func (v *mixed) cancelNew(id string) {
 	v.t.Helper()
 	st, err := v.new.Cancel(context.Background(), id)
-	v.same("cancelled "+id, []any{st.Phase, err}, []any{api.JobCancelled, nil})
+	v.checkEqual("cancelled "+id, []any{st.Phase, err}, []any{api.JobCancelled, nil})
 }
 
 // The versions take turns to lead while jobs of either are accepted, run, done and cancelled
@@ -337,7 +337,7 @@
 						v.cancelNew(fmt.Sprint("job-4", i))
 						v.runSeconds(2 + i)
 						running := v.countRunning(fmt.Sprint("job-3", i), fmt.Sprint("job-4", i))
-						v.same("tasks of cancelled jobs", running, 0)
+						v.checkEqual("tasks of cancelled jobs", running, 0)
 					}
 					v.runSeconds(30)
 					v.checkPhases("job-1", "done")
@@ -346,8 +346,8 @@
 						v.checkPhases(fmt.Sprint("job-3", i), "withdrawn")
 						v.checkPhases(fmt.Sprint("job-4", i), "withdrawn")
 					}
-					v.same("terms", v.term(), changes+1) // no node had to begin a new one
-					v.same("completion records left", v.keysUnder(records.CompletionPrefix), []string(nil))
+					v.checkEqual("terms", v.term(), changes+1) // no node had to begin a new one
+					v.checkEqual("completion records left", v.keysUnder(records.CompletionPrefix), []string(nil))
 				})
 			})
 		}
@@ -392,16 +392,16 @@
 				}
 				v.runSeconds(8)
 				done := len(v.doneOnRecord("job-1"))
-				v.same("some are done", done > 0, true)
+				v.checkEqual("some are done", done > 0, true)
 				res, err := v.store.Txn(context.Background(), kv.Txn{
 					Compares: []kv.Compare{{Key: "term", ModRevision: modRevision}},
 					Ops:      late.ops(v),
 				})
-				v.same("applied late", []any{res.Succeeded, err}, []any{false, nil})
+				v.checkEqual("applied late", []any{res.Succeeded, err}, []any{false, nil})
 				v.startOldNode()
 				v.runSeconds(10)
-				v.same("leads", []bool{v.old.leads(), v.newLeads()}, []bool{false, true})
-				v.same("done are fewer", len(v.doneOnRecord("job-1")) < done && v.store.Has("a/job-1"), false)
+				v.checkEqual("leads", []bool{v.old.leads(), v.newLeads()}, []bool{false, true})
+				v.checkEqual("done are fewer", len(v.doneOnRecord("job-1")) < done && v.store.Has("a/job-1"), false)
 				v.runSeconds(30)
 				v.checkPhases("job-1", "done")
 			})
@@ -418,16 +418,16 @@
 				v.submit(v.new, spec("job-2", 2))
 				v.submit(v.new, spec("job-1", 20))
 				v.runSeconds(4)
-				v.store.Hold(func(txn kv.Txn) bool { return txn.Records && touches(prefix)(txn) })
+				v.store.Delay(func(txn kv.Txn) bool { return txn.Records && touches(prefix)(txn) })
 				v.agents = append(v.agents, v.worker("i-9", "a", false)) // to be registered
 				v.runSeconds(8)
 				v.handOver()
-				v.store.Hold(nil)
+				v.store.Delay(nil)
 				v.runSeconds(6)
-				results := v.store.Release()
-				v.same("some are late", len(results) > 0, true)
+				results := v.store.ApplyDelayed()
+				v.checkEqual("some are late", len(results) > 0, true)
 				for _, res := range results {
-					v.same("applied late", res.Succeeded, false)
+					v.checkEqual("applied late", res.Succeeded, false)
 				}
 				v.runSeconds(3)
 				v.handOver()
@@ -458,7 +458,7 @@
 		{"they go on", false, func(*mixed) {}, "done"},
 		{"the first is cancelled", false, func(v *mixed) { v.cancelNew("job-1") }, "withdrawn"},
 		{"the first is cancelled at the old node", false, func(v *mixed) {
-			v.same("cancelled", v.old.cancel("job-1"), "withdrawn")
+			v.checkEqual("cancelled", v.old.cancel("job-1"), "withdrawn")
 		}, "withdrawn"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -466,14 +466,14 @@
 				v.taskSeconds = 25
 				v.submitPipeline()
 				v.runSeconds(3)
-				v.same("pending for others by the status", v.countPending(), 2)
+				v.checkEqual("pending for others by the status", v.countPending(), 2)
 				for c.wait && v.countPending() > 0 {
 					v.runSeconds(1)
 				}
 				v.handOver()
 				v.runSeconds(4)
 				early := slices.Clone(v.startedEarly)
-				v.same("started too early under the old leader", len(early) > 0, !c.wait)
+				v.checkEqual("started too early under the old leader", len(early) > 0, !c.wait)
 				v.handOver()
 				v.runSeconds(2)
 				if !c.wait {
@@ -483,15 +483,15 @@
 					})]
 					halted.exit(api.CauseHalted) // its tasks must start again, in their time
 					v.runSeconds(2)
-					v.same("fewer tasks than before", len(v.running("job-2")) < len(running), true)
+					v.checkEqual("fewer tasks than before", len(v.running("job-2")) < len(running), true)
 				}
 				c.then(v)
 				v.runSeconds(4)
 				if c.want == "withdrawn" {
-					v.same("tasks of cancelled jobs", v.countRunning("job-1", "job-2", "job-3"), 0)
+					v.checkEqual("tasks of cancelled jobs", v.countRunning("job-1", "job-2", "job-3"), 0)
 				}
 				v.runSeconds(150)
-				v.same("started too early in the end", v.startedEarly, early)
+				v.checkEqual("started too early in the end", v.startedEarly, early)
 				for _, id := range []string{"job-1", "job-2", "job-3"} {
 					v.checkPhases(id, c.want)
 				}
@@ -524,20 +524,20 @@
 	v.submitPipeline()
 	v.runSeconds(4)
 	if late {
-		v.store.Hold(func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix)(txn) })
+		v.store.Delay(func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix)(txn) })
 	}
 	if atOld {
-		v.same("cancelled", v.old.cancel("job-1"), "withdrawn")
+		v.checkEqual("cancelled", v.old.cancel("job-1"), "withdrawn")
 	} else {
 		v.cancelNew("job-1")
 	}
 	v.runSeconds(3)
-	v.same("job-2 is left", v.store.Has("a/job-2"), late)
+	v.checkEqual("job-2 is left", v.store.Has("a/job-2"), late)
 	v.handOver()
-	v.store.Hold(nil)
+	v.store.Delay(nil)
 	v.runSeconds(4)
-	for _, res := range v.store.Release() {
-		v.same("applied late", res.Succeeded, false)
+	for _, res := range v.store.ApplyDelayed() {
+		v.checkEqual("applied late", res.Succeeded, false)
 	}
 	v.runSeconds(2)
 	if late {
@@ -545,10 +545,10 @@
 	}
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
 		v.checkPhases(id, "withdrawn")
-		v.same("running tasks of "+id, len(v.running(id)), 0)
+		v.checkEqual("running tasks of "+id, len(v.running(id)), 0)
 	}
 	if !late {
-		v.same("terms", v.term(), 2)
+		v.checkEqual("terms", v.term(), 2)
 	}
 }
 
@@ -560,11 +560,11 @@
 	v.checkPhases("job-2", "pending")
 	v.checkPhases("job-3", "pending")
 	st, err := v.new.RecordedJob(context.Background(), "job-2")
-	v.same("read at the new node", []any{st.Phase, err}, []any{"withdrawn", nil})
+	v.checkEqual("read at the new node", []any{st.Phase, err}, []any{"withdrawn", nil})
 	v.runSeconds(3)
 	v.checkPhases("job-2", "withdrawn")
-	v.same("running tasks of job-2", len(v.running("job-2")), 0)
-	v.same("terms", v.term(), 2)
+	v.checkEqual("running tasks of job-2", len(v.running("job-2")), 0)
+	v.checkEqual("terms", v.term(), 2)
 	v.new.crash()
 	v.old.crash()
 	v.startOldNode()
@@ -582,7 +582,7 @@
 	elsewhere := func(v *mixed) {
 		other := v.startWith("n9", v.store, nil)
 		_, err := other.Cancel(context.Background(), "job-1")
-		v.same("cancelled by a node that ends", err, nil)
+		v.checkEqual("cancelled by a node that ends", err, nil)
 		other.crash()
 	}
 	for _, c := range []struct {
@@ -594,7 +594,7 @@
 		{"cancelled at the old node", func(v *mixed) { v.old.cancel("job-1") }, true},
 		{"read by the old node", func(v *mixed) {
 			elsewhere(v)
-			v.same("phase at the old node", v.phases("job-1")[0], "withdrawn")
+			v.checkEqual("phase at the old node", v.phases("job-1")[0], "withdrawn")
 		}, true},
 		{"it restarts at once", func(v *mixed) {
 			v.old.cancel("job-1")
@@ -610,13 +610,13 @@
 				v.submit(v.new, spec("job-1", 2))
 				v.submit(v.new, spec("job-2", 1))
 				v.runSeconds(4)
-				v.same("running", len(v.agents[0].running()), 3)
+				v.checkEqual("running", len(v.agents[0].running()), 3)
 				v.newGate.set(true)
 				c.cancel(v)
 				v.setStoreDown(true)
 				v.runSeconds(30)
-				v.same("tasks of the cancelled job", len(v.running("job-1")), 0)
-				v.same("the other job goes on", len(v.running("job-2")) == 1, c.kept)
+				v.checkEqual("tasks of the cancelled job", len(v.running("job-1")), 0)
+				v.checkEqual("the other job goes on", len(v.running("job-2")) == 1, c.kept)
 				v.setStoreDown(false)
 			})
 		})
@@ -632,23 +632,23 @@
 			v.submit(v.new, spec(fmt.Sprint("job-", i+1), 1))
 		}
 		v.runSeconds(4)
-		v.same("running", len(v.agents[0].running()), 4)
+		v.checkEqual("running", len(v.agents[0].running()), 4)
 		v.oldGate.set(true)
 		v.cancelNew("job-1")
 		v.runSeconds(2)
 		v.cancelNew("job-2")
 		v.cancelNew("job-1")
 		v.runSeconds(2)
-		v.same("running after cancellations", v.agents[0].running(), []string{"job-3/0", "job-4/0"})
-		v.old.inspect(func(o *oldNode) { v.same("read so far", o.logPositions["n1"].Number, 2) })
+		v.checkEqual("running after cancellations", v.agents[0].running(), []string{"job-3/0", "job-4/0"})
+		v.old.inspect(func(o *oldNode) { v.checkEqual("read so far", o.logPositions["n1"].Number, 2) })
 		v.new.crash()
 		v.startNewNode()
 		v.cancelNew("job-3")
 		v.runSeconds(2)
-		v.same("running beside a new process", v.agents[0].running(), []string{"job-4/0"})
+		v.checkEqual("running beside a new process", v.agents[0].running(), []string{"job-4/0"})
 		st, err := v.new.PeerStatus(context.Background(), cancellation.Position{})
 		sinceStart := st.Cancellations.CompleteFor < 5*time.Second
-		v.same("complete only since it started", []any{sinceStart, err}, []any{true, nil})
+		v.checkEqual("complete only since it started", []any{sinceStart, err}, []any{true, nil})
 	})
 }
 
@@ -664,12 +664,12 @@
 		v.runSeconds(4)
 		v.handOver()
 		v.runSeconds(10)
-		v.same("started too early", v.countRunning("job-2", "job-3"), 6)
+		v.checkEqual("started too early", v.countRunning("job-2", "job-3"), 6)
 		v.newGate.set(true)
 		v.old.cancel("job-1")
 		v.setStoreDown(true)
 		v.runSeconds(30)
-		v.same("tasks of cancelled jobs", v.countRunning("job-1", "job-2", "job-3"), 0)
+		v.checkEqual("tasks of cancelled jobs", v.countRunning("job-1", "job-2", "job-3"), 0)
 		v.setStoreDown(false)
 	})
 }
@@ -679,8 +679,8 @@
 func (v *mixed) partitionZones() {
 	v.links.cut.Store(true)
 	for _, k := range v.agents {
-		if k.rep.Zone == farZone {
-			v.dead.Store(k.rep.Machine, true)
+		if k.status.Zone == farZone {
+			v.dead.Store(k.status.Machine, true)
 		}
 	}
 }
@@ -749,27 +749,27 @@
 				v.submit(v.new, spec("job-1", 2))
 				submitFar("job-2", 6)
 				v.runSeconds(5)
-				v.same("started", v.countRunning("job-1", "job-2"), 8)
+				v.checkEqual("started", v.countRunning("job-1", "job-2"), 8)
 				v.partitionZones()
 				v.runSeconds(20)
-				v.same("running in the partition", v.countRunning("job-1", "job-2"), 8)
+				v.checkEqual("running in the partition", v.countRunning("job-1", "job-2"), 8)
 				c.then(v)
 				v.runSeconds(4)
 				submitFar("job-3", 3)
 				v.runSeconds(10)
-				v.same("started in the far zone", len(v.running("job-3")), c.started)
-				v.same("machines terminated", v.cloud.returned, []string(nil))
+				v.checkEqual("started in the far zone", len(v.running("job-3")), c.started)
+				v.checkEqual("machines terminated", v.cloud.terminatedNames, []string(nil))
 				if v.successor != nil {
 					v.checkUplinkReadable("n0")
 				}
 				v.cancelNew("job-2")
 				v.runSeconds(8)
-				v.same("tasks of the cancelled job", len(v.running("job-2")), 0)
+				v.checkEqual("tasks of the cancelled job", len(v.running("job-2")), 0)
 				v.healZones()
 				v.runSeconds(5)
 				submitFar("job-4", 4)
 				v.runSeconds(8)
-				v.same("running after the partition", v.countRunning("job-3", "job-4"), 7)
+				v.checkEqual("running after the partition", v.countRunning("job-3", "job-4"), 7)
 			})
 		})
 	}
@@ -813,22 +813,22 @@
 					if v.old.leads() {
 						done = v.writeLargeValues(machines, done)
 					}
-					v.same("registered", len(v.roster()), machines)
+					v.checkEqual("registered", len(v.registeredMachines()), machines)
 					v.handOver()
 					done = v.runCountingDone(2, done)
 				}
 				v.enforce(next)
-				v.same("job-1 is active", v.store.Has("a/job-1"), true)
-				v.dead.Store(v.agents[0].rep.Machine, true)
+				v.checkEqual("job-1 is active", v.store.Has("a/job-1"), true)
+				v.dead.Store(v.agents[0].status.Machine, true)
 				v.agents = v.agents[1:]
 				for i := 0; i < 150 && v.store.Has("a/job-1"); i++ {
 					done = v.runCountingDone(1, done)
 				}
 				v.checkPhases("job-1", "done")
 				v.runSeconds(20)
-				v.same("registered in the end", len(v.roster()), machines-1)
-				v.same("still too large", v.largestValue(records.MachinePrefix) > 1024, false)
-				v.neverTooLarge()
+				v.checkEqual("registered in the end", len(v.registeredMachines()), machines-1)
+				v.checkEqual("still too large", v.largestValue(records.MachinePrefix) > 1024, false)
+				v.checkNothingTooLarge()
 			})
 		})
 	}
@@ -854,13 +854,13 @@
 func (v *mixed) writeLargeValues(machines, done int) int {
 	v.t.Helper()
 	v.old.inspect(func(o *oldNode) {
-		v.same("one shard", o.leaderTerm.mergeShards(), true)
-		v.same("knows all machines", len(o.leaderTerm.machines), machines)
-		v.same("knows all that is done", len(o.leaderTerm.jobs["job-1"].done) >= done, true)
+		v.checkEqual("one shard", o.leaderTerm.mergeShards(), true)
+		v.checkEqual("knows all machines", len(o.leaderTerm.machines), machines)
+		v.checkEqual("knows all that is done", len(o.leaderTerm.jobs["job-1"].done) >= done, true)
 	})
 	done = v.runCountingDone(4, done)
 	tooLarge := v.largestValue(records.MachinePrefix) > 1024 && v.largestValue(records.CompletionPrefix) > 1024
-	v.same("above the limits to come", tooLarge, true)
+	v.checkEqual("above the limits to come", tooLarge, true)
 	return done
 }
 
@@ -880,31 +880,31 @@
 		v.submit(v.new, spec("job-1", 8))
 		v.submit(v.new, spec("job-2", 8))
 		v.runSeconds(4)
-		v.same("running", v.countRunning("job-1", "job-2"), 16)
+		v.checkEqual("running", v.countRunning("job-1", "job-2"), 16)
 		v.partitionZones()
 		v.submit(v.new, spec("job-3", 1))
 		v.runSeconds(20)
-		v.same("running in the partition", v.countRunning("job-1", "job-2"), 16)
+		v.checkEqual("running in the partition", v.countRunning("job-1", "job-2"), 16)
 		page, err := v.store.Range(context.Background(), "keep/", "", 100) // no more are read
-		v.same("several lease extensions", []any{len(page.Entries) > 1, page.More, err}, []any{true, false, nil})
+		v.checkEqual("several lease extensions", []any{len(page.Entries) > 1, page.More, err}, []any{true, false, nil})
 		renewed := make([]string, 0, len(far))
 		for _, e := range page.Entries {
 			var extension oldLeaseExtension
 			err := json.Unmarshal(e.Value, &extension)
-			v.same(e.Key, []any{err, extension.Term}, []any{nil, v.term()})
+			v.checkEqual(e.Key, []any{err, extension.Term}, []any{nil, v.term()})
 			renewed = append(renewed, extension.Hosts...)
 		}
 		slices.Sort(renewed)
-		v.same("machines with renewed leases", renewed, far)
+		v.checkEqual("machines with renewed leases", renewed, far)
 		v.checkUplinkReadable("n1")
 		v.cancelNew("job-1")
 		v.runSeconds(6)
-		v.same("tasks of the cancelled job", len(v.running("job-1")), 0)
-		v.same("tasks of the other job", len(v.running("job-2")), 8)
-		v.same("terms", v.term(), 1)
+		v.checkEqual("tasks of the cancelled job", len(v.running("job-1")), 0)
+		v.checkEqual("tasks of the other job", len(v.running("job-2")), 8)
+		v.checkEqual("terms", v.term(), 1)
 		v.healZones()
 		v.runSeconds(4)
-		v.same("running after the partition", v.countRunning("job-2", "job-3"), 9)
+		v.checkEqual("running after the partition", v.countRunning("job-2", "job-3"), 9)
 	})
 }
 
@@ -937,15 +937,15 @@
 			},
 		})
 		v.runSeconds(8)
-		v.same("started under the old leader", v.countRunning("job-1", "job-2"), 0)
+		v.checkEqual("started under the old leader", v.countRunning("job-1", "job-2"), 0)
 		v.checkPhases("job-1", "pending")
 		v.handOver()
 		v.runSeconds(4)
-		v.new.look(func(c *Controller) {
+		v.new.inspect(func(c *Controller) {
 			lt := c.leaderTerm
-			v.same("lent", []any{lt.jobs["job-1"].lent.Host, lt.teams["red"].UsedCPUs}, []any{"cell-b", 2.0})
-			v.same("guest", lt.jobs["job-2"].guest.Home, "cell-b")
+			v.checkEqual("lent", []any{lt.jobs["job-1"].lent.Host, lt.teams["red"].UsedCPUs}, []any{"cell-b", 2.0})
+			v.checkEqual("guest", lt.jobs["job-2"].guest.Home, "cell-b")
 		})
-		v.same("running of the lent job", len(v.running("job-1")), 0)
+		v.checkEqual("running of the lent job", len(v.running("job-1")), 0)
 	})
 }
--- a/internal/controller/zonepartition_test.go
+++ b/internal/controller/zonepartition_test.go
@@ -25,8 +25,8 @@
 // answered is a worker's report to whichever node answers it.
 func (k *worker) either(nodes ...*node) {
 	for _, n := range nodes {
-		if commands, err := k.send(n); err == nil {
-			k.obey(commands)
+		if commands, err := k.sendHeartbeat(n); err == nil {
+			k.applyCommands(commands)
 			return
 		}
 	}
@@ -42,31 +42,31 @@
 		k := w.worker("i-1", "", false)
 		w.submit(a, spec("job-1", 6))
 		k.serve(a, 3)
-		w.same("running", len(k.running()), 4)
-		term := k.rep.Term
+		w.checkEqual("running", len(k.running()), 4)
+		term := k.status.Term
 		ga.set(true)
 		for range 10 {
 			k.either(a, b)
 			time.Sleep(time.Second)
 		}
-		w.same("next term", k.rep.Term > term, true)
-		w.same("goes on", len(k.running()), 4)
-		w.same("refused node ready", a.Ready(), false)
-		w.same("other node ready", b.Ready(), true)
-		w.same("poll at the refused node", w.phase(a, "job-1"), "running")
+		w.checkEqual("next term", k.status.Term > term, true)
+		w.checkEqual("goes on", len(k.running()), 4)
+		w.checkEqual("refused node ready", a.Ready(), false)
+		w.checkEqual("other node ready", b.Ready(), true)
+		w.checkEqual("poll at the refused node", w.phase(a, "job-1"), "running")
 		if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 			t.Error(err)
 		}
-		w.same("cancelled, at the refused node", w.phase(a, "job-1"), "withdrawn")
+		w.checkEqual("cancelled, at the refused node", w.phase(a, "job-1"), "withdrawn")
 		for range 4 { // the next leader hears of it through its watch
 			k.either(a, b)
 			time.Sleep(time.Second)
 		}
-		w.same("stopped", len(k.running()), 0)
+		w.checkEqual("stopped", len(k.running()), 0)
 		ga.set(false)
 		time.Sleep(20 * time.Second)
-		w.same("ready again", a.Ready(), true)
-		if _, err := k.send(a); err == nil {
+		w.checkEqual("ready again", a.Ready(), true)
+		if _, err := k.sendHeartbeat(a); err == nil {
 			t.Error("the former leader answered a machine")
 		}
 	})
@@ -79,11 +79,11 @@
 		_, a, b, _, _ := w.pair()
 		k := w.worker("i-1", "", false)
 		k.serve(a, 2)
-		term := k.rep.Term
+		term := k.status.Term
 		w.store.SetDown(true)
 		for range 25 {
 			k.either(a, b)
-			w.same("ready", a.Ready() && b.Ready(), true)
+			w.checkEqual("ready", a.Ready() && b.Ready(), true)
 			time.Sleep(time.Second)
 		}
 		w.store.SetDown(false)
@@ -91,7 +91,7 @@
 			k.either(a, b)
 			time.Sleep(time.Second)
 		}
-		w.same("term", k.rep.Term, term)
+		w.checkEqual("term", k.status.Term, term)
 	})
 }
 
@@ -105,13 +105,13 @@
 		k, other := w.worker("i-1", "", false), w.worker("i-2", "", false)
 		w.submit(a, spec("job-1", 3))
 		k.serve(a, 3)
-		w.same("running", len(k.running()), 3)
+		w.checkEqual("running", len(k.running()), 3)
 		ga.set(true)
 		l.cut.Store(true)
 		last := time.Now()
 		for range 60 {
-			if commands, err := k.send(a); err == nil {
-				k.obey(commands)
+			if commands, err := k.sendHeartbeat(a); err == nil {
+				k.applyCommands(commands)
 				last = time.Now()
 			}
 			if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
@@ -126,9 +126,9 @@
 		if answered := time.Since(last); answered < 25*time.Second {
 			t.Errorf("acted until %v ago", answered)
 		}
-		w.same("ready", a.Ready(), false)
-		w.same("the other leads", other.rep.Term > k.rep.Term, true)
-		w.same("ran twice", len(other.running()), 0)
+		w.checkEqual("ready", a.Ready(), false)
+		w.checkEqual("the other leads", other.status.Term > k.status.Term, true)
+		w.checkEqual("ran twice", len(other.running()), 0)
 	})
 	simulate(t, func(w *cluster) {
 		l, a, b, _, gb := w.pair()
@@ -137,11 +137,11 @@
 		gb.set(true)
 		l.cut.Store(true)
 		time.Sleep(30 * time.Second)
-		if _, err := k.send(b); err == nil {
+		if _, err := k.sendHeartbeat(b); err == nil {
 			t.Error("a follower alone answered a machine")
 		}
-		w.same("ready", b.Ready(), false)
-		w.same("leader ready", a.Ready(), true)
+		w.checkEqual("ready", b.Ready(), false)
+		w.checkEqual("leader ready", a.Ready(), true)
 	})
 }
 
@@ -156,17 +156,17 @@
 		k.serve(a, 3)
 		l.cut.Store(true)
 		for range 5 {
-			w.same("peers refused", w.phase(b, "job-1"), "pending")
+			w.checkEqual("peers refused", w.phase(b, "job-1"), "pending")
 			k.serve(a, 1)
 		}
 		l.cut.Store(false)
 		gb.set(true)
 		k.serve(a, 5)
-		w.same("store refused", w.phase(b, "job-1"), "running")
-		w.same("unknown job", w.phase(b, "job-9"), api.ErrUnknownJob.Error())
+		w.checkEqual("store refused", w.phase(b, "job-1"), "running")
+		w.checkEqual("unknown job", w.phase(b, "job-9"), api.ErrUnknownJob.Error())
 		k.exit(api.CauseDone)
 		k.serve(a, 3)
-		w.same("done", w.phase(b, "job-1"), "done")
+		w.checkEqual("done", w.phase(b, "job-1"), "done")
 	})
 }
 
@@ -179,8 +179,8 @@
 		_, a, _, ga, _ := w.pair()
 		ga.set(true)
 		time.Sleep(4 * time.Second)
-		w.same("known job", w.phase(a, "job-1"), "pending")
-		w.same("unknown job", w.phase(a, "job-2"), api.ErrUnknownJob.Error())
+		w.checkEqual("known job", w.phase(a, "job-1"), "pending")
+		w.checkEqual("unknown job", w.phase(a, "job-2"), api.ErrUnknownJob.Error())
 	})
 }
 
@@ -194,36 +194,36 @@
 		near.serve(a, 3)
 		far.serve(a, 2)
 		var other *api.NotLeaderError
-		if _, err := far.send(a); !errors.As(err, &other) || other.Leader != "n1" {
+		if _, err := far.sendHeartbeat(a); !errors.As(err, &other) || other.Leader != "n1" {
 			t.Fatalf("sent on: %v", err)
 		}
 		far.serve(b, 2)
 		w.submit(a, spec("job-1", 8))
 		near.serve(a, 4)
 		far.serve(b, 4)
-		w.same("passed on", len(far.running()), 4)
-		w.same("direct", len(near.running()), 4)
+		w.checkEqual("passed on", len(far.running()), 4)
+		w.checkEqual("direct", len(near.running()), 4)
 		far.exit(api.CauseDone)
 		far.serve(b, 4)
-		w.same("results", w.phase(a, "job-1"), "running")
+		w.checkEqual("results", w.phase(a, "job-1"), "running")
 		l.cut.Store(true)
 		for i := range 30 {
-			if _, err := far.send(b); err != nil {
-				b.look(func(c *Controller) { t.Logf("%+v", c.leaseRenewer) })
+			if _, err := far.sendHeartbeat(b); err != nil {
+				b.inspect(func(c *Controller) { t.Logf("%+v", c.leaseRenewer) })
 				t.Fatalf("not kept alive after %d s: %v", i, err)
 			}
-			near.report(a)
+			near.heartbeat(a)
 			time.Sleep(time.Second)
 		}
-		w.same("given up", w.cloud.gone("i-2"), false)
+		w.checkEqual("given up", w.cloud.terminated("i-2"), false)
 		l.cut.Store(false)
 		far.serve(b, 3)
 		w.submit(a, spec("job-2", 4))
 		far.serve(b, 3)
-		w.same("goes on", len(far.running()), 4)
+		w.checkEqual("goes on", len(far.running()), 4)
 		// One node being sent to the other and back must end.
-		if _, err := far.send(a); err != nil {
-			if _, err = far.send(a); err != nil {
+		if _, err := far.sendHeartbeat(a); err != nil {
+			if _, err = far.sendHeartbeat(a); err != nil {
 				t.Errorf("sent to and fro: %v", err)
 			}
 		}
@@ -240,23 +240,23 @@
 		k.serve(a, 3)
 		redirected := func() bool {
 			var other *api.NotLeaderError
-			_, err := k.send(b)
+			_, err := k.sendHeartbeat(b)
 			return errors.As(err, &other) && other.Leader == "n0"
 		}
-		w.same("told who leads, though it must know", redirected(), false)
-		k.rep.Machine, k.rep.Term = "i-2", 0
-		w.same("told who leads", redirected(), true)
-		w.same("told at once again", redirected(), true)
+		w.checkEqual("told who leads, though it must know", redirected(), false)
+		k.status.Machine, k.status.Term = "i-2", 0
+		w.checkEqual("told who leads", redirected(), true)
+		w.checkEqual("told at once again", redirected(), true)
 		time.Sleep(5 * time.Second)
 		w.submit(a, spec("job-1", 4))
 		k.serve(b, 20)
-		w.same("works", len(k.running()), 4)
+		w.checkEqual("works", len(k.running()), 4)
 		k.exit(api.CauseDone)
 		k.serve(b, 3)
-		w.same("done", w.phase(a, "job-1"), "done")
+		w.checkEqual("done", w.phase(a, "job-1"), "done")
 		time.Sleep(time.Minute)
-		w.same("told again", redirected(), true)
-		w.same("given up", w.cloud.gone("i-2"), false)
+		w.checkEqual("told again", redirected(), true)
+		w.checkEqual("given up", w.cloud.terminated("i-2"), false)
 	})
 }
 
@@ -274,12 +274,12 @@
 		far := w.worker("i-2", zone, false)
 		far.serve(a, 3)
 		far.serve(b, 3)
-		l.refuse.Store(true)
+		l.refuseConnections.Store(true)
 		l.cut.Store(true)
 		var other *api.NotLeaderError
 		sentOn := 0
 		for range 20 {
-			_, err := far.send(b)
+			_, err := far.sendHeartbeat(b)
 			if errors.As(err, &other) && other.Leader == "n0" {
 				sentOn++
 			} else if err != nil {
@@ -287,8 +287,8 @@
 			}
 			time.Sleep(time.Second)
 		}
-		w.same("sent on", sentOn, times)
-		if _, err := far.send(a); err != nil {
+		w.checkEqual("sent on", sentOn, times)
+		if _, err := far.sendHeartbeat(a); err != nil {
 			t.Errorf("the leader sent it back: %v", err)
 		}
 	})
@@ -303,8 +303,8 @@
 	far.serve(b, 2)
 	l.cut.Store(true)
 	for range 5 {
-		near.report(a)
-		far.report(b)
+		near.heartbeat(a)
+		far.heartbeat(b)
 		time.Sleep(time.Second)
 	}
 	return l, a, b, gb, near, far
@@ -317,48 +317,48 @@
 		l, a, b, _, near, far := w.beyondTheCut()
 		w.submit(a, spec("job-1", 12))
 		for range 8 {
-			near.report(a)
-			far.report(b)
+			near.heartbeat(a)
+			far.heartbeat(b)
 			time.Sleep(time.Second)
 		}
-		w.same("begun on both sides", len(near.running())+len(far.running()), 8)
+		w.checkEqual("begun on both sides", len(near.running())+len(far.running()), 8)
 		for range 2 {
 			far.exit(api.CauseDone)
 			for range 8 {
-				near.report(a)
-				far.report(b)
+				near.heartbeat(a)
+				far.heartbeat(b)
 				time.Sleep(time.Second)
 			}
 		}
-		w.same("the rest ran there", len(far.running()), 0)
+		w.checkEqual("the rest ran there", len(far.running()), 0)
 		near.exit(api.CauseDone)
 		near.serve(a, 3)
-		w.same("phase", w.phase(a, "job-1"), "done")
+		w.checkEqual("phase", w.phase(a, "job-1"), "done")
 		w.submit(a, spec("job-2", 8))
 		for range 6 {
-			near.report(a)
-			far.report(b)
+			near.heartbeat(a)
+			far.heartbeat(b)
 			time.Sleep(time.Second)
 		}
 		if _, err := b.Cancel(context.Background(), "job-2"); err != nil {
 			t.Error(err)
 		}
 		for range 6 {
-			near.report(a)
-			far.report(b)
+			near.heartbeat(a)
+			far.heartbeat(b)
 			time.Sleep(time.Second)
 		}
-		w.same("cancelled on both sides", len(near.running())+len(far.running()), 0)
+		w.checkEqual("cancelled on both sides", len(near.running())+len(far.running()), 0)
 		l.cut.Store(false)
 		time.Sleep(2 * time.Second)
 		far.serve(b, 3)
 		w.submit(a, spec("job-3", 8))
 		for range 4 {
-			near.report(a)
-			far.report(b)
+			near.heartbeat(a)
+			far.heartbeat(b)
 			time.Sleep(time.Second)
 		}
-		w.same("after the cut", len(near.running())+len(far.running()), 8)
+		w.checkEqual("after the cut", len(near.running())+len(far.running()), 8)
 	})
 }
 
@@ -375,35 +375,35 @@
 		w.submit(a, spec("job-1", 2))
 		time.Sleep(3 * time.Second) // ordered through the store, not handed out yet
 		pending := false
-		a.look(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
-		far.report(b) // hands them out, if they came by now
+		a.inspect(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
+		far.heartbeat(b) // hands them out, if they came by now
 		if !pending && len(far.running()) == 0 {
-			far.report(b)
+			far.heartbeat(b)
 			time.Sleep(1500 * time.Millisecond)
 		}
 		// The machine also reaches the leader, with a report that shows nothing.
-		blank := far.rep
+		blank := far.status
 		blank.Tasks = nil
 		blank.Seq++
-		far.rep.Seq++
+		far.status.Seq++
 		if commands, err := far.deliver(a, &blank); err == nil {
-			far.obey(commands)
+			far.applyCommands(commands)
 		}
 		near.exit(api.CauseDone)
 		starts := map[string]int{}
 		for range 12 {
-			for _, o := range near.report(a) {
+			for _, o := range near.heartbeat(a) {
 				if o.Verb == api.VerbStart {
 					starts[o.Task]++
 				}
 			}
-			far.report(b)
+			far.heartbeat(b)
 			time.Sleep(time.Second)
 		}
 		for _, task := range far.running() {
 			starts[task]++
 		}
-		w.same("begun once each", starts, map[string]int{"job-1/0": 1, "job-1/1": 1})
+		w.checkEqual("begun once each", starts, map[string]int{"job-1/0": 1, "job-1/1": 1})
 		l.cut.Store(false)
 	})
 }
@@ -428,12 +428,12 @@
 			n := 0
 			for i := 0; n == 0 && i < 8; i++ {
 				if i == 0 {
-					far.report(b)
+					far.heartbeat(b)
 				}
 				time.Sleep(time.Second)
-				b.look(func(c *Controller) { n = max(n, given(c)) })
+				b.inspect(func(c *Controller) { n = max(n, given(c)) })
 			}
-			w.same("given to the node", n > 0, true)
+			w.checkEqual("given to the node", n > 0, true)
 			if crash {
 				b.crash()
 				time.Sleep(200 * time.Millisecond)
@@ -441,18 +441,18 @@
 			} else {
 				time.Sleep(relayCommandLifetime + 2*time.Second)
 			}
-			commands, _ := far.send(b)
+			commands, _ := far.sendHeartbeat(b)
 			for _, o := range commands {
-				w.same("handed out late", o.Verb == api.VerbStart, false)
+				w.checkEqual("handed out late", o.Verb == api.VerbStart, false)
 			}
 			l.cut.Store(false)
 			near.exit(api.CauseDone)
 			for range 12 {
-				near.report(a)
+				near.heartbeat(a)
 				far.either(a, b)
 				time.Sleep(time.Second)
 			}
-			w.same("begun once", len(near.running())+len(far.running()), 2)
+			w.checkEqual("begun once", len(near.running())+len(far.running()), 2)
 		})
 	}
 }
@@ -470,27 +470,27 @@
 		pending := false
 		for i := 0; !pending && i < 40; i++ {
 			if i%5 == 0 {
-				far.report(b)
+				far.heartbeat(b)
 			}
 			time.Sleep(200 * time.Millisecond)
-			a.look(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
+			a.inspect(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
 		}
-		w.same("ordered", pending, true)
+		w.checkEqual("ordered", pending, true)
 		b.crash()
 		near.exit(api.CauseDone)
 		for range 40 {
-			if w.cloud.gone("i-2") {
+			if w.cloud.terminated("i-2") {
 				break
 			}
-			for _, o := range near.report(a) {
-				w.same("begun while it may begin there", o.Verb == api.VerbStart, false)
+			for _, o := range near.heartbeat(a) {
+				w.checkEqual("begun while it may begin there", o.Verb == api.VerbStart, false)
 			}
-			far.report(a)
+			far.heartbeat(a)
 			time.Sleep(time.Second)
 		}
-		w.same("returned", w.cloud.gone("i-2"), true)
+		w.checkEqual("returned", w.cloud.terminated("i-2"), true)
 		near.serve(a, 3)
-		w.same("begun", len(near.running()), 2)
+		w.checkEqual("begun", len(near.running()), 2)
 	})
 }
 
@@ -509,15 +509,15 @@
 			}
 			if i == 30 {
 				far.mu.Lock()
-				far.rep.AgentEpoch++
-				far.rep.Tasks = nil
+				far.status.AgentEpoch++
+				far.status.Tasks = nil
 				far.mu.Unlock()
-				commands, _ := far.send(b)
+				commands, _ := far.sendHeartbeat(b)
 				for _, o := range commands {
-					w.same("handed to a new session", o.Verb == api.VerbStart, false)
+					w.checkEqual("handed to a new session", o.Verb == api.VerbStart, false)
 				}
 			}
-			far.report(b)
+			far.heartbeat(b)
 			time.Sleep(200 * time.Millisecond)
 		}
 		l.cut.Store(false)
@@ -527,9 +527,9 @@
 			time.Sleep(time.Second)
 		}
 		for i := range 20 {
-			w.same(fmt.Sprint("job ", i), w.phase(a, fmt.Sprint("job-", i)), "done")
+			w.checkEqual(fmt.Sprint("job ", i), w.phase(a, fmt.Sprint("job-", i)), "done")
 		}
-		w.same("machine kept", w.cloud.gone("i-2"), false)
+		w.checkEqual("machine kept", w.cloud.terminated("i-2"), false)
 	})
 }
 
@@ -542,28 +542,28 @@
 		w.submit(a, spec("job-1", 8))
 		round := func(n int) {
 			for range n {
-				near.report(a)
-				far.report(b)
+				near.heartbeat(a)
+				far.heartbeat(b)
 				time.Sleep(time.Second)
 			}
 		}
 		round(8)
-		w.same("begun", len(near.running())+len(far.running()), 8)
-		term := far.rep.Term
+		w.checkEqual("begun", len(near.running())+len(far.running()), 8)
+		term := far.status.Term
 		a.crash()
 		time.Sleep(200 * time.Millisecond)
 		a = l.add("n0", w.startWith("n0", w.store, l))
 		round(8)
-		w.same("new term beyond the cut", far.rep.Term > term, true)
-		w.same("kept", len(far.running()), 4)
+		w.checkEqual("new term beyond the cut", far.status.Term > term, true)
+		w.checkEqual("kept", len(far.running()), 4)
 		b.crash()
 		time.Sleep(200 * time.Millisecond)
 		b = l.add("n1", w.startWith("n1", gb, l))
 		time.Sleep(4 * time.Second)
 		round(4)
-		if _, err := far.send(b); err != nil {
+		if _, err := far.sendHeartbeat(b); err != nil {
 			t.Errorf("not kept alive by the node started anew: %v", err)
 		}
-		w.same("kept again", len(far.running()), 4)
+		w.checkEqual("kept again", len(far.running()), 4)
 	})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	store := kv.NewClient(s.Outside.State, s.Site.State)
+	store := kv.NewClient(s.Services.State, s.Site.State)
 	c := newController(s, p, parts, store, log)
 	stopped := ctx.Done()
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -194,7 +194,7 @@
 		Standby:       parts.Standby,
 		Store:         store,
 		UserStore:     store.ForUsers(),
-		Cloud:         cloud.NewClient(s.Outside.Cloud, s.Site.Cloud),
+		Cloud:         cloud.NewClient(s.Services.Cloud, s.Site.Cloud),
 		Peers:         newPeers(s.Peers),
 		Prober:        machines,
 		CommandSender: machines,
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -27,7 +27,7 @@
 		if n != c.want {
 			t.Errorf("%v MB, %d sockets: got %d connections, want %d", c.limits.RAMMB, c.limits.FDLimit, n, c.want)
 		}
-		held := float64(n*bytesPerConnection) + api.MaxHeldRequests + c.fleetBytes
+		held := float64(n*bytesPerConnection) + api.MaxInFlightBytes + c.fleetBytes
 		if held > c.limits.RAMMB*mb {
 			t.Errorf("%v MB, %d sockets: up to %.0f MB held, want no more than there is",
 				c.limits.RAMMB, c.limits.FDLimit, held/mb)
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	out := json.NewEncoder(os.Stdout)
-	if err := out.Encode(config.Outside{Cloud: env.Cloud, State: env.State}); err != nil {
+	if err := out.Encode(config.Services{Cloud: env.CloudAddr, State: env.KVAddr}); err != nil {
 		return err
 	}
 	in := json.NewDecoder(os.Stdin)
@@ -88,18 +88,18 @@
 		{"220machines-1s", loadtest.Plan{
 			Machines:          220,
 			HeartbeatInterval: time.Second,
-			JobEvery:          700 * time.Millisecond,
+			JobInterval:       700 * time.Millisecond,
 			Tasks:             90,
-			Run:               25 * time.Second,
-			Polls:             20,
+			TaskDuration:      25 * time.Second,
+			PollsPerSecond:    20,
 		}},
 		{"190machines-5s", loadtest.Plan{
 			Machines:          190,
 			HeartbeatInterval: 5 * time.Second,
-			JobEvery:          2 * time.Second,
+			JobInterval:       2 * time.Second,
 			Tasks:             70,
-			Run:               35 * time.Second,
-			Polls:             8,
+			TaskDuration:      35 * time.Second,
+			PollsPerSecond:    8,
 		}},
 	} {
 		b.Run(c.name, func(b *testing.B) { benchmarkSecond(b, c.plan) })
@@ -110,7 +110,7 @@
 type environment struct {
 	in      *json.Encoder
 	out     *json.Decoder
-	outside config.Outside
+	outside config.Services
 }
 
 func startEnvironment(b *testing.B) *environment {
@@ -165,18 +165,18 @@
 }
 
 // startController runs a controller that launches no machines and terminates none.
-func startController(b *testing.B, outside config.Outside, heartbeatInterval time.Duration) *config.Settings {
+func startController(b *testing.B, outside config.Services, heartbeatInterval time.Duration) *config.Settings {
 	b.Helper()
 	s := &config.Settings{
 		Node:       "n0",
 		Zone:       "a",
 		APIAddr:    "127.0.0.1:18080",
 		PeerListen: "127.0.0.1:0",
-		Outside:    outside,
+		Services:   outside,
 		Site: config.SiteInfo{
 			Teams:   []config.Team{{Name: "red", CPUs: 1e4, LimitCPUs: 1e5}},
 			Workers: config.Workers{HeartbeatS: heartbeatInterval.Seconds(), LeaseS: 24, CancelS: 49},
-			State:   config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
+			State:   config.KVLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
 			Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
 			Limits:  config.Limits{Cores: 1, RAMMB: 65, FDLimit: 800},
 		},
@@ -197,7 +197,7 @@
 	plan.API = startController(b, env.outside, plan.HeartbeatInterval).APIAddr
 	time.Sleep(2 * time.Second)
 	env.start(b, &plan)
-	time.Sleep(plan.Run + 5*time.Second)
+	time.Sleep(plan.TaskDuration + 5*time.Second)
 	before, cpuBefore := env.counts(b), processorTime()
 	var memBefore, memAfter runtime.MemStats
 	runtime.ReadMemStats(&memBefore)
--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -31,8 +31,8 @@
 // Untaken is the number of tasks that are neither done nor taken.
 func (f *Flight) Untaken() int { return f.untakenCount }
 
-// Member reports whether a machine is a member.
-func (f *Flight) Member(name string) bool {
+// IsMember reports whether a machine is a member.
+func (f *Flight) IsMember(name string) bool {
 	_, ok := f.cursors[name]
 	return ok
 }
@@ -40,7 +40,7 @@
 // Join makes a machine a member. Its index rotates its list; the starts of successive indices
 // are spread by the golden ratio.
 func (f *Flight) Join(name string) {
-	if f.Member(name) {
+	if f.IsMember(name) {
 		return
 	}
 	_, frac := math.Modf(float64(f.joinedCount) * (math.Sqrt(5) - 1) / 2)
--- a/internal/flight/flight_test.go
+++ b/internal/flight/flight_test.go
@@ -76,7 +76,7 @@
 	}
 	f.Join("a")
 	f.Leave("a")
-	if _, ok := f.Pull("a"); ok || f.Member("a") {
+	if _, ok := f.Pull("a"); ok || f.IsMember("a") {
 		t.Error("a machine that left pulled")
 	}
 }
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -171,7 +171,7 @@
 }
 
 // NewClient makes the client of the key-value store at addr.
-func NewClient(addr string, limits config.StateLimits) *Client {
+func NewClient(addr string, limits config.KVLimits) *Client {
 	requestRate, writeRate := limits.RPS*nodeShare, limits.WriteRPS*(1-RecordShare)
 	return &Client{
 		base:     "http://" + addr,
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -47,7 +47,7 @@
 
 // newTestClient makes a client whose requests all go to transport.
 func newTestClient(transport *fakeTransport) *Client {
-	c := NewClient("10.0.0.1:1", config.StateLimits{RPS: 100, WriteRPS: 25, TxnOps: 12})
+	c := NewClient("10.0.0.1:1", config.KVLimits{RPS: 100, WriteRPS: 25, TxnOps: 12})
 	c.http.Transport, c.watches.Transport, c.renewals.Transport = transport, transport, transport
 	return c
 }
--- a/internal/kv/kvtest/kvtest.go
+++ b/internal/kv/kvtest/kvtest.go
@@ -75,30 +75,30 @@
 	}
 }
 
-// SetBlind keeps watches from returning changes while blind is set.
-func (f *Fake) SetBlind(blind bool) {
+// SetWatchesBlind keeps watches from returning changes while blind is set.
+func (f *Fake) SetWatchesBlind(blind bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.blind = blind
 	f.notifyWatchers()
 }
 
-// Hold delays the transactions that match until Release. Their callers get no response.
-func (f *Fake) Hold(match func(kv.Txn) bool) {
+// Delay delays the transactions that match until Release. Their callers get no response.
+func (f *Fake) Delay(match func(kv.Txn) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delayMatch = match
 }
 
-// Lose applies the transactions that match but loses the responses.
-func (f *Fake) Lose(match func(kv.Txn) bool) {
+// LoseResponses applies the transactions that match but loses the responses.
+func (f *Fake) LoseResponses(match func(kv.Txn) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loseResponseMatch = match
 }
 
-// Release applies the delayed transactions, returns their results, and ends Hold.
-func (f *Fake) Release() []kv.Result {
+// ApplyDelayed applies the delayed transactions, returns their results, and ends Hold.
+func (f *Fake) ApplyDelayed() []kv.Result {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	results := make([]kv.Result, 0, len(f.delayed))
@@ -112,8 +112,8 @@
 	return results
 }
 
-// Held is the number of delayed transactions.
-func (f *Fake) Held() int {
+// DelayedCount is the number of delayed transactions.
+func (f *Fake) DelayedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.delayed)
@@ -128,8 +128,8 @@
 	f.maxValueBytes, f.maxOps = valueBytes, ops
 }
 
-// TooLarge says for each transaction that was rejected for its size what was too large.
-func (f *Fake) TooLarge() []string {
+// RejectedAsTooLarge says for each transaction that was rejected for its size what was too large.
+func (f *Fake) RejectedAsTooLarge() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.tooLarge)
--- a/internal/kv/kvtest/kvtest_test.go
+++ b/internal/kv/kvtest/kvtest_test.go
@@ -38,7 +38,7 @@
 			if _, err := f.Txn(t.Context(), c.txn); !errors.Is(err, c.want) {
 				t.Errorf("got %v, want %v", err, c.want)
 			}
-			if rejected := f.TooLarge(); (len(rejected) > 0) != (c.want != nil) {
+			if rejected := f.RejectedAsTooLarge(); (len(rejected) > 0) != (c.want != nil) {
 				t.Errorf("TooLarge is %v, want an entry only for a rejected transaction", rejected)
 			}
 		})
--- a/internal/loadtest/cellsload/testbed.go
+++ b/internal/loadtest/cellsload/testbed.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	outside := config.Outside{Cloud: env.Cloud, State: env.State}
+	outside := config.Services{Cloud: env.CloudAddr, State: env.KVAddr}
 	peerAddrs := map[string]string{}
 	for _, p := range cell.nodes {
 		peerAddrs[p.name] = tb.nextAddr()
@@ -178,13 +178,13 @@
 }
 
 // settings are those of one of the cell's controllers.
-func (c *cell) settings(p *process, outside config.Outside, peerAddrs map[string]string) config.Settings {
+func (c *cell) settings(p *process, outside config.Services, peerAddrs map[string]string) config.Settings {
 	s := config.Settings{
 		Node:       p.name,
 		Zone:       zone,
 		APIAddr:    p.apiAddr,
 		PeerListen: peerAddrs[p.name],
-		Outside:    outside,
+		Services:   outside,
 		Site: config.SiteInfo{
 			Nodes: controllersPerCell,
 			Zones: []string{zone},
@@ -197,7 +197,7 @@
 				LeaseS:     taskLease.Seconds(),
 				CancelS:    30,
 			},
-			State:  config.StateLimits{RPS: 400, WriteRPS: 100, ValueKB: 16, TxnOps: 20},
+			State:  config.KVLimits{RPS: 400, WriteRPS: 100, ValueKB: 16, TxnOps: 20},
 			Cloud:  config.CloudLimits{RPS: 5, ListLagS: 4},
 			Limits: config.Limits{Cores: 0.5, RAMMB: 98, FDLimit: 800},
 		},
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -38,13 +38,13 @@
 	Machines          int
 	CPUs              float64
 	HeartbeatInterval time.Duration
-	// JobEvery is the interval between submissions, of jobs of Tasks tasks that run for
+	// JobInterval is the interval between submissions, of jobs of Tasks tasks that run for
 	// about Run each.
-	JobEvery time.Duration
-	Tasks    int
-	Run      time.Duration
-	// Polls is how many queries users send a second.
-	Polls float64
+	JobInterval  time.Duration
+	Tasks        int
+	TaskDuration time.Duration
+	// PollsPerSecond is how many queries users send a second.
+	PollsPerSecond float64
 }
 
 // Counts is what has happened since the environment was started.
@@ -54,8 +54,8 @@
 
 // Environment is all that a controller needs around it.
 type Environment struct {
-	// State is the address of the key-value store, Cloud that of the cloud.
-	State, Cloud string
+	// KVAddr is the address of the key-value store, Cloud that of the cloud.
+	KVAddr, CloudAddr string
 
 	plan     Plan
 	counts   struct{ heartbeats, started, done, jobs, polls, failed atomic.Int64 }
@@ -67,10 +67,10 @@
 func New(typ api.MachineType) (*Environment, error) {
 	env := &Environment{}
 	var err error
-	if env.State, err = serve(kvHandler(kvtest.New())); err != nil {
+	if env.KVAddr, err = serve(kvHandler(kvtest.New())); err != nil {
 		return nil, err
 	}
-	env.Cloud, err = serve(cloudHandler(typ))
+	env.CloudAddr, err = serve(cloudHandler(typ))
 	return env, err
 }
 
@@ -126,7 +126,7 @@
 			TaskCPUs: 1,
 			Image:    fmt.Sprint("img-", i%images),
 			ImageGB:  1.5,
-			Estimate: env.plan.Run,
+			Estimate: env.plan.TaskDuration,
 			Deadline: 5 * time.Minute,
 		}
 		if env.submit(&submission) {
@@ -137,7 +137,7 @@
 		} else {
 			env.counts.failed.Add(1)
 		}
-		time.Sleep(env.plan.JobEvery)
+		time.Sleep(env.plan.JobInterval)
 	}
 }
 
@@ -167,7 +167,7 @@
 // pollJobs polls jobs over a connection of its own, at its share of the plan's rate.
 func (env *Environment) pollJobs() {
 	client := &http.Client{Transport: &http.Transport{}}
-	interval := float64(pollers*time.Second) / max(env.plan.Polls, 0.1)
+	interval := float64(pollers*time.Second) / max(env.plan.PollsPerSecond, 0.1)
 	for {
 		time.Sleep(time.Duration(interval * (0.5 + rand.Float64())))
 		id := env.recentJob()
--- a/internal/loadtest/launchingcloud.go
+++ b/internal/loadtest/launchingcloud.go
@@ -45,7 +45,7 @@
 func NewLaunching(typ api.MachineType, maxMachines int, plan Plan) (*Environment, error) {
 	env := &Environment{plan: plan}
 	var err error
-	if env.State, err = serve(kvHandler(kvtest.New())); err != nil {
+	if env.KVAddr, err = serve(kvHandler(kvtest.New())); err != nil {
 		return nil, err
 	}
 	cloud := &launchingCloud{
@@ -55,7 +55,7 @@
 		machines:    map[string]launchedMachine{},
 		launches:    map[string][]string{},
 	}
-	env.Cloud, err = serve(cloud.handler())
+	env.CloudAddr, err = serve(cloud.handler())
 	return env, err
 }
 
--- a/internal/loadtest/localcluster/main.go
+++ b/internal/loadtest/localcluster/main.go
@@ -43,12 +43,12 @@
 	env, err := loadtest.NewLaunching(machineType, c.Machines, loadtest.Plan{
 		API:               c.API,
 		HeartbeatInterval: settings.Site.Workers.HeartbeatInterval(),
-		Run:               c.TaskTime,
+		TaskDuration:      c.TaskTime,
 	})
 	if err != nil {
 		return err
 	}
-	settings.Outside = config.Outside{Cloud: env.Cloud, State: env.State}
+	settings.Services = config.Services{Cloud: env.CloudAddr, State: env.KVAddr}
 	raw, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 		Site: config.SiteInfo{
 			Teams:   []config.Team{{Name: "demo", CPUs: 16, LimitCPUs: 64}},
 			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
-			State:   config.StateLimits{RPS: 80, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
+			State:   config.KVLimits{RPS: 80, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
 			Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
 			Limits:  config.Limits{Cores: 1, RAMMB: 98, FDLimit: 800},
 		},
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -27,7 +27,7 @@
 	UseSpot     bool
 	Headroom    float64
 	MinCPUs     float64
-	IdleReturn  time.Duration
+	IdleTimeout time.Duration
 	DrainDelay  time.Duration
 	LeaderLease time.Duration
 	// Preferences orders the classes of jobs, the highest first.
@@ -198,7 +198,7 @@
 	}
 	p.Spill.After, p.Spill.Gain = seconds(after), seconds(gain)
 	p.Spill.Lends, p.Spill.Cooldown = int(lends), seconds(cooldown)
-	p.IdleReturn = seconds(idle)
+	p.IdleTimeout = seconds(idle)
 	p.DrainDelay = seconds(drainDelay)
 	p.LeaderLease = seconds(lease)
 	if p.RestartLimit > 0 && p.RestartLimit < 1 {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -90,20 +90,20 @@
 // Before reports whether a is served before b, fair share aside.
 func Before[T Item](a, b T) bool { return compare(a, b) < 0 }
 
-// Resort makes the next call of Items sort the queue again.
-func (t *Team[T]) Resort() { t.sorted = false }
+// InvalidateOrder makes the next call of Items sort the queue again.
+func (t *Team[T]) InvalidateOrder() { t.sorted = false }
 
 // epsilon is the tolerance of comparisons of sums of resources.
 const epsilon = 1e-6
 
-// Guaranteed reports whether another task would be within the team's guarantee.
-func (t *Team[T]) Guaranteed(cpus, gpus float64) bool {
+// WithinGuarantee reports whether another task would be within the team's guarantee.
+func (t *Team[T]) WithinGuarantee(cpus, gpus float64) bool {
 	return t.UsedCPUs+cpus <= t.CPUs+epsilon && t.UsedGPUs+gpus <= t.GPUs+epsilon
 }
 
-// Allowed reports whether another task would be within the team's limit if uncertain amounts,
+// WithinLimit reports whether another task would be within the team's limit if uncertain amounts,
 // which any team may be using, were all the team's own.
-func (t *Team[T]) Allowed(cpus, gpus, uncertainCPUs, uncertainGPUs float64) bool {
+func (t *Team[T]) WithinLimit(cpus, gpus, uncertainCPUs, uncertainGPUs float64) bool {
 	return t.UsedCPUs+uncertainCPUs+cpus <= t.LimitCPUs+epsilon &&
 		(gpus == 0 || t.UsedGPUs+uncertainGPUs+gpus <= t.LimitGPUs+epsilon)
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -67,13 +67,13 @@
 		name      string
 		got, want bool
 	}{
-		{"at the guarantee", q.Guaranteed(1, 0), true},
-		{"beyond the guarantee", q.Guaranteed(2, 0), false},
-		{"at the limit", q.Allowed(5, 0, 0, 0), true},
-		{"beyond the limit", q.Allowed(6, 0, 0, 0), false},
+		{"at the guarantee", q.WithinGuarantee(1, 0), true},
+		{"beyond the guarantee", q.WithinGuarantee(2, 0), false},
+		{"at the limit", q.WithinLimit(5, 0, 0, 0), true},
+		{"beyond the limit", q.WithinLimit(6, 0, 0, 0), false},
 		// What may be running on unfenced machines counts against the limit.
-		{"beyond the limit with uncertain use", q.Allowed(2, 0, 4, 0), false},
-		{"GPUs beyond the limit", q.Allowed(1, 1, 0, 0), false},
+		{"beyond the limit with uncertain use", q.WithinLimit(2, 0, 4, 0), false},
+		{"GPUs beyond the limit", q.WithinLimit(1, 1, 0, 0), false},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, c.got, c.want)
--- a/internal/records/dependencies_test.go
+++ b/internal/records/dependencies_test.go
@@ -81,7 +81,7 @@
 func keysUnder(t *testing.T, s kv.Service, prefix string) (keys []string) {
 	t.Helper()
 	recs := records.Records{Store: s}
-	if err := recs.EachKey(t.Context(), prefix, func(key string) { keys = append(keys, key) }); err != nil {
+	if err := recs.ForEachKey(t.Context(), prefix, func(key string) { keys = append(keys, key) }); err != nil {
 		t.Fatal(err)
 	}
 	return keys
@@ -98,7 +98,7 @@
 	return ids
 }
 
-var smallLimits = []config.StateLimits{
+var smallLimits = []config.KVLimits{
 	{ValueKB: 1, TxnOps: 3},
 	{ValueKB: 2, TxnOps: 3},
 	{ValueKB: 2, TxnOps: 12},
@@ -116,7 +116,7 @@
 	}
 }
 
-func testMaxDependencies(t *testing.T, limits config.StateLimits) {
+func testMaxDependencies(t *testing.T, limits config.KVLimits) {
 	t.Helper()
 	store := newCountingStore()
 	ids := putMaxDependencies(t, store)
@@ -162,7 +162,7 @@
 	if keys := keysUnder(t, store, records.DependencyPrefix+"job-2/"); len(keys) > 0 {
 		t.Errorf("left of a job that has ended: %v", keys)
 	}
-	if rejected := store.TooLarge(); len(rejected) > 0 {
+	if rejected := store.RejectedAsTooLarge(); len(rejected) > 0 {
 		t.Errorf("rejected as too large: %v", rejected)
 	}
 }
@@ -181,8 +181,8 @@
 // an active job has its whole list, and a repeated submission writes only what is missing.
 func TestLongListInterruptedAnywhere(t *testing.T) {
 	faults := map[string]func(*kvtest.Fake, func(kv.Txn) bool){
-		"delayed":       (*kvtest.Fake).Hold,
-		"response lost": (*kvtest.Fake).Lose,
+		"delayed":       (*kvtest.Fake).Delay,
+		"response lost": (*kvtest.Fake).LoseResponses,
 	}
 	for applied := range 6 {
 		for name, inject := range faults {
@@ -197,7 +197,7 @@
 // after some that are applied, and then at another node without the fault.
 func testInterruptedList(t *testing.T, applied int, inject func(*kvtest.Fake, func(kv.Txn) bool)) {
 	t.Helper()
-	limits := config.StateLimits{ValueKB: 1, TxnOps: 3}
+	limits := config.KVLimits{ValueKB: 1, TxnOps: 3}
 	store := newCountingStore()
 	ids := make([]string, 1000) // 13 records
 	for i := range ids {
@@ -235,7 +235,7 @@
 	for _, key := range list.Keys("job-1") {
 		commit(t, store, kv.Op{Delete: key})
 	}
-	store.Release()
+	store.ApplyDelayed()
 	if keys := keysUnder(t, store, records.DependencyPrefix); len(keys) > 0 {
 		t.Errorf("written after the job's end: %v", keys)
 	}
@@ -255,7 +255,7 @@
 func TestListWithMissingRecord(t *testing.T) {
 	store := newCountingStore()
 	ids := putMaxDependencies(t, store)
-	recs := records.NewRecords(store, config.StateLimits{ValueKB: 2, TxnOps: 12})
+	recs := records.NewRecords(store, config.KVLimits{ValueKB: 2, TxnOps: 12})
 	spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
 	if _, _, err := recs.Accept(t.Context(), spec, time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
@@ -307,7 +307,7 @@
 			for i := 1; i < jobs; i++ {
 				putRecord(t, store, fmt.Sprint("job-", i), api.JobPending, dependsOn(i)...)
 			}
-			recs := records.NewRecords(store, config.StateLimits{ValueKB: 2, TxnOps: 3})
+			recs := records.NewRecords(store, config.KVLimits{ValueKB: 2, TxnOps: 3})
 			check := func(operation, want string, got api.JobState, err error) {
 				t.Helper()
 				if err != nil || got.Phase != want {
@@ -343,7 +343,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := newCountingStore()
 		ids := putDoneJobs(t, store, 40_000)
-		recs := records.NewRecords(store, config.StateLimits{ValueKB: 16, TxnOps: 12})
+		recs := records.NewRecords(store, config.KVLimits{ValueKB: 16, TxnOps: 12})
 		submit := func(id string, dependsOn []string) (requests int, err error) {
 			store.requests.Store(0)
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
@@ -417,7 +417,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &slowRanges{Fake: kvtest.New()}
 		ids := putMaxDependencies(t, store.Fake)
-		recs := records.NewRecords(store, config.StateLimits{ValueKB: 128, TxnOps: 12})
+		recs := records.NewRecords(store, config.KVLimits{ValueKB: 128, TxnOps: 12})
 		var accepted, rejected atomic.Int32
 		var wg sync.WaitGroup
 		for i := range 20 {
--- a/internal/records/jobcache.go
+++ b/internal/records/jobcache.go
@@ -44,7 +44,7 @@
 )
 
 // newJobCache makes an empty cache.
-func newJobCache(limits config.StateLimits) *jobCache {
+func newJobCache(limits config.KVLimits) *jobCache {
 	jobs, err := lru.New[string, cachedJob](maxCachedJobs)
 	if err != nil {
 		panic(err) // only for a size that is not positive
--- a/internal/records/jobcache_test.go
+++ b/internal/records/jobcache_test.go
@@ -97,7 +97,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			st := &countingFake{Fake: kvtest.New()}
-			r := newRecords(st, config.StateLimits{TxnOps: c.ops})
+			r := newRecords(st, config.KVLimits{TxnOps: c.ops})
 			acceptPipeline(t, r)
 			mustAccept(t, r, specWithDependencies("job-6", "job-5"))
 			if n := st.requests.Load(); (n == 6) != c.inOneGo {
@@ -112,7 +112,7 @@
 	for dependencies, cached := range map[int]bool{32: true, 33: false} {
 		t.Run(fmt.Sprint(dependencies, " dependencies"), func(t *testing.T) {
 			st := &countingFake{Fake: kvtest.New()}
-			r := newRecords(st, config.StateLimits{TxnOps: 20})
+			r := newRecords(st, config.KVLimits{TxnOps: 20})
 			ids := make([]string, dependencies)
 			for i := range ids {
 				ids[i] = fmt.Sprint("job-1", i)
@@ -169,7 +169,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fake := kvtest.New()
-				r := newRecords(fake, config.StateLimits{TxnOps: 20})
+				r := newRecords(fake, config.KVLimits{TxnOps: 20})
 				acceptPipeline(t, r)
 				c.meanwhile(t, fake)
 				if got := submitStatus(t, r, specWithDependencies("job-6", c.dependsOn...)); got != c.want {
@@ -200,7 +200,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			st := &countingFake{Fake: kvtest.New()}
-			r := newRecords(st, config.StateLimits{TxnOps: 20})
+			r := newRecords(st, config.KVLimits{TxnOps: 20})
 			acceptPipeline(t, r)
 			if c.cancelled != "" {
 				mustCancel(t, &records.Records{Store: st.Fake}, c.cancelled)
@@ -220,7 +220,7 @@
 // A job that is cached as done stays so, also for repeated lookups.
 func TestDoneJobStaysCached(t *testing.T) {
 	fake := kvtest.New()
-	r := newRecords(fake, config.StateLimits{TxnOps: 20})
+	r := newRecords(fake, config.KVLimits{TxnOps: 20})
 	acceptPipeline(t, r)
 	finish(t, fake, "job-1")
 	for range 3 {
@@ -234,7 +234,7 @@
 // are not compared again.
 func TestOldVersionsAreComparedOnce(t *testing.T) {
 	st := &countingFake{Fake: kvtest.New()}
-	r := newRecords(st, config.StateLimits{TxnOps: 20})
+	r := newRecords(st, config.KVLimits{TxnOps: 20})
 	acceptPipeline(t, r)
 	mustCancel(t, &records.Records{Store: st.Fake}, "job-5")
 	for _, id := range []string{"job-6", "job-7", "job-8"} {
@@ -272,9 +272,9 @@
 	t.Run("response lost", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			fake := kvtest.New()
-			r := newRecords(fake, config.StateLimits{TxnOps: 20})
+			r := newRecords(fake, config.KVLimits{TxnOps: 20})
 			acceptPipeline(t, r)
-			fake.Lose(submission)
+			fake.LoseResponses(submission)
 			if got := submitStatus(t, r, specWithDependencies("job-6", "job-5")); got != "200 pending" {
 				t.Errorf("got %s, want 200 pending", got)
 			}
@@ -283,23 +283,23 @@
 	t.Run("applied late", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			fake := kvtest.New()
-			r := newRecords(fake, config.StateLimits{TxnOps: 20})
+			r := newRecords(fake, config.KVLimits{TxnOps: 20})
 			acceptPipeline(t, r)
-			fake.Hold(submission)
+			fake.Delay(submission)
 			if got := submitStatus(t, r, specWithDependencies("job-6", "job-5")); got != "503" {
 				t.Errorf("got %s, want 503", got)
 			}
 			mustCancel(t, r, "job-5")
 			// Delayed are this transaction and those of the retries, which compare less:
 			// only the first is checked.
-			if res := fake.Release(); len(res) == 0 || res[0].Succeeded {
+			if res := fake.ApplyDelayed(); len(res) == 0 || res[0].Succeeded {
 				t.Errorf("applied after a dependency was cancelled: %+v", res)
 			}
 		})
 	})
 }
 
-func newRecords(s kv.Service, limits config.StateLimits) *records.Records {
+func newRecords(s kv.Service, limits config.KVLimits) *records.Records {
 	r := records.NewRecords(s, limits)
 	return &r
 }
@@ -309,7 +309,7 @@
 // one transaction if its record has no space for its dependencies.
 func TestJobsWithDependencyListsAreRead(t *testing.T) {
 	st := &countingFake{Fake: kvtest.New()}
-	r := newRecords(st, config.StateLimits{TxnOps: 20, ValueKB: 1})
+	r := newRecords(st, config.KVLimits{TxnOps: 20, ValueKB: 1})
 	ids := make([]string, 32)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("job-1%024d", i)
@@ -324,7 +324,7 @@
 	if got := submitStatus(t, r, specWithDependencies("job-3", "job-2")); got != "201 pending" {
 		t.Fatalf("got %s, want 201 pending", got)
 	}
-	mustCancel(t, newRecords(st.Fake, config.StateLimits{}), ids[7])
+	mustCancel(t, newRecords(st.Fake, config.KVLimits{}), ids[7])
 	if got := submitStatus(t, r, specWithDependencies("job-4", "job-2")); got != "201 withdrawn" {
 		t.Errorf("after a cancellation: got %s, want 201 withdrawn", got)
 	}
@@ -336,7 +336,7 @@
 	st := &countingFake{Fake: kvtest.New()}
 	putRecord(t, st, "job-1", api.JobDone)
 	putRecord(t, st, "job-3", api.JobDone)
-	r := newRecords(st, config.StateLimits{TxnOps: 20})
+	r := newRecords(st, config.KVLimits{TxnOps: 20})
 	for i, c := range []struct {
 		dependsOn []string
 		requests  int64
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -23,7 +23,7 @@
 type Records struct {
 	Store kv.Service
 	// Limits are those of the store; zero: none are known.
-	Limits config.StateLimits
+	Limits config.KVLimits
 	// terminalCache holds how dependencies ended; scans and longLists bound the
 	// operations that take much memory. All three may be nil.
 	terminalCache    *lru.Cache[string, TerminalRecord]
@@ -46,7 +46,7 @@
 )
 
 // NewRecords makes the Records that serve a node's users.
-func NewRecords(s kv.Service, limits config.StateLimits) Records {
+func NewRecords(s kv.Service, limits config.KVLimits) Records {
 	terminal, err := lru.New[string, TerminalRecord](maxCachedTerminal)
 	if err != nil {
 		panic(err) // only for a size that is not positive
@@ -141,8 +141,8 @@
 	return entries, nil
 }
 
-// EachKey calls visit for all keys with a prefix, in their order.
-func (r *Records) EachKey(ctx context.Context, prefix string, visit func(key string)) error {
+// ForEachKey calls visit for all keys with a prefix, in their order.
+func (r *Records) ForEachKey(ctx context.Context, prefix string, visit func(key string)) error {
 	return r.forEachEntry(ctx, prefix, func(e kv.Entry) { visit(e.Key) })
 }
 
