--- a/internal/records/dependencylist.go
+++ b/internal/records/dependencylist.go
@@ -77,22 +77,27 @@
 	for _, e := range entries {
 		written[e.Key] = true
 	}
-	var missing []kv.Op
-	var sizes []int
+	limit := maxListOps
+	if r.Limits.TxnOps > 0 {
+		limit = min(limit, r.Limits.TxnOps)
+	}
+	// Once the job is known no record is written any more, however late.
+	txn, size := kv.Txn{Compares: absent(id)}, 0
 	for i, key := range list.Keys(id) {
 		if !written[key] {
-			missing = append(missing, kv.Op{Put: key, Value: parts[i]})
-			sizes = append(sizes, txnBytes(parts[i]))
+			txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: parts[i]})
+			size += txnBytes(parts[i])
 		}
-	}
-	for len(missing) > 0 {
-		n := r.listTxnOps(sizes)
-		// Once the job is known no record is written any more, however late.
-		res, err := r.commit(ctx, kv.Txn{Compares: absent(id), Ops: missing[:n]})
+		isLast := i == len(parts)-1
+		hasRoom := !isLast && len(txn.Ops) < limit && size+txnBytes(parts[i+1]) <= maxListTxnBytes
+		if len(txn.Ops) == 0 || hasRoom {
+			continue
+		}
+		res, err := r.commit(ctx, txn)
 		if err != nil || !res.Succeeded {
 			return false, err
 		}
-		missing, sizes = missing[n:], sizes[n:]
+		txn, size = kv.Txn{Compares: absent(id)}, 0
 	}
 	return true, nil
 }
@@ -100,23 +105,6 @@
 // maxListTxnBytes bounds the parts of a list in one transaction, by what txnBytes returns.
 const maxListTxnBytes = kv.MaxTxnBytes * 3 / 4
 
-// listTxnOps is how many of the next records of a list one transaction may write, by their
-// sizes: at least one, however large.
-func (r *Records) listTxnOps(sizes []int) int {
-	limit := maxListOps
-	if r.Limits.TxnOps > 0 {
-		limit = min(limit, r.Limits.TxnOps)
-	}
-	total := sizes[0]
-	for n := 1; n < len(sizes); n++ {
-		total += sizes[n]
-		if n >= limit || total > maxListTxnBytes {
-			return n
-		}
-	}
-	return len(sizes)
-}
-
 // txnBytes is about how much of a transaction a part of a list takes.
 func txnBytes(part DependencyRecord) int {
 	size := 200 // its key and the operation
