--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -86,3 +86,32 @@
 	task, err := strconv.Atoi(num)
 	return id, task, err == nil && task >= 0
 }
+
+// mayStillStart tells whether a direct start may still be applied although a heartbeat does not
+// show it. One that an earlier heartbeat showed was applied, and is not a second time: it has left
+// its machine.
+func (a *attempt) mayStillStart(hb *api.Heartbeat) bool {
+	d := a.direct
+	if d == nil || a.lastSeenHeartbeat != 0 || hb.AgentEpoch > d.agentEpoch {
+		return false
+	}
+	return d.inFlight || d.outcomeUnknown || hb.Seq < d.seq
+}
+
+// isWanted tells whether an attempt should run on: it is its task's current one, and its job is
+// active here. A job that is to be cancelled is stopped also while the key-value store cannot
+// be written: a version without dependencies may have started it too early. One that another
+// cell owns is stopped as well.
+func (a *attempt) isWanted() bool {
+	j := a.job
+	return j != nil && !j.ended && !j.cancelPending && j.lent == nil && j.activeAttempts[a.task] == a
+}
+
+// directCommand is a start that was sent outside a heartbeat response.
+type directCommand struct {
+	agentEpoch uint64
+	// inFlight is set until there is an outcome, outcomeUnknown if there will be none.
+	inFlight, outcomeUnknown bool
+	// seq is the sequence number of the first heartbeat that must show the attempt.
+	seq uint64
+}
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -6,30 +6,6 @@
 	"time"
 )
 
-// capacity is how many tasks of a job the schedulable machines have capacity for, by placement
-// cost. Every machine that might take the job reads it, so it is computed once a tick: going
-// through the whole fleet each time took a leader of 700 machines most of its processor when a
-// job arrived.
-type capacity struct {
-	computedAt time.Time
-	// costs are the placement costs in ascending order.
-	costs []float64
-	// slots are sums: what the machines up to each cost have capacity for.
-	slots []int
-}
-
-// slotsUpTo is the capacity of machines of at most a cost.
-func (cp *capacity) slotsUpTo(cost float64) int {
-	n, found := slices.BinarySearch(cp.costs, cost)
-	for found && n < len(cp.costs) && cp.costs[n] == cost {
-		n++
-	}
-	if n == 0 {
-		return 0
-	}
-	return cp.slots[n-1]
-}
-
 // findCapacity computes which capacity the fleet has for a job.
 func (lt *leaderTerm) findCapacity(j *job, now time.Time) {
 	type offer struct {
@@ -89,17 +65,3 @@
 	}
 	return cost + m.freeCPUs()/m.cpus
 }
-
-// allUntakenExcluded tells whether every untaken task of a job failed on a machine.
-func (j *job) allUntakenExcluded(m *machine) bool {
-	if len(j.excludedMachine) == 0 {
-		return false
-	}
-	n := 0
-	for task, name := range j.excludedMachine {
-		if name == m.name && !j.done.Test(uint(task)) && j.activeAttempts[task] == nil {
-			n++
-		}
-	}
-	return n >= j.flight.Untaken()
-}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -93,32 +93,9 @@
 	dg.lookupNext()
 }
 
-// recordDependencyEnd keeps when the last of the job's dependencies was done.
-func (j *job) recordDependencyEnd(at time.Time) {
-	if at.After(j.lastDependencyEnd) {
-		j.lastDependencyEnd = at
-	}
-}
-
 // maxSingleLookups is how many names of ended dependencies a pending job may keep in any case.
 const maxSingleLookups = 64
 
-// dropEndedDependencies frees the names of dependencies that have ended once they are most: a job
-// may name thousands of them, and wait long for another.
-func (j *job) dropEndedDependencies() {
-	if len(j.spec.DependsOn) <= 2*len(j.dependsOn)+maxSingleLookups {
-		return
-	}
-	unfinished, dependsOn := make([]string, 0, len(j.dependsOn)), make(map[string]bool, len(j.dependsOn))
-	for _, id := range j.spec.DependsOn {
-		if j.dependsOn[id] {
-			unfinished = append(unfinished, id)
-			dependsOn[id] = true
-		}
-	}
-	j.spec.DependsOn, j.dependsOn = unfinished, dependsOn
-}
-
 // enqueueReady queues a job once all its dependencies are done. Its times count from the end of
 // the last of them, also if another leader saw that; or from its acceptance, if it was submitted
 // later.
@@ -399,16 +376,5 @@
 	return dg.lookingUp || len(dg.lookups) > 0 || dg.unknown > 0 || lists.reading || len(lists.unread) > 0
 }
 
-// unfinishedDependencies lists the dependencies that are not done, for the job's user.
-func (j *job) unfinishedDependencies() []string {
-	var ids []string
-	for _, id := range j.spec.DependsOn {
-		if j.dependsOn[id] && id != records.DependenciesElsewhere && len(ids) < maxDependenciesShown {
-			ids = append(ids, id)
-		}
-	}
-	return ids
-}
-
 // maxDependenciesShown bounds the names that a user is shown.
 const maxDependenciesShown = 16
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -48,37 +48,6 @@
 	directBackoff     = 3 * time.Second
 )
 
-// directCommand is a start that was sent outside a heartbeat response.
-type directCommand struct {
-	agentEpoch uint64
-	// inFlight is set until there is an outcome, outcomeUnknown if there will be none.
-	inFlight, outcomeUnknown bool
-	// seq is the sequence number of the first heartbeat that must show the attempt.
-	seq uint64
-}
-
-// mayStillStart tells whether a direct start may still be applied although a heartbeat does not
-// show it. One that an earlier heartbeat showed was applied, and is not a second time: it has left
-// its machine.
-func (a *attempt) mayStillStart(hb *api.Heartbeat) bool {
-	d := a.direct
-	if d == nil || a.lastSeenHeartbeat != 0 || hb.AgentEpoch > d.agentEpoch {
-		return false
-	}
-	return d.inFlight || d.outcomeUnknown || hb.Seq < d.seq
-}
-
-// isEmpty tells whether no attempt is on the machine but those whose start has an unknown
-// outcome.
-func (m *machine) isEmpty() bool {
-	for _, a := range m.attempts {
-		if a.direct == nil || !a.direct.outcomeUnknown || a.lastSeenHeartbeat != 0 {
-			return false
-		}
-	}
-	return true
-}
-
 // dispatch sends pending tasks to machines with free capacity, the cheapest and fullest first.
 func (lt *leaderTerm) dispatch(now time.Time) {
 	heartbeatInterval := lt.c.Settings.Site.Workers.HeartbeatInterval()
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -244,15 +244,6 @@
 	return append(commands, reaps[:min(len(reaps), maxCommands-len(commands))]...)
 }
 
-// isWanted tells whether an attempt should run on: it is its task's current one, and its job is
-// active here. A job that is to be cancelled is stopped also while the key-value store cannot
-// be written: a version without dependencies may have started it too early. One that another
-// cell owns is stopped as well.
-func (a *attempt) isWanted() bool {
-	j := a.job
-	return j != nil && !j.ended && !j.cancelPending && j.lent == nil && j.activeAttempts[a.task] == a
-}
-
 // applyTaskStatuses updates the attempts that a heartbeat names, and returns the commands to
 // reap those that have ended.
 func (lt *leaderTerm) applyTaskStatuses(m *machine, hb *api.Heartbeat, now time.Time) []api.Command {
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -2,47 +2,8 @@
 
 import (
 	"time"
-
-	"example.org/ivytrestle/internal/api"
 )
 
-// imageCache is the leader's model of a machine's image cache: the images used last, up to the
-// capacity for them.
-type imageCache struct {
-	used map[string]cachedImage
-	// gb is the sum of the images' sizes.
-	gb float64
-}
-
-// cachedImage is when an image was last used, and its size.
-type cachedImage struct {
-	at time.Time
-	gb float64
-}
-
-// has tells whether an image is cached.
-func (c *imageCache) has(image string) bool { _, ok := c.used[image]; return ok }
-
-// add records that a job's image is on the machine, and evicts the least recently used images
-// that exceed the capacity.
-func (c *imageCache) add(s *api.JobSpec, capacityGB float64, now time.Time) {
-	if c.used == nil {
-		c.used = map[string]cachedImage{}
-	}
-	c.gb += s.ImageGB - c.used[s.Image].gb
-	c.used[s.Image] = cachedImage{at: now, gb: s.ImageGB}
-	for capacityGB > 0 && c.gb > capacityGB && len(c.used) > 1 {
-		oldest := ""
-		for name, entry := range c.used {
-			if name != s.Image && (oldest == "" || entry.at.Before(c.used[oldest].at)) {
-				oldest = name
-			}
-		}
-		c.gb -= c.used[oldest].gb
-		delete(c.used, oldest)
-	}
-}
-
 // countImageLocations counts the CPUs of the schedulable machines that have each image.
 func (lt *leaderTerm) countImageLocations(now time.Time) {
 	clear(lt.imageLocations)
@@ -98,11 +59,6 @@
 	return limit
 }
 
-// isUrgent tells whether a job has a time by which its tasks should start and that is still
-// ahead. Until then not even a machine without other work should fetch its image, as those that
-// have it may still serve it in time.
-func (j *job) isUrgent(now time.Time) bool { return now.Before(j.startBy) }
-
 // skipFetches is for how many times the duration of the fetch a job may be skipped by machines
 // without its image.
 const skipFetches = 2
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -218,3 +218,80 @@
 	}
 	return st
 }
+
+// isUrgent tells whether a job has a time by which its tasks should start and that is still
+// ahead. Until then not even a machine without other work should fetch its image, as those that
+// have it may still serve it in time.
+func (j *job) isUrgent(now time.Time) bool { return now.Before(j.startBy) }
+
+// withinBudget reports whether a guest may start one more task. All attempts that may be on a
+// machine count.
+func (j *job) withinBudget() bool {
+	running := 0
+	for _, n := range j.attemptsByZone {
+		running += n
+	}
+	s, budget := &j.spec, &j.guest.Budget
+	tasks := float64(running + 1)
+	return tasks*s.CPUs <= budget.CPUs+epsilon && (s.GPUs == 0 || tasks*s.GPUs <= budget.GPUs+epsilon)
+}
+
+// remainingLoad is the work that is left of the job, by its estimate, and when it should be done.
+func (j *job) remainingLoad(now time.Time) queue.Load {
+	cpuSeconds := float64(j.flight.Untaken()) * j.spec.CPUs * j.spec.EstimateS
+	for _, a := range j.activeAttempts {
+		remaining := j.spec.Estimate()
+		if !a.runningAt.IsZero() {
+			remaining -= now.Sub(a.runningAt)
+		}
+		cpuSeconds += max(0, remaining.Seconds()) * j.spec.CPUs
+	}
+	return queue.Load{Deadline: j.latestStart.Add(j.spec.Estimate()), CPUSeconds: cpuSeconds}
+}
+
+// overrunsOn counts the job's completed runs on a machine that overran, and those there that are
+// past the limit now.
+func (j *job) overrunsOn(m *machine, limit time.Duration, now time.Time) int {
+	n := 0
+	if done := j.runs.byMachine[m.name]; done != nil {
+		n = done.overrunCount
+	}
+	for _, a := range j.activeAttempts {
+		if a.machine == m && !a.exited && !a.runningAt.IsZero() && now.Sub(a.runningAt) > limit {
+			n++
+		}
+	}
+	return n
+}
+
+// runsElsewhere sums up the job's completed runs on all machines but one.
+func (j *job) runsElsewhere(m *machine) runStats {
+	others := j.runs.all
+	if mine := j.runs.byMachine[m.name]; mine != nil {
+		others.count -= mine.count
+		others.totalTime -= mine.totalTime
+		others.overrunCount -= mine.overrunCount
+	}
+	if m.name == j.runs.longestOn {
+		others.longest = j.runs.longestElsewhere
+	}
+	return others
+}
+
+// allUntakenExcluded tells whether every untaken task of a job failed on a machine.
+func (j *job) allUntakenExcluded(m *machine) bool {
+	if len(j.excludedMachine) == 0 {
+		return false
+	}
+	n := 0
+	for task, name := range j.excludedMachine {
+		if name == m.name && !j.done.Test(uint(task)) && j.activeAttempts[task] == nil {
+			n++
+		}
+	}
+	return n >= j.flight.Untaken()
+}
+
+// deletesRecord reports whether this leader itself deletes, or is about to delete, the job's
+// active record.
+func (j *job) deletesRecord() bool { return j.finishing || j.cancelPending || j.handover }
--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -28,18 +28,6 @@
 	return t
 }
 
-// withinBudget reports whether a guest may start one more task. All attempts that may be on a
-// machine count.
-func (j *job) withinBudget() bool {
-	running := 0
-	for _, n := range j.attemptsByZone {
-		running += n
-	}
-	s, budget := &j.spec, &j.guest.Budget
-	tasks := float64(running + 1)
-	return tasks*s.CPUs <= budget.CPUs+epsilon && (s.GPUs == 0 || tasks*s.GPUs <= budget.GPUs+epsilon)
-}
-
 // nextGuest returns the guest that a machine serves next, when no job of the cell can use it.
 func (l *loans) nextGuest(m *machine, now time.Time) *job {
 	if len(l.guestFairShareOrder) == 0 {
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/records"
 )
 
 // registrationState is whether a machine is in the registry. Only a registered machine gets
@@ -183,3 +184,37 @@
 	*m.unattributedTotal += inUse - m.unattributedCPUs
 	m.unattributedCPUs = inUse
 }
+
+// registryEntry is a machine's entry in a shard.
+func (m *machine) registryEntry() records.MachineRecord {
+	return records.MachineRecord{
+		Name:     m.name,
+		Addr:     m.addr,
+		Type:     m.machineType,
+		Zone:     m.zone,
+		Spot:     m.spot,
+		CPUs:     m.cpus,
+		GPUs:     m.gpus,
+		MemoryGB: m.memory,
+	}
+}
+
+// isEmpty tells whether no attempt is on the machine but those whose start has an unknown
+// outcome.
+func (m *machine) isEmpty() bool {
+	for _, a := range m.attempts {
+		if a.direct == nil || !a.direct.outcomeUnknown || a.lastSeenHeartbeat != 0 {
+			return false
+		}
+	}
+	return true
+}
+
+// markUnmeasured marks the runs on a machine whose heartbeats were delayed: when they ended is
+// not known. Counted as long, such runs had half of a zone's machines quarantined after a
+// partition.
+func (m *machine) markUnmeasured() {
+	for _, a := range m.attempts {
+		a.unmeasured = true
+	}
+}
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -64,16 +64,3 @@
 	}
 	return loads, pendingCPUs
 }
-
-// remainingLoad is the work that is left of the job, by its estimate, and when it should be done.
-func (j *job) remainingLoad(now time.Time) queue.Load {
-	cpuSeconds := float64(j.flight.Untaken()) * j.spec.CPUs * j.spec.EstimateS
-	for _, a := range j.activeAttempts {
-		remaining := j.spec.Estimate()
-		if !a.runningAt.IsZero() {
-			remaining -= now.Sub(a.runningAt)
-		}
-		cpuSeconds += max(0, remaining.Seconds()) * j.spec.CPUs
-	}
-	return queue.Load{Deadline: j.latestStart.Add(j.spec.Estimate()), CPUSeconds: cpuSeconds}
-}
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -22,64 +22,6 @@
 	slowLimitDivisor = 10
 )
 
-// runStats sums up completed runs of a job's tasks.
-type runStats struct {
-	count        int
-	totalTime    time.Duration
-	longest      time.Duration
-	overrunCount int
-}
-
-// add counts a completed run.
-func (rs *runStats) add(took time.Duration, overran bool) {
-	rs.count++
-	rs.totalTime += took
-	rs.longest = max(rs.longest, took)
-	if overran {
-		rs.overrunCount++
-	}
-}
-
-// jobRuns are the completed runs of a job's tasks: by machine, in all, and the longest with the
-// longest on any other machine than its own. So the runs on all machines but one are known
-// without going through them at each run.
-type jobRuns struct {
-	byMachine        map[string]*runStats
-	all              runStats
-	longestOn        string
-	longestElsewhere time.Duration
-}
-
-// add counts a completed run on a machine.
-func (jr *jobRuns) add(machine string, took time.Duration, overran bool) {
-	if jr.byMachine[machine] == nil {
-		jr.byMachine[machine] = &runStats{}
-	}
-	switch {
-	case machine == jr.longestOn:
-	case took > jr.all.longest:
-		jr.longestOn, jr.longestElsewhere = machine, jr.all.longest
-	default:
-		jr.longestElsewhere = max(jr.longestElsewhere, took)
-	}
-	jr.byMachine[machine].add(took, overran)
-	jr.all.add(took, overran)
-}
-
-// runsElsewhere sums up the job's completed runs on all machines but one.
-func (j *job) runsElsewhere(m *machine) runStats {
-	others := j.runs.all
-	if mine := j.runs.byMachine[m.name]; mine != nil {
-		others.count -= mine.count
-		others.totalTime -= mine.totalTime
-		others.overrunCount -= mine.overrunCount
-	}
-	if m.name == j.runs.longestOn {
-		others.longest = j.runs.longestElsewhere
-	}
-	return others
-}
-
 // recordRun records how long a completed run took, and quarantines a machine whose
 // runs take much longer than the same jobs' elsewhere.
 func (lt *leaderTerm) recordRun(a *attempt, took time.Duration, now time.Time) {
@@ -123,15 +65,6 @@
 	return n < max(1, len(lt.machines)/slowLimitDivisor)
 }
 
-// markUnmeasured marks the runs on a machine whose heartbeats were delayed: when they ended is
-// not known. Counted as long, such runs had half of a zone's machines quarantined after a
-// partition.
-func (m *machine) markUnmeasured() {
-	for _, a := range m.attempts {
-		a.unmeasured = true
-	}
-}
-
 // heartbeatTimeout is the longest time between two heartbeats of a machine without a fault.
 func (lt *leaderTerm) heartbeatTimeout() time.Duration {
 	return 2*lt.c.Settings.Site.Workers.HeartbeatInterval() + time.Second
@@ -177,18 +110,3 @@
 	return others.count >= minSampleRuns && others.overrunCount == 0 &&
 		float64(took) >= stragglerFactor*float64(others.longest) && j.overrunsOn(m, limit, now) >= minOverruns
 }
-
-// overrunsOn counts the job's completed runs on a machine that overran, and those there that are
-// past the limit now.
-func (j *job) overrunsOn(m *machine, limit time.Duration, now time.Time) int {
-	n := 0
-	if done := j.runs.byMachine[m.name]; done != nil {
-		n = done.overrunCount
-	}
-	for _, a := range j.activeAttempts {
-		if a.machine == m && !a.exited && !a.runningAt.IsZero() && now.Sub(a.runningAt) > limit {
-			n++
-		}
-	}
-	return n
-}
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -82,7 +82,3 @@
 		}
 	}
 }
-
-// deletesRecord reports whether this leader itself deletes, or is about to delete, the job's
-// active record.
-func (j *job) deletesRecord() bool { return j.finishing || j.cancelPending || j.handover }
