--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -97,11 +97,10 @@
 // Jobs that cannot be in time are placed behind those that can, but not for ever, or under
 // lasting overload the largest would never run. A job without a start for starvedAfter, a part
 // of the time within which every job must start, goes before all others. And of all starts, one
-// in starvedShare goes to the job that has waited longest, once that is starvingAfter.
+// in starvedShare goes to the job that has waited longest, once it is starving.
 const (
-	starvedAfter  = 90 * time.Second
-	starvingAfter = 2 * time.Minute
-	starvedShare  = 8
+	starvedAfter = 90 * time.Second
+	starvedShare = 8
 )
 
 // nextStarved is the job that goes before all others on a machine, if any.
--- a/internal/controller/autoscaler_drain.go
+++ b/internal/controller/autoscaler_drain.go
@@ -107,7 +107,7 @@
 	if ran <= minRunBeforeMove || remaining <= minRemainingForMove+spec.Save() {
 		return false
 	}
-	objective := a.job.latestStart.Add(spec.Estimate())
+	objective := a.job.LatestStart().Add(spec.Estimate())
 	transfer := spec.Save() + 3*as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval() + moveMargin
 	return a.job.infeasible || now.Add(remaining*5/4+transfer).Before(objective)
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -93,9 +93,6 @@
 	dg.lookupNext()
 }
 
-// maxSingleLookups is how many names of ended dependencies a pending job may keep in any case.
-const maxSingleLookups = 64
-
 // enqueueReady queues a job once all its dependencies are done. Its times count from the end of
 // the last of them, also if another leader saw that; or from its acceptance, if it was submitted
 // later.
@@ -376,5 +373,3 @@
 	return dg.lookingUp || len(dg.lookups) > 0 || dg.unknown > 0 || lists.reading || len(lists.unread) > 0
 }
 
-// maxDependenciesShown bounds the names that a user is shown.
-const maxDependenciesShown = 16
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -185,6 +185,9 @@
 	return at.Sub(j.runnableSince).Round(100 * time.Millisecond)
 }
 
+// starvingAfter is for how long a job that is infeasible or deferred may wait behind others.
+const starvingAfter = 2 * time.Minute
+
 // starving tells whether the job is placed behind others as infeasible or deferred although
 // it has waited long.
 func (j *job) starving(now time.Time) bool {
--- a/internal/controller/jobdependencies.go
+++ b/internal/controller/jobdependencies.go
@@ -39,3 +39,9 @@
 	}
 	return ids
 }
+
+// maxSingleLookups is how many names of ended dependencies a pending job may keep in any case.
+const maxSingleLookups = 64
+
+// maxDependenciesShown bounds the names that a user is shown.
+const maxDependenciesShown = 16
