--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -9,38 +9,38 @@
 
 // assignTasks assigns tasks to a machine while it has free capacity, and appends their starts to
 // the commands.
-func (lt *leaderTerm) assignTasks(m *machine, commands []api.Command, now time.Time) []api.Command {
-	if !m.isSchedulable(now) || !lt.mayStart(now) {
+func (lt *leaderTerm) assignTasks(m *Machine, commands []api.Command, now time.Time) []api.Command {
+	if !m.IsSchedulable(now) || !lt.mayStart(now) {
 		return commands
 	}
-	m.updateFetching()
+	m.UpdateFetching()
 	for len(commands) < maxCommands {
 		j := lt.nextJob(m, now)
 		if j == nil {
 			break
 		}
-		j.flight.Join(m.name)
-		task, ok := j.flight.PullExcept(m.name, func(t int) bool { return j.excludedMachine[t] == m.name })
+		j.Flight.Join(m.Name)
+		task, ok := j.Flight.PullExcept(m.Name, func(t int) bool { return j.ExcludedMachine[t] == m.Name })
 		if !ok {
 			break
 		}
-		a := &attempt{
-			key:            attemptKey{ref: j.taskRef(task), id: lt.nextAttempt()},
-			machine:        m,
-			job:            j,
-			task:           task,
-			sentAgentEpoch: m.agentEpoch,
-			sentAt:         now,
+		a := &Attempt{
+			Key:            AttemptKey{Ref: j.TaskRef(task), ID: lt.nextAttempt()},
+			Machine:        m,
+			Job:            j,
+			Task:           task,
+			SentAgentEpoch: m.AgentEpoch,
+			SentAt:         now,
 		}
-		m.attempts[a.key] = a
-		if !m.images.has(j.spec.Image) {
-			m.fetching[j.spec.Image] = true
+		m.Attempts[a.Key] = a
+		if !m.Images.Has(j.Spec.Image) {
+			m.Fetching[j.Spec.Image] = true
 		}
-		j.skippedSince = time.Time{}
-		j.activeAttempts[task] = a
-		a.reserve(1)
+		j.SkippedSince = time.Time{}
+		j.ActiveAttempts[task] = a
+		a.Reserve(1)
 		lt.counts.started++
-		commands = append(commands, api.Command{Verb: api.VerbStart, Task: a.key.ref, Attempt: a.key.id})
+		commands = append(commands, api.Command{Verb: api.VerbStart, Task: a.Key.Ref, Attempt: a.Key.ID})
 	}
 	return commands
 }
@@ -49,8 +49,8 @@
 // cover is served first: no team waits for another there, so the job with the earliest latest
 // start is taken. Beyond the guarantees the teams are served in the order of their fair share,
 // urgent work before the rest. Either is tried first with the jobs that the machine prefers.
-func (lt *leaderTerm) nextJob(m *machine, now time.Time) *job {
-	if m.freeCPUs() < epsilon && m.gpus <= m.usedGPUs {
+func (lt *leaderTerm) nextJob(m *Machine, now time.Time) *Job {
+	if m.FreeCPUs() < Epsilon && m.GPUs <= m.UsedGPUs {
 		return nil
 	}
 	if j := lt.nextStarved(m, now); j != nil {
@@ -69,8 +69,8 @@
 
 // nextGuaranteed is the first job, over all teams, whose next task is within its team's
 // guarantee.
-func (lt *leaderTerm) nextGuaranteed(m *machine, preferred bool, now time.Time) *job {
-	var best *job
+func (lt *leaderTerm) nextGuaranteed(m *Machine, preferred bool, now time.Time) *Job {
+	var best *Job
 	for _, t := range lt.fairShareOrder {
 		j := lt.nextJobOfTeam(t, m, true, preferred, now)
 		if j != nil && (best == nil || queue.Before(j, best)) {
@@ -82,8 +82,8 @@
 
 // nextByShare is the most urgent of the jobs whose next task is beyond its team's guarantee; of
 // equally urgent ones, that of the team which is first by fair share.
-func (lt *leaderTerm) nextByShare(m *machine, preferred bool, now time.Time) *job {
-	var best *job
+func (lt *leaderTerm) nextByShare(m *Machine, preferred bool, now time.Time) *Job {
+	var best *Job
 	queue.SortByShare(lt.fairShareOrder)
 	for _, t := range lt.fairShareOrder {
 		j := lt.nextJobOfTeam(t, m, false, preferred, now)
@@ -104,19 +104,19 @@
 )
 
 // nextStarved is the job that goes before all others on a machine, if any.
-func (lt *leaderTerm) nextStarved(m *machine, now time.Time) *job {
+func (lt *leaderTerm) nextStarved(m *Machine, now time.Time) *Job {
 	starvedTurn := lt.attemptCount%starvedShare == 0
 	if !starvedTurn && lt.starved == 0 {
 		return nil
 	}
-	var best *job
+	var best *Job
 	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
-			goesFirst := j.starved && !j.started() || starvedTurn && j.starving(now)
-			if j.flight.Untaken() == 0 || !goesFirst {
+			goesFirst := j.Starved && !j.Started() || starvedTurn && j.Starving(now)
+			if j.Flight.Untaken() == 0 || !goesFirst {
 				continue
 			}
-			if (best == nil || j.runnableSince.Before(best.runnableSince)) && lt.isEligible(j, m, now) {
+			if (best == nil || j.RunnableSince.Before(best.RunnableSince)) && lt.isEligible(j, m, now) {
 				best = j
 			}
 		}
@@ -128,13 +128,13 @@
 // whose next task is within the guarantee or among the others, and among those that the machine
 // prefers or among all. An urgent job is left to machines that prefer it in either case.
 func (lt *leaderTerm) nextJobOfTeam(
-	t *queue.Team[*job], m *machine, guaranteed, preferred bool, now time.Time,
-) *job {
+	t *queue.Team[*Job], m *Machine, guaranteed, preferred bool, now time.Time,
+) *Job {
 	for _, j := range t.Items() {
-		if j.flight.Untaken() == 0 || t.WithinGuarantee(j.spec.CPUs, j.spec.GPUs) != guaranteed || !lt.isEligible(j, m, now) {
+		if j.Flight.Untaken() == 0 || t.WithinGuarantee(j.Spec.CPUs, j.Spec.GPUs) != guaranteed || !lt.isEligible(j, m, now) {
 			continue
 		}
-		if (preferred || j.isUrgent(now)) && !lt.prefers(j, m, now) {
+		if (preferred || j.IsUrgent(now)) && !lt.prefers(j, m, now) {
 			continue
 		}
 		if !lt.hasBetterMachines(j, m, now) {
@@ -149,33 +149,33 @@
 const maxFailuresOnMachine = 2
 
 // isEligible tells whether the next task of a job may start on a machine.
-func (lt *leaderTerm) isEligible(j *job, m *machine, now time.Time) bool {
-	s := &j.spec
+func (lt *leaderTerm) isEligible(j *Job, m *Machine, now time.Time) bool {
+	s := &j.Spec
 	switch {
-	case j.ended || j.finishing || j.handover || j.lent != nil || now.Before(j.backoffUntil):
+	case j.Ended || j.Finishing || j.Handover || j.Lent != nil || now.Before(j.BackoffUntil):
 		return false
-	case j.guest != nil && !j.withinBudget():
+	case j.Guest != nil && !j.WithinBudget():
 		return false
-	case lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision:
+	case lt.unfenced > 0 && j.ModRevision <= lt.term.ModRevision:
 		// A machine that is not fenced may hold any task accepted before this term.
 		return false
-	case !m.fits(s) || !typeAllowed(s, m.machineType) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.Spot):
+	case !m.Fits(s) || !typeAllowed(s, m.Type) || (s.Zone != "" && s.Zone != m.Zone) || (m.Spot && !s.Spot):
 		return false
-	case !j.team.WithinLimit(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
+	case !j.Team.WithinLimit(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return false
-	case j.failuresByMachine[m.name] >= maxFailuresOnMachine || j.allUntakenExcluded(m):
+	case j.FailuresByMachine[m.Name] >= maxFailuresOnMachine || j.AllUntakenExcluded(m):
 		return false
-	case !m.canFetch(s.Image, lt.maxFetches) && !lt.fetchesBeforeHeartbeat(j, m):
+	case !m.CanFetch(s.Image, lt.maxFetches) && !lt.fetchesBeforeHeartbeat(j, m):
 		return false
 	}
 	if s.OneZone {
-		for z, n := range j.attemptsByZone {
-			if n > 0 && z != m.zone {
+		for z, n := range j.AttemptsByZone {
+			if n > 0 && z != m.Zone {
 				return false
 			}
 		}
 	}
-	return !s.Spread || j.attemptsByZone[m.zone] < (s.Tasks+1)/2
+	return !s.Spread || j.AttemptsByZone[m.Zone] < (s.Tasks+1)/2
 }
 
 // minCostGain is by how many seconds the placement cost of a machine must be lower for it to be
@@ -186,12 +186,12 @@
 // pending tasks of a job. They are left to pull it at their next heartbeats: the work gathers
 // where its image is, on cheap machines and on those in use, and the others become empty and are
 // terminated. A job that has waited longer than lt.grace is assigned to any machine.
-func (lt *leaderTerm) hasBetterMachines(j *job, m *machine, now time.Time) bool {
-	if now.Sub(j.waitingSince) > lt.grace {
+func (lt *leaderTerm) hasBetterMachines(j *Job, m *Machine, now time.Time) bool {
+	if now.Sub(j.WaitingSince) > lt.grace {
 		return false
 	}
-	if now.Sub(j.capacity.computedAt) >= leaderTickInterval {
+	if now.Sub(j.Capacity.ComputedAt) >= leaderTickInterval {
 		lt.findCapacity(j, now)
 	}
-	return j.capacity.slotsUpTo(lt.placementCost(j, m)-minCostGain) >= j.flight.Untaken()
+	return j.Capacity.SlotsUpTo(lt.placementCost(j, m)-minCostGain) >= j.Flight.Untaken()
 }
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -8,118 +8,118 @@
 )
 
 // adoptAttempt adds an attempt that a heartbeat shows and this leader did not start.
-func (lt *leaderTerm) adoptAttempt(m *machine, key attemptKey, status *api.TaskStatus, now time.Time) *attempt {
-	key.ref = strings.Clone(key.ref)
-	a := &attempt{key: key, machine: m, phase: status.Phase, sentAt: now}
-	m.attempts[key] = a
-	id, task, ok := splitRef(key.ref)
-	if j := lt.jobs[id]; ok && j != nil && task < j.spec.Tasks {
-		a.job, a.task = j, task
+func (lt *leaderTerm) adoptAttempt(m *Machine, key AttemptKey, status *api.TaskStatus, now time.Time) *Attempt {
+	key.Ref = strings.Clone(key.Ref)
+	a := &Attempt{Key: key, Machine: m, Phase: status.Phase, SentAt: now}
+	m.Attempts[key] = a
+	id, task, ok := SplitRef(key.Ref)
+	if j := lt.jobs[id]; ok && j != nil && task < j.Spec.Tasks {
+		a.Job, a.Task = j, task
 	}
 	hasStarted := status.Phase == api.TaskRunning || status.Phase == api.TaskSaving || status.Cause == api.CauseDone
-	if a.job != nil && hasStarted {
-		lt.addImage(m, &a.job.spec, now)
+	if a.Job != nil && hasStarted {
+		lt.addImage(m, &a.Job.Spec, now)
 	}
 	if status.Phase == api.TaskExited {
-		a.exited = true
+		a.Exited = true
 		return a
 	}
-	a.reserve(1)
-	if a.job != nil && (a.job.activeAttempts[task] == nil || a.job.activeAttempts[task].key.id < key.id) {
+	a.Reserve(1)
+	if a.Job != nil && (a.Job.ActiveAttempts[task] == nil || a.Job.ActiveAttempts[task].Key.ID < key.ID) {
 		// Of two attempts the later one is kept: it was started only when the earlier one
 		// was known to be off its machine.
-		a.job.activeAttempts[task] = a
-		a.job.flight.Take(task)
-		a.job.flight.Join(m.name)
+		a.Job.ActiveAttempts[task] = a
+		a.Job.Flight.Take(task)
+		a.Job.Flight.Join(m.Name)
 	}
 	return a
 }
 
 // applyTaskStatus applies what a heartbeat says of an attempt.
-func (lt *leaderTerm) applyTaskStatus(a *attempt, status *api.TaskStatus, now time.Time) {
-	previousPhase := a.phase
-	a.phase = status.Phase
-	if a.phase == api.TaskRunning && previousPhase != api.TaskRunning {
-		a.runningAt = now
-		if a.job != nil {
-			if a.job.firstStart.IsZero() {
-				a.job.firstStart = now
-				recordLatency(lt.counts.firstStart, now.Sub(a.job.runnableSince))
+func (lt *leaderTerm) applyTaskStatus(a *Attempt, status *api.TaskStatus, now time.Time) {
+	previousPhase := a.Phase
+	a.Phase = status.Phase
+	if a.Phase == api.TaskRunning && previousPhase != api.TaskRunning {
+		a.RunningAt = now
+		if a.Job != nil {
+			if a.Job.FirstStart.IsZero() {
+				a.Job.FirstStart = now
+				recordLatency(lt.counts.firstStart, now.Sub(a.Job.RunnableSince))
 			}
-			a.job.lastStart = now
-			lt.addImage(a.machine, &a.job.spec, now)
+			a.Job.LastStart = now
+			lt.addImage(a.Machine, &a.Job.Spec, now)
 		}
 	}
 	if status.Phase != api.TaskExited {
 		return
 	}
-	if !a.exited {
-		a.exited = true
-		a.reserve(-1)
+	if !a.Exited {
+		a.Exited = true
+		a.Reserve(-1)
 	}
-	if a.exitHandled {
+	if a.ExitHandled {
 		return
 	}
-	a.exitHandled = true
+	a.ExitHandled = true
 	lt.handleExit(a, status, now)
 }
 
 // handleExit handles the end of an attempt by its cause.
-func (lt *leaderTerm) handleExit(a *attempt, status *api.TaskStatus, now time.Time) {
-	j, m := a.job, a.machine
+func (lt *leaderTerm) handleExit(a *Attempt, status *api.TaskStatus, now time.Time) {
+	j, m := a.Job, a.Machine
 	if j == nil {
 		return
 	}
 	if status.Cause == api.CauseDone {
-		if !a.runningAt.IsZero() {
-			lt.recordRun(a, now.Sub(a.runningAt), now)
+		if !a.RunningAt.IsZero() {
+			lt.recordRun(a, now.Sub(a.RunningAt), now)
 		}
-		lt.completeTask(j, a.task, now)
-		j.failureRounds = 0
-		m.cordonDuration = 0
-		clear(m.taskErrorsByJob)
-		lt.addImage(m, &j.spec, now)
+		lt.completeTask(j, a.Task, now)
+		j.FailureRounds = 0
+		m.CordonDuration = 0
+		clear(m.TaskErrorsByJob)
+		lt.addImage(m, &j.Spec, now)
 	}
 	lt.releaseTask(a)
 	switch status.Cause {
 	case api.CauseError:
 		lt.taskFailed(a, now)
 	case api.CauseNoCapacity, api.CauseBusy, api.CauseNoSuch:
-		lt.c.Log.Debug("start rejected", "machine", m.name, "task", a.key.ref, "reason", status.Cause)
-		m.cordonedUntil = now.Add(time.Second)
+		lt.c.Log.Debug("start rejected", "machine", m.Name, "task", a.Key.Ref, "reason", status.Cause)
+		m.CordonedUntil = now.Add(time.Second)
 	}
 }
 
 // releaseTask makes an attempt's task pending again, unless it is done or another attempt has
 // taken it over.
-func (lt *leaderTerm) releaseTask(a *attempt) {
-	j := a.job
-	if j == nil || j.activeAttempts[a.task] != a {
+func (lt *leaderTerm) releaseTask(a *Attempt) {
+	j := a.Job
+	if j == nil || j.ActiveAttempts[a.Task] != a {
 		return
 	}
-	delete(j.activeAttempts, a.task)
-	if !j.done.Test(uint(a.task)) {
-		j.lostTasks++
+	delete(j.ActiveAttempts, a.Task)
+	if !j.Done.Test(uint(a.Task)) {
+		j.LostTasks++
 		lt.counts.lost++
-		j.flight.Release(a.task)
+		j.Flight.Release(a.Task)
 	}
 }
 
 // removeAttempt removes an attempt that is no longer on its machine.
-func (lt *leaderTerm) removeAttempt(a *attempt) {
-	delete(a.machine.attempts, a.key)
-	if !a.exited {
-		a.exited = true
-		a.reserve(-1)
+func (lt *leaderTerm) removeAttempt(a *Attempt) {
+	delete(a.Machine.Attempts, a.Key)
+	if !a.Exited {
+		a.Exited = true
+		a.Reserve(-1)
 	}
 	lt.releaseTask(a)
 }
 
 // isReapable tells whether an exited attempt may be dropped from the heartbeats: a completed
 // one only once that is on record, so that a new leader learns of it.
-func (lt *leaderTerm) isReapable(a *attempt) bool {
-	j := a.job
-	return j == nil || j.ended || !j.done.Test(uint(a.task)) || j.recorded.Test(uint(a.task))
+func (lt *leaderTerm) isReapable(a *Attempt) bool {
+	j := a.Job
+	return j == nil || j.Ended || !j.Done.Test(uint(a.Task)) || j.Recorded.Test(uint(a.Task))
 }
 
 // A job is at fault if its tasks failed on minFailedMachines and none has completed. It is
@@ -140,47 +140,47 @@
 
 // taskFailed handles a task that ended with an error. Mostly the machine is at fault; a job
 // whose tasks fail on several machines and complete on none is.
-func (lt *leaderTerm) taskFailed(a *attempt, now time.Time) {
-	j, m := a.job, a.machine
-	j.failuresByMachine[m.name]++
-	j.excludedMachine[a.task] = m.name
-	if j.doneCount == 0 && len(j.failuresByMachine) >= minFailedMachines {
+func (lt *leaderTerm) taskFailed(a *Attempt, now time.Time) {
+	j, m := a.Job, a.Machine
+	j.FailuresByMachine[m.Name]++
+	j.ExcludedMachine[a.Task] = m.Name
+	if j.DoneCount == 0 && len(j.FailuresByMachine) >= minFailedMachines {
 		lt.backOffJob(j, now)
 		return
 	}
-	m.taskErrorsByJob[j.spec.ID]++
-	m.cordonDuration = min(max(2*m.cordonDuration, time.Second), maxCordon)
-	m.cordonedUntil = now.Add(m.cordonDuration)
-	failsProvenJob := j.doneCount > 0 && m.taskErrorsByJob[j.spec.ID] >= quarantineFailures
-	if !m.evacuating && (len(m.taskErrorsByJob) >= quarantineJobs || failsProvenJob) {
+	m.TaskErrorsByJob[j.Spec.ID]++
+	m.CordonDuration = min(max(2*m.CordonDuration, time.Second), maxCordon)
+	m.CordonedUntil = now.Add(m.CordonDuration)
+	failsProvenJob := j.DoneCount > 0 && m.TaskErrorsByJob[j.Spec.ID] >= quarantineFailures
+	if !m.Evacuating && (len(m.TaskErrorsByJob) >= quarantineJobs || failsProvenJob) {
 		lt.quarantineFailing(m, now)
 	}
 }
 
 // backOffJob keeps a job that fails on every machine from starting tasks for a while. Its
 // failures no longer count against the machines.
-func (lt *leaderTerm) backOffJob(j *job, now time.Time) {
-	j.failureRounds++
-	backoff := min(backoffUnit<<min(j.failureRounds, maxBackoffDoublings), maxBackoff)
-	j.backoffUntil = now.Add(backoff)
-	if j.failureRounds > 1 {
+func (lt *leaderTerm) backOffJob(j *Job, now time.Time) {
+	j.FailureRounds++
+	backoff := min(backoffUnit<<min(j.FailureRounds, maxBackoffDoublings), maxBackoff)
+	j.BackoffUntil = now.Add(backoff)
+	if j.FailureRounds > 1 {
 		return
 	}
-	lt.c.Log.Info("job fails on every machine", "job", j.spec.ID, "machines", len(j.failuresByMachine))
-	for name := range j.failuresByMachine {
+	lt.c.Log.Info("job fails on every machine", "job", j.Spec.ID, "machines", len(j.FailuresByMachine))
+	for name := range j.FailuresByMachine {
 		if m := lt.machines[name]; m != nil {
-			delete(m.taskErrorsByJob, j.spec.ID)
+			delete(m.TaskErrorsByJob, j.Spec.ID)
 		}
 	}
 }
 
 // quarantineFailing evacuates a machine that fails tasks, and stops what runs on it.
-func (lt *leaderTerm) quarantineFailing(m *machine, now time.Time) {
-	lt.c.Log.Info("machine quarantined", "machine", m.name, "jobs", len(m.taskErrorsByJob))
+func (lt *leaderTerm) quarantineFailing(m *Machine, now time.Time) {
+	lt.c.Log.Info("machine quarantined", "machine", m.Name, "jobs", len(m.TaskErrorsByJob))
 	lt.evacuate(m, "fails tasks")
-	for _, a := range m.attempts {
-		if !a.exited && a.job != nil {
-			lt.requestStop(a, a.job.spec.Save()*2, now)
+	for _, a := range m.Attempts {
+		if !a.Exited && a.Job != nil {
+			lt.requestStop(a, a.Job.Spec.Save()*2, now)
 		}
 	}
 }
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -66,9 +66,9 @@
 	lt := as.leaderTerm
 	used, total := 0.0, 0.0
 	for _, m := range lt.machines {
-		used += m.usedCPUs
-		if !m.evacuating && !m.terminated {
-			total += m.cpus
+		used += m.UsedCPUs
+		if !m.Evacuating && !m.Terminated {
+			total += m.CPUs
 		}
 	}
 	booting := as.launchingCPUs
@@ -154,12 +154,12 @@
 }
 
 // cpuPrice is the price of a CPU of a machine, 0 if its type is not known.
-func (as *autoscaler) cpuPrice(m *machine) float64 {
-	mt, ok := as.leaderTerm.c.types.load()[m.machineType]
+func (as *autoscaler) cpuPrice(m *Machine) float64 {
+	mt, ok := as.leaderTerm.c.types.load()[m.Type]
 	if !ok || mt.CPUs == 0 {
 		return 0
 	}
-	if m.spot {
+	if m.Spot {
 		return mt.SpotPrice / mt.CPUs
 	}
 	return mt.Price / mt.CPUs
--- a/internal/controller/autoscaler_cloud.go
+++ b/internal/controller/autoscaler_cloud.go
@@ -170,8 +170,8 @@
 		return
 	}
 	if m := lt.machines[listed.Name]; m != nil {
-		missedHeartbeats := now.Sub(m.lastSeen) > 2*lt.c.Settings.Site.Workers.HeartbeatInterval()
-		if listed.Phase == cloud.PhaseFailed && !m.terminating && missedHeartbeats {
+		missedHeartbeats := now.Sub(m.LastSeen) > 2*lt.c.Settings.Site.Workers.HeartbeatInterval()
+		if listed.Phase == cloud.PhaseFailed && !m.Terminating && missedHeartbeats {
 			lt.evacuate(m, "stopped")
 			lt.autoscaler.scaleIn(m)
 		}
--- a/internal/controller/autoscaler_constrained.go
+++ b/internal/controller/autoscaler_constrained.go
@@ -39,21 +39,21 @@
 	for _, team := range as.leaderTerm.allTeams() {
 		available := team.LimitCPUs - team.UsedCPUs
 		for _, j := range team.Items() {
-			if !isConstrained(&j.spec) || j.finishing || j.failureRounds > 0 || now.Sub(j.runnableSince) <= minWait {
+			if !isConstrained(&j.Spec) || j.Finishing || j.FailureRounds > 0 || now.Sub(j.RunnableSince) <= minWait {
 				continue
 			}
-			if cpus := min(float64(j.flight.Untaken())*j.spec.CPUs, available); cpus > 0 {
+			if cpus := min(float64(j.Flight.Untaken())*j.Spec.CPUs, available); cpus > 0 {
 				addDemand(byKind, j, cpus)
 				available -= cpus
 			}
 		}
 	}
 	for _, j := range as.leaderTerm.jobs {
-		if len(j.dependsOn) == 0 || j.cancelPending || !isConstrained(&j.spec) {
+		if len(j.DependsOn) == 0 || j.CancelPending || !isConstrained(&j.Spec) {
 			continue
 		}
 		if as.leaderTerm.dependencies.dependenciesStarted(j) {
-			addDemand(byKind, j, min(float64(j.spec.Tasks)*j.spec.CPUs, j.team.LimitCPUs))
+			addDemand(byKind, j, min(float64(j.Spec.Tasks)*j.Spec.CPUs, j.Team.LimitCPUs))
 		}
 	}
 	return slices.SortedFunc(maps.Values(byKind), func(a, b *constrainedDemand) int {
@@ -62,23 +62,23 @@
 }
 
 // addDemand adds a job's CPUs to the demand of its constraints.
-func addDemand(byKind map[string]*constrainedDemand, j *job, cpus float64) {
-	key := j.spec.Zone + "|" + strings.Join(j.spec.Types, ",")
-	if j.spec.Spot {
+func addDemand(byKind map[string]*constrainedDemand, j *Job, cpus float64) {
+	key := j.Spec.Zone + "|" + strings.Join(j.Spec.Types, ",")
+	if j.Spec.Spot {
 		key += "|spot"
 	}
 	demand := byKind[key]
 	if demand == nil {
-		demand = &constrainedDemand{spec: &j.spec}
+		demand = &constrainedDemand{spec: &j.Spec}
 		byKind[key] = demand
 	}
 	demand.cpus += cpus
 }
 
 // dependenciesStarted tells whether all unfinished dependencies of a job have started.
-func (dg *dependencyGraph) dependenciesStarted(j *job) bool {
-	for id := range j.dependsOn {
-		if dependency := dg.leaderTerm.jobs[id]; dependency == nil || !dependency.started() {
+func (dg *dependencyGraph) dependenciesStarted(j *Job) bool {
+	for id := range j.DependsOn {
+		if dependency := dg.leaderTerm.jobs[id]; dependency == nil || !dependency.Started() {
 			return false
 		}
 	}
@@ -94,8 +94,8 @@
 			if missingCPUs <= 0 {
 				break
 			}
-			m.draining = false
-			missingCPUs -= float64(m.slots(demand.spec)) * demand.spec.CPUs
+			m.Draining = false
+			missingCPUs -= float64(m.Slots(demand.spec)) * demand.spec.CPUs
 		}
 		usable := slices.DeleteFunc(slices.Clone(offers), func(o fleet.Offer) bool {
 			return !mayUse(demand.spec, o.Type, o.Zone, o.Spot)
@@ -106,15 +106,15 @@
 
 // missingFor is how many CPUs a demand lacks beyond the machines in use, those that boot and those
 // being launched, and which draining machines could serve the demand, by name.
-func (as *autoscaler) missingFor(demand *constrainedDemand) (missingCPUs float64, draining []*machine) {
+func (as *autoscaler) missingFor(demand *constrainedDemand) (missingCPUs float64, draining []*Machine) {
 	missingCPUs = demand.cpus
 	for _, m := range as.leaderTerm.machines {
 		switch {
-		case m.evacuating || m.terminated || m.cpus == 0 || !mayUse(demand.spec, m.machineType, m.zone, m.spot):
-		case m.draining:
+		case m.Evacuating || m.Terminated || m.CPUs == 0 || !mayUse(demand.spec, m.Type, m.Zone, m.Spot):
+		case m.Draining:
 			draining = append(draining, m)
 		default:
-			missingCPUs -= float64(m.slots(demand.spec)) * demand.spec.CPUs
+			missingCPUs -= float64(m.Slots(demand.spec)) * demand.spec.CPUs
 		}
 	}
 	for _, booting := range as.leaderTerm.provisioning {
@@ -127,6 +127,6 @@
 			missingCPUs -= float64(request.Count) * request.CPUs
 		}
 	}
-	slices.SortFunc(draining, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(draining, func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) })
 	return missingCPUs, draining
 }
--- a/internal/controller/autoscaler_demand.go
+++ b/internal/controller/autoscaler_demand.go
@@ -18,12 +18,12 @@
 	for _, t := range as.leaderTerm.allTeams() {
 		atOnce, inTime := t.UsedCPUs, t.UsedCPUs
 		for _, j := range t.Items() {
-			if j.finishing || j.failureRounds > 0 {
+			if j.Finishing || j.FailureRounds > 0 {
 				continue
 			}
-			cpus := float64(j.flight.Untaken()) * j.spec.CPUs
+			cpus := float64(j.Flight.Untaken()) * j.Spec.CPUs
 			atOnce += cpus
-			inTime += cpus / j.runsPerCPU(bootedAt)
+			inTime += cpus / j.RunsPerCPU(bootedAt)
 		}
 		guaranteed := min(atOnce, t.CPUs)
 		sum += min(max(inTime, guaranteed), t.LimitCPUs)
@@ -32,7 +32,7 @@
 }
 
 // allTeams are the cell's own teams and those of guests: both have accepted jobs.
-func (lt *leaderTerm) allTeams() []*queue.Team[*job] {
+func (lt *leaderTerm) allTeams() []*queue.Team[*Job] {
 	if len(lt.loans.guestFairShareOrder) == 0 {
 		return lt.fairShareOrder
 	}
--- a/internal/controller/autoscaler_drain.go
+++ b/internal/controller/autoscaler_drain.go
@@ -15,44 +15,44 @@
 // when there is none.
 func (as *autoscaler) drain(now time.Time) {
 	spare := as.surplus
-	var draining, inUse []*machine
+	var draining, inUse []*Machine
 	for _, m := range as.leaderTerm.machines {
 		switch {
-		case m.evacuating || m.terminated:
-		case m.draining:
+		case m.Evacuating || m.Terminated:
+		case m.Draining:
 			draining = append(draining, m)
-			spare -= m.cpus
-		case m.isSchedulable(now) && now.Sub(m.addedAt) > minUptime:
+			spare -= m.CPUs
+		case m.IsSchedulable(now) && now.Sub(m.AddedAt) > minUptime:
 			inUse = append(inUse, m)
 		}
 	}
-	mostExpensiveFirst := func(a, b *machine) int {
+	mostExpensiveFirst := func(a, b *Machine) int {
 		return cmp.Or(
 			-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)),
-			cmp.Compare(a.usedCPUs, b.usedCPUs),
-			cmp.Compare(a.name, b.name),
+			cmp.Compare(a.UsedCPUs, b.UsedCPUs),
+			cmp.Compare(a.Name, b.Name),
 		)
 	}
 	slices.SortFunc(draining, mostExpensiveFirst)
 	for i := len(draining) - 1; i >= 0 && spare < 0; i-- {
-		draining[i].draining = false
-		spare += draining[i].cpus
+		draining[i].Draining = false
+		spare += draining[i].CPUs
 	}
 	if spare <= 0 {
 		as.surplusSince = now
 		return
 	}
 	slices.SortFunc(inUse, mostExpensiveFirst)
-	if now.Sub(as.surplusSince) < minSurplusTime || len(inUse) == 0 || spare < inUse[0].cpus {
+	if now.Sub(as.surplusSince) < minSurplusTime || len(inUse) == 0 || spare < inUse[0].CPUs {
 		return
 	}
 	for _, m := range inUse {
-		if spare < m.cpus {
+		if spare < m.CPUs {
 			return
 		}
-		spare -= m.cpus
-		m.draining = true
-		as.leaderTerm.c.Log.Debug("machine draining", "machine", m.name, "count", len(m.attempts), "spare", spare)
+		spare -= m.CPUs
+		m.Draining = true
+		as.leaderTerm.c.Log.Debug("machine draining", "machine", m.Name, "count", len(m.Attempts), "spare", spare)
 	}
 }
 
@@ -74,18 +74,18 @@
 func (as *autoscaler) moveCheckpointed(now time.Time) {
 	freeCPUs := 0.0
 	for _, m := range as.leaderTerm.machines {
-		if m.isSchedulable(now) {
-			freeCPUs += m.freeCPUs()
+		if m.IsSchedulable(now) {
+			freeCPUs += m.FreeCPUs()
 		}
 	}
 	for _, m := range as.leaderTerm.machines {
-		if !m.draining || freeCPUs < moveCapacityFactor*m.usedCPUs {
+		if !m.Draining || freeCPUs < moveCapacityFactor*m.UsedCPUs {
 			continue
 		}
-		for _, a := range m.attempts {
+		for _, a := range m.Attempts {
 			if as.isWorthMoving(a, now) {
-				freeCPUs -= a.job.spec.CPUs
-				as.leaderTerm.requestStop(a, 2*a.job.spec.Save()+time.Second, now)
+				freeCPUs -= a.Job.Spec.CPUs
+				as.leaderTerm.requestStop(a, 2*a.Job.Spec.Save()+time.Second, now)
 			}
 		}
 	}
@@ -94,55 +94,55 @@
 // isWorthMoving tells whether a running task can save its state, is neither near its start nor near
 // its end, and will still end in time for its job's next objective, unless none can be met any
 // more.
-func (as *autoscaler) isWorthMoving(a *attempt, now time.Time) bool {
-	if a.exited || a.job == nil || a.stop != nil || a.phase != api.TaskRunning {
+func (as *autoscaler) isWorthMoving(a *Attempt, now time.Time) bool {
+	if a.Exited || a.Job == nil || a.Stop != nil || a.Phase != api.TaskRunning {
 		return false
 	}
-	spec := &a.job.spec
-	if a.job.ended || spec.CheckpointS == 0 {
+	spec := &a.Job.Spec
+	if a.Job.Ended || spec.CheckpointS == 0 {
 		return false
 	}
-	ran := now.Sub(a.runningAt)
+	ran := now.Sub(a.RunningAt)
 	remaining := spec.Estimate() - ran
 	if ran <= minRunBeforeMove || remaining <= minRemainingForMove+spec.Save() {
 		return false
 	}
-	objective := a.job.LatestStart().Add(spec.Estimate())
+	objective := a.Job.LatestStart().Add(spec.Estimate())
 	transfer := spec.Save() + 3*as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval() + moveMargin
-	return a.job.infeasible || now.Add(remaining*5/4+transfer).Before(objective)
+	return a.Job.Infeasible || now.Add(remaining*5/4+transfer).Before(objective)
 }
 
 // idleMachines picks the machines to terminate: empty for long enough, the most expensive first, as
 // far as the rest covers the demand peak. It takes their CPUs off the surplus.
-func (as *autoscaler) idleMachines(now time.Time) []*machine {
-	var idle []*machine
+func (as *autoscaler) idleMachines(now time.Time) []*Machine {
+	var idle []*Machine
 	for _, m := range as.leaderTerm.machines {
-		if m.evacuating || m.terminated || !m.fenced || m.cpus == 0 || len(m.attempts) > 0 {
+		if m.Evacuating || m.Terminated || !m.Fenced || m.CPUs == 0 || len(m.Attempts) > 0 {
 			continue
 		}
-		inUseLately := !m.draining && now.Sub(m.idleSince) < as.leaderTerm.c.Policy.IdleTimeout
-		if inUseLately || now.Sub(m.addedAt) < minUptime {
+		inUseLately := !m.Draining && now.Sub(m.IdleSince) < as.leaderTerm.c.Policy.IdleTimeout
+		if inUseLately || now.Sub(m.AddedAt) < minUptime {
 			continue
 		}
 		idle = append(idle, m)
 	}
-	slices.SortFunc(idle, func(a, b *machine) int {
-		return cmp.Or(-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)), cmp.Compare(a.name, b.name))
+	slices.SortFunc(idle, func(a, b *Machine) int {
+		return cmp.Or(-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)), cmp.Compare(a.Name, b.Name))
 	})
 	n := 0
 	for _, m := range idle {
-		if as.surplus < m.cpus {
+		if as.surplus < m.CPUs {
 			break
 		}
-		as.surplus -= m.cpus
+		as.surplus -= m.CPUs
 		n++
 	}
 	return idle[:n]
 }
 
 // scaleIn has the cloud terminate a machine.
-func (as *autoscaler) scaleIn(m *machine) {
-	m.terminating = true
-	as.terminations = append(as.terminations, m.name)
+func (as *autoscaler) scaleIn(m *Machine) {
+	m.Terminating = true
+	as.terminations = append(as.terminations, m.Name)
 	as.terminateMachines()
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -40,7 +40,7 @@
 	for i := range reports {
 		k := &worker{status: api.Heartbeat{Machine: fmt.Sprint("i-", i), Addr: "x", Type: "small", Zone: "a", AgentEpoch: 1, Term: 1}}
 		m := lt.addMachine(k.status.Machine, "small", "a", false, now)
-		m.fenced, m.registration = true, registered
+		m.Fenced, m.Registration = true, Registered
 		for range 3 {
 			k.status.Seq++
 			response, err := lt.handleAgentHeartbeat(&k.status, now.Add(time.Minute))
@@ -111,7 +111,7 @@
 				now = now.Add(time.Second)
 				lt.lastTick = now
 				for _, m := range lt.machines {
-					m.lastSeen, m.lastHeartbeat = now, now
+					m.LastSeen, m.LastHeartbeat = now, now
 				}
 				lt.deferInfeasible(now)
 				lt.countImageLocations(now)
@@ -142,7 +142,7 @@
 			for i := 0; b.Loop(); i++ {
 				m := lt.machines[reports[i%len(reports)].Machine]
 				if j := lt.nextJob(m, now); j != nil {
-					j.flight.Join(m.name)
+					j.Flight.Join(m.Name)
 				}
 			}
 		})
--- a/internal/controller/cancelcascade_test.go
+++ b/internal/controller/cancelcascade_test.go
@@ -115,7 +115,7 @@
 		n.inspect(func(c *Controller) {
 			dg := &c.leaderTerm.dependencies
 			for _, j := range c.leaderTerm.jobs {
-				j.cancelPending = false // as a leader has it that has not read the end yet
+				j.CancelPending = false // as a leader has it that has not read the end yet
 			}
 			dg.pendingCancels, dg.lookingUp = nil, true
 		})
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -34,7 +34,7 @@
 	c.finalStates.Add(id, api.JobState{ID: id, Phase: api.JobCancelled})
 	c.cancellations.Add(id, time.Now())
 	if c.leaderTerm != nil {
-		if j := c.leaderTerm.jobs[id]; j != nil && !j.cancelPending {
+		if j := c.leaderTerm.jobs[id]; j != nil && !j.CancelPending {
 			c.leaderTerm.cancelJob(j)
 		}
 		// A job that is cancelled because another is, is dropped only once its own end is on
@@ -57,7 +57,7 @@
 		if t.Phase == api.TaskExited || len(commands) >= maxCommands {
 			continue
 		}
-		id, _, _ := splitRef(t.Task)
+		id, _, _ := SplitRef(t.Task)
 		if !c.isCancelled(id) && !c.isCancelled(loan.GuestMarker+id) && (hasEnded == nil || !hasEnded(id)) {
 			continue
 		}
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -7,32 +7,32 @@
 )
 
 // findCapacity computes which capacity the fleet has for a job.
-func (lt *leaderTerm) findCapacity(j *job, now time.Time) {
+func (lt *leaderTerm) findCapacity(j *Job, now time.Time) {
 	type offer struct {
 		cost  float64
 		slots int
 	}
 	var offers []offer
 	for _, m := range lt.machines {
-		if m.isSchedulable(now) && m.fits(&j.spec) && (!m.spot || j.spec.Spot) {
-			offers = append(offers, offer{lt.placementCost(j, m), m.slots(&j.spec)})
+		if m.IsSchedulable(now) && m.Fits(&j.Spec) && (!m.Spot || j.Spec.Spot) {
+			offers = append(offers, offer{lt.placementCost(j, m), m.Slots(&j.Spec)})
 		}
 	}
 	slices.SortFunc(offers, func(a, b offer) int { return cmp.Compare(a.cost, b.cost) })
-	j.capacity = capacity{computedAt: now, costs: j.capacity.costs[:0], slots: j.capacity.slots[:0]}
+	j.Capacity = Capacity{ComputedAt: now, Costs: j.Capacity.Costs[:0], Slots: j.Capacity.Slots[:0]}
 	sum := 0
 	for _, o := range offers {
 		sum += o.slots
-		j.capacity.costs = append(j.capacity.costs, o.cost)
-		j.capacity.slots = append(j.capacity.slots, sum)
+		j.Capacity.Costs = append(j.Capacity.Costs, o.cost)
+		j.Capacity.Slots = append(j.Capacity.Slots, sum)
 	}
 }
 
 // fetchesBeforeHeartbeat tells whether a machine fetches a job's image in less than two
 // heartbeat intervals.
-func (lt *leaderTerm) fetchesBeforeHeartbeat(j *job, m *machine) bool {
-	rate := lt.c.types.load()[m.machineType].FetchGBs
-	return rate > 0 && j.spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.HeartbeatS
+func (lt *leaderTerm) fetchesBeforeHeartbeat(j *Job, m *Machine) bool {
+	rate := lt.c.types.load()[m.Type].FetchGBs
+	return rate > 0 && j.Spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.HeartbeatS
 }
 
 // Parts of the placement cost, in seconds.
@@ -48,20 +48,20 @@
 
 // placementCost is how badly a machine suits a job, in seconds lost: the time to fetch the
 // image, and a measure of what it costs to keep the machine.
-func (lt *leaderTerm) placementCost(j *job, m *machine) float64 {
-	mt := lt.c.types.load()[m.machineType]
+func (lt *leaderTerm) placementCost(j *Job, m *Machine) float64 {
+	mt := lt.c.types.load()[m.Type]
 	cost := 0.0
-	if !m.images.has(j.spec.Image) && mt.FetchGBs > 0 {
-		cost += j.spec.ImageGB / mt.FetchGBs
+	if !m.Images.Has(j.Spec.Image) && mt.FetchGBs > 0 {
+		cost += j.Spec.ImageGB / mt.FetchGBs
 	}
-	if m.usedCPUs < epsilon {
+	if m.UsedCPUs < Epsilon {
 		cost += emptyMachinePenalty
 	}
 	if price := lt.autoscaler.cpuPrice(m); price > 0 {
 		cost += price/lt.autoscaler.lowestCPUPrice() - 1
 	}
-	if m.spot != (j.spec.CheckpointS > 0) {
+	if m.Spot != (j.Spec.CheckpointS > 0) {
 		cost += spotMismatchPenalty
 	}
-	return cost + m.freeCPUs()/m.cpus
+	return cost + m.FreeCPUs()/m.CPUs
 }
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -16,23 +16,23 @@
 // What other members did is known without going through them: the sums must
 // come out as if they had been.
 func TestRunsElsewhere(t *testing.T) {
-	j := &job{runs: jobRuns{byMachine: map[string]*runStats{}}}
+	j := &Job{Runs: JobRuns{ByMachine: map[string]*RunStats{}}}
 	took := map[string][]int{"i-1": {5, 9, 2}, "i-2": {7}, "i-3": {8, 9}, "i-4": {3}}
 	for _, name := range []string{"i-2", "i-1", "i-3", "i-4"} {
 		for _, s := range took[name] {
-			j.runs.add(name, time.Duration(s)*time.Second, s > 7)
+			j.Runs.Add(name, time.Duration(s)*time.Second, s > 7)
 		}
 	}
 	for _, name := range []string{"i-1", "i-2", "i-3", "i-4", "i-5"} {
-		var want runStats
+		var want RunStats
 		for other, list := range took {
 			for _, s := range list {
 				if other != name {
-					want.add(time.Duration(s)*time.Second, s > 7)
+					want.Add(time.Duration(s)*time.Second, s > 7)
 				}
 			}
 		}
-		if got := j.runsElsewhere(&machine{name: name}); got != want {
+		if got := j.RunsElsewhere(&Machine{Name: name}); got != want {
 			t.Errorf("elsewhere than on %s: %+v, want %+v", name, got, want)
 		}
 	}
@@ -66,15 +66,15 @@
 		a.inspect(func(c *Controller) {
 			j, now := c.leaderTerm.jobs["job-2"], time.Now()
 			better := func() bool {
-				j.capacity.computedAt = time.Time{}
+				j.Capacity.ComputedAt = time.Time{}
 				return c.leaderTerm.hasBetterMachines(j, c.leaderTerm.machines["i-2"], now)
 			}
 			w.checkEqual("more waits than the better have room for", better(), false)
-			j.flight.Take(0)
-			j.flight.Take(1)
+			j.Flight.Take(0)
+			j.Flight.Take(1)
 			w.checkEqual("as much waits as the better have room for", better(), true)
 			w.checkEqual("one of the better", c.leaderTerm.hasBetterMachines(j, c.leaderTerm.machines["i-0"], now), false)
-			j.waitingSince = now.Add(-c.leaderTerm.grace - time.Second)
+			j.WaitingSince = now.Add(-c.leaderTerm.grace - time.Second)
 			w.checkEqual("it has waited for long enough", better(), false)
 		})
 	})
@@ -121,15 +121,15 @@
 		for range 60 {
 			k.heartbeat(n)
 			most = max(most, len(k.status.Tasks))
-			if most > maxAttempts {
+			if most > MaxAttempts {
 				t.Fatalf("%d tasks on a machine", most)
 			}
 			time.Sleep(time.Second)
-			if len(k.status.Tasks) == maxAttempts {
+			if len(k.status.Tasks) == MaxAttempts {
 				k.exit(api.CauseDone)
 			}
 		}
-		w.checkEqual("fills the machine", most, maxAttempts)
+		w.checkEqual("fills the machine", most, MaxAttempts)
 		k.exit(api.CauseDone)
 		k.serve(n, 4)
 		w.checkEqual("phase", w.phase(n, s.ID), api.JobDone)
@@ -137,8 +137,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if size := (len(line) + 1) * maxAttempts; size > 64<<10-1024 {
-			t.Errorf("a report of %d tasks takes %d bytes", maxAttempts, size)
+		if size := (len(line) + 1) * MaxAttempts; size > 64<<10-1024 {
+			t.Errorf("a report of %d tasks takes %d bytes", MaxAttempts, size)
 		}
 	})
 }
--- a/internal/controller/completion.go
+++ b/internal/controller/completion.go
@@ -17,29 +17,29 @@
 		// One record of a job at a time: the next chunk is searched when this one is
 		// on record.
 		rw.dirtyJobs = rw.dirtyJobs[1:]
-		wasDirty := j.completionDirty
-		j.completionDirty = false
-		if !wasDirty || j.finishing || j.ended {
+		wasDirty := j.CompletionDirty
+		j.CompletionDirty = false
+		if !wasDirty || j.Finishing || j.Ended {
 			continue
 		}
-		if first, ok := j.nextUnrecordedChunk(rw.tasksPerChunk); ok {
+		if first, ok := j.NextUnrecordedChunk(rw.tasksPerChunk); ok {
 			rw.addCompletion(b, j, first)
 		}
 	}
 }
 
 // addCompletion adds the completion record of a job's chunk that begins at first.
-func (rw *recordWriter) addCompletion(b *batch, j *job, first int) {
-	bits := j.completionBytes(first, rw.tasksPerChunk)
-	b.addPut(records.CompletionKey(j.spec.ID, first), records.CompletionRecord{Done: bits})
+func (rw *recordWriter) addCompletion(b *batch, j *Job, first int) {
+	bits := j.CompletionBytes(first, rw.tasksPerChunk)
+	b.addPut(records.CompletionKey(j.Spec.ID, first), records.CompletionRecord{Done: bits})
 	// The record must not outlive its job: once that has ended, another node has
 	// deleted the key compared here.
 	b.txn.Compares = append(b.txn.Compares, kv.Compare{
-		Key:         records.ActivePrefix + j.spec.ID,
-		ModRevision: j.modRevision,
+		Key:         records.ActivePrefix + j.Spec.ID,
+		ModRevision: j.ModRevision,
 	})
-	j.completionChunks[first] = true
-	j.recordExtent(first, 8*len(bits))
+	j.CompletionChunks[first] = true
+	j.RecordExtent(first, 8*len(bits))
 	b.completions = append(b.completions, completionWrite{job: j, first: first, bits: bits})
 }
 
@@ -47,16 +47,16 @@
 // the job if more of its completed tasks are not on record.
 func (rw *recordWriter) completionWritten(w completionWrite) {
 	j := w.job
-	j.completionChunkSizes[w.first] = 8 * len(w.bits)
-	delete(j.migratingCompletion, w.first)
+	j.CompletionChunkSizes[w.first] = 8 * len(w.bits)
+	delete(j.MigratingCompletion, w.first)
 	for i, octet := range w.bits {
 		for bit := range 8 {
 			if octet&(1<<bit) != 0 {
-				j.recorded.Set(uint(w.first + i*8 + bit))
+				j.Recorded.Set(uint(w.first + i*8 + bit))
 			}
 		}
 	}
-	if _, more := j.nextUnrecordedChunk(rw.tasksPerChunk); more && !j.ended && !j.finishing {
+	if _, more := j.NextUnrecordedChunk(rw.tasksPerChunk); more && !j.Ended && !j.Finishing {
 		rw.queueCompletion(j)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -97,7 +97,7 @@
 	leaseRenewer leaseRenewer
 	uplink       relayUplink
 	membership   membership
-	// redirectedAt holds, by machine, when it was last redirected to a leader that this node
+	// RedirectedAt holds, by machine, when it was last redirected to a leader that this node
 	// cannot reach.
 	redirectedAt map[string]time.Time
 	// redirects holds the last redirect of each machine to a reachable leader.
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -26,9 +26,9 @@
 type dependencyGraph struct {
 	leaderTerm *leaderTerm
 	// dependents are the jobs that depend on others, by what they depend on.
-	dependents map[string][]*job
+	dependents map[string][]*Job
 	// pendingCancels are the jobs whose cancellation is to be put on record.
-	pendingCancels []*job
+	pendingCancels []*Job
 	limiter        *rate.Limiter
 	// lookups are dependencies that are not active: how they ended is to be read, of all of
 	// them at a time.
@@ -46,30 +46,30 @@
 	burst := max(cancelBatchOps, min(limits.TxnOps, int(cancelOps)))
 	*dg = dependencyGraph{
 		leaderTerm: lt,
-		dependents: map[string][]*job{},
+		dependents: map[string][]*Job{},
 		limiter:    rate.NewLimiter(rate.Limit(cancelOps), burst),
 	}
 }
 
 // resolveDependencies finds which of a job's dependencies have not ended, and enqueues the job if
 // there are none. It is cancelled if one of them is.
-func (dg *dependencyGraph) resolveDependencies(j *job) {
-	j.dependsOn = map[string]bool{}
-	if j.dependencyList != nil && !j.dependenciesRead {
+func (dg *dependencyGraph) resolveDependencies(j *Job) {
+	j.DependsOn = map[string]bool{}
+	if j.DependencyList != nil && !j.DependenciesRead {
 		// Not all of its dependencies are known, so none of its tasks may start.
-		j.dependsOn[records.DependenciesElsewhere] = true
+		j.DependsOn[records.DependenciesElsewhere] = true
 		dg.leaderTerm.dependencyLists.read(j)
 		return
 	}
 	pending := false
-	for _, id := range j.spec.DependsOn {
+	for _, id := range j.Spec.DependsOn {
 		state, ended := dg.leaderTerm.c.finalStates.Get(id)
 		if ended && state.Phase == api.JobCancelled {
 			pending = true
 			continue
 		}
 		if ended && !state.Ended.IsZero() {
-			j.recordDependencyEnd(state.Ended)
+			j.RecordDependencyEnd(state.Ended)
 			continue
 		}
 		dependency := dg.leaderTerm.jobs[id]
@@ -77,17 +77,17 @@
 			if len(dg.dependents[id]) == 0 {
 				dg.lookups = append(dg.lookups, id)
 			}
-		} else if dependency.cancelPending {
+		} else if dependency.CancelPending {
 			pending = true
 		}
-		j.dependsOn[id] = true
+		j.DependsOn[id] = true
 		dg.dependents[id] = append(dg.dependents[id], j)
 	}
-	j.dropEndedDependencies()
+	j.DropEndedDependencies()
 	switch {
 	case pending:
 		dg.cancelWithDependents(j)
-	case len(j.dependsOn) == 0:
+	case len(j.DependsOn) == 0:
 		dg.enqueueReady(j)
 	}
 	dg.lookupNext()
@@ -96,16 +96,16 @@
 // enqueueReady queues a job once all its dependencies are done. Its times count from the end of
 // the last of them, also if another leader saw that; or from its acceptance, if it was submitted
 // later.
-func (dg *dependencyGraph) enqueueReady(j *job) {
+func (dg *dependencyGraph) enqueueReady(j *Job) {
 	now := time.Now()
-	j.dependsOn, j.runnableSince, j.waitingSince = nil, j.accepted, now
-	j.spec.DependsOn = nil // perhaps thousands, all of them ended
-	if j.lastDependencyEnd.After(j.runnableSince) {
-		j.runnableSince = j.lastDependencyEnd
+	j.DependsOn, j.RunnableSince, j.WaitingSince = nil, j.Accepted, now
+	j.Spec.DependsOn = nil // perhaps thousands, all of them ended
+	if j.LastDependencyEnd.After(j.RunnableSince) {
+		j.RunnableSince = j.LastDependencyEnd
 	}
-	j.objectives = dg.leaderTerm.objectives(j)
-	j.updateFeasibility(now)
-	j.team.Add(j)
+	j.Objectives = dg.leaderTerm.objectives(j)
+	j.UpdateFeasibility(now)
+	j.Team.Add(j)
 	dg.leaderTerm.dispatchUntil = now.Add(dispatchWindow)
 }
 
@@ -115,10 +115,10 @@
 	dependents := dg.dependents[id]
 	delete(dg.dependents, id)
 	for _, j := range dependents {
-		j.recordDependencyEnd(at)
-		delete(j.dependsOn, id)
-		j.dropEndedDependencies()
-		if len(j.dependsOn) == 0 && !j.cancelPending && !j.ended {
+		j.RecordDependencyEnd(at)
+		delete(j.DependsOn, id)
+		j.DropEndedDependencies()
+		if len(j.DependsOn) == 0 && !j.CancelPending && !j.Ended {
 			dg.enqueueReady(j)
 		}
 	}
@@ -135,27 +135,27 @@
 
 // cancelWithDependents has a pending job cancelled on record, with all that depend on it, directly
 // or through others.
-func (dg *dependencyGraph) cancelWithDependents(j *job) {
-	for todo := []*job{j}; len(todo) > 0; {
+func (dg *dependencyGraph) cancelWithDependents(j *Job) {
+	for todo := []*Job{j}; len(todo) > 0; {
 		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		if j.cancelPending || j.ended {
+		if j.CancelPending || j.Ended {
 			continue
 		}
-		j.cancelPending = true
+		j.CancelPending = true
 		dg.pendingCancels = append(dg.pendingCancels, j)
-		todo = append(todo, dg.dependents[j.spec.ID]...)
+		todo = append(todo, dg.dependents[j.Spec.ID]...)
 	}
 }
 
 // forget removes a job that has ended from the dependents of others.
-func (dg *dependencyGraph) forget(j *job) {
-	for id := range j.dependsOn {
-		remaining := slices.DeleteFunc(dg.dependents[id], func(other *job) bool { return other == j })
+func (dg *dependencyGraph) forget(j *Job) {
+	for id := range j.DependsOn {
+		remaining := slices.DeleteFunc(dg.dependents[id], func(other *Job) bool { return other == j })
 		if dg.dependents[id] = remaining; len(remaining) == 0 {
 			delete(dg.dependents, id)
 		}
 	}
-	j.dependsOn = nil
+	j.DependsOn = nil
 }
 
 // cancelWriteShare is the part of the write rate that is reserved for derived cancellations: with
@@ -169,7 +169,7 @@
 
 // addCancellations writes pending cancellations in a batch of their own, if the write rate allows.
 func (dg *dependencyGraph) addCancellations(b *batch, now time.Time) {
-	dg.pendingCancels = slices.DeleteFunc(dg.pendingCancels, func(j *job) bool { return j.ended })
+	dg.pendingCancels = slices.DeleteFunc(dg.pendingCancels, func(j *Job) bool { return j.Ended })
 	rw := &dg.leaderTerm.recordWriter
 	allowed := min(rw.maxOps, int(dg.limiter.TokensAt(now)))
 	if len(dg.pendingCancels) == 0 || allowed < cancelBatchOps {
@@ -178,11 +178,11 @@
 	n := 0
 	for n < len(dg.pendingCancels) && len(b.txn.Ops)+cancelBatchOps <= allowed && b.bytes < rw.maxBytes {
 		j := dg.pendingCancels[n]
-		active := records.ActivePrefix + j.spec.ID
-		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: active, ModRevision: j.modRevision})
-		b.addPut(records.TerminalPrefix+j.spec.ID, records.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
+		active := records.ActivePrefix + j.Spec.ID
+		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: active, ModRevision: j.ModRevision})
+		b.addPut(records.TerminalPrefix+j.Spec.ID, records.TerminalRecord{Phase: api.JobCancelled, Tasks: j.Spec.Tasks})
 		b.addDelete(active)
-		j.ending = true
+		j.Ending = true
 		n++
 	}
 	b.derivedCancels = slices.Clone(dg.pendingCancels[:n])
@@ -194,19 +194,19 @@
 // these are ordered by the latest start that lets what follows be in time. A job was accepted
 // after all its dependencies, so in reverse order of acceptance each is visited once, after all
 // that depend on it; and only where anything changes.
-func (dg *dependencyGraph) propagateDeadlines(jobs ...*job) {
-	byModRevision := func(a, b *job) int { return cmp.Compare(a.modRevision, b.modRevision) }
+func (dg *dependencyGraph) propagateDeadlines(jobs ...*Job) {
+	byModRevision := func(a, b *Job) int { return cmp.Compare(a.ModRevision, b.ModRevision) }
 	todo := slices.Clone(jobs)
 	slices.SortFunc(todo, byModRevision)
 	for len(todo) > 0 {
 		j := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		for _, id := range j.spec.DependsOn {
+		for _, id := range j.Spec.DependsOn {
 			dependency := dg.leaderTerm.jobs[id]
-			if dependency == nil || dependency.finishing || !dg.propagateDeadline(j, dependency) {
+			if dependency == nil || dependency.Finishing || !dg.propagateDeadline(j, dependency) {
 				continue
 			}
-			if len(dependency.spec.DependsOn) == 0 {
+			if len(dependency.Spec.DependsOn) == 0 {
 				continue
 			}
 			if at, found := slices.BinarySearchFunc(todo, dependency, byModRevision); !found {
@@ -218,48 +218,48 @@
 
 // propagateDeadline tightens the objectives and the priority of a dependency by those of a job that
 // depends on it, and tells whether that changed anything.
-func (dg *dependencyGraph) propagateDeadline(j, dependency *job) (changed bool) {
-	if j.priorityRank < dependency.priorityRank {
-		dependency.priorityRank, changed = j.priorityRank, true
+func (dg *dependencyGraph) propagateDeadline(j, dependency *Job) (changed bool) {
+	if j.PriorityRank < dependency.PriorityRank {
+		dependency.PriorityRank, changed = j.PriorityRank, true
 	}
 	due := dg.dependentDeadlines(j)
 	if len(due) == 0 {
 		return changed
 	}
 	duration := dg.stageDuration(j)
-	if len(dependency.dependentDeadlines) > 0 && !due[0].Add(-duration).Before(dependency.dependentDeadlines[0]) {
+	if len(dependency.DependentDeadlines) > 0 && !due[0].Add(-duration).Before(dependency.DependentDeadlines[0]) {
 		return changed
 	}
-	dependency.dependentDeadlines = nil
+	dependency.DependentDeadlines = nil
 	for _, at := range due {
-		dependency.dependentDeadlines = append(dependency.dependentDeadlines, at.Add(-duration))
+		dependency.DependentDeadlines = append(dependency.DependentDeadlines, at.Add(-duration))
 	}
-	dependency.objectives = dg.leaderTerm.objectives(dependency)
-	dependency.updateFeasibility(time.Now())
+	dependency.Objectives = dg.leaderTerm.objectives(dependency)
+	dependency.UpdateFeasibility(time.Now())
 	return true
 }
 
-// dependentDeadlines are the times by which a job should be complete for the deadlines of its
+// DependentDeadlines are the times by which a job should be complete for the deadlines of its
 // pipeline, the strictest first.
-func (dg *dependencyGraph) dependentDeadlines(j *job) []time.Time {
+func (dg *dependencyGraph) dependentDeadlines(j *Job) []time.Time {
 	own := dg.leaderTerm.deadlines(j)
-	if len(own) == 0 || len(j.dependentDeadlines) > 0 && j.dependentDeadlines[0].Before(own[0]) {
-		return j.dependentDeadlines
+	if len(own) == 0 || len(j.DependentDeadlines) > 0 && j.DependentDeadlines[0].Before(own[0]) {
+		return j.DependentDeadlines
 	}
 	return own
 }
 
 // stageDuration is how long a stage is expected to take from the end of the one before it: until
 // that is on record, the machine has received the start and has the image.
-func (dg *dependencyGraph) stageDuration(j *job) time.Duration {
+func (dg *dependencyGraph) stageDuration(j *Job) time.Duration {
 	fetch := 0.0
 	for _, t := range dg.leaderTerm.c.types.load() {
 		if t.FetchGBs > 0 {
-			fetch = max(fetch, j.spec.ImageGB/t.FetchGBs)
+			fetch = max(fetch, j.Spec.ImageGB/t.FetchGBs)
 		}
 	}
 	heartbeatInterval := dg.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()
-	return j.spec.Estimate() + config.Duration(fetch) + heartbeatInterval + expectedStageLag
+	return j.Spec.Estimate() + config.Duration(fetch) + heartbeatInterval + expectedStageLag
 }
 
 // expectedStageLag is about how long it takes until a job's end is on record and the tasks of those that
@@ -372,4 +372,3 @@
 	lists := &dg.leaderTerm.dependencyLists
 	return dg.lookingUp || len(dg.lookups) > 0 || dg.unknown > 0 || lists.reading || len(lists.unread) > 0
 }
-
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -192,7 +192,7 @@
 		w.store.SetDown(false)
 		time.Sleep(4 * time.Second)
 		n.inspect(func(c *Controller) {
-			w.checkEqual("may run", len(c.leaderTerm.jobs["job-11"].dependsOn), 0)
+			w.checkEqual("may run", len(c.leaderTerm.jobs["job-11"].DependsOn), 0)
 			w.checkEqual("in the queue", slices.Contains(c.leaderTerm.teams["red"].Items(), c.leaderTerm.jobs["job-11"]), true)
 		})
 	})
@@ -262,8 +262,8 @@
 		w.checkEqual("begun", len(k.running()), 4)
 		n.inspect(func(c *Controller) {
 			j := c.leaderTerm.jobs["job-2"]
-			w.checkEqual("since it could run", time.Since(j.runnableSince) < 5*time.Second, true)
-			w.checkEqual("its aim", time.Until(j.objectives[0]) > 80*time.Second, true)
+			w.checkEqual("since it could run", time.Since(j.RunnableSince) < 5*time.Second, true)
+			w.checkEqual("its aim", time.Until(j.Objectives[0]) > 80*time.Second, true)
 			w.checkEqual("demand", c.leaderTerm.autoscaler.demand(), 16.0)
 		})
 	})
@@ -290,12 +290,12 @@
 			for id, stages := range map[string]int{"job-4": 0, "job-2": 1, "job-3": 1, "job-1": 2} {
 				j := lt.jobs[id]
 				want := accepted.Add(300*time.Second - time.Duration(stages)*takes)
-				if d := j.objectives[0].Sub(want); d < -time.Second || d > time.Second {
+				if d := j.Objectives[0].Sub(want); d < -time.Second || d > time.Second {
 					t.Errorf("%s should be complete %v from the wanted time", id, d)
 				}
-				w.checkEqual(id+" rank", j.priorityRank, api.PriorityRank("urgent"))
+				w.checkEqual(id+" rank", j.PriorityRank, api.PriorityRank("urgent"))
 			}
-			w.checkEqual("of another pipeline", lt.jobs["job-8"].priorityRank, api.PriorityRank("low"))
+			w.checkEqual("of another pipeline", lt.jobs["job-8"].PriorityRank, api.PriorityRank("low"))
 			w.checkEqual("served first", lt.teams["red"].Items()[0].ID(), "job-1")
 		})
 	})
@@ -384,7 +384,7 @@
 			}
 		}
 		work(3)
-		n.inspect(func(c *Controller) { c.leaderTerm.jobs["job-1"].backoffUntil = time.Now().Add(time.Hour) })
+		n.inspect(func(c *Controller) { c.leaderTerm.jobs["job-1"].BackoffUntil = time.Now().Add(time.Hour) })
 		if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
@@ -533,11 +533,11 @@
 							add(i, i, 0)
 						}
 						deadline = work(func() { add(jobs, jobs, 600) })
-						if len(lt.jobs["job-0"].dependentDeadlines) == 0 {
+						if len(lt.jobs["job-0"].DependentDeadlines) == 0 {
 							t.Error("the deadline did not reach the first job")
 						}
 						cancel = work(func() { c.recordCancellation("job-0") })
-						pending := map[*job]bool{}
+						pending := map[*Job]bool{}
 						for _, j := range lt.dependencies.pendingCancels {
 							pending[j] = true
 						}
--- a/internal/controller/dependencylists.go
+++ b/internal/controller/dependencylists.go
@@ -13,7 +13,7 @@
 type dependencyLists struct {
 	leaderTerm *leaderTerm
 	// unread are the jobs whose list is to be read, one at a time.
-	unread  []*job
+	unread  []*Job
 	reading bool
 }
 
@@ -27,21 +27,21 @@
 )
 
 // read queues a job's list to be read.
-func (dl *dependencyLists) read(j *job) {
+func (dl *dependencyLists) read(j *Job) {
 	dl.unread = append(dl.unread, j)
 	dl.readNext()
 }
 
 // readNext starts to read the first list of the queue, unless another is being read.
 func (dl *dependencyLists) readNext() {
-	dl.unread = slices.DeleteFunc(dl.unread, func(j *job) bool { return j.ended })
+	dl.unread = slices.DeleteFunc(dl.unread, func(j *Job) bool { return j.Ended })
 	if dl.reading || len(dl.unread) == 0 {
 		return
 	}
 	dl.reading = true
 	lt, j := dl.leaderTerm, dl.unread[0]
 	dl.unread = dl.unread[1:]
-	id, list := j.spec.ID, j.dependencyList
+	id, list := j.Spec.ID, j.DependencyList
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, dependencyReadTimeout)
 		ids, err := (&records.Records{Store: lt.c.Store}).ReadDependencies(ctx, id, list)
@@ -57,7 +57,7 @@
 // dependencyListReadMsg has the dependencies of a job that its list names.
 type dependencyListReadMsg struct {
 	leaderTerm *leaderTerm
-	job        *job
+	job        *Job
 	ids        []string
 	err        error
 }
@@ -69,11 +69,11 @@
 	dl := &m.leaderTerm.dependencyLists
 	dl.reading = false
 	switch {
-	case m.job.ended:
+	case m.job.Ended:
 	case m.err != nil:
 		dl.unread = append(dl.unread, m.job)
 	default:
-		m.job.spec.DependsOn, m.job.dependenciesRead = m.ids, true
+		m.job.Spec.DependsOn, m.job.DependenciesRead = m.ids, true
 		m.leaderTerm.dependencies.resolveDependencies(m.job)
 		m.leaderTerm.dependencies.propagateDeadlines(m.job)
 	}
@@ -81,11 +81,11 @@
 }
 
 // drop deletes the list of a job that has ended.
-func (dl *dependencyLists) drop(j *job) {
-	if j.dependencyList == nil {
+func (dl *dependencyLists) drop(j *Job) {
+	if j.DependencyList == nil {
 		return
 	}
-	for _, key := range j.dependencyList.Keys(j.spec.ID) {
+	for _, key := range j.DependencyList.Keys(j.Spec.ID) {
 		dl.leaderTerm.recordWriter.deleteKey(key)
 	}
 }
@@ -147,7 +147,7 @@
 		_, digest, _ := records.ParseDependencyKey(key)
 		// Of a job that is accepted only its own list is of use. One that is not may be about
 		// to be accepted, unless it has ended.
-		if m.ended || j != nil && (j.dependencyList == nil || j.dependencyList.Digest != digest) {
+		if m.ended || j != nil && (j.DependencyList == nil || j.DependencyList.Digest != digest) {
 			m.leaderTerm.recordWriter.deleteKey(key)
 		}
 	}
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -57,7 +57,7 @@
 					k.serve(n, 6)
 					w.checkEqual("begun", k.running(), []string{"job-1/0"})
 					n.inspect(func(c *Controller) {
-						if held := len(c.leaderTerm.jobs["job-2"].spec.DependsOn); held > maxSingleLookups+2 {
+						if held := len(c.leaderTerm.jobs["job-2"].Spec.DependsOn); held > MaxEndedDependencies+2 {
 							t.Errorf("%d names held while one job is waited for", held)
 						}
 					})
@@ -128,14 +128,14 @@
 		time.Sleep(3 * time.Second)
 		n.inspect(func(c *Controller) {
 			j := c.leaderTerm.jobs["job-2"]
-			if d := j.runnableSince.Sub(done); len(j.dependsOn) > 0 || d < 0 || d > 2*time.Second {
+			if d := j.RunnableSince.Sub(done); len(j.DependsOn) > 0 || d < 0 || d > 2*time.Second {
 				t.Errorf("counts from %v after the end of what it awaited", d)
 			}
-			if d := j.objectives[0].Sub(done); d < 88*time.Second || d > 92*time.Second {
+			if d := j.Objectives[0].Sub(done); d < 88*time.Second || d > 92*time.Second {
 				t.Errorf("should be complete %v after the end of what it awaited", d)
 			}
-			if j := c.leaderTerm.jobs["job-3"]; len(j.dependsOn) > 0 || j.runnableSince.Sub(j.accepted) > 2*time.Second || j.runnableSince.Before(j.accepted) {
-				t.Errorf("submitted when all was done: counts from %v after its acceptance", j.runnableSince.Sub(j.accepted))
+			if j := c.leaderTerm.jobs["job-3"]; len(j.DependsOn) > 0 || j.RunnableSince.Sub(j.Accepted) > 2*time.Second || j.RunnableSince.Before(j.Accepted) {
+				t.Errorf("submitted when all was done: counts from %v after its acceptance", j.RunnableSince.Sub(j.Accepted))
 			}
 		})
 	})
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -61,17 +61,17 @@
 	if lt.directFailures >= maxDirectFailures {
 		maxInFlight = 1 // a trial, whether machines can be reached again
 	}
-	var candidates []*machine
+	var candidates []*Machine
 	for _, m := range lt.machines {
 		if lt.acceptsDirect(m, now) {
 			candidates = append(candidates, m)
 		}
 	}
-	slices.SortFunc(candidates, func(a, b *machine) int {
+	slices.SortFunc(candidates, func(a, b *Machine) int {
 		return cmp.Or(
 			cmp.Compare(lt.autoscaler.cpuPrice(a), lt.autoscaler.cpuPrice(b)),
-			cmp.Compare(a.freeCPUs(), b.freeCPUs()),
-			cmp.Compare(a.name, b.name),
+			cmp.Compare(a.FreeCPUs(), b.FreeCPUs()),
+			cmp.Compare(a.Name, b.Name),
 		)
 	})
 	for _, m := range candidates {
@@ -86,16 +86,16 @@
 
 // acceptsDirect tells whether starts may be sent to a machine directly: it has free capacity, and
 // nothing suggests that this node does not reach it.
-func (lt *leaderTerm) acceptsDirect(m *machine, now time.Time) bool {
-	return m.isSchedulable(now) && m.freeCPUs() > epsilon &&
-		!m.commandInFlight && !m.lastForwarded && m.unappliedResponses == 0 && m.addr != "" &&
-		now.Sub(m.lastHeartbeat) <= lt.heartbeatTimeout()
+func (lt *leaderTerm) acceptsDirect(m *Machine, now time.Time) bool {
+	return m.IsSchedulable(now) && m.FreeCPUs() > Epsilon &&
+		!m.CommandInFlight && !m.LastForwarded && m.UnappliedResponses == 0 && m.Addr != "" &&
+		now.Sub(m.LastHeartbeat) <= lt.heartbeatTimeout()
 }
 
 // hasPendingTasks tells whether any task is pending that could start now.
 func (lt *leaderTerm) hasPendingTasks() bool {
 	for _, j := range lt.jobs {
-		if j.flight.Untaken() > 0 && !j.finishing && !j.cancelPending && len(j.dependsOn) == 0 {
+		if j.Flight.Untaken() > 0 && !j.Finishing && !j.CancelPending && len(j.DependsOn) == 0 {
 			return true
 		}
 	}
@@ -103,16 +103,16 @@
 }
 
 // sendCommands sends the starts of tasks that were just assigned to a machine.
-func (lt *leaderTerm) sendCommands(m *machine, commands []api.Command) {
-	batch := make([]*attempt, 0, len(commands))
+func (lt *leaderTerm) sendCommands(m *Machine, commands []api.Command) {
+	batch := make([]*Attempt, 0, len(commands))
 	for _, command := range commands {
-		a := m.attempts[attemptKey{ref: command.Task, id: command.Attempt}]
-		a.direct = &directCommand{agentEpoch: m.agentEpoch, inFlight: true}
+		a := m.Attempts[AttemptKey{Ref: command.Task, ID: command.Attempt}]
+		a.Direct = &DirectCommand{AgentEpoch: m.AgentEpoch, InFlight: true}
 		batch = append(batch, a)
 	}
-	m.commandInFlight = true
+	m.CommandInFlight = true
 	lt.commandsInFlight++
-	addr, req := m.addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.agentEpoch, Commands: commands}
+	addr, req := m.Addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.AgentEpoch, Commands: commands}
 	timeout := directTimeout
 	if !lt.notPausedSince(time.Now().Add(-recentPause)) {
 		timeout = slowDirectTimeout
@@ -128,8 +128,8 @@
 // commandsSentMsg is the outcome of a command batch.
 type commandsSentMsg struct {
 	leaderTerm *leaderTerm
-	machine    *machine
-	batch      []*attempt
+	machine    *Machine
+	batch      []*Attempt
 	// seq is the first heartbeat that must show the attempts.
 	seq uint64
 	err error
@@ -139,36 +139,36 @@
 	if c.leaderTerm != m.leaderTerm {
 		return
 	}
-	m.machine.commandInFlight = false
+	m.machine.CommandInFlight = false
 	m.leaderTerm.commandsInFlight--
 	if m.err == nil {
 		m.leaderTerm.directFailures = 0
 	} else if m.leaderTerm.directFailures++; m.leaderTerm.directFailures >= maxDirectFailures {
 		m.leaderTerm.nextDirectCommand = time.Now().Add(directBackoff)
 	}
-	if m.machine.terminated {
+	if m.machine.Terminated {
 		return
 	}
 	for _, a := range m.batch {
-		a.direct.inFlight = false
+		a.Direct.InFlight = false
 		switch {
 		case m.err == nil:
-			a.direct.seq = m.seq
+			a.Direct.Seq = m.seq
 		case errors.Is(m.err, api.ErrCommandsNotApplied):
-			if a.lastSeenHeartbeat == 0 && m.machine.attempts[a.key] == a {
+			if a.LastSeenHeartbeat == 0 && m.machine.Attempts[a.Key] == a {
 				m.leaderTerm.removeAttempt(a)
 			}
-		case m.machine.agentEpoch == a.direct.agentEpoch:
-			a.direct.outcomeUnknown = true
+		case m.machine.AgentEpoch == a.Direct.AgentEpoch:
+			a.Direct.OutcomeUnknown = true
 			m.leaderTerm.evacuate(m.machine, reasonUnanswered)
-			if a.job.ended {
+			if a.Job.Ended {
 				m.leaderTerm.terminateIfOutcomeUnknown(a)
 			}
 		}
 	}
 	if m.err != nil {
-		c.Log.Debug("command batch failed", "machine", m.machine.name, "count", len(m.batch), "err", m.err)
-		m.machine.cordonedUntil = time.Now().Add(c.Settings.Site.Workers.HeartbeatInterval())
+		c.Log.Debug("command batch failed", "machine", m.machine.Name, "count", len(m.batch), "err", m.err)
+		m.machine.CordonedUntil = time.Now().Add(c.Settings.Site.Workers.HeartbeatInterval())
 	}
 }
 
@@ -177,10 +177,10 @@
 
 // terminateIfOutcomeUnknown terminates a machine on which a task of a job that has ended might still start:
 // nothing else prevents that in time.
-func (lt *leaderTerm) terminateIfOutcomeUnknown(a *attempt) {
-	m := a.machine
-	startMayApply := a.direct != nil && a.direct.outcomeUnknown && a.lastSeenHeartbeat == 0
-	if startMayApply && !m.terminated && !m.terminating {
+func (lt *leaderTerm) terminateIfOutcomeUnknown(a *Attempt) {
+	m := a.Machine
+	startMayApply := a.Direct != nil && a.Direct.OutcomeUnknown && a.LastSeenHeartbeat == 0
+	if startMayApply && !m.Terminated && !m.Terminating {
 		lt.evacuate(m, reasonUnanswered)
 		lt.autoscaler.scaleIn(m)
 	}
--- a/internal/controller/directcommands_test.go
+++ b/internal/controller/directcommands_test.go
@@ -202,8 +202,8 @@
 		d.set(false, false)
 		victim := k
 		n.inspect(func(c *Controller) {
-			for _, a := range c.leaderTerm.jobs["job-3"].activeAttempts {
-				victim = d.machines[a.machine.name]
+			for _, a := range c.leaderTerm.jobs["job-3"].ActiveAttempts {
+				victim = d.machines[a.Machine.Name]
 			}
 		})
 		victim.status.AgentEpoch++
@@ -334,10 +334,10 @@
 		b.inspect(func(c *Controller) {
 			m := c.leaderTerm.machines[idle[5].status.Machine]
 			hb := idle[5].status
-			hb.Seq, hb.AgentEpoch = m.heartbeatSeq+1, m.agentEpoch
+			hb.Seq, hb.AgentEpoch = m.HeartbeatSeq+1, m.AgentEpoch
 			c.leaderTerm.resyncing++
 			resyncResultMsg{c.leaderTerm, m, time.Now(), &hb, nil}.apply(c)
-			w.checkEqual("given in a resync", len(m.attempts), 0)
+			w.checkEqual("given in a resync", len(m.Attempts), 0)
 		})
 	})
 }
@@ -364,7 +364,7 @@
 		resynced := func(k *worker) {
 			b.inspect(func(c *Controller) {
 				m := c.leaderTerm.machines[k.status.Machine]
-				hb, err := d.Resync(context.Background(), m.addr, c.leaderTerm.term.Number)
+				hb, err := d.Resync(context.Background(), m.Addr, c.leaderTerm.term.Number)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -389,7 +389,7 @@
 		}
 		ks[1].status.AgentEpoch, ks[1].status.Seq = ks[1].status.AgentEpoch+1, 0
 		resynced(ks[1])
-		b.inspect(func(c *Controller) { w.checkEqual("untaken again", c.leaderTerm.jobs["job-2"].flight.Untaken(), 2) })
+		b.inspect(func(c *Controller) { w.checkEqual("untaken again", c.leaderTerm.jobs["job-2"].Flight.Untaken(), 2) })
 		ks[1].serve(b, 6)
 		w.checkEqual("repeated", len(ks[1].running()), 2)
 	})
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -111,11 +111,11 @@
 
 	// mu guards what follows.
 	mu sync.Mutex
-	// latestTerm is the highest term in which a task was started, and firstStart when the
+	// latestTerm is the highest term in which a task was started, and FirstStart when the
 	// first of each term was.
 	latestTerm uint64
 	firstStart map[uint64]time.Time
-	// lastStart is when the last task was started.
+	// LastStart is when the last task was started.
 	lastStart time.Time
 	// reportsOnlyTo is the only node that a machine sends heartbeats to, and neverReportsTo
 	// one that it sends none to; "" if there is no such limit.
--- a/internal/controller/failuredetector.go
+++ b/internal/controller/failuredetector.go
@@ -43,11 +43,11 @@
 func (lt *leaderTerm) detectFailures(now time.Time) {
 	zones := lt.countZones(now)
 	for _, m := range lt.machines {
-		if m.terminated || m.terminating || !lt.isSuspect(m, now) {
+		if m.Terminated || m.Terminating || !lt.isSuspect(m, now) {
 			continue
 		}
 		lt.probe(m, now)
-		partitioned := lt.isLikelyPartitioned(m, zones[m.zone])
+		partitioned := lt.isLikelyPartitioned(m, zones[m.Zone])
 		if partitioned {
 			lt.readRenewals(now)
 		}
@@ -55,7 +55,7 @@
 			continue
 		}
 		reason := "silent"
-		if m.unappliedResponses > 0 {
+		if m.UnappliedResponses > 0 {
 			reason = "deaf" // heartbeats arrive, responses do not
 		}
 		lt.evacuate(m, reason)
@@ -64,12 +64,12 @@
 }
 
 // isSuspect tells whether a machine may be dead, or its commands undelivered.
-func (lt *leaderTerm) isSuspect(m *machine, now time.Time) bool {
-	silentFor := now.Sub(m.lastSeen)
-	if !m.fenced {
+func (lt *leaderTerm) isSuspect(m *Machine, now time.Time) bool {
+	silentFor := now.Sub(m.LastSeen)
+	if !m.Fenced {
 		return silentFor > takeoverGrace // no heartbeat in this term
 	}
-	return m.unappliedResponses > 0 || silentFor > lt.c.Settings.Site.Workers.HeartbeatInterval()*5/4+time.Second
+	return m.UnappliedResponses > 0 || silentFor > lt.c.Settings.Site.Workers.HeartbeatInterval()*5/4+time.Second
 }
 
 // zoneCount counts a zone's machines: all, those that are suspect, and those with a fresh
@@ -80,45 +80,45 @@
 func (lt *leaderTerm) countZones(now time.Time) map[string]zoneCount {
 	zones := map[string]zoneCount{}
 	for _, m := range lt.machines {
-		if m.terminated || m.terminating {
+		if m.Terminated || m.Terminating {
 			continue
 		}
-		count := zones[m.zone]
+		count := zones[m.Zone]
 		count.all++
 		if lt.isSuspect(m, now) {
 			count.suspect++
 		}
-		if now.Sub(m.lastHeartbeat) < freshHeartbeatAge {
+		if now.Sub(m.LastHeartbeat) < freshHeartbeatAge {
 			count.fresh++
 		}
-		zones[m.zone] = count
+		zones[m.Zone] = count
 	}
 	return zones
 }
 
 // isLikelyPartitioned tells whether a suspect machine is more likely partitioned, with others of
 // its zone, than dead.
-func (lt *leaderTerm) isLikelyPartitioned(m *machine, zone zoneCount) bool {
+func (lt *leaderTerm) isLikelyPartitioned(m *Machine, zone zoneCount) bool {
 	if zone.suspect >= minPartitionSuspects && zone.suspect*5 > zone.all*3 {
 		return true
 	}
 	// When all heartbeats stop at once, the first machines to miss one are not dead: hardly
 	// any other has sent one since either. Of all machines, this share should have a fresh one.
 	expectedFresh := min(1, freshHeartbeatAge.Seconds()/lt.c.Settings.Site.Workers.HeartbeatS)
-	return m.fenced && float64(zone.fresh) < expectedFresh*float64(zone.all)/5 && zone.all >= minZoneMachines
+	return m.Fenced && float64(zone.fresh) < expectedFresh*float64(zone.all)/5 && zone.all >= minZoneMachines
 }
 
 // isConfirmedDead tells whether a suspect machine is to be terminated.
-func (lt *leaderTerm) isConfirmedDead(m *machine, partitioned bool, now time.Time) bool {
+func (lt *leaderTerm) isConfirmedDead(m *Machine, partitioned bool, now time.Time) bool {
 	workers := lt.c.Settings.Site.Workers
-	switch silentFor := now.Sub(m.lastSeen); {
-	case !m.fenced && now.Sub(lt.heartbeatsSince) > workers.Lease()+2*workers.HeartbeatInterval():
+	switch silentFor := now.Sub(m.LastSeen); {
+	case !m.Fenced && now.Sub(lt.heartbeatsSince) > workers.Lease()+2*workers.HeartbeatInterval():
 		// It keeps every job accepted before this term from starting. One to which commands
 		// are undelivered shows the old fencing token in heartbeat after heartbeat and may even
 		// answer probes, but its task lease has expired by now. One whose task lease another
 		// node renews would have been fenced through the key-value store.
 		return true
-	case now.Before(m.leaseRenewedUntil):
+	case now.Before(m.LeaseRenewedUntil):
 		return false
 	case silentFor > config.Duration(workers.CancelS):
 		return true
@@ -126,37 +126,37 @@
 		return false
 	default:
 		return silentFor > workers.Lease()+2*workers.HeartbeatInterval() ||
-			m.probeFails >= deadAfterProbes ||
-			m.unappliedResponses >= undeliveredAfter
+			m.ProbeFails >= deadAfterProbes ||
+			m.UnappliedResponses >= undeliveredAfter
 	}
 }
 
 // probe probes a suspect machine, unless it was probed less than probeInterval ago. One that is not
 // fenced is resynced instead, which fences it as well.
-func (lt *leaderTerm) probe(m *machine, now time.Time) {
-	if now.Before(m.nextProbe) || lt.probing >= lt.maxDials {
+func (lt *leaderTerm) probe(m *Machine, now time.Time) {
+	if now.Before(m.NextProbe) || lt.probing >= lt.maxDials {
 		return
 	}
-	if !m.fenced && lt.c.CommandSender != nil && m.addr != "" {
+	if !m.Fenced && lt.c.CommandSender != nil && m.Addr != "" {
 		if lt.resyncing < lt.maxDials {
 			lt.resync(m, now)
 		}
 		return
 	}
-	m.nextProbe = now.Add(probeInterval)
+	m.NextProbe = now.Add(probeInterval)
 	p := lt.c.Prober
-	if p == nil || m.addr == "" {
-		m.probeFails++
+	if p == nil || m.Addr == "" {
+		m.ProbeFails++
 		return
 	}
 	lt.probing++
 	// The goroutine reads no field of the machine: these belong to the owner's goroutine.
-	addr, msg := m.addr, probeResultMsg{
+	addr, msg := m.Addr, probeResultMsg{
 		leaderTerm:   lt,
 		machine:      m,
 		sentAt:       now,
-		agentEpoch:   m.agentEpoch,
-		heartbeatSeq: m.heartbeatSeq,
+		agentEpoch:   m.AgentEpoch,
+		heartbeatSeq: m.HeartbeatSeq,
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
@@ -169,9 +169,9 @@
 // probeResultMsg is the outcome of a probe.
 type probeResultMsg struct {
 	leaderTerm *leaderTerm
-	machine    *machine
+	machine    *Machine
 	sentAt     time.Time
-	// agentEpoch and heartbeatSeq are of the machine's newest heartbeat when the probe was sent.
+	// AgentEpoch and HeartbeatSeq are of the machine's newest heartbeat when the probe was sent.
 	agentEpoch, heartbeatSeq uint64
 	heartbeat                *api.Heartbeat
 	err                      error
@@ -182,10 +182,10 @@
 		return
 	}
 	m.leaderTerm.probing--
-	if m.machine.terminated {
+	if m.machine.Terminated {
 		return
 	}
-	if m.err != nil || m.heartbeat.Machine != m.machine.name {
+	if m.err != nil || m.heartbeat.Machine != m.machine.Name {
 		m.probeFailed()
 		return
 	}
@@ -194,31 +194,31 @@
 		// heartbeats would be taken for older ones, and its tasks for running, without end.
 		// Only its termination shows that they are off the machine.
 		m.leaderTerm.evacuate(m.machine, "started anew")
-		if !m.machine.terminating {
+		if !m.machine.Terminating {
 			m.leaderTerm.autoscaler.scaleIn(m.machine)
 		}
 		return
 	}
-	if m.machine.fenced && m.heartbeat.AgentEpoch > m.machine.agentEpoch && c.holdsLease() {
+	if m.machine.Fenced && m.heartbeat.AgentEpoch > m.machine.AgentEpoch && c.holdsLease() {
 		// Its task lease has expired while it reached no controller, and its tasks have ended
 		// with that. Its own heartbeats may not arrive for long.
 		if _, err := m.leaderTerm.handleHeartbeat(m.heartbeat, solicited, time.Now()); err != nil {
-			c.Log.Debug("probe answer not applied", "machine", m.machine.name, "err", err)
+			c.Log.Debug("probe answer not applied", "machine", m.machine.Name, "err", err)
 		}
 		return
 	}
 	// The machine is alive, but its heartbeats do not arrive. What they would report is not
 	// known, so only its suspicion ends.
-	m.machine.probeFails = 0
-	m.machine.lastSeen = time.Now()
+	m.machine.ProbeFails = 0
+	m.machine.LastSeen = time.Now()
 }
 
 // probeFailed counts the failure against the machine, unless it was seen since or this node was
 // paused.
 func (m probeResultMsg) probeFailed() {
-	suspect := m.machine.lastSeen.Before(m.sentAt) || m.machine.unappliedResponses > 0
+	suspect := m.machine.LastSeen.Before(m.sentAt) || m.machine.UnappliedResponses > 0
 	if suspect && m.leaderTerm.notPausedSince(m.sentAt) {
-		m.machine.probeFails++
+		m.machine.ProbeFails++
 	}
 }
 
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -227,7 +227,7 @@
 		}
 		far.status.Seq++
 		_, _ = far.deliver(n, &delayed) // the response is not applied, whatever it is
-		n.inspect(func(c *Controller) { w.checkEqual("restarted", len(c.leaderTerm.jobs["job-1"].restartedTasks), 0) })
+		n.inspect(func(c *Controller) { w.checkEqual("restarted", len(c.leaderTerm.jobs["job-1"].RestartedTasks), 0) })
 		round(false)
 		round(false)
 		round(false)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -63,9 +63,9 @@
 	if m == nil {
 		// The heartbeat's strings share its body's memory.
 		m = lt.addMachine(strings.Clone(hb.Machine), strings.Clone(hb.Type), strings.Clone(hb.Zone), hb.Spot, now)
-		lt.c.Log.Info("first heartbeat of machine", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot)
+		lt.c.Log.Info("first heartbeat of machine", "machine", m.Name, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
 	}
-	if hb.AgentEpoch < m.agentEpoch || (hb.AgentEpoch == m.agentEpoch && hb.Seq <= m.heartbeatSeq) {
+	if hb.AgentEpoch < m.AgentEpoch || (hb.AgentEpoch == m.AgentEpoch && hb.Seq <= m.HeartbeatSeq) {
 		return response, nil // older than the newest one applied
 	}
 	response.Commands = lt.applyHeartbeat(m, hb, origin, response.Commands, now)
@@ -75,12 +75,12 @@
 // applyHeartbeat updates the state of a machine by a heartbeat that is newer than all applied
 // before it, and appends the commands of the response.
 func (lt *leaderTerm) applyHeartbeat(
-	m *machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
+	m *Machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
 ) []api.Command {
 	lt.updateMachine(m, hb, now)
 	commands = lt.reconcile(m, hb, origin, commands, now)
-	if m.unappliedResponses == 0 {
-		m.probeFails = 0
+	if m.UnappliedResponses == 0 {
+		m.ProbeFails = 0
 	}
 	lt.registerUnregistered(m)
 	if hb.Term == lt.term.Number {
@@ -90,34 +90,34 @@
 		}
 	}
 	if origin == agentInitiated {
-		m.lastCommands, m.lastCommandsAt = commands, now
+		m.LastCommands, m.LastCommandsAt = commands, now
 	}
-	if m.usedCPUs > epsilon || len(m.attempts) > 0 {
-		m.idleSince = now
+	if m.UsedCPUs > Epsilon || len(m.Attempts) > 0 {
+		m.IdleSince = now
 	}
 	return commands
 }
 
 // updateMachine applies what a new heartbeat says of the machine itself.
-func (lt *leaderTerm) updateMachine(m *machine, hb *api.Heartbeat, now time.Time) {
-	if m.agentEpoch != 0 && hb.AgentEpoch > m.agentEpoch {
+func (lt *leaderTerm) updateMachine(m *Machine, hb *api.Heartbeat, now time.Time) {
+	if m.AgentEpoch != 0 && hb.AgentEpoch > m.AgentEpoch {
 		if lt.notPausedSince(now.Add(-lt.c.Settings.Site.Workers.Lease() - lt.heartbeatTimeout())) {
-			m.unappliedResponses++ // its task lease has expired although it was answered
+			m.UnappliedResponses++ // its task lease has expired although it was answered
 		}
-		m.lastCommands = nil
+		m.LastCommands = nil
 	}
-	m.heartbeatCount++
-	if now.Sub(m.lastHeartbeat) > lt.heartbeatTimeout() {
-		m.markUnmeasured()
+	m.HeartbeatCount++
+	if now.Sub(m.LastHeartbeat) > lt.heartbeatTimeout() {
+		m.MarkUnmeasured()
 	}
-	m.lastHeartbeat = now
-	m.agentEpoch, m.heartbeatSeq, m.lastSeen = hb.AgentEpoch, hb.Seq, now
-	if m.addr != hb.Addr {
-		m.addr = strings.Clone(hb.Addr)
+	m.LastHeartbeat = now
+	m.AgentEpoch, m.HeartbeatSeq, m.LastSeen = hb.AgentEpoch, hb.Seq, now
+	if m.Addr != hb.Addr {
+		m.Addr = strings.Clone(hb.Addr)
 	}
-	if m.cpus == 0 {
-		if mt, ok := lt.c.types.load()[m.machineType]; ok {
-			m.cpus, m.gpus, m.memory = mt.CPUs, mt.GPUs, mt.MemoryGB
+	if m.CPUs == 0 {
+		if mt, ok := lt.c.types.load()[m.Type]; ok {
+			m.CPUs, m.GPUs, m.MemoryGB = mt.CPUs, mt.GPUs, mt.MemoryGB
 		}
 	}
 	if hb.PreemptionNoticeS != nil {
@@ -127,12 +127,12 @@
 
 // registerUnregistered has a machine added to the registry if it is not in it. No earlier
 // leader has started anything there, so it counts as fenced.
-func (lt *leaderTerm) registerUnregistered(m *machine) {
-	if m.registration != unregistered || m.cpus <= 0 || m.evacuating {
+func (lt *leaderTerm) registerUnregistered(m *Machine) {
+	if m.Registration != Unregistered || m.CPUs <= 0 || m.Evacuating {
 		return
 	}
-	m.registration = registering
-	m.fenced = true
+	m.Registration = Registering
+	m.Fenced = true
 	lt.recordWriter.register(m)
 }
 
@@ -151,51 +151,51 @@
 // checkApplied checks whether a heartbeat shows that any command of the last response was
 // applied. To a machine whose heartbeats arrive while responses do not reach it, starts would
 // otherwise be sent again and again.
-func (lt *leaderTerm) checkApplied(m *machine, now time.Time) {
-	if len(m.lastCommands) == 0 {
+func (lt *leaderTerm) checkApplied(m *Machine, now time.Time) {
+	if len(m.LastCommands) == 0 {
 		return
 	}
-	for _, command := range m.lastCommands {
-		a := m.attempts[attemptKey{command.Task, command.Attempt}]
-		shown := a != nil && a.lastSeenHeartbeat == m.heartbeatCount
-		stopping := shown && command.Verb == api.VerbStop && a.phase != api.TaskRunning
+	for _, command := range m.LastCommands {
+		a := m.Attempts[AttemptKey{command.Task, command.Attempt}]
+		shown := a != nil && a.LastSeenHeartbeat == m.HeartbeatCount
+		stopping := shown && command.Verb == api.VerbStop && a.Phase != api.TaskRunning
 		if (command.Verb == api.VerbStart) == shown || stopping {
-			m.unappliedResponses = 0
+			m.UnappliedResponses = 0
 			return
 		}
 	}
-	if !lt.notPausedSince(m.lastCommandsAt.Add(-responseMaxAge)) {
+	if !lt.notPausedSince(m.LastCommandsAt.Add(-responseMaxAge)) {
 		return // the response may have arrived too late because this node was paused
 	}
 	// One response may be lost; after a second one the machine gets no tasks for a while.
-	if m.unappliedResponses++; m.unappliedResponses > 1 {
-		cordon := lt.c.Settings.Site.Workers.HeartbeatInterval() << min(m.unappliedResponses, maxCordonDoublings)
-		m.cordonedUntil = now.Add(min(cordon, maxCordon))
+	if m.UnappliedResponses++; m.UnappliedResponses > 1 {
+		cordon := lt.c.Settings.Site.Workers.HeartbeatInterval() << min(m.UnappliedResponses, maxCordonDoublings)
+		m.CordonedUntil = now.Add(min(cordon, maxCordon))
 	}
-	m.nextProbe = now
-	lt.c.Log.Debug("commands not applied", "machine", m.name,
-		"count", len(m.lastCommands), "responses", m.unappliedResponses)
+	m.NextProbe = now
+	lt.c.Log.Debug("commands not applied", "machine", m.Name,
+		"count", len(m.LastCommands), "responses", m.UnappliedResponses)
 }
 
 // handlePreemptionNotice evacuates a machine that the cloud will take back: tasks with
 // checkpoints save their state in the time left, and those that would not end in time are
 // stopped.
-func (lt *leaderTerm) handlePreemptionNotice(m *machine, seconds float64, now time.Time) {
+func (lt *leaderTerm) handlePreemptionNotice(m *Machine, seconds float64, now time.Time) {
 	timeLeft := time.Duration(seconds * float64(time.Second))
-	first := m.preemptAt.IsZero()
-	m.preemptAt = now.Add(timeLeft)
+	first := m.PreemptAt.IsZero()
+	m.PreemptAt = now.Add(timeLeft)
 	if !first {
 		return
 	}
 	lt.evacuate(m, "taken by the cloud")
-	for _, a := range m.attempts {
-		if a.exited || a.job == nil {
+	for _, a := range m.Attempts {
+		if a.Exited || a.Job == nil {
 			continue
 		}
-		s := &a.job.spec
+		s := &a.Job.Spec
 		if s.CheckpointS > 0 {
 			lt.requestStop(a, timeLeft, now)
-		} else if a.runningAt.IsZero() || a.runningAt.Add(s.Estimate()).After(m.preemptAt) {
+		} else if a.RunningAt.IsZero() || a.RunningAt.Add(s.Estimate()).After(m.PreemptAt) {
 			// It would not end in time; elsewhere it can start now.
 			lt.requestStop(a, 0, now)
 		}
@@ -204,17 +204,17 @@
 
 // requestStop marks an attempt to be stopped by the responses to its machine's heartbeats. Of several
 // requests, the one with the shortest grace holds.
-func (lt *leaderTerm) requestStop(a *attempt, grace time.Duration, now time.Time) {
-	if a.stop != nil && a.stop.grace <= grace {
+func (lt *leaderTerm) requestStop(a *Attempt, grace time.Duration, now time.Time) {
+	if a.Stop != nil && a.Stop.Grace <= grace {
 		return
 	}
-	a.stop = &stopRequest{grace: grace, since: now}
+	a.Stop = &StopRequest{Grace: grace, Since: now}
 }
 
 // reconcile brings the machine's attempts in line with its heartbeat, and appends stops and
 // reaps to the commands of the response.
 func (lt *leaderTerm) reconcile(
-	m *machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
+	m *Machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
 ) []api.Command {
 	// Stops go before reaps: a machine with more ended tasks than a response holds commands
 	// would otherwise run cancelled tasks on, while its task lease is renewed.
@@ -222,23 +222,23 @@
 	if origin == agentInitiated {
 		lt.checkApplied(m, now)
 	}
-	for key, a := range m.attempts {
-		if a.lastSeenHeartbeat != m.heartbeatCount {
-			startInFlight := a.mayStillStart(hb) || (origin == solicited && a.startInFlight(hb))
+	for key, a := range m.Attempts {
+		if a.LastSeenHeartbeat != m.HeartbeatCount {
+			startInFlight := a.MayStillStart(hb) || (origin == solicited && a.StartInFlight(hb))
 			if !startInFlight {
 				lt.removeMissing(a)
 			}
 			continue
 		}
-		if a.exited || len(commands) >= maxCommands {
+		if a.Exited || len(commands) >= maxCommands {
 			continue
 		}
-		if !a.isWanted() {
+		if !a.IsWanted() {
 			lt.requestStop(a, 0, now)
 		}
-		if a.stop != nil {
-			grace := max(0, a.stop.grace-now.Sub(a.stop.since)).Seconds()
-			commands = append(commands, api.Command{Verb: api.VerbStop, Task: key.ref, Attempt: key.id, GraceS: &grace})
+		if a.Stop != nil {
+			grace := max(0, a.Stop.Grace-now.Sub(a.Stop.Since)).Seconds()
+			commands = append(commands, api.Command{Verb: api.VerbStop, Task: key.Ref, Attempt: key.ID, GraceS: &grace})
 		}
 	}
 	return append(commands, reaps[:min(len(reaps), maxCommands-len(commands))]...)
@@ -246,18 +246,18 @@
 
 // applyTaskStatuses updates the attempts that a heartbeat names, and returns the commands to
 // reap those that have ended.
-func (lt *leaderTerm) applyTaskStatuses(m *machine, hb *api.Heartbeat, now time.Time) []api.Command {
+func (lt *leaderTerm) applyTaskStatuses(m *Machine, hb *api.Heartbeat, now time.Time) []api.Command {
 	var reaps []api.Command
 	for i := range hb.Tasks {
 		status := &hb.Tasks[i]
-		key := attemptKey{status.Task, status.Attempt}
-		a := m.attempts[key]
+		key := AttemptKey{status.Task, status.Attempt}
+		a := m.Attempts[key]
 		if a == nil {
 			a = lt.adoptAttempt(m, key, status, now)
 		}
-		a.lastSeenHeartbeat = m.heartbeatCount
+		a.LastSeenHeartbeat = m.HeartbeatCount
 		lt.applyTaskStatus(a, status, now)
-		if a.exited && lt.isReapable(a) && len(reaps) < maxCommands {
+		if a.Exited && lt.isReapable(a) && len(reaps) < maxCommands {
 			reaps = append(reaps, api.Command{Verb: api.VerbReap, Task: status.Task, Attempt: status.Attempt})
 		}
 	}
@@ -266,14 +266,14 @@
 
 // removeMissing removes an attempt that a newer heartbeat does not name, which shows that it is
 // off the machine: reaped, killed with its agent epoch, or never started.
-func (lt *leaderTerm) removeMissing(a *attempt) {
-	if !a.exited && !a.exitHandled && a.phase == "" {
-		lt.c.Log.Debug("start not applied", "machine", a.machine.name, "task", a.key.ref, "attempt", a.key.id)
+func (lt *leaderTerm) removeMissing(a *Attempt) {
+	if !a.Exited && !a.ExitHandled && a.Phase == "" {
+		lt.c.Log.Debug("start not applied", "machine", a.Machine.Name, "task", a.Key.Ref, "attempt", a.Key.ID)
 	}
 	lt.removeAttempt(a)
 }
 
 // addImage records in memory that a machine has a job's image.
-func (lt *leaderTerm) addImage(m *machine, s *api.JobSpec, now time.Time) {
-	m.images.add(s, lt.c.types.load()[m.machineType].CacheGB, now)
+func (lt *leaderTerm) addImage(m *Machine, s *api.JobSpec, now time.Time) {
+	m.Images.Add(s, lt.c.types.load()[m.Type].CacheGB, now)
 }
--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -105,7 +105,7 @@
 	// A heartbeat that shows a later term has ended this node's own.
 	if c.leaderTerm != nil {
 		if mc := c.leaderTerm.machines[m.heartbeat.Machine]; mc != nil {
-			mc.lastForwarded = m.forwarded
+			mc.LastForwarded = m.forwarded
 		}
 	}
 	return heartbeatReply{response: response, err: err}
@@ -152,8 +152,8 @@
 // for it only then, one unreachable node after the other, would take longer than their lease.
 func (c *Controller) localNode(m heartbeatMsg, now time.Time) string {
 	mc := c.leaderTerm.machines[m.heartbeat.Machine]
-	if m.forwarded || m.heartbeat.Zone == c.Settings.Zone || mc == nil || !mc.fenced || mc.zone != m.heartbeat.Zone ||
-		m.heartbeat.Term != c.leaderTerm.term.Number || now.Sub(mc.redirectedAt) < redirectInterval {
+	if m.forwarded || m.heartbeat.Zone == c.Settings.Zone || mc == nil || !mc.Fenced || mc.Zone != m.heartbeat.Zone ||
+		m.heartbeat.Term != c.leaderTerm.term.Number || now.Sub(mc.RedirectedAt) < redirectInterval {
 		return ""
 	}
 	for _, p := range c.Settings.Peers {
@@ -162,7 +162,7 @@
 		}
 		mb := c.membership.members[p.Node]
 		if mb.isReachable(now) && mb.Leader == c.Settings.Node && mb.KVReachableFor > 0 {
-			mc.redirectedAt = now
+			mc.RedirectedAt = now
 			return p.Node
 		}
 	}
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -8,40 +8,40 @@
 func (lt *leaderTerm) countImageLocations(now time.Time) {
 	clear(lt.imageLocations)
 	for _, m := range lt.machines {
-		if !m.isSchedulable(now) {
+		if !m.IsSchedulable(now) {
 			continue
 		}
-		for image := range m.images.used {
-			lt.imageLocations[image] += m.cpus
+		for image := range m.Images.Used {
+			lt.imageLocations[image] += m.CPUs
 		}
 	}
 }
 
 // fetchTime is how long a machine takes to fetch a job's image, if it must.
-func (lt *leaderTerm) fetchTime(j *job, m *machine) time.Duration {
-	rate := lt.c.types.load()[m.machineType].FetchGBs
-	if rate <= 0 || m.images.has(j.spec.Image) || m.fetching[j.spec.Image] {
+func (lt *leaderTerm) fetchTime(j *Job, m *Machine) time.Duration {
+	rate := lt.c.types.load()[m.Type].FetchGBs
+	if rate <= 0 || m.Images.Has(j.Spec.Image) || m.Fetching[j.Spec.Image] {
 		return 0
 	}
-	return time.Duration(j.spec.ImageGB / rate * float64(time.Second))
+	return time.Duration(j.Spec.ImageGB / rate * float64(time.Second))
 }
 
 // prefers tells whether a machine should serve a job before others because it has the image, or
 // because waiting for machines that have it would take longer than the fetch. On a full fleet,
 // capacity becomes free where tasks end; if images were fetched everywhere, much of it would be
 // idle meanwhile.
-func (lt *leaderTerm) prefers(j *job, m *machine, now time.Time) bool {
+func (lt *leaderTerm) prefers(j *Job, m *Machine, now time.Time) bool {
 	fetch := lt.fetchTime(j, m)
 	if fetch == 0 {
 		return true
 	}
-	if j.skippedSince.IsZero() {
-		j.skippedSince = now
+	if j.SkippedSince.IsZero() {
+		j.SkippedSince = now
 	}
 	// The CPUs that become free at the image's locations during the fetch, if each does once
 	// in an estimated run of this job.
-	freed := lt.imageLocations[j.spec.Image] * fetch.Seconds() / max(j.spec.EstimateS, 1)
-	return freed < float64(j.flight.Untaken())*j.spec.CPUs || now.Sub(j.skippedSince) > lt.skipWindow(fetch)
+	freed := lt.imageLocations[j.Spec.Image] * fetch.Seconds() / max(j.Spec.EstimateS, 1)
+	return freed < float64(j.Flight.Untaken())*j.Spec.CPUs || now.Sub(j.SkippedSince) > lt.skipWindow(fetch)
 }
 
 // skipWindow is for how long a job may be skipped by machines that would take a time to fetch its
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -8,21 +8,21 @@
 )
 
 func TestImageCacheDropsTheLeastRecentlyUsed(t *testing.T) {
-	var c imageCache
+	var c ImageCache
 	t0 := time.Unix(0, 0)
 	use := func(image string, gb float64, at int) {
-		c.add(&api.JobSpec{Image: image, ImageGB: gb}, 10, t0.Add(time.Duration(at)*time.Second))
+		c.Add(&api.JobSpec{Image: image, ImageGB: gb}, 10, t0.Add(time.Duration(at)*time.Second))
 	}
 	use("a", 4, 0)
 	use("b", 4, 1)
 	use("a", 4, 2)
 	use("c", 4, 3)
-	if !c.has("a") || c.has("b") || !c.has("c") || c.gb != 8 {
-		t.Errorf("%v, %v GB", c.used, c.gb)
+	if !c.Has("a") || c.Has("b") || !c.Has("c") || c.GB != 8 {
+		t.Errorf("%v, %v GB", c.Used, c.GB)
 	}
 	use("d", 20, 4) // larger than the room: it is there all the same
-	if !c.has("d") || c.has("a") || c.has("c") {
-		t.Errorf("%v", c.used)
+	if !c.Has("d") || c.Has("a") || c.Has("c") {
+		t.Errorf("%v", c.Used)
 	}
 }
 
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -13,205 +13,205 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// job is an active job in the leader's memory: accepted, and not yet ended.
-type job struct {
-	spec api.JobSpec
-	// modRevision is the version of the job's active record.
-	modRevision uint64
-	accepted    time.Time
-	// runnableSince is the time from which the user expects the job to run: when it was
+// Job is an active job in the leader's memory: accepted, and not yet ended.
+type Job struct {
+	Spec api.JobSpec
+	// ModRevision is the version of the job's active record.
+	ModRevision uint64
+	Accepted    time.Time
+	// RunnableSince is the time from which the user expects the job to run: when it was
 	// accepted, or when the last job that it depends on was done.
-	runnableSince time.Time
+	RunnableSince time.Time
 
-	// dependsOn are the jobs that must be done before this one starts. While there are
+	// DependsOn are the jobs that must be done before this one starts. While there are
 	// any, or while its cancellation with one of them is pending, it is in no queue.
-	dependsOn     map[string]bool
-	cancelPending bool
-	// dependencyList names the records that list the job's dependencies if its active
-	// record does not; dependenciesRead is set once they are read.
-	dependencyList   *records.DependencyList
-	dependenciesRead bool
-	// lastDependencyEnd is the latest time at which one of its dependencies was done.
-	lastDependencyEnd time.Time
-	// dependentDeadlines are the times by which the jobs that depend on it require it to
+	DependsOn     map[string]bool
+	CancelPending bool
+	// DependencyList names the records that list the job's dependencies if its active
+	// record does not; DependenciesRead is set once they are read.
+	DependencyList   *records.DependencyList
+	DependenciesRead bool
+	// LastDependencyEnd is the latest time at which one of its dependencies was done.
+	LastDependencyEnd time.Time
+	// DependentDeadlines are the times by which the jobs that depend on it require it to
 	// be complete.
-	dependentDeadlines []time.Time
+	DependentDeadlines []time.Time
 
-	// objectives are the times by which the job should be complete, in ascending order.
-	objectives []time.Time
+	// Objectives are the times by which the job should be complete, in ascending order.
+	Objectives []time.Time
 	// latestStart is the latest start that meets the next objective that can still be
 	// met; infeasible is set if none can.
 	latestStart time.Time
-	infeasible  bool
-	// startBy is when its tasks should have started, if the objectives say so.
-	startBy time.Time
-	// starved is set while none of its tasks has started for starvedAfter.
-	starved bool
-	// load is the job's part in the last decision on which jobs to defer.
-	load queue.Load
-	// priorityRank orders jobs by priority, preference by the preference of the job's class.
-	priorityRank int
-	preference   float64
-	team         *queue.Team[*job]
-
-	// flight has the tasks that no attempt holds and the machines that work on the job.
-	flight *flight.Flight
-	// activeAttempts holds the current attempt of each task that may be on a machine.
-	activeAttempts map[int]*attempt
-	// done are the completed tasks, doneCount is their number, and recorded are those
+	Infeasible  bool
+	// StartBy is when its tasks should have started, if the objectives say so.
+	StartBy time.Time
+	// Starved is set while none of its tasks has started for starvedAfter.
+	Starved bool
+	// Load is the job's part in the last decision on which jobs to defer.
+	Load queue.Load
+	// PriorityRank orders jobs by priority, preference by the preference of the job's class.
+	PriorityRank    int
+	ClassPreference float64
+	Team            *queue.Team[*Job]
+
+	// Flight has the tasks that no attempt holds and the machines that work on the job.
+	Flight *flight.Flight
+	// ActiveAttempts holds the current attempt of each task that may be on a machine.
+	ActiveAttempts map[int]*Attempt
+	// Done are the completed tasks, DoneCount is their number, and recorded are those
 	// that are on record as completed.
-	done      *bitset.BitSet
-	doneCount int
-	recorded  *bitset.BitSet
-	// completionChunks are the completion records written, by their first task.
-	completionChunks map[int]bool
-	// completionChunkSizes is how many tasks each of them may cover. moving are the tasks that must
+	Done      *bitset.BitSet
+	DoneCount int
+	Recorded  *bitset.BitSet
+	// CompletionChunks are the completion records written, by their first task.
+	CompletionChunks map[int]bool
+	// CompletionChunkSizes is how many tasks each of them may cover. moving are the tasks that must
 	// be on record elsewhere before a record is overwritten by a shorter one.
-	completionChunkSizes map[int]int
-	migratingCompletion  map[int]*bitset.BitSet
-	// completionDirty is set while the job is queued for its next completion record.
-	completionDirty bool
-
-	// runs measures the completed runs of the job's tasks.
-	runs jobRuns
-	// attemptsByZone counts the job's reserved attempts by zone.
-	attemptsByZone map[string]int
-	// restartedTasks are the tasks that were restarted as stragglers; each is only once.
-	restartedTasks map[int]bool
-	// excludedMachine is the machine that a task must avoid: where it last failed or was a
+	CompletionChunkSizes map[int]int
+	MigratingCompletion  map[int]*bitset.BitSet
+	// CompletionDirty is set while the job is queued for its next completion record.
+	CompletionDirty bool
+
+	// Runs measures the completed runs of the job's tasks.
+	Runs JobRuns
+	// AttemptsByZone counts the job's reserved attempts by zone.
+	AttemptsByZone map[string]int
+	// RestartedTasks are the tasks that were restarted as stragglers; each is only once.
+	RestartedTasks map[int]bool
+	// ExcludedMachine is the machine that a task must avoid: where it last failed or was a
 	// straggler.
-	excludedMachine map[int]string
-	// failuresByMachine counts failed tasks. A job that fails on every machine starts no
-	// task before backoffUntil, so that it does not use up the fleet; failureRounds is how
+	ExcludedMachine map[int]string
+	// FailuresByMachine counts failed tasks. A job that fails on every machine starts no
+	// task before BackoffUntil, so that it does not use up the fleet; FailureRounds is how
 	// often it was backed off since a task of it last completed.
-	failuresByMachine map[string]int
-	failureRounds     int
-	backoffUntil      time.Time
+	FailuresByMachine map[string]int
+	FailureRounds     int
+	BackoffUntil      time.Time
 
-	// waitingSince is when tasks of the job last became pending. skippedSince is when a
+	// WaitingSince is when tasks of the job last became pending. SkippedSince is when a
 	// machine without its image first skipped it since its last start.
-	waitingSince, skippedSince time.Time
-	// capacity is where the fleet has capacity for the job, as last computed.
-	capacity capacity
-
-	// lostTasks, firstStart, lastStart and longest are logged at the job's end.
-	lostTasks             int
-	firstStart, lastStart time.Time
-	longestRun            time.Duration
-
-	// lent is set while the job is lent to another cell, guest if it runs here for one.
-	lent  *loan.Lent
-	guest *loan.Guest
-	// handover is set while a transaction that moves the job between cells is queued or
+	WaitingSince, SkippedSince time.Time
+	// Capacity is where the fleet has capacity for the job, as last computed.
+	Capacity Capacity
+
+	// LostTasks, FirstStart, LastStart and longest are logged at the job's end.
+	LostTasks             int
+	FirstStart, LastStart time.Time
+	LongestRun            time.Duration
+
+	// Lent is set while the job is lent to another cell, guest if it runs here for one.
+	Lent  *loan.Lent
+	Guest *loan.Guest
+	// Handover is set while a transaction that moves the job between cells is queued or
 	// in flight.
-	handover bool
-	// remote is the state of a lent job at its host, reclaimRequested is set while home
-	// reclaims it, and reservedBudget is what it counts for in its team's limit.
-	remote           loan.State
-	reclaimRequested bool
-	reservedBudget   loan.Budget
-	// loanCount is how often the job was lent, lastReclaimed when it was last reclaimed
+	Handover bool
+	// Remote is the state of a lent job at its host, ReclaimRequested is set while home
+	// reclaims it, and ReservedBudget is what it counts for in its team's limit.
+	Remote           loan.State
+	ReclaimRequested bool
+	ReservedBudget   loan.Budget
+	// LoanCount is how often the job was lent, LastReclaimed when it was last reclaimed
 	// from each cell.
-	loanCount     int
-	lastReclaimed map[string]time.Time
+	LoanCount     int
+	LastReclaimed map[string]time.Time
 
-	// finishing is set once all tasks are done and the end is to be recorded, ending once
+	// Finishing is set once all tasks are done and the end is to be recorded, ending once
 	// a transaction that records it may be in flight, ended once the job is removed.
-	finishing bool
-	ending    bool
-	ended     bool
+	Finishing bool
+	Ending    bool
+	Ended     bool
 }
 
 // Rank, with LatestStart, Preference, Feasibility and ID, makes a job an item of its team's
 // queue.
-func (j *job) Rank() int { return j.priorityRank }
+func (j *Job) Rank() int { return j.PriorityRank }
 
 // LatestStart is the latest start that meets the job's next objective.
-func (j *job) LatestStart() time.Time { return j.latestStart }
+func (j *Job) LatestStart() time.Time { return j.latestStart }
 
 // Preference is how much the job's class is preferred to others.
-func (j *job) Preference() float64 { return j.preference }
+func (j *Job) Preference() float64 { return j.ClassPreference }
 
 // ID is the job's id.
-func (j *job) ID() string { return j.spec.ID }
+func (j *Job) ID() string { return j.Spec.ID }
 
 // Feasibility tells whether the job can meet its next objective, is deferred, or can meet
 // none.
-func (j *job) Feasibility() queue.Feasibility {
+func (j *Job) Feasibility() queue.Feasibility {
 	switch {
-	case j.infeasible:
+	case j.Infeasible:
 		return queue.Infeasible
-	case j.load.Defer:
+	case j.Load.Defer:
 		return queue.Deferred
 	}
 	return queue.Feasible
 }
 
-// updateFeasibility finds the next objective that can still be met by starting now.
-func (j *job) updateFeasibility(now time.Time) {
-	estimate := j.spec.Estimate()
-	for _, objective := range j.objectives {
+// UpdateFeasibility finds the next objective that can still be met by starting now.
+func (j *Job) UpdateFeasibility(now time.Time) {
+	estimate := j.Spec.Estimate()
+	for _, objective := range j.Objectives {
 		j.latestStart = objective.Add(-estimate)
 		if !now.After(j.latestStart) {
-			j.infeasible = false
+			j.Infeasible = false
 			return
 		}
 	}
-	j.infeasible = true
+	j.Infeasible = true
 }
 
-// runsPerCPU is how many tasks of the job a CPU could run one after the other from a time
+// RunsPerCPU is how many tasks of the job a CPU could run one after the other from a time
 // on, so that the last still ends by the job's next objective. It is 1 where there is no
 // time for a second, and where an objective says when every task should have started.
-func (j *job) runsPerCPU(from time.Time) float64 {
-	estimate := j.spec.Estimate()
-	if !j.startBy.IsZero() || estimate <= 0 {
+func (j *Job) RunsPerCPU(from time.Time) float64 {
+	estimate := j.Spec.Estimate()
+	if !j.StartBy.IsZero() || estimate <= 0 {
 		return 1
 	}
 	return 1 + max(0, j.latestStart.Sub(from).Seconds()/estimate.Seconds())
 }
 
-// started tells whether any task has started or its start was sent.
-func (j *job) started() bool {
-	return len(j.activeAttempts) > 0 || j.doneCount > 0 || !j.firstStart.IsZero()
+// Started tells whether any task has started or its start was sent.
+func (j *Job) Started() bool {
+	return len(j.ActiveAttempts) > 0 || j.DoneCount > 0 || !j.FirstStart.IsZero()
 }
 
-// sinceRunnable is the time from runnableSince to an event, for the log; 0 if the event
+// SinceRunnable is the time from RunnableSince to an event, for the log; 0 if the event
 // happened under an earlier leader.
-func (j *job) sinceRunnable(at time.Time) time.Duration {
+func (j *Job) SinceRunnable(at time.Time) time.Duration {
 	if at.IsZero() {
 		return 0
 	}
-	return at.Sub(j.runnableSince).Round(100 * time.Millisecond)
+	return at.Sub(j.RunnableSince).Round(100 * time.Millisecond)
 }
 
 // starvingAfter is for how long a job that is infeasible or deferred may wait behind others.
 const starvingAfter = 2 * time.Minute
 
-// starving tells whether the job is placed behind others as infeasible or deferred although
+// Starving tells whether the job is placed behind others as infeasible or deferred although
 // it has waited long.
-func (j *job) starving(now time.Time) bool {
-	return (j.infeasible || j.load.Defer) && now.Sub(j.runnableSince) > starvingAfter
+func (j *Job) Starving(now time.Time) bool {
+	return (j.Infeasible || j.Load.Defer) && now.Sub(j.RunnableSince) > starvingAfter
 }
 
-// taskRef is the reference of a task on the wire.
-func (j *job) taskRef(task int) string { return j.spec.ID + "/" + strconv.Itoa(task) }
+// TaskRef is the reference of a task on the wire.
+func (j *Job) TaskRef(task int) string { return j.Spec.ID + "/" + strconv.Itoa(task) }
 
-// state is what users are shown of the job.
-func (j *job) state() api.JobState {
-	if j.lent != nil {
+// State is what users are shown of the job.
+func (j *Job) State() api.JobState {
+	if j.Lent != nil {
 		st := api.JobState{
-			ID: j.spec.ID, Phase: api.JobPending,
-			Done: j.remote.Done, Running: j.remote.Running, Cell: j.lent.Host,
+			ID: j.Spec.ID, Phase: api.JobPending,
+			Done: j.Remote.Done, Running: j.Remote.Running, Cell: j.Lent.Host,
 		}
-		if j.remote.Phase == loan.PhaseStarted {
+		if j.Remote.Phase == loan.PhaseStarted {
 			st.Phase = api.JobRunning
 		}
 		return st
 	}
-	st := api.JobState{ID: j.spec.ID, Phase: api.JobPending, Done: j.doneCount}
-	for _, a := range j.activeAttempts {
-		if a.phase == api.TaskRunning || a.phase == api.TaskSaving {
+	st := api.JobState{ID: j.Spec.ID, Phase: api.JobPending, Done: j.DoneCount}
+	for _, a := range j.ActiveAttempts {
+		if a.Phase == api.TaskRunning || a.Phase == api.TaskSaving {
 			st.Running++
 		}
 	}
@@ -222,79 +222,79 @@
 	return st
 }
 
-// isUrgent tells whether a job has a time by which its tasks should start and that is still
+// IsUrgent tells whether a job has a time by which its tasks should start and that is still
 // ahead. Until then not even a machine without other work should fetch its image, as those that
 // have it may still serve it in time.
-func (j *job) isUrgent(now time.Time) bool { return now.Before(j.startBy) }
+func (j *Job) IsUrgent(now time.Time) bool { return now.Before(j.StartBy) }
 
-// withinBudget reports whether a guest may start one more task. All attempts that may be on a
+// WithinBudget reports whether a guest may start one more task. All attempts that may be on a
 // machine count.
-func (j *job) withinBudget() bool {
+func (j *Job) WithinBudget() bool {
 	running := 0
-	for _, n := range j.attemptsByZone {
+	for _, n := range j.AttemptsByZone {
 		running += n
 	}
-	s, budget := &j.spec, &j.guest.Budget
+	s, budget := &j.Spec, &j.Guest.Budget
 	tasks := float64(running + 1)
-	return tasks*s.CPUs <= budget.CPUs+epsilon && (s.GPUs == 0 || tasks*s.GPUs <= budget.GPUs+epsilon)
+	return tasks*s.CPUs <= budget.CPUs+Epsilon && (s.GPUs == 0 || tasks*s.GPUs <= budget.GPUs+Epsilon)
 }
 
-// remainingLoad is the work that is left of the job, by its estimate, and when it should be done.
-func (j *job) remainingLoad(now time.Time) queue.Load {
-	cpuSeconds := float64(j.flight.Untaken()) * j.spec.CPUs * j.spec.EstimateS
-	for _, a := range j.activeAttempts {
-		remaining := j.spec.Estimate()
-		if !a.runningAt.IsZero() {
-			remaining -= now.Sub(a.runningAt)
+// RemainingLoad is the work that is left of the job, by its estimate, and when it should be done.
+func (j *Job) RemainingLoad(now time.Time) queue.Load {
+	cpuSeconds := float64(j.Flight.Untaken()) * j.Spec.CPUs * j.Spec.EstimateS
+	for _, a := range j.ActiveAttempts {
+		remaining := j.Spec.Estimate()
+		if !a.RunningAt.IsZero() {
+			remaining -= now.Sub(a.RunningAt)
 		}
-		cpuSeconds += max(0, remaining.Seconds()) * j.spec.CPUs
+		cpuSeconds += max(0, remaining.Seconds()) * j.Spec.CPUs
 	}
-	return queue.Load{Deadline: j.latestStart.Add(j.spec.Estimate()), CPUSeconds: cpuSeconds}
+	return queue.Load{Deadline: j.latestStart.Add(j.Spec.Estimate()), CPUSeconds: cpuSeconds}
 }
 
-// overrunsOn counts the job's completed runs on a machine that overran, and those there that are
+// OverrunsOn counts the job's completed runs on a machine that overran, and those there that are
 // past the limit now.
-func (j *job) overrunsOn(m *machine, limit time.Duration, now time.Time) int {
+func (j *Job) OverrunsOn(m *Machine, limit time.Duration, now time.Time) int {
 	n := 0
-	if done := j.runs.byMachine[m.name]; done != nil {
-		n = done.overrunCount
+	if done := j.Runs.ByMachine[m.Name]; done != nil {
+		n = done.OverrunCount
 	}
-	for _, a := range j.activeAttempts {
-		if a.machine == m && !a.exited && !a.runningAt.IsZero() && now.Sub(a.runningAt) > limit {
+	for _, a := range j.ActiveAttempts {
+		if a.Machine == m && !a.Exited && !a.RunningAt.IsZero() && now.Sub(a.RunningAt) > limit {
 			n++
 		}
 	}
 	return n
 }
 
-// runsElsewhere sums up the job's completed runs on all machines but one.
-func (j *job) runsElsewhere(m *machine) runStats {
-	others := j.runs.all
-	if mine := j.runs.byMachine[m.name]; mine != nil {
-		others.count -= mine.count
-		others.totalTime -= mine.totalTime
-		others.overrunCount -= mine.overrunCount
+// RunsElsewhere sums up the job's completed runs on all machines but one.
+func (j *Job) RunsElsewhere(m *Machine) RunStats {
+	others := j.Runs.All
+	if mine := j.Runs.ByMachine[m.Name]; mine != nil {
+		others.Count -= mine.Count
+		others.TotalTime -= mine.TotalTime
+		others.OverrunCount -= mine.OverrunCount
 	}
-	if m.name == j.runs.longestOn {
-		others.longest = j.runs.longestElsewhere
+	if m.Name == j.Runs.longestOn {
+		others.Longest = j.Runs.longestElsewhere
 	}
 	return others
 }
 
-// allUntakenExcluded tells whether every untaken task of a job failed on a machine.
-func (j *job) allUntakenExcluded(m *machine) bool {
-	if len(j.excludedMachine) == 0 {
+// AllUntakenExcluded tells whether every untaken task of a job failed on a machine.
+func (j *Job) AllUntakenExcluded(m *Machine) bool {
+	if len(j.ExcludedMachine) == 0 {
 		return false
 	}
 	n := 0
-	for task, name := range j.excludedMachine {
-		if name == m.name && !j.done.Test(uint(task)) && j.activeAttempts[task] == nil {
+	for task, name := range j.ExcludedMachine {
+		if name == m.Name && !j.Done.Test(uint(task)) && j.ActiveAttempts[task] == nil {
 			n++
 		}
 	}
-	return n >= j.flight.Untaken()
+	return n >= j.Flight.Untaken()
 }
 
-// deletesRecord reports whether this leader itself deletes, or is about to delete, the job's
+// DeletesRecord reports whether this leader itself deletes, or is about to delete, the job's
 // active record.
-func (j *job) deletesRecord() bool { return j.finishing || j.cancelPending || j.handover }
+func (j *Job) DeletesRecord() bool { return j.Finishing || j.CancelPending || j.Handover }
--- a/internal/controller/jobcompletion.go
+++ b/internal/controller/jobcompletion.go
@@ -2,11 +2,11 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-// completionBytes is the bit set of the completed tasks of the chunk that begins at first.
-func (j *job) completionBytes(first, tasksPerChunk int) []byte {
-	count := min(tasksPerChunk, j.spec.Tasks-first)
+// CompletionBytes is the bit set of the completed tasks of the chunk that begins at first.
+func (j *Job) CompletionBytes(first, tasksPerChunk int) []byte {
+	count := min(tasksPerChunk, j.Spec.Tasks-first)
 	bits := make([]byte, (count+7)/8)
-	for task, ok := j.done.NextSet(uint(first)); ok && task < uint(first+count); task, ok = j.done.NextSet(task + 1) {
+	for task, ok := j.Done.NextSet(uint(first)); ok && task < uint(first+count); task, ok = j.Done.NextSet(task + 1) {
 		offset := int(task) - first
 		bits[offset/8] |= 1 << (offset % 8)
 	}
@@ -17,34 +17,34 @@
 // tasksPerChunk tasks. One written under larger limits covers more: once it is
 // overwritten, the next leader would no longer count the tasks beyond as done. They are
 // first put on record under keys of their own, which all lie further on.
-func (j *job) mayRewriteRecord(first, tasksPerChunk int) bool {
-	extent := j.completionChunkSizes[first]
+func (j *Job) mayRewriteRecord(first, tasksPerChunk int) bool {
+	extent := j.CompletionChunkSizes[first]
 	if extent <= tasksPerChunk {
 		return true
 	}
-	moving := j.migratingCompletion[first]
+	moving := j.MigratingCompletion[first]
 	if moving == nil {
-		moving = bitset.New(uint(j.spec.Tasks))
+		moving = bitset.New(uint(j.Spec.Tasks))
 		end := uint(first + extent)
-		task, ok := j.recorded.NextSet(uint(first + tasksPerChunk))
+		task, ok := j.Recorded.NextSet(uint(first + tasksPerChunk))
 		for ok && task < end {
 			moving.Set(task)
-			task, ok = j.recorded.NextSet(task + 1)
+			task, ok = j.Recorded.NextSet(task + 1)
 		}
-		j.recorded.InPlaceDifference(moving)
-		if j.migratingCompletion == nil {
-			j.migratingCompletion = map[int]*bitset.BitSet{}
+		j.Recorded.InPlaceDifference(moving)
+		if j.MigratingCompletion == nil {
+			j.MigratingCompletion = map[int]*bitset.BitSet{}
 		}
-		j.migratingCompletion[first] = moving
+		j.MigratingCompletion[first] = moving
 	}
-	return moving.DifferenceCardinality(j.recorded) == 0
+	return moving.DifferenceCardinality(j.Recorded) == 0
 }
 
-// nextUnrecordedChunk finds the first chunk of a job with completed tasks that are not on
+// NextUnrecordedChunk finds the first chunk of a job with completed tasks that are not on
 // record and whose record may be written.
-func (j *job) nextUnrecordedChunk(tasksPerChunk int) (first int, ok bool) {
+func (j *Job) NextUnrecordedChunk(tasksPerChunk int) (first int, ok bool) {
 	for from := 0; tasksPerChunk > 0; from = first + tasksPerChunk {
-		task, ok := j.done.Difference(j.recorded).NextSet(uint(from))
+		task, ok := j.Done.Difference(j.Recorded).NextSet(uint(from))
 		if !ok {
 			return 0, false
 		}
@@ -55,11 +55,11 @@
 	return 0, false
 }
 
-// recordExtent records that the store may have a completion record that begins at first and
+// RecordExtent records that the store may have a completion record that begins at first and
 // covers so many tasks.
-func (j *job) recordExtent(first, tasks int) {
-	if j.completionChunkSizes == nil {
-		j.completionChunkSizes = map[int]int{}
+func (j *Job) RecordExtent(first, tasks int) {
+	if j.CompletionChunkSizes == nil {
+		j.CompletionChunkSizes = map[int]int{}
 	}
-	j.completionChunkSizes[first] = max(j.completionChunkSizes[first], tasks)
+	j.CompletionChunkSizes[first] = max(j.CompletionChunkSizes[first], tasks)
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -18,7 +18,7 @@
 func (lt *leaderTerm) addJob(key string, value []byte, modRevision uint64) {
 	id := key[len(records.ActivePrefix):]
 	j := lt.jobs[id]
-	if _, ok := lt.c.finalStates.Get(id); ok || j != nil && j.modRevision >= modRevision {
+	if _, ok := lt.c.finalStates.Get(id); ok || j != nil && j.ModRevision >= modRevision {
 		return
 	}
 	var rec records.ActiveRecord
@@ -48,16 +48,16 @@
 		return
 	}
 	j := newJob(spec, team)
-	j.modRevision, j.accepted, j.runnableSince = modRevision, rec.Accepted, since
-	j.dependencyList, j.guest, j.loanCount = rec.DependencyList, rec.Guest, rec.LoanCount
-	j.preference = lt.c.Policy.Preferences[spec.Class]
-	j.objectives = lt.objectives(j)
-	j.updateFeasibility(time.Now())
+	j.ModRevision, j.Accepted, j.RunnableSince = modRevision, rec.Accepted, since
+	j.DependencyList, j.Guest, j.LoanCount = rec.DependencyList, rec.Guest, rec.LoanCount
+	j.ClassPreference = lt.c.Policy.Preferences[spec.Class]
+	j.Objectives = lt.objectives(j)
+	j.UpdateFeasibility(time.Now())
 	lt.jobs[id] = j
 	switch {
 	case rec.Lent != nil:
 		lt.loans.applyLent(j, rec.Lent)
-	case len(j.spec.DependsOn) == 0:
+	case len(j.Spec.DependsOn) == 0:
 		team.Add(j)
 		lt.dispatchUntil = time.Now().Add(dispatchWindow)
 	case lt.loaded:
@@ -65,27 +65,27 @@
 		lt.dependencies.propagateDeadlines(j)
 	default: // once all records are read
 	}
-	lt.c.Log.Debug("job added", "job", id, "class", j.spec.Class, "team", j.spec.Team, "tasks", j.spec.Tasks)
+	lt.c.Log.Debug("job added", "job", id, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", j.Spec.Tasks)
 }
 
 // newJob returns a job of a team of which no task has started.
-func newJob(spec api.JobSpec, team *queue.Team[*job]) *job {
+func newJob(spec api.JobSpec, team *queue.Team[*Job]) *Job {
 	tasks := uint(spec.Tasks)
-	return &job{
-		spec:              spec,
-		team:              team,
-		priorityRank:      api.PriorityRank(spec.Priority),
-		waitingSince:      time.Now(),
-		flight:            flight.New(spec.Tasks),
-		activeAttempts:    map[int]*attempt{},
-		done:              bitset.New(tasks),
-		recorded:          bitset.New(tasks),
-		completionChunks:  map[int]bool{},
-		runs:              jobRuns{byMachine: map[string]*runStats{}},
-		attemptsByZone:    map[string]int{},
-		restartedTasks:    map[int]bool{},
-		excludedMachine:   map[int]string{},
-		failuresByMachine: map[string]int{},
+	return &Job{
+		Spec:              spec,
+		Team:              team,
+		PriorityRank:      api.PriorityRank(spec.Priority),
+		WaitingSince:      time.Now(),
+		Flight:            flight.New(spec.Tasks),
+		ActiveAttempts:    map[int]*Attempt{},
+		Done:              bitset.New(tasks),
+		Recorded:          bitset.New(tasks),
+		CompletionChunks:  map[int]bool{},
+		Runs:              JobRuns{ByMachine: map[string]*RunStats{}},
+		AttemptsByZone:    map[string]int{},
+		RestartedTasks:    map[int]bool{},
+		ExcludedMachine:   map[int]string{},
+		FailuresByMachine: map[string]int{},
 	}
 }
 
@@ -94,20 +94,20 @@
 
 // objectives are the times by which a job should be complete: its deadline and the multiples of
 // it that the configured objectives name, the times that they name for its class, and what the
-// jobs that depend on it require. It sets the job's startBy as well.
-func (lt *leaderTerm) objectives(j *job) []time.Time {
-	times := slices.Concat(lt.deadlines(j), j.dependentDeadlines)
+// jobs that depend on it require. It sets the job's StartBy as well.
+func (lt *leaderTerm) objectives(j *Job) []time.Time {
+	times := slices.Concat(lt.deadlines(j), j.DependentDeadlines)
 	for _, o := range lt.c.Settings.Site.Objectives {
 		switch {
-		case o.Class != j.spec.Class:
+		case o.Class != j.Spec.Class:
 		case o.Kind == "wait":
-			j.startBy = j.runnableSince.Add(config.Duration(o.WithinS))
+			j.StartBy = j.RunnableSince.Add(config.Duration(o.WithinS))
 		case o.Kind == "finished":
-			times = append(times, j.runnableSince.Add(config.Duration(o.WithinS)))
+			times = append(times, j.RunnableSince.Add(config.Duration(o.WithinS)))
 		}
 	}
 	if len(times) == 0 {
-		times = append(times, j.runnableSince.Add(config.Duration(defaultObjectiveFactor*j.spec.EstimateS)))
+		times = append(times, j.RunnableSince.Add(config.Duration(defaultObjectiveFactor*j.Spec.EstimateS)))
 	}
 	slices.SortFunc(times, time.Time.Compare)
 	return slices.CompactFunc(times, time.Time.Equal)
@@ -115,14 +115,14 @@
 
 // deadlines are the times that follow from a job's own deadline. It counts from the submission,
 // however long the job's dependencies take.
-func (lt *leaderTerm) deadlines(j *job) []time.Time {
-	if j.spec.DeadlineS <= 0 {
+func (lt *leaderTerm) deadlines(j *Job) []time.Time {
+	if j.Spec.DeadlineS <= 0 {
 		return nil
 	}
-	times := []time.Time{j.accepted.Add(config.Duration(j.spec.DeadlineS))}
+	times := []time.Time{j.Accepted.Add(config.Duration(j.Spec.DeadlineS))}
 	for _, o := range lt.c.Settings.Site.Objectives {
-		if o.Kind == "deadline" && o.Class == j.spec.Class && o.Times > 1 {
-			times = append(times, j.accepted.Add(config.Duration(j.spec.DeadlineS*o.Times)))
+		if o.Kind == "deadline" && o.Class == j.Spec.Class && o.Times > 1 {
+			times = append(times, j.Accepted.Add(config.Duration(j.Spec.DeadlineS*o.Times)))
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
@@ -131,53 +131,53 @@
 
 // cancelJob removes a job that was cancelled. Its attempts are stopped by the responses to
 // their machines' heartbeats.
-func (lt *leaderTerm) cancelJob(j *job) {
+func (lt *leaderTerm) cancelJob(j *Job) {
 	lt.removeJob(j)
-	lt.c.recordCancellation(j.spec.ID)
-	for _, a := range j.activeAttempts {
+	lt.c.recordCancellation(j.Spec.ID)
+	for _, a := range j.ActiveAttempts {
 		lt.terminateIfOutcomeUnknown(a)
 	}
-	for first := range j.completionChunks {
-		lt.recordWriter.deleteKey(records.CompletionKey(j.spec.ID, first))
+	for first := range j.CompletionChunks {
+		lt.recordWriter.deleteKey(records.CompletionKey(j.Spec.ID, first))
 	}
 	lt.dependencyLists.drop(j)
 }
 
 // removeJob removes a job that has ended from all state.
-func (lt *leaderTerm) removeJob(j *job) {
-	j.ended = true
-	j.completionDirty = false
-	delete(lt.jobs, j.spec.ID)
+func (lt *leaderTerm) removeJob(j *Job) {
+	j.Ended = true
+	j.CompletionDirty = false
+	delete(lt.jobs, j.Spec.ID)
 	lt.dependencies.forget(j)
 	lt.loans.release(j)
-	j.team.Remove(j)
+	j.Team.Remove(j)
 }
 
 // completeTask marks a task as completed, and has that put on record, or the job ended if it was
 // the last.
-func (lt *leaderTerm) completeTask(j *job, task int, now time.Time) {
-	if j.done.Test(uint(task)) {
+func (lt *leaderTerm) completeTask(j *Job, task int, now time.Time) {
+	if j.Done.Test(uint(task)) {
 		return
 	}
-	j.done.Set(uint(task))
-	j.doneCount++
+	j.Done.Set(uint(task))
+	j.DoneCount++
 	lt.counts.done++
-	j.flight.Take(task)
-	if a := j.activeAttempts[task]; a != nil && !a.exited {
+	j.Flight.Take(task)
+	if a := j.ActiveAttempts[task]; a != nil && !a.Exited {
 		lt.requestStop(a, 0, now)
 	}
-	if j.ended {
+	if j.Ended {
 		return
 	}
-	if j.doneCount == j.spec.Tasks && j.guest != nil {
+	if j.DoneCount == j.Spec.Tasks && j.Guest != nil {
 		lt.loans.guestDone(j)
 		return
 	}
-	if j.doneCount == j.spec.Tasks {
+	if j.DoneCount == j.Spec.Tasks {
 		lt.recordWriter.finishJob(j)
 		return
 	}
-	if !j.recorded.Test(uint(task)) {
+	if !j.Recorded.Test(uint(task)) {
 		lt.recordWriter.queueCompletion(j)
 	}
 }
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -129,7 +129,7 @@
 	}
 	lt.deferInfeasible(time.Now())
 	for _, j := range lt.jobs {
-		if !j.load.Deadline.IsZero() {
+		if !j.Load.Deadline.IsZero() {
 			withDeadline++
 		}
 	}
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -347,7 +347,7 @@
 		}
 		for _, name := range rec.Hosts {
 			if mc := lt.machines[name]; mc != nil {
-				mc.leaseRenewedUntil = now.Add(renewalLifetime)
+				mc.LeaseRenewedUntil = now.Add(renewalLifetime)
 			}
 		}
 	}
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -44,7 +44,7 @@
 			return
 		}
 		for name, m := range c.leaderTerm.machines {
-			if m.registration == registered && !m.terminated {
+			if m.Registration == Registered && !m.Terminated {
 				names = append(names, name)
 			}
 		}
@@ -328,7 +328,7 @@
 		}
 		heartbeatAll(ks, a, 8)
 		done := 0
-		a.inspect(func(c *Controller) { done = c.leaderTerm.jobs["job-1"].doneCount })
+		a.inspect(func(c *Controller) { done = c.leaderTerm.jobs["job-1"].DoneCount })
 		if on := w.doneOnRecord("job-1"); len(on) != done || done < 800 {
 			w.t.Errorf("tasks on record: got %d, want the %d completed ones, at least 800", len(on), done)
 		}
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -39,7 +39,7 @@
 	time.Sleep(100 * time.Millisecond)
 	a.inspect(func(c *Controller) {
 		for _, m := range c.leaderTerm.machines {
-			if m.leaseRenewedUntil.After(time.Now()) {
+			if m.LeaseRenewedUntil.After(time.Now()) {
 				kept++
 			}
 		}
@@ -180,13 +180,13 @@
 		w.enforce(l)
 		_, a, b, _, _, far := w.beyondTheCut()
 		other := w.worker("i-3", "b", false)
-		for i := range maxAttempts {
+		for i := range MaxAttempts {
 			far.status.Tasks = append(far.status.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%d/%d", i*i*7919%99991, i), Attempt: uint64(i * 104729), Phase: api.TaskRunning})
 		}
 		heard := func() (n int) {
 			a.inspect(func(c *Controller) {
 				if m := c.leaderTerm.machines["i-3"]; m != nil {
-					n = m.heartbeatCount
+					n = m.HeartbeatCount
 				}
 			})
 			return n
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -246,14 +246,14 @@
 			rec := &lt.recordWriter
 			for i := range 700 {
 				m := lt.addMachine(fmt.Sprintf("i-%06d", i), "small", "a", false, time.Now())
-				m.addr = strings.Repeat("x", 10+i)
+				m.Addr = strings.Repeat("x", 10+i)
 				rec.register(m)
 			}
 			for i := range 8 {
 				s := spec(fmt.Sprintf("large-%d", i), api.MaxTasks)
 				lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
 				for task := range api.MaxTasks - 1 {
-					lt.jobs[s.ID].done.Set(uint(task))
+					lt.jobs[s.ID].Done.Set(uint(task))
 				}
 				rec.queueCompletion(lt.jobs[s.ID])
 			}
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -105,7 +105,7 @@
 					home.checkEqual("loan", []any{l.Cell, l.Phase, l.Waits}, want)
 				}
 			}
-			home.checkEqual("cell of the job", c.leaderTerm.jobs[id].state().Cell, "cell-b")
+			home.checkEqual("cell of the job", c.leaderTerm.jobs[id].State().Cell, "cell-b")
 		})
 		host.leader().inspect(func(c *Controller) {
 			s := c.leaderTerm.status(time.Now()).Cells
@@ -148,8 +148,8 @@
 		l := &ctl.leaderTerm.loans
 		for _, id := range ids {
 			j := ctl.leaderTerm.jobs[id]
-			if j != nil && !j.started() && j.loanCount == 0 && !j.handover {
-				l.lendJob(j, l.neighbours[to], loan.Budget{CPUs: j.spec.CPUs})
+			if j != nil && !j.Started() && j.LoanCount == 0 && !j.Handover {
+				l.lendJob(j, l.neighbours[to], loan.Budget{CPUs: j.Spec.CPUs})
 				lent = true
 			}
 		}
@@ -200,11 +200,11 @@
 				j := newJob(*s, team)
 				got := l.budget(j, g.spare)
 				w.checkEqual(fmt.Sprint(g), got, g.want)
-				j.guest = &loan.Guest{Budget: got}
+				j.Guest = &loan.Guest{Budget: got}
 				started := 0
-				for j.withinBudget() && started < 100 {
+				for j.WithinBudget() && started < 100 {
 					started++
-					j.attemptsByZone["a"]++
+					j.AttemptsByZone["a"]++
 				}
 				w.checkEqual("CPUs started of "+fmt.Sprint(g), float64(started)*g.cpus, got.CPUs)
 			}
--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -12,12 +12,12 @@
 )
 
 // guestTeam is the queue of a home cell's guests. They have no guarantee.
-func (l *loans) guestTeam(home string) *queue.Team[*job] {
+func (l *loans) guestTeam(home string) *queue.Team[*Job] {
 	t := l.guestTeams[home]
 	if t == nil {
 		// Its use is bounded by the loans' budgets; the guarantees of the cell's own
 		// teams have priority over it.
-		t = &queue.Team[*job]{
+		t = &queue.Team[*Job]{
 			Name:      "guests of " + home,
 			LimitCPUs: math.MaxFloat64,
 			LimitGPUs: math.MaxFloat64,
@@ -29,14 +29,14 @@
 }
 
 // nextGuest returns the guest that a machine serves next, when no job of the cell can use it.
-func (l *loans) nextGuest(m *machine, now time.Time) *job {
+func (l *loans) nextGuest(m *Machine, now time.Time) *Job {
 	if len(l.guestFairShareOrder) == 0 {
 		return nil
 	}
 	queue.SortByShare(l.guestFairShareOrder)
 	for _, t := range l.guestFairShareOrder {
 		for _, j := range t.Items() {
-			if j.flight.Untaken() > 0 && l.leaderTerm.isEligible(j, m, now) {
+			if j.Flight.Untaken() > 0 && l.leaderTerm.isEligible(j, m, now) {
 				return j
 			}
 		}
@@ -53,16 +53,16 @@
 	advert.CPUs, advert.GPUs = capacity.freeCPUs, capacity.freeGPUs
 	guests := 0.0
 	for _, j := range lt.jobs {
-		if j.lent != nil || j.cancelPending || len(j.dependsOn) > 0 {
+		if j.Lent != nil || j.CancelPending || len(j.DependsOn) > 0 {
 			continue
 		}
-		cpus := float64(j.flight.Untaken()) * j.spec.CPUs
-		if j.guest != nil {
-			cpus = min(cpus, j.guest.Budget.CPUs)
-			guests += float64(len(j.activeAttempts))*j.spec.CPUs + cpus
+		cpus := float64(j.Flight.Untaken()) * j.Spec.CPUs
+		if j.Guest != nil {
+			cpus = min(cpus, j.Guest.Budget.CPUs)
+			guests += float64(len(j.ActiveAttempts))*j.Spec.CPUs + cpus
 		}
 		advert.CPUs -= cpus
-		advert.GPUs -= float64(j.flight.Untaken()) * j.spec.GPUs
+		advert.GPUs -= float64(j.Flight.Untaken()) * j.Spec.GPUs
 	}
 	advert.CPUs = max(0, min(advert.CPUs, lt.c.Policy.Spill.GuestShare*capacity.cpus-guests))
 	advert.GPUs = max(0, advert.GPUs)
@@ -84,10 +84,10 @@
 	for _, t := range l.guestFairShareOrder {
 		for _, j := range t.Items() {
 			switch {
-			case j.handover || lt.unfenced > 0:
-			case j.doneCount == j.spec.Tasks:
+			case j.Handover || lt.unfenced > 0:
+			case j.DoneCount == j.Spec.Tasks:
 				l.guestDone(j) // its end is not on record yet
-			case now.Sub(j.waitingSince) > guestStartTimeout && !j.started():
+			case now.Sub(j.WaitingSince) > guestStartTimeout && !j.Started():
 				l.returnGuest(j)
 			}
 		}
@@ -116,26 +116,26 @@
 	if now.Sub(l.shortageSince) < shortageDuration {
 		return
 	}
-	var running []*attempt
+	var running []*Attempt
 	for _, t := range l.guestFairShareOrder {
 		for _, j := range t.Items() {
-			for _, a := range j.activeAttempts {
-				if a.stop != nil {
-					shortage -= j.spec.CPUs // its capacity is about to be free
+			for _, a := range j.ActiveAttempts {
+				if a.Stop != nil {
+					shortage -= j.Spec.CPUs // its capacity is about to be free
 				} else {
 					running = append(running, a)
 				}
 			}
 		}
 	}
-	slices.SortFunc(running, func(a, b *attempt) int { return b.sentAt.Compare(a.sentAt) })
+	slices.SortFunc(running, func(a, b *Attempt) int { return b.SentAt.Compare(a.SentAt) })
 	for _, a := range running {
 		if shortage <= 0 {
 			return
 		}
-		shortage -= a.job.spec.CPUs
+		shortage -= a.Job.Spec.CPUs
 		l.counts.Stopped++
-		l.leaderTerm.requestStop(a, 2*a.job.spec.Save(), now)
+		l.leaderTerm.requestStop(a, 2*a.Job.Spec.Save(), now)
 	}
 }
 
@@ -150,10 +150,10 @@
 			if left <= 0 {
 				break
 			}
-			if j.finishing || j.failureRounds > 0 || now.Before(j.backoffUntil) {
+			if j.Finishing || j.FailureRounds > 0 || now.Before(j.BackoffUntil) {
 				continue
 			}
-			cpus := min(left, float64(j.flight.Untaken())*j.spec.CPUs)
+			cpus := min(left, float64(j.Flight.Untaken())*j.Spec.CPUs)
 			left -= cpus
 			shortage += cpus
 		}
@@ -174,10 +174,10 @@
 	}
 	l.openCapacity = openCapacity{at: now}
 	for _, m := range l.leaderTerm.machines {
-		if m.isSchedulable(now) {
-			l.openCapacity.cpus += m.cpus
-			l.openCapacity.freeCPUs += m.freeCPUs()
-			l.openCapacity.freeGPUs += m.gpus - m.usedGPUs
+		if m.IsSchedulable(now) {
+			l.openCapacity.cpus += m.CPUs
+			l.openCapacity.freeCPUs += m.FreeCPUs()
+			l.openCapacity.freeGPUs += m.GPUs - m.UsedGPUs
 		}
 	}
 	return l.openCapacity
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -33,7 +33,7 @@
 
 // predictedStart is how long a queued job is expected to wait for its start in this cell.
 type predictedStart struct {
-	job  *job
+	job  *Job
 	wait time.Duration
 }
 
@@ -45,17 +45,17 @@
 	free, work := capacity.freeCPUs, 0.0
 	for _, j := range lt.jobs {
 		// On average, half of a running task's time remains.
-		work += float64(len(j.activeAttempts)) * j.spec.CPUs * j.spec.EstimateS / 2
+		work += float64(len(j.ActiveAttempts)) * j.Spec.CPUs * j.Spec.EstimateS / 2
 	}
-	var jobs []*job
+	var jobs []*Job
 	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
-			if j.flight.Untaken() > 0 && !j.finishing {
+			if j.Flight.Untaken() > 0 && !j.Finishing {
 				jobs = append(jobs, j)
 			}
 		}
 	}
-	slices.SortStableFunc(jobs, func(a, b *job) int {
+	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		switch {
 		case queue.Before(a, b):
 			return -1
@@ -70,11 +70,11 @@
 	}
 	predictions := make([]predictedStart, 0, len(jobs))
 	for _, j := range jobs {
-		cpus := float64(j.flight.Untaken()) * j.spec.CPUs
+		cpus := float64(j.Flight.Untaken()) * j.Spec.CPUs
 		wait := min(loan.PredictedWait(work, capacity.cpus, free), latest)
 		predictions = append(predictions, predictedStart{job: j, wait: wait})
 		free -= cpus
-		work += cpus * j.spec.EstimateS
+		work += cpus * j.Spec.EstimateS
 	}
 	return predictions
 }
@@ -84,11 +84,11 @@
 	lent, offers := 0, 0
 	for _, j := range l.leaderTerm.jobs {
 		switch {
-		case j.lent != nil && j.lent.Host == n.cell:
-			if lent++; j.remote.Phase == loan.PhaseUnknown {
+		case j.Lent != nil && j.Lent.Host == n.cell:
+			if lent++; j.Remote.Phase == loan.PhaseUnknown {
 				offers++
 			}
-		case j.handover:
+		case j.Handover:
 			offers++
 		}
 	}
@@ -96,13 +96,13 @@
 	spare := n.advert.CPUs
 	for i := len(predictions) - 1; i >= 0 && lent < l.leaderTerm.c.Cells.MaxLoans && offers < maxOffers; i-- {
 		j := predictions[i].job
-		there := n.delay + transferTime + fetchTime(&j.spec, n.advert.Types)
-		if predictions[i].wait-there < policy.Gain || now.Sub(j.runnableSince) < policy.After ||
-			spare < j.spec.CPUs || !l.lendable(j, n, now) {
+		there := n.delay + transferTime + fetchTime(&j.Spec, n.advert.Types)
+		if predictions[i].wait-there < policy.Gain || now.Sub(j.RunnableSince) < policy.After ||
+			spare < j.Spec.CPUs || !l.lendable(j, n, now) {
 			continue
 		}
 		budget := l.budget(j, spare)
-		if budget.CPUs < j.spec.CPUs {
+		if budget.CPUs < j.Spec.CPUs {
 			continue
 		}
 		spare -= budget.CPUs
@@ -113,39 +113,39 @@
 }
 
 // lendable reports whether a job may be lent to a neighbour at all.
-func (l *loans) lendable(j *job, n *neighbour, now time.Time) bool {
+func (l *loans) lendable(j *Job, n *neighbour, now time.Time) bool {
 	lt := l.leaderTerm
 	policy := &lt.c.Policy.Spill
 	switch {
-	case j.lent != nil || j.guest != nil || j.handover:
+	case j.Lent != nil || j.Guest != nil || j.Handover:
 		return false
-	case j.ended || j.finishing || j.cancelPending || len(j.dependsOn) > 0:
+	case j.Ended || j.Finishing || j.CancelPending || len(j.DependsOn) > 0:
 		return false
-	case l.changing[loanName(lt.c.Cells.Cell, j.spec.ID)]:
+	case l.changing[loanName(lt.c.Cells.Cell, j.Spec.ID)]:
 		return false // the watch has shown a change whose response is outstanding
-	case j.started() || j.lostTasks > 0 || j.done.Any() || len(j.completionChunks) > 0:
+	case j.Started() || j.LostTasks > 0 || j.Done.Any() || len(j.CompletionChunks) > 0:
 		return false
 	case !records.FitsRecord(
-		records.ActiveRecord{Lent: &loan.Lent{Host: n.cell, Spec: j.spec}},
+		records.ActiveRecord{Lent: &loan.Lent{Host: n.cell, Spec: j.Spec}},
 		lt.c.Settings.Site.State.ValueKB,
 	):
 		return false
-	case j.loanCount >= policy.Lends || now.Sub(j.lastReclaimed[n.cell]) < policy.Cooldown:
+	case j.LoanCount >= policy.Lends || now.Sub(j.LastReclaimed[n.cell]) < policy.Cooldown:
 		return false
 	}
-	return slices.ContainsFunc(n.advert.Types, func(t api.MachineType) bool { return taskFits(&j.spec, t) })
+	return slices.ContainsFunc(n.advert.Types, func(t api.MachineType) bool { return taskFits(&j.Spec, t) })
 }
 
 // budget is what a loan may use at a time, in whole tasks: the least of the job's demand, its
 // team's limit and the spare capacity.
-func (l *loans) budget(j *job, spare float64) loan.Budget {
-	s := &j.spec
+func (l *loans) budget(j *Job, spare float64) loan.Budget {
+	s := &j.Spec
 	lt := l.leaderTerm
 	unknownCPUs := lt.unfencedCPUs + lt.unattributedCPUs
 	tasks := 0
 	for tasks < s.Tasks {
 		cpus, gpus := float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs
-		if cpus > spare+epsilon || !j.team.WithinLimit(cpus, gpus, unknownCPUs, lt.unfencedGPUs) {
+		if cpus > spare+Epsilon || !j.Team.WithinLimit(cpus, gpus, unknownCPUs, lt.unfencedGPUs) {
 			break
 		}
 		tasks++
@@ -173,26 +173,26 @@
 	lt := l.leaderTerm
 	free, requested := l.findOpenCapacity(now).freeCPUs, 0
 	for _, w := range predictions {
-		free -= float64(w.job.flight.Untaken()) * w.job.spec.CPUs
+		free -= float64(w.job.Flight.Untaken()) * w.job.Spec.CPUs
 	}
 	for _, j := range lt.jobs {
-		if j.reclaimRequested {
+		if j.ReclaimRequested {
 			requested++
-			free -= float64(j.spec.Tasks) * j.spec.CPUs
+			free -= float64(j.Spec.Tasks) * j.Spec.CPUs
 		}
 	}
 	for _, j := range lt.jobs {
 		if requested >= maxReclaims {
 			return
 		}
-		cpus := float64(j.spec.Tasks) * j.spec.CPUs
-		if j.lent == nil || j.reclaimRequested || j.remote.Phase != loan.PhaseAccepted ||
+		cpus := float64(j.Spec.Tasks) * j.Spec.CPUs
+		if j.Lent == nil || j.ReclaimRequested || j.Remote.Phase != loan.PhaseAccepted ||
 			cpus > free || lt.unfenced > 0 {
 			continue
 		}
-		j.reclaimRequested = true
+		j.ReclaimRequested = true
 		free -= cpus
 		requested++
-		lt.c.Log.Info("loan reclaim requested", "job", j.spec.ID, "cell", j.lent.Host)
+		lt.c.Log.Info("loan reclaim requested", "job", j.Spec.ID, "cell", j.Lent.Host)
 	}
 }
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -36,8 +36,8 @@
 	ends      *iradix.Tree[loanEnd]
 	// guestTeams are the queues of guests, one for each home cell, and guestFairShareOrder
 	// are the same, in the order in which they are served.
-	guestTeams          map[string]*queue.Team[*job]
-	guestFairShareOrder []*queue.Team[*job]
+	guestTeams          map[string]*queue.Team[*Job]
+	guestFairShareOrder []*queue.Team[*Job]
 
 	counts        LoanCounts
 	openCapacity  openCapacity
@@ -90,7 +90,7 @@
 		neighbours: map[string]*neighbour{},
 		minEpochs:  map[string]minEpoch{},
 		ends:       iradix.New[loanEnd](),
-		guestTeams: map[string]*queue.Team[*job]{},
+		guestTeams: map[string]*queue.Team[*Job]{},
 		changing:   map[string]bool{},
 		endedIDs:   map[string]bool{},
 		loggedOnce: map[string]bool{},
@@ -313,13 +313,13 @@
 	}
 	j := lt.jobs[m.change.job]
 	if j != nil {
-		j.handover = false
+		j.Handover = false
 	}
 	switch {
 	case m.active.ModRevision != 0:
 		lt.addJob(m.active.Key, m.active.Value, m.active.ModRevision)
 	case j == nil:
-	case j.guest != nil:
+	case j.Guest != nil:
 		l.removeGuest(j, m.end)
 	case m.hasEnded && m.terminal.Phase == api.JobDone:
 		lt.jobFinished(j)
@@ -353,15 +353,15 @@
 
 // applyLoan applies the loan of a job's active record. It is called for each newer version
 // of the record, whoever wrote it.
-func (lt *leaderTerm) applyLoan(j *job, rec records.ActiveRecord, modRevision uint64) {
-	if modRevision <= j.modRevision {
+func (lt *leaderTerm) applyLoan(j *Job, rec records.ActiveRecord, modRevision uint64) {
+	if modRevision <= j.ModRevision {
 		return
 	}
-	j.modRevision, j.loanCount = modRevision, rec.LoanCount
+	j.ModRevision, j.LoanCount = modRevision, rec.LoanCount
 	switch {
 	case rec.Lent != nil:
 		lt.loans.applyLent(j, rec.Lent)
-	case j.lent != nil:
+	case j.Lent != nil:
 		lt.loans.jobReclaimed(j)
 	}
 }
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -47,71 +47,71 @@
 )
 
 // applyLent updates a job whose active record says that it is lent.
-func (l *loans) applyLent(j *job, record *loan.Lent) {
-	if j.lent == nil || j.lent.Epoch != record.Epoch {
-		j.remote = loan.State{}
-		j.reclaimRequested = false
+func (l *loans) applyLent(j *Job, record *loan.Lent) {
+	if j.Lent == nil || j.Lent.Epoch != record.Epoch {
+		j.Remote = loan.State{}
+		j.ReclaimRequested = false
 	}
-	j.handover = false
+	j.Handover = false
 	l.reserve(j, record.Budget)
-	j.lent = record
-	j.team.Remove(j)
+	j.Lent = record
+	j.Team.Remove(j)
 	if n := l.neighbours[record.Host]; n != nil {
 		n.nextExchange = time.Time{}
 	}
 }
 
 // jobReclaimed updates a job whose active record says that it is no longer lent.
-func (l *loans) jobReclaimed(j *job) {
-	l.leaderTerm.c.Log.Info("loan taken back", "job", j.spec.ID, "cell", j.lent.Host, "reason", j.remote.Reason)
-	if j.lastReclaimed == nil {
-		j.lastReclaimed = map[string]time.Time{}
+func (l *loans) jobReclaimed(j *Job) {
+	l.leaderTerm.c.Log.Info("loan taken back", "job", j.Spec.ID, "cell", j.Lent.Host, "reason", j.Remote.Reason)
+	if j.LastReclaimed == nil {
+		j.LastReclaimed = map[string]time.Time{}
 	}
-	j.lastReclaimed[j.lent.Host] = time.Now()
-	j.lent, j.handover, j.reclaimRequested = nil, false, false
+	j.LastReclaimed[j.Lent.Host] = time.Now()
+	j.Lent, j.Handover, j.ReclaimRequested = nil, false, false
 	l.counts.Reclaimed++
 	l.release(j)
 	l.requeue(j)
 }
 
 // requeue adds a job that was lent to its team's queue again.
-func (l *loans) requeue(j *job) {
-	j.waitingSince = time.Now()
-	j.team.Remove(j)
-	j.team.Add(j)
-	l.leaderTerm.dispatchUntil = j.waitingSince.Add(dispatchWindow)
+func (l *loans) requeue(j *Job) {
+	j.WaitingSince = time.Now()
+	j.Team.Remove(j)
+	j.Team.Add(j)
+	l.leaderTerm.dispatchUntil = j.WaitingSince.Add(dispatchWindow)
 }
 
 // reserve counts a loan's budget as used by its team.
-func (l *loans) reserve(j *job, budget loan.Budget) {
+func (l *loans) reserve(j *Job, budget loan.Budget) {
 	l.release(j)
-	j.reservedBudget = budget
-	j.team.UsedCPUs += budget.CPUs
-	j.team.UsedGPUs += budget.GPUs
+	j.ReservedBudget = budget
+	j.Team.UsedCPUs += budget.CPUs
+	j.Team.UsedGPUs += budget.GPUs
 }
 
 // release ends the reservation of a loan's budget.
-func (l *loans) release(j *job) {
-	j.team.UsedCPUs -= j.reservedBudget.CPUs
-	j.team.UsedGPUs -= j.reservedBudget.GPUs
-	j.reservedBudget = loan.Budget{}
+func (l *loans) release(j *Job) {
+	j.Team.UsedCPUs -= j.ReservedBudget.CPUs
+	j.Team.UsedGPUs -= j.ReservedBudget.GPUs
+	j.ReservedBudget = loan.Budget{}
 }
 
 // lendJob records that a job is lent. From now on none of its tasks starts in this cell.
-func (l *loans) lendJob(j *job, n *neighbour, budget loan.Budget) {
+func (l *loans) lendJob(j *Job, n *neighbour, budget loan.Budget) {
 	lt := l.leaderTerm
 	l.count++
 	l.counts.Lent++
-	spec := j.spec
+	spec := j.Spec
 	spec.DependsOn = nil
 	record := &loan.Lent{
 		Host:   n.cell,
 		Epoch:  loan.NewEpoch(lt.term.Number, l.count),
 		Spec:   spec,
 		Budget: budget,
-		Since:  j.runnableSince.UTC(),
+		Since:  j.RunnableSince.UTC(),
 	}
-	j.team.Remove(j)
+	j.Team.Remove(j)
 	l.reserve(j, budget)
 	lt.c.Log.Info("loan",
 		"job", spec.ID,
@@ -119,25 +119,25 @@
 		"cell", n.cell,
 		"epoch", record.Epoch,
 		"cpus", budget.CPUs)
-	active := records.ActiveRecord{Accepted: j.accepted, Lent: record, LoanCount: j.loanCount + 1}
+	active := records.ActiveRecord{Accepted: j.Accepted, Lent: record, LoanCount: j.LoanCount + 1}
 	l.changeActive(j, active)
 }
 
 // changeActive replaces a job's active record.
-func (l *loans) changeActive(j *job, rec records.ActiveRecord) {
+func (l *loans) changeActive(j *Job, rec records.ActiveRecord) {
 	lt := l.leaderTerm
-	key := records.ActivePrefix + j.spec.ID
-	j.handover = l.enqueueChange(&loanChange{
+	key := records.ActivePrefix + j.Spec.ID
+	j.Handover = l.enqueueChange(&loanChange{
 		home: lt.c.Cells.Cell,
-		job:  j.spec.ID,
+		job:  j.Spec.ID,
 		build: func() (kv.Txn, bool) {
 			return kv.Txn{
-				Compares: []kv.Compare{lt.termCompare(), {Key: key, ModRevision: j.modRevision}},
+				Compares: []kv.Compare{lt.termCompare(), {Key: key, ModRevision: j.ModRevision}},
 				Ops:      []kv.Op{{Put: key, Value: rec}},
-			}, !j.ended
+			}, !j.Ended
 		},
 		done: func(revision uint64) {
-			j.handover = false
+			j.Handover = false
 			lt.applyLoan(j, rec, revision)
 		},
 	})
@@ -168,10 +168,10 @@
 // reclaimFromUnreachable reclaims the loans to a cell that the operators have declared lost.
 func (l *loans) reclaimFromUnreachable(n *neighbour) {
 	for _, j := range l.leaderTerm.jobs {
-		if j.lent != nil && j.lent.Host == n.cell && !j.handover {
+		if j.Lent != nil && j.Lent.Host == n.cell && !j.Handover {
 			l.applyAction(j, loan.State{
-				Job:    j.spec.ID,
-				Epoch:  j.lent.Epoch,
+				Job:    j.Spec.ID,
+				Epoch:  j.Lent.Epoch,
 				Phase:  loan.PhaseClosed,
 				Reason: "the cell is lost",
 			})
@@ -185,19 +185,19 @@
 	req := &loan.Request{Home: lt.c.Cells.Cell, Term: lt.term.Number}
 	bytesLeft := maxOfferBytes
 	for id, j := range lt.jobs {
-		if j.lent == nil || j.lent.Host != n.cell || j.handover {
+		if j.Lent == nil || j.Lent.Host != n.cell || j.Handover {
 			continue
 		}
-		e := loan.Entry{Job: id, Epoch: j.lent.Epoch}
+		e := loan.Entry{Job: id, Epoch: j.Lent.Epoch}
 		switch {
-		case j.lent.Cancel:
+		case j.Lent.Cancel:
 			e.Desired = loan.DesiredCancel
-		case j.reclaimRequested:
+		case j.ReclaimRequested:
 			e.Desired = loan.DesiredReclaim
 		}
-		if j.remote.Phase == loan.PhaseUnknown && e.Desired == loan.DesiredRun && bytesLeft > 0 {
-			e.Offer = &loan.Offer{Spec: j.lent.Spec, Budget: j.lent.Budget, Since: j.lent.Since}
-			bytesLeft -= offerBytes + len(j.lent.Spec.Class) + len(j.lent.Spec.Image) + 16*len(j.lent.Spec.Types)
+		if j.Remote.Phase == loan.PhaseUnknown && e.Desired == loan.DesiredRun && bytesLeft > 0 {
+			e.Offer = &loan.Offer{Spec: j.Lent.Spec, Budget: j.Lent.Budget, Since: j.Lent.Since}
+			bytesLeft -= offerBytes + len(j.Lent.Spec.Class) + len(j.Lent.Spec.Image) + 16*len(j.Lent.Spec.Types)
 		}
 		req.Entries = append(req.Entries, e)
 	}
@@ -253,10 +253,10 @@
 func (l *loans) applyState(n *neighbour, s loan.State) {
 	lt := l.leaderTerm
 	j := lt.jobs[s.Job]
-	if j != nil && j.handover {
+	if j != nil && j.Handover {
 		return // the change that is being written decides
 	}
-	if j == nil || j.lent == nil || j.lent.Host != n.cell || j.lent.Epoch != s.Epoch {
+	if j == nil || j.Lent == nil || j.Lent.Host != n.cell || j.Lent.Epoch != s.Epoch {
 		if s.Phase != loan.PhaseClosed && s.Phase != loan.PhaseUnknown && loan.ConfirmedBy(lt.term.Number, s.Epoch) {
 			n.toForget[s.Job] = s.Epoch
 			n.nextExchange = time.Time{}
@@ -264,40 +264,40 @@
 		return
 	}
 	if s.Phase == loan.PhaseStarted {
-		j.reclaimRequested = false // a job that has started stays at its host
+		j.ReclaimRequested = false // a job that has started stays at its host
 	}
-	if s.Phase >= j.remote.Phase {
-		j.remote = s
+	if s.Phase >= j.Remote.Phase {
+		j.Remote = s
 	}
 	l.applyAction(j, s)
 }
 
 // applyAction queues the change of records that follows from a loan's state at its host.
-func (l *loans) applyAction(j *job, s loan.State) {
-	switch loan.HomeStep(j.lent, s) {
+func (l *loans) applyAction(j *Job, s loan.State) {
+	switch loan.HomeStep(j.Lent, s) {
 	case loan.ActionReclaim:
-		j.remote.Reason = s.Reason
-		l.changeActive(j, records.ActiveRecord{Spec: j.lent.Spec, Accepted: j.accepted, LoanCount: j.loanCount})
+		j.Remote.Reason = s.Reason
+		l.changeActive(j, records.ActiveRecord{Spec: j.Lent.Spec, Accepted: j.Accepted, LoanCount: j.LoanCount})
 	case loan.ActionDone:
 		l.recordLentEnd(j, records.TerminalRecord{
 			Phase: api.JobDone,
-			Tasks: j.spec.Tasks,
+			Tasks: j.Spec.Tasks,
 			Ended: time.Now().UTC(),
 		})
 	case loan.ActionCancel:
-		l.recordLentEnd(j, records.TerminalRecord{Phase: api.JobCancelled, Tasks: j.spec.Tasks})
+		l.recordLentEnd(j, records.TerminalRecord{Phase: api.JobCancelled, Tasks: j.Spec.Tasks})
 	}
 }
 
 // recordLentEnd writes the terminal record of a lent job.
-func (l *loans) recordLentEnd(j *job, terminal records.TerminalRecord) {
-	lt, id := l.leaderTerm, j.spec.ID
+func (l *loans) recordLentEnd(j *Job, terminal records.TerminalRecord) {
+	lt, id := l.leaderTerm, j.Spec.ID
 	active := records.ActivePrefix + id
-	j.handover = l.enqueueChange(&loanChange{
+	j.Handover = l.enqueueChange(&loanChange{
 		home: lt.c.Cells.Cell,
 		job:  id,
 		build: func() (kv.Txn, bool) {
-			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
+			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.ModRevision}}}
 			if terminal.Phase == api.JobCancelled {
 				// As with a user's own cancellation, a watch sees why the record is deleted.
 				txn.Ops = append(txn.Ops, kv.Op{Put: records.CancelKey, Value: id})
@@ -305,26 +305,26 @@
 			txn.Ops = append(txn.Ops, kv.Op{Put: records.TerminalPrefix + id, Value: terminal}, kv.Op{Delete: active})
 			// From now on others may read its terminal record before this node learns that
 			// it was written.
-			j.ending = true
-			return txn, !j.ended
+			j.Ending = true
+			return txn, !j.Ended
 		},
 		done: func(uint64) { l.lentEndRecorded(j, terminal.Phase) },
 	})
 }
 
 // lentEndRecorded updates a lent job whose terminal record was written.
-func (l *loans) lentEndRecorded(j *job, phase string) {
+func (l *loans) lentEndRecorded(j *Job, phase string) {
 	switch {
-	case j.ended:
+	case j.Ended:
 	case phase == api.JobDone:
-		j.doneCount = j.spec.Tasks
+		j.DoneCount = j.Spec.Tasks
 		l.counts.Done++
 		l.leaderTerm.jobFinished(j)
 	default:
 		l.counts.Cancelled++
 		l.leaderTerm.cancelJob(j)
 	}
-	if n := l.neighbours[j.lent.Host]; n != nil {
+	if n := l.neighbours[j.Lent.Host]; n != nil {
 		// The next response names the loan once more, and the request after it says to forget it.
 		n.nextExchange = time.Time{}
 	}
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -57,7 +57,7 @@
 		view := l.hostView(req.Home, e, &response.Advert)
 		phase, step := loan.HostStep(e, view)
 		state := loan.State{Job: e.Job, Epoch: e.Epoch, Phase: phase, Reason: view.RefusalReason}
-		if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Epoch == e.Epoch {
+		if j := lt.jobs[e.Job]; j != nil && j.Guest != nil && j.Guest.Epoch == e.Epoch {
 			l.fillProgress(j, &state)
 		} else {
 			state.Pending = l.mayBeOnMachine(e.Job)
@@ -121,10 +121,10 @@
 	if end, ok := l.ends.Get([]byte(loanName(home, e.Job))); ok {
 		view.End = &end.End
 	}
-	if j := lt.jobs[e.Job]; j != nil && j.guest != nil && j.guest.Home == home {
-		view.GuestEpoch = j.guest.Epoch
+	if j := lt.jobs[e.Job]; j != nil && j.Guest != nil && j.Guest.Home == home {
+		view.GuestEpoch = j.Guest.Epoch
 		// An unfenced machine may run tasks of it.
-		view.Started = j.started() || lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision
+		view.Started = j.Started() || lt.unfenced > 0 && j.ModRevision <= lt.term.ModRevision
 		return view
 	}
 	if e.Desired == loan.DesiredRun && e.Offer != nil && view.End == nil {
@@ -142,7 +142,7 @@
 	}
 	guests := 0
 	for _, j := range lt.jobs {
-		if j.guest != nil && j.guest.Home == home {
+		if j.Guest != nil && j.Guest.Home == home {
 			guests++
 		}
 	}
@@ -169,9 +169,9 @@
 }
 
 // fillProgress fills in the counts of a guest's tasks.
-func (l *loans) fillProgress(j *job, s *loan.State) {
-	job := j.state()
-	s.Done, s.Running, s.Pending = job.Done, job.Running, len(j.activeAttempts) > 0
+func (l *loans) fillProgress(j *Job, s *loan.State) {
+	job := j.State()
+	s.Done, s.Running, s.Pending = job.Done, job.Running, len(j.ActiveAttempts) > 0
 }
 
 // mayBeOnMachine reports whether tasks of a job may be on machines, also of a job that this
@@ -183,8 +183,8 @@
 	}
 	prefix := id + "/"
 	for _, m := range lt.machines {
-		for key, a := range m.attempts {
-			if !a.exited && strings.HasPrefix(key.ref, prefix) {
+		for key, a := range m.Attempts {
+			if !a.Exited && strings.HasPrefix(key.Ref, prefix) {
 				return true
 			}
 		}
@@ -196,11 +196,11 @@
 // next request then contains their desired state.
 func (l *loans) unlistedGuests(home string, listed map[string]bool) (states []loan.State) {
 	for id, j := range l.leaderTerm.jobs {
-		if j.guest == nil || j.guest.Home != home || listed[id] {
+		if j.Guest == nil || j.Guest.Home != home || listed[id] {
 			continue
 		}
-		s := loan.State{Job: id, Epoch: j.guest.Epoch, Phase: loan.PhaseAccepted}
-		if j.started() {
+		s := loan.State{Job: id, Epoch: j.Guest.Epoch, Phase: loan.PhaseAccepted}
+		if j.Started() {
 			s.Phase = loan.PhaseStarted
 		}
 		l.fillProgress(j, &s)
@@ -234,7 +234,7 @@
 	case loan.StepClose:
 		l.returnGuest(j)
 	case loan.StepCancel:
-		l.endGuest(j, loan.End{Epoch: e.Epoch, Phase: api.JobCancelled, Tasks: j.spec.Tasks})
+		l.endGuest(j, loan.End{Epoch: e.Epoch, Phase: api.JobCancelled, Tasks: j.Spec.Tasks})
 	case loan.StepForget:
 		l.forgetEnd(home, e)
 	}
@@ -317,19 +317,19 @@
 }
 
 // returnGuest removes a guest that has not started.
-func (l *loans) returnGuest(j *job) {
-	lt, home, epoch := l.leaderTerm, j.guest.Home, j.guest.Epoch
-	active := records.ActivePrefix + j.spec.ID
+func (l *loans) returnGuest(j *Job) {
+	lt, home, epoch := l.leaderTerm, j.Guest.Home, j.Guest.Epoch
+	active := records.ActivePrefix + j.Spec.ID
 	l.enqueueChange(&loanChange{
 		home: home,
-		job:  j.spec.ID,
+		job:  j.Spec.ID,
 		build: func() (kv.Txn, bool) {
-			if j.ended || j.started() {
+			if j.Ended || j.Started() {
 				return kv.Txn{}, false
 			}
-			j.handover = true
+			j.Handover = true
 			txn := kv.Txn{
-				Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}},
+				Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.ModRevision}},
 				Ops:      []kv.Op{{Delete: active}},
 			}
 			l.minEpochOp(&txn, home, epoch)
@@ -344,26 +344,26 @@
 }
 
 // guestDone records that all tasks of a guest are done.
-func (l *loans) guestDone(j *job) {
-	l.endGuest(j, loan.End{Epoch: j.guest.Epoch, Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: time.Now().UTC()})
+func (l *loans) guestDone(j *Job) {
+	l.endGuest(j, loan.End{Epoch: j.Guest.Epoch, Phase: api.JobDone, Tasks: j.Spec.Tasks, Ended: time.Now().UTC()})
 }
 
 // endGuest records how a guest ended, for its home cell.
-func (l *loans) endGuest(j *job, end loan.End) {
-	lt, home, id := l.leaderTerm, j.guest.Home, j.spec.ID
+func (l *loans) endGuest(j *Job, end loan.End) {
+	lt, home, id := l.leaderTerm, j.Guest.Home, j.Spec.ID
 	active, key := records.ActivePrefix+id, loan.EndKey(home, id)
 	l.enqueueChange(&loanChange{
 		home: home,
 		job:  id,
 		build: func() (kv.Txn, bool) {
-			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.modRevision}}}
+			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.ModRevision}}}
 			if end.Phase == api.JobCancelled {
 				// All nodes of this cell must learn of it before they renew task leases.
 				txn.Ops = append(txn.Ops, kv.Op{Put: records.CancelKey, Value: loan.GuestMarker + id})
 			}
 			txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: end}, kv.Op{Delete: active})
-			j.handover = true
-			return txn, !j.ended
+			j.Handover = true
+			return txn, !j.Ended
 		},
 		done: func(revision uint64) {
 			raw, err := json.Marshal(end)
@@ -379,8 +379,8 @@
 
 // removeGuest removes a guest whose active record was deleted. Its tasks on machines are
 // stopped by the responses to their heartbeats.
-func (l *loans) removeGuest(j *job, end kv.Entry) {
-	if j.ended {
+func (l *loans) removeGuest(j *Job, end kv.Entry) {
+	if j.Ended {
 		return
 	}
 	lt := l.leaderTerm
@@ -388,20 +388,20 @@
 	if end.ModRevision != 0 {
 		var recorded loan.End
 		if err := json.Unmarshal(end.Value, &recorded); err == nil && recorded.Phase == api.JobCancelled {
-			lt.c.recordCancellation(loan.GuestMarker + j.spec.ID)
+			lt.c.recordCancellation(loan.GuestMarker + j.Spec.ID)
 		}
 	}
-	for _, a := range j.activeAttempts {
+	for _, a := range j.ActiveAttempts {
 		lt.terminateIfOutcomeUnknown(a)
 	}
-	for first := range j.completionChunks {
-		lt.recordWriter.deleteKey(records.CompletionKey(j.spec.ID, first))
+	for first := range j.CompletionChunks {
+		lt.recordWriter.deleteKey(records.CompletionKey(j.Spec.ID, first))
 	}
 	lt.c.Log.Info("guest ended",
-		"job", j.spec.ID,
-		"cell", j.guest.Home,
-		"done", j.doneCount,
-		"tasks", j.spec.Tasks)
+		"job", j.Spec.ID,
+		"cell", j.Guest.Home,
+		"done", j.DoneCount,
+		"tasks", j.Spec.Tasks)
 }
 
 // forgetEnd deletes the record of a guest's end, once its home cell has recorded it.
--- a/internal/controller/loansstatus.go
+++ b/internal/controller/loansstatus.go
@@ -73,11 +73,11 @@
 	lent, guests := map[string]int{}, map[string]int{}
 	for _, j := range lt.jobs {
 		switch {
-		case j.lent != nil:
-			lent[j.lent.Host]++
+		case j.Lent != nil:
+			lent[j.Lent.Host]++
 			s.Lent = append(s.Lent, l.lentStatus(j))
-		case j.guest != nil:
-			guests[j.guest.Home]++
+		case j.Guest != nil:
+			guests[j.Guest.Home]++
 			s.Guests = append(s.Guests, guestStatus(j))
 		}
 	}
@@ -110,45 +110,45 @@
 }
 
 // lentStatus is the status of a job that runs in another cell.
-func (l *loans) lentStatus(j *job) LoanStatus {
+func (l *loans) lentStatus(j *Job) LoanStatus {
 	s := LoanStatus{
-		Job:     j.spec.ID,
-		Cell:    j.lent.Host,
-		Epoch:   j.lent.Epoch.String(),
-		Phase:   j.remote.Phase.String(),
-		CPUs:    j.lent.Budget.CPUs,
-		Done:    j.remote.Done,
-		Running: j.remote.Running,
+		Job:     j.Spec.ID,
+		Cell:    j.Lent.Host,
+		Epoch:   j.Lent.Epoch.String(),
+		Phase:   j.Remote.Phase.String(),
+		CPUs:    j.Lent.Budget.CPUs,
+		Done:    j.Remote.Done,
+		Running: j.Remote.Running,
 	}
-	n := l.neighbours[j.lent.Host]
+	n := l.neighbours[j.Lent.Host]
 	switch {
 	case n == nil:
 		s.Waits = "its cell is not configured"
 	case n.lastError != "":
 		s.Waits = "its cell does not answer: " + n.lastError
-	case j.lent.Cancel:
+	case j.Lent.Cancel:
 		s.Waits = "to be cancelled there"
-	case j.reclaimRequested:
+	case j.ReclaimRequested:
 		s.Waits = "called back"
-	case j.remote.Phase == loan.PhaseUnknown:
+	case j.Remote.Phase == loan.PhaseUnknown:
 		s.Waits = "not accepted yet"
 	}
 	return s
 }
 
 // guestStatus is the status of a job that runs here for another cell.
-func guestStatus(j *job) LoanStatus {
-	state := j.state()
+func guestStatus(j *Job) LoanStatus {
+	state := j.State()
 	s := LoanStatus{
-		Job:     j.spec.ID,
-		Cell:    j.guest.Home,
-		Epoch:   j.guest.Epoch.String(),
+		Job:     j.Spec.ID,
+		Cell:    j.Guest.Home,
+		Epoch:   j.Guest.Epoch.String(),
 		Phase:   loan.PhaseAccepted.String(),
-		CPUs:    j.guest.Budget.CPUs,
+		CPUs:    j.Guest.Budget.CPUs,
 		Done:    state.Done,
 		Running: state.Running,
 	}
-	if j.started() {
+	if j.Started() {
 		s.Phase = loan.PhaseStarted.String()
 	}
 	return s
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -13,208 +13,208 @@
 type registrationState int
 
 const (
-	unregistered registrationState = iota
-	registering
-	registered
+	Unregistered registrationState = iota
+	Registering
+	Registered
 )
 
-// machine is a rented machine that has sent a heartbeat or is in the registry.
-type machine struct {
-	name, addr string
-	// machineType is the machine type by which the cloud rents it.
-	machineType string
-	zone        string
-	spot        bool
-	// cpus, gpus and memory (in GB) are the machine's size; 0 while its type is not known.
-	cpus, gpus float64
-	memory     float64
-
-	// usedCPUs, usedGPUs and usedMemory are reserved by attempts.
-	usedCPUs, usedGPUs, usedMemory float64
-
-	// agentEpoch and heartbeatSeq are those of the newest heartbeat.
-	agentEpoch, heartbeatSeq uint64
-	// heartbeatCount counts the heartbeats applied.
-	heartbeatCount int
-	// lastCommands are the commands of the last response, sent at lastCommandsAt.
-	lastCommands   []api.Command
-	lastCommandsAt time.Time
-	// unappliedResponses counts the consecutive responses of which no command was
+// Machine is a rented machine that has sent a heartbeat or is in the registry.
+type Machine struct {
+	Name, Addr string
+	// Type is the machine type by which the cloud rents it.
+	Type string
+	Zone string
+	Spot bool
+	// CPUs, gpus and memory (in GB) are the machine's size; 0 while its type is not known.
+	CPUs, GPUs float64
+	MemoryGB   float64
+
+	// UsedCPUs, UsedGPUs and usedMemory are reserved by attempts.
+	UsedCPUs, UsedGPUs, usedMemory float64
+
+	// AgentEpoch and HeartbeatSeq are those of the newest heartbeat.
+	AgentEpoch, HeartbeatSeq uint64
+	// HeartbeatCount counts the heartbeats applied.
+	HeartbeatCount int
+	// LastCommands are the commands of the last response, sent at LastCommandsAt.
+	LastCommands   []api.Command
+	LastCommandsAt time.Time
+	// UnappliedResponses counts the consecutive responses of which no command was
 	// applied, and the agent epochs that ended although the machine was answered: both
 	// show that responses do not arrive there.
-	unappliedResponses int
-	registration       registrationState
-	// shard is the record of the registry that names the machine.
-	shard *shard
-	// fenced is set once the machine reports with this term's fencing token: from then on
+	UnappliedResponses int
+	Registration       registrationState
+	// Shard is the record of the registry that names the machine.
+	Shard *Shard
+	// Fenced is set once the machine reports with this term's fencing token: from then on
 	// it rejects the commands of earlier leaders.
-	fenced bool
-	// lastSeen is when the machine last showed that it was alive, by a heartbeat or by its
-	// answer to a probe, moved on by the pauses of this process since; lastHeartbeat is when
+	Fenced bool
+	// LastSeen is when the machine last showed that it was alive, by a heartbeat or by its
+	// answer to a probe, moved on by the pauses of this process since; LastHeartbeat is when
 	// the last heartbeat arrived.
-	lastSeen      time.Time
-	lastHeartbeat time.Time
-	// nextProbe is when a suspect machine may be probed next; probeFails counts the probes
+	LastSeen      time.Time
+	LastHeartbeat time.Time
+	// NextProbe is when a suspect machine may be probed next; ProbeFails counts the probes
 	// that failed in a row.
-	nextProbe  time.Time
-	probeFails int
-	// commandInFlight is set while a command batch is in flight to the machine.
-	commandInFlight bool
-	// relayPending keeps new tasks off the machine while commands for it are relayed through
+	NextProbe  time.Time
+	ProbeFails int
+	// CommandInFlight is set while a command batch is in flight to the machine.
+	CommandInFlight bool
+	// RelayPending keeps new tasks off the machine while commands for it are relayed through
 	// the key-value store.
-	relayPending bool
-	// lastForwarded is set if another node forwarded the last heartbeat: the machine may be
+	RelayPending bool
+	// LastForwarded is set if another node forwarded the last heartbeat: the machine may be
 	// out of this node's reach.
-	lastForwarded bool
-	// redirectedAt is when the machine was last redirected to the node of its zone.
-	redirectedAt time.Time
-	// leaseRenewedUntil is until when another node is known to renew the machine's task
+	LastForwarded bool
+	// RedirectedAt is when the machine was last redirected to the node of its zone.
+	RedirectedAt time.Time
+	// LeaseRenewedUntil is until when another node is known to renew the machine's task
 	// lease on behalf of the leader.
-	leaseRenewedUntil time.Time
-	addedAt           time.Time
-	// idleSince is when the machine was last seen to hold an attempt, or was added.
-	idleSince time.Time
-	// preemptAt is when the cloud takes the machine by its preemption notice; zero without
+	LeaseRenewedUntil time.Time
+	AddedAt           time.Time
+	// IdleSince is when the machine was last seen to hold an attempt, or was added.
+	IdleSince time.Time
+	// PreemptAt is when the cloud takes the machine by its preemption notice; zero without
 	// one.
-	preemptAt time.Time
+	PreemptAt time.Time
 
-	attempts map[attemptKey]*attempt
+	Attempts map[AttemptKey]*Attempt
 	// unattributed counts the attempts whose job, and so whose quota, is not known.
-	// unattributedCPUs is what the machine adds to the leader's unattributedTotal for them.
+	// unattributedCPUs is what the machine adds to the leader's UnattributedTotal for them.
 	unattributed      int
 	unattributedCPUs  float64
-	unattributedTotal *float64
-	// images is what the machine is believed to have cached; fetching are the images that
+	UnattributedTotal *float64
+	// Images is what the machine is believed to have cached; fetching are the images that
 	// its tasks are waiting for.
-	images   imageCache
-	fetching map[string]bool
+	Images   ImageCache
+	Fetching map[string]bool
 
-	// draining machines get no tasks while there is capacity elsewhere. Unlike evacuating
+	// Draining machines get no tasks while there is capacity elsewhere. Unlike evacuating
 	// ones they are taken back into use when that capacity is needed.
-	draining bool
-	// evacuating machines get no tasks, and their end follows.
-	evacuating bool
-	// terminating is set once the machine is to be terminated by the cloud, terminated once
+	Draining bool
+	// Evacuating machines get no tasks, and their end follows.
+	Evacuating bool
+	// Terminating is set once the machine is to be terminated by the cloud, terminated once
 	// the cloud has confirmed that.
-	terminating bool
-	terminated  bool
-	// reason is why the machine is evacuated.
-	reason string
-
-	// slowdown is how long runs take here against elsewhere, over the last minMeasuredRuns
-	// or so; measuredRuns counts the runs measured.
-	slowdown     float64
-	measuredRuns int
-
-	// taskErrorsByJob counts tasks that failed since one last completed here.
-	taskErrorsByJob map[string]int
-	// The machine gets no tasks before cordonedUntil; cordonDuration is the length of its
+	Terminating bool
+	Terminated  bool
+	// Reason is why the machine is evacuated.
+	Reason string
+
+	// Slowdown is how long runs take here against elsewhere, over the last minMeasuredRuns
+	// or so; MeasuredRuns counts the runs measured.
+	Slowdown     float64
+	MeasuredRuns int
+
+	// TaskErrorsByJob counts tasks that failed since one last completed here.
+	TaskErrorsByJob map[string]int
+	// The machine gets no tasks before CordonedUntil; CordonDuration is the length of its
 	// last cordon for a failed task, from which the next follows.
-	cordonedUntil  time.Time
-	cordonDuration time.Duration
+	CordonedUntil  time.Time
+	CordonDuration time.Duration
 }
 
-// freeCPUs are the CPUs that no attempt has reserved.
-func (m *machine) freeCPUs() float64 { return m.cpus - m.usedCPUs }
+// FreeCPUs are the CPUs that no attempt has reserved.
+func (m *Machine) FreeCPUs() float64 { return m.CPUs - m.UsedCPUs }
 
-// epsilon is the difference below which two amounts of a resource count as equal: sums of
+// Epsilon is the difference below which two amounts of a resource count as equal: sums of
 // floats are not exact.
-const epsilon = 1e-6
-
-// fits tells whether the machine has free capacity for one more task of a job.
-func (m *machine) fits(s *api.JobSpec) bool {
-	return len(m.attempts) < maxAttempts &&
-		m.usedCPUs+s.CPUs <= m.cpus+epsilon &&
-		m.usedGPUs+s.GPUs <= m.gpus+epsilon &&
-		m.usedMemory+s.MemoryGB <= m.memory+epsilon
+const Epsilon = 1e-6
+
+// Fits tells whether the machine has free capacity for one more task of a job.
+func (m *Machine) Fits(s *api.JobSpec) bool {
+	return len(m.Attempts) < MaxAttempts &&
+		m.UsedCPUs+s.CPUs <= m.CPUs+Epsilon &&
+		m.UsedGPUs+s.GPUs <= m.GPUs+Epsilon &&
+		m.usedMemory+s.MemoryGB <= m.MemoryGB+Epsilon
 }
 
-// maxAttempts bounds the attempts on a machine, and so the size of its heartbeats: one that
+// MaxAttempts bounds the attempts on a machine, and so the size of its heartbeats: one that
 // exceeds a request's body of 64 KiB cannot be sent, and all tasks would end with the task
 // lease. Only tasks that use next to nothing of a machine reach this bound.
-const maxAttempts = 450
+const MaxAttempts = 450
 
-// slots is how many more tasks of a job the machine has capacity for.
-func (m *machine) slots(s *api.JobSpec) int {
-	n := float64(max(0, maxAttempts-len(m.attempts)))
+// Slots is how many more tasks of a job the machine has capacity for.
+func (m *Machine) Slots(s *api.JobSpec) int {
+	n := float64(max(0, MaxAttempts-len(m.Attempts)))
 	for _, f := range []struct{ free, each float64 }{
-		{m.cpus - m.usedCPUs, s.CPUs}, {m.gpus - m.usedGPUs, s.GPUs}, {m.memory - m.usedMemory, s.MemoryGB},
+		{m.CPUs - m.UsedCPUs, s.CPUs}, {m.GPUs - m.UsedGPUs, s.GPUs}, {m.MemoryGB - m.usedMemory, s.MemoryGB},
 	} {
 		if f.each > 0 {
-			n = min(n, math.Floor(f.free/f.each+epsilon))
+			n = min(n, math.Floor(f.free/f.each+Epsilon))
 		}
 	}
 	return int(min(n, api.MaxTasks))
 }
 
-// updateFetching finds the images that the machine is fetching.
-func (m *machine) updateFetching() {
-	m.fetching = map[string]bool{}
-	for _, a := range m.attempts {
-		if a.exited || a.job == nil || (a.phase != "" && a.phase != api.TaskPulling) {
+// UpdateFetching finds the images that the machine is fetching.
+func (m *Machine) UpdateFetching() {
+	m.Fetching = map[string]bool{}
+	for _, a := range m.Attempts {
+		if a.Exited || a.Job == nil || (a.Phase != "" && a.Phase != api.TaskPulling) {
 			continue
 		}
-		if !m.images.has(a.job.spec.Image) {
-			m.fetching[a.job.spec.Image] = true
+		if !m.Images.Has(a.Job.Spec.Image) {
+			m.Fetching[a.Job.Spec.Image] = true
 		}
 	}
 }
 
-// canFetch tells whether the machine has an image, is fetching it, or may begin to while it
+// CanFetch tells whether the machine has an image, is fetching it, or may begin to while it
 // fetches fewer than limit.
-func (m *machine) canFetch(image string, limit int) bool {
-	return m.images.has(image) || m.fetching[image] || len(m.fetching) < limit
+func (m *Machine) CanFetch(image string, limit int) bool {
+	return m.Images.Has(image) || m.Fetching[image] || len(m.Fetching) < limit
 }
 
-// isSchedulable tells whether the machine may be assigned tasks.
-func (m *machine) isSchedulable(now time.Time) bool {
-	return m.fenced && m.registration == registered &&
-		!m.draining && !m.evacuating && !m.terminated && !m.relayPending &&
-		m.cpus > 0 && m.preemptAt.IsZero() && m.unattributed == 0 && !now.Before(m.cordonedUntil)
+// IsSchedulable tells whether the machine may be assigned tasks.
+func (m *Machine) IsSchedulable(now time.Time) bool {
+	return m.Fenced && m.Registration == Registered &&
+		!m.Draining && !m.Evacuating && !m.Terminated && !m.RelayPending &&
+		m.CPUs > 0 && m.PreemptAt.IsZero() && m.unattributed == 0 && !now.Before(m.CordonedUntil)
 }
 
 // countUnattributed adds n unattributed attempts, and keeps the leader's sum of the capacity
 // that such attempts may use: the whole of each machine that holds any.
-func (m *machine) countUnattributed(n int) {
+func (m *Machine) countUnattributed(n int) {
 	m.unattributed += n
 	inUse := 0.0
 	if m.unattributed > 0 {
-		inUse = m.cpus
+		inUse = m.CPUs
 	}
-	*m.unattributedTotal += inUse - m.unattributedCPUs
+	*m.UnattributedTotal += inUse - m.unattributedCPUs
 	m.unattributedCPUs = inUse
 }
 
-// registryEntry is a machine's entry in a shard.
-func (m *machine) registryEntry() records.MachineRecord {
+// RegistryEntry is a machine's entry in a shard.
+func (m *Machine) RegistryEntry() records.MachineRecord {
 	return records.MachineRecord{
-		Name:     m.name,
-		Addr:     m.addr,
-		Type:     m.machineType,
-		Zone:     m.zone,
-		Spot:     m.spot,
-		CPUs:     m.cpus,
-		GPUs:     m.gpus,
-		MemoryGB: m.memory,
+		Name:     m.Name,
+		Addr:     m.Addr,
+		Type:     m.Type,
+		Zone:     m.Zone,
+		Spot:     m.Spot,
+		CPUs:     m.CPUs,
+		GPUs:     m.GPUs,
+		MemoryGB: m.MemoryGB,
 	}
 }
 
-// isEmpty tells whether no attempt is on the machine but those whose start has an unknown
+// IsEmpty tells whether no attempt is on the machine but those whose start has an unknown
 // outcome.
-func (m *machine) isEmpty() bool {
-	for _, a := range m.attempts {
-		if a.direct == nil || !a.direct.outcomeUnknown || a.lastSeenHeartbeat != 0 {
+func (m *Machine) IsEmpty() bool {
+	for _, a := range m.Attempts {
+		if a.Direct == nil || !a.Direct.OutcomeUnknown || a.LastSeenHeartbeat != 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// markUnmeasured marks the runs on a machine whose heartbeats were delayed: when they ended is
+// MarkUnmeasured marks the runs on a machine whose heartbeats were delayed: when they ended is
 // not known. Counted as long, such runs had half of a zone's machines quarantined after a
 // partition.
-func (m *machine) markUnmeasured() {
-	for _, a := range m.attempts {
-		a.unmeasured = true
+func (m *Machine) MarkUnmeasured() {
+	for _, a := range m.Attempts {
+		a.Unmeasured = true
 	}
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -20,7 +20,7 @@
 func (lt *leaderTerm) scanMachines(now time.Time) {
 	lt.detectFailures(now)
 	for _, m := range lt.machines {
-		if m.evacuating && !m.terminating && !m.terminated && m.isEmpty() {
+		if m.Evacuating && !m.Terminating && !m.Terminated && m.IsEmpty() {
 			lt.autoscaler.scaleIn(m)
 		}
 	}
@@ -31,42 +31,42 @@
 }
 
 // evacuate stops the assignment of tasks to a machine, which is terminated once it is empty.
-func (lt *leaderTerm) evacuate(m *machine, reason string) {
-	if m.evacuating {
+func (lt *leaderTerm) evacuate(m *Machine, reason string) {
+	if m.Evacuating {
 		return
 	}
-	m.evacuating, m.reason = true, reason
-	lt.c.Log.Info("machine evacuating", "machine", m.name, "type", m.machineType, "reason", reason, "count", len(m.attempts))
+	m.Evacuating, m.Reason = true, reason
+	lt.c.Log.Info("machine evacuating", "machine", m.Name, "type", m.Type, "reason", reason, "count", len(m.Attempts))
 }
 
 // machineTerminated removes a machine whose termination the cloud has confirmed. Only this, or a
 // newer heartbeat, shows that a task is off its machine.
-func (lt *leaderTerm) machineTerminated(m *machine) {
-	m.terminated = true
-	lt.terminated.Add(m.name, true)
-	delete(lt.machines, m.name)
+func (lt *leaderTerm) machineTerminated(m *Machine) {
+	m.Terminated = true
+	lt.terminated.Add(m.Name, true)
+	delete(lt.machines, m.Name)
 	lt.markFenced(m)
-	for _, a := range m.attempts {
+	for _, a := range m.Attempts {
 		lt.removeAttempt(a)
 	}
 	for _, j := range lt.jobs {
-		j.flight.Leave(m.name)
+		j.Flight.Leave(m.Name)
 	}
 	lt.recordWriter.deregister(m)
-	lt.c.Log.Info("machine terminated", "machine", m.name, "reason", m.reason)
+	lt.c.Log.Info("machine terminated", "machine", m.Name, "reason", m.Reason)
 }
 
 // markFenced marks that a machine applies no command of an earlier term any more, because it
 // has this term's fencing token or is terminated. Jobs accepted before this term start once all
 // machines of the registry are fenced.
-func (lt *leaderTerm) markFenced(m *machine) {
-	if m.fenced || m.registration != registered {
+func (lt *leaderTerm) markFenced(m *Machine) {
+	if m.Fenced || m.Registration != Registered {
 		return
 	}
-	m.fenced = true
+	m.Fenced = true
 	lt.unfenced--
-	lt.unfencedCPUs -= m.cpus
-	lt.unfencedGPUs -= m.gpus
+	lt.unfencedCPUs -= m.CPUs
+	lt.unfencedGPUs -= m.GPUs
 	if lt.unfenced == 0 {
 		lt.c.Log.Info("takeover: all machines fenced or terminated", "term", lt.term.Number,
 			"after", time.Since(lt.startedAt).Round(time.Millisecond))
@@ -74,21 +74,21 @@
 }
 
 // addMachine adds a machine that has sent its first heartbeat or is in the registry.
-func (lt *leaderTerm) addMachine(name, typ, zone string, spot bool, now time.Time) *machine {
-	m := &machine{
-		name:              name,
-		machineType:       typ,
-		zone:              zone,
-		spot:              spot,
-		unattributedTotal: &lt.unattributedCPUs,
-		lastSeen:          now,
-		addedAt:           now,
-		idleSince:         now,
-		attempts:          map[attemptKey]*attempt{},
-		taskErrorsByJob:   map[string]int{},
+func (lt *leaderTerm) addMachine(name, typ, zone string, spot bool, now time.Time) *Machine {
+	m := &Machine{
+		Name:              name,
+		Type:              typ,
+		Zone:              zone,
+		Spot:              spot,
+		UnattributedTotal: &lt.unattributedCPUs,
+		LastSeen:          now,
+		AddedAt:           now,
+		IdleSince:         now,
+		Attempts:          map[AttemptKey]*Attempt{},
+		TaskErrorsByJob:   map[string]int{},
 	}
 	if mt, ok := lt.c.types.load()[typ]; ok {
-		m.cpus, m.gpus, m.memory = mt.CPUs, mt.GPUs, mt.MemoryGB
+		m.CPUs, m.GPUs, m.MemoryGB = mt.CPUs, mt.GPUs, mt.MemoryGB
 	}
 	lt.machines[name] = m
 	delete(lt.provisioning, name)
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -84,7 +84,7 @@
 		}
 		tn.checkEqual("jobs left", len(c.leaderTerm.jobs), 0)
 		for _, m := range c.leaderTerm.machines {
-			tn.checkEqual("attempts left", len(m.attempts), 0)
+			tn.checkEqual("attempts left", len(m.Attempts), 0)
 		}
 	})
 	for _, prefix := range []string{records.ActivePrefix + "job-", records.CompletionPrefix} {
--- a/internal/controller/outcome.go
+++ b/internal/controller/outcome.go
@@ -16,13 +16,13 @@
 
 // resolveOutcomes reads how jobs ended whose active record had changed when their terminal
 // record was written: mostly by this leader's own transaction, whose response was lost.
-func (rw *recordWriter) resolveOutcomes(jobs []*job) {
+func (rw *recordWriter) resolveOutcomes(jobs []*Job) {
 	deps := &rw.leaderTerm.dependencies
 	for _, j := range jobs {
-		isJob := func(o *job) bool { return o == j }
+		isJob := func(o *Job) bool { return o == j }
 		rw.finishing = slices.DeleteFunc(rw.finishing, isJob)
 		deps.pendingCancels = slices.DeleteFunc(deps.pendingCancels, isJob)
-		rw.outcomeUnknown = append(rw.outcomeUnknown, j.spec.ID)
+		rw.outcomeUnknown = append(rw.outcomeUnknown, j.Spec.ID)
 	}
 	rw.resolveNext()
 }
@@ -71,7 +71,7 @@
 	lt.recordWriter.resolving = false
 	defer lt.recordWriter.resolveNext()
 	j := lt.jobs[m.id]
-	if j == nil || j.ended {
+	if j == nil || j.Ended {
 		return
 	}
 	switch {
@@ -79,7 +79,7 @@
 		lt.jobFinished(j)
 	case m.found && m.state.Phase == api.JobCancelled && !m.state.Derived:
 		lt.cancelJob(j)
-	case j.cancelPending:
+	case j.CancelPending:
 		lt.dependencies.pendingCancels = append(lt.dependencies.pendingCancels, j)
 	default:
 		lt.recordWriter.finishing = append(lt.recordWriter.finishing, j)
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -34,9 +34,9 @@
 // schedulableCPUs are the CPUs of the schedulable machines: all, and those that are free.
 func (lt *leaderTerm) schedulableCPUs(now time.Time) (cpus, free float64) {
 	for _, m := range lt.machines {
-		if m.isSchedulable(now) {
-			cpus += m.cpus
-			free += m.freeCPUs()
+		if m.IsSchedulable(now) {
+			cpus += m.CPUs
+			free += m.FreeCPUs()
 		}
 	}
 	return cpus, free
@@ -49,17 +49,17 @@
 	lt.starved = 0
 	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
-			j.updateFeasibility(now)
-			if j.starved = !j.started() && now.Sub(j.runnableSince) > starvedAfter; j.starved {
+			j.UpdateFeasibility(now)
+			if j.Starved = !j.Started() && now.Sub(j.RunnableSince) > starvedAfter; j.Starved {
 				lt.starved++
 			}
-			pendingCPUs += float64(j.flight.Untaken()) * j.spec.CPUs
-			j.load = queue.Load{}
-			if j.infeasible || j.finishing || len(loads) == maxLoads {
+			pendingCPUs += float64(j.Flight.Untaken()) * j.Spec.CPUs
+			j.Load = queue.Load{}
+			if j.Infeasible || j.Finishing || len(loads) == maxLoads {
 				continue
 			}
-			j.load = j.remainingLoad(now)
-			loads = append(loads, &j.load)
+			j.Load = j.RemainingLoad(now)
+			loads = append(loads, &j.Load)
 		}
 	}
 	return loads, pendingCPUs
--- a/internal/controller/pauses.go
+++ b/internal/controller/pauses.go
@@ -31,8 +31,8 @@
 		lt.heartbeatsSince = now
 	}
 	for _, m := range lt.machines {
-		if m.lastSeen = m.lastSeen.Add(gap); longPause || m.lastSeen.After(now) {
-			m.lastSeen = now
+		if m.LastSeen = m.LastSeen.Add(gap); longPause || m.LastSeen.After(now) {
+			m.LastSeen = now
 		}
 	}
 	return longPause
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -91,7 +91,7 @@
 			t.Errorf("answered: %v", err)
 		}
 		started := 0
-		n.inspect(func(c *Controller) { started = len(c.leaderTerm.jobs["job-1"].activeAttempts) })
+		n.inspect(func(c *Controller) { started = len(c.leaderTerm.jobs["job-1"].ActiveAttempts) })
 		w.checkEqual("starts ordered", started, 0)
 		k.serve(n, 2)
 		w.checkEqual("runs after the next report", len(k.running()), 1)
--- a/internal/controller/pendingreason_test.go
+++ b/internal/controller/pendingreason_test.go
@@ -36,12 +36,12 @@
 		n.inspect(func(c *Controller) {
 			got, oldest := c.leaderTerm.pendingReasons(time.Now())
 			w.checkEqual("waits", got, map[string]int{"team limit": 1, "no room": 1})
-			w.checkEqual("oldest", oldest.spec.ID, "job-2")
+			w.checkEqual("oldest", oldest.Spec.ID, "job-2")
 			c.leaderTerm.unfenced++
-			oldest.modRevision = c.leaderTerm.term.ModRevision // accepted before this term
+			oldest.ModRevision = c.leaderTerm.term.ModRevision // accepted before this term
 			w.checkEqual("before a takeover is over", c.leaderTerm.pendingReason(oldest, time.Now()), "takeover")
 			c.leaderTerm.unfenced--
-			oldest.backoffUntil = time.Now().Add(time.Second)
+			oldest.BackoffUntil = time.Now().Add(time.Second)
 			w.checkEqual("held", c.leaderTerm.pendingReason(oldest, time.Now()), "fails everywhere")
 		})
 	})
--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -130,7 +130,7 @@
 // knowsJob reports whether a job is active and of this cell: guests are unknown to its users.
 func (lt *leaderTerm) knowsJob(id string) bool {
 	j := lt.jobs[id]
-	return j != nil && j.guest == nil
+	return j != nil && j.Guest == nil
 }
 
 // pollReplyFor answers a poll from the leader's memory, once that is known to be up to date.
@@ -140,17 +140,17 @@
 	}
 	j := lt.jobs[id]
 	switch {
-	case j == nil || j.guest != nil:
+	case j == nil || j.Guest != nil:
 		return pollReply{} // read from the store instead
-	case j.cancelPending:
+	case j.CancelPending:
 		// A job that it depends on is cancelled on record, and stays so. However many jobs
 		// are cancelled by one cancellation, their users need not wait for the writes,
 		// whose rate is limited.
 		return pollReply{state: api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}, answered: true}
-	case j.ending, len(j.dependsOn) > 0 && lt.dependencies.unresolved():
+	case j.Ending, len(j.DependsOn) > 0 && lt.dependencies.unresolved():
 		// In the second case a job that it depends on may be cancelled, and an earlier
 		// leader or another node may have responded so.
 		return pollReply{}
 	}
-	return pollReply{state: j.state(), answered: true}
+	return pollReply{state: j.State(), answered: true}
 }
--- a/internal/controller/recordwriter.go
+++ b/internal/controller/recordwriter.go
@@ -28,15 +28,15 @@
 	tasksPerChunk int
 
 	// finishing are the jobs whose terminal record is yet to be written.
-	finishing []*job
+	finishing []*Job
 	// registering are the machines that no shard names yet.
-	registering []*machine
+	registering []*Machine
 	// pendingDeletes are the keys of records that are no longer needed.
 	pendingDeletes []string
 	// dirtyJobs are the jobs with completed tasks that are not on record.
-	dirtyJobs []*job
+	dirtyJobs []*Job
 	// staleShards are the shards of the registry that name terminated machines.
-	staleShards []*shard
+	staleShards []*Shard
 	// shardCount numbers the shards written: none takes the name of an earlier one.
 	shardCount       int
 	machinesPerShard int
@@ -46,7 +46,7 @@
 	writeInFlight bool
 	// retryAt is the earliest time of the next write after a failed one.
 	retryAt time.Time
-	// outcomeUnknown are the ids of jobs whose end is to be read, one at a time;
+	// OutcomeUnknown are the ids of jobs whose end is to be read, one at a time;
 	// resolving is set while one is being read.
 	outcomeUnknown []string
 	resolving      bool
@@ -79,21 +79,21 @@
 	rw.tasksPerChunk = rw.maxShardBytes / 2 * 8
 }
 
-func (rw *recordWriter) finishJob(j *job) {
-	if !j.finishing {
-		j.finishing = true
+func (rw *recordWriter) finishJob(j *Job) {
+	if !j.Finishing {
+		j.Finishing = true
 		rw.finishing = append(rw.finishing, j)
 	}
 }
 
-func (rw *recordWriter) queueCompletion(j *job) {
-	if !j.completionDirty {
-		j.completionDirty = true
+func (rw *recordWriter) queueCompletion(j *Job) {
+	if !j.CompletionDirty {
+		j.CompletionDirty = true
 		rw.dirtyJobs = append(rw.dirtyJobs, j)
 	}
 }
 
-func (rw *recordWriter) register(m *machine) { rw.registering = append(rw.registering, m) }
+func (rw *recordWriter) register(m *Machine) { rw.registering = append(rw.registering, m) }
 
 func (rw *recordWriter) deleteKey(key string) { rw.pendingDeletes = append(rw.pendingDeletes, key) }
 
@@ -102,12 +102,12 @@
 	txn kv.Txn
 	// bytes is about how large the transaction is.
 	bytes    int
-	finished []*job
+	finished []*Job
 	// derivedCancels are the jobs cancelled because they depend on a cancelled one.
-	derivedCancels []*job
-	shards         []*shard
+	derivedCancels []*Job
+	shards         []*Shard
 	// replaced are the shards that this batch deletes.
-	replaced []*shard
+	replaced []*Shard
 	deletes  []string
 	// completions are the chunks of completed tasks that the transaction records.
 	completions []completionWrite
@@ -115,7 +115,7 @@
 
 // completionWrite is one completion record: the job's tasks from first on, as a bit set.
 type completionWrite struct {
-	job   *job
+	job   *Job
 	first int
 	bits  []byte
 }
@@ -167,7 +167,7 @@
 func (rw *recordWriter) addFinished(b *batch, allowed int, now time.Time) {
 	for len(rw.finishing) > 0 && b.bytes < rw.maxBytes {
 		j := rw.finishing[0]
-		if j.ended {
+		if j.Ended {
 			rw.finishing = rw.finishing[1:]
 			continue
 		}
@@ -175,24 +175,24 @@
 			return
 		}
 		rw.finishing = rw.finishing[1:]
-		active := records.ActivePrefix + j.spec.ID
-		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: active, ModRevision: j.modRevision})
-		b.addPut(records.TerminalPrefix+j.spec.ID, records.TerminalRecord{
+		active := records.ActivePrefix + j.Spec.ID
+		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: active, ModRevision: j.ModRevision})
+		b.addPut(records.TerminalPrefix+j.Spec.ID, records.TerminalRecord{
 			Phase: api.JobDone,
-			Tasks: j.spec.Tasks,
+			Tasks: j.Spec.Tasks,
 			Ended: now.UTC(),
 		})
 		b.addDelete(active)
 		b.finished = append(b.finished, j)
 		// From now on others may read its terminal record before this node learns that it
 		// was written.
-		j.ending = true
+		j.Ending = true
 	}
 }
 
 // addRegistrations adds new machines to the registry.
 func (rw *recordWriter) addRegistrations(b *batch, allowed int) {
-	rw.registering = slices.DeleteFunc(rw.registering, func(m *machine) bool { return m.terminated })
+	rw.registering = slices.DeleteFunc(rw.registering, func(m *Machine) bool { return m.Terminated })
 	for len(rw.registering) > 0 && len(b.txn.Ops) < allowed && b.bytes < rw.maxBytes {
 		n, size := rw.shardPrefix(rw.registering)
 		if n == 0 {
@@ -272,8 +272,8 @@
 // handleConflicts takes the jobs whose active record has changed out of the requeued
 // changes of a batch: those about to end until their outcome is read, the others for good.
 func (rw *recordWriter) handleConflicts(b *batch, failedKeys []string) {
-	conflicts := func(j *job) bool { return slices.Contains(failedKeys, records.ActivePrefix+j.spec.ID) }
-	var changed []*job
+	conflicts := func(j *Job) bool { return slices.Contains(failedKeys, records.ActivePrefix+j.Spec.ID) }
+	var changed []*Job
 	for _, j := range slices.Concat(b.finished, b.derivedCancels) {
 		if conflicts(j) {
 			changed = append(changed, j)
@@ -281,10 +281,10 @@
 	}
 	rw.resolveOutcomes(changed)
 	for _, w := range b.completions {
-		if !w.job.ended && conflicts(w.job) {
-			w.job.completionDirty = false // it was cancelled; the watch will show that
-			w.job.completionChunks[w.first] = false
-			rw.dirtyJobs = slices.DeleteFunc(rw.dirtyJobs, func(j *job) bool { return j == w.job })
+		if !w.job.Ended && conflicts(w.job) {
+			w.job.CompletionDirty = false // it was cancelled; the watch will show that
+			w.job.CompletionChunks[w.first] = false
+			rw.dirtyJobs = slices.DeleteFunc(rw.dirtyJobs, func(j *Job) bool { return j == w.job })
 		}
 	}
 }
@@ -309,13 +309,13 @@
 	switch {
 	case len(b.txn.Ops) > 2:
 		rw.maxOps = max(2, len(b.txn.Ops)/2)
-	case len(b.shards) > 0 && len(b.shards[0].machines) > 1:
-		rw.machinesPerShard = max(1, len(b.shards[0].machines)/2)
-	case len(b.shards) > 0 && b.shards[0].replaces != nil:
-		rw.keepStale(b.shards[0].replaces)
+	case len(b.shards) > 0 && len(b.shards[0].Machines) > 1:
+		rw.machinesPerShard = max(1, len(b.shards[0].Machines)/2)
+	case len(b.shards) > 0 && b.shards[0].Replaces != nil:
+		rw.keepStale(b.shards[0].Replaces)
 	case len(b.shards) > 0:
-		m := b.shards[0].machines[0]
-		rw.registering = slices.DeleteFunc(rw.registering, func(o *machine) bool { return o == m })
+		m := b.shards[0].Machines[0]
+		rw.registering = slices.DeleteFunc(rw.registering, func(o *Machine) bool { return o == m })
 		rw.rejectMachine(m)
 	case len(b.completions) > 0:
 		// Half of it, in whole bytes. Below eight tasks no chunk is left: completed
@@ -328,8 +328,8 @@
 
 // rejectMachine evacuates a machine whose entry no shard can hold: the next leader would
 // not know of it, so it is never given a task.
-func (rw *recordWriter) rejectMachine(m *machine) {
-	rw.leaderTerm.c.Log.Error("machine's entry too large for the registry", "machine", m.name)
+func (rw *recordWriter) rejectMachine(m *Machine) {
+	rw.leaderTerm.c.Log.Error("machine's entry too large for the registry", "machine", m.Name)
 	rw.leaderTerm.evacuate(m, "does not fit the roster")
 }
 
@@ -340,7 +340,7 @@
 		lt.jobFinished(j)
 	}
 	for _, j := range b.derivedCancels {
-		if !j.ended {
+		if !j.Ended {
 			lt.cancelJob(j)
 		}
 	}
@@ -351,29 +351,29 @@
 }
 
 // jobFinished removes a job whose terminal record says that it is done.
-func (lt *leaderTerm) jobFinished(j *job) {
-	if j.ended {
+func (lt *leaderTerm) jobFinished(j *Job) {
+	if j.Ended {
 		return
 	}
 	lt.removeJob(j)
 	now := time.Now()
-	terminal := records.TerminalRecord{Phase: api.JobDone, Tasks: j.spec.Tasks, Ended: now}
-	lt.c.finalStates.Add(j.spec.ID, terminal.JobState(j.spec.ID))
-	lt.dependencies.jobDone(j.spec.ID, now)
-	for first, written := range j.completionChunks {
+	terminal := records.TerminalRecord{Phase: api.JobDone, Tasks: j.Spec.Tasks, Ended: now}
+	lt.c.finalStates.Add(j.Spec.ID, terminal.JobState(j.Spec.ID))
+	lt.dependencies.jobDone(j.Spec.ID, now)
+	for first, written := range j.CompletionChunks {
 		if written {
-			lt.recordWriter.deleteKey(records.CompletionKey(j.spec.ID, first))
+			lt.recordWriter.deleteKey(records.CompletionKey(j.Spec.ID, first))
 		}
 	}
 	lt.dependencyLists.drop(j)
 	lt.c.Log.Debug("job done",
-		"job", j.spec.ID,
-		"class", j.spec.Class,
-		"tasks", j.spec.Tasks,
-		"lost", j.lostTasks,
-		"firstStart", j.sinceRunnable(j.firstStart),
-		"lastStart", j.sinceRunnable(j.lastStart),
-		"estimate", j.spec.EstimateS,
-		"longest", j.longestRun.Round(time.Second/10),
-		"late", math.Round(time.Since(j.objectives[0]).Seconds()))
+		"job", j.Spec.ID,
+		"class", j.Spec.Class,
+		"tasks", j.Spec.Tasks,
+		"lost", j.LostTasks,
+		"firstStart", j.SinceRunnable(j.FirstStart),
+		"lastStart", j.SinceRunnable(j.LastStart),
+		"estimate", j.Spec.EstimateS,
+		"longest", j.LongestRun.Round(time.Second/10),
+		"late", math.Round(time.Since(j.Objectives[0]).Seconds()))
 }
--- a/internal/controller/registry.go
+++ b/internal/controller/registry.go
@@ -15,19 +15,19 @@
 // shardFrameBytes is what a shard takes beside its entries.
 const shardFrameBytes = 32
 
-func (rw *recordWriter) newShard(members []*machine) *shard {
+func (rw *recordWriter) newShard(members []*Machine) *Shard {
 	rw.shardCount++
-	return &shard{
-		key:      fmt.Sprintf("%s%d-%d", records.MachinePrefix, rw.leaderTerm.term.Number, rw.shardCount),
-		machines: slices.Clone(members),
+	return &Shard{
+		Key:      fmt.Sprintf("%s%d-%d", records.MachinePrefix, rw.leaderTerm.term.Number, rw.shardCount),
+		Machines: slices.Clone(members),
 	}
 }
 
 // shardPrefix is how many of the first machines a new shard holds, and its size.
-func (rw *recordWriter) shardPrefix(members []*machine) (n, size int) {
+func (rw *recordWriter) shardPrefix(members []*Machine) (n, size int) {
 	size = shardFrameBytes
 	for n < min(rw.machinesPerShard, len(members)) {
-		raw, err := json.Marshal(members[n].registryEntry())
+		raw, err := json.Marshal(members[n].RegistryEntry())
 		if err != nil {
 			panic(err) // records hold only plain values
 		}
@@ -40,27 +40,27 @@
 }
 
 // addShard adds a shard to a batch.
-func (b *batch) addShard(s *shard) {
+func (b *batch) addShard(s *Shard) {
 	var rec records.RegistryShardRecord
-	for _, m := range s.machines {
-		rec.Machines = append(rec.Machines, m.registryEntry())
+	for _, m := range s.Machines {
+		rec.Machines = append(rec.Machines, m.RegistryEntry())
 	}
-	b.addPut(s.key, rec)
+	b.addPut(s.Key, rec)
 	b.shards = append(b.shards, s)
 }
 
 // deregister removes a terminated machine. Its shard is deleted with the last of
 // its machines, and otherwise rewritten at low priority: an entry too many costs
 // the next leader a resync, one too few could run a task twice.
-func (rw *recordWriter) deregister(m *machine) {
-	s := m.shard
+func (rw *recordWriter) deregister(m *Machine) {
+	s := m.Shard
 	if s == nil {
 		return
 	}
-	m.shard = nil
-	s.machines = slices.DeleteFunc(s.machines, func(o *machine) bool { return o == m })
-	if !s.stale {
-		s.stale = true
+	m.Shard = nil
+	s.Machines = slices.DeleteFunc(s.Machines, func(o *Machine) bool { return o == m })
+	if !s.Stale {
+		s.Stale = true
 		rw.staleShards = append(rw.staleShards, s)
 	}
 }
@@ -73,8 +73,8 @@
 // a new one: it then stays until all of them are on new ones, one after the other.
 // Wherever this is interrupted, each machine is on one of them.
 func (rw *recordWriter) rewriteStale(b *batch, allowed int, now time.Time) {
-	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(s *shard) bool {
-		if len(s.machines) > 0 || len(b.txn.Ops) >= allowed {
+	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(s *Shard) bool {
+		if len(s.Machines) > 0 || len(b.txn.Ops) >= allowed {
 			return false
 		}
 		b.addShardDeletes(s, allowed)
@@ -84,7 +84,7 @@
 		return
 	}
 	s := rw.staleShards[0]
-	n, size := rw.shardPrefix(s.machines)
+	n, size := rw.shardPrefix(s.Machines)
 	if n == 0 {
 		rw.keepStale(s)
 		return
@@ -94,27 +94,27 @@
 	}
 	rw.nextRewrite = now.Add(rewriteInterval)
 	rw.staleShards = rw.staleShards[1:]
-	next := rw.newShard(s.machines[:n])
-	next.replaces = s
+	next := rw.newShard(s.Machines[:n])
+	next.Replaces = s
 	b.addShard(next)
-	if next.partial = n < len(s.machines); !next.partial {
+	if next.Partial = n < len(s.Machines); !next.Partial {
 		b.addShardDeletes(s, allowed)
 	}
 }
 
 // keepStale leaves a shard that no new one can replace as it is, until another of
 // its machines is terminated.
-func (rw *recordWriter) keepStale(s *shard) {
-	rw.leaderTerm.c.Log.Error("registry shard cannot be rewritten", "key", s.key)
-	s.stale = false
-	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(o *shard) bool { return o == s })
+func (rw *recordWriter) keepStale(s *Shard) {
+	rw.leaderTerm.c.Log.Error("registry shard cannot be rewritten", "key", s.Key)
+	s.Stale = false
+	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(o *Shard) bool { return o == s })
 }
 
 // addShardDeletes deletes a shard, and with it those that may have been written in its
 // place. Of the latter, those beyond the allowed operations stay in the store.
-func (b *batch) addShardDeletes(s *shard, allowed int) {
-	b.addDelete(s.key)
-	for _, key := range s.possiblyWritten {
+func (b *batch) addShardDeletes(s *Shard, allowed int) {
+	b.addDelete(s.Key)
+	for _, key := range s.PossiblyWritten {
 		if len(b.txn.Ops) < allowed {
 			b.addDelete(key)
 		}
@@ -126,17 +126,17 @@
 // unknown.
 func (rw *recordWriter) requeueShards(b *batch) {
 	for _, s := range b.shards {
-		if s.replaces != nil {
-			s.replaces.possiblyWritten = append(s.replaces.possiblyWritten, s.key)
-			if s.partial {
-				rw.staleShards = append(rw.staleShards, s.replaces)
+		if s.Replaces != nil {
+			s.Replaces.PossiblyWritten = append(s.Replaces.PossiblyWritten, s.Key)
+			if s.Partial {
+				rw.staleShards = append(rw.staleShards, s.Replaces)
 			}
 			continue
 		}
 		// No task was started on these machines yet, so the record can be deleted in
 		// case it was written, and they are registered anew.
-		rw.pendingDeletes = append(rw.pendingDeletes, s.key)
-		rw.registering = append(rw.registering, s.machines...)
+		rw.pendingDeletes = append(rw.pendingDeletes, s.Key)
+		rw.registering = append(rw.registering, s.Machines...)
 	}
 	rw.staleShards = append(rw.staleShards, b.replaced...)
 }
@@ -144,16 +144,16 @@
 // shardsWritten marks the machines of a written batch's shards as registered.
 func (rw *recordWriter) shardsWritten(b *batch) {
 	for _, s := range b.shards {
-		if old := s.replaces; s.partial {
-			old.machines = slices.DeleteFunc(old.machines, func(m *machine) bool {
-				return slices.Contains(s.machines, m)
+		if old := s.Replaces; s.Partial {
+			old.Machines = slices.DeleteFunc(old.Machines, func(m *Machine) bool {
+				return slices.Contains(s.Machines, m)
 			})
 			rw.staleShards = append(rw.staleShards, old)
 		}
-		s.replaces, s.partial = nil, false
-		for _, m := range slices.Clone(s.machines) {
-			m.registration, m.shard = registered, s
-			if m.terminated {
+		s.Replaces, s.Partial = nil, false
+		for _, m := range slices.Clone(s.Machines) {
+			m.Registration, m.Shard = Registered, s
+			if m.Terminated {
 				rw.deregister(m)
 			}
 		}
--- a/internal/controller/registry_test.go
+++ b/internal/controller/registry_test.go
@@ -113,7 +113,7 @@
 					names, inUse := w.registeredMachines(), []string(nil)
 					a.inspect(func(c *Controller) {
 						for name, m := range c.leaderTerm.machines {
-							if m.registration == registered {
+							if m.Registration == Registered {
 								inUse = append(inUse, name)
 							}
 						}
@@ -141,15 +141,15 @@
 		w.worker("i-1", "a", false).serve(a, 3)
 		a.inspect(func(c *Controller) {
 			rec := &c.leaderTerm.recordWriter
-			old := c.leaderTerm.machines["i-1"].shard
-			next := rec.newShard(old.machines)
-			next.replaces, old.stale = old, true
-			rec.requeueShards(&batch{shards: []*shard{next}, replaced: []*shard{old}})
+			old := c.leaderTerm.machines["i-1"].Shard
+			next := rec.newShard(old.Machines)
+			next.Replaces, old.Stale = old, true
+			rec.requeueShards(&batch{shards: []*Shard{next}, replaced: []*Shard{old}})
 			w.checkEqual("dropped by themselves", len(rec.pendingDeletes), 0)
 			b := &batch{}
 			rec.rewriteStale(b, 10, time.Now())
-			w.checkEqual("put", b.txn.Ops[0].Put != "" && b.txn.Ops[0].Put != next.key, true)
-			w.checkEqual("dropped with it", []string{b.txn.Ops[1].Delete, b.txn.Ops[2].Delete}, []string{old.key, next.key})
+			w.checkEqual("put", b.txn.Ops[0].Put != "" && b.txn.Ops[0].Put != next.Key, true)
+			w.checkEqual("dropped with it", []string{b.txn.Ops[1].Delete, b.txn.Ops[2].Delete}, []string{old.Key, next.Key})
 		})
 	})
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -58,7 +58,7 @@
 					node.pending["i-2"] = &relayedCommands{}
 				}
 				hb := far.status
-				hb.Seq = c.leaderTerm.machines["i-2"].heartbeatSeq + 1
+				hb.Seq = c.leaderTerm.machines["i-2"].HeartbeatSeq + 1
 				var down peer.RelayDown
 				c.leaderTerm.handleRelayedHeartbeat(node, &hb, &down, i != 1, time.Now())
 				w.checkEqual("held", len(down.Orders) == 0, held)
