--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -33,7 +33,7 @@
 	storeBusy bool
 	// pending are the machines whose commands have no outcome yet.
 	pending map[string]*relayedCommands
-	// sizeHalvings is how often a batch was rejected as too large, and outcomeUnknown is
+	// sizeHalvings is how often a batch was rejected as too large, and OutcomeUnknown is
 	// set if the present one may have been written in spite of an error.
 	sizeHalvings   int
 	outcomeUnknown bool
@@ -45,7 +45,7 @@
 type relayedCommands struct {
 	baseSeq uint64
 	sentAt  time.Time
-	starts  []*attempt
+	starts  []*Attempt
 }
 
 // tick reads what unreachable nodes, and those with commands pending, have written.
@@ -99,10 +99,10 @@
 		}
 		delete(n.pending, name)
 		for _, a := range p.starts {
-			if a.direct.inFlight = false; a.lastSeenHeartbeat == 0 && a.machine.attempts[a.key] == a {
-				a.direct.outcomeUnknown = true
-				lt.evacuate(a.machine, "order unanswered")
-				if a.job.ended {
+			if a.Direct.InFlight = false; a.LastSeenHeartbeat == 0 && a.Machine.Attempts[a.Key] == a {
+				a.Direct.OutcomeUnknown = true
+				lt.evacuate(a.Machine, "order unanswered")
+				if a.Job.Ended {
 					lt.terminateIfOutcomeUnknown(a)
 				}
 			}
@@ -187,20 +187,20 @@
 	m := lt.machines[hb.Machine]
 	withhold := !acknowledged || node.pending[hb.Machine] != nil
 	if m != nil {
-		m.relayPending = withhold
+		m.RelayPending = withhold
 	}
 	response, err := lt.handleAgentHeartbeat(hb, now)
 	if m = lt.machines[hb.Machine]; m == nil {
 		return
 	}
-	m.relayPending, m.lastCommands = false, nil
-	if err != nil || withhold || len(response.Commands) == 0 || m.heartbeatSeq != hb.Seq {
+	m.RelayPending, m.LastCommands = false, nil
+	if err != nil || withhold || len(response.Commands) == 0 || m.HeartbeatSeq != hb.Seq {
 		return
 	}
 	p := &relayedCommands{baseSeq: hb.Seq, sentAt: now}
 	for _, cmd := range response.Commands {
-		if a := m.attempts[attemptKey{cmd.Task, cmd.Attempt}]; a != nil && cmd.Verb == api.VerbStart {
-			a.direct = &directCommand{agentEpoch: hb.AgentEpoch, inFlight: true}
+		if a := m.Attempts[AttemptKey{cmd.Task, cmd.Attempt}]; a != nil && cmd.Verb == api.VerbStart {
+			a.Direct = &DirectCommand{AgentEpoch: hb.AgentEpoch, InFlight: true}
 			p.starts = append(p.starts, a)
 		}
 	}
@@ -217,10 +217,10 @@
 // to which they were delivered, or 0.
 func (p *relayedCommands) applyOutcome(lt *leaderTerm, deliveredIn uint64) {
 	for _, a := range p.starts {
-		a.direct.inFlight = false
+		a.Direct.InFlight = false
 		if deliveredIn > 0 {
-			a.direct.seq = deliveredIn + 1
-		} else if a.lastSeenHeartbeat == 0 && a.machine.attempts[a.key] == a {
+			a.Direct.Seq = deliveredIn + 1
+		} else if a.LastSeenHeartbeat == 0 && a.Machine.Attempts[a.Key] == a {
 			lt.removeAttempt(a)
 		}
 	}
@@ -230,9 +230,9 @@
 func (p *relayedCommands) revokeHalf(lt *leaderTerm, o *peer.RelayOrders) {
 	o.Orders = o.Orders[:len(o.Orders)/2]
 	revoked := &relayedCommands{}
-	p.starts = slices.DeleteFunc(p.starts, func(a *attempt) bool {
+	p.starts = slices.DeleteFunc(p.starts, func(a *Attempt) bool {
 		kept := slices.ContainsFunc(o.Orders, func(cmd *peer.Order) bool {
-			return cmd.Verb == api.VerbStart && attemptKey{cmd.Task, cmd.Attempt} == a.key
+			return cmd.Verb == api.VerbStart && AttemptKey{cmd.Task, cmd.Attempt} == a.Key
 		})
 		if !kept {
 			revoked.starts = append(revoked.starts, a)
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -92,7 +92,7 @@
 	heartbeat *api.Heartbeat
 	dirty     bool
 	sentAt    time.Time
-	// commands are yet to be delivered. They respond to heartbeat baseSeq of agentEpoch
+	// commands are yet to be delivered. They respond to heartbeat baseSeq of AgentEpoch
 	// and were received at receivedAt, under term.
 	commands   []api.Command
 	agentEpoch uint64
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -29,7 +29,7 @@
 	for len(lt.toResync) > 0 && lt.resyncing < lt.maxDials {
 		m := lt.toResync[0]
 		lt.toResync = lt.toResync[1:]
-		if m.fenced || m.terminated || m.terminating || m.addr == "" {
+		if m.Fenced || m.Terminated || m.Terminating || m.Addr == "" {
 			continue
 		}
 		lt.resync(m, now)
@@ -38,10 +38,10 @@
 
 // resync solicits a heartbeat with this term from a machine. One that does not answer is resynced
 // again like any suspect machine.
-func (lt *leaderTerm) resync(m *machine, now time.Time) {
+func (lt *leaderTerm) resync(m *Machine, now time.Time) {
 	lt.resyncing++
-	m.nextProbe = now.Add(probeInterval)
-	addr, term := m.addr, lt.term.Number
+	m.NextProbe = now.Add(probeInterval)
+	addr, term := m.Addr, lt.term.Number
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
 		defer cancel()
@@ -53,7 +53,7 @@
 // resyncResultMsg is the outcome of a resync.
 type resyncResultMsg struct {
 	leaderTerm *leaderTerm
-	machine    *machine
+	machine    *Machine
 	sentAt     time.Time
 	heartbeat  *api.Heartbeat
 	err        error
@@ -67,15 +67,15 @@
 	lt.resyncing--
 	now := time.Now()
 	switch {
-	case m.machine.terminated:
+	case m.machine.Terminated:
 	case m.err != nil:
-		c.Log.Debug("resync failed", "machine", m.machine.name, "err", m.err)
-		if !m.machine.fenced && lt.notPausedSince(m.sentAt) {
-			m.machine.probeFails++
+		c.Log.Debug("resync failed", "machine", m.machine.Name, "err", m.err)
+		if !m.machine.Fenced && lt.notPausedSince(m.sentAt) {
+			m.machine.ProbeFails++
 		}
-	case c.holdsLease() && m.heartbeat.Machine == m.machine.name:
+	case c.holdsLease() && m.heartbeat.Machine == m.machine.Name:
 		if _, err := lt.handleHeartbeat(m.heartbeat, solicited, now); err != nil {
-			c.Log.Debug("resync answer not applied", "machine", m.machine.name, "err", err)
+			c.Log.Debug("resync answer not applied", "machine", m.machine.Name, "err", err)
 		}
 	}
 	if c.leaderTerm == lt {
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -118,7 +118,7 @@
 		}
 	}
 	for _, team := range h.w.teams {
-		if team.Name == s.Team && used+s.CPUs > team.LimitCPUs+epsilon {
+		if team.Name == s.Team && used+s.CPUs > team.LimitCPUs+Epsilon {
 			h.fail("%s starts on %s: team %s uses %v CPUs, limit %v",
 				r.task, r.machine, s.Team, used+s.CPUs, team.LimitCPUs)
 		}
--- a/internal/controller/runstats.go
+++ b/internal/controller/runstats.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// runStats sums up completed runs of a job's tasks.
-type runStats struct {
-	count        int
-	totalTime    time.Duration
-	longest      time.Duration
-	overrunCount int
+// RunStats sums up completed runs of a job's tasks.
+type RunStats struct {
+	Count        int
+	TotalTime    time.Duration
+	Longest      time.Duration
+	OverrunCount int
 }
 
-// add counts a completed run.
-func (rs *runStats) add(took time.Duration, overran bool) {
-	rs.count++
-	rs.totalTime += took
-	rs.longest = max(rs.longest, took)
+// Add counts a completed run.
+func (rs *RunStats) Add(took time.Duration, overran bool) {
+	rs.Count++
+	rs.TotalTime += took
+	rs.Longest = max(rs.Longest, took)
 	if overran {
-		rs.overrunCount++
+		rs.OverrunCount++
 	}
 }
 
-// jobRuns are the completed runs of a job's tasks: by machine, in all, and the longest with the
+// JobRuns are the completed runs of a job's tasks: by machine, in all, and the longest with the
 // longest on any other machine than its own. So the runs on all machines but one are known
 // without going through them at each run.
-type jobRuns struct {
-	byMachine        map[string]*runStats
-	all              runStats
+type JobRuns struct {
+	ByMachine        map[string]*RunStats
+	All              RunStats
 	longestOn        string
 	longestElsewhere time.Duration
 }
 
-// add counts a completed run on a machine.
-func (jr *jobRuns) add(machine string, took time.Duration, overran bool) {
-	if jr.byMachine[machine] == nil {
-		jr.byMachine[machine] = &runStats{}
+// Add counts a completed run on a machine.
+func (jr *JobRuns) Add(machine string, took time.Duration, overran bool) {
+	if jr.ByMachine[machine] == nil {
+		jr.ByMachine[machine] = &RunStats{}
 	}
 	switch {
 	case machine == jr.longestOn:
-	case took > jr.all.longest:
-		jr.longestOn, jr.longestElsewhere = machine, jr.all.longest
+	case took > jr.All.Longest:
+		jr.longestOn, jr.longestElsewhere = machine, jr.All.Longest
 	default:
 		jr.longestElsewhere = max(jr.longestElsewhere, took)
 	}
-	jr.byMachine[machine].add(took, overran)
-	jr.all.add(took, overran)
+	jr.ByMachine[machine].Add(took, overran)
+	jr.All.Add(took, overran)
 }
--- a/internal/controller/simulatedhost_test.go
+++ b/internal/controller/simulatedhost_test.go
@@ -230,7 +230,7 @@
 		t.Phase, t.Cause = api.TaskExited, api.CauseNoCapacity
 	default:
 		k.s.checker.recordStart(k, r.task, r.attempt)
-		_, i, _ := splitRef(r.task)
+		_, i, _ := SplitRef(r.task)
 		if k.remaining[r] = p.duration + time.Duration(i)*p.durationStep; k.s.checker.isCompleted(r.task) {
 			k.remaining[r] = 0 // its result is durable
 		}
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -204,7 +204,7 @@
 func (c *cell) returnGuests() (returned bool) {
 	c.nodes[0].inspect(func(ctl *Controller) {
 		for _, j := range ctl.leaderTerm.jobs {
-			if j.guest != nil && !j.started() {
+			if j.Guest != nil && !j.Started() {
 				ctl.leaderTerm.loans.returnGuest(j)
 				returned = true
 			}
@@ -222,8 +222,8 @@
 		lent := func() (budgets, used float64) {
 			home.leader().inspect(func(c *Controller) {
 				for _, j := range c.leaderTerm.jobs {
-					if j.lent != nil {
-						budgets += j.lent.Budget.CPUs
+					if j.Lent != nil {
+						budgets += j.Lent.Budget.CPUs
 					}
 				}
 				for _, team := range c.leaderTerm.teams {
@@ -419,7 +419,7 @@
 			id := g.awaitLentOnRecord(ids)
 			g.cells[0].leader().inspect(func(c *Controller) {
 				if j := c.leaderTerm.jobs[id]; j != nil {
-					j.reclaimRequested = true
+					j.ReclaimRequested = true
 				}
 			})
 			return id
@@ -485,7 +485,7 @@
 		if n := g.job(ids[0]).home.leader(); n != nil {
 			n.inspect(func(c *Controller) {
 				for _, id := range ids {
-					if j := c.leaderTerm.jobs[id]; j != nil && j.lent != nil {
+					if j := c.leaderTerm.jobs[id]; j != nil && j.Lent != nil {
 						lent = id
 					}
 				}
@@ -542,7 +542,7 @@
 		guests := 0.0
 		for _, k := range host.agents {
 			for _, task := range k.running() {
-				if id, _, _ := splitRef(task); g.job(id).home == home {
+				if id, _, _ := SplitRef(task); g.job(id).home == home {
 					guests++
 				}
 			}
@@ -566,8 +566,8 @@
 		for range 200 {
 			host.nodes[0].inspect(func(c *Controller) {
 				for id, j := range c.leaderTerm.jobs {
-					if guest == "" && j.guest != nil && !j.started() {
-						j.backoffUntil = time.Now().Add(time.Hour)
+					if guest == "" && j.Guest != nil && !j.Started() {
+						j.BackoffUntil = time.Now().Add(time.Hour)
 						guest = id
 					}
 				}
@@ -600,7 +600,7 @@
 		home.checkEqual("done while the host is not declared unreachable", g.poll(id) == api.JobDone, false)
 		n := home.leader()
 		n.inspect(func(c *Controller) {
-			st := c.leaderTerm.jobs[id].state()
+			st := c.leaderTerm.jobs[id].State()
 			home.checkEqual("cell of the job", st.Cell, host.name)
 		})
 		for _, n := range home.nodes {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -141,12 +141,12 @@
 		s.Quorum = &QuorumStatus{Required: lt.quorumRequired, Held: lt.voteQuorum(now)}
 	}
 	for _, m := range lt.machines {
-		s.CPUs += m.cpus
-		s.UsedCPUs += m.usedCPUs
+		s.CPUs += m.CPUs
+		s.UsedCPUs += m.UsedCPUs
 		switch {
-		case m.evacuating:
+		case m.Evacuating:
 			s.Evacuating++
-		case m.draining:
+		case m.Draining:
 			s.Draining++
 		}
 	}
@@ -167,30 +167,30 @@
 		LimitCPUs: team.LimitCPUs,
 	}
 	for _, j := range team.Items() {
-		s.Waiting += j.flight.Untaken()
+		s.Waiting += j.Flight.Untaken()
 	}
 	return s
 }
 
 // pendingReason returns why a job's next task is on no machine. The reasons are shown by status.
-func (lt *leaderTerm) pendingReason(j *job, now time.Time) string {
-	s := &j.spec
+func (lt *leaderTerm) pendingReason(j *Job, now time.Time) string {
+	s := &j.Spec
 	switch {
-	case j.lent != nil || j.handover:
+	case j.Lent != nil || j.Handover:
 		return "lent to another cell"
-	case j.guest != nil:
+	case j.Guest != nil:
 		return "guest"
-	case j.cancelPending:
+	case j.CancelPending:
 		return "cancelled with another"
-	case len(j.dependsOn) > 0:
+	case len(j.DependsOn) > 0:
 		return "awaits others"
-	case now.Before(j.backoffUntil):
+	case now.Before(j.BackoffUntil):
 		return "fails everywhere"
-	case lt.unfenced > 0 && j.modRevision <= lt.term.ModRevision:
+	case lt.unfenced > 0 && j.ModRevision <= lt.term.ModRevision:
 		return "takeover"
-	case !j.team.WithinLimit(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
+	case !j.Team.WithinLimit(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return "team limit"
-	case j.load.Defer || j.infeasible:
+	case j.Load.Defer || j.Infeasible:
 		return "gives way"
 	}
 	return "no room"
@@ -198,17 +198,17 @@
 
 // pendingReasons counts the jobs that wait for their first start, by pending reason, and returns
 // the one that has waited longest for capacity.
-func (lt *leaderTerm) pendingReasons(now time.Time) (counts map[string]int, oldest *job) {
+func (lt *leaderTerm) pendingReasons(now time.Time) (counts map[string]int, oldest *Job) {
 	counts = map[string]int{}
 	for _, j := range lt.jobs {
-		if j.finishing || j.started() || j.flight.Untaken() == 0 {
+		if j.Finishing || j.Started() || j.Flight.Untaken() == 0 {
 			continue
 		}
 		counts[lt.pendingReason(j, now)]++
-		if len(j.dependsOn) > 0 || j.lent != nil || j.guest != nil {
+		if len(j.DependsOn) > 0 || j.Lent != nil || j.Guest != nil {
 			continue // these do not wait for capacity
 		}
-		if oldest == nil || j.runnableSince.Before(oldest.runnableSince) {
+		if oldest == nil || j.RunnableSince.Before(oldest.RunnableSince) {
 			oldest = j
 		}
 	}
@@ -229,15 +229,15 @@
 	}
 	lt.nextPendingLog = now.Add(pendingLogInterval)
 	counts, oldest := lt.pendingReasons(now)
-	if oldest == nil || now.Sub(oldest.runnableSince) < longPending {
+	if oldest == nil || now.Sub(oldest.RunnableSince) < longPending {
 		return
 	}
 	lt.c.Log.Info("jobs pending",
 		"jobs", counts,
-		"job", oldest.spec.ID,
-		"class", oldest.spec.Class,
-		"team", oldest.spec.Team,
-		"after", now.Sub(oldest.runnableSince).Round(time.Second),
+		"job", oldest.Spec.ID,
+		"class", oldest.Spec.Class,
+		"team", oldest.Spec.Team,
+		"after", now.Sub(oldest.RunnableSince).Round(time.Second),
 		"reason", lt.pendingReason(oldest, now))
 }
 
@@ -252,17 +252,17 @@
 	lt.nextUsageLog = now.Add(usageLogInterval)
 	var use fleetUsage
 	for _, m := range lt.machines {
-		use.total += m.cpus
-		if m.isSchedulable(now) {
-			use.schedulable += m.cpus
+		use.total += m.CPUs
+		if m.IsSchedulable(now) {
+			use.schedulable += m.CPUs
 		}
-		for _, a := range m.attempts {
+		for _, a := range m.Attempts {
 			use.addAttempt(a)
 		}
 	}
 	pending := map[string]float64{}
 	for _, j := range lt.jobs {
-		pending[j.spec.Class] += float64(j.flight.Untaken()) * j.spec.CPUs
+		pending[j.Spec.Class] += float64(j.Flight.Untaken()) * j.Spec.CPUs
 	}
 	lt.c.Log.Debug("fleet usage",
 		"machines", len(lt.machines),
@@ -287,19 +287,19 @@
 }
 
 // addAttempt adds the CPUs of an attempt, if its job is known.
-func (u *fleetUsage) addAttempt(a *attempt) {
-	if a.job == nil {
+func (u *fleetUsage) addAttempt(a *Attempt) {
+	if a.Job == nil {
 		return
 	}
-	cpus := a.job.spec.CPUs
+	cpus := a.Job.Spec.CPUs
 	switch {
-	case a.exited:
+	case a.Exited:
 		u.exited += cpus
-	case a.phase == api.TaskRunning:
+	case a.Phase == api.TaskRunning:
 		u.running += cpus
-	case a.phase == api.TaskPulling:
+	case a.Phase == api.TaskPulling:
 		u.pulling += cpus
-	case a.phase == api.TaskSaving:
+	case a.Phase == api.TaskSaving:
 		u.saving += cpus
 	default:
 		u.commanded += cpus
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -24,27 +24,27 @@
 
 // recordRun records how long a completed run took, and quarantines a machine whose
 // runs take much longer than the same jobs' elsewhere.
-func (lt *leaderTerm) recordRun(a *attempt, took time.Duration, now time.Time) {
-	j, m := a.job, a.machine
-	if a.unmeasured {
+func (lt *leaderTerm) recordRun(a *Attempt, took time.Duration, now time.Time) {
+	j, m := a.Job, a.Machine
+	if a.Unmeasured {
 		return
 	}
-	j.longestRun = max(j.longestRun, took)
-	j.runs.add(m.name, took, took > overrunFactor*j.spec.Estimate())
-	others := j.runsElsewhere(m)
-	if others.count < minSampleRuns || took < time.Second {
+	j.LongestRun = max(j.LongestRun, took)
+	j.Runs.Add(m.Name, took, took > overrunFactor*j.Spec.Estimate())
+	others := j.RunsElsewhere(m)
+	if others.Count < minSampleRuns || took < time.Second {
 		return // a task whose result was kept ends at once, which measures nothing
 	}
-	ratio := float64(took) * float64(others.count) / float64(max(others.totalTime, time.Second))
-	m.measuredRuns++
-	m.slowdown += (ratio - m.slowdown) / float64(min(m.measuredRuns, minMeasuredRuns))
-	isSlow := m.measuredRuns >= minMeasuredRuns && m.slowdown > slowdownThreshold
-	if isSlow && !m.evacuating && lt.belowSlowLimit() {
-		lt.c.Log.Info("machine quarantined", "machine", m.name, "slowdown", m.slowdown)
+	ratio := float64(took) * float64(others.Count) / float64(max(others.TotalTime, time.Second))
+	m.MeasuredRuns++
+	m.Slowdown += (ratio - m.Slowdown) / float64(min(m.MeasuredRuns, minMeasuredRuns))
+	isSlow := m.MeasuredRuns >= minMeasuredRuns && m.Slowdown > slowdownThreshold
+	if isSlow && !m.Evacuating && lt.belowSlowLimit() {
+		lt.c.Log.Info("machine quarantined", "machine", m.Name, "slowdown", m.Slowdown)
 		lt.evacuate(m, reasonSlow)
-		for _, other := range m.attempts {
-			if !other.exited && other.job != nil && other.job.spec.CheckpointS > 0 {
-				lt.requestStop(other, 2*other.job.spec.Save()+time.Second, now)
+		for _, other := range m.Attempts {
+			if !other.Exited && other.Job != nil && other.Job.Spec.CheckpointS > 0 {
+				lt.requestStop(other, 2*other.Job.Spec.Save()+time.Second, now)
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 func (lt *leaderTerm) belowSlowLimit() bool {
 	n := 0
 	for _, m := range lt.machines {
-		if m.reason == reasonSlow {
+		if m.Reason == reasonSlow {
 			n++
 		}
 	}
@@ -77,18 +77,18 @@
 		return
 	}
 	for _, j := range lt.jobs {
-		limit := time.Duration(limitFactor * float64(j.spec.Estimate()))
-		if limit <= 0 || len(j.activeAttempts) == 0 || j.runs.all.count == 0 {
+		limit := time.Duration(limitFactor * float64(j.Spec.Estimate()))
+		if limit <= 0 || len(j.ActiveAttempts) == 0 || j.Runs.All.Count == 0 {
 			continue
 		}
-		for _, a := range j.activeAttempts {
+		for _, a := range j.ActiveAttempts {
 			if !lt.isStraggler(a, limit, now) {
 				continue
 			}
-			j.restartedTasks[a.task] = true
-			j.excludedMachine[a.task] = a.machine.name
-			lt.c.Log.Debug("straggler restarted", "task", a.key.ref, "machine", a.machine.name)
-			lt.requestStop(a, j.spec.Save()*2, now)
+			j.RestartedTasks[a.Task] = true
+			j.ExcludedMachine[a.Task] = a.Machine.Name
+			lt.c.Log.Debug("straggler restarted", "task", a.Key.Ref, "machine", a.Machine.Name)
+			lt.requestStop(a, j.Spec.Save()*2, now)
 		}
 	}
 }
@@ -97,16 +97,16 @@
 // as well, and those on other machines did not. Estimates are often too low for the whole job,
 // and then all its tasks pass the limit together: so the run must also exceed by half the longest
 // on any other machine, or it would be lost near its end.
-func (lt *leaderTerm) isStraggler(a *attempt, limit time.Duration, now time.Time) bool {
-	j, m := a.job, a.machine
-	took := now.Sub(a.runningAt)
-	if a.exited || a.stop != nil || a.runningAt.IsZero() || took <= limit || j.restartedTasks[a.task] {
+func (lt *leaderTerm) isStraggler(a *Attempt, limit time.Duration, now time.Time) bool {
+	j, m := a.Job, a.Machine
+	took := now.Sub(a.RunningAt)
+	if a.Exited || a.Stop != nil || a.RunningAt.IsZero() || took <= limit || j.RestartedTasks[a.Task] {
 		return false
 	}
-	if now.Sub(m.lastHeartbeat) > lt.heartbeatTimeout() {
+	if now.Sub(m.LastHeartbeat) > lt.heartbeatTimeout() {
 		return false // the run may have ended long ago
 	}
-	others := j.runsElsewhere(m)
-	return others.count >= minSampleRuns && others.overrunCount == 0 &&
-		float64(took) >= stragglerFactor*float64(others.longest) && j.overrunsOn(m, limit, now) >= minOverruns
+	others := j.RunsElsewhere(m)
+	return others.Count >= minSampleRuns && others.OverrunCount == 0 &&
+		float64(took) >= stragglerFactor*float64(others.Longest) && j.OverrunsOn(m, limit, now) >= minOverruns
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -42,7 +42,7 @@
 		if team.Name != spec.Team {
 			continue
 		}
-		if spec.CPUs > team.LimitCPUs+epsilon || (spec.GPUs > 0 && spec.GPUs > team.LimitGPUs+epsilon) {
+		if spec.CPUs > team.LimitCPUs+Epsilon || (spec.GPUs > 0 && spec.GPUs > team.LimitGPUs+Epsilon) {
 			return "a task needs more than the team's limit"
 		}
 		for _, mt := range types {
@@ -58,7 +58,7 @@
 // taskFits reports whether a task of a job may run on machines of a type and fits on one.
 func taskFits(spec *api.JobSpec, mt api.MachineType) bool {
 	return typeAllowed(spec, mt.Name) && zoneAllowed(spec, mt.Zones) &&
-		spec.CPUs <= mt.CPUs+epsilon && spec.GPUs <= mt.GPUs+epsilon && spec.MemoryGB <= mt.MemoryGB+epsilon
+		spec.CPUs <= mt.CPUs+Epsilon && spec.GPUs <= mt.GPUs+Epsilon && spec.MemoryGB <= mt.MemoryGB+Epsilon
 }
 
 // typeAllowed reports whether a job's tasks may run on machines of a type.
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -130,9 +130,9 @@
 	for _, e := range snap.completions {
 		lt.addCompletion(e, now)
 	}
-	var dependents []*job
+	var dependents []*Job
 	for _, j := range lt.jobs {
-		if len(j.spec.DependsOn) > 0 {
+		if len(j.Spec.DependsOn) > 0 {
 			lt.dependencies.resolveDependencies(j)
 			dependents = append(dependents, j)
 		}
@@ -150,23 +150,23 @@
 		lt.c.Log.Error("registry record invalid", "key", e.Key, "err", err)
 		return
 	}
-	s := &shard{key: e.Key}
+	s := &Shard{Key: e.Key}
 	for _, entry := range rec.Machines {
 		if lt.machines[entry.Name] != nil {
 			continue // a shard that was written late
 		}
 		m := lt.addMachine(entry.Name, entry.Type, entry.Zone, entry.Spot, now)
-		m.addr = entry.Addr
-		m.cpus, m.gpus, m.memory = entry.CPUs, entry.GPUs, entry.MemoryGB
-		m.registration, m.shard = registered, s
-		s.machines = append(s.machines, m)
+		m.Addr = entry.Addr
+		m.CPUs, m.GPUs, m.MemoryGB = entry.CPUs, entry.GPUs, entry.MemoryGB
+		m.Registration, m.Shard = Registered, s
+		s.Machines = append(s.Machines, m)
 		lt.toResync = append(lt.toResync, m)
 		lt.unfenced++
-		lt.unfencedCPUs += m.cpus
-		lt.unfencedGPUs += m.gpus
+		lt.unfencedCPUs += m.CPUs
+		lt.unfencedGPUs += m.GPUs
 	}
-	if len(s.machines) < len(rec.Machines) {
-		s.stale = true
+	if len(s.Machines) < len(rec.Machines) {
+		s.Stale = true
 		lt.recordWriter.staleShards = append(lt.recordWriter.staleShards, s)
 	}
 }
@@ -188,12 +188,12 @@
 		lt.c.Log.Error("completion record invalid", "key", e.Key, "err", err)
 		return
 	}
-	j.completionChunks[first] = true
-	j.recordExtent(first, 8*len(rec.Done))
+	j.CompletionChunks[first] = true
+	j.RecordExtent(first, 8*len(rec.Done))
 	for i, b := range rec.Done {
 		for bit := range 8 {
-			if task := first + i*8 + bit; b&(1<<bit) != 0 && task < j.spec.Tasks {
-				j.recorded.Set(uint(task))
+			if task := first + i*8 + bit; b&(1<<bit) != 0 && task < j.Spec.Tasks {
+				j.Recorded.Set(uint(task))
 				lt.completeTask(j, task, now)
 			}
 		}
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -398,7 +398,7 @@
 	}
 }
 
-// modRevision is the mod revision of a record, 0 if there is none.
+// ModRevision is the mod revision of a record, 0 if there is none.
 func (tn *userCluster) modRevision(key string) uint64 {
 	e, err := tn.store.Get(context.Background(), key)
 	if err != nil {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -196,7 +196,7 @@
 
 // mayStart reports whether all that a task's job depends on is done on record.
 func (v *mixed) mayStart(task string) bool {
-	id, _, _ := splitRef(task)
+	id, _, _ := SplitRef(task)
 	return !slices.ContainsFunc(v.dependencies[id], func(id string) bool { return !v.store.Has("f/" + id) })
 }
 
@@ -943,8 +943,8 @@
 		v.runSeconds(4)
 		v.new.inspect(func(c *Controller) {
 			lt := c.leaderTerm
-			v.checkEqual("lent", []any{lt.jobs["job-1"].lent.Host, lt.teams["red"].UsedCPUs}, []any{"cell-b", 2.0})
-			v.checkEqual("guest", lt.jobs["job-2"].guest.Home, "cell-b")
+			v.checkEqual("lent", []any{lt.jobs["job-1"].Lent.Host, lt.teams["red"].UsedCPUs}, []any{"cell-b", 2.0})
+			v.checkEqual("guest", lt.jobs["job-2"].Guest.Home, "cell-b")
 		})
 		v.checkEqual("running of the lent job", len(v.running("job-1")), 0)
 	})
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -75,7 +75,7 @@
 			// deleted by another leader, which the election has not reported yet: how
 			// the job ended is not known here.
 			id := strings.TrimPrefix(e.Delete, records.ActivePrefix)
-			if j := lt.jobs[id]; j != nil && !j.deletesRecord() && e.ModRevision > j.modRevision {
+			if j := lt.jobs[id]; j != nil && !j.DeletesRecord() && e.ModRevision > j.ModRevision {
 				lt.stepDown()
 				return
 			}
--- a/internal/loan/model_test.go
+++ b/internal/loan/model_test.go
@@ -61,7 +61,7 @@
 	term  uint64
 	view  homeRecord
 	count uint32
-	// outcomeUnknown is a transaction whose outcome is not known: it is retried until it is.
+	// OutcomeUnknown is a transaction whose outcome is not known: it is retried until it is.
 	outcomeUnknown func()
 }
 
--- a/internal/records/dependencies.go
+++ b/internal/records/dependencies.go
@@ -128,7 +128,7 @@
 	return cancelled, nil
 }
 
-// cancelPending reports whether a dependency of an active job, direct or indirect, is
+// CancelPending reports whether a dependency of an active job, direct or indirect, is
 // cancelled.
 func (r *Records) cancelPending(ctx context.Context, e kv.Entry) (bool, error) {
 	ids, err := r.resolve(ctx, strings.TrimPrefix(e.Key, ActivePrefix), dependenciesOf(e))
--- a/internal/records/jobcache.go
+++ b/internal/records/jobcache.go
@@ -26,7 +26,7 @@
 
 // cachedJob is an accepted job that was not cancelled when its record was cached.
 type cachedJob struct {
-	// modRevision is the version of the active record, or 0 if the job is done.
+	// ModRevision is the version of the active record, or 0 if the job is done.
 	modRevision uint64
 	dependsOn   []string
 }
