--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -50,7 +50,7 @@
 
 // run polls four jobs at all nodes while one completes, one is accepted, one is cancelled, and
 // one is cancelled as soon as it is accepted.
-func (c *answerCase) run(w *cluster, try int) {
+func (c *answerCase) run(w *simulatedCluster, try int) {
 	w.t.Helper()
 	tn := newUserCluster(w, 2)
 	defer tn.close()
@@ -94,7 +94,7 @@
 	for _, c := range answerCases {
 		t.Run(c.name, func(t *testing.T) {
 			for try := range 10 {
-				simulate(t, func(w *cluster) { c.run(w, try) })
+				simulate(t, func(w *simulatedCluster) { c.run(w, try) })
 			}
 		})
 	}
@@ -146,7 +146,7 @@
 }
 
 // run races the request with the ends of all jobs and counts their phases in the end.
-func (r *completionRace) run(w *cluster, node, try int, seen map[string]int) {
+func (r *completionRace) run(w *simulatedCluster, node, try int, seen map[string]int) {
 	w.t.Helper()
 	tn := newUserCluster(w, raceJobs/4)
 	defer tn.close()
@@ -193,7 +193,7 @@
 			t.Run(fmt.Sprint(r.name, " at n", node), func(t *testing.T) {
 				seen := map[string]int{}
 				for try := range raceTries {
-					simulate(t, func(w *cluster) { r.run(w, node, try, seen) })
+					simulate(t, func(w *simulatedCluster) { r.run(w, node, try, seen) })
 				}
 				for _, phase := range r.wantPhases {
 					if seen[phase] < raceJobs*raceTries/10 {
--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestTeamLimitHolds(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.teams = []config.Team{{Name: "red", CPUs: 2, LimitCPUs: 6}}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 20))
@@ -25,7 +25,7 @@
 }
 
 func TestPlacement(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		place := func(change func(*api.JobSpec)) [3]int {
 			s := spec("job-1", 5)
@@ -42,7 +42,7 @@
 			}
 			// The next job finds fresh machines and a fresh store.
 			n.crash()
-			w.store = newCluster(t).store
+			w.store = newSimulatedCluster(t).store
 			n = w.start("n0")
 			return got
 		}
@@ -57,7 +57,7 @@
 // A machine that fails the tasks of several jobs is at fault and is returned;
 // a job that fails on several machines is itself at fault, and they are kept.
 func TestFaultyMachineAndFaultyJob(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -69,7 +69,7 @@
 		k.serve(n, 3)
 		w.checkEqual("faulty machine returned", w.cloud.terminated("i-1"), true)
 	})
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false), w.worker("i-4", "a", false)}
 		w.submit(n, spec("job-1", 3))
@@ -106,7 +106,7 @@
 // restarting them would throw their work away. Only the member that is slower
 // than the others loses its run, once.
 func TestOverdueRuns(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		fast, slow := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		s := spec("job-1", 12)
@@ -135,7 +135,7 @@
 		w.checkEqual("restarts", restarts, 4)
 		w.checkEqual("phase", w.phase(n, "job-1"), "done")
 	})
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false)}
 		s := spec("job-1", 8)
@@ -156,7 +156,7 @@
 // holds room for tasks that cannot begin: with more work than room, the tasks
 // of a second image wait for the first.
 func TestImagesAreFetchedOneByOneWhenRoomIsShort(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 3)
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -35,7 +35,7 @@
 		{"tasks to be started soon", func(s *api.JobSpec) { s.Class = "soon" }, 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				w.teams = []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 64}}
 				n := w.start("n0")
 				n.inspect(func(c *Controller) {
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -21,7 +21,7 @@
 )
 
 // serveRequest sends a node a user's request.
-func (w *cluster) serveRequest(n *node, method, path, body string) *httptest.ResponseRecorder {
+func (w *simulatedCluster) serveRequest(n *node, method, path, body string) *httptest.ResponseRecorder {
 	w.t.Helper()
 	response := httptest.NewRecorder()
 	request := httptest.NewRequestWithContext(w.t.Context(), method, path, strings.NewReader(body))
@@ -31,7 +31,7 @@
 
 // checkResponse compares the status code, the job's phase and the presence of Retry-After,
 // which belongs to 503 alone.
-func (w *cluster) checkResponse(name string, response *httptest.ResponseRecorder, wantCode int, wantPhase string) {
+func (w *simulatedCluster) checkResponse(name string, response *httptest.ResponseRecorder, wantCode int, wantPhase string) {
 	w.t.Helper()
 	var state api.JobState
 	if err := json.Unmarshal(response.Body.Bytes(), &state); err != nil {
@@ -52,7 +52,7 @@
 type change = map[string]any
 
 // submissionBody is the body of a valid submission with some fields changed.
-func (w *cluster) submissionBody(id string, changed change) string {
+func (w *simulatedCluster) submissionBody(id string, changed change) string {
 	w.t.Helper()
 	fields := map[string]any{
 		"NameId": id, "Jobclass": "c", "Owner": "red", "Shape": "array", "Precedence": "low", "Shoots": 5,
@@ -75,7 +75,7 @@
 
 // jobRevisions are the mod revisions of all records of jobs. A record that is written again
 // with the same value has a new one, so that no write stays unnoticed.
-func (w *cluster) jobRevisions() map[string]uint64 {
+func (w *simulatedCluster) jobRevisions() map[string]uint64 {
 	revisions := map[string]uint64{}
 	for _, prefix := range []string{records.ActivePrefix, records.TerminalPrefix, records.CompletionPrefix} {
 		// The error is dropped: this is read in an outage of the key-value store as well, when
@@ -102,7 +102,7 @@
 var knownJobs = []knownJob{{"job-1", "done"}, {"job-2", "withdrawn"}, {"job-3", "pending"}}
 
 // seedJobs completes job-1, cancels job-2 and leaves job-3 pending.
-func (w *cluster) seedJobs(n *node) {
+func (w *simulatedCluster) seedJobs(n *node) {
 	w.t.Helper()
 	k := w.worker("i-1", "a", false)
 	w.submit(n, spec("job-1", 1))
@@ -128,36 +128,36 @@
 	// kvDown is set in an outage of the key-value store.
 	kvDown bool
 	// start returns a node in this state, with the jobs of seedJobs.
-	start func(w *cluster) *node
+	start func(w *simulatedCluster) *node
 }
 
 var nodeStates = []nodeState{
 	{name: "leader", start: startSeededLeader},
-	{name: "follower", start: func(w *cluster) *node {
+	{name: "follower", start: func(w *simulatedCluster) *node {
 		_, a, b, _, _ := w.pair()
 		w.seedJobs(a)
 		b.inspect(func(c *Controller) { w.checkEqual("follows n0", c.leaderTerm == nil && c.leader == "n0", true) })
 		return b
 	}},
-	{name: "taking over", start: func(w *cluster) *node {
+	{name: "taking over", start: func(w *simulatedCluster) *node {
 		startSeededLeader(w).crash()
 		b := w.startWith("n0", stalledReads{w.store}, nil)
 		b.inspect(func(c *Controller) { w.checkEqual("is taking over", c.leaderTerm != nil && !c.leaderTerm.loaded, true) })
 		return b
 	}},
-	{name: "without machine types", typesUnknown: true, start: func(w *cluster) *node {
+	{name: "without machine types", typesUnknown: true, start: func(w *simulatedCluster) *node {
 		n := startSeededLeader(w)
 		n.types.byName.Store(nil)
 		return n
 	}},
-	{name: "outage", kvDown: true, start: func(w *cluster) *node {
+	{name: "outage", kvDown: true, start: func(w *simulatedCluster) *node {
 		n := startSeededLeader(w)
 		w.store.SetDown(true)
 		return n
 	}},
 }
 
-func startSeededLeader(w *cluster) *node {
+func startSeededLeader(w *simulatedCluster) *node {
 	w.t.Helper()
 	n := w.start("n0")
 	w.seedJobs(n)
@@ -165,7 +165,7 @@
 }
 
 // addMachineTypes adds machine types of which each has a resource that the others lack.
-func (w *cluster) addMachineTypes() {
+func (w *simulatedCluster) addMachineTypes() {
 	w.cloud.types = append(w.cloud.types,
 		api.MachineType{Name: "wide", CPUs: 8, MemoryGB: 16, Price: 2, SpotPrice: 1, BootS: 20, Zones: []string{"a"}},
 		api.MachineType{Name: "cards", CPUs: 2, GPUs: 2, MemoryGB: 8, Price: 4, SpotPrice: 2, BootS: 20,
@@ -255,7 +255,7 @@
 
 // submissionChecker checks the responses of one node to submissions.
 type submissionChecker struct {
-	*cluster
+	*simulatedCluster
 	n     *node
 	state nodeState
 }
@@ -361,9 +361,9 @@
 func TestInvalidSubmissionsAreRejectedInEveryNodeState(t *testing.T) {
 	for _, state := range nodeStates {
 		t.Run(state.name, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				w.addMachineTypes()
-				sc := &submissionChecker{cluster: w, n: state.start(w), state: state}
+				sc := &submissionChecker{simulatedCluster: w, n: state.start(w), state: state}
 				before := w.jobRevisions()
 				sc.checkRejected()
 				sc.checkSelfDependencies()
@@ -391,7 +391,7 @@
 }
 
 // checkCancelTargets cancels each target twice and then asks for its state.
-func (w *cluster) checkCancelTargets(n *node, state nodeState) {
+func (w *simulatedCluster) checkCancelTargets(n *node, state nodeState) {
 	w.t.Helper()
 	for _, c := range cancelTargets {
 		mayBeUnavailable := state.kvDown && api.ValidID(c.id)
@@ -421,7 +421,7 @@
 func TestCancelAndStatusOfEndedOrUnknownJobs(t *testing.T) {
 	for _, state := range nodeStates {
 		t.Run(state.name, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				n := state.start(w)
 				before := w.jobRevisions()
 				w.checkCancelTargets(n, state)
@@ -439,7 +439,7 @@
 
 // Amounts that JSON cannot express fit no machine.
 func TestNonFiniteResourcesAreUnschedulable(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.addMachineTypes()
 		n := w.start("n0")
 		for _, v := range []float64{math.NaN(), math.Inf(1)} {
@@ -463,7 +463,7 @@
 
 // runSpread completes each running task after a second, for a minute, and checks at each
 // moment how many tasks run in a zone and in how many zones.
-func (w *cluster) runSpread(n *node, workers []*worker, maxPerZone, maxZones int) {
+func (w *simulatedCluster) runSpread(n *node, workers []*worker, maxPerZone, maxZones int) {
 	w.t.Helper()
 	for range 60 {
 		running := map[string]int{}
@@ -508,7 +508,7 @@
 		{"spread", change{"Scatter": true}, 6, 3, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				w.addMachineTypes()
 				n := w.start("n0")
 				workers := []*worker{
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -12,7 +12,7 @@
 // A cancellation and the end of a job race: whichever transaction comes first
 // decides, and nobody is told otherwise.
 func TestCancelAgainstDone(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -45,7 +45,7 @@
 // Any node cancels by its own transaction. The leader must not tell a user an
 // older state because its watch lags, and must stop the tasks.
 func TestCancelAtAnotherNode(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a, b := w.start("n0"), w.start("n1")
 		k := w.worker("i-1", "a", false)
 		w.submit(a, spec("job-1", 2))
--- a/internal/controller/cancelcascade_test.go
+++ b/internal/controller/cancelcascade_test.go
@@ -13,7 +13,7 @@
 )
 
 // awaiting puts a first job on record, and others of which each awaits what need says.
-func (w *cluster) awaiting(jobs int, need func(i int) []string) (ids []string) {
+func (w *simulatedCluster) awaiting(jobs int, need func(i int) []string) (ids []string) {
 	w.t.Helper()
 	for i := range jobs {
 		id := fmt.Sprint("job-", i)
@@ -28,7 +28,7 @@
 }
 
 // told counts what a node tells of jobs.
-func (w *cluster) told(n *node, ids []string) map[string]int {
+func (w *simulatedCluster) told(n *node, ids []string) map[string]int {
 	phases := make(chan string, len(ids))
 	for _, id := range ids {
 		go func() { phases <- w.phase(n, id) }()
@@ -41,7 +41,7 @@
 }
 
 // activeJobs counts the records of active jobs.
-func (w *cluster) activeJobs() int {
+func (w *simulatedCluster) activeJobs() int {
 	w.t.Helper()
 	count := 0
 	err := (&records.Records{Store: w.store}).ForEachKey(context.Background(), records.ActivePrefix+"job-", func(string) { count++ })
@@ -63,7 +63,7 @@
 		"ladder": ladder,
 	} {
 		t.Run(name, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				w.state = config.KVLimits{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12}
 				ids := w.awaiting(jobs, need)
 				some := []string{ids[1], ids[2], ids[jobs/2], ids[jobs-2], ids[jobs-1]}
@@ -105,7 +105,7 @@
 // A leader that has yet to read how awaited jobs ended must not call a job pending that
 // an earlier one has called cancelled.
 func TestCascadeIsToldWhileEndsAreUnread(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		ids := w.awaiting(3, func(i int) []string { return []string{fmt.Sprint("job-", i-1)} })
 		n := w.start("n0")
 		if _, err := n.Cancel(context.Background(), ids[0]); err != nil {
@@ -128,7 +128,7 @@
 // A node that an older one has told of such a cancellation names it to the leader, as if
 // it were on record. The leader goes on to record it: nobody else would.
 func TestCascadeIsRecordedThoughOthersNameIt(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		ids := w.awaiting(3, func(i int) []string { return []string{fmt.Sprint("job-", i-1)} })
 		n := w.start("n0")
 		w.store.Delay(func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix)(txn) })
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -41,7 +41,7 @@
 // A machine leaves a job to machines that suit it better while these have room
 // for all that waits of it, and takes it when they have not.
 func TestBetterMachinesFirst(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].LimitCPUs = 100
 		w.cloud.types[0].FetchGBs = 1
 		a := w.start("n0")
@@ -83,7 +83,7 @@
 // Work that saves nothing begins on machines that stay, work that does on those
 // that the cloud may take back, as long as there is room.
 func TestSpotMachinesForWorkThatSaves(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].LimitCPUs = 100
 		a := w.start("n0")
 		stays, spot := w.worker("i-1", "a", false), w.worker("i-2", "a", true)
@@ -111,7 +111,7 @@
 // Tasks that take next to nothing of a machine: no more of them come to one than
 // its report can tell of, or it could not report at all and lose them.
 func TestTinyTasksDoNotOutgrowTheReport(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		s := spec("job-12345678901234567890", 2000)
@@ -146,7 +146,7 @@
 // A job whose record no value of the store holds can never be accepted: its user
 // is told so, and does not come back for a minute.
 func TestJobTooLargeForARecord(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		for _, c := range []struct {
 			names int
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -45,7 +45,7 @@
 
 // cell is one of the cells.
 type cell struct {
-	*cluster
+	*simulatedCluster
 	group  *cellGroup
 	name   string
 	nodes  []*node
@@ -103,9 +103,9 @@
 }
 
 func (g *cellGroup) addCell(name string, of, machines int) {
-	w := newCluster(g.t)
+	w := newSimulatedCluster(g.t)
 	w.teams = []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 16}, {Name: "blue", CPUs: 4, LimitCPUs: 12}}
-	c := &cell{cluster: w, group: g, name: name, startedAt: map[string]time.Time{}}
+	c := &cell{simulatedCluster: w, group: g, name: name, startedAt: map[string]time.Time{}}
 	w.cells = &cells.Settings{Cell: name, MaxLoans: 50}
 	for i := range of {
 		if other := fmt.Sprint("cell-", string(rune('a'+i))); other != name {
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -18,7 +18,7 @@
 // checkedCluster is a deployment whose machines and controllers run by themselves, with a
 // checker of what the machines run.
 type checkedCluster struct {
-	*cluster
+	*simulatedCluster
 	checker *runChecker
 	// ctx ends when the test does, before the nodes do; tasks are the goroutines of machines,
 	// users and injected faults, which end with it.
@@ -61,15 +61,15 @@
 
 func newCheckedCluster(t *testing.T, machines int, reportS float64, f func(s *checkedCluster)) {
 	t.Helper()
-	w := newCluster(t)
+	w := newSimulatedCluster(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &checkedCluster{
-		cluster: w,
-		ctx:     ctx,
-		links:   &links{},
-		names:   []string{"n0", "n1"},
-		nodes:   map[string]*node{},
-		gates:   map[string]*slowGate{},
+		simulatedCluster: w,
+		ctx:              ctx,
+		links:            &links{},
+		names:            []string{"n0", "n1"},
+		nodes:            map[string]*node{},
+		gates:            map[string]*slowGate{},
 	}
 	w.heartbeatS = reportS
 	w.commandSender = s
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -140,7 +140,7 @@
 // outage and not for a job that is known; what is cancelled takes the new job with
 // it, which is accepted all the same; what is done is waited for no more.
 func TestSubmissionsThatAwait(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -216,7 +216,7 @@
 // While nobody leads, whoever reads a job that needs a cancelled one cancels it: its
 // user must be told so in time.
 func TestOrphansWhileNobodyLeads(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		leader, b := w.start("n0"), w.start("n1")
 		w.submit(leader, spec("job-1", 1))
 		w.submit(leader, after("job-2", "red", 1, "job-1"))
@@ -237,7 +237,7 @@
 // A job that waits holds nothing of its team's guarantee or limit, rents nothing and
 // is no reason to go before others; its time counts from when it could run.
 func TestWaitingHoldsNothing(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -272,7 +272,7 @@
 // A pipeline's deadline and priority reach all its stages, those of other branches
 // and teams too, as the latest time to begin that leaves time for what follows.
 func TestUrgencyFlowsBackward(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.commandSender = nil
 		n := w.start("n0")
 		for _, s := range []*api.JobSpec{spec("job-1", 1), after("job-2", "red", 1, "job-1"), after("job-3", "blue", 1, "job-1"), spec("job-8", 1)} {
@@ -316,7 +316,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
 				const jobs = 200
 				w.submit(n, spec("job-0", 1))
@@ -355,7 +355,7 @@
 // With small transactions and more ends of jobs than the write rate has room for,
 // what is cancelled with a job that it needs must still be so in time.
 func TestCancellationsPassOnUnderLoad(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.state = config.KVLimits{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
@@ -402,17 +402,17 @@
 	derived := func(txn kv.Txn) bool {
 		return touches(records.TerminalPrefix)(txn) && !touches(records.CancelKey)(txn)
 	}
-	for name, trouble := range map[string]func(w *cluster){
-		"answers lost": func(w *cluster) { w.store.LoseResponses(derived) },
-		"never":        func(w *cluster) { w.store.Delay(derived) },
-		"late": func(w *cluster) {
+	for name, trouble := range map[string]func(w *simulatedCluster){
+		"answers lost": func(w *simulatedCluster) { w.store.LoseResponses(derived) },
+		"never":        func(w *simulatedCluster) { w.store.Delay(derived) },
+		"late": func(w *simulatedCluster) {
 			w.store.Delay(derived)
 			time.AfterFunc(5*time.Second, func() { w.store.ApplyDelayed() })
 		},
-		"outage": func(w *cluster) { time.AfterFunc(100*time.Millisecond, func() { w.store.SetDown(true) }) },
+		"outage": func(w *simulatedCluster) { time.AfterFunc(100*time.Millisecond, func() { w.store.SetDown(true) }) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
 				for _, s := range []*api.JobSpec{spec("job-1", 1), after("job-2", "red", 1, "job-1"), after("job-3", "blue", 1, "job-2"), after("job-4", "red", 1, "job-1")} {
 					w.submit(n, s)
@@ -446,7 +446,7 @@
 // it, though there is free room enough; for a job that awaits another, once that has
 // begun.
 func TestMachinesForJobsThatMayNotUseThose(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		cheap := w.worker("i-1", "a", true)
 		cheap.serve(n, 4)
@@ -516,7 +516,7 @@
 		"ladder": ladder,
 	} {
 		t.Run(name, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
 				measure := func(jobs int) (deadline, cancel uint64) {
 					n.inspect(func(c *Controller) {
@@ -569,7 +569,7 @@
 		{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, {RPS: 120, WriteRPS: 25, ValueKB: 2, TxnOps: 3}, {RPS: 80, WriteRPS: 10, ValueKB: 2, TxnOps: 4},
 	} {
 		t.Run(fmt.Sprint(lim.WriteRPS, " ", lim.TxnOps), func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				const cancelS = 30
 				w.state = lim
 				w.store.SetLimits(int(lim.ValueKB*1024), lim.TxnOps)
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -17,7 +17,7 @@
 )
 
 // manyDone are the names of so many jobs that are done.
-func (w *cluster) manyDone(n int) (ids []string) {
+func (w *simulatedCluster) manyDone(n int) (ids []string) {
 	w.t.Helper()
 	for i := range n {
 		ids = append(ids, fmt.Sprint("job-", 1000+i))
@@ -27,7 +27,7 @@
 }
 
 // put writes a key as some node would.
-func (w *cluster) put(key string, value any) {
+func (w *simulatedCluster) put(key string, value any) {
 	w.t.Helper()
 	if _, err := w.store.Txn(context.Background(), kv.Txn{Ops: []kv.Op{{Put: key, Value: value}}}); err != nil {
 		w.t.Fatal(err)
@@ -41,7 +41,7 @@
 	for _, end := range []string{api.JobDone, api.JobCancelled} {
 		for _, newLeader := range []bool{false, true} {
 			t.Run(fmt.Sprint(end, " ", newLeader), func(t *testing.T) {
-				simulate(t, func(w *cluster) {
+				simulate(t, func(w *simulatedCluster) {
 					w.state = config.KVLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
 					w.store.SetLimits(2048, 3)
 					n := w.start("n0")
@@ -85,7 +85,7 @@
 // What is left of lists is removed by the next leader, but for the list of a job
 // that is active and for those of jobs that may be about to be accepted.
 func TestListsThatAreLeft(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.state = config.KVLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
@@ -106,7 +106,7 @@
 // also if an earlier leader saw that end; not from its acceptance, and not from the
 // takeover. Of a record that an earlier version wrote the end is not known.
 func TestTimesCountFromTheLastEnd(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -169,7 +169,7 @@
 func TestEndsThatCannotBeRead(t *testing.T) {
 	for _, many := range []int{1, 400} {
 		t.Run(fmt.Sprint(many), func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				st := &unreadableEnds{Fake: w.store}
 				n := w.startWith("n0", st, nil)
 				k := w.worker("i-1", "a", false)
@@ -195,13 +195,13 @@
 // is cancelled, too, at a node that hears of the leader as little as the leader of
 // it; and so is one whose awaited jobs the leader does not know of yet.
 func TestSubmittedDuringACascadeAtANodeCutOff(t *testing.T) {
-	for name, trouble := range map[string]func(w *cluster){
-		"the leader sees no change":     func(w *cluster) { w.store.SetWatchesBlind(true) },
-		"the cascade is not written":    func(w *cluster) { w.store.Delay(func(txn kv.Txn) bool { return txn.Records }) },
-		"the leader does both in order": func(*cluster) {},
+	for name, trouble := range map[string]func(w *simulatedCluster){
+		"the leader sees no change":     func(w *simulatedCluster) { w.store.SetWatchesBlind(true) },
+		"the cascade is not written":    func(w *simulatedCluster) { w.store.Delay(func(txn kv.Txn) bool { return txn.Records }) },
+		"the leader does both in order": func(*simulatedCluster) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				leader, other := w.start("n0"), w.start("n1")
 				w.submit(leader, spec("job-1", 1))
 				w.submit(other, after("job-2", "red", 1, "job-1"))
@@ -236,7 +236,7 @@
 // A job may name one that was accepted a moment ago by another node, of which the
 // leader and the node that is asked have yet to hear.
 func TestNamesOneAcceptedAMomentAgo(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		leader, other := w.start("n0"), w.start("n1")
 		k := w.worker("i-1", "a", false)
 		k.serve(leader, 2)
--- a/internal/controller/directcommands_test.go
+++ b/internal/controller/directcommands_test.go
@@ -103,7 +103,7 @@
 }
 
 // seldom is a cluster whose machines report every 5 s, with n of them.
-func (w *cluster) seldom(n int) (*node, *wire, []*worker) {
+func (w *simulatedCluster) seldom(n int) (*node, *wire, []*worker) {
 	d := &wire{machines: map[string]*worker{}}
 	w.commandSender, w.heartbeatS = d, 5
 	a := w.start("n0")
@@ -120,7 +120,7 @@
 // Work is begun at once where reports are seldom. A report that was on its way
 // as the order was carried out, and so does not show it, changes nothing.
 func TestStartsGoStraightToMachines(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n, d, ks := w.seldom(2)
 		stale := ks[0].status // on its way while the order is carried out
 		stale.Seq++
@@ -152,7 +152,7 @@
 // session has ended or it is returned; reports that do not show it prove
 // nothing.
 func TestUnansweredOrderKeepsItsTask(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n, d, ks := w.seldom(2)
 		busy := spec("job-1", 4)
 		busy.Zone = "a"
@@ -222,7 +222,7 @@
 // machines got no more work, and up to 55 were never returned.
 func TestUnansweredOrderCarriedOutLateFreesItsMachine(t *testing.T) {
 	for _, cause := range []string{api.CauseDone, api.CauseError} {
-		simulate(t, func(w *cluster) {
+		simulate(t, func(w *simulatedCluster) {
 			n, d, ks := w.seldom(1)
 			late := ks[0]
 			w.submit(n, spec("job-0", 1)) // keeps the machine in use
@@ -246,7 +246,7 @@
 // return keeps the task from beginning too late.
 func TestUnansweredOrderOfACancelledJob(t *testing.T) {
 	for _, cancelFirst := range []bool{false, true} {
-		simulate(t, func(w *cluster) {
+		simulate(t, func(w *simulatedCluster) {
 			n, d, ks := w.seldom(1)
 			w.submit(n, spec("job-0", 1)) // keeps the machine in use
 			time.Sleep(time.Second)
@@ -272,7 +272,7 @@
 // Under a new leader an earlier one's order is refused by every machine that
 // the new one has heard, so it needs no memory of it.
 func TestUnansweredOrderOfAnEarlierLeader(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a, d, ks := w.seldom(2)
 		d.set(false, true)
 		w.submit(a, spec("job-1", 1))
@@ -295,7 +295,7 @@
 // then its tasks begin elsewhere. Orders cannot go in a resync's answer, so
 // none are given there.
 func TestTakeoverResyncsMachines(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a, d, ks := w.seldom(40)
 		w.submit(a, spec("job-1", 8))
 		time.Sleep(2 * time.Second)
@@ -348,7 +348,7 @@
 // lost, the task would begin elsewhere while it begins here. Seen when a leader
 // had 700 machines to resync and answered late.
 func TestResyncBesideAnAnswer(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a, d, ks := w.seldom(2)
 		a.crash()
 		d.set(true, false) // only answers bring starts
@@ -399,7 +399,7 @@
 // crash in the middle of the takeover. All that live are heard by resyncs, none
 // of them is returned, and no task begins again while it may run.
 func TestTakeoverOfALargeFleet(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		const fleet, fallen = 1100, 100
 		w.teams[0].CPUs, w.teams[0].LimitCPUs = 5000, 5000
 		d := &wire{machines: map[string]*worker{}}
@@ -460,7 +460,7 @@
 // first machines that it misses for dead. Those that reach it through another
 // node get their starts in answers.
 func TestLeaderWithoutAWayToItsMachines(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		const fleet = 50
 		w.teams[0].CPUs, w.teams[0].LimitCPUs = 500, 500
 		d := &wire{machines: map[string]*worker{}}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -103,7 +103,7 @@
 // standbyCluster is a cluster of three nodes with failover between them, with machines that
 // run tasks all the time, and a checker of the leaders' commands.
 type standbyCluster struct {
-	*cluster
+	*simulatedCluster
 	mesh   *mesh
 	agents []*worker
 	// rounds counts how often each machine's tasks were advanced.
@@ -129,18 +129,18 @@
 // simulateStandby runs a test once the first leader has its lease quorum.
 func simulateStandby(t *testing.T, voteLifetimeS float64, f func(s *standbyCluster)) {
 	t.Helper()
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.zones = map[string]string{"n0": "a", "n1": "a", "n2": "a"}
 		w.teams[0].LimitCPUs = 100
 		s := &standbyCluster{
-			cluster:        w,
-			mesh:           &mesh{nodes: map[string]*node{}, cut: map[string]bool{}},
-			rounds:         map[string]int{},
-			firstStart:     map[uint64]time.Time{},
-			reportsOnlyTo:  map[string]string{},
-			neverReportsTo: map[string]string{},
-			gates:          map[string]*gate{},
-			voteLifetimeS:  voteLifetimeS,
+			simulatedCluster: w,
+			mesh:             &mesh{nodes: map[string]*node{}, cut: map[string]bool{}},
+			rounds:           map[string]int{},
+			firstStart:       map[uint64]time.Time{},
+			reportsOnlyTo:    map[string]string{},
+			neverReportsTo:   map[string]string{},
+			gates:            map[string]*gate{},
+			voteLifetimeS:    voteLifetimeS,
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		for i := range 3 {
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -17,7 +17,7 @@
 func TestMachineWithCommandsUndeliveredIsTerminated(t *testing.T) {
 	for _, answersProbes := range []bool{false, true} {
 		t.Run(fmt.Sprint("answers probes ", answersProbes), func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
 				partitioned, healthy := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 				partitioned.serve(n, 2)
@@ -57,7 +57,7 @@
 
 // Single lost responses, between others that arrive, are no reason to terminate a machine.
 func TestSingleLostResponsesKeepMachine(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -77,7 +77,7 @@
 // A machine whose task lease expires although its heartbeats are responded to does not get the
 // responses, even if they had no commands.
 func TestExpiredAgentEpochsRevealUndeliveredCommands(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -101,7 +101,7 @@
 // stay reserved against every team.
 func TestTakeoverDoesNotWaitForMachineWithCommandsUndelivered(t *testing.T) {
 	for _, answersProbes := range []bool{false, true} {
-		simulate(t, func(w *cluster) {
+		simulate(t, func(w *simulatedCluster) {
 			a := w.start("n0")
 			partitioned, healthy := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 			partitioned.serve(a, 2)
@@ -130,7 +130,7 @@
 // A copy of an old heartbeat, however late, changes nothing in this term: it does not show
 // that the machine is alive, adds no attempt and gets no commands.
 func TestLateHeartbeatCopyIsIgnored(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -156,7 +156,7 @@
 // After a takeover a copy may arrive before the machine's own heartbeat, or from a machine
 // that an earlier leader has terminated, which this one cannot know.
 func TestLateHeartbeatCopyAfterTakeover(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a := w.start("n0")
 		dead, k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
 		first := dead.status // its very first heartbeat, with no fencing token
@@ -197,7 +197,7 @@
 // While heartbeats are delayed by a partition, runs that have ended seem long: neither are
 // they restarted as stragglers, nor are their machines quarantined as slow.
 func TestRunsDuringPartitionAreNotStragglers(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		near, far := w.worker("i-1", "a", false), w.worker("i-2", "b", false)
 		s := spec("job-1", 40)
@@ -239,7 +239,7 @@
 // time, as infeasible jobs are for feasible ones. Each must start all the same, and make
 // progress.
 func TestLargestJobStartsUnderLastingOverload(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -275,7 +275,7 @@
 // Where many machines seem slow at once, the machines are not the cause: only a few are
 // quarantined.
 func TestFewMachinesAreQuarantinedAsSlow(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		agents := make([]*worker, 12)
 		for i := range agents {
 			agents[i] = w.worker(fmt.Sprint("i-", i), "a", false)
@@ -304,7 +304,7 @@
 // election: the requests of its earlier incarnation that the store applies late must not end
 // or share the new one's term, nor change a job accepted meanwhile.
 func TestLateRequestsOfEarlierIncarnation(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.store.Delay(touches("leader"))
 		a := w.start("n0")
 		w.checkEqual("delayed takeovers", w.store.DelayedCount(), 1)
@@ -349,7 +349,7 @@
 // The takeover of the earlier incarnation may also be applied first: the new one finds its
 // own name in the leader key, and must begin a term of its own.
 func TestAppliedTakeoverOfEarlierIncarnation(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.store.LoseResponses(touches("leader"))
 		a := w.start("n0")
 		a.crash()
@@ -366,7 +366,7 @@
 // cancelled, the machine is terminated within the time that a cancellation may take, although
 // its heartbeats still arrive.
 func TestCancelledJobOnMachineWithCommandsUndelivered(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		partitioned := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 2))
@@ -390,7 +390,7 @@
 // Once all faults are healed every node answers for every job within seconds: no job may be
 // left out because of earlier faults.
 func TestAllPollsAreAnsweredAfterFaultsHeal(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l, a, b, ga, gb := w.pair()
 		for i := range 12 {
 			w.submit([]*node{a, b}[i%2], spec(fmt.Sprint("job-", i), 1))
@@ -427,7 +427,7 @@
 // running, and probes would find it alive. It is terminated, and only then do its tasks start
 // elsewhere.
 func TestMachineRestartedUnderItsName(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a := w.start("n0")
 		k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		k.serve(a, 3)
@@ -452,7 +452,7 @@
 // A leader whose lease has not expired learns from a machine's heartbeat that another has
 // begun a later term: it steps down, and does not crash on the heartbeat.
 func TestHeartbeatOfLaterTermMakesLeaderStepDown(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -82,9 +82,9 @@
 	return slices.Contains(f.terminatedNames, name)
 }
 
-// cluster is a simulated deployment on a fake clock: nodes, store, cloud and scripted
+// simulatedCluster is a simulated deployment on a fake clock: nodes, store, cloud and scripted
 // machines.
-type cluster struct {
+type simulatedCluster struct {
 	t     *testing.T
 	store *kvtest.Fake
 	cloud *fakeCloud
@@ -118,7 +118,7 @@
 }
 
 // Probe implements Prober.
-func (w *cluster) Probe(ctx context.Context, addr string) (*api.Heartbeat, error) {
+func (w *simulatedCluster) Probe(ctx context.Context, addr string) (*api.Heartbeat, error) {
 	if _, tardy := w.unresponsive.Load(addr); tardy {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -142,10 +142,10 @@
 // maxRequestDuration is longer than any request of a node takes that has its own timeout.
 const maxRequestDuration = 30 * time.Second
 
-// newCluster makes a cluster without nodes. At the end of the test, also of one that failed
+// newSimulatedCluster makes a cluster without nodes. At the end of the test, also of one that failed
 // half-way, its nodes are stopped and waited for: time stands still once the test's own
 // goroutine has returned, and a goroutine that then waits for time is reported as a deadlock.
-func newCluster(t *testing.T) *cluster {
+func newSimulatedCluster(t *testing.T) *simulatedCluster {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	small := api.MachineType{
@@ -157,7 +157,7 @@
 		BootS:     20,
 		Zones:     []string{"a", "b"},
 	}
-	w := &cluster{
+	w := &simulatedCluster{
 		t:     t,
 		ctx:   ctx,
 		store: kvtest.New(),
@@ -274,11 +274,11 @@
 	return err == nil
 }
 
-func (w *cluster) start(name string) *node {
+func (w *simulatedCluster) start(name string) *node {
 	return w.startWith(name, w.store, nil)
 }
 
-func (w *cluster) startWith(name string, st kv.Service, peers PeerClient) *node {
+func (w *simulatedCluster) startWith(name string, st kv.Service, peers PeerClient) *node {
 	w.t.Helper()
 	pol, err := policy.Parse("", "")
 	if err != nil {
@@ -319,7 +319,7 @@
 
 // settings returns the settings of a node, with the other nodes as its peers if it has any.
 // Node n2 is part of the cluster only if it has a zone.
-func (w *cluster) settings(name string, hasPeers bool) *config.Settings {
+func (w *simulatedCluster) settings(name string, hasPeers bool) *config.Settings {
 	s := &config.Settings{
 		Node: name,
 		Zone: w.zones[name],
@@ -348,9 +348,9 @@
 }
 
 // simulate runs a test on the fake clock with an empty cluster, which ends with the test.
-func simulate(t *testing.T, f func(w *cluster)) {
+func simulate(t *testing.T, f func(w *simulatedCluster)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { f(newCluster(t)) })
+	synctest.Test(t, func(t *testing.T) { f(newSimulatedCluster(t)) })
 }
 
 func spec(id string, tasks int) *api.JobSpec {
@@ -358,7 +358,7 @@
 		CPUs: 1, MemoryGB: 1, Image: "img", EstimateS: 30, Spot: true}
 }
 
-func (w *cluster) submit(n *node, s *api.JobSpec) {
+func (w *simulatedCluster) submit(n *node, s *api.JobSpec) {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -369,7 +369,7 @@
 }
 
 // phase is a job's phase as a node answers it to a user, or the error's text.
-func (w *cluster) phase(n *node, id string) string {
+func (w *simulatedCluster) phase(n *node, id string) string {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
@@ -382,12 +382,12 @@
 
 // worker is a scripted worker agent. Its heartbeats are sent by the test.
 type worker struct {
-	w      *cluster
+	w      *simulatedCluster
 	mu     sync.Mutex
 	status api.Heartbeat
 }
 
-func (w *cluster) worker(name, zone string, spot bool) *worker {
+func (w *simulatedCluster) worker(name, zone string, spot bool) *worker {
 	k := &worker{w: w, status: api.Heartbeat{
 		Machine:    name,
 		Addr:       name,
@@ -504,7 +504,7 @@
 }
 
 // checkEqual fails the test unless got and want are equal as JSON.
-func (w *cluster) checkEqual(what string, got, want any) {
+func (w *simulatedCluster) checkEqual(what string, got, want any) {
 	w.t.Helper()
 	g, _ := json.Marshal(got)
 	e, _ := json.Marshal(want)
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -72,7 +72,7 @@
 // A new leader reads the whole registry of a large fleet, fences each machine, checks the
 // feasibility of many jobs, and knows all machines that it has terminated.
 func TestLargeFleetIsTakenOver(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.registerLargeFleet()
 		n := w.start("n0")
 		time.Sleep(time.Second)
@@ -96,7 +96,7 @@
 }
 
 // registerLargeFleet writes a registry with all machines of a large fleet.
-func (w *cluster) registerLargeFleet() {
+func (w *simulatedCluster) registerLargeFleet() {
 	w.t.Helper()
 	const perShard = 40
 	for first := 0; first < largeFleet; first += perShard {
--- a/internal/controller/leaderterm_test.go
+++ b/internal/controller/leaderterm_test.go
@@ -12,7 +12,7 @@
 // A transaction of an earlier leader that is applied late must fail, or it would change what
 // the next leader has read.
 func TestLateTransactionOfEarlierLeaderFails(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a := w.start("n0")
 		w.store.Delay(touches(records.MachinePrefix))
 		k := w.worker("i-1", "a", false)
@@ -31,7 +31,7 @@
 
 // A machine that is unfenced in this term may run any earlier task.
 func TestTakeoverWaitsForUnfencedMachines(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a := w.start("n0")
 		k1, k2, k3 := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
 		w.submit(a, spec("job-1", 8))
@@ -65,7 +65,7 @@
 // Until a machine has this term as its fencing token it may still apply a response of the
 // earlier leader, so one heartbeat in the new term is not enough.
 func TestMachineIsFencedOnlyWithThisTerm(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(a, 2)
@@ -95,7 +95,7 @@
 
 // No attempt number is used twice, also by different leaders.
 func TestAttemptsAreNeverReusedAcrossTerms(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		seen := map[uint64]bool{}
 		k := w.worker("i-1", "a", false)
 		for range 3 {
@@ -120,7 +120,7 @@
 // Once its leader lease may have expired a leader responds to nobody; if a renewal succeeds
 // after that, the lease had not expired, and the leader goes on in the same term.
 func TestLeaderStopsWhenItsLeaseMayHaveExpired(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -144,7 +144,7 @@
 
 // A restarted leader need not wait for its own lease to expire.
 func TestRestartedLeaderBeginsNewTermAtOnce(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a := w.start("n0")
 		b := w.start("n1")
 		k := w.worker("i-1", "a", false)
@@ -165,7 +165,7 @@
 // old leader reaches the store again, it first sees that the job's active record is deleted:
 // it must not take that for a cancellation.
 func TestLeaderRejectedByStore(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		g := &gate{Fake: w.store}
 		a := w.startWith("n0", g, nil)
 		b := w.start("n1")
@@ -199,7 +199,7 @@
 // would delay all earlier jobs for as long as the leader waits for it. It does wait for one
 // that is alive.
 func TestTakeoverProbesUnfencedMachines(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a := w.start("n0")
 		ks := make([]*worker, 5)
 		for i := range ks {
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -15,7 +15,7 @@
 )
 
 // oldShard writes a registry shard as an earlier version does under larger limits.
-func (w *cluster) oldShard(key string, n int) {
+func (w *simulatedCluster) oldShard(key string, n int) {
 	w.t.Helper()
 	var rec records.RegistryShardRecord
 	for i := range n {
@@ -29,7 +29,7 @@
 }
 
 // numberedWorkers are machines of zone a, named as those of oldShard.
-func (w *cluster) numberedWorkers(count int) []*worker {
+func (w *simulatedCluster) numberedWorkers(count int) []*worker {
 	workers := make([]*worker, count)
 	for i := range workers {
 		workers[i] = w.worker(fmt.Sprintf("i-%06d", i), "a", false)
@@ -65,7 +65,7 @@
 
 // shardSplit is a run in which a leader splits the shard of an earlier version.
 type shardSplit struct {
-	*cluster
+	*simulatedCluster
 	leader *node
 	fault  string
 }
@@ -138,11 +138,11 @@
 	for _, l := range []limits{{3, 1, 25}, {5, 1, 25}, {12, 2, 25}} {
 		for _, fault := range []string{noFault, responsesLost, writesDelayed, leaderCrashes} {
 			t.Run(l.String()+" "+fault, func(t *testing.T) {
-				simulate(t, func(w *cluster) {
+				simulate(t, func(w *simulatedCluster) {
 					w.oldShard(oldShardKey, 26)
 					w.state = l.settings()
 					w.enforce(l) // from now on
-					ss := &shardSplit{cluster: w, leader: w.start("n0"), fault: fault}
+					ss := &shardSplit{simulatedCluster: w, leader: w.start("n0"), fault: fault}
 					ss.run()
 				})
 			})
@@ -151,7 +151,7 @@
 }
 
 // doneOnRecord are the completed tasks of a job as the next leader reads them.
-func (w *cluster) doneOnRecord(id string) map[int]bool {
+func (w *simulatedCluster) doneOnRecord(id string) map[int]bool {
 	w.t.Helper()
 	done := map[int]bool{}
 	p, err := w.store.Range(context.Background(), records.CompletionPrefix+id+"/", "", 1000)
@@ -175,7 +175,7 @@
 
 // longCompletion is a run with a completion record written under larger limits.
 type longCompletion struct {
-	*cluster
+	*simulatedCluster
 	leader  *node
 	workers []*worker
 	fault   string
@@ -254,11 +254,11 @@
 	const tasks, completedBefore = 30000, 14000 // new records hold 4096
 	for _, fault := range []string{noFault, responsesLost, leaderCrashes} {
 		t.Run(fault, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				w.store.SetLimits(8<<10, 12)
 				s := spec("job-1", tasks)
 				s.CPUs, s.MemoryGB = 0.01, 0.01
-				lc := &longCompletion{cluster: w, fault: fault, spec: s}
+				lc := &longCompletion{simulatedCluster: w, fault: fault, spec: s}
 				lc.writeRecords(completedBefore)
 				l := limits{3, 1, 25}
 				w.state = l.settings()
@@ -285,7 +285,7 @@
 func TestWritesRejectedForSizeShrink(t *testing.T) {
 	for _, actual := range []limits{{2, 1, 25}, {3, 1, 25}, {12, 1, 25}} {
 		t.Run(actual.String(), func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
 				w.state = limits{20, 16, 100}.settings()
 				w.enforce(actual)
@@ -313,7 +313,7 @@
 
 // A completion record that is rejected for its size is retried with fewer tasks.
 func TestCompletionRejectedForSizeIsSplit(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.state = limits{20, 16, 100}.settings()
 		w.store.SetLimits(1<<10, 20)
 		a := w.start("n0")
@@ -341,7 +341,7 @@
 // A machine whose entry fits no record is never assigned a task, since the next leader would not
 // know of it, and is terminated; the others are not delayed.
 func TestMachineThatFitsNoShardIsTerminated(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l := limits{5, 1, 25}
 		w.state = l.settings()
 		w.enforce(l)
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -16,7 +16,7 @@
 
 // extendedBy has a node publish machines, and tells which of them a leader takes to have
 // extended leases.
-func extendedBy(w *cluster, l limits, hosts []string) (kept int) {
+func extendedBy(w *simulatedCluster, l limits, hosts []string) (kept int) {
 	w.state = l.settings()
 	w.enforce(l)
 	a := w.start("n0")
@@ -58,25 +58,25 @@
 	}
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				w.checkEqual("extended", extendedBy(w, l, names(300)), 300)
 				w.checkNothingTooLarge()
 			})
 		})
 	}
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		// One too long for any record does not hold up the others.
 		w.checkEqual("extended", extendedBy(w, limits{3, 1, 8}, append(names(40), strings.Repeat("i", 1100))), 40)
 		w.checkNothingTooLarge()
 	})
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.checkEqual("extended of a large fleet", extendedBy(w, limits{3, 1, 8}, names(5000)), 5000)
 		if n := len(w.keysUnder(records.LeaseRenewalPrefix)); 3*n > maxRenewalRecords || n < 5000/100 {
 			w.t.Errorf("%d records of one node of three", n)
 		}
 		w.checkNothingTooLarge()
 	})
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		// The service turns out smaller than the settings say.
 		w.state = limits{12, 8, 25}.settings()
 		a := w.start("n0")
@@ -95,7 +95,7 @@
 func TestSmallLimitsBeyondTheCut(t *testing.T) {
 	for _, l := range append([]limits{{2, 1, 8}, {3, 1, 2}}, small...) {
 		t.Run(l.String(), func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
 				w.state = l.settings()
 				w.enforce(l)
@@ -139,7 +139,7 @@
 // What is relayed and refused for its size comes again in smaller parts: work goes
 // on beyond the cut although the service is smaller than the settings say.
 func TestRelayRefusedForSize(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
 		w.state = limits{20, 16, 100}.settings()
 		_, a, b, _, near, far := w.beyondTheCut()
@@ -174,7 +174,7 @@
 // A report that fits no batch does not keep those of other machines from being
 // relayed.
 func TestReportTooLargeToRelay(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l := limits{3, 1, 25}
 		w.state = l.settings()
 		w.enforce(l)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -30,10 +30,10 @@
 }
 
 // enforce has the service refuse what is beyond the limits.
-func (w *cluster) enforce(l limits) { w.store.SetLimits(l.valueKB<<10, l.ops) }
+func (w *simulatedCluster) enforce(l limits) { w.store.SetLimits(l.valueKB<<10, l.ops) }
 
 // checkNothingTooLarge is checked at the end: nothing was refused for its size.
-func (w *cluster) checkNothingTooLarge() {
+func (w *simulatedCluster) checkNothingTooLarge() {
 	w.t.Helper()
 	if refused := w.store.RejectedAsTooLarge(); len(refused) > 0 {
 		w.t.Errorf("refused %d times for size: %v", len(refused), refused[:min(5, len(refused))])
@@ -77,7 +77,7 @@
 func TestSmallLimits(t *testing.T) {
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
 				w.state = l.settings()
 				w.enforce(l)
@@ -121,7 +121,7 @@
 }
 
 // keysUnder lists the keys with a prefix.
-func (w *cluster) keysUnder(prefix string) (keys []string) {
+func (w *simulatedCluster) keysUnder(prefix string) (keys []string) {
 	w.t.Helper()
 	p, err := w.store.Range(context.Background(), prefix, "", 1000)
 	if err != nil {
@@ -139,7 +139,7 @@
 	from, to := limits{20, 16, 25}, limits{5, 1, 6}
 	for _, when := range []string{"while jobs run", "during a takeover"} {
 		t.Run(when, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
 				w.state = to.settings() // the smaller of both
 				w.enforce(from)
@@ -183,7 +183,7 @@
 func TestManyChangesAtOnce(t *testing.T) {
 	for _, l := range small {
 		t.Run(l.String(), func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
 				w.state = l.settings()
 				w.enforce(l)
@@ -215,7 +215,7 @@
 		types  int
 		stored bool
 	}{{3, true}, {40, false}} {
-		simulate(t, func(w *cluster) {
+		simulate(t, func(w *simulatedCluster) {
 			l := limits{3, 1, 8}
 			w.state = l.settings()
 			w.enforce(l)
@@ -234,7 +234,7 @@
 // bounds a batch: shards of long entries beside each other, progress of many large
 // jobs, ends of many jobs with long names.
 func TestTransactionsFitInAll(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l := limits{400, 128, 2000}
 		w.state = l.settings()
 		w.enforce(l)
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -174,7 +174,7 @@
 // A budget is whole tasks, within what the neighbour can spare and what the team's limits
 // leave, of CPUs and of GPUs; a guest never uses more than it.
 func TestBudgetsInWholeTasks(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].LimitGPUs = 3
 		n := w.start("n0")
 		n.inspect(func(c *Controller) {
--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -108,7 +108,7 @@
 
 // run loses the response to the transaction of a writer, whose requests the key-value store
 // then rejects for a while.
-func (lr *lostResponse) run(w *cluster, writer int, rejected time.Duration) {
+func (lr *lostResponse) run(w *simulatedCluster, writer int, rejected time.Duration) {
 	w.t.Helper()
 	tn := newUserCluster(w, 2)
 	defer tn.close()
@@ -149,7 +149,7 @@
 		for _, writer := range lr.writers {
 			for _, rejected := range durations {
 				t.Run(fmt.Sprint(lr.name, " by n", writer, ", then rejected for ", rejected), func(t *testing.T) {
-					simulate(t, func(w *cluster) { lr.run(w, writer, rejected) })
+					simulate(t, func(w *simulatedCluster) { lr.run(w, writer, rejected) })
 				})
 			}
 		}
@@ -229,7 +229,7 @@
 
 // run applies the delayed transaction after some time. It returns the job's phase in the end,
 // and whether the job had ended by the time of the release.
-func (dt *delayedTransaction) run(w *cluster, release time.Duration) (phase string, late bool) {
+func (dt *delayedTransaction) run(w *simulatedCluster, release time.Duration) (phase string, late bool) {
 	w.t.Helper()
 	tn := newUserCluster(w, 2)
 	defer tn.close()
@@ -282,7 +282,7 @@
 		t.Run(dt.name, func(t *testing.T) {
 			lateCount, seen := 0, map[string]int{}
 			for release := 100 * time.Millisecond; release < 9*time.Second; release += 420 * time.Millisecond {
-				simulate(t, func(w *cluster) {
+				simulate(t, func(w *simulatedCluster) {
 					phase, late := dt.run(w, release)
 					seen[phase]++
 					if late {
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -47,7 +47,7 @@
 func TestEndedControllerRejectsCalls(t *testing.T) {
 	for name, call := range callers {
 		t.Run(name, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
 				n.crash()
 				time.Sleep(time.Second)
@@ -70,7 +70,7 @@
 			continue // waits for no reply
 		}
 		t.Run(name, func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
 				w.running.Go(func() { n.tryInspect(func(*Controller) { time.Sleep(time.Second); n.crash() }) })
 				time.Sleep(time.Millisecond)
@@ -96,7 +96,7 @@
 
 // An elector may notify a controller that has ended any number of times.
 func TestEndedControllerDoesNotBlockElector(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		n.crash()
 		time.Sleep(time.Second)
@@ -111,7 +111,7 @@
 
 // A request that is on record succeeds, also at a controller that has just ended.
 func TestRecordedRequestsSucceedAtEndedController(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
 		n.crash()
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -99,7 +99,7 @@
 // must not grow with their number: neither the writes and watches of a second nor the jobs in
 // memory.
 func TestLoadOfManySmallJobsIsBounded(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		tn := newUserCluster(w, 10)
 		defer tn.close()
 		const jobs = 720
@@ -163,7 +163,7 @@
 
 // loseEveryFifth drops the response to every fifth transaction that changes something, and
 // returns the number dropped so far.
-func (w *cluster) loseEveryFifth() (lost func() int) {
+func (w *simulatedCluster) loseEveryFifth() (lost func() int) {
 	writes, dropped := 0, 0
 	w.store.LoseResponses(func(txn kv.Txn) bool {
 		if len(txn.Ops) == 0 {
@@ -203,7 +203,7 @@
 func TestAcceptedJobsCompleteAcrossLeaderChanges(t *testing.T) {
 	for shift := time.Duration(0); shift < 4*time.Second; shift += 700 * time.Millisecond {
 		t.Run(fmt.Sprint(shift), func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				tn := newUserCluster(w, 5)
 				defer tn.close()
 				time.Sleep(10 * time.Second)
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -22,7 +22,7 @@
 func aloneThenOut(t *testing.T, judge func(tn *userCluster, want map[string]string)) {
 	for _, alone := range []time.Duration{0, 300 * time.Millisecond, time.Second, 3 * time.Second, 6 * time.Second, 8 * time.Second, 11 * time.Second, 15 * time.Second} {
 		t.Run(fmt.Sprint("alone for ", alone), func(t *testing.T) {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				tn := newUserCluster(w, 6)
 				defer tn.close()
 				time.Sleep(10 * time.Second) // all nodes know each other
--- a/internal/controller/outcome_test.go
+++ b/internal/controller/outcome_test.go
@@ -40,7 +40,7 @@
 // all were looked at side by side none ever was, and machines with tasks long done
 // were kept for the rest of the day.
 func TestManyEndsWithLostAnswersAreSettled(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		st := &thrifty{Fake: w.store, reads: rate.NewLimiter(20, 20)}
 		n := w.startWith("n0", st, nil)
 		var ks []*worker
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -21,7 +21,7 @@
 // back just when the leader can follow least. One that is dead is found all the
 // same once the leader is in time again.
 func TestHeldUpLeaderTakesNobodyForDead(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false), w.worker("i-4", "a", false)}
 		for range 3 {
@@ -52,7 +52,7 @@
 // What was queued while the leader was entitled is not acted on after that: the
 // clock is looked at when acting.
 func TestEntitlementEndsWhileTheOwnerIsHeldUp(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -75,7 +75,7 @@
 // A report that has waited for so long that its worker gives up is not taken in:
 // starts would go out in an answer that is dropped.
 func TestReportThatWaitedTooLongStartsNothing(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
--- a/internal/controller/pendingreason_test.go
+++ b/internal/controller/pendingreason_test.go
@@ -9,7 +9,7 @@
 
 // An operator is told why jobs wait: each reason by itself.
 func TestWhyWorkWaits(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].LimitCPUs = 100
 		n := w.start("n0")
 		large := spec("job-1", 8)
@@ -54,7 +54,7 @@
 		limit float64
 		want  bool
 	}{{2, true}, {4, false}, {0, false}} {
-		simulate(t, func(w *cluster) {
+		simulate(t, func(w *simulatedCluster) {
 			n := w.start("n0")
 			n.inspect(func(o *Controller) { o.Policy.RestartLimit = c.limit })
 			slow, well := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -92,7 +92,7 @@
 // users and machines see of one. It knows no dependencies of jobs, and what it does not know
 // it neither applies nor writes.
 type oldNode struct {
-	w           *cluster
+	w           *simulatedCluster
 	name        string
 	st          *gate
 	links       *links
@@ -129,7 +129,7 @@
 }
 
 // startOld starts a scripted node of the version in production.
-func (w *cluster) startOld(name string, st *gate, l *links) *oldNode {
+func (w *simulatedCluster) startOld(name string, st *gate, l *links) *oldNode {
 	o := &oldNode{
 		w:                 w,
 		name:              name,
--- a/internal/controller/reads_test.go
+++ b/internal/controller/reads_test.go
@@ -32,7 +32,7 @@
 // who asks when a read is on its way does not get its answer, which may be older
 // than what was told meanwhile.
 func TestQuestionsShareReadsButNoOldAnswers(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		st := &slowAnswers{Fake: w.store}
 		leader, n := w.start("n0"), w.startWith("n1", st, &links{})
 		w.submit(leader, spec("job-1", 1))
--- a/internal/controller/reaps_test.go
+++ b/internal/controller/reaps_test.go
@@ -12,7 +12,7 @@
 // at once to stop what is cancelled: its lease is renewed by the same answers.
 // The ended tasks are reaped after that.
 func TestStopsGoBeforeReaps(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
--- a/internal/controller/registry_test.go
+++ b/internal/controller/registry_test.go
@@ -13,7 +13,7 @@
 )
 
 // shardsOf reads the roster: the machines on each of its shards.
-func (w *cluster) shardsOf() (shards [][]string) {
+func (w *simulatedCluster) shardsOf() (shards [][]string) {
 	w.t.Helper()
 	p, err := w.store.Range(context.Background(), records.MachinePrefix, "", 1000)
 	if err != nil {
@@ -34,7 +34,7 @@
 }
 
 // registeredMachines lists the machines on the roster.
-func (w *cluster) registeredMachines() (names []string) {
+func (w *simulatedCluster) registeredMachines() (names []string) {
 	for _, s := range w.shardsOf() {
 		names = append(names, s...)
 	}
@@ -45,7 +45,7 @@
 // Machines that come together share a shard, so that a fleet need not wait for
 // one write each; as machines go, what is left of the shards shrinks with them.
 func TestMachinesShareShards(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a := w.start("n0")
 		var ks []*worker
 		for i := range 60 {
@@ -82,7 +82,7 @@
 // Whatever becomes of the transactions that write shards, carried out without an
 // answer or late, a machine that may be given tasks is on the roster.
 func TestRosterHoldsEveryMachineInUse(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		rnd := rand.New(rand.NewPCG(1, 2))
 		a := w.start("n0")
 		shards := touches(records.MachinePrefix)
@@ -136,7 +136,7 @@
 // A shard that may have taken another's place may be all that is left of it: it
 // goes only in the transaction that writes the next.
 func TestShardPerhapsWritten(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		a := w.start("n0")
 		w.worker("i-1", "a", false).serve(a, 3)
 		a.inspect(func(c *Controller) {
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -44,7 +44,7 @@
 // A machine whose orders have no outcome yet, or whose node has not confirmed
 // the last batch, gets nothing more this way.
 func TestRelayHoldsMachinesWithoutOutcome(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		_, a, _, _, _, far := w.beyondTheCut()
 		busy := spec("job-0", 4)
 		busy.Zone = "a"
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestJobRunsAndStaysDone(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 6))
@@ -52,7 +52,7 @@
 // A job whose end is not on record must not be told as done: the next leader
 // would say something older.
 func TestDoneIsDurableBeforeItIsTold(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -72,7 +72,7 @@
 
 // Silence frees nothing: only the cloud's 200 to returning the machine does.
 func TestSilentMachineIsFreedByItsReturnOnly(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k1, k2 := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		w.submit(n, spec("job-1", 1))
@@ -97,7 +97,7 @@
 
 // A report that was overtaken must not free the tasks started after it.
 func TestOlderReportIsDropped(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k1, k2 := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		k1.serve(n, 2)
@@ -121,7 +121,7 @@
 // An answer that was lost after a start: the next report shows that the start
 // was not carried out, and the task is started under a new attempt.
 func TestLostStartIsRepeatedAsANewAttempt(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
@@ -141,7 +141,7 @@
 // The answer to a rental may be lost: the repeat must use the same name, or
 // the machines would be rented twice. A later term's names are different.
 func TestRentalIsRepeatedUnderItsName(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		w.cloud.capacity, w.cloud.loseLaunchResponse = 1, true
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 3))
@@ -170,7 +170,7 @@
 // A machine that the cloud takes back saves what can be saved, and its tasks
 // go on elsewhere.
 func TestReclaimedMachine(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k1, k2 := w.worker("i-1", "a", true), w.worker("i-2", "a", false)
 		s := spec("job-1", 2)
@@ -196,7 +196,7 @@
 // While the store is out of reach a submission is refused, not kept waiting;
 // a submission whose answer was lost counts as accepted once.
 func TestSubmissionWithTheStoreInTrouble(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		w.store.SetDown(true)
 		ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
@@ -216,7 +216,7 @@
 }
 
 func TestJobsThatCanNeverRun(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		for name, change := range map[string]func(*api.JobSpec){
 			"unknown team":   func(s *api.JobSpec) { s.Team = "green" },
@@ -241,7 +241,7 @@
 // their tasks, and it starts nothing.
 func TestFollowerKeepsMachinesAlive(t *testing.T) {
 	for _, storeToo := range []bool{false, true} {
-		simulate(t, func(w *cluster) {
+		simulate(t, func(w *simulatedCluster) {
 			l := &links{}
 			g := &gate{Fake: w.store}
 			a := l.add("n0", w.startWith("n0", w.store, l))
@@ -314,7 +314,7 @@
 // A watch whose connection has died must not hide a cancellation for longer
 // than its tasks may stay.
 func TestDeadWatchIsGivenUp(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		n := w.startWith("n0", &deaf{Fake: w.store}, nil)
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 2))
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -14,7 +14,7 @@
 // runChecker follows from outside what the machines of a test really run. It fails the test
 // where a rule of the protocol is broken, by whichever process.
 type runChecker struct {
-	w         *cluster
+	w         *simulatedCluster
 	t0        time.Time
 	mu        sync.Mutex
 	jobs      map[string]*observedJob
--- a/internal/controller/twofaults_test.go
+++ b/internal/controller/twofaults_test.go
@@ -12,7 +12,7 @@
 // faultCluster is a leader and a follower, and a machine with two tasks of job-1 and one of
 // job-2 that keeps its task lease as a worker agent does.
 type faultCluster struct {
-	*cluster
+	*simulatedCluster
 	links                    *links
 	leader, follower         *node
 	leaderGate, followerGate *gate
@@ -37,8 +37,8 @@
 // job-1 end within the time limit of their cancellation.
 func runFaultScript(t *testing.T, seconds int, script faultScript) (lost time.Duration) {
 	t.Helper()
-	simulate(t, func(w *cluster) {
-		g := &faultCluster{cluster: w}
+	simulate(t, func(w *simulatedCluster) {
+		g := &faultCluster{simulatedCluster: w}
 		g.links, g.leader, g.follower, g.leaderGate, g.followerGate = w.pair()
 		g.k = w.worker("i-1", "", false)
 		w.submit(g.leader, spec("job-1", 2))
@@ -303,7 +303,7 @@
 func TestLeaderWithoutCancellationLogStartsNothing(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		for ms := 0; ms < 3000; ms += 300 {
-			simulate(t, func(w *cluster) {
+			simulate(t, func(w *simulatedCluster) {
 				l, a, b, ga, _ := w.pair()
 				k := w.worker("i-1", "", false)
 				w.submit(a, spec("job-1", 6))
@@ -335,7 +335,7 @@
 // heartbeats get responses while the key-value store answers.
 func TestServiceWithShortCancellationLimit(t *testing.T) {
 	for _, cancelS := range []float64{0.5, 9, 10, 10.6, 12, 20.5} {
-		simulate(t, func(w *cluster) {
+		simulate(t, func(w *simulatedCluster) {
 			w.cancelS = cancelS
 			_, a, b, _, _ := w.pair()
 			k := w.worker("i-1", "", false)
@@ -365,7 +365,7 @@
 // have got a response in this term.
 func TestFollowerDoesNotRelyOnANewLeader(t *testing.T) {
 	for after := 9 * time.Second; after < faultTaskLease; after += 100 * time.Millisecond {
-		simulate(t, func(w *cluster) {
+		simulate(t, func(w *simulatedCluster) {
 			l, a, b, _, gb := w.pair()
 			k := w.worker("i-1", "", false)
 			w.submit(a, spec("job-1", 2))
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -111,7 +111,7 @@
 
 // userCluster is three nodes with their machines and users, whose answers are all checked.
 type userCluster struct {
-	*cluster
+	*simulatedCluster
 	checker *answerChecker
 	links   *links
 	ways    []*storePath
@@ -129,14 +129,14 @@
 	stopped      atomic.Bool
 }
 
-func newUserCluster(w *cluster, hosts int) *userCluster {
+func newUserCluster(w *simulatedCluster, hosts int) *userCluster {
 	w.zones = map[string]string{"n0": "a", "n1": "a", "n2": "a"}
 	w.teams[0].LimitCPUs = 1000
 	tn := &userCluster{
-		cluster: w,
-		checker: newAnswerChecker(w.t),
-		links:   &links{},
-		nodes:   make([]*node, 3),
+		simulatedCluster: w,
+		checker:          newAnswerChecker(w.t),
+		links:            &links{},
+		nodes:            make([]*node, 3),
 		tally: &requestCounts{
 			requests: map[int64]int{},
 			writes:   map[int64]int{},
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -19,7 +19,7 @@
 // mixed is a deployment of two nodes, one of the version in production and one of this, and
 // machines that send their heartbeats to whichever node responds.
 type mixed struct {
-	*cluster
+	*simulatedCluster
 	links *links
 	old   *oldNode
 	new   *node
@@ -57,16 +57,16 @@
 // them leads first. The old node is n0.
 func simulateMixed(t *testing.T, machines int, oldLeads bool, f func(v *mixed)) {
 	t.Helper()
-	simulateMixedIn(t, func(*cluster) {}, machines, oldLeads, f)
+	simulateMixedIn(t, func(*simulatedCluster) {}, machines, oldLeads, f)
 }
 
 // simulateMixedIn is simulateMixed in a cluster that is prepared first.
-func simulateMixedIn(t *testing.T, prepare func(w *cluster), machines int, oldLeads bool, f func(v *mixed)) {
+func simulateMixedIn(t *testing.T, prepare func(w *simulatedCluster), machines int, oldLeads bool, f func(v *mixed)) {
 	t.Helper()
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		prepare(w)
 		v := &mixed{
-			cluster:          w,
+			simulatedCluster: w,
 			links:            &links{},
 			taskSeconds:      5,
 			secondsRun:       map[string]int{},
@@ -798,7 +798,7 @@
 	next := limits{ops: 6, valueKB: 1, writes: 25}
 	for _, oldLeads := range []bool{false, true} {
 		t.Run(fmt.Sprintf("old leads first %v", oldLeads), func(t *testing.T) {
-			prepare := func(w *cluster) {
+			prepare := func(w *simulatedCluster) {
 				w.state = next.settings()
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 100
 				w.store.SetLimits(16<<10, 20)
@@ -869,7 +869,7 @@
 // cancelled, and what it writes means to the old leader what it should, though it takes
 // several records.
 func TestNewFollowerInPartition(t *testing.T) {
-	prepare := func(w *cluster) { w.state = limits{ops: 6, valueKB: 1, writes: 25}.settings() }
+	prepare := func(w *simulatedCluster) { w.state = limits{ops: 6, valueKB: 1, writes: 25}.settings() }
 	simulateMixedIn(t, prepare, 1, true, func(v *mixed) {
 		v.taskSeconds = 1000
 		far := make([]string, 90)
--- a/internal/controller/zonepartition_test.go
+++ b/internal/controller/zonepartition_test.go
@@ -11,7 +11,7 @@
 )
 
 // pair is a leader n0 and a follower n1, each with its own way to the store.
-func (w *cluster) pair(zones ...string) (l *links, a, b *node, ga, gb *gate) {
+func (w *simulatedCluster) pair(zones ...string) (l *links, a, b *node, ga, gb *gate) {
 	if len(zones) == 2 {
 		w.zones = map[string]string{"n0": zones[0], "n1": zones[1]}
 	}
@@ -37,7 +37,7 @@
 // and the work goes on, with no task on two machines. Users' polls are answered
 // at both, and new users are sent to the other.
 func TestLeaderRefusedByTheStoreResigns(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		_, a, b, ga, _ := w.pair()
 		k := w.worker("i-1", "", false)
 		w.submit(a, spec("job-1", 6))
@@ -75,7 +75,7 @@
 // An outage is not mistaken for being shut out: nobody resigns, and all stay
 // ready, or users would find no node when it ends.
 func TestOutageIsNotMistakenForBeingShutOut(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		_, a, b, _, _ := w.pair()
 		k := w.worker("i-1", "", false)
 		k.serve(a, 2)
@@ -100,7 +100,7 @@
 // old, and it draws no users whom it can only fail. Under the next leader
 // nothing runs twice.
 func TestNodeAloneWithItsWorkers(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l, a, b, ga, _ := w.pair()
 		k, other := w.worker("i-1", "", false), w.worker("i-2", "", false)
 		w.submit(a, spec("job-1", 3))
@@ -130,7 +130,7 @@
 		w.checkEqual("the other leads", other.status.Term > k.status.Term, true)
 		w.checkEqual("ran twice", len(other.running()), 0)
 	})
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, gb := w.pair()
 		k := w.worker("i-1", "", false)
 		k.serve(a, 2)
@@ -149,7 +149,7 @@
 // unfinished jobs from the store; refused by the store alone, it asks the
 // leader.
 func TestPollsAreAnsweredAtAFollowerInTrouble(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, gb := w.pair()
 		k := w.worker("i-1", "", false)
 		w.submit(a, spec("job-1", 1))
@@ -172,7 +172,7 @@
 
 // While nobody leads, a node refused by the store has another one read it.
 func TestPollWithoutStoreAndLeader(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		dead := w.start("n9")
 		w.submit(dead, spec("job-1", 1))
 		dead.crash()
@@ -188,7 +188,7 @@
 // own zone. When the zones cannot reach each other any more, its lease is kept
 // up there without a break.
 func TestReportsPassThroughANodeOfTheZone(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, _ := w.pair("a", "b")
 		near, far := w.worker("i-1", "a", false), w.worker("i-2", "b", false)
 		near.serve(a, 3)
@@ -234,7 +234,7 @@
 // them: they come to another node, which passes their reports on. One that may
 // not know who leads is told first, and after a while all are.
 func TestMachinesThatCannotReachTheLeader(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		_, a, b, _, _ := w.pair()
 		k := w.worker("i-1", "", false)
 		k.serve(a, 3)
@@ -269,7 +269,7 @@
 }
 
 func refusedBetweenNodes(t *testing.T, zone string, times int) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, _ := w.pair("a", "b")
 		far := w.worker("i-2", zone, false)
 		far.serve(a, 3)
@@ -295,7 +295,7 @@
 }
 
 // far is a machine beyond the cut that reports to n1, while n0 leads.
-func (w *cluster) beyondTheCut() (l *links, a, b *node, gb *gate, near, far *worker) {
+func (w *simulatedCluster) beyondTheCut() (l *links, a, b *node, gb *gate, near, far *worker) {
 	l, a, b, _, gb = w.pair("a", "b")
 	near, far = w.worker("i-1", "a", false), w.worker("i-2", "b", false)
 	near.serve(a, 3)
@@ -313,7 +313,7 @@
 // While the zones cannot reach each other but both reach the store, work goes
 // on beyond the cut: reports and orders go through the store.
 func TestWorkGoesOnBeyondTheCut(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, near, far := w.beyondTheCut()
 		w.submit(a, spec("job-1", 12))
 		for range 8 {
@@ -366,7 +366,7 @@
 // any report shows: until the node has told what became of them, their tasks
 // begin nowhere else.
 func TestRelayedOrdersBeginOnce(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, near, far := w.beyondTheCut()
 		busy := spec("job-0", 4)
 		busy.Zone = "a"
@@ -412,7 +412,7 @@
 // that loses the store hands out none that are old.
 func TestRelayedOrdersAreForgottenOrExpire(t *testing.T) {
 	for _, crash := range []bool{true, false} {
-		simulate(t, func(w *cluster) {
+		simulate(t, func(w *simulatedCluster) {
 			l, a, b, gb, near, far := w.beyondTheCut()
 			busy := spec("job-0", 4)
 			busy.Zone = "a"
@@ -460,7 +460,7 @@
 // A node that was given orders and never comes back tells nothing more: its
 // machine is returned, and only then the tasks begin elsewhere.
 func TestRelayingNodeNeverComesBack(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		_, a, b, _, near, far := w.beyondTheCut()
 		busy := spec("job-0", 4)
 		busy.Zone = "a"
@@ -498,7 +498,7 @@
 // while work keeps coming: no order is overwritten by a later one, and none is
 // handed out to a new session.
 func TestRelayedOrdersAreNotLost(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, _, far := w.beyondTheCut()
 		for i := range 60 {
 			if i < 20 {
@@ -537,7 +537,7 @@
 // the machines there keep their tasks, learn the new term, and are heard
 // through the store.
 func TestRestartsDuringACut(t *testing.T) {
-	simulate(t, func(w *cluster) {
+	simulate(t, func(w *simulatedCluster) {
 		l, a, b, gb, near, far := w.beyondTheCut()
 		w.submit(a, spec("job-1", 8))
 		round := func(n int) {
