--- a/internal/controller/jobdependencies.go
+++ b/internal/cluster/jobdependencies.go
@@ -1,4 +1,4 @@
-package controller
+package cluster
 
 import (
 	"time"
--- a/internal/controller/shard.go
+++ b/internal/cluster/shard.go
@@ -1,4 +1,4 @@
-package controller
+package cluster
 
 // Shard is one record of the registry.
 //
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -4,12 +4,13 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/queue"
 )
 
 // assignTasks assigns tasks to a machine while it has free capacity, and appends their starts to
 // the commands.
-func (lt *leaderTerm) assignTasks(m *Machine, commands []api.Command, now time.Time) []api.Command {
+func (lt *leaderTerm) assignTasks(m *cluster.Machine, commands []api.Command, now time.Time) []api.Command {
 	if !m.IsSchedulable(now) || !lt.mayStart(now) {
 		return commands
 	}
@@ -24,8 +25,8 @@
 		if !ok {
 			break
 		}
-		a := &Attempt{
-			Key:            AttemptKey{Ref: j.TaskRef(task), ID: lt.nextAttempt()},
+		a := &cluster.Attempt{
+			Key:            cluster.AttemptKey{Ref: j.TaskRef(task), ID: lt.nextAttempt()},
 			Machine:        m,
 			Job:            j,
 			Task:           task,
@@ -49,8 +50,8 @@
 // cover is served first: no team waits for another there, so the job with the earliest latest
 // start is taken. Beyond the guarantees the teams are served in the order of their fair share,
 // urgent work before the rest. Either is tried first with the jobs that the machine prefers.
-func (lt *leaderTerm) nextJob(m *Machine, now time.Time) *Job {
-	if m.FreeCPUs() < Epsilon && m.GPUs <= m.UsedGPUs {
+func (lt *leaderTerm) nextJob(m *cluster.Machine, now time.Time) *cluster.Job {
+	if m.FreeCPUs() < cluster.Epsilon && m.GPUs <= m.UsedGPUs {
 		return nil
 	}
 	if j := lt.nextStarved(m, now); j != nil {
@@ -69,8 +70,8 @@
 
 // nextGuaranteed is the first job, over all teams, whose next task is within its team's
 // guarantee.
-func (lt *leaderTerm) nextGuaranteed(m *Machine, preferred bool, now time.Time) *Job {
-	var best *Job
+func (lt *leaderTerm) nextGuaranteed(m *cluster.Machine, preferred bool, now time.Time) *cluster.Job {
+	var best *cluster.Job
 	for _, t := range lt.fairShareOrder {
 		j := lt.nextJobOfTeam(t, m, true, preferred, now)
 		if j != nil && (best == nil || queue.Before(j, best)) {
@@ -82,8 +83,8 @@
 
 // nextByShare is the most urgent of the jobs whose next task is beyond its team's guarantee; of
 // equally urgent ones, that of the team which is first by fair share.
-func (lt *leaderTerm) nextByShare(m *Machine, preferred bool, now time.Time) *Job {
-	var best *Job
+func (lt *leaderTerm) nextByShare(m *cluster.Machine, preferred bool, now time.Time) *cluster.Job {
+	var best *cluster.Job
 	queue.SortByShare(lt.fairShareOrder)
 	for _, t := range lt.fairShareOrder {
 		j := lt.nextJobOfTeam(t, m, false, preferred, now)
@@ -104,12 +105,12 @@
 )
 
 // nextStarved is the job that goes before all others on a machine, if any.
-func (lt *leaderTerm) nextStarved(m *Machine, now time.Time) *Job {
+func (lt *leaderTerm) nextStarved(m *cluster.Machine, now time.Time) *cluster.Job {
 	starvedTurn := lt.attemptCount%starvedShare == 0
 	if !starvedTurn && lt.starved == 0 {
 		return nil
 	}
-	var best *Job
+	var best *cluster.Job
 	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
 			goesFirst := j.Starved && !j.Started() || starvedTurn && j.Starving(now)
@@ -128,8 +129,8 @@
 // whose next task is within the guarantee or among the others, and among those that the machine
 // prefers or among all. An urgent job is left to machines that prefer it in either case.
 func (lt *leaderTerm) nextJobOfTeam(
-	t *queue.Team[*Job], m *Machine, guaranteed, preferred bool, now time.Time,
-) *Job {
+	t *queue.Team[*cluster.Job], m *cluster.Machine, guaranteed, preferred bool, now time.Time,
+) *cluster.Job {
 	for _, j := range t.Items() {
 		if j.Flight.Untaken() == 0 || t.WithinGuarantee(j.Spec.CPUs, j.Spec.GPUs) != guaranteed || !lt.isEligible(j, m, now) {
 			continue
@@ -149,7 +150,7 @@
 const maxFailuresOnMachine = 2
 
 // isEligible tells whether the next task of a job may start on a machine.
-func (lt *leaderTerm) isEligible(j *Job, m *Machine, now time.Time) bool {
+func (lt *leaderTerm) isEligible(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
 	s := &j.Spec
 	switch {
 	case j.Ended || j.Finishing || j.Handover || j.Lent != nil || now.Before(j.BackoffUntil):
@@ -186,7 +187,7 @@
 // pending tasks of a job. They are left to pull it at their next heartbeats: the work gathers
 // where its image is, on cheap machines and on those in use, and the others become empty and are
 // terminated. A job that has waited longer than lt.grace is assigned to any machine.
-func (lt *leaderTerm) hasBetterMachines(j *Job, m *Machine, now time.Time) bool {
+func (lt *leaderTerm) hasBetterMachines(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
 	if now.Sub(j.WaitingSince) > lt.grace {
 		return false
 	}
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -5,14 +5,15 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 )
 
 // adoptAttempt adds an attempt that a heartbeat shows and this leader did not start.
-func (lt *leaderTerm) adoptAttempt(m *Machine, key AttemptKey, status *api.TaskStatus, now time.Time) *Attempt {
+func (lt *leaderTerm) adoptAttempt(m *cluster.Machine, key cluster.AttemptKey, status *api.TaskStatus, now time.Time) *cluster.Attempt {
 	key.Ref = strings.Clone(key.Ref)
-	a := &Attempt{Key: key, Machine: m, Phase: status.Phase, SentAt: now}
+	a := &cluster.Attempt{Key: key, Machine: m, Phase: status.Phase, SentAt: now}
 	m.Attempts[key] = a
-	id, task, ok := SplitRef(key.Ref)
+	id, task, ok := cluster.SplitRef(key.Ref)
 	if j := lt.jobs[id]; ok && j != nil && task < j.Spec.Tasks {
 		a.Job, a.Task = j, task
 	}
@@ -36,7 +37,7 @@
 }
 
 // applyTaskStatus applies what a heartbeat says of an attempt.
-func (lt *leaderTerm) applyTaskStatus(a *Attempt, status *api.TaskStatus, now time.Time) {
+func (lt *leaderTerm) applyTaskStatus(a *cluster.Attempt, status *api.TaskStatus, now time.Time) {
 	previousPhase := a.Phase
 	a.Phase = status.Phase
 	if a.Phase == api.TaskRunning && previousPhase != api.TaskRunning {
@@ -65,7 +66,7 @@
 }
 
 // handleExit handles the end of an attempt by its cause.
-func (lt *leaderTerm) handleExit(a *Attempt, status *api.TaskStatus, now time.Time) {
+func (lt *leaderTerm) handleExit(a *cluster.Attempt, status *api.TaskStatus, now time.Time) {
 	j, m := a.Job, a.Machine
 	if j == nil {
 		return
@@ -92,7 +93,7 @@
 
 // releaseTask makes an attempt's task pending again, unless it is done or another attempt has
 // taken it over.
-func (lt *leaderTerm) releaseTask(a *Attempt) {
+func (lt *leaderTerm) releaseTask(a *cluster.Attempt) {
 	j := a.Job
 	if j == nil || j.ActiveAttempts[a.Task] != a {
 		return
@@ -106,7 +107,7 @@
 }
 
 // removeAttempt removes an attempt that is no longer on its machine.
-func (lt *leaderTerm) removeAttempt(a *Attempt) {
+func (lt *leaderTerm) removeAttempt(a *cluster.Attempt) {
 	delete(a.Machine.Attempts, a.Key)
 	if !a.Exited {
 		a.Exited = true
@@ -117,7 +118,7 @@
 
 // isReapable tells whether an exited attempt may be dropped from the heartbeats: a completed
 // one only once that is on record, so that a new leader learns of it.
-func (lt *leaderTerm) isReapable(a *Attempt) bool {
+func (lt *leaderTerm) isReapable(a *cluster.Attempt) bool {
 	j := a.Job
 	return j == nil || j.Ended || !j.Done.Test(uint(a.Task)) || j.Recorded.Test(uint(a.Task))
 }
@@ -140,7 +141,7 @@
 
 // taskFailed handles a task that ended with an error. Mostly the machine is at fault; a job
 // whose tasks fail on several machines and complete on none is.
-func (lt *leaderTerm) taskFailed(a *Attempt, now time.Time) {
+func (lt *leaderTerm) taskFailed(a *cluster.Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	j.FailuresByMachine[m.Name]++
 	j.ExcludedMachine[a.Task] = m.Name
@@ -159,7 +160,7 @@
 
 // backOffJob keeps a job that fails on every machine from starting tasks for a while. Its
 // failures no longer count against the machines.
-func (lt *leaderTerm) backOffJob(j *Job, now time.Time) {
+func (lt *leaderTerm) backOffJob(j *cluster.Job, now time.Time) {
 	j.FailureRounds++
 	backoff := min(backoffUnit<<min(j.FailureRounds, maxBackoffDoublings), maxBackoff)
 	j.BackoffUntil = now.Add(backoff)
@@ -175,7 +176,7 @@
 }
 
 // quarantineFailing evacuates a machine that fails tasks, and stops what runs on it.
-func (lt *leaderTerm) quarantineFailing(m *Machine, now time.Time) {
+func (lt *leaderTerm) quarantineFailing(m *cluster.Machine, now time.Time) {
 	lt.c.Log.Info("machine quarantined", "machine", m.Name, "jobs", len(m.TaskErrorsByJob))
 	lt.evacuate(m, "fails tasks")
 	for _, a := range m.Attempts {
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/cloud"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/fleet"
 )
 
@@ -154,7 +155,7 @@
 }
 
 // cpuPrice is the price of a CPU of a machine, 0 if its type is not known.
-func (as *autoscaler) cpuPrice(m *Machine) float64 {
+func (as *autoscaler) cpuPrice(m *cluster.Machine) float64 {
 	mt, ok := as.leaderTerm.c.types.load()[m.Type]
 	if !ok || mt.CPUs == 0 {
 		return 0
--- a/internal/controller/autoscaler_constrained.go
+++ b/internal/controller/autoscaler_constrained.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/fleet"
 )
 
@@ -62,7 +63,7 @@
 }
 
 // addDemand adds a job's CPUs to the demand of its constraints.
-func addDemand(byKind map[string]*constrainedDemand, j *Job, cpus float64) {
+func addDemand(byKind map[string]*constrainedDemand, j *cluster.Job, cpus float64) {
 	key := j.Spec.Zone + "|" + strings.Join(j.Spec.Types, ",")
 	if j.Spec.Spot {
 		key += "|spot"
@@ -76,7 +77,7 @@
 }
 
 // dependenciesStarted tells whether all unfinished dependencies of a job have started.
-func (dg *dependencyGraph) dependenciesStarted(j *Job) bool {
+func (dg *dependencyGraph) dependenciesStarted(j *cluster.Job) bool {
 	for id := range j.DependsOn {
 		if dependency := dg.leaderTerm.jobs[id]; dependency == nil || !dependency.Started() {
 			return false
@@ -106,7 +107,7 @@
 
 // missingFor is how many CPUs a demand lacks beyond the machines in use, those that boot and those
 // being launched, and which draining machines could serve the demand, by name.
-func (as *autoscaler) missingFor(demand *constrainedDemand) (missingCPUs float64, draining []*Machine) {
+func (as *autoscaler) missingFor(demand *constrainedDemand) (missingCPUs float64, draining []*cluster.Machine) {
 	missingCPUs = demand.cpus
 	for _, m := range as.leaderTerm.machines {
 		switch {
@@ -127,6 +128,6 @@
 			missingCPUs -= float64(request.Count) * request.CPUs
 		}
 	}
-	slices.SortFunc(draining, func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(draining, func(a, b *cluster.Machine) int { return strings.Compare(a.Name, b.Name) })
 	return missingCPUs, draining
 }
--- a/internal/controller/autoscaler_demand.go
+++ b/internal/controller/autoscaler_demand.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/queue"
 )
@@ -32,7 +33,7 @@
 }
 
 // allTeams are the cell's own teams and those of guests: both have accepted jobs.
-func (lt *leaderTerm) allTeams() []*queue.Team[*Job] {
+func (lt *leaderTerm) allTeams() []*queue.Team[*cluster.Job] {
 	if len(lt.loans.guestFairShareOrder) == 0 {
 		return lt.fairShareOrder
 	}
--- a/internal/controller/autoscaler_drain.go
+++ b/internal/controller/autoscaler_drain.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 )
 
 // minSurplusTime is how long there must have been a surplus before a machine is drained.
@@ -15,7 +16,7 @@
 // when there is none.
 func (as *autoscaler) drain(now time.Time) {
 	spare := as.surplus
-	var draining, inUse []*Machine
+	var draining, inUse []*cluster.Machine
 	for _, m := range as.leaderTerm.machines {
 		switch {
 		case m.Evacuating || m.Terminated:
@@ -26,7 +27,7 @@
 			inUse = append(inUse, m)
 		}
 	}
-	mostExpensiveFirst := func(a, b *Machine) int {
+	mostExpensiveFirst := func(a, b *cluster.Machine) int {
 		return cmp.Or(
 			-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)),
 			cmp.Compare(a.UsedCPUs, b.UsedCPUs),
@@ -94,7 +95,7 @@
 // isWorthMoving tells whether a running task can save its state, is neither near its start nor near
 // its end, and will still end in time for its job's next objective, unless none can be met any
 // more.
-func (as *autoscaler) isWorthMoving(a *Attempt, now time.Time) bool {
+func (as *autoscaler) isWorthMoving(a *cluster.Attempt, now time.Time) bool {
 	if a.Exited || a.Job == nil || a.Stop != nil || a.Phase != api.TaskRunning {
 		return false
 	}
@@ -114,8 +115,8 @@
 
 // idleMachines picks the machines to terminate: empty for long enough, the most expensive first, as
 // far as the rest covers the demand peak. It takes their CPUs off the surplus.
-func (as *autoscaler) idleMachines(now time.Time) []*Machine {
-	var idle []*Machine
+func (as *autoscaler) idleMachines(now time.Time) []*cluster.Machine {
+	var idle []*cluster.Machine
 	for _, m := range as.leaderTerm.machines {
 		if m.Evacuating || m.Terminated || !m.Fenced || m.CPUs == 0 || len(m.Attempts) > 0 {
 			continue
@@ -126,7 +127,7 @@
 		}
 		idle = append(idle, m)
 	}
-	slices.SortFunc(idle, func(a, b *Machine) int {
+	slices.SortFunc(idle, func(a, b *cluster.Machine) int {
 		return cmp.Or(-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)), cmp.Compare(a.Name, b.Name))
 	})
 	n := 0
@@ -141,7 +142,7 @@
 }
 
 // scaleIn has the cloud terminate a machine.
-func (as *autoscaler) scaleIn(m *Machine) {
+func (as *autoscaler) scaleIn(m *cluster.Machine) {
 	m.Terminating = true
 	as.terminations = append(as.terminations, m.Name)
 	as.terminateMachines()
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
 	"example.org/ivytrestle/internal/kv/kvtest"
@@ -40,7 +41,7 @@
 	for i := range reports {
 		k := &worker{status: api.Heartbeat{Machine: fmt.Sprint("i-", i), Addr: "x", Type: "small", Zone: "a", AgentEpoch: 1, Term: 1}}
 		m := lt.addMachine(k.status.Machine, "small", "a", false, now)
-		m.Fenced, m.Registration = true, Registered
+		m.Fenced, m.Registration = true, cluster.Registered
 		for range 3 {
 			k.status.Seq++
 			response, err := lt.handleAgentHeartbeat(&k.status, now.Add(time.Minute))
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/loan"
 )
@@ -57,7 +58,7 @@
 		if t.Phase == api.TaskExited || len(commands) >= maxCommands {
 			continue
 		}
-		id, _, _ := SplitRef(t.Task)
+		id, _, _ := cluster.SplitRef(t.Task)
 		if !c.isCancelled(id) && !c.isCancelled(loan.GuestMarker+id) && (hasEnded == nil || !hasEnded(id)) {
 			continue
 		}
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -2,12 +2,13 @@
 
 import (
 	"cmp"
+	"example.org/ivytrestle/internal/cluster"
 	"slices"
 	"time"
 )
 
 // findCapacity computes which capacity the fleet has for a job.
-func (lt *leaderTerm) findCapacity(j *Job, now time.Time) {
+func (lt *leaderTerm) findCapacity(j *cluster.Job, now time.Time) {
 	type offer struct {
 		cost  float64
 		slots int
@@ -19,7 +20,7 @@
 		}
 	}
 	slices.SortFunc(offers, func(a, b offer) int { return cmp.Compare(a.cost, b.cost) })
-	j.Capacity = Capacity{ComputedAt: now, Costs: j.Capacity.Costs[:0], Slots: j.Capacity.Slots[:0]}
+	j.Capacity = cluster.Capacity{ComputedAt: now, Costs: j.Capacity.Costs[:0], Slots: j.Capacity.Slots[:0]}
 	sum := 0
 	for _, o := range offers {
 		sum += o.slots
@@ -30,7 +31,7 @@
 
 // fetchesBeforeHeartbeat tells whether a machine fetches a job's image in less than two
 // heartbeat intervals.
-func (lt *leaderTerm) fetchesBeforeHeartbeat(j *Job, m *Machine) bool {
+func (lt *leaderTerm) fetchesBeforeHeartbeat(j *cluster.Job, m *cluster.Machine) bool {
 	rate := lt.c.types.load()[m.Type].FetchGBs
 	return rate > 0 && j.Spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.HeartbeatS
 }
@@ -48,13 +49,13 @@
 
 // placementCost is how badly a machine suits a job, in seconds lost: the time to fetch the
 // image, and a measure of what it costs to keep the machine.
-func (lt *leaderTerm) placementCost(j *Job, m *Machine) float64 {
+func (lt *leaderTerm) placementCost(j *cluster.Job, m *cluster.Machine) float64 {
 	mt := lt.c.types.load()[m.Type]
 	cost := 0.0
 	if !m.Images.Has(j.Spec.Image) && mt.FetchGBs > 0 {
 		cost += j.Spec.ImageGB / mt.FetchGBs
 	}
-	if m.UsedCPUs < Epsilon {
+	if m.UsedCPUs < cluster.Epsilon {
 		cost += emptyMachinePenalty
 	}
 	if price := lt.autoscaler.cpuPrice(m); price > 0 {
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -10,13 +10,14 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/records"
 )
 
 // What other members did is known without going through them: the sums must
 // come out as if they had been.
 func TestRunsElsewhere(t *testing.T) {
-	j := &Job{Runs: JobRuns{ByMachine: map[string]*RunStats{}}}
+	j := &cluster.Job{Runs: cluster.JobRuns{ByMachine: map[string]*cluster.RunStats{}}}
 	took := map[string][]int{"i-1": {5, 9, 2}, "i-2": {7}, "i-3": {8, 9}, "i-4": {3}}
 	for _, name := range []string{"i-2", "i-1", "i-3", "i-4"} {
 		for _, s := range took[name] {
@@ -24,7 +25,7 @@
 		}
 	}
 	for _, name := range []string{"i-1", "i-2", "i-3", "i-4", "i-5"} {
-		var want RunStats
+		var want cluster.RunStats
 		for other, list := range took {
 			for _, s := range list {
 				if other != name {
@@ -32,7 +33,7 @@
 				}
 			}
 		}
-		if got := j.RunsElsewhere(&Machine{Name: name}); got != want {
+		if got := j.RunsElsewhere(&cluster.Machine{Name: name}); got != want {
 			t.Errorf("elsewhere than on %s: %+v, want %+v", name, got, want)
 		}
 	}
@@ -121,15 +122,15 @@
 		for range 60 {
 			k.heartbeat(n)
 			most = max(most, len(k.status.Tasks))
-			if most > MaxAttempts {
+			if most > cluster.MaxAttempts {
 				t.Fatalf("%d tasks on a machine", most)
 			}
 			time.Sleep(time.Second)
-			if len(k.status.Tasks) == MaxAttempts {
+			if len(k.status.Tasks) == cluster.MaxAttempts {
 				k.exit(api.CauseDone)
 			}
 		}
-		w.checkEqual("fills the machine", most, MaxAttempts)
+		w.checkEqual("fills the machine", most, cluster.MaxAttempts)
 		k.exit(api.CauseDone)
 		k.serve(n, 4)
 		w.checkEqual("phase", w.phase(n, s.ID), api.JobDone)
@@ -137,8 +138,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if size := (len(line) + 1) * MaxAttempts; size > 64<<10-1024 {
-			t.Errorf("a report of %d tasks takes %d bytes", MaxAttempts, size)
+		if size := (len(line) + 1) * cluster.MaxAttempts; size > 64<<10-1024 {
+			t.Errorf("a report of %d tasks takes %d bytes", cluster.MaxAttempts, size)
 		}
 	})
 }
--- a/internal/controller/completion.go
+++ b/internal/controller/completion.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/records"
 )
@@ -29,7 +30,7 @@
 }
 
 // addCompletion adds the completion record of a job's chunk that begins at first.
-func (rw *recordWriter) addCompletion(b *batch, j *Job, first int) {
+func (rw *recordWriter) addCompletion(b *batch, j *cluster.Job, first int) {
 	bits := j.CompletionBytes(first, rw.tasksPerChunk)
 	b.addPut(records.CompletionKey(j.Spec.ID, first), records.CompletionRecord{Done: bits})
 	// The record must not outlive its job: once that has ended, another node has
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -9,6 +9,7 @@
 	"golang.org/x/time/rate"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/records"
@@ -26,9 +27,9 @@
 type dependencyGraph struct {
 	leaderTerm *leaderTerm
 	// dependents are the jobs that depend on others, by what they depend on.
-	dependents map[string][]*Job
+	dependents map[string][]*cluster.Job
 	// pendingCancels are the jobs whose cancellation is to be put on record.
-	pendingCancels []*Job
+	pendingCancels []*cluster.Job
 	limiter        *rate.Limiter
 	// lookups are dependencies that are not active: how they ended is to be read, of all of
 	// them at a time.
@@ -46,14 +47,14 @@
 	burst := max(cancelBatchOps, min(limits.TxnOps, int(cancelOps)))
 	*dg = dependencyGraph{
 		leaderTerm: lt,
-		dependents: map[string][]*Job{},
+		dependents: map[string][]*cluster.Job{},
 		limiter:    rate.NewLimiter(rate.Limit(cancelOps), burst),
 	}
 }
 
 // resolveDependencies finds which of a job's dependencies have not ended, and enqueues the job if
 // there are none. It is cancelled if one of them is.
-func (dg *dependencyGraph) resolveDependencies(j *Job) {
+func (dg *dependencyGraph) resolveDependencies(j *cluster.Job) {
 	j.DependsOn = map[string]bool{}
 	if j.DependencyList != nil && !j.DependenciesRead {
 		// Not all of its dependencies are known, so none of its tasks may start.
@@ -96,7 +97,7 @@
 // enqueueReady queues a job once all its dependencies are done. Its times count from the end of
 // the last of them, also if another leader saw that; or from its acceptance, if it was submitted
 // later.
-func (dg *dependencyGraph) enqueueReady(j *Job) {
+func (dg *dependencyGraph) enqueueReady(j *cluster.Job) {
 	now := time.Now()
 	j.DependsOn, j.RunnableSince, j.WaitingSince = nil, j.Accepted, now
 	j.Spec.DependsOn = nil // perhaps thousands, all of them ended
@@ -135,8 +136,8 @@
 
 // cancelWithDependents has a pending job cancelled on record, with all that depend on it, directly
 // or through others.
-func (dg *dependencyGraph) cancelWithDependents(j *Job) {
-	for todo := []*Job{j}; len(todo) > 0; {
+func (dg *dependencyGraph) cancelWithDependents(j *cluster.Job) {
+	for todo := []*cluster.Job{j}; len(todo) > 0; {
 		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
 		if j.CancelPending || j.Ended {
 			continue
@@ -148,9 +149,9 @@
 }
 
 // forget removes a job that has ended from the dependents of others.
-func (dg *dependencyGraph) forget(j *Job) {
+func (dg *dependencyGraph) forget(j *cluster.Job) {
 	for id := range j.DependsOn {
-		remaining := slices.DeleteFunc(dg.dependents[id], func(other *Job) bool { return other == j })
+		remaining := slices.DeleteFunc(dg.dependents[id], func(other *cluster.Job) bool { return other == j })
 		if dg.dependents[id] = remaining; len(remaining) == 0 {
 			delete(dg.dependents, id)
 		}
@@ -169,7 +170,7 @@
 
 // addCancellations writes pending cancellations in a batch of their own, if the write rate allows.
 func (dg *dependencyGraph) addCancellations(b *batch, now time.Time) {
-	dg.pendingCancels = slices.DeleteFunc(dg.pendingCancels, func(j *Job) bool { return j.Ended })
+	dg.pendingCancels = slices.DeleteFunc(dg.pendingCancels, func(j *cluster.Job) bool { return j.Ended })
 	rw := &dg.leaderTerm.recordWriter
 	allowed := min(rw.maxOps, int(dg.limiter.TokensAt(now)))
 	if len(dg.pendingCancels) == 0 || allowed < cancelBatchOps {
@@ -194,8 +195,8 @@
 // these are ordered by the latest start that lets what follows be in time. A job was accepted
 // after all its dependencies, so in reverse order of acceptance each is visited once, after all
 // that depend on it; and only where anything changes.
-func (dg *dependencyGraph) propagateDeadlines(jobs ...*Job) {
-	byModRevision := func(a, b *Job) int { return cmp.Compare(a.ModRevision, b.ModRevision) }
+func (dg *dependencyGraph) propagateDeadlines(jobs ...*cluster.Job) {
+	byModRevision := func(a, b *cluster.Job) int { return cmp.Compare(a.ModRevision, b.ModRevision) }
 	todo := slices.Clone(jobs)
 	slices.SortFunc(todo, byModRevision)
 	for len(todo) > 0 {
@@ -218,7 +219,7 @@
 
 // propagateDeadline tightens the objectives and the priority of a dependency by those of a job that
 // depends on it, and tells whether that changed anything.
-func (dg *dependencyGraph) propagateDeadline(j, dependency *Job) (changed bool) {
+func (dg *dependencyGraph) propagateDeadline(j, dependency *cluster.Job) (changed bool) {
 	if j.PriorityRank < dependency.PriorityRank {
 		dependency.PriorityRank, changed = j.PriorityRank, true
 	}
@@ -241,7 +242,7 @@
 
 // DependentDeadlines are the times by which a job should be complete for the deadlines of its
 // pipeline, the strictest first.
-func (dg *dependencyGraph) dependentDeadlines(j *Job) []time.Time {
+func (dg *dependencyGraph) dependentDeadlines(j *cluster.Job) []time.Time {
 	own := dg.leaderTerm.deadlines(j)
 	if len(own) == 0 || len(j.DependentDeadlines) > 0 && j.DependentDeadlines[0].Before(own[0]) {
 		return j.DependentDeadlines
@@ -251,7 +252,7 @@
 
 // stageDuration is how long a stage is expected to take from the end of the one before it: until
 // that is on record, the machine has received the start and has the image.
-func (dg *dependencyGraph) stageDuration(j *Job) time.Duration {
+func (dg *dependencyGraph) stageDuration(j *cluster.Job) time.Duration {
 	fetch := 0.0
 	for _, t := range dg.leaderTerm.c.types.load() {
 		if t.FetchGBs > 0 {
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/records"
@@ -537,7 +538,7 @@
 							t.Error("the deadline did not reach the first job")
 						}
 						cancel = work(func() { c.recordCancellation("job-0") })
-						pending := map[*Job]bool{}
+						pending := map[*cluster.Job]bool{}
 						for _, j := range lt.dependencies.pendingCancels {
 							pending[j] = true
 						}
--- a/internal/controller/dependencylists.go
+++ b/internal/controller/dependencylists.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/records"
 )
 
@@ -13,7 +14,7 @@
 type dependencyLists struct {
 	leaderTerm *leaderTerm
 	// unread are the jobs whose list is to be read, one at a time.
-	unread  []*Job
+	unread  []*cluster.Job
 	reading bool
 }
 
@@ -27,14 +28,14 @@
 )
 
 // read queues a job's list to be read.
-func (dl *dependencyLists) read(j *Job) {
+func (dl *dependencyLists) read(j *cluster.Job) {
 	dl.unread = append(dl.unread, j)
 	dl.readNext()
 }
 
 // readNext starts to read the first list of the queue, unless another is being read.
 func (dl *dependencyLists) readNext() {
-	dl.unread = slices.DeleteFunc(dl.unread, func(j *Job) bool { return j.Ended })
+	dl.unread = slices.DeleteFunc(dl.unread, func(j *cluster.Job) bool { return j.Ended })
 	if dl.reading || len(dl.unread) == 0 {
 		return
 	}
@@ -57,7 +58,7 @@
 // dependencyListReadMsg has the dependencies of a job that its list names.
 type dependencyListReadMsg struct {
 	leaderTerm *leaderTerm
-	job        *Job
+	job        *cluster.Job
 	ids        []string
 	err        error
 }
@@ -81,7 +82,7 @@
 }
 
 // drop deletes the list of a job that has ended.
-func (dl *dependencyLists) drop(j *Job) {
+func (dl *dependencyLists) drop(j *cluster.Job) {
 	if j.DependencyList == nil {
 		return
 	}
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/kv/kvtest"
@@ -57,7 +58,7 @@
 					k.serve(n, 6)
 					w.checkEqual("begun", k.running(), []string{"job-1/0"})
 					n.inspect(func(c *Controller) {
-						if held := len(c.leaderTerm.jobs["job-2"].Spec.DependsOn); held > MaxEndedDependencies+2 {
+						if held := len(c.leaderTerm.jobs["job-2"].Spec.DependsOn); held > cluster.MaxEndedDependencies+2 {
 							t.Errorf("%d names held while one job is waited for", held)
 						}
 					})
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 )
 
 // CommandSender sends commands to a machine outside heartbeat responses. Its errors are
@@ -61,13 +62,13 @@
 	if lt.directFailures >= maxDirectFailures {
 		maxInFlight = 1 // a trial, whether machines can be reached again
 	}
-	var candidates []*Machine
+	var candidates []*cluster.Machine
 	for _, m := range lt.machines {
 		if lt.acceptsDirect(m, now) {
 			candidates = append(candidates, m)
 		}
 	}
-	slices.SortFunc(candidates, func(a, b *Machine) int {
+	slices.SortFunc(candidates, func(a, b *cluster.Machine) int {
 		return cmp.Or(
 			cmp.Compare(lt.autoscaler.cpuPrice(a), lt.autoscaler.cpuPrice(b)),
 			cmp.Compare(a.FreeCPUs(), b.FreeCPUs()),
@@ -86,8 +87,8 @@
 
 // acceptsDirect tells whether starts may be sent to a machine directly: it has free capacity, and
 // nothing suggests that this node does not reach it.
-func (lt *leaderTerm) acceptsDirect(m *Machine, now time.Time) bool {
-	return m.IsSchedulable(now) && m.FreeCPUs() > Epsilon &&
+func (lt *leaderTerm) acceptsDirect(m *cluster.Machine, now time.Time) bool {
+	return m.IsSchedulable(now) && m.FreeCPUs() > cluster.Epsilon &&
 		!m.CommandInFlight && !m.LastForwarded && m.UnappliedResponses == 0 && m.Addr != "" &&
 		now.Sub(m.LastHeartbeat) <= lt.heartbeatTimeout()
 }
@@ -103,11 +104,11 @@
 }
 
 // sendCommands sends the starts of tasks that were just assigned to a machine.
-func (lt *leaderTerm) sendCommands(m *Machine, commands []api.Command) {
-	batch := make([]*Attempt, 0, len(commands))
+func (lt *leaderTerm) sendCommands(m *cluster.Machine, commands []api.Command) {
+	batch := make([]*cluster.Attempt, 0, len(commands))
 	for _, command := range commands {
-		a := m.Attempts[AttemptKey{Ref: command.Task, ID: command.Attempt}]
-		a.Direct = &DirectCommand{AgentEpoch: m.AgentEpoch, InFlight: true}
+		a := m.Attempts[cluster.AttemptKey{Ref: command.Task, ID: command.Attempt}]
+		a.Direct = &cluster.DirectCommand{AgentEpoch: m.AgentEpoch, InFlight: true}
 		batch = append(batch, a)
 	}
 	m.CommandInFlight = true
@@ -128,8 +129,8 @@
 // commandsSentMsg is the outcome of a command batch.
 type commandsSentMsg struct {
 	leaderTerm *leaderTerm
-	machine    *Machine
-	batch      []*Attempt
+	machine    *cluster.Machine
+	batch      []*cluster.Attempt
 	// seq is the first heartbeat that must show the attempts.
 	seq uint64
 	err error
@@ -177,7 +178,7 @@
 
 // terminateIfOutcomeUnknown terminates a machine on which a task of a job that has ended might still start:
 // nothing else prevents that in time.
-func (lt *leaderTerm) terminateIfOutcomeUnknown(a *Attempt) {
+func (lt *leaderTerm) terminateIfOutcomeUnknown(a *cluster.Attempt) {
 	m := a.Machine
 	startMayApply := a.Direct != nil && a.Direct.OutcomeUnknown && a.LastSeenHeartbeat == 0
 	if startMayApply && !m.Terminated && !m.Terminating {
--- a/internal/controller/failuredetector.go
+++ b/internal/controller/failuredetector.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 )
 
@@ -64,7 +65,7 @@
 }
 
 // isSuspect tells whether a machine may be dead, or its commands undelivered.
-func (lt *leaderTerm) isSuspect(m *Machine, now time.Time) bool {
+func (lt *leaderTerm) isSuspect(m *cluster.Machine, now time.Time) bool {
 	silentFor := now.Sub(m.LastSeen)
 	if !m.Fenced {
 		return silentFor > takeoverGrace // no heartbeat in this term
@@ -98,7 +99,7 @@
 
 // isLikelyPartitioned tells whether a suspect machine is more likely partitioned, with others of
 // its zone, than dead.
-func (lt *leaderTerm) isLikelyPartitioned(m *Machine, zone zoneCount) bool {
+func (lt *leaderTerm) isLikelyPartitioned(m *cluster.Machine, zone zoneCount) bool {
 	if zone.suspect >= minPartitionSuspects && zone.suspect*5 > zone.all*3 {
 		return true
 	}
@@ -109,7 +110,7 @@
 }
 
 // isConfirmedDead tells whether a suspect machine is to be terminated.
-func (lt *leaderTerm) isConfirmedDead(m *Machine, partitioned bool, now time.Time) bool {
+func (lt *leaderTerm) isConfirmedDead(m *cluster.Machine, partitioned bool, now time.Time) bool {
 	workers := lt.c.Settings.Site.Workers
 	switch silentFor := now.Sub(m.LastSeen); {
 	case !m.Fenced && now.Sub(lt.heartbeatsSince) > workers.Lease()+2*workers.HeartbeatInterval():
@@ -133,7 +134,7 @@
 
 // probe probes a suspect machine, unless it was probed less than probeInterval ago. One that is not
 // fenced is resynced instead, which fences it as well.
-func (lt *leaderTerm) probe(m *Machine, now time.Time) {
+func (lt *leaderTerm) probe(m *cluster.Machine, now time.Time) {
 	if now.Before(m.NextProbe) || lt.probing >= lt.maxDials {
 		return
 	}
@@ -169,7 +170,7 @@
 // probeResultMsg is the outcome of a probe.
 type probeResultMsg struct {
 	leaderTerm *leaderTerm
-	machine    *Machine
+	machine    *cluster.Machine
 	sentAt     time.Time
 	// AgentEpoch and HeartbeatSeq are of the machine's newest heartbeat when the probe was sent.
 	agentEpoch, heartbeatSeq uint64
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 )
 
 // maxCommands bounds the commands of one heartbeat response: a line of a response must stay
@@ -75,7 +76,7 @@
 // applyHeartbeat updates the state of a machine by a heartbeat that is newer than all applied
 // before it, and appends the commands of the response.
 func (lt *leaderTerm) applyHeartbeat(
-	m *Machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
+	m *cluster.Machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
 ) []api.Command {
 	lt.updateMachine(m, hb, now)
 	commands = lt.reconcile(m, hb, origin, commands, now)
@@ -92,14 +93,14 @@
 	if origin == agentInitiated {
 		m.LastCommands, m.LastCommandsAt = commands, now
 	}
-	if m.UsedCPUs > Epsilon || len(m.Attempts) > 0 {
+	if m.UsedCPUs > cluster.Epsilon || len(m.Attempts) > 0 {
 		m.IdleSince = now
 	}
 	return commands
 }
 
 // updateMachine applies what a new heartbeat says of the machine itself.
-func (lt *leaderTerm) updateMachine(m *Machine, hb *api.Heartbeat, now time.Time) {
+func (lt *leaderTerm) updateMachine(m *cluster.Machine, hb *api.Heartbeat, now time.Time) {
 	if m.AgentEpoch != 0 && hb.AgentEpoch > m.AgentEpoch {
 		if lt.notPausedSince(now.Add(-lt.c.Settings.Site.Workers.Lease() - lt.heartbeatTimeout())) {
 			m.UnappliedResponses++ // its task lease has expired although it was answered
@@ -127,11 +128,11 @@
 
 // registerUnregistered has a machine added to the registry if it is not in it. No earlier
 // leader has started anything there, so it counts as fenced.
-func (lt *leaderTerm) registerUnregistered(m *Machine) {
-	if m.Registration != Unregistered || m.CPUs <= 0 || m.Evacuating {
+func (lt *leaderTerm) registerUnregistered(m *cluster.Machine) {
+	if m.Registration != cluster.Unregistered || m.CPUs <= 0 || m.Evacuating {
 		return
 	}
-	m.Registration = Registering
+	m.Registration = cluster.Registering
 	m.Fenced = true
 	lt.recordWriter.register(m)
 }
@@ -151,12 +152,12 @@
 // checkApplied checks whether a heartbeat shows that any command of the last response was
 // applied. To a machine whose heartbeats arrive while responses do not reach it, starts would
 // otherwise be sent again and again.
-func (lt *leaderTerm) checkApplied(m *Machine, now time.Time) {
+func (lt *leaderTerm) checkApplied(m *cluster.Machine, now time.Time) {
 	if len(m.LastCommands) == 0 {
 		return
 	}
 	for _, command := range m.LastCommands {
-		a := m.Attempts[AttemptKey{command.Task, command.Attempt}]
+		a := m.Attempts[cluster.AttemptKey{Ref: command.Task, ID: command.Attempt}]
 		shown := a != nil && a.LastSeenHeartbeat == m.HeartbeatCount
 		stopping := shown && command.Verb == api.VerbStop && a.Phase != api.TaskRunning
 		if (command.Verb == api.VerbStart) == shown || stopping {
@@ -180,7 +181,7 @@
 // handlePreemptionNotice evacuates a machine that the cloud will take back: tasks with
 // checkpoints save their state in the time left, and those that would not end in time are
 // stopped.
-func (lt *leaderTerm) handlePreemptionNotice(m *Machine, seconds float64, now time.Time) {
+func (lt *leaderTerm) handlePreemptionNotice(m *cluster.Machine, seconds float64, now time.Time) {
 	timeLeft := time.Duration(seconds * float64(time.Second))
 	first := m.PreemptAt.IsZero()
 	m.PreemptAt = now.Add(timeLeft)
@@ -204,17 +205,17 @@
 
 // requestStop marks an attempt to be stopped by the responses to its machine's heartbeats. Of several
 // requests, the one with the shortest grace holds.
-func (lt *leaderTerm) requestStop(a *Attempt, grace time.Duration, now time.Time) {
+func (lt *leaderTerm) requestStop(a *cluster.Attempt, grace time.Duration, now time.Time) {
 	if a.Stop != nil && a.Stop.Grace <= grace {
 		return
 	}
-	a.Stop = &StopRequest{Grace: grace, Since: now}
+	a.Stop = &cluster.StopRequest{Grace: grace, Since: now}
 }
 
 // reconcile brings the machine's attempts in line with its heartbeat, and appends stops and
 // reaps to the commands of the response.
 func (lt *leaderTerm) reconcile(
-	m *Machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
+	m *cluster.Machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
 ) []api.Command {
 	// Stops go before reaps: a machine with more ended tasks than a response holds commands
 	// would otherwise run cancelled tasks on, while its task lease is renewed.
@@ -246,11 +247,11 @@
 
 // applyTaskStatuses updates the attempts that a heartbeat names, and returns the commands to
 // reap those that have ended.
-func (lt *leaderTerm) applyTaskStatuses(m *Machine, hb *api.Heartbeat, now time.Time) []api.Command {
+func (lt *leaderTerm) applyTaskStatuses(m *cluster.Machine, hb *api.Heartbeat, now time.Time) []api.Command {
 	var reaps []api.Command
 	for i := range hb.Tasks {
 		status := &hb.Tasks[i]
-		key := AttemptKey{status.Task, status.Attempt}
+		key := cluster.AttemptKey{Ref: status.Task, ID: status.Attempt}
 		a := m.Attempts[key]
 		if a == nil {
 			a = lt.adoptAttempt(m, key, status, now)
@@ -266,7 +267,7 @@
 
 // removeMissing removes an attempt that a newer heartbeat does not name, which shows that it is
 // off the machine: reaped, killed with its agent epoch, or never started.
-func (lt *leaderTerm) removeMissing(a *Attempt) {
+func (lt *leaderTerm) removeMissing(a *cluster.Attempt) {
 	if !a.Exited && !a.ExitHandled && a.Phase == "" {
 		lt.c.Log.Debug("start not applied", "machine", a.Machine.Name, "task", a.Key.Ref, "attempt", a.Key.ID)
 	}
@@ -274,6 +275,6 @@
 }
 
 // addImage records in memory that a machine has a job's image.
-func (lt *leaderTerm) addImage(m *Machine, s *api.JobSpec, now time.Time) {
+func (lt *leaderTerm) addImage(m *cluster.Machine, s *api.JobSpec, now time.Time) {
 	m.Images.Add(s, lt.c.types.load()[m.Type].CacheGB, now)
 }
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"example.org/ivytrestle/internal/cluster"
 	"time"
 )
 
@@ -18,7 +19,7 @@
 }
 
 // fetchTime is how long a machine takes to fetch a job's image, if it must.
-func (lt *leaderTerm) fetchTime(j *Job, m *Machine) time.Duration {
+func (lt *leaderTerm) fetchTime(j *cluster.Job, m *cluster.Machine) time.Duration {
 	rate := lt.c.types.load()[m.Type].FetchGBs
 	if rate <= 0 || m.Images.Has(j.Spec.Image) || m.Fetching[j.Spec.Image] {
 		return 0
@@ -30,7 +31,7 @@
 // because waiting for machines that have it would take longer than the fetch. On a full fleet,
 // capacity becomes free where tasks end; if images were fetched everywhere, much of it would be
 // idle meanwhile.
-func (lt *leaderTerm) prefers(j *Job, m *Machine, now time.Time) bool {
+func (lt *leaderTerm) prefers(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
 	fetch := lt.fetchTime(j, m)
 	if fetch == 0 {
 		return true
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -5,10 +5,11 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 )
 
 func TestImageCacheDropsTheLeastRecentlyUsed(t *testing.T) {
-	var c ImageCache
+	var c cluster.ImageCache
 	t0 := time.Unix(0, 0)
 	use := func(image string, gb float64, at int) {
 		c.Add(&api.JobSpec{Image: image, ImageGB: gb}, 10, t0.Add(time.Duration(at)*time.Second))
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -8,6 +8,7 @@
 	"github.com/bits-and-blooms/bitset"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/flight"
 	"example.org/ivytrestle/internal/queue"
@@ -69,19 +70,19 @@
 }
 
 // newJob returns a job of a team of which no task has started.
-func newJob(spec api.JobSpec, team *queue.Team[*Job]) *Job {
+func newJob(spec api.JobSpec, team *queue.Team[*cluster.Job]) *cluster.Job {
 	tasks := uint(spec.Tasks)
-	return &Job{
+	return &cluster.Job{
 		Spec:              spec,
 		Team:              team,
 		PriorityRank:      api.PriorityRank(spec.Priority),
 		WaitingSince:      time.Now(),
 		Flight:            flight.New(spec.Tasks),
-		ActiveAttempts:    map[int]*Attempt{},
+		ActiveAttempts:    map[int]*cluster.Attempt{},
 		Done:              bitset.New(tasks),
 		Recorded:          bitset.New(tasks),
 		CompletionChunks:  map[int]bool{},
-		Runs:              JobRuns{ByMachine: map[string]*RunStats{}},
+		Runs:              cluster.JobRuns{ByMachine: map[string]*cluster.RunStats{}},
 		AttemptsByZone:    map[string]int{},
 		RestartedTasks:    map[int]bool{},
 		ExcludedMachine:   map[int]string{},
@@ -95,7 +96,7 @@
 // objectives are the times by which a job should be complete: its deadline and the multiples of
 // it that the configured objectives name, the times that they name for its class, and what the
 // jobs that depend on it require. It sets the job's StartBy as well.
-func (lt *leaderTerm) objectives(j *Job) []time.Time {
+func (lt *leaderTerm) objectives(j *cluster.Job) []time.Time {
 	times := slices.Concat(lt.deadlines(j), j.DependentDeadlines)
 	for _, o := range lt.c.Settings.Site.Objectives {
 		switch {
@@ -115,7 +116,7 @@
 
 // deadlines are the times that follow from a job's own deadline. It counts from the submission,
 // however long the job's dependencies take.
-func (lt *leaderTerm) deadlines(j *Job) []time.Time {
+func (lt *leaderTerm) deadlines(j *cluster.Job) []time.Time {
 	if j.Spec.DeadlineS <= 0 {
 		return nil
 	}
@@ -131,7 +132,7 @@
 
 // cancelJob removes a job that was cancelled. Its attempts are stopped by the responses to
 // their machines' heartbeats.
-func (lt *leaderTerm) cancelJob(j *Job) {
+func (lt *leaderTerm) cancelJob(j *cluster.Job) {
 	lt.removeJob(j)
 	lt.c.recordCancellation(j.Spec.ID)
 	for _, a := range j.ActiveAttempts {
@@ -144,7 +145,7 @@
 }
 
 // removeJob removes a job that has ended from all state.
-func (lt *leaderTerm) removeJob(j *Job) {
+func (lt *leaderTerm) removeJob(j *cluster.Job) {
 	j.Ended = true
 	j.CompletionDirty = false
 	delete(lt.jobs, j.Spec.ID)
@@ -155,7 +156,7 @@
 
 // completeTask marks a task as completed, and has that put on record, or the job ended if it was
 // the last.
-func (lt *leaderTerm) completeTask(j *Job, task int, now time.Time) {
+func (lt *leaderTerm) completeTask(j *cluster.Job, task int, now time.Time) {
 	if j.Done.Test(uint(task)) {
 		return
 	}
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -8,6 +8,7 @@
 
 	lru "github.com/hashicorp/golang-lru/v2"
 
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
 	"example.org/ivytrestle/internal/kv"
@@ -34,10 +35,10 @@
 	cancelRevision uint64
 	attemptCount   uint32
 
-	jobs           map[string]*Job
-	teams          map[string]*queue.Team[*Job]
-	fairShareOrder []*queue.Team[*Job]
-	machines       map[string]*Machine
+	jobs           map[string]*cluster.Job
+	teams          map[string]*queue.Team[*cluster.Job]
+	fairShareOrder []*queue.Team[*cluster.Job]
+	machines       map[string]*cluster.Machine
 	// provisioning are machines that were launched or listed but have sent no heartbeat.
 	provisioning map[string]*provisioning
 	// terminated are the names of terminated machines, whose heartbeats may still arrive.
@@ -97,7 +98,7 @@
 	// maxDials is the limit of each of probing, resyncing and commandsInFlight.
 	maxDials int
 	// toResync are the machines that a new leader has yet to resync.
-	toResync  []*Machine
+	toResync  []*cluster.Machine
 	resyncing int
 	// renewalsReadAt is when the leader last read which machines' leases other nodes renew,
 	// and renewalRevisions are the versions of those records then.
@@ -126,9 +127,9 @@
 		term:             term,
 		leaseExpiry:      leaseExpiry,
 		startedAt:        time.Now(),
-		jobs:             map[string]*Job{},
-		teams:            map[string]*queue.Team[*Job]{},
-		machines:         map[string]*Machine{},
+		jobs:             map[string]*cluster.Job{},
+		teams:            map[string]*queue.Team[*cluster.Job]{},
+		machines:         map[string]*cluster.Machine{},
 		provisioning:     map[string]*provisioning{},
 		terminated:       terminated,
 		downlink:         relayDownlink{nodes: map[string]*relayNode{}},
@@ -156,7 +157,7 @@
 // initTeams makes the queue of each team.
 func (lt *leaderTerm) initTeams() {
 	for _, t := range lt.c.Settings.Site.Teams {
-		team := &queue.Team[*Job]{
+		team := &queue.Team[*cluster.Job]{
 			Name:      t.Name,
 			CPUs:      t.CPUs,
 			LimitCPUs: t.LimitCPUs,
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/records"
 )
@@ -44,7 +45,7 @@
 			return
 		}
 		for name, m := range c.leaderTerm.machines {
-			if m.Registration == Registered && !m.Terminated {
+			if m.Registration == cluster.Registered && !m.Terminated {
 				names = append(names, name)
 			}
 		}
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
 	"example.org/ivytrestle/internal/kv"
@@ -180,7 +181,7 @@
 		w.enforce(l)
 		_, a, b, _, _, far := w.beyondTheCut()
 		other := w.worker("i-3", "b", false)
-		for i := range MaxAttempts {
+		for i := range cluster.MaxAttempts {
 			far.status.Tasks = append(far.status.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%d/%d", i*i*7919%99991, i), Attempt: uint64(i * 104729), Phase: api.TaskRunning})
 		}
 		heard := func() (n int) {
--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -7,17 +7,18 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/loan"
 	"example.org/ivytrestle/internal/queue"
 )
 
 // guestTeam is the queue of a home cell's guests. They have no guarantee.
-func (l *loans) guestTeam(home string) *queue.Team[*Job] {
+func (l *loans) guestTeam(home string) *queue.Team[*cluster.Job] {
 	t := l.guestTeams[home]
 	if t == nil {
 		// Its use is bounded by the loans' budgets; the guarantees of the cell's own
 		// teams have priority over it.
-		t = &queue.Team[*Job]{
+		t = &queue.Team[*cluster.Job]{
 			Name:      "guests of " + home,
 			LimitCPUs: math.MaxFloat64,
 			LimitGPUs: math.MaxFloat64,
@@ -29,7 +30,7 @@
 }
 
 // nextGuest returns the guest that a machine serves next, when no job of the cell can use it.
-func (l *loans) nextGuest(m *Machine, now time.Time) *Job {
+func (l *loans) nextGuest(m *cluster.Machine, now time.Time) *cluster.Job {
 	if len(l.guestFairShareOrder) == 0 {
 		return nil
 	}
@@ -116,7 +117,7 @@
 	if now.Sub(l.shortageSince) < shortageDuration {
 		return
 	}
-	var running []*Attempt
+	var running []*cluster.Attempt
 	for _, t := range l.guestFairShareOrder {
 		for _, j := range t.Items() {
 			for _, a := range j.ActiveAttempts {
@@ -128,7 +129,7 @@
 			}
 		}
 	}
-	slices.SortFunc(running, func(a, b *Attempt) int { return b.SentAt.Compare(a.SentAt) })
+	slices.SortFunc(running, func(a, b *cluster.Attempt) int { return b.SentAt.Compare(a.SentAt) })
 	for _, a := range running {
 		if shortage <= 0 {
 			return
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/loan"
 	"example.org/ivytrestle/internal/queue"
@@ -33,7 +34,7 @@
 
 // predictedStart is how long a queued job is expected to wait for its start in this cell.
 type predictedStart struct {
-	job  *Job
+	job  *cluster.Job
 	wait time.Duration
 }
 
@@ -47,7 +48,7 @@
 		// On average, half of a running task's time remains.
 		work += float64(len(j.ActiveAttempts)) * j.Spec.CPUs * j.Spec.EstimateS / 2
 	}
-	var jobs []*Job
+	var jobs []*cluster.Job
 	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
 			if j.Flight.Untaken() > 0 && !j.Finishing {
@@ -55,7 +56,7 @@
 			}
 		}
 	}
-	slices.SortStableFunc(jobs, func(a, b *Job) int {
+	slices.SortStableFunc(jobs, func(a, b *cluster.Job) int {
 		switch {
 		case queue.Before(a, b):
 			return -1
@@ -113,7 +114,7 @@
 }
 
 // lendable reports whether a job may be lent to a neighbour at all.
-func (l *loans) lendable(j *Job, n *neighbour, now time.Time) bool {
+func (l *loans) lendable(j *cluster.Job, n *neighbour, now time.Time) bool {
 	lt := l.leaderTerm
 	policy := &lt.c.Policy.Spill
 	switch {
@@ -138,14 +139,14 @@
 
 // budget is what a loan may use at a time, in whole tasks: the least of the job's demand, its
 // team's limit and the spare capacity.
-func (l *loans) budget(j *Job, spare float64) loan.Budget {
+func (l *loans) budget(j *cluster.Job, spare float64) loan.Budget {
 	s := &j.Spec
 	lt := l.leaderTerm
 	unknownCPUs := lt.unfencedCPUs + lt.unattributedCPUs
 	tasks := 0
 	for tasks < s.Tasks {
 		cpus, gpus := float64(tasks+1)*s.CPUs, float64(tasks+1)*s.GPUs
-		if cpus > spare+Epsilon || !j.Team.WithinLimit(cpus, gpus, unknownCPUs, lt.unfencedGPUs) {
+		if cpus > spare+cluster.Epsilon || !j.Team.WithinLimit(cpus, gpus, unknownCPUs, lt.unfencedGPUs) {
 			break
 		}
 		tasks++
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -11,6 +11,7 @@
 	"golang.org/x/time/rate"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
 	"example.org/ivytrestle/internal/queue"
@@ -36,8 +37,8 @@
 	ends      *iradix.Tree[loanEnd]
 	// guestTeams are the queues of guests, one for each home cell, and guestFairShareOrder
 	// are the same, in the order in which they are served.
-	guestTeams          map[string]*queue.Team[*Job]
-	guestFairShareOrder []*queue.Team[*Job]
+	guestTeams          map[string]*queue.Team[*cluster.Job]
+	guestFairShareOrder []*queue.Team[*cluster.Job]
 
 	counts        LoanCounts
 	openCapacity  openCapacity
@@ -90,7 +91,7 @@
 		neighbours: map[string]*neighbour{},
 		minEpochs:  map[string]minEpoch{},
 		ends:       iradix.New[loanEnd](),
-		guestTeams: map[string]*queue.Team[*Job]{},
+		guestTeams: map[string]*queue.Team[*cluster.Job]{},
 		changing:   map[string]bool{},
 		endedIDs:   map[string]bool{},
 		loggedOnce: map[string]bool{},
@@ -353,7 +354,7 @@
 
 // applyLoan applies the loan of a job's active record. It is called for each newer version
 // of the record, whoever wrote it.
-func (lt *leaderTerm) applyLoan(j *Job, rec records.ActiveRecord, modRevision uint64) {
+func (lt *leaderTerm) applyLoan(j *cluster.Job, rec records.ActiveRecord, modRevision uint64) {
 	if modRevision <= j.ModRevision {
 		return
 	}
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
 	"example.org/ivytrestle/internal/records"
@@ -47,7 +48,7 @@
 )
 
 // applyLent updates a job whose active record says that it is lent.
-func (l *loans) applyLent(j *Job, record *loan.Lent) {
+func (l *loans) applyLent(j *cluster.Job, record *loan.Lent) {
 	if j.Lent == nil || j.Lent.Epoch != record.Epoch {
 		j.Remote = loan.State{}
 		j.ReclaimRequested = false
@@ -62,7 +63,7 @@
 }
 
 // jobReclaimed updates a job whose active record says that it is no longer lent.
-func (l *loans) jobReclaimed(j *Job) {
+func (l *loans) jobReclaimed(j *cluster.Job) {
 	l.leaderTerm.c.Log.Info("loan taken back", "job", j.Spec.ID, "cell", j.Lent.Host, "reason", j.Remote.Reason)
 	if j.LastReclaimed == nil {
 		j.LastReclaimed = map[string]time.Time{}
@@ -75,7 +76,7 @@
 }
 
 // requeue adds a job that was lent to its team's queue again.
-func (l *loans) requeue(j *Job) {
+func (l *loans) requeue(j *cluster.Job) {
 	j.WaitingSince = time.Now()
 	j.Team.Remove(j)
 	j.Team.Add(j)
@@ -83,7 +84,7 @@
 }
 
 // reserve counts a loan's budget as used by its team.
-func (l *loans) reserve(j *Job, budget loan.Budget) {
+func (l *loans) reserve(j *cluster.Job, budget loan.Budget) {
 	l.release(j)
 	j.ReservedBudget = budget
 	j.Team.UsedCPUs += budget.CPUs
@@ -91,14 +92,14 @@
 }
 
 // release ends the reservation of a loan's budget.
-func (l *loans) release(j *Job) {
+func (l *loans) release(j *cluster.Job) {
 	j.Team.UsedCPUs -= j.ReservedBudget.CPUs
 	j.Team.UsedGPUs -= j.ReservedBudget.GPUs
 	j.ReservedBudget = loan.Budget{}
 }
 
 // lendJob records that a job is lent. From now on none of its tasks starts in this cell.
-func (l *loans) lendJob(j *Job, n *neighbour, budget loan.Budget) {
+func (l *loans) lendJob(j *cluster.Job, n *neighbour, budget loan.Budget) {
 	lt := l.leaderTerm
 	l.count++
 	l.counts.Lent++
@@ -124,7 +125,7 @@
 }
 
 // changeActive replaces a job's active record.
-func (l *loans) changeActive(j *Job, rec records.ActiveRecord) {
+func (l *loans) changeActive(j *cluster.Job, rec records.ActiveRecord) {
 	lt := l.leaderTerm
 	key := records.ActivePrefix + j.Spec.ID
 	j.Handover = l.enqueueChange(&loanChange{
@@ -273,7 +274,7 @@
 }
 
 // applyAction queues the change of records that follows from a loan's state at its host.
-func (l *loans) applyAction(j *Job, s loan.State) {
+func (l *loans) applyAction(j *cluster.Job, s loan.State) {
 	switch loan.HomeStep(j.Lent, s) {
 	case loan.ActionReclaim:
 		j.Remote.Reason = s.Reason
@@ -290,7 +291,7 @@
 }
 
 // recordLentEnd writes the terminal record of a lent job.
-func (l *loans) recordLentEnd(j *Job, terminal records.TerminalRecord) {
+func (l *loans) recordLentEnd(j *cluster.Job, terminal records.TerminalRecord) {
 	lt, id := l.leaderTerm, j.Spec.ID
 	active := records.ActivePrefix + id
 	j.Handover = l.enqueueChange(&loanChange{
@@ -313,7 +314,7 @@
 }
 
 // lentEndRecorded updates a lent job whose terminal record was written.
-func (l *loans) lentEndRecorded(j *Job, phase string) {
+func (l *loans) lentEndRecorded(j *cluster.Job, phase string) {
 	switch {
 	case j.Ended:
 	case phase == api.JobDone:
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
 	"example.org/ivytrestle/internal/records"
@@ -169,7 +170,7 @@
 }
 
 // fillProgress fills in the counts of a guest's tasks.
-func (l *loans) fillProgress(j *Job, s *loan.State) {
+func (l *loans) fillProgress(j *cluster.Job, s *loan.State) {
 	job := j.State()
 	s.Done, s.Running, s.Pending = job.Done, job.Running, len(j.ActiveAttempts) > 0
 }
@@ -317,7 +318,7 @@
 }
 
 // returnGuest removes a guest that has not started.
-func (l *loans) returnGuest(j *Job) {
+func (l *loans) returnGuest(j *cluster.Job) {
 	lt, home, epoch := l.leaderTerm, j.Guest.Home, j.Guest.Epoch
 	active := records.ActivePrefix + j.Spec.ID
 	l.enqueueChange(&loanChange{
@@ -344,12 +345,12 @@
 }
 
 // guestDone records that all tasks of a guest are done.
-func (l *loans) guestDone(j *Job) {
+func (l *loans) guestDone(j *cluster.Job) {
 	l.endGuest(j, loan.End{Epoch: j.Guest.Epoch, Phase: api.JobDone, Tasks: j.Spec.Tasks, Ended: time.Now().UTC()})
 }
 
 // endGuest records how a guest ended, for its home cell.
-func (l *loans) endGuest(j *Job, end loan.End) {
+func (l *loans) endGuest(j *cluster.Job, end loan.End) {
 	lt, home, id := l.leaderTerm, j.Guest.Home, j.Spec.ID
 	active, key := records.ActivePrefix+id, loan.EndKey(home, id)
 	l.enqueueChange(&loanChange{
@@ -379,7 +380,7 @@
 
 // removeGuest removes a guest whose active record was deleted. Its tasks on machines are
 // stopped by the responses to their heartbeats.
-func (l *loans) removeGuest(j *Job, end kv.Entry) {
+func (l *loans) removeGuest(j *cluster.Job, end kv.Entry) {
 	if j.Ended {
 		return
 	}
--- a/internal/controller/loansstatus.go
+++ b/internal/controller/loansstatus.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/loan"
 )
 
@@ -110,7 +111,7 @@
 }
 
 // lentStatus is the status of a job that runs in another cell.
-func (l *loans) lentStatus(j *Job) LoanStatus {
+func (l *loans) lentStatus(j *cluster.Job) LoanStatus {
 	s := LoanStatus{
 		Job:     j.Spec.ID,
 		Cell:    j.Lent.Host,
@@ -137,7 +138,7 @@
 }
 
 // guestStatus is the status of a job that runs here for another cell.
-func guestStatus(j *Job) LoanStatus {
+func guestStatus(j *cluster.Job) LoanStatus {
 	state := j.State()
 	s := LoanStatus{
 		Job:     j.Spec.ID,
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -1,6 +1,9 @@
 package controller
 
-import "time"
+import (
+	"example.org/ivytrestle/internal/cluster"
+	"time"
+)
 
 // provisioning is a machine that was launched or listed by the cloud and has sent no heartbeat
 // yet.
@@ -31,7 +34,7 @@
 }
 
 // evacuate stops the assignment of tasks to a machine, which is terminated once it is empty.
-func (lt *leaderTerm) evacuate(m *Machine, reason string) {
+func (lt *leaderTerm) evacuate(m *cluster.Machine, reason string) {
 	if m.Evacuating {
 		return
 	}
@@ -41,7 +44,7 @@
 
 // machineTerminated removes a machine whose termination the cloud has confirmed. Only this, or a
 // newer heartbeat, shows that a task is off its machine.
-func (lt *leaderTerm) machineTerminated(m *Machine) {
+func (lt *leaderTerm) machineTerminated(m *cluster.Machine) {
 	m.Terminated = true
 	lt.terminated.Add(m.Name, true)
 	delete(lt.machines, m.Name)
@@ -59,8 +62,8 @@
 // markFenced marks that a machine applies no command of an earlier term any more, because it
 // has this term's fencing token or is terminated. Jobs accepted before this term start once all
 // machines of the registry are fenced.
-func (lt *leaderTerm) markFenced(m *Machine) {
-	if m.Fenced || m.Registration != Registered {
+func (lt *leaderTerm) markFenced(m *cluster.Machine) {
+	if m.Fenced || m.Registration != cluster.Registered {
 		return
 	}
 	m.Fenced = true
@@ -74,8 +77,8 @@
 }
 
 // addMachine adds a machine that has sent its first heartbeat or is in the registry.
-func (lt *leaderTerm) addMachine(name, typ, zone string, spot bool, now time.Time) *Machine {
-	m := &Machine{
+func (lt *leaderTerm) addMachine(name, typ, zone string, spot bool, now time.Time) *cluster.Machine {
+	m := &cluster.Machine{
 		Name:              name,
 		Type:              typ,
 		Zone:              zone,
@@ -84,7 +87,7 @@
 		LastSeen:          now,
 		AddedAt:           now,
 		IdleSince:         now,
-		Attempts:          map[AttemptKey]*Attempt{},
+		Attempts:          map[cluster.AttemptKey]*cluster.Attempt{},
 		TaskErrorsByJob:   map[string]int{},
 	}
 	if mt, ok := lt.c.types.load()[typ]; ok {
--- a/internal/controller/outcome.go
+++ b/internal/controller/outcome.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/records"
 )
 
@@ -16,10 +17,10 @@
 
 // resolveOutcomes reads how jobs ended whose active record had changed when their terminal
 // record was written: mostly by this leader's own transaction, whose response was lost.
-func (rw *recordWriter) resolveOutcomes(jobs []*Job) {
+func (rw *recordWriter) resolveOutcomes(jobs []*cluster.Job) {
 	deps := &rw.leaderTerm.dependencies
 	for _, j := range jobs {
-		isJob := func(o *Job) bool { return o == j }
+		isJob := func(o *cluster.Job) bool { return o == j }
 		rw.finishing = slices.DeleteFunc(rw.finishing, isJob)
 		deps.pendingCancels = slices.DeleteFunc(deps.pendingCancels, isJob)
 		rw.outcomeUnknown = append(rw.outcomeUnknown, j.Spec.ID)
--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -14,6 +14,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cancellation"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/peer"
 	"example.org/ivytrestle/internal/relay"
@@ -704,7 +705,7 @@
 	zero := 0.0
 	for _, t := range hb.Tasks {
 		shown[t.Task] = true
-		id, i, _ := SplitRef(t.Task)
+		id, i, _ := cluster.SplitRef(t.Task)
 		j := r.jobs[id]
 		switch {
 		case j == nil && t.Phase == api.TaskExited:
@@ -777,7 +778,7 @@
 func (r *oldLeaderTerm) assignTasks(m *oldMachine, hb *api.Heartbeat, commands []api.Command) []api.Command {
 	free, used := m.record.CPUs, map[string]float64{}
 	for _, t := range hb.Tasks {
-		if id, _, _ := SplitRef(t.Task); t.Phase != api.TaskExited && r.jobs[id] != nil {
+		if id, _, _ := cluster.SplitRef(t.Task); t.Phase != api.TaskExited && r.jobs[id] != nil {
 			free -= r.jobs[id].spec.CPUs
 		}
 	}
@@ -935,7 +936,7 @@
 	response := api.HeartbeatResponse{Term: o.term, Commands: []api.Command{}}
 	zero := 0.0
 	for _, t := range hb.Tasks {
-		if id, _, _ := SplitRef(t.Task); t.Phase != api.TaskExited && !o.activeJobs[id] {
+		if id, _, _ := cluster.SplitRef(t.Task); t.Phase != api.TaskExited && !o.activeJobs[id] {
 			stop := api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero}
 			response.Commands = append(response.Commands, stop)
 		}
--- a/internal/controller/recordwriter.go
+++ b/internal/controller/recordwriter.go
@@ -11,6 +11,7 @@
 	"golang.org/x/time/rate"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/records"
 )
@@ -28,15 +29,15 @@
 	tasksPerChunk int
 
 	// finishing are the jobs whose terminal record is yet to be written.
-	finishing []*Job
+	finishing []*cluster.Job
 	// registering are the machines that no shard names yet.
-	registering []*Machine
+	registering []*cluster.Machine
 	// pendingDeletes are the keys of records that are no longer needed.
 	pendingDeletes []string
 	// dirtyJobs are the jobs with completed tasks that are not on record.
-	dirtyJobs []*Job
+	dirtyJobs []*cluster.Job
 	// staleShards are the shards of the registry that name terminated machines.
-	staleShards []*Shard
+	staleShards []*cluster.Shard
 	// shardCount numbers the shards written: none takes the name of an earlier one.
 	shardCount       int
 	machinesPerShard int
@@ -79,21 +80,21 @@
 	rw.tasksPerChunk = rw.maxShardBytes / 2 * 8
 }
 
-func (rw *recordWriter) finishJob(j *Job) {
+func (rw *recordWriter) finishJob(j *cluster.Job) {
 	if !j.Finishing {
 		j.Finishing = true
 		rw.finishing = append(rw.finishing, j)
 	}
 }
 
-func (rw *recordWriter) queueCompletion(j *Job) {
+func (rw *recordWriter) queueCompletion(j *cluster.Job) {
 	if !j.CompletionDirty {
 		j.CompletionDirty = true
 		rw.dirtyJobs = append(rw.dirtyJobs, j)
 	}
 }
 
-func (rw *recordWriter) register(m *Machine) { rw.registering = append(rw.registering, m) }
+func (rw *recordWriter) register(m *cluster.Machine) { rw.registering = append(rw.registering, m) }
 
 func (rw *recordWriter) deleteKey(key string) { rw.pendingDeletes = append(rw.pendingDeletes, key) }
 
@@ -102,12 +103,12 @@
 	txn kv.Txn
 	// bytes is about how large the transaction is.
 	bytes    int
-	finished []*Job
+	finished []*cluster.Job
 	// derivedCancels are the jobs cancelled because they depend on a cancelled one.
-	derivedCancels []*Job
-	shards         []*Shard
+	derivedCancels []*cluster.Job
+	shards         []*cluster.Shard
 	// replaced are the shards that this batch deletes.
-	replaced []*Shard
+	replaced []*cluster.Shard
 	deletes  []string
 	// completions are the chunks of completed tasks that the transaction records.
 	completions []completionWrite
@@ -115,7 +116,7 @@
 
 // completionWrite is one completion record: the job's tasks from first on, as a bit set.
 type completionWrite struct {
-	job   *Job
+	job   *cluster.Job
 	first int
 	bits  []byte
 }
@@ -192,7 +193,7 @@
 
 // addRegistrations adds new machines to the registry.
 func (rw *recordWriter) addRegistrations(b *batch, allowed int) {
-	rw.registering = slices.DeleteFunc(rw.registering, func(m *Machine) bool { return m.Terminated })
+	rw.registering = slices.DeleteFunc(rw.registering, func(m *cluster.Machine) bool { return m.Terminated })
 	for len(rw.registering) > 0 && len(b.txn.Ops) < allowed && b.bytes < rw.maxBytes {
 		n, size := rw.shardPrefix(rw.registering)
 		if n == 0 {
@@ -272,8 +273,8 @@
 // handleConflicts takes the jobs whose active record has changed out of the requeued
 // changes of a batch: those about to end until their outcome is read, the others for good.
 func (rw *recordWriter) handleConflicts(b *batch, failedKeys []string) {
-	conflicts := func(j *Job) bool { return slices.Contains(failedKeys, records.ActivePrefix+j.Spec.ID) }
-	var changed []*Job
+	conflicts := func(j *cluster.Job) bool { return slices.Contains(failedKeys, records.ActivePrefix+j.Spec.ID) }
+	var changed []*cluster.Job
 	for _, j := range slices.Concat(b.finished, b.derivedCancels) {
 		if conflicts(j) {
 			changed = append(changed, j)
@@ -284,7 +285,7 @@
 		if !w.job.Ended && conflicts(w.job) {
 			w.job.CompletionDirty = false // it was cancelled; the watch will show that
 			w.job.CompletionChunks[w.first] = false
-			rw.dirtyJobs = slices.DeleteFunc(rw.dirtyJobs, func(j *Job) bool { return j == w.job })
+			rw.dirtyJobs = slices.DeleteFunc(rw.dirtyJobs, func(j *cluster.Job) bool { return j == w.job })
 		}
 	}
 }
@@ -315,7 +316,7 @@
 		rw.keepStale(b.shards[0].Replaces)
 	case len(b.shards) > 0:
 		m := b.shards[0].Machines[0]
-		rw.registering = slices.DeleteFunc(rw.registering, func(o *Machine) bool { return o == m })
+		rw.registering = slices.DeleteFunc(rw.registering, func(o *cluster.Machine) bool { return o == m })
 		rw.rejectMachine(m)
 	case len(b.completions) > 0:
 		// Half of it, in whole bytes. Below eight tasks no chunk is left: completed
@@ -328,7 +329,7 @@
 
 // rejectMachine evacuates a machine whose entry no shard can hold: the next leader would
 // not know of it, so it is never given a task.
-func (rw *recordWriter) rejectMachine(m *Machine) {
+func (rw *recordWriter) rejectMachine(m *cluster.Machine) {
 	rw.leaderTerm.c.Log.Error("machine's entry too large for the registry", "machine", m.Name)
 	rw.leaderTerm.evacuate(m, "does not fit the roster")
 }
@@ -351,7 +352,7 @@
 }
 
 // jobFinished removes a job whose terminal record says that it is done.
-func (lt *leaderTerm) jobFinished(j *Job) {
+func (lt *leaderTerm) jobFinished(j *cluster.Job) {
 	if j.Ended {
 		return
 	}
--- a/internal/controller/registry.go
+++ b/internal/controller/registry.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/records"
 )
 
@@ -15,16 +16,16 @@
 // shardFrameBytes is what a shard takes beside its entries.
 const shardFrameBytes = 32
 
-func (rw *recordWriter) newShard(members []*Machine) *Shard {
+func (rw *recordWriter) newShard(members []*cluster.Machine) *cluster.Shard {
 	rw.shardCount++
-	return &Shard{
+	return &cluster.Shard{
 		Key:      fmt.Sprintf("%s%d-%d", records.MachinePrefix, rw.leaderTerm.term.Number, rw.shardCount),
 		Machines: slices.Clone(members),
 	}
 }
 
 // shardPrefix is how many of the first machines a new shard holds, and its size.
-func (rw *recordWriter) shardPrefix(members []*Machine) (n, size int) {
+func (rw *recordWriter) shardPrefix(members []*cluster.Machine) (n, size int) {
 	size = shardFrameBytes
 	for n < min(rw.machinesPerShard, len(members)) {
 		raw, err := json.Marshal(members[n].RegistryEntry())
@@ -40,7 +41,7 @@
 }
 
 // addShard adds a shard to a batch.
-func (b *batch) addShard(s *Shard) {
+func (b *batch) addShard(s *cluster.Shard) {
 	var rec records.RegistryShardRecord
 	for _, m := range s.Machines {
 		rec.Machines = append(rec.Machines, m.RegistryEntry())
@@ -52,13 +53,13 @@
 // deregister removes a terminated machine. Its shard is deleted with the last of
 // its machines, and otherwise rewritten at low priority: an entry too many costs
 // the next leader a resync, one too few could run a task twice.
-func (rw *recordWriter) deregister(m *Machine) {
+func (rw *recordWriter) deregister(m *cluster.Machine) {
 	s := m.Shard
 	if s == nil {
 		return
 	}
 	m.Shard = nil
-	s.Machines = slices.DeleteFunc(s.Machines, func(o *Machine) bool { return o == m })
+	s.Machines = slices.DeleteFunc(s.Machines, func(o *cluster.Machine) bool { return o == m })
 	if !s.Stale {
 		s.Stale = true
 		rw.staleShards = append(rw.staleShards, s)
@@ -73,7 +74,7 @@
 // a new one: it then stays until all of them are on new ones, one after the other.
 // Wherever this is interrupted, each machine is on one of them.
 func (rw *recordWriter) rewriteStale(b *batch, allowed int, now time.Time) {
-	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(s *Shard) bool {
+	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(s *cluster.Shard) bool {
 		if len(s.Machines) > 0 || len(b.txn.Ops) >= allowed {
 			return false
 		}
@@ -104,15 +105,15 @@
 
 // keepStale leaves a shard that no new one can replace as it is, until another of
 // its machines is terminated.
-func (rw *recordWriter) keepStale(s *Shard) {
+func (rw *recordWriter) keepStale(s *cluster.Shard) {
 	rw.leaderTerm.c.Log.Error("registry shard cannot be rewritten", "key", s.Key)
 	s.Stale = false
-	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(o *Shard) bool { return o == s })
+	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(o *cluster.Shard) bool { return o == s })
 }
 
 // addShardDeletes deletes a shard, and with it those that may have been written in its
 // place. Of the latter, those beyond the allowed operations stay in the store.
-func (b *batch) addShardDeletes(s *Shard, allowed int) {
+func (b *batch) addShardDeletes(s *cluster.Shard, allowed int) {
 	b.addDelete(s.Key)
 	for _, key := range s.PossiblyWritten {
 		if len(b.txn.Ops) < allowed {
@@ -145,14 +146,14 @@
 func (rw *recordWriter) shardsWritten(b *batch) {
 	for _, s := range b.shards {
 		if old := s.Replaces; s.Partial {
-			old.Machines = slices.DeleteFunc(old.Machines, func(m *Machine) bool {
+			old.Machines = slices.DeleteFunc(old.Machines, func(m *cluster.Machine) bool {
 				return slices.Contains(s.Machines, m)
 			})
 			rw.staleShards = append(rw.staleShards, old)
 		}
 		s.Replaces, s.Partial = nil, false
 		for _, m := range slices.Clone(s.Machines) {
-			m.Registration, m.Shard = Registered, s
+			m.Registration, m.Shard = cluster.Registered, s
 			if m.Terminated {
 				rw.deregister(m)
 			}
--- a/internal/controller/registry_test.go
+++ b/internal/controller/registry_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/records"
 )
 
@@ -113,7 +114,7 @@
 					names, inUse := w.registeredMachines(), []string(nil)
 					a.inspect(func(c *Controller) {
 						for name, m := range c.leaderTerm.machines {
-							if m.Registration == Registered {
+							if m.Registration == cluster.Registered {
 								inUse = append(inUse, name)
 							}
 						}
@@ -144,7 +145,7 @@
 			old := c.leaderTerm.machines["i-1"].Shard
 			next := rec.newShard(old.Machines)
 			next.Replaces, old.Stale = old, true
-			rec.requeueShards(&batch{shards: []*Shard{next}, replaced: []*Shard{old}})
+			rec.requeueShards(&batch{shards: []*cluster.Shard{next}, replaced: []*cluster.Shard{old}})
 			w.checkEqual("dropped by themselves", len(rec.pendingDeletes), 0)
 			b := &batch{}
 			rec.rewriteStale(b, 10, time.Now())
--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/peer"
 	"example.org/ivytrestle/internal/records"
@@ -45,7 +46,7 @@
 type relayedCommands struct {
 	baseSeq uint64
 	sentAt  time.Time
-	starts  []*Attempt
+	starts  []*cluster.Attempt
 }
 
 // tick reads what unreachable nodes, and those with commands pending, have written.
@@ -199,8 +200,8 @@
 	}
 	p := &relayedCommands{baseSeq: hb.Seq, sentAt: now}
 	for _, cmd := range response.Commands {
-		if a := m.Attempts[AttemptKey{cmd.Task, cmd.Attempt}]; a != nil && cmd.Verb == api.VerbStart {
-			a.Direct = &DirectCommand{AgentEpoch: hb.AgentEpoch, InFlight: true}
+		if a := m.Attempts[cluster.AttemptKey{Ref: cmd.Task, ID: cmd.Attempt}]; a != nil && cmd.Verb == api.VerbStart {
+			a.Direct = &cluster.DirectCommand{AgentEpoch: hb.AgentEpoch, InFlight: true}
 			p.starts = append(p.starts, a)
 		}
 	}
@@ -230,9 +231,9 @@
 func (p *relayedCommands) revokeHalf(lt *leaderTerm, o *peer.RelayOrders) {
 	o.Orders = o.Orders[:len(o.Orders)/2]
 	revoked := &relayedCommands{}
-	p.starts = slices.DeleteFunc(p.starts, func(a *Attempt) bool {
+	p.starts = slices.DeleteFunc(p.starts, func(a *cluster.Attempt) bool {
 		kept := slices.ContainsFunc(o.Orders, func(cmd *peer.Order) bool {
-			return cmd.Verb == api.VerbStart && AttemptKey{cmd.Task, cmd.Attempt} == a.Key
+			return cmd.Verb == api.VerbStart && cluster.AttemptKey{Ref: cmd.Task, ID: cmd.Attempt} == a.Key
 		})
 		if !kept {
 			revoked.starts = append(revoked.starts, a)
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 )
 
 // A takeover waits until every machine in the registry has reported with the new term. Waiting
@@ -38,7 +39,7 @@
 
 // resync solicits a heartbeat with this term from a machine. One that does not answer is resynced
 // again like any suspect machine.
-func (lt *leaderTerm) resync(m *Machine, now time.Time) {
+func (lt *leaderTerm) resync(m *cluster.Machine, now time.Time) {
 	lt.resyncing++
 	m.NextProbe = now.Add(probeInterval)
 	addr, term := m.Addr, lt.term.Number
@@ -53,7 +54,7 @@
 // resyncResultMsg is the outcome of a resync.
 type resyncResultMsg struct {
 	leaderTerm *leaderTerm
-	machine    *Machine
+	machine    *cluster.Machine
 	sentAt     time.Time
 	heartbeat  *api.Heartbeat
 	err        error
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/records"
 )
 
@@ -118,7 +119,7 @@
 		}
 	}
 	for _, team := range h.w.teams {
-		if team.Name == s.Team && used+s.CPUs > team.LimitCPUs+Epsilon {
+		if team.Name == s.Team && used+s.CPUs > team.LimitCPUs+cluster.Epsilon {
 			h.fail("%s starts on %s: team %s uses %v CPUs, limit %v",
 				r.task, r.machine, s.Team, used+s.CPUs, team.LimitCPUs)
 		}
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -11,6 +11,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cells"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
 	"example.org/ivytrestle/internal/records"
@@ -542,7 +543,7 @@
 		guests := 0.0
 		for _, k := range host.agents {
 			for _, task := range k.running() {
-				if id, _, _ := SplitRef(task); g.job(id).home == home {
+				if id, _, _ := cluster.SplitRef(task); g.job(id).home == home {
 					guests++
 				}
 			}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,6 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 )
 
 // Status is the operators' view of a node.
@@ -173,7 +174,7 @@
 }
 
 // pendingReason returns why a job's next task is on no machine. The reasons are shown by status.
-func (lt *leaderTerm) pendingReason(j *Job, now time.Time) string {
+func (lt *leaderTerm) pendingReason(j *cluster.Job, now time.Time) string {
 	s := &j.Spec
 	switch {
 	case j.Lent != nil || j.Handover:
@@ -198,7 +199,7 @@
 
 // pendingReasons counts the jobs that wait for their first start, by pending reason, and returns
 // the one that has waited longest for capacity.
-func (lt *leaderTerm) pendingReasons(now time.Time) (counts map[string]int, oldest *Job) {
+func (lt *leaderTerm) pendingReasons(now time.Time) (counts map[string]int, oldest *cluster.Job) {
 	counts = map[string]int{}
 	for _, j := range lt.jobs {
 		if j.Finishing || j.Started() || j.Flight.Untaken() == 0 {
@@ -287,7 +288,7 @@
 }
 
 // addAttempt adds the CPUs of an attempt, if its job is known.
-func (u *fleetUsage) addAttempt(a *Attempt) {
+func (u *fleetUsage) addAttempt(a *cluster.Attempt) {
 	if a.Job == nil {
 		return
 	}
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -1,6 +1,9 @@
 package controller
 
-import "time"
+import (
+	"example.org/ivytrestle/internal/cluster"
+	"time"
+)
 
 const (
 	// overrunFactor is how many estimates a run may take without counting as overrun; how many
@@ -24,7 +27,7 @@
 
 // recordRun records how long a completed run took, and quarantines a machine whose
 // runs take much longer than the same jobs' elsewhere.
-func (lt *leaderTerm) recordRun(a *Attempt, took time.Duration, now time.Time) {
+func (lt *leaderTerm) recordRun(a *cluster.Attempt, took time.Duration, now time.Time) {
 	j, m := a.Job, a.Machine
 	if a.Unmeasured {
 		return
@@ -97,7 +100,7 @@
 // as well, and those on other machines did not. Estimates are often too low for the whole job,
 // and then all its tasks pass the limit together: so the run must also exceed by half the longest
 // on any other machine, or it would be lost near its end.
-func (lt *leaderTerm) isStraggler(a *Attempt, limit time.Duration, now time.Time) bool {
+func (lt *leaderTerm) isStraggler(a *cluster.Attempt, limit time.Duration, now time.Time) bool {
 	j, m := a.Job, a.Machine
 	took := now.Sub(a.RunningAt)
 	if a.Exited || a.Stop != nil || a.RunningAt.IsZero() || took <= limit || j.RestartedTasks[a.Task] {
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/records"
 )
@@ -42,7 +43,7 @@
 		if team.Name != spec.Team {
 			continue
 		}
-		if spec.CPUs > team.LimitCPUs+Epsilon || (spec.GPUs > 0 && spec.GPUs > team.LimitGPUs+Epsilon) {
+		if spec.CPUs > team.LimitCPUs+cluster.Epsilon || (spec.GPUs > 0 && spec.GPUs > team.LimitGPUs+cluster.Epsilon) {
 			return "a task needs more than the team's limit"
 		}
 		for _, mt := range types {
@@ -58,7 +59,7 @@
 // taskFits reports whether a task of a job may run on machines of a type and fits on one.
 func taskFits(spec *api.JobSpec, mt api.MachineType) bool {
 	return typeAllowed(spec, mt.Name) && zoneAllowed(spec, mt.Zones) &&
-		spec.CPUs <= mt.CPUs+Epsilon && spec.GPUs <= mt.GPUs+Epsilon && spec.MemoryGB <= mt.MemoryGB+Epsilon
+		spec.CPUs <= mt.CPUs+cluster.Epsilon && spec.GPUs <= mt.GPUs+cluster.Epsilon && spec.MemoryGB <= mt.MemoryGB+cluster.Epsilon
 }
 
 // typeAllowed reports whether a job's tasks may run on machines of a type.
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
 	"example.org/ivytrestle/internal/records"
@@ -130,7 +131,7 @@
 	for _, e := range snap.completions {
 		lt.addCompletion(e, now)
 	}
-	var dependents []*Job
+	var dependents []*cluster.Job
 	for _, j := range lt.jobs {
 		if len(j.Spec.DependsOn) > 0 {
 			lt.dependencies.resolveDependencies(j)
@@ -150,7 +151,7 @@
 		lt.c.Log.Error("registry record invalid", "key", e.Key, "err", err)
 		return
 	}
-	s := &Shard{Key: e.Key}
+	s := &cluster.Shard{Key: e.Key}
 	for _, entry := range rec.Machines {
 		if lt.machines[entry.Name] != nil {
 			continue // a shard that was written late
@@ -158,7 +159,7 @@
 		m := lt.addMachine(entry.Name, entry.Type, entry.Zone, entry.Spot, now)
 		m.Addr = entry.Addr
 		m.CPUs, m.GPUs, m.MemoryGB = entry.CPUs, entry.GPUs, entry.MemoryGB
-		m.Registration, m.Shard = Registered, s
+		m.Registration, m.Shard = cluster.Registered, s
 		s.Machines = append(s.Machines, m)
 		lt.toResync = append(lt.toResync, m)
 		lt.unfenced++
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -11,6 +11,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cancellation"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
 	"example.org/ivytrestle/internal/records"
@@ -196,7 +197,7 @@
 
 // mayStart reports whether all that a task's job depends on is done on record.
 func (v *mixed) mayStart(task string) bool {
-	id, _, _ := SplitRef(task)
+	id, _, _ := cluster.SplitRef(task)
 	return !slices.ContainsFunc(v.dependencies[id], func(id string) bool { return !v.store.Has("f/" + id) })
 }
 
