--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -61,9 +61,21 @@
 	Since time.Time
 }
 
-// Reserve counts an attempt's resources on its machine, team and zone, or releases them with
-// sign -1.
-func (a *Attempt) Reserve(sign float64) {
+// Reserve counts the attempt's resources on its machine, team and zone. It is called once.
+func (a *Attempt) Reserve() { a.count(1) }
+
+// Release gives back what Reserve has counted, and marks the attempt as exited. An attempt that has
+// exited holds nothing, so a second call does nothing.
+func (a *Attempt) Release() {
+	if a.Exited {
+		return
+	}
+	a.Exited = true
+	a.count(-1)
+}
+
+// count adds the attempt's resources, times sign, to what is in use.
+func (a *Attempt) count(sign float64) {
 	if a.Job == nil {
 		a.Machine.countUnattributed(int(sign))
 		return
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -122,8 +122,8 @@
 	Ended     bool
 }
 
-// Rank, with LatestStart, Preference, Feasibility and ID, makes a job an item of its team's
-// queue.
+// Rank is the rank of the job's priority. With LatestStart, Preference, Feasibility and ID it makes
+// a job an item of its team's queue.
 func (j *Job) Rank() int { return j.PriorityRank }
 
 // LatestStart is the latest start that meets the job's next objective.
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -8,13 +8,16 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// registrationState is whether a machine is in the registry. Only a registered machine gets
+// RegistrationState is whether a machine is in the registry. Only a registered machine gets
 // tasks, so that the next leader knows every machine that may hold some.
-type registrationState int
+type RegistrationState int
 
 const (
-	Unregistered registrationState = iota
+	// Unregistered machines are in no record.
+	Unregistered RegistrationState = iota
+	// Registering machines are queued for a record, or in one that may not be written yet.
 	Registering
+	// Registered machines are in a record.
 	Registered
 )
 
@@ -43,7 +46,7 @@
 	// applied, and the agent epochs that ended although the machine was answered: both
 	// show that responses do not arrive there.
 	UnappliedResponses int
-	Registration       registrationState
+	Registration       RegistrationState
 	// Shard is the record of the registry that names the machine.
 	Shard *Shard
 	// Fenced is set once the machine reports with this term's fencing token: from then on
@@ -89,15 +92,12 @@
 	Images   ImageCache
 	Fetching map[string]bool
 
+	// phase is how far the machine is on its way out; see Phase and Advance.
+	phase Phase
 	// Draining machines get no tasks while there is capacity elsewhere. Unlike evacuating
-	// ones they are taken back into use when that capacity is needed.
+	// ones they are taken back into use when that capacity is needed. It is no phase: a
+	// machine that was draining when it is evacuated still has its tasks with checkpoints moved.
 	Draining bool
-	// Evacuating machines get no tasks, and their end follows.
-	Evacuating bool
-	// Terminating is set once the machine is to be terminated by the cloud, terminated once
-	// the cloud has confirmed that.
-	Terminating bool
-	Terminated  bool
 	// Reason is why the machine is evacuated.
 	Reason string
 
@@ -169,7 +169,7 @@
 // IsSchedulable tells whether the machine may be assigned tasks.
 func (m *Machine) IsSchedulable(now time.Time) bool {
 	return m.Fenced && m.Registration == Registered &&
-		!m.Draining && !m.Evacuating && !m.Terminated && !m.RelayPending &&
+		m.phase == Active && !m.Draining && !m.RelayPending &&
 		m.CPUs > 0 && m.PreemptAt.IsZero() && m.unattributed == 0 && !now.Before(m.CordonedUntil)
 }
 
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -39,7 +39,7 @@
 		}
 		j.SkippedSince = time.Time{}
 		j.ActiveAttempts[task] = a
-		a.Reserve(1)
+		a.Reserve()
 		lt.counts.started++
 		commands = append(commands, api.Command{Verb: api.VerbStart, Task: a.Key.Ref, Attempt: a.Key.ID})
 	}
@@ -132,7 +132,8 @@
 	t *queue.Team[*cluster.Job], m *cluster.Machine, guaranteed, preferred bool, now time.Time,
 ) *cluster.Job {
 	for _, j := range t.Items() {
-		if j.Flight.Untaken() == 0 || t.WithinGuarantee(j.Spec.CPUs, j.Spec.GPUs) != guaranteed || !lt.isEligible(j, m, now) {
+		withinGuarantee := t.WithinGuarantee(j.Spec.CPUs, j.Spec.GPUs)
+		if j.Flight.Untaken() == 0 || withinGuarantee != guaranteed || !lt.isEligible(j, m, now) {
 			continue
 		}
 		if (preferred || j.IsUrgent(now)) && !lt.prefers(j, m, now) {
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -9,7 +9,9 @@
 )
 
 // adoptAttempt adds an attempt that a heartbeat shows and this leader did not start.
-func (lt *leaderTerm) adoptAttempt(m *cluster.Machine, key cluster.AttemptKey, status *api.TaskStatus, now time.Time) *cluster.Attempt {
+func (lt *leaderTerm) adoptAttempt(
+	m *cluster.Machine, key cluster.AttemptKey, status *api.TaskStatus, now time.Time,
+) *cluster.Attempt {
 	key.Ref = strings.Clone(key.Ref)
 	a := &cluster.Attempt{Key: key, Machine: m, Phase: status.Phase, SentAt: now}
 	m.Attempts[key] = a
@@ -25,7 +27,7 @@
 		a.Exited = true
 		return a
 	}
-	a.Reserve(1)
+	a.Reserve()
 	if a.Job != nil && (a.Job.ActiveAttempts[task] == nil || a.Job.ActiveAttempts[task].Key.ID < key.ID) {
 		// Of two attempts the later one is kept: it was started only when the earlier one
 		// was known to be off its machine.
@@ -54,10 +56,7 @@
 	if status.Phase != api.TaskExited {
 		return
 	}
-	if !a.Exited {
-		a.Exited = true
-		a.Reserve(-1)
-	}
+	a.Release()
 	if a.ExitHandled {
 		return
 	}
@@ -109,10 +108,7 @@
 // removeAttempt removes an attempt that is no longer on its machine.
 func (lt *leaderTerm) removeAttempt(a *cluster.Attempt) {
 	delete(a.Machine.Attempts, a.Key)
-	if !a.Exited {
-		a.Exited = true
-		a.Reserve(-1)
-	}
+	a.Release()
 	lt.releaseTask(a)
 }
 
@@ -153,7 +149,7 @@
 	m.CordonDuration = min(max(2*m.CordonDuration, time.Second), maxCordon)
 	m.CordonedUntil = now.Add(m.CordonDuration)
 	failsProvenJob := j.DoneCount > 0 && m.TaskErrorsByJob[j.Spec.ID] >= quarantineFailures
-	if !m.Evacuating && (len(m.TaskErrorsByJob) >= quarantineJobs || failsProvenJob) {
+	if m.Phase() == cluster.Active && (len(m.TaskErrorsByJob) >= quarantineJobs || failsProvenJob) {
 		lt.quarantineFailing(m, now)
 	}
 }
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -68,7 +68,7 @@
 	used, total := 0.0, 0.0
 	for _, m := range lt.machines {
 		used += m.UsedCPUs
-		if !m.Evacuating && !m.Terminated {
+		if m.Phase() == cluster.Active {
 			total += m.CPUs
 		}
 	}
--- a/internal/controller/autoscaler_cloud.go
+++ b/internal/controller/autoscaler_cloud.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/cloud"
+	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/fleet"
 )
 
@@ -171,7 +172,7 @@
 	}
 	if m := lt.machines[listed.Name]; m != nil {
 		missedHeartbeats := now.Sub(m.LastSeen) > 2*lt.c.Settings.Site.Workers.HeartbeatInterval()
-		if listed.Phase == cloud.PhaseFailed && !m.Terminating && missedHeartbeats {
+		if listed.Phase == cloud.PhaseFailed && m.Phase() < cluster.Terminating && missedHeartbeats {
 			lt.evacuate(m, "stopped")
 			lt.autoscaler.scaleIn(m)
 		}
--- a/internal/controller/autoscaler_constrained.go
+++ b/internal/controller/autoscaler_constrained.go
@@ -111,7 +111,7 @@
 	missingCPUs = demand.cpus
 	for _, m := range as.leaderTerm.machines {
 		switch {
-		case m.Evacuating || m.Terminated || m.CPUs == 0 || !mayUse(demand.spec, m.Type, m.Zone, m.Spot):
+		case m.Phase() != cluster.Active || m.CPUs == 0 || !mayUse(demand.spec, m.Type, m.Zone, m.Spot):
 		case m.Draining:
 			draining = append(draining, m)
 		default:
--- a/internal/controller/autoscaler_drain.go
+++ b/internal/controller/autoscaler_drain.go
@@ -19,7 +19,7 @@
 	var draining, inUse []*cluster.Machine
 	for _, m := range as.leaderTerm.machines {
 		switch {
-		case m.Evacuating || m.Terminated:
+		case m.Phase() != cluster.Active:
 		case m.Draining:
 			draining = append(draining, m)
 			spare -= m.CPUs
@@ -118,7 +118,7 @@
 func (as *autoscaler) idleMachines(now time.Time) []*cluster.Machine {
 	var idle []*cluster.Machine
 	for _, m := range as.leaderTerm.machines {
-		if m.Evacuating || m.Terminated || !m.Fenced || m.CPUs == 0 || len(m.Attempts) > 0 {
+		if m.Phase() != cluster.Active || !m.Fenced || m.CPUs == 0 || len(m.Attempts) > 0 {
 			continue
 		}
 		inUseLately := !m.Draining && now.Sub(m.IdleSince) < as.leaderTerm.c.Policy.IdleTimeout
@@ -143,7 +143,7 @@
 
 // scaleIn has the cloud terminate a machine.
 func (as *autoscaler) scaleIn(m *cluster.Machine) {
-	m.Terminating = true
+	m.Advance(cluster.Terminating)
 	as.terminations = append(as.terminations, m.Name)
 	as.terminateMachines()
 }
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -2,9 +2,10 @@
 
 import (
 	"cmp"
-	"example.org/ivytrestle/internal/cluster"
 	"slices"
 	"time"
+
+	"example.org/ivytrestle/internal/cluster"
 )
 
 // findCapacity computes which capacity the fleet has for a job.
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -147,7 +147,7 @@
 	} else if m.leaderTerm.directFailures++; m.leaderTerm.directFailures >= maxDirectFailures {
 		m.leaderTerm.nextDirectCommand = time.Now().Add(directBackoff)
 	}
-	if m.machine.Terminated {
+	if m.machine.Phase() == cluster.Terminated {
 		return
 	}
 	for _, a := range m.batch {
@@ -176,12 +176,12 @@
 // reasonUnanswered is why a machine is evacuated on which a start may still be applied.
 const reasonUnanswered = "order unanswered"
 
-// terminateIfOutcomeUnknown terminates a machine on which a task of a job that has ended might still start:
-// nothing else prevents that in time.
+// terminateIfOutcomeUnknown terminates a machine on which a task of a job that has ended might
+// still start: nothing else prevents that in time.
 func (lt *leaderTerm) terminateIfOutcomeUnknown(a *cluster.Attempt) {
 	m := a.Machine
 	startMayApply := a.Direct != nil && a.Direct.OutcomeUnknown && a.LastSeenHeartbeat == 0
-	if startMayApply && !m.Terminated && !m.Terminating {
+	if startMayApply && m.Phase() < cluster.Terminating {
 		lt.evacuate(m, reasonUnanswered)
 		lt.autoscaler.scaleIn(m)
 	}
--- a/internal/controller/failuredetector.go
+++ b/internal/controller/failuredetector.go
@@ -44,7 +44,7 @@
 func (lt *leaderTerm) detectFailures(now time.Time) {
 	zones := lt.countZones(now)
 	for _, m := range lt.machines {
-		if m.Terminated || m.Terminating || !lt.isSuspect(m, now) {
+		if m.Phase() >= cluster.Terminating || !lt.isSuspect(m, now) {
 			continue
 		}
 		lt.probe(m, now)
@@ -81,7 +81,7 @@
 func (lt *leaderTerm) countZones(now time.Time) map[string]zoneCount {
 	zones := map[string]zoneCount{}
 	for _, m := range lt.machines {
-		if m.Terminated || m.Terminating {
+		if m.Phase() >= cluster.Terminating {
 			continue
 		}
 		count := zones[m.Zone]
@@ -183,7 +183,7 @@
 		return
 	}
 	m.leaderTerm.probing--
-	if m.machine.Terminated {
+	if m.machine.Phase() == cluster.Terminated {
 		return
 	}
 	if m.err != nil || m.heartbeat.Machine != m.machine.Name {
@@ -195,7 +195,7 @@
 		// heartbeats would be taken for older ones, and its tasks for running, without end.
 		// Only its termination shows that they are off the machine.
 		m.leaderTerm.evacuate(m.machine, "started anew")
-		if !m.machine.Terminating {
+		if m.machine.Phase() < cluster.Terminating {
 			m.leaderTerm.autoscaler.scaleIn(m.machine)
 		}
 		return
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -129,7 +129,7 @@
 // registerUnregistered has a machine added to the registry if it is not in it. No earlier
 // leader has started anything there, so it counts as fenced.
 func (lt *leaderTerm) registerUnregistered(m *cluster.Machine) {
-	if m.Registration != cluster.Unregistered || m.CPUs <= 0 || m.Evacuating {
+	if m.Registration != cluster.Unregistered || m.CPUs <= 0 || m.Phase() != cluster.Active {
 		return
 	}
 	m.Registration = cluster.Registering
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -1,8 +1,9 @@
 package controller
 
 import (
-	"example.org/ivytrestle/internal/cluster"
 	"time"
+
+	"example.org/ivytrestle/internal/cluster"
 )
 
 // countImageLocations counts the CPUs of the schedulable machines that have each image.
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -45,7 +45,7 @@
 			return
 		}
 		for name, m := range c.leaderTerm.machines {
-			if m.Registration == cluster.Registered && !m.Terminated {
+			if m.Registration == cluster.Registered && m.Phase() != cluster.Terminated {
 				names = append(names, name)
 			}
 		}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -1,8 +1,9 @@
 package controller
 
 import (
-	"example.org/ivytrestle/internal/cluster"
 	"time"
+
+	"example.org/ivytrestle/internal/cluster"
 )
 
 // provisioning is a machine that was launched or listed by the cloud and has sent no heartbeat
@@ -23,7 +24,7 @@
 func (lt *leaderTerm) scanMachines(now time.Time) {
 	lt.detectFailures(now)
 	for _, m := range lt.machines {
-		if m.Evacuating && !m.Terminating && !m.Terminated && m.IsEmpty() {
+		if m.Phase() == cluster.Evacuating && m.IsEmpty() {
 			lt.autoscaler.scaleIn(m)
 		}
 	}
@@ -35,17 +36,17 @@
 
 // evacuate stops the assignment of tasks to a machine, which is terminated once it is empty.
 func (lt *leaderTerm) evacuate(m *cluster.Machine, reason string) {
-	if m.Evacuating {
+	if !m.Advance(cluster.Evacuating) {
 		return
 	}
-	m.Evacuating, m.Reason = true, reason
+	m.Reason = reason
 	lt.c.Log.Info("machine evacuating", "machine", m.Name, "type", m.Type, "reason", reason, "count", len(m.Attempts))
 }
 
 // machineTerminated removes a machine whose termination the cloud has confirmed. Only this, or a
 // newer heartbeat, shows that a task is off its machine.
 func (lt *leaderTerm) machineTerminated(m *cluster.Machine) {
-	m.Terminated = true
+	m.Advance(cluster.Terminated)
 	lt.terminated.Add(m.Name, true)
 	delete(lt.machines, m.Name)
 	lt.markFenced(m)
--- a/internal/controller/recordwriter.go
+++ b/internal/controller/recordwriter.go
@@ -193,7 +193,7 @@
 
 // addRegistrations adds new machines to the registry.
 func (rw *recordWriter) addRegistrations(b *batch, allowed int) {
-	rw.registering = slices.DeleteFunc(rw.registering, func(m *cluster.Machine) bool { return m.Terminated })
+	rw.registering = slices.DeleteFunc(rw.registering, func(m *cluster.Machine) bool { return m.Phase() == cluster.Terminated })
 	for len(rw.registering) > 0 && len(b.txn.Ops) < allowed && b.bytes < rw.maxBytes {
 		n, size := rw.shardPrefix(rw.registering)
 		if n == 0 {
--- a/internal/controller/registry.go
+++ b/internal/controller/registry.go
@@ -154,7 +154,7 @@
 		s.Replaces, s.Partial = nil, false
 		for _, m := range slices.Clone(s.Machines) {
 			m.Registration, m.Shard = cluster.Registered, s
-			if m.Terminated {
+			if m.Phase() == cluster.Terminated {
 				rw.deregister(m)
 			}
 		}
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -30,7 +30,7 @@
 	for len(lt.toResync) > 0 && lt.resyncing < lt.maxDials {
 		m := lt.toResync[0]
 		lt.toResync = lt.toResync[1:]
-		if m.Fenced || m.Terminated || m.Terminating || m.Addr == "" {
+		if m.Fenced || m.Phase() >= cluster.Terminating || m.Addr == "" {
 			continue
 		}
 		lt.resync(m, now)
@@ -68,7 +68,7 @@
 	lt.resyncing--
 	now := time.Now()
 	switch {
-	case m.machine.Terminated:
+	case m.machine.Phase() == cluster.Terminated:
 	case m.err != nil:
 		c.Log.Debug("resync failed", "machine", m.machine.Name, "err", m.err)
 		if !m.machine.Fenced && lt.notPausedSince(m.sentAt) {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -145,7 +145,7 @@
 		s.CPUs += m.CPUs
 		s.UsedCPUs += m.UsedCPUs
 		switch {
-		case m.Evacuating:
+		case m.Phase() != cluster.Active:
 			s.Evacuating++
 		case m.Draining:
 			s.Draining++
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -1,8 +1,9 @@
 package controller
 
 import (
-	"example.org/ivytrestle/internal/cluster"
 	"time"
+
+	"example.org/ivytrestle/internal/cluster"
 )
 
 const (
@@ -42,7 +43,7 @@
 	m.MeasuredRuns++
 	m.Slowdown += (ratio - m.Slowdown) / float64(min(m.MeasuredRuns, minMeasuredRuns))
 	isSlow := m.MeasuredRuns >= minMeasuredRuns && m.Slowdown > slowdownThreshold
-	if isSlow && !m.Evacuating && lt.belowSlowLimit() {
+	if isSlow && m.Phase() == cluster.Active && lt.belowSlowLimit() {
 		lt.c.Log.Info("machine quarantined", "machine", m.Name, "slowdown", m.Slowdown)
 		lt.evacuate(m, reasonSlow)
 		for _, other := range m.Attempts {
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -59,7 +59,9 @@
 // taskFits reports whether a task of a job may run on machines of a type and fits on one.
 func taskFits(spec *api.JobSpec, mt api.MachineType) bool {
 	return typeAllowed(spec, mt.Name) && zoneAllowed(spec, mt.Zones) &&
-		spec.CPUs <= mt.CPUs+cluster.Epsilon && spec.GPUs <= mt.GPUs+cluster.Epsilon && spec.MemoryGB <= mt.MemoryGB+cluster.Epsilon
+		spec.CPUs <= mt.CPUs+cluster.Epsilon &&
+		spec.GPUs <= mt.GPUs+cluster.Epsilon &&
+		spec.MemoryGB <= mt.MemoryGB+cluster.Epsilon
 }
 
 // typeAllowed reports whether a job's tasks may run on machines of a type.
--- a/internal/loadtest/machine.go
+++ b/internal/loadtest/machine.go
@@ -147,7 +147,8 @@
 		case cmd.Verb == api.VerbStart && i < 0:
 			status := api.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, Phase: api.TaskRunning}
 			m.heartbeat.Tasks = append(m.heartbeat.Tasks, status)
-			m.taskEnds[cmd.Task] = time.Now().Add(time.Duration(float64(m.env.plan.TaskDuration) * (0.5 + rand.Float64())))
+			duration := time.Duration(float64(m.env.plan.TaskDuration) * (0.5 + rand.Float64()))
+			m.taskEnds[cmd.Task] = time.Now().Add(duration)
 			m.env.counts.started.Add(1)
 		case cmd.Verb == api.VerbStop && i >= 0:
 			delete(m.taskEnds, cmd.Task)
