--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -7,6 +7,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
+	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
 func TestTeamLimitHolds(t *testing.T) {
@@ -42,7 +43,7 @@
 			}
 			// The next job finds fresh machines and a fresh store.
 			n.crash()
-			w.store = newSimulatedCluster(t).store
+			w.store = kvtest.New()
 			n = w.start("n0")
 			return got
 		}
