--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -21,10 +21,10 @@
 	Registered
 )
 
-// Machine is a rented machine that has sent a heartbeat or is in the registry.
+// Machine is a machine of the cloud that has sent a heartbeat or is in the registry.
 type Machine struct {
 	Name, Addr string
-	// Type is the machine type by which the cloud rents it.
+	// Type is the machine type by which the cloud launches it.
 	Type string
 	Zone string
 	Spot bool
