--- a/internal/controller/membership.go
+++ b/internal/controller/peers.go
@@ -1,117 +1,37 @@
 package controller
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"time"
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cancellation"
-	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
 )
 
-// PeerStatus is a node's state in its response to a ping.
-type PeerStatus struct {
-	// Term is the term in which the node leads at this moment, or 0.
-	Term uint64
-	// Leader is the node that it follows.
-	Leader string
-	// KVReachableFor is for how long the key-value store has answered it, or 0.
-	KVReachableFor time.Duration
-	// Incarnation is the one under which it relays heartbeats.
-	Incarnation string
-	// Cancellations is a part of its cancellation log.
-	Cancellations cancellation.Delta
-	// CancellationsKnownAge is how long ago it knew all cancellations as leader; negative:
-	// not known.
-	CancellationsKnownAge time.Duration
-	// SupportsLoans is set if its version reads records of jobs that are lent between cells.
-	SupportsLoans bool
-	// SupportsLeaseQuorum is set if it votes and promises.
-	SupportsLeaseQuorum bool
-	// QuorumRequired is set if it acts as leader only while it has a lease quorum.
-	QuorumRequired bool
-}
-
-// membership is what a node knows of the other nodes, and whether it reaches the key-value
-// store itself.
-type membership struct {
-	members map[string]*member
-	// kvAnsweredAt is when the store last answered, and kvStateSince since when kvReachable
-	// has had its value.
-	kvAnsweredAt time.Time
-	kvReachable  bool
-	kvStateSince time.Time
-}
-
-// member is another node as of its last response.
-type member struct {
-	PeerStatus
-	zone    string
-	cancels cancellation.Reader
-	// termSeenAt is when a response first named its present term.
-	termSeenAt time.Time
-	// lastPong is when the last ping that was answered was sent.
-	lastPong time.Time
-	// failedPings is the number of pings in a row that were not answered.
-	failedPings int
-	// connectionRefused is set if it refuses connections from here.
-	connectionRefused bool
-}
-
-func newMembership(peers []config.Peer, now time.Time) membership {
-	ms := membership{members: map[string]*member{}, kvStateSince: now}
-	for _, p := range peers {
-		ms.members[p.Node] = &member{zone: p.Zone}
-	}
-	return ms
-}
-
-const (
-	pingInterval = time.Second
-	pingTimeout  = 800 * time.Millisecond
-	// unreachablePings is how many pings in a row must fail before a node counts as
-	// unreachable.
-	unreachablePings = 2
-	kvCheckInterval  = 1500 * time.Millisecond
-	kvCheckTimeout   = 1200 * time.Millisecond
-	// A node counts as partitioned from the store once that has not answered it for
-	// kvUnreachableAfter, but has answered another node for kvHealthyAfter: both that long, so
-	// that neither the beginning nor the end of an outage is taken for a partition.
-	kvUnreachableAfter = 5 * time.Second
-	kvHealthyAfter     = 8 * time.Second
-	// resignTimeout is the time limit of a resignation.
-	resignTimeout = 2 * time.Second
-)
-
-// isReachable reports whether the node has answered just now.
-func (mb *member) isReachable(now time.Time) bool {
-	return mb != nil && mb.failedPings == 0 && now.Sub(mb.lastPong) < 3*pingInterval
-}
-
-// isUnreachable reports whether the node has not answered for a while.
-func (mb *member) isUnreachable() bool { return mb != nil && mb.failedPings > unreachablePings }
-
 // currentLeader returns the node that leads, as far as this node knows, or "". Without the
 // store the election's last notice may be out of date, so the highest term among the
 // reachable nodes counts.
 func (c *Controller) currentLeader(now time.Time) string {
-	if c.leader != "" && c.leader != c.Settings.Node && c.membership.kvReachable {
-		return c.leader
+	observed := c.leader
+	if observed == c.Settings.Node {
+		observed = ""
 	}
-	leader, term := "", uint64(0)
-	for name, mb := range c.membership.members {
-		if mb.isReachable(now) && mb.Term > term {
-			leader, term = name, mb.Term
-		}
-	}
-	if leader == "" && c.leader != c.Settings.Node {
-		return c.leader
+	if observed != "" && c.membership.kvReachable {
+		return observed
 	}
-	return leader
+	return cmp.Or(c.membership.highestTermLeader(now), observed)
 }
 
+const (
+	pingTimeout    = 800 * time.Millisecond
+	kvCheckTimeout = 1200 * time.Millisecond
+	// resignTimeout is the time limit of a resignation.
+	resignTimeout = 2 * time.Second
+)
+
 // kvHealthLoop reads from the key-value store at intervals, only to learn whether it answers
 // this node.
 func (c *Controller) kvHealthLoop(ctx context.Context) {
@@ -130,14 +50,7 @@
 type kvHealthMsg struct{ ok bool }
 
 func (m kvHealthMsg) apply(c *Controller) {
-	now := time.Now()
-	ms := &c.membership
-	if m.ok {
-		ms.kvAnsweredAt = now
-	}
-	if m.ok != ms.kvReachable {
-		ms.kvReachable, ms.kvStateSince = m.ok, now
-	}
+	c.membership.applyKVHealth(m.ok, time.Now())
 }
 
 // pingLoop pings another node. While that leads and is unreachable, it also verifies the
@@ -189,19 +102,14 @@
 	if mb == nil {
 		return
 	}
-	mb.connectionRefused = m.connectionRefused
-	if mb.failedPings = m.failedPings; m.failedPings > 0 {
+	mb.applyPing(m.failedPings, m.connectionRefused)
+	if m.failedPings > 0 {
 		return
 	}
-	if m.status.Term != mb.Term {
-		mb.termSeenAt = now
-	}
-	mb.cancels.Apply(m.status.Incarnation, &m.status.Cancellations, m.sentAt, now)
+	mb.applyPong(m.status, m.sentAt, now)
 	for _, id := range m.status.Cancellations.IDs {
 		c.recordCancellation(id)
 	}
-	m.status.Cancellations = cancellation.Delta{}
-	mb.PeerStatus, mb.lastPong = m.status, m.sentAt
 	if c.leaderTerm != nil {
 		c.leaderTerm.downlink.handleRestart(c.leaderTerm, m.node, m.status.Incarnation)
 	}
@@ -234,7 +142,7 @@
 		return
 	}
 	ms := &c.membership
-	if ms.kvReachable || now.Sub(ms.kvStateSince) < kvUnreachableAfter {
+	if !ms.kvLost(now) {
 		if c.unready.Swap(false) {
 			c.Log.Info("key-value store reachable again")
 		}
@@ -252,21 +160,6 @@
 	}
 }
 
-// kvHealthyMember counts the reachable nodes, and names one that the key-value store has
-// answered for a while, or none.
-func (ms *membership) kvHealthyMember(now time.Time) (reachable int, healthy string) {
-	for name, mb := range ms.members {
-		if !mb.isReachable(now) {
-			continue
-		}
-		reachable++
-		if mb.KVReachableFor >= kvHealthyAfter {
-			healthy = name
-		}
-	}
-	return reachable, healthy
-}
-
 // resign steps down, then notifies the successor, which may take over at once: from the step
 // down on this node does not act as leader.
 func (c *Controller) resign(successor string) {
@@ -337,8 +230,6 @@
 			st.CancellationsKnownAge = now.Sub(c.leaderTerm.cancellationsKnownAt(now))
 		}
 	}
-	if c.membership.kvReachable && now.Sub(c.membership.kvAnsweredAt) < 2*kvCheckInterval {
-		st.KVReachableFor = max(now.Sub(c.membership.kvStateSince), time.Millisecond)
-	}
+	st.KVReachableFor = c.membership.kvReachableFor(now)
 	m.reply <- st
 }
