--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -101,13 +101,13 @@
 // known here.
 func (lt *leaderTerm) cancellationsKnownAt(now time.Time) time.Time {
 	knownAt := now
-	for _, mb := range lt.c.membership.members {
-		if mb.cancels.CompleteSince().After(lt.cancellationsConfirmedAt) {
+	for _, mb := range lt.c.membership.Members {
+		if mb.CancellationReader.CompleteSince().After(lt.cancellationsConfirmedAt) {
 			// The node was restarted, or partitioned, after the store answered.
 			return lt.cancellationsConfirmedAt
 		}
-		if mb.cancels.KnownUntil().Before(knownAt) {
-			knownAt = mb.cancels.KnownUntil()
+		if mb.CancellationReader.KnownUntil().Before(knownAt) {
+			knownAt = mb.CancellationReader.KnownUntil()
 		}
 	}
 	if lt.cancellationsConfirmedAt.After(knownAt) {
@@ -136,8 +136,8 @@
 	if now.Sub(lt.cancellationsKnownAt(now)) <= lt.c.proofInterval()+startAllowance {
 		return true
 	}
-	for _, mb := range lt.c.membership.members {
-		if mb.isReachable(now) && mb.KVReachableFor == 0 {
+	for _, mb := range lt.c.membership.Members {
+		if mb.IsReachable(now) && mb.KVReachableFor == 0 {
 			return true
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -96,7 +96,7 @@
 	leaderTerm   *leaderTerm
 	leaseRenewer leaseRenewer
 	uplink       relayUplink
-	membership   membership
+	membership   Table
 	// RedirectedAt holds, by machine, when it was last redirected to a leader that this node
 	// cannot reach.
 	redirectedAt map[string]time.Time
@@ -143,7 +143,7 @@
 		stepDowns:     make(chan uint64, electionBacklog),
 		resignations:  make(chan election.Resignation, electionBacklog),
 		uplink:        newRelayUplink(site.Limits),
-		membership:    newMembership(cfg.Settings.Peers, now),
+		membership:    NewTable(cfg.Settings.Peers, now),
 		redirectedAt:  map[string]time.Time{},
 		redirects:     map[string]redirect{},
 		finalStates:   final,
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -69,7 +69,7 @@
 			return
 		}
 		c.Log.Debug("read of term failed", "err", err)
-		sleep(ctx, kvCheckInterval)
+		sleep(ctx, KVCheckInterval)
 	}
 }
 
@@ -80,21 +80,21 @@
 
 // tick starts to replace the leader, on a node that does not lead, once it is suspected.
 func (f *failover) tick(c *Controller, now time.Time) {
-	if f.voter == nil || f.busy || now.Before(f.nextAttempt) || !c.membership.kvReachable {
+	if f.voter == nil || f.busy || now.Before(f.nextAttempt) || !c.membership.KVReachable {
 		return
 	}
-	mb := c.membership.members[c.leader]
-	if mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.failedPings < unreachablePings {
+	mb := c.membership.Members[c.leader]
+	if mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.FailedPings < UnreachablePings {
 		return
 	}
 	var others []string
-	for name := range c.membership.members {
+	for name := range c.membership.Members {
 		if name != c.leader {
 			others = append(others, name)
 		}
 	}
 	f.busy = true
-	c.Log.Info("leader suspected", "leader", c.leader, "term", mb.Term, "count", mb.failedPings)
+	c.Log.Info("leader suspected", "leader", c.leader, "term", mb.Term, "count", mb.FailedPings)
 	go c.collectPromises(c.leader, mb.Term, others)
 }
 
@@ -162,8 +162,8 @@
 // leaderStillSuspected reports whether the leader that the promises are about still leads in the
 // same term, as far as this node knows, and is still unreachable.
 func (m promisesCollectedMsg) leaderStillSuspected(c *Controller) bool {
-	mb := c.membership.members[m.leader]
-	return c.leader == m.leader && c.leaderTerm == nil && mb.failedPings >= unreachablePings && mb.Term == m.term
+	mb := c.membership.Members[m.leader]
+	return c.leader == m.leader && c.leaderTerm == nil && mb.FailedPings >= UnreachablePings && mb.Term == m.term
 }
 
 // leaseRevokedMsg means that all votes for a leader have expired: it cannot act any more in its
@@ -204,8 +204,8 @@
 		m.reply <- noPromise
 		return
 	}
-	for _, mb := range c.membership.members {
-		if mb.Term == m.term && mb.isReachable(now) {
+	for _, mb := range c.membership.Members {
+		if mb.Term == m.term && mb.IsReachable(now) {
 			m.reply <- noPromise
 			return
 		}
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -40,8 +40,8 @@
 	}
 	next := successor{term: c.leaderTerm.term.Number}
 	now, longest := time.Now(), time.Duration(0)
-	for name, mb := range c.membership.members {
-		if mb.isReachable(now) && mb.KVReachableFor > longest {
+	for name, mb := range c.membership.Members {
+		if mb.IsReachable(now) && mb.KVReachableFor > longest {
 			next.node, longest = name, mb.KVReachableFor
 		}
 	}
--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -74,7 +74,7 @@
 	forwarded bool
 	// unreachableLeader is the leader to which this node has failed to forward it, or "".
 	unreachableLeader string
-	// connectionRefused is set if that leader refused the connection.
+	// ConnectionRefused is set if that leader refused the connection.
 	connectionRefused bool
 	receivedAt        time.Time
 }
@@ -115,14 +115,14 @@
 // machine's lease on the leader's behalf.
 func (c *Controller) answerAsFollower(m heartbeatMsg, now time.Time) heartbeatReply {
 	leader := c.currentLeader(now)
-	mb := c.membership.members[leader]
+	mb := c.membership.Members[leader]
 	if c.shouldForward(m, leader, now) {
-		if mb.isReachable(now) {
+		if mb.IsReachable(now) {
 			c.uplink.dropCommands(m.heartbeat.Machine)
 		}
 		return heartbeatReply{forwardTo: leader}
 	}
-	refused := mb.isUnreachable() && (m.connectionRefused || mb.connectionRefused)
+	refused := mb.IsUnreachable() && (m.connectionRefused || mb.ConnectionRefused)
 	if refused && c.mayRetryLeader(m.heartbeat.Machine, now) {
 		// Only the connections between the nodes are refused, or the leader
 		// restarts: the machine may well reach it itself. By now the leader knows,
@@ -130,14 +130,14 @@
 		c.recordRedirect(m.heartbeat.Machine, now)
 		return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 	}
-	if m.unreachableLeader == "" && mb.isReachable(now) && mb.Term > 0 {
-		settled := m.heartbeat.Term == mb.Term && now.Sub(mb.termSeenAt) > c.Settings.Site.Workers.Lease()
+	if m.unreachableLeader == "" && mb.IsReachable(now) && mb.Term > 0 {
+		settled := m.heartbeat.Term == mb.Term && now.Sub(mb.TermSeenAt) > c.Settings.Site.Workers.Lease()
 		if c.redirectedBack(m.heartbeat.Machine, leader, mb.Term, settled, now) {
 			return heartbeatReply{forwardTo: leader}
 		}
 		return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 	}
-	unreachable := m.unreachableLeader == leader || !mb.isReachable(now)
+	unreachable := m.unreachableLeader == leader || !mb.IsReachable(now)
 	if response, ok := c.renewOnBehalf(m.heartbeat, leader, unreachable, now); ok {
 		c.uplink.recordHeartbeat(c, m.heartbeat, &response, now)
 		return heartbeatReply{response: response}
@@ -160,8 +160,8 @@
 		if p.Zone != m.heartbeat.Zone {
 			continue
 		}
-		mb := c.membership.members[p.Node]
-		if mb.isReachable(now) && mb.Leader == c.Settings.Node && mb.KVReachableFor > 0 {
+		mb := c.membership.Members[p.Node]
+		if mb.IsReachable(now) && mb.Leader == c.Settings.Node && mb.KVReachableFor > 0 {
 			mc.RedirectedAt = now
 			return p.Node
 		}
@@ -171,11 +171,11 @@
 
 // shouldForward reports whether a heartbeat is forwarded to the leader.
 func (c *Controller) shouldForward(m heartbeatMsg, leader string, now time.Time) bool {
-	mb := c.membership.members[leader]
-	if mb == nil || m.unreachableLeader != "" || m.heartbeat.Zone != c.Settings.Zone || mb.zone == c.Settings.Zone {
+	mb := c.membership.Members[leader]
+	if mb == nil || m.unreachableLeader != "" || m.heartbeat.Zone != c.Settings.Zone || mb.Zone == c.Settings.Zone {
 		return false
 	}
-	return mb.isReachable(now) || mb.failedPings == 1 || c.mayRetryLeader(m.heartbeat.Machine, now)
+	return mb.IsReachable(now) || mb.FailedPings == 1 || c.mayRetryLeader(m.heartbeat.Machine, now)
 }
 
 // mayRetryLeader reports whether a machine has not been redirected to an unreachable leader for a
--- a/internal/controller/leasevotes.go
+++ b/internal/controller/leasevotes.go
@@ -84,7 +84,7 @@
 		lt.quorumLostAt = now
 		lt.c.Log.Info("lease quorum lost", "term", lt.term.Number)
 	}
-	if now.Sub(lt.quorumLostAt) > 2*lt.c.Standby.VoteLifetime() && lt.c.membership.kvReachable {
+	if now.Sub(lt.quorumLostAt) > 2*lt.c.Standby.VoteLifetime() && lt.c.membership.KVReachable {
 		lt.c.Log.Info("leader steps down without lease quorum", "term", lt.term.Number)
 		lt.stepDown()
 	}
@@ -94,8 +94,8 @@
 // enough of them vote. Processes that began after the term did not vote in it, as they cannot
 // know what earlier ones have promised: if they are too many, the leader begins a new term.
 func (lt *leaderTerm) requireQuorum(now time.Time) {
-	for _, mb := range lt.c.membership.members {
-		if !mb.SupportsLeaseQuorum || !mb.isReachable(now) {
+	for _, mb := range lt.c.membership.Members {
+		if !mb.SupportsLeaseQuorum || !mb.IsReachable(now) {
 			lt.quorumLostAt = time.Time{}
 			return
 		}
@@ -110,7 +110,7 @@
 	}
 	f := &lt.c.failover
 	waited := now.Sub(lt.quorumLostAt) > quorumWait && now.Sub(f.lastNewTerm) > newTermInterval
-	if waited && lt.c.membership.kvReachable {
+	if waited && lt.c.membership.KVReachable {
 		f.lastNewTerm = now
 		lt.c.Log.Info("leader steps down to get votes in a new term", "term", lt.term.Number)
 		lt.stepDown()
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -115,7 +115,7 @@
 	if l.leaderTerm.c.Cells == nil {
 		return false
 	}
-	for _, mb := range l.leaderTerm.c.membership.members {
+	for _, mb := range l.leaderTerm.c.membership.Members {
 		if !mb.SupportsLoans {
 			return false
 		}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -19,10 +19,10 @@
 	if observed == c.Settings.Node {
 		observed = ""
 	}
-	if observed != "" && c.membership.kvReachable {
+	if observed != "" && c.membership.KVReachable {
 		return observed
 	}
-	return cmp.Or(c.membership.highestTermLeader(now), observed)
+	return cmp.Or(c.membership.HighestTermLeader(now), observed)
 }
 
 const (
@@ -42,7 +42,7 @@
 		if c.send(ctx, kvHealthMsg{err == nil}) != nil {
 			return
 		}
-		sleep(ctx, kvCheckInterval)
+		sleep(ctx, KVCheckInterval)
 	}
 }
 
@@ -50,7 +50,7 @@
 type kvHealthMsg struct{ ok bool }
 
 func (m kvHealthMsg) apply(c *Controller) {
-	c.membership.applyKVHealth(m.ok, time.Now())
+	c.membership.ApplyKVHealth(m.ok, time.Now())
 }
 
 // pingLoop pings another node. While that leads and is unreachable, it also verifies the
@@ -80,14 +80,14 @@
 		if err == nil {
 			from = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancellations.LastNumber()}
 		}
-		if failed >= unreachablePings {
+		if failed >= UnreachablePings {
 			c.verifyUnreachableLeader(ctx, node)
 		}
-		sleep(ctx, pingInterval)
+		sleep(ctx, PingInterval)
 	}
 }
 
-// pingResultMsg carries the response to a ping, if failedPings is 0, or its failure.
+// pingResultMsg carries the response to a ping, if FailedPings is 0, or its failure.
 type pingResultMsg struct {
 	node              string
 	status            PeerStatus
@@ -98,15 +98,15 @@
 
 func (m pingResultMsg) apply(c *Controller) {
 	now := time.Now()
-	mb := c.membership.members[m.node]
+	mb := c.membership.Members[m.node]
 	if mb == nil {
 		return
 	}
-	mb.applyPing(m.failedPings, m.connectionRefused)
+	mb.ApplyPing(m.failedPings, m.connectionRefused)
 	if m.failedPings > 0 {
 		return
 	}
-	mb.applyPong(m.status, m.sentAt, now)
+	mb.ApplyPong(m.status, m.sentAt, now)
 	for _, id := range m.status.Cancellations.IDs {
 		c.recordCancellation(id)
 	}
@@ -124,12 +124,12 @@
 // A response carries the leader's own knowledge. Cancellations of earlier terms need not be in
 // any log that has reached this node: the leader only knows which jobs are left, and has
 // communicated that to each machine that is still alive once a lease has passed.
-func (m pingResultMsg) cancellationsKnownAt(c *Controller, leader *member, now time.Time) time.Time {
+func (m pingResultMsg) cancellationsKnownAt(c *Controller, leader *Member, now time.Time) time.Time {
 	w := c.Settings.Site.Workers
 	if m.status.CancellationsKnownAge < 0 {
 		return time.Time{}
 	}
-	if m.status.Term > 1 && now.Sub(leader.termSeenAt) < w.Lease()+2*w.HeartbeatInterval() {
+	if m.status.Term > 1 && now.Sub(leader.TermSeenAt) < w.Lease()+2*w.HeartbeatInterval() {
 		return time.Time{}
 	}
 	return m.sentAt.Add(-m.status.CancellationsKnownAge)
@@ -141,17 +141,17 @@
 	if c.draining {
 		return
 	}
-	ms := &c.membership
-	if !ms.kvLost(now) {
+	t := &c.membership
+	if !t.KVLost(now) {
 		if c.unready.Swap(false) {
 			c.Log.Info("key-value store reachable again")
 		}
 		return
 	}
-	reachable, healthy := ms.kvHealthyMember(now)
+	reachable, healthy := t.KVHealthyMember(now)
 	// Without a reachable node it is unknown whether this is an outage for all; then, too,
 	// other nodes serve users better, if any does.
-	if unready := healthy != "" || (reachable == 0 && len(ms.members) > 0); unready != c.unready.Load() {
+	if unready := healthy != "" || (reachable == 0 && len(t.Members) > 0); unready != c.unready.Load() {
 		c.unready.Store(unready)
 		c.Log.Info("key-value store unreachable", "answersOthers", healthy != "", "nodesReached", reachable)
 	}
@@ -230,6 +230,6 @@
 			st.CancellationsKnownAge = now.Sub(c.leaderTerm.cancellationsKnownAt(now))
 		}
 	}
-	st.KVReachableFor = c.membership.kvReachableFor(now)
+	st.KVReachableFor = c.membership.KVReachableFor(now)
 	m.reply <- st
 }
--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -115,12 +115,12 @@
 		return
 	}
 	now := time.Now()
-	reply := pollReply{kvUnreachable: !c.membership.kvReachable}
+	reply := pollReply{kvUnreachable: !c.membership.KVReachable}
 	if c.leaderTerm == nil {
 		reply.leader = c.currentLeader(now)
 	}
-	for name, mb := range c.membership.members {
-		if name != reply.leader && mb.isReachable(now) && mb.KVReachableFor > 0 {
+	for name, mb := range c.membership.Members {
+		if name != reply.leader && mb.IsReachable(now) && mb.KVReachableFor > 0 {
 			reply.otherNodes = append(reply.otherNodes, name)
 		}
 	}
--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -55,14 +55,14 @@
 		return
 	}
 	dl.nextTick = now.Add(relayInterval / 2)
-	for name, mb := range lt.c.membership.members {
+	for name, mb := range lt.c.membership.Members {
 		node := dl.nodes[name]
 		if node == nil {
 			node = &relayNode{pending: map[string]*relayedCommands{}}
 			dl.nodes[name] = node
 		}
 		node.expirePending(lt, now)
-		if node.storeBusy || !mb.isUnreachable() && len(node.pending) == 0 {
+		if node.storeBusy || !mb.IsUnreachable() && len(node.pending) == 0 {
 			continue
 		}
 		node.storeBusy = true
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -192,8 +192,8 @@
 // write writes new heartbeats and outcomes to the store.
 func (ul *relayUplink) write(c *Controller, now time.Time) {
 	renewer := &c.leaseRenewer
-	leader := c.membership.members[renewer.leader]
-	relaying := leader.isUnreachable() && renewer.termRevision != 0 &&
+	leader := c.membership.Members[renewer.leader]
+	relaying := leader.IsUnreachable() && renewer.termRevision != 0 &&
 		now.Sub(renewer.verifiedAt) < c.renewalPeriod()
 	for _, m := range ul.machines {
 		if m.commands != nil && (now.Sub(m.receivedAt) > relayCommandLifetime || !relaying) {
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -724,11 +724,11 @@
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home := g.cells[0]
 		n := home.leader()
-		n.inspect(func(c *Controller) { c.membership.members["n9"] = &member{} })
+		n.inspect(func(c *Controller) { c.membership.Members["n9"] = &Member{} })
 		g.submitBurst(home, 100, 6, 10*time.Second)
 		time.Sleep(8 * time.Second)
 		home.checkEqual("lent", g.countLent(), 0)
-		n.inspect(func(c *Controller) { c.membership.members["n9"].SupportsLoans = true })
+		n.inspect(func(c *Controller) { c.membership.Members["n9"].SupportsLoans = true })
 		time.Sleep(8 * time.Second)
 		if g.countLent() == 0 {
 			t.Error("nothing was lent once all nodes support loans")
--- a/internal/controller/table.go
+++ b/internal/controller/table.go
@@ -30,49 +30,49 @@
 	QuorumRequired bool
 }
 
-// membership is what a node knows of the other nodes, and whether it reaches the key-value
+// Table is what a node knows of the other nodes, and whether it reaches the key-value
 // store itself.
-type membership struct {
-	members map[string]*member
-	// kvAnsweredAt is when the store last answered, and kvStateSince since when kvReachable
+type Table struct {
+	Members map[string]*Member
+	// kvAnsweredAt is when the store last answered, and kvStateSince since when KVReachable
 	// has had its value.
 	kvAnsweredAt time.Time
-	kvReachable  bool
+	KVReachable  bool
 	kvStateSince time.Time
 }
 
-// member is another node as of its last response.
-type member struct {
+// Member is another node as of its last response.
+type Member struct {
 	PeerStatus
-	zone    string
-	cancels cancellation.Reader
-	// termSeenAt is when a response first named its present term.
-	termSeenAt time.Time
+	Zone               string
+	CancellationReader cancellation.Reader
+	// TermSeenAt is when a response first named its present term.
+	TermSeenAt time.Time
 	// lastPong is when the last ping that was answered was sent.
 	lastPong time.Time
-	// failedPings is the number of pings in a row that were not answered.
-	failedPings int
-	// connectionRefused is set if it refuses connections from here.
-	connectionRefused bool
+	// FailedPings is the number of pings in a row that were not answered.
+	FailedPings int
+	// ConnectionRefused is set if it refuses connections from here.
+	ConnectionRefused bool
 }
 
-// newMembership makes the table of the other nodes, none of which has answered yet.
-func newMembership(peers []config.Peer, now time.Time) membership {
-	ms := membership{members: map[string]*member{}, kvStateSince: now}
+// NewTable makes the table of the other nodes, none of which has answered yet.
+func NewTable(peers []config.Peer, now time.Time) Table {
+	t := Table{Members: map[string]*Member{}, kvStateSince: now}
 	for _, p := range peers {
-		ms.members[p.Node] = &member{zone: p.Zone}
+		t.Members[p.Node] = &Member{Zone: p.Zone}
 	}
-	return ms
+	return t
 }
 
 const (
-	// pingInterval is the time between two pings of a node.
-	pingInterval = time.Second
-	// unreachablePings is how many pings in a row must fail before a node counts as
+	// PingInterval is the time between two pings of a node.
+	PingInterval = time.Second
+	// UnreachablePings is how many pings in a row must fail before a node counts as
 	// unreachable.
-	unreachablePings = 2
-	// kvCheckInterval is the time between two health checks of the key-value store.
-	kvCheckInterval = 1500 * time.Millisecond
+	UnreachablePings = 2
+	// KVCheckInterval is the time between two health checks of the key-value store.
+	KVCheckInterval = 1500 * time.Millisecond
 	// A node counts as partitioned from the store once that has not answered it for
 	// kvUnreachableAfter, but has answered another node for kvHealthyAfter: both that long, so
 	// that neither the beginning nor the end of an outage is taken for a partition.
@@ -80,46 +80,46 @@
 	kvHealthyAfter     = 8 * time.Second
 )
 
-// isReachable reports whether the node has answered just now.
-func (mb *member) isReachable(now time.Time) bool {
-	return mb != nil && mb.failedPings == 0 && now.Sub(mb.lastPong) < 3*pingInterval
+// IsReachable reports whether the node has answered just now.
+func (mb *Member) IsReachable(now time.Time) bool {
+	return mb != nil && mb.FailedPings == 0 && now.Sub(mb.lastPong) < 3*PingInterval
 }
 
-// isUnreachable reports whether the node has not answered for a while.
-func (mb *member) isUnreachable() bool { return mb != nil && mb.failedPings > unreachablePings }
+// IsUnreachable reports whether the node has not answered for a while.
+func (mb *Member) IsUnreachable() bool { return mb != nil && mb.FailedPings > UnreachablePings }
 
-// applyPing applies whether a ping was answered, with how many have failed in a row.
-func (mb *member) applyPing(failedPings int, connectionRefused bool) {
-	mb.failedPings, mb.connectionRefused = failedPings, connectionRefused
+// ApplyPing applies whether a ping was answered, with how many have failed in a row.
+func (mb *Member) ApplyPing(failedPings int, connectionRefused bool) {
+	mb.FailedPings, mb.ConnectionRefused = failedPings, connectionRefused
 }
 
-// applyPong applies the response to a ping that was sent at sentAt. Of the cancellations only
+// ApplyPong applies the response to a ping that was sent at sentAt. Of the cancellations only
 // the position is kept.
-func (mb *member) applyPong(status PeerStatus, sentAt, now time.Time) {
+func (mb *Member) ApplyPong(status PeerStatus, sentAt, now time.Time) {
 	if status.Term != mb.Term {
-		mb.termSeenAt = now
+		mb.TermSeenAt = now
 	}
-	mb.cancels.Apply(status.Incarnation, &status.Cancellations, sentAt, now)
+	mb.CancellationReader.Apply(status.Incarnation, &status.Cancellations, sentAt, now)
 	status.Cancellations = cancellation.Delta{}
 	mb.PeerStatus, mb.lastPong = status, sentAt
 }
 
-// highestTermLeader returns the reachable node that leads in the highest term, or "".
-func (ms *membership) highestTermLeader(now time.Time) string {
+// HighestTermLeader returns the reachable node that leads in the highest term, or "".
+func (t *Table) HighestTermLeader(now time.Time) string {
 	leader, term := "", uint64(0)
-	for name, mb := range ms.members {
-		if mb.isReachable(now) && mb.Term > term {
+	for name, mb := range t.Members {
+		if mb.IsReachable(now) && mb.Term > term {
 			leader, term = name, mb.Term
 		}
 	}
 	return leader
 }
 
-// kvHealthyMember counts the reachable nodes, and names one that the key-value store has
+// KVHealthyMember counts the reachable nodes, and names one that the key-value store has
 // answered for a while, or none.
-func (ms *membership) kvHealthyMember(now time.Time) (reachable int, healthy string) {
-	for name, mb := range ms.members {
-		if !mb.isReachable(now) {
+func (t *Table) KVHealthyMember(now time.Time) (reachable int, healthy string) {
+	for name, mb := range t.Members {
+		if !mb.IsReachable(now) {
 			continue
 		}
 		reachable++
@@ -130,26 +130,26 @@
 	return reachable, healthy
 }
 
-// applyKVHealth applies whether the key-value store has answered a health check.
-func (ms *membership) applyKVHealth(ok bool, now time.Time) {
+// ApplyKVHealth applies whether the key-value store has answered a health check.
+func (t *Table) ApplyKVHealth(ok bool, now time.Time) {
 	if ok {
-		ms.kvAnsweredAt = now
+		t.kvAnsweredAt = now
 	}
-	if ok != ms.kvReachable {
-		ms.kvReachable, ms.kvStateSince = ok, now
+	if ok != t.KVReachable {
+		t.KVReachable, t.kvStateSince = ok, now
 	}
 }
 
-// kvLost reports whether the key-value store has not answered this node for a while.
-func (ms *membership) kvLost(now time.Time) bool {
-	return !ms.kvReachable && now.Sub(ms.kvStateSince) >= kvUnreachableAfter
+// KVLost reports whether the key-value store has not answered this node for a while.
+func (t *Table) KVLost(now time.Time) bool {
+	return !t.KVReachable && now.Sub(t.kvStateSince) >= kvUnreachableAfter
 }
 
-// kvReachableFor is for how long the key-value store has answered this node; 0: it does not, or
+// KVReachableFor is for how long the key-value store has answered this node; 0: it does not, or
 // the last answer is old.
-func (ms *membership) kvReachableFor(now time.Time) time.Duration {
-	if !ms.kvReachable || now.Sub(ms.kvAnsweredAt) >= 2*kvCheckInterval {
+func (t *Table) KVReachableFor(now time.Time) time.Duration {
+	if !t.KVReachable || now.Sub(t.kvAnsweredAt) >= 2*KVCheckInterval {
 		return 0
 	}
-	return max(now.Sub(ms.kvStateSince), time.Millisecond)
+	return max(now.Sub(t.kvStateSince), time.Millisecond)
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -334,7 +334,7 @@
 	pending   map[uint64]chan *Response
 	isDialing bool
 	downUntil time.Time
-	// connectionRefused is set if the last dial was refused, rather than timed out.
+	// ConnectionRefused is set if the last dial was refused, rather than timed out.
 	connectionRefused bool
 	// lastResponse is when the peer last responded to any request.
 	lastResponse time.Time
