--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -22,6 +22,7 @@
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
 	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/membership"
 	"example.org/ivytrestle/internal/policy"
 	"example.org/ivytrestle/internal/records"
 	"example.org/ivytrestle/internal/standby"
@@ -37,7 +38,7 @@
 	Job(ctx context.Context, node, id string) (api.JobState, error)
 	// Ping returns the node's state, with the part of its cancellation log that follows a
 	// position.
-	Ping(ctx context.Context, node string, from cancellation.Position) (PeerStatus, error)
+	Ping(ctx context.Context, node string, from cancellation.Position) (membership.PeerStatus, error)
 	// ForwardHeartbeat passes a machine's heartbeat on to the leader. NotLeaderError means
 	// that the node does not lead, ErrConnectionRefused that it refuses connections.
 	ForwardHeartbeat(ctx context.Context, node string, hb *api.Heartbeat) (api.HeartbeatResponse, error)
@@ -96,7 +97,7 @@
 	leaderTerm   *leaderTerm
 	leaseRenewer leaseRenewer
 	uplink       relayUplink
-	membership   Table
+	membership   membership.Table
 	// RedirectedAt holds, by machine, when it was last redirected to a leader that this node
 	// cannot reach.
 	redirectedAt map[string]time.Time
@@ -143,7 +144,7 @@
 		stepDowns:     make(chan uint64, electionBacklog),
 		resignations:  make(chan election.Resignation, electionBacklog),
 		uplink:        newRelayUplink(site.Limits),
-		membership:    NewTable(cfg.Settings.Peers, now),
+		membership:    membership.NewTable(cfg.Settings.Peers, now),
 		redirectedAt:  map[string]time.Time{},
 		redirects:     map[string]redirect{},
 		finalStates:   final,
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -9,6 +9,7 @@
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/election"
 	"example.org/ivytrestle/internal/leasequorum"
+	"example.org/ivytrestle/internal/membership"
 )
 
 // failover is a node's part in replacing a leader before its lease at the key-value store
@@ -69,7 +70,7 @@
 			return
 		}
 		c.Log.Debug("read of term failed", "err", err)
-		sleep(ctx, KVCheckInterval)
+		sleep(ctx, membership.KVCheckInterval)
 	}
 }
 
@@ -84,7 +85,7 @@
 		return
 	}
 	mb := c.membership.Members[c.leader]
-	if mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.FailedPings < UnreachablePings {
+	if mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.FailedPings < membership.UnreachablePings {
 		return
 	}
 	var others []string
@@ -163,7 +164,8 @@
 // same term, as far as this node knows, and is still unreachable.
 func (m promisesCollectedMsg) leaderStillSuspected(c *Controller) bool {
 	mb := c.membership.Members[m.leader]
-	return c.leader == m.leader && c.leaderTerm == nil && mb.FailedPings >= UnreachablePings && mb.Term == m.term
+	return c.leader == m.leader && c.leaderTerm == nil &&
+		mb.FailedPings >= membership.UnreachablePings && mb.Term == m.term
 }
 
 // leaseRevokedMsg means that all votes for a leader have expired: it cannot act any more in its
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -12,6 +12,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cancellation"
+	"example.org/ivytrestle/internal/membership"
 	"example.org/ivytrestle/internal/standby"
 )
 
@@ -60,10 +61,10 @@
 	return n.PeerJob(ctx, id)
 }
 
-func (e meshEnd) Ping(ctx context.Context, name string, from cancellation.Position) (PeerStatus, error) {
+func (e meshEnd) Ping(ctx context.Context, name string, from cancellation.Position) (membership.PeerStatus, error) {
 	n, err := e.to(name)
 	if err != nil {
-		return PeerStatus{}, err
+		return membership.PeerStatus{}, err
 	}
 	return n.PeerStatus(ctx, from)
 }
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -9,6 +9,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cancellation"
+	"example.org/ivytrestle/internal/membership"
 )
 
 // links connects nodes as peers; all links can be cut at once.
@@ -24,7 +25,7 @@
 // linked is a node as its peers reach it.
 type linked interface {
 	PeerJob(ctx context.Context, id string) (api.JobState, error)
-	PeerStatus(ctx context.Context, from cancellation.Position) (PeerStatus, error)
+	PeerStatus(ctx context.Context, from cancellation.Position) (membership.PeerStatus, error)
 	ForwardedHeartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error)
 	LeaderResigned(ctx context.Context, node string, term uint64) error
 }
@@ -46,13 +47,13 @@
 	return n.PeerJob(ctx, id)
 }
 
-func (l *links) Ping(ctx context.Context, name string, from cancellation.Position) (PeerStatus, error) {
+func (l *links) Ping(ctx context.Context, name string, from cancellation.Position) (membership.PeerStatus, error) {
 	n, err := l.to(name)
 	if err != nil {
 		if l.refuseConnections.Load() {
 			err = ErrConnectionRefused
 		}
-		return PeerStatus{}, err
+		return membership.PeerStatus{}, err
 	}
 	return n.PeerStatus(ctx, from)
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -9,6 +9,7 @@
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cancellation"
 	"example.org/ivytrestle/internal/election"
+	"example.org/ivytrestle/internal/membership"
 )
 
 // currentLeader returns the node that leads, as far as this node knows, or "". Without the
@@ -42,7 +43,7 @@
 		if c.send(ctx, kvHealthMsg{err == nil}) != nil {
 			return
 		}
-		sleep(ctx, KVCheckInterval)
+		sleep(ctx, membership.KVCheckInterval)
 	}
 }
 
@@ -80,17 +81,17 @@
 		if err == nil {
 			from = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancellations.LastNumber()}
 		}
-		if failed >= UnreachablePings {
+		if failed >= membership.UnreachablePings {
 			c.verifyUnreachableLeader(ctx, node)
 		}
-		sleep(ctx, PingInterval)
+		sleep(ctx, membership.PingInterval)
 	}
 }
 
 // pingResultMsg carries the response to a ping, if FailedPings is 0, or its failure.
 type pingResultMsg struct {
 	node              string
-	status            PeerStatus
+	status            membership.PeerStatus
 	sentAt            time.Time
 	failedPings       int
 	connectionRefused bool
@@ -124,7 +125,7 @@
 // A response carries the leader's own knowledge. Cancellations of earlier terms need not be in
 // any log that has reached this node: the leader only knows which jobs are left, and has
 // communicated that to each machine that is still alive once a lease has passed.
-func (m pingResultMsg) cancellationsKnownAt(c *Controller, leader *Member, now time.Time) time.Time {
+func (m pingResultMsg) cancellationsKnownAt(c *Controller, leader *membership.Member, now time.Time) time.Time {
 	w := c.Settings.Site.Workers
 	if m.status.CancellationsKnownAge < 0 {
 		return time.Time{}
@@ -200,20 +201,20 @@
 }
 
 // PeerStatus responds to another node's ping.
-func (c *Controller) PeerStatus(ctx context.Context, from cancellation.Position) (PeerStatus, error) {
-	m := pingMsg{from, make(chan PeerStatus, 1)}
+func (c *Controller) PeerStatus(ctx context.Context, from cancellation.Position) (membership.PeerStatus, error) {
+	m := pingMsg{from, make(chan membership.PeerStatus, 1)}
 	return request(ctx, c, m, m.reply)
 }
 
 // pingMsg requests this node's status, with its cancellation log from a position on.
 type pingMsg struct {
 	from  cancellation.Position
-	reply chan PeerStatus
+	reply chan membership.PeerStatus
 }
 
 func (m pingMsg) apply(c *Controller) {
 	now := time.Now()
-	st := PeerStatus{
+	st := membership.PeerStatus{
 		Leader:                c.leader,
 		Incarnation:           c.uplink.incarnation,
 		CancellationsKnownAge: -1,
--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -16,6 +16,7 @@
 	"example.org/ivytrestle/internal/cancellation"
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/membership"
 	"example.org/ivytrestle/internal/peer"
 	"example.org/ivytrestle/internal/relay"
 )
@@ -297,10 +298,10 @@
 }
 
 // PeerStatus implements linked.
-func (o *oldNode) PeerStatus(_ context.Context, from cancellation.Position) (PeerStatus, error) {
+func (o *oldNode) PeerStatus(_ context.Context, from cancellation.Position) (membership.PeerStatus, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	st := PeerStatus{Leader: o.leader, Incarnation: o.incarnation, CancellationsKnownAge: -1}
+	st := membership.PeerStatus{Leader: o.leader, Incarnation: o.incarnation, CancellationsKnownAge: -1}
 	if !o.kvReachableSince.IsZero() {
 		st.KVReachableFor = max(time.Since(o.kvReachableSince), time.Millisecond)
 	}
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -14,6 +14,7 @@
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/loan"
+	"example.org/ivytrestle/internal/membership"
 	"example.org/ivytrestle/internal/records"
 )
 
@@ -724,7 +725,7 @@
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home := g.cells[0]
 		n := home.leader()
-		n.inspect(func(c *Controller) { c.membership.Members["n9"] = &Member{} })
+		n.inspect(func(c *Controller) { c.membership.Members["n9"] = &membership.Member{} })
 		g.submitBurst(home, 100, 6, 10*time.Second)
 		time.Sleep(8 * time.Second)
 		home.checkEqual("lent", g.countLent(), 0)
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -11,6 +11,7 @@
 	"example.org/ivytrestle/internal/cancellation"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/controller"
+	"example.org/ivytrestle/internal/membership"
 	"example.org/ivytrestle/internal/peer"
 )
 
@@ -145,19 +146,19 @@
 }
 
 // Ping implements controller.PeerClient.
-func (p peers) Ping(ctx context.Context, node string, from cancellation.Position) (controller.PeerStatus, error) {
+func (p peers) Ping(ctx context.Context, node string, from cancellation.Position) (membership.PeerStatus, error) {
 	cl := p[node]
 	if cl == nil {
-		return controller.PeerStatus{}, api.ErrUnavailable
+		return membership.PeerStatus{}, api.ErrUnavailable
 	}
 	st, err := cl.Ping(ctx, &peer.Ping{Incarnation: from.Incarnation, CancelNumber: from.Number})
 	if errors.Is(err, peer.ErrConnectionRefused) {
 		err = controller.ErrConnectionRefused
 	}
 	if err != nil {
-		return controller.PeerStatus{}, err
+		return membership.PeerStatus{}, err
 	}
-	out := controller.PeerStatus{
+	out := membership.PeerStatus{
 		Term:                  st.Term,
 		Leader:                st.Leader,
 		KVReachableFor:        time.Duration(st.StoreOkMs) * time.Millisecond,
--- a/internal/controller/table.go
+++ b/internal/membership/membership.go
@@ -1,4 +1,7 @@
-package controller
+// Package membership holds what a controller knows of the other controllers, by their responses to
+// its pings, and whether the key-value store answers it. It does no I/O and has no clock: the
+// owner pings, and applies the results with their times.
+package membership
 
 import (
 	"time"
--- /dev/null
+++ b/internal/membership/membership_test.go
@@ -0,0 +1,136 @@
+package membership
+
+import (
+	"testing"
+	"time"
+
+	"example.org/ivytrestle/internal/config"
+)
+
+var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+
+func newTestTable(names ...string) Table {
+	peers := make([]config.Peer, 0, len(names))
+	for _, name := range names {
+		peers = append(peers, config.Peer{Node: name})
+	}
+	return NewTable(peers, start)
+}
+
+// A node counts as reachable only by a recent answer, and as unreachable only after several failed
+// pings: in between, neither is acted on.
+func TestReachabilityOfMember(t *testing.T) {
+	tests := []struct {
+		name        string
+		failedPings int
+		sinceLast   time.Duration
+		reachable   bool
+		unreachable bool
+	}{
+		{"answered just now", 0, PingInterval, true, false},
+		{"answered long ago", 0, 3 * PingInterval, false, false},
+		{"one ping failed", 1, PingInterval, false, false},
+		{"pings failed up to the limit", UnreachablePings, PingInterval, false, false},
+		{"pings failed beyond the limit", UnreachablePings + 1, PingInterval, false, true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			var m Member
+			m.ApplyPong(PeerStatus{}, start, start)
+			m.ApplyPing(test.failedPings, false)
+			if got := m.IsReachable(start.Add(test.sinceLast)); got != test.reachable {
+				t.Errorf("reachable: got %t, want %t", got, test.reachable)
+			}
+			if got := m.IsUnreachable(); got != test.unreachable {
+				t.Errorf("unreachable: got %t, want %t", got, test.unreachable)
+			}
+		})
+	}
+	var none *Member
+	if none.IsReachable(start) || none.IsUnreachable() {
+		t.Error("a node that is not known counts as reachable or unreachable, want neither")
+	}
+}
+
+// A leader of an earlier term may still answer pings: the highest term counts.
+func TestHighestTermLeaderIgnoresUnreachableNodes(t *testing.T) {
+	table := newTestTable("n1", "n2", "n3")
+	for name, term := range map[string]uint64{"n1": 4, "n2": 5, "n3": 6} {
+		table.Members[name].ApplyPong(PeerStatus{Term: term}, start, start)
+	}
+	table.Members["n3"].ApplyPing(1, false)
+	if got := table.HighestTermLeader(start); got != "n2" {
+		t.Errorf("got %q, want n2", got)
+	}
+	if got := table.HighestTermLeader(start.Add(time.Minute)); got != "" {
+		t.Errorf("without recent answers: got %q, want none", got)
+	}
+}
+
+// Neither the beginning nor the end of an outage of the store may look like a partition of one
+// node from it.
+func TestKVLostOnlyAfterAWhile(t *testing.T) {
+	table := newTestTable("n1")
+	table.ApplyKVHealth(true, start)
+	failed := start.Add(KVCheckInterval)
+	table.ApplyKVHealth(false, failed)
+	table.ApplyKVHealth(false, failed.Add(KVCheckInterval)) // changes nothing
+	if table.KVLost(failed.Add(kvUnreachableAfter - 1)) {
+		t.Error("lost before kvUnreachableAfter")
+	}
+	if !table.KVLost(failed.Add(kvUnreachableAfter)) {
+		t.Error("not lost after kvUnreachableAfter")
+	}
+	table.ApplyKVHealth(true, failed.Add(kvUnreachableAfter))
+	if table.KVLost(failed.Add(time.Hour)) {
+		t.Error("lost although it has answered again")
+	}
+}
+
+// A node tells the others for how long the store has answered it; an old answer does not count.
+func TestKVReachableFor(t *testing.T) {
+	table := newTestTable()
+	if got := table.KVReachableFor(start); got != 0 {
+		t.Errorf("before any answer: got %v, want 0", got)
+	}
+	table.ApplyKVHealth(true, start)
+	if got := table.KVReachableFor(start); got != time.Millisecond {
+		t.Errorf("at the first answer: got %v, want %v", got, time.Millisecond)
+	}
+	last := start.Add(KVCheckInterval)
+	table.ApplyKVHealth(true, last)
+	if got := table.KVReachableFor(last); got != KVCheckInterval {
+		t.Errorf("at the second answer: got %v, want %v", got, KVCheckInterval)
+	}
+	if got := table.KVReachableFor(last.Add(2 * KVCheckInterval)); got != 0 {
+		t.Errorf("long after the last answer: got %v, want 0", got)
+	}
+}
+
+// Only a node that the store has answered for a while may take over from one that it does not.
+func TestKVHealthyMember(t *testing.T) {
+	table := newTestTable("n1", "n2", "n3")
+	table.Members["n1"].ApplyPong(PeerStatus{KVReachableFor: kvHealthyAfter - 1}, start, start)
+	if reachable, healthy := table.KVHealthyMember(start); reachable != 1 || healthy != "" {
+		t.Errorf("got %d reachable and %q healthy, want 1 and none", reachable, healthy)
+	}
+	table.Members["n2"].ApplyPong(PeerStatus{KVReachableFor: kvHealthyAfter}, start, start)
+	if reachable, healthy := table.KVHealthyMember(start); reachable != 2 || healthy != "n2" {
+		t.Errorf("got %d reachable and %q healthy, want 2 and n2", reachable, healthy)
+	}
+}
+
+// termSeenAt bounds what a follower may conclude of a leader's knowledge: it changes with the term
+// only.
+func TestTermSeenAtChangesWithTerm(t *testing.T) {
+	var m Member
+	m.ApplyPong(PeerStatus{Term: 3}, start, start)
+	m.ApplyPong(PeerStatus{Term: 3}, start.Add(time.Second), start.Add(time.Second))
+	if !m.TermSeenAt.Equal(start) {
+		t.Errorf("same term: got %v, want %v", m.TermSeenAt, start)
+	}
+	m.ApplyPong(PeerStatus{Term: 4}, start.Add(time.Minute), start.Add(time.Minute))
+	if want := start.Add(time.Minute); !m.TermSeenAt.Equal(want) {
+		t.Errorf("next term: got %v, want %v", m.TermSeenAt, want)
+	}
+}
