--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -311,7 +311,7 @@
 
 func (m endsLookedUpMsg) apply(c *Controller) {
 	dg := &m.leaderTerm.dependencies
-	if c.leaderTerm != m.leaderTerm {
+	if m.leaderTerm.hasEnded() {
 		return
 	}
 	dg.lookingUp = false
@@ -354,7 +354,7 @@
 }
 
 func (m lookupRetryMsg) apply(c *Controller) {
-	if c.leaderTerm != m.leaderTerm {
+	if m.leaderTerm.hasEnded() {
 		return
 	}
 	dg := &m.leaderTerm.dependencies
--- a/internal/controller/dependencylists.go
+++ b/internal/controller/dependencylists.go
@@ -64,7 +64,7 @@
 }
 
 func (m dependencyListReadMsg) apply(c *Controller) {
-	if c.leaderTerm != m.leaderTerm {
+	if m.leaderTerm.hasEnded() {
 		return
 	}
 	dl := &m.leaderTerm.dependencyLists
@@ -140,7 +140,7 @@
 }
 
 func (m leftoverListMsg) apply(c *Controller) {
-	if c.leaderTerm != m.leaderTerm {
+	if m.leaderTerm.hasEnded() {
 		return
 	}
 	j := m.leaderTerm.jobs[m.id]
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -214,7 +214,7 @@
 
 func (m loanWrittenMsg) apply(c *Controller) {
 	lt := m.leaderTerm
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	l := &lt.loans
@@ -298,7 +298,7 @@
 
 func (m loanReadMsg) apply(c *Controller) {
 	lt := m.leaderTerm
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	l := &lt.loans
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -218,7 +218,7 @@
 }
 
 func (m loanResponseMsg) apply(c *Controller) {
-	if c.leaderTerm != m.leaderTerm {
+	if m.leaderTerm.hasEnded() {
 		return
 	}
 	l, n, now := &m.leaderTerm.loans, m.neighbour, time.Now()
--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -141,7 +141,7 @@
 
 func (m uplinkReadMsg) apply(c *Controller) {
 	lt := m.leaderTerm
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	node := lt.downlink.nodes[m.node]
@@ -317,7 +317,7 @@
 }
 
 func (m downlinkWrittenMsg) apply(c *Controller) {
-	if c.leaderTerm != m.leaderTerm {
+	if m.leaderTerm.hasEnded() {
 		return
 	}
 	node := m.leaderTerm.downlink.nodes[m.node]
