--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -15,14 +15,15 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// extendedBy has a node publish machines, and tells which of them a leader takes to have
-// extended leases.
-func extendedBy(w *simulatedCluster, l limits, hosts []string) (kept int) {
+// countRenewed has a follower publish the machines whose task leases it renews on behalf of the
+// leader, and counts those that the leader then reads as renewed.
+func countRenewed(w *simulatedCluster, l limits, machines []string) (renewed int) {
+	w.t.Helper()
 	w.state = l.settings()
 	w.enforce(l)
 	a := w.start("n0")
 	a.inspect(func(c *Controller) {
-		for _, name := range hosts {
+		for _, name := range machines {
 			c.leaderTerm.addMachine(name, "small", "a", false, time.Now())
 		}
 	})
@@ -30,9 +31,13 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	b := New(Config{Settings: &config.Settings{Node: "n1", Peers: []config.Peer{{Node: "n0"}, {Node: "n2"}}, Site: config.SiteInfo{State: w.state}},
-		Store: w.store, Log: a.Log})
-	b.publishRenewals(context.Background(), hosts, 1, e.ModRevision)
+	settings := &config.Settings{
+		Node:  "n1",
+		Peers: []config.Peer{{Node: "n0"}, {Node: "n2"}},
+		Site:  config.SiteInfo{State: w.state},
+	}
+	b := New(Config{Settings: settings, Store: w.store, Log: a.Log})
+	b.publishRenewals(context.Background(), machines, 1, e.ModRevision)
 	a.inspect(func(c *Controller) {
 		c.leaderTerm.renewalsReadAt = time.Time{}
 		c.leaderTerm.readRenewals(time.Now())
@@ -41,60 +46,99 @@
 	a.inspect(func(c *Controller) {
 		for _, m := range c.leaderTerm.machines {
 			if m.LeaseRenewedUntil.After(time.Now()) {
-				kept++
+				renewed++
 			}
 		}
 	})
-	return kept
+	return renewed
 }
 
-// A list of extended leases that does not fit one record goes on in further ones,
-// which leaders of any version read; no more are written than they read.
-func TestLeaseExtensionsFitRecords(t *testing.T) {
-	names := func(n int) (hosts []string) {
-		for i := range n {
-			hosts = append(hosts, fmt.Sprintf("i-%06d", i))
-		}
-		return hosts
+// machineNames are names of machines, numbered from 0.
+func machineNames(count int) []string {
+	names := make([]string, count)
+	for i := range names {
+		names[i] = fmt.Sprintf("i-%06d", i)
 	}
-	for _, l := range small {
+	return names
+}
+
+// A list of renewed task leases that does not fit one record is continued in further ones, which
+// leaders of any version read; no more are written than they read.
+func TestLeaseRenewalsFitRecords(t *testing.T) {
+	for _, l := range limitSweep {
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				w.checkEqual("extended", extendedBy(w, l, names(300)), 300)
+				w.checkEqual("renewed", countRenewed(w, l, machineNames(300)), 300)
 				w.checkNothingTooLarge()
 			})
 		})
 	}
 	simulate(t, func(w *simulatedCluster) {
-		// One too long for any record does not hold up the others.
-		w.checkEqual("extended", extendedBy(w, limits{3, 1, 8}, append(names(40), strings.Repeat("i", 1100))), 40)
+		// A name too long for any record does not keep the others from being renewed.
+		names := append(machineNames(40), strings.Repeat("i", 1100))
+		w.checkEqual("renewed", countRenewed(w, limits{3, 1, 8}, names), 40)
 		w.checkNothingTooLarge()
 	})
 	simulate(t, func(w *simulatedCluster) {
-		w.checkEqual("extended of a large fleet", extendedBy(w, limits{3, 1, 8}, names(5000)), 5000)
+		w.checkEqual("renewed in a large fleet", countRenewed(w, limits{3, 1, 8}, machineNames(5000)), 5000)
 		if n := len(w.keysUnder(records.LeaseRenewalPrefix)); 3*n > maxRenewalRecords || n < 5000/100 {
-			w.t.Errorf("%d records of one node of three", n)
+			w.t.Errorf("records of one node of three: got %d, want %d to %d", n, 5000/100, maxRenewalRecords/3)
 		}
 		w.checkNothingTooLarge()
 	})
 	simulate(t, func(w *simulatedCluster) {
-		// The service turns out smaller than the settings say.
+		// The limits of the key-value store are smaller than the settings say.
 		w.state = limits{12, 8, 25}.settings()
 		a := w.start("n0")
 		w.enforce(limits{12, 1, 25})
-		e, _ := w.store.Get(context.Background(), election.TermKey)
-		a.publishRenewals(context.Background(), names(200), 1, e.ModRevision)
-		w.checkEqual("records", len(w.keysUnder(records.LeaseRenewalPrefix)) > 2, true)
+		e, err := w.store.Get(context.Background(), election.TermKey)
+		if err != nil {
+			w.t.Fatal(err)
+		}
+		a.publishRenewals(context.Background(), machineNames(200), 1, e.ModRevision)
+		w.checkEqual("more than two records", len(w.keysUnder(records.LeaseRenewalPrefix)) > 2, true)
 		if n := len(w.store.RejectedAsTooLarge()); n == 0 || n > 3 {
-			w.t.Errorf("refused %d times", n)
+			w.t.Errorf("rejected for size: got %d times, want 1 to 3", n)
 		}
 	})
 }
 
-// What is relayed through the store while zones are apart keeps to the limits,
-// and work goes on beyond the cut also with the smallest.
-func TestSmallLimitsBeyondTheCut(t *testing.T) {
-	for _, l := range append([]limits{{2, 1, 8}, {3, 1, 2}}, small...) {
+// heartbeatBothSides has the machine of each zone send a heartbeat to the node of its zone, once a
+// second.
+func heartbeatBothSides(a, b *node, near, far *worker, seconds int) {
+	for range seconds {
+		near.heartbeat(a)
+		far.heartbeat(b)
+		time.Sleep(time.Second)
+	}
+}
+
+// runBothSides sends heartbeats for rounds of some seconds, and completes all running tasks at the
+// end of each round. It returns how many it completed on the far side.
+func runBothSides(a, b *node, near, far *worker, rounds, seconds int) (ranFar int) {
+	for range rounds {
+		heartbeatBothSides(a, b, near, far, seconds)
+		ranFar += len(far.running())
+		far.exit(api.CauseDone)
+		near.exit(api.CauseDone)
+	}
+	return ranFar
+}
+
+// relayUplinkEvents counts the changes of the records that n1 relays to the leader.
+func (w *simulatedCluster) relayUplinkEvents() int {
+	w.t.Helper()
+	changes, err := w.store.Watch(context.Background(), records.RelayPrefix+"n1/up/", 0, time.Second)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	return len(changes.Events)
+}
+
+// What is relayed through the key-value store while zones are partitioned keeps to the limits, and
+// work goes on beyond the partition with the smallest ones as well.
+func TestRelayKeepsToSmallLimits(t *testing.T) {
+	for _, l := range append([]limits{{2, 1, 8}, {3, 1, 2}}, limitSweep...) {
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
@@ -104,42 +148,26 @@
 				s := spec("job-1", 400)
 				s.CPUs, s.MemoryGB = 0.02, 0.02
 				w.submit(a, s)
-				ran, began := 0, time.Now()
-				ch, err := w.store.Watch(context.Background(), records.RelayPrefix+"n1/up/", 0, time.Second)
-				if err != nil {
-					w.t.Fatal(err)
-				}
-				before := len(ch.Events)
-				for range 10 {
-					for range 8 {
-						near.heartbeat(a)
-						far.heartbeat(b)
-						time.Sleep(time.Second)
-					}
-					ran += len(far.running())
-					far.exit(api.CauseDone)
-					near.exit(api.CauseDone)
-				}
-				for range 12 {
-					near.heartbeat(a)
-					far.heartbeat(b)
-					time.Sleep(time.Second)
-				}
-				ch, err = w.store.Watch(context.Background(), records.RelayPrefix+"n1/up/", 0, time.Second)
-				if rate := float64(len(ch.Events)-before) / time.Since(began).Seconds(); err != nil || rate > l.writes*kv.RecordShare {
-					w.t.Errorf("%v changes a second for relayed reports, %v", rate, err)
+				start := time.Now()
+				eventsBefore := w.relayUplinkEvents()
+				ranFar := runBothSides(a, b, near, far, 10, 8)
+				heartbeatBothSides(a, b, near, far, 12)
+				events := w.relayUplinkEvents() - eventsBefore
+				rate := float64(events) / time.Since(start).Seconds()
+				if maxRate := l.writes * kv.RecordShare; rate > maxRate {
+					w.t.Errorf("changes a second of relayed heartbeats: got %v, want at most %v", rate, maxRate)
 				}
 				w.checkEqual("phase", w.phase(a, "job-1"), "done")
-				w.checkEqual("ran beyond the cut", ran > 100, true)
+				w.checkEqual("more than 100 tasks ran beyond the partition", ranFar > 100, true)
 				w.checkNothingTooLarge()
 			})
 		})
 	}
 }
 
-// What is relayed and refused for its size comes again in smaller parts: work goes
-// on beyond the cut although the service is smaller than the settings say.
-func TestRelayRefusedForSize(t *testing.T) {
+// What is relayed and rejected for its size is sent again in smaller parts: work goes on beyond the
+// partition although the limits of the key-value store are smaller than the settings say.
+func TestRelayRejectedForSizeIsSplit(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
 		w.state = limits{20, 16, 100}.settings()
@@ -149,32 +177,19 @@
 		s.CPUs, s.MemoryGB = 0.01, 0.01
 		s.Image = strings.Repeat("image", 20)
 		w.submit(a, s)
-		ran := 0
-		for range 10 {
-			for range 12 {
-				near.heartbeat(a)
-				far.heartbeat(b)
-				time.Sleep(time.Second)
-			}
-			ran += len(far.running())
-			near.exit(api.CauseDone)
-			far.exit(api.CauseDone)
-		}
-		for range 12 {
-			near.heartbeat(a)
-			far.heartbeat(b)
-			time.Sleep(time.Second)
-		}
+		ranFar := runBothSides(a, b, near, far, 10, 12)
+		heartbeatBothSides(a, b, near, far, 12)
 		w.checkEqual("phase", w.phase(a, "job-1"), "done")
-		if n := len(w.store.RejectedAsTooLarge()); ran < 100 || n == 0 || n > 16 {
-			w.t.Errorf("%d ran beyond the cut, refused for size %d times: %v", ran, n, w.store.RejectedAsTooLarge())
+		rejected := w.store.RejectedAsTooLarge()
+		if n := len(rejected); ranFar < 100 || n == 0 || n > 16 {
+			w.t.Errorf("got %d tasks beyond the partition and %d rejections for size, want at least 100 and 1 to 16: %v",
+				ranFar, n, rejected)
 		}
 	})
 }
 
-// A report that fits no batch does not keep those of other machines from being
-// relayed.
-func TestReportTooLargeToRelay(t *testing.T) {
+// A heartbeat that fits no batch does not keep those of other machines from being relayed.
+func TestHeartbeatTooLargeToRelay(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l := limits{3, 1, 25}
 		w.state = l.settings()
@@ -182,23 +197,25 @@
 		_, a, b, _, _, far := w.beyondTheCut()
 		other := w.worker("i-3", "b", false)
 		for i := range cluster.MaxAttempts {
-			far.status.Tasks = append(far.status.Tasks, api.TaskStatus{Task: fmt.Sprintf("job-%d/%d", i*i*7919%99991, i), Attempt: uint64(i * 104729), Phase: api.TaskRunning})
-		}
-		heard := func() (n int) {
-			a.inspect(func(c *Controller) {
-				if m := c.leaderTerm.machines["i-3"]; m != nil {
-					n = m.HeartbeatCount
-				}
+			far.status.Tasks = append(far.status.Tasks, api.TaskStatus{
+				Task:    fmt.Sprintf("job-%d/%d", i*i*7919%99991, i),
+				Attempt: uint64(i * 104729),
+				Phase:   api.TaskRunning,
 			})
-			return n
 		}
 		for range 12 {
 			far.heartbeat(b)
 			other.heartbeat(b)
 			time.Sleep(time.Second)
 		}
-		if n := heard(); n < 3 {
-			w.t.Errorf("heard %d times of the other machine", n)
+		relayed := 0
+		a.inspect(func(c *Controller) {
+			if m := c.leaderTerm.machines["i-3"]; m != nil {
+				relayed = m.HeartbeatCount
+			}
+		})
+		if relayed < 3 {
+			w.t.Errorf("relayed heartbeats of the other machine: got %d, want at least 3", relayed)
 		}
 		w.checkNothingTooLarge()
 	})
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -15,7 +15,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// limits are those of the service that a test plays with.
+// limits are those of the key-value store that a test varies: changes of a transaction, size of a
+// value, and writes a second.
 type limits struct {
 	ops, valueKB int
 	writes       float64
@@ -29,18 +30,18 @@
 	return config.KVLimits{RPS: 100, WriteRPS: l.writes, ValueKB: float64(l.valueKB), TxnOps: l.ops}
 }
 
-// enforce has the service refuse what is beyond the limits.
+// enforce has the key-value store reject what exceeds the limits.
 func (w *simulatedCluster) enforce(l limits) { w.store.SetLimits(l.valueKB<<10, l.ops) }
 
-// checkNothingTooLarge is checked at the end: nothing was refused for its size.
+// checkNothingTooLarge checks, at the end of a test, that nothing was rejected for its size.
 func (w *simulatedCluster) checkNothingTooLarge() {
 	w.t.Helper()
-	if refused := w.store.RejectedAsTooLarge(); len(refused) > 0 {
-		w.t.Errorf("refused %d times for size: %v", len(refused), refused[:min(5, len(refused))])
+	if rejected := w.store.RejectedAsTooLarge(); len(rejected) > 0 {
+		w.t.Errorf("rejected for size: got %d times, want none: %v", len(rejected), rejected[:min(5, len(rejected))])
 	}
 }
 
-// heartbeatAll has machines report once a second.
+// heartbeatAll has machines send a heartbeat once a second.
 func heartbeatAll(ks []*worker, n *node, seconds int) {
 	for range seconds {
 		for _, k := range ks {
@@ -50,12 +51,14 @@
 	}
 }
 
+// exitAll completes all running tasks of machines.
 func exitAll(ks []*worker) {
 	for _, k := range ks {
 		k.exit(api.CauseDone)
 	}
 }
 
+// runningOf lists the tasks of a job that run on machines.
 func runningOf(ks []*worker, id string) (tasks []string) {
 	for _, k := range ks {
 		for _, ref := range k.running() {
@@ -68,38 +71,43 @@
 	return tasks
 }
 
-// small are limits down to the least that any part of the program works with: a
-// cancellation is three changes.
-var small = []limits{{3, 1, 4}, {3, 1, 8}, {4, 1, 5}, {5, 1, 6}, {5, 2, 25}, {12, 8, 25}, {20, 64, 50}, {200, 64, 500}}
+// limitSweep are limits down to the least that any part of the program works with: a cancellation
+// is three changes.
+var limitSweep = []limits{
+	{3, 1, 4}, {3, 1, 8}, {4, 1, 5}, {5, 1, 6}, {5, 2, 25}, {12, 8, 25}, {20, 64, 50}, {200, 64, 500},
+}
 
-// Whatever the limits, jobs are accepted, run, done and cancelled, and a new
-// leader takes over, without the service ever refusing anything for its size.
-func TestSmallLimits(t *testing.T) {
-	for _, l := range small {
+// startWithLimits starts a node with the given limits, and a team whose own limit is out of reach.
+func (w *simulatedCluster) startWithLimits(l limits) *node {
+	w.t.Helper()
+	w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
+	w.state = l.settings()
+	w.enforce(l)
+	return w.start("n0")
+}
+
+// Whatever the limits, jobs are accepted, run, done and cancelled, and a new leader takes over,
+// without the key-value store ever rejecting anything for its size.
+func TestNothingExceedsSmallLimits(t *testing.T) {
+	for _, l := range limitSweep {
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-				w.state = l.settings()
-				w.enforce(l)
-				a := w.start("n0")
-				var ks []*worker
-				for i := range 24 {
-					ks = append(ks, w.worker(fmt.Sprintf("i-%06d", i), "a", false))
-				}
+				a := w.startWithLimits(l)
+				ks := w.numberedWorkers(24)
 				heartbeatAll(ks, a, 8)
-				w.checkEqual("on the roster", len(w.registeredMachines()), 24)
+				w.checkEqual("registered machines", len(w.registeredMachines()), 24)
 				w.submit(a, spec("job-1", 60))
 				w.submit(a, spec("job-2", 30))
 				heartbeatAll(ks, a, 6)
-				if len(runningOf(ks, "job-1"))+len(runningOf(ks, "job-2")) < 60 {
-					w.t.Fatalf("only %d and %d run", len(runningOf(ks, "job-1")), len(runningOf(ks, "job-2")))
+				if n1, n2 := len(runningOf(ks, "job-1")), len(runningOf(ks, "job-2")); n1+n2 < 60 {
+					w.t.Fatalf("running tasks: got %d and %d, want at least 60", n1, n2)
 				}
 				exitAll(ks[:8])
 				heartbeatAll(ks, a, 6)
 				st, err := a.Cancel(context.Background(), "job-2")
 				w.checkEqual("cancelled", []any{st.Phase, err}, []any{api.JobCancelled, nil})
 				heartbeatAll(ks, a, 6)
-				w.checkEqual("of the cancelled job", runningOf(ks, "job-2"), []string(nil))
+				w.checkEqual("tasks of the cancelled job", runningOf(ks, "job-2"), []string(nil))
 				a.crash()
 				b := w.start("n0")
 				heartbeatAll(ks, b, 8)
@@ -107,13 +115,13 @@
 					exitAll(ks)
 					heartbeatAll(ks, b, 5)
 				}
-				w.checkEqual("after a takeover", w.phase(b, "job-1"), "done")
-				w.checkEqual("cancelled still", w.phase(b, "job-2"), api.JobCancelled)
+				w.checkEqual("phase after a takeover", w.phase(b, "job-1"), "done")
+				w.checkEqual("phase of the cancelled job", w.phase(b, "job-2"), api.JobCancelled)
 				w.dead.Store(ks[0].status.Machine, true)
 				w.dead.Store(ks[1].status.Machine, true)
 				heartbeatAll(ks[2:], b, 40)
-				w.checkEqual("on the roster at last", len(w.registeredMachines()), 22)
-				w.checkEqual("progress left", w.keysUnder(records.CompletionPrefix), []string(nil))
+				w.checkEqual("registered machines in the end", len(w.registeredMachines()), 22)
+				w.checkEqual("completion records", w.keysUnder(records.CompletionPrefix), []string(nil))
 				w.checkNothingTooLarge()
 			})
 		})
@@ -133,8 +141,8 @@
 	return keys
 }
 
-// The limits change while jobs run and while a leader takes over; what keeps to
-// both is never refused.
+// The limits change while jobs run and while a leader takes over; what keeps to both is never
+// rejected.
 func TestLimitsChange(t *testing.T) {
 	from, to := limits{20, 16, 25}, limits{5, 1, 6}
 	for _, when := range []string{"while jobs run", "during a takeover"} {
@@ -145,10 +153,7 @@
 				w.enforce(from)
 				w.oldShard(records.MachinePrefix+"0-1", 24)
 				a := w.start("n0")
-				var ks []*worker
-				for i := range 26 {
-					ks = append(ks, w.worker(fmt.Sprintf("i-%06d", i), "a", false))
-				}
+				ks := w.numberedWorkers(26)
 				heartbeatAll(ks, a, 8)
 				w.submit(a, spec("job-1", 80))
 				heartbeatAll(ks, a, 4)
@@ -168,9 +173,9 @@
 					heartbeatAll(ks, a, 6)
 				}
 				w.checkEqual("phase", w.phase(a, "job-1"), "done")
-				w.checkEqual("on the roster", len(w.registeredMachines()), 25)
+				w.checkEqual("registered machines", len(w.registeredMachines()), 25)
 				if w.store.Has(records.MachinePrefix + "0-1") {
-					w.t.Error("the large shard is still there")
+					w.t.Errorf("shards: got %v, want them without the large one", w.keysUnder(records.MachinePrefix))
 				}
 				w.checkNothingTooLarge()
 			})
@@ -178,38 +183,35 @@
 	}
 }
 
-// Many ends at once, with names as long as they may come: batches keep to the
-// changes of a transaction, shards to the size of their entries.
+// Many jobs end at once, and names are as long as they may be: batches keep to the changes of a
+// transaction, shards to the size of their entries.
 func TestManyChangesAtOnce(t *testing.T) {
-	for _, l := range small {
+	for _, l := range limitSweep {
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-				w.state = l.settings()
-				w.enforce(l)
-				a := w.start("n0")
-				var ks []*worker
-				for i := range 24 {
-					ks = append(ks, w.worker(fmt.Sprintf("i-%06d-%s", i, strings.Repeat("n", 10*i)), "a", false))
+				a := w.startWithLimits(l)
+				ks := make([]*worker, 24)
+				for i := range ks {
+					ks[i] = w.worker(fmt.Sprintf("i-%06d-%s", i, strings.Repeat("n", 10*i)), "a", false)
 				}
 				heartbeatAll(ks, a, 30)
-				w.checkEqual("on the roster", len(w.registeredMachines()), 24)
+				w.checkEqual("registered machines", len(w.registeredMachines()), 24)
 				for i := range 60 {
 					w.submit(a, spec(fmt.Sprintf("job-%d", i), 1))
 				}
 				heartbeatAll(ks, a, 10)
 				exitAll(ks)
 				heartbeatAll(ks, a, 90)
-				w.checkEqual("still active", w.keysUnder(records.ActivePrefix), []string(nil))
-				w.checkEqual("ends", len(w.keysUnder(records.TerminalPrefix)), 60)
+				w.checkEqual("active records", w.keysUnder(records.ActivePrefix), []string(nil))
+				w.checkEqual("terminal records", len(w.keysUnder(records.TerminalPrefix)), 60)
 				w.checkNothingTooLarge()
 			})
 		})
 	}
 }
 
-// Types that do not fit a record are not stored in part: a node that starts
-// without the cloud would tell users that their jobs never run.
+// Machine types that do not fit a record are not stored in part: a node that starts without the
+// cloud would reject jobs as unschedulable.
 func TestTypesFitARecord(t *testing.T) {
 	for _, c := range []struct {
 		types  int
@@ -220,7 +222,8 @@
 			w.state = l.settings()
 			w.enforce(l)
 			for i := range c.types - 1 {
-				w.cloud.types = append(w.cloud.types, api.MachineType{Name: fmt.Sprintf("type-%d", i), CPUs: 4, MemoryGB: 16, Zones: []string{"a"}})
+				w.cloud.types = append(w.cloud.types,
+					api.MachineType{Name: fmt.Sprintf("type-%d", i), CPUs: 4, MemoryGB: 16, Zones: []string{"a"}})
 			}
 			w.start("n0")
 			time.Sleep(time.Second)
@@ -230,60 +233,68 @@
 	}
 }
 
-// Where values may be large, the 64 KiB that a transaction has in all are what
-// bounds a batch: shards of long entries beside each other, progress of many large
-// jobs, ends of many jobs with long names.
-func TestTransactionsFitInAll(t *testing.T) {
+// queueLargeRecords queues the registration of machines with long addresses, completion records of
+// large jobs, and terminal records of jobs with long names.
+func (lt *leaderTerm) queueLargeRecords() {
+	rw := &lt.recordWriter
+	for i := range 700 {
+		m := lt.addMachine(fmt.Sprintf("i-%06d", i), "small", "a", false, time.Now())
+		m.Addr = strings.Repeat("x", 10+i)
+		rw.register(m)
+	}
+	for i := range 8 {
+		s := spec(fmt.Sprintf("large-%d", i), api.MaxTasks)
+		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
+		for task := range api.MaxTasks - 1 {
+			lt.jobs[s.ID].Done.Set(uint(task))
+		}
+		rw.queueCompletion(lt.jobs[s.ID])
+	}
+	for i := range 500 {
+		s := spec(fmt.Sprintf("%s-%d", strings.Repeat("j", 150), i), 1)
+		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
+		rw.finishJob(lt.jobs[s.ID])
+	}
+}
+
+// Where values may be large, the 64 KiB that a transaction has in all bound a batch: shards of long
+// entries beside each other, completion of many large jobs, ends of many jobs with long names.
+func TestBatchesFitTransactions(t *testing.T) {
+	l := limits{400, 128, 2000}
 	simulate(t, func(w *simulatedCluster) {
-		l := limits{400, 128, 2000}
 		w.state = l.settings()
 		w.enforce(l)
 		a := w.start("n0")
 		time.Sleep(time.Second)
-		var txns []kv.Txn
+		const batches = 400
+		txns := make([]kv.Txn, 0, batches)
 		a.inspect(func(c *Controller) {
-			lt := c.leaderTerm
-			rec := &lt.recordWriter
-			for i := range 700 {
-				m := lt.addMachine(fmt.Sprintf("i-%06d", i), "small", "a", false, time.Now())
-				m.Addr = strings.Repeat("x", 10+i)
-				rec.register(m)
-			}
-			for i := range 8 {
-				s := spec(fmt.Sprintf("large-%d", i), api.MaxTasks)
-				lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
-				for task := range api.MaxTasks - 1 {
-					lt.jobs[s.ID].Done.Set(uint(task))
-				}
-				rec.queueCompletion(lt.jobs[s.ID])
-			}
-			for i := range 500 {
-				s := spec(fmt.Sprintf("%s-%d", strings.Repeat("j", 150), i), 1)
-				lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
-				rec.finishJob(lt.jobs[s.ID])
-			}
+			c.leaderTerm.queueLargeRecords()
+			rw := &c.leaderTerm.recordWriter
 			now := time.Now()
-			for range 400 {
+			for range batches {
 				now = now.Add(time.Second)
-				b := rec.nextBatch(now)
-				rec.batchWritten(b)
+				b := rw.nextBatch(now)
+				rw.batchWritten(b)
 				txns = append(txns, b.txn)
 			}
-			w.checkEqual("left", []int{len(rec.registering), len(rec.dirtyJobs), len(rec.finishing)}, []int{0, 0, 0})
+			left := []int{len(rw.registering), len(rw.dirtyJobs), len(rw.finishing)}
+			w.checkEqual("records left", left, []int{0, 0, 0})
 		})
-		most := 0
+		maxBytes := 0
 		for _, txn := range txns {
 			raw, err := json.Marshal(txn)
 			if err != nil {
 				w.t.Fatal(err)
 			}
-			most = max(most, len(raw))
+			maxBytes = max(maxBytes, len(raw))
 		}
-		if most > kv.MaxTxnBytes || most < kv.MaxTxnBytes/4 {
-			w.t.Errorf("transactions of up to %d bytes", most)
+		if maxBytes > kv.MaxTxnBytes || maxBytes < kv.MaxTxnBytes/4 {
+			w.t.Errorf("largest transaction: got %d bytes, want %d to %d", maxBytes, kv.MaxTxnBytes/4, kv.MaxTxnBytes)
 		}
 	})
-	if room := maxRelayRecordBytes(limits{400, 128, 2000}.settings(), maxRelayParts); maxRelayParts*(room+200) > kv.MaxTxnBytes {
-		t.Errorf("relayed records of %d bytes", room)
+	recordBytes := maxRelayRecordBytes(l.settings(), maxRelayParts)
+	if total := maxRelayParts * (recordBytes + 200); total > kv.MaxTxnBytes {
+		t.Errorf("relayed records: got %d bytes in all, want at most %d", total, kv.MaxTxnBytes)
 	}
 }
