--- a/internal/controller/zonepartition_test.go
+++ b/internal/controller/zonepartition_test.go
@@ -10,7 +10,8 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// pair is a leader n0 and a follower n1, each with its own way to the store.
+// pair starts a leader n0 and a follower n1, each with its own access to the key-value store, and in
+// the given zones, if any.
 func (w *simulatedCluster) pair(zones ...string) (l *links, a, b *node, ga, gb *gate) {
 	if len(zones) == 2 {
 		w.zones = map[string]string{"n0": zones[0], "n1": zones[1]}
@@ -22,7 +23,7 @@
 	return l, a, b, ga, gb
 }
 
-// answered is a worker's report to whichever node answers it.
+// either sends a heartbeat to the nodes in turn until one responds, and applies its commands.
 func (k *worker) either(nodes ...*node) {
 	for _, n := range nodes {
 		if commands, err := k.sendHeartbeat(n); err == nil {
@@ -32,11 +33,11 @@
 	}
 }
 
-// A leader that the store refuses while it answers others resigns, instead of
-// holding the leadership until its lease ends: the other takes over at once
-// and the work goes on, with no task on two machines. Users' polls are answered
-// at both, and new users are sent to the other.
-func TestLeaderRefusedByTheStoreResigns(t *testing.T) {
+// A leader that the key-value store rejects while it serves others steps down, instead of remaining
+// leader until its lease expires: the other node takes over at once and the work goes on, with no
+// task on two machines. Users' polls are answered at both, and the rejected node is not ready, so
+// that new users reach the other.
+func TestLeaderRejectedByTheStoreStepsDown(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		_, a, b, ga, _ := w.pair()
 		k := w.worker("i-1", "", false)
@@ -49,32 +50,32 @@
 			k.either(a, b)
 			time.Sleep(time.Second)
 		}
-		w.checkEqual("next term", k.status.Term > term, true)
-		w.checkEqual("goes on", len(k.running()), 4)
-		w.checkEqual("refused node ready", a.Ready(), false)
+		w.checkEqual("later term", k.status.Term > term, true)
+		w.checkEqual("still running", len(k.running()), 4)
+		w.checkEqual("rejected node ready", a.Ready(), false)
 		w.checkEqual("other node ready", b.Ready(), true)
-		w.checkEqual("poll at the refused node", w.phase(a, "job-1"), "running")
+		w.checkEqual("poll at the rejected node", w.phase(a, "job-1"), "running")
 		if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 			t.Error(err)
 		}
-		w.checkEqual("cancelled, at the refused node", w.phase(a, "job-1"), "withdrawn")
-		for range 4 { // the next leader hears of it through its watch
+		w.checkEqual("poll of the cancelled job at the rejected node", w.phase(a, "job-1"), "withdrawn")
+		for range 4 { // the next leader learns of it through its watch
 			k.either(a, b)
 			time.Sleep(time.Second)
 		}
-		w.checkEqual("stopped", len(k.running()), 0)
+		w.checkEqual("running after the cancellation", len(k.running()), 0)
 		ga.set(false)
 		time.Sleep(20 * time.Second)
 		w.checkEqual("ready again", a.Ready(), true)
 		if _, err := k.sendHeartbeat(a); err == nil {
-			t.Error("the former leader answered a machine")
+			t.Error("heartbeat at the former leader: got a response, want an error")
 		}
 	})
 }
 
-// An outage is not mistaken for being shut out: nobody resigns, and all stay
-// ready, or users would find no node when it ends.
-func TestOutageIsNotMistakenForBeingShutOut(t *testing.T) {
+// An outage of the key-value store is not mistaken for the rejection of one node: no leader steps
+// down, and all nodes stay ready, or users would find no node when the outage ends.
+func TestNoLeaderStepsDownInAStoreOutage(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		_, a, b, _, _ := w.pair()
 		k := w.worker("i-1", "", false)
@@ -95,11 +96,10 @@
 	})
 }
 
-// A node without the store and the other nodes, but with its workers: its
-// entitlement ends in time whether it leads or not, it tells users nothing
-// old, and it draws no users whom it can only fail. Under the next leader
-// nothing runs twice.
-func TestNodeAloneWithItsWorkers(t *testing.T) {
+// A leader without the key-value store and the other nodes, but with its workers, stops leading
+// before the next leader may begin, answers users with nothing older than a cancellation elsewhere,
+// and is not ready, since it can serve no new users. Under the next leader nothing runs twice.
+func TestIsolatedLeaderWithItsWorkers(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, a, b, ga, _ := w.pair()
 		k, other := w.worker("i-1", "", false), w.worker("i-2", "", false)
@@ -108,28 +108,32 @@
 		w.checkEqual("running", len(k.running()), 3)
 		ga.set(true)
 		l.cut.Store(true)
-		last := time.Now()
+		lastResponse := time.Now()
 		for range 60 {
 			if commands, err := k.sendHeartbeat(a); err == nil {
 				k.applyCommands(commands)
-				last = time.Now()
+				lastResponse = time.Now()
 			}
 			if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 				t.Error(err)
 			}
 			if got := w.phase(a, "job-1"); got == "running" || got == "pending" || got == "done" {
-				t.Fatalf("told %s after the cancellation", got)
+				t.Fatalf("phase after the cancellation at the isolated node: got %s", got)
 			}
 			other.either(b)
 			time.Sleep(time.Second)
 		}
-		if answered := time.Since(last); answered < 25*time.Second {
-			t.Errorf("acted until %v ago", answered)
+		if since := time.Since(lastResponse); since < 25*time.Second {
+			t.Errorf("last response of the isolated leader: got %v ago, want at least 25 s", since)
 		}
 		w.checkEqual("ready", a.Ready(), false)
-		w.checkEqual("the other leads", other.status.Term > k.status.Term, true)
-		w.checkEqual("ran twice", len(other.running()), 0)
+		w.checkEqual("the other node leads in a later term", other.status.Term > k.status.Term, true)
+		w.checkEqual("running on the other machine", len(other.running()), 0)
 	})
+}
+
+// A follower without the key-value store and the leader responds to no machine and is not ready.
+func TestIsolatedFollowerServesNobody(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, gb := w.pair()
 		k := w.worker("i-1", "", false)
@@ -138,17 +142,16 @@
 		l.cut.Store(true)
 		time.Sleep(30 * time.Second)
 		if _, err := k.sendHeartbeat(b); err == nil {
-			t.Error("a follower alone answered a machine")
+			t.Error("heartbeat at the isolated follower: got a response, want an error")
 		}
 		w.checkEqual("ready", b.Ready(), false)
 		w.checkEqual("leader ready", a.Ready(), true)
 	})
 }
 
-// With the connections between the nodes refused, a follower answers polls of
-// unfinished jobs from the store; refused by the store alone, it asks the
-// leader.
-func TestPollsAreAnsweredAtAFollowerInTrouble(t *testing.T) {
+// While connections between the nodes fail, a follower answers polls of unfinished jobs from the
+// key-value store; while only the store rejects it, it forwards them to the leader.
+func TestFollowerAnswersPollsWithoutLeaderOrStore(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, gb := w.pair()
 		k := w.worker("i-1", "", false)
@@ -156,13 +159,13 @@
 		k.serve(a, 3)
 		l.cut.Store(true)
 		for range 5 {
-			w.checkEqual("peers refused", w.phase(b, "job-1"), "pending")
+			w.checkEqual("phase without the leader", w.phase(b, "job-1"), "pending")
 			k.serve(a, 1)
 		}
 		l.cut.Store(false)
 		gb.set(true)
 		k.serve(a, 5)
-		w.checkEqual("store refused", w.phase(b, "job-1"), "running")
+		w.checkEqual("phase without the store", w.phase(b, "job-1"), "running")
 		w.checkEqual("unknown job", w.phase(b, "job-9"), api.ErrUnknownJob.Error())
 		k.exit(api.CauseDone)
 		k.serve(a, 3)
@@ -170,7 +173,7 @@
 	})
 }
 
-// While nobody leads, a node refused by the store has another one read it.
+// While nobody leads, a node that the key-value store rejects has another one read it.
 func TestPollWithoutStoreAndLeader(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		dead := w.start("n9")
@@ -184,117 +187,117 @@
 	})
 }
 
-// A machine of another zone than the leader's reports through a node of its
-// own zone. When the zones cannot reach each other any more, its lease is kept
-// up there without a break.
-func TestReportsPassThroughANodeOfTheZone(t *testing.T) {
+// A machine of another zone than the leader's sends its heartbeats to a node of its own zone, which
+// forwards them. When the zones are partitioned, that node renews its task lease on behalf of the
+// leader without a break.
+func TestHeartbeatsAreForwardedByTheLocalNode(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, _ := w.pair("a", "b")
 		near, far := w.worker("i-1", "a", false), w.worker("i-2", "b", false)
 		near.serve(a, 3)
 		far.serve(a, 2)
-		var other *api.NotLeaderError
-		if _, err := far.sendHeartbeat(a); !errors.As(err, &other) || other.Leader != "n1" {
-			t.Fatalf("sent on: %v", err)
+		var redirect *api.NotLeaderError
+		if _, err := far.sendHeartbeat(a); !errors.As(err, &redirect) || redirect.Leader != "n1" {
+			t.Fatalf("heartbeat at the leader: got %v, want a redirect to n1", err)
 		}
 		far.serve(b, 2)
 		w.submit(a, spec("job-1", 8))
 		near.serve(a, 4)
 		far.serve(b, 4)
-		w.checkEqual("passed on", len(far.running()), 4)
-		w.checkEqual("direct", len(near.running()), 4)
+		w.checkEqual("running by forwarded heartbeats", len(far.running()), 4)
+		w.checkEqual("running at the leader's machine", len(near.running()), 4)
 		far.exit(api.CauseDone)
 		far.serve(b, 4)
-		w.checkEqual("results", w.phase(a, "job-1"), "running")
+		w.checkEqual("phase after half of the tasks", w.phase(a, "job-1"), "running")
 		l.cut.Store(true)
 		for i := range 30 {
 			if _, err := far.sendHeartbeat(b); err != nil {
 				b.inspect(func(c *Controller) { t.Logf("%+v", c.leaseRenewer) })
-				t.Fatalf("not kept alive after %d s: %v", i, err)
+				t.Fatalf("heartbeat %d s into the partition: %v", i, err)
 			}
 			near.heartbeat(a)
 			time.Sleep(time.Second)
 		}
-		w.checkEqual("given up", w.cloud.terminated("i-2"), false)
+		w.checkEqual("terminated", w.cloud.terminated("i-2"), false)
 		l.cut.Store(false)
 		far.serve(b, 3)
 		w.submit(a, spec("job-2", 4))
 		far.serve(b, 3)
-		w.checkEqual("goes on", len(far.running()), 4)
-		// One node being sent to the other and back must end.
+		w.checkEqual("running after the partition", len(far.running()), 4)
+		// Redirects from one node to the other and back must end.
 		if _, err := far.sendHeartbeat(a); err != nil {
 			if _, err = far.sendHeartbeat(a); err != nil {
-				t.Errorf("sent to and fro: %v", err)
+				t.Errorf("heartbeat repeated at the leader: got %v, want a response", err)
 			}
 		}
 	})
 }
 
-// A leader that loses the way to its machines, but not to the other nodes, keeps
-// them: they come to another node, which passes their reports on. One that may
-// not know who leads is told first, and after a while all are.
-func TestMachinesThatCannotReachTheLeader(t *testing.T) {
+// Machines that cannot reach the leader, while the other nodes can, are kept: they send heartbeats to
+// another node, which forwards them. A machine that may not know the leader is redirected to it
+// first, and after a while every machine is.
+func TestMachinesThatCannotReachTheLeaderAreKept(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		_, a, b, _, _ := w.pair()
 		k := w.worker("i-1", "", false)
 		k.serve(a, 3)
 		redirected := func() bool {
-			var other *api.NotLeaderError
+			var redirect *api.NotLeaderError
 			_, err := k.sendHeartbeat(b)
-			return errors.As(err, &other) && other.Leader == "n0"
+			return errors.As(err, &redirect) && redirect.Leader == "n0"
 		}
-		w.checkEqual("told who leads, though it must know", redirected(), false)
+		w.checkEqual("redirected though it must know the leader", redirected(), false)
 		k.status.Machine, k.status.Term = "i-2", 0
-		w.checkEqual("told who leads", redirected(), true)
-		w.checkEqual("told at once again", redirected(), true)
+		w.checkEqual("redirected", redirected(), true)
+		w.checkEqual("redirected again at once", redirected(), true)
 		time.Sleep(5 * time.Second)
 		w.submit(a, spec("job-1", 4))
 		k.serve(b, 20)
-		w.checkEqual("works", len(k.running()), 4)
+		w.checkEqual("running", len(k.running()), 4)
 		k.exit(api.CauseDone)
 		k.serve(b, 3)
 		w.checkEqual("done", w.phase(a, "job-1"), "done")
 		time.Sleep(time.Minute)
-		w.checkEqual("told again", redirected(), true)
-		w.checkEqual("given up", w.cloud.terminated("i-2"), false)
+		w.checkEqual("redirected after a minute", redirected(), true)
+		w.checkEqual("terminated", w.cloud.terminated("i-2"), false)
 	})
 }
 
-// When only the connections between the nodes are refused, machines go to the
-// leader themselves, those of its own zone, too. One that comes back, because
-// it cannot reach the leader either, is kept alive.
-func TestConnectionsBetweenNodesRefused(t *testing.T) {
-	refusedBetweenNodes(t, "b", 1)
-	refusedBetweenNodes(t, "a", 1)
-}
-
-func refusedBetweenNodes(t *testing.T, zone string, times int) {
-	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, _ := w.pair("a", "b")
-		far := w.worker("i-2", zone, false)
-		far.serve(a, 3)
-		far.serve(b, 3)
-		l.refuseConnections.Store(true)
-		l.cut.Store(true)
-		var other *api.NotLeaderError
-		sentOn := 0
-		for range 20 {
-			_, err := far.sendHeartbeat(b)
-			if errors.As(err, &other) && other.Leader == "n0" {
-				sentOn++
-			} else if err != nil {
-				t.Fatal(err)
-			}
-			time.Sleep(time.Second)
-		}
-		w.checkEqual("sent on", sentOn, times)
-		if _, err := far.sendHeartbeat(a); err != nil {
-			t.Errorf("the leader sent it back: %v", err)
-		}
-	})
+// When only the connections between the nodes are refused, machines are redirected to the leader,
+// those of its own zone, too. A machine that returns, because it cannot reach the leader either, has
+// its task lease renewed.
+func TestMachinesAreRedirectedWhenNodesRefuseConnections(t *testing.T) {
+	for _, zone := range []string{"b", "a"} {
+		t.Run("machine of zone "+zone, func(t *testing.T) {
+			simulate(t, func(w *simulatedCluster) {
+				l, a, b, _, _ := w.pair("a", "b")
+				far := w.worker("i-2", zone, false)
+				far.serve(a, 3)
+				far.serve(b, 3)
+				l.refuseConnections.Store(true)
+				l.cut.Store(true)
+				var redirect *api.NotLeaderError
+				redirects := 0
+				for range 20 {
+					_, err := far.sendHeartbeat(b)
+					if errors.As(err, &redirect) && redirect.Leader == "n0" {
+						redirects++
+					} else if err != nil {
+						t.Fatal(err)
+					}
+					time.Sleep(time.Second)
+				}
+				w.checkEqual("redirects", redirects, 1)
+				if _, err := far.sendHeartbeat(a); err != nil {
+					t.Errorf("heartbeat at the leader: got %v, want a response", err)
+				}
+			})
+		})
+	}
 }
 
-// far is a machine beyond the cut that reports to n1, while n0 leads.
+// beyondTheCut partitions zone a, with the leader n0 and machine near, from zone b, with the follower
+// n1 and machine far, whose heartbeats are relayed through the key-value store.
 func (w *simulatedCluster) beyondTheCut() (l *links, a, b *node, gb *gate, near, far *worker) {
 	l, a, b, _, gb = w.pair("a", "b")
 	near, far = w.worker("i-1", "a", false), w.worker("i-2", "b", false)
@@ -302,86 +305,57 @@
 	far.serve(a, 2)
 	far.serve(b, 2)
 	l.cut.Store(true)
-	for range 5 {
-		near.heartbeat(a)
-		far.heartbeat(b)
-		time.Sleep(time.Second)
-	}
+	heartbeatBothSides(a, b, near, far, 5)
 	return l, a, b, gb, near, far
 }
 
-// While the zones cannot reach each other but both reach the store, work goes
-// on beyond the cut: reports and orders go through the store.
-func TestWorkGoesOnBeyondTheCut(t *testing.T) {
+// While the zones are partitioned but both reach the key-value store, work goes on beyond the
+// partition: heartbeats and commands are relayed through the store.
+func TestWorkGoesOnBeyondThePartition(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, near, far := w.beyondTheCut()
 		w.submit(a, spec("job-1", 12))
-		for range 8 {
-			near.heartbeat(a)
-			far.heartbeat(b)
-			time.Sleep(time.Second)
-		}
-		w.checkEqual("begun on both sides", len(near.running())+len(far.running()), 8)
+		heartbeatBothSides(a, b, near, far, 8)
+		w.checkEqual("running on both sides", len(near.running())+len(far.running()), 8)
 		for range 2 {
 			far.exit(api.CauseDone)
-			for range 8 {
-				near.heartbeat(a)
-				far.heartbeat(b)
-				time.Sleep(time.Second)
-			}
+			heartbeatBothSides(a, b, near, far, 8)
 		}
-		w.checkEqual("the rest ran there", len(far.running()), 0)
+		w.checkEqual("running beyond the partition in the end", len(far.running()), 0)
 		near.exit(api.CauseDone)
 		near.serve(a, 3)
 		w.checkEqual("phase", w.phase(a, "job-1"), "done")
 		w.submit(a, spec("job-2", 8))
-		for range 6 {
-			near.heartbeat(a)
-			far.heartbeat(b)
-			time.Sleep(time.Second)
-		}
+		heartbeatBothSides(a, b, near, far, 6)
 		if _, err := b.Cancel(context.Background(), "job-2"); err != nil {
 			t.Error(err)
 		}
-		for range 6 {
-			near.heartbeat(a)
-			far.heartbeat(b)
-			time.Sleep(time.Second)
-		}
-		w.checkEqual("cancelled on both sides", len(near.running())+len(far.running()), 0)
+		heartbeatBothSides(a, b, near, far, 6)
+		w.checkEqual("running on both sides after the cancellation", len(near.running())+len(far.running()), 0)
 		l.cut.Store(false)
 		time.Sleep(2 * time.Second)
 		far.serve(b, 3)
 		w.submit(a, spec("job-3", 8))
-		for range 4 {
-			near.heartbeat(a)
-			far.heartbeat(b)
-			time.Sleep(time.Second)
-		}
-		w.checkEqual("after the cut", len(near.running())+len(far.running()), 8)
+		heartbeatBothSides(a, b, near, far, 4)
+		w.checkEqual("running after the partition", len(near.running())+len(far.running()), 8)
 	})
 }
 
-// Orders that are on their way through the store may be handed out later than
-// any report shows: until the node has told what became of them, their tasks
-// begin nowhere else.
-func TestRelayedOrdersBeginOnce(t *testing.T) {
+// Commands that are relayed through the key-value store may be handed out later than any heartbeat
+// shows: until the node has reported their outcome, their tasks start nowhere else.
+func TestRelayedCommandsStartTasksOnce(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, near, far := w.beyondTheCut()
-		busy := spec("job-0", 4)
-		busy.Zone = "a"
-		w.submit(a, busy)
-		near.serve(a, 2)
-		w.submit(a, spec("job-1", 2))
-		time.Sleep(3 * time.Second) // ordered through the store, not handed out yet
+		w.occupyNear(a, near)
+		time.Sleep(3 * time.Second) // commands are relayed, not handed out yet
 		pending := false
 		a.inspect(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
-		far.heartbeat(b) // hands them out, if they came by now
+		far.heartbeat(b) // hands them out, if they have arrived by now
 		if !pending && len(far.running()) == 0 {
 			far.heartbeat(b)
 			time.Sleep(1500 * time.Millisecond)
 		}
-		// The machine also reaches the leader, with a report that shows nothing.
+		// The machine also reaches the leader, with a heartbeat that shows no tasks.
 		blank := far.status
 		blank.Tasks = nil
 		blank.Seq++
@@ -392,9 +366,9 @@
 		near.exit(api.CauseDone)
 		starts := map[string]int{}
 		for range 12 {
-			for _, o := range near.heartbeat(a) {
-				if o.Verb == api.VerbStart {
-					starts[o.Task]++
+			for _, command := range near.heartbeat(a) {
+				if command.Verb == api.VerbStart {
+					starts[command.Task]++
 				}
 			}
 			far.heartbeat(b)
@@ -403,70 +377,89 @@
 		for _, task := range far.running() {
 			starts[task]++
 		}
-		w.checkEqual("begun once each", starts, map[string]int{"job-1/0": 1, "job-1/1": 1})
+		w.checkEqual("starts of each task", starts, map[string]int{"job-1/0": 1, "job-1/1": 1})
 		l.cut.Store(false)
 	})
 }
 
-// A node that is started anew has forgotten the orders it was given, and one
-// that loses the store hands out none that are old.
-func TestRelayedOrdersAreForgottenOrExpire(t *testing.T) {
-	for _, crash := range []bool{true, false} {
-		simulate(t, func(w *simulatedCluster) {
-			l, a, b, gb, near, far := w.beyondTheCut()
-			busy := spec("job-0", 4)
-			busy.Zone = "a"
-			w.submit(a, busy)
-			near.serve(a, 2)
-			w.submit(a, spec("job-1", 2))
-			given := func(c *Controller) int {
-				if m := c.uplink.machines["i-2"]; m != nil {
-					return len(m.commands)
-				}
-				return 0
+// occupyNear fills the machine near with a job of its own zone, then submits job-1, whose two tasks
+// fit only beyond the partition.
+func (w *simulatedCluster) occupyNear(a *node, near *worker) {
+	w.t.Helper()
+	busy := spec("job-0", 4)
+	busy.Zone = "a"
+	w.submit(a, busy)
+	near.serve(a, 2)
+	w.submit(a, spec("job-1", 2))
+}
+
+// checkNoStart checks that none of the commands starts a task.
+func (w *simulatedCluster) checkNoStart(what string, commands []api.Command) {
+	w.t.Helper()
+	for _, command := range commands {
+		w.checkEqual(what, command.Verb == api.VerbStart, false)
+	}
+}
+
+// awaitRelayedCommands waits up to 8 s until a node has received commands for a machine, and returns
+// how many. The machine sends one heartbeat at the start.
+func awaitRelayedCommands(n *node, k *worker) (count int) {
+	k.heartbeat(n)
+	for i := 0; count == 0 && i < 8; i++ {
+		time.Sleep(time.Second)
+		n.inspect(func(c *Controller) {
+			if m := c.uplink.machines[k.status.Machine]; m != nil {
+				count = len(m.commands)
 			}
-			n := 0
-			for i := 0; n == 0 && i < 8; i++ {
-				if i == 0 {
-					far.heartbeat(b)
+		})
+	}
+	return count
+}
+
+// A node that restarts has lost the commands relayed to it, and one that loses the key-value store
+// hands out no expired ones.
+func TestRelayedCommandsAreLostOrExpire(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		crash bool
+	}{
+		{"the node restarts", true},
+		{"the commands expire", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			simulate(t, func(w *simulatedCluster) {
+				l, a, b, gb, near, far := w.beyondTheCut()
+				w.occupyNear(a, near)
+				w.checkEqual("commands received by the node", awaitRelayedCommands(b, far) > 0, true)
+				if c.crash {
+					b.crash()
+					time.Sleep(200 * time.Millisecond)
+					b = l.add("n1", w.startWith("n1", gb, l))
+				} else {
+					time.Sleep(relayCommandLifetime + 2*time.Second)
 				}
-				time.Sleep(time.Second)
-				b.inspect(func(c *Controller) { n = max(n, given(c)) })
-			}
-			w.checkEqual("given to the node", n > 0, true)
-			if crash {
-				b.crash()
-				time.Sleep(200 * time.Millisecond)
-				b = l.add("n1", w.startWith("n1", gb, l))
-			} else {
-				time.Sleep(relayCommandLifetime + 2*time.Second)
-			}
-			commands, _ := far.sendHeartbeat(b)
-			for _, o := range commands {
-				w.checkEqual("handed out late", o.Verb == api.VerbStart, false)
-			}
-			l.cut.Store(false)
-			near.exit(api.CauseDone)
-			for range 12 {
-				near.heartbeat(a)
-				far.either(a, b)
-				time.Sleep(time.Second)
-			}
-			w.checkEqual("begun once", len(near.running())+len(far.running()), 2)
+				// The node may reject the heartbeat; then it hands out nothing.
+				commands, _ := far.sendHeartbeat(b)
+				w.checkNoStart("late start", commands)
+				l.cut.Store(false)
+				near.exit(api.CauseDone)
+				for range 12 {
+					near.heartbeat(a)
+					far.either(a, b)
+					time.Sleep(time.Second)
+				}
+				w.checkEqual("running", len(near.running())+len(far.running()), 2)
+			})
 		})
 	}
 }
 
-// A node that was given orders and never comes back tells nothing more: its
-// machine is returned, and only then the tasks begin elsewhere.
-func TestRelayingNodeNeverComesBack(t *testing.T) {
+// A node that crashes after commands were relayed to it, and does not restart, reports no outcome: its
+// machine is terminated, and only then the tasks start elsewhere.
+func TestRelayingNodeCrashesForGood(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		_, a, b, _, near, far := w.beyondTheCut()
-		busy := spec("job-0", 4)
-		busy.Zone = "a"
-		w.submit(a, busy)
-		near.serve(a, 2)
-		w.submit(a, spec("job-1", 2))
+		w.occupyNear(a, near)
 		pending := false
 		for i := 0; !pending && i < 40; i++ {
 			if i%5 == 0 {
@@ -475,29 +468,27 @@
 			time.Sleep(200 * time.Millisecond)
 			a.inspect(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
 		}
-		w.checkEqual("ordered", pending, true)
+		w.checkEqual("commands pending", pending, true)
 		b.crash()
 		near.exit(api.CauseDone)
 		for range 40 {
 			if w.cloud.terminated("i-2") {
 				break
 			}
-			for _, o := range near.heartbeat(a) {
-				w.checkEqual("begun while it may begin there", o.Verb == api.VerbStart, false)
-			}
+			w.checkNoStart("start while the relayed command may apply", near.heartbeat(a))
 			far.heartbeat(a)
 			time.Sleep(time.Second)
 		}
-		w.checkEqual("returned", w.cloud.terminated("i-2"), true)
+		w.checkEqual("terminated", w.cloud.terminated("i-2"), true)
 		near.serve(a, 3)
-		w.checkEqual("begun", len(near.running()), 2)
+		w.checkEqual("running", len(near.running()), 2)
 	})
 }
 
-// A machine beyond the cut that reports more often than orders take to come,
-// while work keeps coming: no order is overwritten by a later one, and none is
-// handed out to a new session.
-func TestRelayedOrdersAreNotLost(t *testing.T) {
+// A machine beyond the partition sends heartbeats more often than commands take to arrive, while jobs
+// keep being submitted: no command is overwritten by a later one, and none is handed out to a new
+// agent epoch.
+func TestRelayedCommandsAreNotOverwritten(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, _, far := w.beyondTheCut()
 		for i := range 60 {
@@ -512,10 +503,9 @@
 				far.status.AgentEpoch++
 				far.status.Tasks = nil
 				far.mu.Unlock()
+				// The node may reject the heartbeat; then it hands out nothing.
 				commands, _ := far.sendHeartbeat(b)
-				for _, o := range commands {
-					w.checkEqual("handed to a new session", o.Verb == api.VerbStart, false)
-				}
+				w.checkNoStart("start in a new agent epoch", commands)
 			}
 			far.heartbeat(b)
 			time.Sleep(200 * time.Millisecond)
@@ -527,43 +517,35 @@
 			time.Sleep(time.Second)
 		}
 		for i := range 20 {
-			w.checkEqual(fmt.Sprint("job ", i), w.phase(a, fmt.Sprint("job-", i)), "done")
+			w.checkEqual(fmt.Sprint("phase of job-", i), w.phase(a, fmt.Sprint("job-", i)), "done")
 		}
-		w.checkEqual("machine kept", w.cloud.terminated("i-2"), false)
+		w.checkEqual("terminated", w.cloud.terminated("i-2"), false)
 	})
 }
 
-// During a cut the leader is started anew, and then the node beyond the cut:
-// the machines there keep their tasks, learn the new term, and are heard
-// through the store.
-func TestRestartsDuringACut(t *testing.T) {
+// During a partition the leader restarts, and then the node beyond the partition: the machines there
+// keep their tasks, learn the new term, and have their heartbeats relayed through the key-value store.
+func TestRestartsDuringAPartition(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, a, b, gb, near, far := w.beyondTheCut()
 		w.submit(a, spec("job-1", 8))
-		round := func(n int) {
-			for range n {
-				near.heartbeat(a)
-				far.heartbeat(b)
-				time.Sleep(time.Second)
-			}
-		}
-		round(8)
-		w.checkEqual("begun", len(near.running())+len(far.running()), 8)
+		heartbeatBothSides(a, b, near, far, 8)
+		w.checkEqual("running", len(near.running())+len(far.running()), 8)
 		term := far.status.Term
 		a.crash()
 		time.Sleep(200 * time.Millisecond)
 		a = l.add("n0", w.startWith("n0", w.store, l))
-		round(8)
-		w.checkEqual("new term beyond the cut", far.status.Term > term, true)
-		w.checkEqual("kept", len(far.running()), 4)
+		heartbeatBothSides(a, b, near, far, 8)
+		w.checkEqual("later term beyond the partition", far.status.Term > term, true)
+		w.checkEqual("running under the new leader", len(far.running()), 4)
 		b.crash()
 		time.Sleep(200 * time.Millisecond)
 		b = l.add("n1", w.startWith("n1", gb, l))
 		time.Sleep(4 * time.Second)
-		round(4)
+		heartbeatBothSides(a, b, near, far, 4)
 		if _, err := far.sendHeartbeat(b); err != nil {
-			t.Errorf("not kept alive by the node started anew: %v", err)
+			t.Errorf("heartbeat at the restarted node: got %v, want a response", err)
 		}
-		w.checkEqual("kept again", len(far.running()), 4)
+		w.checkEqual("running after the node's restart", len(far.running()), 4)
 	})
 }
