--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -182,7 +182,7 @@
 		w.checkEqual("phase", w.phase(a, "job-1"), "done")
 		rejected := w.store.RejectedAsTooLarge()
 		if n := len(rejected); ranFar < 100 || n == 0 || n > 16 {
-			w.t.Errorf("got %d tasks beyond the partition and %d rejections for size, want at least 100 and 1 to 16: %v",
+			w.t.Errorf("got %d tasks beyond the partition, %d rejections for size, want at least 100, 1 to 16: %v",
 				ranFar, n, rejected)
 		}
 	})
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -9,41 +9,53 @@
 	"example.org/ivytrestle/internal/peer"
 )
 
-// What a node was given is handed out once, and only in the answer to a later
-// report of the same session, under the same term, before it is old. Otherwise
-// the leader is told that it never will be.
-func TestRelayHandsOutOnlyWhatIsDue(t *testing.T) {
-	t0 := time.Unix(1000, 0)
-	for name, c := range map[string]struct {
-		session, seq, term uint64
-		after              time.Duration
-		want               uint64
+// Commands relayed to a node are handed out once, and only in the response to a later heartbeat of the
+// same agent epoch, under the same term, before they expire. Otherwise the outcome that the leader
+// reads is that they never will be.
+func TestRelayHandsOutOnlyDueCommands(t *testing.T) {
+	receivedAt := time.Unix(1000, 0)
+	for _, c := range []struct {
+		name                  string
+		agentEpoch, seq, term uint64
+		after                 time.Duration
+		want                  uint64
 	}{
-		"due":                  {1, 12, 3, time.Second, 12},
-		"a new session":        {2, 12, 3, time.Second, 0},
-		"another term":         {1, 12, 4, time.Second, 0},
-		"too old":              {1, 12, 3, relayCommandLifetime + time.Millisecond, 0},
-		"the report they meet": {1, 11, 3, time.Second, 11},
+		{name: "due", agentEpoch: 1, seq: 12, term: 3, after: time.Second, want: 12},
+		{name: "new agent epoch", agentEpoch: 2, seq: 12, term: 3, after: time.Second, want: 0},
+		{name: "another term", agentEpoch: 1, seq: 12, term: 4, after: time.Second, want: 0},
+		{name: "expired", agentEpoch: 1, seq: 12, term: 3, after: relayCommandLifetime + time.Millisecond, want: 0},
+		{name: "next heartbeat", agentEpoch: 1, seq: 11, term: 3, after: time.Second, want: 11},
 	} {
-		ul := newRelayUplink(config.Limits{})
-		ul.machines["i-1"] = &relayedMachine{heartbeat: &api.Heartbeat{Machine: "i-1", AgentEpoch: 1, Seq: 10}, agentEpoch: 1, baseSeq: 10, term: 3, receivedAt: t0,
-			commands: []api.Command{{Verb: api.VerbStart, Task: "job-1/0", Attempt: 5}}}
-		for i := range 2 {
-			response := api.HeartbeatResponse{Term: c.term}
-			ul.recordHeartbeat(nil, &api.Heartbeat{Machine: "i-1", AgentEpoch: c.session, Seq: c.seq + uint64(i)}, &response, t0.Add(c.after))
-			if handed := len(response.Commands) > 0; handed != (c.want > 0 && i == 0) {
-				t.Errorf("%s, report %d: handed out %v", name, i, handed)
+		t.Run(c.name, func(t *testing.T) {
+			ul := newRelayUplink(config.Limits{})
+			m := &relayedMachine{
+				heartbeat:  &api.Heartbeat{Machine: "i-1", AgentEpoch: 1, Seq: 10},
+				agentEpoch: 1,
+				baseSeq:    10,
+				term:       3,
+				receivedAt: receivedAt,
+				commands:   []api.Command{{Verb: api.VerbStart, Task: "job-1/0", Attempt: 5}},
 			}
-		}
-		if o := ul.machines["i-1"].outcome; o == nil || o.Handed != c.want || o.Base != 10 {
-			t.Errorf("%s: told %v", name, o)
-		}
+			ul.machines["i-1"] = m
+			for i := range 2 {
+				response := api.HeartbeatResponse{Term: c.term}
+				hb := &api.Heartbeat{Machine: "i-1", AgentEpoch: c.agentEpoch, Seq: c.seq + uint64(i)}
+				ul.recordHeartbeat(nil, hb, &response, receivedAt.Add(c.after))
+				want := c.want > 0 && i == 0
+				if got := len(response.Commands) > 0; got != want {
+					t.Errorf("heartbeat %d: got commands handed out %v, want %v", i, got, want)
+				}
+			}
+			if o := m.outcome; o == nil || o.Handed != c.want || o.Base != 10 {
+				t.Errorf("outcome: got %v, want handed out with %d, of base 10", o, c.want)
+			}
+		})
 	}
 }
 
-// A machine whose orders have no outcome yet, or whose node has not confirmed
-// the last batch, gets nothing more this way.
-func TestRelayHoldsMachinesWithoutOutcome(t *testing.T) {
+// A machine whose relayed commands have no outcome yet, or whose node has not acknowledged the last
+// batch, is sent no further commands through the relay.
+func TestRelaySendsNothingWhileAnOutcomeIsPending(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		_, a, _, _, _, far := w.beyondTheCut()
 		busy := spec("job-0", 4)
@@ -52,16 +64,24 @@
 		w.submit(a, spec("job-1", 2))
 		a.inspect(func(c *Controller) {
 			node := c.leaderTerm.downlink.nodes["n1"]
-			for i, held := range []bool{true, true, false} {
+			for _, step := range []struct {
+				name                  string
+				pending, acknowledged bool
+				wantCommands          bool
+			}{
+				{name: "commands sent while an outcome is pending", pending: true, acknowledged: true},
+				{name: "commands sent before the batch is acknowledged"},
+				{name: "commands sent after both", acknowledged: true, wantCommands: true},
+			} {
 				delete(node.pending, "i-2")
-				if i == 0 {
+				if step.pending {
 					node.pending["i-2"] = &relayedCommands{}
 				}
 				hb := far.status
 				hb.Seq = c.leaderTerm.machines["i-2"].HeartbeatSeq + 1
 				var down peer.RelayDown
-				c.leaderTerm.handleRelayedHeartbeat(node, &hb, &down, i != 1, time.Now())
-				w.checkEqual("held", len(down.Orders) == 0, held)
+				c.leaderTerm.handleRelayedHeartbeat(node, &hb, &down, step.acknowledged, time.Now())
+				w.checkEqual(step.name, len(down.Orders) > 0, step.wantCommands)
 			}
 		})
 	})
