--- a/internal/controller/answerchecker_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -170,14 +170,14 @@
 	return a.st, a.err
 }
 
-func (h *answerChecker) submit(n *node, s *api.JobSpec) (created bool, err error) {
+func (h *answerChecker) submit(n *node, s *api.JobSpec) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
 	a := userResponse{verb: "submission", node: n.Settings.Node}
 	a.requestNumber = h.recordRequest(s.ID, func(j *answerLog) { j.submitted, j.tasks = true, s.Tasks })
 	a.st, a.created, a.err = n.Submit(ctx, s)
 	h.recordResponse(s.ID, a)
-	return a.created, a.err
+	return a.err
 }
 
 // resubmitInvalid repeats a submission with a field missing.
@@ -189,17 +189,18 @@
 	h.recordResponse(id, a)
 }
 
-func (h *answerChecker) cancel(n *node, id string) (api.JobState, error) {
+func (h *answerChecker) cancel(n *node, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	a := userResponse{verb: "cancel", node: n.Settings.Node}
 	a.requestNumber = h.recordRequest(id, func(j *answerLog) { j.cancelled = true })
 	a.st, a.err = n.Cancel(ctx, id)
 	h.recordResponse(id, a)
-	return a.st, a.err
+	return a.err
 }
 
-// retryUntilAnswered repeats a user's request once a second until it is answered, for a minute at most.
+// retryUntilAnswered repeats a user's request once a second until it is answered, for a minute at
+// most.
 func retryUntilAnswered(f func() error) error {
 	var err error
 	for startTime := time.Now(); time.Since(startTime) < time.Minute; time.Sleep(time.Second) {
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -82,7 +82,12 @@
 	})
 	time.Sleep(12 * time.Second)
 	w.checkEqual("more than 200 answers", tn.checker.answers() > 200, true)
-	tn.checkFinalPhases(map[string]string{"job-1": "done", "job-2": "running", "job-3": "withdrawn", "job-4": "withdrawn"})
+	tn.checkFinalPhases(map[string]string{
+		"job-1": "done",
+		"job-2": "running",
+		"job-3": "withdrawn",
+		"job-4": "withdrawn",
+	})
 	tn.checkNoneOverdue()
 	w.checkEqual("job that was never submitted", w.phase(tn.nodeAt(try), "job-9"), api.ErrUnknownJob.Error())
 }
--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -66,7 +66,7 @@
 	{
 		name: "acceptance", key: racedJobActive, match: isAcceptance, writers: []int{0, 1},
 		request: func(tn *userCluster, node int) error {
-			_, err := tn.checker.submit(tn.nodeAt(node), spec(racedJob, 2))
+			err := tn.checker.submit(tn.nodeAt(node), spec(racedJob, 2))
 			return err
 		},
 		wantPhase: "running", wantStarts: 2, wantTasks: 2,
@@ -74,7 +74,7 @@
 	{
 		name: "cancellation", key: racedJobTerminal, match: isCancellation, writers: []int{0, 2},
 		request: func(tn *userCluster, node int) error {
-			_, err := tn.checker.cancel(tn.nodeAt(node), racedJob)
+			err := tn.checker.cancel(tn.nodeAt(node), racedJob)
 			return err
 		},
 		wantPhase: "withdrawn", wantStarts: 2, wantTasks: 0,
@@ -180,7 +180,7 @@
 
 // cancelRacedJobOnce cancels without a repetition. The error is dropped: the transaction gets
 // no response, and what the user is answered is up to the answer checker.
-func cancelRacedJobOnce(tn *userCluster) { _, _ = tn.checker.cancel(tn.nodeAt(0), racedJob) }
+func cancelRacedJobOnce(tn *userCluster) { _ = tn.checker.cancel(tn.nodeAt(0), racedJob) }
 
 func endRacedJob(tn *userCluster) { tn.finish(racedJob) }
 
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -247,7 +247,8 @@
 	}
 }
 
-// checkNoneOverdue checks that no task of a cancelled job was on a machine for longer than it may be.
+// checkNoneOverdue checks that no task of a cancelled job was on a machine for longer than it
+// may be.
 func (tn *userCluster) checkNoneOverdue() {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
@@ -348,7 +349,7 @@
 			tn.background(func() {
 				switch {
 				case i%5 == 4 && submitted():
-					_, _ = tn.checker.submit(n, s)
+					_ = tn.checker.submit(n, s)
 				case i%17 == 3:
 					tn.checker.resubmitInvalid(n, s.ID)
 				default:
@@ -363,7 +364,7 @@
 // accept submits a job at a node until it is accepted.
 func (tn *userCluster) accept(i int, s *api.JobSpec) {
 	tn.t.Helper()
-	if err := retryUntilAnswered(func() error { _, err := tn.checker.submit(tn.nodeAt(i), s); return err }); err != nil {
+	if err := retryUntilAnswered(func() error { return tn.checker.submit(tn.nodeAt(i), s) }); err != nil {
 		tn.t.Errorf("submission of %s: %v", s.ID, err)
 	}
 }
@@ -371,7 +372,7 @@
 // cancel cancels a job at a node until that is confirmed.
 func (tn *userCluster) cancel(i int, id string) {
 	tn.t.Helper()
-	if err := retryUntilAnswered(func() error { _, err := tn.checker.cancel(tn.nodeAt(i), id); return err }); err != nil {
+	if err := retryUntilAnswered(func() error { return tn.checker.cancel(tn.nodeAt(i), id) }); err != nil {
 		tn.t.Errorf("cancellation of %s: %v", id, err)
 	}
 }
@@ -398,7 +399,7 @@
 	}
 }
 
-// ModRevision is the mod revision of a record, 0 if there is none.
+// modRevision is the mod revision of a record, 0 if there is none.
 func (tn *userCluster) modRevision(key string) uint64 {
 	e, err := tn.store.Get(context.Background(), key)
 	if err != nil {
@@ -425,8 +426,8 @@
 	return n
 }
 
-// pollUntilFinal has a job's user request its state until the answer is its end, each time at another
-// node.
+// pollUntilFinal has a job's user request its state until the answer is its end, each time at
+// another node.
 func (tn *userCluster) pollUntilFinal(i int, id string, interval time.Duration) {
 	tn.background(func() {
 		for ; !tn.stopped.Load(); i++ {
