--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -146,7 +146,7 @@
 		return
 	}
 	m.TaskErrorsByJob[j.Spec.ID]++
-	m.CordonDuration = min(max(2*m.CordonDuration, time.Second), maxCordon)
+	m.CordonDuration = min(max(2*m.CordonDuration, time.Second), MaxCordon)
 	m.CordonedUntil = now.Add(m.CordonDuration)
 	failsProvenJob := j.DoneCount > 0 && m.TaskErrorsByJob[j.Spec.ID] >= quarantineFailures
 	if m.Phase() == cluster.Active && (len(m.TaskErrorsByJob) >= quarantineJobs || failsProvenJob) {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -110,7 +110,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Second)
-				lt.lastTick = now
+				lt.detector.DetectPause(nil, now)
 				for _, m := range lt.machines {
 					m.LastSeen, m.LastHeartbeat = now, now
 				}
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -90,7 +90,7 @@
 func (lt *leaderTerm) acceptsDirect(m *cluster.Machine, now time.Time) bool {
 	return m.IsSchedulable(now) && m.FreeCPUs() > cluster.Epsilon &&
 		!m.CommandInFlight && !m.LastForwarded && m.UnappliedResponses == 0 && m.Addr != "" &&
-		now.Sub(m.LastHeartbeat) <= lt.heartbeatTimeout()
+		now.Sub(m.LastHeartbeat) <= lt.detector.HeartbeatTimeout()
 }
 
 // hasPendingTasks tells whether any task is pending that could start now.
@@ -115,7 +115,7 @@
 	lt.commandsInFlight++
 	addr, req := m.Addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.AgentEpoch, Commands: commands}
 	timeout := directTimeout
-	if !lt.notPausedSince(time.Now().Add(-recentPause)) {
+	if now := time.Now(); !lt.detector.NotPausedSince(now.Add(-recentPause), now) {
 		timeout = slowDirectTimeout
 	}
 	go func() {
--- a/internal/controller/directcommands_test.go
+++ b/internal/controller/directcommands_test.go
@@ -335,8 +335,8 @@
 			m := c.leaderTerm.machines[idle[5].status.Machine]
 			hb := idle[5].status
 			hb.Seq, hb.AgentEpoch = m.HeartbeatSeq+1, m.AgentEpoch
-			c.leaderTerm.resyncing++
-			resyncResultMsg{c.leaderTerm, m, time.Now(), &hb, nil}.apply(c)
+			request := c.leaderTerm.detector.BeginResync(m, time.Now())
+			resyncResultMsg{c.leaderTerm, request, &hb, nil}.apply(c)
 			w.checkEqual("given in a resync", len(m.Attempts), 0)
 		})
 	})
@@ -368,8 +368,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.leaderTerm.resyncing++
-				resyncResultMsg{c.leaderTerm, m, time.Now(), hb, nil}.apply(c)
+				request := c.leaderTerm.detector.BeginResync(m, time.Now())
+				resyncResultMsg{c.leaderTerm, request, hb, nil}.apply(c)
 			})
 		}
 		resynced(ks[0])
--- a/internal/controller/failuredetector.go
+++ b/internal/controller/failuredetector.go
@@ -1,21 +1,13 @@
 package controller
 
 import (
-	"context"
 	"time"
 
-	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 )
 
-// Prober requests a heartbeat from a machine directly, to learn whether it is alive.
-type Prober interface {
-	Probe(ctx context.Context, addr string) (*api.Heartbeat, error)
-}
-
 const (
-	probeTimeout  = time.Second
 	probeInterval = time.Second
 	// deadAfterProbes is how many probes in a row must fail for a machine to count as dead.
 	deadAfterProbes = 2
@@ -34,59 +26,109 @@
 // fifths of all, for the zone to count as partitioned.
 const minPartitionSuspects = 3
 
-// detectFailures terminates the machines that are confirmed dead, or to which commands cannot be
-// delivered. A dead machine is detected by a missed heartbeat and two failed probes. Waiting for
-// its task lease to expire would delay its tasks by that much more, and a new leader that waits
-// for it to be fenced can start no job accepted before its term. A machine whose heartbeats arrive
-// while it applies no commands is probed in the same way. Where most of a zone is suspect at once,
-// a partition is the more likely cause, and a node on the other side may renew the machines' task
-// leases on behalf of the leader: they are given the time in which even that ends.
-func (lt *leaderTerm) detectFailures(now time.Time) {
-	zones := lt.countZones(now)
-	for _, m := range lt.machines {
-		if m.Phase() >= cluster.Terminating || !lt.isSuspect(m, now) {
-			continue
-		}
-		lt.probe(m, now)
-		partitioned := lt.isLikelyPartitioned(m, zones[m.Zone])
-		if partitioned {
-			lt.readRenewals(now)
-		}
-		if !lt.isConfirmedDead(m, partitioned, now) {
-			continue
-		}
-		reason := "silent"
-		if m.UnappliedResponses > 0 {
-			reason = "deaf" // heartbeats arrive, responses do not
-		}
-		lt.evacuate(m, reason)
-		lt.autoscaler.scaleIn(m)
+// Settings are what a Detector needs to know of its node and of the worker agents.
+type Settings struct {
+	Workers config.Workers
+	// MaxDials is the limit of the probes in flight, and of the resyncs.
+	MaxDials int
+	// CanProbe and CanResync tell whether the owner can send such requests. A probe that cannot
+	// be sent counts as failed.
+	CanProbe, CanResync bool
+}
+
+// Detector is the failure detector of one leader term.
+type Detector struct {
+	settings Settings
+	lastTick time.Time
+	// lastPause is when the last process pause was detected.
+	lastPause time.Time
+	// heartbeatsSince is since when heartbeats reach this node as leader.
+	heartbeatsSince time.Time
+	// probing and resyncing are the numbers of requests in flight.
+	probing, resyncing int
+	// toResync are the machines that a new leader has yet to resync.
+	toResync []*cluster.Machine
+}
+
+// newDetector returns the failure detector of a new leader term.
+func newDetector(s Settings) *Detector { return &Detector{settings: s} }
+
+// HeartbeatsStart records that heartbeats reach this node as leader from now on.
+func (d *Detector) HeartbeatsStart(now time.Time) { d.heartbeatsSince = now }
+
+// HeartbeatTimeout is the longest time between two heartbeats of a machine without a fault.
+func (d *Detector) HeartbeatTimeout() time.Duration {
+	return 2*d.settings.Workers.HeartbeatInterval() + time.Second
+}
+
+// Reason is why a machine is to be evacuated and terminated.
+type Reason string
+
+const (
+	// ReasonSilent is that its heartbeats have stopped.
+	ReasonSilent Reason = "silent"
+	// ReasonUndelivered is that its heartbeats arrive and responses to them do not.
+	ReasonUndelivered Reason = "deaf"
+	// ReasonRestarted is that its agent was started anew under the machine's name.
+	ReasonRestarted Reason = "started anew"
+)
+
+// Verdict is what the owner is to do about a machine, in the order of the fields.
+type Verdict struct {
+	// Request is the request to send; its Kind is NoRequest if there is none.
+	Request Request
+	// Partitioned is set if the machine is suspect, and more likely partitioned with others of
+	// its zone than dead: another node may renew its task lease.
+	Partitioned bool
+	// Dead is why the machine is to be evacuated and terminated; empty if it is not.
+	Dead Reason
+}
+
+// Check judges a machine, by its own state and the counts of its zone. A dead machine is detected
+// by a missed heartbeat and two failed probes. Waiting for its task lease to expire would delay its
+// tasks by that much more, and a new leader that waits for it to be fenced can start no job accepted
+// before its term. A machine whose heartbeats arrive while it applies no commands is probed in the
+// same way. Where most of a zone is suspect at once, a partition is the more likely cause, and a
+// node on the other side may renew the machines' task leases on behalf of the leader: they are
+// given the time in which even that ends.
+func (d *Detector) Check(m *cluster.Machine, zone ZoneCount, now time.Time) Verdict {
+	if m.Phase() >= cluster.Terminating || !d.isSuspect(m, now) {
+		return Verdict{}
+	}
+	v := Verdict{Request: d.nextRequest(m, now), Partitioned: d.isLikelyPartitioned(m, zone)}
+	if !d.isConfirmedDead(m, v.Partitioned, now) {
+		return v
+	}
+	v.Dead = ReasonSilent
+	if m.UnappliedResponses > 0 {
+		v.Dead = ReasonUndelivered
 	}
+	return v
 }
 
 // isSuspect tells whether a machine may be dead, or its commands undelivered.
-func (lt *leaderTerm) isSuspect(m *cluster.Machine, now time.Time) bool {
+func (d *Detector) isSuspect(m *cluster.Machine, now time.Time) bool {
 	silentFor := now.Sub(m.LastSeen)
 	if !m.Fenced {
 		return silentFor > takeoverGrace // no heartbeat in this term
 	}
-	return m.UnappliedResponses > 0 || silentFor > lt.c.Settings.Site.Workers.HeartbeatInterval()*5/4+time.Second
+	return m.UnappliedResponses > 0 || silentFor > d.settings.Workers.HeartbeatInterval()*5/4+time.Second
 }
 
-// zoneCount counts a zone's machines: all, those that are suspect, and those with a fresh
+// ZoneCount counts a zone's machines: all, those that are suspect, and those with a fresh
 // heartbeat.
-type zoneCount struct{ all, suspect, fresh int }
+type ZoneCount struct{ all, suspect, fresh int }
 
-// countZones counts the machines of each zone that are not being terminated.
-func (lt *leaderTerm) countZones(now time.Time) map[string]zoneCount {
-	zones := map[string]zoneCount{}
-	for _, m := range lt.machines {
+// CountZones counts the machines of each zone that are not being terminated.
+func (d *Detector) CountZones(machines map[string]*cluster.Machine, now time.Time) map[string]ZoneCount {
+	zones := map[string]ZoneCount{}
+	for _, m := range machines {
 		if m.Phase() >= cluster.Terminating {
 			continue
 		}
 		count := zones[m.Zone]
 		count.all++
-		if lt.isSuspect(m, now) {
+		if d.isSuspect(m, now) {
 			count.suspect++
 		}
 		if now.Sub(m.LastHeartbeat) < freshHeartbeatAge {
@@ -99,21 +141,21 @@
 
 // isLikelyPartitioned tells whether a suspect machine is more likely partitioned, with others of
 // its zone, than dead.
-func (lt *leaderTerm) isLikelyPartitioned(m *cluster.Machine, zone zoneCount) bool {
+func (d *Detector) isLikelyPartitioned(m *cluster.Machine, zone ZoneCount) bool {
 	if zone.suspect >= minPartitionSuspects && zone.suspect*5 > zone.all*3 {
 		return true
 	}
 	// When all heartbeats stop at once, the first machines to miss one are not dead: hardly
 	// any other has sent one since either. Of all machines, this share should have a fresh one.
-	expectedFresh := min(1, freshHeartbeatAge.Seconds()/lt.c.Settings.Site.Workers.HeartbeatS)
+	expectedFresh := min(1, freshHeartbeatAge.Seconds()/d.settings.Workers.HeartbeatS)
 	return m.Fenced && float64(zone.fresh) < expectedFresh*float64(zone.all)/5 && zone.all >= minZoneMachines
 }
 
 // isConfirmedDead tells whether a suspect machine is to be terminated.
-func (lt *leaderTerm) isConfirmedDead(m *cluster.Machine, partitioned bool, now time.Time) bool {
-	workers := lt.c.Settings.Site.Workers
+func (d *Detector) isConfirmedDead(m *cluster.Machine, partitioned bool, now time.Time) bool {
+	workers := d.settings.Workers
 	switch silentFor := now.Sub(m.LastSeen); {
-	case !m.Fenced && now.Sub(lt.heartbeatsSince) > workers.Lease()+2*workers.HeartbeatInterval():
+	case !m.Fenced && now.Sub(d.heartbeatsSince) > workers.Lease()+2*workers.HeartbeatInterval():
 		// It keeps every job accepted before this term from starting. One to which commands
 		// are undelivered shows the old fencing token in heartbeat after heartbeat and may even
 		// answer probes, but its task lease has expired by now. One whose task lease another
@@ -131,101 +173,3 @@
 			m.UnappliedResponses >= undeliveredAfter
 	}
 }
-
-// probe probes a suspect machine, unless it was probed less than probeInterval ago. One that is not
-// fenced is resynced instead, which fences it as well.
-func (lt *leaderTerm) probe(m *cluster.Machine, now time.Time) {
-	if now.Before(m.NextProbe) || lt.probing >= lt.maxDials {
-		return
-	}
-	if !m.Fenced && lt.c.CommandSender != nil && m.Addr != "" {
-		if lt.resyncing < lt.maxDials {
-			lt.resync(m, now)
-		}
-		return
-	}
-	m.NextProbe = now.Add(probeInterval)
-	p := lt.c.Prober
-	if p == nil || m.Addr == "" {
-		m.ProbeFails++
-		return
-	}
-	lt.probing++
-	// The goroutine reads no field of the machine: these belong to the owner's goroutine.
-	addr, msg := m.Addr, probeResultMsg{
-		leaderTerm:   lt,
-		machine:      m,
-		sentAt:       now,
-		agentEpoch:   m.AgentEpoch,
-		heartbeatSeq: m.HeartbeatSeq,
-	}
-	go func() {
-		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
-		defer cancel()
-		msg.heartbeat, msg.err = p.Probe(ctx, addr)
-		lt.sendToOwner(msg)
-	}()
-}
-
-// probeResultMsg is the outcome of a probe.
-type probeResultMsg struct {
-	leaderTerm *leaderTerm
-	machine    *cluster.Machine
-	sentAt     time.Time
-	// AgentEpoch and HeartbeatSeq are of the machine's newest heartbeat when the probe was sent.
-	agentEpoch, heartbeatSeq uint64
-	heartbeat                *api.Heartbeat
-	err                      error
-}
-
-func (m probeResultMsg) apply(c *Controller) {
-	if c.leaderTerm != m.leaderTerm {
-		return
-	}
-	m.leaderTerm.probing--
-	if m.machine.Phase() == cluster.Terminated {
-		return
-	}
-	if m.err != nil || m.heartbeat.Machine != m.machine.Name {
-		m.probeFailed()
-		return
-	}
-	if m.showsRestart() {
-		// The machine was started anew under its name before it was missed. All its
-		// heartbeats would be taken for older ones, and its tasks for running, without end.
-		// Only its termination shows that they are off the machine.
-		m.leaderTerm.evacuate(m.machine, "started anew")
-		if m.machine.Phase() < cluster.Terminating {
-			m.leaderTerm.autoscaler.scaleIn(m.machine)
-		}
-		return
-	}
-	if m.machine.Fenced && m.heartbeat.AgentEpoch > m.machine.AgentEpoch && c.holdsLease() {
-		// Its task lease has expired while it reached no controller, and its tasks have ended
-		// with that. Its own heartbeats may not arrive for long.
-		if _, err := m.leaderTerm.handleHeartbeat(m.heartbeat, solicited, time.Now()); err != nil {
-			c.Log.Debug("probe answer not applied", "machine", m.machine.Name, "err", err)
-		}
-		return
-	}
-	// The machine is alive, but its heartbeats do not arrive. What they would report is not
-	// known, so only its suspicion ends.
-	m.machine.ProbeFails = 0
-	m.machine.LastSeen = time.Now()
-}
-
-// probeFailed counts the failure against the machine, unless it was seen since or this node was
-// paused.
-func (m probeResultMsg) probeFailed() {
-	suspect := m.machine.LastSeen.Before(m.sentAt) || m.machine.UnappliedResponses > 0
-	if suspect && m.leaderTerm.notPausedSince(m.sentAt) {
-		m.machine.ProbeFails++
-	}
-}
-
-// showsRestart tells whether the heartbeat is older, by its numbers, than one that was applied
-// before the probe was sent.
-func (m probeResultMsg) showsRestart() bool {
-	return m.heartbeat.AgentEpoch < m.agentEpoch ||
-		m.heartbeat.AgentEpoch == m.agentEpoch && m.heartbeat.Seq < m.heartbeatSeq
-}
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -102,13 +102,10 @@
 // updateMachine applies what a new heartbeat says of the machine itself.
 func (lt *leaderTerm) updateMachine(m *cluster.Machine, hb *api.Heartbeat, now time.Time) {
 	if m.AgentEpoch != 0 && hb.AgentEpoch > m.AgentEpoch {
-		if lt.notPausedSince(now.Add(-lt.c.Settings.Site.Workers.Lease() - lt.heartbeatTimeout())) {
-			m.UnappliedResponses++ // its task lease has expired although it was answered
-		}
-		m.LastCommands = nil
+		lt.detector.NewAgentEpoch(m, now, time.Now())
 	}
 	m.HeartbeatCount++
-	if now.Sub(m.LastHeartbeat) > lt.heartbeatTimeout() {
+	if now.Sub(m.LastHeartbeat) > lt.detector.HeartbeatTimeout() {
 		m.MarkUnmeasured()
 	}
 	m.LastHeartbeat = now
@@ -137,45 +134,13 @@
 	lt.recordWriter.register(m)
 }
 
-// responseMaxAge is the age at which worker agents drop a response. A process pause within that
-// time before a response may have delayed it so far.
-const responseMaxAge = 4 * time.Second
-
-// A machine is cordoned for maxCordon at most. The cordon of one that does not apply responses
-// starts from the heartbeat interval and doubles with each response, maxCordonDoublings times
-// at most.
-const (
-	maxCordon          = 30 * time.Second
-	maxCordonDoublings = 5
-)
-
 // checkApplied checks whether a heartbeat shows that any command of the last response was
-// applied. To a machine whose heartbeats arrive while responses do not reach it, starts would
-// otherwise be sent again and again.
+// applied.
 func (lt *leaderTerm) checkApplied(m *cluster.Machine, now time.Time) {
-	if len(m.LastCommands) == 0 {
-		return
-	}
-	for _, command := range m.LastCommands {
-		a := m.Attempts[cluster.AttemptKey{Ref: command.Task, ID: command.Attempt}]
-		shown := a != nil && a.LastSeenHeartbeat == m.HeartbeatCount
-		stopping := shown && command.Verb == api.VerbStop && a.Phase != api.TaskRunning
-		if (command.Verb == api.VerbStart) == shown || stopping {
-			m.UnappliedResponses = 0
-			return
-		}
-	}
-	if !lt.notPausedSince(m.LastCommandsAt.Add(-responseMaxAge)) {
-		return // the response may have arrived too late because this node was paused
-	}
-	// One response may be lost; after a second one the machine gets no tasks for a while.
-	if m.UnappliedResponses++; m.UnappliedResponses > 1 {
-		cordon := lt.c.Settings.Site.Workers.HeartbeatInterval() << min(m.UnappliedResponses, maxCordonDoublings)
-		m.CordonedUntil = now.Add(min(cordon, maxCordon))
+	if !lt.detector.CheckApplied(m, now, time.Now()) {
+		lt.c.Log.Debug("commands not applied", "machine", m.Name,
+			"count", len(m.LastCommands), "responses", m.UnappliedResponses)
 	}
-	m.NextProbe = now
-	lt.c.Log.Debug("commands not applied", "machine", m.Name,
-		"count", len(m.LastCommands), "responses", m.UnappliedResponses)
 }
 
 // handlePreemptionNotice evacuates a machine that the cloud will take back: tasks with
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -89,17 +89,9 @@
 	nextScan       time.Time
 	nextUsageLog   time.Time
 	nextPendingLog time.Time
-	lastTick       time.Time
-	// heartbeatsSince is since when heartbeats reach this node as leader.
-	heartbeatsSince time.Time
-	// lastPause is when the last process pause was detected.
-	lastPause time.Time
-	probing   int
-	// maxDials is the limit of each of probing, resyncing and commandsInFlight.
+	detector       *Detector
+	// maxDials is the limit of commandsInFlight, and of the detector's probes and resyncs each.
 	maxDials int
-	// toResync are the machines that a new leader has yet to resync.
-	toResync  []*cluster.Machine
-	resyncing int
 	// renewalsReadAt is when the leader last read which machines' leases other nodes renew,
 	// and renewalRevisions are the versions of those records then.
 	renewalsReadAt   time.Time
@@ -139,6 +131,12 @@
 		maxFetches:       maxConcurrentFetches,
 		maxDials:         maxConcurrentDials(c.Settings.Site.Limits.FDLimit),
 	}
+	lt.detector = newDetector(Settings{
+		Workers:   c.Settings.Site.Workers,
+		MaxDials:  lt.maxDials,
+		CanProbe:  c.Prober != nil,
+		CanResync: c.CommandSender != nil,
+	})
 	lt.readIndex.leaderTerm = lt
 	lt.recordWriter.init(lt)
 	lt.dependencies.init(lt)
@@ -256,7 +254,7 @@
 		return
 	}
 	lt.loans.tick(now)
-	if !lt.mayRenewLeases(now) || lt.detectPause(now) {
+	if !lt.mayRenewLeases(now) || lt.detector.DetectPause(lt.machines, now) {
 		return
 	}
 	lt.dispatch(now)
--- a/internal/controller/pauses.go
+++ b/internal/controller/pauses.go
@@ -2,6 +2,8 @@
 
 import (
 	"time"
+
+	"example.org/ivytrestle/internal/cluster"
 )
 
 // A tick that is pauseThreshold late shows a process pause, and one that is longPauseThreshold late
@@ -11,26 +13,26 @@
 	longPauseThreshold = 2 * time.Second
 )
 
-// detectPause detects process pauses, by the time since the last tick, and reports whether this
+// DetectPause detects process pauses, by the time since the last tick, and reports whether this
 // node has just been unable to handle its machines' heartbeats for a while: it may not have been
 // allowed to answer them, or its process was paused.
 // No machine counts as suspect for that, or the first act after an outage of the key-value store
 // would be to terminate the whole fleet. On a controller with too little processor time short
 // pauses are frequent: the time of a pause counts as no missed heartbeat either, and a response
 // that was due meanwhile is not taken for missing.
-func (lt *leaderTerm) detectPause(now time.Time) bool {
-	gap := now.Sub(lt.lastTick)
-	first := lt.lastTick.IsZero()
-	lt.lastTick = now
+func (d *Detector) DetectPause(machines map[string]*cluster.Machine, now time.Time) bool {
+	gap := now.Sub(d.lastTick)
+	first := d.lastTick.IsZero()
+	d.lastTick = now
 	if first || gap < pauseThreshold {
 		return false
 	}
-	lt.lastPause = now
+	d.lastPause = now
 	longPause := gap >= longPauseThreshold
 	if longPause {
-		lt.heartbeatsSince = now
+		d.heartbeatsSince = now
 	}
-	for _, m := range lt.machines {
+	for _, m := range machines {
 		if m.LastSeen = m.LastSeen.Add(gap); longPause || m.LastSeen.After(now) {
 			m.LastSeen = now
 		}
@@ -38,8 +40,9 @@
 	return longPause
 }
 
-// notPausedSince reports whether there was no process pause since a request was sent. After one, a
-// response may wait to be read although its time limit has passed.
-func (lt *leaderTerm) notPausedSince(sentAt time.Time) bool {
-	return !lt.lastPause.After(sentAt) && time.Since(lt.lastTick) < pauseThreshold
+// NotPausedSince reports whether there was no process pause since a request was sent. After one, a
+// response may wait to be read although its time limit has passed. Unlike other arguments, now must
+// be read from the clock when this is called: the last tick may be long ago.
+func (d *Detector) NotPausedSince(sentAt, now time.Time) bool {
+	return !d.lastPause.After(sentAt) && now.Sub(d.lastTick) < pauseThreshold
 }
--- /dev/null
+++ b/internal/controller/probes.go
@@ -0,0 +1,79 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
+)
+
+// Prober requests a heartbeat from a machine directly, to learn whether it is alive.
+type Prober interface {
+	Probe(ctx context.Context, addr string) (*api.Heartbeat, error)
+}
+
+const probeTimeout = time.Second
+
+// detectFailures probes suspect machines, and terminates those that are confirmed dead, or to which
+// commands cannot be delivered.
+func (lt *leaderTerm) detectFailures(now time.Time) {
+	zones := lt.detector.CountZones(lt.machines, now)
+	for _, m := range lt.machines {
+		verdict := lt.detector.Check(m, zones[m.Zone], now)
+		switch verdict.Request.Kind {
+		case Probe:
+			lt.sendProbe(verdict.Request)
+		case Resync:
+			lt.sendResync(verdict.Request)
+		case NoRequest:
+		}
+		if verdict.Partitioned {
+			lt.readRenewals(now)
+		}
+		if verdict.Dead != "" {
+			lt.evacuate(m, string(verdict.Dead))
+			lt.autoscaler.scaleIn(m)
+		}
+	}
+}
+
+// sendProbe sends a probe to a machine.
+func (lt *leaderTerm) sendProbe(request Request) {
+	// The goroutine reads no field of the machine: these belong to the owner's goroutine.
+	addr, prober := request.Machine.Addr, lt.c.Prober
+	go func() {
+		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
+		defer cancel()
+		hb, err := prober.Probe(ctx, addr)
+		lt.sendToOwner(probeResultMsg{leaderTerm: lt, request: request, heartbeat: hb, err: err})
+	}()
+}
+
+// probeResultMsg is the outcome of a probe.
+type probeResultMsg struct {
+	leaderTerm *leaderTerm
+	request    Request
+	heartbeat  *api.Heartbeat
+	err        error
+}
+
+func (m probeResultMsg) apply(c *Controller) {
+	lt, machine := m.leaderTerm, m.request.Machine
+	if c.leaderTerm != lt {
+		return
+	}
+	now := time.Now()
+	switch lt.detector.ProbeResult(m.request, m.heartbeat, m.err, c.holdsLease(), now) {
+	case Restarted:
+		lt.evacuate(machine, string(ReasonRestarted))
+		if machine.Phase() < cluster.Terminating {
+			lt.autoscaler.scaleIn(machine)
+		}
+	case NewHeartbeat:
+		if _, err := lt.handleHeartbeat(m.heartbeat, solicited, now); err != nil {
+			c.Log.Debug("probe answer not applied", "machine", machine.Name, "err", err)
+		}
+	case Ignored, Failed, Alive:
+	}
+}
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
-	"example.org/ivytrestle/internal/cluster"
 )
 
 // A takeover waits until every machine in the registry has reported with the new term. Waiting
@@ -27,57 +26,51 @@
 
 // resyncNext resyncs the machines that are still to be resynced.
 func (lt *leaderTerm) resyncNext(now time.Time) {
-	for len(lt.toResync) > 0 && lt.resyncing < lt.maxDials {
-		m := lt.toResync[0]
-		lt.toResync = lt.toResync[1:]
-		if m.Fenced || m.Phase() >= cluster.Terminating || m.Addr == "" {
-			continue
+	for {
+		request := lt.detector.NextResync(now)
+		if request.Kind == NoRequest {
+			return
 		}
-		lt.resync(m, now)
+		lt.sendResync(request)
 	}
 }
 
-// resync solicits a heartbeat with this term from a machine. One that does not answer is resynced
-// again like any suspect machine.
-func (lt *leaderTerm) resync(m *cluster.Machine, now time.Time) {
-	lt.resyncing++
-	m.NextProbe = now.Add(probeInterval)
-	addr, term := m.Addr, lt.term.Number
+// sendResync solicits a heartbeat with this term from a machine.
+func (lt *leaderTerm) sendResync(request Request) {
+	addr, term := request.Machine.Addr, lt.term.Number
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
 		defer cancel()
 		hb, err := lt.c.CommandSender.Resync(ctx, addr, term)
-		lt.sendToOwner(resyncResultMsg{leaderTerm: lt, machine: m, sentAt: now, heartbeat: hb, err: err})
+		lt.sendToOwner(resyncResultMsg{leaderTerm: lt, request: request, heartbeat: hb, err: err})
 	}()
 }
 
 // resyncResultMsg is the outcome of a resync.
 type resyncResultMsg struct {
 	leaderTerm *leaderTerm
-	machine    *cluster.Machine
-	sentAt     time.Time
+	request    Request
 	heartbeat  *api.Heartbeat
 	err        error
 }
 
 func (m resyncResultMsg) apply(c *Controller) {
-	lt := m.leaderTerm
+	lt, machine := m.leaderTerm, m.request.Machine
 	if c.leaderTerm != lt {
 		return
 	}
-	lt.resyncing--
 	now := time.Now()
-	switch {
-	case m.machine.Phase() == cluster.Terminated:
-	case m.err != nil:
-		c.Log.Debug("resync failed", "machine", m.machine.Name, "err", m.err)
-		if !m.machine.Fenced && lt.notPausedSince(m.sentAt) {
-			m.machine.ProbeFails++
+	switch lt.detector.ResyncResult(m.request, m.heartbeat, m.err, now) {
+	case Failed:
+		c.Log.Debug("resync failed", "machine", machine.Name, "err", m.err)
+	case NewHeartbeat:
+		if !c.holdsLease() {
+			break
 		}
-	case c.holdsLease() && m.heartbeat.Machine == m.machine.Name:
 		if _, err := lt.handleHeartbeat(m.heartbeat, solicited, now); err != nil {
-			c.Log.Debug("resync answer not applied", "machine", m.machine.Name, "err", err)
+			c.Log.Debug("resync answer not applied", "machine", machine.Name, "err", err)
 		}
+	case Ignored, Restarted, Alive:
 	}
 	if c.leaderTerm == lt {
 		lt.resyncNext(now)
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -69,11 +69,6 @@
 	return n < max(1, len(lt.machines)/slowLimitDivisor)
 }
 
-// heartbeatTimeout is the longest time between two heartbeats of a machine without a fault.
-func (lt *leaderTerm) heartbeatTimeout() time.Duration {
-	return 2*lt.c.Settings.Site.Workers.HeartbeatInterval() + time.Second
-}
-
 // restartStragglers restarts, once each, the runs that isStraggler finds.
 func (lt *leaderTerm) restartStragglers(now time.Time) {
 	limitFactor := lt.c.Policy.RestartLimit
@@ -107,7 +102,7 @@
 	if a.Exited || a.Stop != nil || a.RunningAt.IsZero() || took <= limit || j.RestartedTasks[a.Task] {
 		return false
 	}
-	if now.Sub(m.LastHeartbeat) > lt.heartbeatTimeout() {
+	if now.Sub(m.LastHeartbeat) > lt.detector.HeartbeatTimeout() {
 		return false // the run may have ended long ago
 	}
 	others := j.RunsElsewhere(m)
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -110,7 +110,8 @@
 	}
 	now := time.Now()
 	lt.addSnapshot(m.snapshot, now)
-	lt.loaded, lt.heartbeatsSince, lt.cancellationsConfirmedAt = true, now, m.snapshot.readAt
+	lt.loaded, lt.cancellationsConfirmedAt = true, m.snapshot.readAt
+	lt.detector.HeartbeatsStart(now)
 	go lt.dependencyLists.sweep()
 	if c.CommandSender != nil {
 		lt.resyncNext(now)
@@ -161,7 +162,7 @@
 		m.CPUs, m.GPUs, m.MemoryGB = entry.CPUs, entry.GPUs, entry.MemoryGB
 		m.Registration, m.Shard = cluster.Registered, s
 		s.Machines = append(s.Machines, m)
-		lt.toResync = append(lt.toResync, m)
+		lt.detector.QueueResync(m)
 		lt.unfenced++
 		lt.unfencedCPUs += m.CPUs
 		lt.unfencedGPUs += m.GPUs
