--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -6,6 +6,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cluster"
+	"example.org/ivytrestle/internal/failuredetector"
 )
 
 // adoptAttempt adds an attempt that a heartbeat shows and this leader did not start.
@@ -146,7 +147,7 @@
 		return
 	}
 	m.TaskErrorsByJob[j.Spec.ID]++
-	m.CordonDuration = min(max(2*m.CordonDuration, time.Second), MaxCordon)
+	m.CordonDuration = min(max(2*m.CordonDuration, time.Second), failuredetector.MaxCordon)
 	m.CordonedUntil = now.Add(m.CordonDuration)
 	failsProvenJob := j.DoneCount > 0 && m.TaskErrorsByJob[j.Spec.ID] >= quarantineFailures
 	if m.Phase() == cluster.Active && (len(m.TaskErrorsByJob) >= quarantineJobs || failsProvenJob) {
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -11,6 +11,7 @@
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
+	"example.org/ivytrestle/internal/failuredetector"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/leasequorum"
 	"example.org/ivytrestle/internal/queue"
@@ -89,7 +90,7 @@
 	nextScan       time.Time
 	nextUsageLog   time.Time
 	nextPendingLog time.Time
-	detector       *Detector
+	detector       *failuredetector.Detector
 	// maxDials is the limit of commandsInFlight, and of the detector's probes and resyncs each.
 	maxDials int
 	// renewalsReadAt is when the leader last read which machines' leases other nodes renew,
@@ -131,7 +132,7 @@
 		maxFetches:       maxConcurrentFetches,
 		maxDials:         maxConcurrentDials(c.Settings.Site.Limits.FDLimit),
 	}
-	lt.detector = newDetector(Settings{
+	lt.detector = failuredetector.New(failuredetector.Settings{
 		Workers:   c.Settings.Site.Workers,
 		MaxDials:  lt.maxDials,
 		CanProbe:  c.Prober != nil,
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -6,6 +6,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cluster"
+	"example.org/ivytrestle/internal/failuredetector"
 )
 
 // Prober requests a heartbeat from a machine directly, to learn whether it is alive.
@@ -22,11 +23,11 @@
 	for _, m := range lt.machines {
 		verdict := lt.detector.Check(m, zones[m.Zone], now)
 		switch verdict.Request.Kind {
-		case Probe:
+		case failuredetector.Probe:
 			lt.sendProbe(verdict.Request)
-		case Resync:
+		case failuredetector.Resync:
 			lt.sendResync(verdict.Request)
-		case NoRequest:
+		case failuredetector.NoRequest:
 		}
 		if verdict.Partitioned {
 			lt.readRenewals(now)
@@ -39,7 +40,7 @@
 }
 
 // sendProbe sends a probe to a machine.
-func (lt *leaderTerm) sendProbe(request Request) {
+func (lt *leaderTerm) sendProbe(request failuredetector.Request) {
 	// The goroutine reads no field of the machine: these belong to the owner's goroutine.
 	addr, prober := request.Machine.Addr, lt.c.Prober
 	go func() {
@@ -53,7 +54,7 @@
 // probeResultMsg is the outcome of a probe.
 type probeResultMsg struct {
 	leaderTerm *leaderTerm
-	request    Request
+	request    failuredetector.Request
 	heartbeat  *api.Heartbeat
 	err        error
 }
@@ -65,15 +66,15 @@
 	}
 	now := time.Now()
 	switch lt.detector.ProbeResult(m.request, m.heartbeat, m.err, c.holdsLease(), now) {
-	case Restarted:
-		lt.evacuate(machine, string(ReasonRestarted))
+	case failuredetector.Restarted:
+		lt.evacuate(machine, string(failuredetector.ReasonRestarted))
 		if machine.Phase() < cluster.Terminating {
 			lt.autoscaler.scaleIn(machine)
 		}
-	case NewHeartbeat:
+	case failuredetector.NewHeartbeat:
 		if _, err := lt.handleHeartbeat(m.heartbeat, solicited, now); err != nil {
 			c.Log.Debug("probe answer not applied", "machine", machine.Name, "err", err)
 		}
-	case Ignored, Failed, Alive:
+	case failuredetector.Ignored, failuredetector.Failed, failuredetector.Alive:
 	}
 }
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/failuredetector"
 )
 
 // A takeover waits until every machine in the registry has reported with the new term. Waiting
@@ -28,7 +29,7 @@
 func (lt *leaderTerm) resyncNext(now time.Time) {
 	for {
 		request := lt.detector.NextResync(now)
-		if request.Kind == NoRequest {
+		if request.Kind == failuredetector.NoRequest {
 			return
 		}
 		lt.sendResync(request)
@@ -36,7 +37,7 @@
 }
 
 // sendResync solicits a heartbeat with this term from a machine.
-func (lt *leaderTerm) sendResync(request Request) {
+func (lt *leaderTerm) sendResync(request failuredetector.Request) {
 	addr, term := request.Machine.Addr, lt.term.Number
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
@@ -49,7 +50,7 @@
 // resyncResultMsg is the outcome of a resync.
 type resyncResultMsg struct {
 	leaderTerm *leaderTerm
-	request    Request
+	request    failuredetector.Request
 	heartbeat  *api.Heartbeat
 	err        error
 }
@@ -61,16 +62,16 @@
 	}
 	now := time.Now()
 	switch lt.detector.ResyncResult(m.request, m.heartbeat, m.err, now) {
-	case Failed:
+	case failuredetector.Failed:
 		c.Log.Debug("resync failed", "machine", machine.Name, "err", m.err)
-	case NewHeartbeat:
+	case failuredetector.NewHeartbeat:
 		if !c.holdsLease() {
 			break
 		}
 		if _, err := lt.handleHeartbeat(m.heartbeat, solicited, now); err != nil {
 			c.Log.Debug("resync answer not applied", "machine", machine.Name, "err", err)
 		}
-	case Ignored, Restarted, Alive:
+	case failuredetector.Ignored, failuredetector.Restarted, failuredetector.Alive:
 	}
 	if c.leaderTerm == lt {
 		lt.resyncNext(now)
--- a/internal/controller/failuredetector.go
+++ b/internal/failuredetector/detector.go
@@ -1,4 +1,4 @@
-package controller
+package failuredetector
 
 import (
 	"time"
@@ -50,8 +50,8 @@
 	toResync []*cluster.Machine
 }
 
-// newDetector returns the failure detector of a new leader term.
-func newDetector(s Settings) *Detector { return &Detector{settings: s} }
+// New returns the failure detector of a new leader term.
+func New(s Settings) *Detector { return &Detector{settings: s} }
 
 // HeartbeatsStart records that heartbeats reach this node as leader from now on.
 func (d *Detector) HeartbeatsStart(now time.Time) { d.heartbeatsSince = now }
