--- /dev/null
+++ b/internal/failuredetector/pauses_test.go
@@ -0,0 +1,104 @@
+package failuredetector
+
+import (
+	"testing"
+	"time"
+
+	"example.org/ivytrestle/internal/cluster"
+)
+
+func TestDetectPause(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		gap  time.Duration
+		// seenAgo is how long before the last tick the machine was seen, wantSeenAgo how long
+		// before this one it counts as seen.
+		seenAgo, wantSeenAgo time.Duration
+		want                 bool
+		wantPause            bool
+	}{
+		{"in time", pauseThreshold - 1, 3 * time.Second, 3*time.Second + pauseThreshold - 1, false, false},
+		{"short pause", pauseThreshold, 3 * time.Second, 3 * time.Second, false, true},
+		{"short pause, seen meanwhile", time.Second, -700 * time.Millisecond, 0, false, true},
+		{"just short", longPauseThreshold - 1, 3 * time.Second, 3 * time.Second, false, true},
+		{"long pause", longPauseThreshold, 3 * time.Second, 0, true, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d := newDetector(t)
+			m := machineSeen(c.seenAgo)
+			tick := now.Add(c.gap)
+			if got := d.DetectPause(map[string]*cluster.Machine{m.Name: m}, tick); got != c.want {
+				t.Errorf("long pause %t, want %t", got, c.want)
+			}
+			if got := tick.Sub(m.LastSeen); got != c.wantSeenAgo {
+				t.Errorf("seen %v ago, want %v", got, c.wantSeenAgo)
+			}
+			if got := !d.NotPausedSince(now, tick); got != c.wantPause {
+				t.Errorf("paused %t, want %t", got, c.wantPause)
+			}
+			if !d.NotPausedSince(tick, tick) {
+				t.Error("paused since the tick that detected the pause")
+			}
+			if got := d.heartbeatsSince.Equal(tick); got != c.want {
+				t.Errorf("heartbeats count from now on: %t, want %t", got, c.want)
+			}
+		})
+	}
+}
+
+func TestFirstTickIsNoPause(t *testing.T) {
+	d := New(Settings{Workers: workers})
+	m := machineSeen(time.Minute)
+	if d.DetectPause(map[string]*cluster.Machine{m.Name: m}, now) {
+		t.Error("long pause at the first tick")
+	}
+	if got := now.Sub(m.LastSeen); got != time.Minute {
+		t.Errorf("seen %v ago, want 1m0s", got)
+	}
+	if !d.NotPausedSince(now.Add(-time.Hour), now) {
+		t.Error("paused at the first tick")
+	}
+}
+
+func TestNotPausedSince(t *testing.T) {
+	const pausedAgo = 5 * time.Second
+	for _, c := range []struct {
+		name          string
+		sentAgo, late time.Duration
+		want          bool
+	}{
+		{"sent after the pause", pausedAgo - 1, 0, true},
+		{"sent as it was detected", pausedAgo, 0, true},
+		{"sent before", pausedAgo + 1, 0, false},
+		{"tick still in time", 0, pauseThreshold - 1, true},
+		{"tick overdue", 0, pauseThreshold, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d := newDetector(t)
+			d.lastPause = now.Add(-pausedAgo)
+			if got := d.NotPausedSince(now.Add(-c.sentAgo), now.Add(c.late)); got != c.want {
+				t.Errorf("got %t, want %t", got, c.want)
+			}
+		})
+	}
+}
+
+// A machine whose silence is as long as that of this process is not suspect, and dead ones are
+// found again once the process runs.
+func TestPauseDelaysSuspicion(t *testing.T) {
+	d := newDetector(t)
+	m := machineSeen(0)
+	machines := map[string]*cluster.Machine{m.Name: m}
+	tick := now.Add(time.Minute)
+	d.DetectPause(machines, tick)
+	if v := d.Check(m, ZoneCount{}, tick); v != (Verdict{}) {
+		t.Errorf("after a long pause: %+v, want nothing", v)
+	}
+	for range 40 {
+		tick = tick.Add(100 * time.Millisecond)
+		d.DetectPause(machines, tick)
+	}
+	if v := d.Check(m, ZoneCount{}, tick); v.Request.Kind != Probe {
+		t.Errorf("4 seconds later: %+v, want a probe", v)
+	}
+}
--- /dev/null
+++ b/internal/failuredetector/responses_test.go
@@ -0,0 +1,196 @@
+package failuredetector
+
+import (
+	"testing"
+	"time"
+
+	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/cluster"
+)
+
+// testTask is the task of all commands, whose attempt is attemptID.
+const (
+	testTask  = "job-1.0"
+	attemptID = 5
+)
+
+// command returns a response with one command.
+func command(verb string) []api.Command {
+	return []api.Command{{Verb: verb, Task: testTask, Attempt: attemptID}}
+}
+
+// shown returns an attempt that the newest heartbeat names, and missing is one that it does not.
+func shown(phase string) *cluster.Attempt {
+	return &cluster.Attempt{Phase: phase, LastSeenHeartbeat: 9}
+}
+
+var missing = &cluster.Attempt{LastSeenHeartbeat: 8}
+
+var checkAppliedTests = []struct {
+	name     string
+	commands []api.Command
+	attempt  *cluster.Attempt
+	// unapplied is how many responses before this one were not applied.
+	unapplied     int
+	late          time.Duration
+	pausedAgo     time.Duration
+	want          bool
+	wantUnapplied int
+	wantCordon    time.Duration
+}{
+	{name: "no commands", unapplied: 2, want: true, wantUnapplied: 2},
+	{
+		name:      "start shown",
+		commands:  command(api.VerbStart),
+		attempt:   shown(api.TaskPulling),
+		unapplied: 2,
+		want:      true,
+	},
+	{name: "start not shown", commands: command(api.VerbStart), attempt: missing, wantUnapplied: 1},
+	{name: "start of an attempt not known", commands: command(api.VerbStart), wantUnapplied: 1},
+	{
+		name:          "still running after a stop",
+		commands:      command(api.VerbStop),
+		attempt:       shown(api.TaskRunning),
+		wantUnapplied: 1,
+	},
+	{
+		name:      "saving before it stops",
+		commands:  command(api.VerbStop),
+		attempt:   shown(api.TaskSaving),
+		unapplied: 1,
+		want:      true,
+	},
+	{name: "stopped", commands: command(api.VerbStop), attempt: missing, unapplied: 1, want: true},
+	{
+		name:          "not reaped",
+		commands:      command(api.VerbReap),
+		attempt:       shown(api.TaskExited),
+		wantUnapplied: 1,
+	},
+	{name: "reaped", commands: command(api.VerbReap), unapplied: 1, want: true},
+	{
+		name:     "one of two applied",
+		commands: append(command(api.VerbStart), command(api.VerbReap)...),
+		attempt:  shown(api.TaskRunning),
+		want:     true,
+	},
+	{name: "late tick", commands: command(api.VerbStart), late: pauseThreshold, want: true},
+	{
+		name:      "pause while the response may have been in flight",
+		commands:  command(api.VerbStart),
+		unapplied: 1,
+		// The response was sent two seconds ago.
+		pausedAgo:     2*time.Second + responseMaxAge - 1,
+		want:          true,
+		wantUnapplied: 1,
+	},
+	{
+		name:          "pause before that",
+		commands:      command(api.VerbStart),
+		pausedAgo:     2*time.Second + responseMaxAge,
+		wantUnapplied: 1,
+	},
+	{
+		name:          "second unapplied response",
+		commands:      command(api.VerbStart),
+		unapplied:     1,
+		wantUnapplied: 2,
+		wantCordon:    8 * time.Second,
+	},
+	{
+		name:          "third unapplied response",
+		commands:      command(api.VerbStart),
+		unapplied:     2,
+		wantUnapplied: 3,
+		wantCordon:    16 * time.Second,
+	},
+	{
+		name:          "fourth unapplied response",
+		commands:      command(api.VerbStart),
+		unapplied:     3,
+		wantUnapplied: 4,
+		wantCordon:    MaxCordon,
+	},
+	{
+		name:          "hundredth unapplied response",
+		commands:      command(api.VerbStart),
+		unapplied:     99,
+		wantUnapplied: 100,
+		wantCordon:    MaxCordon,
+	},
+}
+
+func TestCheckApplied(t *testing.T) {
+	for _, c := range checkAppliedTests {
+		t.Run(c.name, func(t *testing.T) {
+			d := newDetector(t)
+			if c.pausedAgo > 0 {
+				d.lastPause = now.Add(-c.pausedAgo)
+			}
+			m := machineSeen(0)
+			m.HeartbeatCount = 9
+			m.LastCommands, m.LastCommandsAt = c.commands, now.Add(-2*time.Second)
+			m.UnappliedResponses = c.unapplied
+			m.NextProbe = now.Add(time.Hour)
+			if c.attempt != nil {
+				m.Attempts = map[cluster.AttemptKey]*cluster.Attempt{{Ref: testTask, ID: attemptID}: c.attempt}
+			}
+			if got := d.CheckApplied(m, now, now.Add(c.late)); got != c.want {
+				t.Errorf("applied %t, want %t", got, c.want)
+			}
+			if m.UnappliedResponses != c.wantUnapplied {
+				t.Errorf("%d unapplied responses, want %d", m.UnappliedResponses, c.wantUnapplied)
+			}
+			if probeDue := m.NextProbe.Equal(now); probeDue == c.want {
+				t.Errorf("probe due at once: %t, want %t", probeDue, !c.want)
+			}
+			checkCordon(t, m, c.wantCordon)
+		})
+	}
+}
+
+// checkCordon checks for how long from now on a machine is cordoned; 0 is not at all.
+func checkCordon(t *testing.T, m *cluster.Machine, want time.Duration) {
+	t.Helper()
+	if want == 0 {
+		if !m.CordonedUntil.IsZero() {
+			t.Errorf("cordoned until %v, want no cordon", m.CordonedUntil)
+		}
+		return
+	}
+	if got := m.CordonedUntil.Sub(now); got != want {
+		t.Errorf("cordoned for %v, want %v", got, want)
+	}
+}
+
+func TestNewAgentEpoch(t *testing.T) {
+	// The task lease that has expired may be from a response as old as a lease and a heartbeat
+	// timeout.
+	const covered = 15 * time.Second
+	for _, c := range []struct {
+		name      string
+		pausedAgo time.Duration
+		late      time.Duration
+		want      int
+	}{
+		{"no pause", time.Hour, 0, 1},
+		{"pause before the task lease began", covered, 0, 1},
+		{"pause since", covered - 1, 0, 0},
+		{"late tick", time.Hour, pauseThreshold, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d := newDetector(t)
+			d.lastPause = now.Add(-c.pausedAgo)
+			m := machineSeen(0)
+			m.LastCommands = []api.Command{{Verb: api.VerbStart}}
+			d.NewAgentEpoch(m, now, now.Add(c.late))
+			if m.UnappliedResponses != c.want {
+				t.Errorf("%d unapplied responses, want %d", m.UnappliedResponses, c.want)
+			}
+			if m.LastCommands != nil {
+				t.Error("commands to the old agent epoch are kept")
+			}
+		})
+	}
+}
