--- a/internal/failuredetector/doc.go
+++ b/internal/failuredetector/doc.go
@@ -6,8 +6,8 @@
 // applies heartbeats, evacuates and scales in. The package does no I/O and has no clock. One
 // goroutine owns a Detector, so nothing here locks.
 //
-// Two invariants hold between calls. No more than MaxDials probes, and as many resyncs, are in
-// flight: each request that Check, BeginResync or NextResync returned counts until its result is
-// passed to ProbeResult or ResyncResult. And the time of a pause of this process counts neither as
-// a missed heartbeat nor as a failed request or an unapplied response.
+// Two invariants hold between calls. Check and NextResync return no request beyond MaxDials probes
+// and as many resyncs in flight: each request counts until its result is passed to ProbeResult or
+// ResyncResult. And the time of a pause of this process counts neither as a missed heartbeat nor as
+// a failed request or an unapplied response.
 package failuredetector
--- a/internal/failuredetector/requests.go
+++ b/internal/failuredetector/requests.go
@@ -68,8 +68,9 @@
 	return Request{}
 }
 
-// BeginResync returns a resync of a machine and counts it as in flight. A machine that does not
-// answer is resynced again like any suspect machine.
+// BeginResync returns a resync of a machine and counts it as in flight, however many there are:
+// Check and NextResync observe the limit. A machine that does not answer is resynced again like any
+// suspect machine.
 func (d *Detector) BeginResync(m *cluster.Machine, now time.Time) Request {
 	d.resyncing++
 	m.NextProbe = now.Add(probeInterval)
