--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -11,6 +11,7 @@
 	"math"
 	"reflect"
 	"regexp"
+	"slices"
 	"strings"
 	"time"
 
@@ -91,6 +92,9 @@
 // Save returns the time that a task needs to save a checkpoint.
 func (s *JobSpec) Save() time.Duration { return time.Duration(s.SaveS * float64(time.Second)) }
 
+// AllowsType reports whether the job's tasks may run on machines of a type.
+func (s *JobSpec) AllowsType(typ string) bool { return s.Types == nil || slices.Contains(s.Types, typ) }
+
 // submission is a JobSpec as decoded: pointers tell a missing field from a zero one.
 type submission struct {
 	ID          *string   `json:"NameId"`
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -161,7 +161,7 @@
 	case lt.unfenced > 0 && j.ModRevision <= lt.term.ModRevision:
 		// A machine that is not fenced may hold any task accepted before this term.
 		return false
-	case !m.Fits(s) || !typeAllowed(s, m.Type) || (s.Zone != "" && s.Zone != m.Zone) || (m.Spot && !s.Spot):
+	case !m.Fits(s) || !s.AllowsType(m.Type) || (s.Zone != "" && s.Zone != m.Zone) || (m.Spot && !s.Spot):
 		return false
 	case !j.Team.WithinLimit(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return false
--- a/internal/controller/autoscaler_constrained.go
+++ b/internal/controller/autoscaler_constrained.go
@@ -28,7 +28,7 @@
 
 // mayUse tells whether a job may run on machines of a type, zone and price model.
 func mayUse(s *api.JobSpec, typ, zone string, spot bool) bool {
-	return typeAllowed(s, typ) && (s.Zone == "" || s.Zone == zone) && (!spot || s.Spot)
+	return s.AllowsType(typ) && (s.Zone == "" || s.Zone == zone) && (!spot || s.Spot)
 }
 
 // constrainedDemands sums up the demand of constrained jobs by their constraints: of what has been
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -58,17 +58,12 @@
 
 // taskFits reports whether a task of a job may run on machines of a type and fits on one.
 func taskFits(spec *api.JobSpec, mt api.MachineType) bool {
-	return typeAllowed(spec, mt.Name) && zoneAllowed(spec, mt.Zones) &&
+	return spec.AllowsType(mt.Name) && zoneAllowed(spec, mt.Zones) &&
 		spec.CPUs <= mt.CPUs+cluster.Epsilon &&
 		spec.GPUs <= mt.GPUs+cluster.Epsilon &&
 		spec.MemoryGB <= mt.MemoryGB+cluster.Epsilon
 }
 
-// typeAllowed reports whether a job's tasks may run on machines of a type.
-func typeAllowed(spec *api.JobSpec, typ string) bool {
-	return spec.Types == nil || slices.Contains(spec.Types, typ)
-}
-
 // zoneAllowed reports whether a job's tasks may run in one of the zones.
 func zoneAllowed(spec *api.JobSpec, zones []string) bool {
 	if spec.Zone == "" {
