--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -1,26 +1,32 @@
 package controller
 
 import (
-	"math"
+	"fmt"
+	"slices"
 	"time"
 
+	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cloud"
 	"example.org/ivytrestle/internal/cluster"
+	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/fleet"
+	"example.org/ivytrestle/internal/policy"
+	"example.org/ivytrestle/internal/queue"
 )
 
-// autoscaler launches machines for pending work and terminates those that are not needed. It is a
-// part of the leader's term; requests to the cloud run in goroutines, which send their outcomes
-// as messages.
-type autoscaler struct {
-	leaderTerm *leaderTerm
+// Autoscaler decides which machines to launch, to drain and to terminate. Its state is that of one
+// term of a leader, which carries out what it decides.
+type Autoscaler struct {
+	policy  *policy.Policy
+	workers config.Workers
+	// term is in the names of launch requests, under which they are repeatable.
+	term uint64
 	// launchCount numbers the launch requests of the term.
-	launchCount      int
-	launchesInFlight int
-	// launchingCPUs are the CPUs of launch requests whose outcome is not known yet.
-	launchingCPUs float64
-	// pendingLaunches are the launch requests that are not answered yet, by name.
+	launchCount int
+	// pendingLaunches are the launch requests that are not answered yet, by name;
+	// launchingCPUs are their CPUs.
 	pendingLaunches map[string]fleet.LaunchRequest
+	launchingCPUs   float64
 	// unavailableUntil is until when a kind of machine is not requested, because the cloud had
 	// too few.
 	unavailableUntil map[fleet.Kind]time.Time
@@ -36,6 +42,56 @@
 	surplusSince time.Time
 }
 
+// View is what the autoscaler reads of the leader's state. Of it, only Machine.Draining is changed.
+type View struct {
+	Now      time.Time
+	Machines map[string]*cluster.Machine
+	// Provisioning are the machines that were launched or listed but have sent no heartbeat.
+	Provisioning map[string]*Provisioning
+	// Teams are the cell's own teams in the order of fair share, then those of guests: both
+	// have accepted jobs.
+	Teams []*queue.Team[*cluster.Job]
+	// Jobs are the active jobs, also those that are in no queue.
+	Jobs map[string]*cluster.Job
+	// Types are the machine types by name, nil while they are not known.
+	Types map[string]api.MachineType
+	// Unfenced is the number of machines that may still apply commands of earlier terms.
+	Unfenced int
+}
+
+// Commands are what is to be carried out, in the order of the fields.
+type Commands struct {
+	// Terminate are the machines of a request to terminate, none without one. Its outcome goes
+	// to TerminationEnded.
+	Terminate []string
+	// List is set if the cloud's list of machines is to be read. The outcome goes to ListEnded.
+	List bool
+	// Drained are the machines that are draining from now on.
+	Drained []Drained
+	// Launches are requests to launch machines. The outcome of each goes to LaunchEnded.
+	Launches []Launch
+	// Stops are the attempts that are to continue on other machines.
+	Stops []Stop
+}
+
+// Launch is a request to launch machines of an offer.
+type Launch struct {
+	Request cloud.LaunchRequest
+	Offer   fleet.Offer
+}
+
+// Drained is a machine that is draining from now on, and the surplus that is left without it.
+type Drained struct {
+	Machine   *cluster.Machine
+	SpareCPUs float64
+}
+
+// Stop is an attempt to stop, and how long its task may take to save its state.
+type Stop struct {
+	Attempt *cluster.Attempt
+	Grace   time.Duration
+}
+
 const (
 	// minUptime is the shortest time that the cloud charges for.
 	minUptime           = 30 * time.Second
@@ -46,122 +102,130 @@
 	unavailableTTL = 15 * time.Second
 )
 
-// init sets up the autoscaler for a term.
-func (as *autoscaler) init(lt *leaderTerm) {
-	as.leaderTerm = lt
-	as.unavailableUntil = map[fleet.Kind]time.Time{}
-	as.pendingLaunches = map[string]fleet.LaunchRequest{}
+// NewAutoscaler returns the autoscaler of a term. The policy is read at each decision.
+func NewAutoscaler(term uint64, p *policy.Policy, workers config.Workers) *Autoscaler {
+	return &Autoscaler{
+		policy:           p,
+		workers:          workers,
+		term:             term,
+		pendingLaunches:  map[string]fleet.LaunchRequest{},
+		unavailableUntil: map[fleet.Kind]time.Time{},
+	}
 }
 
-// tick does what is due, once each tick of the leader.
-func (as *autoscaler) tick(now time.Time) {
-	as.terminateMachines()
-	as.listMachines(now)
-	as.scaleOut(now)
-	as.moveCheckpointed(now)
+// Tick decides what is due, once each scan of the leader.
+func (as *Autoscaler) Tick(v *View) Commands {
+	terminate := as.NextTermination()
+	list := as.startList(v.Now)
+	commands := as.ScaleOut(v)
+	commands.Terminate, commands.List = terminate, list
+	commands.Stops = as.MoveCheckpointed(v)
+	return commands
 }
 
-// scaleOut launches what the demand lacks, after it has updated the surplus and what is drained.
+// ScaleOut launches what the demand lacks, after it has updated the surplus and what is drained.
 // Nothing is launched while machines are unfenced.
-func (as *autoscaler) scaleOut(now time.Time) {
-	lt := as.leaderTerm
-	used, total := 0.0, 0.0
-	for _, m := range lt.machines {
-		used += m.UsedCPUs
+func (as *Autoscaler) ScaleOut(v *View) Commands {
+	total := 0.0
+	for _, m := range v.Machines {
 		if m.Phase() == cluster.Active {
 			total += m.CPUs
 		}
 	}
 	booting := as.launchingCPUs
-	for _, booted := range lt.provisioning {
-		if !booted.terminating {
-			booting += booted.cpus
+	for _, p := range v.Provisioning {
+		if !p.Terminating {
+			booting += p.CPUs
 		}
 	}
-	target := max(as.demand()*(1+lt.c.Policy.Headroom), lt.c.Policy.MinCPUs)
-	as.surplus = total - as.peak.add(now, target, lt.c.Policy.DrainDelay)
-	as.drain(now)
-	if lt.unfenced > 0 {
-		return
+	target := max(as.Demand(v)*(1+as.policy.Headroom), as.policy.MinCPUs)
+	as.surplus = total - as.peak.add(v.Now, target, as.policy.DrainDelay)
+	commands := Commands{Drained: as.Drain(v)}
+	if v.Unfenced > 0 {
+		return commands
 	}
-	offers := as.offers(now)
-	as.launch(target-total-booting, offers)
-	as.scaleOutConstrained(offers, now)
+	offers := as.offers(v.Types, v.Now)
+	commands.Launches = as.launch(target-total-booting, offers)
+	commands.Launches = append(commands.Launches, as.scaleOutConstrained(v, offers)...)
+	return commands
 }
 
 // launch requests missing CPUs from some offers.
-func (as *autoscaler) launch(missingCPUs float64, offers []fleet.Offer) {
-	if missingCPUs <= 0 || as.launchesInFlight >= maxLaunchesInFlight {
-		return
+func (as *Autoscaler) launch(missingCPUs float64, offers []fleet.Offer) []Launch {
+	maxRequests := maxLaunchesInFlight - len(as.pendingLaunches)
+	if missingCPUs <= 0 || maxRequests <= 0 {
+		return nil
 	}
-	for _, request := range fleet.Plan(missingCPUs, offers, cloud.MaxLaunch, maxLaunchesInFlight-as.launchesInFlight) {
+	requests := fleet.Plan(missingCPUs, offers, cloud.MaxLaunch, maxRequests)
+	launches := make([]Launch, 0, len(requests))
+	for _, request := range requests {
 		as.launchCount++
-		as.launchesInFlight++
 		as.launchingCPUs += float64(request.Count) * request.CPUs
-		launch := cloud.LaunchRequest{
-			Name:  as.leaderTerm.launchName(as.launchCount),
-			Type:  request.Type,
-			Zone:  request.Zone,
-			Spot:  request.Spot,
-			Count: request.Count,
+		launch := Launch{
+			Request: cloud.LaunchRequest{
+				Name:  fmt.Sprintf("r-%d-%d", as.term, as.launchCount),
+				Type:  request.Type,
+				Zone:  request.Zone,
+				Spot:  request.Spot,
+				Count: request.Count,
+			},
+			Offer: request.Offer,
 		}
-		as.pendingLaunches[launch.Name] = request
-		go as.leaderTerm.sendLaunch(launch, request.Offer)
+		as.pendingLaunches[launch.Request.Name] = request
+		launches = append(launches, launch)
 	}
+	return launches
 }
 
-// offers are the kinds of machine that may be launched now.
-func (as *autoscaler) offers(now time.Time) []fleet.Offer {
-	var offers []fleet.Offer
-	for _, mt := range as.leaderTerm.c.types.load() {
-		if mt.CPUs <= 0 {
-			continue
-		}
-		offer := fleet.Offer{
-			Type: mt.Name,
-			CPUs: mt.CPUs,
-			Boot: time.Duration(mt.BootS * float64(time.Second)),
-		}
-		useSpot := as.leaderTerm.c.Policy.UseSpot && mt.SpotPrice > 0
-		for _, zone := range mt.Zones {
-			offer.Zone = zone
-			if offer.Spot, offer.Price = true, mt.SpotPrice; useSpot && as.isAvailable(offer, now) {
-				offers = append(offers, offer)
-			}
-			if offer.Spot, offer.Price = false, mt.Price; as.isAvailable(offer, now) {
-				offers = append(offers, offer)
-			}
-		}
+// LaunchEnded applies the outcome of a launch request: how many machines the cloud launched, 0 if
+// that is not known. A kind of which it had too few is not requested for a while.
+func (as *Autoscaler) LaunchEnded(l Launch, launched int, now time.Time) {
+	delete(as.pendingLaunches, l.Request.Name)
+	as.launchingCPUs -= float64(l.Request.Count) * l.Offer.CPUs
+	if launched < l.Request.Count {
+		as.unavailableUntil[l.Offer.Kind()] = now.Add(unavailableTTL)
 	}
-	return offers
 }
 
-// isAvailable tells whether the cloud has not lately had too few machines of a kind.
-func (as *autoscaler) isAvailable(offer fleet.Offer, now time.Time) bool {
-	return now.After(as.unavailableUntil[offer.Kind()])
+// ScaleIn has the cloud terminate a machine. It returns the machines of the request to send now,
+// none while another is in flight.
+func (as *Autoscaler) ScaleIn(m *cluster.Machine) []string {
+	m.Advance(cluster.Terminating)
+	as.terminations = append(as.terminations, m.Name)
+	return as.NextTermination()
 }
 
-// lowestCPUPrice is the lowest price of a CPU over all types of machine.
-func (as *autoscaler) lowestCPUPrice() float64 {
-	lowest := math.Inf(1)
-	for _, mt := range as.leaderTerm.c.types.load() {
-		for _, price := range []float64{mt.Price, mt.SpotPrice} {
-			if price > 0 && mt.CPUs > 0 {
-				lowest = min(lowest, price/mt.CPUs)
-			}
-		}
+// NextTermination returns the machines of the next request to terminate, none while one is in
+// flight or if there is nothing to terminate. Its outcome goes to TerminationEnded.
+func (as *Autoscaler) NextTermination() []string {
+	if as.terminationsInFlight || len(as.terminations) == 0 {
+		return nil
 	}
-	return lowest
+	n := min(len(as.terminations), cloud.MaxTerminate)
+	names := slices.Clone(as.terminations[:n])
+	as.terminations = as.terminations[n:]
+	as.terminationsInFlight = true
+	return names
 }
 
-// cpuPrice is the price of a CPU of a machine, 0 if its type is not known.
-func (as *autoscaler) cpuPrice(m *cluster.Machine) float64 {
-	mt, ok := as.leaderTerm.c.types.load()[m.Type]
-	if !ok || mt.CPUs == 0 {
-		return 0
-	}
-	if m.Spot {
-		return mt.SpotPrice / mt.CPUs
+// TerminationEnded applies the outcome of a request to terminate machines: those that failed are
+// requested again, with the next tick or machine to scale in.
+func (as *Autoscaler) TerminationEnded(failed []string) {
+	as.terminationsInFlight = false
+	as.terminations = append(as.terminations, failed...)
+}
+
+// startList tells whether to read the cloud's list of machines, every listInterval: for machines
+// that are not known, that never sent a heartbeat, or that have stopped.
+func (as *Autoscaler) startList(now time.Time) bool {
+	if as.listing || now.Before(as.nextList) {
+		return false
 	}
-	return mt.Price / mt.CPUs
+	as.listing = true
+	return true
+}
+
+// ListEnded notes that the cloud's list of machines was read, or could not be.
+func (as *Autoscaler) ListEnded(now time.Time) {
+	as.listing, as.nextList = false, now.Add(listInterval)
 }
--- a/internal/controller/autoscaler_constrained.go
+++ b/internal/controller/autoscaler_constrained.go
@@ -4,7 +4,6 @@
 	"maps"
 	"slices"
 	"strings"
-	"time"
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cluster"
@@ -34,13 +33,13 @@
 // constrainedDemands sums up the demand of constrained jobs by their constraints: of what has been
 // pending for two heartbeat intervals, and of jobs whose dependencies have all started, since a
 // machine boots meanwhile.
-func (as *autoscaler) constrainedDemands(now time.Time) []*constrainedDemand {
+func (as *Autoscaler) constrainedDemands(v *View) []*constrainedDemand {
 	byKind := map[string]*constrainedDemand{}
-	minWait := 2 * as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()
-	for _, team := range as.leaderTerm.allTeams() {
+	minWait := 2 * as.workers.HeartbeatInterval()
+	for _, team := range v.Teams {
 		available := team.LimitCPUs - team.UsedCPUs
 		for _, j := range team.Items() {
-			if !isConstrained(&j.Spec) || j.Finishing || j.FailureRounds > 0 || now.Sub(j.RunnableSince) <= minWait {
+			if !isConstrained(&j.Spec) || j.Finishing || j.FailureRounds > 0 || v.Now.Sub(j.RunnableSince) <= minWait {
 				continue
 			}
 			if cpus := min(float64(j.Flight.Untaken())*j.Spec.CPUs, available); cpus > 0 {
@@ -49,11 +48,11 @@
 			}
 		}
 	}
-	for _, j := range as.leaderTerm.jobs {
+	for _, j := range v.Jobs {
 		if len(j.DependsOn) == 0 || j.CancelPending || !isConstrained(&j.Spec) {
 			continue
 		}
-		if as.leaderTerm.dependencies.dependenciesStarted(j) {
+		if dependenciesStarted(j, v.Jobs) {
 			addDemand(byKind, j, min(float64(j.Spec.Tasks)*j.Spec.CPUs, j.Team.LimitCPUs))
 		}
 	}
@@ -77,9 +76,9 @@
 }
 
 // dependenciesStarted tells whether all unfinished dependencies of a job have started.
-func (dg *dependencyGraph) dependenciesStarted(j *cluster.Job) bool {
+func dependenciesStarted(j *cluster.Job, active map[string]*cluster.Job) bool {
 	for id := range j.DependsOn {
-		if dependency := dg.leaderTerm.jobs[id]; dependency == nil || !dependency.Started() {
+		if dependency := active[id]; dependency == nil || !dependency.Started() {
 			return false
 		}
 	}
@@ -87,10 +86,11 @@
 }
 
 // scaleOutConstrained covers what constrained jobs lack: by machines that are draining, or by new
-// ones.
-func (as *autoscaler) scaleOutConstrained(offers []fleet.Offer, now time.Time) {
-	for _, demand := range as.constrainedDemands(now) {
-		missingCPUs, draining := as.missingFor(demand)
+// ones, which it returns the requests for.
+func (as *Autoscaler) scaleOutConstrained(v *View, offers []fleet.Offer) []Launch {
+	var launches []Launch
+	for _, demand := range as.constrainedDemands(v) {
+		missingCPUs, draining := as.missingFor(v, demand)
 		for _, m := range draining {
 			if missingCPUs <= 0 {
 				break
@@ -101,15 +101,18 @@
 		usable := slices.DeleteFunc(slices.Clone(offers), func(o fleet.Offer) bool {
 			return !mayUse(demand.spec, o.Type, o.Zone, o.Spot)
 		})
-		as.launch(missingCPUs, usable)
+		launches = append(launches, as.launch(missingCPUs, usable)...)
 	}
+	return launches
 }
 
 // missingFor is how many CPUs a demand lacks beyond the machines in use, those that boot and those
 // being launched, and which draining machines could serve the demand, by name.
-func (as *autoscaler) missingFor(demand *constrainedDemand) (missingCPUs float64, draining []*cluster.Machine) {
+func (as *Autoscaler) missingFor(
+	v *View, demand *constrainedDemand,
+) (missingCPUs float64, draining []*cluster.Machine) {
 	missingCPUs = demand.cpus
-	for _, m := range as.leaderTerm.machines {
+	for _, m := range v.Machines {
 		switch {
 		case m.Phase() != cluster.Active || m.CPUs == 0 || !mayUse(demand.spec, m.Type, m.Zone, m.Spot):
 		case m.Draining:
@@ -118,9 +121,9 @@
 			missingCPUs -= float64(m.Slots(demand.spec)) * demand.spec.CPUs
 		}
 	}
-	for _, booting := range as.leaderTerm.provisioning {
-		if !booting.terminating && mayUse(demand.spec, booting.typ, booting.zone, booting.spot) {
-			missingCPUs -= booting.cpus
+	for _, booting := range v.Provisioning {
+		if !booting.Terminating && mayUse(demand.spec, booting.Type, booting.Zone, booting.Spot) {
+			missingCPUs -= booting.CPUs
 		}
 	}
 	for _, request := range as.pendingLaunches {
--- a/internal/controller/autoscaler_demand.go
+++ b/internal/controller/autoscaler_demand.go
@@ -1,22 +1,17 @@
 package controller
 
 import (
-	"slices"
 	"time"
-
-	"example.org/ivytrestle/internal/cluster"
-	"example.org/ivytrestle/internal/config"
-	"example.org/ivytrestle/internal/queue"
 )
 
-// demand is the CPUs that the teams need now to meet their objectives, each within its limit. What
+// Demand is the CPUs that the teams need now to meet their objectives, each within its limit. What
 // is within a team's guarantee should start at once and counts in full; beyond it, a job whose
 // tasks can run one after the other counts for the part of its tasks that must run at the same
 // time.
-func (as *autoscaler) demand() float64 {
-	bootedAt := time.Now().Add(as.longestBoot())
+func (as *Autoscaler) Demand(v *View) float64 {
+	bootedAt := v.Now.Add(LongestBoot(v.Types))
 	sum := 0.0
-	for _, t := range as.leaderTerm.allTeams() {
+	for _, t := range v.Teams {
 		atOnce, inTime := t.UsedCPUs, t.UsedCPUs
 		for _, j := range t.Items() {
 			if j.Finishing || j.FailureRounds > 0 {
@@ -32,23 +27,6 @@
 	return sum
 }
 
-// allTeams are the cell's own teams and those of guests: both have accepted jobs.
-func (lt *leaderTerm) allTeams() []*queue.Team[*cluster.Job] {
-	if len(lt.loans.guestFairShareOrder) == 0 {
-		return lt.fairShareOrder
-	}
-	return slices.Concat(lt.fairShareOrder, lt.loans.guestFairShareOrder)
-}
-
-// longestBoot is how long the slowest type of machine usually takes to boot.
-func (as *autoscaler) longestBoot() time.Duration {
-	boot := 0.0
-	for _, mt := range as.leaderTerm.c.types.load() {
-		boot = max(boot, mt.BootS)
-	}
-	return config.Duration(boot)
-}
-
 // demandPeak is the highest demand of a sliding window. Jobs arrive in bursts that use the fleet for
 // less time than a machine takes to boot, so machines are kept for the next burst of that size.
 type demandPeak struct {
--- a/internal/controller/autoscaler_drain.go
+++ b/internal/controller/autoscaler_drain.go
@@ -12,24 +12,24 @@
 // minSurplusTime is how long there must have been a surplus before a machine is drained.
 const minSurplusTime = 6 * time.Second
 
-// drain drains the most expensive machines while there is a surplus, and takes them back into use
-// when there is none.
-func (as *autoscaler) drain(now time.Time) {
+// Drain drains the most expensive machines while there is a surplus, and takes them back into use
+// when there is none. It returns the machines that are draining from now on.
+func (as *Autoscaler) Drain(v *View) []Drained {
 	spare := as.surplus
 	var draining, inUse []*cluster.Machine
-	for _, m := range as.leaderTerm.machines {
+	for _, m := range v.Machines {
 		switch {
 		case m.Phase() != cluster.Active:
 		case m.Draining:
 			draining = append(draining, m)
 			spare -= m.CPUs
-		case m.IsSchedulable(now) && now.Sub(m.AddedAt) > minUptime:
+		case m.IsSchedulable(v.Now) && v.Now.Sub(m.AddedAt) > minUptime:
 			inUse = append(inUse, m)
 		}
 	}
 	mostExpensiveFirst := func(a, b *cluster.Machine) int {
 		return cmp.Or(
-			-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)),
+			-cmp.Compare(CPUPrice(v.Types, a), CPUPrice(v.Types, b)),
 			cmp.Compare(a.UsedCPUs, b.UsedCPUs),
 			cmp.Compare(a.Name, b.Name),
 		)
@@ -40,21 +40,23 @@
 		spare += draining[i].CPUs
 	}
 	if spare <= 0 {
-		as.surplusSince = now
-		return
+		as.surplusSince = v.Now
+		return nil
 	}
 	slices.SortFunc(inUse, mostExpensiveFirst)
-	if now.Sub(as.surplusSince) < minSurplusTime || len(inUse) == 0 || spare < inUse[0].CPUs {
-		return
+	if v.Now.Sub(as.surplusSince) < minSurplusTime || len(inUse) == 0 || spare < inUse[0].CPUs {
+		return nil
 	}
+	var drained []Drained
 	for _, m := range inUse {
 		if spare < m.CPUs {
-			return
+			break
 		}
 		spare -= m.CPUs
 		m.Draining = true
-		as.leaderTerm.c.Log.Debug("machine draining", "machine", m.Name, "count", len(m.Attempts), "spare", spare)
+		drained = append(drained, Drained{Machine: m, SpareCPUs: spare})
 	}
+	return drained
 }
 
 // Limits within which running tasks with checkpoints are moved off draining machines.
@@ -70,32 +72,34 @@
 	moveCapacityFactor = 3
 )
 
-// moveCheckpointed stops the tasks on draining machines that can continue elsewhere from their last
-// checkpoint, as far as there is capacity for them.
-func (as *autoscaler) moveCheckpointed(now time.Time) {
+// MoveCheckpointed picks the attempts on draining machines that can continue elsewhere from their
+// last checkpoint, as far as there is capacity for them.
+func (as *Autoscaler) MoveCheckpointed(v *View) []Stop {
 	freeCPUs := 0.0
-	for _, m := range as.leaderTerm.machines {
-		if m.IsSchedulable(now) {
+	for _, m := range v.Machines {
+		if m.IsSchedulable(v.Now) {
 			freeCPUs += m.FreeCPUs()
 		}
 	}
-	for _, m := range as.leaderTerm.machines {
+	var stops []Stop
+	for _, m := range v.Machines {
 		if !m.Draining || freeCPUs < moveCapacityFactor*m.UsedCPUs {
 			continue
 		}
 		for _, a := range m.Attempts {
-			if as.isWorthMoving(a, now) {
+			if as.isWorthMoving(a, v.Now) {
 				freeCPUs -= a.Job.Spec.CPUs
-				as.leaderTerm.requestStop(a, 2*a.Job.Spec.Save()+time.Second, now)
+				stops = append(stops, Stop{Attempt: a, Grace: 2*a.Job.Spec.Save() + time.Second})
 			}
 		}
 	}
+	return stops
 }
 
 // isWorthMoving tells whether a running task can save its state, is neither near its start nor near
 // its end, and will still end in time for its job's next objective, unless none can be met any
 // more.
-func (as *autoscaler) isWorthMoving(a *cluster.Attempt, now time.Time) bool {
+func (as *Autoscaler) isWorthMoving(a *cluster.Attempt, now time.Time) bool {
 	if a.Exited || a.Job == nil || a.Stop != nil || a.Phase != api.TaskRunning {
 		return false
 	}
@@ -109,26 +113,26 @@
 		return false
 	}
 	objective := a.Job.LatestStart().Add(spec.Estimate())
-	transfer := spec.Save() + 3*as.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval() + moveMargin
+	transfer := spec.Save() + 3*as.workers.HeartbeatInterval() + moveMargin
 	return a.Job.Infeasible || now.Add(remaining*5/4+transfer).Before(objective)
 }
 
-// idleMachines picks the machines to terminate: empty for long enough, the most expensive first, as
+// IdleMachines picks the machines to terminate: empty for long enough, the most expensive first, as
 // far as the rest covers the demand peak. It takes their CPUs off the surplus.
-func (as *autoscaler) idleMachines(now time.Time) []*cluster.Machine {
+func (as *Autoscaler) IdleMachines(v *View) []*cluster.Machine {
 	var idle []*cluster.Machine
-	for _, m := range as.leaderTerm.machines {
+	for _, m := range v.Machines {
 		if m.Phase() != cluster.Active || !m.Fenced || m.CPUs == 0 || len(m.Attempts) > 0 {
 			continue
 		}
-		inUseLately := !m.Draining && now.Sub(m.IdleSince) < as.leaderTerm.c.Policy.IdleTimeout
-		if inUseLately || now.Sub(m.AddedAt) < minUptime {
+		inUseLately := !m.Draining && v.Now.Sub(m.IdleSince) < as.policy.IdleTimeout
+		if inUseLately || v.Now.Sub(m.AddedAt) < minUptime {
 			continue
 		}
 		idle = append(idle, m)
 	}
 	slices.SortFunc(idle, func(a, b *cluster.Machine) int {
-		return cmp.Or(-cmp.Compare(as.cpuPrice(a), as.cpuPrice(b)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(-cmp.Compare(CPUPrice(v.Types, a), CPUPrice(v.Types, b)), cmp.Compare(a.Name, b.Name))
 	})
 	n := 0
 	for _, m := range idle {
@@ -140,10 +144,3 @@
 	}
 	return idle[:n]
 }
-
-// scaleIn has the cloud terminate a machine.
-func (as *autoscaler) scaleIn(m *cluster.Machine) {
-	m.Advance(cluster.Terminating)
-	as.terminations = append(as.terminations, m.Name)
-	as.terminateMachines()
-}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -118,8 +118,11 @@
 				lt.countImageLocations(now)
 				lt.scanMachines(now)
 				lt.restartStragglers(now)
-				lt.autoscaler.drain(now)
-				lt.autoscaler.moveCheckpointed(now)
+				view := lt.fleetView(now)
+				lt.autoscaler.Drain(view)
+				for _, stop := range lt.autoscaler.MoveCheckpointed(view) {
+					lt.requestStop(stop.Attempt, stop.Grace, now)
+				}
 			}
 		})
 	}
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -51,7 +51,8 @@
 // placementCost is how badly a machine suits a job, in seconds lost: the time to fetch the
 // image, and a measure of what it costs to keep the machine.
 func (lt *leaderTerm) placementCost(j *cluster.Job, m *cluster.Machine) float64 {
-	mt := lt.c.types.load()[m.Type]
+	types := lt.c.types.load()
+	mt := types[m.Type]
 	cost := 0.0
 	if !m.Images.Has(j.Spec.Image) && mt.FetchGBs > 0 {
 		cost += j.Spec.ImageGB / mt.FetchGBs
@@ -59,8 +60,8 @@
 	if m.UsedCPUs < cluster.Epsilon {
 		cost += emptyMachinePenalty
 	}
-	if price := lt.autoscaler.cpuPrice(m); price > 0 {
-		cost += price/lt.autoscaler.lowestCPUPrice() - 1
+	if price := CPUPrice(types, m); price > 0 {
+		cost += price/LowestCPUPrice(types) - 1
 	}
 	if m.Spot != (j.Spec.CheckpointS > 0) {
 		cost += spotMismatchPenalty
--- a/internal/controller/autoscaler_cloud.go
+++ b/internal/controller/cloudcalls.go
@@ -8,9 +8,11 @@
 
 	"example.org/ivytrestle/internal/cloud"
 	"example.org/ivytrestle/internal/cluster"
-	"example.org/ivytrestle/internal/fleet"
+	"example.org/ivytrestle/internal/queue"
 )
 
+// Requests to the cloud run in goroutines, which send their outcomes as messages.
+
 // Limits of requests to the cloud.
 const (
 	cloudTimeout      = 5 * time.Second
@@ -18,31 +20,76 @@
 	maxLaunchBackoff  = 8 * time.Second
 )
 
+// fleetView is what the autoscaler reads of the term's state.
+func (lt *leaderTerm) fleetView(now time.Time) *View {
+	return &View{
+		Now:          now,
+		Machines:     lt.machines,
+		Provisioning: lt.provisioning,
+		Teams:        lt.allTeams(),
+		Jobs:         lt.jobs,
+		Types:        lt.c.types.load(),
+		Unfenced:     lt.unfenced,
+	}
+}
+
+// allTeams are the cell's own teams and those of guests: both have accepted jobs.
+func (lt *leaderTerm) allTeams() []*queue.Team[*cluster.Job] {
+	if len(lt.loans.guestFairShareOrder) == 0 {
+		return lt.fairShareOrder
+	}
+	return slices.Concat(lt.fairShareOrder, lt.loans.guestFairShareOrder)
+}
+
+// scaleFleet has the autoscaler decide what is due, and carries it out.
+func (lt *leaderTerm) scaleFleet(now time.Time) {
+	lt.applyScaling(lt.autoscaler.Tick(lt.fleetView(now)), now)
+}
+
+// applyScaling carries out what the autoscaler has decided.
+func (lt *leaderTerm) applyScaling(commands Commands, now time.Time) {
+	lt.sendTermination(commands.Terminate)
+	if commands.List {
+		go lt.listMachines()
+	}
+	for _, d := range commands.Drained {
+		lt.c.Log.Debug("machine draining", "machine", d.Machine.Name, "count", len(d.Machine.Attempts), "spare", d.SpareCPUs)
+	}
+	for _, launch := range commands.Launches {
+		go lt.sendLaunch(launch)
+	}
+	for _, stop := range commands.Stops {
+		lt.requestStop(stop.Attempt, stop.Grace, now)
+	}
+}
+
+// scaleIn has the cloud terminate a machine.
+func (lt *leaderTerm) scaleIn(m *cluster.Machine) { lt.sendTermination(lt.autoscaler.ScaleIn(m)) }
+
 // sendLaunch sends a launch request until its outcome is known, or maxLaunchAttempts times. The
 // name makes repeats safe.
-func (lt *leaderTerm) sendLaunch(req cloud.LaunchRequest, o fleet.Offer) {
+func (lt *leaderTerm) sendLaunch(launch Launch) {
 	backoff := time.Second
 	for range maxLaunchAttempts {
 		ctx, cancel := context.WithTimeout(lt.ctx, cloudTimeout)
-		hosts, err := lt.c.Cloud.Launch(ctx, req)
+		hosts, err := lt.c.Cloud.Launch(ctx, launch.Request)
 		cancel()
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-			lt.sendToOwner(launchedMsg{leaderTerm: lt, request: req, offer: o, machines: hosts})
+			lt.sendToOwner(launchedMsg{leaderTerm: lt, launch: launch, machines: hosts})
 			return
 		}
-		lt.c.Log.Debug("launch request failed", "name", req.Name, "err", err)
+		lt.c.Log.Debug("launch request failed", "name", launch.Request.Name, "err", err)
 		sleep(lt.ctx, backoff)
 		backoff = min(2*backoff, maxLaunchBackoff)
 	}
 	// If it was applied after all, the list or a heartbeat shows it.
-	lt.sendToOwner(launchedMsg{leaderTerm: lt, request: req, offer: o})
+	lt.sendToOwner(launchedMsg{leaderTerm: lt, launch: launch})
 }
 
 // launchedMsg is the outcome of a launch request; without machines if it is not known.
 type launchedMsg struct {
 	leaderTerm *leaderTerm
-	request    cloud.LaunchRequest
-	offer      fleet.Offer
+	launch     Launch
 	machines   []string
 }
 
@@ -52,43 +99,27 @@
 		return
 	}
 	now := time.Now()
-	lt.autoscaler.launchesInFlight--
-	delete(lt.autoscaler.pendingLaunches, m.request.Name)
-	lt.autoscaler.launchingCPUs -= float64(m.request.Count) * m.offer.CPUs
-	if len(m.machines) < m.request.Count {
-		lt.autoscaler.unavailableUntil[m.offer.Kind()] = now.Add(unavailableTTL)
-	}
-	if len(m.machines) > 0 {
-		c.Log.Info("machines launched", "type", m.request.Type, "zone", m.request.Zone, "spot", m.request.Spot,
-			"requested", m.request.Count, "count", len(m.machines))
+	lt.autoscaler.LaunchEnded(m.launch, len(m.machines), now)
+	if request := m.launch.Request; len(m.machines) > 0 {
+		c.Log.Info("machines launched", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
+			"requested", request.Count, "count", len(m.machines))
 	}
 	for _, name := range m.machines {
 		if lt.machines[name] == nil && !lt.terminated.Contains(name) {
-			lt.provisioning[name] = &provisioning{
-				typ:   m.request.Type,
-				zone:  m.request.Zone,
-				spot:  m.request.Spot,
-				since: now,
-				boot:  m.offer.Boot,
-				cpus:  m.offer.CPUs,
-			}
+			lt.provisioning[name] = m.launch.Provisioning(now)
 		}
 	}
 	if c.holdsLease() {
-		lt.autoscaler.scaleOut(now) // what is still missing is requested at once
+		// What is still missing is requested at once.
+		lt.applyScaling(lt.autoscaler.ScaleOut(lt.fleetView(now)), now)
 	}
 }
 
-// terminateMachines requests the next terminations, one request at a time. A failed one is repeated.
-func (as *autoscaler) terminateMachines() {
-	if as.terminationsInFlight || len(as.terminations) == 0 {
+// sendTermination requests the termination of machines, if there are any.
+func (lt *leaderTerm) sendTermination(names []string) {
+	if len(names) == 0 {
 		return
 	}
-	n := min(len(as.terminations), cloud.MaxTerminate)
-	names := slices.Clone(as.terminations[:n])
-	as.terminations = as.terminations[n:]
-	as.terminationsInFlight = true
-	lt := as.leaderTerm
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, cloudTimeout)
 		defer cancel()
@@ -109,12 +140,12 @@
 	if c.leaderTerm != lt {
 		return
 	}
-	lt.autoscaler.terminationsInFlight = false
 	if m.err != nil {
 		c.Log.Debug("machines not terminated", "machines", m.names, "err", m.err)
-		lt.autoscaler.terminations = append(lt.autoscaler.terminations, m.names...)
+		lt.autoscaler.TerminationEnded(m.names)
 		return
 	}
+	lt.autoscaler.TerminationEnded(nil)
 	for _, name := range m.names {
 		delete(lt.provisioning, name)
 		lt.terminated.Add(name, true)
@@ -122,23 +153,15 @@
 			lt.machineTerminated(machine)
 		}
 	}
-	lt.autoscaler.terminateMachines()
+	lt.sendTermination(lt.autoscaler.NextTermination())
 }
 
-// listMachines reads the cloud's list every listInterval: for machines that are not known, that
-// never sent a heartbeat, or that have stopped.
-func (as *autoscaler) listMachines(now time.Time) {
-	if as.listing || now.Before(as.nextList) {
-		return
-	}
-	as.listing = true
-	lt := as.leaderTerm
-	go func() {
-		ctx, cancel := context.WithTimeout(lt.ctx, cloudTimeout)
-		defer cancel()
-		hosts, err := lt.c.Cloud.List(ctx)
-		lt.sendToOwner(machinesListedMsg{leaderTerm: lt, machines: hosts, err: err})
-	}()
+// listMachines reads the cloud's list of machines.
+func (lt *leaderTerm) listMachines() {
+	ctx, cancel := context.WithTimeout(lt.ctx, cloudTimeout)
+	defer cancel()
+	hosts, err := lt.c.Cloud.List(ctx)
+	lt.sendToOwner(machinesListedMsg{leaderTerm: lt, machines: hosts, err: err})
 }
 
 // machinesListedMsg has the cloud's list of machines.
@@ -153,9 +176,8 @@
 	if c.leaderTerm != lt {
 		return
 	}
-	as := &lt.autoscaler
 	now := time.Now()
-	as.listing, as.nextList = false, now.Add(listInterval)
+	lt.autoscaler.ListEnded(now)
 	if m.err != nil {
 		c.Log.Debug("machines not listed", "err", m.err)
 		return
@@ -174,34 +196,19 @@
 		missedHeartbeats := now.Sub(m.LastSeen) > 2*lt.c.Settings.Site.Workers.HeartbeatInterval()
 		if listed.Phase == cloud.PhaseFailed && m.Phase() < cluster.Terminating && missedHeartbeats {
 			lt.evacuate(m, "stopped")
-			lt.autoscaler.scaleIn(m)
+			lt.scaleIn(m)
 		}
 		return
 	}
 	mt := lt.c.types.load()[listed.Type]
-	boot := time.Duration(mt.BootS * float64(time.Second))
-	age := time.Duration(listed.AgeS * float64(time.Second))
 	awaited := lt.provisioning[listed.Name]
 	if awaited == nil {
-		awaited = &provisioning{
-			typ:   listed.Type,
-			zone:  listed.Zone,
-			spot:  listed.Spot,
-			since: now.Add(-age),
-			boot:  boot,
-			cpus:  mt.CPUs,
-		}
+		awaited = ListedProvisioning(listed, mt, now)
 		lt.provisioning[listed.Name] = awaited
 	}
-	if awaited.terminating {
-		return
-	}
-	// A machine that is up sends a heartbeat within seconds; one that boots may take several
-	// times as long as usual.
-	if listed.Phase == cloud.PhaseFailed || (now.Sub(awaited.since) > 4*boot+lt.c.Settings.Site.Workers.Lease()) {
+	if lt.autoscaler.TerminateOverdue(awaited, listed, mt, now) {
+		age := time.Duration(listed.AgeS * float64(time.Second))
 		lt.c.Log.Info("machine never sent a heartbeat", "machine", listed.Name,
 			"phase", listed.Phase, "age", age.Round(time.Second))
-		awaited.terminating = true
-		lt.autoscaler.terminations = append(lt.autoscaler.terminations, listed.Name)
 	}
 }
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -68,9 +68,10 @@
 			candidates = append(candidates, m)
 		}
 	}
+	types := lt.c.types.load()
 	slices.SortFunc(candidates, func(a, b *cluster.Machine) int {
 		return cmp.Or(
-			cmp.Compare(lt.autoscaler.cpuPrice(a), lt.autoscaler.cpuPrice(b)),
+			cmp.Compare(CPUPrice(types, a), CPUPrice(types, b)),
 			cmp.Compare(a.FreeCPUs(), b.FreeCPUs()),
 			cmp.Compare(a.Name, b.Name),
 		)
@@ -183,6 +184,6 @@
 	startMayApply := a.Direct != nil && a.Direct.OutcomeUnknown && a.LastSeenHeartbeat == 0
 	if startMayApply && m.Phase() < cluster.Terminating {
 		lt.evacuate(m, reasonUnanswered)
-		lt.autoscaler.scaleIn(m)
+		lt.scaleIn(m)
 	}
 }
--- a/internal/controller/failuredetector.go
+++ b/internal/controller/failuredetector.go
@@ -60,7 +60,7 @@
 			reason = "deaf" // heartbeats arrive, responses do not
 		}
 		lt.evacuate(m, reason)
-		lt.autoscaler.scaleIn(m)
+		lt.scaleIn(m)
 	}
 }
 
@@ -196,7 +196,7 @@
 		// Only its termination shows that they are off the machine.
 		m.leaderTerm.evacuate(m.machine, "started anew")
 		if m.machine.Phase() < cluster.Terminating {
-			m.leaderTerm.autoscaler.scaleIn(m.machine)
+			m.leaderTerm.scaleIn(m.machine)
 		}
 		return
 	}
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"slices"
 	"time"
 
@@ -40,7 +39,7 @@
 	fairShareOrder []*queue.Team[*cluster.Job]
 	machines       map[string]*cluster.Machine
 	// provisioning are machines that were launched or listed but have sent no heartbeat.
-	provisioning map[string]*provisioning
+	provisioning map[string]*Provisioning
 	// terminated are the names of terminated machines, whose heartbeats may still arrive.
 	terminated *lru.Cache[string, bool]
 
@@ -66,7 +65,7 @@
 	quorumLostAt   time.Time
 	downlink       relayDownlink
 	recordWriter   recordWriter
-	autoscaler     autoscaler
+	autoscaler     *Autoscaler
 	counts         counters
 	// dispatchUntil is until when the leader searches for free machines that direct commands
 	// could give work; commandsInFlight is how many such commands await a response.
@@ -130,7 +129,7 @@
 		jobs:             map[string]*cluster.Job{},
 		teams:            map[string]*queue.Team[*cluster.Job]{},
 		machines:         map[string]*cluster.Machine{},
-		provisioning:     map[string]*provisioning{},
+		provisioning:     map[string]*Provisioning{},
 		terminated:       terminated,
 		downlink:         relayDownlink{nodes: map[string]*relayNode{}},
 		renewalRevisions: map[string]uint64{},
@@ -144,7 +143,7 @@
 	lt.dependencies.init(lt)
 	lt.dependencyLists.leaderTerm = lt
 	lt.loans.init(lt)
-	lt.autoscaler.init(lt)
+	lt.autoscaler = NewAutoscaler(term.Number, c.Policy, c.Settings.Site.Workers)
 	if c.Standby != nil {
 		lt.votes = leasequorum.NewVoteSet(c.Standby.VoteLifetime())
 	}
@@ -270,7 +269,7 @@
 	lt.scanMachines(now)
 	lt.restartStragglers(now)
 	if lt.hasLeaseQuorum(now) {
-		lt.autoscaler.tick(now)
+		lt.scaleFleet(now)
 	}
 	lt.logUsage(now)
 	lt.logPending(now)
@@ -281,6 +280,3 @@
 	lt.attemptCount++
 	return lt.term.Number<<32 | uint64(lt.attemptCount)
 }
-
-// launchName returns the name of the term's nth launch request, under which it is repeatable.
-func (lt *leaderTerm) launchName(n int) string { return fmt.Sprintf("r-%d-%d", lt.term.Number, n) }
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -66,8 +66,8 @@
 		return 0
 	})
 	latest := maxPredictedWait
-	if len(lt.autoscaler.offers(now)) > 0 {
-		latest = lt.autoscaler.longestBoot() + lt.c.Settings.Site.Workers.HeartbeatInterval()
+	if types := lt.c.types.load(); lt.autoscaler.CanLaunch(types, now) {
+		latest = LongestBoot(types) + lt.c.Settings.Site.Workers.HeartbeatInterval()
 	}
 	predictions := make([]predictedStart, 0, len(jobs))
 	for _, j := range jobs {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -6,31 +6,17 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// provisioning is a machine that was launched or listed by the cloud and has sent no heartbeat
-// yet.
-type provisioning struct {
-	typ   string
-	zone  string
-	spot  bool
-	since time.Time
-	// boot is how long machines of the type take to boot.
-	boot time.Duration
-	cpus float64
-	// terminating is set while the machine is being terminated unused.
-	terminating bool
-}
-
 // scanMachines terminates the machines that are dead, idle, or empty after their evacuation.
 func (lt *leaderTerm) scanMachines(now time.Time) {
 	lt.detectFailures(now)
 	for _, m := range lt.machines {
 		if m.Phase() == cluster.Evacuating && m.IsEmpty() {
-			lt.autoscaler.scaleIn(m)
+			lt.scaleIn(m)
 		}
 	}
-	for _, m := range lt.autoscaler.idleMachines(now) {
+	for _, m := range lt.autoscaler.IdleMachines(lt.fleetView(now)) {
 		lt.evacuate(m, "idle")
-		lt.autoscaler.scaleIn(m)
+		lt.scaleIn(m)
 	}
 }
 
