--- a/internal/controller/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"fmt"
@@ -102,8 +102,8 @@
 	unavailableTTL = 15 * time.Second
 )
 
-// NewAutoscaler returns the autoscaler of a term. The policy is read at each decision.
-func NewAutoscaler(term uint64, p *policy.Policy, workers config.Workers) *Autoscaler {
+// New returns the autoscaler of a term. The policy is read at each decision.
+func New(term uint64, p *policy.Policy, workers config.Workers) *Autoscaler {
 	return &Autoscaler{
 		policy:           p,
 		workers:          workers,
--- a/internal/controller/autoscaler_offers.go
+++ b/internal/autoscaler/offers.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"math"
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"example.org/ivytrestle/internal/autoscaler"
 	"example.org/ivytrestle/internal/cluster"
 )
 
@@ -60,8 +61,8 @@
 	if m.UsedCPUs < cluster.Epsilon {
 		cost += emptyMachinePenalty
 	}
-	if price := CPUPrice(types, m); price > 0 {
-		cost += price/LowestCPUPrice(types) - 1
+	if price := autoscaler.CPUPrice(types, m); price > 0 {
+		cost += price/autoscaler.LowestCPUPrice(types) - 1
 	}
 	if m.Spot != (j.Spec.CheckpointS > 0) {
 		cost += spotMismatchPenalty
--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"example.org/ivytrestle/internal/autoscaler"
 	"example.org/ivytrestle/internal/cloud"
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/queue"
@@ -21,8 +22,8 @@
 )
 
 // fleetView is what the autoscaler reads of the term's state.
-func (lt *leaderTerm) fleetView(now time.Time) *View {
-	return &View{
+func (lt *leaderTerm) fleetView(now time.Time) *autoscaler.View {
+	return &autoscaler.View{
 		Now:          now,
 		Machines:     lt.machines,
 		Provisioning: lt.provisioning,
@@ -47,7 +48,7 @@
 }
 
 // applyScaling carries out what the autoscaler has decided.
-func (lt *leaderTerm) applyScaling(commands Commands, now time.Time) {
+func (lt *leaderTerm) applyScaling(commands autoscaler.Commands, now time.Time) {
 	lt.sendTermination(commands.Terminate)
 	if commands.List {
 		go lt.listMachines()
@@ -68,7 +69,7 @@
 
 // sendLaunch sends a launch request until its outcome is known, or maxLaunchAttempts times. The
 // name makes repeats safe.
-func (lt *leaderTerm) sendLaunch(launch Launch) {
+func (lt *leaderTerm) sendLaunch(launch autoscaler.Launch) {
 	backoff := time.Second
 	for range maxLaunchAttempts {
 		ctx, cancel := context.WithTimeout(lt.ctx, cloudTimeout)
@@ -89,7 +90,7 @@
 // launchedMsg is the outcome of a launch request; without machines if it is not known.
 type launchedMsg struct {
 	leaderTerm *leaderTerm
-	launch     Launch
+	launch     autoscaler.Launch
 	machines   []string
 }
 
@@ -203,7 +204,7 @@
 	mt := lt.c.types.load()[listed.Type]
 	awaited := lt.provisioning[listed.Name]
 	if awaited == nil {
-		awaited = ListedProvisioning(listed, mt, now)
+		awaited = autoscaler.ListedProvisioning(listed, mt, now)
 		lt.provisioning[listed.Name] = awaited
 	}
 	if lt.autoscaler.TerminateOverdue(awaited, listed, mt, now) {
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/autoscaler"
 	"example.org/ivytrestle/internal/cluster"
 )
 
@@ -71,7 +72,7 @@
 	types := lt.c.types.load()
 	slices.SortFunc(candidates, func(a, b *cluster.Machine) int {
 		return cmp.Or(
-			cmp.Compare(CPUPrice(types, a), CPUPrice(types, b)),
+			cmp.Compare(autoscaler.CPUPrice(types, a), autoscaler.CPUPrice(types, b)),
 			cmp.Compare(a.FreeCPUs(), b.FreeCPUs()),
 			cmp.Compare(a.Name, b.Name),
 		)
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -7,6 +7,7 @@
 
 	lru "github.com/hashicorp/golang-lru/v2"
 
+	"example.org/ivytrestle/internal/autoscaler"
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
@@ -39,7 +40,7 @@
 	fairShareOrder []*queue.Team[*cluster.Job]
 	machines       map[string]*cluster.Machine
 	// provisioning are machines that were launched or listed but have sent no heartbeat.
-	provisioning map[string]*Provisioning
+	provisioning map[string]*autoscaler.Provisioning
 	// terminated are the names of terminated machines, whose heartbeats may still arrive.
 	terminated *lru.Cache[string, bool]
 
@@ -65,7 +66,7 @@
 	quorumLostAt   time.Time
 	downlink       relayDownlink
 	recordWriter   recordWriter
-	autoscaler     *Autoscaler
+	autoscaler     *autoscaler.Autoscaler
 	counts         counters
 	// dispatchUntil is until when the leader searches for free machines that direct commands
 	// could give work; commandsInFlight is how many such commands await a response.
@@ -129,7 +130,7 @@
 		jobs:             map[string]*cluster.Job{},
 		teams:            map[string]*queue.Team[*cluster.Job]{},
 		machines:         map[string]*cluster.Machine{},
-		provisioning:     map[string]*Provisioning{},
+		provisioning:     map[string]*autoscaler.Provisioning{},
 		terminated:       terminated,
 		downlink:         relayDownlink{nodes: map[string]*relayNode{}},
 		renewalRevisions: map[string]uint64{},
@@ -143,7 +144,7 @@
 	lt.dependencies.init(lt)
 	lt.dependencyLists.leaderTerm = lt
 	lt.loans.init(lt)
-	lt.autoscaler = NewAutoscaler(term.Number, c.Policy, c.Settings.Site.Workers)
+	lt.autoscaler = autoscaler.New(term.Number, c.Policy, c.Settings.Site.Workers)
 	if c.Standby != nil {
 		lt.votes = leasequorum.NewVoteSet(c.Standby.VoteLifetime())
 	}
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/autoscaler"
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/loan"
@@ -67,7 +68,7 @@
 	})
 	latest := maxPredictedWait
 	if types := lt.c.types.load(); lt.autoscaler.CanLaunch(types, now) {
-		latest = LongestBoot(types) + lt.c.Settings.Site.Workers.HeartbeatInterval()
+		latest = autoscaler.LongestBoot(types) + lt.c.Settings.Site.Workers.HeartbeatInterval()
 	}
 	predictions := make([]predictedStart, 0, len(jobs))
 	for _, j := range jobs {
