--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -9,7 +9,6 @@
 	"example.org/ivytrestle/internal/cloud"
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
-	"example.org/ivytrestle/internal/fleet"
 	"example.org/ivytrestle/internal/policy"
 	"example.org/ivytrestle/internal/queue"
 )
@@ -25,11 +24,11 @@
 	launchCount int
 	// pendingLaunches are the launch requests that are not answered yet, by name;
 	// launchingCPUs are their CPUs.
-	pendingLaunches map[string]fleet.LaunchRequest
+	pendingLaunches map[string]plannedLaunch
 	launchingCPUs   float64
 	// unavailableUntil is until when a kind of machine is not requested, because the cloud had
 	// too few.
-	unavailableUntil map[fleet.Kind]time.Time
+	unavailableUntil map[Kind]time.Time
 	// terminations are the machines whose termination is yet to be requested.
 	terminations         []string
 	terminationsInFlight bool
@@ -77,7 +76,7 @@
 // Launch is a request to launch machines of an offer.
 type Launch struct {
 	Request cloud.LaunchRequest
-	Offer   fleet.Offer
+	Offer   Offer
 }
 
 // Drained is a machine that is draining from now on, and the surplus that is left without it.
@@ -108,8 +107,8 @@
 		policy:           p,
 		workers:          workers,
 		term:             term,
-		pendingLaunches:  map[string]fleet.LaunchRequest{},
-		unavailableUntil: map[fleet.Kind]time.Time{},
+		pendingLaunches:  map[string]plannedLaunch{},
+		unavailableUntil: map[Kind]time.Time{},
 	}
 }
 
@@ -151,12 +150,12 @@
 }
 
 // launch requests missing CPUs from some offers.
-func (as *Autoscaler) launch(missingCPUs float64, offers []fleet.Offer) []Launch {
+func (as *Autoscaler) launch(missingCPUs float64, offers []Offer) []Launch {
 	maxRequests := maxLaunchesInFlight - len(as.pendingLaunches)
 	if missingCPUs <= 0 || maxRequests <= 0 {
 		return nil
 	}
-	requests := fleet.Plan(missingCPUs, offers, cloud.MaxLaunch, maxRequests)
+	requests := plan(missingCPUs, offers, cloud.MaxLaunch, maxRequests)
 	launches := make([]Launch, 0, len(requests))
 	for _, request := range requests {
 		as.launchCount++
--- a/internal/autoscaler/constrained.go
+++ b/internal/autoscaler/constrained.go
@@ -7,7 +7,6 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cluster"
-	"example.org/ivytrestle/internal/fleet"
 )
 
 // Demand as a whole may be covered by machines on which some jobs must not run: spot machines, or
@@ -87,7 +86,7 @@
 
 // scaleOutConstrained covers what constrained jobs lack: by machines that are draining, or by new
 // ones, which it returns the requests for.
-func (as *Autoscaler) scaleOutConstrained(v *View, offers []fleet.Offer) []Launch {
+func (as *Autoscaler) scaleOutConstrained(v *View, offers []Offer) []Launch {
 	var launches []Launch
 	for _, demand := range as.constrainedDemands(v) {
 		missingCPUs, draining := as.missingFor(v, demand)
@@ -98,7 +97,7 @@
 			m.Draining = false
 			missingCPUs -= float64(m.Slots(demand.spec)) * demand.spec.CPUs
 		}
-		usable := slices.DeleteFunc(slices.Clone(offers), func(o fleet.Offer) bool {
+		usable := slices.DeleteFunc(slices.Clone(offers), func(o Offer) bool {
 			return !mayUse(demand.spec, o.Type, o.Zone, o.Spot)
 		})
 		launches = append(launches, as.launch(missingCPUs, usable)...)
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -7,7 +7,6 @@
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
-	"example.org/ivytrestle/internal/fleet"
 )
 
 // CanLaunch tells whether machines of any type may be launched now.
@@ -16,13 +15,13 @@
 }
 
 // offers are the kinds of machine that may be launched now.
-func (as *Autoscaler) offers(types map[string]api.MachineType, now time.Time) []fleet.Offer {
-	var offers []fleet.Offer
+func (as *Autoscaler) offers(types map[string]api.MachineType, now time.Time) []Offer {
+	var offers []Offer
 	for _, mt := range types {
 		if mt.CPUs <= 0 {
 			continue
 		}
-		offer := fleet.Offer{Type: mt.Name, CPUs: mt.CPUs, Boot: bootTime(mt)}
+		offer := Offer{Type: mt.Name, CPUs: mt.CPUs, Boot: bootTime(mt)}
 		useSpot := as.policy.UseSpot && mt.SpotPrice > 0
 		for _, zone := range mt.Zones {
 			offer.Zone = zone
@@ -38,7 +37,7 @@
 }
 
 // isAvailable tells whether the cloud has not lately had too few machines of a kind.
-func (as *Autoscaler) isAvailable(offer fleet.Offer, now time.Time) bool {
+func (as *Autoscaler) isAvailable(offer Offer, now time.Time) bool {
 	return now.After(as.unavailableUntil[offer.Kind()])
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/autoscaler/plan.go
@@ -1,5 +1,4 @@
-// Package fleet decides which machines to launch. It is pure.
-package fleet
+package autoscaler
 
 import (
 	"cmp"
@@ -19,31 +18,31 @@
 	Boot time.Duration
 }
 
-// LaunchRequest asks for a number of machines of an offer.
-type LaunchRequest struct {
+// plannedLaunch is a number of machines of an offer.
+type plannedLaunch struct {
 	Offer
 	Count int
 }
 
-// Plan covers missing CPUs with the cheapest offers, in the order of the price of a CPU; the
+// plan covers missing CPUs with the cheapest offers, in the order of the price of a CPU; the
 // caller leaves out offers that were rejected lately. A request is for at most maxCount
 // machines. How many an offer can provide is not known, so what remains waits for the response,
 // and more expensive offers are requested at the same time only while much remains: at most
 // maxRequests in all.
-func Plan(missingCPUs float64, offers []Offer, maxCount, maxRequests int) []LaunchRequest {
+func plan(missingCPUs float64, offers []Offer, maxCount, maxRequests int) []plannedLaunch {
 	offers = slices.Clone(offers)
 	slices.SortFunc(offers, func(a, b Offer) int {
 		return cmp.Or(cmp.Compare(a.Price/a.CPUs, b.Price/b.CPUs), cmp.Compare(a.CPUs, b.CPUs),
 			cmp.Compare(a.Zone, b.Zone))
 	})
-	var requests []LaunchRequest
+	var requests []plannedLaunch
 	for _, o := range offers {
 		small := missingCPUs < float64(maxCount)*o.CPUs
 		if len(requests) == maxRequests || missingCPUs <= 0 || (len(requests) > 0 && small) {
 			break
 		}
 		n := min(int(math.Ceil(missingCPUs/o.CPUs)), maxCount)
-		requests = append(requests, LaunchRequest{Offer: o, Count: n})
+		requests = append(requests, plannedLaunch{Offer: o, Count: n})
 		missingCPUs -= float64(n) * o.CPUs
 	}
 	return requests
--- a/internal/fleet/fleet_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"slices"
@@ -24,11 +24,11 @@
 		{"requests limited", 1e4, 2, []int{50, 50}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var want []LaunchRequest
+			var want []plannedLaunch
 			for i, count := range c.want {
-				want = append(want, LaunchRequest{Offer: byPrice[i], Count: count})
+				want = append(want, plannedLaunch{Offer: byPrice[i], Count: count})
 			}
-			got := Plan(c.missingCPUs, []Offer{expensive, large, spot}, 50, c.maxRequests)
+			got := plan(c.missingCPUs, []Offer{expensive, large, spot}, 50, c.maxRequests)
 			if !slices.Equal(got, want) {
 				t.Errorf("got %v, want %v", got, want)
 			}
