--- a/internal/autoscaler/constrained.go
+++ b/internal/autoscaler/constrained.go
@@ -87,8 +87,9 @@
 // scaleOutConstrained covers what constrained jobs lack: by machines that are draining, or by new
 // ones, which it returns the requests for.
 func (as *Autoscaler) scaleOutConstrained(v *View, offers []Offer) []Launch {
-	var launches []Launch
-	for _, demand := range as.constrainedDemands(v) {
+	demands := as.constrainedDemands(v)
+	launches := make([]Launch, 0, len(demands))
+	for _, demand := range demands {
 		missingCPUs, draining := as.missingFor(v, demand)
 		for _, m := range draining {
 			if missingCPUs <= 0 {
--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -54,7 +54,8 @@
 		go lt.listMachines()
 	}
 	for _, d := range commands.Drained {
-		lt.c.Log.Debug("machine draining", "machine", d.Machine.Name, "count", len(d.Machine.Attempts), "spare", d.SpareCPUs)
+		lt.c.Log.Debug("machine draining", "machine", d.Machine.Name,
+			"count", len(d.Machine.Attempts), "spare", d.SpareCPUs)
 	}
 	for _, launch := range commands.Launches {
 		go lt.sendLaunch(launch)
