--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -134,6 +134,38 @@
 	}
 }
 
+func TestDemandCountsTasksThatCanRunInTurnOnce(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		objective  time.Duration
+		guarantee  float64
+		used       float64
+		startBy    time.Time
+		limit      float64
+		wantDemand float64
+	}{
+		// A machine that is launched now has booted in 20 s; a task runs for 100 s.
+		{"no time for a second task", 120 * time.Second, 0, 0, time.Time{}, 1000, 20},
+		{"time for four in turn", 420 * time.Second, 0, 0, time.Time{}, 1000, 5},
+		{"an objective for the start", 420 * time.Second, 0, 0, start, 1000, 20},
+		{"a part is guaranteed", 420 * time.Second, 8, 0, time.Time{}, 1000, 8},
+		{"all is guaranteed", 420 * time.Second, 50, 0, time.Time{}, 1000, 20},
+		{"beside what is running", 420 * time.Second, 0, 3, time.Time{}, 1000, 8},
+		{"limit of the team", 120 * time.Second, 50, 3, time.Time{}, 12, 12},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newTestFleet(t)
+			f.team.CPUs, f.team.LimitCPUs, f.team.UsedCPUs = c.guarantee, c.limit, c.used
+			j := f.job("job", 20)
+			j.StartBy, j.Objectives = c.startBy, []time.Time{start.Add(c.objective)}
+			j.UpdateFeasibility(start)
+			if got := f.Demand(f.view); got != c.wantDemand {
+				t.Errorf("got %v CPUs, want %v", got, c.wantDemand)
+			}
+		})
+	}
+}
+
 func TestJobsThatMayNotUseSpotMachinesGetOthers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -169,6 +201,22 @@
 	}
 }
 
+func TestPendingLaunchesCountForConstrainedJobs(t *testing.T) {
+	f := newTestFleet(t)
+	for i := range 3 {
+		f.machine(fmt.Sprint("m", i), true)
+	}
+	f.job("job", 8).Spec.Spot = false
+	launches := f.ScaleOut(f.view).Launches
+	check(t, "first", counts(launches), []string{"r-7-1 2 a spot=false"})
+	check(t, "while it is in flight", counts(f.ScaleOut(f.view).Launches), nil)
+	f.LaunchEnded(launches[0], 2, f.view.Now)
+	for i := range 2 {
+		f.view.Provisioning[fmt.Sprint("o", i)] = launches[0].Provisioning(f.view.Now)
+	}
+	check(t, "while they boot", counts(f.ScaleOut(f.view).Launches), nil)
+}
+
 func TestJobIsProvidedForOnceItsDependenciesHaveStarted(t *testing.T) {
 	f := newTestFleet(t)
 	for i := range 3 {
