--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -119,8 +119,8 @@
 				lt.scanMachines(now)
 				lt.restartStragglers(now)
 				view := lt.fleetView(now)
-				lt.autoscaler.Drain(view)
-				for _, stop := range lt.autoscaler.MoveCheckpointed(view) {
+				lt.autoscaler.Drain(&view)
+				for _, stop := range lt.autoscaler.MoveCheckpointed(&view) {
 					lt.requestStop(stop.Attempt, stop.Grace, now)
 				}
 			}
--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -22,8 +22,8 @@
 )
 
 // fleetView is what the autoscaler reads of the term's state.
-func (lt *leaderTerm) fleetView(now time.Time) *autoscaler.View {
-	return &autoscaler.View{
+func (lt *leaderTerm) fleetView(now time.Time) autoscaler.View {
+	return autoscaler.View{
 		Now:          now,
 		Machines:     lt.machines,
 		Provisioning: lt.provisioning,
@@ -44,7 +44,8 @@
 
 // scaleFleet has the autoscaler decide what is due, and carries it out.
 func (lt *leaderTerm) scaleFleet(now time.Time) {
-	lt.applyScaling(lt.autoscaler.Tick(lt.fleetView(now)), now)
+	view := lt.fleetView(now)
+	lt.applyScaling(lt.autoscaler.Tick(&view), now)
 }
 
 // applyScaling carries out what the autoscaler has decided.
@@ -113,7 +114,8 @@
 	}
 	if c.holdsLease() {
 		// What is still missing is requested at once.
-		lt.applyScaling(lt.autoscaler.ScaleOut(lt.fleetView(now)), now)
+		view := lt.fleetView(now)
+		lt.applyScaling(lt.autoscaler.ScaleOut(&view), now)
 	}
 }
 
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -246,7 +246,8 @@
 		k.serve(n, 100)
 		n.inspect(func(c *Controller) {
 			lt := c.leaderTerm
-			w.checkEqual("demand", lt.autoscaler.Demand(lt.fleetView(time.Now())), 1.0)
+			view := lt.fleetView(time.Now())
+			w.checkEqual("demand", lt.autoscaler.Demand(&view), 1.0)
 			w.checkEqual("in the queue", len(lt.teams["red"].Items()), 1)
 			w.checkEqual("overlooked", lt.starved, 0)
 			counts, _ := lt.pendingReasons(time.Now())
@@ -265,7 +266,8 @@
 			j := c.leaderTerm.jobs["job-2"]
 			w.checkEqual("since it could run", time.Since(j.RunnableSince) < 5*time.Second, true)
 			w.checkEqual("its aim", time.Until(j.Objectives[0]) > 80*time.Second, true)
-			w.checkEqual("demand", c.leaderTerm.autoscaler.Demand(c.leaderTerm.fleetView(time.Now())), 16.0)
+			view := c.leaderTerm.fleetView(time.Now())
+			w.checkEqual("demand", c.leaderTerm.autoscaler.Demand(&view), 16.0)
 		})
 	})
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -14,7 +14,8 @@
 			lt.scaleIn(m)
 		}
 	}
-	for _, m := range lt.autoscaler.IdleMachines(lt.fleetView(now)) {
+	view := lt.fleetView(now)
+	for _, m := range lt.autoscaler.IdleMachines(&view) {
 		lt.evacuate(m, "idle")
 		lt.scaleIn(m)
 	}
