--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -268,7 +268,8 @@
 		k.serve(n, 100)
 		n.inspect(func(c *Controller) {
 			lt := c.leaderTerm
-			w.checkEqual("demand", lt.autoscaler.demand(), 1.0)
+			view := lt.fleetView(time.Now())
+			w.checkEqual("demand", lt.autoscaler.Demand(&view), 1.0)
 			w.checkEqual("in the queue", len(lt.teams["red"].Items()), 1)
 			w.checkEqual("starved", lt.starved, 0)
 			counts, _ := lt.pendingReasons(time.Now())
@@ -287,7 +288,8 @@
 			j := c.leaderTerm.jobs["job-2"]
 			w.checkEqual("became runnable less than 5 s ago", time.Since(j.RunnableSince) < 5*time.Second, true)
 			w.checkEqual("next objective more than 80 s ahead", time.Until(j.Objectives[0]) > 80*time.Second, true)
-			w.checkEqual("demand", c.leaderTerm.autoscaler.demand(), 16.0)
+			view := c.leaderTerm.fleetView(time.Now())
+			w.checkEqual("demand", c.leaderTerm.autoscaler.Demand(&view), 16.0)
 		})
 	})
 }
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/autoscaler"
 	"example.org/ivytrestle/internal/cluster"
 )
 
@@ -68,9 +69,10 @@
 			candidates = append(candidates, m)
 		}
 	}
+	types := lt.c.types.load()
 	slices.SortFunc(candidates, func(a, b *cluster.Machine) int {
 		return cmp.Or(
-			cmp.Compare(lt.autoscaler.cpuPrice(a), lt.autoscaler.cpuPrice(b)),
+			cmp.Compare(autoscaler.CPUPrice(types, a), autoscaler.CPUPrice(types, b)),
 			cmp.Compare(a.FreeCPUs(), b.FreeCPUs()),
 			cmp.Compare(a.Name, b.Name),
 		)
@@ -183,6 +185,6 @@
 	startMayApply := a.Direct != nil && a.Direct.OutcomeUnknown && a.LastSeenHeartbeat == 0
 	if startMayApply && m.Phase() < cluster.Terminating {
 		lt.evacuate(m, reasonUnanswered)
-		lt.autoscaler.scaleIn(m)
+		lt.scaleIn(m)
 	}
 }
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -2,12 +2,12 @@
 
 import (
 	"context"
-	"fmt"
 	"slices"
 	"time"
 
 	lru "github.com/hashicorp/golang-lru/v2"
 
+	"example.org/ivytrestle/internal/autoscaler"
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/election"
@@ -41,7 +41,7 @@
 	fairShareOrder []*queue.Team[*cluster.Job]
 	machines       map[string]*cluster.Machine
 	// provisioning are machines that were launched or listed but have sent no heartbeat.
-	provisioning map[string]*provisioning
+	provisioning map[string]*autoscaler.Provisioning
 	// terminated are the names of terminated machines, whose heartbeats may still arrive.
 	terminated *lru.Cache[string, bool]
 
@@ -67,7 +67,7 @@
 	quorumLostAt   time.Time
 	downlink       relayDownlink
 	recordWriter   recordWriter
-	autoscaler     autoscaler
+	autoscaler     *autoscaler.Autoscaler
 	counts         counters
 	// dispatchUntil is until when the leader searches for free machines that direct commands
 	// could give work; commandsInFlight is how many such commands await a response.
@@ -123,7 +123,7 @@
 		jobs:             map[string]*cluster.Job{},
 		teams:            map[string]*queue.Team[*cluster.Job]{},
 		machines:         map[string]*cluster.Machine{},
-		provisioning:     map[string]*provisioning{},
+		provisioning:     map[string]*autoscaler.Provisioning{},
 		terminated:       terminated,
 		downlink:         relayDownlink{nodes: map[string]*relayNode{}},
 		renewalRevisions: map[string]uint64{},
@@ -143,7 +143,7 @@
 	lt.dependencies.init(lt)
 	lt.dependencyLists.leaderTerm = lt
 	lt.loans.init(lt)
-	lt.autoscaler.init(lt)
+	lt.autoscaler = autoscaler.New(term.Number, c.Policy, c.Settings.Site.Workers)
 	if c.Standby != nil {
 		lt.votes = leasequorum.NewVoteSet(c.Standby.VoteLifetime())
 	}
@@ -269,7 +269,7 @@
 	lt.scanMachines(now)
 	lt.restartStragglers(now)
 	if lt.hasLeaseQuorum(now) {
-		lt.autoscaler.tick(now)
+		lt.scaleFleet(now)
 	}
 	lt.logUsage(now)
 	lt.logPending(now)
@@ -280,6 +280,3 @@
 	lt.attemptCount++
 	return lt.term.Number<<32 | uint64(lt.attemptCount)
 }
-
-// launchName returns the name of the term's nth launch request, under which it is repeatable.
-func (lt *leaderTerm) launchName(n int) string { return fmt.Sprintf("r-%d-%d", lt.term.Number, n) }
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"example.org/ivytrestle/internal/api"
+	"example.org/ivytrestle/internal/autoscaler"
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
 	"example.org/ivytrestle/internal/loan"
@@ -66,8 +67,8 @@
 		return 0
 	})
 	latest := maxPredictedWait
-	if len(lt.autoscaler.offers(now)) > 0 {
-		latest = lt.autoscaler.longestBoot() + lt.c.Settings.Site.Workers.HeartbeatInterval()
+	if types := lt.c.types.load(); lt.autoscaler.CanLaunch(types, now) {
+		latest = autoscaler.LongestBoot(types) + lt.c.Settings.Site.Workers.HeartbeatInterval()
 	}
 	predictions := make([]predictedStart, 0, len(jobs))
 	for _, j := range jobs {
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -34,7 +34,7 @@
 		}
 		if verdict.Dead != "" {
 			lt.evacuate(m, string(verdict.Dead))
-			lt.autoscaler.scaleIn(m)
+			lt.scaleIn(m)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 	case failuredetector.Restarted:
 		lt.evacuate(machine, string(failuredetector.ReasonRestarted))
 		if machine.Phase() < cluster.Terminating {
-			lt.autoscaler.scaleIn(machine)
+			lt.scaleIn(machine)
 		}
 	case failuredetector.NewHeartbeat:
 		if _, err := lt.handleHeartbeat(m.heartbeat, solicited, now); err != nil {
