--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -14,6 +14,7 @@
 	"example.org/ivytrestle/internal/records"
 )
 
+// touches matches transactions that write or delete a key with a prefix.
 func touches(prefix string) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool {
 		for _, op := range txn.Ops {
@@ -40,18 +41,18 @@
 		k.serve(n, 3)
 		w.checkEqual("phase", w.phase(n, "job-1"), "done")
 		w.checkEqual("reaped", len(k.status.Tasks), 0)
-		// The repeat of a submission after the job is over, with other contents.
-		st, created, err := n.Submit(context.Background(), spec("job-1", 9))
+		// The repeat of a submission after the job has ended, with other contents.
+		st, created, err := n.Submit(w.t.Context(), spec("job-1", 9))
 		if err != nil || created || st.Phase != api.JobDone {
-			t.Errorf("repeat: %v %v %v", st, created, err)
+			w.t.Errorf("repeated submission: got %v, created %v, error %v, want the done job", st, created, err)
 		}
 		w.checkEqual("unknown job", w.phase(n, "job-2"), api.ErrUnknownJob.Error())
 	})
 }
 
-// A job whose end is not on record must not be told as done: the next leader
-// would say something older.
-func TestDoneIsDurableBeforeItIsTold(t *testing.T) {
+// A job without a terminal record must not be reported as done: the next leader would report an
+// earlier phase.
+func TestDoneIsDurableBeforeItIsReported(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
@@ -61,17 +62,17 @@
 		k.exit(api.CauseDone)
 		k.serve(n, 2)
 		if got := w.phase(n, "job-1"); got == api.JobDone {
-			t.Error("told done before it was on record")
+			w.t.Errorf("got phase %q before the terminal record was written, want another", got)
 		}
-		w.checkEqual("kept on the worker", len(k.status.Tasks), 1)
+		w.checkEqual("kept on the machine", len(k.status.Tasks), 1)
 		w.store.ApplyDelayed()
 		k.serve(n, 4)
 		w.checkEqual("phase", w.phase(n, "job-1"), "done")
 	})
 }
 
-// Silence frees nothing: only the cloud's 200 to returning the machine does.
-func TestSilentMachineIsFreedByItsReturnOnly(t *testing.T) {
+// Missed heartbeats release nothing: only the cloud's 200 to the machine's termination does.
+func TestSuspectMachineIsReleasedByItsTerminationOnly(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k1, k2 := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
@@ -81,66 +82,66 @@
 		w.cloud.rejectTerminate = true
 		w.dead.Store("i-1", true)
 		k2.serve(n, 40)
-		w.checkEqual("not started again", len(k2.running()), 0)
+		w.checkEqual("started elsewhere before the termination", len(k2.running()), 0)
 		w.cloud.mu.Lock()
 		w.cloud.rejectTerminate = false
 		w.cloud.mu.Unlock()
 		k2.serve(n, 5)
-		w.checkEqual("returned", w.cloud.terminated("i-1"), true)
-		w.checkEqual("started again", k2.running(), []string{"job-1/0"})
-		// What was held up on its way from the machine changes nothing.
+		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
+		w.checkEqual("started elsewhere", k2.running(), []string{"job-1/0"})
+		// A heartbeat of the machine that was delayed on its way changes nothing.
 		if _, err := k1.sendHeartbeat(n); err == nil {
-			t.Error("a machine that is gone was answered")
+			w.t.Error("got a response to a terminated machine's heartbeat, want an error")
 		}
 	})
 }
 
-// A report that was overtaken must not free the tasks started after it.
-func TestOlderReportIsDropped(t *testing.T) {
+// A heartbeat that was overtaken must not release the tasks started after it.
+func TestOlderHeartbeatIsDropped(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k1, k2 := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		k1.serve(n, 2)
 		k2.serve(n, 2)
 		k1.mu.Lock()
-		old := k1.status
+		older := k1.status
 		k1.mu.Unlock()
-		old.Tasks = nil
+		older.Tasks = nil
 		w.submit(n, spec("job-1", 1))
 		k1.serve(n, 2)
 		w.checkEqual("running", len(k1.running()), 1)
-		commands, err := k1.deliver(n, &old)
+		commands, err := k1.deliver(n, &older)
 		if err != nil || len(commands) != 0 {
-			t.Errorf("an old report got %v, %v", commands, err)
+			w.t.Errorf("older heartbeat: got commands %v, error %v, want none", commands, err)
 		}
 		k2.serve(n, 3)
-		w.checkEqual("started once", len(k2.running()), 0)
+		w.checkEqual("started elsewhere", len(k2.running()), 0)
 	})
 }
 
-// An answer that was lost after a start: the next report shows that the start
-// was not carried out, and the task is started under a new attempt.
+// A heartbeat response with a start is lost: the next heartbeat shows that the start was not
+// applied, and the task is started under a new attempt.
 func TestLostStartIsRepeatedAsANewAttempt(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
 		w.submit(n, spec("job-1", 1))
-		lost, _ := k.sendHeartbeat(n)
-		if len(lost) != 1 {
-			t.Fatalf("orders %v", lost)
+		lost, err := k.sendHeartbeat(n)
+		if err != nil || len(lost) != 1 {
+			w.t.Fatalf("got commands %v, error %v, want one start", lost, err)
 		}
 		time.Sleep(4 * time.Second)
-		again := k.heartbeat(n)
-		if len(again) != 1 || again[0].Attempt == lost[0].Attempt {
-			t.Errorf("first %v, then %v", lost, again)
+		repeated := k.heartbeat(n)
+		if len(repeated) != 1 || repeated[0].Attempt == lost[0].Attempt {
+			w.t.Errorf("got commands %v after the lost %v, want one start of a new attempt", repeated, lost)
 		}
 	})
 }
 
-// The answer to a rental may be lost: the repeat must use the same name, or
-// the machines would be rented twice. A later term's names are different.
-func TestRentalIsRepeatedUnderItsName(t *testing.T) {
+// The response to a launch request may be lost: the retry must use the same name, or the machines
+// would be launched twice. The names of a later term are different.
+func TestLaunchRequestIsRetriedUnderItsName(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.cloud.capacity, w.cloud.loseLaunchResponse = 1, true
 		n := w.start("n0")
@@ -152,7 +153,7 @@
 		w.cloud.launches = nil
 		w.cloud.mu.Unlock()
 		if len(first) < 2 || first[0].Name != first[1].Name {
-			t.Fatalf("rentals %v", first)
+			w.t.Fatalf("got launch requests %v, want two or more of one name", first)
 		}
 		w.cloud.capacity = 0
 		n = w.start("n0")
@@ -160,16 +161,15 @@
 		n.crash()
 		w.cloud.mu.Lock()
 		defer w.cloud.mu.Unlock()
-		w.checkEqual("rented again", len(w.cloud.launches) > 0, true)
-		for _, r := range w.cloud.launches {
-			w.checkEqual("name reused", r.Name == first[0].Name, false)
+		w.checkEqual("launched in the next term", len(w.cloud.launches) > 0, true)
+		for _, request := range w.cloud.launches {
+			w.checkEqual("name reused", request.Name == first[0].Name, false)
 		}
 	})
 }
 
-// A machine that the cloud takes back saves what can be saved, and its tasks
-// go on elsewhere.
-func TestReclaimedMachine(t *testing.T) {
+// A machine with a preemption notice saves the checkpoints of its tasks, and they continue elsewhere.
+func TestPreemptedMachine(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k1, k2 := w.worker("i-1", "a", true), w.worker("i-2", "a", false)
@@ -177,45 +177,45 @@
 		s.CheckpointS, s.SaveS = 10, 2
 		w.submit(n, s)
 		k1.serve(n, 3)
-		left := 9.0
-		k1.status.PreemptionNoticeS = &left
+		noticeS := 9.0
+		k1.status.PreemptionNoticeS = &noticeS
 		commands := k1.heartbeat(n)
 		if len(commands) == 0 {
 			commands = k1.heartbeat(n)
 		}
 		if len(commands) != 2 || commands[0].Verb != api.VerbStop || *commands[0].GraceS < 2 {
-			t.Fatalf("orders %v", commands)
+			w.t.Fatalf("got commands %v, want two stops with time to save", commands)
 		}
 		k1.serve(n, 2)
 		k2.serve(n, 3)
-		w.checkEqual("elsewhere", len(k2.running()), 2)
-		w.checkEqual("returned", w.cloud.terminated("i-1"), true)
+		w.checkEqual("running elsewhere", len(k2.running()), 2)
+		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
 	})
 }
 
-// While the store is out of reach a submission is refused, not kept waiting;
-// a submission whose answer was lost counts as accepted once.
-func TestSubmissionWithTheStoreInTrouble(t *testing.T) {
+// While the key-value store is unreachable a submission is rejected, not kept waiting; a
+// submission whose transaction lost its response counts as accepted once.
+func TestSubmissionDuringStoreFaults(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		w.store.SetDown(true)
-		ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
+		ctx, cancel := context.WithTimeout(w.t.Context(), 2500*time.Millisecond)
 		defer cancel()
 		if _, _, err := n.Submit(ctx, spec("job-1", 1)); err == nil {
-			t.Error("accepted during an outage")
+			w.t.Error("submission during an outage: got no error, want one")
 		}
 		w.store.SetDown(false)
 		w.store.LoseResponses(touches(records.ActivePrefix))
-		st, _, err := n.Submit(context.Background(), spec("job-2", 1))
+		st, _, err := n.Submit(w.t.Context(), spec("job-2", 1))
 		if err != nil || st.Phase != api.JobPending {
-			t.Errorf("lost answer: %v %v", st, err)
+			w.t.Errorf("submission with a lost response: got %v, error %v, want phase pending", st, err)
 		}
 		w.store.LoseResponses(nil)
-		w.checkEqual("known", w.phase(n, "job-2"), "pending")
+		w.checkEqual("phase", w.phase(n, "job-2"), "pending")
 	})
 }
 
-func TestJobsThatCanNeverRun(t *testing.T) {
+func TestUnschedulableJobsAreRejected(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		for name, change := range map[string]func(*api.JobSpec){
@@ -228,97 +228,122 @@
 		} {
 			s := spec("job-1", 1)
 			change(s)
-			_, _, err := n.Submit(context.Background(), s)
-			var never *api.UnschedulableError
-			w.checkEqual(name, errors.As(err, &never), true)
+			_, _, err := n.Submit(w.t.Context(), s)
+			var unschedulable *api.UnschedulableError
+			w.checkEqual(name, errors.As(err, &unschedulable), true)
 		}
-		w.checkEqual("not accepted", w.phase(n, "job-1"), api.ErrUnknownJob.Error())
+		w.checkEqual("phase of a rejected job", w.phase(n, "job-1"), api.ErrUnknownJob.Error())
 	})
 }
 
-// While the leader is behind a cut a node on the workers' side keeps their
-// leases alive, but not so long that a cancellation could come too late for
-// their tasks, and it starts nothing.
-func TestFollowerKeepsMachinesAlive(t *testing.T) {
-	for _, storeToo := range []bool{false, true} {
-		simulate(t, func(w *simulatedCluster) {
-			l := &links{}
-			g := &gate{Fake: w.store}
-			a := l.add("n0", w.startWith("n0", w.store, l))
-			b := l.add("n1", w.startWith("n1", g, l))
-			k := w.worker("i-1", "a", false)
-			w.submit(a, spec("job-1", 2))
-			k.serve(a, 4)
-			w.checkEqual("running", len(k.running()), 2)
-			if _, err := k.sendHeartbeat(b); err == nil {
-				t.Error("a follower answered without need")
-			}
-			w.submit(a, spec("job-2", 1))
-			l.cut.Store(true)
-			g.set(storeToo)
-			time.Sleep(4 * time.Second)
-			kept := 0
-			for range 40 {
-				commands, err := k.sendHeartbeat(b)
-				if err != nil {
-					break
-				}
-				for _, o := range commands {
-					// Only the leader starts anything, through the store.
-					w.checkEqual("started", o.Verb == api.VerbStart && storeToo, false)
+// While the leader is partitioned, a node on the machines' side renews their task leases on its
+// behalf, but not so long that a cancellation could be late for their tasks, and it starts nothing.
+func TestFollowerRenewsTaskLeasesOnBehalf(t *testing.T) {
+	for _, c := range []struct {
+		name             string
+		storeUnreachable bool // for the follower
+		minS, maxS       int  // how long it renews, of at most 40 s
+	}{
+		{"store reachable", false, 40, 40},
+		// 30 s are for a cancellation, 10 s are the lease.
+		{"store unreachable", true, 5, 14},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			simulate(t, func(w *simulatedCluster) {
+				l := &links{}
+				g := &gate{Fake: w.store}
+				leader := l.add("n0", w.startWith("n0", w.store, l))
+				follower := l.add("n1", w.startWith("n1", g, l))
+				k := w.worker("i-1", "a", false)
+				w.submit(leader, spec("job-1", 2))
+				k.serve(leader, 4)
+				w.checkEqual("running", len(k.running()), 2)
+				if _, err := k.sendHeartbeat(follower); err == nil {
+					w.t.Error("got a response of a follower whose leader is reachable, want an error")
 				}
-				kept++
-				time.Sleep(time.Second)
-			}
-			// 30 s are for a cancellation, 10 s are the lease.
-			if storeToo && (kept < 5 || kept > 14) || !storeToo && kept != 40 {
-				t.Errorf("store out of reach %v: kept for %d s", storeToo, kept)
-			}
-			if !storeToo {
-				if _, err := a.Cancel(context.Background(), "job-1"); err != nil {
-					t.Error(err)
+				w.submit(leader, spec("job-2", 1))
+				l.cut.Store(true)
+				g.set(c.storeUnreachable)
+				time.Sleep(4 * time.Second)
+				renewedS := renewOnBehalfFor(w, follower, k, c.storeUnreachable)
+				if renewedS < c.minS || renewedS > c.maxS {
+					w.t.Errorf("got %d s of renewals, want %d to %d", renewedS, c.minS, c.maxS)
 				}
-				k.serve(b, 5)
-				for _, task := range k.running() {
-					w.checkEqual("cancelled job still runs", strings.HasPrefix(task, "job-1/"), false)
+				if !c.storeUnreachable {
+					checkCancelledBeyondCut(w, leader, follower, k)
 				}
-			}
-			l.cut.Store(false)
-			time.Sleep(3 * time.Second)
-			b.inspect(func(c *Controller) {
-				w.checkEqual("still keeps them after the cut", c.leaseRenewer.leaderUnreachable, false)
+				l.cut.Store(false)
+				time.Sleep(3 * time.Second)
+				follower.inspect(func(c *Controller) {
+					w.checkEqual("renews after the partition", c.leaseRenewer.leaderUnreachable, false)
+				})
 			})
 		})
 	}
 }
 
-// deaf is a store whose first watch of the jobs never answers, as over a
-// connection that died without a word.
-type deaf struct {
+// renewOnBehalfFor sends heartbeats to a follower until it renews no more, for 40 s at most, and
+// returns for how many seconds it did. Without the store none of its responses has a start: only
+// the leader starts tasks, through the store.
+func renewOnBehalfFor(w *simulatedCluster, follower *node, k *worker, storeUnreachable bool) (seconds int) {
+	w.t.Helper()
+	for range 40 {
+		commands, err := k.sendHeartbeat(follower)
+		if err != nil {
+			break
+		}
+		for _, cmd := range commands {
+			w.checkEqual("started", cmd.Verb == api.VerbStart && storeUnreachable, false)
+		}
+		seconds++
+		time.Sleep(time.Second)
+	}
+	return seconds
+}
+
+// checkCancelledBeyondCut checks that the leader's cancellation of job-1 reaches a machine through
+// a follower.
+func checkCancelledBeyondCut(w *simulatedCluster, leader, follower *node, k *worker) {
+	w.t.Helper()
+	if _, err := leader.Cancel(w.t.Context(), "job-1"); err != nil {
+		w.t.Error(err)
+	}
+	k.serve(follower, 5)
+	for _, task := range k.running() {
+		w.checkEqual("task of the cancelled job runs", strings.HasPrefix(task, "job-1/"), false)
+	}
+}
+
+// hungWatchStore is a store whose first watch of the jobs never responds, as over a connection
+// that died without a reset.
+type hungWatchStore struct {
 	*kvtest.Fake
 	once sync.Once
 }
 
-func (d *deaf) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
-	hang := false
+// Watch hangs on the first watch of the active records until its context ends.
+func (s *hungWatchStore) Watch(
+	ctx context.Context, prefix string, from uint64, block time.Duration,
+) (kv.Changes, error) {
+	isFirst := false
 	if prefix == records.ActivePrefix {
-		d.once.Do(func() { hang = true })
+		s.once.Do(func() { isFirst = true })
 	}
-	if hang {
+	if isFirst {
 		<-ctx.Done()
 		return kv.Changes{}, kv.ErrOutcomeUnknown
 	}
-	return d.Fake.Watch(ctx, prefix, from, block)
+	return s.Fake.Watch(ctx, prefix, from, block)
 }
 
-// A watch whose connection has died must not hide a cancellation for longer
-// than its tasks may stay.
-func TestDeadWatchIsGivenUp(t *testing.T) {
+// A watch whose connection has died must time out before it hides a cancellation for longer than
+// cancelled tasks may run.
+func TestHungWatchTimesOut(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		n := w.startWith("n0", &deaf{Fake: w.store}, nil)
+		n := w.startWith("n0", &hungWatchStore{Fake: w.store}, nil)
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 2))
 		k.serve(n, 8)
-		w.checkEqual("started after the watch was given up", len(k.running()), 2)
+		w.checkEqual("started after the watch timed out", len(k.running()), 2)
 	})
 }
