--- a/internal/controller/registry_test.go
+++ b/internal/controller/registry_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
@@ -13,118 +12,104 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// shardsOf reads the roster: the machines on each of its shards.
-func (w *simulatedCluster) shardsOf() (shards [][]string) {
+// registryShards reads the registry from the store: the machines of each of its shards.
+func (w *simulatedCluster) registryShards() (shards [][]string) {
 	w.t.Helper()
-	p, err := w.store.Range(context.Background(), records.MachinePrefix, "", 1000)
+	page, err := w.store.Range(w.t.Context(), records.MachinePrefix, "", 1000)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	for _, e := range p.Entries {
+	for _, e := range page.Entries {
 		var rec records.RegistryShardRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil {
 			w.t.Fatal(err)
 		}
-		var names []string
-		for _, m := range rec.Machines {
-			names = append(names, m.Name)
+		names := make([]string, len(rec.Machines))
+		for i, m := range rec.Machines {
+			names[i] = m.Name
 		}
 		shards = append(shards, names)
 	}
 	return shards
 }
 
-// registeredMachines lists the machines on the roster.
+// registeredMachines lists the machines of the registry, as stored.
 func (w *simulatedCluster) registeredMachines() (names []string) {
-	for _, s := range w.shardsOf() {
-		names = append(names, s...)
+	w.t.Helper()
+	for _, shard := range w.registryShards() {
+		names = append(names, shard...)
 	}
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// Machines that come together share a shard, so that a fleet need not wait for
-// one write each; as machines go, what is left of the shards shrinks with them.
+// Machines that register at the same time share a shard, so that a fleet need not wait for one
+// write each; as machines are terminated, the remaining shards shrink.
 func TestMachinesShareShards(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		a := w.start("n0")
-		var ks []*worker
-		for i := range 60 {
-			ks = append(ks, w.worker(fmt.Sprintf("i-%02d", i), "a", false))
-			ks[i].sendHeartbeat(a) // learns the term
+		const machines, live, maxShards = 60, 3, 6
+		n := w.start("n0")
+		ks := make([]*worker, machines)
+		for i := range ks {
+			ks[i] = w.worker(fmt.Sprintf("i-%02d", i), "a", false)
+			sendDroppingCommands(w, n, ks[i]) // fences the machine
 		}
 		for _, k := range ks {
-			k.sendHeartbeat(a)
+			sendDroppingCommands(w, n, k)
 		}
 		time.Sleep(2 * time.Second)
-		w.checkEqual("on the roster", len(w.registeredMachines()), 60)
-		if n := len(w.shardsOf()); n > 6 {
-			t.Errorf("%d shards for 60 machines", n)
+		w.checkEqual("registered", len(w.registeredMachines()), machines)
+		if shards := len(w.registryShards()); shards > maxShards {
+			w.t.Errorf("got %d shards for %d machines, want at most %d", shards, machines, maxShards)
 		}
-		for _, k := range ks[:57] {
+		for _, k := range ks[:machines-live] {
 			w.dead.Store(k.status.Machine, true)
 		}
-		for range 60 {
-			for _, k := range ks[57:] {
-				k.heartbeat(a)
-			}
-			time.Sleep(time.Second)
-		}
+		heartbeatAll(ks[machines-live:], n, 60)
 		left := 0
-		a.inspect(func(c *Controller) { left = len(c.leaderTerm.machines) })
-		if names := w.registeredMachines(); left >= 60 || len(names) != left {
-			t.Errorf("%d machines are left, on the roster %v", left, names)
+		n.inspect(func(c *Controller) { left = len(c.leaderTerm.machines) })
+		if names := w.registeredMachines(); left >= machines || len(names) != left {
+			w.t.Errorf("got registered machines %v, want the %d left, fewer than %d", names, left, machines)
 		}
-		b := w.start("n0")
-		b.inspect(func(c *Controller) { w.checkEqual("read by the next leader", len(c.leaderTerm.machines), left) })
+		next := w.start("n0")
+		next.inspect(func(c *Controller) {
+			w.checkEqual("machines read by the next leader", len(c.leaderTerm.machines), left)
+		})
 	})
 }
 
-// Whatever becomes of the transactions that write shards, carried out without an
-// answer or late, a machine that may be given tasks is on the roster.
-func TestRosterHoldsEveryMachineInUse(t *testing.T) {
+// sendDroppingCommands sends a heartbeat, and drops the commands of its response.
+func sendDroppingCommands(w *simulatedCluster, n *node, k *worker) {
+	w.t.Helper()
+	if _, err := k.sendHeartbeat(n); err != nil {
+		w.t.Fatalf("heartbeat of %s: got error %v, want none", k.status.Machine, err)
+	}
+}
+
+// Whatever the outcome of the transactions that write shards, applied without a response or late, a
+// machine that may be given tasks is registered.
+func TestEveryMachineInUseIsRegistered(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
+		const maxMachines = 30
 		rnd := rand.New(rand.NewPCG(1, 2))
-		a := w.start("n0")
-		shards := touches(records.MachinePrefix)
+		n := w.start("n0")
 		var ks []*worker
 		for round := range 60 {
-			switch rnd.IntN(4) {
-			case 0:
-				w.store.LoseResponses(shards)
-			case 1:
-				w.store.Delay(shards)
-			default:
-				w.store.LoseResponses(nil)
-				w.store.ApplyDelayed()
-			}
+			injectShardWriteFault(w, rnd.IntN(4))
 			for range rnd.IntN(8) {
 				ks = append(ks, w.worker(fmt.Sprintf("i-%d-%d", round, len(ks)), "a", false))
 			}
-			for len(ks) > 30 {
+			for len(ks) > maxMachines {
 				w.dead.Store(ks[0].status.Machine, true)
 				ks = ks[1:]
 			}
 			for range 3 {
 				for _, k := range ks {
-					k.heartbeat(a)
+					k.heartbeat(n)
 				}
 				for range 20 {
 					time.Sleep(50 * time.Millisecond)
-					names, inUse := w.registeredMachines(), []string(nil)
-					a.inspect(func(c *Controller) {
-						for name, m := range c.leaderTerm.machines {
-							if m.Registration == cluster.Registered {
-								inUse = append(inUse, name)
-							}
-						}
-					})
-					names = append(names, w.registeredMachines()...) // some may have come, or gone, just now
-					for _, name := range inUse {
-						if !slices.Contains(names, name) {
-							t.Fatalf("round %d: %s may be in use and is not on the roster", round, name)
-						}
-					}
+					checkInUseRegistered(w, n, round)
 				}
 			}
 		}
@@ -134,23 +119,59 @@
 	})
 }
 
-// A shard that may have taken another's place may be all that is left of it: it
-// goes only in the transaction that writes the next.
-func TestShardPerhapsWritten(t *testing.T) {
+// injectShardWriteFault loses the responses to writes of shards (0), delays the writes (1), or heals
+// both (any other kind).
+func injectShardWriteFault(w *simulatedCluster, kind int) {
+	shardWrites := touches(records.MachinePrefix)
+	switch kind {
+	case 0:
+		w.store.LoseResponses(shardWrites)
+	case 1:
+		w.store.Delay(shardWrites)
+	default:
+		w.store.LoseResponses(nil)
+		w.store.ApplyDelayed()
+	}
+}
+
+// checkInUseRegistered checks that the machines to which the leader may give tasks are registered.
+func checkInUseRegistered(w *simulatedCluster, n *node, round int) {
+	w.t.Helper()
+	names, inUse := w.registeredMachines(), []string(nil)
+	n.inspect(func(c *Controller) {
+		for name, m := range c.leaderTerm.machines {
+			if m.Registration == cluster.Registered {
+				inUse = append(inUse, name)
+			}
+		}
+	})
+	names = append(names, w.registeredMachines()...) // some may have been registered or deregistered just now
+	for _, name := range inUse {
+		if !slices.Contains(names, name) {
+			w.t.Fatalf("round %d: %s may be in use and is not registered", round, name)
+		}
+	}
+}
+
+// A shard that may have replaced another may be all that is left of it: it is deleted only in the
+// transaction that writes the next.
+func TestShardOfUnknownOutcomeIsDeletedWithItsReplacement(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		a := w.start("n0")
-		w.worker("i-1", "a", false).serve(a, 3)
-		a.inspect(func(c *Controller) {
+		n := w.start("n0")
+		w.worker("i-1", "a", false).serve(n, 3)
+		n.inspect(func(c *Controller) {
 			rec := &c.leaderTerm.recordWriter
 			old := c.leaderTerm.machines["i-1"].Shard
 			next := rec.newShard(old.Machines)
 			next.Replaces, old.Stale = old, true
 			rec.requeueShards(&batch{shards: []*cluster.Shard{next}, replaced: []*cluster.Shard{old}})
-			w.checkEqual("dropped by themselves", len(rec.pendingDeletes), 0)
+			w.checkEqual("deletes without a replacement", len(rec.pendingDeletes), 0)
 			b := &batch{}
 			rec.rewriteStale(b, 10, time.Now())
-			w.checkEqual("put", b.txn.Ops[0].Put != "" && b.txn.Ops[0].Put != next.Key, true)
-			w.checkEqual("dropped with it", []string{b.txn.Ops[1].Delete, b.txn.Ops[2].Delete}, []string{old.Key, next.Key})
+			replacement := b.txn.Ops[0].Put
+			w.checkEqual("replacement written", replacement != "" && replacement != next.Key, true)
+			deleted := []string{b.txn.Ops[1].Delete, b.txn.Ops[2].Delete}
+			w.checkEqual("deleted with it", deleted, []string{old.Key, next.Key})
 		})
 	})
 }
