--- a/internal/controller/cancelcascade_test.go
+++ b/internal/controller/cancelcascade_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"fmt"
 	"testing"
 	"time"
@@ -12,14 +11,15 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// awaiting puts a first job on record, and others of which each awaits what need says.
-func (w *simulatedCluster) awaiting(jobs int, need func(i int) []string) (ids []string) {
+// putDependentJobs writes the active records of a first job and of others, each of which depends on
+// the jobs that dependsOn returns.
+func (w *simulatedCluster) putDependentJobs(jobs int, dependsOn func(i int) []string) (ids []string) {
 	w.t.Helper()
 	for i := range jobs {
 		id := fmt.Sprint("job-", i)
 		s := spec(id, 1)
 		if i > 0 {
-			s.DependsOn = need(i)
+			s.DependsOn = dependsOn(i)
 		}
 		w.put(records.ActivePrefix+id, records.ActiveRecord{Spec: *s, Accepted: time.Now()})
 		ids = append(ids, id)
@@ -27,8 +27,9 @@
 	return ids
 }
 
-// told counts what a node tells of jobs.
-func (w *simulatedCluster) told(n *node, ids []string) map[string]int {
+// phaseCounts counts the phases that a node reports for jobs, queried at the same time.
+func (w *simulatedCluster) phaseCounts(n *node, ids []string) map[string]int {
+	w.t.Helper()
 	phases := make(chan string, len(ids))
 	for _, id := range ids {
 		go func() { phases <- w.phase(n, id) }()
@@ -44,96 +45,105 @@
 func (w *simulatedCluster) activeJobs() int {
 	w.t.Helper()
 	count := 0
-	err := (&records.Records{Store: w.store}).ForEachKey(context.Background(), records.ActivePrefix+"job-", func(string) { count++ })
+	stored := &records.Records{Store: w.store}
+	err := stored.ForEachKey(w.t.Context(), records.ActivePrefix+"job-", func(string) { count++ })
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	return count
 }
 
-// However many jobs need a cancelled one, all are called cancelled within the time that
-// a cancellation has, at every node, and never anything else afterwards: also while the
-// write rate has let only a few be recorded, after a change of the leader, and while
-// nobody leads. The records follow.
-func TestCascadeOfThousandsIsToldAtOnce(t *testing.T) {
-	const jobs = 3000
-	for name, need := range map[string]func(i int) []string{
-		"chain":  func(i int) []string { return []string{fmt.Sprint("job-", i-1)} },
+// dependsOnPrevious makes each job depend on the one before it.
+func dependsOnPrevious(i int) []string { return []string{fmt.Sprint("job-", i-1)} }
+
+// However many jobs depend on a cancelled one, all are reported as cancelled within the time that a
+// cancellation has, by every node, and never as anything else afterwards: also while the write rate
+// has let only a few be recorded, after a failover, and while there is no leader. The records follow.
+func TestCascadeOfThousandsIsReportedAtOnce(t *testing.T) {
+	for name, dependsOn := range map[string]func(i int) []string{
+		"chain":  dependsOnPrevious,
 		"fan":    func(int) []string { return []string{"job-0"} },
 		"ladder": ladder,
 	} {
 		t.Run(name, func(t *testing.T) {
-			simulate(t, func(w *simulatedCluster) {
-				w.state = config.KVLimits{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12}
-				ids := w.awaiting(jobs, need)
-				some := []string{ids[1], ids[2], ids[jobs/2], ids[jobs-2], ids[jobs-1]}
-				leader, other := w.start("n0"), w.start("n1")
-				w.checkEqual("before", w.told(leader, some), map[string]int{api.JobPending: len(some)})
-				if _, err := other.Cancel(context.Background(), ids[0]); err != nil {
-					t.Fatal(err)
-				}
-				time.Sleep(time.Second)
-				all := map[string]int{api.JobCancelled: jobs}
-				w.checkEqual("told by the leader", w.told(leader, ids), all)
-				w.checkEqual("told by the other node", w.told(other, some), map[string]int{api.JobCancelled: len(some)})
-				if left := w.activeJobs(); left < jobs*9/10 {
-					t.Errorf("only %d records left: the write rate is not kept to", left)
-				}
-				leader.crash()
-				w.checkEqual("while nobody leads", w.told(other, some), map[string]int{api.JobCancelled: len(some)})
-				leader = w.start("n0")
-				for range 20 {
-					for phase, count := range w.told(leader, some) {
-						if phase != api.JobCancelled && phase != api.ErrUnavailable.Error() {
-							t.Errorf("%d called %s by the next leader", count, phase)
-						}
-					}
-					time.Sleep(100 * time.Millisecond)
-				}
-				w.checkEqual("told by the next leader", w.told(leader, ids), all)
-				time.Sleep(15 * time.Minute)
-				w.checkEqual("records left", w.activeJobs(), 0)
-				w.checkEqual("told at last", w.told(leader, ids), all)
-				leader.inspect(func(c *Controller) {
-					w.checkEqual("in memory", len(c.leaderTerm.jobs)+len(c.leaderTerm.dependencies.pendingCancels)+len(c.leaderTerm.dependencies.dependents), 0)
-				})
-			})
+			simulate(t, func(w *simulatedCluster) { checkCascadeOfThousands(w, dependsOn) })
 		})
 	}
 }
 
-// A leader that has yet to read how awaited jobs ended must not call a job pending that
-// an earlier one has called cancelled.
-func TestCascadeIsToldWhileEndsAreUnread(t *testing.T) {
+func checkCascadeOfThousands(w *simulatedCluster, dependsOn func(i int) []string) {
+	w.t.Helper()
+	const jobs = 3000
+	w.state = config.KVLimits{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12}
+	ids := w.putDependentJobs(jobs, dependsOn)
+	sample := []string{ids[1], ids[2], ids[jobs/2], ids[jobs-2], ids[jobs-1]}
+	allCancelled := map[string]int{api.JobCancelled: jobs}
+	sampleCancelled := map[string]int{api.JobCancelled: len(sample)}
+	leader, other := w.start("n0"), w.start("n1")
+	w.checkEqual("before the cancellation", w.phaseCounts(leader, sample), map[string]int{api.JobPending: len(sample)})
+	if _, err := other.Cancel(w.t.Context(), ids[0]); err != nil {
+		w.t.Fatal(err)
+	}
+	time.Sleep(time.Second)
+	w.checkEqual("phases at the leader", w.phaseCounts(leader, ids), allCancelled)
+	w.checkEqual("phases at the other node", w.phaseCounts(other, sample), sampleCancelled)
+	if left := w.activeJobs(); left < jobs*9/10 {
+		w.t.Errorf("got %d active records left, want at least %d: the write rate is exceeded", left, jobs*9/10)
+	}
+	leader.crash()
+	w.checkEqual("phases without a leader", w.phaseCounts(other, sample), sampleCancelled)
+	leader = w.start("n0")
+	for range 20 {
+		for phase, count := range w.phaseCounts(leader, sample) {
+			if phase != api.JobCancelled && phase != api.ErrUnavailable.Error() {
+				w.t.Errorf("next leader: got phase %s for %d jobs, want cancelled or unavailable", phase, count)
+			}
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	w.checkEqual("phases at the next leader", w.phaseCounts(leader, ids), allCancelled)
+	time.Sleep(15 * time.Minute)
+	w.checkEqual("active records left", w.activeJobs(), 0)
+	w.checkEqual("phases once recorded", w.phaseCounts(leader, ids), allCancelled)
+	leader.inspect(func(c *Controller) {
+		dg := &c.leaderTerm.dependencies
+		inMemory := len(c.leaderTerm.jobs) + len(dg.pendingCancels) + len(dg.dependents)
+		w.checkEqual("jobs and dependencies in memory", inMemory, 0)
+	})
+}
+
+// A leader that has yet to read how the jobs of a dependency ended must not report a job as pending
+// that an earlier leader has reported as cancelled.
+func TestCascadeIsReportedWhileTerminalRecordsAreUnread(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		ids := w.awaiting(3, func(i int) []string { return []string{fmt.Sprint("job-", i-1)} })
+		ids := w.putDependentJobs(3, dependsOnPrevious)
 		n := w.start("n0")
-		if _, err := n.Cancel(context.Background(), ids[0]); err != nil {
-			t.Fatal(err)
+		if _, err := n.Cancel(w.t.Context(), ids[0]); err != nil {
+			w.t.Fatal(err)
 		}
-		w.store.Delay(touches(records.TerminalPrefix)) // what follows is not recorded
+		w.store.Delay(touches(records.TerminalPrefix)) // the cascade is not recorded
 		n.inspect(func(c *Controller) {
 			dg := &c.leaderTerm.dependencies
 			for _, j := range c.leaderTerm.jobs {
-				j.CancelPending = false // as a leader has it that has not read the end yet
+				j.CancelPending = false // as at a leader that has not read the terminal record yet
 			}
 			dg.pendingCancels, dg.lookingUp = nil, true
 		})
-		w.checkEqual("called", w.told(n, ids[1:]), map[string]int{api.JobCancelled: 2})
+		w.checkEqual("phases", w.phaseCounts(n, ids[1:]), map[string]int{api.JobCancelled: 2})
 		n.inspect(func(c *Controller) { c.leaderTerm.dependencies.lookingUp = false })
-		time.Sleep(2 * time.Second) // what is held is given up
+		time.Sleep(2 * time.Second) // the delayed writes time out
 	})
 }
 
-// A node that an older one has told of such a cancellation names it to the leader, as if
-// it were on record. The leader goes on to record it: nobody else would.
-func TestCascadeIsRecordedThoughOthersNameIt(t *testing.T) {
+// A node that has learned of such a cancellation from an earlier leader names it to the leader, as if
+// it were recorded. The leader still records it: nobody else would.
+func TestCascadeIsRecordedThoughPeersNameIt(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		ids := w.awaiting(3, func(i int) []string { return []string{fmt.Sprint("job-", i-1)} })
+		ids := w.putDependentJobs(3, dependsOnPrevious)
 		n := w.start("n0")
 		w.store.Delay(func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix)(txn) })
-		if _, err := n.Cancel(context.Background(), ids[0]); err != nil {
-			t.Fatal(err)
+		if _, err := n.Cancel(w.t.Context(), ids[0]); err != nil {
+			w.t.Fatal(err)
 		}
 		time.Sleep(time.Second)
 		n.inspect(func(c *Controller) {
@@ -143,6 +153,6 @@
 		})
 		w.store.Delay(nil)
 		time.Sleep(5 * time.Second)
-		w.checkEqual("records left", w.activeJobs(), 0)
+		w.checkEqual("active records left", w.activeJobs(), 0)
 	})
 }
