--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -15,31 +15,59 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// full is a leader whose machines are all busy, with jobs that wait.
-func full(b *testing.B, machines, jobs int) (*leaderTerm, []*api.Heartbeat) {
+// newBenchTerm returns the term of a leader with one type of machine and two teams. None of its
+// goroutines run.
+func newBenchTerm(b *testing.B, now time.Time) *leaderTerm {
 	b.Helper()
 	pol, err := policy.Parse("", "")
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := &config.Settings{Node: "n0", Site: config.SiteInfo{
-		Teams:   []config.Team{{Name: "red", CPUs: 1e4, LimitCPUs: 1e5}, {Name: "blue", CPUs: 1e4, LimitCPUs: 1e5}},
-		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
-		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}}}
-	c := New(Config{Settings: s, Policy: pol, Store: kvtest.New(), Cloud: &fakeCloud{}, Log: slog.New(slog.DiscardHandler)})
+	c := New(Config{
+		Settings: &config.Settings{
+			Node: "n0",
+			Site: config.SiteInfo{
+				Teams: []config.Team{
+					{Name: "red", CPUs: 1e4, LimitCPUs: 1e5},
+					{Name: "blue", CPUs: 1e4, LimitCPUs: 1e5},
+				},
+				Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
+				State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+			},
+		},
+		Policy: pol,
+		Store:  kvtest.New(),
+		Cloud:  &fakeCloud{},
+		Log:    slog.New(slog.DiscardHandler),
+	})
 	c.types.set([]api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Price: 1, Zones: []string{"a"}}})
-	now := time.Now()
 	lt := newLeaderTerm(c, election.Term{Number: 1, ModRevision: 1}, now.Add(time.Hour))
-	lt.cancel() // nothing of it runs by itself
+	lt.cancel()
 	lt.loaded, c.leaderTerm = true, lt
+	return lt
+}
+
+// full returns the term of a leader whose machines are all busy, with pending jobs, and the
+// last heartbeats of the machines.
+func full(b *testing.B, machines, jobs int) (*leaderTerm, []*api.Heartbeat) {
+	b.Helper()
+	now := time.Now()
+	lt := newBenchTerm(b, now)
 	for i := range jobs {
-		sp := spec(fmt.Sprint("job-", i), max(100, 40*machines/jobs)) // more than fits
-		sp.Team = []string{"red", "blue"}[i%2]
-		lt.addRecord(records.ActivePrefix+sp.ID, records.ActiveRecord{Spec: *sp, Accepted: now}, uint64(i+2))
+		s := spec(fmt.Sprint("job-", i), max(100, 40*machines/jobs)) // more than fits
+		s.Team = []string{"red", "blue"}[i%2]
+		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: now}, uint64(i+2))
 	}
-	reports := make([]*api.Heartbeat, machines)
-	for i := range reports {
-		k := &worker{status: api.Heartbeat{Machine: fmt.Sprint("i-", i), Addr: "x", Type: "small", Zone: "a", AgentEpoch: 1, Term: 1}}
+	heartbeats := make([]*api.Heartbeat, machines)
+	for i := range heartbeats {
+		k := &worker{status: api.Heartbeat{
+			Machine:    fmt.Sprint("i-", i),
+			Addr:       "x",
+			Type:       "small",
+			Zone:       "a",
+			AgentEpoch: 1,
+			Term:       1,
+		}}
 		m := lt.addMachine(k.status.Machine, "small", "a", false, now)
 		m.Fenced, m.Registration = true, cluster.Registered
 		for range 3 {
@@ -50,21 +78,31 @@
 			}
 			k.applyCommandsLocked(response.Commands)
 		}
-		reports[i] = &k.status
+		heartbeats[i] = &k.status
 	}
-	return lt, reports
+	return lt, heartbeats
+}
+
+// benchSize is the size of a deployment.
+type benchSize struct{ machines, jobs int }
+
+// busySizes are the sizes of the benchmarks with busy machines.
+var busySizes = []benchSize{{100, 40}, {400, 40}, {1100, 40}, {1100, 400}}
+
+// String returns the size as the name of a benchmark's case.
+func (s benchSize) String() string {
+	return fmt.Sprintf("machines=%d/jobs=%d", s.machines, s.jobs)
 }
 
-// The cost of a report should depend on what it changes, not on how many
-// machines and jobs there are.
+// The cost of a heartbeat should depend on what it changes, not on the number of machines and jobs.
 func BenchmarkReport(b *testing.B) {
-	for _, n := range []struct{ machines, jobs int }{{100, 40}, {400, 40}, {1100, 40}, {1100, 400}} {
-		b.Run(fmt.Sprintf("machines=%d/jobs=%d", n.machines, n.jobs), func(b *testing.B) {
-			lt, reports := full(b, n.machines, n.jobs)
+	for _, size := range busySizes {
+		b.Run(size.String(), func(b *testing.B) {
+			lt, heartbeats := full(b, size.machines, size.jobs)
 			now := time.Now().Add(2 * time.Minute)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				hb := reports[i%len(reports)]
+				hb := heartbeats[i%len(heartbeats)]
 				hb.Seq++
 				if _, err := lt.handleAgentHeartbeat(hb, now); err != nil {
 					b.Fatal(err)
@@ -74,15 +112,15 @@
 	}
 }
 
-// One task ends and another begins in its place.
+// The cost of a heartbeat with which one task ends and another starts in its place.
 func BenchmarkPull(b *testing.B) {
-	for _, n := range []struct{ machines, jobs int }{{100, 40}, {400, 40}, {1100, 40}, {1100, 400}} {
-		b.Run(fmt.Sprintf("machines=%d/jobs=%d", n.machines, n.jobs), func(b *testing.B) {
-			lt, reports := full(b, n.machines, n.jobs)
+	for _, size := range busySizes {
+		b.Run(size.String(), func(b *testing.B) {
+			lt, heartbeats := full(b, size.machines, size.jobs)
 			now := time.Now().Add(2 * time.Minute)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				hb := reports[i%len(reports)]
+				hb := heartbeats[i%len(heartbeats)]
 				hb.Seq++
 				hb.Tasks[0].Phase, hb.Tasks[0].Cause = api.TaskExited, api.CauseHalted
 				response, err := lt.handleAgentHeartbeat(hb, now)
@@ -90,9 +128,13 @@
 					b.Fatal(err)
 				}
 				hb.Tasks = hb.Tasks[1:]
-				for _, o := range response.Commands {
-					if o.Verb == api.VerbStart {
-						hb.Tasks = append(hb.Tasks, api.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: api.TaskRunning})
+				for _, cmd := range response.Commands {
+					if cmd.Verb == api.VerbStart {
+						hb.Tasks = append(hb.Tasks, api.TaskStatus{
+							Task:    cmd.Task,
+							Attempt: cmd.Attempt,
+							Phase:   api.TaskRunning,
+						})
 					}
 				}
 			}
@@ -100,12 +142,11 @@
 	}
 }
 
-// What an idle machine's report costs while jobs wait that it may not serve,
-// since better machines have room.
+// The cost of a leader's periodic work.
 func BenchmarkTick(b *testing.B) {
-	for _, n := range []struct{ machines, jobs int }{{100, 40}, {400, 40}, {1100, 40}, {1100, 400}} {
-		b.Run(fmt.Sprintf("machines=%d/jobs=%d", n.machines, n.jobs), func(b *testing.B) {
-			lt, _ := full(b, n.machines, n.jobs)
+	for _, size := range busySizes {
+		b.Run(size.String(), func(b *testing.B) {
+			lt, _ := full(b, size.machines, size.jobs)
 			now := time.Now().Add(2 * time.Minute)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -125,23 +166,23 @@
 	}
 }
 
-// A job of one task comes and is taken while most machines have room: the
-// cost of finding it a machine.
+// The cost of selecting a job for an idle machine, which then joins the job's flight, while no
+// machine is busy.
 func BenchmarkPlaceIdle(b *testing.B) {
-	for _, n := range []struct{ machines, jobs int }{{100, 1}, {400, 1}, {1100, 1}, {1100, 40}} {
-		b.Run(fmt.Sprintf("machines=%d/jobs=%d", n.machines, n.jobs), func(b *testing.B) {
-			lt, reports := full(b, n.machines, 0)
+	for _, size := range []benchSize{{100, 1}, {400, 1}, {1100, 1}, {1100, 40}} {
+		b.Run(size.String(), func(b *testing.B) {
+			lt, heartbeats := full(b, size.machines, 0)
 			now := time.Now()
-			for i := range n.jobs {
-				sp := spec(fmt.Sprint("job-w", i), 20_000)
-				sp.Types = nil
-				sp.Team = "red"
-				lt.addRecord(records.ActivePrefix+sp.ID, records.ActiveRecord{Spec: *sp, Accepted: now}, uint64(i+2))
+			for i := range size.jobs {
+				s := spec(fmt.Sprint("job-w", i), 20_000)
+				s.Types = nil
+				s.Team = "red"
+				lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: now}, uint64(i+2))
 			}
 			lt.grace = time.Hour
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				m := lt.machines[reports[i%len(reports)].Machine]
+				m := lt.machines[heartbeats[i%len(heartbeats)].Machine]
 				if j := lt.nextJob(m, now); j != nil {
 					j.Flight.Join(m.Name)
 				}
