--- a/internal/controller/outcome_test.go
+++ b/internal/controller/outcome_test.go
@@ -6,7 +6,6 @@
 	"strings"
 	"sync/atomic"
 	"testing"
-	"time"
 
 	"golang.org/x/time/rate"
 
@@ -16,17 +15,18 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// thrifty reads within a rate, as the client does: a read that would have to wait
-// for its turn for longer than it has time is refused.
-type thrifty struct {
+// rateLimitedStore reads within a rate, as the client does: a read whose deadline is before its
+// turn is rejected.
+type rateLimitedStore struct {
 	*kvtest.Fake
 	reads *rate.Limiter
-	// closed is set while no reads are served.
-	closed atomic.Bool
+	// rejectsActive is set while reads of active records are rejected.
+	rejectsActive atomic.Bool
 }
 
-func (s *thrifty) Get(ctx context.Context, key string) (kv.Entry, error) {
-	if s.closed.Load() && strings.HasPrefix(key, records.ActivePrefix) {
+// Get reads one key within the rate.
+func (s *rateLimitedStore) Get(ctx context.Context, key string) (kv.Entry, error) {
+	if s.rejectsActive.Load() && strings.HasPrefix(key, records.ActivePrefix) {
 		return kv.Entry{}, kv.ErrNotApplied
 	}
 	if err := s.reads.Wait(ctx); err != nil {
@@ -35,45 +35,37 @@
 	return s.Fake.Get(ctx, key)
 }
 
-// The answers to a while of the leader's records are lost: the ends of many jobs
-// are on record, and it does not know. It finds out within its request rate. When
-// all were looked at side by side none ever was, and machines with tasks long done
-// were kept for the rest of the day.
-func TestManyEndsWithLostAnswersAreSettled(t *testing.T) {
+// The responses to the leader's record transactions are lost for a while: the ends of many jobs are
+// recorded, and it does not know. It resolves the outcomes within its request rate. When all were
+// read in parallel none ever was, and machines with tasks long done were kept for the rest of the
+// day.
+func TestManyEndsOfUnknownOutcomeAreResolved(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		st := &thrifty{Fake: w.store, reads: rate.NewLimiter(20, 20)}
-		n := w.startWith("n0", st, nil)
-		var ks []*worker
-		for i := range 15 {
-			ks = append(ks, w.worker(fmt.Sprint("i-", i), "a", false))
+		store := &rateLimitedStore{Fake: w.store, reads: rate.NewLimiter(20, 20)}
+		n := w.startWith("n0", store, nil)
+		ks := make([]*worker, 15)
+		for i := range ks {
+			ks[i] = w.worker(fmt.Sprint("i-", i), "a", false)
 		}
 		n.inspect(func(c *Controller) { c.leaderTerm.teams["red"].LimitCPUs = 1000 })
-		all := func(seconds int) {
-			for range seconds {
-				for _, k := range ks {
-					k.heartbeat(n)
-				}
-				time.Sleep(time.Second)
-			}
-		}
-		all(3)
+		heartbeatAll(ks, n, 3)
 		for i := range 60 {
 			w.submit(n, spec(fmt.Sprintf("job-%d", i), 1))
 		}
-		all(4)
+		heartbeatAll(ks, n, 4)
 		w.store.LoseResponses(func(txn kv.Txn) bool { return txn.Records })
-		st.closed.Store(true)
+		store.rejectsActive.Store(true)
 		for _, k := range ks {
 			k.exit(api.CauseDone)
 		}
-		all(40)
+		heartbeatAll(ks, n, 40)
 		w.store.LoseResponses(nil)
-		st.closed.Store(false)
-		all(20)
+		store.rejectsActive.Store(false)
+		heartbeatAll(ks, n, 20)
 		for _, k := range ks {
 			k.mu.Lock()
 			if len(k.status.Tasks) > 0 {
-				t.Errorf("%s still holds %d tasks that are done", k.status.Machine, len(k.status.Tasks))
+				w.t.Errorf("%s: got %d tasks that are done, want none", k.status.Machine, len(k.status.Tasks))
 			}
 			k.mu.Unlock()
 		}
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"errors"
 	"testing"
 	"time"
@@ -9,91 +8,87 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// hold keeps the owner of a node from doing anything for a while, as a processor
-// does whose share is used up.
-func (n *node) hold(d time.Duration) {
+// block keeps the owner goroutine of a node from doing anything for a while, as a process pause
+// does.
+func (n *node) block(d time.Duration) {
 	n.inspect(func(*Controller) { time.Sleep(d) })
 }
 
-// A leader with too little processor time finds that the time for its question
-// to a machine has passed before it could read the answer. That must not have the
-// machine taken for dead: it would lose its tasks, and the fleet would be given
-// back just when the leader can follow least. One that is dead is found all the
-// same once the leader is in time again.
-func TestHeldUpLeaderTakesNobodyForDead(t *testing.T) {
+// blockInBackground starts to block a node; the channel is closed when that has ended.
+func (n *node) blockInBackground(d time.Duration) <-chan struct{} {
+	ended := make(chan struct{})
+	go func() {
+		n.block(d)
+		close(ended)
+	}()
+	time.Sleep(time.Millisecond)
+	return ended
+}
+
+// A leader with too little processor time finds that a probe has timed out before it could read the
+// response. That must not confirm the machine as dead: it would lose its tasks, and the fleet would
+// be terminated just when the leader is slowest. A machine that is dead is confirmed all the same
+// once the leader is no longer paused.
+func TestPausedLeaderConfirmsNoMachineDead(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
-		ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false), w.worker("i-4", "a", false)}
-		for range 3 {
-			for _, k := range ks {
-				k.heartbeat(n)
-			}
-			time.Sleep(time.Second)
-		}
+		ks := w.workers("i-1", "i-2", "i-3", "i-4")
+		heartbeatAll(ks, n, 3)
 		w.unresponsive.Store("i-1", true)
 		for range 10 {
 			for _, k := range ks[1:] {
 				k.heartbeat(n)
 			}
 			time.Sleep(300 * time.Millisecond)
-			n.hold(700 * time.Millisecond)
-		}
-		w.checkEqual("given back while held up", w.cloud.terminated("i-1"), false)
-		for range 6 {
-			for _, k := range ks[1:] {
-				k.heartbeat(n)
-			}
-			time.Sleep(time.Second)
+			n.block(700 * time.Millisecond)
 		}
-		w.checkEqual("given back after", w.cloud.terminated("i-1"), true)
+		w.checkEqual("terminated during the pauses", w.cloud.terminated("i-1"), false)
+		heartbeatAll(ks[1:], n, 6)
+		w.checkEqual("terminated after the pauses", w.cloud.terminated("i-1"), true)
 	})
 }
 
-// What was queued while the leader was entitled is not acted on after that: the
-// clock is looked at when acting.
-func TestEntitlementEndsWhileTheOwnerIsHeldUp(t *testing.T) {
+// What was queued before the leader lease expired is not applied afterwards: the clock is read when
+// it is handled.
+func TestLeaderLeaseExpiresDuringPause(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
 		w.submit(n, spec("job-1", 1))
-		w.store.SetDown(true) // no renewal is answered from here on
-		var until time.Time
-		n.inspect(func(c *Controller) { until = c.leaderTerm.leaseExpiry })
-		time.Sleep(time.Until(until) - 200*time.Millisecond)
-		held := make(chan struct{})
-		go func() { n.hold(500 * time.Millisecond); close(held) }()
-		time.Sleep(time.Millisecond)
-		commands, err := k.sendHeartbeat(n) // queued in time, looked at too late
-		<-held
+		w.store.SetDown(true) // the lease is not renewed from now on
+		var leaseExpiry time.Time
+		n.inspect(func(c *Controller) { leaseExpiry = c.leaderTerm.leaseExpiry })
+		time.Sleep(time.Until(leaseExpiry) - 200*time.Millisecond)
+		pauseEnded := n.blockInBackground(500 * time.Millisecond)
+		commands, err := k.sendHeartbeat(n) // queued before the expiry, handled after it
+		<-pauseEnded
 		if err == nil || len(commands) > 0 {
-			t.Errorf("answered with %v after the entitlement had ended", commands)
+			w.t.Errorf("got commands %v, error %v after the lease expired, want an error", commands, err)
 		}
 	})
 }
 
-// A report that has waited for so long that its worker gives up is not taken in:
-// starts would go out in an answer that is dropped.
-func TestReportThatWaitedTooLongStartsNothing(t *testing.T) {
+// A heartbeat that has waited for so long that its agent timed out is not applied: starts would go
+// out in a response that is dropped.
+func TestHeartbeatThatWaitedTooLongStartsNothing(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
 		w.submit(n, spec("job-1", 1))
-		held := make(chan struct{})
-		go func() { n.hold(heartbeatMaxAge + 100*time.Millisecond); close(held) }()
-		time.Sleep(time.Millisecond)
+		pauseEnded := n.blockInBackground(heartbeatMaxAge + 100*time.Millisecond)
 		k.status.Seq++
 		hb := k.status
-		_, err := n.Heartbeat(context.Background(), &hb)
-		<-held
+		_, err := n.Heartbeat(w.t.Context(), &hb)
+		<-pauseEnded
 		if !errors.Is(err, api.ErrUnavailable) {
-			t.Errorf("answered: %v", err)
+			w.t.Errorf("got error %v, want %v", err, api.ErrUnavailable)
 		}
-		started := 0
-		n.inspect(func(c *Controller) { started = len(c.leaderTerm.jobs["job-1"].ActiveAttempts) })
-		w.checkEqual("starts ordered", started, 0)
+		attempts := 0
+		n.inspect(func(c *Controller) { attempts = len(c.leaderTerm.jobs["job-1"].ActiveAttempts) })
+		w.checkEqual("attempts", attempts, 0)
 		k.serve(n, 2)
-		w.checkEqual("runs after the next report", len(k.running()), 1)
+		w.checkEqual("running after the next heartbeat", len(k.running()), 1)
 	})
 }
