--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"testing"
 	"time"
 
@@ -9,9 +8,9 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// A cancellation and the end of a job race: whichever transaction comes first
-// decides, and nobody is told otherwise.
-func TestCancelAgainstDone(t *testing.T) {
+// A cancellation and the end of a job race: whichever transaction is applied first decides, and no
+// other phase is reported.
+func TestCancellationRacesWithCompletion(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
@@ -22,46 +21,46 @@
 		k.exit(api.CauseDone)
 		k.heartbeat(n)
 		time.Sleep(300 * time.Millisecond)
-		w.checkEqual("held", w.store.DelayedCount(), 1)
+		w.checkEqual("delayed transactions", w.store.DelayedCount(), 1)
 		w.store.Delay(nil)
-		st, err := n.Cancel(context.Background(), "job-1")
+		st, err := n.Cancel(w.t.Context(), "job-1")
 		if err != nil || st.Phase != api.JobCancelled {
-			t.Fatalf("abort: %v %v", st, err)
+			w.t.Fatalf("cancellation: got %v, error %v, want phase %s", st, err, api.JobCancelled)
 		}
 		for _, res := range w.store.ApplyDelayed() {
-			w.checkEqual("late end", res.Succeeded, false)
+			w.checkEqual("late transaction applied", res.Succeeded, false)
 		}
 		for range 8 {
 			k.serve(n, 1)
 			w.checkEqual("phase", w.phase(n, "job-1"), "withdrawn")
 		}
-		st, err = n.Cancel(context.Background(), "job-2")
+		st, err = n.Cancel(w.t.Context(), "job-2")
 		if err != nil || st.Phase != api.JobDone {
-			t.Errorf("abort of a done job: %v %v", st, err)
+			w.t.Errorf("cancellation of a done job: got %v, error %v, want phase %s", st, err, api.JobDone)
 		}
 	})
 }
 
-// Any node cancels by its own transaction. The leader must not tell a user an
-// older state because its watch lags, and must stop the tasks.
+// Any node cancels by its own transaction. The leader must not report an earlier phase because its
+// watch lags, and must stop the tasks.
 func TestCancelAtAnotherNode(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		a, b := w.start("n0"), w.start("n1")
+		leader, other := w.start("n0"), w.start("n1")
 		k := w.worker("i-1", "a", false)
-		w.submit(a, spec("job-1", 2))
-		k.serve(a, 3)
+		w.submit(leader, spec("job-1", 2))
+		k.serve(leader, 3)
 		w.checkEqual("running", len(k.running()), 2)
 		w.store.SetWatchesBlind(true)
-		if st, err := b.Cancel(context.Background(), "job-1"); err != nil || st.Phase != api.JobCancelled {
-			t.Fatalf("abort: %v %v", st, err)
+		if st, err := other.Cancel(w.t.Context(), "job-1"); err != nil || st.Phase != api.JobCancelled {
+			w.t.Fatalf("cancellation: got %v, error %v, want phase %s", st, err, api.JobCancelled)
 		}
-		if got := w.phase(a, "job-1"); got == api.JobRunning || got == api.JobPending {
-			t.Errorf("the leader says %s after another node said withdrawn", got)
+		if got := w.phase(leader, "job-1"); got == api.JobRunning || got == api.JobPending {
+			w.t.Errorf("leader, after another node reported withdrawn: got phase %s, want withdrawn or an error", got)
 		}
 		w.store.SetWatchesBlind(false)
-		k.serve(a, 3)
-		w.checkEqual("stopped", len(k.running()), 0)
-		w.checkEqual("leader", w.phase(a, "job-1"), "withdrawn")
-		w.checkEqual("other", w.phase(b, "job-1"), "withdrawn")
+		k.serve(leader, 3)
+		w.checkEqual("running once stopped", len(k.running()), 0)
+		w.checkEqual("phase at the leader", w.phase(leader, "job-1"), "withdrawn")
+		w.checkEqual("phase at the other node", w.phase(other, "job-1"), "withdrawn")
 	})
 }
--- a/internal/controller/reads_test.go
+++ b/internal/controller/reads_test.go
@@ -13,48 +13,49 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// slowAnswers is a store whose answers take a while on their way back.
-type slowAnswers struct {
+// slowReadStore is a store whose responses to reads of jobs are delayed.
+type slowReadStore struct {
 	*kvtest.Fake
-	gets atomic.Int32
+	jobReads atomic.Int32
 }
 
-func (s *slowAnswers) Get(ctx context.Context, key string) (kv.Entry, error) {
+// Get reads one key, and counts and delays the reads of jobs.
+func (s *slowReadStore) Get(ctx context.Context, key string) (kv.Entry, error) {
 	e, err := s.Fake.Get(ctx, key)
 	if len(key) > 2 && (key[:2] == records.ActivePrefix || key[:2] == records.TerminalPrefix) {
-		s.gets.Add(1)
+		s.jobReads.Add(1)
 		time.Sleep(50 * time.Millisecond)
 	}
 	return e, err
 }
 
-// However many ask about a job at once, the store is read a few times only; and
-// who asks when a read is on its way does not get its answer, which may be older
-// than what was told meanwhile.
-func TestQuestionsShareReadsButNoOldAnswers(t *testing.T) {
+// However many queries for a job arrive at once, the store is read a few times only; and a query that
+// arrives while a read is in progress does not share it, since its result may be older than what was
+// reported meanwhile.
+func TestConcurrentQueriesShareReadsButNoStaleResults(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		st := &slowAnswers{Fake: w.store}
-		leader, n := w.start("n0"), w.startWith("n1", st, &links{})
+		store := &slowReadStore{Fake: w.store}
+		leader, follower := w.start("n0"), w.startWith("n1", store, &links{})
 		w.submit(leader, spec("job-1", 1))
-		st.gets.Store(0)
-		var all sync.WaitGroup
+		store.jobReads.Store(0)
+		var queries sync.WaitGroup
 		for range 40 {
-			all.Go(func() { w.checkEqual("phase", w.phase(n, "job-1"), api.JobPending) })
+			queries.Go(func() { w.checkEqual("phase", w.phase(follower, "job-1"), api.JobPending) })
 		}
-		all.Wait()
-		if gets := st.gets.Load(); gets > 3 {
-			t.Errorf("%d reads for 40 questions", gets)
+		queries.Wait()
+		if reads := store.jobReads.Load(); reads > 3 {
+			w.t.Errorf("got %d reads for 40 queries, want at most 3", reads)
 		}
-		for after := 0; after < 120; after += 10 {
-			id := "job-1" + string(rune('a'+after/10))
+		for afterMS := 0; afterMS < 120; afterMS += 10 {
+			id := "job-1" + string(rune('a'+afterMS/10))
 			w.submit(leader, spec(id, 1))
-			all.Go(func() { w.phase(n, id) }) // may be told either
-			time.Sleep(time.Duration(after) * time.Millisecond)
-			if _, err := leader.Cancel(context.Background(), id); err != nil {
-				t.Fatal(err)
+			queries.Go(func() { w.phase(follower, id) }) // either phase may be reported
+			time.Sleep(time.Duration(afterMS) * time.Millisecond)
+			if _, err := leader.Cancel(w.t.Context(), id); err != nil {
+				w.t.Fatal(err)
 			}
-			w.checkEqual("asked once it was told", w.phase(n, id), api.JobCancelled)
-			all.Wait()
+			w.checkEqual("phase after the cancellation was reported", w.phase(follower, id), api.JobCancelled)
+			queries.Wait()
 		}
 	})
 }
