--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -8,25 +8,24 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// rented sums up the machines that were asked for.
-func (f *fakeCloud) rented() int {
+// requestedMachines sums up the machines of all launch requests.
+func (f *fakeCloud) requestedMachines() (machines int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	sum := 0
-	for _, r := range f.launches {
-		sum += r.Count
+	for _, request := range f.launches {
+		machines += request.Count
 	}
-	return sum
+	return machines
 }
 
-// A machine for each task of a burst comes up when a part of them has run already,
-// and is then kept for half a minute. Tasks that can run one after the other and
-// still be in time share machines, unless they are within a guarantee.
-func TestTasksThatCanRunInTurnShareMachines(t *testing.T) {
+// A machine for each task of a burst would be up when a part of them has run already, and would then
+// be kept for half a minute. Tasks that can run one after the other and still meet their objective
+// share machines, unless they are within a guarantee.
+func TestTasksThatCanRunSequentiallyShareMachines(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(s *api.JobSpec)
-		rented int
+		want   int // machines launched
 	}{
 		// 16 CPUs in all, of which 8 are guaranteed, on machines of 4.
 		{"some time to spare", func(s *api.JobSpec) { s.EstimateS = 50 }, 3},
@@ -41,9 +40,11 @@
 				n.inspect(func(c *Controller) {
 					c.Policy.MinCPUs, c.Policy.Headroom = 0, 0
 					c.Settings.Site.Objectives = append(c.Settings.Site.Objectives,
-						config.Objective{Kind: "finished", Class: "soon", WithinS: 90}, config.Objective{Kind: "wait", Class: "soon", WithinS: 30})
+						config.Objective{Kind: "finished", Class: "soon", WithinS: 90},
+						config.Objective{Kind: "wait", Class: "soon", WithinS: 30},
+					)
 				})
-				time.Sleep(20 * time.Second) // what was refused may be asked for again
+				time.Sleep(20 * time.Second) // until launch requests that were rejected may be retried
 				w.cloud.mu.Lock()
 				w.cloud.capacity, w.cloud.launches = 10, nil
 				w.cloud.mu.Unlock()
@@ -51,7 +52,7 @@
 				c.change(s)
 				w.submit(n, s)
 				time.Sleep(2 * time.Second)
-				w.checkEqual("rented", w.cloud.rented(), c.rented)
+				w.checkEqual("machines launched", w.cloud.requestedMachines(), c.want)
 			})
 		})
 	}
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -11,30 +11,39 @@
 func TestImageCacheDropsTheLeastRecentlyUsed(t *testing.T) {
 	var c cluster.ImageCache
 	t0 := time.Unix(0, 0)
-	use := func(image string, gb float64, at int) {
-		c.Add(&api.JobSpec{Image: image, ImageGB: gb}, 10, t0.Add(time.Duration(at)*time.Second))
+	use := func(image string, sizeGB float64, atS int) {
+		c.Add(&api.JobSpec{Image: image, ImageGB: sizeGB}, 10, t0.Add(time.Duration(atS)*time.Second))
 	}
 	use("a", 4, 0)
 	use("b", 4, 1)
 	use("a", 4, 2)
 	use("c", 4, 3)
 	if !c.Has("a") || c.Has("b") || !c.Has("c") || c.GB != 8 {
-		t.Errorf("%v, %v GB", c.Used, c.GB)
+		t.Errorf("got images %v of %v GB, want a and c of 8 GB", c.Used, c.GB)
 	}
-	use("d", 20, 4) // larger than the room: it is there all the same
+	use("d", 20, 4) // larger than the cache: it is kept all the same
 	if !c.Has("d") || c.Has("a") || c.Has("c") {
-		t.Errorf("%v", c.Used)
+		t.Errorf("got images %v, want d, and neither a nor c", c.Used)
 	}
 }
 
-// Work that machines without its image pass over must still start in time.
-func TestPassedOverWorkStartsInTime(t *testing.T) {
-	for _, c := range []struct{ within, fetch, want int }{
-		{0, 6, 12}, {10, 6, 4}, {5, 2, 3}, {60, 6, 12}, {5, 6, 5},
+// A job that machines without its image skip must still start in time.
+func TestSkippedJobStartsInTime(t *testing.T) {
+	for _, c := range []struct {
+		name                     string
+		startWithin, fetch, want time.Duration
+	}{
+		{"no objective", 0, 6 * time.Second, 12 * time.Second},
+		{"objective leaves less than two fetches", 10 * time.Second, 6 * time.Second, 4 * time.Second},
+		{"objective leaves more than one fetch", 5 * time.Second, 2 * time.Second, 3 * time.Second},
+		{"distant objective", time.Minute, 6 * time.Second, 12 * time.Second},
+		{"objective before the end of a fetch", 5 * time.Second, 6 * time.Second, 5 * time.Second},
 	} {
-		lt := &leaderTerm{startWithin: time.Duration(c.within) * time.Second}
-		if got := lt.skipWindow(time.Duration(c.fetch) * time.Second); got != time.Duration(c.want)*time.Second {
-			t.Errorf("within %d s, fetch of %d s: %v", c.within, c.fetch, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			lt := &leaderTerm{startWithin: c.startWithin}
+			if got := lt.skipWindow(c.fetch); got != c.want {
+				t.Errorf("skipWindow(%v) with a start within %v: got %v, want %v", c.fetch, c.startWithin, got, c.want)
+			}
+		})
 	}
 }
