--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -33,7 +33,7 @@
 	hosts []*host
 }
 
-// slowGate is an access to the store over which a page of a range takes a while.
+// slowGate is an access to the store that delays each page of a range.
 type slowGate struct{ *gate }
 
 func (g *slowGate) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
@@ -50,8 +50,8 @@
 	})
 }
 
-// simulateSlowHeartbeats is simulateChecked with machines that send a heartbeat every 5 s, and so get
-// their starts in command batches.
+// simulateSlowHeartbeats is simulateChecked with machines that send a heartbeat every 5 s, and so
+// get their starts in command batches.
 func simulateSlowHeartbeats(t *testing.T, machines int, f func(s *checkedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -59,7 +59,9 @@
 	})
 }
 
-func newCheckedCluster(t *testing.T, machines int, reportS float64, f func(s *checkedCluster)) {
+// newCheckedCluster runs f with two controllers and some machines that send a heartbeat every
+// heartbeatS seconds, at least 1.
+func newCheckedCluster(t *testing.T, machines int, heartbeatS float64, f func(s *checkedCluster)) {
 	t.Helper()
 	w := newSimulatedCluster(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,7 +73,7 @@
 		nodes:            map[string]*node{},
 		gates:            map[string]*slowGate{},
 	}
-	w.heartbeatS = reportS
+	w.heartbeatS = heartbeatS
 	w.commandSender = s
 	s.checker = &runChecker{
 		w:     w,
@@ -90,7 +92,7 @@
 	for i := range machines {
 		s.addMachine(fmt.Sprint("i-", i+1), []string{"a", "b"}[i%2], false)
 	}
-	time.Sleep(2*time.Second + 1500*time.Millisecond*time.Duration(reportS))
+	time.Sleep(2*time.Second + 1500*time.Millisecond*time.Duration(heartbeatS))
 	f(s)
 }
 
@@ -119,19 +121,20 @@
 	}
 }
 
+// node returns a controller by its name, or nil if it does not run.
 func (s *checkedCluster) node(name string) *node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.nodes[name]
 }
 
-// leader is the name of the node that leads, or "".
+// leader returns the name of the leader, or "".
 func (s *checkedCluster) leader() string {
 	for _, name := range s.names {
 		if n := s.node(name); n != nil {
-			leads := false
-			n.tryInspect(func(c *Controller) { leads = c.holdsLease() && c.leaderTerm.loaded })
-			if leads {
+			isLeader := false
+			n.tryInspect(func(c *Controller) { isLeader = c.holdsLease() && c.leaderTerm.loaded })
+			if isLeader {
 				return name
 			}
 		}
@@ -139,7 +142,7 @@
 	return ""
 }
 
-// handOver makes the other controller lead: the store rejects the requests of the leader alone
+// handOver makes the other controller the leader: the store rejects the requests of the leader alone
 // for a while.
 func (s *checkedCluster) handOver() {
 	if name := s.leader(); name != "" {
@@ -183,10 +186,15 @@
 }
 
 // submitJob submits a job each of whose tasks runs for a given time.
-func (s *checkedCluster) submitJob(takes time.Duration, spec *api.JobSpec) {
+func (s *checkedCluster) submitJob(duration time.Duration, spec *api.JobSpec) {
 	s.t.Helper()
 	s.checker.mu.Lock()
-	s.checker.jobs[spec.ID] = &observedJob{spec: spec, duration: takes, starts: map[string]int{}, completions: map[string]int{}}
+	s.checker.jobs[spec.ID] = &observedJob{
+		spec:        spec,
+		duration:    duration,
+		starts:      map[string]int{},
+		completions: map[string]int{},
+	}
 	s.checker.mu.Unlock()
 	s.retryRequest("submit "+spec.ID, spec.Tasks, func(ctx context.Context, n *node) error {
 		_, _, err := n.Submit(ctx, spec)
@@ -213,7 +221,7 @@
 	}
 }
 
-// awaitAllEnded says that all faults are healed, and waits until all jobs have ended.
+// awaitAllEnded notes that all faults are healed, and waits until all jobs have ended.
 func (s *checkedCluster) awaitAllEnded(within time.Duration) {
 	s.t.Helper()
 	s.checker.mu.Lock()
@@ -270,7 +278,7 @@
 	}
 }
 
-// machinesRunning lists the machines on which a job's tasks are.
+// machinesRunning lists the machines that run a job's tasks.
 func (s *checkedCluster) machinesRunning(job string) (ks []*host) {
 	for _, k := range s.hosts {
 		s.checker.mu.Lock()
@@ -326,31 +334,32 @@
 		return nil, api.ErrCommandsNotApplied
 	}
 	k.mu.Lock()
-	closed, orderDelay, answerDelay := k.cut || k.commandsUndelivered, k.commandDelay, k.commandResponseDelay
+	isUnreachable := k.cut || k.commandsUndelivered
+	requestDelay, responseDelay := k.commandDelay, k.commandResponseDelay
 	k.mu.Unlock()
-	if closed {
+	if isUnreachable {
 		<-ctx.Done()
 		return nil, api.ErrCommandsNotApplied // no connection
 	}
-	out := make(chan *api.Heartbeat, 1)
+	response := make(chan *api.Heartbeat, 1)
 	// Controllers call this while the test ends, so tasks does not count it: it waits for
 	// nothing once s.ctx has ended.
 	go func() {
-		sleepUnlessZero(s.ctx, orderDelay)
+		sleepUnlessZero(s.ctx, requestDelay)
 		k.lockWhenResponsive()
 		var hb *api.Heartbeat
 		if s.ctx.Err() == nil && !s.cloud.terminated(addr) && apply(k) {
 			k.status.Seq++
-			own := k.status
-			own.Tasks = slices.Clone(k.status.Tasks)
-			hb = &own
+			status := k.status
+			status.Tasks = slices.Clone(k.status.Tasks)
+			hb = &status
 		}
 		k.mu.Unlock()
-		sleepUnlessZero(s.ctx, answerDelay)
-		out <- hb
+		sleepUnlessZero(s.ctx, responseDelay)
+		response <- hb
 	}()
 	select {
-	case hb := <-out:
+	case hb := <-response:
 		if hb == nil {
 			return nil, api.ErrCommandsNotApplied
 		}
