--- a/internal/controller/directcommands_test.go
+++ b/internal/controller/directcommands_test.go
@@ -151,12 +151,12 @@
 	return running
 }
 
-// Work starts at once where heartbeats are infrequent. A heartbeat that was on its way while the
+// Work starts at once where heartbeats are infrequent. A heartbeat that was in transit while the
 // commands were applied, and so does not show their tasks, changes nothing.
 func TestCommandBatchStartsTasksBetweenHeartbeats(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n, sender, ks := w.startWithSlowHeartbeats(2)
-		stale := ks[0].status // on its way while the commands are applied
+		stale := ks[0].status // in transit while the commands are applied
 		stale.Seq++
 		ks[0].status.Seq++
 		w.submit(n, spec("job-1", 6))
@@ -192,7 +192,7 @@
 		sender.setMode(delayBatches)
 		w.submit(n, spec("job-2", 1))
 		time.Sleep(500 * time.Millisecond)
-		w.checkEqual("commands while the batch is on its way", len(other.heartbeat(n)), 0)
+		w.checkEqual("commands while the batch is in transit", len(other.heartbeat(n)), 0)
 		time.Sleep(2500 * time.Millisecond)
 		sender.setMode(deliverBatches)
 		busy.exit(api.CauseDone)
@@ -298,7 +298,7 @@
 		cancelFirst bool
 	}{
 		{"cancelled after the batch timed out", false},
-		{"cancelled while the batch is on its way", true},
+		{"cancelled while the batch is in transit", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
@@ -392,7 +392,7 @@
 }
 
 // A resync's response may be created while the response to the machine's agent-initiated
-// heartbeat, with a start in it, is still on its way to the machine. It is the newer message and
+// heartbeat, with a start in it, is still in transit to the machine. It is the newer message and
 // does not show the task; taken for proof that the start was lost, the task would start elsewhere
 // while it starts here. Seen when a leader had 700 machines to resync and responded late.
 func TestResyncDuringHeartbeatResponse(t *testing.T) {
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -89,7 +89,7 @@
 		k2.serve(n, 5)
 		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
 		w.checkEqual("started elsewhere", k2.running(), []string{"job-1/0"})
-		// A heartbeat of the machine that was delayed on its way changes nothing.
+		// A heartbeat of the machine that was delayed in transit changes nothing.
 		if _, err := k1.sendHeartbeat(n); err == nil {
 			w.t.Error("got a response to a terminated machine's heartbeat, want an error")
 		}
