--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -7,6 +7,7 @@
 
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/config"
+	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
 func TestTeamLimitBoundsItsTasks(t *testing.T) {
@@ -51,10 +52,9 @@
 				time.Sleep(time.Second)
 			}
 			w.checkEqual(c.name, got, c.want)
-			// The next job finds fresh machines and a fresh store, of a cluster in the same bubble:
-			// its cleanup waits in fake time.
+			// The next job finds fresh machines and a fresh store.
 			n.crash()
-			w.store = newSimulatedCluster(w.t).store
+			w.store = kvtest.New()
 			n = w.start("n0")
 		}
 	})
