--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -135,7 +135,7 @@
 var nodeStates = []nodeState{
 	{name: "leader", start: startSeededLeader},
 	{name: "follower", start: func(w *simulatedCluster) *node {
-		_, a, b, _, _ := w.pair()
+		_, a, b, _, _ := w.startPair()
 		w.seedJobs(a)
 		b.inspect(func(c *Controller) { w.checkEqual("follows n0", c.leaderTerm == nil && c.leader == "n0", true) })
 		return b
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -47,9 +47,9 @@
 	return lt
 }
 
-// full returns the term of a leader whose machines are all busy, with pending jobs, and the
+// newBusyTerm returns the term of a leader whose machines are all busy, with pending jobs, and the
 // last heartbeats of the machines.
-func full(b *testing.B, machines, jobs int) (*leaderTerm, []*api.Heartbeat) {
+func newBusyTerm(b *testing.B, machines, jobs int) (*leaderTerm, []*api.Heartbeat) {
 	b.Helper()
 	now := time.Now()
 	lt := newBenchTerm(b, now)
@@ -98,7 +98,7 @@
 func BenchmarkReport(b *testing.B) {
 	for _, size := range busySizes {
 		b.Run(size.String(), func(b *testing.B) {
-			lt, heartbeats := full(b, size.machines, size.jobs)
+			lt, heartbeats := newBusyTerm(b, size.machines, size.jobs)
 			now := time.Now().Add(2 * time.Minute)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -116,7 +116,7 @@
 func BenchmarkPull(b *testing.B) {
 	for _, size := range busySizes {
 		b.Run(size.String(), func(b *testing.B) {
-			lt, heartbeats := full(b, size.machines, size.jobs)
+			lt, heartbeats := newBusyTerm(b, size.machines, size.jobs)
 			now := time.Now().Add(2 * time.Minute)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -146,7 +146,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, size := range busySizes {
 		b.Run(size.String(), func(b *testing.B) {
-			lt, _ := full(b, size.machines, size.jobs)
+			lt, _ := newBusyTerm(b, size.machines, size.jobs)
 			now := time.Now().Add(2 * time.Minute)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -174,7 +174,7 @@
 func BenchmarkPlaceIdle(b *testing.B) {
 	for _, size := range []benchSize{{100, 1}, {400, 1}, {1100, 1}, {1100, 40}} {
 		b.Run(size.String(), func(b *testing.B) {
-			lt, heartbeats := full(b, size.machines, 0)
+			lt, heartbeats := newBusyTerm(b, size.machines, 0)
 			now := time.Now()
 			for i := range size.jobs {
 				s := spec(fmt.Sprint("job-w", i), 20_000)
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -17,7 +17,7 @@
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, spec("job-2", 1))
 		k.serve(n, 3)
-		w.store.Delay(touches(records.TerminalPrefix + "job-1"))
+		w.store.Delay(writesPrefix(records.TerminalPrefix + "job-1"))
 		k.exit(api.CauseDone)
 		k.heartbeat(n)
 		time.Sleep(300 * time.Millisecond)
--- a/internal/controller/cancelcascade_test.go
+++ b/internal/controller/cancelcascade_test.go
@@ -63,7 +63,7 @@
 	for name, dependsOn := range map[string]func(i int) []string{
 		"chain":  dependsOnPrevious,
 		"fan":    func(int) []string { return []string{"job-0"} },
-		"ladder": ladder,
+		"ladder": ladderDependencies,
 	} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) { checkCascadeOfThousands(w, dependsOn) })
@@ -121,7 +121,7 @@
 		if _, err := n.Cancel(w.t.Context(), ids[0]); err != nil {
 			w.t.Fatal(err)
 		}
-		w.store.Delay(touches(records.TerminalPrefix)) // the cascade is not recorded
+		w.store.Delay(writesPrefix(records.TerminalPrefix)) // the cascade is not recorded
 		n.inspect(func(c *Controller) {
 			dg := &c.leaderTerm.dependencies
 			for _, j := range c.leaderTerm.jobs {
@@ -141,7 +141,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		ids := w.putDependentJobs(3, dependsOnPrevious)
 		n := w.start("n0")
-		w.store.Delay(func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix)(txn) })
+		w.store.Delay(func(txn kv.Txn) bool { return txn.Records && writesPrefix(records.TerminalPrefix)(txn) })
 		if _, err := n.Cancel(w.t.Context(), ids[0]); err != nil {
 			w.t.Fatal(err)
 		}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -16,8 +16,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// after is a job that depends on others.
-func after(id, team string, tasks int, dependsOn ...string) *api.JobSpec {
+// dependentSpec is a job that depends on others.
+func dependentSpec(id, team string, tasks int, dependsOn ...string) *api.JobSpec {
 	s := teamSpec(id, team, tasks)
 	s.DependsOn = dependsOn
 	return s
@@ -27,10 +27,10 @@
 // which depends on job-1 as well.
 func (s *checkedCluster) submitDiamond(takes time.Duration) {
 	s.submitJob(takes, teamSpec("job-1", "red", 4))
-	s.submitJob(takes, after("job-2", "red", 3, "job-1"))
-	s.submitJob(takes*2, after("job-3", "blue", 2, "job-1"))
-	s.submitJob(takes, after("job-4", "red", 2, "job-2", "job-3"))
-	s.submitJob(takes, after("job-5", "blue", 1, "job-4", "job-1"))
+	s.submitJob(takes, dependentSpec("job-2", "red", 3, "job-1"))
+	s.submitJob(takes*2, dependentSpec("job-3", "blue", 2, "job-1"))
+	s.submitJob(takes, dependentSpec("job-4", "red", 2, "job-2", "job-3"))
+	s.submitJob(takes, dependentSpec("job-5", "blue", 1, "job-4", "job-1"))
 }
 
 var diamondJobs = []string{"job-1", "job-2", "job-3", "job-4", "job-5"}
@@ -68,8 +68,8 @@
 		inject func(s *checkedCluster)
 	}{
 		{"no fault", func(*checkedCluster) {}},
-		{"terminal records delayed", func(s *checkedCluster) { s.store.Delay(touches(records.TerminalPrefix)) }},
-		{"responses lost", func(s *checkedCluster) { s.store.LoseResponses(touches(records.TerminalPrefix)) }},
+		{"terminal records delayed", func(s *checkedCluster) { s.store.Delay(writesPrefix(records.TerminalPrefix)) }},
+		{"responses lost", func(s *checkedCluster) { s.store.LoseResponses(writesPrefix(records.TerminalPrefix)) }},
 	}
 	for _, f := range faults {
 		t.Run(f.name, func(t *testing.T) {
@@ -113,8 +113,8 @@
 		time.Sleep(c.offset)
 		s.tasks.Go(func() { c.change(s) })
 	}
-	s.submitJob(2*time.Second, after("job-6", "red", 1, victim))
-	s.submitJob(2*time.Second, after("job-7", "blue", 1, "job-6", "job-9"))
+	s.submitJob(2*time.Second, dependentSpec("job-6", "red", 1, victim))
+	s.submitJob(2*time.Second, dependentSpec("job-7", "blue", 1, "job-6", "job-9"))
 	time.Sleep(45 * time.Second)
 	s.awaitAllEnded(2 * time.Minute)
 	for _, id := range append(diamondJobs, "job-6", "job-7", "job-9") {
@@ -153,7 +153,7 @@
 func submitAfter(n *node, id string, dependsOn ...string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	st, created, err := n.Submit(ctx, after(id, "red", 1, dependsOn...))
+	st, created, err := n.Submit(ctx, dependentSpec(id, "red", 1, dependsOn...))
 	var unschedulable *api.UnschedulableError
 	switch {
 	case errors.As(err, &unschedulable):
@@ -183,7 +183,7 @@
 		k.serve(n, 4)
 		w.checkEqual("phase of the first job", w.phase(n, "job-1"), api.JobDone)
 		w.submit(n, spec("job-2", 1))
-		w.submit(n, after("job-3", "red", 1, "job-2"))
+		w.submit(n, dependentSpec("job-3", "red", 1, "job-2"))
 		check("one never accepted", "422 awaits job-99, which was never accepted", "job-10", "job-1", "job-99")
 		w.checkEqual("active record", w.store.Has(records.ActivePrefix+"job-10"), false)
 		check("known job, whatever it depends on", "200 pending", "job-3", "job-99")
@@ -225,7 +225,7 @@
 func TestCancellationAnsweredWithDone(t *testing.T) {
 	simulateChecked(t, 2, func(s *checkedCluster) {
 		s.submitJob(2*time.Second, teamSpec("job-1", "red", 1))
-		s.submitJob(2*time.Second, after("job-2", "red", 1, "job-1"))
+		s.submitJob(2*time.Second, dependentSpec("job-2", "red", 1, "job-1"))
 		for s.phase(s.node("n0"), "job-1") != api.JobDone {
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -241,15 +241,15 @@
 	simulate(t, func(w *simulatedCluster) {
 		leader, b := w.start("n0"), w.start("n1")
 		w.submit(leader, spec("job-1", 1))
-		w.submit(leader, after("job-2", "red", 1, "job-1"))
-		w.submit(leader, after("job-3", "red", 1, "job-2"))
+		w.submit(leader, dependentSpec("job-2", "red", 1, "job-1"))
+		w.submit(leader, dependentSpec("job-3", "red", 1, "job-2"))
 		leader.crash()
 		if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
 		w.checkEqual("phase of the indirect dependent", w.phase(b, "job-3"), api.JobCancelled)
 		w.checkEqual("phase of the dependent", w.phase(b, "job-2"), api.JobCancelled)
-		_, created, err := b.Submit(context.Background(), after("job-4", "red", 1, "job-3"))
+		_, created, err := b.Submit(context.Background(), dependentSpec("job-4", "red", 1, "job-3"))
 		if err != nil || !created {
 			t.Errorf("submission of a dependent: got created %v, %v, want true and no error", created, err)
 		}
@@ -264,7 +264,7 @@
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
-		w.submit(n, after("job-2", "red", 100, "job-1"))
+		w.submit(n, dependentSpec("job-2", "red", 100, "job-1"))
 		k.serve(n, 100)
 		n.inspect(func(c *Controller) {
 			lt := c.leaderTerm
@@ -302,14 +302,14 @@
 		n := w.start("n0")
 		for _, s := range []*api.JobSpec{
 			spec("job-1", 1),
-			after("job-2", "red", 1, "job-1"),
-			after("job-3", "blue", 1, "job-1"),
+			dependentSpec("job-2", "red", 1, "job-1"),
+			dependentSpec("job-3", "blue", 1, "job-1"),
 			spec("job-8", 1),
 		} {
 			s.Class = "stage" // without objectives of its own
 			w.submit(n, s)
 		}
-		last := after("job-4", "red", 1, "job-2", "job-3")
+		last := dependentSpec("job-4", "red", 1, "job-2", "job-3")
 		last.DeadlineS, last.Priority, last.Class = 300, "urgent", "stage"
 		w.submit(n, last)
 		accepted := time.Now()
@@ -350,9 +350,9 @@
 	return ids
 }
 
-// ladder has each job of a level of two depend on both of the level before: a pipeline of
+// ladderDependencies has each job of a level of two depend on both of the level before: a pipeline of
 // diamonds.
-func ladder(i int) []string {
+func ladderDependencies(i int) []string {
 	if i <= 2 {
 		return []string{"job-0"}
 	}
@@ -365,7 +365,7 @@
 	w.t.Helper()
 	w.submit(n, spec("job-0", 1))
 	for i := 1; i < jobs; i++ {
-		s := after(fmt.Sprint("job-", i), "red", 1, p.dependsOn(i)...)
+		s := dependentSpec(fmt.Sprint("job-", i), "red", 1, p.dependsOn(i)...)
 		s.DeadlineS = float64(100000 - i*100)
 		if _, _, err := n.Submit(context.Background(), s); err != nil {
 			w.t.Fatal(err)
@@ -422,7 +422,7 @@
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
 		for i := range 20 {
-			w.submit(n, after(fmt.Sprint("job-2", i), "red", 1, "job-1"))
+			w.submit(n, dependentSpec(fmt.Sprint("job-2", i), "red", 1, "job-1"))
 		}
 		n.inspect(func(c *Controller) { c.leaderTerm.teams["blue"].LimitCPUs = 1000 })
 		ks := make([]*worker, 30)
@@ -464,7 +464,7 @@
 // late, the dependents are cancelled in time all the same.
 func TestCancellationsCascadeWhenRecordsFail(t *testing.T) {
 	isCascade := func(txn kv.Txn) bool {
-		return touches(records.TerminalPrefix)(txn) && !touches(records.CancelKey)(txn)
+		return writesPrefix(records.TerminalPrefix)(txn) && !writesPrefix(records.CancelKey)(txn)
 	}
 	for _, f := range []struct {
 		name   string
@@ -484,9 +484,9 @@
 			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
 				w.submit(n, spec("job-1", 1))
-				w.submit(n, after("job-2", "red", 1, "job-1"))
-				w.submit(n, after("job-3", "blue", 1, "job-2"))
-				w.submit(n, after("job-4", "red", 1, "job-1"))
+				w.submit(n, dependentSpec("job-2", "red", 1, "job-1"))
+				w.submit(n, dependentSpec("job-3", "blue", 1, "job-2"))
+				w.submit(n, dependentSpec("job-4", "red", 1, "job-1"))
 				f.inject(w)
 				if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 					t.Fatal(err)
@@ -533,7 +533,7 @@
 		w.cloud.mu.Lock()
 		w.cloud.capacity, w.cloud.launches = 10, nil
 		w.cloud.mu.Unlock()
-		first, second := spec("job-1", 1), after("job-2", "red", 2, "job-1")
+		first, second := spec("job-1", 1), dependentSpec("job-2", "red", 2, "job-1")
 		second.Spot = false
 		w.submit(n, first)
 		w.submit(n, second)
@@ -607,7 +607,7 @@
 func TestWorkIsLinearInPipelineSize(t *testing.T) {
 	const jobs, maxGrowth = 1500, 3
 	for _, shape := range []pipelineShape{
-		{"chain", chainDependencies}, {"fan", fanDependencies}, {"ladder", ladder},
+		{"chain", chainDependencies}, {"fan", fanDependencies}, {"ladder", ladderDependencies},
 	} {
 		t.Run(shape.name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
@@ -644,7 +644,7 @@
 				w.submit(n, spec("job-0", 1))
 				jobs := int(0.95 * cancelS * lim.WriteRPS * 0.2) // two changes each, of 0.4 of the rate
 				for i := range jobs {
-					w.submit(n, after(fmt.Sprint("job-", 1+i), "red", 1, "job-0"))
+					w.submit(n, dependentSpec(fmt.Sprint("job-", 1+i), "red", 1, "job-0"))
 				}
 				if _, err := n.Cancel(context.Background(), "job-0"); err != nil {
 					t.Fatal(err)
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -58,8 +58,8 @@
 	n := w.start("n0")
 	k := w.worker("i-1", "a", false)
 	w.submit(n, spec("job-1", 1))
-	w.submit(n, after("job-2", "red", 1, append(w.manyDone(600), "job-1")...))
-	w.submit(n, after("job-3", "red", 1, "job-2"))
+	w.submit(n, dependentSpec("job-2", "red", 1, append(w.manyDone(600), "job-1")...))
+	w.submit(n, dependentSpec("job-3", "red", 1, "job-2"))
 	k.serve(n, 4)
 	if c.newLeader {
 		n.crash()
@@ -106,7 +106,7 @@
 		w.state = config.KVLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
-		w.submit(n, after("job-2", "red", 1, append(w.manyDone(300), "job-1")...))
+		w.submit(n, dependentSpec("job-2", "red", 1, append(w.manyDone(300), "job-1")...))
 		own := w.keysUnder(records.DependencyPrefix)
 		w.put(records.DependencyPrefix+"job-2/other/00000", records.DependencyRecord{Jobs: []string{"job-1"}})
 		w.put(records.DependencyPrefix+"job-1000/left/00000", records.DependencyRecord{Jobs: []string{"job-1"}})
@@ -127,7 +127,7 @@
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
-		w.submit(n, after("job-2", "red", 1, "job-1"))
+		w.submit(n, dependentSpec("job-2", "red", 1, "job-1"))
 		k.serve(n, 40)
 		k.exit(api.CauseDone)
 		k.heartbeat(n)
@@ -141,7 +141,7 @@
 		time.Sleep(30 * time.Second)
 		w.put(records.TerminalPrefix+"job-8", map[string]any{"phase": "done", "tasks": 1}) // of an earlier version
 		n = w.start("n0")
-		w.submit(n, after("job-3", "red", 1, "job-1", "job-8"))
+		w.submit(n, dependentSpec("job-3", "red", 1, "job-1", "job-8"))
 		time.Sleep(3 * time.Second)
 		n.inspect(func(c *Controller) {
 			j := c.leaderTerm.jobs["job-2"]
@@ -194,8 +194,8 @@
 				st := &unreadableEnds{Fake: w.store}
 				n := w.startWith("n0", st, nil)
 				k := w.worker("i-1", "a", false)
-				w.submit(n, after("job-1", "red", 1, w.manyDone(count)...))
-				w.submit(n, after("job-2", "red", 1, "job-1"))
+				w.submit(n, dependentSpec("job-1", "red", 1, w.manyDone(count)...))
+				w.submit(n, dependentSpec("job-2", "red", 1, "job-1"))
 				n.crash()
 				st.closed.Store(true)
 				n = w.startWith("n0", st, nil)
@@ -218,15 +218,15 @@
 	w.t.Helper()
 	leader, other := w.start("n0"), w.start("n1")
 	w.submit(leader, spec("job-1", 1))
-	w.submit(other, after("job-2", "red", 1, "job-1"))
-	w.submit(other, after("job-3", "blue", 1, "job-2"))
+	w.submit(other, dependentSpec("job-2", "red", 1, "job-1"))
+	w.submit(other, dependentSpec("job-3", "blue", 1, "job-2"))
 	inject(w)
 	if _, err := other.Cancel(context.Background(), "job-1"); err != nil {
 		w.t.Fatal(err)
 	}
 	for i, n := range []*node{other, leader} {
 		id := fmt.Sprint("job-", 4+i)
-		st, created, err := n.Submit(context.Background(), after(id, "red", 1, "job-3"))
+		st, created, err := n.Submit(context.Background(), dependentSpec(id, "red", 1, "job-3"))
 		if err != nil || !created || st.Phase != api.JobCancelled {
 			w.t.Errorf("submission of %s: got %+v, created %v, %v, want it created and cancelled", id, st, created, err)
 		}
@@ -273,8 +273,8 @@
 		k.serve(leader, 2)
 		w.store.SetWatchesBlind(true)
 		w.submit(other, spec("job-1", 1))
-		w.submit(leader, after("job-2", "red", 1, "job-1"))
-		w.submit(other, after("job-3", "red", 1, "job-2", "job-1"))
+		w.submit(leader, dependentSpec("job-2", "red", 1, "job-1"))
+		w.submit(other, dependentSpec("job-3", "red", 1, "job-2", "job-1"))
 		k.serve(leader, 5)
 		w.checkEqual("running while watches are blind", k.running(), []string(nil))
 		w.store.SetWatchesBlind(false)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -305,7 +305,7 @@
 // or share the new one's term, nor change a job accepted meanwhile.
 func TestLateRequestsOfEarlierIncarnation(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		w.store.Delay(touches("leader"))
+		w.store.Delay(writesPrefix("leader"))
 		a := w.start("n0")
 		w.checkEqual("delayed takeovers", w.store.DelayedCount(), 1)
 		a.crash()
@@ -322,7 +322,7 @@
 		k.serve(b, 8)
 		w.checkEqual("term", k.status.Term, term)
 
-		w.store.Delay(touches(records.ActivePrefix))
+		w.store.Delay(writesPrefix(records.ActivePrefix))
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if _, _, err := b.Submit(ctx, spec("job-1", 1)); err == nil {
@@ -350,7 +350,7 @@
 // own name in the leader key, and must begin a term of its own.
 func TestAppliedTakeoverOfEarlierIncarnation(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		w.store.LoseResponses(touches("leader"))
+		w.store.LoseResponses(writesPrefix("leader"))
 		a := w.start("n0")
 		a.crash()
 		time.Sleep(100 * time.Millisecond)
@@ -391,13 +391,13 @@
 // left out because of earlier faults.
 func TestAllPollsAreAnsweredAfterFaultsHeal(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, ga, gb := w.pair()
+		l, a, b, ga, gb := w.startPair()
 		for i := range 12 {
 			w.submit([]*node{a, b}[i%2], spec(fmt.Sprint("job-", i), 1))
 		}
 		k := w.worker("i-1", "", false)
 		k.serve(a, 3)
-		l.cut.Store(true)
+		l.partitioned.Store(true)
 		ga.set(true)
 		time.Sleep(20 * time.Second)
 		w.store.SetDown(true)
@@ -406,10 +406,10 @@
 		w.store.SetDown(false)
 		ga.set(false)
 		gb.set(false)
-		l.cut.Store(false)
+		l.partitioned.Store(false)
 		k.exit(api.CauseDone)
 		for range 15 {
-			k.either(a, b)
+			k.heartbeatEither(a, b)
 			k.exit(api.CauseDone)
 			time.Sleep(time.Second)
 		}
--- a/internal/controller/leaderterm_test.go
+++ b/internal/controller/leaderterm_test.go
@@ -14,7 +14,7 @@
 func TestLateTransactionOfEarlierLeaderFails(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		a := w.start("n0")
-		w.store.Delay(touches(records.MachinePrefix))
+		w.store.Delay(writesPrefix(records.MachinePrefix))
 		k := w.worker("i-1", "a", false)
 		w.submit(a, spec("job-1", 1))
 		k.serve(a, 2)
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -75,9 +75,9 @@
 func (ss *shardSplit) injectFault(second int) {
 	switch {
 	case ss.fault == responsesLost && second%3 == 0:
-		ss.store.LoseResponses(touches(records.MachinePrefix))
+		ss.store.LoseResponses(writesPrefix(records.MachinePrefix))
 	case ss.fault == writesDelayed && second%4 == 0:
-		ss.store.Delay(touches(records.MachinePrefix))
+		ss.store.Delay(writesPrefix(records.MachinePrefix))
 	case ss.fault == writesDelayed && second%4 == 3:
 		ss.store.ApplyDelayed()
 	case ss.fault == leaderCrashes && second%25 == 22:
@@ -209,7 +209,7 @@
 func (lc *longCompletion) injectFault(round int) {
 	switch {
 	case lc.fault == responsesLost && round%2 == 0:
-		lc.store.LoseResponses(touches(records.CompletionPrefix))
+		lc.store.LoseResponses(writesPrefix(records.CompletionPrefix))
 	case lc.fault == leaderCrashes && round%4 == 3:
 		lc.leader.crash()
 		lc.leader = lc.start("n0")
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -144,7 +144,7 @@
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
 				w.state = l.settings()
 				w.enforce(l)
-				_, a, b, _, near, far := w.beyondTheCut()
+				_, a, b, _, near, far := w.partitionZones()
 				s := spec("job-1", 400)
 				s.CPUs, s.MemoryGB = 0.02, 0.02
 				w.submit(a, s)
@@ -171,7 +171,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
 		w.state = limits{20, 16, 100}.settings()
-		_, a, b, _, near, far := w.beyondTheCut()
+		_, a, b, _, near, far := w.partitionZones()
 		w.enforce(limits{20, 1, 100})
 		s := spec("job-1", 700)
 		s.CPUs, s.MemoryGB = 0.01, 0.01
@@ -194,7 +194,7 @@
 		l := limits{3, 1, 25}
 		w.state = l.settings()
 		w.enforce(l)
-		_, a, b, _, _, far := w.beyondTheCut()
+		_, a, b, _, _, far := w.partitionZones()
 		other := w.worker("i-3", "b", false)
 		for i := range cluster.MaxAttempts {
 			far.status.Tasks = append(far.status.Tasks, api.TaskStatus{
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -14,8 +14,8 @@
 
 // links connects nodes as peers; all links can be cut at once.
 type links struct {
-	nodes sync.Map
-	cut   atomic.Bool
+	nodes       sync.Map
+	partitioned atomic.Bool
 	// refuseConnections makes cut links refuse connections.
 	refuseConnections atomic.Bool
 }
@@ -33,7 +33,7 @@
 // to returns the node at the other end, if it can be reached.
 func (l *links) to(name string) (linked, error) {
 	n, ok := l.nodes.Load(name)
-	if l.cut.Load() || !ok {
+	if l.partitioned.Load() || !ok {
 		return nil, errors.New("cut")
 	}
 	return n.(linked), nil
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -37,7 +37,7 @@
 // lendingLeader is the leader of a full cell with a neighbour that has free capacity.
 func lendingLeader(b *testing.B, machines, jobs int) *leaderTerm {
 	b.Helper()
-	lt, _ := full(b, machines, 40)
+	lt, _ := newBusyTerm(b, machines, 40)
 	c := lt.c
 	c.Cells = &cells.Settings{Cell: "cell-a", MaxLoans: 100, Neighbours: []cells.Neighbour{{Cell: "cell-b"}}}
 	c.Policy.Spill.After = time.Hour // it scans its jobs, and lends nothing
--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -23,10 +23,10 @@
 }
 
 // isCancellation matches the transaction by which a user cancels the job.
-func isCancellation(txn kv.Txn) bool { return !txn.Records && touches(racedJobTerminal)(txn) }
+func isCancellation(txn kv.Txn) bool { return !txn.Records && writesPrefix(racedJobTerminal)(txn) }
 
 // isCompletion matches the leader's transaction that records how the job ended.
-func isCompletion(txn kv.Txn) bool { return txn.Records && touches(racedJobTerminal)(txn) }
+func isCompletion(txn kv.Txn) bool { return txn.Records && writesPrefix(racedJobTerminal)(txn) }
 
 // firstMatch matches the first transaction only.
 func firstMatch(match func(kv.Txn) bool) func(kv.Txn) bool {
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -202,7 +202,7 @@
 	s.t.Helper()
 	s.submitJob(2*time.Minute, teamSpec("job-1", "red", 14))
 	time.Sleep(3 * time.Second)
-	s.store.Delay(touches(records.MachinePrefix))
+	s.store.Delay(writesPrefix(records.MachinePrefix))
 	added := []*host{s.addMachine("i-8", "a", false), s.addMachine("i-9", "b", false)}
 	time.Sleep(restartAfter)
 	for _, k := range added {
@@ -340,7 +340,7 @@
 	}
 	if delayRecords {
 		time.Sleep(2 * time.Second)
-		s.store.Delay(touches(records.CompletionPrefix))
+		s.store.Delay(writesPrefix(records.CompletionPrefix))
 	}
 	time.Sleep(c.offset)
 	c.change(s)
@@ -659,7 +659,7 @@
 	case 10:
 		s.tasks.Go(func() { k.replayHeartbeats(k.sentHeartbeats()) })
 	case 11:
-		s.store.Delay(touches(records.MachinePrefix))
+		s.store.Delay(writesPrefix(records.MachinePrefix))
 		s.tasks.Go(func() {
 			sleepUnlessZero(s.ctx, 5*time.Second)
 			s.store.ApplyDelayed()
--- a/internal/controller/registry_test.go
+++ b/internal/controller/registry_test.go
@@ -122,7 +122,7 @@
 // injectShardWriteFault loses the responses to writes of shards (0), delays the writes (1), or heals
 // both (any other kind).
 func injectShardWriteFault(w *simulatedCluster, kind int) {
-	shardWrites := touches(records.MachinePrefix)
+	shardWrites := writesPrefix(records.MachinePrefix)
 	switch kind {
 	case 0:
 		w.store.LoseResponses(shardWrites)
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -57,7 +57,7 @@
 // batch, is sent no further commands through the relay.
 func TestRelaySendsNothingWhileAnOutcomeIsPending(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		_, a, _, _, _, far := w.beyondTheCut()
+		_, a, _, _, _, far := w.partitionZones()
 		busy := spec("job-0", 4)
 		busy.Zone = "a"
 		w.submit(a, busy)
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -14,8 +14,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// touches matches transactions that write or delete a key with a prefix.
-func touches(prefix string) func(kv.Txn) bool {
+// writesPrefix matches transactions that write or delete a key with a prefix.
+func writesPrefix(prefix string) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool {
 		for _, op := range txn.Ops {
 			if strings.HasPrefix(op.Put, prefix) || strings.HasPrefix(op.Delete, prefix) {
@@ -58,7 +58,7 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
 		k.serve(n, 3)
-		w.store.Delay(touches(records.TerminalPrefix))
+		w.store.Delay(writesPrefix(records.TerminalPrefix))
 		k.exit(api.CauseDone)
 		k.serve(n, 2)
 		if got := w.phase(n, "job-1"); got == api.JobDone {
@@ -205,7 +205,7 @@
 			w.t.Error("submission during an outage: got no error, want one")
 		}
 		w.store.SetDown(false)
-		w.store.LoseResponses(touches(records.ActivePrefix))
+		w.store.LoseResponses(writesPrefix(records.ActivePrefix))
 		st, _, err := n.Submit(w.t.Context(), spec("job-2", 1))
 		if err != nil || st.Phase != api.JobPending {
 			w.t.Errorf("submission with a lost response: got %v, error %v, want phase pending", st, err)
@@ -262,7 +262,7 @@
 					w.t.Error("got a response of a follower whose leader is reachable, want an error")
 				}
 				w.submit(leader, spec("job-2", 1))
-				l.cut.Store(true)
+				l.partitioned.Store(true)
 				g.set(c.storeUnreachable)
 				time.Sleep(4 * time.Second)
 				renewedS := renewOnBehalfFor(w, follower, k, c.storeUnreachable)
@@ -272,7 +272,7 @@
 				if !c.storeUnreachable {
 					checkCancelledBeyondCut(w, leader, follower, k)
 				}
-				l.cut.Store(false)
+				l.partitioned.Store(false)
 				time.Sleep(3 * time.Second)
 				follower.inspect(func(c *Controller) {
 					w.checkEqual("renews after the partition", c.leaseRenewer.leaderUnreachable, false)
--- a/internal/controller/twofaults_test.go
+++ b/internal/controller/twofaults_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	simulate(t, func(w *simulatedCluster) {
 		g := &faultCluster{simulatedCluster: w}
-		g.links, g.leader, g.follower, g.leaderGate, g.followerGate = w.pair()
+		g.links, g.leader, g.follower, g.leaderGate, g.followerGate = w.startPair()
 		g.k = w.worker("i-1", "", false)
 		w.submit(g.leader, spec("job-1", 2))
 		w.submit(g.leader, spec("job-2", 1))
@@ -125,9 +125,9 @@
 
 func cancelAtFollower(g *faultCluster) { g.cancelAt(g.follower) }
 
-func cutNodes(g *faultCluster) { g.links.cut.Store(true) }
+func cutNodes(g *faultCluster) { g.links.partitioned.Store(true) }
 
-func healNodes(g *faultCluster) { g.links.cut.Store(false) }
+func healNodes(g *faultCluster) { g.links.partitioned.Store(false) }
 
 // cancelElsewhere cancels at a node that crashes before it informs another.
 func cancelElsewhere(g *faultCluster) {
@@ -304,7 +304,7 @@
 	for _, alone := range []bool{true, false} {
 		for ms := 0; ms < 3000; ms += 300 {
 			simulate(t, func(w *simulatedCluster) {
-				l, a, b, ga, _ := w.pair()
+				l, a, b, ga, _ := w.startPair()
 				k := w.worker("i-1", "", false)
 				w.submit(a, spec("job-1", 6))
 				k.serve(a, 3)
@@ -312,7 +312,7 @@
 				time.Sleep(time.Duration(ms) * time.Millisecond)
 				if alone {
 					ga.set(true)
-					l.cut.Store(true)
+					l.partitioned.Store(true)
 					if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 						t.Fatal(err)
 					}
@@ -337,7 +337,7 @@
 	for _, cancelS := range []float64{0.5, 9, 10, 10.6, 12, 20.5} {
 		simulate(t, func(w *simulatedCluster) {
 			w.cancelS = cancelS
-			_, a, b, _, _ := w.pair()
+			_, a, b, _, _ := w.startPair()
 			k := w.worker("i-1", "", false)
 			w.submit(a, spec("job-1", 2))
 			for range 30 {
@@ -366,7 +366,7 @@
 func TestFollowerDoesNotRelyOnANewLeader(t *testing.T) {
 	for after := 9 * time.Second; after < faultTaskLease; after += 100 * time.Millisecond {
 		simulate(t, func(w *simulatedCluster) {
-			l, a, b, _, gb := w.pair()
+			l, a, b, _, gb := w.startPair()
 			k := w.worker("i-1", "", false)
 			w.submit(a, spec("job-1", 2))
 			k.serve(a, 4)
@@ -383,7 +383,7 @@
 			time.Sleep(after - time.Since(confirmed))
 			a.inspect(func(c *Controller) { k.status.Term = c.leaderTerm.term.Number }) // it was resynced
 			w.checkEqual("second term", k.status.Term > 1, true)
-			l.cut.Store(true)
+			l.partitioned.Store(true)
 			gb.set(true)
 			var renewedAt time.Time
 			for range 300 {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -137,7 +137,7 @@
 	}
 	// In a partition the far zone has the node that does not lead.
 	switch far := k.status.Zone == farZone; {
-	case !v.links.cut.Load():
+	case !v.links.partitioned.Load():
 		return []heartbeatReceiver{first, v.new}
 	case far == v.old.leads():
 		return []heartbeatReceiver{v.new}
@@ -296,8 +296,8 @@
 	v.t.Helper()
 	v.dependencies = map[string][]string{"job-2": {"job-1"}, "job-3": {"job-2"}}
 	v.submit(v.new, spec("job-1", 2))
-	v.submit(v.new, after("job-2", "blue", 4, "job-1"))
-	v.submit(v.new, after("job-3", "red", 2, "job-2"))
+	v.submit(v.new, dependentSpec("job-2", "blue", 4, "job-1"))
+	v.submit(v.new, dependentSpec("job-3", "red", 2, "job-2"))
 }
 
 // countPending is the number of jobs that the leader's status counts as pending for their
@@ -419,7 +419,7 @@
 				v.submit(v.new, spec("job-2", 2))
 				v.submit(v.new, spec("job-1", 20))
 				v.runSeconds(4)
-				v.store.Delay(func(txn kv.Txn) bool { return txn.Records && touches(prefix)(txn) })
+				v.store.Delay(func(txn kv.Txn) bool { return txn.Records && writesPrefix(prefix)(txn) })
 				v.agents = append(v.agents, v.worker("i-9", "a", false)) // to be registered
 				v.runSeconds(8)
 				v.handOver()
@@ -525,7 +525,7 @@
 	v.submitPipeline()
 	v.runSeconds(4)
 	if late {
-		v.store.Delay(func(txn kv.Txn) bool { return txn.Records && touches(records.TerminalPrefix)(txn) })
+		v.store.Delay(func(txn kv.Txn) bool { return txn.Records && writesPrefix(records.TerminalPrefix)(txn) })
 	}
 	if atOld {
 		v.checkEqual("cancelled", v.old.cancel("job-1"), "withdrawn")
@@ -603,7 +603,7 @@
 			v.startOldNode()
 		}, false},
 		{"it ends for good", func(v *mixed) { v.old.cancel("job-1"); v.old.crash() }, false},
-		{"it cannot be reached", func(v *mixed) { v.links.cut.Store(true); v.old.cancel("job-1") }, false},
+		{"it cannot be reached", func(v *mixed) { v.links.partitioned.Store(true); v.old.cancel("job-1") }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulateMixed(t, 1, false, func(v *mixed) {
@@ -678,7 +678,7 @@
 // partitionZones cuts the links between the nodes, and between the leader and the machines of
 // the other zone.
 func (v *mixed) partitionZones() {
-	v.links.cut.Store(true)
+	v.links.partitioned.Store(true)
 	for _, k := range v.agents {
 		if k.status.Zone == farZone {
 			v.dead.Store(k.status.Machine, true)
@@ -688,7 +688,7 @@
 
 // healZones ends the partition of the zones.
 func (v *mixed) healZones() {
-	v.links.cut.Store(false)
+	v.links.partitioned.Store(false)
 	v.dead.Clear()
 }
 
--- a/internal/controller/zonepartition_test.go
+++ b/internal/controller/zonepartition_test.go
@@ -10,9 +10,9 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// pair starts a leader n0 and a follower n1, each with its own access to the key-value store, and in
+// startPair starts a leader n0 and a follower n1, each with its own access to the key-value store, and in
 // the given zones, if any.
-func (w *simulatedCluster) pair(zones ...string) (l *links, a, b *node, ga, gb *gate) {
+func (w *simulatedCluster) startPair(zones ...string) (l *links, a, b *node, ga, gb *gate) {
 	if len(zones) == 2 {
 		w.zones = map[string]string{"n0": zones[0], "n1": zones[1]}
 	}
@@ -23,8 +23,8 @@
 	return l, a, b, ga, gb
 }
 
-// either sends a heartbeat to the nodes in turn until one responds, and applies its commands.
-func (k *worker) either(nodes ...*node) {
+// heartbeatEither sends a heartbeat to the nodes in turn until one responds, and applies its commands.
+func (k *worker) heartbeatEither(nodes ...*node) {
 	for _, n := range nodes {
 		if commands, err := k.sendHeartbeat(n); err == nil {
 			k.applyCommands(commands)
@@ -39,7 +39,7 @@
 // that new users reach the other.
 func TestLeaderRejectedByTheStoreStepsDown(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		_, a, b, ga, _ := w.pair()
+		_, a, b, ga, _ := w.startPair()
 		k := w.worker("i-1", "", false)
 		w.submit(a, spec("job-1", 6))
 		k.serve(a, 3)
@@ -47,7 +47,7 @@
 		term := k.status.Term
 		ga.set(true)
 		for range 10 {
-			k.either(a, b)
+			k.heartbeatEither(a, b)
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("later term", k.status.Term > term, true)
@@ -60,7 +60,7 @@
 		}
 		w.checkEqual("poll of the cancelled job at the rejected node", w.phase(a, "job-1"), "withdrawn")
 		for range 4 { // the next leader learns of it through its watch
-			k.either(a, b)
+			k.heartbeatEither(a, b)
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("running after the cancellation", len(k.running()), 0)
@@ -77,19 +77,19 @@
 // down, and all nodes stay ready, or users would find no node when the outage ends.
 func TestNoLeaderStepsDownInAStoreOutage(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		_, a, b, _, _ := w.pair()
+		_, a, b, _, _ := w.startPair()
 		k := w.worker("i-1", "", false)
 		k.serve(a, 2)
 		term := k.status.Term
 		w.store.SetDown(true)
 		for range 25 {
-			k.either(a, b)
+			k.heartbeatEither(a, b)
 			w.checkEqual("ready", a.Ready() && b.Ready(), true)
 			time.Sleep(time.Second)
 		}
 		w.store.SetDown(false)
 		for range 12 {
-			k.either(a, b)
+			k.heartbeatEither(a, b)
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("term", k.status.Term, term)
@@ -101,13 +101,13 @@
 // and is not ready, since it can serve no new users. Under the next leader nothing runs twice.
 func TestIsolatedLeaderWithItsWorkers(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, ga, _ := w.pair()
+		l, a, b, ga, _ := w.startPair()
 		k, other := w.worker("i-1", "", false), w.worker("i-2", "", false)
 		w.submit(a, spec("job-1", 3))
 		k.serve(a, 3)
 		w.checkEqual("running", len(k.running()), 3)
 		ga.set(true)
-		l.cut.Store(true)
+		l.partitioned.Store(true)
 		lastResponse := time.Now()
 		for range 60 {
 			if commands, err := k.sendHeartbeat(a); err == nil {
@@ -120,7 +120,7 @@
 			if got := w.phase(a, "job-1"); got == "running" || got == "pending" || got == "done" {
 				t.Fatalf("phase after the cancellation at the isolated node: got %s", got)
 			}
-			other.either(b)
+			other.heartbeatEither(b)
 			time.Sleep(time.Second)
 		}
 		if since := time.Since(lastResponse); since < 25*time.Second {
@@ -135,11 +135,11 @@
 // A follower without the key-value store and the leader responds to no machine and is not ready.
 func TestIsolatedFollowerServesNobody(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, gb := w.pair()
+		l, a, b, _, gb := w.startPair()
 		k := w.worker("i-1", "", false)
 		k.serve(a, 2)
 		gb.set(true)
-		l.cut.Store(true)
+		l.partitioned.Store(true)
 		time.Sleep(30 * time.Second)
 		if _, err := k.sendHeartbeat(b); err == nil {
 			t.Error("heartbeat at the isolated follower: got a response, want an error")
@@ -153,16 +153,16 @@
 // key-value store; while only the store rejects it, it forwards them to the leader.
 func TestFollowerAnswersPollsWithoutLeaderOrStore(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, gb := w.pair()
+		l, a, b, _, gb := w.startPair()
 		k := w.worker("i-1", "", false)
 		w.submit(a, spec("job-1", 1))
 		k.serve(a, 3)
-		l.cut.Store(true)
+		l.partitioned.Store(true)
 		for range 5 {
 			w.checkEqual("phase without the leader", w.phase(b, "job-1"), "pending")
 			k.serve(a, 1)
 		}
-		l.cut.Store(false)
+		l.partitioned.Store(false)
 		gb.set(true)
 		k.serve(a, 5)
 		w.checkEqual("phase without the store", w.phase(b, "job-1"), "running")
@@ -179,7 +179,7 @@
 		dead := w.start("n9")
 		w.submit(dead, spec("job-1", 1))
 		dead.crash()
-		_, a, _, ga, _ := w.pair()
+		_, a, _, ga, _ := w.startPair()
 		ga.set(true)
 		time.Sleep(4 * time.Second)
 		w.checkEqual("known job", w.phase(a, "job-1"), "pending")
@@ -192,7 +192,7 @@
 // leader without a break.
 func TestHeartbeatsAreForwardedByTheLocalNode(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, _ := w.pair("a", "b")
+		l, a, b, _, _ := w.startPair("a", "b")
 		near, far := w.worker("i-1", "a", false), w.worker("i-2", "b", false)
 		near.serve(a, 3)
 		far.serve(a, 2)
@@ -209,7 +209,7 @@
 		far.exit(api.CauseDone)
 		far.serve(b, 4)
 		w.checkEqual("phase after half of the tasks", w.phase(a, "job-1"), "running")
-		l.cut.Store(true)
+		l.partitioned.Store(true)
 		for i := range 30 {
 			if _, err := far.sendHeartbeat(b); err != nil {
 				b.inspect(func(c *Controller) { t.Logf("%+v", c.leaseRenewer) })
@@ -219,7 +219,7 @@
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("terminated", w.cloud.terminated("i-2"), false)
-		l.cut.Store(false)
+		l.partitioned.Store(false)
 		far.serve(b, 3)
 		w.submit(a, spec("job-2", 4))
 		far.serve(b, 3)
@@ -238,7 +238,7 @@
 // first, and after a while every machine is.
 func TestMachinesThatCannotReachTheLeaderAreKept(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		_, a, b, _, _ := w.pair()
+		_, a, b, _, _ := w.startPair()
 		k := w.worker("i-1", "", false)
 		k.serve(a, 3)
 		redirected := func() bool {
@@ -270,12 +270,12 @@
 	for _, zone := range []string{"b", "a"} {
 		t.Run("machine of zone "+zone, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				l, a, b, _, _ := w.pair("a", "b")
+				l, a, b, _, _ := w.startPair("a", "b")
 				far := w.worker("i-2", zone, false)
 				far.serve(a, 3)
 				far.serve(b, 3)
 				l.refuseConnections.Store(true)
-				l.cut.Store(true)
+				l.partitioned.Store(true)
 				var redirect *api.NotLeaderError
 				redirects := 0
 				for range 20 {
@@ -296,15 +296,15 @@
 	}
 }
 
-// beyondTheCut partitions zone a, with the leader n0 and machine near, from zone b, with the follower
+// partitionZones partitions zone a, with the leader n0 and machine near, from zone b, with the follower
 // n1 and machine far, whose heartbeats are relayed through the key-value store.
-func (w *simulatedCluster) beyondTheCut() (l *links, a, b *node, gb *gate, near, far *worker) {
-	l, a, b, _, gb = w.pair("a", "b")
+func (w *simulatedCluster) partitionZones() (l *links, a, b *node, gb *gate, near, far *worker) {
+	l, a, b, _, gb = w.startPair("a", "b")
 	near, far = w.worker("i-1", "a", false), w.worker("i-2", "b", false)
 	near.serve(a, 3)
 	far.serve(a, 2)
 	far.serve(b, 2)
-	l.cut.Store(true)
+	l.partitioned.Store(true)
 	heartbeatBothSides(a, b, near, far, 5)
 	return l, a, b, gb, near, far
 }
@@ -313,7 +313,7 @@
 // partition: heartbeats and commands are relayed through the store.
 func TestWorkGoesOnBeyondThePartition(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, near, far := w.beyondTheCut()
+		l, a, b, _, near, far := w.partitionZones()
 		w.submit(a, spec("job-1", 12))
 		heartbeatBothSides(a, b, near, far, 8)
 		w.checkEqual("running on both sides", len(near.running())+len(far.running()), 8)
@@ -332,7 +332,7 @@
 		}
 		heartbeatBothSides(a, b, near, far, 6)
 		w.checkEqual("running on both sides after the cancellation", len(near.running())+len(far.running()), 0)
-		l.cut.Store(false)
+		l.partitioned.Store(false)
 		time.Sleep(2 * time.Second)
 		far.serve(b, 3)
 		w.submit(a, spec("job-3", 8))
@@ -345,7 +345,7 @@
 // shows: until the node has reported their outcome, their tasks start nowhere else.
 func TestRelayedCommandsStartTasksOnce(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, near, far := w.beyondTheCut()
+		l, a, b, _, near, far := w.partitionZones()
 		w.occupyNear(a, near)
 		time.Sleep(3 * time.Second) // commands are relayed, not handed out yet
 		pending := false
@@ -378,7 +378,7 @@
 			starts[task]++
 		}
 		w.checkEqual("starts of each task", starts, map[string]int{"job-1/0": 1, "job-1/1": 1})
-		l.cut.Store(false)
+		l.partitioned.Store(false)
 	})
 }
 
@@ -428,7 +428,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				l, a, b, gb, near, far := w.beyondTheCut()
+				l, a, b, gb, near, far := w.partitionZones()
 				w.occupyNear(a, near)
 				w.checkEqual("commands received by the node", awaitRelayedCommands(b, far) > 0, true)
 				if c.crash {
@@ -441,11 +441,11 @@
 				// The node may reject the heartbeat; then it hands out nothing.
 				commands, _ := far.sendHeartbeat(b)
 				w.checkNoStart("late start", commands)
-				l.cut.Store(false)
+				l.partitioned.Store(false)
 				near.exit(api.CauseDone)
 				for range 12 {
 					near.heartbeat(a)
-					far.either(a, b)
+					far.heartbeatEither(a, b)
 					time.Sleep(time.Second)
 				}
 				w.checkEqual("running", len(near.running())+len(far.running()), 2)
@@ -458,7 +458,7 @@
 // machine is terminated, and only then the tasks start elsewhere.
 func TestRelayingNodeCrashesForGood(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		_, a, b, _, near, far := w.beyondTheCut()
+		_, a, b, _, near, far := w.partitionZones()
 		w.occupyNear(a, near)
 		pending := false
 		for i := 0; !pending && i < 40; i++ {
@@ -490,7 +490,7 @@
 // agent epoch.
 func TestRelayedCommandsAreNotOverwritten(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, _, far := w.beyondTheCut()
+		l, a, b, _, _, far := w.partitionZones()
 		for i := range 60 {
 			if i < 20 {
 				w.submit(a, spec(fmt.Sprint("job-", i), 1))
@@ -510,10 +510,10 @@
 			far.heartbeat(b)
 			time.Sleep(200 * time.Millisecond)
 		}
-		l.cut.Store(false)
+		l.partitioned.Store(false)
 		for range 12 {
 			far.exit(api.CauseDone)
-			far.either(a, b)
+			far.heartbeatEither(a, b)
 			time.Sleep(time.Second)
 		}
 		for i := range 20 {
@@ -527,7 +527,7 @@
 // keep their tasks, learn the new term, and have their heartbeats relayed through the key-value store.
 func TestRestartsDuringAPartition(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, gb, near, far := w.beyondTheCut()
+		l, a, b, gb, near, far := w.partitionZones()
 		w.submit(a, spec("job-1", 8))
 		heartbeatBothSides(a, b, near, far, 8)
 		w.checkEqual("running", len(near.running())+len(far.running()), 8)
