--- a/internal/controller/completion.go
+++ b/internal/controller/completion.go
@@ -7,35 +7,35 @@
 )
 
 // addCompletions adds completion records of the dirty jobs.
-func (rw *recordWriter) addCompletions(b *batch, allowed int) {
-	if rw.tasksPerChunk == 0 {
+func (w *Writer) addCompletions(b *Batch, allowed int) {
+	if w.tasksPerChunk == 0 {
 		return
 	}
-	size := (rw.tasksPerChunk/8+2)/3*4 + opOverheadBytes
-	for len(rw.dirtyJobs) > 0 && len(b.txn.Ops) < allowed &&
-		(b.bytes+size < rw.maxBytes || len(b.txn.Ops) == 0) {
-		j := rw.dirtyJobs[0]
+	size := (w.tasksPerChunk/8+2)/3*4 + opOverheadBytes
+	for len(w.dirtyJobs) > 0 && len(b.Txn.Ops) < allowed &&
+		(b.Bytes+size < w.maxBytes || len(b.Txn.Ops) == 0) {
+		j := w.dirtyJobs[0]
 		// One record of a job at a time: the next chunk is searched when this one is
 		// on record.
-		rw.dirtyJobs = rw.dirtyJobs[1:]
+		w.dirtyJobs = w.dirtyJobs[1:]
 		wasDirty := j.CompletionDirty
 		j.CompletionDirty = false
 		if !wasDirty || j.Finishing || j.Ended {
 			continue
 		}
-		if first, ok := j.NextUnrecordedChunk(rw.tasksPerChunk); ok {
-			rw.addCompletion(b, j, first)
+		if first, ok := j.NextUnrecordedChunk(w.tasksPerChunk); ok {
+			w.addCompletion(b, j, first)
 		}
 	}
 }
 
 // addCompletion adds the completion record of a job's chunk that begins at first.
-func (rw *recordWriter) addCompletion(b *batch, j *cluster.Job, first int) {
-	bits := j.CompletionBytes(first, rw.tasksPerChunk)
+func (w *Writer) addCompletion(b *Batch, j *cluster.Job, first int) {
+	bits := j.CompletionBytes(first, w.tasksPerChunk)
 	b.addPut(records.CompletionKey(j.Spec.ID, first), records.CompletionRecord{Done: bits})
 	// The record must not outlive its job: once that has ended, another node has
 	// deleted the key compared here.
-	b.txn.Compares = append(b.txn.Compares, kv.Compare{
+	b.Txn.Compares = append(b.Txn.Compares, kv.Compare{
 		Key:         records.ActivePrefix + j.Spec.ID,
 		ModRevision: j.ModRevision,
 	})
@@ -46,18 +46,18 @@
 
 // completionWritten marks the tasks of a written completion record as recorded, and queues
 // the job if more of its completed tasks are not on record.
-func (rw *recordWriter) completionWritten(w completionWrite) {
-	j := w.job
-	j.CompletionChunkSizes[w.first] = 8 * len(w.bits)
-	delete(j.MigratingCompletion, w.first)
-	for i, octet := range w.bits {
+func (w *Writer) completionWritten(written completionWrite) {
+	j := written.job
+	j.CompletionChunkSizes[written.first] = 8 * len(written.bits)
+	delete(j.MigratingCompletion, written.first)
+	for i, octet := range written.bits {
 		for bit := range 8 {
 			if octet&(1<<bit) != 0 {
-				j.Recorded.Set(uint(w.first + i*8 + bit))
+				j.Recorded.Set(uint(written.first + i*8 + bit))
 			}
 		}
 	}
-	if _, more := j.NextUnrecordedChunk(rw.tasksPerChunk); more && !j.Ended && !j.Finishing {
-		rw.queueCompletion(j)
+	if _, more := j.NextUnrecordedChunk(w.tasksPerChunk); more && !j.Ended && !j.Finishing {
+		w.QueueCompletion(j)
 	}
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -6,12 +6,9 @@
 	"slices"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"example.org/ivytrestle/internal/api"
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/config"
-	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/records"
 )
 
@@ -30,7 +27,6 @@
 	dependents map[string][]*cluster.Job
 	// pendingCancels are the jobs whose cancellation is to be put on record.
 	pendingCancels []*cluster.Job
-	limiter        *rate.Limiter
 	// lookups are dependencies that are not active: how they ended is to be read, of all of
 	// them at a time.
 	lookups   []string
@@ -42,13 +38,9 @@
 
 // init sets up the graph for a term.
 func (dg *dependencyGraph) init(lt *leaderTerm) {
-	limits := lt.c.Settings.Site.State
-	cancelOps := limits.WriteRPS * cancelWriteShare
-	burst := max(cancelBatchOps, min(limits.TxnOps, int(cancelOps)))
 	*dg = dependencyGraph{
 		leaderTerm: lt,
 		dependents: map[string][]*cluster.Job{},
-		limiter:    rate.NewLimiter(rate.Limit(cancelOps), burst),
 	}
 }
 
@@ -159,38 +151,6 @@
 	j.DependsOn = nil
 }
 
-// cancelWriteShare is the part of the write rate that is reserved for derived cancellations: with
-// small transactions the ends of other jobs would take every turn, and their users wait. Users'
-// own cancellations leave it to them.
-const cancelWriteShare = 0.4
-
-// cancelBatchOps is how many operations the cancellation of one job takes. The cancel key need not
-// change: no task of these jobs runs, and this leader knows of the cancellation.
-const cancelBatchOps = 2
-
-// addCancellations writes pending cancellations in a batch of their own, if the write rate allows.
-func (dg *dependencyGraph) addCancellations(b *batch, now time.Time) {
-	dg.pendingCancels = slices.DeleteFunc(dg.pendingCancels, func(j *cluster.Job) bool { return j.Ended })
-	rw := &dg.leaderTerm.recordWriter
-	allowed := min(rw.maxOps, int(dg.limiter.TokensAt(now)))
-	if len(dg.pendingCancels) == 0 || allowed < cancelBatchOps {
-		return
-	}
-	n := 0
-	for n < len(dg.pendingCancels) && len(b.txn.Ops)+cancelBatchOps <= allowed && b.bytes < rw.maxBytes {
-		j := dg.pendingCancels[n]
-		active := records.ActivePrefix + j.Spec.ID
-		b.txn.Compares = append(b.txn.Compares, kv.Compare{Key: active, ModRevision: j.ModRevision})
-		b.addPut(records.TerminalPrefix+j.Spec.ID, records.TerminalRecord{Phase: api.JobCancelled, Tasks: j.Spec.Tasks})
-		b.addDelete(active)
-		j.Ending = true
-		n++
-	}
-	b.derivedCancels = slices.Clone(dg.pendingCancels[:n])
-	dg.pendingCancels = dg.pendingCancels[n:]
-	dg.limiter.AllowN(now, len(b.txn.Ops))
-}
-
 // propagateDeadlines passes the deadlines and priorities of jobs on to all that they depend on:
 // these are ordered by the latest start that lets what follows be in time. A job was accepted
 // after all its dependencies, so in reverse order of acceptance each is visited once, after all
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -390,7 +390,7 @@
 			t.Fatal(err)
 		}
 		work(20)
-		n.inspect(func(c *Controller) { w.checkEqual("ends wait", len(c.leaderTerm.recordWriter.finishing) > 20, true) })
+		n.inspect(func(c *Controller) { w.checkEqual("ends wait", c.leaderTerm.recordWriter.Backlog().Finishing > 20, true) })
 		for i := range 20 {
 			w.checkEqual("needs it", w.phase(n, fmt.Sprint("job-2", i)), api.JobCancelled)
 		}
--- a/internal/controller/dependencylists.go
+++ b/internal/controller/dependencylists.go
@@ -87,7 +87,7 @@
 		return
 	}
 	for _, key := range j.DependencyList.Keys(j.Spec.ID) {
-		dl.leaderTerm.recordWriter.deleteKey(key)
+		dl.leaderTerm.recordWriter.DeleteKey(key)
 	}
 }
 
@@ -149,7 +149,7 @@
 		// Of a job that is accepted only its own list is of use. One that is not may be about
 		// to be accepted, unless it has ended.
 		if m.ended || j != nil && (j.DependencyList == nil || j.DependencyList.Digest != digest) {
-			m.leaderTerm.recordWriter.deleteKey(key)
+			m.leaderTerm.recordWriter.DeleteKey(key)
 		}
 	}
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -134,7 +134,7 @@
 	}
 	m.Registration = cluster.Registering
 	m.Fenced = true
-	lt.recordWriter.register(m)
+	lt.recordWriter.Register(m)
 }
 
 // responseMaxAge is the age at which worker agents drop a response. A process pause within that
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -139,7 +139,7 @@
 		lt.terminateIfOutcomeUnknown(a)
 	}
 	for first := range j.CompletionChunks {
-		lt.recordWriter.deleteKey(records.CompletionKey(j.Spec.ID, first))
+		lt.recordWriter.DeleteKey(records.CompletionKey(j.Spec.ID, first))
 	}
 	lt.dependencyLists.drop(j)
 }
@@ -175,10 +175,10 @@
 		return
 	}
 	if j.DoneCount == j.Spec.Tasks {
-		lt.recordWriter.finishJob(j)
+		lt.recordWriter.FinishJob(j)
 		return
 	}
 	if !j.Recorded.Test(uint(task)) {
-		lt.recordWriter.queueCompletion(j)
+		lt.recordWriter.QueueCompletion(j)
 	}
 }
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -65,7 +65,7 @@
 	quorumRequired bool
 	quorumLostAt   time.Time
 	downlink       relayDownlink
-	recordWriter   recordWriter
+	recordWriter   *Writer
 	autoscaler     autoscaler
 	counts         counters
 	// dispatchUntil is until when the leader searches for free machines that direct commands
@@ -140,7 +140,7 @@
 		maxDials:         maxConcurrentDials(c.Settings.Site.Limits.FDLimit),
 	}
 	lt.readIndex.leaderTerm = lt
-	lt.recordWriter.init(lt)
+	lt.recordWriter = NewWriter(c.Settings.Site.State, lt.termCompare(), term.Number)
 	lt.dependencies.init(lt)
 	lt.dependencyLists.leaderTerm = lt
 	lt.loans.init(lt)
@@ -250,7 +250,7 @@
 		return
 	}
 	lt.readIndex.startRound()
-	lt.recordWriter.writeBatch(now)
+	lt.writeRecords(now)
 	lt.checkLeaseQuorum(now)
 	if lt.hasEnded() {
 		return
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -243,11 +243,11 @@
 		var txns []kv.Txn
 		a.inspect(func(c *Controller) {
 			lt := c.leaderTerm
-			rec := &lt.recordWriter
+			rec := lt.recordWriter
 			for i := range 700 {
 				m := lt.addMachine(fmt.Sprintf("i-%06d", i), "small", "a", false, time.Now())
 				m.Addr = strings.Repeat("x", 10+i)
-				rec.register(m)
+				rec.Register(m)
 			}
 			for i := range 8 {
 				s := spec(fmt.Sprintf("large-%d", i), api.MaxTasks)
@@ -255,21 +255,23 @@
 				for task := range api.MaxTasks - 1 {
 					lt.jobs[s.ID].Done.Set(uint(task))
 				}
-				rec.queueCompletion(lt.jobs[s.ID])
+				rec.QueueCompletion(lt.jobs[s.ID])
 			}
 			for i := range 500 {
 				s := spec(fmt.Sprintf("%s-%d", strings.Repeat("j", 150), i), 1)
 				lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
-				rec.finishJob(lt.jobs[s.ID])
+				rec.FinishJob(lt.jobs[s.ID])
 			}
 			now := time.Now()
 			for range 400 {
 				now = now.Add(time.Second)
-				b := rec.nextBatch(now)
-				rec.batchWritten(b)
-				txns = append(txns, b.txn)
+				b := rec.NextBatch(now, nil)
+				lt.rejectUnfit(b.Unfit)
+				lt.applyOutcome(rec.Apply(b, now, kv.Result{Succeeded: true}, nil))
+				txns = append(txns, b.Txn)
 			}
-			w.checkEqual("left", []int{len(rec.registering), len(rec.dirtyJobs), len(rec.finishing)}, []int{0, 0, 0})
+			left := rec.Backlog()
+			w.checkEqual("left", []int{left.Registering, left.Completions, left.Finishing}, []int{0, 0, 0})
 		})
 		most := 0
 		for _, txn := range txns {
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -396,7 +396,7 @@
 		lt.terminateIfOutcomeUnknown(a)
 	}
 	for first := range j.CompletionChunks {
-		lt.recordWriter.deleteKey(records.CompletionKey(j.Spec.ID, first))
+		lt.recordWriter.DeleteKey(records.CompletionKey(j.Spec.ID, first))
 	}
 	lt.c.Log.Info("guest ended",
 		"job", j.Spec.ID,
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -56,7 +56,7 @@
 	for _, j := range lt.jobs {
 		j.Flight.Leave(m.Name)
 	}
-	lt.recordWriter.deregister(m)
+	lt.recordWriter.Deregister(m)
 	lt.c.Log.Info("machine terminated", "machine", m.Name, "reason", m.Reason)
 }
 
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -24,8 +24,8 @@
 			tn.t.Error("the leader has stepped down")
 			return
 		}
-		rw := &lt.recordWriter
-		pending := len(rw.finishing) + len(rw.pendingDeletes) + len(rw.dirtyJobs) + len(rw.outcomeUnknown)
+		backlog := lt.recordWriter.Backlog()
+		pending := backlog.Finishing + backlog.Deletes + backlog.Completions + backlog.Unresolved
 		p.jobs = max(p.jobs, len(lt.jobs))
 		p.pendingRecords = max(p.pendingRecords, pending)
 	})
--- a/internal/controller/registry.go
+++ b/internal/controller/registry.go
@@ -16,23 +16,23 @@
 // shardFrameBytes is what a shard takes beside its entries.
 const shardFrameBytes = 32
 
-func (rw *recordWriter) newShard(members []*cluster.Machine) *cluster.Shard {
-	rw.shardCount++
+func (w *Writer) newShard(members []*cluster.Machine) *cluster.Shard {
+	w.shardCount++
 	return &cluster.Shard{
-		Key:      fmt.Sprintf("%s%d-%d", records.MachinePrefix, rw.leaderTerm.term.Number, rw.shardCount),
+		Key:      fmt.Sprintf("%s%d-%d", records.MachinePrefix, w.termNumber, w.shardCount),
 		Machines: slices.Clone(members),
 	}
 }
 
 // shardPrefix is how many of the first machines a new shard holds, and its size.
-func (rw *recordWriter) shardPrefix(members []*cluster.Machine) (n, size int) {
+func (w *Writer) shardPrefix(members []*cluster.Machine) (n, size int) {
 	size = shardFrameBytes
-	for n < min(rw.machinesPerShard, len(members)) {
+	for n < min(w.machinesPerShard, len(members)) {
 		raw, err := json.Marshal(members[n].RegistryEntry())
 		if err != nil {
 			panic(err) // records hold only plain values
 		}
-		if size+len(raw)+1 > rw.maxShardBytes {
+		if size+len(raw)+1 > w.maxShardBytes {
 			break
 		}
 		n, size = n+1, size+len(raw)+1
@@ -41,7 +41,7 @@
 }
 
 // addShard adds a shard to a batch.
-func (b *batch) addShard(s *cluster.Shard) {
+func (b *Batch) addShard(s *cluster.Shard) {
 	var rec records.RegistryShardRecord
 	for _, m := range s.Machines {
 		rec.Machines = append(rec.Machines, m.RegistryEntry())
@@ -50,10 +50,10 @@
 	b.shards = append(b.shards, s)
 }
 
-// deregister removes a terminated machine. Its shard is deleted with the last of
+// Deregister removes a terminated machine. Its shard is deleted with the last of
 // its machines, and otherwise rewritten at low priority: an entry too many costs
 // the next leader a resync, one too few could run a task twice.
-func (rw *recordWriter) deregister(m *cluster.Machine) {
+func (w *Writer) Deregister(m *cluster.Machine) {
 	s := m.Shard
 	if s == nil {
 		return
@@ -61,11 +61,16 @@
 	m.Shard = nil
 	s.Machines = slices.DeleteFunc(s.Machines, func(o *cluster.Machine) bool { return o == m })
 	if !s.Stale {
-		s.Stale = true
-		rw.staleShards = append(rw.staleShards, s)
+		w.MarkStale(s)
 	}
 }
 
+// MarkStale queues a shard that names terminated machines, and is not queued yet, to be rewritten.
+func (w *Writer) MarkStale(s *cluster.Shard) {
+	s.Stale = true
+	w.staleShards = append(w.staleShards, s)
+}
+
 // rewriteInterval keeps the rewriting of stale shards behind other records.
 const rewriteInterval = time.Second
 
@@ -73,29 +78,29 @@
 // those without any. A shard written under larger limits may hold more machines than
 // a new one: it then stays until all of them are on new ones, one after the other.
 // Wherever this is interrupted, each machine is on one of them.
-func (rw *recordWriter) rewriteStale(b *batch, allowed int, now time.Time) {
-	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(s *cluster.Shard) bool {
-		if len(s.Machines) > 0 || len(b.txn.Ops) >= allowed {
+func (w *Writer) rewriteStale(b *Batch, allowed int, now time.Time) {
+	w.staleShards = slices.DeleteFunc(w.staleShards, func(s *cluster.Shard) bool {
+		if len(s.Machines) > 0 || len(b.Txn.Ops) >= allowed {
 			return false
 		}
 		b.addShardDeletes(s, allowed)
 		return true
 	})
-	if len(rw.staleShards) == 0 || now.Before(rw.nextRewrite) || len(b.txn.Ops)+2 > allowed || b.bytes >= rw.maxBytes {
+	if len(w.staleShards) == 0 || now.Before(w.nextRewrite) || len(b.Txn.Ops)+2 > allowed || b.Bytes >= w.maxBytes {
 		return
 	}
-	s := rw.staleShards[0]
-	n, size := rw.shardPrefix(s.Machines)
+	s := w.staleShards[0]
+	n, size := w.shardPrefix(s.Machines)
 	if n == 0 {
-		rw.keepStale(s)
+		b.Unfit.Shards = append(b.Unfit.Shards, w.keepStale(s))
 		return
 	}
-	if len(b.txn.Ops) > 0 && b.bytes+size > rw.maxBytes {
+	if len(b.Txn.Ops) > 0 && b.Bytes+size > w.maxBytes {
 		return
 	}
-	rw.nextRewrite = now.Add(rewriteInterval)
-	rw.staleShards = rw.staleShards[1:]
-	next := rw.newShard(s.Machines[:n])
+	w.nextRewrite = now.Add(rewriteInterval)
+	w.staleShards = w.staleShards[1:]
+	next := w.newShard(s.Machines[:n])
 	next.Replaces = s
 	b.addShard(next)
 	if next.Partial = n < len(s.Machines); !next.Partial {
@@ -104,19 +109,19 @@
 }
 
 // keepStale leaves a shard that no new one can replace as it is, until another of
-// its machines is terminated.
-func (rw *recordWriter) keepStale(s *cluster.Shard) {
-	rw.leaderTerm.c.Log.Error("registry shard cannot be rewritten", "key", s.Key)
+// its machines is terminated. It returns the shard's key.
+func (w *Writer) keepStale(s *cluster.Shard) string {
 	s.Stale = false
-	rw.staleShards = slices.DeleteFunc(rw.staleShards, func(o *cluster.Shard) bool { return o == s })
+	w.staleShards = slices.DeleteFunc(w.staleShards, func(o *cluster.Shard) bool { return o == s })
+	return s.Key
 }
 
 // addShardDeletes deletes a shard, and with it those that may have been written in its
 // place. Of the latter, those beyond the allowed operations stay in the store.
-func (b *batch) addShardDeletes(s *cluster.Shard, allowed int) {
+func (b *Batch) addShardDeletes(s *cluster.Shard, allowed int) {
 	b.addDelete(s.Key)
 	for _, key := range s.PossiblyWritten {
-		if len(b.txn.Ops) < allowed {
+		if len(b.Txn.Ops) < allowed {
 			b.addDelete(key)
 		}
 	}
@@ -125,39 +130,38 @@
 
 // requeueShards queues the shards of a batch that was not applied, or whose outcome is
 // unknown.
-func (rw *recordWriter) requeueShards(b *batch) {
+func (w *Writer) requeueShards(b *Batch) {
 	for _, s := range b.shards {
 		if s.Replaces != nil {
 			s.Replaces.PossiblyWritten = append(s.Replaces.PossiblyWritten, s.Key)
 			if s.Partial {
-				rw.staleShards = append(rw.staleShards, s.Replaces)
+				w.staleShards = append(w.staleShards, s.Replaces)
 			}
 			continue
 		}
 		// No task was started on these machines yet, so the record can be deleted in
 		// case it was written, and they are registered anew.
-		rw.pendingDeletes = append(rw.pendingDeletes, s.Key)
-		rw.registering = append(rw.registering, s.Machines...)
+		w.pendingDeletes = append(w.pendingDeletes, s.Key)
+		w.registering = append(w.registering, s.Machines...)
 	}
-	rw.staleShards = append(rw.staleShards, b.replaced...)
+	w.staleShards = append(w.staleShards, b.replaced...)
 }
 
 // shardsWritten marks the machines of a written batch's shards as registered.
-func (rw *recordWriter) shardsWritten(b *batch) {
+func (w *Writer) shardsWritten(b *Batch) {
 	for _, s := range b.shards {
 		if old := s.Replaces; s.Partial {
 			old.Machines = slices.DeleteFunc(old.Machines, func(m *cluster.Machine) bool {
 				return slices.Contains(s.Machines, m)
 			})
-			rw.staleShards = append(rw.staleShards, old)
+			w.staleShards = append(w.staleShards, old)
 		}
 		s.Replaces, s.Partial = nil, false
 		for _, m := range slices.Clone(s.Machines) {
 			m.Registration, m.Shard = cluster.Registered, s
 			if m.Phase() == cluster.Terminated {
-				rw.deregister(m)
+				w.Deregister(m)
 			}
 		}
-		rw.leaderTerm.dispatchUntil = time.Now().Add(dispatchWindow)
 	}
 }
--- a/internal/controller/registry_test.go
+++ b/internal/controller/registry_test.go
@@ -141,16 +141,16 @@
 		a := w.start("n0")
 		w.worker("i-1", "a", false).serve(a, 3)
 		a.inspect(func(c *Controller) {
-			rec := &c.leaderTerm.recordWriter
+			rec := c.leaderTerm.recordWriter
 			old := c.leaderTerm.machines["i-1"].Shard
 			next := rec.newShard(old.Machines)
 			next.Replaces, old.Stale = old, true
-			rec.requeueShards(&batch{shards: []*cluster.Shard{next}, replaced: []*cluster.Shard{old}})
+			rec.requeueShards(&Batch{shards: []*cluster.Shard{next}, replaced: []*cluster.Shard{old}})
 			w.checkEqual("dropped by themselves", len(rec.pendingDeletes), 0)
-			b := &batch{}
+			b := &Batch{}
 			rec.rewriteStale(b, 10, time.Now())
-			w.checkEqual("put", b.txn.Ops[0].Put != "" && b.txn.Ops[0].Put != next.Key, true)
-			w.checkEqual("dropped with it", []string{b.txn.Ops[1].Delete, b.txn.Ops[2].Delete}, []string{old.Key, next.Key})
+			w.checkEqual("put", b.Txn.Ops[0].Put != "" && b.Txn.Ops[0].Put != next.Key, true)
+			w.checkEqual("dropped with it", []string{b.Txn.Ops[1].Delete, b.Txn.Ops[2].Delete}, []string{old.Key, next.Key})
 		})
 	})
 }
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -167,8 +167,7 @@
 		lt.unfencedGPUs += m.GPUs
 	}
 	if len(s.Machines) < len(rec.Machines) {
-		s.Stale = true
-		lt.recordWriter.staleShards = append(lt.recordWriter.staleShards, s)
+		lt.recordWriter.MarkStale(s)
 	}
 }
 
@@ -181,7 +180,7 @@
 	}
 	j := lt.jobs[id]
 	if j == nil {
-		lt.recordWriter.deleteKey(e.Key)
+		lt.recordWriter.DeleteKey(e.Key)
 		return
 	}
 	var rec records.CompletionRecord
