--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -14,6 +14,7 @@
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/leasequorum"
 	"example.org/ivytrestle/internal/queue"
+	"example.org/ivytrestle/internal/recordwriter"
 )
 
 // leaderTerm is all state of a leader in one term. It is dropped as a whole when the term ends,
@@ -65,7 +66,7 @@
 	quorumRequired bool
 	quorumLostAt   time.Time
 	downlink       relayDownlink
-	recordWriter   *Writer
+	recordWriter   *recordwriter.Writer
 	autoscaler     autoscaler
 	counts         counters
 	// dispatchUntil is until when the leader searches for free machines that direct commands
@@ -140,7 +141,7 @@
 		maxDials:         maxConcurrentDials(c.Settings.Site.Limits.FDLimit),
 	}
 	lt.readIndex.leaderTerm = lt
-	lt.recordWriter = NewWriter(c.Settings.Site.State, lt.termCompare(), term.Number)
+	lt.recordWriter = recordwriter.New(c.Settings.Site.State, lt.termCompare(), term.Number)
 	lt.dependencies.init(lt)
 	lt.dependencyLists.leaderTerm = lt
 	lt.loans.init(lt)
--- a/internal/controller/recordwrites.go
+++ b/internal/controller/recordwrites.go
@@ -10,6 +10,7 @@
 	"example.org/ivytrestle/internal/cluster"
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/records"
+	"example.org/ivytrestle/internal/recordwriter"
 )
 
 const (
@@ -42,7 +43,7 @@
 // batchWrittenMsg is the result of a batch's transaction, sent at sent.
 type batchWrittenMsg struct {
 	leaderTerm *leaderTerm
-	batch      *Batch
+	batch      *recordwriter.Batch
 	sent       time.Time
 	result     kv.Result
 	err        error
@@ -70,7 +71,7 @@
 }
 
 // applyOutcome updates the jobs and machines that a batch is about.
-func (lt *leaderTerm) applyOutcome(out Outcome) {
+func (lt *leaderTerm) applyOutcome(out recordwriter.Outcome) {
 	for _, j := range out.Finished {
 		lt.jobFinished(j)
 	}
@@ -95,7 +96,7 @@
 
 // rejectUnfit evacuates the machines whose entry no shard can hold: the next leader would not know
 // of them, so they are never given a task.
-func (lt *leaderTerm) rejectUnfit(unfit Unfit) {
+func (lt *leaderTerm) rejectUnfit(unfit recordwriter.Unfit) {
 	for _, m := range unfit.Machines {
 		lt.c.Log.Error("machine's entry too large for the registry", "machine", m.Name)
 		lt.evacuate(m, "does not fit the roster")
--- a/internal/controller/registry_test.go
+++ b/internal/controller/registry_test.go
@@ -133,24 +133,3 @@
 		w.checkEqual("machines left", len(ks) > 0, true)
 	})
 }
-
-// A shard that may have taken another's place may be all that is left of it: it
-// goes only in the transaction that writes the next.
-func TestShardPerhapsWritten(t *testing.T) {
-	simulate(t, func(w *simulatedCluster) {
-		a := w.start("n0")
-		w.worker("i-1", "a", false).serve(a, 3)
-		a.inspect(func(c *Controller) {
-			rec := c.leaderTerm.recordWriter
-			old := c.leaderTerm.machines["i-1"].Shard
-			next := rec.newShard(old.Machines)
-			next.Replaces, old.Stale = old, true
-			rec.requeueShards(&Batch{shards: []*cluster.Shard{next}, replaced: []*cluster.Shard{old}})
-			w.checkEqual("dropped by themselves", len(rec.pendingDeletes), 0)
-			b := &Batch{}
-			rec.rewriteStale(b, 10, time.Now())
-			w.checkEqual("put", b.Txn.Ops[0].Put != "" && b.Txn.Ops[0].Put != next.Key, true)
-			w.checkEqual("dropped with it", []string{b.Txn.Ops[1].Delete, b.Txn.Ops[2].Delete}, []string{old.Key, next.Key})
-		})
-	})
-}
--- a/internal/controller/completion.go
+++ b/internal/recordwriter/completion.go
@@ -1,4 +1,4 @@
-package controller
+package recordwriter
 
 import (
 	"example.org/ivytrestle/internal/cluster"
--- /dev/null
+++ b/internal/recordwriter/registry_test.go
@@ -0,0 +1,224 @@
+package recordwriter
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"example.org/ivytrestle/internal/cluster"
+	"example.org/ivytrestle/internal/config"
+	"example.org/ivytrestle/internal/kv"
+	"example.org/ivytrestle/internal/records"
+)
+
+// A shard that may have replaced another may be the only one that names its machines: it is deleted
+// only in the transaction that writes the next.
+func TestShardWithUnknownOutcomeIsDeletedWithItsSuccessor(t *testing.T) {
+	w, now := newWriter(defaultLimits), start
+	m := &cluster.Machine{Name: "i-1"}
+	w.Register(m)
+	apply(t, w, w.NextBatch(now, nil), now)
+	old := m.Shard
+	if old == nil || m.Registration != cluster.Registered {
+		t.Fatalf("after the write the machine has registration %v and shard %v", m.Registration, old)
+	}
+	next := w.newShard(old.Machines)
+	next.Replaces, old.Stale = old, true
+	w.requeueShards(&Batch{shards: []*cluster.Shard{next}, replaced: []*cluster.Shard{old}})
+	checkEqual(t, "deleted by themselves", len(w.pendingDeletes), 0)
+	b := &Batch{}
+	w.rewriteStale(b, 10, now)
+	checkEqual(t, "put under a new key", b.Txn.Ops[0].Put != "" && b.Txn.Ops[0].Put != next.Key, true)
+	deleted := []string{b.Txn.Ops[1].Delete, b.Txn.Ops[2].Delete}
+	checkEqual(t, "deleted with it", deleted, []string{old.Key, next.Key})
+}
+
+func TestMachineThatFitsInNoShardIsRejected(t *testing.T) {
+	w := newWriter(config.KVLimits{WriteRPS: 100, TxnOps: 20, ValueKB: 1})
+	small := &cluster.Machine{Name: "small"}
+	large := &cluster.Machine{Name: "large", Addr: strings.Repeat("x", 2000)}
+	w.Register(large)
+	w.Register(small)
+	b := w.NextBatch(start, nil)
+	checkEqual(t, "unfit", b.Unfit.Machines, []*cluster.Machine{large})
+	apply(t, w, b, start)
+	checkEqual(t, "registered", small.Registration, cluster.Registered)
+	checkEqual(t, "large one registered", large.Registration, cluster.Unregistered)
+	checkEqual(t, "queued", w.Backlog(), Backlog{})
+}
+
+// A shard that no new one can replace stays, with a terminated machine on it, until the next of its
+// machines is terminated.
+func TestShardThatCannotBeRewrittenStays(t *testing.T) {
+	w, now := newWriter(defaultLimits), start
+	machines := []*cluster.Machine{{Name: "i-0", Addr: strings.Repeat("x", 2000)}, {Name: "i-1"}, {Name: "i-2"}}
+	for _, m := range machines {
+		w.Register(m)
+	}
+	apply(t, w, w.NextBatch(now, nil), now)
+	shard := machines[0].Shard
+	w.maxShardBytes = 1000 // the store's limits were lowered
+	for _, m := range machines[1:] {
+		now = now.Add(time.Minute)
+		m.Advance(cluster.Terminated)
+		w.Deregister(m)
+		checkEqual(t, "stale", shard.Stale, true)
+		b := w.NextBatch(now, nil)
+		checkEqual(t, "unfit", b.Unfit.Shards, []string{shard.Key})
+		checkEqual(t, "empty", b.IsEmpty(), true)
+		checkEqual(t, "stale after the try", shard.Stale, false)
+	}
+	machines[0].Advance(cluster.Terminated)
+	w.Deregister(machines[0])
+	b := w.NextBatch(now.Add(time.Minute), nil)
+	checkEqual(t, "deleted with its last machine", b.Txn.Ops, []kv.Op{{Delete: shard.Key}})
+}
+
+// registryModel is a store, and a writer whose transactions it may apply without a response, or
+// late.
+type registryModel struct {
+	t       *testing.T
+	rnd     *rand.Rand
+	w       *Writer
+	now     time.Time
+	store   map[string]map[string]bool // machines by shard
+	delayed []kv.Txn
+	live    []*cluster.Machine
+	names   int
+}
+
+func (rm *registryModel) apply(txn kv.Txn) {
+	rm.t.Helper()
+	for _, op := range txn.Ops {
+		if op.Delete != "" {
+			delete(rm.store, op.Delete)
+			continue
+		}
+		var rec records.RegistryShardRecord
+		if err := json.Unmarshal(op.Value.(json.RawMessage), &rec); err != nil {
+			rm.t.Fatal(err)
+		}
+		rm.store[op.Put] = map[string]bool{}
+		for _, m := range rec.Machines {
+			rm.store[op.Put][m.Name] = true
+		}
+	}
+}
+
+// write has the next batch written, with one of all that may become of it.
+func (rm *registryModel) write(fate int) {
+	rm.t.Helper()
+	if !rm.w.Ready(rm.now) {
+		return
+	}
+	b := rm.w.NextBatch(rm.now, nil)
+	rm.drop(b.Unfit.Machines)
+	if b.IsEmpty() {
+		return
+	}
+	var res kv.Result
+	var err error
+	switch fate {
+	case 0:
+		err = kv.ErrNotApplied
+	case 1:
+		err = kv.ErrOutcomeUnknown
+		rm.apply(b.Txn)
+	case 2:
+		err = kv.ErrOutcomeUnknown
+		rm.delayed = append(rm.delayed, b.Txn)
+	case 3:
+		if err = kv.ErrInvalid; rm.rnd.IntN(10) > 0 {
+			err = kv.ErrOutcomeUnknown // and never applied
+		}
+	default:
+		res.Succeeded = true
+		rm.apply(b.Txn)
+	}
+	out := rm.w.Apply(b, rm.now, res, err)
+	rm.drop(out.Unfit.Machines)
+}
+
+// drop removes machines that no shard can hold.
+func (rm *registryModel) drop(unfit []*cluster.Machine) {
+	rm.live = slices.DeleteFunc(rm.live, func(m *cluster.Machine) bool { return slices.Contains(unfit, m) })
+}
+
+func (rm *registryModel) applyDelayed() {
+	for _, i := range rm.rnd.Perm(len(rm.delayed)) {
+		rm.apply(rm.delayed[i])
+	}
+	rm.delayed = nil
+}
+
+// check fails the test if a machine that may be in use is on no shard.
+func (rm *registryModel) check(step int) {
+	rm.t.Helper()
+	onRecord := map[string]bool{}
+	for _, names := range rm.store {
+		maps.Copy(onRecord, names)
+	}
+	for _, m := range rm.live {
+		if m.Registration == cluster.Registered && !onRecord[m.Name] {
+			rm.t.Fatalf("step %d: machine %s may be in use and no shard names it", step, m.Name)
+		}
+	}
+}
+
+func (rm *registryModel) change() {
+	for range rm.rnd.IntN(4) {
+		rm.names++
+		m := &cluster.Machine{Name: fmt.Sprint("i-", rm.names), Addr: strings.Repeat("x", rm.rnd.IntN(200))}
+		rm.live = append(rm.live, m)
+		rm.w.Register(m)
+	}
+	for len(rm.live) > 40 || len(rm.live) > 0 && rm.rnd.IntN(3) == 0 {
+		i := rm.rnd.IntN(len(rm.live))
+		m := rm.live[i]
+		rm.live = slices.Delete(rm.live, i, i+1)
+		m.Advance(cluster.Terminated)
+		rm.w.Deregister(m)
+	}
+}
+
+// Whatever becomes of the transactions, a machine that may be given tasks is on a shard; and once
+// all of them are applied again, the shards name exactly the machines that are left.
+func TestEveryMachineInUseIsOnRecord(t *testing.T) {
+	for seed := range uint64(30) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			rm := &registryModel{
+				t:     t,
+				rnd:   rand.New(rand.NewPCG(seed, 1)),
+				w:     newWriter(config.KVLimits{WriteRPS: 100, TxnOps: 8, ValueKB: 2}),
+				now:   start,
+				store: map[string]map[string]bool{},
+			}
+			for step := range 400 {
+				rm.now = rm.now.Add(300 * time.Millisecond)
+				rm.change()
+				rm.write(rm.rnd.IntN(8))
+				rm.check(step)
+				if rm.rnd.IntN(5) == 0 {
+					rm.applyDelayed()
+					rm.check(step)
+				}
+			}
+			rm.applyDelayed()
+			for step := range 400 {
+				rm.now = rm.now.Add(300 * time.Millisecond)
+				rm.write(-1)
+				rm.check(400 + step)
+			}
+			checkEqual(t, "queued", rm.w.Backlog(), Backlog{})
+			checkEqual(t, "stale shards", len(rm.w.staleShards), 0)
+			for _, m := range rm.live {
+				checkEqual(t, m.Name+" registered", m.Registration, cluster.Registered)
+			}
+		})
+	}
+}
