--- a/internal/recordwriter/registry_test.go
+++ b/internal/recordwriter/registry_test.go
@@ -79,6 +79,19 @@
 	checkEqual(t, "deleted with its last machine", b.Txn.Ops, []kv.Op{{Delete: shard.Key}})
 }
 
+// A machine that is terminated while the write of its shard is in flight leaves that shard stale.
+func TestMachineTerminatedDuringItsRegistrationIsRemoved(t *testing.T) {
+	w, now := newWriter(defaultLimits), start
+	m := &cluster.Machine{Name: "i-1"}
+	w.Register(m)
+	b := w.NextBatch(now, nil)
+	m.Advance(cluster.Terminated)
+	w.Deregister(m)
+	checkEqual(t, "shards written", apply(t, w, b, now).ShardsWritten, true)
+	again := w.NextBatch(now, nil)
+	checkEqual(t, "operations", again.Txn.Ops, []kv.Op{{Delete: b.Txn.Ops[0].Put}})
+}
+
 // registryModel is a store, and a writer whose transactions it may apply without a response, or
 // late.
 type registryModel struct {
