--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -131,7 +131,7 @@
 	}
 	m.Registration = cluster.Registering
 	m.Fenced = true
-	lt.recordWriter.register(m)
+	lt.recordWriter.Register(m)
 }
 
 // checkApplied checks whether a heartbeat shows that any command of the last response was
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -15,6 +15,7 @@
 	"example.org/ivytrestle/internal/kv"
 	"example.org/ivytrestle/internal/leasequorum"
 	"example.org/ivytrestle/internal/queue"
+	"example.org/ivytrestle/internal/recordwriter"
 )
 
 // leaderTerm is all state of a leader in one term. It is dropped as a whole when the term ends,
@@ -66,7 +67,7 @@
 	quorumRequired bool
 	quorumLostAt   time.Time
 	downlink       relayDownlink
-	recordWriter   recordWriter
+	recordWriter   *recordwriter.Writer
 	autoscaler     *autoscaler.Autoscaler
 	counts         counters
 	// dispatchUntil is until when the leader searches for free machines that direct commands
@@ -139,7 +140,7 @@
 		CanResync: c.CommandSender != nil,
 	})
 	lt.readIndex.leaderTerm = lt
-	lt.recordWriter.init(lt)
+	lt.recordWriter = recordwriter.New(c.Settings.Site.State, lt.termCompare(), term.Number)
 	lt.dependencies.init(lt)
 	lt.dependencyLists.leaderTerm = lt
 	lt.loans.init(lt)
@@ -249,7 +250,7 @@
 		return
 	}
 	lt.readIndex.startRound()
-	lt.recordWriter.writeBatch(now)
+	lt.writeRecords(now)
 	lt.checkLeaseQuorum(now)
 	if lt.hasEnded() {
 		return
