--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -98,7 +98,7 @@
 
 func (m launchedMsg) apply(c *Controller) {
 	lt := m.leaderTerm
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	now := time.Now()
@@ -141,7 +141,7 @@
 
 func (m terminatedMsg) apply(c *Controller) {
 	lt := m.leaderTerm
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	if m.err != nil {
@@ -177,7 +177,7 @@
 
 func (m machinesListedMsg) apply(c *Controller) {
 	lt := m.leaderTerm
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	now := time.Now()
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -139,7 +139,7 @@
 }
 
 func (m commandsSentMsg) apply(c *Controller) {
-	if c.leaderTerm != m.leaderTerm {
+	if m.leaderTerm.hasEnded() {
 		return
 	}
 	m.machine.CommandInFlight = false
--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -139,7 +139,7 @@
 	}
 	unreachable := m.unreachableLeader == leader || !mb.IsReachable(now)
 	if response, ok := c.renewOnBehalf(m.heartbeat, leader, unreachable, now); ok {
-		c.uplink.recordHeartbeat(c, m.heartbeat, &response, now)
+		c.uplink.recordHeartbeat(m.heartbeat, &response, now)
 		return heartbeatReply{response: response}
 	}
 	return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -41,7 +41,7 @@
 				Phase:   api.TaskRunning,
 			})
 		}
-		ul.recordHeartbeat(nil, hb, &api.HeartbeatResponse{Term: 3}, now)
+		ul.recordHeartbeat(hb, &api.HeartbeatResponse{Term: 3}, now)
 	}
 	sent := map[string]bool{}
 	rounds := 0
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -61,7 +61,7 @@
 
 func (m probeResultMsg) apply(c *Controller) {
 	lt, machine := m.leaderTerm, m.request.Machine
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	now := time.Now()
--- a/internal/controller/recordwrites.go
+++ b/internal/controller/recordwrites.go
@@ -51,7 +51,7 @@
 
 func (m batchWrittenMsg) apply(c *Controller) {
 	lt := m.leaderTerm
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	now := time.Now()
@@ -166,7 +166,7 @@
 
 func (m outcomeResolvedMsg) apply(c *Controller) {
 	lt := m.leaderTerm
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	lt.recordWriter.Resolved()
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -40,7 +40,7 @@
 			for i := range 2 {
 				response := api.HeartbeatResponse{Term: c.term}
 				hb := &api.Heartbeat{Machine: "i-1", AgentEpoch: c.agentEpoch, Seq: c.seq + uint64(i)}
-				ul.recordHeartbeat(nil, hb, &response, receivedAt.Add(c.after))
+				ul.recordHeartbeat(hb, &response, receivedAt.Add(c.after))
 				want := c.want > 0 && i == 0
 				if got := len(response.Commands) > 0; got != want {
 					t.Errorf("heartbeat %d: got commands handed out %v, want %v", i, got, want)
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -115,9 +115,7 @@
 
 // recordHeartbeat keeps a heartbeat to which this node responds on behalf of the leader, and
 // adds the leader's commands to the response.
-func (ul *relayUplink) recordHeartbeat(
-	_ *Controller, hb *api.Heartbeat, response *api.HeartbeatResponse, now time.Time,
-) {
+func (ul *relayUplink) recordHeartbeat(hb *api.Heartbeat, response *api.HeartbeatResponse, now time.Time) {
 	m := ul.machines[hb.Machine]
 	if m == nil {
 		if len(ul.machines) >= ul.maxMachines {
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -57,7 +57,7 @@
 
 func (m resyncResultMsg) apply(c *Controller) {
 	lt, machine := m.leaderTerm, m.request.Machine
-	if c.leaderTerm != lt {
+	if lt.hasEnded() {
 		return
 	}
 	now := time.Now()
