--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -154,7 +154,7 @@
 		delete(lt.provisioning, name)
 		lt.terminated.Add(name, true)
 		if machine := lt.machines[name]; machine != nil {
-			lt.machineTerminated(machine)
+			lt.removeTerminated(machine)
 		}
 	}
 	lt.sendTermination(lt.autoscaler.NextTermination())
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -42,7 +42,7 @@
 	// A node that was paused lately may be so again, and then finds that the timeout has passed
 	// before it could read the response: the machine would be terminated for nothing.
 	slowDirectTimeout = 5 * time.Second
-	recentPause       = 15 * time.Second
+	recentPauseWindow = 15 * time.Second
 	// maxDirectFailures is how many command batches in a row may fail, and directBackoff for how
 	// long none are sent then: the leader may have lost the connection to all machines, and
 	// each batch keeps its tasks pending for a while, and its machine for longer.
@@ -65,7 +65,7 @@
 	}
 	var candidates []*cluster.Machine
 	for _, m := range lt.machines {
-		if lt.acceptsDirect(m, now) {
+		if lt.acceptsDirectCommands(m, now) {
 			candidates = append(candidates, m)
 		}
 	}
@@ -87,9 +87,9 @@
 	}
 }
 
-// acceptsDirect tells whether starts may be sent to a machine directly: it has free capacity, and
+// acceptsDirectCommands tells whether starts may be sent to a machine directly: it has free capacity, and
 // nothing suggests that this node does not reach it.
-func (lt *leaderTerm) acceptsDirect(m *cluster.Machine, now time.Time) bool {
+func (lt *leaderTerm) acceptsDirectCommands(m *cluster.Machine, now time.Time) bool {
 	return m.IsSchedulable(now) && m.FreeCPUs() > cluster.Epsilon &&
 		!m.CommandInFlight && !m.LastForwarded && m.UnappliedResponses == 0 && m.Addr != "" &&
 		now.Sub(m.LastHeartbeat) <= lt.detector.HeartbeatTimeout()
@@ -117,14 +117,14 @@
 	lt.commandsInFlight++
 	addr, req := m.Addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.AgentEpoch, Commands: commands}
 	timeout := directTimeout
-	if now := time.Now(); !lt.detector.NotPausedSince(now.Add(-recentPause), now) {
+	if now := time.Now(); !lt.detector.NotPausedSince(now.Add(-recentPauseWindow), now) {
 		timeout = slowDirectTimeout
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, timeout)
 		defer cancel()
 		seq, err := lt.c.CommandSender.SendCommands(ctx, addr, req)
-		lt.sendToOwner(commandsSentMsg{leaderTerm: lt, machine: m, batch: batch, seq: seq, err: err})
+		lt.sendToOwner(commandsSentMsg{leaderTerm: lt, machine: m, attempts: batch, seq: seq, err: err})
 	}()
 }
 
@@ -132,7 +132,7 @@
 type commandsSentMsg struct {
 	leaderTerm *leaderTerm
 	machine    *cluster.Machine
-	batch      []*cluster.Attempt
+	attempts   []*cluster.Attempt
 	// seq is the first heartbeat that must show the attempts.
 	seq uint64
 	err error
@@ -152,7 +152,7 @@
 	if m.machine.Phase() == cluster.Terminated {
 		return
 	}
-	for _, a := range m.batch {
+	for _, a := range m.attempts {
 		a.Direct.InFlight = false
 		switch {
 		case m.err == nil:
@@ -163,20 +163,20 @@
 			}
 		case m.machine.AgentEpoch == a.Direct.AgentEpoch:
 			a.Direct.OutcomeUnknown = true
-			m.leaderTerm.evacuate(m.machine, reasonUnanswered)
+			m.leaderTerm.evacuate(m.machine, reasonOutcomeUnknown)
 			if a.Job.Ended {
 				m.leaderTerm.terminateIfOutcomeUnknown(a)
 			}
 		}
 	}
 	if m.err != nil {
-		c.Log.Debug("command batch failed", "machine", m.machine.Name, "count", len(m.batch), "err", m.err)
+		c.Log.Debug("command batch failed", "machine", m.machine.Name, "count", len(m.attempts), "err", m.err)
 		m.machine.CordonedUntil = time.Now().Add(c.Settings.Site.Workers.HeartbeatInterval())
 	}
 }
 
-// reasonUnanswered is why a machine is evacuated on which a start may still be applied.
-const reasonUnanswered = "order unanswered"
+// reasonOutcomeUnknown is why a machine is evacuated on which a start may still be applied.
+const reasonOutcomeUnknown = "order unanswered"
 
 // terminateIfOutcomeUnknown terminates a machine on which a task of a job that has ended might
 // still start: nothing else prevents that in time.
@@ -184,7 +184,7 @@
 	m := a.Machine
 	startMayApply := a.Direct != nil && a.Direct.OutcomeUnknown && a.LastSeenHeartbeat == 0
 	if startMayApply && m.Phase() < cluster.Terminating {
-		lt.evacuate(m, reasonUnanswered)
+		lt.evacuate(m, reasonOutcomeUnknown)
 		lt.scaleIn(m)
 	}
 }
--- a/internal/controller/directcommands_test.go
+++ b/internal/controller/directcommands_test.go
@@ -12,11 +12,11 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// deliveryMode says what becomes of the command batches of a fakeCommandSender.
-type deliveryMode int
+// batchMode says what becomes of the command batches of a fakeCommandSender.
+type batchMode int
 
 const (
-	deliverBatches deliveryMode = iota
+	deliverBatches batchMode = iota
 	rejectBatches
 	delayBatches // until applyDelayed; their outcome is unknown to the sender
 )
@@ -25,7 +25,7 @@
 type fakeCommandSender struct {
 	mu       sync.Mutex
 	machines map[string]*worker
-	mode     deliveryMode
+	mode     batchMode
 	delayed  []func() uint64
 	sent     int // batches since takeSentCount
 }
@@ -84,7 +84,7 @@
 	return &hb, nil
 }
 
-func (s *fakeCommandSender) setMode(mode deliveryMode) {
+func (s *fakeCommandSender) setMode(mode batchMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = mode
@@ -133,8 +133,8 @@
 	return n, sender, ks
 }
 
-// fleet adds machines that a sender reaches, without a heartbeat yet.
-func (w *simulatedCluster) fleet(sender *fakeCommandSender, machines int) []*worker {
+// newFleet adds machines that a sender reaches, without a heartbeat yet.
+func (w *simulatedCluster) newFleet(sender *fakeCommandSender, machines int) []*worker {
 	ks := make([]*worker, machines)
 	for i := range ks {
 		ks[i] = w.worker(fmt.Sprintf("i-%04d", i), "a", false)
@@ -187,7 +187,7 @@
 func TestCommandOfUnknownOutcomeReservesItsTask(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n, sender, ks := w.startWithSlowHeartbeats(2)
-		busy, other := fillOneOfTwo(w, n, ks)
+		busy, other := fillOneMachine(w, n, ks)
 		w.cloud.rejectTerminate = true
 		sender.setMode(delayBatches)
 		w.submit(n, spec("job-2", 1))
@@ -220,8 +220,8 @@
 	})
 }
 
-// fillOneOfTwo fills one of two machines with tasks of job-1.
-func fillOneOfTwo(w *simulatedCluster, n *node, ks []*worker) (busy, other *worker) {
+// fillOneMachine fills one of two machines with tasks of job-1.
+func fillOneMachine(w *simulatedCluster, n *node, ks []*worker) (busy, other *worker) {
 	w.t.Helper()
 	s := spec("job-1", 4)
 	s.Zone = "a"
@@ -457,11 +457,11 @@
 		sender := w.useFakeCommandSender()
 		first := w.start("n0")
 		w.submit(first, spec("job-1", 5000))
-		ks := w.fleet(sender, machines)
+		ks := w.newFleet(sender, machines)
 		for range 4 {
-			heartbeatsRunningOnce(w, first, ks, sender.machines)
+			heartbeatAndCountTasks(w, first, ks, sender.machines)
 		}
-		w.checkEqual("running", heartbeatsRunningOnce(w, first, ks, sender.machines), 4*machines)
+		w.checkEqual("running", heartbeatAndCountTasks(w, first, ks, sender.machines), 4*machines)
 		first.crash()
 		for _, k := range ks[:dead] {
 			w.dead.Store(k.status.Machine, true)
@@ -475,18 +475,18 @@
 		})
 		live := ks[dead:]
 		for range 6 {
-			heartbeatsRunningOnce(w, third, live, sender.machines)
+			heartbeatAndCountTasks(w, third, live, sender.machines)
 		}
 		third.inspect(func(c *Controller) { w.checkEqual("unfenced", c.leaderTerm.unfenced, 0) })
 		w.checkEqual("terminated", len(w.cloud.terminatedNames), dead)
-		running := heartbeatsRunningOnce(w, third, live, sender.machines)
+		running := heartbeatAndCountTasks(w, third, live, sender.machines)
 		w.checkEqual("running after the takeover", running, 4*(machines-dead))
 	})
 }
 
-// heartbeatsRunningOnce sends a heartbeat from each of ks, and checks a second later that no task
+// heartbeatAndCountTasks sends a heartbeat from each of ks, and checks a second later that no task
 // runs twice on those of all machines that are not terminated. It returns how many run.
-func heartbeatsRunningOnce(w *simulatedCluster, n *node, ks []*worker, all map[string]*worker) int {
+func heartbeatAndCountTasks(w *simulatedCluster, n *node, ks []*worker, all map[string]*worker) int {
 	w.t.Helper()
 	for _, k := range ks {
 		k.heartbeat(n)
@@ -517,7 +517,7 @@
 		sender := w.useFakeCommandSender()
 		n := w.start("n0")
 		w.submit(n, spec("job-1", machines))
-		ks := w.fleet(sender, machines)
+		ks := w.newFleet(sender, machines)
 		for range 4 { // heartbeats spread over 5 s
 			for _, k := range ks {
 				k.heartbeat(n)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -83,7 +83,7 @@
 	if m.UnappliedResponses == 0 {
 		m.ProbeFails = 0
 	}
-	lt.registerUnregistered(m)
+	lt.ensureRegistered(m)
 	if hb.Term == lt.term.Number {
 		lt.markFenced(m)
 		if origin == agentInitiated {
@@ -123,9 +123,9 @@
 	}
 }
 
-// registerUnregistered has a machine added to the registry if it is not in it. No earlier
+// ensureRegistered has a machine added to the registry if it is not in it. No earlier
 // leader has started anything there, so it counts as fenced.
-func (lt *leaderTerm) registerUnregistered(m *cluster.Machine) {
+func (lt *leaderTerm) ensureRegistered(m *cluster.Machine) {
 	if m.Registration != cluster.Unregistered || m.CPUs <= 0 || m.Phase() != cluster.Active {
 		return
 	}
@@ -134,9 +134,9 @@
 	lt.recordWriter.Register(m)
 }
 
-// checkApplied checks whether a heartbeat shows that any command of the last response was
+// checkCommandsApplied checks whether a heartbeat shows that any command of the last response was
 // applied.
-func (lt *leaderTerm) checkApplied(m *cluster.Machine, now time.Time) {
+func (lt *leaderTerm) checkCommandsApplied(m *cluster.Machine, now time.Time) {
 	if !lt.detector.CheckApplied(m, now, time.Now()) {
 		lt.c.Log.Debug("commands not applied", "machine", m.Name,
 			"count", len(m.LastCommands), "responses", m.UnappliedResponses)
@@ -186,13 +186,13 @@
 	// would otherwise run cancelled tasks on, while its task lease is renewed.
 	reaps := lt.applyTaskStatuses(m, hb, now)
 	if origin == agentInitiated {
-		lt.checkApplied(m, now)
+		lt.checkCommandsApplied(m, now)
 	}
 	for key, a := range m.Attempts {
 		if a.LastSeenHeartbeat != m.HeartbeatCount {
 			startInFlight := a.MayStillStart(hb) || (origin == solicited && a.StartInFlight(hb))
 			if !startInFlight {
-				lt.removeMissing(a)
+				lt.removeMissingAttempt(a)
 			}
 			continue
 		}
@@ -230,9 +230,9 @@
 	return reaps
 }
 
-// removeMissing removes an attempt that a newer heartbeat does not name, which shows that it is
+// removeMissingAttempt removes an attempt that a newer heartbeat does not name, which shows that it is
 // off the machine: reaped, killed with its agent epoch, or never started.
-func (lt *leaderTerm) removeMissing(a *cluster.Attempt) {
+func (lt *leaderTerm) removeMissingAttempt(a *cluster.Attempt) {
 	if !a.Exited && !a.ExitHandled && a.Phase == "" {
 		lt.c.Log.Debug("start not applied", "machine", a.Machine.Name, "task", a.Key.Ref, "attempt", a.Key.ID)
 	}
--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -53,10 +53,10 @@
 	return r, r.err
 }
 
-// heartbeatMaxAge is how long a heartbeat may wait for the owner and still be answered before its
+// maxHeartbeatQueueTime is how long a heartbeat may wait for the owner and still be answered before its
 // agent times out. After that the commands of the response would be lost, and never count as
 // applied. So the heartbeat is not handled at all: the next one is more recent.
-const heartbeatMaxAge = 3 * time.Second
+const maxHeartbeatQueueTime = 3 * time.Second
 
 // heartbeatReply is the owner's reply to a heartbeat.
 type heartbeatReply struct {
@@ -82,7 +82,7 @@
 func (m heartbeatMsg) apply(c *Controller) {
 	now := time.Now()
 	switch {
-	case now.Sub(m.receivedAt) > heartbeatMaxAge:
+	case now.Sub(m.receivedAt) > maxHeartbeatQueueTime:
 		m.reply <- heartbeatReply{err: api.ErrUnavailable}
 	case c.holdsLease():
 		m.reply <- c.answerAsLeader(m, now)
@@ -95,7 +95,7 @@
 
 // answerAsLeader answers a heartbeat while this node holds the leader lease.
 func (c *Controller) answerAsLeader(m heartbeatMsg, now time.Time) heartbeatReply {
-	if node := c.localNode(m, now); node != "" {
+	if node := c.zoneRedirectTarget(m, now); node != "" {
 		return heartbeatReply{err: &api.NotLeaderError{Leader: node}}
 	}
 	if !c.leaderTerm.mayRenewLeases(now) && m.heartbeat.Term <= c.leaderTerm.term.Number {
@@ -127,12 +127,12 @@
 		// Only the connections between the nodes are refused, or the leader
 		// restarts: the machine may well reach it itself. By now the leader knows,
 		// too, not to redirect it back here.
-		c.recordRedirect(m.heartbeat.Machine, now)
+		c.recordLeaderRetry(m.heartbeat.Machine, now)
 		return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 	}
 	if m.unreachableLeader == "" && mb.IsReachable(now) && mb.Term > 0 {
 		settled := m.heartbeat.Term == mb.Term && now.Sub(mb.TermSeenAt) > c.Settings.Site.Workers.Lease()
-		if c.redirectedBack(m.heartbeat.Machine, leader, mb.Term, settled, now) {
+		if c.forwardAfterRedirect(m.heartbeat.Machine, leader, mb.Term, settled, now) {
 			return heartbeatReply{forwardTo: leader}
 		}
 		return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
@@ -145,12 +145,12 @@
 	return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 }
 
-// localNode returns the node to which a machine should send its heartbeats instead, or "".
+// zoneRedirectTarget returns the node to which a machine should send its heartbeats instead, or "".
 //
 // Machines of another zone than the leader's send heartbeats to a node of their own zone, which
 // forwards them. When the zones are partitioned, that node answers them without a break; to search
 // for it only then, one unreachable node after the other, would take longer than their lease.
-func (c *Controller) localNode(m heartbeatMsg, now time.Time) string {
+func (c *Controller) zoneRedirectTarget(m heartbeatMsg, now time.Time) string {
 	mc := c.leaderTerm.machines[m.heartbeat.Machine]
 	if m.forwarded || m.heartbeat.Zone == c.Settings.Zone || mc == nil || !mc.Fenced || mc.Zone != m.heartbeat.Zone ||
 		m.heartbeat.Term != c.leaderTerm.term.Number || now.Sub(mc.RedirectedAt) < redirectInterval {
@@ -193,11 +193,11 @@
 	forwardUntil time.Time
 }
 
-// redirectedBack reports whether a machine sends its heartbeat here although it was redirected to
+// forwardAfterRedirect reports whether a machine sends its heartbeat here although it was redirected to
 // the leader a moment ago, or must have known the leader for long (settled). It cannot reach the
 // leader, while this node can: its heartbeats are forwarded, or all machines of a leader that is
 // partitioned from them would lose their tasks. After a while the machine is redirected again.
-func (c *Controller) redirectedBack(machine, leader string, term uint64, settled bool, now time.Time) bool {
+func (c *Controller) forwardAfterRedirect(machine, leader string, term uint64, settled bool, now time.Time) bool {
 	last := c.redirects[machine]
 	if last.leader != leader || last.term != term {
 		last = redirect{leader: leader, term: term}
@@ -218,10 +218,10 @@
 	return false
 }
 
-// recordRedirect records that a machine is redirected to a leader that this node cannot reach. A
+// recordLeaderRetry records that a machine is redirected to a leader that this node cannot reach. A
 // machine that returns cannot reach it either, and is not redirected again for a while: the attempt
 // would take longer than its lease.
-func (c *Controller) recordRedirect(machine string, now time.Time) {
+func (c *Controller) recordLeaderRetry(machine string, now time.Time) {
 	if len(c.redirectedAt) >= maxRedirects {
 		clear(c.redirectedAt)
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -30,9 +30,9 @@
 	lt.c.Log.Info("machine evacuating", "machine", m.Name, "type", m.Type, "reason", reason, "count", len(m.Attempts))
 }
 
-// machineTerminated removes a machine whose termination the cloud has confirmed. Only this, or a
+// removeTerminated removes a machine whose termination the cloud has confirmed. Only this, or a
 // newer heartbeat, shows that a task is off its machine.
-func (lt *leaderTerm) machineTerminated(m *cluster.Machine) {
+func (lt *leaderTerm) removeTerminated(m *cluster.Machine) {
 	m.Advance(cluster.Terminated)
 	lt.terminated.Add(m.Name, true)
 	delete(lt.machines, m.Name)
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -54,8 +54,8 @@
 	return cases
 }
 
-// around runs f before a change with a negative offset, and otherwise while the change goes on.
-func (c leaderChangeCase) around(s *checkedCluster, f func()) {
+// runAround runs f before a change with a negative offset, and otherwise while the change goes on.
+func (c leaderChangeCase) runAround(s *checkedCluster, f func()) {
 	if c.offset < 0 {
 		f()
 		time.Sleep(-c.offset)
@@ -67,9 +67,9 @@
 	f()
 }
 
-// deliveryModes are the two ways in which starts reach machines: in heartbeat responses, or in
+// startDeliveries are the two ways in which starts reach machines: in heartbeat responses, or in
 // direct commands since heartbeats are rare.
-var deliveryModes = []struct {
+var startDeliveries = []struct {
 	name     string
 	simulate func(*testing.T, int, func(*checkedCluster))
 }{
@@ -149,7 +149,7 @@
 // neither a machine that the new leader has not fenced nor one that holds tasks of an ended job
 // may be left out of the teams' use.
 func TestTeamLimitsHoldWithUnreachableMachinesAcrossLeaderChanges(t *testing.T) {
-	for _, mode := range deliveryModes {
+	for _, mode := range startDeliveries {
 		t.Run(mode.name, func(t *testing.T) {
 			for _, c := range leaderChangeCases(0, 5*time.Second, 700*time.Millisecond) {
 				t.Run(c.name, func(t *testing.T) {
@@ -168,7 +168,7 @@
 		s.submitJob(5*time.Minute, teamSpec(fmt.Sprint("job-", i), alternatingTeam(i), 2))
 	}
 	time.Sleep(4 * time.Second)
-	c.around(s, func() {
+	c.runAround(s, func() {
 		for i := range cancelled {
 			s.cancel(fmt.Sprint("job-", i))
 			time.Sleep(70 * time.Millisecond)
@@ -186,7 +186,7 @@
 // Jobs are cancelled in the seconds of a leader change: at the former leader, at the next one,
 // and while nobody leads.
 func TestCancellationDuringLeaderChange(t *testing.T) {
-	for _, mode := range deliveryModes {
+	for _, mode := range startDeliveries {
 		t.Run(mode.name, func(t *testing.T) {
 			for _, c := range leaderChangeCases(-2*time.Second, 4*time.Second, 270*time.Millisecond) {
 				t.Run(c.name, func(t *testing.T) {
@@ -226,7 +226,7 @@
 // Nothing may start on a machine before its registration is durable: the next leader would not
 // know that it may hold tasks, and would start them elsewhere.
 func TestNoStartBeforeRegistrationIsDurable(t *testing.T) {
-	for _, mode := range deliveryModes {
+	for _, mode := range startDeliveries {
 		for after := 500 * time.Millisecond; after <= 5*time.Second; after += 500 * time.Millisecond {
 			t.Run(fmt.Sprint(mode.name, " ", after), func(t *testing.T) {
 				mode.simulate(t, 2, func(s *checkedCluster) { s.runDelayedRegistration(after) })
@@ -299,7 +299,7 @@
 	recorded := s.recordHeartbeats()
 	recorded.replay(s)
 	time.Sleep(2 * time.Second)
-	c.around(s, func() { recorded.replay(s) })
+	c.runAround(s, func() { recorded.replay(s) })
 	time.Sleep(10 * time.Second)
 	recorded.replay(s)
 	s.checkEqual("registry", s.registeredMachines(), []string{"i-1", "i-2", "i-3", "i-4"})
@@ -699,7 +699,7 @@
 // agent epoch. Its answers show that: its tasks start elsewhere while the fault lasts, and do not
 // count as running until then.
 func TestMachineWithoutUplinkLosesItsTasks(t *testing.T) {
-	for _, mode := range deliveryModes {
+	for _, mode := range startDeliveries {
 		for offset := time.Duration(0); offset < 3*time.Second; offset += 300 * time.Millisecond {
 			t.Run(fmt.Sprint(mode.name, " ", offset), func(t *testing.T) {
 				mode.simulate(t, 3, func(s *checkedCluster) {
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -77,7 +77,7 @@
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
 		w.submit(n, spec("job-1", 1))
-		pauseEnded := n.blockInBackground(heartbeatMaxAge + 100*time.Millisecond)
+		pauseEnded := n.blockInBackground(maxHeartbeatQueueTime + 100*time.Millisecond)
 		k.status.Seq++
 		hb := k.status
 		_, err := n.Heartbeat(w.t.Context(), &hb)
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -17,12 +17,12 @@
 // probes and command batches. It is a part of the node's sockets: where many machines fail
 // together, each holds one until its request times out, and those that are alive must not queue
 // behind them.
-func maxConcurrentDials(sockets int) int { return min(max(sockets/socketsPerDial, minDials), maxDials) }
+func maxConcurrentDials(sockets int) int { return min(max(sockets/fdsPerDial, minDials), maxDials) }
 
 const (
-	socketsPerDial = 24
-	minDials       = 16
-	maxDials       = 256
+	fdsPerDial = 24
+	minDials   = 16
+	maxDials   = 256
 )
 
 // resyncNext resyncs the machines that are still to be resynced.
