--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -12,16 +12,18 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// Requests to the cloud run in goroutines, which send their outcomes as messages.
+// Requests to the cloud run in goroutines, which send the outcomes as messages to the owner goroutine.
 
-// Limits of requests to the cloud.
 const (
-	cloudTimeout      = 5 * time.Second
+	// cloudTimeout is the time limit of each request to the cloud.
+	cloudTimeout = 5 * time.Second
+	// maxLaunchAttempts is how often a launch request is sent while its outcome is unknown.
 	maxLaunchAttempts = 6
-	maxLaunchBackoff  = 8 * time.Second
+	// maxLaunchBackoff is the longest pause between two of these attempts.
+	maxLaunchBackoff = 8 * time.Second
 )
 
-// fleetView is what the autoscaler reads of the term's state.
+// fleetView returns the part of the term's state that the autoscaler reads.
 func (lt *leaderTerm) fleetView(now time.Time) autoscaler.View {
 	return autoscaler.View{
 		Now:          now,
@@ -34,7 +36,7 @@
 	}
 }
 
-// allTeams are the cell's own teams and those of guests: both have accepted jobs.
+// allTeams returns the cell's own teams and those of guest jobs, since both have accepted jobs.
 func (lt *leaderTerm) allTeams() []*queue.Team[*cluster.Job] {
 	if len(lt.loans.guestFairShareOrder) == 0 {
 		return lt.fairShareOrder
@@ -42,21 +44,21 @@
 	return slices.Concat(lt.fairShareOrder, lt.loans.guestFairShareOrder)
 }
 
-// scaleFleet has the autoscaler decide what is due, and carries it out.
+// scaleFleet runs the autoscaler and executes its commands.
 func (lt *leaderTerm) scaleFleet(now time.Time) {
 	view := lt.fleetView(now)
 	lt.applyScaling(lt.autoscaler.Tick(&view), now)
 }
 
-// applyScaling carries out what the autoscaler has decided.
+// applyScaling executes the commands of the autoscaler.
 func (lt *leaderTerm) applyScaling(commands autoscaler.Commands, now time.Time) {
 	lt.sendTermination(commands.Terminate)
 	if commands.List {
 		go lt.listMachines()
 	}
-	for _, d := range commands.Drained {
-		lt.c.Log.Debug("machine draining", "machine", d.Machine.Name,
-			"count", len(d.Machine.Attempts), "spare", d.SpareCPUs)
+	for _, drained := range commands.Drained {
+		lt.c.Log.Debug("machine draining", "machine", drained.Machine.Name,
+			"count", len(drained.Machine.Attempts), "spare", drained.SpareCPUs)
 	}
 	for _, launch := range commands.Launches {
 		go lt.sendLaunch(launch)
@@ -66,34 +68,35 @@
 	}
 }
 
-// scaleIn has the cloud terminate a machine.
+// scaleIn requests the termination of a machine, or queues it while another such request is in flight.
 func (lt *leaderTerm) scaleIn(m *cluster.Machine) { lt.sendTermination(lt.autoscaler.ScaleIn(m)) }
 
-// sendLaunch sends a launch request until its outcome is known, or maxLaunchAttempts times. The
-// name makes repeats safe.
+// sendLaunch sends a launch request until its outcome is known, at most maxLaunchAttempts times. The
+// request's name makes it idempotent, so that it can be repeated.
 func (lt *leaderTerm) sendLaunch(launch autoscaler.Launch) {
 	backoff := time.Second
 	for range maxLaunchAttempts {
 		ctx, cancel := context.WithTimeout(lt.ctx, cloudTimeout)
-		hosts, err := lt.c.Cloud.Launch(ctx, launch.Request)
+		machines, err := lt.c.Cloud.Launch(ctx, launch.Request)
 		cancel()
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-			lt.sendToOwner(launchedMsg{leaderTerm: lt, launch: launch, machines: hosts})
+			lt.sendToOwner(launchedMsg{leaderTerm: lt, launch: launch, machines: machines})
 			return
 		}
 		lt.c.Log.Debug("launch request failed", "name", launch.Request.Name, "err", err)
 		sleep(lt.ctx, backoff)
 		backoff = min(2*backoff, maxLaunchBackoff)
 	}
-	// If it was applied after all, the list or a heartbeat shows it.
+	// If the request was applied after all, the cloud's list or a heartbeat shows the machines.
 	lt.sendToOwner(launchedMsg{leaderTerm: lt, launch: launch})
 }
 
-// launchedMsg is the outcome of a launch request; without machines if it is not known.
+// launchedMsg carries the outcome of a launch request to the owner goroutine.
 type launchedMsg struct {
 	leaderTerm *leaderTerm
 	launch     autoscaler.Launch
-	machines   []string
+	// machines are the names of the launched machines, none if the outcome is unknown.
+	machines []string
 }
 
 func (m launchedMsg) apply(c *Controller) {
@@ -113,13 +116,13 @@
 		}
 	}
 	if c.holdsLease() {
-		// What is still missing is requested at once.
+		// Capacity that is still missing is requested immediately.
 		view := lt.fleetView(now)
 		lt.applyScaling(lt.autoscaler.ScaleOut(&view), now)
 	}
 }
 
-// sendTermination requests the termination of machines, if there are any.
+// sendTermination requests the termination of machines. Without names it does nothing.
 func (lt *leaderTerm) sendTermination(names []string) {
 	if len(names) == 0 {
 		return
@@ -132,7 +135,7 @@
 	}()
 }
 
-// terminatedMsg is the outcome of a request to terminate machines.
+// terminatedMsg carries the outcome of a request to terminate machines to the owner goroutine.
 type terminatedMsg struct {
 	leaderTerm *leaderTerm
 	names      []string
@@ -145,7 +148,7 @@
 		return
 	}
 	if m.err != nil {
-		c.Log.Debug("machines not terminated", "machines", m.names, "err", m.err)
+		c.Log.Debug("machine termination request failed", "machines", m.names, "err", m.err)
 		lt.autoscaler.TerminationEnded(m.names)
 		return
 	}
@@ -160,15 +163,15 @@
 	lt.sendTermination(lt.autoscaler.NextTermination())
 }
 
-// listMachines reads the cloud's list of machines.
+// listMachines reads the cloud's list of machines and sends a machinesListedMsg.
 func (lt *leaderTerm) listMachines() {
 	ctx, cancel := context.WithTimeout(lt.ctx, cloudTimeout)
 	defer cancel()
-	hosts, err := lt.c.Cloud.List(ctx)
-	lt.sendToOwner(machinesListedMsg{leaderTerm: lt, machines: hosts, err: err})
+	machines, err := lt.c.Cloud.List(ctx)
+	lt.sendToOwner(machinesListedMsg{leaderTerm: lt, machines: machines, err: err})
 }
 
-// machinesListedMsg has the cloud's list of machines.
+// machinesListedMsg carries the cloud's list of machines to the owner goroutine.
 type machinesListedMsg struct {
 	leaderTerm *leaderTerm
 	machines   []cloud.Machine
@@ -183,7 +186,7 @@
 	now := time.Now()
 	lt.autoscaler.ListEnded(now)
 	if m.err != nil {
-		c.Log.Debug("machines not listed", "err", m.err)
+		c.Log.Debug("machine list request failed", "err", m.err)
 		return
 	}
 	for i := range m.machines {
@@ -191,7 +194,8 @@
 	}
 }
 
-// applyListedMachine applies one machine of the cloud's list, which lags behind.
+// applyListedMachine applies one machine of the cloud's list, which may be out of date. It terminates
+// a machine that has failed, or whose first heartbeat is overdue.
 func (lt *leaderTerm) applyListedMachine(listed *cloud.Machine, now time.Time) {
 	if lt.terminated.Contains(listed.Name) {
 		return
@@ -204,13 +208,13 @@
 		}
 		return
 	}
-	mt := lt.c.types.load()[listed.Type]
-	awaited := lt.provisioning[listed.Name]
-	if awaited == nil {
-		awaited = autoscaler.ListedProvisioning(listed, mt, now)
-		lt.provisioning[listed.Name] = awaited
+	machineType := lt.c.types.load()[listed.Type]
+	provisioning := lt.provisioning[listed.Name]
+	if provisioning == nil {
+		provisioning = autoscaler.ListedProvisioning(listed, machineType, now)
+		lt.provisioning[listed.Name] = provisioning
 	}
-	if lt.autoscaler.TerminateOverdue(awaited, listed, mt, now) {
+	if lt.autoscaler.TerminateOverdue(provisioning, listed, machineType, now) {
 		age := time.Duration(listed.AgeS * float64(time.Second))
 		lt.c.Log.Info("machine never sent a heartbeat", "machine", listed.Name,
 			"phase", listed.Phase, "age", age.Round(time.Second))
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -12,45 +12,56 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// CommandSender sends commands to a machine outside heartbeat responses. Its errors are
-// api.ErrCommandsNotApplied and api.ErrCommandsOutcomeUnknown.
+// CommandSender sends commands to a machine outside heartbeat responses. Its methods return
+// api.ErrCommandsNotApplied or api.ErrCommandsOutcomeUnknown on failure.
 type CommandSender interface {
+	// SendCommands sends a batch of commands, and returns the sequence number of the first
+	// heartbeat that must show their attempts.
 	SendCommands(ctx context.Context, addr string, commands *api.CommandBatch) (seq uint64, err error)
-	// Resync raises a machine's fencing token to a term and returns the heartbeat that shows it.
+	// Resync raises a machine's fencing token to a term and returns a heartbeat with that token.
 	Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error)
 }
 
-// Starts are sent directly to machines with free capacity where heartbeats are so rare that
-// waiting for one would cost more than half of what the objectives allow for a start. Nothing
-// else is sent this way, and no start is sent a second time: such a command may be applied
-// minutes late, when a partition heals or a machine resumes, as long as the machine's fencing
-// token and agent epoch are the same. So:
+// Task starts are sent directly to machines with free capacity if the heartbeat interval is so long
+// that waiting for a heartbeat would take more than half of the time that the objectives allow for a
+// start. Other commands are not sent directly, and no start is sent twice. A direct command may be
+// applied minutes late, for example when a partition heals or a machine resumes, as long as the
+// machine's fencing token and agent epoch have not changed. Therefore:
 //
-//   - Until it is acknowledged the attempt stays on the machine, whatever heartbeats show, and so
-//     it does if the outcome stays unknown. Only a new agent epoch or the machine's termination
-//     frees it then, or a heartbeat that shows the attempt: a command is applied once.
-//   - A machine that leaves a command unacknowledged gets no more work, and is terminated at once
-//     if the job has ended.
-//   - An attempt counts as not applied if the machine says so, or if no connection was
-//     established.
-//   - A new leader needs no knowledge of this: a machine that it has fenced has its token, and
-//     rejects commands of earlier leaders.
+//   - Until the command is acknowledged, or if its outcome remains unknown, the attempt counts as on
+//     the machine, even if heartbeats do not show it. This ends with a new agent epoch, with the
+//     machine's termination, or once a heartbeat shows the attempt, since a command is applied at
+//     most once.
+//   - A machine that does not acknowledge a command is assigned no more tasks, and is terminated
+//     immediately if the job has ended.
+//   - A command counts as not applied only if the machine reports so, or if no connection to the
+//     machine was established.
+//   - A new leader does not need this state: a machine that it has fenced has the new leader's
+//     fencing token, and rejects commands of earlier leaders.
 const (
+	// minDirectHeartbeatInterval is the heartbeat interval above which starts are sent directly.
 	minDirectHeartbeatInterval = 2 * time.Second
-	dispatchWindow             = 1500 * time.Millisecond
-	directTimeout              = 1500 * time.Millisecond
-	// A node that was paused lately may be so again, and then finds that the timeout has passed
-	// before it could read the response: the machine would be terminated for nothing.
+	// dispatchWindow is how long the leader sends starts directly after tasks became pending or
+	// machines were registered.
+	dispatchWindow = 1500 * time.Millisecond
+	// directTimeout is the time limit of a command batch.
+	directTimeout = 1500 * time.Millisecond
+	// slowDirectTimeout replaces directTimeout after a process pause of this node. If the node is
+	// paused again, a shorter timeout may expire before the response is read, and the machine
+	// would be terminated needlessly.
 	slowDirectTimeout = 5 * time.Second
+	// recentPauseWindow is how long after a pause slowDirectTimeout applies.
 	recentPauseWindow = 15 * time.Second
-	// maxDirectFailures is how many command batches in a row may fail, and directBackoff for how
-	// long none are sent then: the leader may have lost the connection to all machines, and
-	// each batch keeps its tasks pending for a while, and its machine for longer.
+	// maxDirectFailures is how many command batches may fail in a row before none is sent for
+	// directBackoff. The leader may have lost the connection to all machines, and each failed
+	// batch keeps its tasks pending for a while and its machine unused for longer.
 	maxDirectFailures = 4
-	directBackoff     = 3 * time.Second
+	// directBackoff is the pause after maxDirectFailures failed command batches.
+	directBackoff = 3 * time.Second
 )
 
-// dispatch sends pending tasks to machines with free capacity, the cheapest and fullest first.
+// dispatch sends starts of pending tasks to machines with free capacity, in the order of price per
+// CPU and then of free CPUs, both ascending.
 func (lt *leaderTerm) dispatch(now time.Time) {
 	heartbeatInterval := lt.c.Settings.Site.Workers.HeartbeatInterval()
 	if lt.c.CommandSender == nil || heartbeatInterval <= minDirectHeartbeatInterval || now.After(lt.dispatchUntil) {
@@ -61,7 +72,7 @@
 	}
 	maxInFlight := lt.maxDials
 	if lt.directFailures >= maxDirectFailures {
-		maxInFlight = 1 // a trial, whether machines can be reached again
+		maxInFlight = 1 // checks whether machines are reachable again
 	}
 	var candidates []*cluster.Machine
 	for _, m := range lt.machines {
@@ -87,15 +98,15 @@
 	}
 }
 
-// acceptsDirectCommands tells whether starts may be sent to a machine directly: it has free capacity, and
-// nothing suggests that this node does not reach it.
+// acceptsDirectCommands reports whether starts may be sent directly to a machine: it has free capacity,
+// and there is no sign that this node cannot reach it.
 func (lt *leaderTerm) acceptsDirectCommands(m *cluster.Machine, now time.Time) bool {
 	return m.IsSchedulable(now) && m.FreeCPUs() > cluster.Epsilon &&
 		!m.CommandInFlight && !m.LastForwarded && m.UnappliedResponses == 0 && m.Addr != "" &&
 		now.Sub(m.LastHeartbeat) <= lt.detector.HeartbeatTimeout()
 }
 
-// hasPendingTasks tells whether any task is pending that could start now.
+// hasPendingTasks reports whether any task is pending that could start now.
 func (lt *leaderTerm) hasPendingTasks() bool {
 	for _, j := range lt.jobs {
 		if j.Flight.Untaken() > 0 && !j.Finishing && !j.CancelPending && len(j.DependsOn) == 0 {
@@ -105,17 +116,18 @@
 	return false
 }
 
-// sendCommands sends the starts of tasks that were just assigned to a machine.
+// sendCommands sends the starts of newly assigned tasks to a machine, in a goroutine that sends a
+// commandsSentMsg.
 func (lt *leaderTerm) sendCommands(m *cluster.Machine, commands []api.Command) {
-	batch := make([]*cluster.Attempt, 0, len(commands))
+	attempts := make([]*cluster.Attempt, 0, len(commands))
 	for _, command := range commands {
 		a := m.Attempts[cluster.AttemptKey{Ref: command.Task, ID: command.Attempt}]
 		a.Direct = &cluster.DirectCommand{AgentEpoch: m.AgentEpoch, InFlight: true}
-		batch = append(batch, a)
+		attempts = append(attempts, a)
 	}
 	m.CommandInFlight = true
 	lt.commandsInFlight++
-	addr, req := m.Addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.AgentEpoch, Commands: commands}
+	addr, batch := m.Addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.AgentEpoch, Commands: commands}
 	timeout := directTimeout
 	if now := time.Now(); !lt.detector.NotPausedSince(now.Add(-recentPauseWindow), now) {
 		timeout = slowDirectTimeout
@@ -123,17 +135,17 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, timeout)
 		defer cancel()
-		seq, err := lt.c.CommandSender.SendCommands(ctx, addr, req)
-		lt.sendToOwner(commandsSentMsg{leaderTerm: lt, machine: m, attempts: batch, seq: seq, err: err})
+		seq, err := lt.c.CommandSender.SendCommands(ctx, addr, batch)
+		lt.sendToOwner(commandsSentMsg{leaderTerm: lt, machine: m, attempts: attempts, seq: seq, err: err})
 	}()
 }
 
-// commandsSentMsg is the outcome of a command batch.
+// commandsSentMsg carries the outcome of a command batch to the owner goroutine.
 type commandsSentMsg struct {
 	leaderTerm *leaderTerm
 	machine    *cluster.Machine
 	attempts   []*cluster.Attempt
-	// seq is the first heartbeat that must show the attempts.
+	// seq is the sequence number of the first heartbeat that must show the attempts.
 	seq uint64
 	err error
 }
@@ -175,11 +187,12 @@
 	}
 }
 
-// reasonOutcomeUnknown is why a machine is evacuated on which a start may still be applied.
+// reasonOutcomeUnknown is the reason for evacuating a machine on which a start of unknown outcome may
+// still be applied.
 const reasonOutcomeUnknown = "order unanswered"
 
-// terminateIfOutcomeUnknown terminates a machine on which a task of a job that has ended might
-// still start: nothing else prevents that in time.
+// terminateIfOutcomeUnknown terminates an attempt's machine if the attempt's start may still be applied
+// there. It is called when the job has ended: only the termination prevents the start in time.
 func (lt *leaderTerm) terminateIfOutcomeUnknown(a *cluster.Attempt) {
 	m := a.Machine
 	startMayApply := a.Direct != nil && a.Direct.OutcomeUnknown && a.LastSeenHeartbeat == 0
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -8,73 +8,72 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// maxCommands bounds the commands of one heartbeat response: a line of a response must stay
-// below 64 KiB.
+// maxCommands limits the commands of one heartbeat response, because a line of a response must
+// stay below 64 KiB.
 const maxCommands = 200
 
-// handleAgentHeartbeat applies an agent-initiated heartbeat and returns the response with its
-// commands. But for direct starts, commands are sent in responses only: the worker agent drops
-// a late response, while a command sent on its own could be applied minutes later.
+// handleAgentHeartbeat handles an agent-initiated heartbeat and returns the response with its
+// commands. Apart from direct starts, commands are sent only in responses: the worker agent
+// discards a late response, while a direct command may be applied minutes later.
 func (lt *leaderTerm) handleAgentHeartbeat(hb *api.Heartbeat, now time.Time) (api.HeartbeatResponse, error) {
 	return lt.handleHeartbeat(hb, agentInitiated, now)
 }
 
-// heartbeatOrigin is what caused a heartbeat to be sent.
+// heartbeatOrigin is the reason why a worker agent sent a heartbeat.
 type heartbeatOrigin int
 
 const (
-	// agentInitiated is a heartbeat that the worker agent sent on its own. It does so only
-	// once the response to its last one was applied or has timed out.
+	// agentInitiated is a heartbeat that the worker agent sent without a request. The agent
+	// sends one only after the response to its previous one was applied or has timed out.
 	agentInitiated heartbeatOrigin = iota
-	// solicited answers a resync or a probe. It has no response that could carry commands,
-	// and the commands of the last response may still be in flight when it is built: it
-	// does not show that they were not applied.
+	// solicited is a heartbeat that the worker agent returned for a resync or a probe. It has
+	// no response that could carry commands. The commands of the last heartbeat response may
+	// still be in flight when the agent builds it, so it is no evidence that they were lost.
 	solicited
 )
 
-// handleHeartbeat updates the leader's state by a heartbeat and returns the response to it.
+// handleHeartbeat updates the leader's state from a heartbeat and returns the response to it.
 func (lt *leaderTerm) handleHeartbeat(
 	hb *api.Heartbeat, origin heartbeatOrigin, now time.Time,
 ) (api.HeartbeatResponse, error) {
 	response := api.HeartbeatResponse{Term: lt.term.Number, Commands: []api.Command{}}
 	if hb.Term > lt.term.Number {
-		// The machine has seen a later term than this one.
+		// The machine has received a message of a later term.
 		lt.stepDown()
 		return response, &api.NotLeaderError{}
 	}
 	if !lt.loaded {
-		// The response renews the task lease and fences the machine. Tasks known to be
-		// cancelled must not run on by that.
+		// The response renews the task lease and fences the machine. It must not keep tasks
+		// running that are known to be cancelled.
 		response.Commands = lt.c.stopCancelled(hb, nil)
 		return response, nil
 	}
 	if lt.terminated.Contains(hb.Machine) {
-		return response, api.ErrUnavailable // sent before the machine was terminated, and delayed
+		return response, api.ErrUnavailable // delayed: sent before the machine was terminated
 	}
 	m := lt.machines[hb.Machine]
 	if hb.Term < lt.term.Number && (m != nil || lt.provisioning[hb.Machine] == nil) {
-		// A machine's fencing token never decreases, so this is the first heartbeat of a
-		// machine that has yet to learn of this term, one of a machine that no response
-		// reaches, or a delayed copy of an old heartbeat. These cannot be told apart. It is
-		// answered, so that the machine learns the term, and otherwise changes nothing:
-		// above all it is no sign of life, and adds no machine that an earlier leader
-		// terminated.
+		// A machine's fencing token never decreases, so either the machine has not received
+		// this term yet, or responses do not reach it, or this is a delayed copy of an old
+		// heartbeat. These cases cannot be distinguished. The machine receives this term with
+		// the response. The heartbeat changes nothing else: it does not show that the machine
+		// is alive, and does not add a machine that an earlier leader terminated.
 		return response, nil
 	}
 	if m == nil {
-		// The heartbeat's strings share its body's memory.
+		// The strings of the heartbeat share the memory of the request body.
 		m = lt.addMachine(strings.Clone(hb.Machine), strings.Clone(hb.Type), strings.Clone(hb.Zone), hb.Spot, now)
 		lt.c.Log.Info("first heartbeat of machine", "machine", m.Name, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
 	}
 	if hb.AgentEpoch < m.AgentEpoch || (hb.AgentEpoch == m.AgentEpoch && hb.Seq <= m.HeartbeatSeq) {
-		return response, nil // older than the newest one applied
+		return response, nil // not newer than the last one applied
 	}
 	response.Commands = lt.applyHeartbeat(m, hb, origin, response.Commands, now)
 	return response, nil
 }
 
-// applyHeartbeat updates the state of a machine by a heartbeat that is newer than all applied
-// before it, and appends the commands of the response.
+// applyHeartbeat updates the state of a machine from a heartbeat that is newer than all applied
+// before it, and appends the commands for the response.
 func (lt *leaderTerm) applyHeartbeat(
 	m *cluster.Machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
 ) []api.Command {
@@ -99,7 +98,7 @@
 	return commands
 }
 
-// updateMachine applies what a new heartbeat says of the machine itself.
+// updateMachine applies the machine's own fields of a new heartbeat, without its tasks.
 func (lt *leaderTerm) updateMachine(m *cluster.Machine, hb *api.Heartbeat, now time.Time) {
 	if m.AgentEpoch != 0 && hb.AgentEpoch > m.AgentEpoch {
 		lt.detector.NewAgentEpoch(m, now, time.Now())
@@ -114,8 +113,8 @@
 		m.Addr = strings.Clone(hb.Addr)
 	}
 	if m.CPUs == 0 {
-		if mt, ok := lt.c.types.load()[m.Type]; ok {
-			m.CPUs, m.GPUs, m.MemoryGB = mt.CPUs, mt.GPUs, mt.MemoryGB
+		if machineType, ok := lt.c.types.load()[m.Type]; ok {
+			m.CPUs, m.GPUs, m.MemoryGB = machineType.CPUs, machineType.GPUs, machineType.MemoryGB
 		}
 	}
 	if hb.PreemptionNoticeS != nil {
@@ -123,8 +122,8 @@
 	}
 }
 
-// ensureRegistered has a machine added to the registry if it is not in it. No earlier
-// leader has started anything there, so it counts as fenced.
+// ensureRegistered queues a machine that is not in the registry for registration. No earlier
+// leader has started tasks on such a machine, so it counts as fenced.
 func (lt *leaderTerm) ensureRegistered(m *cluster.Machine) {
 	if m.Registration != cluster.Unregistered || m.CPUs <= 0 || m.Phase() != cluster.Active {
 		return
@@ -134,18 +133,18 @@
 	lt.recordWriter.Register(m)
 }
 
-// checkCommandsApplied checks whether a heartbeat shows that any command of the last response was
-// applied.
+// checkCommandsApplied updates the failure detector by whether the newest heartbeat shows that any
+// command of the last response was applied.
 func (lt *leaderTerm) checkCommandsApplied(m *cluster.Machine, now time.Time) {
 	if !lt.detector.CheckApplied(m, now, time.Now()) {
-		lt.c.Log.Debug("commands not applied", "machine", m.Name,
+		lt.c.Log.Debug("commands of last heartbeat response not applied", "machine", m.Name,
 			"count", len(m.LastCommands), "responses", m.UnappliedResponses)
 	}
 }
 
-// handlePreemptionNotice evacuates a machine that the cloud will take back: tasks with
-// checkpoints save their state in the time left, and those that would not end in time are
-// stopped.
+// handlePreemptionNotice evacuates a machine that the cloud will preempt after the given time. Tasks
+// with checkpoints are stopped and may save their state in the time left. Tasks without checkpoints
+// are stopped if they are not expected to end in time.
 func (lt *leaderTerm) handlePreemptionNotice(m *cluster.Machine, seconds float64, now time.Time) {
 	timeLeft := time.Duration(seconds * float64(time.Second))
 	first := m.PreemptAt.IsZero()
@@ -158,18 +157,18 @@
 		if a.Exited || a.Job == nil {
 			continue
 		}
-		s := &a.Job.Spec
-		if s.CheckpointS > 0 {
+		spec := &a.Job.Spec
+		if spec.CheckpointS > 0 {
 			lt.requestStop(a, timeLeft, now)
-		} else if a.RunningAt.IsZero() || a.RunningAt.Add(s.Estimate()).After(m.PreemptAt) {
-			// It would not end in time; elsewhere it can start now.
+		} else if a.RunningAt.IsZero() || a.RunningAt.Add(spec.Estimate()).After(m.PreemptAt) {
+			// It is not expected to end in time, and can start on another machine now.
 			lt.requestStop(a, 0, now)
 		}
 	}
 }
 
-// requestStop marks an attempt to be stopped by the responses to its machine's heartbeats. Of several
-// requests, the one with the shortest grace holds.
+// requestStop marks an attempt to be stopped by the responses to its machine's heartbeats. If an
+// attempt is marked more than once, the shortest grace period applies.
 func (lt *leaderTerm) requestStop(a *cluster.Attempt, grace time.Duration, now time.Time) {
 	if a.Stop != nil && a.Stop.Grace <= grace {
 		return
@@ -177,13 +176,13 @@
 	a.Stop = &cluster.StopRequest{Grace: grace, Since: now}
 }
 
-// reconcile brings the machine's attempts in line with its heartbeat, and appends stops and
-// reaps to the commands of the response.
+// reconcile updates the machine's attempts from its heartbeat, and appends stops and reaps to the
+// commands for the response.
 func (lt *leaderTerm) reconcile(
 	m *cluster.Machine, hb *api.Heartbeat, origin heartbeatOrigin, commands []api.Command, now time.Time,
 ) []api.Command {
-	// Stops go before reaps: a machine with more ended tasks than a response holds commands
-	// would otherwise run cancelled tasks on, while its task lease is renewed.
+	// Stops precede reaps. Otherwise a machine with more than maxCommands exited tasks would
+	// keep running cancelled tasks, while the responses renew its task lease.
 	reaps := lt.applyTaskStatuses(m, hb, now)
 	if origin == agentInitiated {
 		lt.checkCommandsApplied(m, now)
@@ -210,8 +209,8 @@
 	return append(commands, reaps[:min(len(reaps), maxCommands-len(commands))]...)
 }
 
-// applyTaskStatuses updates the attempts that a heartbeat names, and returns the commands to
-// reap those that have ended.
+// applyTaskStatuses updates the attempts that a heartbeat lists, and returns the commands to reap
+// those that have exited.
 func (lt *leaderTerm) applyTaskStatuses(m *cluster.Machine, hb *api.Heartbeat, now time.Time) []api.Command {
 	var reaps []api.Command
 	for i := range hb.Tasks {
@@ -230,16 +229,17 @@
 	return reaps
 }
 
-// removeMissingAttempt removes an attempt that a newer heartbeat does not name, which shows that it is
-// off the machine: reaped, killed with its agent epoch, or never started.
+// removeMissingAttempt removes an attempt that a newer heartbeat does not list. Such an attempt is
+// no longer on the machine: it was reaped, was killed at the end of its agent epoch, or never
+// started.
 func (lt *leaderTerm) removeMissingAttempt(a *cluster.Attempt) {
 	if !a.Exited && !a.ExitHandled && a.Phase == "" {
-		lt.c.Log.Debug("start not applied", "machine", a.Machine.Name, "task", a.Key.Ref, "attempt", a.Key.ID)
+		lt.c.Log.Debug("task start not applied", "machine", a.Machine.Name, "task", a.Key.Ref, "attempt", a.Key.ID)
 	}
 	lt.removeAttempt(a)
 }
 
-// addImage records in memory that a machine has a job's image.
-func (lt *leaderTerm) addImage(m *cluster.Machine, s *api.JobSpec, now time.Time) {
-	m.Images.Add(s, lt.c.types.load()[m.Type].CacheGB, now)
+// addImage adds a job's image to the leader's model of a machine's image cache.
+func (lt *leaderTerm) addImage(m *cluster.Machine, spec *api.JobSpec, now time.Time) {
+	m.Images.Add(spec, lt.c.types.load()[m.Type].CacheGB, now)
 }
--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -9,72 +9,73 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// forwardTimeout is the time limit of forwarding a heartbeat to another node: the agent gets its
-// response well before it times out.
+// forwardTimeout is the time limit for forwarding a heartbeat to another node. It leaves time to
+// respond to the agent before the agent times out.
 const forwardTimeout = 1200 * time.Millisecond
 
 // Heartbeat implements api.Backend.
 func (c *Controller) Heartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
-	r, err := c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: hb})
-	if err != nil || r.forwardTo == "" {
-		return r.response, err
+	reply, err := c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: hb})
+	if err != nil || reply.forwardTo == "" {
+		return reply.response, err
 	}
-	fctx, cancel := context.WithTimeout(ctx, forwardTimeout)
-	response, err := c.Peers.ForwardHeartbeat(fctx, r.forwardTo, hb)
+	forwardCtx, cancel := context.WithTimeout(ctx, forwardTimeout)
+	response, err := c.Peers.ForwardHeartbeat(forwardCtx, reply.forwardTo, hb)
 	cancel()
 	var notLeader *api.NotLeaderError
 	if err == nil || errors.As(err, &notLeader) {
 		return response, err
 	}
-	// The leader is unreachable from here: its machines' leases are renewed on its behalf.
-	r, err = c.submitHeartbeat(ctx, heartbeatMsg{
+	// The leader is unreachable from this node, which may renew the machine's lease on the
+	// leader's behalf.
+	reply, err = c.submitHeartbeat(ctx, heartbeatMsg{
 		heartbeat:         hb,
-		unreachableLeader: r.forwardTo,
+		unreachableLeader: reply.forwardTo,
 		connectionRefused: errors.Is(err, ErrConnectionRefused),
 	})
-	return r.response, err
+	return reply.response, err
 }
 
-// ForwardedHeartbeat handles a heartbeat that another node has forwarded.
+// ForwardedHeartbeat handles a heartbeat that another node forwards to this one.
 func (c *Controller) ForwardedHeartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
-	r, err := c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: hb, forwarded: true})
-	return r.response, err
+	reply, err := c.submitHeartbeat(ctx, heartbeatMsg{heartbeat: hb, forwarded: true})
+	return reply.response, err
 }
 
-// submitHeartbeat sends a heartbeat to the owner and waits for the response. The owner answers
-// every heartbeat, late ones too, so the wait is only cut short by the end of the request or of
-// the controller.
-func (c *Controller) submitHeartbeat(ctx context.Context, m heartbeatMsg) (heartbeatReply, error) {
-	m.reply, m.receivedAt = make(chan heartbeatReply, 1), time.Now()
-	r, err := request(ctx, c, m, m.reply)
+// submitHeartbeat sends a heartbeat to the owner goroutine and waits for its reply. The owner replies
+// to every heartbeat, including late ones, so the wait ends early only if the request is cancelled
+// or the controller ends.
+func (c *Controller) submitHeartbeat(ctx context.Context, msg heartbeatMsg) (heartbeatReply, error) {
+	msg.reply, msg.receivedAt = make(chan heartbeatReply, 1), time.Now()
+	reply, err := request(ctx, c, msg, msg.reply)
 	if err != nil {
-		return r, err
+		return reply, err
 	}
-	return r, r.err
+	return reply, reply.err
 }
 
-// maxHeartbeatQueueTime is how long a heartbeat may wait for the owner and still be answered before its
-// agent times out. After that the commands of the response would be lost, and never count as
-// applied. So the heartbeat is not handled at all: the next one is more recent.
+// maxHeartbeatQueueTime is how long a heartbeat may wait in the owner's mailbox. The agent may time
+// out before it receives a later response: the commands in that response would be lost, and would
+// never count as applied. A heartbeat that waits longer is rejected; the next one is more recent.
 const maxHeartbeatQueueTime = 3 * time.Second
 
-// heartbeatReply is the owner's reply to a heartbeat.
+// heartbeatReply is the owner goroutine's reply to a heartbeat.
 type heartbeatReply struct {
 	response api.HeartbeatResponse
 	err      error
-	// forwardTo is the leader to which the heartbeat is to be forwarded, or "".
+	// forwardTo is the leader to forward the heartbeat to, or "".
 	forwardTo string
 }
 
-// heartbeatMsg carries a heartbeat to the owner.
+// heartbeatMsg carries a heartbeat to the owner goroutine.
 type heartbeatMsg struct {
 	heartbeat *api.Heartbeat
 	reply     chan heartbeatReply
-	// forwarded is set if another node has forwarded the heartbeat.
+	// forwarded is set if another node forwarded the heartbeat.
 	forwarded bool
-	// unreachableLeader is the leader to which this node has failed to forward it, or "".
+	// unreachableLeader is the leader to which this node failed to forward the heartbeat, or "".
 	unreachableLeader string
-	// ConnectionRefused is set if that leader refused the connection.
+	// connectionRefused is set if that leader refused the connection.
 	connectionRefused bool
 	receivedAt        time.Time
 }
@@ -94,109 +95,118 @@
 }
 
 // answerAsLeader answers a heartbeat while this node holds the leader lease.
-func (c *Controller) answerAsLeader(m heartbeatMsg, now time.Time) heartbeatReply {
-	if node := c.zoneRedirectTarget(m, now); node != "" {
+func (c *Controller) answerAsLeader(msg heartbeatMsg, now time.Time) heartbeatReply {
+	if node := c.zoneRedirectTarget(msg, now); node != "" {
 		return heartbeatReply{err: &api.NotLeaderError{Leader: node}}
 	}
-	if !c.leaderTerm.mayRenewLeases(now) && m.heartbeat.Term <= c.leaderTerm.term.Number {
+	if !c.leaderTerm.mayRenewLeases(now) && msg.heartbeat.Term <= c.leaderTerm.term.Number {
 		return heartbeatReply{err: api.ErrUnavailable}
 	}
-	response, err := c.leaderTerm.handleAgentHeartbeat(m.heartbeat, now)
-	// A heartbeat that shows a later term has ended this node's own.
+	response, err := c.leaderTerm.handleAgentHeartbeat(msg.heartbeat, now)
+	// leaderTerm is nil if the heartbeat showed a later term, so that this node stepped down.
 	if c.leaderTerm != nil {
-		if mc := c.leaderTerm.machines[m.heartbeat.Machine]; mc != nil {
-			mc.LastForwarded = m.forwarded
+		if machine := c.leaderTerm.machines[msg.heartbeat.Machine]; machine != nil {
+			machine.LastForwarded = msg.forwarded
 		}
 	}
 	return heartbeatReply{response: response, err: err}
 }
 
-// answerAsFollower forwards a heartbeat to the leader, redirects its machine there, or renews the
-// machine's lease on the leader's behalf.
-func (c *Controller) answerAsFollower(m heartbeatMsg, now time.Time) heartbeatReply {
+// answerAsFollower decides whether a heartbeat is forwarded to the leader, its machine is redirected
+// there, or the machine's lease is renewed on the leader's behalf.
+func (c *Controller) answerAsFollower(msg heartbeatMsg, now time.Time) heartbeatReply {
 	leader := c.currentLeader(now)
-	mb := c.membership.Members[leader]
-	if c.shouldForward(m, leader, now) {
-		if mb.IsReachable(now) {
-			c.uplink.dropCommands(m.heartbeat.Machine)
+	member := c.membership.Members[leader]
+	if c.shouldForward(msg, leader, now) {
+		if member.IsReachable(now) {
+			c.uplink.dropCommands(msg.heartbeat.Machine)
 		}
 		return heartbeatReply{forwardTo: leader}
 	}
-	refused := mb.IsUnreachable() && (m.connectionRefused || mb.ConnectionRefused)
-	if refused && c.mayRetryLeader(m.heartbeat.Machine, now) {
-		// Only the connections between the nodes are refused, or the leader
-		// restarts: the machine may well reach it itself. By now the leader knows,
-		// too, not to redirect it back here.
-		c.recordLeaderRetry(m.heartbeat.Machine, now)
+	refused := member.IsUnreachable() && (msg.connectionRefused || member.ConnectionRefused)
+	if refused && c.mayRetryLeader(msg.heartbeat.Machine, now) {
+		// Either only the connections between the nodes are refused, or the leader is
+		// restarting, so the machine itself may reach it. By now the leader also counts this
+		// node as unreachable, and does not redirect the machine back here.
+		c.recordLeaderRetry(msg.heartbeat.Machine, now)
 		return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 	}
-	if m.unreachableLeader == "" && mb.IsReachable(now) && mb.Term > 0 {
-		settled := m.heartbeat.Term == mb.Term && now.Sub(mb.TermSeenAt) > c.Settings.Site.Workers.Lease()
-		if c.forwardAfterRedirect(m.heartbeat.Machine, leader, mb.Term, settled, now) {
+	if msg.unreachableLeader == "" && member.IsReachable(now) && member.Term > 0 {
+		settled := msg.heartbeat.Term == member.Term &&
+			now.Sub(member.TermSeenAt) > c.Settings.Site.Workers.Lease()
+		if c.forwardAfterRedirect(msg.heartbeat.Machine, leader, member.Term, settled, now) {
 			return heartbeatReply{forwardTo: leader}
 		}
 		return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 	}
-	unreachable := m.unreachableLeader == leader || !mb.IsReachable(now)
-	if response, ok := c.renewOnBehalf(m.heartbeat, leader, unreachable, now); ok {
-		c.uplink.recordHeartbeat(m.heartbeat, &response, now)
+	unreachable := msg.unreachableLeader == leader || !member.IsReachable(now)
+	if response, ok := c.renewOnBehalf(msg.heartbeat, leader, unreachable, now); ok {
+		c.uplink.recordHeartbeat(msg.heartbeat, &response, now)
 		return heartbeatReply{response: response}
 	}
 	return heartbeatReply{err: &api.NotLeaderError{Leader: leader}}
 }
 
-// zoneRedirectTarget returns the node to which a machine should send its heartbeats instead, or "".
+// zoneRedirectTarget returns the node of the machine's own zone that the leader redirects the machine
+// to, or "" if the leader handles the heartbeat itself.
 //
-// Machines of another zone than the leader's send heartbeats to a node of their own zone, which
-// forwards them. When the zones are partitioned, that node answers them without a break; to search
-// for it only then, one unreachable node after the other, would take longer than their lease.
-func (c *Controller) zoneRedirectTarget(m heartbeatMsg, now time.Time) string {
-	mc := c.leaderTerm.machines[m.heartbeat.Machine]
-	if m.forwarded || m.heartbeat.Zone == c.Settings.Zone || mc == nil || !mc.Fenced || mc.Zone != m.heartbeat.Zone ||
-		m.heartbeat.Term != c.leaderTerm.term.Number || now.Sub(mc.RedirectedAt) < redirectInterval {
+// Machines outside the leader's zone send heartbeats to a node of their own zone, which forwards
+// them. If the zones are partitioned, that node continues to answer them without interruption. A
+// machine that had to find the node only then would try one unreachable node after another, which
+// takes longer than its lease.
+func (c *Controller) zoneRedirectTarget(msg heartbeatMsg, now time.Time) string {
+	machine := c.leaderTerm.machines[msg.heartbeat.Machine]
+	if msg.forwarded || msg.heartbeat.Zone == c.Settings.Zone ||
+		machine == nil || !machine.Fenced || machine.Zone != msg.heartbeat.Zone ||
+		msg.heartbeat.Term != c.leaderTerm.term.Number || now.Sub(machine.RedirectedAt) < redirectInterval {
 		return ""
 	}
 	for _, p := range c.Settings.Peers {
-		if p.Zone != m.heartbeat.Zone {
+		if p.Zone != msg.heartbeat.Zone {
 			continue
 		}
-		mb := c.membership.Members[p.Node]
-		if mb.IsReachable(now) && mb.Leader == c.Settings.Node && mb.KVReachableFor > 0 {
-			mc.RedirectedAt = now
+		member := c.membership.Members[p.Node]
+		if member.IsReachable(now) && member.Leader == c.Settings.Node && member.KVReachableFor > 0 {
+			machine.RedirectedAt = now
 			return p.Node
 		}
 	}
 	return ""
 }
 
-// shouldForward reports whether a heartbeat is forwarded to the leader.
-func (c *Controller) shouldForward(m heartbeatMsg, leader string, now time.Time) bool {
-	mb := c.membership.Members[leader]
-	if mb == nil || m.unreachableLeader != "" || m.heartbeat.Zone != c.Settings.Zone || mb.Zone == c.Settings.Zone {
+// shouldForward reports whether a heartbeat is forwarded to the leader: the machine is in this node's
+// zone and the leader in another, forwarding has not failed for this heartbeat yet, and the leader is
+// reachable, has missed only one ping, or may be tried again.
+func (c *Controller) shouldForward(msg heartbeatMsg, leader string, now time.Time) bool {
+	member := c.membership.Members[leader]
+	if member == nil || msg.unreachableLeader != "" ||
+		msg.heartbeat.Zone != c.Settings.Zone || member.Zone == c.Settings.Zone {
 		return false
 	}
-	return mb.IsReachable(now) || mb.FailedPings == 1 || c.mayRetryLeader(m.heartbeat.Machine, now)
+	return member.IsReachable(now) || member.FailedPings == 1 || c.mayRetryLeader(msg.heartbeat.Machine, now)
 }
 
-// mayRetryLeader reports whether a machine has not been redirected to an unreachable leader for a
-// while, so that the leader may be tried again for it.
+// mayRetryLeader reports whether the unreachable leader may be tried again for a machine, because the
+// machine was not redirected to such a leader within redirectRetryInterval.
 func (c *Controller) mayRetryLeader(machine string, now time.Time) bool {
 	return now.Sub(c.redirectedAt[machine]) >= redirectRetryInterval
 }
 
-// redirect is the last redirect of a machine to the leader of a term.
+// redirect records the last redirect of a machine to the leader of a term.
 type redirect struct {
 	leader string
 	term   uint64
 	at     time.Time
-	// forwardUntil is until when the machine's heartbeats are forwarded instead.
+	// forwardUntil is the time until which the machine's heartbeats are forwarded instead.
 	forwardUntil time.Time
 }
 
-// forwardAfterRedirect reports whether a machine sends its heartbeat here although it was redirected to
-// the leader a moment ago, or must have known the leader for long (settled). It cannot reach the
-// leader, while this node can: its heartbeats are forwarded, or all machines of a leader that is
-// partitioned from them would lose their tasks. After a while the machine is redirected again.
+// forwardAfterRedirect reports whether a machine's heartbeats are forwarded to the leader because the
+// machine apparently cannot reach it; otherwise it records that the machine is redirected there.
+// Evidence is that the machine returns shortly after a redirect, or that it sends its heartbeats here
+// although it has had the leader's term for longer than a lease (settled). Without forwarding, all
+// machines that are partitioned from a leader which this node reaches would lose their tasks. After
+// redirectRetryInterval the machine is redirected again.
 func (c *Controller) forwardAfterRedirect(machine, leader string, term uint64, settled bool, now time.Time) bool {
 	last := c.redirects[machine]
 	if last.leader != leader || last.term != term {
@@ -218,9 +228,9 @@
 	return false
 }
 
-// recordLeaderRetry records that a machine is redirected to a leader that this node cannot reach. A
-// machine that returns cannot reach it either, and is not redirected again for a while: the attempt
-// would take longer than its lease.
+// recordLeaderRetry records that a machine is redirected to a leader that this node cannot reach. If
+// the machine returns, it cannot reach the leader either. It is then not redirected again within
+// redirectRetryInterval, since trying the leader takes longer than the machine's lease.
 func (c *Controller) recordLeaderRetry(machine string, now time.Time) {
 	if len(c.redirectedAt) >= maxRedirects {
 		clear(c.redirectedAt)
@@ -229,15 +239,17 @@
 }
 
 const (
-	// redirectInterval keeps a machine from being redirected to and fro.
+	// redirectInterval is the minimum time between two redirects of a machine by the leader. It
+	// prevents two nodes from redirecting the machine to each other repeatedly.
 	redirectInterval = 10 * time.Second
-	// redirectRetryInterval is how long a machine that has returned is not redirected again.
+	// redirectRetryInterval is how long a machine that returned is not redirected again.
 	redirectRetryInterval = time.Minute
-	// A machine that returns within minRedirectReturn was rejected by the leader, or this is a
-	// delayed copy of its heartbeat. One that cannot reach the leader times out after a few
-	// seconds, and may try the third node first: it returns within redirectReturnWindow.
-	minRedirectReturn    = time.Second
+	// minRedirectReturn is the time after a redirect up to which a heartbeat does not show that the
+	// machine cannot reach the leader: the leader rejected it, or the heartbeat is a delayed copy.
+	minRedirectReturn = time.Second
+	// redirectReturnWindow is the time within which a machine that cannot reach the leader returns.
+	// Its request times out after a few seconds, and it may try the third node first.
 	redirectReturnWindow = 15 * time.Second
-	// maxRedirects is the size at which a map of redirects is emptied.
+	// maxRedirects is the size at which a map of redirects is cleared.
 	maxRedirects = 10_000
 )
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -6,7 +6,7 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// scanMachines terminates the machines that are dead, idle, or empty after their evacuation.
+// scanMachines terminates machines that are dead, idle, or empty after an evacuation.
 func (lt *leaderTerm) scanMachines(now time.Time) {
 	lt.detectFailures(now)
 	for _, m := range lt.machines {
@@ -21,7 +21,7 @@
 	}
 }
 
-// evacuate stops the assignment of tasks to a machine, which is terminated once it is empty.
+// evacuate stops assigning tasks to a machine. The machine is terminated once it is empty.
 func (lt *leaderTerm) evacuate(m *cluster.Machine, reason string) {
 	if !m.Advance(cluster.Evacuating) {
 		return
@@ -30,8 +30,8 @@
 	lt.c.Log.Info("machine evacuating", "machine", m.Name, "type", m.Type, "reason", reason, "count", len(m.Attempts))
 }
 
-// removeTerminated removes a machine whose termination the cloud has confirmed. Only this, or a
-// newer heartbeat, shows that a task is off its machine.
+// removeTerminated removes a machine whose termination the cloud has confirmed, and the attempts on
+// it. Only a confirmed termination or a newer heartbeat shows that a task is off its machine.
 func (lt *leaderTerm) removeTerminated(m *cluster.Machine) {
 	m.Advance(cluster.Terminated)
 	lt.terminated.Add(m.Name, true)
@@ -47,8 +47,8 @@
 	lt.c.Log.Info("machine terminated", "machine", m.Name, "reason", m.Reason)
 }
 
-// markFenced marks that a machine applies no command of an earlier term any more, because it
-// has this term's fencing token or is terminated. Jobs accepted before this term start once all
+// markFenced marks a registered machine as fenced: it rejects commands of earlier terms, because it
+// has this term's fencing token or is terminated. Jobs accepted before this term start only once all
 // machines of the registry are fenced.
 func (lt *leaderTerm) markFenced(m *cluster.Machine) {
 	if m.Fenced || m.Registration != cluster.Registered {
@@ -64,11 +64,11 @@
 	}
 }
 
-// addMachine adds a machine that has sent its first heartbeat or is in the registry.
-func (lt *leaderTerm) addMachine(name, typ, zone string, spot bool, now time.Time) *cluster.Machine {
+// addMachine adds a machine that has sent its first heartbeat or was read from the registry.
+func (lt *leaderTerm) addMachine(name, typeName, zone string, spot bool, now time.Time) *cluster.Machine {
 	m := &cluster.Machine{
 		Name:              name,
-		Type:              typ,
+		Type:              typeName,
 		Zone:              zone,
 		Spot:              spot,
 		UnattributedTotal: &lt.unattributedCPUs,
@@ -78,8 +78,8 @@
 		Attempts:          map[cluster.AttemptKey]*cluster.Attempt{},
 		TaskErrorsByJob:   map[string]int{},
 	}
-	if mt, ok := lt.c.types.load()[typ]; ok {
-		m.CPUs, m.GPUs, m.MemoryGB = mt.CPUs, mt.GPUs, mt.MemoryGB
+	if machineType, ok := lt.c.types.load()[typeName]; ok {
+		m.CPUs, m.GPUs, m.MemoryGB = machineType.CPUs, machineType.GPUs, machineType.MemoryGB
 	}
 	lt.machines[name] = m
 	delete(lt.provisioning, name)
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -9,15 +9,17 @@
 	"example.org/ivytrestle/internal/failuredetector"
 )
 
-// Prober requests a heartbeat from a machine directly, to learn whether it is alive.
+// Prober checks directly whether a machine is alive.
 type Prober interface {
+	// Probe requests a heartbeat from the machine at an address.
 	Probe(ctx context.Context, addr string) (*api.Heartbeat, error)
 }
 
+// probeTimeout is the time limit of a probe, and of a resync.
 const probeTimeout = time.Second
 
-// detectFailures probes suspect machines, and terminates those that are confirmed dead, or to which
-// commands cannot be delivered.
+// detectFailures sends probes and resyncs to suspect machines, and terminates machines that are
+// confirmed dead or to which commands cannot be delivered.
 func (lt *leaderTerm) detectFailures(now time.Time) {
 	zones := lt.detector.CountZones(lt.machines, now)
 	for _, m := range lt.machines {
@@ -39,9 +41,9 @@
 	}
 }
 
-// sendProbe sends a probe to a machine.
+// sendProbe probes a machine in a goroutine, which sends a probeResultMsg.
 func (lt *leaderTerm) sendProbe(request failuredetector.Request) {
-	// The goroutine reads no field of the machine: these belong to the owner's goroutine.
+	// Read here, since only the owner goroutine may access the fields of a machine.
 	addr, prober := request.Machine.Addr, lt.c.Prober
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, probeTimeout)
@@ -51,7 +53,7 @@
 	}()
 }
 
-// probeResultMsg is the outcome of a probe.
+// probeResultMsg carries the outcome of a probe to the owner goroutine.
 type probeResultMsg struct {
 	leaderTerm *leaderTerm
 	request    failuredetector.Request
@@ -73,7 +75,7 @@
 		}
 	case failuredetector.NewHeartbeat:
 		if _, err := lt.handleHeartbeat(m.heartbeat, solicited, now); err != nil {
-			c.Log.Debug("probe answer not applied", "machine", machine.Name, "err", err)
+			c.Log.Debug("heartbeat in probe response not applied", "machine", machine.Name, "err", err)
 		}
 	case failuredetector.Ignored, failuredetector.Failed, failuredetector.Alive:
 	}
--- a/internal/controller/resync.go
+++ b/internal/controller/resync.go
@@ -8,24 +8,27 @@
 	"example.org/ivytrestle/internal/failuredetector"
 )
 
-// A takeover waits until every machine in the registry has reported with the new term. Waiting
-// for agent-initiated heartbeats takes one and a half heartbeat intervals; so the new leader
-// resyncs the machines itself, a few at a time. A resync carries no commands: it may arrive late,
-// or twice, and only raises the machine's fencing token. Its answer is a heartbeat with this term.
+// A takeover is complete once every machine in the registry has sent a heartbeat with the new term or
+// is terminated. Agent-initiated heartbeats would take one and a half heartbeat intervals for this,
+// so the new leader resyncs the machines, up to maxConcurrentDials at a time. A resync carries no
+// commands and only raises the machine's fencing token, so it may arrive late or twice. The machine
+// responds with a heartbeat of the new term.
 
-// maxConcurrentDials is how many machines a leader connects to at a time, for each of resyncs,
-// probes and command batches. It is a part of the node's sockets: where many machines fail
-// together, each holds one until its request times out, and those that are alive must not queue
-// behind them.
-func maxConcurrentDials(sockets int) int { return min(max(sockets/fdsPerDial, minDials), maxDials) }
+// maxConcurrentDials returns how many machines a leader connects to at the same time, for each of
+// resyncs, probes and command batches. It grows with the node's limit of file descriptors. If many
+// machines fail together, each of them occupies a connection until its request times out, and the
+// requests to machines that are alive must not wait for these.
+func maxConcurrentDials(fdLimit int) int { return min(max(fdLimit/fdsPerDial, minDials), maxDials) }
 
 const (
+	// fdsPerDial is the number of file descriptors of the node's limit for each concurrent dial.
 	fdsPerDial = 24
-	minDials   = 16
-	maxDials   = 256
+	// minDials and maxDials are the bounds of maxConcurrentDials.
+	minDials = 16
+	maxDials = 256
 )
 
-// resyncNext resyncs the machines that are still to be resynced.
+// resyncNext sends resyncs to the queued machines until the limit of resyncs in flight is reached.
 func (lt *leaderTerm) resyncNext(now time.Time) {
 	for {
 		request := lt.detector.NextResync(now)
@@ -36,7 +39,8 @@
 	}
 }
 
-// sendResync solicits a heartbeat with this term from a machine.
+// sendResync requests a heartbeat with this term from a machine, in a goroutine that sends a
+// resyncResultMsg.
 func (lt *leaderTerm) sendResync(request failuredetector.Request) {
 	addr, term := request.Machine.Addr, lt.term.Number
 	go func() {
@@ -47,7 +51,7 @@
 	}()
 }
 
-// resyncResultMsg is the outcome of a resync.
+// resyncResultMsg carries the outcome of a resync to the owner goroutine.
 type resyncResultMsg struct {
 	leaderTerm *leaderTerm
 	request    failuredetector.Request
@@ -69,7 +73,7 @@
 			break
 		}
 		if _, err := lt.handleHeartbeat(m.heartbeat, solicited, now); err != nil {
-			c.Log.Debug("resync answer not applied", "machine", machine.Name, "err", err)
+			c.Log.Debug("heartbeat in resync response not applied", "machine", machine.Name, "err", err)
 		}
 	case failuredetector.Ignored, failuredetector.Restarted, failuredetector.Alive:
 	}
