--- a/internal/controller/directcommands_test.go
+++ b/internal/controller/directcommands_test.go
@@ -12,13 +12,16 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// batchMode says what becomes of the command batches of a fakeCommandSender.
+// batchMode is how a fakeCommandSender treats command batches.
 type batchMode int
 
 const (
+	// deliverBatches delivers batches immediately.
 	deliverBatches batchMode = iota
+	// rejectBatches fails batches with ErrCommandsNotApplied.
 	rejectBatches
-	delayBatches // until applyDelayed; their outcome is unknown to the sender
+	// delayBatches keeps batches until applyDelayed. To the leader, their outcome is unknown.
+	delayBatches
 )
 
 // fakeCommandSender delivers command batches and resyncs to simulated machines.
@@ -27,7 +30,7 @@
 	machines map[string]*worker
 	mode     batchMode
 	delayed  []func() uint64
-	sent     int // batches since takeSentCount
+	sent     int // number of batches since the last takeSentCount
 }
 
 // SendCommands implements CommandSender.
@@ -38,18 +41,18 @@
 		s.mu.Unlock()
 		return 0, api.ErrCommandsNotApplied
 	}
-	k := s.machines[addr]
+	agent := s.machines[addr]
 	apply := func() uint64 {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		// As an agent does: its fencing token must not be higher, its agent epoch the same.
-		if k.status.Term > batch.Term || k.status.AgentEpoch != batch.AgentEpoch {
+		agent.mu.Lock()
+		defer agent.mu.Unlock()
+		// Like an agent, reject batches of an earlier term or another agent epoch.
+		if agent.status.Term > batch.Term || agent.status.AgentEpoch != batch.AgentEpoch {
 			return 0
 		}
-		k.status.Term = batch.Term
-		k.applyCommandsLocked(batch.Commands)
-		k.status.Seq++
-		return k.status.Seq
+		agent.status.Term = batch.Term
+		agent.applyCommandsLocked(batch.Commands)
+		agent.status.Seq++
+		return agent.status.Seq
 	}
 	if s.mode == delayBatches {
 		s.delayed = append(s.delayed, apply)
@@ -64,23 +67,23 @@
 	return 0, api.ErrCommandsNotApplied
 }
 
-// Resync implements CommandSender. A machine that is dead does not respond.
+// Resync implements CommandSender. Dead machines do not respond.
 func (s *fakeCommandSender) Resync(_ context.Context, addr string, term uint64) (*api.Heartbeat, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := s.machines[addr]
-	if _, dead := k.w.dead.Load(addr); dead {
+	agent := s.machines[addr]
+	if _, dead := agent.w.dead.Load(addr); dead {
 		return nil, api.ErrCommandsNotApplied
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.status.Term > term {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	if agent.status.Term > term {
 		return nil, api.ErrCommandsNotApplied
 	}
-	k.status.Term = term
-	k.status.Seq++
-	hb := k.status
-	hb.Tasks = slices.Clone(k.status.Tasks)
+	agent.status.Term = term
+	agent.status.Seq++
+	hb := agent.status
+	hb.Tasks = slices.Clone(agent.status.Tasks)
 	return &hb, nil
 }
 
@@ -99,7 +102,7 @@
 	return sent
 }
 
-// applyDelayed delivers the delayed batches, and returns how many were applied.
+// applyDelayed delivers the delayed batches and returns how many of them were applied.
 func (s *fakeCommandSender) applyDelayed() (applied int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,82 +115,83 @@
 	return applied
 }
 
-// useFakeCommandSender makes machines send a heartbeat every 5 s, so that starts go out in
-// command batches. It must precede the start of the first node.
+// useFakeCommandSender sets a heartbeat interval of 5 s, so that the leader sends starts in command
+// batches, and returns their sender. It must be called before the first node starts.
 func (w *simulatedCluster) useFakeCommandSender() *fakeCommandSender {
 	sender := &fakeCommandSender{machines: map[string]*worker{}}
 	w.commandSender, w.heartbeatS = sender, 5
 	return sender
 }
 
-// startWithSlowHeartbeats starts a node and some machines that send a heartbeat every 5 s.
+// startWithSlowHeartbeats starts a node and adds machines with a heartbeat interval of 5 s.
 func (w *simulatedCluster) startWithSlowHeartbeats(machines int) (*node, *fakeCommandSender, []*worker) {
 	sender := w.useFakeCommandSender()
 	n := w.start("n0")
-	ks := make([]*worker, machines)
-	for i := range ks {
-		ks[i] = w.worker(fmt.Sprint("i-", i), "a", false)
-		sender.machines[ks[i].status.Machine] = ks[i]
-		ks[i].serve(n, 3)
+	agents := make([]*worker, machines)
+	for i := range agents {
+		agents[i] = w.worker(fmt.Sprint("i-", i), "a", false)
+		sender.machines[agents[i].status.Machine] = agents[i]
+		agents[i].serve(n, 3)
 	}
-	return n, sender, ks
+	return n, sender, agents
 }
 
-// newFleet adds machines that a sender reaches, without a heartbeat yet.
+// newFleet adds machines that the sender reaches and that have not sent a heartbeat yet.
 func (w *simulatedCluster) newFleet(sender *fakeCommandSender, machines int) []*worker {
-	ks := make([]*worker, machines)
-	for i := range ks {
-		ks[i] = w.worker(fmt.Sprintf("i-%04d", i), "a", false)
-		sender.machines[ks[i].status.Machine] = ks[i]
+	agents := make([]*worker, machines)
+	for i := range agents {
+		agents[i] = w.worker(fmt.Sprintf("i-%04d", i), "a", false)
+		sender.machines[agents[i].status.Machine] = agents[i]
 	}
-	return ks
+	return agents
 }
 
-// countRunning sums up the tasks that run on some machines.
-func countRunning(ks ...*worker) (running int) {
-	for _, k := range ks {
-		running += len(k.running())
+// countRunning returns the number of tasks that run on the machines.
+func countRunning(agents ...*worker) (running int) {
+	for _, agent := range agents {
+		running += len(agent.running())
 	}
 	return running
 }
 
-// Work starts at once where heartbeats are infrequent. A heartbeat that was in transit while the
-// commands were applied, and so does not show their tasks, changes nothing.
+// Guards against starts that wait for the next heartbeat if the heartbeat interval is long, and against
+// a stale heartbeat, in transit while the commands are applied, that makes their tasks count as lost.
 func TestCommandBatchStartsTasksBetweenHeartbeats(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		n, sender, ks := w.startWithSlowHeartbeats(2)
-		stale := ks[0].status // in transit while the commands are applied
+		n, sender, agents := w.startWithSlowHeartbeats(2)
+		stale := agents[0].status // in transit while the commands are applied
 		stale.Seq++
-		ks[0].status.Seq++
+		agents[0].status.Seq++
 		w.submit(n, spec("job-1", 6))
 		time.Sleep(time.Second)
-		w.checkEqual("running", countRunning(ks...), 6)
-		if _, err := ks[0].deliver(n, &stale); err != nil {
+		w.checkEqual("running", countRunning(agents...), 6)
+		if _, err := agents[0].deliver(n, &stale); err != nil {
 			w.t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
-		for _, k := range ks {
-			for _, cmd := range k.heartbeat(n) {
+		for _, agent := range agents {
+			for _, cmd := range agent.heartbeat(n) {
 				w.checkEqual("command after the stale heartbeat", cmd, nil)
 			}
 		}
-		w.checkEqual("running after the stale heartbeat", countRunning(ks...), 6)
+		w.checkEqual("running after the stale heartbeat", countRunning(agents...), 6)
 		sender.setMode(rejectBatches)
 		w.submit(n, spec("job-2", 1))
 		time.Sleep(time.Second)
-		ks[0].serve(n, 6)
-		ks[1].serve(n, 1)
-		w.checkEqual("running once a heartbeat response brought the rejected start", countRunning(ks...), 7)
+		agents[0].serve(n, 6)
+		agents[1].serve(n, 1)
+		w.checkEqual("running once a heartbeat response carried the rejected start", countRunning(agents...), 7)
 	})
 }
 
-// A command whose outcome is unknown may be applied minutes later. Its task starts nowhere else,
-// and its machine gets nothing more, until the machine's agent epoch has ended or it is
-// terminated; heartbeats that do not show the task prove nothing.
+// Guards against duplicated tasks after a command whose outcome is unknown, which may be applied minutes
+// later. Until the machine's agent epoch ends or the machine is terminated, the task must not start
+// elsewhere and the machine must not be assigned more tasks. Heartbeats that do not show the task are
+// no evidence that the command was lost.
 func TestCommandOfUnknownOutcomeReservesItsTask(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		n, sender, ks := w.startWithSlowHeartbeats(2)
-		busy, other := fillOneMachine(w, n, ks)
+		n, sender, agents := w.startWithSlowHeartbeats(2)
+		busy, other := fillOneMachine(w, n, agents)
 		w.cloud.rejectTerminate = true
 		sender.setMode(delayBatches)
 		w.submit(n, spec("job-2", 1))
@@ -205,7 +209,7 @@
 		w.submit(n, spec("job-4", 6))
 		busy.serve(n, 2)
 		other.serve(n, 2)
-		w.checkEqual("more tasks on the machine of the command", countRunning(other), 0)
+		w.checkEqual("tasks on the machine with the unknown outcome", countRunning(other), 0)
 		w.checkEqual("applied late", sender.applyDelayed(), 1)
 		w.checkEqual("running once applied", other.running(), []string{"job-2/0"})
 		other.serve(n, 2)
@@ -220,14 +224,14 @@
 	})
 }
 
-// fillOneMachine fills one of two machines with tasks of job-1.
-func fillOneMachine(w *simulatedCluster, n *node, ks []*worker) (busy, other *worker) {
+// fillOneMachine fills one of two machines with tasks of job-1, and returns this one first.
+func fillOneMachine(w *simulatedCluster, n *node, agents []*worker) (busy, other *worker) {
 	w.t.Helper()
-	s := spec("job-1", 4)
-	s.Zone = "a"
-	w.submit(n, s)
+	jobSpec := spec("job-1", 4)
+	jobSpec.Zone = "a"
+	w.submit(n, jobSpec)
 	time.Sleep(time.Second)
-	busy, other = ks[0], ks[1]
+	busy, other = agents[0], agents[1]
 	if len(busy.running()) == 0 {
 		busy, other = other, busy
 	}
@@ -235,19 +239,19 @@
 	return busy, other
 }
 
-// checkNewAgentEpochRejectsDelayed checks that a machine rejects a delayed batch for good once its
-// agent epoch has grown, and that the task of the batch then starts on it or on a third machine.
-func checkNewAgentEpochRejectsDelayed(w *simulatedCluster, n *node, sender *fakeCommandSender, k *worker) {
+// checkNewAgentEpochRejectsDelayed checks that a machine rejects a delayed batch once it has a new agent
+// epoch, and that the task of the batch then starts on that machine or on a third one.
+func checkNewAgentEpochRejectsDelayed(w *simulatedCluster, n *node, sender *fakeCommandSender, agent *worker) {
 	w.t.Helper()
 	third := w.worker("i-3", "a", false)
 	sender.machines["i-3"] = third
 	third.serve(n, 3)
-	k.serve(n, 1)
+	agent.serve(n, 1)
 	sender.setMode(delayBatches)
 	w.submit(n, spec("job-3", 1))
 	time.Sleep(3 * time.Second)
 	sender.setMode(deliverBatches)
-	restarted := k
+	restarted := agent
 	n.inspect(func(c *Controller) {
 		for _, a := range c.leaderTerm.jobs["job-3"].ActiveAttempts {
 			restarted = sender.machines[a.Machine.Name]
@@ -257,41 +261,41 @@
 	restarted.status.Tasks = nil
 	restarted.heartbeat(n)
 	w.checkEqual("applied in a new agent epoch", sender.applyDelayed(), 0)
-	k.serve(n, 3)
+	agent.serve(n, 3)
 	third.serve(n, 3)
-	w.checkEqual("running after the new agent epoch", countRunning(k, third), 1)
+	w.checkEqual("running after the new agent epoch", countRunning(agent, third), 1)
 }
 
-// Guards against paying for machines without end: a command of unknown outcome is applied late,
-// its tasks run and end, and the machine is then terminated. Found in an upgrade whose command
-// batches were delayed: about a hundred of 240 machines got no more work, and up to 55 were never
+// Guards against machines that are never terminated: a command of unknown outcome is applied late, its
+// tasks run and end, and the machine must then be terminated. In an upgrade with delayed command
+// batches, about a hundred of 240 machines were assigned no more tasks, and up to 55 were never
 // terminated.
 func TestCommandOfUnknownOutcomeAppliedLateFreesItsMachine(t *testing.T) {
 	for _, cause := range []string{api.CauseDone, api.CauseError} {
 		t.Run(cause, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				n, sender, ks := w.startWithSlowHeartbeats(1)
-				late := ks[0]
+				n, sender, agents := w.startWithSlowHeartbeats(1)
+				machine := agents[0]
 				w.submit(n, spec("job-0", 1)) // keeps the machine in use
-				late.serve(n, 2)
+				machine.serve(n, 2)
 				sender.setMode(delayBatches)
 				w.submit(n, spec("job-1", 1))
 				time.Sleep(3 * time.Second)
 				sender.setMode(deliverBatches)
 				w.checkEqual("applied late", sender.applyDelayed(), 1)
-				late.serve(n, 2)
-				w.checkEqual("running", late.running(), []string{"job-0/0", "job-1/0"})
+				machine.serve(n, 2)
+				w.checkEqual("running", machine.running(), []string{"job-0/0", "job-1/0"})
 				w.checkEqual("terminated while its tasks run", w.cloud.terminated("i-0"), false)
-				late.exit(cause)
-				late.serve(n, 6)
+				machine.exit(cause)
+				machine.serve(n, 6)
 				w.checkEqual("terminated after its tasks", w.cloud.terminated("i-0"), true)
 			})
 		})
 	}
 }
 
-// A job is cancelled while the outcome of a start of it is unknown: only the machine's
-// termination keeps the task from starting too late.
+// Guards against a task that starts after its job was cancelled. The job is cancelled while the outcome
+// of its start is unknown, so only the machine's termination prevents a late start.
 func TestCancelledJobWithCommandOfUnknownOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -302,10 +306,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				n, sender, ks := w.startWithSlowHeartbeats(1)
+				n, sender, agents := w.startWithSlowHeartbeats(1)
 				w.submit(n, spec("job-0", 1)) // keeps the machine in use
 				time.Sleep(time.Second)
-				ks[0].heartbeat(n)
+				agents[0].heartbeat(n)
 				sender.setMode(delayBatches)
 				w.submit(n, spec("job-1", 1))
 				if !c.cancelFirst {
@@ -315,47 +319,48 @@
 				if _, err := n.Cancel(w.t.Context(), "job-1"); err != nil {
 					w.t.Fatal(err)
 				}
-				heartbeatAll(ks, n, 4)
+				heartbeatAll(agents, n, 4)
 				w.checkEqual("terminated after the cancellation", w.cloud.terminated("i-0"), true)
 			})
 		})
 	}
 }
 
-// Under a new leader every machine that it has fenced rejects an earlier leader's command, so it
-// needs no memory of it.
+// Guards against duplicated tasks after a leader change. The new leader has no record of a command batch
+// of the previous leader, so the machines that it has fenced must reject that batch.
 func TestFencedMachineRejectsCommandOfEarlierTerm(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		first, sender, ks := w.startWithSlowHeartbeats(2)
+		first, sender, agents := w.startWithSlowHeartbeats(2)
 		sender.setMode(delayBatches)
 		w.submit(first, spec("job-1", 1))
 		time.Sleep(time.Second)
 		first.crash()
 		sender.setMode(deliverBatches)
 		second := w.start("n0")
-		heartbeatAll(ks, second, 4)
-		w.checkEqual("running", countRunning(ks...), 1)
+		heartbeatAll(agents, second, 4)
+		w.checkEqual("running", countRunning(agents...), 1)
 		w.checkEqual("applied late", sender.applyDelayed(), 0)
 	})
 }
 
-// A new leader resyncs the machines of the registry, and so fences them without waiting for their
-// heartbeats; one that does not respond is terminated, and only then its tasks start elsewhere. A
-// resync's response cannot carry commands, so none are given for a solicited heartbeat.
+// Guards against slow takeovers. A new leader must fence the machines of the registry by resyncs, without
+// waiting for their heartbeats. A machine that does not respond is terminated, and only then its tasks
+// may start elsewhere. A solicited heartbeat has no response that could carry commands, so no tasks may
+// be assigned for it.
 func TestTakeoverResyncsMachines(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		first, sender, ks := w.startWithSlowHeartbeats(40)
+		first, sender, agents := w.startWithSlowHeartbeats(40)
 		w.submit(first, spec("job-1", 8))
 		time.Sleep(2 * time.Second)
-		for _, k := range ks {
-			k.heartbeat(first)
+		for _, agent := range agents {
+			agent.heartbeat(first)
 		}
 		var busy, idle []*worker
-		for _, k := range ks {
-			if len(k.running()) > 0 {
-				busy = append(busy, k)
+		for _, agent := range agents {
+			if len(agent.running()) > 0 {
+				busy = append(busy, agent)
 			} else {
-				idle = append(idle, k)
+				idle = append(idle, agent)
 			}
 		}
 		w.checkEqual("busy machines", len(busy), 2)
@@ -368,11 +373,11 @@
 		w.checkEqual("tasks of the fenced machine still run", countRunning(busy[1]) >= 4, true)
 		time.Sleep(4 * time.Second)
 		w.checkEqual("terminated", w.cloud.terminated(busy[0].status.Machine), true)
-		for _, k := range idle {
-			k.heartbeat(second)
+		for _, agent := range idle {
+			agent.heartbeat(second)
 		}
 		w.checkEqual("running", countRunning(busy[1])+countRunning(idle...), 11)
-		sender.setMode(rejectBatches) // the next job waits for heartbeats
+		sender.setMode(rejectBatches) // so that the next job waits for heartbeats
 		w.submit(second, spec("job-3", 1))
 		time.Sleep(4 * time.Second)
 		second.inspect(func(c *Controller) {
@@ -385,28 +390,29 @@
 	})
 }
 
-// applyResyncResult makes a leader handle the response of a machine to a resync.
+// applyResyncResult makes a leader handle a machine's response to a resync.
 func applyResyncResult(c *Controller, m *cluster.Machine, hb *api.Heartbeat) {
 	request := c.leaderTerm.detector.BeginResync(m, time.Now())
 	resyncResultMsg{c.leaderTerm, request, hb, nil}.apply(c)
 }
 
-// A resync's response may be created while the response to the machine's agent-initiated
-// heartbeat, with a start in it, is still in transit to the machine. It is the newer message and
-// does not show the task; taken for proof that the start was lost, the task would start elsewhere
-// while it starts here. Seen when a leader had 700 machines to resync and responded late.
+// Guards against duplicated tasks when a machine responds to a resync while the response to its last
+// heartbeat, which carries a start, is still in transit to it. The resync response is newer than that
+// heartbeat and does not show the task. If the leader took it as evidence that the start was lost, the
+// task would also start elsewhere. This happened when a leader had 700 machines to resync and
+// responded late.
 func TestResyncDuringHeartbeatResponse(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		first, sender, ks := w.startWithSlowHeartbeats(2)
+		first, sender, agents := w.startWithSlowHeartbeats(2)
 		first.crash()
-		sender.setMode(rejectBatches) // only heartbeat responses bring starts
+		sender.setMode(rejectBatches) // so that only heartbeat responses carry starts
 		second := w.start("n0")
-		ks[0].serve(second, 2)
-		ks[1].serve(second, 2)
-		resync := func(k *worker) {
+		agents[0].serve(second, 2)
+		agents[1].serve(second, 2)
+		resync := func(agent *worker) {
 			var err error
 			second.inspect(func(c *Controller) {
-				m := c.leaderTerm.machines[k.status.Machine]
+				m := c.leaderTerm.machines[agent.status.Machine]
 				var hb *api.Heartbeat
 				if hb, err = sender.Resync(w.t.Context(), m.Addr, c.leaderTerm.term.Number); err == nil {
 					applyResyncResult(c, m, hb)
@@ -417,39 +423,39 @@
 			}
 		}
 		w.submit(second, spec("job-1", 4))
-		time.Sleep(6 * time.Second) // the rejected batches keep commands from the machines
-		commands, err := ks[0].sendHeartbeat(second)
+		time.Sleep(6 * time.Second) // rejected batches cordon the machines for a while
+		commands, err := agents[0].sendHeartbeat(second)
 		if err != nil || len(commands) != 4 {
 			w.t.Fatalf("got commands %v, error %v, want 4 commands", commands, err)
 		}
-		resync(ks[0])
-		ks[1].serve(second, 3)
-		w.checkEqual("running elsewhere", ks[1].running(), []string(nil))
-		ks[0].applyCommands(commands)
-		ks[0].serve(second, 2)
-		w.checkEqual("running", countRunning(ks[0]), 4)
+		resync(agents[0])
+		agents[1].serve(second, 3)
+		w.checkEqual("running elsewhere", agents[1].running(), []string(nil))
+		agents[0].applyCommands(commands)
+		agents[0].serve(second, 2)
+		w.checkEqual("running", countRunning(agents[0]), 4)
 
-		// The loss of a response shows in the machine's next agent-initiated heartbeat, or in its
-		// next agent epoch, even if a resync shows that.
+		// A lost response is detected from the machine's next agent-initiated heartbeat or from a
+		// new agent epoch, even if a resync response shows that epoch first.
 		w.submit(second, spec("job-2", 2))
 		time.Sleep(6 * time.Second)
-		lost, err := ks[1].sendHeartbeat(second)
+		lost, err := agents[1].sendHeartbeat(second)
 		if err != nil || len(lost) != 2 {
 			w.t.Fatalf("got commands %v, error %v, want 2 commands", lost, err)
 		}
-		ks[1].status.AgentEpoch, ks[1].status.Seq = ks[1].status.AgentEpoch+1, 0
-		resync(ks[1])
+		agents[1].status.AgentEpoch, agents[1].status.Seq = agents[1].status.AgentEpoch+1, 0
+		resync(agents[1])
 		second.inspect(func(c *Controller) {
-			w.checkEqual("untaken again", c.leaderTerm.jobs["job-2"].Flight.Untaken(), 2)
+			w.checkEqual("unassigned again", c.leaderTerm.jobs["job-2"].Flight.Untaken(), 2)
 		})
-		ks[1].serve(second, 6)
-		w.checkEqual("started again", countRunning(ks[1]), 2)
+		agents[1].serve(second, 6)
+		w.checkEqual("started again", countRunning(agents[1]), 2)
 	})
 }
 
-// A fleet as large as any: a crash, machines that die together, and a second crash in the middle
-// of the takeover. All that live are fenced by resyncs, none of them is terminated, and no task
-// starts again while it may run.
+// Guards against terminated live machines and duplicated tasks in the takeover of a large fleet. The
+// leader crashes, many machines die at the same time, and the next leader crashes during the takeover.
+// All live machines must be fenced by resyncs, and no task may start again while it may still run.
 func TestTakeoverOfALargeFleet(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		const machines, dead = 1100, 100
@@ -457,14 +463,14 @@
 		sender := w.useFakeCommandSender()
 		first := w.start("n0")
 		w.submit(first, spec("job-1", 5000))
-		ks := w.newFleet(sender, machines)
+		agents := w.newFleet(sender, machines)
 		for range 4 {
-			heartbeatAndCountTasks(w, first, ks, sender.machines)
+			heartbeatAndCountTasks(w, first, agents, sender.machines)
 		}
-		w.checkEqual("running", heartbeatAndCountTasks(w, first, ks, sender.machines), 4*machines)
+		w.checkEqual("running", heartbeatAndCountTasks(w, first, agents, sender.machines), 4*machines)
 		first.crash()
-		for _, k := range ks[:dead] {
-			w.dead.Store(k.status.Machine, true)
+		for _, agent := range agents[:dead] {
+			w.dead.Store(agent.status.Machine, true)
 		}
 		second := w.start("n0") // leads for half a second
 		second.crash()
@@ -473,7 +479,7 @@
 		third.inspect(func(c *Controller) {
 			w.checkEqual("only dead machines unfenced after a second", c.leaderTerm.unfenced <= dead, true)
 		})
-		live := ks[dead:]
+		live := agents[dead:]
 		for range 6 {
 			heartbeatAndCountTasks(w, third, live, sender.machines)
 		}
@@ -484,22 +490,22 @@
 	})
 }
 
-// heartbeatAndCountTasks sends a heartbeat from each of ks, and checks a second later that no task
-// runs twice on those of all machines that are not terminated. It returns how many run.
-func heartbeatAndCountTasks(w *simulatedCluster, n *node, ks []*worker, all map[string]*worker) int {
+// heartbeatAndCountTasks sends a heartbeat from each of the agents and returns the number of tasks that
+// run a second later. It fails if a task runs twice on the machines in all, without those terminated.
+func heartbeatAndCountTasks(w *simulatedCluster, n *node, agents []*worker, all map[string]*worker) int {
 	w.t.Helper()
-	for _, k := range ks {
-		k.heartbeat(n)
+	for _, agent := range agents {
+		agent.heartbeat(n)
 	}
 	time.Sleep(time.Second)
 	seen := map[string]bool{}
-	for _, k := range all {
-		if w.cloud.terminated(k.status.Machine) {
+	for _, agent := range all {
+		if w.cloud.terminated(agent.status.Machine) {
 			continue
 		}
-		for _, task := range k.running() {
+		for _, task := range agent.running() {
 			if seen[task] {
-				w.t.Fatalf("%s runs twice", task)
+				w.t.Fatalf("task %s runs twice", task)
 			}
 			seen[task] = true
 		}
@@ -507,9 +513,10 @@
 	return len(seen)
 }
 
-// A leader whose command batches reach no machine keeps nearly all tasks and capacity out of
-// batches that cannot arrive, and does not confirm as dead the first machines that it suspects.
-// Those whose heartbeats another node forwards get their starts in heartbeat responses.
+// Guards against a leader that reserves its capacity for undeliverable starts, or terminates live
+// machines, because its command batches and probes reach no machine. It must send only few batches, and
+// must not confirm the first suspect machines as dead. Machines whose heartbeats another node forwards
+// must receive starts in heartbeat responses.
 func TestLeaderWhoseCommandBatchesReachNoMachine(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		const machines = 50
@@ -517,15 +524,15 @@
 		sender := w.useFakeCommandSender()
 		n := w.start("n0")
 		w.submit(n, spec("job-1", machines))
-		ks := w.newFleet(sender, machines)
-		for range 4 { // heartbeats spread over 5 s
-			for _, k := range ks {
-				k.heartbeat(n)
+		agents := w.newFleet(sender, machines)
+		for range 4 { // each round of heartbeats takes 5 s
+			for _, agent := range agents {
+				agent.heartbeat(n)
 				time.Sleep(5 * time.Second / machines)
 			}
 		}
-		for _, k := range ks {
-			w.dead.Store(k.status.Machine, true)
+		for _, agent := range agents {
+			w.dead.Store(agent.status.Machine, true)
 		}
 		sender.setMode(rejectBatches)
 		sender.takeSentCount()
@@ -541,27 +548,27 @@
 		sender.setMode(deliverBatches)
 		sender.takeSentCount()
 		for range 3 {
-			for _, k := range ks {
-				forwardHeartbeat(w.t, n, k)
+			for _, agent := range agents {
+				forwardHeartbeat(w.t, n, agent)
 			}
 			time.Sleep(2 * time.Second)
 		}
-		w.checkEqual("running", countRunning(ks...), machines+100+9)
+		w.checkEqual("running", countRunning(agents...), machines+100+9)
 		w.submit(n, spec("job-4", 4))
 		time.Sleep(time.Second)
-		w.checkEqual("batches to machines out of reach", sender.takeSentCount(), 0)
+		w.checkEqual("batches to unreachable machines", sender.takeSentCount(), 0)
 	})
 }
 
-// forwardHeartbeat sends a machine's heartbeat to the leader as another node forwards it.
-func forwardHeartbeat(t *testing.T, leader *node, k *worker) {
+// forwardHeartbeat sends a machine's heartbeat to the leader as if another node forwarded it.
+func forwardHeartbeat(t *testing.T, leader *node, agent *worker) {
 	t.Helper()
-	k.status.Seq++
-	hb := k.status
-	hb.Tasks = slices.Clone(k.status.Tasks)
+	agent.status.Seq++
+	hb := agent.status
+	hb.Tasks = slices.Clone(agent.status.Tasks)
 	response, err := leader.ForwardedHeartbeat(t.Context(), &hb)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.applyCommands(response.Commands)
+	agent.applyCommands(response.Commands)
 }
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -12,38 +12,38 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// teamSpec is a job of the given team that may use all machines.
+// teamSpec returns the spec of a job of the given team that may run on any machine.
 func teamSpec(id, team string, tasks int) *api.JobSpec {
-	s := spec(id, tasks)
-	s.Team = team
-	return s
+	jobSpec := spec(id, tasks)
+	jobSpec.Team = team
+	return jobSpec
 }
 
-// alternatingTeam assigns jobs to the two teams by turns.
+// alternatingTeam returns the team of the i-th job; the two teams alternate.
 func alternatingTeam(i int) string { return []string{"red", "blue"}[i%2] }
 
-// leaderChanges are the ways in which leadership passes on: the key-value store rejects the
-// leader, so that the other node is elected, or the leader crashes and is back at once, within
-// a second or later.
+// leaderChanges are the kinds of leader change: the key-value store rejects the leader's requests, so
+// that the other node is elected, or the leader crashes and restarts after the given time.
 var leaderChanges = []struct {
 	name   string
 	change func(*checkedCluster)
 }{
 	{"handover", (*checkedCluster).handOver},
-	{"at once", func(s *checkedCluster) { s.restart(0) }},
-	{"second", func(s *checkedCluster) { s.restart(time.Second) }},
-	{"late", func(s *checkedCluster) { s.restart(6 * time.Second) }},
+	{"restart at once", func(s *checkedCluster) { s.restart(0) }},
+	{"restart after 1s", func(s *checkedCluster) { s.restart(time.Second) }},
+	{"restart after 6s", func(s *checkedCluster) { s.restart(6 * time.Second) }},
 }
 
-// leaderChangeCase is a leader change at a moment of the test's script. The meaning of the
-// offset, which may be negative, is the test's.
+// leaderChangeCase is a leader change at a given offset. The test defines what the offset, which may
+// be negative, is relative to.
 type leaderChangeCase struct {
 	name   string
 	offset time.Duration
 	change func(*checkedCluster)
 }
 
-// leaderChangeCases sweeps the moment of a leader change, of each kind.
+// leaderChangeCases returns a case for each kind of leader change and each offset from one time up to
+// another.
 func leaderChangeCases(from, to, step time.Duration) []leaderChangeCase {
 	var cases []leaderChangeCase
 	for _, kind := range leaderChanges {
@@ -54,7 +54,7 @@
 	return cases
 }
 
-// runAround runs f before a change with a negative offset, and otherwise while the change goes on.
+// runAround runs f before the change if the offset is negative, and otherwise during the change.
 func (c leaderChangeCase) runAround(s *checkedCluster, f func()) {
 	if c.offset < 0 {
 		f()
@@ -67,52 +67,53 @@
 	f()
 }
 
-// startDeliveries are the two ways in which starts reach machines: in heartbeat responses, or in
-// direct commands since heartbeats are rare.
+// startDeliveries are the two ways in which starts reach machines: in heartbeat responses, or in direct
+// commands, which the leader sends if the heartbeat interval is long.
 var startDeliveries = []struct {
 	name     string
 	simulate func(*testing.T, int, func(*checkedCluster))
 }{
-	{"answers", simulateChecked},
+	{"responses", simulateChecked},
 	{"direct", simulateSlowHeartbeats},
 }
 
-// Faults of a machine's connections.
+// The functions below are faults for host.injectFaults.
 
-func cutConnections(k *host) { k.cut = true }
+// cutConnections disconnects a machine in both directions.
+func cutConnections(machine *host) { machine.cut = true }
 
-// loseResponses lets heartbeats through, but not their responses.
-func loseResponses(k *host) { k.commandsUndelivered = true }
+// loseResponses loses what is sent to a machine; its heartbeats arrive.
+func loseResponses(machine *host) { machine.commandsUndelivered = true }
 
-// loseHeartbeats lets direct commands through, but no heartbeats.
-func loseHeartbeats(k *host) { k.heartbeatsUndelivered = true }
+// loseHeartbeats loses a machine's heartbeats; direct commands arrive there.
+func loseHeartbeats(machine *host) { machine.heartbeatsUndelivered = true }
 
-// delayMessages delays direct commands by one time and heartbeat responses by another.
+// delayMessages delays direct commands and heartbeat responses, each by its own time.
 func delayMessages(command, response time.Duration) func(*host) {
-	return func(k *host) { k.commandDelay, k.heartbeatResponseDelay = command, response }
+	return func(machine *host) { machine.commandDelay, machine.heartbeatResponseDelay = command, response }
 }
 
 func delayCommands(d time.Duration) func(*host) {
-	return func(k *host) { k.commandDelay = d }
+	return func(machine *host) { machine.commandDelay = d }
 }
 
 func delayCommandResponses(d time.Duration) func(*host) {
-	return func(k *host) { k.commandResponseDelay = d }
+	return func(machine *host) { machine.commandResponseDelay = d }
 }
 
 func hangFor(d time.Duration) func(*host) {
-	return func(k *host) { k.hungUntil = time.Now().Add(d) }
+	return func(machine *host) { machine.hungUntil = time.Now().Add(d) }
 }
 
 // healMachines ends the faults of all machines.
 func (s *checkedCluster) healMachines() {
-	for _, k := range s.hosts {
-		k.heal()
+	for _, machine := range s.hosts {
+		machine.heal()
 	}
 }
 
-// runAtLimits submits jobs up to the teams' limits, cuts or hangs machines of two of them,
-// cancels these two and changes the leader.
+// runAtLimits submits jobs up to the teams' limits, disconnects or hangs the machines of two of the
+// jobs, cancels these two jobs and changes the leader.
 func (s *checkedCluster) runAtLimits(c leaderChangeCase) {
 	s.t.Helper()
 	for _, j := range []*api.JobSpec{
@@ -123,18 +124,18 @@
 		time.Sleep(2 * time.Second)
 	}
 	for i, id := range []string{"job-1", "job-3"} {
-		for n, k := range s.machinesRunning(id) {
+		for n, machine := range s.machinesRunning(id) {
 			if (n+i)%2 == 0 {
-				k.injectFaults(cutConnections)
+				machine.injectFaults(cutConnections)
 			} else {
-				k.hang(8 * time.Second)
+				machine.hang(8 * time.Second)
 			}
 		}
 	}
 	s.cancel("job-1", "job-3")
 	time.Sleep(c.offset)
 	c.change(s)
-	for i := range 12 { // work that is new in the next term
+	for i := range 12 { // jobs of the next term
 		s.submitJob(10*time.Second, teamSpec(fmt.Sprint("job-1", i), alternatingTeam(i), 4))
 		time.Sleep(700 * time.Millisecond)
 	}
@@ -144,10 +145,10 @@
 	s.awaitAllEnded(3 * time.Minute)
 }
 
-// Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and
-// the leader changes. Tasks on those machines count towards the limits until they are off them:
-// neither a machine that the new leader has not fenced nor one that holds tasks of an ended job
-// may be left out of the teams' use.
+// Guards against a team exceeding its limit. Each team is at its limit, jobs are cancelled while their
+// machines are disconnected or hang, and the leader changes. Their tasks must count as used until they
+// are off those machines, including on machines that the new leader has not fenced and on machines
+// that hold tasks of an ended job.
 func TestTeamLimitsHoldWithUnreachableMachinesAcrossLeaderChanges(t *testing.T) {
 	for _, mode := range startDeliveries {
 		t.Run(mode.name, func(t *testing.T) {
@@ -183,8 +184,8 @@
 	s.awaitAllEnded(time.Minute)
 }
 
-// Jobs are cancelled in the seconds of a leader change: at the former leader, at the next one,
-// and while nobody leads.
+// Guards against cancellations that are lost in a leader change. Jobs are cancelled in the seconds
+// around it: at the former leader, at the next one, and while there is no leader.
 func TestCancellationDuringLeaderChange(t *testing.T) {
 	for _, mode := range startDeliveries {
 		t.Run(mode.name, func(t *testing.T) {
@@ -197,7 +198,7 @@
 	}
 }
 
-// runDelayedRegistration adds machines whose registration is delayed past the leader's restart.
+// runDelayedRegistration adds machines whose registration is delayed until after the leader restarts.
 func (s *checkedCluster) runDelayedRegistration(restartAfter time.Duration) {
 	s.t.Helper()
 	s.submitJob(2*time.Minute, teamSpec("job-1", "red", 14))
@@ -205,26 +206,26 @@
 	s.store.Delay(writesPrefix(records.MachinePrefix))
 	added := []*host{s.addMachine("i-8", "a", false), s.addMachine("i-9", "b", false)}
 	time.Sleep(restartAfter)
-	for _, k := range added {
-		s.checkEqual("tasks on "+k.status.Machine, k.running(), []string(nil))
-		k.injectFaults(cutConnections)
+	for _, machine := range added {
+		s.checkEqual("tasks on "+machine.status.Machine, machine.running(), []string(nil))
+		machine.injectFaults(cutConnections)
 	}
 	s.restart(0)
-	for _, res := range s.store.ApplyDelayed() {
-		s.checkEqual("delayed registration applied", res.Succeeded, false)
+	for _, result := range s.store.ApplyDelayed() {
+		s.checkEqual("delayed registration applied", result.Succeeded, false)
 	}
 	s.addMachine("i-5", "a", false)
 	s.addMachine("i-6", "b", false)
 	time.Sleep(8 * time.Second)
-	for _, k := range added {
-		k.heal()
+	for _, machine := range added {
+		machine.heal()
 	}
 	s.awaitAllEnded(4 * time.Minute)
 }
 
-// New machines are up within two seconds while writes are delayed, and the leader restarts.
-// Nothing may start on a machine before its registration is durable: the next leader would not
-// know that it may hold tasks, and would start them elsewhere.
+// Guards against starts on a machine whose registration is not durable. Writes of the registry are
+// delayed while new machines send heartbeats, and then the leader restarts. If tasks had started
+// there, the next leader would have no record of the machines and would start the tasks elsewhere.
 func TestNoStartBeforeRegistrationIsDurable(t *testing.T) {
 	for _, mode := range startDeliveries {
 		for after := 500 * time.Millisecond; after <= 5*time.Second; after += 500 * time.Millisecond {
@@ -235,8 +236,8 @@
 	}
 }
 
-// replayHeartbeats sends copies of a machine's heartbeats to every controller, latest first.
-// Their responses reach nobody.
+// replayHeartbeats sends copies of a machine's heartbeats to every controller, latest first, and
+// discards the responses.
 func (k *host) replayHeartbeats(heartbeats []api.Heartbeat) {
 	for _, hb := range slices.Backward(heartbeats) {
 		for _, name := range k.s.names {
@@ -244,41 +245,42 @@
 			if n == nil {
 				continue
 			}
-			own := hb
-			own.Tasks = slices.Clone(hb.Tasks)
+			replayed := hb
+			replayed.Tasks = slices.Clone(hb.Tasks)
 			k.s.tasks.Go(func() {
 				ctx, cancel := context.WithTimeout(k.s.ctx, 4*time.Second)
 				defer cancel()
-				// Response and error are dropped: the machine has long continued.
-				_, _ = n.Heartbeat(ctx, &own)
+				// The machine has already handled the response to the original.
+				_, _ = n.Heartbeat(ctx, &replayed)
 			})
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// sentHeartbeats are copies of the heartbeats that a machine has sent.
+// sentHeartbeats returns copies of the heartbeats that a machine has sent.
 func (k *host) sentHeartbeats() []api.Heartbeat {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.heartbeats)
 }
 
-// recordedHeartbeats are the heartbeats that machines have sent up to a moment.
+// recordedHeartbeats holds the heartbeats of each machine that were sent up to a point in time.
 type recordedHeartbeats map[*host][]api.Heartbeat
 
+// recordHeartbeats returns the heartbeats that all machines have sent so far.
 func (s *checkedCluster) recordHeartbeats() recordedHeartbeats {
 	recorded := recordedHeartbeats{}
-	for _, k := range s.hosts {
-		recorded[k] = k.sentHeartbeats()
+	for _, machine := range s.hosts {
+		recorded[machine] = machine.sentHeartbeats()
 	}
 	return recorded
 }
 
-// replay starts to send all of them again.
+// replay starts to send all recorded heartbeats again, and waits for a short time.
 func (r recordedHeartbeats) replay(s *checkedCluster) {
-	for k, heartbeats := range r {
-		s.tasks.Go(func() { k.replayHeartbeats(heartbeats) })
+	for machine, heartbeats := range r {
+		s.tasks.Go(func() { machine.replayHeartbeats(heartbeats) })
 	}
 	time.Sleep(700 * time.Millisecond)
 }
@@ -286,11 +288,11 @@
 // runReorderedHeartbeats replays old heartbeats before, during and after a leader change.
 func (s *checkedCluster) runReorderedHeartbeats(c leaderChangeCase) {
 	s.t.Helper()
-	s.hosts[4].injectFaults(cutConnections) // for good: i-5 is terminated
+	s.hosts[4].injectFaults(cutConnections) // never healed, so i-5 is terminated
 	s.submitJob(25*time.Second, teamSpec("job-1", "red", 4))
 	s.submitJob(3*time.Minute, teamSpec("job-2", "red", 4))
 	time.Sleep(3 * time.Second)
-	// The first machine's agent epoch ends, and its tasks start anew.
+	// The first machine's agent epoch ends, and its tasks start again.
 	first := s.machinesRunning("job-2")[0]
 	first.injectFaults(loseHeartbeats)
 	time.Sleep(13 * time.Second)
@@ -315,10 +317,10 @@
 	s.checkEqual("started after completion", s.checker.restartedWhenDone(), []string(nil))
 }
 
-// Old heartbeats arrive after newer ones: of an earlier agent epoch, of an earlier attempt, from
-// before tasks started and from while they ran, within a term, just as a new leader begins, and
-// after it has acted. They change nothing: no task counts as ended or as running because of
-// them, and no machine as alive.
+// Guards against leaders that apply delayed heartbeats. Old heartbeats arrive after newer ones: of an
+// earlier agent epoch or attempt, from before tasks started and from while they ran; within a term, at
+// the beginning of the next one, and later in it. They must change nothing: no task counts as ended or
+// running because of them, and no machine as alive.
 func TestReorderedHeartbeatsAreIgnored(t *testing.T) {
 	for _, c := range leaderChangeCases(-time.Second, 5*time.Second, 500*time.Millisecond) {
 		t.Run(c.name, func(t *testing.T) {
@@ -327,15 +329,15 @@
 	}
 }
 
-// runCompletions has tasks of a job end 20 s apart around a leader change, perhaps while
-// completion records are delayed.
+// runCompletions runs jobs whose tasks end 20 s apart, around a leader change. With delayRecords, the
+// completion records are delayed until after the change.
 func (s *checkedCluster) runCompletions(c leaderChangeCase, delayRecords bool) {
 	s.t.Helper()
 	for i := range 6 {
-		j := teamSpec(fmt.Sprint("job-", i), alternatingTeam(i), 2+i%2)
-		s.submitJob(4*time.Second+time.Duration(i)*700*time.Millisecond, j)
+		jobSpec := teamSpec(fmt.Sprint("job-", i), alternatingTeam(i), 2+i%2)
+		s.submitJob(4*time.Second+time.Duration(i)*700*time.Millisecond, jobSpec)
 		s.checker.mu.Lock()
-		s.checker.jobs[j.ID].durationStep = 20 * time.Second
+		s.checker.jobs[jobSpec.ID].durationStep = 20 * time.Second
 		s.checker.mu.Unlock()
 	}
 	if delayRecords {
@@ -350,8 +352,9 @@
 	s.checkEqual("started twice", s.checker.startedTwice(), []string(nil))
 }
 
-// Tasks of jobs of two or three end far apart across a leader change, while their completion
-// may not be on record yet: what is done stays done, nothing is lost and nothing runs again.
+// Guards against completions that a leader change loses. Jobs have two or three tasks that end far
+// apart, and the leader changes while a completion may not be recorded yet. Completed tasks must
+// remain completed, and no task may be started twice.
 func TestCompletionsAcrossLeaderChange(t *testing.T) {
 	for _, delayRecords := range []bool{false, true} {
 		for _, c := range leaderChangeCases(0, 5*time.Second, 500*time.Millisecond) {
@@ -374,6 +377,7 @@
 	s.crash("n1")
 }
 
+// crashAllRestartOne restarts the controller n0 only after n1 has led for a while.
 func crashAllRestartOne(s *checkedCluster) {
 	s.crashAll()
 	s.startNode("n1")
@@ -422,9 +426,10 @@
 	}
 }
 
-// Controllers hand over and back, all crash and one returns, all are down for longer than a
-// lease, and leaders change ten times in two minutes, also in an outage. Each script begins at
-// several offsets from the work.
+// Guards against lost or duplicated tasks when controllers restart: leadership is handed over and back,
+// all controllers crash and one restarts, all are down for longer than a lease, and the leader changes
+// ten times in two minutes, with and without outages of the store. Each script starts at several
+// offsets from the submissions.
 func TestControllerRestartsAndHandovers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -458,7 +463,7 @@
 }
 
 // runUnreachableMachines changes the leader while two machines of a job have a fault.
-func (s *checkedCluster) runUnreachableMachines(c leaderChangeCase, fault func(*host), lasts time.Duration) {
+func (s *checkedCluster) runUnreachableMachines(c leaderChangeCase, fault func(*host), duration time.Duration) {
 	s.t.Helper()
 	s.submitJob(70*time.Second, teamSpec("job-1", "red", 12))
 	s.submitJob(2*time.Minute, teamSpec("job-2", "blue", 8))
@@ -467,8 +472,8 @@
 		c.change(s)
 		time.Sleep(-c.offset)
 	}
-	for _, k := range s.machinesRunning("job-1")[:2] {
-		k.injectFaults(fault)
+	for _, machine := range s.machinesRunning("job-1")[:2] {
+		machine.injectFaults(fault)
 	}
 	if c.offset >= 0 {
 		time.Sleep(c.offset)
@@ -477,17 +482,17 @@
 	time.Sleep(time.Second)
 	s.cancel("job-2")
 	s.submitJob(20*time.Second, teamSpec("job-3", "blue", 8))
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	s.healMachines()
 	s.addMachine("i-8", "a", false)
 	s.addMachine("i-9", "b", false)
 	s.awaitAllEnded(4 * time.Minute)
 }
 
-// The leader changes while machines with long tasks are unreachable, receive no response of the
-// next leader, reach no controller while direct commands reach them, or receive responses and
-// commands late, in any order. Their tasks start elsewhere only when they are off these
-// machines, and do start once the faults are over.
+// Guards against duplicated and stuck tasks when the leader changes while machines with long tasks are
+// unreachable, receive no responses, reach no controller although direct commands reach them, or
+// receive responses and commands late and out of order. Their tasks must start elsewhere only after
+// they are off these machines, and must run to completion once the faults are healed.
 func TestLeaderChangeWhileMachinesAreUnreachable(t *testing.T) {
 	for _, f := range []struct {
 		name  string
@@ -498,18 +503,18 @@
 		{"heartbeats lost", loseHeartbeats},
 		{"slow", delayMessages(600*time.Millisecond, 1300*time.Millisecond)},
 	} {
-		for _, lasts := range []time.Duration{6 * time.Second, 25 * time.Second} {
+		for _, duration := range []time.Duration{6 * time.Second, 25 * time.Second} {
 			for _, c := range leaderChangeCases(-2*time.Second, 3*time.Second, time.Second) {
-				t.Run(fmt.Sprint(c.name, "/", f.name, " ", lasts), func(t *testing.T) {
-					simulateChecked(t, 7, func(s *checkedCluster) { s.runUnreachableMachines(c, f.fault, lasts) })
+				t.Run(fmt.Sprint(c.name, "/", f.name, " ", duration), func(t *testing.T) {
+					simulateChecked(t, 7, func(s *checkedCluster) { s.runUnreachableMachines(c, f.fault, duration) })
 				})
 			}
 		}
 	}
 }
 
-// runDelayedCommands cancels jobs some time after their submission, while three machines have a
-// fault, and perhaps restarts the leader.
+// runDelayedCommands cancels jobs some time after their submission, while three machines have a fault.
+// With restart, it also restarts the leader.
 func (s *checkedCluster) runDelayedCommands(fault func(*host), cancelAfter time.Duration, cancelled []string,
 	restart bool) {
 	s.t.Helper()
@@ -517,8 +522,8 @@
 	wide.CPUs = 3
 	s.submitJob(3*time.Minute, wide)
 	time.Sleep(6 * time.Second)
-	for _, k := range s.machinesRunning("job-0") {
-		k.injectFaults(fault)
+	for _, machine := range s.machinesRunning("job-0") {
+		machine.injectFaults(fault)
 	}
 	s.submitJob(4*time.Minute, teamSpec("job-1", "red", 12))
 	s.submitJob(30*time.Second, teamSpec("job-2", "blue", 6))
@@ -536,10 +541,11 @@
 	s.awaitAllEnded(4 * time.Minute)
 }
 
-// A direct command or its response is delayed for seconds, or the machine hangs within its lease
-// and then continues, while its job is cancelled, and perhaps the leader changes. What may still
-// start counts as started, and a task that starts late is off its machine within the time limit
-// of a cancellation.
+// Guards against duplicated tasks and late cancellations when a direct command or its response is
+// delayed for seconds, or the machine hangs within its lease and then continues. Meanwhile its job is
+// cancelled, in some cases with a restart of the leader. A task that may still start must count as
+// started, and a task that starts late must be off its machine within the time limit of a
+// cancellation.
 func TestDelayedDirectCommands(t *testing.T) {
 	const step = 400 * time.Millisecond
 	for _, f := range []struct {
@@ -556,7 +562,7 @@
 	} {
 		for _, restart := range []bool{false, true} {
 			for offset := time.Duration(0); offset < 4*time.Second; offset += step {
-				// Small jobs start first, where the least capacity is free.
+				// Small jobs start first, on the machines with the least free capacity.
 				cancelled := []string{"job-1", "job-2"}[:1+offset/step%2]
 				t.Run(fmt.Sprint(f.name, ", restart ", restart, " ", offset), func(t *testing.T) {
 					simulateSlowHeartbeats(t, 5, func(s *checkedCluster) {
@@ -568,32 +574,32 @@
 	}
 }
 
-// zoneOf is the zone of a machine that runs tasks of a job, or "".
+// zoneOf returns the zone of a machine that runs tasks of a job, or "".
 func (s *checkedCluster) zoneOf(job string) (zone string) {
-	for _, k := range s.machinesRunning(job) {
-		zone = k.status.Zone
+	for _, machine := range s.machinesRunning(job) {
+		zone = machine.status.Zone
 	}
 	return zone
 }
 
-// cutMachines cuts some machines of a zone off.
+// cutMachines disconnects the given number of machines of a zone.
 func (s *checkedCluster) cutMachines(zone string, count int) {
-	for _, k := range s.hosts {
-		if k.status.Zone == zone && count > 0 {
+	for _, machine := range s.hosts {
+		if machine.status.Zone == zone && count > 0 {
 			count--
-			k.injectFaults(cutConnections)
+			machine.injectFaults(cutConnections)
 		}
 	}
 }
 
-// runZoneBoundJobs cuts machines off for good that may run jobs bound to a zone, and changes
-// the leader.
+// runZoneBoundJobs permanently disconnects machines in the zone of a job that is bound to one zone, and
+// changes the leader.
 func (s *checkedCluster) runZoneBoundJobs(c leaderChangeCase, cut int) {
 	s.t.Helper()
 	oneZone, zone, spread := teamSpec("job-1", "red", 7), teamSpec("job-2", "red", 3), teamSpec("job-3", "blue", 8)
 	oneZone.OneZone, zone.Zone, spread.Spread = true, "b", true
-	for _, j := range []*api.JobSpec{oneZone, zone, spread} {
-		s.submitJob(time.Minute, j)
+	for _, jobSpec := range []*api.JobSpec{oneZone, zone, spread} {
+		s.submitJob(time.Minute, jobSpec)
 		time.Sleep(1500 * time.Millisecond)
 	}
 	s.cutMachines(s.zoneOf("job-1"), cut)
@@ -606,9 +612,9 @@
 	s.awaitAllEnded(5 * time.Minute)
 }
 
-// Jobs bound to one zone, arrays too, lose machines around a leader change: their
-// other tasks at that moment determine where the next may start, also those on machines that
-// miss heartbeats.
+// Guards against tasks in the wrong zone. Jobs with placement constraints, arrays included, lose
+// machines around a leader change. The zones where their tasks may start follow from their other
+// tasks, including those on machines that miss heartbeats.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	for _, c := range leaderChangeCases(0, 4*time.Second, time.Second) {
 		for _, cut := range []int{1, 2, 3} {
@@ -619,37 +625,37 @@
 	}
 }
 
-// randomSpec is a job of the i-th round; three of eight are bound to a zone, to one zone or
-// spread.
+// randomSpec returns the spec of a job of the i-th round. Three of eight jobs on average have a
+// placement constraint: a given zone, any one zone, or spread.
 func randomSpec(rnd *rand.Rand, i int) *api.JobSpec {
-	j := teamSpec(fmt.Sprint("job-", i), alternatingTeam(i), 1+rnd.IntN(6))
+	jobSpec := teamSpec(fmt.Sprint("job-", i), alternatingTeam(i), 1+rnd.IntN(6))
 	switch rnd.IntN(8) {
 	case 0:
-		j.Zone = "a"
+		jobSpec.Zone = "a"
 	case 1:
-		j.OneZone = true
+		jobSpec.OneZone = true
 	case 2:
-		j.Spread = true
+		jobSpec.Spread = true
 	}
-	return j
+	return jobSpec
 }
 
 // injectRandomFault injects a fault of a machine, of a controller or of the key-value store,
 // heals a machine, or cancels one of the jobs submitted so far.
 func (s *checkedCluster) injectRandomFault(rnd *rand.Rand, jobs int) {
 	s.t.Helper()
-	k := s.hosts[rnd.IntN(len(s.hosts))]
+	machine := s.hosts[rnd.IntN(len(s.hosts))]
 	switch rnd.IntN(12) {
 	case 0:
-		k.injectFaults(cutConnections)
+		machine.injectFaults(cutConnections)
 	case 1:
-		k.injectFaults(loseResponses)
+		machine.injectFaults(loseResponses)
 	case 2:
-		k.injectFaults(loseHeartbeats)
+		machine.injectFaults(loseHeartbeats)
 	case 3, 4:
-		k.hang(time.Duration(rnd.IntN(9)) * time.Second)
+		machine.hang(time.Duration(rnd.IntN(9)) * time.Second)
 	case 5, 6:
-		k.heal()
+		machine.heal()
 	case 7:
 		s.handOver()
 	case 8:
@@ -657,7 +663,7 @@
 	case 9:
 		s.cancel(fmt.Sprint("job-", rnd.IntN(jobs)))
 	case 10:
-		s.tasks.Go(func() { k.replayHeartbeats(k.sentHeartbeats()) })
+		s.tasks.Go(func() { machine.replayHeartbeats(machine.sentHeartbeats()) })
 	case 11:
 		s.store.Delay(writesPrefix(records.MachinePrefix))
 		s.tasks.Go(func() {
@@ -667,9 +673,10 @@
 	}
 }
 
-// After faults of all kinds no job stays pending for 90 s while a machine that fits has free
-// capacity and its team is below its limit: what the faults left uncertain (machines that miss
-// heartbeats, tasks that may be there) is resolved in the end.
+// Guards against starved jobs after faults of all kinds. No job may stay pending for 90 s while a
+// machine that fits has free capacity and its team is below its limit. The leader must therefore
+// resolve what the faults left uncertain, such as machines that miss heartbeats and tasks that may be
+// on them.
 func TestNoJobIsStarvedAfterFaults(t *testing.T) {
 	for seed := range 24 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -680,8 +687,8 @@
 			simulateMode(t, 8, func(s *checkedCluster) {
 				rnd := rand.New(rand.NewPCG(uint64(seed), 1))
 				for i := range 30 {
-					j := randomSpec(rnd, i)
-					s.submitJob(time.Duration(5+rnd.IntN(40))*time.Second, j)
+					jobSpec := randomSpec(rnd, i)
+					s.submitJob(time.Duration(5+rnd.IntN(40))*time.Second, jobSpec)
 					s.injectRandomFault(rnd, i+1)
 					time.Sleep(time.Duration(rnd.IntN(3000)) * time.Millisecond)
 				}
@@ -695,9 +702,9 @@
 	}
 }
 
-// A machine that reaches no controller while it answers direct requests loses its tasks with its
-// agent epoch. Its answers show that: its tasks start elsewhere while the fault lasts, and do not
-// count as running until then.
+// Guards against tasks that count as running although they were killed. A machine that reaches no
+// controller, but responds to direct requests, kills its tasks when its lease expires and begins a new
+// agent epoch. Its responses show this, so its tasks must start elsewhere while the fault lasts.
 func TestMachineWithoutUplinkLosesItsTasks(t *testing.T) {
 	for _, mode := range startDeliveries {
 		for offset := time.Duration(0); offset < 3*time.Second; offset += 300 * time.Millisecond {
@@ -705,8 +712,8 @@
 				mode.simulate(t, 3, func(s *checkedCluster) {
 					s.submitJob(3*time.Minute, teamSpec("job-1", "red", 4))
 					time.Sleep(5*time.Second + offset)
-					for _, k := range s.machinesRunning("job-1") {
-						k.injectFaults(loseHeartbeats)
+					for _, machine := range s.machinesRunning("job-1") {
+						machine.injectFaults(loseHeartbeats)
 					}
 					time.Sleep(time.Minute)
 					s.checkEqual("started elsewhere", len(s.checker.onMachines("job-1")), 4)
@@ -718,25 +725,25 @@
 	}
 }
 
-// submitOverload submits more work than the machines can run, and returns the ids of the jobs of
-// low and of urgent priority.
+// submitOverload submits more jobs than the machines can run at a time, and returns the ids of the
+// jobs of low and of urgent priority.
 func (s *checkedCluster) submitOverload() (low, urgent []string) {
 	s.t.Helper()
 	for i := range 20 {
-		j := teamSpec(fmt.Sprint("job-", i), alternatingTeam(i), 6)
+		jobSpec := teamSpec(fmt.Sprint("job-", i), alternatingTeam(i), 6)
 		if i >= 12 {
-			j.Priority = "urgent"
-			urgent = append(urgent, j.ID)
+			jobSpec.Priority = "urgent"
+			urgent = append(urgent, jobSpec.ID)
 		} else {
-			low = append(low, j.ID)
-			j.DeadlineS = 70 // sooner than the others' objective
+			low = append(low, jobSpec.ID)
+			jobSpec.DeadlineS = 70 // sooner than the objective of the urgent jobs
 		}
-		s.submitJob(9*time.Second, j)
+		s.submitJob(9*time.Second, jobSpec)
 	}
 	return low, urgent
 }
 
-// doneTasksPer100 is the number of completed tasks for each hundred jobs.
+// doneTasksPer100 returns the number of completed tasks per 100 jobs.
 func (s *checkedCluster) doneTasksPer100(ids []string) (count int) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
@@ -746,11 +753,11 @@
 	return count * 100 / len(ids)
 }
 
-// runOverload checks that urgent work is done first while heartbeat responses are delayed.
+// runOverload checks that urgent jobs are done first while heartbeat responses are delayed.
 func (s *checkedCluster) runOverload(delay time.Duration, restart bool) {
 	s.t.Helper()
-	for _, k := range s.hosts {
-		k.injectFaults(func(k *host) { k.heartbeatResponseDelay = delay })
+	for _, machine := range s.hosts {
+		machine.injectFaults(func(faulty *host) { faulty.heartbeatResponseDelay = delay })
 	}
 	low, urgent := s.submitOverload()
 	time.Sleep(5 * time.Second)
@@ -759,16 +766,16 @@
 	}
 	s.cancel("job-0", "job-15")
 	time.Sleep(35 * time.Second)
-	if u, l := s.doneTasksPer100(urgent), s.doneTasksPer100(low); u <= l {
-		s.t.Errorf("tasks done of each hundred jobs: got %d of urgent and %d of low ones, want more urgent", u, l)
+	if doneUrgent, doneLow := s.doneTasksPer100(urgent), s.doneTasksPer100(low); doneUrgent <= doneLow {
+		s.t.Errorf("completed tasks per 100 jobs: got %d urgent and %d low, want more urgent", doneUrgent, doneLow)
 	}
 	s.healMachines()
 	s.awaitAllEnded(10 * time.Minute)
 }
 
-// There is more work than capacity, urgent and not, over slow links: responses take long to reach
-// the machines, some so long that they are dropped. No rule is violated, urgent work is done
-// before the rest, and all is done in the end.
+// Guards against rule violations, wrong priorities and lost jobs under overload with slow links. There
+// are more urgent and low-priority jobs than capacity, and heartbeat responses reach the machines late,
+// some so late that they are discarded. Urgent jobs must be done first, and all jobs in the end.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	for _, delay := range []time.Duration{
 		500 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 3900 * time.Millisecond,
--- a/internal/controller/reaps_test.go
+++ b/internal/controller/reaps_test.go
@@ -7,20 +7,20 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// A machine with more exited tasks than a heartbeat response holds commands must still get at once the
-// stops of cancelled tasks: the same responses renew its task lease. The exited tasks are reaped
-// after that.
+// Guards against cancelled tasks that keep running on a machine with more exited tasks than a heartbeat
+// response may have commands. Stops must precede reaps, because the same responses renew the task
+// lease. The exited tasks are reaped afterwards.
 func TestStopsGoBeforeReaps(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
-		k := w.worker("i-1", "a", false)
+		agent := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
-		k.serve(n, 3)
-		w.checkEqual("running", k.running(), []string{"job-1/0"})
-		// Starts that no machine can run exit at once; such tasks stay in the heartbeats until they
-		// are reaped.
+		agent.serve(n, 3)
+		w.checkEqual("running", agent.running(), []string{"job-1/0"})
+		// Tasks that the agent cannot start exit immediately, and remain in its heartbeats until
+		// they are reaped.
 		for i := range 3 * maxCommands {
-			k.status.Tasks = append(k.status.Tasks, api.TaskStatus{
+			agent.status.Tasks = append(agent.status.Tasks, api.TaskStatus{
 				Task:    "job-2/" + string(rune('0'+i%10)),
 				Attempt: uint64(1000 + i),
 				Phase:   api.TaskExited,
@@ -31,11 +31,11 @@
 			w.t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		commands := k.heartbeat(n)
+		commands := agent.heartbeat(n)
 		w.checkEqual("commands of one response", len(commands), maxCommands)
 		w.checkEqual("first command", commands[0].Verb+" "+commands[0].Task, "stop job-1/0")
-		w.checkEqual("running once stopped", len(k.running()), 0)
-		k.serve(n, 4)
-		w.checkEqual("tasks left once reaped", len(k.status.Tasks), 0)
+		w.checkEqual("running once stopped", len(agent.running()), 0)
+		agent.serve(n, 4)
+		w.checkEqual("tasks left once reaped", len(agent.status.Tasks), 0)
 	})
 }
--- a/internal/controller/registry_test.go
+++ b/internal/controller/registry_test.go
@@ -12,20 +12,20 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// registryShards reads the registry from the store: the machines of each of its shards.
+// registryShards reads the registry from the store and returns the machine names of each shard.
 func (w *simulatedCluster) registryShards() (shards [][]string) {
 	w.t.Helper()
 	page, err := w.store.Range(w.t.Context(), records.MachinePrefix, "", 1000)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	for _, e := range page.Entries {
-		var rec records.RegistryShardRecord
-		if err := json.Unmarshal(e.Value, &rec); err != nil {
+	for _, entry := range page.Entries {
+		var shard records.RegistryShardRecord
+		if err := json.Unmarshal(entry.Value, &shard); err != nil {
 			w.t.Fatal(err)
 		}
-		names := make([]string, len(rec.Machines))
-		for i, m := range rec.Machines {
+		names := make([]string, len(shard.Machines))
+		for i, m := range shard.Machines {
 			names[i] = m.Name
 		}
 		shards = append(shards, names)
@@ -33,7 +33,7 @@
 	return shards
 }
 
-// registeredMachines lists the machines of the registry, as stored.
+// registeredMachines returns the sorted names of the machines in the stored registry.
 func (w *simulatedCluster) registeredMachines() (names []string) {
 	w.t.Helper()
 	for _, shard := range w.registryShards() {
@@ -43,29 +43,30 @@
 	return slices.Compact(names)
 }
 
-// Machines that register at the same time share a shard, so that a fleet need not wait for one
-// write each; as machines are terminated, the remaining shards shrink.
+// Guards against slow registration of a large fleet, which a write for each machine would cause.
+// Machines that register at the same time must share shards, and terminated machines must be removed
+// from their shards.
 func TestMachinesShareShards(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		const machines, live, maxShards = 60, 3, 6
 		n := w.start("n0")
-		ks := make([]*worker, machines)
-		for i := range ks {
-			ks[i] = w.worker(fmt.Sprintf("i-%02d", i), "a", false)
-			sendDroppingCommands(w, n, ks[i]) // fences the machine
+		agents := make([]*worker, machines)
+		for i := range agents {
+			agents[i] = w.worker(fmt.Sprintf("i-%02d", i), "a", false)
+			sendDroppingCommands(w, n, agents[i]) // the response fences the machine
 		}
-		for _, k := range ks {
-			sendDroppingCommands(w, n, k)
+		for _, agent := range agents {
+			sendDroppingCommands(w, n, agent)
 		}
 		time.Sleep(2 * time.Second)
 		w.checkEqual("registered", len(w.registeredMachines()), machines)
 		if shards := len(w.registryShards()); shards > maxShards {
 			w.t.Errorf("got %d shards for %d machines, want at most %d", shards, machines, maxShards)
 		}
-		for _, k := range ks[:machines-live] {
-			w.dead.Store(k.status.Machine, true)
+		for _, agent := range agents[:machines-live] {
+			w.dead.Store(agent.status.Machine, true)
 		}
-		heartbeatAll(ks[machines-live:], n, 60)
+		heartbeatAll(agents[machines-live:], n, 60)
 		left := 0
 		n.inspect(func(c *Controller) { left = len(c.leaderTerm.machines) })
 		if names := w.registeredMachines(); left >= machines || len(names) != left {
@@ -78,34 +79,35 @@
 	})
 }
 
-// sendDroppingCommands sends a heartbeat, and drops the commands of its response.
-func sendDroppingCommands(w *simulatedCluster, n *node, k *worker) {
+// sendDroppingCommands sends a heartbeat and discards the commands of the response.
+func sendDroppingCommands(w *simulatedCluster, n *node, agent *worker) {
 	w.t.Helper()
-	if _, err := k.sendHeartbeat(n); err != nil {
-		w.t.Fatalf("heartbeat of %s: got error %v, want none", k.status.Machine, err)
+	if _, err := agent.sendHeartbeat(n); err != nil {
+		w.t.Fatalf("heartbeat of %s: got error %v, want none", agent.status.Machine, err)
 	}
 }
 
-// Whatever the outcome of the transactions that write shards, applied without a response or late, a
-// machine that may be given tasks is registered.
+// Guards against tasks on machines that are not in the stored registry. Transactions that write shards
+// are applied without a response or late, and every machine that may be assigned tasks must still be
+// registered.
 func TestEveryMachineInUseIsRegistered(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		const maxMachines = 30
 		rnd := rand.New(rand.NewPCG(1, 2))
 		n := w.start("n0")
-		var ks []*worker
+		var agents []*worker
 		for round := range 60 {
 			injectShardWriteFault(w, rnd.IntN(4))
 			for range rnd.IntN(8) {
-				ks = append(ks, w.worker(fmt.Sprintf("i-%d-%d", round, len(ks)), "a", false))
+				agents = append(agents, w.worker(fmt.Sprintf("i-%d-%d", round, len(agents)), "a", false))
 			}
-			for len(ks) > maxMachines {
-				w.dead.Store(ks[0].status.Machine, true)
-				ks = ks[1:]
+			for len(agents) > maxMachines {
+				w.dead.Store(agents[0].status.Machine, true)
+				agents = agents[1:]
 			}
 			for range 3 {
-				for _, k := range ks {
-					k.heartbeat(n)
+				for _, agent := range agents {
+					agent.heartbeat(n)
 				}
 				for range 20 {
 					time.Sleep(50 * time.Millisecond)
@@ -115,12 +117,12 @@
 		}
 		w.store.ApplyDelayed()
 		time.Sleep(5 * time.Second)
-		w.checkEqual("machines left", len(ks) > 0, true)
+		w.checkEqual("machines left", len(agents) > 0, true)
 	})
 }
 
-// injectShardWriteFault loses the responses to writes of shards (0), delays the writes (1), or heals
-// both (any other kind).
+// injectShardWriteFault injects a fault into the writes of shards: kind 0 loses their responses, kind 1
+// delays the writes, and any other kind ends both faults.
 func injectShardWriteFault(w *simulatedCluster, kind int) {
 	shardWrites := writesPrefix(records.MachinePrefix)
 	switch kind {
@@ -134,7 +136,7 @@
 	}
 }
 
-// checkInUseRegistered checks that the machines to which the leader may give tasks are registered.
+// checkInUseRegistered checks that the machines that the leader may assign tasks to are registered.
 func checkInUseRegistered(w *simulatedCluster, n *node, round int) {
 	w.t.Helper()
 	names, inUse := w.registeredMachines(), []string(nil)
@@ -145,10 +147,11 @@
 			}
 		}
 	})
-	names = append(names, w.registeredMachines()...) // some may have been registered or deregistered just now
+	// The registry may have changed between the first read and the inspection.
+	names = append(names, w.registeredMachines()...)
 	for _, name := range inUse {
 		if !slices.Contains(names, name) {
-			w.t.Fatalf("round %d: %s may be in use and is not registered", round, name)
+			w.t.Fatalf("round %d: machine %s may be in use and is not registered", round, name)
 		}
 	}
 }
