--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -120,7 +120,7 @@
 		{"one that is terminated unused does not count", func(f *testFleet) {
 			f.view.Provisioning["m"] = &Provisioning{Type: "s", Zone: "a", CPUs: 4, Terminating: true}
 		}, []string{"r-7-1 5 a spot=true"}},
-		{"a job in backoff demands nothing", func(f *testFleet) { f.view.Jobs["job"].FailureRounds = 1 }, nil},
+		{"a job in backoff demands nothing", func(f *testFleet) { f.view.Jobs["job"].BackoffCount = 1 }, nil},
 		{"a job that ends demands nothing", func(f *testFleet) { f.view.Jobs["job"].Finishing = true }, nil},
 		{"unfenced machines", func(f *testFleet) { f.view.Unfenced = 1 }, nil},
 		{"types not known", func(f *testFleet) { f.view.Types = nil }, nil},
--- a/internal/autoscaler/constrained.go
+++ b/internal/autoscaler/constrained.go
@@ -38,7 +38,7 @@
 	for _, team := range v.Teams {
 		available := team.LimitCPUs - team.UsedCPUs
 		for _, j := range team.Items() {
-			if !isConstrained(&j.Spec) || j.Finishing || j.FailureRounds > 0 || v.Now.Sub(j.RunnableSince) <= minWait {
+			if !isConstrained(&j.Spec) || j.Finishing || j.BackoffCount > 0 || v.Now.Sub(j.RunnableSince) <= minWait {
 				continue
 			}
 			if cpus := min(float64(j.Flight.Untaken())*j.Spec.CPUs, available); cpus > 0 {
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -14,7 +14,7 @@
 	for _, t := range v.Teams {
 		atOnce, inTime := t.UsedCPUs, t.UsedCPUs
 		for _, j := range t.Items() {
-			if j.Finishing || j.FailureRounds > 0 {
+			if j.Finishing || j.BackoffCount > 0 {
 				continue
 			}
 			cpus := float64(j.Flight.Untaken()) * j.Spec.CPUs
--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -36,8 +36,8 @@
 	Unmeasured bool
 	// Stop is set once the attempt is to be stopped.
 	Stop *StopRequest
-	// Direct is set if the start was sent outside a heartbeat response.
-	Direct *DirectCommand
+	// DirectStart is set if the start was sent outside a heartbeat response.
+	DirectStart *DirectStart
 	// Exited is set once the attempt has ended and its resources are released.
 	Exited bool
 	// LastSeenHeartbeat is the number of the machine's last heartbeat that showed the attempt, 0
@@ -62,7 +62,7 @@
 }
 
 // Reserve counts the attempt's resources on its machine, team and zone. It is called once.
-func (a *Attempt) Reserve() { a.count(1) }
+func (a *Attempt) Reserve() { a.adjustUsage(1) }
 
 // Release gives back what Reserve has counted, and marks the attempt as exited. An attempt that has
 // exited holds nothing, so a second call does nothing.
@@ -71,13 +71,13 @@
 		return
 	}
 	a.Exited = true
-	a.count(-1)
+	a.adjustUsage(-1)
 }
 
-// count adds the attempt's resources, times sign, to what is in use.
-func (a *Attempt) count(sign float64) {
+// adjustUsage adds the attempt's resources, times sign, to what is in use.
+func (a *Attempt) adjustUsage(sign float64) {
 	if a.Job == nil {
-		a.Machine.countUnattributed(int(sign))
+		a.Machine.adjustUnattributed(int(sign))
 		return
 	}
 	s, m, t := &a.Job.Spec, a.Machine, a.Job.Team
@@ -89,8 +89,8 @@
 	a.Job.AttemptsByZone[m.Zone] += int(sign)
 }
 
-// SplitRef is the reverse of TaskRef.
-func SplitRef(ref string) (id string, task int, ok bool) {
+// ParseTaskRef is the reverse of TaskRef.
+func ParseTaskRef(ref string) (id string, task int, ok bool) {
 	id, num, ok := strings.Cut(ref, "/")
 	if !ok {
 		return "", 0, false
@@ -103,27 +103,27 @@
 // show it. One that an earlier heartbeat showed was applied, and is not a second time: it has left
 // its machine.
 func (a *Attempt) MayStillStart(hb *api.Heartbeat) bool {
-	d := a.Direct
+	d := a.DirectStart
 	if d == nil || a.LastSeenHeartbeat != 0 || hb.AgentEpoch > d.AgentEpoch {
 		return false
 	}
-	return d.InFlight || d.OutcomeUnknown || hb.Seq < d.Seq
+	return d.InFlight || d.OutcomeUnknown || hb.Seq < d.FirstHeartbeatSeq
 }
 
-// IsWanted tells whether an attempt should run on: it is its task's current one, and its job is
+// ShouldKeepRunning tells whether an attempt should run on: it is its task's current one, and its job is
 // active here. A job that is to be cancelled is stopped also while the key-value store cannot
 // be written: a version without dependencies may have started it too early. One that another
 // cell owns is stopped as well.
-func (a *Attempt) IsWanted() bool {
+func (a *Attempt) ShouldKeepRunning() bool {
 	j := a.Job
 	return j != nil && !j.Ended && !j.CancelPending && j.Lent == nil && j.ActiveAttempts[a.Task] == a
 }
 
-// DirectCommand is a start that was sent outside a heartbeat response.
-type DirectCommand struct {
+// DirectStart is a start that was sent outside a heartbeat response.
+type DirectStart struct {
 	AgentEpoch uint64
 	// InFlight is set until there is an outcome, OutcomeUnknown if there will be none.
 	InFlight, OutcomeUnknown bool
-	// Seq is the sequence number of the first heartbeat that must show the attempt.
-	Seq uint64
+	// FirstHeartbeatSeq is the sequence number of the first heartbeat that must show the attempt.
+	FirstHeartbeatSeq uint64
 }
--- a/internal/cluster/imagecache.go
+++ b/internal/cluster/imagecache.go
@@ -9,36 +9,36 @@
 // ImageCache is the leader's model of a machine's image cache: the images used last, up to the
 // capacity for them.
 type ImageCache struct {
-	Used map[string]cachedImage
-	// GB is the sum of the images' sizes.
-	GB float64
+	Entries map[string]cachedImage
+	// TotalGB is the sum of the images' sizes.
+	TotalGB float64
 }
 
 // cachedImage is when an image was last used, and its size.
 type cachedImage struct {
-	at time.Time
-	GB float64
+	lastUsed time.Time
+	sizeGB   float64
 }
 
 // Has tells whether an image is cached.
-func (c *ImageCache) Has(image string) bool { _, ok := c.Used[image]; return ok }
+func (c *ImageCache) Has(image string) bool { _, ok := c.Entries[image]; return ok }
 
 // Add records that a job's image is on the machine, and evicts the least recently used images
 // that exceed the capacity.
 func (c *ImageCache) Add(s *api.JobSpec, capacityGB float64, now time.Time) {
-	if c.Used == nil {
-		c.Used = map[string]cachedImage{}
+	if c.Entries == nil {
+		c.Entries = map[string]cachedImage{}
 	}
-	c.GB += s.ImageGB - c.Used[s.Image].GB
-	c.Used[s.Image] = cachedImage{at: now, GB: s.ImageGB}
-	for capacityGB > 0 && c.GB > capacityGB && len(c.Used) > 1 {
+	c.TotalGB += s.ImageGB - c.Entries[s.Image].sizeGB
+	c.Entries[s.Image] = cachedImage{lastUsed: now, sizeGB: s.ImageGB}
+	for capacityGB > 0 && c.TotalGB > capacityGB && len(c.Entries) > 1 {
 		oldest := ""
-		for name, entry := range c.Used {
-			if name != s.Image && (oldest == "" || entry.at.Before(c.Used[oldest].at)) {
+		for name, entry := range c.Entries {
+			if name != s.Image && (oldest == "" || entry.lastUsed.Before(c.Entries[oldest].lastUsed)) {
 				oldest = name
 			}
 		}
-		c.GB -= c.Used[oldest].GB
-		delete(c.Used, oldest)
+		c.TotalGB -= c.Entries[oldest].sizeGB
+		delete(c.Entries, oldest)
 	}
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -18,7 +18,7 @@
 	Spec api.JobSpec
 	// ModRevision is the version of the job's active record.
 	ModRevision uint64
-	Accepted    time.Time
+	AcceptedAt  time.Time
 	// RunnableSince is the time from which the user expects the job to run: when it was
 	// accepted, or when the last job that it depends on was done.
 	RunnableSince time.Time
@@ -82,10 +82,10 @@
 	// straggler.
 	ExcludedMachine map[int]string
 	// FailuresByMachine counts failed tasks. A job that fails on every machine starts no
-	// task before BackoffUntil, so that it does not use up the fleet; FailureRounds is how
+	// task before BackoffUntil, so that it does not use up the fleet; BackoffCount is how
 	// often it was backed off since a task of it last completed.
 	FailuresByMachine map[string]int
-	FailureRounds     int
+	BackoffCount      int
 	BackoffUntil      time.Time
 
 	// WaitingSince is when tasks of the job last became pending. SkippedSince is when a
@@ -102,12 +102,12 @@
 	// Lent is set while the job is lent to another cell, guest if it runs here for one.
 	Lent  *loan.Lent
 	Guest *loan.Guest
-	// Handover is set while a transaction that moves the job between cells is queued or
+	// HandoverPending is set while a transaction that moves the job between cells is queued or
 	// in flight.
-	Handover bool
-	// Remote is the state of a lent job at its host, ReclaimRequested is set while home
+	HandoverPending bool
+	// RemoteState is the state of a lent job at its host, ReclaimRequested is set while home
 	// reclaims it, and ReservedBudget is what it counts for in its team's limit.
-	Remote           loan.State
+	RemoteState      loan.State
 	ReclaimRequested bool
 	ReservedBudget   loan.Budget
 	// LoanCount is how often the job was lent, LastReclaimed when it was last reclaimed
@@ -117,9 +117,9 @@
 
 	// Finishing is set once all tasks are done and the end is to be recorded, ending once
 	// a transaction that records it may be in flight, ended once the job is removed.
-	Finishing bool
-	Ending    bool
-	Ended     bool
+	Finishing        bool
+	EndMayBeRecorded bool
+	Ended            bool
 }
 
 // Rank is the rank of the job's priority. With LatestStart, Preference, Feasibility and ID it makes
@@ -185,13 +185,13 @@
 	return at.Sub(j.RunnableSince).Round(100 * time.Millisecond)
 }
 
-// starvingAfter is for how long a job that is infeasible or deferred may wait behind others.
-const starvingAfter = 2 * time.Minute
+// maxDemotedWait is for how long a job that is infeasible or deferred may wait behind others.
+const maxDemotedWait = 2 * time.Minute
 
-// Starving tells whether the job is placed behind others as infeasible or deferred although
+// DemotedTooLong tells whether the job is placed behind others as infeasible or deferred although
 // it has waited long.
-func (j *Job) Starving(now time.Time) bool {
-	return (j.Infeasible || j.Load.Defer) && now.Sub(j.RunnableSince) > starvingAfter
+func (j *Job) DemotedTooLong(now time.Time) bool {
+	return (j.Infeasible || j.Load.Defer) && now.Sub(j.RunnableSince) > maxDemotedWait
 }
 
 // TaskRef is the reference of a task on the wire.
@@ -202,9 +202,9 @@
 	if j.Lent != nil {
 		st := api.JobState{
 			ID: j.Spec.ID, Phase: api.JobPending,
-			Done: j.Remote.Done, Running: j.Remote.Running, Cell: j.Lent.Host,
+			Done: j.RemoteState.Done, Running: j.RemoteState.Running, Cell: j.Lent.Host,
 		}
-		if j.Remote.Phase == loan.PhaseStarted {
+		if j.RemoteState.Phase == loan.PhaseStarted {
 			st.Phase = api.JobRunning
 		}
 		return st
@@ -222,10 +222,10 @@
 	return st
 }
 
-// IsUrgent tells whether a job has a time by which its tasks should start and that is still
+// HasUpcomingStartDeadline tells whether a job has a time by which its tasks should start and that is still
 // ahead. Until then not even a machine without other work should fetch its image, as those that
 // have it may still serve it in time.
-func (j *Job) IsUrgent(now time.Time) bool { return now.Before(j.StartBy) }
+func (j *Job) HasUpcomingStartDeadline(now time.Time) bool { return now.Before(j.StartBy) }
 
 // WithinBudget reports whether a guest may start one more task. All attempts that may be on a
 // machine count.
@@ -275,7 +275,7 @@
 		others.TotalTime -= mine.TotalTime
 		others.OverrunCount -= mine.OverrunCount
 	}
-	if m.Name == j.Runs.longestOn {
+	if m.Name == j.Runs.longestRunMachine {
 		others.Longest = j.Runs.longestElsewhere
 	}
 	return others
@@ -297,4 +297,4 @@
 
 // DeletesRecord reports whether this leader itself deletes, or is about to delete, the job's
 // active record.
-func (j *Job) DeletesRecord() bool { return j.Finishing || j.CancelPending || j.Handover }
+func (j *Job) DeletesRecord() bool { return j.Finishing || j.CancelPending || j.HandoverPending }
--- a/internal/cluster/jobcompletion.go
+++ b/internal/cluster/jobcompletion.go
@@ -2,8 +2,8 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-// CompletionBytes is the bit set of the completed tasks of the chunk that begins at first.
-func (j *Job) CompletionBytes(first, tasksPerChunk int) []byte {
+// CompletionBitmap is the bit set of the completed tasks of the chunk that begins at first.
+func (j *Job) CompletionBitmap(first, tasksPerChunk int) []byte {
 	count := min(tasksPerChunk, j.Spec.Tasks-first)
 	bits := make([]byte, (count+7)/8)
 	for task, ok := j.Done.NextSet(uint(first)); ok && task < uint(first+count); task, ok = j.Done.NextSet(task + 1) {
@@ -55,9 +55,9 @@
 	return 0, false
 }
 
-// RecordExtent records that the store may have a completion record that begins at first and
+// RecordChunkSize records that the store may have a completion record that begins at first and
 // covers so many tasks.
-func (j *Job) RecordExtent(first, tasks int) {
+func (j *Job) RecordChunkSize(first, tasks int) {
 	if j.CompletionChunkSizes == nil {
 		j.CompletionChunkSizes = map[int]int{}
 	}
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -66,9 +66,9 @@
 	// RelayPending keeps new tasks off the machine while commands for it are relayed through
 	// the key-value store.
 	RelayPending bool
-	// LastForwarded is set if another node forwarded the last heartbeat: the machine may be
+	// LastHeartbeatForwarded is set if another node forwarded the last heartbeat: the machine may be
 	// out of this node's reach.
-	LastForwarded bool
+	LastHeartbeatForwarded bool
 	// RedirectedAt is when the machine was last redirected to the node of its zone.
 	RedirectedAt time.Time
 	// LeaseRenewedUntil is until when another node is known to renew the machine's task
@@ -82,11 +82,11 @@
 	PreemptAt time.Time
 
 	Attempts map[AttemptKey]*Attempt
-	// unattributed counts the attempts whose job, and so whose quota, is not known.
-	// unattributedCPUs is what the machine adds to the leader's UnattributedTotal for them.
-	unattributed      int
-	unattributedCPUs  float64
-	UnattributedTotal *float64
+	// unattributedAttempts counts the attempts whose job, and so whose quota, is not known.
+	// unattributedCPUs is what the machine adds to the leader's TotalUnattributedCPUs for them.
+	unattributedAttempts  int
+	unattributedCPUs      float64
+	TotalUnattributedCPUs *float64
 	// Images is what the machine is believed to have cached; fetching are the images that
 	// its tasks are waiting for.
 	Images   ImageCache
@@ -98,8 +98,8 @@
 	// ones they are taken back into use when that capacity is needed. It is no phase: a
 	// machine that was draining when it is evacuated still has its tasks with checkpoints moved.
 	Draining bool
-	// Reason is why the machine is evacuated.
-	Reason string
+	// EvacuationReason is why the machine is evacuated.
+	EvacuationReason string
 
 	// Slowdown is how long runs take here against elsewhere, over the last minMeasuredRuns
 	// or so; MeasuredRuns counts the runs measured.
@@ -123,20 +123,20 @@
 
 // Fits tells whether the machine has free capacity for one more task of a job.
 func (m *Machine) Fits(s *api.JobSpec) bool {
-	return len(m.Attempts) < MaxAttempts &&
+	return len(m.Attempts) < MaxMachineAttempts &&
 		m.UsedCPUs+s.CPUs <= m.CPUs+Epsilon &&
 		m.UsedGPUs+s.GPUs <= m.GPUs+Epsilon &&
 		m.usedMemory+s.MemoryGB <= m.MemoryGB+Epsilon
 }
 
-// MaxAttempts bounds the attempts on a machine, and so the size of its heartbeats: one that
+// MaxMachineAttempts bounds the attempts on a machine, and so the size of its heartbeats: one that
 // exceeds a request's body of 64 KiB cannot be sent, and all tasks would end with the task
 // lease. Only tasks that use next to nothing of a machine reach this bound.
-const MaxAttempts = 450
+const MaxMachineAttempts = 450
 
 // Slots is how many more tasks of a job the machine has capacity for.
 func (m *Machine) Slots(s *api.JobSpec) int {
-	n := float64(max(0, MaxAttempts-len(m.Attempts)))
+	n := float64(max(0, MaxMachineAttempts-len(m.Attempts)))
 	for _, f := range []struct{ free, each float64 }{
 		{m.CPUs - m.UsedCPUs, s.CPUs}, {m.GPUs - m.UsedGPUs, s.GPUs}, {m.MemoryGB - m.usedMemory, s.MemoryGB},
 	} {
@@ -170,18 +170,18 @@
 func (m *Machine) IsSchedulable(now time.Time) bool {
 	return m.Fenced && m.Registration == Registered &&
 		m.phase == Active && !m.Draining && !m.RelayPending &&
-		m.CPUs > 0 && m.PreemptAt.IsZero() && m.unattributed == 0 && !now.Before(m.CordonedUntil)
+		m.CPUs > 0 && m.PreemptAt.IsZero() && m.unattributedAttempts == 0 && !now.Before(m.CordonedUntil)
 }
 
-// countUnattributed adds n unattributed attempts, and keeps the leader's sum of the capacity
+// adjustUnattributed adds n unattributed attempts, and keeps the leader's sum of the capacity
 // that such attempts may use: the whole of each machine that holds any.
-func (m *Machine) countUnattributed(n int) {
-	m.unattributed += n
+func (m *Machine) adjustUnattributed(n int) {
+	m.unattributedAttempts += n
 	inUse := 0.0
-	if m.unattributed > 0 {
+	if m.unattributedAttempts > 0 {
 		inUse = m.CPUs
 	}
-	*m.UnattributedTotal += inUse - m.unattributedCPUs
+	*m.TotalUnattributedCPUs += inUse - m.unattributedCPUs
 	m.unattributedCPUs = inUse
 }
 
@@ -203,7 +203,7 @@
 // outcome.
 func (m *Machine) IsEmpty() bool {
 	for _, a := range m.Attempts {
-		if a.Direct == nil || !a.Direct.OutcomeUnknown || a.LastSeenHeartbeat != 0 {
+		if a.DirectStart == nil || !a.DirectStart.OutcomeUnknown || a.LastSeenHeartbeat != 0 {
 			return false
 		}
 	}
--- a/internal/cluster/reserve_test.go
+++ b/internal/cluster/reserve_test.go
@@ -11,11 +11,11 @@
 
 // reservations is a small deployment with the attempts that are on its machines.
 type reservations struct {
-	teams             []*queue.Team[*Job]
-	jobs              []*Job
-	machines          []*Machine
-	attempts          []*Attempt
-	unattributedTotal float64
+	teams                 []*queue.Team[*Job]
+	jobs                  []*Job
+	machines              []*Machine
+	attempts              []*Attempt
+	totalUnattributedCPUs float64
 }
 
 func newReservations(rnd *rand.Rand) *reservations {
@@ -36,9 +36,9 @@
 	}
 	for range 3 {
 		r.machines = append(r.machines, &Machine{
-			Zone:              []string{"north", "south"}[rnd.IntN(2)],
-			CPUs:              16,
-			UnattributedTotal: &r.unattributedTotal,
+			Zone:                  []string{"north", "south"}[rnd.IntN(2)],
+			CPUs:                  16,
+			TotalUnattributedCPUs: &r.totalUnattributedCPUs,
 		})
 	}
 	return r
@@ -75,7 +75,7 @@
 	for _, m := range r.machines {
 		unattributedTotal += r.checkMachine(t, m)
 	}
-	checkAmount(t, "unattributed CPUs", r.unattributedTotal, unattributedTotal)
+	checkAmount(t, "unattributed CPUs", r.totalUnattributedCPUs, unattributedTotal)
 	for _, team := range r.teams {
 		used := r.sum(func(a *Attempt) bool { return a.Job != nil && a.Job.Team == team })
 		checkAmount(t, "CPUs of a team", team.UsedCPUs, used.CPUs)
@@ -97,7 +97,7 @@
 	checkAmount(t, "GPUs of a machine", m.UsedGPUs, used.GPUs)
 	checkAmount(t, "memory of a machine", m.usedMemory, used.MemoryGB)
 	unattributed := r.sum(func(a *Attempt) bool { return a.Machine == m && a.Job == nil }).Tasks
-	checkAmount(t, "unattributed attempts of a machine", float64(m.unattributed), float64(unattributed))
+	checkAmount(t, "unattributed attempts of a machine", float64(m.unattributedAttempts), float64(unattributed))
 	if unattributed > 0 {
 		return m.CPUs
 	}
@@ -131,7 +131,7 @@
 // What machine, team and zone count as used is the sum over the attempts that are reserved, in
 // whatever order they come and go: a difference would keep capacity from a team for ever, or let
 // it exceed its limit.
-func TestUsedIsTheSumOfReservedAttempts(t *testing.T) {
+func TestUsageIsSumOfReservedAttempts(t *testing.T) {
 	const sequences, steps = 100, 60
 	for seed := range uint64(sequences) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
--- a/internal/cluster/runstats.go
+++ b/internal/cluster/runstats.go
@@ -24,10 +24,10 @@
 // longest on any other machine than its own. So the runs on all machines but one are known
 // without going through them at each run.
 type JobRuns struct {
-	ByMachine        map[string]*RunStats
-	All              RunStats
-	longestOn        string
-	longestElsewhere time.Duration
+	ByMachine         map[string]*RunStats
+	All               RunStats
+	longestRunMachine string
+	longestElsewhere  time.Duration
 }
 
 // Add counts a completed run on a machine.
@@ -36,9 +36,9 @@
 		jr.ByMachine[machine] = &RunStats{}
 	}
 	switch {
-	case machine == jr.longestOn:
+	case machine == jr.longestRunMachine:
 	case took > jr.All.Longest:
-		jr.longestOn, jr.longestElsewhere = machine, jr.All.Longest
+		jr.longestRunMachine, jr.longestElsewhere = machine, jr.All.Longest
 	default:
 		jr.longestElsewhere = max(jr.longestElsewhere, took)
 	}
--- a/internal/cluster/shard.go
+++ b/internal/cluster/shard.go
@@ -14,11 +14,11 @@
 	Stale bool
 	// Replaces is the shard whose machines this one takes over.
 	Replaces *Shard
-	// PossiblyWritten are the keys of shards that should have replaced this one, with
+	// PossibleReplacementKeys are the keys of shards that should have replaced this one, with
 	// outcomes unknown. They are deleted only together with it, when the next is
 	// written: one of them may be the only record left.
-	PossiblyWritten []string
-	// Partial is set if it takes over only some machines of the shard that it
+	PossibleReplacementKeys []string
+	// PartialReplacement is set if it takes over only some machines of the shard that it
 	// replaces, which stays until the rest of them is on record elsewhere too.
-	Partial bool
+	PartialReplacement bool
 }
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -113,7 +113,7 @@
 	var best *cluster.Job
 	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
-			goesFirst := j.Starved && !j.Started() || starvedTurn && j.Starving(now)
+			goesFirst := j.Starved && !j.Started() || starvedTurn && j.DemotedTooLong(now)
 			if j.Flight.Untaken() == 0 || !goesFirst {
 				continue
 			}
@@ -136,7 +136,7 @@
 		if j.Flight.Untaken() == 0 || withinGuarantee != guaranteed || !lt.isEligible(j, m, now) {
 			continue
 		}
-		if (preferred || j.IsUrgent(now)) && !lt.prefers(j, m, now) {
+		if (preferred || j.HasUpcomingStartDeadline(now)) && !lt.prefers(j, m, now) {
 			continue
 		}
 		if !lt.hasBetterMachines(j, m, now) {
@@ -154,7 +154,7 @@
 func (lt *leaderTerm) isEligible(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
 	s := &j.Spec
 	switch {
-	case j.Ended || j.Finishing || j.Handover || j.Lent != nil || now.Before(j.BackoffUntil):
+	case j.Ended || j.Finishing || j.HandoverPending || j.Lent != nil || now.Before(j.BackoffUntil):
 		return false
 	case j.Guest != nil && !j.WithinBudget():
 		return false
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -16,7 +16,7 @@
 	key.Ref = strings.Clone(key.Ref)
 	a := &cluster.Attempt{Key: key, Machine: m, Phase: status.Phase, SentAt: now}
 	m.Attempts[key] = a
-	id, task, ok := cluster.SplitRef(key.Ref)
+	id, task, ok := cluster.ParseTaskRef(key.Ref)
 	if j := lt.jobs[id]; ok && j != nil && task < j.Spec.Tasks {
 		a.Job, a.Task = j, task
 	}
@@ -76,7 +76,7 @@
 			lt.recordRun(a, now.Sub(a.RunningAt), now)
 		}
 		lt.completeTask(j, a.Task, now)
-		j.FailureRounds = 0
+		j.BackoffCount = 0
 		m.CordonDuration = 0
 		clear(m.TaskErrorsByJob)
 		lt.addImage(m, &j.Spec, now)
@@ -158,10 +158,10 @@
 // backOffJob keeps a job that fails on every machine from starting tasks for a while. Its
 // failures no longer count against the machines.
 func (lt *leaderTerm) backOffJob(j *cluster.Job, now time.Time) {
-	j.FailureRounds++
-	backoff := min(backoffUnit<<min(j.FailureRounds, maxBackoffDoublings), maxBackoff)
+	j.BackoffCount++
+	backoff := min(backoffUnit<<min(j.BackoffCount, maxBackoffDoublings), maxBackoff)
 	j.BackoffUntil = now.Add(backoff)
-	if j.FailureRounds > 1 {
+	if j.BackoffCount > 1 {
 		return
 	}
 	lt.c.Log.Info("job fails on every machine", "job", j.Spec.ID, "machines", len(j.FailuresByMachine))
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -58,7 +58,7 @@
 		if t.Phase == api.TaskExited || len(commands) >= maxCommands {
 			continue
 		}
-		id, _, _ := cluster.SplitRef(t.Task)
+		id, _, _ := cluster.ParseTaskRef(t.Task)
 		if !c.isCancelled(id) && !c.isCancelled(loan.GuestMarker+id) && (hasEnded == nil || !hasEnded(id)) {
 			continue
 		}
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -118,15 +118,15 @@
 		for range 60 {
 			k.heartbeat(n)
 			maxTasks = max(maxTasks, len(k.status.Tasks))
-			if maxTasks > cluster.MaxAttempts {
-				w.t.Fatalf("got %d tasks on a machine, want at most %d", maxTasks, cluster.MaxAttempts)
+			if maxTasks > cluster.MaxMachineAttempts {
+				w.t.Fatalf("got %d tasks on a machine, want at most %d", maxTasks, cluster.MaxMachineAttempts)
 			}
 			time.Sleep(time.Second)
-			if len(k.status.Tasks) == cluster.MaxAttempts {
+			if len(k.status.Tasks) == cluster.MaxMachineAttempts {
 				k.exit(api.CauseDone)
 			}
 		}
-		w.checkEqual("most tasks on the machine", maxTasks, cluster.MaxAttempts)
+		w.checkEqual("most tasks on the machine", maxTasks, cluster.MaxMachineAttempts)
 		k.exit(api.CauseDone)
 		k.serve(n, 4)
 		w.checkEqual("phase", w.phase(n, s.ID), api.JobDone)
@@ -147,8 +147,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if size := (len(status) + 1) * cluster.MaxAttempts; size > maxBytes {
-		t.Errorf("a heartbeat with %d tasks: got %d bytes, want at most %d", cluster.MaxAttempts, size, maxBytes)
+	if size := (len(status) + 1) * cluster.MaxMachineAttempts; size > maxBytes {
+		t.Errorf("a heartbeat with %d tasks: got %d bytes, want at most %d", cluster.MaxMachineAttempts, size, maxBytes)
 	}
 }
 
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -278,7 +278,7 @@
 		if c.startedAt[name].IsZero() {
 			c.startedAt[name] = time.Now()
 		}
-		id, _, _ := cluster.SplitRef(task.Task)
+		id, _, _ := cluster.ParseTaskRef(task.Task)
 		if j := c.group.job(id); j != nil && time.Since(c.startedAt[name]) >= j.duration {
 			task.Phase, task.Cause = api.TaskExited, api.CauseDone
 		}
@@ -307,7 +307,7 @@
 					g.t.Errorf("%s runs on %s and on %s", task, machineOf[task], machine)
 				}
 				machineOf[task] = machine
-				id, _, _ := cluster.SplitRef(task)
+				id, _, _ := cluster.ParseTaskRef(task)
 				j := g.jobs[id]
 				used[j.home.name+" "+j.spec.Team] += j.spec.CPUs
 				g.checkMayRun(j, c, task, machine)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -91,7 +91,7 @@
 // later.
 func (dg *dependencyGraph) enqueueReady(j *cluster.Job) {
 	now := time.Now()
-	j.DependsOn, j.RunnableSince, j.WaitingSince = nil, j.Accepted, now
+	j.DependsOn, j.RunnableSince, j.WaitingSince = nil, j.AcceptedAt, now
 	j.Spec.DependsOn = nil // perhaps thousands, all of them ended
 	if j.LastDependencyEnd.After(j.RunnableSince) {
 		j.RunnableSince = j.LastDependencyEnd
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -153,7 +153,7 @@
 				t.Errorf("objective of job-2: got %v after the end of its dependency, want 88 s to 92 s", d)
 			}
 			j = c.leaderTerm.jobs["job-3"]
-			if d := j.RunnableSince.Sub(j.Accepted); len(j.DependsOn) > 0 || d > 2*time.Second || d < 0 {
+			if d := j.RunnableSince.Sub(j.AcceptedAt); len(j.DependsOn) > 0 || d > 2*time.Second || d < 0 {
 				t.Errorf("job-3, accepted when all was done: got %d dependencies, runnable %v after its acceptance, "+
 					"want 0, at most 2 s", len(j.DependsOn), d)
 			}
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -91,7 +91,7 @@
 // nothing suggests that this node does not reach it.
 func (lt *leaderTerm) acceptsDirect(m *cluster.Machine, now time.Time) bool {
 	return m.IsSchedulable(now) && m.FreeCPUs() > cluster.Epsilon &&
-		!m.CommandInFlight && !m.LastForwarded && m.UnappliedResponses == 0 && m.Addr != "" &&
+		!m.CommandInFlight && !m.LastHeartbeatForwarded && m.UnappliedResponses == 0 && m.Addr != "" &&
 		now.Sub(m.LastHeartbeat) <= lt.detector.HeartbeatTimeout()
 }
 
@@ -110,14 +110,14 @@
 	batch := make([]*cluster.Attempt, 0, len(commands))
 	for _, command := range commands {
 		a := m.Attempts[cluster.AttemptKey{Ref: command.Task, ID: command.Attempt}]
-		a.Direct = &cluster.DirectCommand{AgentEpoch: m.AgentEpoch, InFlight: true}
+		a.DirectStart = &cluster.DirectStart{AgentEpoch: m.AgentEpoch, InFlight: true}
 		batch = append(batch, a)
 	}
 	m.CommandInFlight = true
 	lt.commandsInFlight++
 	addr, req := m.Addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.AgentEpoch, Commands: commands}
 	timeout := directTimeout
-	if now := time.Now(); !lt.detector.NotPausedSince(now.Add(-recentPause), now) {
+	if now := time.Now(); !lt.detector.RanContinuouslySince(now.Add(-recentPause), now) {
 		timeout = slowDirectTimeout
 	}
 	go func() {
@@ -153,16 +153,16 @@
 		return
 	}
 	for _, a := range m.batch {
-		a.Direct.InFlight = false
+		a.DirectStart.InFlight = false
 		switch {
 		case m.err == nil:
-			a.Direct.Seq = m.seq
+			a.DirectStart.FirstHeartbeatSeq = m.seq
 		case errors.Is(m.err, api.ErrCommandsNotApplied):
 			if a.LastSeenHeartbeat == 0 && m.machine.Attempts[a.Key] == a {
 				m.leaderTerm.removeAttempt(a)
 			}
-		case m.machine.AgentEpoch == a.Direct.AgentEpoch:
-			a.Direct.OutcomeUnknown = true
+		case m.machine.AgentEpoch == a.DirectStart.AgentEpoch:
+			a.DirectStart.OutcomeUnknown = true
 			m.leaderTerm.evacuate(m.machine, reasonUnanswered)
 			if a.Job.Ended {
 				m.leaderTerm.terminateIfOutcomeUnknown(a)
@@ -182,7 +182,7 @@
 // still start: nothing else prevents that in time.
 func (lt *leaderTerm) terminateIfOutcomeUnknown(a *cluster.Attempt) {
 	m := a.Machine
-	startMayApply := a.Direct != nil && a.Direct.OutcomeUnknown && a.LastSeenHeartbeat == 0
+	startMayApply := a.DirectStart != nil && a.DirectStart.OutcomeUnknown && a.LastSeenHeartbeat == 0
 	if startMayApply && m.Phase() < cluster.Terminating {
 		lt.evacuate(m, reasonUnanswered)
 		lt.scaleIn(m)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -102,7 +102,7 @@
 // updateMachine applies what a new heartbeat says of the machine itself.
 func (lt *leaderTerm) updateMachine(m *cluster.Machine, hb *api.Heartbeat, now time.Time) {
 	if m.AgentEpoch != 0 && hb.AgentEpoch > m.AgentEpoch {
-		lt.detector.NewAgentEpoch(m, now, time.Now())
+		lt.detector.AgentEpochChanged(m, now, time.Now())
 	}
 	m.HeartbeatCount++
 	if now.Sub(m.LastHeartbeat) > lt.detector.HeartbeatTimeout() {
@@ -199,7 +199,7 @@
 		if a.Exited || len(commands) >= maxCommands {
 			continue
 		}
-		if !a.IsWanted() {
+		if !a.ShouldKeepRunning() {
 			lt.requestStop(a, 0, now)
 		}
 		if a.Stop != nil {
--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -105,7 +105,7 @@
 	// A heartbeat that shows a later term has ended this node's own.
 	if c.leaderTerm != nil {
 		if mc := c.leaderTerm.machines[m.heartbeat.Machine]; mc != nil {
-			mc.LastForwarded = m.forwarded
+			mc.LastHeartbeatForwarded = m.forwarded
 		}
 	}
 	return heartbeatReply{response: response, err: err}
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -13,7 +13,7 @@
 		if !m.IsSchedulable(now) {
 			continue
 		}
-		for image := range m.Images.Used {
+		for image := range m.Images.Entries {
 			lt.imageLocations[image] += m.CPUs
 		}
 	}
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -18,12 +18,12 @@
 	use("b", 4, 1)
 	use("a", 4, 2)
 	use("c", 4, 3)
-	if !c.Has("a") || c.Has("b") || !c.Has("c") || c.GB != 8 {
-		t.Errorf("got images %v of %v GB, want a and c of 8 GB", c.Used, c.GB)
+	if !c.Has("a") || c.Has("b") || !c.Has("c") || c.TotalGB != 8 {
+		t.Errorf("got images %v of %v GB, want a and c of 8 GB", c.Entries, c.TotalGB)
 	}
 	use("d", 20, 4) // larger than the cache: it is kept all the same
 	if !c.Has("d") || c.Has("a") || c.Has("c") {
-		t.Errorf("got images %v, want d, and neither a nor c", c.Used)
+		t.Errorf("got images %v, want d, and neither a nor c", c.Entries)
 	}
 }
 
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -49,7 +49,7 @@
 		return
 	}
 	j := newJob(spec, team)
-	j.ModRevision, j.Accepted, j.RunnableSince = modRevision, rec.Accepted, since
+	j.ModRevision, j.AcceptedAt, j.RunnableSince = modRevision, rec.Accepted, since
 	j.DependencyList, j.Guest, j.LoanCount = rec.DependencyList, rec.Guest, rec.LoanCount
 	j.ClassPreference = lt.c.Policy.Preferences[spec.Class]
 	j.Objectives = lt.objectives(j)
@@ -120,10 +120,10 @@
 	if j.Spec.DeadlineS <= 0 {
 		return nil
 	}
-	times := []time.Time{j.Accepted.Add(config.Duration(j.Spec.DeadlineS))}
+	times := []time.Time{j.AcceptedAt.Add(config.Duration(j.Spec.DeadlineS))}
 	for _, o := range lt.c.Settings.Site.Objectives {
 		if o.Kind == "deadline" && o.Class == j.Spec.Class && o.Times > 1 {
-			times = append(times, j.Accepted.Add(config.Duration(j.Spec.DeadlineS*o.Times)))
+			times = append(times, j.AcceptedAt.Add(config.Duration(j.Spec.DeadlineS*o.Times)))
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -196,7 +196,7 @@
 		w.enforce(l)
 		_, a, b, _, _, far := w.partitionZones()
 		other := w.worker("i-3", "b", false)
-		for i := range cluster.MaxAttempts {
+		for i := range cluster.MaxMachineAttempts {
 			far.status.Tasks = append(far.status.Tasks, api.TaskStatus{
 				Task:    fmt.Sprintf("job-%d/%d", i*i*7919%99991, i),
 				Attempt: uint64(i * 104729),
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -148,7 +148,7 @@
 		l := &ctl.leaderTerm.loans
 		for _, id := range ids {
 			j := ctl.leaderTerm.jobs[id]
-			if j != nil && !j.Started() && j.LoanCount == 0 && !j.Handover {
+			if j != nil && !j.Started() && j.LoanCount == 0 && !j.HandoverPending {
 				l.lendJob(j, l.neighbours[to], loan.Budget{CPUs: j.Spec.CPUs})
 				lent = true
 			}
--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -85,7 +85,7 @@
 	for _, t := range l.guestFairShareOrder {
 		for _, j := range t.Items() {
 			switch {
-			case j.Handover || lt.unfenced > 0:
+			case j.HandoverPending || lt.unfenced > 0:
 			case j.DoneCount == j.Spec.Tasks:
 				l.guestDone(j) // its end is not on record yet
 			case now.Sub(j.WaitingSince) > guestStartTimeout && !j.Started():
@@ -151,7 +151,7 @@
 			if left <= 0 {
 				break
 			}
-			if j.Finishing || j.FailureRounds > 0 || now.Before(j.BackoffUntil) {
+			if j.Finishing || j.BackoffCount > 0 || now.Before(j.BackoffUntil) {
 				continue
 			}
 			cpus := min(left, float64(j.Flight.Untaken())*j.Spec.CPUs)
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -87,10 +87,10 @@
 	for _, j := range l.leaderTerm.jobs {
 		switch {
 		case j.Lent != nil && j.Lent.Host == n.cell:
-			if lent++; j.Remote.Phase == loan.PhaseUnknown {
+			if lent++; j.RemoteState.Phase == loan.PhaseUnknown {
 				offers++
 			}
-		case j.Handover:
+		case j.HandoverPending:
 			offers++
 		}
 	}
@@ -119,7 +119,7 @@
 	lt := l.leaderTerm
 	policy := &lt.c.Policy.Spill
 	switch {
-	case j.Lent != nil || j.Guest != nil || j.Handover:
+	case j.Lent != nil || j.Guest != nil || j.HandoverPending:
 		return false
 	case j.Ended || j.Finishing || j.CancelPending || len(j.DependsOn) > 0:
 		return false
@@ -188,7 +188,7 @@
 			return
 		}
 		cpus := float64(j.Spec.Tasks) * j.Spec.CPUs
-		if j.Lent == nil || j.ReclaimRequested || j.Remote.Phase != loan.PhaseAccepted ||
+		if j.Lent == nil || j.ReclaimRequested || j.RemoteState.Phase != loan.PhaseAccepted ||
 			cpus > free || lt.unfenced > 0 {
 			continue
 		}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -314,7 +314,7 @@
 	}
 	j := lt.jobs[m.change.job]
 	if j != nil {
-		j.Handover = false
+		j.HandoverPending = false
 	}
 	switch {
 	case m.active.ModRevision != 0:
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -50,10 +50,10 @@
 // applyLent updates a job whose active record says that it is lent.
 func (l *loans) applyLent(j *cluster.Job, record *loan.Lent) {
 	if j.Lent == nil || j.Lent.Epoch != record.Epoch {
-		j.Remote = loan.State{}
+		j.RemoteState = loan.State{}
 		j.ReclaimRequested = false
 	}
-	j.Handover = false
+	j.HandoverPending = false
 	l.reserve(j, record.Budget)
 	j.Lent = record
 	j.Team.Remove(j)
@@ -64,12 +64,12 @@
 
 // jobReclaimed updates a job whose active record says that it is no longer lent.
 func (l *loans) jobReclaimed(j *cluster.Job) {
-	l.leaderTerm.c.Log.Info("loan taken back", "job", j.Spec.ID, "cell", j.Lent.Host, "reason", j.Remote.Reason)
+	l.leaderTerm.c.Log.Info("loan taken back", "job", j.Spec.ID, "cell", j.Lent.Host, "reason", j.RemoteState.Reason)
 	if j.LastReclaimed == nil {
 		j.LastReclaimed = map[string]time.Time{}
 	}
 	j.LastReclaimed[j.Lent.Host] = time.Now()
-	j.Lent, j.Handover, j.ReclaimRequested = nil, false, false
+	j.Lent, j.HandoverPending, j.ReclaimRequested = nil, false, false
 	l.counts.Reclaimed++
 	l.release(j)
 	l.requeue(j)
@@ -120,7 +120,7 @@
 		"cell", n.cell,
 		"epoch", record.Epoch,
 		"cpus", budget.CPUs)
-	active := records.ActiveRecord{Accepted: j.Accepted, Lent: record, LoanCount: j.LoanCount + 1}
+	active := records.ActiveRecord{Accepted: j.AcceptedAt, Lent: record, LoanCount: j.LoanCount + 1}
 	l.changeActive(j, active)
 }
 
@@ -128,7 +128,7 @@
 func (l *loans) changeActive(j *cluster.Job, rec records.ActiveRecord) {
 	lt := l.leaderTerm
 	key := records.ActivePrefix + j.Spec.ID
-	j.Handover = l.enqueueChange(&loanChange{
+	j.HandoverPending = l.enqueueChange(&loanChange{
 		home: lt.c.Cells.Cell,
 		job:  j.Spec.ID,
 		build: func() (kv.Txn, bool) {
@@ -138,7 +138,7 @@
 			}, !j.Ended
 		},
 		done: func(revision uint64) {
-			j.Handover = false
+			j.HandoverPending = false
 			lt.applyLoan(j, rec, revision)
 		},
 	})
@@ -169,7 +169,7 @@
 // reclaimFromUnreachable reclaims the loans to a cell that the operators have declared lost.
 func (l *loans) reclaimFromUnreachable(n *neighbour) {
 	for _, j := range l.leaderTerm.jobs {
-		if j.Lent != nil && j.Lent.Host == n.cell && !j.Handover {
+		if j.Lent != nil && j.Lent.Host == n.cell && !j.HandoverPending {
 			l.applyAction(j, loan.State{
 				Job:    j.Spec.ID,
 				Epoch:  j.Lent.Epoch,
@@ -186,7 +186,7 @@
 	req := &loan.Request{Home: lt.c.Cells.Cell, Term: lt.term.Number}
 	bytesLeft := maxOfferBytes
 	for id, j := range lt.jobs {
-		if j.Lent == nil || j.Lent.Host != n.cell || j.Handover {
+		if j.Lent == nil || j.Lent.Host != n.cell || j.HandoverPending {
 			continue
 		}
 		e := loan.Entry{Job: id, Epoch: j.Lent.Epoch}
@@ -196,7 +196,7 @@
 		case j.ReclaimRequested:
 			e.Desired = loan.DesiredReclaim
 		}
-		if j.Remote.Phase == loan.PhaseUnknown && e.Desired == loan.DesiredRun && bytesLeft > 0 {
+		if j.RemoteState.Phase == loan.PhaseUnknown && e.Desired == loan.DesiredRun && bytesLeft > 0 {
 			e.Offer = &loan.Offer{Spec: j.Lent.Spec, Budget: j.Lent.Budget, Since: j.Lent.Since}
 			bytesLeft -= offerBytes + len(j.Lent.Spec.Class) + len(j.Lent.Spec.Image) + 16*len(j.Lent.Spec.Types)
 		}
@@ -254,7 +254,7 @@
 func (l *loans) applyState(n *neighbour, s loan.State) {
 	lt := l.leaderTerm
 	j := lt.jobs[s.Job]
-	if j != nil && j.Handover {
+	if j != nil && j.HandoverPending {
 		return // the change that is being written decides
 	}
 	if j == nil || j.Lent == nil || j.Lent.Host != n.cell || j.Lent.Epoch != s.Epoch {
@@ -267,8 +267,8 @@
 	if s.Phase == loan.PhaseStarted {
 		j.ReclaimRequested = false // a job that has started stays at its host
 	}
-	if s.Phase >= j.Remote.Phase {
-		j.Remote = s
+	if s.Phase >= j.RemoteState.Phase {
+		j.RemoteState = s
 	}
 	l.applyAction(j, s)
 }
@@ -277,8 +277,8 @@
 func (l *loans) applyAction(j *cluster.Job, s loan.State) {
 	switch loan.HomeStep(j.Lent, s) {
 	case loan.ActionReclaim:
-		j.Remote.Reason = s.Reason
-		l.changeActive(j, records.ActiveRecord{Spec: j.Lent.Spec, Accepted: j.Accepted, LoanCount: j.LoanCount})
+		j.RemoteState.Reason = s.Reason
+		l.changeActive(j, records.ActiveRecord{Spec: j.Lent.Spec, Accepted: j.AcceptedAt, LoanCount: j.LoanCount})
 	case loan.ActionDone:
 		l.recordLentEnd(j, records.TerminalRecord{
 			Phase: api.JobDone,
@@ -294,7 +294,7 @@
 func (l *loans) recordLentEnd(j *cluster.Job, terminal records.TerminalRecord) {
 	lt, id := l.leaderTerm, j.Spec.ID
 	active := records.ActivePrefix + id
-	j.Handover = l.enqueueChange(&loanChange{
+	j.HandoverPending = l.enqueueChange(&loanChange{
 		home: lt.c.Cells.Cell,
 		job:  id,
 		build: func() (kv.Txn, bool) {
@@ -306,7 +306,7 @@
 			txn.Ops = append(txn.Ops, kv.Op{Put: records.TerminalPrefix + id, Value: terminal}, kv.Op{Delete: active})
 			// From now on others may read its terminal record before this node learns that
 			// it was written.
-			j.Ending = true
+			j.EndMayBeRecorded = true
 			return txn, !j.Ended
 		},
 		done: func(uint64) { l.lentEndRecorded(j, terminal.Phase) },
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -328,7 +328,7 @@
 			if j.Ended || j.Started() {
 				return kv.Txn{}, false
 			}
-			j.Handover = true
+			j.HandoverPending = true
 			txn := kv.Txn{
 				Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.ModRevision}},
 				Ops:      []kv.Op{{Delete: active}},
@@ -363,7 +363,7 @@
 				txn.Ops = append(txn.Ops, kv.Op{Put: records.CancelKey, Value: loan.GuestMarker + id})
 			}
 			txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: end}, kv.Op{Delete: active})
-			j.Handover = true
+			j.HandoverPending = true
 			return txn, !j.Ended
 		},
 		done: func(revision uint64) {
--- a/internal/controller/loansstatus.go
+++ b/internal/controller/loansstatus.go
@@ -116,10 +116,10 @@
 		Job:     j.Spec.ID,
 		Cell:    j.Lent.Host,
 		Epoch:   j.Lent.Epoch.String(),
-		Phase:   j.Remote.Phase.String(),
+		Phase:   j.RemoteState.Phase.String(),
 		CPUs:    j.Lent.Budget.CPUs,
-		Done:    j.Remote.Done,
-		Running: j.Remote.Running,
+		Done:    j.RemoteState.Done,
+		Running: j.RemoteState.Running,
 	}
 	n := l.neighbours[j.Lent.Host]
 	switch {
@@ -131,7 +131,7 @@
 		s.Waits = "to be cancelled there"
 	case j.ReclaimRequested:
 		s.Waits = "called back"
-	case j.Remote.Phase == loan.PhaseUnknown:
+	case j.RemoteState.Phase == loan.PhaseUnknown:
 		s.Waits = "not accepted yet"
 	}
 	return s
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -26,7 +26,7 @@
 	if !m.Advance(cluster.Evacuating) {
 		return
 	}
-	m.Reason = reason
+	m.EvacuationReason = reason
 	lt.c.Log.Info("machine evacuating", "machine", m.Name, "type", m.Type, "reason", reason, "count", len(m.Attempts))
 }
 
@@ -44,7 +44,7 @@
 		j.Flight.Leave(m.Name)
 	}
 	lt.recordWriter.Deregister(m)
-	lt.c.Log.Info("machine terminated", "machine", m.Name, "reason", m.Reason)
+	lt.c.Log.Info("machine terminated", "machine", m.Name, "reason", m.EvacuationReason)
 }
 
 // markFenced marks that a machine applies no command of an earlier term any more, because it
@@ -67,16 +67,16 @@
 // addMachine adds a machine that has sent its first heartbeat or is in the registry.
 func (lt *leaderTerm) addMachine(name, typ, zone string, spot bool, now time.Time) *cluster.Machine {
 	m := &cluster.Machine{
-		Name:              name,
-		Type:              typ,
-		Zone:              zone,
-		Spot:              spot,
-		UnattributedTotal: &lt.unattributedCPUs,
-		LastSeen:          now,
-		AddedAt:           now,
-		IdleSince:         now,
-		Attempts:          map[cluster.AttemptKey]*cluster.Attempt{},
-		TaskErrorsByJob:   map[string]int{},
+		Name:                  name,
+		Type:                  typ,
+		Zone:                  zone,
+		Spot:                  spot,
+		TotalUnattributedCPUs: &lt.unattributedCPUs,
+		LastSeen:              now,
+		AddedAt:               now,
+		IdleSince:             now,
+		Attempts:              map[cluster.AttemptKey]*cluster.Attempt{},
+		TaskErrorsByJob:       map[string]int{},
 	}
 	if mt, ok := lt.c.types.load()[typ]; ok {
 		m.CPUs, m.GPUs, m.MemoryGB = mt.CPUs, mt.GPUs, mt.MemoryGB
--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -147,7 +147,7 @@
 		// are cancelled by one cancellation, their users need not wait for the writes,
 		// whose rate is limited.
 		return pollReply{state: api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}, answered: true}
-	case j.Ending, len(j.DependsOn) > 0 && lt.dependencies.unresolved():
+	case j.EndMayBeRecorded, len(j.DependsOn) > 0 && lt.dependencies.unresolved():
 		// In the second case a job that it depends on may be cancelled, and an earlier
 		// leader or another node may have responded so.
 		return pollReply{}
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -32,8 +32,8 @@
 		if verdict.Partitioned {
 			lt.readRenewals(now)
 		}
-		if verdict.Dead != "" {
-			lt.evacuate(m, string(verdict.Dead))
+		if verdict.EvacuationReason != "" {
+			lt.evacuate(m, string(verdict.EvacuationReason))
 			lt.scaleIn(m)
 		}
 	}
--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -706,7 +706,7 @@
 	zero := 0.0
 	for _, t := range hb.Tasks {
 		shown[t.Task] = true
-		id, i, _ := cluster.SplitRef(t.Task)
+		id, i, _ := cluster.ParseTaskRef(t.Task)
 		j := r.jobs[id]
 		switch {
 		case j == nil && t.Phase == api.TaskExited:
@@ -779,7 +779,7 @@
 func (r *oldLeaderTerm) assignTasks(m *oldMachine, hb *api.Heartbeat, commands []api.Command) []api.Command {
 	free, used := m.record.CPUs, map[string]float64{}
 	for _, t := range hb.Tasks {
-		if id, _, _ := cluster.SplitRef(t.Task); t.Phase != api.TaskExited && r.jobs[id] != nil {
+		if id, _, _ := cluster.ParseTaskRef(t.Task); t.Phase != api.TaskExited && r.jobs[id] != nil {
 			free -= r.jobs[id].spec.CPUs
 		}
 	}
@@ -937,7 +937,7 @@
 	response := api.HeartbeatResponse{Term: o.term, Commands: []api.Command{}}
 	zero := 0.0
 	for _, t := range hb.Tasks {
-		if id, _, _ := cluster.SplitRef(t.Task); t.Phase != api.TaskExited && !o.activeJobs[id] {
+		if id, _, _ := cluster.ParseTaskRef(t.Task); t.Phase != api.TaskExited && !o.activeJobs[id] {
 			stop := api.Command{Verb: api.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero}
 			response.Commands = append(response.Commands, stop)
 		}
--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -100,8 +100,8 @@
 		}
 		delete(n.pending, name)
 		for _, a := range p.starts {
-			if a.Direct.InFlight = false; a.LastSeenHeartbeat == 0 && a.Machine.Attempts[a.Key] == a {
-				a.Direct.OutcomeUnknown = true
+			if a.DirectStart.InFlight = false; a.LastSeenHeartbeat == 0 && a.Machine.Attempts[a.Key] == a {
+				a.DirectStart.OutcomeUnknown = true
 				lt.evacuate(a.Machine, "order unanswered")
 				if a.Job.Ended {
 					lt.terminateIfOutcomeUnknown(a)
@@ -201,7 +201,7 @@
 	p := &relayedCommands{baseSeq: hb.Seq, sentAt: now}
 	for _, cmd := range response.Commands {
 		if a := m.Attempts[cluster.AttemptKey{Ref: cmd.Task, ID: cmd.Attempt}]; a != nil && cmd.Verb == api.VerbStart {
-			a.Direct = &cluster.DirectCommand{AgentEpoch: hb.AgentEpoch, InFlight: true}
+			a.DirectStart = &cluster.DirectStart{AgentEpoch: hb.AgentEpoch, InFlight: true}
 			p.starts = append(p.starts, a)
 		}
 	}
@@ -218,9 +218,9 @@
 // to which they were delivered, or 0.
 func (p *relayedCommands) applyOutcome(lt *leaderTerm, deliveredIn uint64) {
 	for _, a := range p.starts {
-		a.Direct.InFlight = false
+		a.DirectStart.InFlight = false
 		if deliveredIn > 0 {
-			a.Direct.Seq = deliveredIn + 1
+			a.DirectStart.FirstHeartbeatSeq = deliveredIn + 1
 		} else if a.LastSeenHeartbeat == 0 && a.Machine.Attempts[a.Key] == a {
 			lt.removeAttempt(a)
 		}
--- a/internal/controller/simulatedhost_test.go
+++ b/internal/controller/simulatedhost_test.go
@@ -231,7 +231,7 @@
 		t.Phase, t.Cause = api.TaskExited, api.CauseNoCapacity
 	default:
 		k.s.checker.recordStart(k, r.task, r.attempt)
-		_, i, _ := cluster.SplitRef(r.task)
+		_, i, _ := cluster.ParseTaskRef(r.task)
 		if k.remaining[r] = p.duration + time.Duration(i)*p.durationStep; k.s.checker.isCompleted(r.task) {
 			k.remaining[r] = 0 // its result is durable
 		}
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -544,7 +544,7 @@
 		guests := 0.0
 		for _, k := range host.agents {
 			for _, task := range k.running() {
-				if id, _, _ := cluster.SplitRef(task); g.job(id).home == home {
+				if id, _, _ := cluster.ParseTaskRef(task); g.job(id).home == home {
 					guests++
 				}
 			}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -177,7 +177,7 @@
 func (lt *leaderTerm) pendingReason(j *cluster.Job, now time.Time) string {
 	s := &j.Spec
 	switch {
-	case j.Lent != nil || j.Handover:
+	case j.Lent != nil || j.HandoverPending:
 		return "lent to another cell"
 	case j.Guest != nil:
 		return "guest"
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -62,7 +62,7 @@
 func (lt *leaderTerm) belowSlowLimit() bool {
 	n := 0
 	for _, m := range lt.machines {
-		if m.Reason == reasonSlow {
+		if m.EvacuationReason == reasonSlow {
 			n++
 		}
 	}
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -111,7 +111,7 @@
 	now := time.Now()
 	lt.addSnapshot(m.snapshot, now)
 	lt.loaded, lt.cancellationsConfirmedAt = true, m.snapshot.readAt
-	lt.detector.HeartbeatsStart(now)
+	lt.detector.HeartbeatsStarted(now)
 	go lt.dependencyLists.sweep()
 	if c.CommandSender != nil {
 		lt.resyncNext(now)
@@ -190,7 +190,7 @@
 		return
 	}
 	j.CompletionChunks[first] = true
-	j.RecordExtent(first, 8*len(rec.Done))
+	j.RecordChunkSize(first, 8*len(rec.Done))
 	for i, b := range rec.Done {
 		for bit := range 8 {
 			if task := first + i*8 + bit; b&(1<<bit) != 0 && task < j.Spec.Tasks {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -197,7 +197,7 @@
 
 // mayStart reports whether all that a task's job depends on is done on record.
 func (v *mixed) mayStart(task string) bool {
-	id, _, _ := cluster.SplitRef(task)
+	id, _, _ := cluster.ParseTaskRef(task)
 	return !slices.ContainsFunc(v.dependencies[id], func(id string) bool { return !v.store.Has("f/" + id) })
 }
 
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -9,11 +9,11 @@
 
 const (
 	probeInterval = time.Second
-	// deadAfterProbes is how many probes in a row must fail for a machine to count as dead.
-	deadAfterProbes = 2
-	// undeliveredAfter is how many responses in a row a machine may leave unapplied while it
+	// deadAfterFailedProbes is how many probes in a row must fail for a machine to count as dead.
+	deadAfterFailedProbes = 2
+	// undeliveredAfterResponses is how many responses in a row a machine may leave unapplied while it
 	// answers probes.
-	undeliveredAfter = 4
+	undeliveredAfterResponses = 4
 	// freshHeartbeatAge is the age up to which a heartbeat counts as fresh. In a zone of fewer
 	// than minZoneMachines, nothing is concluded from how many there are of these.
 	freshHeartbeatAge = 2 * time.Second
@@ -53,8 +53,8 @@
 // New returns the failure detector of a new leader term.
 func New(s Settings) *Detector { return &Detector{settings: s} }
 
-// HeartbeatsStart records that heartbeats reach this node as leader from now on.
-func (d *Detector) HeartbeatsStart(now time.Time) { d.heartbeatsSince = now }
+// HeartbeatsStarted records that heartbeats reach this node as leader from now on.
+func (d *Detector) HeartbeatsStarted(now time.Time) { d.heartbeatsSince = now }
 
 // HeartbeatTimeout is the longest time between two heartbeats of a machine without a fault.
 func (d *Detector) HeartbeatTimeout() time.Duration {
@@ -73,15 +73,15 @@
 	ReasonRestarted Reason = "started anew"
 )
 
-// Verdict is what the owner is to do about a machine, in the order of the fields.
-type Verdict struct {
+// CheckResult is what the owner is to do about a machine, in the order of the fields.
+type CheckResult struct {
 	// Request is the request to send; its Kind is NoRequest if there is none.
 	Request Request
 	// Partitioned is set if the machine is suspect, and more likely partitioned with others of
 	// its zone than dead: another node may renew its task lease.
 	Partitioned bool
-	// Dead is why the machine is to be evacuated and terminated; empty if it is not.
-	Dead Reason
+	// EvacuationReason is why the machine is to be evacuated and terminated; empty if it is not.
+	EvacuationReason Reason
 }
 
 // Check judges a machine, by its own state and the counts of its zone. A dead machine is detected
@@ -91,17 +91,17 @@
 // same way. Where most of a zone is suspect at once, a partition is the more likely cause, and a
 // node on the other side may renew the machines' task leases on behalf of the leader: they are
 // given the time in which even that ends.
-func (d *Detector) Check(m *cluster.Machine, zone ZoneCount, now time.Time) Verdict {
+func (d *Detector) Check(m *cluster.Machine, zone ZoneCount, now time.Time) CheckResult {
 	if m.Phase() >= cluster.Terminating || !d.isSuspect(m, now) {
-		return Verdict{}
+		return CheckResult{}
 	}
-	v := Verdict{Request: d.nextRequest(m, now), Partitioned: d.isLikelyPartitioned(m, zone)}
-	if !d.isConfirmedDead(m, v.Partitioned, now) {
+	v := CheckResult{Request: d.nextRequest(m, now), Partitioned: d.isLikelyPartitioned(m, zone)}
+	if !d.shouldTerminate(m, v.Partitioned, now) {
 		return v
 	}
-	v.Dead = ReasonSilent
+	v.EvacuationReason = ReasonSilent
 	if m.UnappliedResponses > 0 {
-		v.Dead = ReasonUndelivered
+		v.EvacuationReason = ReasonUndelivered
 	}
 	return v
 }
@@ -151,8 +151,8 @@
 	return m.Fenced && float64(zone.fresh) < expectedFresh*float64(zone.all)/5 && zone.all >= minZoneMachines
 }
 
-// isConfirmedDead tells whether a suspect machine is to be terminated.
-func (d *Detector) isConfirmedDead(m *cluster.Machine, partitioned bool, now time.Time) bool {
+// shouldTerminate tells whether a suspect machine is to be terminated.
+func (d *Detector) shouldTerminate(m *cluster.Machine, partitioned bool, now time.Time) bool {
 	workers := d.settings.Workers
 	switch silentFor := now.Sub(m.LastSeen); {
 	case !m.Fenced && now.Sub(d.heartbeatsSince) > workers.Lease()+2*workers.HeartbeatInterval():
@@ -169,7 +169,7 @@
 		return false
 	default:
 		return silentFor > workers.Lease()+2*workers.HeartbeatInterval() ||
-			m.ProbeFails >= deadAfterProbes ||
-			m.UnappliedResponses >= undeliveredAfter
+			m.ProbeFails >= deadAfterFailedProbes ||
+			m.UnappliedResponses >= undeliveredAfterResponses
 	}
 }
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -25,7 +25,7 @@
 func newDetector(tb testing.TB) *Detector {
 	tb.Helper()
 	d := New(Settings{Workers: workers, MaxDials: 3, CanProbe: true, CanResync: true})
-	d.HeartbeatsStart(now)
+	d.HeartbeatsStarted(now)
 	d.DetectPause(nil, now)
 	return d
 }
@@ -256,7 +256,7 @@
 	for _, c := range checkTests {
 		t.Run(c.name, func(t *testing.T) {
 			d := newDetector(t)
-			d.HeartbeatsStart(now.Add(-c.termAge))
+			d.HeartbeatsStarted(now.Add(-c.termAge))
 			m := machineSeen(c.seenAgo)
 			if c.change != nil {
 				c.change(m)
@@ -268,8 +268,8 @@
 			if got.Partitioned != c.wantPartitioned {
 				t.Errorf("partitioned %t, want %t", got.Partitioned, c.wantPartitioned)
 			}
-			if got.Dead != c.wantDead {
-				t.Errorf("dead %q, want %q", got.Dead, c.wantDead)
+			if got.EvacuationReason != c.wantDead {
+				t.Errorf("dead %q, want %q", got.EvacuationReason, c.wantDead)
 			}
 		})
 	}
--- a/internal/failuredetector/pauses.go
+++ b/internal/failuredetector/pauses.go
@@ -40,9 +40,9 @@
 	return longPause
 }
 
-// NotPausedSince reports whether there was no process pause since a request was sent. After one, a
+// RanContinuouslySince reports whether there was no process pause since a request was sent. After one, a
 // response may wait to be read although its time limit has passed. Unlike other arguments, now must
 // be read from the clock when this is called: the last tick may be long ago.
-func (d *Detector) NotPausedSince(sentAt, now time.Time) bool {
+func (d *Detector) RanContinuouslySince(sentAt, now time.Time) bool {
 	return !d.lastPause.After(sentAt) && now.Sub(d.lastTick) < pauseThreshold
 }
--- a/internal/failuredetector/pauses_test.go
+++ b/internal/failuredetector/pauses_test.go
@@ -33,10 +33,10 @@
 			if got := tick.Sub(m.LastSeen); got != c.wantSeenAgo {
 				t.Errorf("seen %v ago, want %v", got, c.wantSeenAgo)
 			}
-			if got := !d.NotPausedSince(now, tick); got != c.wantPause {
+			if got := !d.RanContinuouslySince(now, tick); got != c.wantPause {
 				t.Errorf("paused %t, want %t", got, c.wantPause)
 			}
-			if !d.NotPausedSince(tick, tick) {
+			if !d.RanContinuouslySince(tick, tick) {
 				t.Error("paused since the tick that detected the pause")
 			}
 			if got := d.heartbeatsSince.Equal(tick); got != c.want {
@@ -55,12 +55,12 @@
 	if got := now.Sub(m.LastSeen); got != time.Minute {
 		t.Errorf("seen %v ago, want 1m0s", got)
 	}
-	if !d.NotPausedSince(now.Add(-time.Hour), now) {
+	if !d.RanContinuouslySince(now.Add(-time.Hour), now) {
 		t.Error("paused at the first tick")
 	}
 }
 
-func TestNotPausedSince(t *testing.T) {
+func TestRanContinuouslySince(t *testing.T) {
 	const pausedAgo = 5 * time.Second
 	for _, c := range []struct {
 		name          string
@@ -76,7 +76,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			d := newDetector(t)
 			d.lastPause = now.Add(-pausedAgo)
-			if got := d.NotPausedSince(now.Add(-c.sentAgo), now.Add(c.late)); got != c.want {
+			if got := d.RanContinuouslySince(now.Add(-c.sentAgo), now.Add(c.late)); got != c.want {
 				t.Errorf("got %t, want %t", got, c.want)
 			}
 		})
@@ -91,7 +91,7 @@
 	machines := map[string]*cluster.Machine{m.Name: m}
 	tick := now.Add(time.Minute)
 	d.DetectPause(machines, tick)
-	if v := d.Check(m, ZoneCount{}, tick); v != (Verdict{}) {
+	if v := d.Check(m, ZoneCount{}, tick); v != (CheckResult{}) {
 		t.Errorf("after a long pause: %+v, want nothing", v)
 	}
 	for range 40 {
--- a/internal/failuredetector/requests.go
+++ b/internal/failuredetector/requests.go
@@ -125,7 +125,7 @@
 // paused.
 func (d *Detector) probeFailed(r Request, now time.Time) {
 	suspect := r.Machine.LastSeen.Before(r.SentAt) || r.Machine.UnappliedResponses > 0
-	if suspect && d.NotPausedSince(r.SentAt, now) {
+	if suspect && d.RanContinuouslySince(r.SentAt, now) {
 		r.Machine.ProbeFails++
 	}
 }
@@ -144,7 +144,7 @@
 	case m.Phase() == cluster.Terminated:
 		return Ignored
 	case err != nil:
-		if !m.Fenced && d.NotPausedSince(r.SentAt, now) {
+		if !m.Fenced && d.RanContinuouslySince(r.SentAt, now) {
 			m.ProbeFails++
 		}
 		return Failed
--- a/internal/failuredetector/requests_test.go
+++ b/internal/failuredetector/requests_test.go
@@ -150,8 +150,8 @@
 
 var errTimeout = errors.New("timeout")
 
-// answerOf returns a heartbeat of a machine.
-func answerOf(machine string, epoch, seq uint64) *api.Heartbeat {
+// heartbeatFrom returns a heartbeat of a machine.
+func heartbeatFrom(machine string, epoch, seq uint64) *api.Heartbeat {
 	return &api.Heartbeat{Machine: machine, AgentEpoch: epoch, Seq: seq}
 }
 
@@ -169,7 +169,7 @@
 	wantSeen    bool
 }{
 	{name: "no answer", err: errTimeout, want: Failed, wantFails: 2},
-	{name: "answer of another machine", heartbeat: answerOf("i-2", 3, 8), want: Failed, wantFails: 2},
+	{name: "answer of another machine", heartbeat: heartbeatFrom("i-2", 3, 8), want: Failed, wantFails: 2},
 	{
 		name:      "no answer, but a heartbeat since",
 		err:       errTimeout,
@@ -196,35 +196,35 @@
 		want:      Ignored,
 		wantFails: 1,
 	},
-	{name: "alive", heartbeat: answerOf("i-1", 3, 7), want: Alive, wantSeen: true},
-	{name: "alive, newer heartbeat", heartbeat: answerOf("i-1", 3, 9), want: Alive, wantSeen: true},
-	{name: "older heartbeat", heartbeat: answerOf("i-1", 3, 6), want: Restarted, wantFails: 1},
-	{name: "older agent epoch", heartbeat: answerOf("i-1", 2, 99), want: Restarted, wantFails: 1},
+	{name: "alive", heartbeat: heartbeatFrom("i-1", 3, 7), want: Alive, wantSeen: true},
+	{name: "alive, newer heartbeat", heartbeat: heartbeatFrom("i-1", 3, 9), want: Alive, wantSeen: true},
+	{name: "older heartbeat", heartbeat: heartbeatFrom("i-1", 3, 6), want: Restarted, wantFails: 1},
+	{name: "older agent epoch", heartbeat: heartbeatFrom("i-1", 2, 99), want: Restarted, wantFails: 1},
 	{
 		name:      "heartbeat older than one applied since",
-		heartbeat: answerOf("i-1", 3, 7),
+		heartbeat: heartbeatFrom("i-1", 3, 7),
 		meanwhile: func(m *cluster.Machine, _ time.Time) { m.HeartbeatSeq = 12 },
 		want:      Alive,
 		wantSeen:  true,
 	},
-	{name: "new agent epoch", heartbeat: answerOf("i-1", 4, 1), want: NewHeartbeat, wantFails: 1},
+	{name: "new agent epoch", heartbeat: heartbeatFrom("i-1", 4, 1), want: NewHeartbeat, wantFails: 1},
 	{
 		name:        "new agent epoch, lease not held",
-		heartbeat:   answerOf("i-1", 4, 1),
+		heartbeat:   heartbeatFrom("i-1", 4, 1),
 		cannotApply: true,
 		want:        Alive,
 		wantSeen:    true,
 	},
 	{
 		name:      "new agent epoch, unfenced",
-		heartbeat: answerOf("i-1", 4, 1),
+		heartbeat: heartbeatFrom("i-1", 4, 1),
 		meanwhile: func(m *cluster.Machine, _ time.Time) { m.Fenced = false },
 		want:      Alive,
 		wantSeen:  true,
 	},
 	{
 		name:      "agent epoch of a heartbeat applied since",
-		heartbeat: answerOf("i-1", 4, 1),
+		heartbeat: heartbeatFrom("i-1", 4, 1),
 		meanwhile: func(m *cluster.Machine, _ time.Time) { m.AgentEpoch = 4 },
 		want:      Alive,
 		wantSeen:  true,
@@ -277,9 +277,9 @@
 		{name: "no answer, fenced since", err: errTimeout, fenced: true, want: Failed},
 		{name: "no answer, and a late tick", err: errTimeout, late: pauseThreshold, want: Failed},
 		{name: "terminated", err: errTimeout, ended: true, want: Ignored},
-		{name: "terminated, answered", heartbeat: answerOf("i-1", 3, 8), ended: true, want: Ignored},
-		{name: "answer", heartbeat: answerOf("i-1", 3, 8), want: NewHeartbeat},
-		{name: "answer of another machine", heartbeat: answerOf("i-2", 3, 8), want: Ignored},
+		{name: "terminated, answered", heartbeat: heartbeatFrom("i-1", 3, 8), ended: true, want: Ignored},
+		{name: "answer", heartbeat: heartbeatFrom("i-1", 3, 8), want: NewHeartbeat},
+		{name: "answer of another machine", heartbeat: heartbeatFrom("i-2", 3, 8), want: Ignored},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newDetector(t)
--- a/internal/failuredetector/responses.go
+++ b/internal/failuredetector/responses.go
@@ -32,7 +32,7 @@
 			return true
 		}
 	}
-	if !d.NotPausedSince(m.LastCommandsAt.Add(-responseMaxAge), now) {
+	if !d.RanContinuouslySince(m.LastCommandsAt.Add(-responseMaxAge), now) {
 		return true // the response may have arrived too late because this node was paused
 	}
 	// One response may be lost; after a second one the machine gets no tasks for a while.
@@ -52,11 +52,11 @@
 	return (command.Verb == api.VerbStart) == shown || stopping
 }
 
-// NewAgentEpoch records that a heartbeat that arrived at arrivedAt shows a new agent epoch. The
+// AgentEpochChanged records that a heartbeat that arrived at arrivedAt shows a new agent epoch. The
 // machine's task lease has expired although it was answered, unless a pause of this process kept
 // the answers back.
-func (d *Detector) NewAgentEpoch(m *cluster.Machine, arrivedAt, now time.Time) {
-	if d.NotPausedSince(arrivedAt.Add(-d.settings.Workers.Lease()-d.HeartbeatTimeout()), now) {
+func (d *Detector) AgentEpochChanged(m *cluster.Machine, arrivedAt, now time.Time) {
+	if d.RanContinuouslySince(arrivedAt.Add(-d.settings.Workers.Lease()-d.HeartbeatTimeout()), now) {
 		m.UnappliedResponses++
 	}
 	m.LastCommands = nil
--- a/internal/failuredetector/responses_test.go
+++ b/internal/failuredetector/responses_test.go
@@ -14,17 +14,17 @@
 	attemptID = 5
 )
 
-// command returns a response with one command.
-func command(verb string) []api.Command {
+// singleCommand returns a response with one command.
+func singleCommand(verb string) []api.Command {
 	return []api.Command{{Verb: verb, Task: testTask, Attempt: attemptID}}
 }
 
-// shown returns an attempt that the newest heartbeat names, and missing is one that it does not.
-func shown(phase string) *cluster.Attempt {
+// shownAttempt returns an attempt that the newest heartbeat names, and missing is one that it does not.
+func shownAttempt(phase string) *cluster.Attempt {
 	return &cluster.Attempt{Phase: phase, LastSeenHeartbeat: 9}
 }
 
-var missing = &cluster.Attempt{LastSeenHeartbeat: 8}
+var missingAttempt = &cluster.Attempt{LastSeenHeartbeat: 8}
 
 var checkAppliedTests = []struct {
 	name     string
@@ -41,44 +41,44 @@
 	{name: "no commands", unapplied: 2, want: true, wantUnapplied: 2},
 	{
 		name:      "start shown",
-		commands:  command(api.VerbStart),
-		attempt:   shown(api.TaskPulling),
+		commands:  singleCommand(api.VerbStart),
+		attempt:   shownAttempt(api.TaskPulling),
 		unapplied: 2,
 		want:      true,
 	},
-	{name: "start not shown", commands: command(api.VerbStart), attempt: missing, wantUnapplied: 1},
-	{name: "start of an attempt not known", commands: command(api.VerbStart), wantUnapplied: 1},
+	{name: "start not shown", commands: singleCommand(api.VerbStart), attempt: missingAttempt, wantUnapplied: 1},
+	{name: "start of an attempt not known", commands: singleCommand(api.VerbStart), wantUnapplied: 1},
 	{
 		name:          "still running after a stop",
-		commands:      command(api.VerbStop),
-		attempt:       shown(api.TaskRunning),
+		commands:      singleCommand(api.VerbStop),
+		attempt:       shownAttempt(api.TaskRunning),
 		wantUnapplied: 1,
 	},
 	{
 		name:      "saving before it stops",
-		commands:  command(api.VerbStop),
-		attempt:   shown(api.TaskSaving),
+		commands:  singleCommand(api.VerbStop),
+		attempt:   shownAttempt(api.TaskSaving),
 		unapplied: 1,
 		want:      true,
 	},
-	{name: "stopped", commands: command(api.VerbStop), attempt: missing, unapplied: 1, want: true},
+	{name: "stopped", commands: singleCommand(api.VerbStop), attempt: missingAttempt, unapplied: 1, want: true},
 	{
 		name:          "not reaped",
-		commands:      command(api.VerbReap),
-		attempt:       shown(api.TaskExited),
+		commands:      singleCommand(api.VerbReap),
+		attempt:       shownAttempt(api.TaskExited),
 		wantUnapplied: 1,
 	},
-	{name: "reaped", commands: command(api.VerbReap), unapplied: 1, want: true},
+	{name: "reaped", commands: singleCommand(api.VerbReap), unapplied: 1, want: true},
 	{
 		name:     "one of two applied",
-		commands: append(command(api.VerbStart), command(api.VerbReap)...),
-		attempt:  shown(api.TaskRunning),
+		commands: append(singleCommand(api.VerbStart), singleCommand(api.VerbReap)...),
+		attempt:  shownAttempt(api.TaskRunning),
 		want:     true,
 	},
-	{name: "late tick", commands: command(api.VerbStart), late: pauseThreshold, want: true},
+	{name: "late tick", commands: singleCommand(api.VerbStart), late: pauseThreshold, want: true},
 	{
 		name:      "pause while the response may have been in flight",
-		commands:  command(api.VerbStart),
+		commands:  singleCommand(api.VerbStart),
 		unapplied: 1,
 		// The response was sent two seconds ago.
 		pausedAgo:     2*time.Second + responseMaxAge - 1,
@@ -87,34 +87,34 @@
 	},
 	{
 		name:          "pause before that",
-		commands:      command(api.VerbStart),
+		commands:      singleCommand(api.VerbStart),
 		pausedAgo:     2*time.Second + responseMaxAge,
 		wantUnapplied: 1,
 	},
 	{
 		name:          "second unapplied response",
-		commands:      command(api.VerbStart),
+		commands:      singleCommand(api.VerbStart),
 		unapplied:     1,
 		wantUnapplied: 2,
 		wantCordon:    8 * time.Second,
 	},
 	{
 		name:          "third unapplied response",
-		commands:      command(api.VerbStart),
+		commands:      singleCommand(api.VerbStart),
 		unapplied:     2,
 		wantUnapplied: 3,
 		wantCordon:    16 * time.Second,
 	},
 	{
 		name:          "fourth unapplied response",
-		commands:      command(api.VerbStart),
+		commands:      singleCommand(api.VerbStart),
 		unapplied:     3,
 		wantUnapplied: 4,
 		wantCordon:    MaxCordon,
 	},
 	{
 		name:          "hundredth unapplied response",
-		commands:      command(api.VerbStart),
+		commands:      singleCommand(api.VerbStart),
 		unapplied:     99,
 		wantUnapplied: 100,
 		wantCordon:    MaxCordon,
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestNewAgentEpoch(t *testing.T) {
+func TestAgentEpochChanged(t *testing.T) {
 	// The task lease that has expired may be from a response as old as a lease and a heartbeat
 	// timeout.
 	const covered = 15 * time.Second
@@ -184,7 +184,7 @@
 			d.lastPause = now.Add(-c.pausedAgo)
 			m := machineSeen(0)
 			m.LastCommands = []api.Command{{Verb: api.VerbStart}}
-			d.NewAgentEpoch(m, now, now.Add(c.late))
+			d.AgentEpochChanged(m, now, now.Add(c.late))
 			if m.UnappliedResponses != c.want {
 				t.Errorf("%d unapplied responses, want %d", m.UnappliedResponses, c.want)
 			}
--- a/internal/recordwriter/batch.go
+++ b/internal/recordwriter/batch.go
@@ -64,7 +64,7 @@
 		b.Txn.Compares = append(b.Txn.Compares, kv.Compare{Key: active, ModRevision: j.ModRevision})
 		b.addPut(records.TerminalPrefix+j.Spec.ID, records.TerminalRecord{Phase: api.JobCancelled, Tasks: j.Spec.Tasks})
 		b.addDelete(active)
-		j.Ending = true
+		j.EndMayBeRecorded = true
 		n++
 	}
 	b.DerivedCancels = slices.Clone(pending[:n])
@@ -108,7 +108,7 @@
 		b.finished = append(b.finished, j)
 		// From now on others may read its terminal record before this node learns that it
 		// was written.
-		j.Ending = true
+		j.EndMayBeRecorded = true
 	}
 }
 
--- a/internal/recordwriter/completion.go
+++ b/internal/recordwriter/completion.go
@@ -31,7 +31,7 @@
 
 // addCompletion adds the completion record of a job's chunk that begins at first.
 func (w *Writer) addCompletion(b *Batch, j *cluster.Job, first int) {
-	bits := j.CompletionBytes(first, w.tasksPerChunk)
+	bits := j.CompletionBitmap(first, w.tasksPerChunk)
 	b.addPut(records.CompletionKey(j.Spec.ID, first), records.CompletionRecord{Done: bits})
 	// The record must not outlive its job: once that has ended, another node has
 	// deleted the key compared here.
@@ -40,7 +40,7 @@
 		ModRevision: j.ModRevision,
 	})
 	j.CompletionChunks[first] = true
-	j.RecordExtent(first, 8*len(bits))
+	j.RecordChunkSize(first, 8*len(bits))
 	b.completions = append(b.completions, completionWrite{job: j, first: first, bits: bits})
 }
 
--- a/internal/recordwriter/registry.go
+++ b/internal/recordwriter/registry.go
@@ -103,7 +103,7 @@
 	next := w.newShard(s.Machines[:n])
 	next.Replaces = s
 	b.addShard(next)
-	if next.Partial = n < len(s.Machines); !next.Partial {
+	if next.PartialReplacement = n < len(s.Machines); !next.PartialReplacement {
 		b.addShardDeletes(s, allowed)
 	}
 }
@@ -120,7 +120,7 @@
 // place. Of the latter, those beyond the allowed operations stay in the store.
 func (b *Batch) addShardDeletes(s *cluster.Shard, allowed int) {
 	b.addDelete(s.Key)
-	for _, key := range s.PossiblyWritten {
+	for _, key := range s.PossibleReplacementKeys {
 		if len(b.Txn.Ops) < allowed {
 			b.addDelete(key)
 		}
@@ -133,8 +133,8 @@
 func (w *Writer) requeueShards(b *Batch) {
 	for _, s := range b.shards {
 		if s.Replaces != nil {
-			s.Replaces.PossiblyWritten = append(s.Replaces.PossiblyWritten, s.Key)
-			if s.Partial {
+			s.Replaces.PossibleReplacementKeys = append(s.Replaces.PossibleReplacementKeys, s.Key)
+			if s.PartialReplacement {
 				w.staleShards = append(w.staleShards, s.Replaces)
 			}
 			continue
@@ -150,13 +150,13 @@
 // shardsWritten marks the machines of a written batch's shards as registered.
 func (w *Writer) shardsWritten(b *Batch) {
 	for _, s := range b.shards {
-		if old := s.Replaces; s.Partial {
+		if old := s.Replaces; s.PartialReplacement {
 			old.Machines = slices.DeleteFunc(old.Machines, func(m *cluster.Machine) bool {
 				return slices.Contains(s.Machines, m)
 			})
 			w.staleShards = append(w.staleShards, old)
 		}
-		s.Replaces, s.Partial = nil, false
+		s.Replaces, s.PartialReplacement = nil, false
 		for _, m := range slices.Clone(s.Machines) {
 			m.Registration, m.Shard = cluster.Registered, s
 			if m.Phase() == cluster.Terminated {
