--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -10,62 +10,64 @@
 
 // AttemptKey identifies an attempt on its machine.
 type AttemptKey struct {
-	// Ref is the task's reference, as TaskRef builds it; id is the attempt's number.
+	// Ref is the task's reference as built by Job.TaskRef. ID is the attempt's number.
 	Ref string
 	ID  uint64
 }
 
-// Attempt is one run of a task on a machine, from the time its start is decided until a
-// heartbeat, or the end of the machine, shows that it is off the machine.
+// Attempt is one run of a task on a machine. It lasts from the decision to start the task until a
+// heartbeat, or the termination of the machine, shows that the task is off the machine.
 type Attempt struct {
 	Key     AttemptKey
 	Machine *Machine
-	// Job is nil for an attempt whose job is not active: its team is not known, so the
-	// whole machine counts as in use.
+	// Job is nil if the attempt's job is not active. The resources and the team of such an attempt
+	// are not known, so the whole machine counts as used.
 	Job  *Job
 	Task int
-	// Phase is what the worker agent last reported, "" until it has reported the attempt.
+	// Phase is the task phase in the last heartbeat, or empty if no heartbeat has shown the attempt.
 	Phase string
 	// SentAgentEpoch is the agent epoch in which the start was sent.
 	SentAgentEpoch uint64
 	SentAt         time.Time
 	// RunningAt is when a heartbeat first showed the attempt running.
 	RunningAt time.Time
-	// Unmeasured is set if the machine missed heartbeats during the run, so that its
-	// length is not known.
+	// Unmeasured is set if the machine missed heartbeats during the run, so that the run time is
+	// not known.
 	Unmeasured bool
-	// Stop is set once the attempt is to be stopped.
+	// Stop is the request to stop the attempt, or nil.
 	Stop *StopRequest
 	// DirectStart is set if the start was sent outside a heartbeat response.
 	DirectStart *DirectStart
 	// Exited is set once the attempt has ended and its resources are released.
 	Exited bool
-	// LastSeenHeartbeat is the number of the machine's last heartbeat that showed the attempt, 0
-	// if none has.
+	// LastSeenHeartbeat is the machine's HeartbeatCount at the last heartbeat that showed the
+	// attempt, or 0 if none has.
 	LastSeenHeartbeat int
-	// ExitHandled is set once the cause of the exit has been acted on.
+	// ExitHandled is set once the exit has been handled according to its cause.
 	ExitHandled bool
 }
 
-// StartInFlight tells whether the response with the start may still be in flight to the
-// worker agent. Only an agent-initiated heartbeat shows that it is not, or a new agent
-// epoch.
+// StartInFlight reports whether the response that carries the start may still be in flight to the
+// worker agent when a solicited heartbeat is built. It does not apply to agent-initiated
+// heartbeats: the agent sends one only after it has applied the last response or that has timed
+// out.
 func (a *Attempt) StartInFlight(hb *api.Heartbeat) bool {
 	return a.LastSeenHeartbeat == 0 && a.SentAgentEpoch == hb.AgentEpoch
 }
 
-// StopRequest is the decision to stop an attempt.
+// StopRequest is a request to stop an attempt.
 type StopRequest struct {
-	// Grace is how long from since on the task may take to save its state.
+	// Grace is the time after Since in which the task may save its state.
 	Grace time.Duration
 	Since time.Time
 }
 
-// Reserve counts the attempt's resources on its machine, team and zone. It is called once.
+// Reserve adds the attempt's resources to the usage of its machine, team and zone. It is called once
+// for an attempt.
 func (a *Attempt) Reserve() { a.adjustUsage(1) }
 
-// Release gives back what Reserve has counted, and marks the attempt as exited. An attempt that has
-// exited holds nothing, so a second call does nothing.
+// Release undoes Reserve and marks the attempt as exited. It does nothing if the attempt has already
+// exited.
 func (a *Attempt) Release() {
 	if a.Exited {
 		return
@@ -74,22 +76,22 @@
 	a.adjustUsage(-1)
 }
 
-// adjustUsage adds the attempt's resources, times sign, to what is in use.
+// adjustUsage adds sign times the attempt's resources to the usage of its machine, team and zone.
 func (a *Attempt) adjustUsage(sign float64) {
 	if a.Job == nil {
 		a.Machine.adjustUnattributed(int(sign))
 		return
 	}
-	s, m, t := &a.Job.Spec, a.Machine, a.Job.Team
-	m.UsedCPUs += sign * s.CPUs
-	m.UsedGPUs += sign * s.GPUs
-	m.usedMemory += sign * s.MemoryGB
-	t.UsedCPUs += sign * s.CPUs
-	t.UsedGPUs += sign * s.GPUs
-	a.Job.AttemptsByZone[m.Zone] += int(sign)
+	spec, machine, team := &a.Job.Spec, a.Machine, a.Job.Team
+	machine.UsedCPUs += sign * spec.CPUs
+	machine.UsedGPUs += sign * spec.GPUs
+	machine.usedMemory += sign * spec.MemoryGB
+	team.UsedCPUs += sign * spec.CPUs
+	team.UsedGPUs += sign * spec.GPUs
+	a.Job.AttemptsByZone[machine.Zone] += int(sign)
 }
 
-// ParseTaskRef is the reverse of TaskRef.
+// ParseTaskRef splits a reference built by Job.TaskRef into the job's ID and the task's index.
 func ParseTaskRef(ref string) (id string, task int, ok bool) {
 	id, num, ok := strings.Cut(ref, "/")
 	if !ok {
@@ -99,9 +101,9 @@
 	return id, task, err == nil && task >= 0
 }
 
-// MayStillStart tells whether a direct start may still be applied although a heartbeat does not
-// show it. One that an earlier heartbeat showed was applied, and is not a second time: it has left
-// its machine.
+// MayStillStart reports whether a direct start may still be applied although heartbeat hb does not
+// show the attempt. A start is applied only once: if an earlier heartbeat showed the attempt, it
+// has left the machine.
 func (a *Attempt) MayStillStart(hb *api.Heartbeat) bool {
 	d := a.DirectStart
 	if d == nil || a.LastSeenHeartbeat != 0 || hb.AgentEpoch > d.AgentEpoch {
@@ -110,19 +112,20 @@
 	return d.InFlight || d.OutcomeUnknown || hb.Seq < d.FirstHeartbeatSeq
 }
 
-// ShouldKeepRunning tells whether an attempt should run on: it is its task's current one, and its job is
-// active here. A job that is to be cancelled is stopped also while the key-value store cannot
-// be written: a version without dependencies may have started it too early. One that another
-// cell owns is stopped as well.
+// ShouldKeepRunning reports whether the attempt is the current one of its task and its job is active
+// in this cell. Attempts of a job whose cancellation is pending are stopped even while the key-value
+// store cannot be written: a version without support for dependencies may have started the job too
+// early. Attempts of a job that is lent to another cell are stopped as well.
 func (a *Attempt) ShouldKeepRunning() bool {
 	j := a.Job
 	return j != nil && !j.Ended && !j.CancelPending && j.Lent == nil && j.ActiveAttempts[a.Task] == a
 }
 
-// DirectStart is a start that was sent outside a heartbeat response.
+// DirectStart is the state of a start that was sent outside a heartbeat response, either directly to
+// the machine or relayed through the key-value store.
 type DirectStart struct {
 	AgentEpoch uint64
-	// InFlight is set until there is an outcome, OutcomeUnknown if there will be none.
+	// InFlight is set until the outcome is known. OutcomeUnknown is set if it never will be.
 	InFlight, OutcomeUnknown bool
 	// FirstHeartbeatSeq is the sequence number of the first heartbeat that must show the attempt.
 	FirstHeartbeatSeq uint64
--- a/internal/cluster/imagecache.go
+++ b/internal/cluster/imagecache.go
@@ -6,25 +6,25 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// ImageCache is the leader's model of a machine's image cache: the images used last, up to the
-// capacity for them.
+// ImageCache is the leader's model of a machine's image cache, which evicts the least recently used
+// images when it is full.
 type ImageCache struct {
 	Entries map[string]cachedImage
-	// TotalGB is the sum of the images' sizes.
+	// TotalGB is the total size of the images.
 	TotalGB float64
 }
 
-// cachedImage is when an image was last used, and its size.
+// cachedImage is the last use and the size of an image.
 type cachedImage struct {
 	lastUsed time.Time
 	sizeGB   float64
 }
 
-// Has tells whether an image is cached.
+// Has reports whether an image is in the cache.
 func (c *ImageCache) Has(image string) bool { _, ok := c.Entries[image]; return ok }
 
-// Add records that a job's image is on the machine, and evicts the least recently used images
-// that exceed the capacity.
+// Add records that a job's image is in use on the machine, and evicts the least recently used other
+// images while the cache exceeds its capacity.
 func (c *ImageCache) Add(s *api.JobSpec, capacityGB float64, now time.Time) {
 	if c.Entries == nil {
 		c.Entries = map[string]cachedImage{}
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -13,130 +13,136 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// Job is an active job in the leader's memory: accepted, and not yet ended.
+// Job is an active job: accepted, and not yet done or cancelled.
 type Job struct {
 	Spec api.JobSpec
-	// ModRevision is the version of the job's active record.
+	// ModRevision is the store revision of the job's active record.
 	ModRevision uint64
 	AcceptedAt  time.Time
-	// RunnableSince is the time from which the user expects the job to run: when it was
-	// accepted, or when the last job that it depends on was done.
+	// RunnableSince is the time from which the user expects the job to run: when it was accepted,
+	// or when the last of its dependencies was done.
 	RunnableSince time.Time
 
-	// DependsOn are the jobs that must be done before this one starts. While there are
-	// any, or while its cancellation with one of them is pending, it is in no queue.
+	// DependsOn holds the jobs that must be done before this one starts. CancelPending is set
+	// while the job's cancellation, which follows from that of a dependency, is not yet recorded.
+	// A job with unfinished dependencies or a pending cancellation is in no queue.
 	DependsOn     map[string]bool
 	CancelPending bool
-	// DependencyList names the records that list the job's dependencies if its active
-	// record does not; DependenciesRead is set once they are read.
+	// DependencyList identifies the records that list the job's dependencies if its active record
+	// has no space for them. DependenciesRead is set once these records are read.
 	DependencyList   *records.DependencyList
 	DependenciesRead bool
-	// LastDependencyEnd is the latest time at which one of its dependencies was done.
+	// LastDependencyEnd is the latest time at which a dependency was done.
 	LastDependencyEnd time.Time
-	// DependentDeadlines are the times by which the jobs that depend on it require it to
-	// be complete.
+	// DependentDeadlines are the times by which dependent jobs need this one to be complete.
 	DependentDeadlines []time.Time
 
 	// Objectives are the times by which the job should be complete, in ascending order.
 	Objectives []time.Time
-	// latestStart is the latest start that meets the next objective that can still be
-	// met; infeasible is set if none can.
+	// latestStart is the latest start that meets the earliest objective that can still be met.
+	// Infeasible is set if none can.
 	latestStart time.Time
 	Infeasible  bool
-	// StartBy is when its tasks should have started, if the objectives say so.
+	// StartBy is the objective for the start of the job's tasks; zero without one.
 	StartBy time.Time
-	// Starved is set while none of its tasks has started for starvedAfter.
+	// Starved is set if no task has started although the job has been runnable for longer than
+	// starvedAfter in package controller.
 	Starved bool
-	// Load is the job's part in the last decision on which jobs to defer.
+	// Load is the job's entry in the last decision on which jobs to defer.
 	Load queue.Load
-	// PriorityRank orders jobs by priority, preference by the preference of the job's class.
+	// PriorityRank is the rank of the job's priority. ClassPreference is the operators' preference
+	// for its class.
 	PriorityRank    int
 	ClassPreference float64
 	Team            *queue.Team[*Job]
 
-	// Flight has the tasks that no attempt holds and the machines that work on the job.
+	// Flight holds the tasks that are neither done nor assigned, and the machines that serve the job.
 	Flight *flight.Flight
-	// ActiveAttempts holds the current attempt of each task that may be on a machine.
+	// ActiveAttempts holds, by task, the current attempt of each task that may be on a machine.
 	ActiveAttempts map[int]*Attempt
-	// Done are the completed tasks, DoneCount is their number, and recorded are those
-	// that are on record as completed.
+	// Done holds the completed tasks and DoneCount their number. Recorded holds those whose
+	// completion is recorded in the key-value store.
 	Done      *bitset.BitSet
 	DoneCount int
 	Recorded  *bitset.BitSet
-	// CompletionChunks are the completion records written, by their first task.
+	// CompletionChunks holds, by their first task, the completion records that may be in the store.
 	CompletionChunks map[int]bool
-	// CompletionChunkSizes is how many tasks each of them may cover. moving are the tasks that must
-	// be on record elsewhere before a record is overwritten by a shorter one.
+	// CompletionChunkSizes holds how many tasks each of these records may cover.
+	// MigratingCompletion holds the tasks that other records must cover before a record is
+	// overwritten with a shorter one.
 	CompletionChunkSizes map[int]int
 	MigratingCompletion  map[int]*bitset.BitSet
 	// CompletionDirty is set while the job is queued for its next completion record.
 	CompletionDirty bool
 
-	// Runs measures the completed runs of the job's tasks.
+	// Runs sums up the run times of the job's completed tasks.
 	Runs JobRuns
 	// AttemptsByZone counts the job's reserved attempts by zone.
 	AttemptsByZone map[string]int
-	// RestartedTasks are the tasks that were restarted as stragglers; each is only once.
+	// RestartedTasks holds the tasks that were restarted as stragglers. Each is restarted only once.
 	RestartedTasks map[int]bool
-	// ExcludedMachine is the machine that a task must avoid: where it last failed or was a
-	// straggler.
+	// ExcludedMachine holds, by task, the machine that the task must avoid because it last failed or
+	// was a straggler there.
 	ExcludedMachine map[int]string
-	// FailuresByMachine counts failed tasks. A job that fails on every machine starts no
-	// task before BackoffUntil, so that it does not use up the fleet; BackoffCount is how
-	// often it was backed off since a task of it last completed.
+	// FailuresByMachine counts the job's failed tasks by machine. A job that fails on every machine
+	// starts no task before BackoffUntil, so that it does not use up the fleet. BackoffCount counts
+	// the backoffs since a task of the job last completed.
 	FailuresByMachine map[string]int
 	BackoffCount      int
 	BackoffUntil      time.Time
 
-	// WaitingSince is when tasks of the job last became pending. SkippedSince is when a
-	// machine without its image first skipped it since its last start.
+	// WaitingSince is when the job was last added to its team's queue. SkippedSince is when a machine
+	// without the job's image first skipped the job after its last task start.
 	WaitingSince, SkippedSince time.Time
-	// Capacity is where the fleet has capacity for the job, as last computed.
+	// Capacity is the fleet's capacity for the job, as last computed.
 	Capacity Capacity
 
-	// LostTasks, FirstStart, LastStart and longest are logged at the job's end.
+	// LostTasks, FirstStart, LastStart and LongestRun are logged when the job ends. LostTasks counts
+	// the attempts that ended without completing their task.
 	LostTasks             int
 	FirstStart, LastStart time.Time
 	LongestRun            time.Duration
 
-	// Lent is set while the job is lent to another cell, guest if it runs here for one.
+	// Lent is set while the job is lent to another cell, and Guest if it runs here on behalf of
+	// another cell.
 	Lent  *loan.Lent
 	Guest *loan.Guest
-	// HandoverPending is set while a transaction that moves the job between cells is queued or
-	// in flight.
+	// HandoverPending is set while a transaction that moves the job between cells is queued or in
+	// flight.
 	HandoverPending bool
-	// RemoteState is the state of a lent job at its host, ReclaimRequested is set while home
-	// reclaims it, and ReservedBudget is what it counts for in its team's limit.
+	// RemoteState is the state of a lent job in its host cell. ReclaimRequested is set while the
+	// home cell reclaims the job. ReservedBudget is what the loan counts against its team's limit.
 	RemoteState      loan.State
 	ReclaimRequested bool
 	ReservedBudget   loan.Budget
-	// LoanCount is how often the job was lent, LastReclaimed when it was last reclaimed
-	// from each cell.
+	// LoanCount is how often the job was lent. LastReclaimed is when it was last reclaimed from
+	// each cell.
 	LoanCount     int
 	LastReclaimed map[string]time.Time
 
-	// Finishing is set once all tasks are done and the end is to be recorded, ending once
-	// a transaction that records it may be in flight, ended once the job is removed.
+	// Finishing is set once all tasks are done and the end is to be recorded. EndMayBeRecorded is
+	// set once a transaction that records the end may be in flight. Ended is set once the job is
+	// no longer active.
 	Finishing        bool
 	EndMayBeRecorded bool
 	Ended            bool
 }
 
-// Rank is the rank of the job's priority. With LatestStart, Preference, Feasibility and ID it makes
-// a job an item of its team's queue.
+// Rank returns the rank of the job's priority. With LatestStart, Preference, Feasibility and ID it
+// implements queue.Item.
 func (j *Job) Rank() int { return j.PriorityRank }
 
-// LatestStart is the latest start that meets the job's next objective.
+// LatestStart returns the latest start that meets the job's next objective.
 func (j *Job) LatestStart() time.Time { return j.latestStart }
 
-// Preference is how much the job's class is preferred to others.
+// Preference returns the operators' preference for the job's class.
 func (j *Job) Preference() float64 { return j.ClassPreference }
 
-// ID is the job's id.
+// ID returns the job's ID.
 func (j *Job) ID() string { return j.Spec.ID }
 
-// Feasibility tells whether the job can meet its next objective, is deferred, or can meet
-// none.
+// Feasibility returns whether the job can meet its next objective, is deferred in favour of other
+// jobs, or can meet none of its objectives.
 func (j *Job) Feasibility() queue.Feasibility {
 	switch {
 	case j.Infeasible:
@@ -147,7 +153,7 @@
 	return queue.Feasible
 }
 
-// UpdateFeasibility finds the next objective that can still be met by starting now.
+// UpdateFeasibility finds the earliest objective that the job can still meet if it starts now.
 func (j *Job) UpdateFeasibility(now time.Time) {
 	estimate := j.Spec.Estimate()
 	for _, objective := range j.Objectives {
@@ -160,9 +166,9 @@
 	j.Infeasible = true
 }
 
-// RunsPerCPU is how many tasks of the job a CPU could run one after the other from a time
-// on, so that the last still ends by the job's next objective. It is 1 where there is no
-// time for a second, and where an objective says when every task should have started.
+// RunsPerCPU returns how many tasks of the job one CPU could run in sequence, starting at from, so
+// that the last one ends by the job's next objective. It returns 1 if there is no time for a second
+// task, or if all tasks should have started by StartBy.
 func (j *Job) RunsPerCPU(from time.Time) float64 {
 	estimate := j.Spec.Estimate()
 	if !j.StartBy.IsZero() || estimate <= 0 {
@@ -171,12 +177,12 @@
 	return 1 + max(0, j.latestStart.Sub(from).Seconds()/estimate.Seconds())
 }
 
-// Started tells whether any task has started or its start was sent.
+// Started reports whether any task has started or the start of one was sent.
 func (j *Job) Started() bool {
 	return len(j.ActiveAttempts) > 0 || j.DoneCount > 0 || !j.FirstStart.IsZero()
 }
 
-// SinceRunnable is the time from RunnableSince to an event, for the log; 0 if the event
+// SinceRunnable returns the time from RunnableSince to an event, for the log, or 0 if the event
 // happened under an earlier leader.
 func (j *Job) SinceRunnable(at time.Time) time.Duration {
 	if at.IsZero() {
@@ -185,19 +191,19 @@
 	return at.Sub(j.RunnableSince).Round(100 * time.Millisecond)
 }
 
-// maxDemotedWait is for how long a job that is infeasible or deferred may wait behind others.
+// maxDemotedWait is how long an infeasible or deferred job may wait behind other jobs.
 const maxDemotedWait = 2 * time.Minute
 
-// DemotedTooLong tells whether the job is placed behind others as infeasible or deferred although
-// it has waited long.
+// DemotedTooLong reports whether the job is ordered behind others as infeasible or deferred, and has
+// been runnable for longer than maxDemotedWait.
 func (j *Job) DemotedTooLong(now time.Time) bool {
 	return (j.Infeasible || j.Load.Defer) && now.Sub(j.RunnableSince) > maxDemotedWait
 }
 
-// TaskRef is the reference of a task on the wire.
+// TaskRef returns the reference of a task in messages to and from worker agents.
 func (j *Job) TaskRef(task int) string { return j.Spec.ID + "/" + strconv.Itoa(task) }
 
-// State is what users are shown of the job.
+// State returns the job's state as shown to users.
 func (j *Job) State() api.JobState {
 	if j.Lent != nil {
 		st := api.JobState{
@@ -222,24 +228,23 @@
 	return st
 }
 
-// HasUpcomingStartDeadline tells whether a job has a time by which its tasks should start and that is still
-// ahead. Until then not even a machine without other work should fetch its image, as those that
-// have it may still serve it in time.
+// HasUpcomingStartDeadline reports whether the job's StartBy is still ahead. Until then even an idle
+// machine should not fetch its image, because machines that have it may start its tasks in time.
 func (j *Job) HasUpcomingStartDeadline(now time.Time) bool { return now.Before(j.StartBy) }
 
-// WithinBudget reports whether a guest may start one more task. All attempts that may be on a
-// machine count.
+// WithinBudget reports whether one more task of a guest job fits in the loan's budget. All attempts
+// that may be on a machine count as running.
 func (j *Job) WithinBudget() bool {
 	running := 0
 	for _, n := range j.AttemptsByZone {
 		running += n
 	}
-	s, budget := &j.Spec, &j.Guest.Budget
+	spec, budget := &j.Spec, &j.Guest.Budget
 	tasks := float64(running + 1)
-	return tasks*s.CPUs <= budget.CPUs+Epsilon && (s.GPUs == 0 || tasks*s.GPUs <= budget.GPUs+Epsilon)
+	return tasks*spec.CPUs <= budget.CPUs+Epsilon && (spec.GPUs == 0 || tasks*spec.GPUs <= budget.GPUs+Epsilon)
 }
 
-// RemainingLoad is the work that is left of the job, by its estimate, and when it should be done.
+// RemainingLoad returns the job's remaining work, based on its estimate, and its deadline.
 func (j *Job) RemainingLoad(now time.Time) queue.Load {
 	cpuSeconds := float64(j.Flight.Untaken()) * j.Spec.CPUs * j.Spec.EstimateS
 	for _, a := range j.ActiveAttempts {
@@ -252,8 +257,8 @@
 	return queue.Load{Deadline: j.latestStart.Add(j.Spec.Estimate()), CPUSeconds: cpuSeconds}
 }
 
-// OverrunsOn counts the job's completed runs on a machine that overran, and those there that are
-// past the limit now.
+// OverrunsOn counts the job's runs on a machine that took too long: completed runs recorded as
+// overruns, and active runs that already exceed limit.
 func (j *Job) OverrunsOn(m *Machine, limit time.Duration, now time.Time) int {
 	n := 0
 	if done := j.Runs.ByMachine[m.Name]; done != nil {
@@ -267,21 +272,21 @@
 	return n
 }
 
-// RunsElsewhere sums up the job's completed runs on all machines but one.
+// RunsElsewhere returns the statistics of the job's completed runs on all other machines.
 func (j *Job) RunsElsewhere(m *Machine) RunStats {
-	others := j.Runs.All
-	if mine := j.Runs.ByMachine[m.Name]; mine != nil {
-		others.Count -= mine.Count
-		others.TotalTime -= mine.TotalTime
-		others.OverrunCount -= mine.OverrunCount
+	elsewhere := j.Runs.All
+	if here := j.Runs.ByMachine[m.Name]; here != nil {
+		elsewhere.Count -= here.Count
+		elsewhere.TotalTime -= here.TotalTime
+		elsewhere.OverrunCount -= here.OverrunCount
 	}
 	if m.Name == j.Runs.longestRunMachine {
-		others.Longest = j.Runs.longestElsewhere
+		elsewhere.Longest = j.Runs.longestElsewhere
 	}
-	return others
+	return elsewhere
 }
 
-// AllUntakenExcluded tells whether every untaken task of a job failed on a machine.
+// AllUntakenExcluded reports whether the machine is the excluded machine of every untaken task.
 func (j *Job) AllUntakenExcluded(m *Machine) bool {
 	if len(j.ExcludedMachine) == 0 {
 		return false
@@ -295,6 +300,5 @@
 	return n >= j.Flight.Untaken()
 }
 
-// DeletesRecord reports whether this leader itself deletes, or is about to delete, the job's
-// active record.
+// DeletesRecord reports whether this leader deletes, or is about to delete, the job's active record.
 func (j *Job) DeletesRecord() bool { return j.Finishing || j.CancelPending || j.HandoverPending }
--- a/internal/cluster/jobcapacity.go
+++ b/internal/cluster/jobcapacity.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Capacity is how many tasks of a job the schedulable machines have capacity for, by placement
-// cost. Every machine that might take the job reads it, so it is computed once a tick: going
-// through the whole fleet each time took a leader of 700 machines most of its processor when a
-// job arrived.
+// Capacity is the number of a job's tasks that the schedulable machines have capacity for, by
+// placement cost. Every machine that may serve the job reads it, so it is computed at most once a
+// tick: when each machine scanned the whole fleet, the arrival of a job took most of the CPU time of
+// a leader with 700 machines.
 type Capacity struct {
 	ComputedAt time.Time
-	// Costs are the placement costs in ascending order.
+	// Costs holds the placement costs in ascending order.
 	Costs []float64
-	// Slots are sums: what the machines up to each cost have capacity for.
+	// Slots holds, for each cost, the total capacity of the machines up to that cost.
 	Slots []int
 }
 
-// SlotsUpTo is the capacity of machines of at most a cost.
-func (cp *Capacity) SlotsUpTo(cost float64) int {
-	n, found := slices.BinarySearch(cp.Costs, cost)
-	for found && n < len(cp.Costs) && cp.Costs[n] == cost {
+// SlotsUpTo returns the capacity of the machines whose placement cost is at most cost.
+func (c *Capacity) SlotsUpTo(cost float64) int {
+	n, found := slices.BinarySearch(c.Costs, cost)
+	for found && n < len(c.Costs) && c.Costs[n] == cost {
 		n++
 	}
 	if n == 0 {
 		return 0
 	}
-	return cp.Slots[n-1]
+	return c.Slots[n-1]
 }
--- a/internal/cluster/jobcompletion.go
+++ b/internal/cluster/jobcompletion.go
@@ -2,7 +2,7 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-// CompletionBitmap is the bit set of the completed tasks of the chunk that begins at first.
+// CompletionBitmap returns the bitmap of the completed tasks in the chunk that begins at task first.
 func (j *Job) CompletionBitmap(first, tasksPerChunk int) []byte {
 	count := min(tasksPerChunk, j.Spec.Tasks-first)
 	bits := make([]byte, (count+7)/8)
@@ -13,35 +13,35 @@
 	return bits
 }
 
-// mayRewriteRecord reports whether the record that begins at first may be written with
-// tasksPerChunk tasks. One written under larger limits covers more: once it is
-// overwritten, the next leader would no longer count the tasks beyond as done. They are
-// first put on record under keys of their own, which all lie further on.
+// mayRewriteRecord reports whether the completion record that begins at task first may be written
+// with tasksPerChunk tasks. A record written under larger limits covers more tasks, and after it is
+// overwritten the next leader would not find the tasks beyond the new record done. These are first
+// recorded in chunks with later keys.
 func (j *Job) mayRewriteRecord(first, tasksPerChunk int) bool {
-	extent := j.CompletionChunkSizes[first]
-	if extent <= tasksPerChunk {
+	recordedSize := j.CompletionChunkSizes[first]
+	if recordedSize <= tasksPerChunk {
 		return true
 	}
-	moving := j.MigratingCompletion[first]
-	if moving == nil {
-		moving = bitset.New(uint(j.Spec.Tasks))
-		end := uint(first + extent)
+	migrating := j.MigratingCompletion[first]
+	if migrating == nil {
+		migrating = bitset.New(uint(j.Spec.Tasks))
+		end := uint(first + recordedSize)
 		task, ok := j.Recorded.NextSet(uint(first + tasksPerChunk))
 		for ok && task < end {
-			moving.Set(task)
+			migrating.Set(task)
 			task, ok = j.Recorded.NextSet(task + 1)
 		}
-		j.Recorded.InPlaceDifference(moving)
+		j.Recorded.InPlaceDifference(migrating)
 		if j.MigratingCompletion == nil {
 			j.MigratingCompletion = map[int]*bitset.BitSet{}
 		}
-		j.MigratingCompletion[first] = moving
+		j.MigratingCompletion[first] = migrating
 	}
-	return moving.DifferenceCardinality(j.Recorded) == 0
+	return migrating.DifferenceCardinality(j.Recorded) == 0
 }
 
-// NextUnrecordedChunk finds the first chunk of a job with completed tasks that are not on
-// record and whose record may be written.
+// NextUnrecordedChunk returns the first task of the first chunk that has completed but unrecorded
+// tasks and whose record may be written.
 func (j *Job) NextUnrecordedChunk(tasksPerChunk int) (first int, ok bool) {
 	for from := 0; tasksPerChunk > 0; from = first + tasksPerChunk {
 		task, ok := j.Done.Difference(j.Recorded).NextSet(uint(from))
@@ -55,8 +55,8 @@
 	return 0, false
 }
 
-// RecordChunkSize records that the store may have a completion record that begins at first and
-// covers so many tasks.
+// RecordChunkSize notes that the store may have a completion record that begins at task first and
+// covers the given number of tasks.
 func (j *Job) RecordChunkSize(first, tasks int) {
 	if j.CompletionChunkSizes == nil {
 		j.CompletionChunkSizes = map[int]int{}
--- a/internal/cluster/jobdependencies.go
+++ b/internal/cluster/jobdependencies.go
@@ -6,8 +6,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// DropEndedDependencies frees the names of dependencies that have ended once they are most: a job
-// may name thousands of them, and wait long for another.
+// DropEndedDependencies frees the names of ended dependencies once they outnumber the others. A job
+// may have thousands of dependencies and wait for the last one for a long time.
 func (j *Job) DropEndedDependencies() {
 	if len(j.Spec.DependsOn) <= 2*len(j.DependsOn)+MaxEndedDependencies {
 		return
@@ -22,14 +22,14 @@
 	j.Spec.DependsOn, j.DependsOn = unfinished, dependsOn
 }
 
-// RecordDependencyEnd keeps when the last of the job's dependencies was done.
+// RecordDependencyEnd updates LastDependencyEnd when a dependency is done.
 func (j *Job) RecordDependencyEnd(at time.Time) {
 	if at.After(j.LastDependencyEnd) {
 		j.LastDependencyEnd = at
 	}
 }
 
-// unfinishedDependencies lists the dependencies that are not done, for the job's user.
+// unfinishedDependencies returns the first unfinished dependencies, for the job's user.
 func (j *Job) unfinishedDependencies() []string {
 	var ids []string
 	for _, id := range j.Spec.DependsOn {
@@ -40,8 +40,8 @@
 	return ids
 }
 
-// MaxEndedDependencies is how many names of ended dependencies a pending job may keep in any case.
+// MaxEndedDependencies is the number of ended dependencies that are kept however few others remain.
 const MaxEndedDependencies = 64
 
-// maxDependenciesShown bounds the names that a user is shown.
+// maxDependenciesShown limits the dependencies shown to a user.
 const maxDependenciesShown = 16
--- a/internal/cluster/phase.go
+++ b/internal/cluster/phase.go
@@ -1,24 +1,24 @@
 package cluster
 
-// Phase is how far a machine is on its way out of the fleet. It only advances.
+// Phase is a machine's lifecycle phase. It only advances.
 type Phase int
 
 const (
-	// Active machines may be assigned tasks, unless something else keeps them from it.
+	// Active machines may be assigned tasks if they are schedulable; see IsSchedulable.
 	Active Phase = iota
-	// Evacuating machines get no tasks, and their termination follows.
+	// Evacuating machines are assigned no tasks and are terminated once they are empty.
 	Evacuating
-	// Terminating machines are to be terminated by the cloud, which has not confirmed it yet.
+	// Terminating machines have been selected for termination, which the cloud has yet to confirm.
 	Terminating
-	// Terminated machines are those whose termination the cloud has confirmed: no task is on them.
+	// Terminated machines are confirmed as terminated by the cloud, and no task runs on them.
 	Terminated
 )
 
-// Phase is the machine's phase; a new machine is active.
+// Phase returns the machine's phase. New machines are active.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Advance moves the machine to a later phase and reports whether it did. The phases between may
-// be skipped; a machine never goes back.
+// Advance moves the machine to a later phase and reports whether it did. It may skip phases, and does
+// nothing if the machine is already in the given phase or a later one.
 func (m *Machine) Advance(to Phase) bool {
 	if to <= m.phase || to > Terminated {
 		return false
--- a/internal/cluster/phase_test.go
+++ b/internal/cluster/phase_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A machine that went back to an earlier phase would get tasks again, or be terminated twice.
+// A machine that returned to an earlier phase would be assigned tasks again, or terminated twice.
 func TestPhasesOnlyAdvance(t *testing.T) {
 	phases := []Phase{Active, Evacuating, Terminating, Terminated}
 	for _, from := range phases {
--- a/internal/cluster/reserve_test.go
+++ b/internal/cluster/reserve_test.go
@@ -9,7 +9,7 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// reservations is a small deployment with the attempts that are on its machines.
+// reservations is a small cluster and the attempts on its machines.
 type reservations struct {
 	teams                 []*queue.Team[*Job]
 	jobs                  []*Job
@@ -44,7 +44,7 @@
 	return r
 }
 
-// reserve adds an attempt, one in five of a job that is not known.
+// reserve adds an attempt. One in five belongs to an unknown job.
 func (r *reservations) reserve(rnd *rand.Rand) {
 	a := &Attempt{Machine: r.machines[rnd.IntN(len(r.machines))]}
 	if rnd.IntN(5) > 0 {
@@ -54,7 +54,7 @@
 	r.attempts = append(r.attempts, a)
 }
 
-// release releases an attempt, one in four for the second time.
+// release releases a random attempt, and one in four of them twice.
 func (r *reservations) release(rnd *rand.Rand) {
 	if len(r.attempts) == 0 {
 		return
@@ -68,7 +68,7 @@
 	r.attempts = append(r.attempts[:i], r.attempts[i+1:]...)
 }
 
-// check compares what machines, teams and jobs count with the sums over the attempts.
+// check compares the usage of machines, teams and jobs with the sums over the attempts.
 func (r *reservations) check(t *testing.T) {
 	t.Helper()
 	unattributedTotal := 0.0
@@ -89,7 +89,7 @@
 	}
 }
 
-// checkMachine returns what the machine adds to the unattributed CPUs.
+// checkMachine checks the usage of a machine and returns its unattributed CPUs.
 func (r *reservations) checkMachine(t *testing.T, m *Machine) float64 {
 	t.Helper()
 	used := r.sum(func(a *Attempt) bool { return a.Machine == m && a.Job != nil })
@@ -104,7 +104,7 @@
 	return 0
 }
 
-// sum adds up the attempts that match; Tasks is their number.
+// sum returns the total resources of the matching attempts, and their number as Tasks.
 func (r *reservations) sum(match func(*Attempt) bool) api.JobSpec {
 	var total api.JobSpec
 	for _, a := range r.attempts {
@@ -128,9 +128,9 @@
 	}
 }
 
-// What machine, team and zone count as used is the sum over the attempts that are reserved, in
-// whatever order they come and go: a difference would keep capacity from a team for ever, or let
-// it exceed its limit.
+// The usage of machines, teams and zones is the sum over the reserved attempts, in whatever order
+// attempts are reserved and released. Otherwise a team would permanently lose capacity or exceed its
+// limit.
 func TestUsageIsSumOfReservedAttempts(t *testing.T) {
 	const sequences, steps = 100, 60
 	for seed := range uint64(sequences) {
--- a/internal/cluster/runstats.go
+++ b/internal/cluster/runstats.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RunStats sums up completed runs of a job's tasks.
+// RunStats summarizes completed runs of a job's tasks.
 type RunStats struct {
 	Count        int
 	TotalTime    time.Duration
@@ -10,7 +10,7 @@
 	OverrunCount int
 }
 
-// Add counts a completed run.
+// Add adds a completed run.
 func (rs *RunStats) Add(took time.Duration, overran bool) {
 	rs.Count++
 	rs.TotalTime += took
@@ -20,9 +20,9 @@
 	}
 }
 
-// JobRuns are the completed runs of a job's tasks: by machine, in all, and the longest with the
-// longest on any other machine than its own. So the runs on all machines but one are known
-// without going through them at each run.
+// JobRuns summarizes the completed runs of a job's tasks, by machine and in total. It keeps the
+// machine of the longest run and the longest run on any other machine, so that RunsElsewhere need not
+// visit all machines.
 type JobRuns struct {
 	ByMachine         map[string]*RunStats
 	All               RunStats
@@ -30,7 +30,7 @@
 	longestElsewhere  time.Duration
 }
 
-// Add counts a completed run on a machine.
+// Add adds a completed run on a machine.
 func (jr *JobRuns) Add(machine string, took time.Duration, overran bool) {
 	if jr.ByMachine[machine] == nil {
 		jr.ByMachine[machine] = &RunStats{}
