--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -9,12 +9,14 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// now is the time of all tests; the detector under test has ticked at it.
+// now is the current time in all tests. newDetector returns a detector whose last tick was then.
 var now = time.Unix(1_000_000, 0)
 
-// A fenced machine of these settings is suspect once it was last seen more than 3.5 seconds ago,
-// and an unfenced one after 1.5 seconds. Silence confirms death after 14 seconds, the same time
-// without fencing in a term does too, and no renewal by another node outlasts 60.
+// workers are the settings of the worker agents in the tests. With these, a fenced machine is suspect
+// if it was last seen more than 3.5 seconds ago, and an unfenced one after 1.5 seconds. A machine is
+// confirmed dead after 14 seconds without a sign of life, or if it is still unfenced 14 seconds into
+// the term. If its zone is likely partitioned, so that another node may renew its task lease, it is
+// confirmed dead after 60 seconds without a sign of life.
 var workers = config.Workers{HeartbeatS: 2, LeaseS: 10, CancelS: 60}
 
 const (
@@ -30,7 +32,7 @@
 	return d
 }
 
-// machineSeen returns a fenced machine that was last seen some time ago.
+// machineSeen returns a fenced machine that was last seen the given time ago.
 func machineSeen(ago time.Duration) *cluster.Machine {
 	seen := now.Add(-ago)
 	return &cluster.Machine{
@@ -45,22 +47,22 @@
 	}
 }
 
-// instant is the least time by which a limit is passed.
+// instant is the shortest time by which a limit can be exceeded.
 const instant = time.Nanosecond
 
 var checkTests = []struct {
 	name    string
 	seenAgo time.Duration
-	// change alters a fenced machine that was last seen seenAgo.
+	// change modifies a fenced machine that was last seen seenAgo before now.
 	change func(m *cluster.Machine)
 	zone   ZoneCount
-	// termAge is since when heartbeats reach the leader.
+	// termAge is how long the leader has received heartbeats.
 	termAge         time.Duration
 	wantRequest     RequestKind
 	wantPartitioned bool
-	wantDead        Reason
+	wantReason      Reason
 }{
-	{name: "in time", seenAgo: suspectAfter},
+	{name: "heartbeat in time", seenAgo: suspectAfter},
 	{name: "missed heartbeat", seenAgo: suspectAfter + instant, wantRequest: Probe},
 	{
 		name:        "missed heartbeat, evacuating",
@@ -89,7 +91,7 @@
 		seenAgo:     suspectAfter + instant,
 		change:      func(m *cluster.Machine) { m.ProbeFails = 2 },
 		wantRequest: Probe,
-		wantDead:    "silent",
+		wantReason:  "silent",
 	},
 	{
 		name:    "two failed probes, seen again",
@@ -113,10 +115,10 @@
 		seenAgo:     suspectAfter + instant,
 		change:      func(m *cluster.Machine) { m.ProbeFails, m.Addr = 1, "" },
 		wantRequest: NoRequest,
-		wantDead:    "silent",
+		wantReason:  "silent",
 	},
 	{name: "silent for the task lease", seenAgo: deadAfter, wantRequest: Probe},
-	{name: "silent for longer", seenAgo: deadAfter + instant, wantRequest: Probe, wantDead: "silent"},
+	{name: "silent for longer", seenAgo: deadAfter + instant, wantRequest: Probe, wantReason: "silent"},
 	{
 		name:        "task lease renewed by another node",
 		seenAgo:     time.Hour,
@@ -128,7 +130,7 @@
 		seenAgo:     suspectAfter + instant,
 		change:      func(m *cluster.Machine) { m.ProbeFails, m.LeaseRenewedUntil = 2, now },
 		wantRequest: Probe,
-		wantDead:    "silent",
+		wantReason:  "silent",
 	},
 	{
 		name:            "most of the zone suspect",
@@ -144,7 +146,7 @@
 		zone:            ZoneCount{all: 4, suspect: 3, fresh: 1},
 		wantRequest:     Probe,
 		wantPartitioned: true,
-		wantDead:        "silent",
+		wantReason:      "silent",
 	},
 	{
 		name:        "three fifths of the zone suspect",
@@ -152,7 +154,7 @@
 		change:      func(m *cluster.Machine) { m.ProbeFails = 2 },
 		zone:        ZoneCount{all: 5, suspect: 3, fresh: 2},
 		wantRequest: Probe,
-		wantDead:    "silent",
+		wantReason:  "silent",
 	},
 	{
 		name:        "two suspect in a zone of two",
@@ -160,10 +162,10 @@
 		change:      func(m *cluster.Machine) { m.ProbeFails = 2 },
 		zone:        ZoneCount{all: 2, suspect: 2},
 		wantRequest: Probe,
-		wantDead:    "silent",
+		wantReason:  "silent",
 	},
 	{
-		name:            "first of a zone to miss a heartbeat that few others sent",
+		name:            "first machine of a zone to miss a heartbeat, few others fresh",
 		seenAgo:         suspectAfter + instant,
 		change:          func(m *cluster.Machine) { m.ProbeFails = 2 },
 		zone:            ZoneCount{all: 10, suspect: 1, fresh: 1},
@@ -171,20 +173,20 @@
 		wantPartitioned: true,
 	},
 	{
-		name:        "heartbeats of a fifth of the zone",
+		name:        "a fifth of the zone fresh",
 		seenAgo:     suspectAfter + instant,
 		change:      func(m *cluster.Machine) { m.ProbeFails = 2 },
 		zone:        ZoneCount{all: 10, suspect: 1, fresh: 2},
 		wantRequest: Probe,
-		wantDead:    "silent",
+		wantReason:  "silent",
 	},
 	{
-		name:        "few heartbeats in a small zone",
+		name:        "no machine fresh in a small zone",
 		seenAgo:     suspectAfter + instant,
 		change:      func(m *cluster.Machine) { m.ProbeFails = 2 },
 		zone:        ZoneCount{all: 9, suspect: 1, fresh: 0},
 		wantRequest: Probe,
-		wantDead:    "silent",
+		wantReason:  "silent",
 	},
 	{
 		name:        "one unapplied response",
@@ -200,13 +202,13 @@
 		name:        "four unapplied responses",
 		change:      func(m *cluster.Machine) { m.UnappliedResponses = 4 },
 		wantRequest: Probe,
-		wantDead:    "deaf",
+		wantReason:  "deaf",
 	},
 	{
 		name:        "unapplied response and failed probes",
 		change:      func(m *cluster.Machine) { m.UnappliedResponses, m.ProbeFails = 1, 2 },
 		wantRequest: Probe,
-		wantDead:    "deaf",
+		wantReason:  "deaf",
 	},
 	{
 		name:    "unfenced, within the grace",
@@ -220,12 +222,12 @@
 		wantRequest: Resync,
 	},
 	{
-		name:        "unfenced, few heartbeats in its zone",
+		name:        "unfenced, no machine of its zone fresh",
 		seenAgo:     takeoverGrace + instant,
 		change:      func(m *cluster.Machine) { m.Fenced, m.ProbeFails = false, 2 },
 		zone:        ZoneCount{all: 10, suspect: 1, fresh: 0},
 		wantRequest: Resync,
-		wantDead:    "silent",
+		wantReason:  "silent",
 	},
 	{
 		name:    "unfenced for the task lease, renewed by another node and partitioned",
@@ -248,7 +250,7 @@
 		termAge:         deadAfter + instant,
 		wantRequest:     Resync,
 		wantPartitioned: true,
-		wantDead:        "silent",
+		wantReason:      "silent",
 	},
 }
 
@@ -268,8 +270,8 @@
 			if got.Partitioned != c.wantPartitioned {
 				t.Errorf("partitioned %t, want %t", got.Partitioned, c.wantPartitioned)
 			}
-			if got.EvacuationReason != c.wantDead {
-				t.Errorf("dead %q, want %q", got.EvacuationReason, c.wantDead)
+			if got.EvacuationReason != c.wantReason {
+				t.Errorf("evacuation reason %q, want %q", got.EvacuationReason, c.wantReason)
 			}
 		})
 	}
--- a/internal/failuredetector/pauses.go
+++ b/internal/failuredetector/pauses.go
@@ -6,20 +6,21 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// A tick that is pauseThreshold late shows a process pause, and one that is longPauseThreshold late
-// that this node cannot have received its machines' heartbeats.
 const (
-	pauseThreshold     = 400 * time.Millisecond
+	// pauseThreshold is the time between two ticks from which this process counts as paused.
+	pauseThreshold = 400 * time.Millisecond
+	// longPauseThreshold is the time between two ticks from which this node cannot have handled its
+	// machines' heartbeats.
 	longPauseThreshold = 2 * time.Second
 )
 
-// DetectPause detects process pauses, by the time since the last tick, and reports whether this
-// node has just been unable to handle its machines' heartbeats for a while: it may not have been
-// allowed to answer them, or its process was paused.
-// No machine counts as suspect for that, or the first act after an outage of the key-value store
-// would be to terminate the whole fleet. On a controller with too little processor time short
-// pauses are frequent: the time of a pause counts as no missed heartbeat either, and a response
-// that was due meanwhile is not taken for missing.
+// DetectPause detects pauses of this process from the time since the last tick. It reports whether
+// this node has been unable to handle heartbeats for a while, because its process was paused or it
+// was not allowed to answer them. All machines then count as seen now; otherwise the first action
+// after an outage of the key-value store would be to terminate the whole fleet.
+//
+// Short pauses are frequent on a controller with too little CPU time. Their duration does not count
+// towards missed heartbeats, and a response due during one does not count as missing.
 func (d *Detector) DetectPause(machines map[string]*cluster.Machine, now time.Time) bool {
 	gap := now.Sub(d.lastTick)
 	first := d.lastTick.IsZero()
@@ -40,9 +41,9 @@
 	return longPause
 }
 
-// RanContinuouslySince reports whether there was no process pause since a request was sent. After one, a
-// response may wait to be read although its time limit has passed. Unlike other arguments, now must
-// be read from the clock when this is called: the last tick may be long ago.
+// RanContinuouslySince reports whether this process was not paused since a request was sent. After a
+// pause, a response may be waiting to be read although its timeout has passed. Unlike in other
+// methods, now must be read from the clock for this call, because the last tick may be long ago.
 func (d *Detector) RanContinuouslySince(sentAt, now time.Time) bool {
 	return !d.lastPause.After(sentAt) && now.Sub(d.lastTick) < pauseThreshold
 }
--- a/internal/failuredetector/pauses_test.go
+++ b/internal/failuredetector/pauses_test.go
@@ -11,16 +11,16 @@
 	for _, c := range []struct {
 		name string
 		gap  time.Duration
-		// seenAgo is how long before the last tick the machine was seen, wantSeenAgo how long
-		// before this one it counts as seen.
+		// seenAgo is how long before the last tick the machine was seen, and wantSeenAgo how long
+		// before the present tick it must count as seen.
 		seenAgo, wantSeenAgo time.Duration
 		want                 bool
 		wantPause            bool
 	}{
 		{"in time", pauseThreshold - 1, 3 * time.Second, 3*time.Second + pauseThreshold - 1, false, false},
 		{"short pause", pauseThreshold, 3 * time.Second, 3 * time.Second, false, true},
-		{"short pause, seen meanwhile", time.Second, -700 * time.Millisecond, 0, false, true},
-		{"just short", longPauseThreshold - 1, 3 * time.Second, 3 * time.Second, false, true},
+		{"short pause, seen during the pause", time.Second, -700 * time.Millisecond, 0, false, true},
+		{"longest short pause", longPauseThreshold - 1, 3 * time.Second, 3 * time.Second, false, true},
 		{"long pause", longPauseThreshold, 3 * time.Second, 0, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -37,10 +37,10 @@
 				t.Errorf("paused %t, want %t", got, c.wantPause)
 			}
 			if !d.RanContinuouslySince(tick, tick) {
-				t.Error("paused since the tick that detected the pause")
+				t.Error("a pause counts against requests sent at the tick that detected it")
 			}
 			if got := d.heartbeatsSince.Equal(tick); got != c.want {
-				t.Errorf("heartbeats count from now on: %t, want %t", got, c.want)
+				t.Errorf("start of heartbeats moved to this tick: %t, want %t", got, c.want)
 			}
 		})
 	}
@@ -56,7 +56,7 @@
 		t.Errorf("seen %v ago, want 1m0s", got)
 	}
 	if !d.RanContinuouslySince(now.Add(-time.Hour), now) {
-		t.Error("paused at the first tick")
+		t.Error("pause at the first tick")
 	}
 }
 
@@ -67,11 +67,11 @@
 		sentAgo, late time.Duration
 		want          bool
 	}{
-		{"sent after the pause", pausedAgo - 1, 0, true},
-		{"sent as it was detected", pausedAgo, 0, true},
-		{"sent before", pausedAgo + 1, 0, false},
-		{"tick still in time", 0, pauseThreshold - 1, true},
-		{"tick overdue", 0, pauseThreshold, false},
+		{"sent after the pause was detected", pausedAgo - 1, 0, true},
+		{"sent when the pause was detected", pausedAgo, 0, true},
+		{"sent before the pause was detected", pausedAgo + 1, 0, false},
+		{"next tick not overdue", 0, pauseThreshold - 1, true},
+		{"next tick overdue", 0, pauseThreshold, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newDetector(t)
@@ -83,8 +83,8 @@
 	}
 }
 
-// A machine whose silence is as long as that of this process is not suspect, and dead ones are
-// found again once the process runs.
+// After a pause of this process, machines that were not seen during the pause are not suspect. A dead
+// machine becomes suspect some time after the process resumes.
 func TestPauseDelaysSuspicion(t *testing.T) {
 	d := newDetector(t)
 	m := machineSeen(0)
@@ -92,13 +92,13 @@
 	tick := now.Add(time.Minute)
 	d.DetectPause(machines, tick)
 	if v := d.Check(m, ZoneCount{}, tick); v != (CheckResult{}) {
-		t.Errorf("after a long pause: %+v, want nothing", v)
+		t.Errorf("after a long pause: got %+v, want no action", v)
 	}
 	for range 40 {
 		tick = tick.Add(100 * time.Millisecond)
 		d.DetectPause(machines, tick)
 	}
 	if v := d.Check(m, ZoneCount{}, tick); v.Request.Kind != Probe {
-		t.Errorf("4 seconds later: %+v, want a probe", v)
+		t.Errorf("4 seconds later: got %+v, want a probe", v)
 	}
 }
--- a/internal/failuredetector/requests.go
+++ b/internal/failuredetector/requests.go
@@ -11,27 +11,27 @@
 type RequestKind int
 
 const (
-	// NoRequest is that nothing is to be sent.
+	// NoRequest means that there is no request to send.
 	NoRequest RequestKind = iota
-	// Probe requests a heartbeat, to learn whether the machine is alive.
+	// Probe requests a heartbeat to find out whether the machine is alive.
 	Probe
-	// Resync solicits a heartbeat with this term, and fences the machine.
+	// Resync requests a heartbeat with this term, which fences the machine.
 	Resync
 )
 
-// Request is a request that the owner is to send to a machine. Its fields but Machine stay as they
-// were when it was sent.
+// Request is a request for the owner to send to a machine. Apart from Machine, which is shared, its
+// fields do not change after it is sent.
 type Request struct {
 	Kind    RequestKind
 	Machine *cluster.Machine
 	SentAt  time.Time
-	// agentEpoch and heartbeatSeq are of the machine's newest heartbeat when a probe was sent.
+	// agentEpoch and heartbeatSeq are those of the machine's newest heartbeat when a probe is sent.
 	agentEpoch, heartbeatSeq uint64
 }
 
-// nextRequest returns the request to send to a suspect machine, unless one was sent less than
-// probeInterval ago. A machine that is not fenced is resynced, which fences it as well; any other
-// is probed.
+// nextRequest returns the next request to a suspect machine. It returns NoRequest if the last one was
+// sent less than probeInterval ago, or if too many requests are in flight. An unfenced machine is
+// resynced, which both fences it and shows whether it is alive; any other machine is probed.
 func (d *Detector) nextRequest(m *cluster.Machine, now time.Time) Request {
 	if now.Before(m.NextProbe) || d.probing >= d.settings.MaxDials {
 		return Request{}
@@ -51,11 +51,11 @@
 	return Request{Kind: Probe, Machine: m, SentAt: now, agentEpoch: m.AgentEpoch, heartbeatSeq: m.HeartbeatSeq}
 }
 
-// QueueResync adds a machine to those that NextResync returns.
+// QueueResync queues a machine to be resynced.
 func (d *Detector) QueueResync(m *cluster.Machine) { d.toResync = append(d.toResync, m) }
 
-// NextResync returns the resync of the next queued machine that still needs one, or NoRequest if
-// there is none or too many resyncs are in flight.
+// NextResync returns a resync of the next queued machine that still needs one. It returns NoRequest
+// if there is none or too many resyncs are in flight.
 func (d *Detector) NextResync(now time.Time) Request {
 	for len(d.toResync) > 0 && d.resyncing < d.settings.MaxDials {
 		m := d.toResync[0]
@@ -68,37 +68,39 @@
 	return Request{}
 }
 
-// BeginResync returns a resync of a machine and counts it as in flight, however many there are:
-// Check and NextResync observe the limit. A machine that does not answer is resynced again like any
-// suspect machine.
+// BeginResync returns a resync of a machine and counts it as in flight. Unlike Check and NextResync,
+// it does not check the limit of resyncs in flight. A machine that does not answer is resynced again
+// like any suspect machine.
 func (d *Detector) BeginResync(m *cluster.Machine, now time.Time) Request {
 	d.resyncing++
 	m.NextProbe = now.Add(probeInterval)
 	return Request{Kind: Resync, Machine: m, SentAt: now}
 }
 
-// Result is what the outcome of a request shows.
+// Result is the meaning of a request's outcome.
 type Result int
 
 const (
-	// Ignored shows nothing: the machine is terminated, or another one has answered a resync.
+	// Ignored means that the outcome shows nothing: the machine is already terminated, or another
+	// machine answered a resync.
 	Ignored Result = iota
-	// Failed is no valid answer, which was counted against the machine if it may be its fault.
+	// Failed means that there was no valid answer. The failure was counted against the machine
+	// unless this node may have caused it.
 	Failed
-	// Restarted shows that the machine was started anew under its name before it was missed. All
-	// its heartbeats would be taken for older ones, and its tasks for running, without end. Only
-	// its termination shows that they are off the machine: it is to be evacuated with
-	// ReasonRestarted and terminated.
+	// Restarted means that the worker agent was restarted under the same name before its absence was
+	// detected. All its heartbeats would be rejected as outdated, and its former tasks would count as
+	// running indefinitely. Only terminating the machine confirms that these tasks have ended, so it
+	// must be evacuated with ReasonRestarted and terminated.
 	Restarted
-	// NewHeartbeat is a heartbeat to apply.
+	// NewHeartbeat means that the answer is a heartbeat to apply.
 	NewHeartbeat
-	// Alive shows that the machine is alive, but its heartbeats do not arrive. What they would
-	// report is not known, so only its suspicion has ended.
+	// Alive means that the machine is alive although its heartbeats do not arrive. Their content
+	// is not known, so the outcome shows only that the machine is not dead.
 	Alive
 )
 
-// ProbeResult ends a probe, whose answer is a heartbeat or an error, and tells what it shows.
-// canApply tells whether the owner may apply heartbeats now.
+// ProbeResult handles the end of a probe, whose answer is a heartbeat or an error, and returns what
+// it shows. canApply is set if the owner may apply heartbeats now.
 func (d *Detector) ProbeResult(r Request, hb *api.Heartbeat, err error, canApply bool, now time.Time) Result {
 	d.probing--
 	m := r.Machine
@@ -111,8 +113,8 @@
 	case r.showsRestart(hb):
 		return Restarted
 	case m.Fenced && hb.AgentEpoch > m.AgentEpoch && canApply:
-		// Its task lease has expired while it reached no controller, and its tasks have ended
-		// with that. Its own heartbeats may not arrive for long.
+		// The machine's task lease expired while it could reach no controller, so its tasks have
+		// ended. Its own heartbeats may still not arrive for a long time.
 		return NewHeartbeat
 	default:
 		m.ProbeFails = 0
@@ -121,8 +123,8 @@
 	}
 }
 
-// probeFailed counts the failure against the machine, unless it was seen since or this node was
-// paused.
+// probeFailed counts a failed probe against the machine, unless the machine was seen since the probe
+// was sent or this node was paused.
 func (d *Detector) probeFailed(r Request, now time.Time) {
 	suspect := r.Machine.LastSeen.Before(r.SentAt) || r.Machine.UnappliedResponses > 0
 	if suspect && d.RanContinuouslySince(r.SentAt, now) {
@@ -130,13 +132,14 @@
 	}
 }
 
-// showsRestart tells whether the heartbeat is older, by its numbers, than one that was applied
-// before the probe was sent.
+// showsRestart reports whether the heartbeat is older than the newest one that was applied before the
+// probe was sent, according to its agent epoch and sequence number.
 func (r Request) showsRestart(hb *api.Heartbeat) bool {
 	return hb.AgentEpoch < r.agentEpoch || hb.AgentEpoch == r.agentEpoch && hb.Seq < r.heartbeatSeq
 }
 
-// ResyncResult ends a resync, whose answer is a heartbeat or an error, and tells what it shows.
+// ResyncResult handles the end of a resync, whose answer is a heartbeat or an error, and returns what
+// it shows.
 func (d *Detector) ResyncResult(r Request, hb *api.Heartbeat, err error, now time.Time) Result {
 	d.resyncing--
 	m := r.Machine
--- a/internal/failuredetector/requests_test.go
+++ b/internal/failuredetector/requests_test.go
@@ -26,11 +26,11 @@
 	unfenced := suspectMachine()
 	unfenced.Fenced = false
 	if r := d.Check(unfenced, ZoneCount{}, now).Request; r.Kind != NoRequest {
-		t.Errorf("request kind %d beside all probes, want none", r.Kind)
+		t.Errorf("request kind %d with all probes in flight, want none", r.Kind)
 	}
 	d.ProbeResult(sent[0], nil, errTimeout, true, now)
 	if r := d.Check(suspectMachine(), ZoneCount{}, now).Request; r.Kind != Probe {
-		t.Errorf("request kind %d after one has ended, want a probe", r.Kind)
+		t.Errorf("request kind %d after a probe has ended, want a probe", r.Kind)
 	}
 }
 
@@ -51,17 +51,17 @@
 	unfenced := suspectMachine()
 	unfenced.Fenced = false
 	if r := d.Check(unfenced, ZoneCount{}, now).Request; r.Kind != NoRequest {
-		t.Errorf("request kind %d beside all resyncs, want none", r.Kind)
+		t.Errorf("request kind %d with all resyncs in flight, want none", r.Kind)
 	}
 	if !unfenced.NextProbe.IsZero() {
 		t.Error("a resync that was not sent delays the next one")
 	}
 	if r := d.Check(suspectMachine(), ZoneCount{}, now).Request; r.Kind != Probe {
-		t.Errorf("request kind %d for a fenced machine beside all resyncs, want a probe", r.Kind)
+		t.Errorf("request kind %d for a fenced machine with all resyncs in flight, want a probe", r.Kind)
 	}
 	d.ResyncResult(sent[0], nil, errTimeout, now)
 	if r := d.NextResync(now); r.Kind != Resync {
-		t.Errorf("request kind %d after one has ended, want a resync", r.Kind)
+		t.Errorf("request kind %d after a resync has ended, want a resync", r.Kind)
 	}
 }
 
@@ -105,7 +105,7 @@
 		{"no address", Settings{CanResync: true, CanProbe: true}, "", true, NoRequest, 1},
 		{"no address, unfenced", Settings{CanResync: true, CanProbe: true}, "", false, NoRequest, 1},
 		{"unfenced, probed without resyncs", Settings{CanProbe: true}, "x", false, Probe, 0},
-		{"unfenced, neither", Settings{}, "x", false, NoRequest, 1},
+		{"unfenced, neither probes nor resyncs", Settings{}, "x", false, NoRequest, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.settings.Workers, c.settings.MaxDials = workers, 1
@@ -144,13 +144,13 @@
 		t.Errorf("got %+v, want a resync of the last machine", r)
 	}
 	if r := d.NextResync(now); r.Kind != NoRequest {
-		t.Errorf("got %+v, want no more", r)
+		t.Errorf("got %+v, want no further resync", r)
 	}
 }
 
 var errTimeout = errors.New("timeout")
 
-// heartbeatFrom returns a heartbeat of a machine.
+// heartbeatFrom returns a heartbeat of the named machine.
 func heartbeatFrom(machine string, epoch, seq uint64) *api.Heartbeat {
 	return &api.Heartbeat{Machine: machine, AgentEpoch: epoch, Seq: seq}
 }
@@ -159,8 +159,7 @@
 	name      string
 	heartbeat *api.Heartbeat
 	err       error
-	// meanwhile alters the machine while the probe is in flight, by the time at which its
-	// result arrives.
+	// meanwhile modifies the machine while the probe is in flight. Its result arrives at now.
 	meanwhile   func(m *cluster.Machine, now time.Time)
 	cannotApply bool
 	late        time.Duration
@@ -171,7 +170,7 @@
 	{name: "no answer", err: errTimeout, want: Failed, wantFails: 2},
 	{name: "answer of another machine", heartbeat: heartbeatFrom("i-2", 3, 8), want: Failed, wantFails: 2},
 	{
-		name:      "no answer, but a heartbeat since",
+		name:      "no answer, but a heartbeat meanwhile",
 		err:       errTimeout,
 		meanwhile: func(m *cluster.Machine, now time.Time) { m.LastSeen = now },
 		want:      Failed,
@@ -179,7 +178,7 @@
 		wantSeen:  true,
 	},
 	{
-		name: "no answer, and unapplied responses since",
+		name: "no answer, and unapplied responses meanwhile",
 		err:  errTimeout,
 		meanwhile: func(m *cluster.Machine, now time.Time) {
 			m.LastSeen, m.UnappliedResponses = now, 1
@@ -201,7 +200,7 @@
 	{name: "older heartbeat", heartbeat: heartbeatFrom("i-1", 3, 6), want: Restarted, wantFails: 1},
 	{name: "older agent epoch", heartbeat: heartbeatFrom("i-1", 2, 99), want: Restarted, wantFails: 1},
 	{
-		name:      "heartbeat older than one applied since",
+		name:      "heartbeat older than one applied meanwhile",
 		heartbeat: heartbeatFrom("i-1", 3, 7),
 		meanwhile: func(m *cluster.Machine, _ time.Time) { m.HeartbeatSeq = 12 },
 		want:      Alive,
@@ -223,7 +222,7 @@
 		wantSeen:  true,
 	},
 	{
-		name:      "agent epoch of a heartbeat applied since",
+		name:      "agent epoch of a heartbeat applied meanwhile",
 		heartbeat: heartbeatFrom("i-1", 4, 1),
 		meanwhile: func(m *cluster.Machine, _ time.Time) { m.AgentEpoch = 4 },
 		want:      Alive,
@@ -274,7 +273,7 @@
 		wantFails int
 	}{
 		{name: "no answer", err: errTimeout, want: Failed, wantFails: 1},
-		{name: "no answer, fenced since", err: errTimeout, fenced: true, want: Failed},
+		{name: "no answer, fenced meanwhile", err: errTimeout, fenced: true, want: Failed},
 		{name: "no answer, and a late tick", err: errTimeout, late: pauseThreshold, want: Failed},
 		{name: "terminated", err: errTimeout, ended: true, want: Ignored},
 		{name: "terminated, answered", heartbeat: heartbeatFrom("i-1", 3, 8), ended: true, want: Ignored},
--- a/internal/failuredetector/responses.go
+++ b/internal/failuredetector/responses.go
@@ -7,21 +7,22 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// responseMaxAge is the age at which worker agents drop a response. A process pause within that
-// time before a response may have delayed it so far.
+// responseMaxAge is the age at which worker agents drop a response. A pause of this process that ends
+// less than that before the response is sent may make it that old.
 const responseMaxAge = 4 * time.Second
 
-// MaxCordon is how long a machine is cordoned at most.
+// MaxCordon is the longest time for which a machine is cordoned.
 const MaxCordon = 30 * time.Second
 
-// maxCordonDoublings bounds the cordon of a machine that does not apply responses: it starts from
-// the heartbeat interval and doubles with each response.
+// maxCordonDoublings limits the cordon of a machine that applies no responses. The cordon is the
+// heartbeat interval, doubled with each unapplied response.
 const maxCordonDoublings = 5
 
-// CheckApplied checks whether a heartbeat, whose tasks are already among the machine's attempts,
-// shows that any command of the last response was applied, and reports false if it counts that
-// response as unapplied. To a machine whose heartbeats arrive while responses do not reach it,
-// starts would otherwise be sent again and again. The heartbeat arrived at arrivedAt.
+// CheckApplied reports whether a heartbeat that arrived at arrivedAt shows that any command of the
+// last response was applied. It also reports true if that response had no commands, or if a pause of
+// this process may have delayed it. Otherwise it counts the response as unapplied: without this
+// count, starts would be sent again and again to a machine whose heartbeats arrive while responses
+// do not reach it. The heartbeat's tasks must already be among the machine's attempts.
 func (d *Detector) CheckApplied(m *cluster.Machine, arrivedAt, now time.Time) bool {
 	if len(m.LastCommands) == 0 {
 		return true
@@ -35,7 +36,7 @@
 	if !d.RanContinuouslySince(m.LastCommandsAt.Add(-responseMaxAge), now) {
 		return true // the response may have arrived too late because this node was paused
 	}
-	// One response may be lost; after a second one the machine gets no tasks for a while.
+	// A single response may be lost. From the second one on, the machine is cordoned.
 	if m.UnappliedResponses++; m.UnappliedResponses > 1 {
 		cordon := d.settings.Workers.HeartbeatInterval() << min(m.UnappliedResponses, maxCordonDoublings)
 		m.CordonedUntil = arrivedAt.Add(min(cordon, MaxCordon))
@@ -44,7 +45,7 @@
 	return false
 }
 
-// showsApplied tells whether the newest heartbeat shows that a command was applied.
+// showsApplied reports whether the newest heartbeat shows that a command was applied.
 func showsApplied(m *cluster.Machine, command api.Command) bool {
 	a := m.Attempts[cluster.AttemptKey{Ref: command.Task, ID: command.Attempt}]
 	shown := a != nil && a.LastSeenHeartbeat == m.HeartbeatCount
@@ -52,9 +53,9 @@
 	return (command.Verb == api.VerbStart) == shown || stopping
 }
 
-// AgentEpochChanged records that a heartbeat that arrived at arrivedAt shows a new agent epoch. The
-// machine's task lease has expired although it was answered, unless a pause of this process kept
-// the answers back.
+// AgentEpochChanged handles a heartbeat that shows a new agent epoch and arrived at arrivedAt. A new
+// epoch means that the machine's task lease expired although its heartbeats were answered. It is
+// counted like an unapplied response, unless a pause of this process delayed the answers.
 func (d *Detector) AgentEpochChanged(m *cluster.Machine, arrivedAt, now time.Time) {
 	if d.RanContinuouslySince(arrivedAt.Add(-d.settings.Workers.Lease()-d.HeartbeatTimeout()), now) {
 		m.UnappliedResponses++
--- a/internal/failuredetector/responses_test.go
+++ b/internal/failuredetector/responses_test.go
@@ -8,29 +8,30 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// testTask is the task of all commands, whose attempt is attemptID.
+// testTask and attemptID are the task and the attempt of all commands.
 const (
 	testTask  = "job-1.0"
 	attemptID = 5
 )
 
-// singleCommand returns a response with one command.
+// singleCommand returns the commands of a response that has only one.
 func singleCommand(verb string) []api.Command {
 	return []api.Command{{Verb: verb, Task: testTask, Attempt: attemptID}}
 }
 
-// shownAttempt returns an attempt that the newest heartbeat names, and missing is one that it does not.
+// shownAttempt returns an attempt that the newest heartbeat shows.
 func shownAttempt(phase string) *cluster.Attempt {
 	return &cluster.Attempt{Phase: phase, LastSeenHeartbeat: 9}
 }
 
+// missingAttempt is an attempt that the newest heartbeat does not show.
 var missingAttempt = &cluster.Attempt{LastSeenHeartbeat: 8}
 
 var checkAppliedTests = []struct {
 	name     string
 	commands []api.Command
 	attempt  *cluster.Attempt
-	// unapplied is how many responses before this one were not applied.
+	// unapplied is how many consecutive responses before this one were not applied.
 	unapplied     int
 	late          time.Duration
 	pausedAgo     time.Duration
@@ -47,7 +48,7 @@
 		want:      true,
 	},
 	{name: "start not shown", commands: singleCommand(api.VerbStart), attempt: missingAttempt, wantUnapplied: 1},
-	{name: "start of an attempt not known", commands: singleCommand(api.VerbStart), wantUnapplied: 1},
+	{name: "start of an unknown attempt", commands: singleCommand(api.VerbStart), wantUnapplied: 1},
 	{
 		name:          "still running after a stop",
 		commands:      singleCommand(api.VerbStop),
@@ -86,7 +87,7 @@
 		wantUnapplied: 1,
 	},
 	{
-		name:          "pause before that",
+		name:          "pause before the response may have been in flight",
 		commands:      singleCommand(api.VerbStart),
 		pausedAgo:     2*time.Second + responseMaxAge,
 		wantUnapplied: 1,
@@ -150,7 +151,7 @@
 	}
 }
 
-// checkCordon checks for how long from now on a machine is cordoned; 0 is not at all.
+// checkCordon checks how long a machine is cordoned from now on. A want of 0 means no cordon.
 func checkCordon(t *testing.T, m *cluster.Machine, want time.Duration) {
 	t.Helper()
 	if want == 0 {
@@ -165,8 +166,8 @@
 }
 
 func TestAgentEpochChanged(t *testing.T) {
-	// The task lease that has expired may be from a response as old as a lease and a heartbeat
-	// timeout.
+	// The response that last renewed the expired task lease may be as old as the lease duration plus
+	// the heartbeat timeout.
 	const covered = 15 * time.Second
 	for _, c := range []struct {
 		name      string
@@ -175,8 +176,8 @@
 		want      int
 	}{
 		{"no pause", time.Hour, 0, 1},
-		{"pause before the task lease began", covered, 0, 1},
-		{"pause since", covered - 1, 0, 0},
+		{"pause before the task lease was renewed", covered, 0, 1},
+		{"pause after the task lease was renewed", covered - 1, 0, 0},
 		{"late tick", time.Hour, pauseThreshold, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
