--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -102,7 +102,7 @@
 // and there is no sign that this node cannot reach it.
 func (lt *leaderTerm) acceptsDirectCommands(m *cluster.Machine, now time.Time) bool {
 	return m.IsSchedulable(now) && m.FreeCPUs() > cluster.Epsilon &&
-		!m.CommandInFlight && !m.LastForwarded && m.UnappliedResponses == 0 && m.Addr != "" &&
+		!m.CommandInFlight && !m.LastHeartbeatForwarded && m.UnappliedResponses == 0 && m.Addr != "" &&
 		now.Sub(m.LastHeartbeat) <= lt.detector.HeartbeatTimeout()
 }
 
@@ -122,14 +122,14 @@
 	attempts := make([]*cluster.Attempt, 0, len(commands))
 	for _, command := range commands {
 		a := m.Attempts[cluster.AttemptKey{Ref: command.Task, ID: command.Attempt}]
-		a.Direct = &cluster.DirectCommand{AgentEpoch: m.AgentEpoch, InFlight: true}
+		a.DirectStart = &cluster.DirectStart{AgentEpoch: m.AgentEpoch, InFlight: true}
 		attempts = append(attempts, a)
 	}
 	m.CommandInFlight = true
 	lt.commandsInFlight++
 	addr, batch := m.Addr, &api.CommandBatch{Term: lt.term.Number, AgentEpoch: m.AgentEpoch, Commands: commands}
 	timeout := directTimeout
-	if now := time.Now(); !lt.detector.NotPausedSince(now.Add(-recentPauseWindow), now) {
+	if now := time.Now(); !lt.detector.RanContinuouslySince(now.Add(-recentPauseWindow), now) {
 		timeout = slowDirectTimeout
 	}
 	go func() {
@@ -165,16 +165,16 @@
 		return
 	}
 	for _, a := range m.attempts {
-		a.Direct.InFlight = false
+		a.DirectStart.InFlight = false
 		switch {
 		case m.err == nil:
-			a.Direct.Seq = m.seq
+			a.DirectStart.FirstHeartbeatSeq = m.seq
 		case errors.Is(m.err, api.ErrCommandsNotApplied):
 			if a.LastSeenHeartbeat == 0 && m.machine.Attempts[a.Key] == a {
 				m.leaderTerm.removeAttempt(a)
 			}
-		case m.machine.AgentEpoch == a.Direct.AgentEpoch:
-			a.Direct.OutcomeUnknown = true
+		case m.machine.AgentEpoch == a.DirectStart.AgentEpoch:
+			a.DirectStart.OutcomeUnknown = true
 			m.leaderTerm.evacuate(m.machine, reasonOutcomeUnknown)
 			if a.Job.Ended {
 				m.leaderTerm.terminateIfOutcomeUnknown(a)
@@ -195,7 +195,7 @@
 // there. It is called when the job has ended: only the termination prevents the start in time.
 func (lt *leaderTerm) terminateIfOutcomeUnknown(a *cluster.Attempt) {
 	m := a.Machine
-	startMayApply := a.Direct != nil && a.Direct.OutcomeUnknown && a.LastSeenHeartbeat == 0
+	startMayApply := a.DirectStart != nil && a.DirectStart.OutcomeUnknown && a.LastSeenHeartbeat == 0
 	if startMayApply && m.Phase() < cluster.Terminating {
 		lt.evacuate(m, reasonOutcomeUnknown)
 		lt.scaleIn(m)
--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -106,7 +106,7 @@
 	// leaderTerm is nil if the heartbeat showed a later term, so that this node stepped down.
 	if c.leaderTerm != nil {
 		if machine := c.leaderTerm.machines[msg.heartbeat.Machine]; machine != nil {
-			machine.LastForwarded = msg.forwarded
+			machine.LastHeartbeatForwarded = msg.forwarded
 		}
 	}
 	return heartbeatReply{response: response, err: err}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -26,7 +26,7 @@
 	if !m.Advance(cluster.Evacuating) {
 		return
 	}
-	m.Reason = reason
+	m.EvacuationReason = reason
 	lt.c.Log.Info("machine evacuating", "machine", m.Name, "type", m.Type, "reason", reason, "count", len(m.Attempts))
 }
 
@@ -44,7 +44,7 @@
 		j.Flight.Leave(m.Name)
 	}
 	lt.recordWriter.Deregister(m)
-	lt.c.Log.Info("machine terminated", "machine", m.Name, "reason", m.Reason)
+	lt.c.Log.Info("machine terminated", "machine", m.Name, "reason", m.EvacuationReason)
 }
 
 // markFenced marks a registered machine as fenced: it rejects commands of earlier terms, because it
@@ -67,16 +67,16 @@
 // addMachine adds a machine that has sent its first heartbeat or was read from the registry.
 func (lt *leaderTerm) addMachine(name, typeName, zone string, spot bool, now time.Time) *cluster.Machine {
 	m := &cluster.Machine{
-		Name:              name,
-		Type:              typeName,
-		Zone:              zone,
-		Spot:              spot,
-		UnattributedTotal: &lt.unattributedCPUs,
-		LastSeen:          now,
-		AddedAt:           now,
-		IdleSince:         now,
-		Attempts:          map[cluster.AttemptKey]*cluster.Attempt{},
-		TaskErrorsByJob:   map[string]int{},
+		Name:                  name,
+		Type:                  typeName,
+		Zone:                  zone,
+		Spot:                  spot,
+		TotalUnattributedCPUs: &lt.unattributedCPUs,
+		LastSeen:              now,
+		AddedAt:               now,
+		IdleSince:             now,
+		Attempts:              map[cluster.AttemptKey]*cluster.Attempt{},
+		TaskErrorsByJob:       map[string]int{},
 	}
 	if machineType, ok := lt.c.types.load()[typeName]; ok {
 		m.CPUs, m.GPUs, m.MemoryGB = machineType.CPUs, machineType.GPUs, machineType.MemoryGB
--- a/internal/failuredetector/pauses_test.go
+++ b/internal/failuredetector/pauses_test.go
@@ -11,16 +11,16 @@
 	for _, c := range []struct {
 		name string
 		gap  time.Duration
-		// seenAgo is how long before the last tick the machine was seen, wantSeenAgo how long
-		// before this one it counts as seen.
+		// seenAgo is how long before the last tick the machine was seen, and wantSeenAgo how long
+		// before the present tick it must count as seen.
 		seenAgo, wantSeenAgo time.Duration
 		want                 bool
 		wantPause            bool
 	}{
 		{"in time", pauseThreshold - 1, 3 * time.Second, 3*time.Second + pauseThreshold - 1, false, false},
 		{"short pause", pauseThreshold, 3 * time.Second, 3 * time.Second, false, true},
-		{"short pause, seen meanwhile", time.Second, -700 * time.Millisecond, 0, false, true},
-		{"just short", longPauseThreshold - 1, 3 * time.Second, 3 * time.Second, false, true},
+		{"short pause, seen during the pause", time.Second, -700 * time.Millisecond, 0, false, true},
+		{"longest short pause", longPauseThreshold - 1, 3 * time.Second, 3 * time.Second, false, true},
 		{"long pause", longPauseThreshold, 3 * time.Second, 0, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -33,14 +33,14 @@
 			if got := tick.Sub(m.LastSeen); got != c.wantSeenAgo {
 				t.Errorf("seen %v ago, want %v", got, c.wantSeenAgo)
 			}
-			if got := !d.NotPausedSince(now, tick); got != c.wantPause {
+			if got := !d.RanContinuouslySince(now, tick); got != c.wantPause {
 				t.Errorf("paused %t, want %t", got, c.wantPause)
 			}
-			if !d.NotPausedSince(tick, tick) {
-				t.Error("paused since the tick that detected the pause")
+			if !d.RanContinuouslySince(tick, tick) {
+				t.Error("a pause counts against requests sent at the tick that detected it")
 			}
 			if got := d.heartbeatsSince.Equal(tick); got != c.want {
-				t.Errorf("heartbeats count from now on: %t, want %t", got, c.want)
+				t.Errorf("start of heartbeats moved to this tick: %t, want %t", got, c.want)
 			}
 		})
 	}
@@ -55,50 +55,50 @@
 	if got := now.Sub(m.LastSeen); got != time.Minute {
 		t.Errorf("seen %v ago, want 1m0s", got)
 	}
-	if !d.NotPausedSince(now.Add(-time.Hour), now) {
-		t.Error("paused at the first tick")
+	if !d.RanContinuouslySince(now.Add(-time.Hour), now) {
+		t.Error("pause at the first tick")
 	}
 }
 
-func TestNotPausedSince(t *testing.T) {
+func TestRanContinuouslySince(t *testing.T) {
 	const pausedAgo = 5 * time.Second
 	for _, c := range []struct {
 		name          string
 		sentAgo, late time.Duration
 		want          bool
 	}{
-		{"sent after the pause", pausedAgo - 1, 0, true},
-		{"sent as it was detected", pausedAgo, 0, true},
-		{"sent before", pausedAgo + 1, 0, false},
-		{"tick still in time", 0, pauseThreshold - 1, true},
-		{"tick overdue", 0, pauseThreshold, false},
+		{"sent after the pause was detected", pausedAgo - 1, 0, true},
+		{"sent when the pause was detected", pausedAgo, 0, true},
+		{"sent before the pause was detected", pausedAgo + 1, 0, false},
+		{"next tick not overdue", 0, pauseThreshold - 1, true},
+		{"next tick overdue", 0, pauseThreshold, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newDetector(t)
 			d.lastPause = now.Add(-pausedAgo)
-			if got := d.NotPausedSince(now.Add(-c.sentAgo), now.Add(c.late)); got != c.want {
+			if got := d.RanContinuouslySince(now.Add(-c.sentAgo), now.Add(c.late)); got != c.want {
 				t.Errorf("got %t, want %t", got, c.want)
 			}
 		})
 	}
 }
 
-// A machine whose silence is as long as that of this process is not suspect, and dead ones are
-// found again once the process runs.
+// After a pause of this process, machines that were not seen during the pause are not suspect. A dead
+// machine becomes suspect some time after the process resumes.
 func TestPauseDelaysSuspicion(t *testing.T) {
 	d := newDetector(t)
 	m := machineSeen(0)
 	machines := map[string]*cluster.Machine{m.Name: m}
 	tick := now.Add(time.Minute)
 	d.DetectPause(machines, tick)
-	if v := d.Check(m, ZoneCount{}, tick); v != (Verdict{}) {
-		t.Errorf("after a long pause: %+v, want nothing", v)
+	if v := d.Check(m, ZoneCount{}, tick); v != (CheckResult{}) {
+		t.Errorf("after a long pause: got %+v, want no action", v)
 	}
 	for range 40 {
 		tick = tick.Add(100 * time.Millisecond)
 		d.DetectPause(machines, tick)
 	}
 	if v := d.Check(m, ZoneCount{}, tick); v.Request.Kind != Probe {
-		t.Errorf("4 seconds later: %+v, want a probe", v)
+		t.Errorf("4 seconds later: got %+v, want a probe", v)
 	}
 }
--- a/internal/failuredetector/responses_test.go
+++ b/internal/failuredetector/responses_test.go
@@ -8,29 +8,30 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// testTask is the task of all commands, whose attempt is attemptID.
+// testTask and attemptID are the task and the attempt of all commands.
 const (
 	testTask  = "job-1.0"
 	attemptID = 5
 )
 
-// command returns a response with one command.
-func command(verb string) []api.Command {
+// singleCommand returns the commands of a response that has only one.
+func singleCommand(verb string) []api.Command {
 	return []api.Command{{Verb: verb, Task: testTask, Attempt: attemptID}}
 }
 
-// shown returns an attempt that the newest heartbeat names, and missing is one that it does not.
-func shown(phase string) *cluster.Attempt {
+// shownAttempt returns an attempt that the newest heartbeat shows.
+func shownAttempt(phase string) *cluster.Attempt {
 	return &cluster.Attempt{Phase: phase, LastSeenHeartbeat: 9}
 }
 
-var missing = &cluster.Attempt{LastSeenHeartbeat: 8}
+// missingAttempt is an attempt that the newest heartbeat does not show.
+var missingAttempt = &cluster.Attempt{LastSeenHeartbeat: 8}
 
 var checkAppliedTests = []struct {
 	name     string
 	commands []api.Command
 	attempt  *cluster.Attempt
-	// unapplied is how many responses before this one were not applied.
+	// unapplied is how many consecutive responses before this one were not applied.
 	unapplied     int
 	late          time.Duration
 	pausedAgo     time.Duration
@@ -41,44 +42,44 @@
 	{name: "no commands", unapplied: 2, want: true, wantUnapplied: 2},
 	{
 		name:      "start shown",
-		commands:  command(api.VerbStart),
-		attempt:   shown(api.TaskPulling),
+		commands:  singleCommand(api.VerbStart),
+		attempt:   shownAttempt(api.TaskPulling),
 		unapplied: 2,
 		want:      true,
 	},
-	{name: "start not shown", commands: command(api.VerbStart), attempt: missing, wantUnapplied: 1},
-	{name: "start of an attempt not known", commands: command(api.VerbStart), wantUnapplied: 1},
+	{name: "start not shown", commands: singleCommand(api.VerbStart), attempt: missingAttempt, wantUnapplied: 1},
+	{name: "start of an unknown attempt", commands: singleCommand(api.VerbStart), wantUnapplied: 1},
 	{
 		name:          "still running after a stop",
-		commands:      command(api.VerbStop),
-		attempt:       shown(api.TaskRunning),
+		commands:      singleCommand(api.VerbStop),
+		attempt:       shownAttempt(api.TaskRunning),
 		wantUnapplied: 1,
 	},
 	{
 		name:      "saving before it stops",
-		commands:  command(api.VerbStop),
-		attempt:   shown(api.TaskSaving),
+		commands:  singleCommand(api.VerbStop),
+		attempt:   shownAttempt(api.TaskSaving),
 		unapplied: 1,
 		want:      true,
 	},
-	{name: "stopped", commands: command(api.VerbStop), attempt: missing, unapplied: 1, want: true},
+	{name: "stopped", commands: singleCommand(api.VerbStop), attempt: missingAttempt, unapplied: 1, want: true},
 	{
 		name:          "not reaped",
-		commands:      command(api.VerbReap),
-		attempt:       shown(api.TaskExited),
+		commands:      singleCommand(api.VerbReap),
+		attempt:       shownAttempt(api.TaskExited),
 		wantUnapplied: 1,
 	},
-	{name: "reaped", commands: command(api.VerbReap), unapplied: 1, want: true},
+	{name: "reaped", commands: singleCommand(api.VerbReap), unapplied: 1, want: true},
 	{
 		name:     "one of two applied",
-		commands: append(command(api.VerbStart), command(api.VerbReap)...),
-		attempt:  shown(api.TaskRunning),
+		commands: append(singleCommand(api.VerbStart), singleCommand(api.VerbReap)...),
+		attempt:  shownAttempt(api.TaskRunning),
 		want:     true,
 	},
-	{name: "late tick", commands: command(api.VerbStart), late: pauseThreshold, want: true},
+	{name: "late tick", commands: singleCommand(api.VerbStart), late: pauseThreshold, want: true},
 	{
 		name:      "pause while the response may have been in flight",
-		commands:  command(api.VerbStart),
+		commands:  singleCommand(api.VerbStart),
 		unapplied: 1,
 		// The response was sent two seconds ago.
 		pausedAgo:     2*time.Second + responseMaxAge - 1,
@@ -86,35 +87,35 @@
 		wantUnapplied: 1,
 	},
 	{
-		name:          "pause before that",
-		commands:      command(api.VerbStart),
+		name:          "pause before the response may have been in flight",
+		commands:      singleCommand(api.VerbStart),
 		pausedAgo:     2*time.Second + responseMaxAge,
 		wantUnapplied: 1,
 	},
 	{
 		name:          "second unapplied response",
-		commands:      command(api.VerbStart),
+		commands:      singleCommand(api.VerbStart),
 		unapplied:     1,
 		wantUnapplied: 2,
 		wantCordon:    8 * time.Second,
 	},
 	{
 		name:          "third unapplied response",
-		commands:      command(api.VerbStart),
+		commands:      singleCommand(api.VerbStart),
 		unapplied:     2,
 		wantUnapplied: 3,
 		wantCordon:    16 * time.Second,
 	},
 	{
 		name:          "fourth unapplied response",
-		commands:      command(api.VerbStart),
+		commands:      singleCommand(api.VerbStart),
 		unapplied:     3,
 		wantUnapplied: 4,
 		wantCordon:    MaxCordon,
 	},
 	{
 		name:          "hundredth unapplied response",
-		commands:      command(api.VerbStart),
+		commands:      singleCommand(api.VerbStart),
 		unapplied:     99,
 		wantUnapplied: 100,
 		wantCordon:    MaxCordon,
@@ -150,7 +151,7 @@
 	}
 }
 
-// checkCordon checks for how long from now on a machine is cordoned; 0 is not at all.
+// checkCordon checks how long a machine is cordoned from now on. A want of 0 means no cordon.
 func checkCordon(t *testing.T, m *cluster.Machine, want time.Duration) {
 	t.Helper()
 	if want == 0 {
@@ -164,9 +165,9 @@
 	}
 }
 
-func TestNewAgentEpoch(t *testing.T) {
-	// The task lease that has expired may be from a response as old as a lease and a heartbeat
-	// timeout.
+func TestAgentEpochChanged(t *testing.T) {
+	// The response that last renewed the expired task lease may be as old as the lease duration plus
+	// the heartbeat timeout.
 	const covered = 15 * time.Second
 	for _, c := range []struct {
 		name      string
@@ -175,8 +176,8 @@
 		want      int
 	}{
 		{"no pause", time.Hour, 0, 1},
-		{"pause before the task lease began", covered, 0, 1},
-		{"pause since", covered - 1, 0, 0},
+		{"pause before the task lease was renewed", covered, 0, 1},
+		{"pause after the task lease was renewed", covered - 1, 0, 0},
 		{"late tick", time.Hour, pauseThreshold, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -184,7 +185,7 @@
 			d.lastPause = now.Add(-c.pausedAgo)
 			m := machineSeen(0)
 			m.LastCommands = []api.Command{{Verb: api.VerbStart}}
-			d.NewAgentEpoch(m, now, now.Add(c.late))
+			d.AgentEpochChanged(m, now, now.Add(c.late))
 			if m.UnappliedResponses != c.want {
 				t.Errorf("%d unapplied responses, want %d", m.UnappliedResponses, c.want)
 			}
