--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -150,7 +150,7 @@
 	}},
 	{name: "without machine types", typesUnknown: true, start: func(w *simulatedCluster) *node {
 		n := startSeededLeader(w)
-		n.types.byName.Store(nil)
+		n.machineTypes.byName.Store(nil)
 		return n
 	}},
 	{name: "outage", kvDown: true, start: func(w *simulatedCluster) *node {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -40,7 +40,7 @@
 		Cloud:  &fakeCloud{},
 		Log:    slog.New(slog.DiscardHandler),
 	})
-	c.types.set([]api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Price: 1, Zones: []string{"a"}}})
+	c.machineTypes.set([]api.MachineType{{Name: "small", CPUs: 16, MemoryGB: 64, Price: 1, Zones: []string{"a"}}})
 	lt := newLeaderTerm(c, election.Term{Number: 1, ModRevision: 1}, now.Add(time.Hour))
 	lt.cancel()
 	lt.loaded, c.leaderTerm = true, lt
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -34,7 +34,7 @@
 // fetchesBeforeHeartbeat tells whether a machine fetches a job's image in less than two
 // heartbeat intervals.
 func (lt *leaderTerm) fetchesBeforeHeartbeat(j *cluster.Job, m *cluster.Machine) bool {
-	rate := lt.c.types.load()[m.Type].FetchGBs
+	rate := lt.c.machineTypes.load()[m.Type].FetchGBs
 	return rate > 0 && j.Spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.HeartbeatS
 }
 
@@ -52,7 +52,7 @@
 // placementCost is how badly a machine suits a job, in seconds lost: the time to fetch the
 // image, and a measure of what it costs to keep the machine.
 func (lt *leaderTerm) placementCost(j *cluster.Job, m *cluster.Machine) float64 {
-	types := lt.c.types.load()
+	types := lt.c.machineTypes.load()
 	mt := types[m.Type]
 	cost := 0.0
 	if !m.Images.Has(j.Spec.Image) && mt.FetchGBs > 0 {
--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -29,7 +29,7 @@
 		Provisioning: lt.provisioning,
 		Teams:        lt.allTeams(),
 		Jobs:         lt.jobs,
-		Types:        lt.c.types.load(),
+		Types:        lt.c.machineTypes.load(),
 		Unfenced:     lt.unfenced,
 	}
 }
@@ -204,7 +204,7 @@
 		}
 		return
 	}
-	mt := lt.c.types.load()[listed.Type]
+	mt := lt.c.machineTypes.load()[listed.Type]
 	awaited := lt.provisioning[listed.Name]
 	if awaited == nil {
 		awaited = autoscaler.ListedProvisioning(listed, mt, now)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -67,8 +67,8 @@
 	Log           *slog.Logger
 	// Cells are the cells that lend each other capacity, and Link the client to them. Both
 	// are nil without neighbours.
-	Cells *cells.Settings
-	Link  CellLink
+	Cells      *cells.Settings
+	CellClient CellLink
 	// Standby configures failover before the leader's lease expires; nil: a leader is
 	// replaced only once its lease has expired.
 	Standby *standby.Settings
@@ -85,7 +85,7 @@
 	stepDowns chan uint64
 	// resignations carries to the election the terms that other nodes have given up.
 	resignations chan election.Resignation
-	types        machineTypeCache
+	machineTypes machineTypeCache
 	// unready fails the health check, so that users are routed to other nodes.
 	unready atomic.Bool
 
@@ -121,9 +121,9 @@
 	maxFinalStates = 8192
 	// mailboxCapacity is how many messages may wait for the owner before senders block.
 	mailboxCapacity = 256
-	// electionBacklog is how many notices to the election may wait for it. Further ones
+	// electionQueueCapacity is how many notices to the election may wait for it. Further ones
 	// are dropped.
-	electionBacklog = 4
+	electionQueueCapacity = 4
 )
 
 // New returns a controller that Run has yet to start.
@@ -141,8 +141,8 @@
 		records:       records.NewRecords(cfg.UserStore, site.State),
 		mailbox:       make(chan message, mailboxCapacity),
 		ended:         make(chan struct{}),
-		stepDowns:     make(chan uint64, electionBacklog),
-		resignations:  make(chan election.Resignation, electionBacklog),
+		stepDowns:     make(chan uint64, electionQueueCapacity),
+		resignations:  make(chan election.Resignation, electionQueueCapacity),
 		uplink:        newRelayUplink(site.Limits),
 		membership:    membership.NewTable(cfg.Settings.Peers, now),
 		redirectedAt:  map[string]time.Time{},
@@ -182,7 +182,7 @@
 			go c.pingLoop(ctx, p.Node)
 		}
 	}
-	c.failover.run(ctx, c)
+	c.failover.start(ctx, c)
 	tick := time.NewTicker(followerTickInterval)
 	defer tick.Stop()
 	interval := followerTickInterval
@@ -228,4 +228,4 @@
 
 // Ready implements api.Backend. A node without machine types accepts no
 // submissions.
-func (c *Controller) Ready() bool { return c.types.load() != nil && !c.unready.Load() }
+func (c *Controller) Ready() bool { return c.machineTypes.load() != nil && !c.unready.Load() }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -214,7 +214,7 @@
 // that is on record, the machine has received the start and has the image.
 func (dg *dependencyGraph) stageDuration(j *cluster.Job) time.Duration {
 	fetch := 0.0
-	for _, t := range dg.leaderTerm.c.types.load() {
+	for _, t := range dg.leaderTerm.c.machineTypes.load() {
 		if t.FetchGBs > 0 {
 			fetch = max(fetch, j.Spec.ImageGB/t.FetchGBs)
 		}
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -69,7 +69,7 @@
 			candidates = append(candidates, m)
 		}
 	}
-	types := lt.c.types.load()
+	types := lt.c.machineTypes.load()
 	slices.SortFunc(candidates, func(a, b *cluster.Machine) int {
 		return cmp.Or(
 			cmp.Compare(autoscaler.CPUPrice(types, a), autoscaler.CPUPrice(types, b)),
--- a/internal/controller/electionmessages.go
+++ b/internal/controller/electionmessages.go
@@ -43,10 +43,10 @@
 	}
 }
 
-// leaseLostMsg ends a term of this node whose leader lease was lost.
-type leaseLostMsg struct{ term election.Term }
+// leadershipLostMsg ends a term of this node whose leader lease was lost.
+type leadershipLostMsg struct{ term election.Term }
 
-func (m leaseLostMsg) apply(c *Controller) {
+func (m leadershipLostMsg) apply(c *Controller) {
 	if lt := c.leaderTerm; lt != nil && lt.term == m.term {
 		c.endTerm()
 	}
@@ -68,7 +68,7 @@
 	c.sendOrDrop(context.Background(), leaseRenewedMsg{term, leaseExpiry})
 }
 
-// LeaseLost implements election.Observer.
-func (c *Controller) LeaseLost(term election.Term) {
-	c.sendOrDrop(context.Background(), leaseLostMsg{term})
+// LeadershipLost implements election.Observer.
+func (c *Controller) LeadershipLost(term election.Term) {
+	c.sendOrDrop(context.Background(), leadershipLostMsg{term})
 }
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -20,11 +20,11 @@
 type failover struct {
 	// voter is nil where failover is switched off.
 	voter *leasequorum.Voter
-	// busy is set from the suspicion of the leader until the attempt to replace it has ended.
-	busy        bool
+	// inProgress is set from the suspicion of the leader until the attempt to replace it has ended.
+	inProgress  bool
 	nextAttempt time.Time
-	// lastNewTerm is when this node last gave up a term to get votes in the next.
-	lastNewTerm time.Time
+	// lastNewTermAt is when this node last gave up a term to get votes in the next.
+	lastNewTermAt time.Time
 }
 
 const (
@@ -32,15 +32,15 @@
 	voteTimeout  = 800 * time.Millisecond
 	// failoverRetryInterval is the pause after an attempt to replace the leader.
 	failoverRetryInterval = time.Second
-	// quorumWait is how long votes may be missing, although all nodes support them, before
-	// the leader begins a new term to get them; newTermInterval is the pause between two such
+	// missingVotesTimeout is how long votes may be missing, although all nodes support them, before
+	// the leader begins a new term to get them; minNewTermInterval is the pause between two such
 	// terms.
-	quorumWait      = 3 * time.Second
-	newTermInterval = 5 * time.Minute
+	missingVotesTimeout = 3 * time.Second
+	minNewTermInterval  = 5 * time.Minute
 )
 
-// run starts the goroutines of failover, if it is switched on.
-func (f *failover) run(ctx context.Context, c *Controller) {
+// start starts the goroutines of failover, if it is switched on.
+func (f *failover) start(ctx context.Context, c *Controller) {
 	if c.Standby == nil {
 		return
 	}
@@ -50,7 +50,7 @@
 		return
 	}
 	for _, peer := range c.Settings.Peers {
-		go c.requestVotes(ctx, peer.Node)
+		go c.requestVotesLoop(ctx, peer.Node)
 	}
 }
 
@@ -77,15 +77,15 @@
 // voterTermMsg carries the term of the store when this process began.
 type voterTermMsg struct{ term uint64 }
 
-func (m voterTermMsg) apply(c *Controller) { c.failover.voter.Begin(m.term) }
+func (m voterTermMsg) apply(c *Controller) { c.failover.voter.Init(m.term) }
 
 // tick starts to replace the leader, on a node that does not lead, once it is suspected.
 func (f *failover) tick(c *Controller, now time.Time) {
-	if f.voter == nil || f.busy || now.Before(f.nextAttempt) || !c.membership.KVReachable {
+	if f.voter == nil || f.inProgress || now.Before(f.nextAttempt) || !c.membership.KVReachable {
 		return
 	}
 	mb := c.membership.Members[c.leader]
-	if mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.FailedPings < membership.UnreachablePings {
+	if mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.FailedPings < membership.FailedPingThreshold {
 		return
 	}
 	var others []string
@@ -94,7 +94,7 @@
 			others = append(others, name)
 		}
 	}
-	f.busy = true
+	f.inProgress = true
 	c.Log.Info("leader suspected", "leader", c.leader, "term", mb.Term, "count", mb.FailedPings)
 	go c.collectPromises(c.leader, mb.Term, others)
 }
@@ -146,7 +146,7 @@
 	f, now := &c.failover, time.Now()
 	required := leasequorum.RequiredPromises(len(c.Settings.Peers) + 1)
 	if m.promises+1 < required || !m.leaderStillSuspected(c) {
-		f.busy, f.nextAttempt = false, now.Add(failoverRetryInterval)
+		f.inProgress, f.nextAttempt = false, now.Add(failoverRetryInterval)
 		return
 	}
 	// This node promises only once enough others have.
@@ -156,7 +156,7 @@
 	wait := m.votesExpireAt.Sub(now)
 	c.Log.Info("failover scheduled", "leader", m.leader, "term", m.term, "after", wait.Round(time.Millisecond))
 	time.AfterFunc(wait, func() {
-		c.sendOrDrop(context.Background(), leaseRevokedMsg{m.leader, m.term})
+		c.sendOrDrop(context.Background(), votesExpiredMsg{m.leader, m.term})
 	})
 }
 
@@ -165,18 +165,18 @@
 func (m promisesCollectedMsg) leaderStillSuspected(c *Controller) bool {
 	mb := c.membership.Members[m.leader]
 	return c.leader == m.leader && c.leaderTerm == nil &&
-		mb.FailedPings >= membership.UnreachablePings && mb.Term == m.term
+		mb.FailedPings >= membership.FailedPingThreshold && mb.Term == m.term
 }
 
-// leaseRevokedMsg means that all votes for a leader have expired: it cannot act any more in its
+// votesExpiredMsg means that all votes for a leader have expired: it cannot act any more in its
 // term.
-type leaseRevokedMsg struct {
+type votesExpiredMsg struct {
 	leader string
 	term   uint64
 }
 
-func (m leaseRevokedMsg) apply(c *Controller) {
-	c.failover.busy, c.failover.nextAttempt = false, time.Now().Add(failoverRetryInterval)
+func (m votesExpiredMsg) apply(c *Controller) {
+	c.failover.inProgress, c.failover.nextAttempt = false, time.Now().Add(failoverRetryInterval)
 	if c.leader != m.leader || c.leaderTerm != nil {
 		return // another leader has been elected meanwhile
 	}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -16,44 +16,44 @@
 	"example.org/ivytrestle/internal/standby"
 )
 
-// mesh connects three nodes. Each direction between two of them can be cut.
-type mesh struct {
+// peerNetwork connects three nodes. Each direction between two of them can be cut.
+type peerNetwork struct {
 	mu    sync.Mutex
 	nodes map[string]*node
 	cut   map[string]bool
 }
 
-// meshEnd is one node's side of a mesh.
-type meshEnd struct {
-	mesh *mesh
-	from string
+// peerNetworkClient is one node's side of a mesh.
+type peerNetworkClient struct {
+	network *peerNetwork
+	from    string
 }
 
-func (e meshEnd) to(name string) (*node, error) {
-	e.mesh.mu.Lock()
-	defer e.mesh.mu.Unlock()
-	n := e.mesh.nodes[name]
-	if n == nil || e.mesh.cut[e.from+">"+name] {
+func (e peerNetworkClient) to(name string) (*node, error) {
+	e.network.mu.Lock()
+	defer e.network.mu.Unlock()
+	n := e.network.nodes[name]
+	if n == nil || e.network.cut[e.from+">"+name] {
 		return nil, errors.New("cut")
 	}
 	return n, nil
 }
 
-func (m *mesh) setCut(from, to string, cut bool) {
+func (m *peerNetwork) setCut(from, to string, cut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cut[from+">"+to] = cut
 }
 
 // setPartitioned cuts both directions between a node and others, or heals them.
-func (m *mesh) setPartitioned(name string, cut bool, others ...string) {
+func (m *peerNetwork) setPartitioned(name string, cut bool, others ...string) {
 	for _, other := range others {
 		m.setCut(name, other, cut)
 		m.setCut(other, name, cut)
 	}
 }
 
-func (e meshEnd) Job(ctx context.Context, name, id string) (api.JobState, error) {
+func (e peerNetworkClient) Job(ctx context.Context, name, id string) (api.JobState, error) {
 	n, err := e.to(name)
 	if err != nil {
 		return api.JobState{}, err
@@ -61,7 +61,7 @@
 	return n.PeerJob(ctx, id)
 }
 
-func (e meshEnd) Ping(ctx context.Context, name string, from cancellation.Position) (membership.PeerStatus, error) {
+func (e peerNetworkClient) Ping(ctx context.Context, name string, from cancellation.Position) (membership.PeerStatus, error) {
 	n, err := e.to(name)
 	if err != nil {
 		return membership.PeerStatus{}, err
@@ -69,7 +69,7 @@
 	return n.PeerStatus(ctx, from)
 }
 
-func (e meshEnd) ForwardHeartbeat(ctx context.Context, name string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
+func (e peerNetworkClient) ForwardHeartbeat(ctx context.Context, name string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	n, err := e.to(name)
 	if err != nil {
 		return api.HeartbeatResponse{}, err
@@ -77,7 +77,7 @@
 	return n.ForwardedHeartbeat(ctx, hb)
 }
 
-func (e meshEnd) Resign(ctx context.Context, name, self string, term uint64) error {
+func (e peerNetworkClient) Resign(ctx context.Context, name, self string, term uint64) error {
 	n, err := e.to(name)
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 	return n.LeaderResigned(ctx, self, term)
 }
 
-func (e meshEnd) Vote(ctx context.Context, name string, term uint64) (bool, error) {
+func (e peerNetworkClient) Vote(ctx context.Context, name string, term uint64) (bool, error) {
 	n, err := e.to(name)
 	if err != nil {
 		return false, err
@@ -93,7 +93,7 @@
 	return n.PeerVote(ctx, term)
 }
 
-func (e meshEnd) Promise(ctx context.Context, name string, term uint64) (time.Duration, error) {
+func (e peerNetworkClient) Promise(ctx context.Context, name string, term uint64) (time.Duration, error) {
 	n, err := e.to(name)
 	if err != nil {
 		return 0, err
@@ -105,8 +105,8 @@
 // run tasks all the time, and a checker of the leaders' commands.
 type standbyCluster struct {
 	*simulatedCluster
-	mesh   *mesh
-	agents []*worker
+	network *peerNetwork
+	agents  []*worker
 	// rounds counts how often each machine's tasks were advanced.
 	rounds map[string]int
 
@@ -135,7 +135,7 @@
 		w.teams[0].LimitCPUs = 100
 		s := &standbyCluster{
 			simulatedCluster: w,
-			mesh:             &mesh{nodes: map[string]*node{}, cut: map[string]bool{}},
+			network:          &peerNetwork{nodes: map[string]*node{}, cut: map[string]bool{}},
 			rounds:           map[string]int{},
 			firstStart:       map[uint64]time.Time{},
 			reportsOnlyTo:    map[string]string{},
@@ -168,19 +168,19 @@
 		s.standby = &standby.Settings{VoteLifetimeS: s.voteLifetimeS}
 	}
 	s.gates[name] = &gate{Fake: s.store}
-	n := s.startWith(name, s.gates[name], meshEnd{s.mesh, name})
+	n := s.startWith(name, s.gates[name], peerNetworkClient{s.network, name})
 	n.inspect(func(c *Controller) { c.Policy.MinCPUs = 1000 })
-	s.mesh.mu.Lock()
-	defer s.mesh.mu.Unlock()
-	s.mesh.nodes[name] = n
+	s.network.mu.Lock()
+	defer s.network.mu.Unlock()
+	s.network.nodes[name] = n
 }
 
 // endNode ends a node until the test starts it again.
 func (s *standbyCluster) endNode(name string) {
-	s.mesh.mu.Lock()
-	n := s.mesh.nodes[name]
-	delete(s.mesh.nodes, name)
-	s.mesh.mu.Unlock()
+	s.network.mu.Lock()
+	n := s.network.nodes[name]
+	delete(s.network.nodes, name)
+	s.network.mu.Unlock()
 	if n != nil {
 		n.crash()
 	}
@@ -188,10 +188,10 @@
 
 // runningNodes returns the nodes that are up.
 func (s *standbyCluster) runningNodes() (nodes []*node) {
-	s.mesh.mu.Lock()
-	defer s.mesh.mu.Unlock()
+	s.network.mu.Lock()
+	defer s.network.mu.Unlock()
 	for _, name := range []string{"n0", "n1", "n2"} {
-		if n := s.mesh.nodes[name]; n != nil {
+		if n := s.network.nodes[name]; n != nil {
 			nodes = append(nodes, n)
 		}
 	}
@@ -340,7 +340,7 @@
 // partitionCase is a partition of the leader from some of the others.
 type partitionCase struct {
 	name string
-	cut  func(m *mesh, leader string, others []string)
+	cut  func(m *peerNetwork, leader string, others []string)
 	// wantOther is set if another node must lead after twelve seconds, wantSame if the same
 	// node must, in the same term.
 	wantOther, wantSame bool
@@ -352,28 +352,28 @@
 	for _, c := range []partitionCase{
 		{
 			name: "from one standby",
-			cut: func(m *mesh, leader string, others []string) {
+			cut: func(m *peerNetwork, leader string, others []string) {
 				m.setPartitioned(leader, true, others[0])
 			},
 			wantSame: true,
 		},
 		{
 			name: "one way, from a standby",
-			cut: func(m *mesh, leader string, others []string) {
+			cut: func(m *peerNetwork, leader string, others []string) {
 				m.setCut(others[0], leader, true)
 			},
 			wantSame: true,
 		},
 		{
 			name: "from both, not from the store",
-			cut: func(m *mesh, leader string, others []string) {
+			cut: func(m *peerNetwork, leader string, others []string) {
 				m.setPartitioned(leader, true, others...)
 			},
 			wantOther: true,
 		},
 		{
 			name: "all from each other",
-			cut: func(m *mesh, leader string, others []string) {
+			cut: func(m *peerNetwork, leader string, others []string) {
 				m.setPartitioned(leader, true, others...)
 				m.setPartitioned(others[0], true, others[1])
 			},
@@ -388,8 +388,8 @@
 func testPartition(t *testing.T, s *standbyCluster, c partitionCase) {
 	t.Helper()
 	n, term := s.leader()
-	leader, others := n.Settings.Node, standbysOf(n)
-	c.cut(s.mesh, leader, others)
+	leader, others := n.Settings.Node, followersOf(n)
+	c.cut(s.network, leader, others)
 	time.Sleep(12 * time.Second)
 	next, nextTerm := s.leader()
 	if next == nil {
@@ -405,16 +405,16 @@
 	if _, last := s.startTimes(nextTerm); time.Since(last) > 3*time.Second {
 		t.Errorf("no start in term %d for %v, want at most 3s", nextTerm, time.Since(last))
 	}
-	s.mesh.setPartitioned(leader, false, others...)
-	s.mesh.setPartitioned(others[0], false, others[1])
+	s.network.setPartitioned(leader, false, others...)
+	s.network.setPartitioned(others[0], false, others[1])
 	time.Sleep(20 * time.Second)
 	if next, _ = s.leader(); next == nil {
 		t.Error("nobody leads once the partition is healed")
 	}
 }
 
-// standbysOf are the names of the two nodes beside a leader.
-func standbysOf(leader *node) []string {
+// followersOf are the names of the two nodes beside a leader.
+func followersOf(leader *node) []string {
 	return slices.DeleteFunc([]string{"n0", "n1", "n2"}, func(name string) bool {
 		return name == leader.Settings.Node
 	})
@@ -423,7 +423,7 @@
 // A leader that is partitioned from the others, and perhaps from the store, still reaches a
 // part of the machines, and has work for them. From when it is replaced it starts nothing,
 // however soon the next leader does, and whenever it last read from the store.
-func TestReplacedLeaderDecidesNothing(t *testing.T) {
+func TestReplacedLeaderStartsNoTasks(t *testing.T) {
 	replaced := 0
 	for offset := range 20 {
 		simulateStandby(t, 3+float64(offset%2)*3, func(s *standbyCluster) {
@@ -456,7 +456,7 @@
 	s.reportsOnlyTo["i-0"], s.reportsOnlyTo["i-1"] = leader, leader
 	s.neverReportsTo["i-2"], s.neverReportsTo["i-3"] = leader, leader
 	s.mu.Unlock()
-	s.mesh.setPartitioned(leader, true, standbysOf(n)...)
+	s.network.setPartitioned(leader, true, followersOf(n)...)
 	if storeToo {
 		// It does not learn of the next term, and nothing else holds it back.
 		s.gates[leader].set(true)
@@ -474,8 +474,8 @@
 		n, _ := s.leader()
 		for _, other := range s.runningNodes() {
 			other.inspect(func(c *Controller) {
-				c.failover.lastNewTerm = time.Now().Add(time.Hour)
-				c.failover.voter.Begin(1000) // as if started after all terms to come
+				c.failover.lastNewTermAt = time.Now().Add(time.Hour)
+				c.failover.voter.Init(1000) // as if started after all terms to come
 			})
 		}
 		n.inspect(func(c *Controller) { c.leaderTerm.stepDown() })
@@ -593,13 +593,13 @@
 		}
 	case 2:
 		other := names[random.IntN(3)]
-		s.mesh.setCut(name, other, true)
+		s.network.setCut(name, other, true)
 		time.Sleep(2 * away)
-		s.mesh.setCut(name, other, false)
+		s.network.setCut(name, other, false)
 	case 3:
-		s.mesh.setPartitioned(name, true, names...)
+		s.network.setPartitioned(name, true, names...)
 		time.Sleep(2 * away)
-		s.mesh.setPartitioned(name, false, names...)
+		s.network.setPartitioned(name, false, names...)
 	}
 }
 
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -296,19 +296,19 @@
 		CommandSender: w.commandSender,
 		Log:           log,
 		Cells:         w.cells,
-		Link:          w.link,
+		CellClient:    w.link,
 		Standby:       w.standby,
 	})
 	elector := &election.Elector{
-		Node:         name,
-		Incarnation:  fmt.Sprint(time.Now().UnixNano()),
-		Store:        st,
-		Lease:        pol.LeaderLease,
-		Renew:        3 * time.Second,
-		Observer:     c,
-		Log:          log,
-		StepDowns:    c.StepDowns(),
-		Resignations: c.Resignations(),
+		Node:          name,
+		Incarnation:   fmt.Sprint(time.Now().UnixNano()),
+		Store:         st,
+		LeaseDuration: pol.LeaderLease,
+		RenewInterval: 3 * time.Second,
+		Observer:      c,
+		Log:           log,
+		StepDowns:     c.StepDowns(),
+		Resignations:  c.Resignations(),
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
 	w.running.Go(func() { c.Run(ctx) })
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -114,7 +114,7 @@
 		m.Addr = strings.Clone(hb.Addr)
 	}
 	if m.CPUs == 0 {
-		if mt, ok := lt.c.types.load()[m.Type]; ok {
+		if mt, ok := lt.c.machineTypes.load()[m.Type]; ok {
 			m.CPUs, m.GPUs, m.MemoryGB = mt.CPUs, mt.GPUs, mt.MemoryGB
 		}
 	}
@@ -241,5 +241,5 @@
 
 // addImage records in memory that a machine has a job's image.
 func (lt *leaderTerm) addImage(m *cluster.Machine, s *api.JobSpec, now time.Time) {
-	m.Images.Add(s, lt.c.types.load()[m.Type].CacheGB, now)
+	m.Images.Add(s, lt.c.machineTypes.load()[m.Type].CacheGB, now)
 }
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -21,7 +21,7 @@
 
 // fetchTime is how long a machine takes to fetch a job's image, if it must.
 func (lt *leaderTerm) fetchTime(j *cluster.Job, m *cluster.Machine) time.Duration {
-	rate := lt.c.types.load()[m.Type].FetchGBs
+	rate := lt.c.machineTypes.load()[m.Type].FetchGBs
 	if rate <= 0 || m.Images.Has(j.Spec.Image) || m.Fetching[j.Spec.Image] {
 		return 0
 	}
--- a/internal/controller/leasevotes.go
+++ b/internal/controller/leasevotes.go
@@ -7,8 +7,8 @@
 	"example.org/ivytrestle/internal/leasequorum"
 )
 
-// requestVotes requests another node's vote at intervals while this one leads.
-func (c *Controller) requestVotes(ctx context.Context, node string) {
+// requestAllVotes requests another node's vote at intervals while this one leads.
+func (c *Controller) requestVotesLoop(ctx context.Context, node string) {
 	for ctx.Err() == nil {
 		m := ownTermRequestMsg{make(chan uint64, 1)}
 		term, err := request(ctx, c, m, m.reply)
@@ -53,8 +53,8 @@
 	}
 }
 
-// voteQuorum reports whether the leader has enough valid votes.
-func (lt *leaderTerm) voteQuorum(now time.Time) bool {
+// hasVoteQuorum reports whether the leader has enough valid votes.
+func (lt *leaderTerm) hasVoteQuorum(now time.Time) bool {
 	return lt.votes.HasQuorum(leasequorum.RequiredVotes(len(lt.c.Settings.Peers)+1), now)
 }
 
@@ -62,7 +62,7 @@
 // One that requires a lease quorum and lacks it may have been replaced. It goes on only with what
 // renews leases, and with what the key-value store fences.
 func (lt *leaderTerm) hasLeaseQuorum(now time.Time) bool {
-	return !lt.quorumRequired || lt.voteQuorum(now)
+	return !lt.quorumRequired || lt.hasVoteQuorum(now)
 }
 
 // checkLeaseQuorum makes the leader require a lease quorum once that is possible. A leader that
@@ -73,10 +73,10 @@
 		return
 	}
 	if !lt.quorumRequired {
-		lt.requireQuorum(now)
+		lt.maybeRequireQuorum(now)
 		return
 	}
-	if lt.voteQuorum(now) {
+	if lt.hasVoteQuorum(now) {
 		lt.quorumLostAt = time.Time{}
 		return
 	}
@@ -90,17 +90,17 @@
 	}
 }
 
-// requireQuorum makes the leader require a lease quorum once all other nodes support it and
+// maybeRequireQuorum makes the leader require a lease quorum once all other nodes support it and
 // enough of them vote. Processes that began after the term did not vote in it, as they cannot
 // know what earlier ones have promised: if they are too many, the leader begins a new term.
-func (lt *leaderTerm) requireQuorum(now time.Time) {
+func (lt *leaderTerm) maybeRequireQuorum(now time.Time) {
 	for _, mb := range lt.c.membership.Members {
 		if !mb.SupportsLeaseQuorum || !mb.IsReachable(now) {
 			lt.quorumLostAt = time.Time{}
 			return
 		}
 	}
-	if lt.quorumRequired = lt.voteQuorum(now); lt.quorumRequired {
+	if lt.quorumRequired = lt.hasVoteQuorum(now); lt.quorumRequired {
 		lt.quorumLostAt = time.Time{}
 		lt.c.Log.Info("lease quorum required", "term", lt.term.Number)
 		return
@@ -109,9 +109,9 @@
 		lt.quorumLostAt = now
 	}
 	f := &lt.c.failover
-	waited := now.Sub(lt.quorumLostAt) > quorumWait && now.Sub(f.lastNewTerm) > newTermInterval
+	waited := now.Sub(lt.quorumLostAt) > missingVotesTimeout && now.Sub(f.lastNewTermAt) > minNewTermInterval
 	if waited && lt.c.membership.KVReachable {
-		f.lastNewTerm = now
+		f.lastNewTermAt = now
 		lt.c.Log.Info("leader steps down to get votes in a new term", "term", lt.term.Number)
 		lt.stepDown()
 	}
--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -67,7 +67,7 @@
 	}
 	advert.CPUs = max(0, min(advert.CPUs, lt.c.Policy.Spill.GuestShare*capacity.cpus-guests))
 	advert.GPUs = max(0, advert.GPUs)
-	for _, t := range lt.c.types.load() {
+	for _, t := range lt.c.machineTypes.load() {
 		advert.Types = append(advert.Types, t)
 	}
 	slices.SortFunc(advert.Types, func(x, y api.MachineType) int { return strings.Compare(x.Name, y.Name) })
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -67,7 +67,7 @@
 		return 0
 	})
 	latest := maxPredictedWait
-	if types := lt.c.types.load(); lt.autoscaler.CanLaunch(types, now) {
+	if types := lt.c.machineTypes.load(); lt.autoscaler.CanLaunch(types, now) {
 		latest = autoscaler.LongestBoot(types) + lt.c.Settings.Site.Workers.HeartbeatInterval()
 	}
 	predictions := make([]predictedStart, 0, len(jobs))
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -152,7 +152,7 @@
 			l.reclaimFromUnreachable(n)
 			continue
 		}
-		if n.exchanging || now.Before(n.nextExchange) || lt.c.Link == nil {
+		if n.exchanging || now.Before(n.nextExchange) || lt.c.CellClient == nil {
 			continue
 		}
 		n.exchanging, n.nextExchange = true, now.Add(exchangeInterval)
@@ -160,7 +160,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(lt.ctx, exchangeTimeout)
 			defer cancel()
-			response, err := lt.c.Link.Loans(ctx, n.cell, req)
+			response, err := lt.c.CellClient.Loans(ctx, n.cell, req)
 			lt.sendToOwner(loanResponseMsg{leaderTerm: lt, neighbour: n, sent: now, response: response, err: err})
 		}()
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -78,7 +78,7 @@
 		Attempts:          map[cluster.AttemptKey]*cluster.Attempt{},
 		TaskErrorsByJob:   map[string]int{},
 	}
-	if mt, ok := lt.c.types.load()[typ]; ok {
+	if mt, ok := lt.c.machineTypes.load()[typ]; ok {
 		m.CPUs, m.GPUs, m.MemoryGB = mt.CPUs, mt.GPUs, mt.MemoryGB
 	}
 	lt.machines[name] = m
--- a/internal/controller/machinetypes.go
+++ b/internal/controller/machinetypes.go
@@ -54,12 +54,12 @@
 		if err != nil {
 			c.Log.Debug("read of machine types failed", "err", err)
 			wait = machineTypesRetryDelay
-			if c.types.load() == nil {
+			if c.machineTypes.load() == nil {
 				c.loadStoredMachineTypes(ctx)
 			}
 		} else {
-			first := c.types.load() == nil
-			c.types.set(types)
+			first := c.machineTypes.load() == nil
+			c.machineTypes.set(types)
 			if first {
 				c.storeMachineTypes(ctx, types)
 			}
@@ -81,7 +81,7 @@
 		c.Log.Warn("stored machine types invalid", "err", err)
 		return
 	}
-	c.types.set(types)
+	c.machineTypes.set(types)
 }
 
 // storeMachineTypes stores the machine types for nodes that start while the cloud is
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -13,8 +13,8 @@
 	"example.org/ivytrestle/internal/loan"
 )
 
-// callers are the calls that wait for a reply of the controller's goroutine.
-var callers = map[string]func(ctx context.Context, n *node) error{
+// mailboxCalls are the calls that wait for a reply of the controller's goroutine.
+var mailboxCalls = map[string]func(ctx context.Context, n *node) error{
 	"heartbeat": func(ctx context.Context, n *node) error {
 		_, err := n.Heartbeat(ctx, &api.Heartbeat{
 			Machine:    "i-1",
@@ -45,7 +45,7 @@
 // A controller that has ended rejects calls at once, whether or not its mailbox is full:
 // nobody reads that any more.
 func TestEndedControllerRejectsCalls(t *testing.T) {
-	for name, call := range callers {
+	for name, call := range mailboxCalls {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
@@ -65,7 +65,7 @@
 
 // Calls that are in the mailbox when the controller ends return then, not when they time out.
 func TestQueuedCallsEndWithController(t *testing.T) {
-	for name, call := range callers {
+	for name, call := range mailboxCalls {
 		if name == "resignation" {
 			continue // waits for no reply
 		}
@@ -104,7 +104,7 @@
 			n.LeaderChanged(fmt.Sprint("n", i))
 			n.ElectionWon(election.Term{Number: i}, time.Now())
 			n.LeaseRenewed(election.Term{Number: i}, time.Now())
-			n.LeaseLost(election.Term{Number: i})
+			n.LeadershipLost(election.Term{Number: i})
 		}
 	})
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -81,7 +81,7 @@
 		if err == nil {
 			from = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancellations.LastNumber()}
 		}
-		if failed >= membership.UnreachablePings {
+		if failed >= membership.FailedPingThreshold {
 			c.verifyUnreachableLeader(ctx, node)
 		}
 		sleep(ctx, membership.PingInterval)
@@ -103,11 +103,11 @@
 	if mb == nil {
 		return
 	}
-	mb.ApplyPing(m.failedPings, m.connectionRefused)
+	mb.ApplyPingResult(m.failedPings, m.connectionRefused)
 	if m.failedPings > 0 {
 		return
 	}
-	mb.ApplyPong(m.status, m.sentAt, now)
+	mb.ApplyPingResponse(m.status, m.sentAt, now)
 	for _, id := range m.status.Cancellations.IDs {
 		c.recordCancellation(id)
 	}
--- a/internal/controller/readindex.go
+++ b/internal/controller/readindex.go
@@ -17,7 +17,7 @@
 type readIndexer struct {
 	leaderTerm *leaderTerm
 	waiting    []*pollMsg
-	// busy is set from the start of a round until readIndexRetryDelay after its end.
+	// busy is set from the start of a round until readIndexPause after its end.
 	busy bool
 	// lastStarted is when the last round was started. Rounds are started at intervals even
 	// without polls, because the leader must know that it knows all cancellations.
@@ -26,12 +26,12 @@
 
 const (
 	readIndexTimeout = 700 * time.Millisecond
-	// readIndexRetryDelay limits polls to a few requests to the store per second. It is short
+	// readIndexPause limits polls to a few requests to the store per second. It is short
 	// compared with what users wait for a response.
-	readIndexRetryDelay = 200 * time.Millisecond
-	// pollReserve is how long before its deadline a poll is no longer put off to another
+	readIndexPause = 200 * time.Millisecond
+	// pollDeadlineMargin is how long before its deadline a poll is no longer put off to another
 	// round.
-	pollReserve = 200 * time.Millisecond
+	pollDeadlineMargin = 200 * time.Millisecond
 )
 
 // enqueue adds a poll to the next round.
@@ -88,7 +88,7 @@
 		lt.readIndex.retry(m.batch)
 	}
 	if !lt.hasEnded() {
-		time.AfterFunc(readIndexRetryDelay, func() { lt.sendToOwner(readIndexRetryMsg{lt}) })
+		time.AfterFunc(readIndexPause, func() { lt.sendToOwner(readIndexPauseEndedMsg{lt}) })
 	}
 }
 
@@ -96,7 +96,7 @@
 func (ri *readIndexer) retry(batch []*pollMsg) {
 	now := time.Now()
 	for _, poll := range batch {
-		if now.Before(poll.deadline.Add(-pollReserve)) {
+		if now.Before(poll.deadline.Add(-pollDeadlineMargin)) {
 			ri.waiting = append(ri.waiting, poll)
 		} else {
 			poll.reply <- pollReply{err: api.ErrUnavailable}
@@ -104,10 +104,10 @@
 	}
 }
 
-// readIndexRetryMsg ends the pause after a round.
-type readIndexRetryMsg struct{ leaderTerm *leaderTerm }
+// readIndexPauseEndedMsg ends the pause after a round.
+type readIndexPauseEndedMsg struct{ leaderTerm *leaderTerm }
 
-func (m readIndexRetryMsg) apply(*Controller) {
+func (m readIndexPauseEndedMsg) apply(*Controller) {
 	if m.leaderTerm.hasEnded() {
 		return
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -139,7 +139,7 @@
 	s.Waits, _ = lt.pendingReasons(now)
 	s.Cells = lt.loans.status(now)
 	if lt.c.Standby != nil {
-		s.Quorum = &QuorumStatus{Required: lt.quorumRequired, Held: lt.voteQuorum(now)}
+		s.Quorum = &QuorumStatus{Required: lt.quorumRequired, Held: lt.hasVoteQuorum(now)}
 	}
 	for _, m := range lt.machines {
 		s.CPUs += m.CPUs
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -14,7 +14,7 @@
 
 // Submit implements api.Backend.
 func (c *Controller) Submit(ctx context.Context, spec *api.JobSpec) (api.JobState, bool, error) {
-	types := c.types.load()
+	types := c.machineTypes.load()
 	if types == nil {
 		return api.JobState{}, false, api.ErrUnavailable
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -146,15 +146,15 @@
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	elector := &election.Elector{
-		Node:         s.Node,
-		Incarnation:  rand.Text(),
-		Store:        store,
-		Lease:        p.LeaderLease,
-		Renew:        min(p.LeaderLease/6, maxRenewInterval),
-		Observer:     c,
-		Log:          log,
-		StepDowns:    c.StepDowns(),
-		Resignations: c.Resignations(),
+		Node:          s.Node,
+		Incarnation:   rand.Text(),
+		Store:         store,
+		LeaseDuration: p.LeaderLease,
+		RenewInterval: min(p.LeaderLease/6, maxRenewInterval),
+		Observer:      c,
+		Log:           log,
+		StepDowns:     c.StepDowns(),
+		Resignations:  c.Resignations(),
 	}
 	go c.Run(ctx)
 	go elector.Run(ctx)
@@ -201,7 +201,7 @@
 		Log:           log,
 	}
 	if parts.Cells != nil {
-		cfg.Cells, cfg.Link = parts.Cells, newCellLinks(parts.Cells)
+		cfg.Cells, cfg.CellClient = parts.Cells, newCellLinks(parts.Cells)
 	}
 	return controller.New(cfg)
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -48,8 +48,8 @@
 	ElectionWon(term Term, leaseExpiry time.Time)
 	// LeaseRenewed extends the lease of the term.
 	LeaseRenewed(term Term, leaseExpiry time.Time)
-	// LeaseLost ends the term for good.
-	LeaseLost(term Term)
+	// LeadershipLost ends the term for good.
+	LeadershipLost(term Term)
 }
 
 // Elector takes part in the election for one process.
@@ -57,11 +57,11 @@
 	Node        string
 	Incarnation string
 	Store       kv.Service
-	// Lease is the lifetime of the leader lease, and Renew the interval of its renewals.
-	Lease    time.Duration
-	Renew    time.Duration
-	Observer Observer
-	Log      *slog.Logger
+	// LeaseDuration is the lifetime of the leader lease, and Renew the interval of its renewals.
+	LeaseDuration time.Duration
+	RenewInterval time.Duration
+	Observer      Observer
+	Log           *slog.Logger
 	// StepDowns carries terms that something else has shown to be over. The elector
 	// steps down if it leads in that term.
 	StepDowns <-chan uint64
@@ -79,19 +79,19 @@
 const (
 	// callTimeout bounds one request to the store.
 	callTimeout = 2 * time.Second
-	// driftDivisor gives the part of a lease that is kept back for clock drift. The
+	// clockDriftDivisor gives the part of a lease that is kept back for clock drift. The
 	// monotonic clocks drift apart by up to 0.05%; this is ten times that.
-	driftDivisor = 200
-	// effectDelay is kept back for the time between the check of a lease and its effect.
-	effectDelay = 250 * time.Millisecond
-	// minRoundDelay is the wait after a failed round; up to maxRoundJitter is added.
-	minRoundDelay  = 200 * time.Millisecond
-	maxRoundJitter = 300 * time.Millisecond
+	clockDriftDivisor = 200
+	// actionMargin is kept back for the time between the check of a lease and its effect.
+	actionMargin = 250 * time.Millisecond
+	// retryDelay is the wait after a failed round; up to maxRetryJitter is added.
+	retryDelay     = 200 * time.Millisecond
+	maxRetryJitter = 300 * time.Millisecond
 )
 
 // leaseValidity is how long after sending a renewal the lease can be relied on.
 func leaseValidity(lease time.Duration) time.Duration {
-	return lease - lease/driftDivisor - effectDelay
+	return lease - lease/clockDriftDivisor - actionMargin
 }
 
 // Run takes part in the election until the context ends.
@@ -99,7 +99,7 @@
 	for ctx.Err() == nil {
 		if err := e.runRound(ctx); err != nil {
 			e.Log.Debug("election round failed", "err", err)
-			sleep(ctx, minRoundDelay+rand.N(maxRoundJitter))
+			sleep(ctx, retryDelay+rand.N(maxRetryJitter))
 		}
 	}
 }
@@ -138,10 +138,10 @@
 const anyTerm = 0
 
 const (
-	// watchBlock is how long one watch of the leader key waits for a change.
-	watchBlock = 20 * time.Second
-	// watchGrace is left for its response.
-	watchGrace = 10 * time.Second
+	// watchTimeout is how long one watch of the leader key waits for a change.
+	watchTimeout = 20 * time.Second
+	// watchResponseMargin is left for its response.
+	watchResponseMargin = 10 * time.Second
 )
 
 // follow waits until the leader key changes, or the leader has resigned. It returns the term
@@ -151,8 +151,8 @@
 	defer cancel()
 	for {
 		result := e.awaitWatch(e.watchLeaderKey(ctx, from), leader)
-		if result.resigned != anyTerm {
-			return result.resigned, nil
+		if result.resignedTerm != anyTerm {
+			return result.resignedTerm, nil
 		}
 		if result.err != nil || len(result.changes.Events) > 0 {
 			return anyTerm, result.err
@@ -163,18 +163,18 @@
 
 // watchResult is what ended the wait for a change of the leader key.
 type watchResult struct {
-	changes  kv.Changes
-	err      error
-	resigned uint64
+	changes      kv.Changes
+	err          error
+	resignedTerm uint64
 }
 
 // watchLeaderKey sends the result of one watch when it has ended.
 func (e *Elector) watchLeaderKey(ctx context.Context, from uint64) <-chan watchResult {
 	done := make(chan watchResult, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, watchBlock+watchGrace)
+		ctx, cancel := context.WithTimeout(ctx, watchTimeout+watchResponseMargin)
 		defer cancel()
-		changes, err := e.Store.Watch(ctx, LeaderKey, from, watchBlock)
+		changes, err := e.Store.Watch(ctx, LeaderKey, from, watchTimeout)
 		done <- watchResult{changes: changes, err: err}
 	}()
 	return done
@@ -189,7 +189,7 @@
 			return result
 		case r := <-e.Resignations:
 			if r.Node == leader && r.Term != anyTerm {
-				return watchResult{resigned: r.Term}
+				return watchResult{resignedTerm: r.Term}
 			}
 		}
 	}
@@ -214,7 +214,7 @@
 	termRecord.Number++
 	sentAt := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-	lease, err := e.Store.GrantLease(callCtx, e.Lease)
+	lease, err := e.Store.GrantLease(callCtx, e.LeaseDuration)
 	cancel()
 	if err != nil {
 		return fmt.Errorf("grant leader lease: %w", err)
@@ -237,7 +237,7 @@
 	if !res.Succeeded {
 		return nil
 	}
-	e.lead(ctx, Term{Number: termRecord.Number, ModRevision: res.Revision}, lease, sentAt.Add(leaseValidity(e.Lease)))
+	e.lead(ctx, Term{Number: termRecord.Number, ModRevision: res.Revision}, lease, sentAt.Add(leaseValidity(e.LeaseDuration)))
 	return nil
 }
 
@@ -246,7 +246,7 @@
 	e.Log.Info("leadership won", "term", term.Number)
 	e.Observer.LeaderChanged(e.Node)
 	e.Observer.ElectionWon(term, leaseExpiry)
-	defer e.Observer.LeaseLost(term)
+	defer e.Observer.LeadershipLost(term)
 	for {
 		select {
 		case <-ctx.Done():
@@ -257,7 +257,7 @@
 				return
 			}
 			continue
-		case <-time.After(e.Renew):
+		case <-time.After(e.RenewInterval):
 		}
 		sentAt := time.Now()
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -265,7 +265,7 @@
 		cancel()
 		switch {
 		case err == nil:
-			e.Observer.LeaseRenewed(term, sentAt.Add(leaseValidity(e.Lease)))
+			e.Observer.LeaseRenewed(term, sentAt.Add(leaseValidity(e.LeaseDuration)))
 		case errors.Is(err, kv.ErrNoLease):
 			e.Log.Info("leadership lost", "term", term.Number, "reason", "lease expired")
 			return
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -17,7 +17,7 @@
 func (*observer) LeaderChanged(string)                 {}
 func (o *observer) ElectionWon(term Term, _ time.Time) { o.term.Store(term.Number) }
 func (*observer) LeaseRenewed(Term, time.Time)         {}
-func (o *observer) LeaseLost(Term)                     { o.term.Store(0) }
+func (o *observer) LeadershipLost(Term)                { o.term.Store(0) }
 
 // A resignation counts for the term that it names: one that arrives when the same node leads
 // in a later term changes nothing.
@@ -29,14 +29,14 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			resigned := make(chan Resignation, 1)
 			e := &Elector{
-				Node:         node,
-				Incarnation:  node,
-				Store:        st,
-				Lease:        30 * time.Second,
-				Renew:        3 * time.Second,
-				Observer:     o,
-				Log:          slog.New(slog.DiscardHandler),
-				Resignations: resigned,
+				Node:          node,
+				Incarnation:   node,
+				Store:         st,
+				LeaseDuration: 30 * time.Second,
+				RenewInterval: 3 * time.Second,
+				Observer:      o,
+				Log:           slog.New(slog.DiscardHandler),
+				Resignations:  resigned,
 			}
 			go e.Run(ctx)
 			time.Sleep(time.Second)
--- a/internal/leasequorum/leasequorum.go
+++ b/internal/leasequorum/leasequorum.go
@@ -8,11 +8,11 @@
 import "time"
 
 const (
-	// driftMargin is the part of a vote's lifetime that is added for clock drift: ten times
+	// clockDriftRatio is the part of a vote's lifetime that is added for clock drift: ten times
 	// what clocks may drift.
-	driftMargin = 1.0 / 200
-	// effectDelay is added for the time between the leader's check and its effect.
-	effectDelay = 500 * time.Millisecond
+	clockDriftRatio = 1.0 / 200
+	// actionMargin is added for the time between the leader's check and its effect.
+	actionMargin = 500 * time.Millisecond
 )
 
 // RequiredVotes is how many of the other controllers must vote for a leader.
@@ -26,34 +26,34 @@
 // Begin says how the next process makes up for that.
 type Voter struct {
 	voteLifetime time.Duration
-	started      time.Time
-	// ready is set by Begin. Before that the voter does not vote.
-	ready bool
+	startedAt    time.Time
+	// initialized is set by Begin. Before that the voter does not vote.
+	initialized bool
 	// promisedTerm is the highest term in which it does not vote.
 	promisedTerm uint64
-	// lastVote is when it voted last, in whatever term.
-	lastVote time.Time
+	// lastVoteAt is when it voted last, in whatever term.
+	lastVoteAt time.Time
 }
 
 // NewVoter makes the voter of a process that starts now.
 func NewVoter(voteLifetime time.Duration, now time.Time) *Voter {
-	return &Voter{voteLifetime: voteLifetime, started: now}
+	return &Voter{voteLifetime: voteLifetime, startedAt: now}
 }
 
-// Begin makes the voter ready, with the latest term that the key-value store has shown since
+// Init makes the voter ready, with the latest term that the key-value store has shown since
 // the process started. Earlier processes of this controller may have promised not to vote in
 // that term or an earlier one, so the voter does not vote in them.
-func (v *Voter) Begin(term uint64) {
-	v.ready = true
+func (v *Voter) Init(term uint64) {
+	v.initialized = true
 	v.promisedTerm = max(v.promisedTerm, term)
 }
 
 // Vote reports whether the voter votes for the leader of a term.
 func (v *Voter) Vote(term uint64, now time.Time) bool {
-	if !v.ready || term <= v.promisedTerm {
+	if !v.initialized || term <= v.promisedTerm {
 		return false
 	}
-	v.lastVote = now
+	v.lastVoteAt = now
 	return true
 }
 
@@ -61,11 +61,11 @@
 // votes of this process, or of an earlier one of this controller, may still be valid.
 func (v *Voter) Promise(term uint64, now time.Time) (wait time.Duration) {
 	v.promisedTerm = max(v.promisedTerm, term)
-	latest := v.started
-	if v.lastVote.After(latest) {
-		latest = v.lastVote
+	latest := v.startedAt
+	if v.lastVoteAt.After(latest) {
+		latest = v.lastVoteAt
 	}
-	valid := v.voteLifetime + time.Duration(float64(v.voteLifetime)*driftMargin) + effectDelay
+	valid := v.voteLifetime + time.Duration(float64(v.voteLifetime)*clockDriftRatio) + actionMargin
 	return max(0, latest.Add(valid).Sub(now))
 }
 
--- a/internal/leasequorum/leasequorum_test.go
+++ b/internal/leasequorum/leasequorum_test.go
@@ -33,7 +33,7 @@
 	size         int
 	voteLifetime time.Duration
 	voters       []*Voter
-	drift        []float64
+	clockDrift   []float64
 	// term is the term on record.
 	term uint64
 	// leaders are those of all terms, in order.
@@ -54,7 +54,7 @@
 
 // clock is what a controller's clock shows.
 func (s *simulation) clock(node int) time.Time {
-	return time.Unix(1_000_000, 0).Add(time.Duration(float64(s.now) * (1 + s.drift[node])))
+	return time.Unix(1_000_000, 0).Add(time.Duration(float64(s.now) * (1 + s.clockDrift[node])))
 }
 
 func (s *simulation) schedule(d time.Duration, do func()) {
@@ -76,7 +76,7 @@
 		term := s.term
 		s.schedule(s.delay(), func() {
 			if s.voters[node] == v {
-				v.Begin(term)
+				v.Init(term)
 			}
 		})
 	})
@@ -102,13 +102,13 @@
 	term       uint64
 	startedAt  time.Time
 	promises   int
-	// longest is for how long, from startedAt, votes may still be valid.
-	longest time.Duration
+	// maxWait is for how long, from startedAt, votes may still be valid.
+	maxWait time.Duration
 }
 
-// takeOver makes a controller collect promises against the present term, wait until the votes
+// startTakeover makes a controller collect promises against the present term, wait until the votes
 // given have expired, and become leader.
-func (s *simulation) takeOver(node int) {
+func (s *simulation) startTakeover(node int) {
 	t := &takeover{simulation: s, node: node, term: s.term, startedAt: s.clock(node)}
 	term := s.term
 	for other := range s.size {
@@ -116,20 +116,20 @@
 			continue
 		}
 		if other == node {
-			t.countPromise(s.voters[node].Promise(term, s.clock(node)))
+			t.addPromise(s.voters[node].Promise(term, s.clock(node)))
 			continue
 		}
 		s.schedule(s.delay(), func() {
 			wait := s.voters[other].Promise(term, s.clock(other))
-			s.schedule(s.delay(), func() { t.countPromise(wait) })
+			s.schedule(s.delay(), func() { t.addPromise(wait) })
 		})
 	}
 }
 
-// countPromise adds a promise after which votes may be valid for a while.
-func (t *takeover) countPromise(wait time.Duration) {
+// addPromise adds a promise after which votes may be valid for a while.
+func (t *takeover) addPromise(wait time.Duration) {
 	t.promises++
-	t.longest = max(t.longest, t.simulation.clock(t.node).Add(wait).Sub(t.startedAt))
+	t.maxWait = max(t.maxWait, t.simulation.clock(t.node).Add(wait).Sub(t.startedAt))
 	if t.promises == RequiredPromises(t.simulation.size) {
 		t.elect()
 	}
@@ -139,7 +139,7 @@
 // become leader since.
 func (t *takeover) elect() {
 	s := t.simulation
-	if s.clock(t.node).Sub(t.startedAt) < t.longest {
+	if s.clock(t.node).Sub(t.startedAt) < t.maxWait {
 		s.schedule(step, t.elect)
 		return
 	}
@@ -151,10 +151,10 @@
 }
 
 // termsWithQuorum are the terms of the leaders that may act now. A leader acts up to
-// effectDelay after it has checked its votes.
+// actionMargin after it has checked its votes.
 func (s *simulation) termsWithQuorum() (terms []uint64) {
 	for _, l := range s.leaders {
-		if l.votes.HasQuorum(RequiredVotes(s.size), s.clock(l.node).Add(-effectDelay)) {
+		if l.votes.HasQuorum(RequiredVotes(s.size), s.clock(l.node).Add(-actionMargin)) {
 			terms = append(terms, l.term)
 		}
 	}
@@ -172,7 +172,7 @@
 		voteLifetime: 3 * time.Second,
 	}
 	for range s.size {
-		s.drift = append(s.drift, (s.random.Float64()-0.5)/1000)
+		s.clockDrift = append(s.clockDrift, (s.random.Float64()-0.5)/1000)
 		s.voters = append(s.voters, nil)
 	}
 	for node := range s.size {
@@ -189,13 +189,13 @@
 func (s *simulation) advance() {
 	s.runDue()
 	if s.now%time.Second == 0 {
-		s.requestVotes()
+		s.requestAllVotes()
 	}
 	switch s.random.IntN(600) {
 	case 0:
 		s.restart(s.random.IntN(s.size))
 	case 1, 2:
-		s.takeOver((s.leaders[len(s.leaders)-1].node + 1 + s.random.IntN(s.size-1)) % s.size)
+		s.startTakeover((s.leaders[len(s.leaders)-1].node + 1 + s.random.IntN(s.size-1)) % s.size)
 	}
 }
 
@@ -212,9 +212,9 @@
 	}
 }
 
-// requestVotes has the last two leaders request all votes: one that is replaced goes on for a
+// requestAllVotes has the last two leaders request all votes: one that is replaced goes on for a
 // while.
-func (s *simulation) requestVotes() {
+func (s *simulation) requestAllVotes() {
 	for _, l := range s.leaders[max(0, len(s.leaders)-2):] {
 		for node := range s.size {
 			if node != l.node {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -51,8 +51,8 @@
 	CancellationReader cancellation.Reader
 	// TermSeenAt is when a response first named its present term.
 	TermSeenAt time.Time
-	// lastPong is when the last ping that was answered was sent.
-	lastPong time.Time
+	// lastAnsweredPingAt is when the last ping that was answered was sent.
+	lastAnsweredPingAt time.Time
 	// FailedPings is the number of pings in a row that were not answered.
 	FailedPings int
 	// ConnectionRefused is set if it refuses connections from here.
@@ -71,9 +71,9 @@
 const (
 	// PingInterval is the time between two pings of a node.
 	PingInterval = time.Second
-	// UnreachablePings is how many pings in a row must fail before a node counts as
+	// FailedPingThreshold is how many pings in a row must fail before a node counts as
 	// unreachable.
-	UnreachablePings = 2
+	FailedPingThreshold = 2
 	// KVCheckInterval is the time between two health checks of the key-value store.
 	KVCheckInterval = 1500 * time.Millisecond
 	// A node counts as partitioned from the store once that has not answered it for
@@ -85,26 +85,26 @@
 
 // IsReachable reports whether the node has answered just now.
 func (mb *Member) IsReachable(now time.Time) bool {
-	return mb != nil && mb.FailedPings == 0 && now.Sub(mb.lastPong) < 3*PingInterval
+	return mb != nil && mb.FailedPings == 0 && now.Sub(mb.lastAnsweredPingAt) < 3*PingInterval
 }
 
 // IsUnreachable reports whether the node has not answered for a while.
-func (mb *Member) IsUnreachable() bool { return mb != nil && mb.FailedPings > UnreachablePings }
+func (mb *Member) IsUnreachable() bool { return mb != nil && mb.FailedPings > FailedPingThreshold }
 
-// ApplyPing applies whether a ping was answered, with how many have failed in a row.
-func (mb *Member) ApplyPing(failedPings int, connectionRefused bool) {
+// ApplyPingResult applies whether a ping was answered, with how many have failed in a row.
+func (mb *Member) ApplyPingResult(failedPings int, connectionRefused bool) {
 	mb.FailedPings, mb.ConnectionRefused = failedPings, connectionRefused
 }
 
-// ApplyPong applies the response to a ping that was sent at sentAt. Of the cancellations only
+// ApplyPingResponse applies the response to a ping that was sent at sentAt. Of the cancellations only
 // the position is kept.
-func (mb *Member) ApplyPong(status PeerStatus, sentAt, now time.Time) {
+func (mb *Member) ApplyPingResponse(status PeerStatus, sentAt, now time.Time) {
 	if status.Term != mb.Term {
 		mb.TermSeenAt = now
 	}
 	mb.CancellationReader.Apply(status.Incarnation, &status.Cancellations, sentAt, now)
 	status.Cancellations = cancellation.Delta{}
-	mb.PeerStatus, mb.lastPong = status, sentAt
+	mb.PeerStatus, mb.lastAnsweredPingAt = status, sentAt
 }
 
 // HighestTermLeader returns the reachable node that leads in the highest term, or "".
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -30,14 +30,14 @@
 		{"answered just now", 0, PingInterval, true, false},
 		{"answered long ago", 0, 3 * PingInterval, false, false},
 		{"one ping failed", 1, PingInterval, false, false},
-		{"pings failed up to the limit", UnreachablePings, PingInterval, false, false},
-		{"pings failed beyond the limit", UnreachablePings + 1, PingInterval, false, true},
+		{"pings failed up to the limit", FailedPingThreshold, PingInterval, false, false},
+		{"pings failed beyond the limit", FailedPingThreshold + 1, PingInterval, false, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var m Member
-			m.ApplyPong(PeerStatus{}, start, start)
-			m.ApplyPing(test.failedPings, false)
+			m.ApplyPingResponse(PeerStatus{}, start, start)
+			m.ApplyPingResult(test.failedPings, false)
 			if got := m.IsReachable(start.Add(test.sinceLast)); got != test.reachable {
 				t.Errorf("reachable: got %t, want %t", got, test.reachable)
 			}
@@ -56,9 +56,9 @@
 func TestHighestTermLeaderIgnoresUnreachableNodes(t *testing.T) {
 	table := newTestTable("n1", "n2", "n3")
 	for name, term := range map[string]uint64{"n1": 4, "n2": 5, "n3": 6} {
-		table.Members[name].ApplyPong(PeerStatus{Term: term}, start, start)
+		table.Members[name].ApplyPingResponse(PeerStatus{Term: term}, start, start)
 	}
-	table.Members["n3"].ApplyPing(1, false)
+	table.Members["n3"].ApplyPingResult(1, false)
 	if got := table.HighestTermLeader(start); got != "n2" {
 		t.Errorf("got %q, want n2", got)
 	}
@@ -69,7 +69,7 @@
 
 // Neither the beginning nor the end of an outage of the store may look like a partition of one
 // node from it.
-func TestKVLostOnlyAfterAWhile(t *testing.T) {
+func TestKVLostAfterTimeout(t *testing.T) {
 	table := newTestTable("n1")
 	table.ApplyKVHealth(true, start)
 	failed := start.Add(KVCheckInterval)
@@ -110,11 +110,11 @@
 // Only a node that the store has answered for a while may take over from one that it does not.
 func TestKVHealthyMember(t *testing.T) {
 	table := newTestTable("n1", "n2", "n3")
-	table.Members["n1"].ApplyPong(PeerStatus{KVReachableFor: kvHealthyAfter - 1}, start, start)
+	table.Members["n1"].ApplyPingResponse(PeerStatus{KVReachableFor: kvHealthyAfter - 1}, start, start)
 	if reachable, healthy := table.KVHealthyMember(start); reachable != 1 || healthy != "" {
 		t.Errorf("got %d reachable and %q healthy, want 1 and none", reachable, healthy)
 	}
-	table.Members["n2"].ApplyPong(PeerStatus{KVReachableFor: kvHealthyAfter}, start, start)
+	table.Members["n2"].ApplyPingResponse(PeerStatus{KVReachableFor: kvHealthyAfter}, start, start)
 	if reachable, healthy := table.KVHealthyMember(start); reachable != 2 || healthy != "n2" {
 		t.Errorf("got %d reachable and %q healthy, want 2 and n2", reachable, healthy)
 	}
@@ -124,12 +124,12 @@
 // only.
 func TestTermSeenAtChangesWithTerm(t *testing.T) {
 	var m Member
-	m.ApplyPong(PeerStatus{Term: 3}, start, start)
-	m.ApplyPong(PeerStatus{Term: 3}, start.Add(time.Second), start.Add(time.Second))
+	m.ApplyPingResponse(PeerStatus{Term: 3}, start, start)
+	m.ApplyPingResponse(PeerStatus{Term: 3}, start.Add(time.Second), start.Add(time.Second))
 	if !m.TermSeenAt.Equal(start) {
 		t.Errorf("same term: got %v, want %v", m.TermSeenAt, start)
 	}
-	m.ApplyPong(PeerStatus{Term: 4}, start.Add(time.Minute), start.Add(time.Minute))
+	m.ApplyPingResponse(PeerStatus{Term: 4}, start.Add(time.Minute), start.Add(time.Minute))
 	if want := start.Add(time.Minute); !m.TermSeenAt.Equal(want) {
 		t.Errorf("next term: got %v, want %v", m.TermSeenAt, want)
 	}
