--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,7 +1,7 @@
-// Package election elects the leader among the controllers. The leader holds the key "leader"
-// under a lease of the key-value store, and each new leader increments "term" in the same
-// transaction. A late transaction of an earlier leader fails, since all of them compare the
-// version of "term".
+// Package election elects one of the controllers as the leader. The leader holds the key "leader"
+// under a lease of the key-value store. In the transaction that writes this key, it also
+// increments the number in the key "term". Every transaction of a leader compares the version of
+// "term", so that a transaction of an earlier leader fails however late it arrives.
 package election
 
 import (
@@ -22,10 +22,10 @@
 	TermKey   = "term"
 )
 
-// Term is a term in which this process leads.
+// Term identifies a term in which this process is the leader.
 type Term struct {
 	Number uint64
-	// ModRevision is the version of the term key, which the leader's transactions compare.
+	// ModRevision is the version of the term key that the leader's transactions compare.
 	ModRevision uint64
 }
 
@@ -42,59 +42,65 @@
 
 // Observer receives the events of the election. All its methods are called by one goroutine.
 type Observer interface {
-	// LeaderChanged names the present leader as far as it is known; "" is none.
+	// LeaderChanged is called with the current leader, or "" if there is none.
 	LeaderChanged(node string)
-	// ElectionWon begins a term in which this process leads until leaseExpiry.
+	// ElectionWon is called when this process becomes the leader. Its lease is valid until
+	// leaseExpiry unless it is renewed.
 	ElectionWon(term Term, leaseExpiry time.Time)
-	// LeaseRenewed extends the lease of the term.
+	// LeaseRenewed is called when the lease of the term has been extended to leaseExpiry.
 	LeaseRenewed(term Term, leaseExpiry time.Time)
-	// LeadershipLost ends the term for good.
+	// LeadershipLost is called when the term has ended, for whatever reason. The process does
+	// not lead in this term again.
 	LeadershipLost(term Term)
 }
 
-// Elector takes part in the election for one process.
+// Elector runs the election on behalf of one process.
 type Elector struct {
 	Node        string
 	Incarnation string
 	Store       kv.Service
-	// LeaseDuration is the lifetime of the leader lease, and Renew the interval of its renewals.
+	// LeaseDuration is the lifetime of the leader lease.
 	LeaseDuration time.Duration
+	// RenewInterval is the time between two renewals of the leader lease.
 	RenewInterval time.Duration
 	Observer      Observer
 	Log           *slog.Logger
-	// StepDowns carries terms that something else has shown to be over. The elector
-	// steps down if it leads in that term.
+	// StepDowns delivers the numbers of terms that the controller has found to be over. The
+	// elector steps down if it leads in that term.
 	StepDowns <-chan uint64
-	// Resignations names leaders that no longer act, or no longer may, so that the
-	// expiry of their lease need not be awaited.
+	// Resignations delivers the leaders that no longer act, or are no longer allowed to. The
+	// elector campaigns without waiting for their lease to expire.
 	Resignations <-chan Resignation
 }
 
-// Resignation says that a node no longer acts as leader of a term.
+// Resignation reports that a node no longer acts as leader of a term.
 type Resignation struct {
 	Node string
 	Term uint64
 }
 
 const (
-	// callTimeout bounds one request to the store.
+	// callTimeout is the time limit of one request to the key-value store.
 	callTimeout = 2 * time.Second
-	// clockDriftDivisor gives the part of a lease that is kept back for clock drift. The
-	// monotonic clocks drift apart by up to 0.05%; this is ten times that.
+	// clockDriftDivisor determines the safety margin for clock drift: 1/200 (0.5%) of a lease.
+	// Monotonic clocks drift apart by up to 0.05%, a tenth of that.
 	clockDriftDivisor = 200
-	// actionMargin is kept back for the time between the check of a lease and its effect.
+	// actionMargin is the safety margin for the time between checking the lease and the moment
+	// at which an action that depends on it takes effect.
 	actionMargin = 250 * time.Millisecond
-	// retryDelay is the wait after a failed round; up to maxRetryJitter is added.
-	retryDelay     = 200 * time.Millisecond
+	// retryDelay is the shortest wait after a failed round.
+	retryDelay = 200 * time.Millisecond
+	// maxRetryJitter is the upper bound of the random time that is added to retryDelay.
 	maxRetryJitter = 300 * time.Millisecond
 )
 
-// leaseValidity is how long after sending a renewal the lease can be relied on.
+// leaseValidity returns for how long a lease is relied on, counted from the moment at which its
+// grant or renewal was requested.
 func leaseValidity(lease time.Duration) time.Duration {
 	return lease - lease/clockDriftDivisor - actionMargin
 }
 
-// Run takes part in the election until the context ends.
+// Run campaigns, leads or follows until the context ends.
 func (e *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := e.runRound(ctx); err != nil {
@@ -104,111 +110,120 @@
 	}
 }
 
-// runRound reads the leader key once. It campaigns if the key is free or held by an earlier
-// incarnation of this node, and otherwise waits for it to change.
+// runRound reads the leader key once. It campaigns if the key does not exist or was written by
+// this node. Otherwise it follows the leader until the key changes or the leader resigns.
 func (e *Elector) runRound(ctx context.Context) error {
-	cur, err := e.get(ctx, LeaderKey)
+	leaderEntry, err := e.get(ctx, LeaderKey)
 	if err != nil {
 		return err
 	}
-	if cur.ModRevision == 0 {
+	if leaderEntry.ModRevision == 0 {
 		e.Observer.LeaderChanged("")
-		return e.campaign(ctx, cur.ModRevision, anyTerm)
+		return e.campaign(ctx, leaderEntry.ModRevision, anyTerm)
 	}
 	var record LeaderRecord
-	if err := json.Unmarshal(cur.Value, &record); err != nil {
+	if err := json.Unmarshal(leaderEntry.Value, &record); err != nil {
 		return fmt.Errorf("decode leader key: %w", err)
 	}
 	if record.Node == e.Node {
-		// The incarnation that wrote it has ended, or is this one and lost the response
-		// to its transaction: a new term begins at once, before the lease expires.
-		return e.campaign(ctx, cur.ModRevision, anyTerm)
+		// Either an earlier process of this node wrote the key and has ended, or this process
+		// wrote it and lost the response to its transaction. In both cases no other node leads,
+		// so a new term can begin before the lease expires.
+		return e.campaign(ctx, leaderEntry.ModRevision, anyTerm)
 	}
 	e.Observer.LeaderChanged(record.Node)
-	resigned, err := e.follow(ctx, record.Node, cur.ModRevision)
-	if resigned != anyTerm {
-		// It no longer acts in that term. If it has begun a new one since, the campaign
-		// does nothing, for the resignation may have arrived late.
-		return e.campaign(ctx, cur.ModRevision, resigned)
+	resignedTerm, err := e.follow(ctx, record.Node, leaderEntry.ModRevision)
+	if resignedTerm != anyTerm {
+		// The resignation may be an old one that arrived late. The campaign does nothing if
+		// the leader has begun another term since.
+		return e.campaign(ctx, leaderEntry.ModRevision, resignedTerm)
 	}
 	return err
 }
 
-// anyTerm stands for a term where it does not matter which one is followed.
+// anyTerm is the zero term number, which no term has. campaign accepts it if the number of the
+// current term does not matter, and follow returns it if the leader has not resigned.
 const anyTerm = 0
 
 const (
-	// watchTimeout is how long one watch of the leader key waits for a change.
+	// watchTimeout is how long the store waits for a change of the leader key before it responds
+	// to a watch.
 	watchTimeout = 20 * time.Second
-	// watchResponseMargin is left for its response.
+	// watchResponseMargin is the time, beyond watchTimeout, in which the response must arrive.
 	watchResponseMargin = 10 * time.Second
 )
 
-// follow waits until the leader key changes, or the leader has resigned. It returns the term
-// in which the leader has resigned, or anyTerm.
-func (e *Elector) follow(ctx context.Context, leader string, from uint64) (resigned uint64, err error) {
+// follow waits until the leader key changes after fromRevision, or the leader resigns. It returns
+// the term in which the leader has resigned, or anyTerm if it has not.
+func (e *Elector) follow(
+	ctx context.Context, leader string, fromRevision uint64,
+) (resignedTerm uint64, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for {
-		result := e.awaitWatch(e.watchLeaderKey(ctx, from), leader)
+		result := e.awaitWatch(e.watchLeaderKey(ctx, fromRevision), leader)
 		if result.resignedTerm != anyTerm {
 			return result.resignedTerm, nil
 		}
 		if result.err != nil || len(result.changes.Events) > 0 {
 			return anyTerm, result.err
 		}
-		from = max(from, result.changes.Revision)
+		fromRevision = max(fromRevision, result.changes.Revision)
 	}
 }
 
-// watchResult is what ended the wait for a change of the leader key.
+// watchResult is the outcome of a watch of the leader key, or the resignation that arrived before
+// the watch had ended.
 type watchResult struct {
-	changes      kv.Changes
-	err          error
+	changes kv.Changes
+	err     error
+	// resignedTerm is the term in which the leader has resigned, or anyTerm.
 	resignedTerm uint64
 }
 
-// watchLeaderKey sends the result of one watch when it has ended.
-func (e *Elector) watchLeaderKey(ctx context.Context, from uint64) <-chan watchResult {
+// watchLeaderKey starts one watch of the leader key, and returns the channel that receives its
+// result.
+func (e *Elector) watchLeaderKey(ctx context.Context, fromRevision uint64) <-chan watchResult {
 	done := make(chan watchResult, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, watchTimeout+watchResponseMargin)
 		defer cancel()
-		changes, err := e.Store.Watch(ctx, LeaderKey, from, watchTimeout)
+		changes, err := e.Store.Watch(ctx, LeaderKey, fromRevision, watchTimeout)
 		done <- watchResult{changes: changes, err: err}
 	}()
 	return done
 }
 
-// awaitWatch waits for the result of a watch, or for the leader's resignation. Those of other
-// nodes are dropped.
+// awaitWatch waits for the result of a watch or the leader's resignation, whichever comes first.
+// Resignations of other nodes are dropped.
 func (e *Elector) awaitWatch(watch <-chan watchResult, leader string) watchResult {
 	for {
 		select {
 		case result := <-watch:
 			return result
-		case r := <-e.Resignations:
-			if r.Node == leader && r.Term != anyTerm {
-				return watchResult{resignedTerm: r.Term}
+		case resignation := <-e.Resignations:
+			if resignation.Node == leader && resignation.Term != anyTerm {
+				return watchResult{resignedTerm: resignation.Term}
 			}
 		}
 	}
 }
 
-// campaign begins a new term if the leader key still has the version leaderRevision, and the
-// term on record is the followed one or followed is anyTerm.
-func (e *Elector) campaign(ctx context.Context, leaderRevision, followed uint64) error {
-	old, err := e.get(ctx, TermKey)
+// campaign begins a new term, and leads in it until it ends, if the leader key still has the
+// version leaderRevision and the term key still has the number expectedTerm. With anyTerm the
+// number of the term key is not checked.
+func (e *Elector) campaign(ctx context.Context, leaderRevision, expectedTerm uint64) error {
+	termEntry, err := e.get(ctx, TermKey)
 	if err != nil {
 		return err
 	}
 	var termRecord TermRecord
-	if old.ModRevision != 0 {
-		if err := json.Unmarshal(old.Value, &termRecord); err != nil {
+	if termEntry.ModRevision != 0 {
+		if err := json.Unmarshal(termEntry.Value, &termRecord); err != nil {
 			return fmt.Errorf("decode term key: %w", err)
 		}
 	}
-	if followed != anyTerm && termRecord.Number != followed {
+	if expectedTerm != anyTerm && termRecord.Number != expectedTerm {
 		return nil
 	}
 	termRecord.Number++
@@ -220,10 +235,10 @@
 		return fmt.Errorf("grant leader lease: %w", err)
 	}
 	callCtx, cancel = context.WithTimeout(ctx, callTimeout)
-	res, err := e.Store.Txn(callCtx, kv.Txn{
+	result, err := e.Store.Txn(callCtx, kv.Txn{
 		Compares: []kv.Compare{
 			{Key: LeaderKey, ModRevision: leaderRevision},
-			{Key: TermKey, ModRevision: old.ModRevision},
+			{Key: TermKey, ModRevision: termEntry.ModRevision},
 		},
 		Ops: []kv.Op{
 			{Put: LeaderKey, Value: LeaderRecord{Node: e.Node, Incarnation: e.Incarnation}, Lease: lease},
@@ -234,14 +249,18 @@
 	if err != nil {
 		return fmt.Errorf("begin term %d: %w", termRecord.Number, err)
 	}
-	if !res.Succeeded {
+	if !result.Succeeded {
 		return nil
 	}
-	e.lead(ctx, Term{Number: termRecord.Number, ModRevision: res.Revision}, lease, sentAt.Add(leaseValidity(e.LeaseDuration)))
+	e.lead(
+		ctx, Term{Number: termRecord.Number, ModRevision: result.Revision},
+		lease, sentAt.Add(leaseValidity(e.LeaseDuration)),
+	)
 	return nil
 }
 
-// lead renews the lease until the term ends.
+// lead notifies the observer of the new term, and renews the lease at intervals until the context
+// ends, the lease has expired, or a notice on StepDowns names the term.
 func (e *Elector) lead(ctx context.Context, term Term, lease uint64, leaseExpiry time.Time) {
 	e.Log.Info("leadership won", "term", term.Number)
 	e.Observer.LeaderChanged(e.Node)
@@ -251,8 +270,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-e.StepDowns:
-			if n == term.Number {
+		case endedTerm := <-e.StepDowns:
+			if endedTerm == term.Number {
 				e.Log.Info("leadership lost", "term", term.Number, "reason", "term superseded")
 				return
 			}
@@ -270,19 +289,19 @@
 			e.Log.Info("leadership lost", "term", term.Number, "reason", "lease expired")
 			return
 		default:
-			e.Log.Debug("lease not renewed", "term", term.Number, "err", err)
+			e.Log.Debug("leader lease renewal failed", "term", term.Number, "err", err)
 		}
 	}
 }
 
-// get reads one key.
+// get reads one key with the time limit callTimeout.
 func (e *Elector) get(ctx context.Context, key string) (kv.Entry, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return e.Store.Get(callCtx, key)
 }
 
-// sleep waits for a time, or until the context ends.
+// sleep waits for d or the end of the context.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -11,7 +11,7 @@
 	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
-// observer stores the term that an elector has won.
+// observer stores the term in which an elector leads, or 0.
 type observer struct{ term atomic.Uint64 }
 
 func (*observer) LeaderChanged(string)                 {}
@@ -19,11 +19,11 @@
 func (*observer) LeaseRenewed(Term, time.Time)         {}
 func (o *observer) LeadershipLost(Term)                { o.term.Store(0) }
 
-// A resignation counts for the term that it names: one that arrives when the same node leads
-// in a later term changes nothing.
+// A resignation is valid only for the term that it names. If it arrives late, when the same node
+// already leads in a later term, the other electors must ignore it.
 func TestResignationOfEarlierTermIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := kvtest.New()
+		store := kvtest.New()
 		var a, b observer
 		startElector := func(node string, o *observer) (chan<- Resignation, context.CancelFunc) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -31,7 +31,7 @@
 			e := &Elector{
 				Node:          node,
 				Incarnation:   node,
-				Store:         st,
+				Store:         store,
 				LeaseDuration: 30 * time.Second,
 				RenewInterval: 3 * time.Second,
 				Observer:      o,
@@ -46,7 +46,7 @@
 		resigned, stopB := startElector("b", &b)
 		stopA()
 		time.Sleep(time.Second)
-		_, stopA = startElector("a", &a) // its next term
+		_, stopA = startElector("a", &a) // begins term 2
 		if a.term.Load() != 2 || b.term.Load() != 0 {
 			t.Fatalf("got terms %d and %d, want 2 and 0", a.term.Load(), b.term.Load())
 		}
--- a/internal/leasequorum/leasequorum_test.go
+++ b/internal/leasequorum/leasequorum_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Whatever the size of the group, a leader cannot have a quorum of votes once those who replace
-// it have the promises that they need, and neither is larger than it must be.
+// For every group size, once a controller has the required promises, the other controllers are too
+// few for a vote quorum. Both numbers are also as small as possible.
 func TestVoteAndPromiseQuorumsIntersect(t *testing.T) {
 	for n := 1; n <= 9; n++ {
 		votes, promises := RequiredVotes(n), RequiredPromises(n)
@@ -25,8 +25,8 @@
 	}
 }
 
-// simulation is a group in simulated time: each controller has a clock that runs a little fast or
-// slow, processes end and restart, and messages are delayed.
+// simulation simulates a group of controllers. Each has a clock that runs slightly fast or slow,
+// processes restart, and messages are delayed.
 type simulation struct {
 	random       *rand.Rand
 	now          time.Duration
@@ -34,9 +34,9 @@
 	voteLifetime time.Duration
 	voters       []*Voter
 	clockDrift   []float64
-	// term is the term on record.
+	// term is the current term in the simulated key-value store.
 	term uint64
-	// leaders are those of all terms, in order.
+	// leaders are the leaders of all terms, in order.
 	leaders []*simulatedLeader
 	events  []simulatedEvent
 }
@@ -52,16 +52,16 @@
 	run func()
 }
 
-// clock is what a controller's clock shows.
+// clock returns the time on a controller's clock.
 func (s *simulation) clock(node int) time.Time {
 	return time.Unix(1_000_000, 0).Add(time.Duration(float64(s.now) * (1 + s.clockDrift[node])))
 }
 
-func (s *simulation) schedule(d time.Duration, do func()) {
-	s.events = append(s.events, simulatedEvent{at: s.now + d, run: do})
+func (s *simulation) schedule(delay time.Duration, run func()) {
+	s.events = append(s.events, simulatedEvent{at: s.now + delay, run: run})
 }
 
-// delay is how long a message takes; one in ten is late.
+// delay returns a random message delay: up to 50 ms, but up to 6 s for one message in ten.
 func (s *simulation) delay() time.Duration {
 	if s.random.IntN(10) == 0 {
 		return time.Duration(s.random.IntN(6000)) * time.Millisecond
@@ -70,26 +70,26 @@
 }
 
 func (s *simulation) restart(node int) {
-	v := NewVoter(s.voteLifetime, s.clock(node))
-	s.voters[node] = v
+	voter := NewVoter(s.voteLifetime, s.clock(node))
+	s.voters[node] = voter
 	s.schedule(s.delay(), func() {
 		term := s.term
 		s.schedule(s.delay(), func() {
-			if s.voters[node] == v {
-				v.Init(term)
+			if s.voters[node] == voter {
+				voter.Init(term)
 			}
 		})
 	})
 }
 
-// requestVote makes a leader request the vote of another controller.
-func (s *simulation) requestVote(l *simulatedLeader, node int) {
-	sentAt := s.clock(l.node)
+// requestVote sends a leader's vote request to another controller.
+func (s *simulation) requestVote(leader *simulatedLeader, node int) {
+	sentAt := s.clock(leader.node)
 	s.schedule(s.delay(), func() {
-		voted := s.voters[node].Vote(l.term, s.clock(node))
+		granted := s.voters[node].Vote(leader.term, s.clock(node))
 		s.schedule(s.delay(), func() {
-			if voted {
-				l.votes.Add(string(rune('a'+node)), sentAt)
+			if granted {
+				leader.votes.Add(string(rune('a'+node)), sentAt)
 			}
 		})
 	})
@@ -102,12 +102,12 @@
 	term       uint64
 	startedAt  time.Time
 	promises   int
-	// maxWait is for how long, from startedAt, votes may still be valid.
+	// maxWait is for how long, counted from startedAt, votes may still be valid.
 	maxWait time.Duration
 }
 
-// startTakeover makes a controller collect promises against the present term, wait until the votes
-// given have expired, and become leader.
+// startTakeover has a controller collect promises for the current term, wait until the votes given
+// in it have expired, and become the leader.
 func (s *simulation) startTakeover(node int) {
 	t := &takeover{simulation: s, node: node, term: s.term, startedAt: s.clock(node)}
 	term := s.term
@@ -126,7 +126,7 @@
 	}
 }
 
-// addPromise adds a promise after which votes may be valid for a while.
+// addPromise counts a promise. wait is for how long votes of that controller may still be valid.
 func (t *takeover) addPromise(wait time.Duration) {
 	t.promises++
 	t.maxWait = max(t.maxWait, t.simulation.clock(t.node).Add(wait).Sub(t.startedAt))
@@ -135,27 +135,27 @@
 	}
 }
 
-// elect makes the controller the leader once the votes have expired, unless another one has
-// become leader since.
+// elect makes the controller the leader once the votes have expired, unless another controller
+// has become the leader meanwhile.
 func (t *takeover) elect() {
 	s := t.simulation
 	if s.clock(t.node).Sub(t.startedAt) < t.maxWait {
 		s.schedule(step, t.elect)
 		return
 	}
-	if s.term == t.term { // what the transaction compares
+	if s.term == t.term { // as the transaction at the key-value store compares
 		s.term++
 		votes := NewVoteSet(s.voteLifetime)
 		s.leaders = append(s.leaders, &simulatedLeader{node: t.node, term: s.term, votes: votes})
 	}
 }
 
-// termsWithQuorum are the terms of the leaders that may act now. A leader acts up to
+// termsWithQuorum returns the terms of the leaders that may act now. A leader may act up to
 // actionMargin after it has checked its votes.
 func (s *simulation) termsWithQuorum() (terms []uint64) {
-	for _, l := range s.leaders {
-		if l.votes.HasQuorum(RequiredVotes(s.size), s.clock(l.node).Add(-actionMargin)) {
-			terms = append(terms, l.term)
+	for _, leader := range s.leaders {
+		if leader.votes.HasQuorum(RequiredVotes(s.size), s.clock(leader.node).Add(-actionMargin)) {
+			terms = append(terms, leader.term)
 		}
 	}
 	return terms
@@ -164,7 +164,7 @@
 // step is the resolution of simulated time.
 const step = 20 * time.Millisecond
 
-// newSimulation makes a group whose first leader has just been elected.
+// newSimulation returns a group whose first leader has just been elected.
 func newSimulation(seed uint64) *simulation {
 	s := &simulation{
 		random:       rand.New(rand.NewPCG(seed, 3)),
@@ -184,8 +184,8 @@
 	return s
 }
 
-// advance runs what is due, has the last two leaders request votes every second, and now and
-// then restarts a controller or has one take over.
+// advance simulates one step. It runs the events that are due, and has the last two leaders
+// request votes once per second. At random it restarts a controller or has one start a takeover.
 func (s *simulation) advance() {
 	s.runDue()
 	if s.now%time.Second == 0 {
@@ -199,33 +199,33 @@
 	}
 }
 
-// runDue runs the events that are due. What they schedule runs in a later step.
+// runDue runs the events that are due. Events that they schedule run in a later step.
 func (s *simulation) runDue() {
 	due := s.events
 	s.events = nil
-	for _, e := range due {
-		if e.at <= s.now {
-			e.run()
+	for _, event := range due {
+		if event.at <= s.now {
+			event.run()
 		} else {
-			s.events = append(s.events, e)
+			s.events = append(s.events, event)
 		}
 	}
 }
 
-// requestAllVotes has the last two leaders request all votes: one that is replaced goes on for a
-// while.
+// requestAllVotes has the last two leaders request the votes of all other controllers. The earlier
+// one takes part because a leader that was replaced continues for a while.
 func (s *simulation) requestAllVotes() {
-	for _, l := range s.leaders[max(0, len(s.leaders)-2):] {
+	for _, leader := range s.leaders[max(0, len(s.leaders)-2):] {
 		for node := range s.size {
-			if node != l.node {
-				s.requestVote(l, node)
+			if node != leader.node {
+				s.requestVote(leader, node)
 			}
 		}
 	}
 }
 
-// Two leaders never have a quorum at the same time, with clocks that drift, processes that end
-// and restart, messages that are late, and several controllers that want to take over.
+// Two leaders never have a quorum at the same time, although clocks drift, processes restart,
+// messages arrive late, and several controllers attempt a takeover at once.
 func TestAtMostOneLeaderHasQuorum(t *testing.T) {
 	const minTakeovers = 300
 	takeovers := 0
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership holds what a controller knows of the other controllers, by their responses to
-// its pings, and whether the key-value store answers it. It does no I/O and has no clock: the
-// owner pings, and applies the results with their times.
+// Package membership tracks the state of the other controllers, from their responses to pings, and
+// whether this controller reaches the key-value store. It does no I/O and reads no clock: the
+// caller sends the pings and passes their results with the times.
 package membership
 
 import (
@@ -10,60 +10,61 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// PeerStatus is a node's state in its response to a ping.
+// PeerStatus is the state that a node reports in its response to a ping.
 type PeerStatus struct {
-	// Term is the term in which the node leads at this moment, or 0.
+	// Term is the term in which the node currently leads, or 0.
 	Term uint64
-	// Leader is the node that it follows.
+	// Leader is the leader that the node follows.
 	Leader string
-	// KVReachableFor is for how long the key-value store has answered it, or 0.
+	// KVReachableFor is for how long the key-value store has answered the node, or 0.
 	KVReachableFor time.Duration
-	// Incarnation is the one under which it relays heartbeats.
+	// Incarnation is the incarnation under which the node relays heartbeats.
 	Incarnation string
-	// Cancellations is a part of its cancellation log.
+	// Cancellations is the part of the node's cancellation log that was requested.
 	Cancellations cancellation.Delta
-	// CancellationsKnownAge is how long ago it knew all cancellations as leader; negative:
-	// not known.
+	// CancellationsKnownAge is how long ago the node, as leader, last had all cancellations in
+	// memory. It is negative if the node does not lead or has not loaded its records yet.
 	CancellationsKnownAge time.Duration
-	// SupportsLoans is set if its version reads records of jobs that are lent between cells.
+	// SupportsLoans is set if the node's version can read the records of jobs that are lent
+	// between cells.
 	SupportsLoans bool
-	// SupportsLeaseQuorum is set if it votes and promises.
+	// SupportsLeaseQuorum is set if the node responds to requests for votes and promises.
 	SupportsLeaseQuorum bool
-	// QuorumRequired is set if it acts as leader only while it has a lease quorum.
+	// QuorumRequired is set if the node acts as leader only while it has a lease quorum.
 	QuorumRequired bool
 }
 
-// Table is what a node knows of the other nodes, and whether it reaches the key-value
-// store itself.
+// Table holds the state of the other nodes, and whether this node reaches the key-value store.
 type Table struct {
 	Members map[string]*Member
-	// kvAnsweredAt is when the store last answered, and kvStateSince since when KVReachable
-	// has had its value.
+	// kvAnsweredAt is when the store last answered.
 	kvAnsweredAt time.Time
-	KVReachable  bool
+	// KVReachable is the result of the last health check of the store.
+	KVReachable bool
+	// kvStateSince is when KVReachable last changed.
 	kvStateSince time.Time
 }
 
-// Member is another node as of its last response.
+// Member is another node, as of its last response to a ping.
 type Member struct {
 	PeerStatus
 	Zone               string
 	CancellationReader cancellation.Reader
-	// TermSeenAt is when a response first named its present term.
+	// TermSeenAt is when a response first contained the present value of Term.
 	TermSeenAt time.Time
 	// lastAnsweredPingAt is when the last ping that was answered was sent.
 	lastAnsweredPingAt time.Time
-	// FailedPings is the number of pings in a row that were not answered.
+	// FailedPings is the number of consecutive pings that were not answered.
 	FailedPings int
-	// ConnectionRefused is set if it refuses connections from here.
+	// ConnectionRefused is set if the node refused the connection for the last ping.
 	ConnectionRefused bool
 }
 
-// NewTable makes the table of the other nodes, none of which has answered yet.
+// NewTable returns a table of the other nodes, none of which has answered yet.
 func NewTable(peers []config.Peer, now time.Time) Table {
 	t := Table{Members: map[string]*Member{}, kvStateSince: now}
-	for _, p := range peers {
-		t.Members[p.Node] = &Member{Zone: p.Zone}
+	for _, peer := range peers {
+		t.Members[peer.Node] = &Member{Zone: peer.Zone}
 	}
 	return t
 }
@@ -71,69 +72,73 @@
 const (
 	// PingInterval is the time between two pings of a node.
 	PingInterval = time.Second
-	// FailedPingThreshold is how many pings in a row must fail before a node counts as
-	// unreachable.
+	// FailedPingThreshold is the number of consecutive failed pings at which a leader is
+	// suspected to have failed. A node counts as unreachable when more pings than this fail.
 	FailedPingThreshold = 2
 	// KVCheckInterval is the time between two health checks of the key-value store.
 	KVCheckInterval = 1500 * time.Millisecond
-	// A node counts as partitioned from the store once that has not answered it for
-	// kvUnreachableAfter, but has answered another node for kvHealthyAfter: both that long, so
-	// that neither the beginning nor the end of an outage is taken for a partition.
+	// kvUnreachableAfter is for how long the store must not have answered this node before the
+	// node counts as partitioned from it. Not all nodes notice the beginning of an outage of the
+	// store at once; the wait keeps a node from taking it for a partition.
 	kvUnreachableAfter = 5 * time.Second
-	kvHealthyAfter     = 8 * time.Second
+	// kvHealthyAfter is for how long the store must have answered another node before that node
+	// counts as healthy. Not all nodes notice the end of an outage at once; the wait keeps a node
+	// from taking it for a partition.
+	kvHealthyAfter = 8 * time.Second
 )
 
-// IsReachable reports whether the node has answered just now.
-func (mb *Member) IsReachable(now time.Time) bool {
-	return mb != nil && mb.FailedPings == 0 && now.Sub(mb.lastAnsweredPingAt) < 3*PingInterval
+// IsReachable reports whether the last ping was answered and is recent.
+func (m *Member) IsReachable(now time.Time) bool {
+	return m != nil && m.FailedPings == 0 && now.Sub(m.lastAnsweredPingAt) < 3*PingInterval
 }
 
-// IsUnreachable reports whether the node has not answered for a while.
-func (mb *Member) IsUnreachable() bool { return mb != nil && mb.FailedPings > FailedPingThreshold }
+// IsUnreachable reports whether more than FailedPingThreshold consecutive pings have failed.
+func (m *Member) IsUnreachable() bool { return m != nil && m.FailedPings > FailedPingThreshold }
 
-// ApplyPingResult applies whether a ping was answered, with how many have failed in a row.
-func (mb *Member) ApplyPingResult(failedPings int, connectionRefused bool) {
-	mb.FailedPings, mb.ConnectionRefused = failedPings, connectionRefused
+// ApplyPingResult stores the outcome of a ping. failedPings is the number of consecutive failed
+// pings, or 0 if this one was answered.
+func (m *Member) ApplyPingResult(failedPings int, connectionRefused bool) {
+	m.FailedPings, m.ConnectionRefused = failedPings, connectionRefused
 }
 
-// ApplyPingResponse applies the response to a ping that was sent at sentAt. Of the cancellations only
-// the position is kept.
-func (mb *Member) ApplyPingResponse(status PeerStatus, sentAt, now time.Time) {
-	if status.Term != mb.Term {
-		mb.TermSeenAt = now
+// ApplyPingResponse stores the response to a ping that was sent at sentAt. Of the cancellations in
+// it, only the position in the node's log is kept.
+func (m *Member) ApplyPingResponse(status PeerStatus, sentAt, now time.Time) {
+	if status.Term != m.Term {
+		m.TermSeenAt = now
 	}
-	mb.CancellationReader.Apply(status.Incarnation, &status.Cancellations, sentAt, now)
+	m.CancellationReader.Apply(status.Incarnation, &status.Cancellations, sentAt, now)
 	status.Cancellations = cancellation.Delta{}
-	mb.PeerStatus, mb.lastAnsweredPingAt = status, sentAt
+	m.PeerStatus, m.lastAnsweredPingAt = status, sentAt
 }
 
 // HighestTermLeader returns the reachable node that leads in the highest term, or "".
 func (t *Table) HighestTermLeader(now time.Time) string {
 	leader, term := "", uint64(0)
-	for name, mb := range t.Members {
-		if mb.IsReachable(now) && mb.Term > term {
-			leader, term = name, mb.Term
+	for name, member := range t.Members {
+		if member.IsReachable(now) && member.Term > term {
+			leader, term = name, member.Term
 		}
 	}
 	return leader
 }
 
-// KVHealthyMember counts the reachable nodes, and names one that the key-value store has
-// answered for a while, or none.
+// KVHealthyMember returns the number of reachable nodes, and the name of one of them that the
+// key-value store has answered for at least kvHealthyAfter, or "".
 func (t *Table) KVHealthyMember(now time.Time) (reachable int, healthy string) {
-	for name, mb := range t.Members {
-		if !mb.IsReachable(now) {
+	for name, member := range t.Members {
+		if !member.IsReachable(now) {
 			continue
 		}
 		reachable++
-		if mb.KVReachableFor >= kvHealthyAfter {
+		if member.KVReachableFor >= kvHealthyAfter {
 			healthy = name
 		}
 	}
 	return reachable, healthy
 }
 
-// ApplyKVHealth applies whether the key-value store has answered a health check.
+// ApplyKVHealth stores whether the key-value store has answered a health check.
 func (t *Table) ApplyKVHealth(ok bool, now time.Time) {
 	if ok {
 		t.kvAnsweredAt = now
@@ -143,13 +148,14 @@
 	}
 }
 
-// KVLost reports whether the key-value store has not answered this node for a while.
+// KVLost reports whether this node has not reached the key-value store for at least
+// kvUnreachableAfter.
 func (t *Table) KVLost(now time.Time) bool {
 	return !t.KVReachable && now.Sub(t.kvStateSince) >= kvUnreachableAfter
 }
 
-// KVReachableFor is for how long the key-value store has answered this node; 0: it does not, or
-// the last answer is old.
+// KVReachableFor returns for how long the key-value store has answered this node's health checks,
+// or 0 if the last one failed or is too old.
 func (t *Table) KVReachableFor(now time.Time) time.Duration {
 	if !t.KVReachable || now.Sub(t.kvAnsweredAt) >= 2*KVCheckInterval {
 		return 0
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -17,8 +17,8 @@
 	return NewTable(peers, start)
 }
 
-// A node counts as reachable only by a recent answer, and as unreachable only after several failed
-// pings: in between, neither is acted on.
+// A node is reachable only if its last answer is recent, and unreachable only after several failed
+// pings. A node with few failed pings or an old answer is neither.
 func TestReachabilityOfMember(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -35,24 +35,25 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			var m Member
-			m.ApplyPingResponse(PeerStatus{}, start, start)
-			m.ApplyPingResult(test.failedPings, false)
-			if got := m.IsReachable(start.Add(test.sinceLast)); got != test.reachable {
+			var member Member
+			member.ApplyPingResponse(PeerStatus{}, start, start)
+			member.ApplyPingResult(test.failedPings, false)
+			if got := member.IsReachable(start.Add(test.sinceLast)); got != test.reachable {
 				t.Errorf("reachable: got %t, want %t", got, test.reachable)
 			}
-			if got := m.IsUnreachable(); got != test.unreachable {
+			if got := member.IsUnreachable(); got != test.unreachable {
 				t.Errorf("unreachable: got %t, want %t", got, test.unreachable)
 			}
 		})
 	}
 	var none *Member
 	if none.IsReachable(start) || none.IsUnreachable() {
-		t.Error("a node that is not known counts as reachable or unreachable, want neither")
+		t.Error("an unknown node counts as reachable or unreachable, want neither")
 	}
 }
 
-// A leader of an earlier term may still answer pings: the highest term counts.
+// A leader of an earlier term may still answer pings, so the reachable node with the highest term
+// is the leader. A node whose last ping failed or whose last answer is old does not count.
 func TestHighestTermLeaderIgnoresUnreachableNodes(t *testing.T) {
 	table := newTestTable("n1", "n2", "n3")
 	for name, term := range map[string]uint64{"n1": 4, "n2": 5, "n3": 6} {
@@ -67,8 +68,8 @@
 	}
 }
 
-// Neither the beginning nor the end of an outage of the store may look like a partition of one
-// node from it.
+// A node must not take the beginning of a store outage for a partition: the store counts as lost
+// only after kvUnreachableAfter. It no longer counts as lost at its first answer.
 func TestKVLostAfterTimeout(t *testing.T) {
 	table := newTestTable("n1")
 	table.ApplyKVHealth(true, start)
@@ -76,18 +77,18 @@
 	table.ApplyKVHealth(false, failed)
 	table.ApplyKVHealth(false, failed.Add(KVCheckInterval)) // changes nothing
 	if table.KVLost(failed.Add(kvUnreachableAfter - 1)) {
-		t.Error("lost before kvUnreachableAfter")
+		t.Error("store counts as lost before kvUnreachableAfter")
 	}
 	if !table.KVLost(failed.Add(kvUnreachableAfter)) {
-		t.Error("not lost after kvUnreachableAfter")
+		t.Error("store does not count as lost after kvUnreachableAfter")
 	}
 	table.ApplyKVHealth(true, failed.Add(kvUnreachableAfter))
 	if table.KVLost(failed.Add(time.Hour)) {
-		t.Error("lost although it has answered again")
+		t.Error("store counts as lost although it has answered again")
 	}
 }
 
-// A node tells the others for how long the store has answered it; an old answer does not count.
+// KVReachableFor counts from the first answer of the store, and is 0 once the last answer is old.
 func TestKVReachableFor(t *testing.T) {
 	table := newTestTable()
 	if got := table.KVReachableFor(start); got != 0 {
@@ -107,7 +108,9 @@
 	}
 }
 
-// Only a node that the store has answered for a while may take over from one that it does not.
+// Only a node that the store has answered for kvHealthyAfter may replace a leader that the store
+// does not answer. Otherwise the end of a store outage, which some nodes notice before others,
+// would be taken for a partition.
 func TestKVHealthyMember(t *testing.T) {
 	table := newTestTable("n1", "n2", "n3")
 	table.Members["n1"].ApplyPingResponse(PeerStatus{KVReachableFor: kvHealthyAfter - 1}, start, start)
@@ -120,17 +123,17 @@
 	}
 }
 
-// termSeenAt bounds what a follower may conclude of a leader's knowledge: it changes with the term
-// only.
+// A follower relies on a leader's list of cancellations only some time after TermSeenAt, so this
+// must be the time of the first response in the term, and must not advance with later responses.
 func TestTermSeenAtChangesWithTerm(t *testing.T) {
-	var m Member
-	m.ApplyPingResponse(PeerStatus{Term: 3}, start, start)
-	m.ApplyPingResponse(PeerStatus{Term: 3}, start.Add(time.Second), start.Add(time.Second))
-	if !m.TermSeenAt.Equal(start) {
-		t.Errorf("same term: got %v, want %v", m.TermSeenAt, start)
-	}
-	m.ApplyPingResponse(PeerStatus{Term: 4}, start.Add(time.Minute), start.Add(time.Minute))
-	if want := start.Add(time.Minute); !m.TermSeenAt.Equal(want) {
-		t.Errorf("next term: got %v, want %v", m.TermSeenAt, want)
+	var member Member
+	member.ApplyPingResponse(PeerStatus{Term: 3}, start, start)
+	member.ApplyPingResponse(PeerStatus{Term: 3}, start.Add(time.Second), start.Add(time.Second))
+	if !member.TermSeenAt.Equal(start) {
+		t.Errorf("same term: got %v, want %v", member.TermSeenAt, start)
+	}
+	member.ApplyPingResponse(PeerStatus{Term: 4}, start.Add(time.Minute), start.Add(time.Minute))
+	if want := start.Add(time.Minute); !member.TermSeenAt.Equal(want) {
+		t.Errorf("next term: got %v, want %v", member.TermSeenAt, want)
 	}
 }
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -9,13 +9,14 @@
 )
 
 func TestLoadExample(t *testing.T) {
-	s, err := Load("../../deploy/standby-example.toml")
-	if err != nil || s.VoteLifetime() != 3*time.Second {
-		t.Fatalf("got %+v, %v, want a vote lifetime of 3s", s, err)
+	settings, err := Load("../../deploy/standby-example.toml")
+	if err != nil || settings.VoteLifetime() != 3*time.Second {
+		t.Fatalf("got %+v, %v, want a vote lifetime of 3s", settings, err)
 	}
 }
 
-// An invalid file is rejected with one line that names the file and the field.
+// An invalid file is rejected with an error of one line that names the file and the field, or the
+// line if the file is not valid TOML.
 func TestLoadInvalidFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "standby.toml")
 	for _, c := range []struct{ name, text, want string }{
@@ -31,11 +32,11 @@
 			}
 			_, err := Load(path)
 			if err == nil {
-				t.Fatalf("%q was accepted", c.text)
+				t.Fatalf("file %q was accepted, want an error", c.text)
 			}
 			want := "standby " + path + ": " + c.want
 			if !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v, want one line that begins %s", err, want)
+				t.Errorf("got error %v, want a single line that begins with %s", err, want)
 			}
 		})
 	}
@@ -44,6 +45,6 @@
 func TestLoadMissingFile(t *testing.T) {
 	_, err := Load(filepath.Join(t.TempDir(), "none.toml"))
 	if err == nil || !strings.HasPrefix(err.Error(), "standby: open ") {
-		t.Errorf("got %v, want a failure to open the file", err)
+		t.Errorf("got error %v, want one that begins with \"standby: open \"", err)
 	}
 }
