--- a/internal/controller/readindex.go
+++ b/internal/controller/readindex.go
@@ -58,7 +58,7 @@
 		ctx, cancel := context.WithTimeout(lt.ctx, readIndexTimeout)
 		defer cancel()
 		res, err := lt.c.Store.Txn(ctx, txn)
-		lt.sendToOwner(readIndexMsg{leaderTerm: lt, batch: batch, sentAt: sentAt, res: res, err: err})
+		lt.sendToOwner(readIndexMsg{leaderTerm: lt, batch: batch, sentAt: sentAt, result: res, err: err})
 	}()
 }
 
@@ -67,18 +67,18 @@
 	leaderTerm *leaderTerm
 	batch      []*pollMsg
 	sentAt     time.Time
-	res        kv.Result
+	result     kv.Result
 	err        error
 }
 
 func (m readIndexMsg) apply(*Controller) {
 	lt := m.leaderTerm
 	switch {
-	case lt.hasEnded() || m.err != nil || !m.res.Succeeded && lt.checkTermConflict(m.res):
+	case lt.hasEnded() || m.err != nil || !m.result.Succeeded && lt.checkTermConflict(m.result):
 		for _, poll := range m.batch {
 			poll.reply <- pollReply{err: api.ErrUnavailable}
 		}
-	case m.res.Succeeded:
+	case m.result.Succeeded:
 		lt.cancellationsConfirmedAt = m.sentAt
 		for _, poll := range m.batch {
 			poll.reply <- lt.pollReplyFor(poll.id)
