--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,9 +1,9 @@
-// Package controller holds the goroutine that owns a node's state, and everything that it
-// does as leader or follower.
+// Package controller implements a node's work as leader or follower.
 //
-// One goroutine, Controller.Run, owns all state and takes no locks. The handlers of users and
-// worker agents, the election, and the goroutines that wait for the key-value store, the
-// cloud, other nodes or machines reach it only by messages in its mailbox.
+// One goroutine, Controller.Run, owns all state and takes no locks. All others communicate with it
+// only by messages to its mailbox: the handlers of requests from users and worker agents, the
+// election, and the goroutines that wait for the key-value store, the cloud, other nodes or
+// machines.
 package controller
 
 import (
@@ -28,28 +28,28 @@
 	"example.org/ivytrestle/internal/standby"
 )
 
-// ErrConnectionRefused means that a node refuses connections from here, although the
-// network to its host works.
+// ErrConnectionRefused means that another node refused the connection, so its host is reachable
+// but the node does not accept connections.
 var ErrConnectionRefused = errors.New("connection refused")
 
 // PeerClient sends requests to the other nodes.
 type PeerClient interface {
-	// Job returns the state of a job, or ErrUnavailable when the node cannot answer.
+	// Job returns the state of a job, or ErrUnavailable if the node cannot answer.
 	Job(ctx context.Context, node, id string) (api.JobState, error)
-	// Ping returns the node's state, with the part of its cancellation log that follows a
-	// position.
+	// Ping returns the node's status, with the part of its cancellation log after a position.
 	Ping(ctx context.Context, node string, from cancellation.Position) (membership.PeerStatus, error)
-	// ForwardHeartbeat passes a machine's heartbeat on to the leader. NotLeaderError means
-	// that the node does not lead, ErrConnectionRefused that it refuses connections.
+	// ForwardHeartbeat forwards a machine's heartbeat to the leader. It returns
+	// NotLeaderError if the node does not lead, and ErrConnectionRefused if the node refuses the
+	// connection.
 	ForwardHeartbeat(ctx context.Context, node string, hb *api.Heartbeat) (api.HeartbeatResponse, error)
 	// Resign notifies a node that self has stopped acting as leader of a term.
 	Resign(ctx context.Context, node, self string, term uint64) error
-	// Vote requests a node's vote for this one as leader of a term. A vote is valid for
-	// the vote lifetime.
+	// Vote requests a node's vote for this node as leader of a term. The vote is valid for the
+	// lifetime that the failover settings specify.
 	Vote(ctx context.Context, node string, term uint64) (granted bool, err error)
-	// Promise requests a node's promise to vote no more in a term, and returns for how
-	// long its votes of that term may still be valid. ErrUnavailable means that it did not
-	// promise, as it still reaches the leader.
+	// Promise requests a node's promise not to vote in a term any longer, and returns for how
+	// long the votes that it has given may still be valid. ErrUnavailable means that the node
+	// refused to promise: it does not take part in failover, leads, or still reaches the leader.
 	Promise(ctx context.Context, node string, term uint64) (wait time.Duration, err error)
 }
 
@@ -58,47 +58,48 @@
 	Settings *config.Settings
 	Policy   *policy.Policy
 	Store    kv.Service
-	// UserStore is the client of the key-value store for requests of users; nil: Store.
+	// UserStore is the client of the key-value store for requests of users; if nil, Store is
+	// used.
 	UserStore     kv.Service
 	Cloud         cloud.Service
 	Peers         PeerClient
 	Prober        Prober
 	CommandSender CommandSender
 	Log           *slog.Logger
-	// Cells are the cells that lend each other capacity, and Link the client to them. Both
-	// are nil without neighbours.
-	Cells      *cells.Settings
+	// Cells are the cells that lend each other capacity; nil without neighbours.
+	Cells *cells.Settings
+	// CellClient is the client of the other cells; nil without neighbours.
 	CellClient CellLink
-	// Standby configures failover before the leader's lease expires; nil: a leader is
+	// Standby configures failover before the leader's lease expires. If nil, a leader is
 	// replaced only once its lease has expired.
 	Standby *standby.Settings
 }
 
-// Controller is one node's state and the goroutine that owns it.
+// Controller is one node of the control plane: its state, and the goroutine that owns it.
 type Controller struct {
 	Config
 	records records.Records
 	mailbox chan message
-	// ended is closed when Run has returned: no message is applied any more.
+	// ended is closed when Run has returned. Messages are not applied after that.
 	ended chan struct{}
-	// stepDowns carries to the election the terms that this node has given up.
+	// stepDowns delivers to the election the terms in which this node has stepped down.
 	stepDowns chan uint64
-	// resignations carries to the election the terms that other nodes have given up.
+	// resignations delivers to the election the resignations of other leaders.
 	resignations chan election.Resignation
 	machineTypes machineTypeCache
-	// unready fails the health check, so that users are routed to other nodes.
+	// unready makes the health check fail, so that users are routed to other nodes.
 	unready atomic.Bool
 
-	// The fields below belong to the owner goroutine.
+	// The fields below are accessed only by the owner goroutine.
 
-	// leader is the node that the election last named as leader, or "".
+	// leader is the leader that the election last reported, or "".
 	leader string
-	// leaderTerm is the state of this node's own term; nil: it does not lead.
+	// leaderTerm is the state of the term in which this node leads; nil on a follower.
 	leaderTerm   *leaderTerm
 	leaseRenewer leaseRenewer
 	uplink       relayUplink
 	membership   membership.Table
-	// RedirectedAt holds, by machine, when it was last redirected to a leader that this node
+	// redirectedAt holds, by machine, when it was last redirected to a leader that this node
 	// cannot reach.
 	redirectedAt map[string]time.Time
 	// redirects holds the last redirect of each machine to a reachable leader.
@@ -107,30 +108,30 @@
 	finalStates   *lru.Cache[string, api.JobState]
 	cancellations *cancellation.Log
 	failover      failover
-	// draining is set once the process is about to end: the node leads no more.
+	// draining is set when the process is about to end. The node then no longer leads.
 	draining bool
-	// lookups are the lookups in the store that users wait for, by job.
+	// lookups holds, by job, the lookup in the store that queries of users wait for.
 	lookups map[string]*lookupRound
 }
 
-// message is an event for the owner goroutine, which applies it to its state.
+// message is an event that the owner goroutine applies to its state.
 type message interface{ apply(c *Controller) }
 
 const (
-	// maxFinalStates is how many states of ended jobs a node keeps in memory.
+	// maxFinalStates is the number of states of ended jobs that a node caches.
 	maxFinalStates = 8192
-	// mailboxCapacity is how many messages may wait for the owner before senders block.
+	// mailboxCapacity is the number of messages that may be queued before senders block.
 	mailboxCapacity = 256
-	// electionQueueCapacity is how many notices to the election may wait for it. Further ones
-	// are dropped.
+	// electionQueueCapacity is the number of notices to the election that may be queued. Further
+	// notices are dropped.
 	electionQueueCapacity = 4
 )
 
-// New returns a controller that Run has yet to start.
+// New returns a controller. Run starts it.
 func New(cfg Config) *Controller {
 	final, err := lru.New[string, api.JobState](maxFinalStates)
 	if err != nil {
-		panic(err) // only for a size that is not positive
+		panic(err) // lru.New fails only if the size is not positive
 	}
 	if cfg.UserStore == nil {
 		cfg.UserStore = cfg.Store
@@ -153,14 +154,15 @@
 	}
 }
 
-// A leader checks its timers every leaderTickInterval. A follower has none that cannot wait
-// longer, and each tick wakes the process.
 const (
-	leaderTickInterval   = 100 * time.Millisecond
+	// leaderTickInterval is the time between two ticks of a leader.
+	leaderTickInterval = 100 * time.Millisecond
+	// followerTickInterval is the time between two ticks of a follower. It is longer because
+	// each tick wakes the process, and a follower's timers need no finer resolution.
 	followerTickInterval = 500 * time.Millisecond
 )
 
-// resetTicker sets the ticker to the interval of the node's role, and returns it.
+// resetTicker sets the ticker to the interval for the node's role, and returns that interval.
 func (c *Controller) resetTicker(tick *time.Ticker, current time.Duration) time.Duration {
 	interval := followerTickInterval
 	if c.leaderTerm != nil {
@@ -172,14 +174,14 @@
 	return interval
 }
 
-// Run applies messages and ticks until the context ends. It may be called once.
+// Run applies messages and does periodic work until the context ends. It must be called only once.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.ended)
 	go c.refreshMachineTypesLoop(ctx)
 	go c.kvHealthLoop(ctx)
 	if c.Peers != nil {
-		for _, p := range c.Settings.Peers {
-			go c.pingLoop(ctx, p.Node)
+		for _, peer := range c.Settings.Peers {
+			go c.pingLoop(ctx, peer.Node)
 		}
 	}
 	c.failover.start(ctx, c)
@@ -207,13 +209,14 @@
 	}
 }
 
-// Resignations delivers to the election which nodes have stopped acting as leader.
+// Resignations returns the channel that delivers the resignations of other leaders to the election.
 func (c *Controller) Resignations() <-chan election.Resignation { return c.resignations }
 
-// StepDowns delivers to the election the terms that this node has given up.
+// StepDowns returns the channel that delivers to the election the terms in which this node has
+// stepped down.
 func (c *Controller) StepDowns() <-chan uint64 { return c.stepDowns }
 
-// endTerm drops the state of this node's term, if it leads.
+// endTerm ends the term of this node, if it leads, and discards its state.
 func (c *Controller) endTerm() {
 	if c.leaderTerm != nil {
 		c.leaderTerm.cancel()
@@ -221,11 +224,11 @@
 	}
 }
 
-// holdsLease reports whether this node's leader lease is valid at this moment.
+// holdsLease reports whether this node leads and its leader lease is valid now.
 func (c *Controller) holdsLease() bool {
 	return c.leaderTerm != nil && time.Now().Before(c.leaderTerm.leaseExpiry)
 }
 
-// Ready implements api.Backend. A node without machine types accepts no
-// submissions.
+// Ready implements api.Backend. A node is ready if it has the machine types, without which it cannot
+// accept submissions, and neither drains nor is partitioned from the key-value store.
 func (c *Controller) Ready() bool { return c.machineTypes.load() != nil && !c.unready.Load() }
--- a/internal/controller/electionmessages.go
+++ b/internal/controller/electionmessages.go
@@ -7,10 +7,10 @@
 	"example.org/ivytrestle/internal/election"
 )
 
-// The election's calls become messages. They carry no context and have no reply: a
-// controller that has ended drops them.
+// The calls of election.Observer are converted to messages to the owner goroutine. They are dropped
+// if the controller has ended.
 
-// leaderChangedMsg names the node that leads now, or "".
+// leaderChangedMsg contains the current leader, or "" if there is none.
 type leaderChangedMsg struct{ node string }
 
 func (m leaderChangedMsg) apply(c *Controller) {
@@ -20,7 +20,7 @@
 	c.leader = m.node
 }
 
-// electionWonMsg starts a term of this node.
+// electionWonMsg starts a term in which this node leads.
 type electionWonMsg struct {
 	term        election.Term
 	leaseExpiry time.Time
@@ -34,7 +34,7 @@
 	c.leaderTerm = newLeaderTerm(c, m.term, m.leaseExpiry)
 }
 
-// leaseRenewedMsg extends the leader lease of this node's term.
+// leaseRenewedMsg extends this node's leader lease in a term.
 type leaseRenewedMsg electionWonMsg
 
 func (m leaseRenewedMsg) apply(c *Controller) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// leadershipLostMsg ends a term of this node whose leader lease was lost.
+// leadershipLostMsg ends a term in which this node led.
 type leadershipLostMsg struct{ term election.Term }
 
 func (m leadershipLostMsg) apply(c *Controller) {
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -12,34 +12,42 @@
 	"example.org/ivytrestle/internal/membership"
 )
 
-// failover is a node's part in replacing a leader before its lease at the key-value store
-// expires. The node votes for the leader, each time for a short while. When it suspects the
-// leader it collects the promises of the other nodes to vote no more in that term, promises the
-// same, waits until the votes have expired, and notifies the election that the leader no longer
-// acts. docs/standby.md says why that is safe.
+// failover is the state of a node as a participant in failover, the replacement of a leader before
+// its lease at the key-value store expires. A node regularly votes for the leader; each vote is
+// valid for a short time. When the node suspects that the leader has failed, it
+//
+//  1. collects promises of the other nodes not to vote in the leader's term any longer,
+//  2. promises the same,
+//  3. waits until the votes given have expired, and
+//  4. notifies the election that the leader no longer acts.
+//
+// docs/standby.md explains why this is safe.
 type failover struct {
-	// voter is nil where failover is switched off.
+	// voter is nil if failover is disabled.
 	voter *leasequorum.Voter
-	// inProgress is set from the suspicion of the leader until the attempt to replace it has ended.
-	inProgress  bool
+	// inProgress is set while this node attempts to replace the leader.
+	inProgress bool
+	// nextAttempt is the earliest time of the next attempt to replace the leader.
 	nextAttempt time.Time
-	// lastNewTermAt is when this node last gave up a term to get votes in the next.
+	// lastNewTermAt is when this node last stepped down to get votes in a new term.
 	lastNewTermAt time.Time
 }
 
 const (
+	// voteInterval is the time between two of the leader's requests for a node's vote.
 	voteInterval = time.Second
-	voteTimeout  = 800 * time.Millisecond
+	// voteTimeout is the time limit of a request for a vote or a promise.
+	voteTimeout = 800 * time.Millisecond
 	// failoverRetryInterval is the pause after an attempt to replace the leader.
 	failoverRetryInterval = time.Second
-	// missingVotesTimeout is how long votes may be missing, although all nodes support them, before
-	// the leader begins a new term to get them; minNewTermInterval is the pause between two such
-	// terms.
+	// missingVotesTimeout is how long a leader waits for a quorum of votes, while all nodes
+	// support votes, before it begins a new term to get them.
 	missingVotesTimeout = 3 * time.Second
-	minNewTermInterval  = 5 * time.Minute
+	// minNewTermInterval is the shortest time between two terms that are begun to get votes.
+	minNewTermInterval = 5 * time.Minute
 )
 
-// start starts the goroutines of failover, if it is switched on.
+// start creates the voter and starts the goroutines of failover, if it is enabled.
 func (f *failover) start(ctx context.Context, c *Controller) {
 	if c.Standby == nil {
 		return
@@ -54,38 +62,40 @@
 	}
 }
 
-// readVoterTerm reads the latest term from the store, so that the voter does not vote in it: an
-// earlier process of this node may have promised that.
+// readVoterTerm reads the current term from the store, so that the voter does not vote in it: an
+// earlier process of this node may have promised not to.
 func (c *Controller) readVoterTerm(ctx context.Context) {
 	for ctx.Err() == nil {
-		rctx, cancel := context.WithTimeout(ctx, kvCheckTimeout)
-		e, err := c.Store.Get(rctx, election.TermKey)
+		readCtx, cancel := context.WithTimeout(ctx, kvCheckTimeout)
+		entry, err := c.Store.Get(readCtx, election.TermKey)
 		cancel()
 		var term election.TermRecord
-		if err == nil && e.ModRevision != 0 {
-			err = json.Unmarshal(e.Value, &term)
+		if err == nil && entry.ModRevision != 0 {
+			err = json.Unmarshal(entry.Value, &term)
 		}
 		if err == nil {
 			c.sendOrDrop(ctx, voterTermMsg{term.Number})
 			return
 		}
-		c.Log.Debug("read of term failed", "err", err)
+		c.Log.Debug("read of term key failed", "err", err)
 		sleep(ctx, membership.KVCheckInterval)
 	}
 }
 
-// voterTermMsg carries the term of the store when this process began.
+// voterTermMsg contains the term that was read from the store after the process started.
 type voterTermMsg struct{ term uint64 }
 
 func (m voterTermMsg) apply(c *Controller) { c.failover.voter.Init(m.term) }
 
-// tick starts to replace the leader, on a node that does not lead, once it is suspected.
+// tick starts an attempt to replace the leader if this node suspects that it has failed. It is
+// called on followers only.
 func (f *failover) tick(c *Controller, now time.Time) {
 	if f.voter == nil || f.inProgress || now.Before(f.nextAttempt) || !c.membership.KVReachable {
 		return
 	}
-	mb := c.membership.Members[c.leader]
-	if mb == nil || !mb.QuorumRequired || mb.Term == 0 || mb.FailedPings < membership.FailedPingThreshold {
+	leader := c.membership.Members[c.leader]
+	if leader == nil || !leader.QuorumRequired || leader.Term == 0 ||
+		leader.FailedPings < membership.FailedPingThreshold {
 		return
 	}
 	var others []string
@@ -95,12 +105,12 @@
 		}
 	}
 	f.inProgress = true
-	c.Log.Info("leader suspected", "leader", c.leader, "term", mb.Term, "count", mb.FailedPings)
-	go c.collectPromises(c.leader, mb.Term, others)
+	c.Log.Info("leader suspected", "leader", c.leader, "term", leader.Term, "count", leader.FailedPings)
+	go c.collectPromises(c.leader, leader.Term, others)
 }
 
-// collectPromises requests the other nodes' promises to vote no more in a term. Those that reach
-// its leader do not promise.
+// collectPromises requests the other nodes' promises not to vote in a term any longer. Nodes that
+// reach the leader of the term do not promise.
 func (c *Controller) collectPromises(leader string, term uint64, others []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), voteTimeout)
 	defer cancel()
@@ -130,15 +140,16 @@
 	c.sendOrDrop(context.Background(), m)
 }
 
-// noPromise stands in place of a wait where there is no promise.
+// noPromise takes the place of the wait if a node has not promised.
 const noPromise = -1
 
-// promisesCollectedMsg carries how many nodes have promised, and until when their votes may be
-// valid.
+// promisesCollectedMsg contains the result of requesting the other nodes' promises.
 type promisesCollectedMsg struct {
-	leader        string
-	term          uint64
-	promises      int
+	leader string
+	term   uint64
+	// promises is the number of other nodes that have promised.
+	promises int
+	// votesExpireAt is when all votes of these nodes have expired.
 	votesExpireAt time.Time
 }
 
@@ -149,9 +160,10 @@
 		f.inProgress, f.nextAttempt = false, now.Add(failoverRetryInterval)
 		return
 	}
-	// This node promises only once enough others have.
-	if own := now.Add(f.voter.Promise(m.term, now)); own.After(m.votesExpireAt) {
-		m.votesExpireAt = own
+	// This node promises only after enough others have, because it can no longer vote in the
+	// term afterwards.
+	if expiry := now.Add(f.voter.Promise(m.term, now)); expiry.After(m.votesExpireAt) {
+		m.votesExpireAt = expiry
 	}
 	wait := m.votesExpireAt.Sub(now)
 	c.Log.Info("failover scheduled", "leader", m.leader, "term", m.term, "after", wait.Round(time.Millisecond))
@@ -160,16 +172,16 @@
 	})
 }
 
-// leaderStillSuspected reports whether the leader that the promises are about still leads in the
-// same term, as far as this node knows, and is still unreachable.
+// leaderStillSuspected reports whether the leader for which promises were collected still leads in
+// the same term, according to this node's state, and still does not answer pings.
 func (m promisesCollectedMsg) leaderStillSuspected(c *Controller) bool {
-	mb := c.membership.Members[m.leader]
+	leader := c.membership.Members[m.leader]
 	return c.leader == m.leader && c.leaderTerm == nil &&
-		mb.FailedPings >= membership.FailedPingThreshold && mb.Term == m.term
+		leader.FailedPings >= membership.FailedPingThreshold && leader.Term == m.term
 }
 
-// votesExpiredMsg means that all votes for a leader have expired: it cannot act any more in its
-// term.
+// votesExpiredMsg means that the votes for a leader have expired and cannot be renewed, so that the
+// leader can no longer act in its term.
 type votesExpiredMsg struct {
 	leader string
 	term   uint64
@@ -178,12 +190,14 @@
 func (m votesExpiredMsg) apply(c *Controller) {
 	c.failover.inProgress, c.failover.nextAttempt = false, time.Now().Add(failoverRetryInterval)
 	if c.leader != m.leader || c.leaderTerm != nil {
-		return // another leader has been elected meanwhile
+		return // another leader has been elected in the meantime
 	}
 	c.notifyResignation(m.leader, m.term)
 }
 
-// PeerPromise responds to a node that is replacing the leader of a term.
+// PeerPromise handles another node's request for a promise not to vote in a term any longer. It
+// returns for how long this node's votes may still be valid, or api.ErrUnavailable if this node
+// does not promise.
 func (c *Controller) PeerPromise(ctx context.Context, term uint64) (time.Duration, error) {
 	m := promiseRequestMsg{term, make(chan time.Duration, 1)}
 	wait, err := request(ctx, c, m, m.reply)
@@ -193,24 +207,24 @@
 	return wait, err
 }
 
-// promiseRequestMsg requests this node's promise to vote no more in a term. A node that leads, or
-// reaches the leader of that term, does not promise.
+// promiseRequestMsg requests this node's promise not to vote in a term any longer. A node that
+// leads, or that reaches the leader of the term, does not promise.
 type promiseRequestMsg struct {
 	term  uint64
 	reply chan time.Duration
 }
 
 func (m promiseRequestMsg) apply(c *Controller) {
-	v, now := c.failover.voter, time.Now()
-	if v == nil || c.leaderTerm != nil {
+	voter, now := c.failover.voter, time.Now()
+	if voter == nil || c.leaderTerm != nil {
 		m.reply <- noPromise
 		return
 	}
-	for _, mb := range c.membership.Members {
-		if mb.Term == m.term && mb.IsReachable(now) {
+	for _, member := range c.membership.Members {
+		if member.Term == m.term && member.IsReachable(now) {
 			m.reply <- noPromise
 			return
 		}
 	}
-	m.reply <- v.Promise(m.term, now)
+	m.reply <- voter.Promise(m.term, now)
 }
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -16,118 +15,133 @@
 	"example.org/ivytrestle/internal/standby"
 )
 
-// peerNetwork connects three nodes. Each direction between two of them can be cut.
+// peerNetwork simulates the network between three nodes. Each direction of a link can be cut.
 type peerNetwork struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// nodes holds the running nodes by name.
 	nodes map[string]*node
-	cut   map[string]bool
+	// cut holds the directions that are cut, as "from>to".
+	cut map[string]bool
 }
 
-// peerNetworkClient is one node's side of a mesh.
+// peerNetworkClient is the PeerClient of one node.
 type peerNetworkClient struct {
 	network *peerNetwork
 	from    string
 }
 
-func (e peerNetworkClient) to(name string) (*node, error) {
-	e.network.mu.Lock()
-	defer e.network.mu.Unlock()
-	n := e.network.nodes[name]
-	if n == nil || e.network.cut[e.from+">"+name] {
-		return nil, errors.New("cut")
+// to returns another node if it is running and can be reached.
+func (p peerNetworkClient) to(name string) (*node, error) {
+	p.network.mu.Lock()
+	defer p.network.mu.Unlock()
+	n := p.network.nodes[name]
+	if n == nil || p.network.cut[p.from+">"+name] {
+		return nil, fmt.Errorf("node %s cannot be reached from %s", name, p.from)
 	}
 	return n, nil
 }
 
-func (m *peerNetwork) setCut(from, to string, cut bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.cut[from+">"+to] = cut
+// setCut cuts one direction of a link, or restores it.
+func (n *peerNetwork) setCut(from, to string, cut bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.cut[from+">"+to] = cut
 }
 
-// setPartitioned cuts both directions between a node and others, or heals them.
-func (m *peerNetwork) setPartitioned(name string, cut bool, others ...string) {
+// setPartitioned cuts the links between a node and others in both directions, or restores them.
+func (n *peerNetwork) setPartitioned(name string, cut bool, others ...string) {
 	for _, other := range others {
-		m.setCut(name, other, cut)
-		m.setCut(other, name, cut)
+		n.setCut(name, other, cut)
+		n.setCut(other, name, cut)
 	}
 }
 
-func (e peerNetworkClient) Job(ctx context.Context, name, id string) (api.JobState, error) {
-	n, err := e.to(name)
+func (p peerNetworkClient) Job(ctx context.Context, name, id string) (api.JobState, error) {
+	n, err := p.to(name)
 	if err != nil {
 		return api.JobState{}, err
 	}
 	return n.PeerJob(ctx, id)
 }
 
-func (e peerNetworkClient) Ping(ctx context.Context, name string, from cancellation.Position) (membership.PeerStatus, error) {
-	n, err := e.to(name)
+func (p peerNetworkClient) Ping(
+	ctx context.Context, name string, from cancellation.Position,
+) (membership.PeerStatus, error) {
+	n, err := p.to(name)
 	if err != nil {
 		return membership.PeerStatus{}, err
 	}
 	return n.PeerStatus(ctx, from)
 }
 
-func (e peerNetworkClient) ForwardHeartbeat(ctx context.Context, name string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
-	n, err := e.to(name)
+func (p peerNetworkClient) ForwardHeartbeat(
+	ctx context.Context, name string, hb *api.Heartbeat,
+) (api.HeartbeatResponse, error) {
+	n, err := p.to(name)
 	if err != nil {
 		return api.HeartbeatResponse{}, err
 	}
 	return n.ForwardedHeartbeat(ctx, hb)
 }
 
-func (e peerNetworkClient) Resign(ctx context.Context, name, self string, term uint64) error {
-	n, err := e.to(name)
+func (p peerNetworkClient) Resign(ctx context.Context, name, self string, term uint64) error {
+	n, err := p.to(name)
 	if err != nil {
 		return err
 	}
 	return n.LeaderResigned(ctx, self, term)
 }
 
-func (e peerNetworkClient) Vote(ctx context.Context, name string, term uint64) (bool, error) {
-	n, err := e.to(name)
+func (p peerNetworkClient) Vote(ctx context.Context, name string, term uint64) (bool, error) {
+	n, err := p.to(name)
 	if err != nil {
 		return false, err
 	}
 	return n.PeerVote(ctx, term)
 }
 
-func (e peerNetworkClient) Promise(ctx context.Context, name string, term uint64) (time.Duration, error) {
-	n, err := e.to(name)
+func (p peerNetworkClient) Promise(ctx context.Context, name string, term uint64) (time.Duration, error) {
+	n, err := p.to(name)
 	if err != nil {
 		return 0, err
 	}
 	return n.PeerPromise(ctx, term)
 }
 
-// standbyCluster is a cluster of three nodes with failover between them, with machines that
-// run tasks all the time, and a checker of the leaders' commands.
+// standbyCluster is a simulated cluster of three nodes with failover. Its machines run tasks all the
+// time, and the commands of the leaders are checked.
 type standbyCluster struct {
 	*simulatedCluster
 	network *peerNetwork
 	agents  []*worker
-	// rounds counts how often each machine's tasks were advanced.
+	// rounds counts, by machine, the calls of runAgent.
 	rounds map[string]int
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// latestTerm is the highest term in which a task was started, and FirstStart when the
-	// first of each term was.
+	// latestTerm is the highest term in which a task was started.
 	latestTerm uint64
+	// firstStart is when the first task was started in each term.
 	firstStart map[uint64]time.Time
-	// LastStart is when the last task was started.
+	// lastStart is when the last task was started in any term.
 	lastStart time.Time
-	// reportsOnlyTo is the only node that a machine sends heartbeats to, and neverReportsTo
-	// one that it sends none to; "" if there is no such limit.
-	reportsOnlyTo, neverReportsTo map[string]string
-	gates                         map[string]*gate
-	jobs                          int
-	// voteLifetimeS is how long a vote is valid; 0: the nodes know no votes.
+	// reportsOnlyTo holds, by machine, the only node to which it sends heartbeats; "" if not
+	// restricted.
+	reportsOnlyTo map[string]string
+	// neverReportsTo holds, by machine, a node to which it sends no heartbeats; "" if not
+	// restricted.
+	neverReportsTo map[string]string
+	// gates holds each node's connection to the key-value store.
+	gates map[string]*gate
+	// jobs is the number of jobs that were created.
+	jobs int
+	// voteLifetimeS is the lifetime of a vote in seconds; 0 disables failover on nodes that are
+	// started.
 	voteLifetimeS float64
 }
 
-// simulateStandby runs a test once the first leader has its lease quorum.
+// simulateStandby starts a cluster and calls f when the first leader has had time to require a
+// lease quorum.
 func simulateStandby(t *testing.T, voteLifetimeS float64, f func(s *standbyCluster)) {
 	t.Helper()
 	simulate(t, func(w *simulatedCluster) {
@@ -156,12 +170,12 @@
 			cancel()
 			<-done
 		}()
-		time.Sleep(20 * time.Second) // until a leader needs its lease quorum
+		time.Sleep(20 * time.Second) // until the leader requires a lease quorum
 		f(s)
 	})
 }
 
-// startNode starts a node, or starts it again.
+// startNode starts or restarts a node.
 func (s *standbyCluster) startNode(name string) {
 	s.standby = nil
 	if s.voteLifetimeS > 0 {
@@ -175,7 +189,7 @@
 	s.network.nodes[name] = n
 }
 
-// endNode ends a node until the test starts it again.
+// endNode ends a node. startNode can restart it.
 func (s *standbyCluster) endNode(name string) {
 	s.network.mu.Lock()
 	n := s.network.nodes[name]
@@ -186,7 +200,7 @@
 	}
 }
 
-// runningNodes returns the nodes that are up.
+// runningNodes returns the nodes that are running, in the order of their names.
 func (s *standbyCluster) runningNodes() (nodes []*node) {
 	s.network.mu.Lock()
 	defer s.network.mu.Unlock()
@@ -198,27 +212,28 @@
 	return nodes
 }
 
-// leader is the node with the highest term that holds the leader lease.
-func (s *standbyCluster) leader() (best *node, term uint64) {
+// leader returns the node that holds the leader lease in the highest term and has loaded its
+// records, or nil.
+func (s *standbyCluster) leader() (leader *node, term uint64) {
 	for _, n := range s.runningNodes() {
 		n.tryInspect(func(c *Controller) {
 			if c.holdsLease() && c.leaderTerm.loaded && c.leaderTerm.term.Number > term {
-				best, term = n, c.leaderTerm.term.Number
+				leader, term = n, c.leaderTerm.term.Number
 			}
 		})
 	}
-	return best, term
+	return leader, term
 }
 
 // runMachines submits a job of two tasks every 900 ms, runs the machines, and checks that no
-// task is on two of them.
+// task runs on two of them.
 func (s *standbyCluster) runMachines(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		if i%3 == 0 {
 			s.submitAnywhere(ctx, s.newJob())
 		}
-		for _, k := range s.agents {
-			s.runAgent(k)
+		for _, agent := range s.agents {
+			s.runAgent(agent)
 		}
 		s.checkRuns()
 		time.Sleep(300 * time.Millisecond)
@@ -228,8 +243,8 @@
 // submitAnywhere submits a job to the first node that accepts it, if any does.
 func (s *standbyCluster) submitAnywhere(ctx context.Context, job *api.JobSpec) {
 	for _, n := range s.runningNodes() {
-		sctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
-		_, _, err := n.Submit(sctx, job)
+		submitCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
+		_, _, err := n.Submit(submitCtx, job)
 		cancel()
 		if err == nil {
 			return
@@ -237,45 +252,45 @@
 	}
 }
 
-// checkRuns checks that no task is on two machines.
+// checkRuns checks that no task runs on two machines.
 func (s *standbyCluster) checkRuns() {
 	machineOf := map[string]string{}
-	for _, k := range s.agents {
-		for _, task := range k.running() {
+	for _, agent := range s.agents {
+		for _, task := range agent.running() {
 			if machineOf[task] != "" {
-				s.t.Errorf("%s runs on %s and %s", task, machineOf[task], k.status.Machine)
+				s.t.Errorf("task %s runs on both %s and %s", task, machineOf[task], agent.status.Machine)
 			}
-			machineOf[task] = k.status.Machine
+			machineOf[task] = agent.status.Machine
 		}
 	}
 }
 
-// runAgent ends tasks that have run for a while, and sends a machine's heartbeat to the first
-// node that responds.
-func (s *standbyCluster) runAgent(k *worker) {
-	if s.rounds[k.status.Machine]++; s.rounds[k.status.Machine]%5 == 0 {
-		k.exit(api.CauseDone)
+// runAgent simulates one round of a machine: its tasks exit in every fifth round, and its heartbeat
+// is sent to the first node that responds.
+func (s *standbyCluster) runAgent(agent *worker) {
+	if s.rounds[agent.status.Machine]++; s.rounds[agent.status.Machine]%5 == 0 {
+		agent.exit(api.CauseDone)
 	}
 	for _, n := range s.runningNodes() {
 		name := n.Settings.Node
 		s.mu.Lock()
-		only, never := s.reportsOnlyTo[k.status.Machine], s.neverReportsTo[k.status.Machine]
+		only, never := s.reportsOnlyTo[agent.status.Machine], s.neverReportsTo[agent.status.Machine]
 		s.mu.Unlock()
 		if only != "" && only != name || never == name {
 			continue
 		}
-		commands, err := k.sendHeartbeat(n)
+		commands, err := agent.sendHeartbeat(n)
 		if err != nil {
 			continue
 		}
-		s.checkStarts(k.status.Term, commands)
-		k.applyCommands(commands)
+		s.checkStarts(agent.status.Term, commands)
+		agent.applyCommands(commands)
 		return
 	}
 }
 
-// checkStarts checks and records the starts that a machine was commanded in a term: none may
-// follow one of a later term.
+// checkStarts records the start commands that a machine received in a term, and checks that no task
+// is started in a term after one was started in a later term.
 func (s *standbyCluster) checkStarts(term uint64, commands []api.Command) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -293,7 +308,7 @@
 	}
 }
 
-// newJob is a job that was not submitted yet.
+// newJob returns a job of two tasks with a new ID.
 func (s *standbyCluster) newJob() *api.JobSpec {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -301,24 +316,25 @@
 	return spec(fmt.Sprint("job-", s.jobs), 2)
 }
 
-// startTimes returns when the first task was started in a term, and when the last in any.
+// startTimes returns when the first task was started in a term, and when the last task was started
+// in any term.
 func (s *standbyCluster) startTimes(term uint64) (first, last time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.firstStart[term], s.lastStart
 }
 
-// A leader that ends for good is replaced within seconds, and without votes only when its
-// lease has expired.
+// A leader that ends and does not restart is replaced within seconds. If failover is disabled, it
+// is replaced only after its lease has expired.
 func TestFailoverAfterLeaderEnds(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		voteLifetimeS float64
-		least, most   time.Duration
+		name               string
+		voteLifetimeS      float64
+		minDelay, maxDelay time.Duration
 	}{
-		{name: "without votes", voteLifetimeS: 0, least: 25 * time.Second, most: 40 * time.Second},
-		{name: "votes of 3 s", voteLifetimeS: 3, least: 2 * time.Second, most: 8 * time.Second},
-		{name: "votes of 2 s", voteLifetimeS: 2, least: 2 * time.Second, most: 7 * time.Second},
+		{name: "without votes", voteLifetimeS: 0, minDelay: 25 * time.Second, maxDelay: 40 * time.Second},
+		{name: "votes of 3 s", voteLifetimeS: 3, minDelay: 2 * time.Second, maxDelay: 8 * time.Second},
+		{name: "votes of 2 s", voteLifetimeS: 2, minDelay: 2 * time.Second, maxDelay: 7 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulateStandby(t, c.voteLifetimeS, func(s *standbyCluster) {
@@ -326,56 +342,59 @@
 				startTime := time.Now()
 				s.endNode(n.Settings.Node)
 				time.Sleep(45 * time.Second)
-				at, _ := s.startTimes(term + 1)
-				if took := at.Sub(startTime); at.IsZero() || took < c.least || took > c.most {
-					t.Errorf("next start after %v, want %v to %v", took, c.least, c.most)
+				firstStart, _ := s.startTimes(term + 1)
+				if took := firstStart.Sub(startTime); firstStart.IsZero() || took < c.minDelay || took > c.maxDelay {
+					t.Errorf("first start in the next term after %v, want %v to %v", took, c.minDelay, c.maxDelay)
 				} else {
-					t.Logf("next start after %v", took)
+					t.Logf("first start in the next term after %v", took)
 				}
 			})
 		})
 	}
 }
 
-// partitionCase is a partition of the leader from some of the others.
+// partitionCase is a network partition between the nodes, and its expected result after 12 seconds.
 type partitionCase struct {
 	name string
-	cut  func(m *peerNetwork, leader string, others []string)
-	// wantOther is set if another node must lead after twelve seconds, wantSame if the same
-	// node must, in the same term.
-	wantOther, wantSame bool
+	// cut cuts links between the leader and the other nodes.
+	cut func(network *peerNetwork, leader string, others []string)
+	// wantOther is set if another node must lead.
+	wantOther bool
+	// wantSame is set if the same node must still lead in the same term.
+	wantSame bool
 }
 
-// A partition that leaves the leader its lease quorum, or lets it go on for its machines, is
-// no reason for a failover; any other replaces it, and it decides nothing more.
+// A leader that keeps its lease quorum in a partition is not replaced. A leader that is cut off from
+// all other nodes is replaced if these still reach each other, and then no longer starts tasks. In
+// every case, some leader starts tasks during the partition, and some node leads after it.
 func TestFailoverInPartitions(t *testing.T) {
 	for _, c := range []partitionCase{
 		{
 			name: "from one standby",
-			cut: func(m *peerNetwork, leader string, others []string) {
-				m.setPartitioned(leader, true, others[0])
+			cut: func(network *peerNetwork, leader string, others []string) {
+				network.setPartitioned(leader, true, others[0])
 			},
 			wantSame: true,
 		},
 		{
 			name: "one way, from a standby",
-			cut: func(m *peerNetwork, leader string, others []string) {
-				m.setCut(others[0], leader, true)
+			cut: func(network *peerNetwork, leader string, others []string) {
+				network.setCut(others[0], leader, true)
 			},
 			wantSame: true,
 		},
 		{
 			name: "from both, not from the store",
-			cut: func(m *peerNetwork, leader string, others []string) {
-				m.setPartitioned(leader, true, others...)
+			cut: func(network *peerNetwork, leader string, others []string) {
+				network.setPartitioned(leader, true, others...)
 			},
 			wantOther: true,
 		},
 		{
 			name: "all from each other",
-			cut: func(m *peerNetwork, leader string, others []string) {
-				m.setPartitioned(leader, true, others...)
-				m.setPartitioned(others[0], true, others[1])
+			cut: func(network *peerNetwork, leader string, others []string) {
+				network.setPartitioned(leader, true, others...)
+				network.setPartitioned(others[0], true, others[1])
 			},
 		},
 	} {
@@ -385,6 +404,8 @@
 	}
 }
 
+// testPartition applies a partition, checks which node leads and that it starts tasks, and then
+// heals the partition and checks that a node leads.
 func testPartition(t *testing.T, s *standbyCluster, c partitionCase) {
 	t.Helper()
 	n, term := s.leader()
@@ -393,7 +414,7 @@
 	time.Sleep(12 * time.Second)
 	next, nextTerm := s.leader()
 	if next == nil {
-		t.Fatal("nobody leads")
+		t.Fatal("no node leads")
 	}
 	if c.wantOther && next == n {
 		t.Errorf("%s still leads in term %d, want another node", leader, nextTerm)
@@ -409,20 +430,21 @@
 	s.network.setPartitioned(others[0], false, others[1])
 	time.Sleep(20 * time.Second)
 	if next, _ = s.leader(); next == nil {
-		t.Error("nobody leads once the partition is healed")
+		t.Error("no node leads after the partition was healed")
 	}
 }
 
-// followersOf are the names of the two nodes beside a leader.
+// followersOf returns the names of the two nodes other than the leader.
 func followersOf(leader *node) []string {
 	return slices.DeleteFunc([]string{"n0", "n1", "n2"}, func(name string) bool {
 		return name == leader.Settings.Node
 	})
 }
 
-// A leader that is partitioned from the others, and perhaps from the store, still reaches a
-// part of the machines, and has work for them. From when it is replaced it starts nothing,
-// however soon the next leader does, and whenever it last read from the store.
+// A leader that has been replaced must start no tasks. In this test it is partitioned from the other
+// nodes, and in half of the runs from the store too, but still reaches half of the machines and has
+// pending tasks for them. The time of the partition varies, because it matters when the leader last
+// received votes and read from the store. runMachines checks the order of the starts.
 func TestReplacedLeaderStartsNoTasks(t *testing.T) {
 	replaced := 0
 	for offset := range 20 {
@@ -437,14 +459,14 @@
 	}
 }
 
-// partitionBusyLeader partitions a leader that has more work than its machines can run, some
-// time after the start of the test, and reports whether it was replaced.
+// partitionBusyLeader gives the leader more work than the machines can run, partitions it from the
+// other nodes, and if storeToo is set from the store, and reports whether it was replaced.
 func partitionBusyLeader(t *testing.T, s *standbyCluster, after time.Duration, storeToo bool) bool {
 	t.Helper()
 	n, term := s.leader()
 	leader := n.Settings.Node
 	time.Sleep(after)
-	for range 40 { // more than the machines can run
+	for range 40 { // more jobs than the machines can run
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		if _, _, err := n.Submit(ctx, s.newJob()); err != nil {
 			t.Error(err)
@@ -458,7 +480,8 @@
 	s.mu.Unlock()
 	s.network.setPartitioned(leader, true, followersOf(n)...)
 	if storeToo {
-		// It does not learn of the next term, and nothing else holds it back.
+		// The leader cannot read the next term from the store. Treating its cancellations as
+		// confirmed leaves the lease quorum as the only check that can stop its starts.
 		s.gates[leader].set(true)
 		n.inspect(func(c *Controller) { c.leaderTerm.cancellationsConfirmedAt = time.Now().Add(time.Hour) })
 	}
@@ -467,15 +490,16 @@
 	return nextTerm > term
 }
 
-// A leader that needs no lease quorum decides by its leader lease alone, and so is replaced
-// only when that has expired.
+// A leader that does not require a lease quorum acts on its leader lease alone. It must not be
+// replaced before that lease has expired.
 func TestLeaderWithoutLeaseQuorum(t *testing.T) {
 	simulateStandby(t, 3, func(s *standbyCluster) {
 		n, _ := s.leader()
 		for _, other := range s.runningNodes() {
 			other.inspect(func(c *Controller) {
 				c.failover.lastNewTermAt = time.Now().Add(time.Hour)
-				c.failover.voter.Init(1000) // as if started after all terms to come
+				// As if the process had been started after term 1000: it votes in no earlier one.
+				c.failover.voter.Init(1000)
 			})
 		}
 		n.inspect(func(c *Controller) { c.leaderTerm.stepDown() })
@@ -484,8 +508,8 @@
 	})
 }
 
-// checkReplacedByLeaseExpiry ends the leader, which must need no lease quorum and so be
-// replaced only when its lease has expired.
+// checkReplacedByLeaseExpiry ends the leader and checks that it required no lease quorum, and that
+// no task is started in the next term before its lease has expired.
 func (s *standbyCluster) checkReplacedByLeaseExpiry() {
 	s.t.Helper()
 	n, term := s.leader()
@@ -493,28 +517,29 @@
 	startTime := time.Now()
 	s.endNode(n.Settings.Node)
 	time.Sleep(45 * time.Second)
-	at, _ := s.startTimes(term + 1)
-	if took := at.Sub(startTime); took < 20*time.Second {
-		s.t.Errorf("next start after %v, want at least 20s", took)
+	firstStart, _ := s.startTimes(term + 1)
+	if took := firstStart.Sub(startTime); took < 20*time.Second {
+		s.t.Errorf("first start in the next term after %v, want at least 20s", took)
 	}
 }
 
-// While the store is down nobody is replaced, and the machines keep their tasks; a leader
-// that ended meanwhile is replaced once the store is back.
+// During an outage of the store the leader is not replaced, and the machines keep their tasks: no
+// agent begins a new epoch. A leader that ends during an outage is replaced when the store is
+// available again.
 func TestFailoverAndStoreOutage(t *testing.T) {
 	simulateStandby(t, 3, func(s *standbyCluster) {
 		n, term := s.leader()
 		s.store.SetDown(true)
 		time.Sleep(12 * time.Second)
 		epochs := 0
-		for _, k := range s.agents {
-			epochs += int(k.status.AgentEpoch)
+		for _, agent := range s.agents {
+			epochs += int(agent.status.AgentEpoch)
 		}
 		s.checkEqual("sum of agent epochs", epochs, len(s.agents))
 		s.store.SetDown(false)
 		time.Sleep(5 * time.Second)
-		if next, now := s.leader(); next != n || now != term {
-			t.Errorf("replaced during an outage: got term %d, want %d", now, term)
+		if next, nextTerm := s.leader(); next != n || nextTerm != term {
+			t.Errorf("leader was replaced during a store outage: got term %d, want %d", nextTerm, term)
 		}
 		s.store.SetDown(true)
 		s.endNode(n.Settings.Node)
@@ -522,15 +547,15 @@
 		s.store.SetDown(false)
 		startTime := time.Now()
 		time.Sleep(20 * time.Second)
-		at, _ := s.startTimes(term + 1)
-		if took := at.Sub(startTime); took < 0 || took > 8*time.Second {
-			t.Errorf("next start %v after the outage, want 0 to 8s", took)
+		firstStart, _ := s.startTimes(term + 1)
+		if took := firstStart.Sub(startTime); took < 0 || took > 8*time.Second {
+			t.Errorf("first start in the next term %v after the outage, want 0 to 8s", took)
 		}
 	})
 }
 
-// In a group in which one node knows no votes the leader needs no lease quorum, and is
-// replaced when its lease has expired.
+// If failover is disabled on one node, the leader does not require a lease quorum, and is replaced
+// only when its lease has expired.
 func TestFailoverNeedsVotesOfAllNodes(t *testing.T) {
 	simulateStandby(t, 3, func(s *standbyCluster) {
 		n, _ := s.leader()
@@ -541,7 +566,8 @@
 		s.endNode(last)
 		s.voteLifetimeS = 0
 		s.startNode(last)
-		s.endNode(n.Settings.Node) // restarted at once, in a new term without a lease quorum
+		// The leader restarts at once and begins a new term without a lease quorum.
+		s.endNode(n.Settings.Node)
 		s.voteLifetimeS = 3
 		s.startNode(n.Settings.Node)
 		time.Sleep(10 * time.Second)
@@ -549,8 +575,9 @@
 	})
 }
 
-// Nodes end, restart and are partitioned at random; leaders never contradict each other, and
-// in the end one of them starts tasks.
+// Nodes restart and are partitioned at random. runMachines checks throughout that no task runs on
+// two machines and that no leader starts tasks after its successor has. After the faults, a leader
+// must start tasks again.
 func TestFailoverUnderRandomFaults(t *testing.T) {
 	terms := uint64(0)
 	for seed := range uint64(15) {
@@ -564,46 +591,47 @@
 				time.Sleep(45 * time.Second)
 				_, term := s.leader()
 				if first, _ := s.startTimes(term); term == 0 || first.IsZero() {
-					t.Errorf("no start in term %d in the end", term)
+					t.Errorf("no task was started in term %d after the faults", term)
 				}
 				terms += term
 			})
 		})
 	}
-	t.Logf("%d terms in all", terms)
+	t.Logf("%d terms in total", terms)
 }
 
-// injectRandomFault ends a node or the leader, or cuts one or all links of a node, for a
-// random time, and heals that.
+// injectRandomFault restarts a random node or the leader after a random time, or cuts one direction
+// of a link or all links of a node for a random time.
 func (s *standbyCluster) injectRandomFault(random *rand.Rand) {
 	names := []string{"n0", "n1", "n2"}
 	name := names[random.IntN(3)]
-	away := time.Duration(random.IntN(9000)) * time.Millisecond
+	outage := time.Duration(random.IntN(9000)) * time.Millisecond
 	switch random.IntN(4) {
 	case 0:
 		s.endNode(name)
-		time.Sleep(away)
+		time.Sleep(outage)
 		s.startNode(name)
 	case 1:
 		if n, _ := s.leader(); n != nil {
 			name = n.Settings.Node
 			s.endNode(name)
-			time.Sleep(2 * away)
+			time.Sleep(2 * outage)
 			s.startNode(name)
 		}
 	case 2:
 		other := names[random.IntN(3)]
 		s.network.setCut(name, other, true)
-		time.Sleep(2 * away)
+		time.Sleep(2 * outage)
 		s.network.setCut(name, other, false)
 	case 3:
 		s.network.setPartitioned(name, true, names...)
-		time.Sleep(2 * away)
+		time.Sleep(2 * outage)
 		s.network.setPartitioned(name, false, names...)
 	}
 }
 
-// A leader that drains hands over at once, with and without votes, and is not elected again.
+// A leader that drains hands over to another node at once, with failover enabled or disabled, and is
+// not elected again.
 func TestPlannedHandover(t *testing.T) {
 	for _, voteLifetimeS := range []float64{0, 3} {
 		simulateStandby(t, voteLifetimeS, func(s *standbyCluster) {
@@ -611,14 +639,14 @@
 			startTime := time.Now()
 			n.Drain(context.Background())
 			if n.Ready() {
-				t.Error("a draining leader is ready for users")
+				t.Error("a draining leader still reports ready")
 			}
 			time.Sleep(time.Second)
 			s.endNode(n.Settings.Node)
 			time.Sleep(4 * time.Second)
-			at, _ := s.startTimes(term + 1)
-			if took := at.Sub(startTime); took < 0 || took > 2*time.Second {
-				t.Errorf("next start after %v, want 0 to 2s", took)
+			firstStart, _ := s.startTimes(term + 1)
+			if took := firstStart.Sub(startTime); took < 0 || took > 2*time.Second {
+				t.Errorf("first start in the next term after %v, want 0 to 2s", took)
 			}
 		})
 	}
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Drain prepares the end of the process: the node becomes unready, so that users are routed to
-// others, and if it leads, it hands over to a successor. It stops acting, then notifies the
-// successor, which takes over without waiting for the lease to expire. Drain returns when that is
-// done or the context ends.
+// Drain prepares the node for shutdown. The node becomes unready, so that users are routed to other
+// nodes. If it leads, it stops acting as leader and then notifies a successor, which takes over
+// without waiting for the lease to expire. Drain returns when the successor has been notified or
+// the context ends.
 func (c *Controller) Drain(ctx context.Context) {
 	c.unready.Store(true)
 	m := drainMsg{make(chan successor, 1)}
@@ -21,15 +21,16 @@
 	}
 }
 
-// successor is the node that is to take over from the leader of a term. Its name is empty if there
-// is none.
+// successor is the node that replaces a leader that shuts down.
 type successor struct {
+	// node is the name of the successor, or "" if there is none.
 	node string
+	// term is the term of the leader that shuts down.
 	term uint64
 }
 
 // drainMsg ends this node's term, if it leads, and requests its successor: the reachable node that
-// the store has answered longest.
+// the key-value store has answered for the longest time.
 type drainMsg struct{ reply chan successor }
 
 func (m drainMsg) apply(c *Controller) {
@@ -40,16 +41,16 @@
 	}
 	next := successor{term: c.leaderTerm.term.Number}
 	now, longest := time.Now(), time.Duration(0)
-	for name, mb := range c.membership.Members {
-		if mb.IsReachable(now) && mb.KVReachableFor > longest {
-			next.node, longest = name, mb.KVReachableFor
+	for name, member := range c.membership.Members {
+		if member.IsReachable(now) && member.KVReachableFor > longest {
+			next.node, longest = name, member.KVReachableFor
 		}
 	}
 	if next.node == "" {
-		c.Log.Info("leader ends without successor", "term", next.term)
+		c.Log.Info("leader stops without successor", "term", next.term)
 	} else {
 		c.Log.Info("leader hands over", "term", next.term, "node", next.node)
 	}
-	c.endTerm() // the successor may act from the reply on, so this node no longer does
+	c.endTerm() // before the reply, because the successor may act from then on
 	m.reply <- next
 }
--- a/internal/controller/leasevotes.go
+++ b/internal/controller/leasevotes.go
@@ -7,7 +7,7 @@
 	"example.org/ivytrestle/internal/leasequorum"
 )
 
-// requestAllVotes requests another node's vote at intervals while this one leads.
+// requestVotesLoop requests another node's vote every voteInterval while this node leads.
 func (c *Controller) requestVotesLoop(ctx context.Context, node string) {
 	for ctx.Err() == nil {
 		m := ownTermRequestMsg{make(chan uint64, 1)}
@@ -17,8 +17,8 @@
 		}
 		if term != 0 {
 			sentAt := time.Now()
-			vctx, cancel := context.WithTimeout(ctx, voteTimeout)
-			granted, err := c.Peers.Vote(vctx, node, term)
+			voteCtx, cancel := context.WithTimeout(ctx, voteTimeout)
+			granted, err := c.Peers.Vote(voteCtx, node, term)
 			cancel()
 			if err == nil && granted {
 				c.sendOrDrop(ctx, voteGrantedMsg{node, term, sentAt})
@@ -28,7 +28,7 @@
 	}
 }
 
-// ownTermRequestMsg requests the term in which this node leads; 0: it does not.
+// ownTermRequestMsg requests the term in which this node leads, or 0 if it does not lead.
 type ownTermRequestMsg struct{ reply chan uint64 }
 
 func (m ownTermRequestMsg) apply(c *Controller) {
@@ -39,11 +39,11 @@
 	m.reply <- term
 }
 
-// voteGrantedMsg carries another node's vote, and when it was requested: its validity is counted
-// from there.
+// voteGrantedMsg contains another node's vote.
 type voteGrantedMsg struct {
-	node   string
-	term   uint64
+	node string
+	term uint64
+	// sentAt is when the vote was requested. Its lifetime is counted from then.
 	sentAt time.Time
 }
 
@@ -53,21 +53,21 @@
 	}
 }
 
-// hasVoteQuorum reports whether the leader has enough valid votes.
+// hasVoteQuorum reports whether the leader has valid votes from a quorum of the other nodes.
 func (lt *leaderTerm) hasVoteQuorum(now time.Time) bool {
 	return lt.votes.HasQuorum(leasequorum.RequiredVotes(len(lt.c.Settings.Peers)+1), now)
 }
 
-// hasLeaseQuorum reports whether the leader may start tasks and launch and terminate machines.
-// One that requires a lease quorum and lacks it may have been replaced. It goes on only with what
-// renews leases, and with what the key-value store fences.
+// hasLeaseQuorum reports whether the leader may start tasks and launch and terminate machines. A
+// leader that requires a lease quorum but lacks it may have been replaced. It continues only to
+// renew leases, and to perform actions that the key-value store fences.
 func (lt *leaderTerm) hasLeaseQuorum(now time.Time) bool {
 	return !lt.quorumRequired || lt.hasVoteQuorum(now)
 }
 
-// checkLeaseQuorum makes the leader require a lease quorum once that is possible. A leader that
-// has lacked it for long, and is not replaced, steps down to begin a new term: promises to vote
-// no more in the present one do not bind nodes in the next.
+// checkLeaseQuorum makes the leader require a lease quorum once that is possible. A leader that has
+// lacked the quorum for two vote lifetimes, and still reaches the key-value store, steps down to
+// begin a new term. Nodes that have promised not to vote in the present term can vote in that one.
 func (lt *leaderTerm) checkLeaseQuorum(now time.Time) {
 	if lt.c.Standby == nil || len(lt.c.Settings.Peers) == 0 {
 		return
@@ -90,12 +90,13 @@
 	}
 }
 
-// maybeRequireQuorum makes the leader require a lease quorum once all other nodes support it and
-// enough of them vote. Processes that began after the term did not vote in it, as they cannot
-// know what earlier ones have promised: if they are too many, the leader begins a new term.
+// maybeRequireQuorum makes the leader require a lease quorum if all other nodes support it and
+// enough of them vote. Processes that were started after the term began do not vote in it, because
+// an earlier process of the same node may have promised not to. If they are too many for a quorum,
+// the leader steps down to begin a new term, in which they vote.
 func (lt *leaderTerm) maybeRequireQuorum(now time.Time) {
-	for _, mb := range lt.c.membership.Members {
-		if !mb.SupportsLeaseQuorum || !mb.IsReachable(now) {
+	for _, member := range lt.c.membership.Members {
+		if !member.SupportsLeaseQuorum || !member.IsReachable(now) {
 			lt.quorumLostAt = time.Time{}
 			return
 		}
@@ -117,7 +118,8 @@
 	}
 }
 
-// PeerVote responds to a leader that requests this node's vote in its term.
+// PeerVote handles a leader's request for this node's vote in a term, and reports whether this node
+// grants it.
 func (c *Controller) PeerVote(ctx context.Context, term uint64) (bool, error) {
 	m := voteRequestMsg{term, make(chan bool, 1)}
 	return request(ctx, c, m, m.reply)
@@ -130,6 +132,6 @@
 }
 
 func (m voteRequestMsg) apply(c *Controller) {
-	v := c.failover.voter
-	m.reply <- v != nil && v.Vote(m.term, time.Now())
+	voter := c.failover.voter
+	m.reply <- voter != nil && voter.Vote(m.term, time.Now())
 }
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -6,13 +6,15 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// The mailbox is the channel of messages to the owner goroutine. Once Run has returned
-// nobody receives from it, and the messages left in it are never applied. So that no caller
-// blocks for ever, sending and waiting for a reply both end with api.ErrUnavailable then.
+// The mailbox is the channel of messages to the owner goroutine. After Run has returned, messages
+// that remain in the mailbox are never applied. Sending a message and waiting for a reply then fail
+// with api.ErrUnavailable, so that no caller blocks forever.
 
-// send puts a message into the owner's mailbox.
+// send sends a message to the owner's mailbox.
 func (c *Controller) send(ctx context.Context, m message) error {
-	if c.hasEnded() { // the mailbox may have free capacity, which the select could choose
+	// Without this check, the select could put the message into the mailbox after Run has
+	// returned, because the mailbox may have free capacity.
+	if c.hasEnded() {
 		return api.ErrUnavailable
 	}
 	select {
@@ -25,14 +27,14 @@
 	}
 }
 
-// sendOrDrop puts a message that has no reply into the owner's mailbox. The error is dropped
-// because it only says that the controller is ending, and then there is no state left that
-// the message could change.
+// sendOrDrop sends a message without a reply to the owner's mailbox. It ignores the error: sending
+// fails only while the controller is stopping, and then no state is left that the message could
+// change.
 func (c *Controller) sendOrDrop(ctx context.Context, m message) {
 	_ = c.send(ctx, m)
 }
 
-// request sends a message to the owner and waits for the reply.
+// request sends a message to the owner and returns its reply.
 func request[T any](ctx context.Context, c *Controller, m message, reply <-chan T) (T, error) {
 	if err := c.send(ctx, m); err != nil {
 		var none T
@@ -41,19 +43,19 @@
 	return await(ctx, c, reply)
 }
 
-// await returns the owner's reply to a message that was sent.
+// await waits for the owner's reply to a message that was sent, and returns it.
 func await[T any](ctx context.Context, c *Controller, reply <-chan T) (T, error) {
 	var none T
 	select {
-	case r := <-reply:
-		return r, nil
+	case response := <-reply:
+		return response, nil
 	case <-c.ended:
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 	select {
-	case r := <-reply: // sent just before the owner ended
-		return r, nil
+	case response := <-reply: // sent just before the owner ended
+		return response, nil
 	default:
 		return none, api.ErrUnavailable
 	}
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -13,7 +13,8 @@
 	"example.org/ivytrestle/internal/loan"
 )
 
-// mailboxCalls are the calls that wait for a reply of the controller's goroutine.
+// mailboxCalls are calls that send a message to the controller's goroutine. All except
+// "resignation" wait for its reply.
 var mailboxCalls = map[string]func(ctx context.Context, n *node) error{
 	"heartbeat": func(ctx context.Context, n *node) error {
 		_, err := n.Heartbeat(ctx, &api.Heartbeat{
@@ -42,8 +43,8 @@
 	},
 }
 
-// A controller that has ended rejects calls at once, whether or not its mailbox is full:
-// nobody reads that any more.
+// A controller that has ended rejects calls at once, whether or not its mailbox is full. Otherwise
+// the calls would block, because messages are no longer received.
 func TestEndedControllerRejectsCalls(t *testing.T) {
 	for name, call := range mailboxCalls {
 		t.Run(name, func(t *testing.T) {
@@ -63,7 +64,8 @@
 	}
 }
 
-// Calls that are in the mailbox when the controller ends return then, not when they time out.
+// Calls whose messages are in the mailbox when the controller ends return at once, instead of
+// waiting until they time out.
 func TestQueuedCallsEndWithController(t *testing.T) {
 	for name, call := range mailboxCalls {
 		if name == "resignation" {
@@ -78,7 +80,8 @@
 				returned := make(chan struct{}, calls)
 				for range calls {
 					go func() {
-						// Some calls may succeed: Run chooses among what is ready.
+						// Some calls may succeed, because the select in Run chooses at random
+						// between the end of the context and the next message.
 						_ = call(context.Background(), n)
 						returned <- struct{}{}
 					}()
@@ -94,7 +97,8 @@
 	}
 }
 
-// An elector may notify a controller that has ended any number of times.
+// An elector that notifies a controller after its end does not block, even if there are more
+// notices than the mailbox can hold.
 func TestEndedControllerDoesNotBlockElector(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -109,7 +113,8 @@
 	})
 }
 
-// A request that is on record succeeds, also at a controller that has just ended.
+// A cancellation that is recorded in the key-value store is reported as successful, even by a
+// controller that has just ended and no longer applies it to its own state.
 func TestRecordedRequestsSucceedAtEndedController(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -12,33 +12,35 @@
 	"example.org/ivytrestle/internal/membership"
 )
 
-// currentLeader returns the node that leads, as far as this node knows, or "". Without the
-// store the election's last notice may be out of date, so the highest term among the
-// reachable nodes counts.
+// currentLeader returns the current leader according to this node's state, or "" if it is unknown.
+// While the store does not answer this node, the leader that the election last reported may be out
+// of date, so the reachable node that leads in the highest term is preferred.
 func (c *Controller) currentLeader(now time.Time) string {
-	observed := c.leader
-	if observed == c.Settings.Node {
-		observed = ""
+	reported := c.leader
+	if reported == c.Settings.Node {
+		reported = ""
 	}
-	if observed != "" && c.membership.KVReachable {
-		return observed
+	if reported != "" && c.membership.KVReachable {
+		return reported
 	}
-	return cmp.Or(c.membership.HighestTermLeader(now), observed)
+	return cmp.Or(c.membership.HighestTermLeader(now), reported)
 }
 
 const (
-	pingTimeout    = 800 * time.Millisecond
+	// pingTimeout is the time limit of a ping.
+	pingTimeout = 800 * time.Millisecond
+	// kvCheckTimeout is the time limit of a health check of the key-value store.
 	kvCheckTimeout = 1200 * time.Millisecond
-	// resignTimeout is the time limit of a resignation.
+	// resignTimeout is the time limit of notifying the successor of a resignation.
 	resignTimeout = 2 * time.Second
 )
 
-// kvHealthLoop reads from the key-value store at intervals, only to learn whether it answers
-// this node.
+// kvHealthLoop checks at intervals whether the key-value store answers this node. The value that it
+// reads is not used.
 func (c *Controller) kvHealthLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		sctx, cancel := context.WithTimeout(ctx, kvCheckTimeout)
-		_, err := c.Store.Get(sctx, election.LeaderKey)
+		checkCtx, cancel := context.WithTimeout(ctx, kvCheckTimeout)
+		_, err := c.Store.Get(checkCtx, election.LeaderKey)
 		cancel()
 		if c.send(ctx, kvHealthMsg{err == nil}) != nil {
 			return
@@ -47,22 +49,22 @@
 	}
 }
 
-// kvHealthMsg carries whether the store has answered a health check.
+// kvHealthMsg contains the result of a health check of the key-value store.
 type kvHealthMsg struct{ ok bool }
 
 func (m kvHealthMsg) apply(c *Controller) {
 	c.membership.ApplyKVHealth(m.ok, time.Now())
 }
 
-// pingLoop pings another node. While that leads and is unreachable, it also verifies the
-// leader's term for the renewal of leases on the leader's behalf.
+// pingLoop pings another node at intervals. If the node is the leader and does not answer, it also
+// verifies the leader's term, so that leases can be renewed on the leader's behalf.
 func (c *Controller) pingLoop(ctx context.Context, node string) {
 	failed := 0
 	var from cancellation.Position
 	for ctx.Err() == nil {
 		sentAt := time.Now()
-		pctx, cancel := context.WithTimeout(ctx, pingTimeout)
-		st, err := c.Peers.Ping(pctx, node, from)
+		pingCtx, cancel := context.WithTimeout(ctx, pingTimeout)
+		status, err := c.Peers.Ping(pingCtx, node, from)
 		cancel()
 		failed++
 		if err == nil || errors.Is(err, api.ErrUnavailable) {
@@ -70,7 +72,7 @@
 		}
 		result := pingResultMsg{
 			node:              node,
-			status:            st,
+			status:            status,
 			sentAt:            sentAt,
 			failedPings:       failed,
 			connectionRefused: errors.Is(err, ErrConnectionRefused),
@@ -79,7 +81,7 @@
 			return
 		}
 		if err == nil {
-			from = cancellation.Position{Incarnation: st.Incarnation, Number: st.Cancellations.LastNumber()}
+			from = cancellation.Position{Incarnation: status.Incarnation, Number: status.Cancellations.LastNumber()}
 		}
 		if failed >= membership.FailedPingThreshold {
 			c.verifyUnreachableLeader(ctx, node)
@@ -88,26 +90,28 @@
 	}
 }
 
-// pingResultMsg carries the response to a ping, if FailedPings is 0, or its failure.
+// pingResultMsg contains the outcome of a ping.
 type pingResultMsg struct {
-	node              string
-	status            membership.PeerStatus
-	sentAt            time.Time
+	node string
+	// status is the response. It is used only if failedPings is 0.
+	status membership.PeerStatus
+	sentAt time.Time
+	// failedPings is the number of consecutive failed pings, or 0 if this one was answered.
 	failedPings       int
 	connectionRefused bool
 }
 
 func (m pingResultMsg) apply(c *Controller) {
 	now := time.Now()
-	mb := c.membership.Members[m.node]
-	if mb == nil {
+	member := c.membership.Members[m.node]
+	if member == nil {
 		return
 	}
-	mb.ApplyPingResult(m.failedPings, m.connectionRefused)
+	member.ApplyPingResult(m.failedPings, m.connectionRefused)
 	if m.failedPings > 0 {
 		return
 	}
-	mb.ApplyPingResponse(m.status, m.sentAt, now)
+	member.ApplyPingResponse(m.status, m.sentAt, now)
 	for _, id := range m.status.Cancellations.IDs {
 		c.recordCancellation(id)
 	}
@@ -115,44 +119,45 @@
 		c.leaderTerm.downlink.handleRestart(c.leaderTerm, m.node, m.status.Incarnation)
 	}
 	if m.node == c.leader {
-		c.leaseRenewer.reset(m.node, m.status.Term, m.cancellationsKnownAt(c, mb, now))
+		c.leaseRenewer.reset(m.node, m.status.Term, m.cancellationsKnownAt(c, member, now))
 	}
 }
 
-// cancellationsKnownAt returns the moment before which the leader knew all cancellations, as
-// far as its response to a ping lets this node rely on it; zero: not at all.
+// cancellationsKnownAt returns the time before which the leader had all cancellations, according to
+// its response to a ping, or the zero time if this node cannot rely on the response.
 //
-// A response carries the leader's own knowledge. Cancellations of earlier terms need not be in
-// any log that has reached this node: the leader only knows which jobs are left, and has
-// communicated that to each machine that is still alive once a lease has passed.
+// The response states what the leader itself has in memory. Cancellations of earlier terms may be
+// missing from every log that has reached this node, because a new leader only loads the jobs that
+// are still active. It has communicated these to each machine that is still alive after a task
+// lease and two heartbeat intervals. Until then this node does not rely on the response.
 func (m pingResultMsg) cancellationsKnownAt(c *Controller, leader *membership.Member, now time.Time) time.Time {
-	w := c.Settings.Site.Workers
+	workers := c.Settings.Site.Workers
 	if m.status.CancellationsKnownAge < 0 {
 		return time.Time{}
 	}
-	if m.status.Term > 1 && now.Sub(leader.TermSeenAt) < w.Lease()+2*w.HeartbeatInterval() {
+	if m.status.Term > 1 && now.Sub(leader.TermSeenAt) < workers.Lease()+2*workers.HeartbeatInterval() {
 		return time.Time{}
 	}
 	return m.sentAt.Add(-m.status.CancellationsKnownAge)
 }
 
-// checkKVAccess makes a node unready, and has it step down as leader, if the key-value store
-// does not answer it but answers others: it can only fail its users, and cannot lead.
+// checkKVAccess makes the node unready, and makes it resign if it leads, if the key-value store
+// does not answer it but answers other nodes. Such a node cannot serve users or lead.
 func (c *Controller) checkKVAccess(now time.Time) {
 	if c.draining {
 		return
 	}
-	t := &c.membership
-	if !t.KVLost(now) {
+	table := &c.membership
+	if !table.KVLost(now) {
 		if c.unready.Swap(false) {
 			c.Log.Info("key-value store reachable again")
 		}
 		return
 	}
-	reachable, healthy := t.KVHealthyMember(now)
-	// Without a reachable node it is unknown whether this is an outage for all; then, too,
-	// other nodes serve users better, if any does.
-	if unready := healthy != "" || (reachable == 0 && len(t.Members) > 0); unready != c.unready.Load() {
+	reachable, healthy := table.KVHealthyMember(now)
+	// If no other node is reachable, it is unknown whether the store is down for all nodes. The
+	// node becomes unready in that case too, because others may still be able to serve users.
+	if unready := healthy != "" || (reachable == 0 && len(table.Members) > 0); unready != c.unready.Load() {
 		c.unready.Store(unready)
 		c.Log.Info("key-value store unreachable", "answersOthers", healthy != "", "nodesReached", reachable)
 	}
@@ -161,8 +166,8 @@
 	}
 }
 
-// resign steps down, then notifies the successor, which may take over at once: from the step
-// down on this node does not act as leader.
+// resign steps down and then notifies the successor. The successor may take over at once, because
+// this node does not act as leader any more after it has stepped down.
 func (c *Controller) resign(successor string) {
 	term := c.leaderTerm.term.Number
 	c.Log.Info("leader resigns", "term", term, "node", successor)
@@ -171,17 +176,17 @@
 		ctx, cancel := context.WithTimeout(context.Background(), resignTimeout)
 		defer cancel()
 		if err := c.Peers.Resign(ctx, successor, c.Settings.Node, term); err != nil {
-			c.Log.Debug("resignation not delivered", "node", successor, "err", err)
+			c.Log.Debug("notice of resignation failed", "node", successor, "err", err)
 		}
 	}()
 }
 
-// LeaderResigned handles a leader's notice that it has stopped acting.
+// LeaderResigned handles a leader's notice that it has stopped acting in a term.
 func (c *Controller) LeaderResigned(ctx context.Context, node string, term uint64) error {
 	return c.send(ctx, resignationMsg{node, term})
 }
 
-// resignationMsg carries a leader's notice that it has stopped acting in a term.
+// resignationMsg contains a leader's notice that it has stopped acting in a term.
 type resignationMsg struct {
 	node string
 	term uint64
@@ -192,7 +197,8 @@
 	c.notifyResignation(m.node, m.term)
 }
 
-// notifyResignation notifies the election that a leader no longer acts in a term.
+// notifyResignation notifies the election that a leader no longer acts in a term. The notice is
+// dropped if the queue is full; the election then waits for the lease to expire.
 func (c *Controller) notifyResignation(leader string, term uint64) {
 	select {
 	case c.resignations <- election.Resignation{Node: leader, Term: term}:
@@ -200,13 +206,14 @@
 	}
 }
 
-// PeerStatus responds to another node's ping.
+// PeerStatus handles another node's ping. It returns this node's status, with the part of its
+// cancellation log after a position.
 func (c *Controller) PeerStatus(ctx context.Context, from cancellation.Position) (membership.PeerStatus, error) {
 	m := pingMsg{from, make(chan membership.PeerStatus, 1)}
 	return request(ctx, c, m, m.reply)
 }
 
-// pingMsg requests this node's status, with its cancellation log from a position on.
+// pingMsg requests this node's status, with the part of its cancellation log after a position.
 type pingMsg struct {
 	from  cancellation.Position
 	reply chan membership.PeerStatus
@@ -214,23 +221,23 @@
 
 func (m pingMsg) apply(c *Controller) {
 	now := time.Now()
-	st := membership.PeerStatus{
+	status := membership.PeerStatus{
 		Leader:                c.leader,
 		Incarnation:           c.uplink.incarnation,
 		CancellationsKnownAge: -1,
 		SupportsLoans:         c.Cells != nil,
 		SupportsLeaseQuorum:   c.Standby != nil,
 	}
-	if m.from.Incarnation != st.Incarnation {
+	if m.from.Incarnation != status.Incarnation {
 		m.from.Number = 0
 	}
-	st.Cancellations = c.cancellations.Since(m.from.Number, now)
+	status.Cancellations = c.cancellations.Since(m.from.Number, now)
 	if c.holdsLease() {
-		st.Term, st.QuorumRequired = c.leaderTerm.term.Number, c.leaderTerm.quorumRequired
+		status.Term, status.QuorumRequired = c.leaderTerm.term.Number, c.leaderTerm.quorumRequired
 		if c.leaderTerm.loaded {
-			st.CancellationsKnownAge = now.Sub(c.leaderTerm.cancellationsKnownAt(now))
+			status.CancellationsKnownAge = now.Sub(c.leaderTerm.cancellationsKnownAt(now))
 		}
 	}
-	st.KVReachableFor = c.membership.KVReachableFor(now)
-	m.reply <- st
+	status.KVReachableFor = c.membership.KVReachableFor(now)
+	m.reply <- status
 }
--- a/internal/controller/readindex.go
+++ b/internal/controller/readindex.go
@@ -9,39 +9,44 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// readIndexer makes the leader's reads linearizable: before a poll is answered from its memory,
-// the store confirms that this is up to date. Any node cancels jobs by its own transaction, which
-// the watch may not have delivered yet; and after a process pause another leader may have been
-// elected. One comparison of the versions of the term key and the cancel key serves all polls
-// that were queued before it was sent (ReadIndex).
+// readIndexer makes the leader's reads linearizable (ReadIndex). Before the leader answers a poll
+// from its memory, the key-value store must confirm that the memory is up to date. It may be
+// outdated for two reasons: any node can cancel a job by its own transaction, which the watch has
+// not delivered yet, and another leader may have been elected during a pause of this process.
+//
+// A round is one transaction that compares the versions of the term key and the cancel key. It
+// serves all polls that were queued before it was sent.
 type readIndexer struct {
 	leaderTerm *leaderTerm
-	waiting    []*pollMsg
+	// waiting holds the polls for the next round.
+	waiting []*pollMsg
 	// busy is set from the start of a round until readIndexPause after its end.
 	busy bool
-	// lastStarted is when the last round was started. Rounds are started at intervals even
-	// without polls, because the leader must know that it knows all cancellations.
+	// lastStarted is when the last round was started. Rounds are also started at intervals
+	// without polls, because the leader needs regular confirmation that it has all
+	// cancellations.
 	lastStarted time.Time
 }
 
 const (
+	// readIndexTimeout is the time limit of the transaction of a round.
 	readIndexTimeout = 700 * time.Millisecond
-	// readIndexPause limits polls to a few requests to the store per second. It is short
-	// compared with what users wait for a response.
+	// readIndexPause is the pause between two rounds. It limits polls to a few requests to the
+	// store per second, and is short compared with the response time that users expect.
 	readIndexPause = 200 * time.Millisecond
-	// pollDeadlineMargin is how long before its deadline a poll is no longer put off to another
-	// round.
+	// pollDeadlineMargin is how long before its deadline a poll is failed instead of being
+	// deferred to another round.
 	pollDeadlineMargin = 200 * time.Millisecond
 )
 
-// enqueue adds a poll to the next round.
+// enqueue adds a poll to the next round, and starts the round if possible.
 func (ri *readIndexer) enqueue(m *pollMsg) {
 	ri.waiting = append(ri.waiting, m)
 	ri.startRound()
 }
 
-// startRound sends a comparison to the store if polls are waiting for one or the interval has
-// passed, unless a round is running.
+// startRound starts a round if polls are waiting or the last round was started at least
+// proofInterval ago. It does nothing during a round and the pause after it.
 func (ri *readIndexer) startRound() {
 	if ri.busy || (len(ri.waiting) == 0 && time.Since(ri.lastStarted) < ri.leaderTerm.c.proofInterval()) {
 		return
@@ -57,18 +62,19 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, readIndexTimeout)
 		defer cancel()
-		res, err := lt.c.Store.Txn(ctx, txn)
-		lt.sendToOwner(readIndexMsg{leaderTerm: lt, batch: batch, sentAt: sentAt, result: res, err: err})
+		result, err := lt.c.Store.Txn(ctx, txn)
+		lt.sendToOwner(readIndexMsg{leaderTerm: lt, batch: batch, sentAt: sentAt, result: result, err: err})
 	}()
 }
 
-// readIndexMsg carries the result of a round to the polls that wait for it.
+// readIndexMsg contains the result of a round.
 type readIndexMsg struct {
 	leaderTerm *leaderTerm
-	batch      []*pollMsg
-	sentAt     time.Time
-	result     kv.Result
-	err        error
+	// batch holds the polls that the round serves.
+	batch  []*pollMsg
+	sentAt time.Time
+	result kv.Result
+	err    error
 }
 
 func (m readIndexMsg) apply(*Controller) {
@@ -84,7 +90,7 @@
 			poll.reply <- lt.pollReplyFor(poll.id)
 		}
 	default:
-		// The watch has yet to deliver a cancellation.
+		// The cancel key has changed: the watch has not delivered a cancellation yet.
 		lt.readIndex.retry(m.batch)
 	}
 	if !lt.hasEnded() {
@@ -92,7 +98,7 @@
 	}
 }
 
-// retry puts polls off to the next round, except those whose deadline is too close.
+// retry defers polls to the next round, and fails those whose deadline is too close.
 func (ri *readIndexer) retry(batch []*pollMsg) {
 	now := time.Now()
 	for _, poll := range batch {
@@ -104,7 +110,7 @@
 	}
 }
 
-// readIndexPauseEndedMsg ends the pause after a round.
+// readIndexPauseEndedMsg ends the pause after a round, and starts the next one if it is due.
 type readIndexPauseEndedMsg struct{ leaderTerm *leaderTerm }
 
 func (m readIndexPauseEndedMsg) apply(*Controller) {
--- a/internal/controller/reads_test.go
+++ b/internal/controller/reads_test.go
@@ -21,17 +21,17 @@
 
 // Get reads one key, and counts and delays the reads of jobs.
 func (s *slowReadStore) Get(ctx context.Context, key string) (kv.Entry, error) {
-	e, err := s.Fake.Get(ctx, key)
+	entry, err := s.Fake.Get(ctx, key)
 	if len(key) > 2 && (key[:2] == records.ActivePrefix || key[:2] == records.TerminalPrefix) {
 		s.jobReads.Add(1)
 		time.Sleep(50 * time.Millisecond)
 	}
-	return e, err
+	return entry, err
 }
 
-// However many queries for a job arrive at once, the store is read a few times only; and a query that
-// arrives while a read is in progress does not share it, since its result may be older than what was
-// reported meanwhile.
+// However many queries for a job arrive at once, the store is read only a few times. A query that
+// arrives during a read does not share its result, because that may be older than a state that was
+// reported in the meantime.
 func TestConcurrentQueriesShareReadsButNoStaleResults(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		store := &slowReadStore{Fake: w.store}
@@ -49,7 +49,8 @@
 		for afterMS := 0; afterMS < 120; afterMS += 10 {
 			id := "job-1" + string(rune('a'+afterMS/10))
 			w.submit(leader, spec(id, 1))
-			queries.Go(func() { w.phase(follower, id) }) // either phase may be reported
+			// This query runs concurrently with the cancellation, so either phase is correct.
+			queries.Go(func() { w.phase(follower, id) })
 			time.Sleep(time.Duration(afterMS) * time.Millisecond)
 			if _, err := leader.Cancel(w.t.Context(), id); err != nil {
 				w.t.Fatal(err)
--- a/internal/leasequorum/leasequorum_test.go
+++ b/internal/leasequorum/leasequorum_test.go
@@ -136,7 +136,7 @@
 }
 
 // elect makes the controller the leader once the votes have expired, unless another controller
-// has become the leader meanwhile.
+// has become the leader in the meantime.
 func (t *takeover) elect() {
 	s := t.simulation
 	if s.clock(t.node).Sub(t.startedAt) < t.maxWait {
