--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -31,7 +31,7 @@
 		Provisioning: lt.provisioning,
 		Teams:        lt.allTeams(),
 		Jobs:         lt.jobs,
-		Types:        lt.c.types.load(),
+		Types:        lt.c.machineTypes.load(),
 		Unfenced:     lt.unfenced,
 	}
 }
@@ -208,7 +208,7 @@
 		}
 		return
 	}
-	machineType := lt.c.types.load()[listed.Type]
+	machineType := lt.c.machineTypes.load()[listed.Type]
 	provisioning := lt.provisioning[listed.Name]
 	if provisioning == nil {
 		provisioning = autoscaler.ListedProvisioning(listed, machineType, now)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -113,7 +113,7 @@
 		m.Addr = strings.Clone(hb.Addr)
 	}
 	if m.CPUs == 0 {
-		if machineType, ok := lt.c.types.load()[m.Type]; ok {
+		if machineType, ok := lt.c.machineTypes.load()[m.Type]; ok {
 			m.CPUs, m.GPUs, m.MemoryGB = machineType.CPUs, machineType.GPUs, machineType.MemoryGB
 		}
 	}
@@ -241,5 +241,5 @@
 
 // addImage adds a job's image to the leader's model of a machine's image cache.
 func (lt *leaderTerm) addImage(m *cluster.Machine, spec *api.JobSpec, now time.Time) {
-	m.Images.Add(spec, lt.c.types.load()[m.Type].CacheGB, now)
+	m.Images.Add(spec, lt.c.machineTypes.load()[m.Type].CacheGB, now)
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -78,7 +78,7 @@
 		Attempts:              map[cluster.AttemptKey]*cluster.Attempt{},
 		TaskErrorsByJob:       map[string]int{},
 	}
-	if machineType, ok := lt.c.types.load()[typeName]; ok {
+	if machineType, ok := lt.c.machineTypes.load()[typeName]; ok {
 		m.CPUs, m.GPUs, m.MemoryGB = machineType.CPUs, machineType.GPUs, machineType.MemoryGB
 	}
 	lt.machines[name] = m
