--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -26,20 +26,20 @@
 }
 
 type entry struct {
-	id string
-	at time.Time
+	id      string
+	addedAt time.Time
 }
 
 const (
-	// memoryShare is the part of the memory that a log may take, and entryBytes about
+	// maxMemoryFraction is the part of the memory that a log may take, and entryBytes about
 	// what an entry takes.
-	memoryShare = 1.0 / 32
-	entryBytes  = 128
+	maxMemoryFraction = 1.0 / 32
+	entryBytes        = 128
 	// maxDeltaBytes bounds a delta: half of what a message between controllers may hold,
 	// in any version.
 	maxDeltaBytes = 128 << 10
-	// idOverhead is what a message takes for an id, besides its bytes.
-	idOverhead = 4
+	// idOverheadBytes is what a message takes for an id, besides its bytes.
+	idOverheadBytes = 4
 )
 
 // NewLog makes the log of a process that starts now. Entries are retained until no
@@ -49,7 +49,7 @@
 		known:         map[string]bool{},
 		completeSince: now,
 		retention:     config.Duration(w.CancelS) + 2*w.Lease(),
-		maxEntries:    lim.Entries(memoryShare, entryBytes),
+		maxEntries:    lim.Entries(maxMemoryFraction, entryBytes),
 	}
 }
 
@@ -58,10 +58,10 @@
 	expired := 0
 	for ; expired < len(l.entries); expired++ {
 		oldest := l.entries[expired]
-		if now.Sub(oldest.at) <= l.retention && len(l.entries)-expired < l.maxEntries {
+		if now.Sub(oldest.addedAt) <= l.retention && len(l.entries)-expired < l.maxEntries {
 			break
 		}
-		l.completeSince = oldest.at
+		l.completeSince = oldest.addedAt
 		delete(l.known, oldest.id)
 	}
 	l.entries = l.entries[expired:]
@@ -71,7 +71,7 @@
 	id = strings.Clone(id)
 	l.known[id] = true
 	l.lastNumber++
-	l.entries = append(l.entries, entry{id: id, at: now})
+	l.entries = append(l.entries, entry{id: id, addedAt: now})
 }
 
 // Position is how far a node has read another one's log.
@@ -97,15 +97,15 @@
 // is empty.
 func (d *Delta) LastNumber() uint64 { return d.First + uint64(len(d.IDs)) - 1 }
 
-// Since returns what a reader lacks that has read the log up to a number.
-func (l *Log) Since(number uint64, now time.Time) Delta {
+// DeltaSince returns what a reader lacks that has read the log up to a number.
+func (l *Log) DeltaSince(number uint64, now time.Time) Delta {
 	oldest := l.lastNumber + 1 - uint64(len(l.entries))
 	from := min(max(number+1, oldest), l.lastNumber+1)
 	entries := l.entries[from-oldest:]
 	d := Delta{First: from, CompleteFor: now.Sub(l.completeSince)}
 	size := 0
 	for _, e := range entries {
-		if size += len(e.id) + idOverhead; size > maxDeltaBytes {
+		if size += len(e.id) + idOverheadBytes; size > maxDeltaBytes {
 			d.More = true
 			break
 		}
--- a/internal/cancellation/log_test.go
+++ b/internal/cancellation/log_test.go
@@ -15,7 +15,7 @@
 	if reader.position.Incarnation != incarnation {
 		from = 0
 	}
-	d := l.Since(from, now)
+	d := l.DeltaSince(from, now)
 	reader.Apply(incarnation, &d, now, now)
 	return d.IDs
 }
@@ -67,7 +67,7 @@
 	var reader Reader
 	checkRead(t, l, &reader, at(5))
 	name := func(i int) string { return fmt.Sprintf("many-%06d", i) }
-	part := maxDeltaBytes / (len(name(0)) + idOverhead)
+	part := maxDeltaBytes / (len(name(0)) + idOverheadBytes)
 	for i := range part + 1 {
 		l.Add(name(i), at(6))
 	}
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -107,7 +107,7 @@
 // nextStarved is the job that goes before all others on a machine, if any.
 func (lt *leaderTerm) nextStarved(m *cluster.Machine, now time.Time) *cluster.Job {
 	starvedTurn := lt.attemptCount%starvedShare == 0
-	if !starvedTurn && lt.starved == 0 {
+	if !starvedTurn && lt.starvedJobs == 0 {
 		return nil
 	}
 	var best *cluster.Job
@@ -189,7 +189,7 @@
 // where its image is, on cheap machines and on those in use, and the others become empty and are
 // terminated. A job that has waited longer than lt.grace is assigned to any machine.
 func (lt *leaderTerm) hasBetterMachines(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
-	if now.Sub(j.WaitingSince) > lt.grace {
+	if now.Sub(j.WaitingSince) > lt.placementDelay {
 		return false
 	}
 	if now.Sub(j.Capacity.ComputedAt) >= leaderTickInterval {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -182,7 +182,7 @@
 				s.Team = "red"
 				lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: now}, uint64(i+2))
 			}
-			lt.grace = time.Hour
+			lt.placementDelay = time.Hour
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				m := lt.machines[heartbeats[i%len(heartbeats)].Machine]
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -50,9 +50,9 @@
 	return ok && st.Phase == api.JobCancelled
 }
 
-// stopCancelled returns the commands that stop the tasks in a heartbeat whose jobs are cancelled or,
+// stopCommands returns the commands that stop the tasks in a heartbeat whose jobs are cancelled or,
 // by hasEnded, have ended, as far as this node knows. A nil hasEnded knows of no ended jobs.
-func (c *Controller) stopCancelled(hb *api.Heartbeat, hasEnded func(id string) bool) []api.Command {
+func (c *Controller) stopCommands(hb *api.Heartbeat, hasEnded func(id string) bool) []api.Command {
 	commands := []api.Command{}
 	for _, t := range hb.Tasks {
 		if t.Phase == api.TaskExited || len(commands) >= maxCommands {
@@ -72,17 +72,17 @@
 	// leaseRenewalMargin is kept in reserve of the time in which a cancellation must take
 	// effect, besides the drift of the clocks.
 	leaseRenewalMargin = 500 * time.Millisecond
-	// minLeaseRenewal is the least window of a leader: with leases nearly as long as a
+	// minLeaseRenewalWindow is the least window of a leader: with leases nearly as long as a
 	// cancellation may take, it must read from the store that often.
-	minLeaseRenewal = 2500 * time.Millisecond
-	// loadAllowance is how long a new leader may renew leases before it has loaded the records
+	minLeaseRenewalWindow = 2500 * time.Millisecond
+	// loadRenewalWindow is how long a new leader may renew leases before it has loaded the records
 	// of the store.
-	loadAllowance    = 4 * time.Second
-	minProofInterval = 300 * time.Millisecond
-	// startAllowance is by how much proof of the cancellations may be overdue before no task
+	loadRenewalWindow       = 4 * time.Second
+	minConfirmationInterval = 300 * time.Millisecond
+	// maxConfirmationDelay is by how much proof of the cancellations may be overdue before no task
 	// is started any more.
-	startAllowance   = time.Second
-	maxProofInterval = 2 * time.Second
+	maxConfirmationDelay    = time.Second
+	maxConfirmationInterval = 2 * time.Second
 	// clockDriftDivisor gives the drift of the clocks that is allowed for: 1 in 500.
 	clockDriftDivisor = 500
 )
@@ -118,9 +118,9 @@
 
 // mayRenewLeases reports whether this leader may renew leases.
 func (lt *leaderTerm) mayRenewLeases(now time.Time) bool {
-	window := max(lt.c.leaseRenewalWindow(), minLeaseRenewal)
+	window := max(lt.c.leaseRenewalWindow(), minLeaseRenewalWindow)
 	if !lt.loaded {
-		return now.Sub(lt.startedAt) <= min(loadAllowance, window)
+		return now.Sub(lt.startedAt) <= min(loadRenewalWindow, window)
 	}
 	return now.Sub(lt.cancellationsKnownAt(now)) <= window
 }
@@ -133,7 +133,7 @@
 	if !lt.hasLeaseQuorum(now) {
 		return false
 	}
-	if now.Sub(lt.cancellationsKnownAt(now)) <= lt.c.proofInterval()+startAllowance {
+	if now.Sub(lt.cancellationsKnownAt(now)) <= lt.c.confirmationInterval()+maxConfirmationDelay {
 		return true
 	}
 	for _, mb := range lt.c.membership.Members {
@@ -144,8 +144,8 @@
 	return false
 }
 
-// proofInterval returns the interval at which the store must confirm that all cancellations are
+// confirmationInterval returns the interval at which the store must confirm that all cancellations are
 // known.
-func (c *Controller) proofInterval() time.Duration {
-	return min(max(c.leaseRenewalWindow()/8, minProofInterval), maxProofInterval)
+func (c *Controller) confirmationInterval() time.Duration {
+	return min(max(c.leaseRenewalWindow()/8, minConfirmationInterval), maxConfirmationInterval)
 }
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -77,7 +77,7 @@
 			j.Flight.Take(1)
 			w.checkEqual("as many tasks pending as the better have capacity for", hasBetterComputedAnew("i-2"), true)
 			w.checkEqual("one of the better", hasBetter("i-0"), false)
-			j.WaitingSince = now.Add(-c.leaderTerm.grace - time.Second)
+			j.WaitingSince = now.Add(-c.leaderTerm.placementDelay - time.Second)
 			w.checkEqual("pending for long enough", hasBetterComputedAnew("i-2"), false)
 		})
 	})
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -271,7 +271,7 @@
 			view := lt.fleetView(time.Now())
 			w.checkEqual("demand", lt.autoscaler.Demand(&view), 1.0)
 			w.checkEqual("in the queue", len(lt.teams["red"].Items()), 1)
-			w.checkEqual("starved", lt.starved, 0)
+			w.checkEqual("starved", lt.starvedJobs, 0)
 			counts, _ := lt.pendingReasons(time.Now())
 			w.checkEqual("pending reasons", counts, map[string]int{"awaits others": 1})
 		})
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -45,7 +45,7 @@
 	if !lt.loaded {
 		// The response renews the task lease and fences the machine. Tasks known to be
 		// cancelled must not run on by that.
-		response.Commands = lt.c.stopCancelled(hb, nil)
+		response.Commands = lt.c.stopCommands(hb, nil)
 		return response, nil
 	}
 	if lt.terminated.Contains(hb.Machine) {
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -52,11 +52,11 @@
 func (lt *leaderTerm) skipWindow(fetch time.Duration) time.Duration {
 	limit := skipFetches * fetch
 	switch {
-	case lt.startWithin == 0:
-	case fetch < lt.startWithin:
-		limit = min(limit, lt.startWithin-fetch)
+	case lt.startObjective == 0:
+	case fetch < lt.startObjective:
+		limit = min(limit, lt.startObjective-fetch)
 	default:
-		limit = min(limit, lt.startWithin)
+		limit = min(limit, lt.startObjective)
 	}
 	return limit
 }
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -40,7 +40,7 @@
 		{"objective before the end of a fetch", 5 * time.Second, 6 * time.Second, 5 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			lt := &leaderTerm{startWithin: c.startWithin}
+			lt := &leaderTerm{startObjective: c.startWithin}
 			if got := lt.skipWindow(c.fetch); got != c.want {
 				t.Errorf("skipWindow(%v) with a start within %v: got %v, want %v", c.fetch, c.startWithin, got, c.want)
 			}
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -78,16 +78,16 @@
 	// nextDirectCommand the earliest time of the next one.
 	directFailures    int
 	nextDirectCommand time.Time
-	// startWithin is the objective for the start of work within a guarantee.
-	startWithin time.Duration
-	// grace is how long pending tasks are left to machines that suit them better.
-	grace time.Duration
+	// startObjective is the objective for the start of work within a guarantee.
+	startObjective time.Duration
+	// placementDelay is how long pending tasks are left to machines that suit them better.
+	placementDelay time.Duration
 	// imageLocations are the CPUs of schedulable machines by the images that they have.
 	imageLocations map[string]float64
 	// maxFetches is how many images a machine may fetch at the same time now.
 	maxFetches int
-	// starved is how many jobs have had no start for too long.
-	starved        int
+	// starvedJobs is how many jobs have had no start for too long.
+	starvedJobs    int
 	nextScan       time.Time
 	nextUsageLog   time.Time
 	nextPendingLog time.Time
@@ -100,17 +100,17 @@
 	renewalRevisions map[string]uint64
 }
 
-// terminatedMemory is the fraction of the memory that the names of terminated machines may
-// take, and terminatedBytes about the size of one of them.
+// terminatedMemoryFraction is the fraction of the memory that the names of terminated machines may
+// take, and terminatedEntryBytes about the size of one of them.
 const (
-	terminatedMemory = 1.0 / 32
-	terminatedBytes  = 256
+	terminatedMemoryFraction = 1.0 / 32
+	terminatedEntryBytes     = 256
 )
 
 // newLeaderTerm starts a term, and the load of its records from the store.
 func newLeaderTerm(c *Controller, term election.Term, leaseExpiry time.Time) *leaderTerm {
 	ctx, cancel := context.WithCancel(context.Background())
-	terminated, err := lru.New[string, bool](c.Settings.Site.Limits.Entries(terminatedMemory, terminatedBytes))
+	terminated, err := lru.New[string, bool](c.Settings.Site.Limits.Entries(terminatedMemoryFraction, terminatedEntryBytes))
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
@@ -149,8 +149,8 @@
 		lt.votes = leasequorum.NewVoteSet(c.Standby.VoteLifetime())
 	}
 	lt.initTeams()
-	lt.initStartTimes()
-	go lt.loadLoop()
+	lt.initStartObjectives()
+	go lt.loadAndWatch()
 	return lt
 }
 
@@ -170,19 +170,19 @@
 	}
 }
 
-// initStartTimes derives startWithin and grace from the objectives. The grace is half a
+// initStartObjectives derives startObjective and grace from the objectives. The grace is half a
 // heartbeat interval, but no more than a small part of the time in which work within a
 // guarantee should start.
-func (lt *leaderTerm) initStartTimes() {
+func (lt *leaderTerm) initStartObjectives() {
 	site := lt.c.Settings.Site
-	lt.grace = site.Workers.HeartbeatInterval() / 2
+	lt.placementDelay = site.Workers.HeartbeatInterval() / 2
 	for _, o := range site.Objectives {
 		if o.Kind != "guarantee" || o.WithinS <= 0 {
 			continue
 		}
-		lt.grace = min(lt.grace, config.Duration(o.WithinS/5))
-		if within := config.Duration(o.WithinS); lt.startWithin == 0 || within < lt.startWithin {
-			lt.startWithin = within
+		lt.placementDelay = min(lt.placementDelay, config.Duration(o.WithinS/5))
+		if within := config.Duration(o.WithinS); lt.startObjective == 0 || within < lt.startObjective {
+			lt.startObjective = within
 		}
 	}
 }
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -37,14 +37,14 @@
 	leaderUnreachable bool
 	// activeJobs are the active jobs as the store last showed them; nil: not known.
 	activeJobs map[string]bool
-	// machines holds, by machine, when its lease was last renewed here.
-	machines map[string]time.Time
+	// renewedAt holds, by machine, when its lease was last renewed here.
+	renewedAt map[string]time.Time
 }
 
 const (
-	// recentlyVerified is how recently the store must have shown a term for machines of an
+	// maxVerificationAge is how recently the store must have shown a term for machines of an
 	// earlier one to be answered in it.
-	recentlyVerified = 5 * time.Second
+	maxVerificationAge = 5 * time.Second
 	// renewalLifetime is how long the leader relies on a renewal that another node published.
 	renewalLifetime = 8 * time.Second
 	// renewalMargin is kept in reserve of the time in which a cancellation must take effect,
@@ -76,11 +76,11 @@
 		return api.HeartbeatResponse{}, false
 	}
 	hasEnded := func(id string) bool { return lr.activeJobs != nil && !lr.activeJobs[id] }
-	response := api.HeartbeatResponse{Term: lr.term, Commands: c.stopCancelled(hb, hasEnded)}
-	if lr.machines == nil {
-		lr.machines = map[string]time.Time{}
+	response := api.HeartbeatResponse{Term: lr.term, Commands: c.stopCommands(hb, hasEnded)}
+	if lr.renewedAt == nil {
+		lr.renewedAt = map[string]time.Time{}
 	}
-	lr.machines[strings.Clone(hb.Machine)] = now
+	lr.renewedAt[strings.Clone(hb.Machine)] = now
 	return response, true
 }
 
@@ -89,7 +89,7 @@
 // the new leader, which it cannot reach, treats it as unfenced until its next heartbeat arrives
 // through the store.
 func (lr *leaseRenewer) mayRespond(term uint64, now time.Time) bool {
-	return term == lr.term || (term < lr.term && lr.activeJobs != nil && now.Sub(lr.verifiedAt) < recentlyVerified)
+	return term == lr.term || (term < lr.term && lr.activeJobs != nil && now.Sub(lr.verifiedAt) < maxVerificationAge)
 }
 
 // reset applies the leader's response to a ping: it is reachable, and knew all cancellations
@@ -141,8 +141,8 @@
 	if m.activeJobs, err = c.readActiveJobs(ctx); err != nil {
 		return m, err
 	}
-	if len(followed.hosts) > 0 {
-		c.publishRenewals(ctx, followed.hosts, m.term, m.termRevision)
+	if len(followed.machines) > 0 {
+		c.publishRenewals(ctx, followed.machines, m.term, m.termRevision)
 	}
 	return m, nil
 }
@@ -250,19 +250,19 @@
 
 // followedLeader is the reply to followedLeaderRequestMsg.
 type followedLeader struct {
-	leader string
-	hosts  []string
+	leader   string
+	machines []string
 }
 
 func (m followedLeaderRequestMsg) apply(c *Controller) {
 	followed := followedLeader{leader: c.leader}
 	now := time.Now()
-	for name, renewedAt := range c.leaseRenewer.machines {
+	for name, renewedAt := range c.leaseRenewer.renewedAt {
 		if now.Sub(renewedAt) > renewalLifetime {
-			delete(c.leaseRenewer.machines, name)
+			delete(c.leaseRenewer.renewedAt, name)
 			continue
 		}
-		followed.hosts = append(followed.hosts, name)
+		followed.machines = append(followed.machines, name)
 	}
 	m.reply <- followed
 }
--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -164,8 +164,8 @@
 	allMatches bool
 	// running is set if the job runs at the beginning.
 	running bool
-	// blind is set if the watches show nothing meanwhile.
-	blind bool
+	// watchesBlind is set if the watches show nothing meanwhile.
+	watchesBlind bool
 	// requests follow each other by half a second.
 	requests []func(tn *userCluster)
 	// wantPhase is how the job stands in the end; "" is either end.
@@ -222,7 +222,7 @@
 		requests: []func(*userCluster){endRacedJob, cancelRacedJob},
 	},
 	{
-		name: "end, cancelled since at another node", match: isCompletion, running: true, blind: true,
+		name: "end, cancelled since at another node", match: isCompletion, running: true, watchesBlind: true,
 		requests: []func(*userCluster){endRacedJob, cancelRacedJobElsewhere},
 	},
 }
@@ -237,7 +237,7 @@
 		acceptRacedJob(tn)
 		time.Sleep(3 * time.Second)
 	}
-	w.store.SetWatchesBlind(dt.blind)
+	w.store.SetWatchesBlind(dt.watchesBlind)
 	if dt.allMatches {
 		w.store.Delay(dt.match)
 	} else {
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -39,20 +39,20 @@
 			simulate(t, func(w *simulatedCluster) {
 				tn := newUserCluster(w, 6)
 				defer tn.close()
-				check(tn, outageWithUsers(w, tn, alone))
+				check(tn, runOutageWithUsers(w, tn, alone))
 			})
 		})
 	}
 }
 
-// outageWithUsers runs jobs through an outage of 35 s during which users cancel half of them, and
+// runOutageWithUsers runs jobs through an outage of 35 s during which users cancel half of them, and
 // checks that every node answers queries 8 s after it. It returns the final phases of the jobs.
-func outageWithUsers(w *simulatedCluster, tn *userCluster, alone time.Duration) (want map[string]string) {
+func runOutageWithUsers(w *simulatedCluster, tn *userCluster, alone time.Duration) (want map[string]string) {
 	w.t.Helper()
 	const jobs = 20
 	const outage = 35 * time.Second
 	time.Sleep(10 * time.Second) // all nodes know each other
-	want = acceptHalfToCancel(tn, jobs)
+	want = submitJobsHalfToCancel(tn, jobs)
 	time.Sleep(3 * time.Second)
 	w.checkEqual("running", tn.tasksOnMachines(), jobs)
 	tn.background(func() {
@@ -87,9 +87,9 @@
 	return want
 }
 
-// acceptHalfToCancel submits jobs of which every second one is to be cancelled, and returns their
+// submitJobsHalfToCancel submits jobs of which every second one is to be cancelled, and returns their
 // final phases. The others run for 10 s and more.
-func acceptHalfToCancel(tn *userCluster, jobs int) (want map[string]string) {
+func submitJobsHalfToCancel(tn *userCluster, jobs int) (want map[string]string) {
 	want = map[string]string{}
 	for i := range jobs {
 		s := spec(fmt.Sprint("job-", i), 1)
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -10,9 +10,9 @@
 // not short.
 const maxConcurrentFetches = 4
 
-// minDeferredLoads bounds the work of deferInfeasible: it considers that many jobs, or one for
+// minConsideredJobs bounds the work of deferInfeasible: it considers that many jobs, or one for
 // each machine of a larger fleet.
-const minDeferredLoads = 500
+const minConsideredJobs = 500
 
 // deferInfeasible decides anew which jobs can be in time, and sorts the queues by that.
 func (lt *leaderTerm) deferInfeasible(now time.Time) {
@@ -45,13 +45,13 @@
 // collectLoads updates each queued job's feasibility and load, and whether it is starved. It
 // returns the loads of those that can still be in time, and the CPUs of all pending tasks.
 func (lt *leaderTerm) collectLoads(now time.Time) (loads []*queue.Load, pendingCPUs float64) {
-	maxLoads := max(minDeferredLoads, len(lt.machines))
-	lt.starved = 0
+	maxLoads := max(minConsideredJobs, len(lt.machines))
+	lt.starvedJobs = 0
 	for _, t := range lt.fairShareOrder {
 		for _, j := range t.Items() {
 			j.UpdateFeasibility(now)
 			if j.Starved = !j.Started() && now.Sub(j.RunnableSince) > starvedAfter; j.Starved {
-				lt.starved++
+				lt.starvedJobs++
 			}
 			pendingCPUs += float64(j.Flight.Untaken()) * j.Spec.CPUs
 			j.Load = queue.Load{}
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -8,17 +8,17 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// block keeps the owner goroutine of a node from doing anything for a while, as a process pause
+// blockOwner keeps the owner goroutine of a node from doing anything for a while, as a process pause
 // does.
-func (n *node) block(d time.Duration) {
+func (n *node) blockOwner(d time.Duration) {
 	n.inspect(func(*Controller) { time.Sleep(d) })
 }
 
-// blockInBackground starts to block a node; the channel is closed when that has ended.
-func (n *node) blockInBackground(d time.Duration) <-chan struct{} {
+// blockOwnerInBackground starts to block a node; the channel is closed when that has ended.
+func (n *node) blockOwnerInBackground(d time.Duration) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
-		n.block(d)
+		n.blockOwner(d)
 		close(ended)
 	}()
 	time.Sleep(time.Millisecond)
@@ -40,7 +40,7 @@
 				k.heartbeat(n)
 			}
 			time.Sleep(300 * time.Millisecond)
-			n.block(700 * time.Millisecond)
+			n.blockOwner(700 * time.Millisecond)
 		}
 		w.checkEqual("terminated during the pauses", w.cloud.terminated("i-1"), false)
 		heartbeatAll(ks[1:], n, 6)
@@ -60,7 +60,7 @@
 		var leaseExpiry time.Time
 		n.inspect(func(c *Controller) { leaseExpiry = c.leaderTerm.leaseExpiry })
 		time.Sleep(time.Until(leaseExpiry) - 200*time.Millisecond)
-		pauseEnded := n.blockInBackground(500 * time.Millisecond)
+		pauseEnded := n.blockOwnerInBackground(500 * time.Millisecond)
 		commands, err := k.sendHeartbeat(n) // queued before the expiry, handled after it
 		<-pauseEnded
 		if err == nil || len(commands) > 0 {
@@ -77,7 +77,7 @@
 		k := w.worker("i-1", "a", false)
 		k.serve(n, 2)
 		w.submit(n, spec("job-1", 1))
-		pauseEnded := n.blockInBackground(heartbeatMaxAge + 100*time.Millisecond)
+		pauseEnded := n.blockOwnerInBackground(heartbeatMaxAge + 100*time.Millisecond)
 		k.status.Seq++
 		hb := k.status
 		_, err := n.Heartbeat(w.t.Context(), &hb)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -224,7 +224,7 @@
 	if m.from.Incarnation != st.Incarnation {
 		m.from.Number = 0
 	}
-	st.Cancellations = c.cancellations.Since(m.from.Number, now)
+	st.Cancellations = c.cancellations.DeltaSince(m.from.Number, now)
 	if c.holdsLease() {
 		st.Term, st.QuorumRequired = c.leaderTerm.term.Number, c.leaderTerm.quorumRequired
 		if c.leaderTerm.loaded {
--- a/internal/controller/readindex.go
+++ b/internal/controller/readindex.go
@@ -43,7 +43,7 @@
 // startRound sends a comparison to the store if polls are waiting for one or the interval has
 // passed, unless a round is running.
 func (ri *readIndexer) startRound() {
-	if ri.busy || (len(ri.waiting) == 0 && time.Since(ri.lastStarted) < ri.leaderTerm.c.proofInterval()) {
+	if ri.busy || (len(ri.waiting) == 0 && time.Since(ri.lastStarted) < ri.leaderTerm.c.confirmationInterval()) {
 		return
 	}
 	ri.lastStarted = time.Now()
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -217,10 +217,10 @@
 }
 
 // The pending reasons are logged every pendingLogInterval while a job has waited for longer than
-// longPending.
+// pendingLogThreshold.
 const (
-	pendingLogInterval = 15 * time.Second
-	longPending        = 20 * time.Second
+	pendingLogInterval  = 15 * time.Second
+	pendingLogThreshold = 20 * time.Second
 )
 
 // logPending logs why jobs are pending.
@@ -230,7 +230,7 @@
 	}
 	lt.nextPendingLog = now.Add(pendingLogInterval)
 	counts, oldest := lt.pendingReasons(now)
-	if oldest == nil || now.Sub(oldest.RunnableSince) < longPending {
+	if oldest == nil || now.Sub(oldest.RunnableSince) < pendingLogThreshold {
 		return
 	}
 	lt.c.Log.Info("jobs pending",
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -33,8 +33,8 @@
 	loans          []kv.Entry
 }
 
-// loadLoop reads the store until that succeeds, then watches the active jobs.
-func (lt *leaderTerm) loadLoop() {
+// loadAndWatch reads the store until that succeeds, then watches the active jobs.
+func (lt *leaderTerm) loadAndWatch() {
 	for lt.ctx.Err() == nil {
 		snap, err := lt.readSnapshot()
 		if err == nil {
--- a/internal/controller/zonepartition_test.go
+++ b/internal/controller/zonepartition_test.go
@@ -346,7 +346,7 @@
 func TestRelayedCommandsStartTasksOnce(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, a, b, _, near, far := w.partitionZones()
-		w.occupyNear(a, near)
+		w.fillNearMachine(a, near)
 		time.Sleep(3 * time.Second) // commands are relayed, not handed out yet
 		pending := false
 		a.inspect(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
@@ -382,9 +382,9 @@
 	})
 }
 
-// occupyNear fills the machine near with a job of its own zone, then submits job-1, whose two tasks
+// fillNearMachine fills the machine near with a job of its own zone, then submits job-1, whose two tasks
 // fit only beyond the partition.
-func (w *simulatedCluster) occupyNear(a *node, near *worker) {
+func (w *simulatedCluster) fillNearMachine(a *node, near *worker) {
 	w.t.Helper()
 	busy := spec("job-0", 4)
 	busy.Zone = "a"
@@ -401,9 +401,9 @@
 	}
 }
 
-// awaitRelayedCommands waits up to 8 s until a node has received commands for a machine, and returns
+// waitForRelayedCommands waits up to 8 s until a node has received commands for a machine, and returns
 // how many. The machine sends one heartbeat at the start.
-func awaitRelayedCommands(n *node, k *worker) (count int) {
+func waitForRelayedCommands(n *node, k *worker) (count int) {
 	k.heartbeat(n)
 	for i := 0; count == 0 && i < 8; i++ {
 		time.Sleep(time.Second)
@@ -429,8 +429,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				l, a, b, gb, near, far := w.partitionZones()
-				w.occupyNear(a, near)
-				w.checkEqual("commands received by the node", awaitRelayedCommands(b, far) > 0, true)
+				w.fillNearMachine(a, near)
+				w.checkEqual("commands received by the node", waitForRelayedCommands(b, far) > 0, true)
 				if c.crash {
 					b.crash()
 					time.Sleep(200 * time.Millisecond)
@@ -456,10 +456,10 @@
 
 // A node that crashes after commands were relayed to it, and does not restart, reports no outcome: its
 // machine is terminated, and only then the tasks start elsewhere.
-func TestRelayingNodeCrashesForGood(t *testing.T) {
+func TestRelayingNodeCrashesWithoutRestart(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		_, a, b, _, near, far := w.partitionZones()
-		w.occupyNear(a, near)
+		w.fillNearMachine(a, near)
 		pending := false
 		for i := 0; !pending && i < 40; i++ {
 			if i%5 == 0 {
