--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -1,7 +1,7 @@
-// Package cancellation keeps the log of cancellations that each node has, in the order in
-// which it learned of them, and how far it has read the logs of others. It depends on neither
-// nodes nor the store: its owner adds entries and carries deltas between nodes. Nothing in it
-// is safe for concurrent use.
+// Package cancellation implements the log of cancellations that each node keeps, in the order in
+// which it received them, and the position up to which a node has read another node's log. It does
+// no I/O: the caller adds entries and transfers deltas between nodes. Its types are not safe for
+// concurrent use.
 package cancellation
 
 import (
@@ -11,17 +11,17 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// Log holds the cancellations that this process knows of, in the order in which it learned of
-// them. It drops those of which no worker can have a task any more.
+// Log holds the cancellations that this process has received, in that order. It drops entries once
+// no worker can still have a task of their jobs.
 type Log struct {
 	entries []entry
 	known   map[string]bool
-	// lastNumber is the number of the newest entry, from 1 on.
+	// lastNumber is the number of the newest entry. The first entry has the number 1.
 	lastNumber uint64
-	// completeSince is since when the log holds all cancellations that were added.
+	// completeSince is the time since which the log holds all cancellations that were added.
 	completeSince time.Time
 	retention     time.Duration
-	// maxEntries bounds the log; beyond it the oldest entries are dropped.
+	// maxEntries is the maximum length of the log. The oldest entries are dropped first.
 	maxEntries int
 }
 
@@ -31,19 +31,19 @@
 }
 
 const (
-	// maxMemoryFraction is the part of the memory that a log may take, and entryBytes about
-	// what an entry takes.
+	// maxMemoryFraction is the fraction of the memory limit that a log may take.
 	maxMemoryFraction = 1.0 / 32
-	entryBytes        = 128
-	// maxDeltaBytes bounds a delta: half of what a message between controllers may hold,
-	// in any version.
+	// entryBytes is the approximate size of an entry in memory.
+	entryBytes = 128
+	// maxDeltaBytes is the maximum size of a delta: half the maximum size of a message between
+	// controllers of any version.
 	maxDeltaBytes = 128 << 10
-	// idOverheadBytes is what a message takes for an id, besides its bytes.
+	// idOverheadBytes is the size of an id's encoding in a message, without the id itself.
 	idOverheadBytes = 4
 )
 
-// NewLog makes the log of a process that starts now. Entries are retained until no
-// worker can have a task of theirs any more.
+// NewLog returns the empty log of a process that starts now. Entries are retained until no worker
+// can still have a task of their jobs.
 func NewLog(w config.Workers, lim config.Limits, now time.Time) *Log {
 	return &Log{
 		known:         map[string]bool{},
@@ -53,7 +53,7 @@
 	}
 }
 
-// Add adds a cancellation, unless the log holds it already.
+// Add adds a cancellation unless the log already holds it, after dropping expired and excess entries.
 func (l *Log) Add(id string, now time.Time) {
 	expired := 0
 	for ; expired < len(l.entries); expired++ {
@@ -74,30 +74,31 @@
 	l.entries = append(l.entries, entry{id: id, addedAt: now})
 }
 
-// Position is how far a node has read another one's log.
+// Position is the position up to which a node has read another node's log.
 type Position struct {
-	// Incarnation names the process whose log it is.
+	// Incarnation identifies the process that keeps the log.
 	Incarnation string
-	// Number is that of the last entry read.
+	// Number is the number of the last entry read.
 	Number uint64
 }
 
-// Delta is what a node's log holds after a position.
+// Delta holds the entries of a log after a position.
 type Delta struct {
+	// IDs are the ids of the cancelled jobs.
 	IDs []string
-	// First is the number of the first of them, or of the next entry if there is none.
+	// First is the number of the first entry of the delta, or of the next entry that the log will
+	// hold if the delta is empty.
 	First uint64
-	// More is set if the log holds entries after these.
+	// More is set if the log holds further entries after these.
 	More bool
-	// CompleteFor is for how long the log has been complete.
+	// CompleteFor is how long the log has been complete.
 	CompleteFor time.Duration
 }
 
-// LastNumber is the number of the delta's last entry, or of the one before First if the delta
-// is empty.
+// LastNumber returns the number of the delta's last entry, or First-1 if the delta is empty.
 func (d *Delta) LastNumber() uint64 { return d.First + uint64(len(d.IDs)) - 1 }
 
-// DeltaSince returns what a reader lacks that has read the log up to a number.
+// DeltaSince returns the entries after a number that the log still holds, as many as fit in a delta.
 func (l *Log) DeltaSince(number uint64, now time.Time) Delta {
 	oldest := l.lastNumber + 1 - uint64(len(l.entries))
 	from := min(max(number+1, oldest), l.lastNumber+1)
--- a/internal/cancellation/reader.go
+++ b/internal/cancellation/reader.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// Reader is how far a node has read another one's log. The zero Reader has read
-// nothing.
+// Reader tracks how far a node has read another node's log. The zero Reader has read nothing.
 type Reader struct {
 	position Position
-	// All cancellations that were added to the other's log from completeSince until
-	// knownUntil are known here. knownUntil is when the last request was sent whose
-	// response held the rest of the log.
+	// The node has all cancellations that were added to the other node's log between
+	// completeSince and knownUntil. knownUntil is the send time of the latest request whose
+	// response held the log up to its end.
 	completeSince, knownUntil time.Time
 }
 
-// Apply applies the delta in the response to a request sent at a time.
+// Apply applies the delta in the response to a request that was sent at the time sent.
 func (r *Reader) Apply(incarnation string, d *Delta, sent, now time.Time) {
 	if incarnation == "" {
-		return // of a version that keeps no log
+		return // the other node's version keeps no log
 	}
 	if r.position.Incarnation != incarnation || d.First != r.position.Number+1 {
 		*r = Reader{completeSince: now.Add(-d.CompleteFor)}
@@ -26,8 +25,8 @@
 	}
 }
 
-// CompleteSince is since when all cancellations of the other's log are known here.
+// CompleteSince returns the time since which the node has all cancellations of the other's log.
 func (r *Reader) CompleteSince() time.Time { return r.completeSince }
 
-// KnownUntil is until when all cancellations of the other's log are known here.
+// KnownUntil returns the time up to which the node has all cancellations of the other's log.
 func (r *Reader) KnownUntil() time.Time { return r.knownUntil }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -9,28 +9,27 @@
 	"example.org/ivytrestle/internal/loan"
 )
 
-// Renewing a machine's task lease lets its tasks run for another lease. So a node may renew only
-// if it knows all cancellations that have been confirmed to users, or knew them so recently that
-// the lease expires in time even for one confirmed since. The leader lease is no such knowledge:
-// the key-value store may be unreachable for the leader alone, commit cancellations of another
-// node, and then be down for all.
+// Renewing a machine's task lease allows its tasks to run for another lease duration. A node may
+// therefore renew only if it has all cancellations that were confirmed to users, or had them so
+// recently that the lease expires in time even if another one was confirmed since. Holding the
+// leader lease is not sufficient: the key-value store may be unreachable from the leader alone,
+// commit cancellations of another node, and then become unavailable to all nodes.
 //
-// Two things prove that all cancellations confirmed to users before a moment are known:
+// Either of two conditions ensures that the leader has all cancellations confirmed before a time t:
 //
-//   - The store has answered a comparison of the version of its cancel key, sent
-//     at that moment.
-//   - All other nodes have answered a ping, sent at that moment. A node that
-//     learns of a cancellation, by its own transaction, by reading it or from
-//     another node, appends it to its cancellation log before it responds to
-//     anybody, and its responses to pings carry the part of the log that the
-//     sender lacks. A log begins with its process, so it counts only if it was
-//     complete when the store last answered: what a node confirmed before it was
-//     restarted is not in it.
+//   - The store confirmed, in response to a request sent at t, that the version of the cancel key
+//     is the one that the leader last read.
+//   - All other nodes responded to a ping sent at t. A node that receives a cancellation, by its
+//     own transaction, by reading it or from another node, appends it to its cancellation log
+//     before it responds to any request. Its responses to pings carry the part of the log that the
+//     sender lacks. A log starts empty with its process, without the cancellations that the node
+//     confirmed before a restart. It therefore counts only if it was complete at the time of the
+//     store's last confirmation.
 //
-// A follower that renews leases on behalf of its leader knows no more than the leader did when it
-// last answered the follower's ping.
+// A follower that renews leases on the leader's behalf may rely only on the cancellations that the
+// leader had when it last responded to the follower's ping.
 
-// recordCancellation applies a cancellation that is on record.
+// recordCancellation applies a cancellation that is recorded in the store to this node's state.
 func (c *Controller) recordCancellation(id string) {
 	c.finalStates.Add(id, api.JobState{ID: id, Phase: api.JobCancelled})
 	c.cancellations.Add(id, time.Now())
@@ -38,20 +37,21 @@
 		if j := c.leaderTerm.jobs[id]; j != nil && !j.CancelPending {
 			c.leaderTerm.cancelJob(j)
 		}
-		// A job that is cancelled because another is, is dropped only once its own end is on
-		// record: otherwise nobody would write that.
+		// Dependents are cancelled too. They stay in memory until their own ends are recorded
+		// in the store, because no other node would record them.
 		c.leaderTerm.dependencies.jobCancelled(id)
 	}
 }
 
-// isCancelled reports whether a job, or a guest under its marked id, is known to be cancelled.
+// isCancelled reports whether this node has the cancellation of a job, or of a guest by its id with
+// loan.GuestMarker.
 func (c *Controller) isCancelled(id string) bool {
 	st, ok := c.finalStates.Peek(id)
 	return ok && st.Phase == api.JobCancelled
 }
 
-// stopCommands returns the commands that stop the tasks in a heartbeat whose jobs are cancelled or,
-// by hasEnded, have ended, as far as this node knows. A nil hasEnded knows of no ended jobs.
+// stopCommands returns commands that stop those tasks of a heartbeat whose jobs are cancelled or,
+// according to hasEnded, have ended. A nil hasEnded reports no job as ended.
 func (c *Controller) stopCommands(hb *api.Heartbeat, hasEnded func(id string) bool) []api.Command {
 	commands := []api.Command{}
 	for _, t := range hb.Tasks {
@@ -69,27 +69,28 @@
 }
 
 const (
-	// leaseRenewalMargin is kept in reserve of the time in which a cancellation must take
-	// effect, besides the drift of the clocks.
+	// leaseRenewalMargin is subtracted, besides the clock drift, from the time within which a
+	// cancellation must take effect.
 	leaseRenewalMargin = 500 * time.Millisecond
-	// minLeaseRenewalWindow is the least window of a leader: with leases nearly as long as a
-	// cancellation may take, it must read from the store that often.
+	// minLeaseRenewalWindow is the minimum window of a leader. If leases last nearly as long as a
+	// cancellation may take, the leader must read from the store at least this often.
 	minLeaseRenewalWindow = 2500 * time.Millisecond
-	// loadRenewalWindow is how long a new leader may renew leases before it has loaded the records
-	// of the store.
-	loadRenewalWindow       = 4 * time.Second
+	// loadRenewalWindow is how long a new leader may renew leases before it has loaded the
+	// records of the store.
+	loadRenewalWindow = 4 * time.Second
+	// maxConfirmationDelay is how far the confirmation of the cancellations may be overdue before
+	// the leader starts no more tasks.
+	maxConfirmationDelay = time.Second
+	// minConfirmationInterval and maxConfirmationInterval bound confirmationInterval.
 	minConfirmationInterval = 300 * time.Millisecond
-	// maxConfirmationDelay is by how much proof of the cancellations may be overdue before no task
-	// is started any more.
-	maxConfirmationDelay    = time.Second
 	maxConfirmationInterval = 2 * time.Second
-	// clockDriftDivisor gives the drift of the clocks that is allowed for: 1 in 500.
+	// clockDriftDivisor allows for a clock drift of 1 in 500.
 	clockDriftDivisor = 500
 )
 
-// leaseRenewalWindow returns for how long after a moment before which it knew all cancellations a
-// node may renew leases: none is renewed so late that it expires later than cancel_s after that
-// moment.
+// leaseRenewalWindow returns how long a node may renew leases after the time up to which it had all
+// cancellations. No lease that is renewed within the window expires later than cancel_s after that
+// time.
 func (c *Controller) leaseRenewalWindow() time.Duration {
 	w := c.Settings.Site.Workers
 	cancel := config.Duration(w.CancelS)
@@ -97,17 +98,17 @@
 	return cancel - w.Lease() - leaseRenewalMargin - drift
 }
 
-// cancellationsKnownAt returns the moment before which all cancellations confirmed to users are
-// known here.
+// cancellationsKnownAt returns the time up to which this leader has all cancellations that were
+// confirmed to users.
 func (lt *leaderTerm) cancellationsKnownAt(now time.Time) time.Time {
 	knownAt := now
-	for _, mb := range lt.c.membership.Members {
-		if mb.CancellationReader.CompleteSince().After(lt.cancellationsConfirmedAt) {
-			// The node was restarted, or partitioned, after the store answered.
+	for _, member := range lt.c.membership.Members {
+		if member.CancellationReader.CompleteSince().After(lt.cancellationsConfirmedAt) {
+			// The node was restarted or partitioned after the store's last confirmation.
 			return lt.cancellationsConfirmedAt
 		}
-		if mb.CancellationReader.KnownUntil().Before(knownAt) {
-			knownAt = mb.CancellationReader.KnownUntil()
+		if member.CancellationReader.KnownUntil().Before(knownAt) {
+			knownAt = member.CancellationReader.KnownUntil()
 		}
 	}
 	if lt.cancellationsConfirmedAt.After(knownAt) {
@@ -116,7 +117,7 @@
 	return knownAt
 }
 
-// mayRenewLeases reports whether this leader may renew leases.
+// mayRenewLeases reports whether this leader may renew task leases.
 func (lt *leaderTerm) mayRenewLeases(now time.Time) bool {
 	window := max(lt.c.leaseRenewalWindow(), minLeaseRenewalWindow)
 	if !lt.loaded {
@@ -125,10 +126,10 @@
 	return now.Sub(lt.cancellationsKnownAt(now)) <= window
 }
 
-// mayStart reports whether this leader may start tasks. One that reaches neither the key-value
-// store nor any other node, but does reach its machines, would go on for half a minute to start
-// jobs that users have cancelled elsewhere. In an outage that the other nodes see as well nobody
-// can cancel anything.
+// mayStart reports whether this leader may start tasks. Without this check, a leader that reaches
+// its machines, but neither the key-value store nor any other node, would for half a minute start
+// jobs that users have cancelled at other nodes. If another node is reachable and cannot reach the
+// store either, tasks may be started: in an outage of the store no job can be cancelled.
 func (lt *leaderTerm) mayStart(now time.Time) bool {
 	if !lt.hasLeaseQuorum(now) {
 		return false
@@ -136,16 +137,16 @@
 	if now.Sub(lt.cancellationsKnownAt(now)) <= lt.c.confirmationInterval()+maxConfirmationDelay {
 		return true
 	}
-	for _, mb := range lt.c.membership.Members {
-		if mb.IsReachable(now) && mb.KVReachableFor == 0 {
+	for _, member := range lt.c.membership.Members {
+		if member.IsReachable(now) && member.KVReachableFor == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// confirmationInterval returns the interval at which the store must confirm that all cancellations are
-// known.
+// confirmationInterval returns the interval at which the store must confirm that the leader has all
+// cancellations.
 func (c *Controller) confirmationInterval() time.Duration {
 	return min(max(c.leaseRenewalWindow()/8, minConfirmationInterval), maxConfirmationInterval)
 }
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -18,8 +18,8 @@
 	"example.org/ivytrestle/internal/recordwriter"
 )
 
-// leaderTerm is all state of a leader in one term. It is dropped as a whole when the term ends,
-// so that no state of one term reaches into another.
+// leaderTerm holds all state of the leader in one term. It is discarded as a whole when the term
+// ends, so that no state carries over into a later term.
 type leaderTerm struct {
 	c           *Controller
 	ctx         context.Context
@@ -28,10 +28,10 @@
 	leaseExpiry time.Time
 	startedAt   time.Time
 
-	// loaded is set once the records of the store are in memory.
+	// loaded is set once the records of the key-value store are in memory.
 	loaded bool
-	// cancellationsConfirmedAt is when the last request was sent by whose response the store
-	// confirmed that all cancellations were known here.
+	// cancellationsConfirmedAt is the send time of the latest request to which the store responded
+	// that this leader had all cancellations.
 	cancellationsConfirmedAt time.Time
 	// cancelRevision is the last known version of the cancel key.
 	cancelRevision uint64
@@ -41,78 +41,84 @@
 	teams          map[string]*queue.Team[*cluster.Job]
 	fairShareOrder []*queue.Team[*cluster.Job]
 	machines       map[string]*cluster.Machine
-	// provisioning are machines that were launched or listed but have sent no heartbeat.
+	// provisioning holds, by name, the machines that were launched, or listed by the cloud, and
+	// have not sent a heartbeat yet.
 	provisioning map[string]*autoscaler.Provisioning
-	// terminated are the names of terminated machines, whose heartbeats may still arrive.
+	// terminated holds the names of terminated machines, whose last heartbeats may still arrive.
 	terminated *lru.Cache[string, bool]
 
 	// unfenced is the number of machines in the registry that may still apply commands of
-	// earlier terms.
+	// earlier terms; unfencedCPUs and unfencedGPUs are their capacity.
 	unfenced     int
 	unfencedCPUs float64
 	unfencedGPUs float64
-	// unattributedCPUs is the whole capacity of machines that hold tasks of jobs that have
-	// ended: against which team's quota they count is not known.
+	// unattributedCPUs is the total capacity of the machines that hold tasks of ended jobs. The
+	// teams of these jobs are not known, so the tasks may count against any team's limit.
 	unattributedCPUs float64
 
 	readIndex    readIndexer
 	dependencies dependencyGraph
-	// dependencyLists are the records that list the jobs that others depend on.
+	// dependencyLists manages the records that list the jobs on which other jobs depend.
 	dependencyLists dependencyLists
 	loans           loans
-	// votes are the votes of the other nodes, nil without failover. Once quorumRequired is
-	// set, the leader acts only while it has enough of them; quorumLostAt is since when it
-	// does not.
-	votes          *leasequorum.VoteSet
+	// votes holds the votes of the other nodes; nil without failover.
+	votes *leasequorum.VoteSet
+	// quorumRequired is set once the leader may act only while it has a quorum of votes.
 	quorumRequired bool
-	quorumLostAt   time.Time
-	downlink       relayDownlink
-	recordWriter   *recordwriter.Writer
-	autoscaler     *autoscaler.Autoscaler
-	counts         counters
-	// dispatchUntil is until when the leader searches for free machines that direct commands
-	// could give work; commandsInFlight is how many such commands await a response.
-	dispatchUntil    time.Time
+	// quorumLostAt is when the leader was first seen without a quorum that it requires or that all
+	// nodes support; zero otherwise.
+	quorumLostAt time.Time
+	downlink     relayDownlink
+	recordWriter *recordwriter.Writer
+	autoscaler   *autoscaler.Autoscaler
+	counts       counters
+	// dispatchUntil is the time until which the leader looks for machines with free capacity to
+	// send start commands to directly.
+	dispatchUntil time.Time
+	// commandsInFlight is the number of direct command batches without a response yet.
 	commandsInFlight int
-	// directFailures is how many direct commands in a row have failed, and
-	// nextDirectCommand the earliest time of the next one.
-	directFailures    int
+	// directFailures is the number of consecutive direct command batches that failed.
+	directFailures int
+	// nextDirectCommand is the earliest time of the next direct command.
 	nextDirectCommand time.Time
-	// startObjective is the objective for the start of work within a guarantee.
+	// startObjective is the shortest time within which an objective requires work within a
+	// guarantee to start; 0 without such an objective.
 	startObjective time.Duration
-	// placementDelay is how long pending tasks are left to machines that suit them better.
+	// placementDelay is how long pending tasks are reserved for machines that suit them better.
 	placementDelay time.Duration
-	// imageLocations are the CPUs of schedulable machines by the images that they have.
+	// imageLocations maps each image to the total CPUs of the schedulable machines that have it.
 	imageLocations map[string]float64
-	// maxFetches is how many images a machine may fetch at the same time now.
+	// maxFetches is the number of images that a machine may currently fetch at the same time.
 	maxFetches int
-	// starvedJobs is how many jobs have had no start for too long.
+	// starvedJobs is the number of jobs that have waited longer than starvedAfter without a start.
 	starvedJobs    int
 	nextScan       time.Time
 	nextUsageLog   time.Time
 	nextPendingLog time.Time
 	detector       *failuredetector.Detector
-	// maxDials is the limit of commandsInFlight, and of the detector's probes and resyncs each.
+	// maxDials limits commandsInFlight, the detector's probes and its resyncs, each separately.
 	maxDials int
-	// renewalsReadAt is when the leader last read which machines' leases other nodes renew,
-	// and renewalRevisions are the versions of those records then.
-	renewalsReadAt   time.Time
+	// renewalsReadAt is when the leader last read the leases that other nodes renew on its behalf.
+	renewalsReadAt time.Time
+	// renewalRevisions holds the last read version of each of these records, by key.
 	renewalRevisions map[string]uint64
 }
 
-// terminatedMemoryFraction is the fraction of the memory that the names of terminated machines may
-// take, and terminatedEntryBytes about the size of one of them.
 const (
+	// terminatedMemoryFraction is the fraction of the memory limit that the names of terminated
+	// machines may take.
 	terminatedMemoryFraction = 1.0 / 32
-	terminatedEntryBytes     = 256
+	// terminatedEntryBytes is the approximate size of one such name in memory.
+	terminatedEntryBytes = 256
 )
 
-// newLeaderTerm starts a term, and the load of its records from the store.
+// newLeaderTerm creates the state of a term and starts to load the records from the store.
 func newLeaderTerm(c *Controller, term election.Term, leaseExpiry time.Time) *leaderTerm {
 	ctx, cancel := context.WithCancel(context.Background())
-	terminated, err := lru.New[string, bool](c.Settings.Site.Limits.Entries(terminatedMemoryFraction, terminatedEntryBytes))
+	terminated, err := lru.New[string, bool](
+		c.Settings.Site.Limits.Entries(terminatedMemoryFraction, terminatedEntryBytes))
 	if err != nil {
-		panic(err) // only for a size that is not positive
+		panic(err) // the size is not positive
 	}
 	lt := &leaderTerm{
 		c:                c,
@@ -154,7 +160,7 @@
 	return lt
 }
 
-// initTeams makes the queue of each team.
+// initTeams creates the queue of each team.
 func (lt *leaderTerm) initTeams() {
 	for _, t := range lt.c.Settings.Site.Teams {
 		team := &queue.Team[*cluster.Job]{
@@ -170,9 +176,9 @@
 	}
 }
 
-// initStartObjectives derives startObjective and grace from the objectives. The grace is half a
-// heartbeat interval, but no more than a small part of the time in which work within a
-// guarantee should start.
+// initStartObjectives derives startObjective and placementDelay from the objectives. The placement
+// delay is half a heartbeat interval, but at most a fifth of the shortest time within which work
+// within a guarantee must start.
 func (lt *leaderTerm) initStartObjectives() {
 	site := lt.c.Settings.Site
 	lt.placementDelay = site.Workers.HeartbeatInterval() / 2
@@ -187,13 +193,13 @@
 	}
 }
 
-// termCompare is the condition that fences each transaction of the leader: the term key still
-// has the version of this term.
+// termCompare returns the condition that fences every transaction of the leader: the term key
+// still has the version of this term.
 func (lt *leaderTerm) termCompare() kv.Compare {
 	return kv.Compare{Key: election.TermKey, ModRevision: lt.term.ModRevision}
 }
 
-// sendToOwner sends a message unless the term has ended.
+// sendToOwner sends a message to the owner goroutine, unless the term has ended.
 func (lt *leaderTerm) sendToOwner(m message) {
 	select {
 	case lt.c.mailbox <- m:
@@ -201,12 +207,12 @@
 	}
 }
 
-// hasEnded reports whether the term is no longer this node's current one. A message of a term
-// that has ended must not be applied.
+// hasEnded reports whether this is no longer the node's current term. Messages of an ended term
+// must not be applied.
 func (lt *leaderTerm) hasEnded() bool { return lt.c.leaderTerm != lt }
 
-// checkTermConflict steps down, and reports true, if a failed transaction shows that another
-// term has begun.
+// checkTermConflict reports whether a transaction failed because another term has begun, and steps
+// down if so.
 func (lt *leaderTerm) checkTermConflict(res kv.Result) bool {
 	if !slices.Contains(res.FailedKeys, election.TermKey) {
 		return false
@@ -227,7 +233,7 @@
 	}
 }
 
-// sleep waits for d or the end of the context.
+// sleep waits for d or until the context is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -235,16 +241,16 @@
 	}
 }
 
-// stepDownMsg ends a term from outside the owner goroutine.
+// stepDownMsg asks the owner goroutine to end a term.
 type stepDownMsg struct{ leaderTerm *leaderTerm }
 
 func (m stepDownMsg) apply(*Controller) { m.leaderTerm.stepDown() }
 
-// scanInterval is how often the leader goes through all machines and jobs.
+// scanInterval is how often the leader scans all machines and jobs.
 const scanInterval = time.Second
 
-// tick does the leader's periodic work. Dispatch, the relay and the scan are skipped while the
-// leader may not renew leases, and right after a long process pause.
+// tick does the leader's periodic work. It skips dispatch, the relay and the scan while the leader
+// may not renew leases, and right after a long pause of the process.
 func (lt *leaderTerm) tick(now time.Time) {
 	if !lt.loaded || !lt.c.holdsLease() {
 		return
@@ -276,7 +282,7 @@
 	lt.logPending(now)
 }
 
-// nextAttempt returns a number that no attempt of any term has.
+// nextAttempt returns an attempt number that is unique across all terms.
 func (lt *leaderTerm) nextAttempt() uint64 {
 	lt.attemptCount++
 	return lt.term.Number<<32 | uint64(lt.attemptCount)
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -16,55 +16,55 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// leaseRenewer answers heartbeats on the leader's behalf while the leader is unreachable from
-// here, so that the machines on this side of a partition, or those of a leader that restarts, do
-// not kill their tasks. It starts nothing: its responses renew the task leases under the leader's
-// term, and stop the tasks of jobs that have ended, since a cancellation must reach them in time.
+// leaseRenewer answers heartbeats on the leader's behalf while the leader is unreachable from this
+// node, so that machines on this side of a partition, or machines whose leader is restarting, do
+// not kill their tasks. Its responses start no tasks. They renew the task leases under the leader's
+// term and stop the tasks of ended jobs, because a cancellation must take effect in time.
 //
-// It may do so for a bounded time after a moment before which the leader knew all cancellations,
-// as its last response to a ping stated, or after the store has shown that the leader's term is
-// the present one and which jobs are active. The tasks of a job that is cancelled later than that
-// still end in time, because the leases of their machines have expired by then. A later leader
-// treats the machines as unfenced until they send it a heartbeat, so nothing is started twice.
+// It may do so for a bounded time, which begins either at the time up to which the leader had all
+// cancellations, according to its last response to a ping, or when the key-value store confirmed
+// that the leader's term is the current one and which jobs are active. The tasks of a job that is
+// cancelled after that still end in time, because the leases of their machines expire by then. A
+// later leader treats the machines as unfenced until they send it a heartbeat, so no task is
+// started twice.
 type leaseRenewer struct {
 	leader string
 	term   uint64
-	// verifiedAt is the moment after which renewal is allowed for renewalPeriod.
+	// verifiedAt is the beginning of the renewalPeriod during which leases may be renewed.
 	verifiedAt time.Time
-	// termRevision is the version of the term key, if the store has shown it.
+	// termRevision is the version of the term key as last read from the store; 0 if not read.
 	termRevision uint64
 	// leaderUnreachable is set while the leader is unreachable.
 	leaderUnreachable bool
-	// activeJobs are the active jobs as the store last showed them; nil: not known.
+	// activeJobs holds the ids of the active jobs as last read from the store; nil if not read.
 	activeJobs map[string]bool
-	// renewedAt holds, by machine, when its lease was last renewed here.
+	// renewedAt holds, by machine, when this node last renewed the machine's lease.
 	renewedAt map[string]time.Time
 }
 
 const (
-	// maxVerificationAge is how recently the store must have shown a term for machines of an
-	// earlier one to be answered in it.
+	// maxVerificationAge is how recently a term must have been read from the store for machines
+	// of an earlier term to be answered in it.
 	maxVerificationAge = 5 * time.Second
 	// renewalLifetime is how long the leader relies on a renewal that another node published.
 	renewalLifetime = 8 * time.Second
-	// renewalMargin is kept in reserve of the time in which a cancellation must take effect,
-	// besides two heartbeats: a cancellation may be late by one watch.
+	// renewalMargin is subtracted, besides two heartbeat intervals, from the time within which a
+	// cancellation must take effect, because one watch may delay a cancellation.
 	renewalMargin = watchTimeout + time.Second
-	// verifyTimeout is the time limit of verifying a term and publishing renewals.
+	// verifyTimeout limits the verification of a term, including the publication of renewals.
 	verifyTimeout = 2 * time.Second
-	// renewalsReadInterval is how often the leader reads the renewals of other nodes, and
-	// renewalsReadTimeout the time limit of that.
+	// renewalsReadInterval is how often the leader reads the renewals of other nodes.
 	renewalsReadInterval = 2 * time.Second
 	renewalsReadTimeout  = 2 * time.Second
 )
 
-// renewalPeriod returns for how long after verifiedAt leases may be renewed here.
+// renewalPeriod returns how long after verifiedAt this node may renew leases.
 func (c *Controller) renewalPeriod() time.Duration {
 	w := c.Settings.Site.Workers
 	return config.Duration(w.CancelS) - w.Lease() - 2*w.HeartbeatInterval() - renewalMargin
 }
 
-// renewOnBehalf answers a heartbeat on the leader's behalf, if this node may.
+// renewOnBehalf answers a heartbeat on the leader's behalf, and reports whether this node may do so.
 func (c *Controller) renewOnBehalf(
 	hb *api.Heartbeat, leader string, unreachable bool, now time.Time,
 ) (api.HeartbeatResponse, bool) {
@@ -84,22 +84,23 @@
 	return response, true
 }
 
-// mayRespond reports whether a machine that last saw a term may be answered in the present one. A
-// machine that saw an earlier term learns the present one here, if the store has just shown it:
-// the new leader, which it cannot reach, treats it as unfenced until its next heartbeat arrives
-// through the store.
+// mayRespond reports whether a heartbeat from a machine that last saw the given term may be
+// answered. A machine that last saw an earlier term is answered only if the current one was read
+// from the store within maxVerificationAge. The new leader, which the machine cannot reach, treats
+// it as unfenced until its next heartbeat arrives through the store.
 func (lr *leaseRenewer) mayRespond(term uint64, now time.Time) bool {
 	return term == lr.term || (term < lr.term && lr.activeJobs != nil && now.Sub(lr.verifiedAt) < maxVerificationAge)
 }
 
-// reset applies the leader's response to a ping: it is reachable, and knew all cancellations
-// before verifiedAt.
+// reset applies a response of the leader to a ping: the leader is reachable and had all
+// cancellations up to verifiedAt.
 func (lr *leaseRenewer) reset(leader string, term uint64, verifiedAt time.Time) {
 	*lr = leaseRenewer{leader: leader, term: term, verifiedAt: verifiedAt}
 }
 
-// verifyUnreachableLeader is called at intervals while a node is unreachable: if it leads, its term is
-// verified, so that the leases of its machines may be renewed here.
+// verifyUnreachableLeader verifies the term of an unreachable node if that is the leader, so that
+// this node may renew the leases of its machines. It is called at intervals while the node is
+// unreachable.
 func (c *Controller) verifyUnreachableLeader(ctx context.Context, node string) {
 	query := followedLeaderRequestMsg{reply: make(chan followedLeader, 1)}
 	followed, err := request(ctx, c, query, query.reply)
@@ -108,14 +109,14 @@
 	}
 	verified, err := c.verifyTerm(ctx, followed)
 	if err != nil {
-		c.Log.Debug("verification of unreachable leader's term failed", "leader", node, "err", err)
+		c.Log.Debug("verifying term of unreachable leader failed", "leader", node, "err", err)
 		return
 	}
 	c.sendOrDrop(ctx, verified)
 }
 
-// verifyTerm reads from the store whether a leader still leads and which jobs are active, and
-// publishes which machines' leases are renewed here.
+// verifyTerm reads from the store whether a node is still the leader and which jobs are active, and
+// publishes the machines whose leases this node renews.
 func (c *Controller) verifyTerm(ctx context.Context, followed followedLeader) (m termVerifiedMsg, err error) {
 	ctx, cancel := context.WithTimeout(ctx, verifyTimeout)
 	defer cancel()
@@ -127,7 +128,7 @@
 	var leader election.LeaderRecord
 	err = json.Unmarshal(leaderEntry.Value, &leader)
 	if leaderEntry.ModRevision == 0 || err != nil || leader.Node != followed.leader {
-		return m, fmt.Errorf("%s does not lead: %w", followed.leader, api.ErrUnavailable)
+		return m, fmt.Errorf("node %s is not the recorded leader: %w", followed.leader, api.ErrUnavailable)
 	}
 	termEntry, err := c.Store.Get(ctx, election.TermKey)
 	if err != nil {
@@ -135,7 +136,7 @@
 	}
 	var term election.TermRecord
 	if err := json.Unmarshal(termEntry.Value, &term); err != nil {
-		return m, fmt.Errorf("term key: %w", err)
+		return m, fmt.Errorf("decode term key: %w", err)
 	}
 	m.term, m.termRevision = term.Number, termEntry.ModRevision
 	if m.activeJobs, err = c.readActiveJobs(ctx); err != nil {
@@ -165,44 +166,46 @@
 	}
 }
 
-// maxRenewalRecords is how many records of lease renewals a leader reads. Versions from before it
-// read more than a hundred read only those; values of 2 KiB and more hold some 4,000 machines in
-// fewer.
+// maxRenewalRecords is the maximum number of lease renewal records that a leader reads. Older
+// versions read only the first hundred; with values of 2 KiB or more, some 4,000 machines fit in
+// fewer than that.
 const maxRenewalRecords = 1000
 
-// renewalOpOverheadBytes is reserved for each put of a transaction, beside its value.
+// renewalOpOverheadBytes is reserved for each put of a transaction, in addition to its value.
 const renewalOpOverheadBytes = 200
 
-// publishRenewals writes which machines' leases are renewed here. A list that does not fit in one
-// record continues under further keys: leaders read each record under the prefix by itself,
-// whatever follows the node's name. A record that is not written again with the others expires.
-func (c *Controller) publishRenewals(ctx context.Context, hosts []string, term, modRevision uint64) {
-	lim := c.Settings.Site.State
+// publishRenewals writes the machines whose leases this node renews to the store. A list that does
+// not fit in one record continues under further keys: leaders read every record under the prefix
+// separately, whatever follows the node's name in its key. A record that is not written again
+// expires.
+func (c *Controller) publishRenewals(ctx context.Context, machines []string, term, modRevision uint64) {
+	limits := c.Settings.Site.State
 	maxRecords := max(1, maxRenewalRecords/(len(c.Settings.Peers)+1))
-	for maxBytes := min(int(lim.ValueKB*1024), kv.MaxTxnBytes/2); maxBytes > 0; maxBytes /= 2 {
-		recs := renewalRecords(hosts, term, maxBytes)
+	for maxBytes := min(int(limits.ValueKB*1024), kv.MaxTxnBytes/2); maxBytes > 0; maxBytes /= 2 {
+		recs := renewalRecords(machines, term, maxBytes)
 		if len(recs) > maxRecords {
-			// No leader would read the rest. Which machines are left out is left to chance,
-			// by the order of the list: otherwise it would be the same ones each time, which
-			// would be probed, and perhaps terminated.
-			c.Log.Warn("lease renewals left out", "machines", len(hosts), "records", len(recs), "max", maxRecords)
+			// Leaders do not read further records. The list is in random order, so that the
+			// omitted machines differ each time: a machine that was always omitted would be
+			// probed, and perhaps terminated.
+			c.Log.Warn("lease renewals beyond record limit not published",
+				"machines", len(machines), "records", len(recs), "max", maxRecords)
 			recs = recs[:maxRecords]
 		}
-		maxOps := max(1, min(lim.TxnOps, kv.MaxTxnBytes*3/4/(maxBytes+renewalOpOverheadBytes)))
+		maxOps := max(1, min(limits.TxnOps, kv.MaxTxnBytes*3/4/(maxBytes+renewalOpOverheadBytes)))
 		err := c.writeRenewals(ctx, recs, modRevision, maxOps)
 		if err == nil {
 			return
 		}
 		if !errors.Is(err, kv.ErrInvalid) {
-			c.Log.Debug("write of lease renewals failed", "err", err)
+			c.Log.Debug("writing lease renewals failed", "err", err)
 			return
 		}
-		c.Log.Error("lease renewals rejected as too large", "bytes", maxBytes)
+		c.Log.Error("key-value store rejected lease renewals as too large", "bytes", maxBytes)
 	}
 }
 
-// writeRenewals writes records of lease renewals, at most maxOps in a transaction, as long as the
-// term key has a version.
+// writeRenewals writes lease renewal records, at most maxOps per transaction, as long as the term
+// key has the given version.
 func (c *Controller) writeRenewals(
 	ctx context.Context, recs []records.LeaseRenewalRecord, modRevision uint64, maxOps int,
 ) error {
@@ -226,13 +229,13 @@
 }
 
 // renewalRecords distributes machines over records of at most maxBytes each.
-func renewalRecords(hosts []string, term uint64, maxBytes int) (recs []records.LeaseRenewalRecord) {
-	const frameBytes = 48 // of a record, beside the names
+func renewalRecords(machines []string, term uint64, maxBytes int) (recs []records.LeaseRenewalRecord) {
+	const frameBytes = 48 // size of a record without names
 	size := 0
-	for _, name := range hosts {
+	for _, name := range machines {
 		raw, err := json.Marshal(name)
 		if err != nil || frameBytes+len(raw)+1 > maxBytes {
-			continue // such a name is in no registry either
+			continue // a machine with this name does not fit in the registry either
 		}
 		if len(recs) == 0 || size+len(raw)+1 > maxBytes {
 			recs, size = append(recs, records.LeaseRenewalRecord{Term: term}), frameBytes
@@ -244,8 +247,8 @@
 	return recs
 }
 
-// followedLeaderRequestMsg requests which leader this node follows, and which machines' leases it
-// renews on that leader's behalf.
+// followedLeaderRequestMsg requests the leader that this node follows and the machines whose leases
+// it renews on the leader's behalf.
 type followedLeaderRequestMsg struct{ reply chan followedLeader }
 
 // followedLeader is the reply to followedLeaderRequestMsg.
@@ -267,7 +270,7 @@
 	m.reply <- followed
 }
 
-// leaderUnreachableMsg means that the leader does not answer pings.
+// leaderUnreachableMsg reports that the leader does not respond to pings.
 type leaderUnreachableMsg struct{ leader string }
 
 func (m leaderUnreachableMsg) apply(c *Controller) {
@@ -278,7 +281,7 @@
 	}
 }
 
-// termVerifiedMsg carries the term and the active jobs as the store has shown them.
+// termVerifiedMsg delivers the term and the active jobs as read from the store.
 type termVerifiedMsg struct {
 	leader       string
 	term         uint64
@@ -293,13 +296,13 @@
 		return
 	}
 	if lr.leader != m.leader || lr.term != m.term {
-		// Another term has begun, or this node was restarted during a partition.
+		// Another term has begun, or this node has restarted during a partition.
 		*lr = leaseRenewer{leader: m.leader, term: m.term, leaderUnreachable: true}
 	}
 	lr.activeJobs, lr.verifiedAt, lr.termRevision = m.activeJobs, m.verifiedAt, m.termRevision
 }
 
-// readRenewals reads, every few seconds, which machines' leases other nodes renew.
+// readRenewals reads, every renewalsReadInterval, the machines whose leases other nodes renew.
 func (lt *leaderTerm) readRenewals(now time.Time) {
 	if now.Sub(lt.renewalsReadAt) < renewalsReadInterval {
 		return
@@ -308,23 +311,23 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, renewalsReadTimeout)
 		defer cancel()
-		// A page holds no more than the store allows, so there may be several.
-		for from, left := "", maxRenewalRecords; left > 0; {
-			page, err := lt.c.Store.Range(ctx, records.LeaseRenewalPrefix, from, left)
+		// The store limits the size of a page, so there may be several.
+		for from, remaining := "", maxRenewalRecords; remaining > 0; {
+			page, err := lt.c.Store.Range(ctx, records.LeaseRenewalPrefix, from, remaining)
 			if err != nil {
-				lt.c.Log.Debug("read of lease renewals failed", "err", err)
+				lt.c.Log.Debug("reading lease renewals failed", "err", err)
 				return
 			}
 			lt.sendToOwner(renewalsReadMsg{lt, page.Entries})
 			if !page.More || len(page.Entries) == 0 {
 				return
 			}
-			from, left = page.Entries[len(page.Entries)-1].Key, left-len(page.Entries)
+			from, remaining = page.Entries[len(page.Entries)-1].Key, remaining-len(page.Entries)
 		}
 	}()
 }
 
-// renewalsReadMsg carries a page of other nodes' lease renewals.
+// renewalsReadMsg delivers a page of lease renewal records of other nodes.
 type renewalsReadMsg struct {
 	leaderTerm *leaderTerm
 	entries    []kv.Entry
@@ -338,7 +341,7 @@
 	now := time.Now()
 	for _, e := range m.entries {
 		if lt.renewalRevisions[e.Key] == e.ModRevision {
-			continue // not written since it was last read
+			continue // not written again since it was last read
 		}
 		lt.renewalRevisions[e.Key] = e.ModRevision
 		var rec records.LeaseRenewalRecord
@@ -346,8 +349,8 @@
 			continue
 		}
 		for _, name := range rec.Hosts {
-			if mc := lt.machines[name]; mc != nil {
-				mc.LeaseRenewedUntil = now.Add(renewalLifetime)
+			if machine := lt.machines[name]; machine != nil {
+				machine.LeaseRenewedUntil = now.Add(renewalLifetime)
 			}
 		}
 	}
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -6,22 +6,23 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// maxConcurrentFetches bounds the images that a machine fetches at the same time while capacity is
-// not short.
+// maxConcurrentFetches is the maximum number of images that a machine fetches at the same time
+// while there is enough free capacity for all pending tasks.
 const maxConcurrentFetches = 4
 
-// minConsideredJobs bounds the work of deferInfeasible: it considers that many jobs, or one for
-// each machine of a larger fleet.
+// minConsideredJobs limits the work of deferInfeasible, which considers this number of jobs, or as
+// many as there are machines if these are more.
 const minConsideredJobs = 500
 
-// deferInfeasible decides anew which jobs can be in time, and sorts the queues by that.
+// deferInfeasible recomputes which jobs to defer because not all can meet their objectives, and has
+// the queues sorted again.
 func (lt *leaderTerm) deferInfeasible(now time.Time) {
 	cpus, free := lt.schedulableCPUs(now)
 	loads, pending := lt.collectLoads(now)
 	queue.DeferInfeasible(loads, cpus, now)
-	// Images that are fetched at the same time share the machine's rate. While capacity is
-	// short, one after the other is better: the first tasks start sooner, and no capacity is
-	// reserved for those whose image arrives last.
+	// Concurrent fetches share the machine's download rate. While capacity is short, images are
+	// fetched one at a time: the first tasks start sooner, and no capacity is reserved meanwhile
+	// for tasks whose image would arrive last.
 	lt.maxFetches = maxConcurrentFetches
 	if pending > free {
 		lt.maxFetches = 1
@@ -31,7 +32,7 @@
 	}
 }
 
-// schedulableCPUs are the CPUs of the schedulable machines: all, and those that are free.
+// schedulableCPUs returns the total and the free CPUs of all schedulable machines.
 func (lt *leaderTerm) schedulableCPUs(now time.Time) (cpus, free float64) {
 	for _, m := range lt.machines {
 		if m.IsSchedulable(now) {
@@ -42,8 +43,8 @@
 	return cpus, free
 }
 
-// collectLoads updates each queued job's feasibility and load, and whether it is starved. It
-// returns the loads of those that can still be in time, and the CPUs of all pending tasks.
+// collectLoads updates each queued job's feasibility, load and starvation. It returns the loads of
+// the jobs that can still meet their objective, and the CPUs of all pending tasks.
 func (lt *leaderTerm) collectLoads(now time.Time) (loads []*queue.Load, pendingCPUs float64) {
 	maxLoads := max(minConsideredJobs, len(lt.machines))
 	lt.starvedJobs = 0
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -11,18 +11,18 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// Status is the operators' view of a node.
+// Status is the status of a node as shown to operators.
 type Status struct {
 	Node    string        `json:"node"`
 	Leader  string        `json:"leader"`
 	Leading *LeaderStatus `json:"leading,omitempty"`
 }
 
-// LeaderStatus is the part of the status that only the leader knows. Its JSON names are fixed, see
-// docs/glossary.md.
+// LeaderStatus is the part of the status that only the leader has. Its JSON names must not change;
+// see docs/glossary.md.
 type LeaderStatus struct {
 	Term uint64 `json:"term"`
-	// ValidS is for how many seconds the leader lease is still valid.
+	// ValidS is the number of seconds for which the leader lease is still valid.
 	ValidS     float64      `json:"valid_s"`
 	Machines   int          `json:"machines"`
 	Unfenced   int          `json:"unheard"`
@@ -35,25 +35,25 @@
 	Started    int64        `json:"started"`
 	Lost       int64        `json:"lost"`
 	Done       int64        `json:"done"`
-	// Waits is how many jobs wait for their first start, by pending reason.
+	// Waits is the number of jobs that wait for their first start, by pending reason.
 	Waits      map[string]int `json:"waits"`
 	FirstStart Latency        `json:"first_start_ms"`
 	Recorded   Latency        `json:"recorded_ms"`
 	// Quorum is the state of the lease quorum; nil without failover.
 	Quorum *QuorumStatus `json:"grants,omitempty"`
-	// Cells are the loans to and from other cells; nil without neighbours.
+	// Cells holds the loans to and from other cells; nil if no neighbours are configured.
 	Cells *CellsStatus `json:"cells,omitempty"`
 }
 
 // QuorumStatus is the state of a leader's lease quorum.
 type QuorumStatus struct {
-	// Required is set if the leader acts only while it has a lease quorum.
+	// Required is set if the leader may act only while it has a lease quorum.
 	Required bool `json:"bound"`
-	// Held is set if it has one at present.
+	// Held is set if the leader currently has a lease quorum.
 	Held bool `json:"held"`
 }
 
-// TeamStatus is one team's queue and use of resources.
+// TeamStatus is one team's queue and resource usage.
 type TeamStatus struct {
 	Name      string  `json:"name"`
 	Jobs      int     `json:"jobs"`
@@ -63,7 +63,7 @@
 	LimitCPUs float64 `json:"limit_cpus"`
 }
 
-// Latency summarizes a histogram, in milliseconds.
+// Latency summarizes a latency histogram, in milliseconds.
 type Latency struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -71,13 +71,13 @@
 	Max   int64 `json:"max"`
 }
 
-// counters are the leader's counts since its term began.
+// counters holds the leader's statistics since its term began.
 type counters struct {
 	started, lost, done  int64
 	firstStart, recorded *hdrhistogram.Histogram
 }
 
-// maxLatency is the upper bound of the histograms.
+// maxLatency is the largest value of the histograms. Longer latencies are recorded as this value.
 const maxLatency = 10 * time.Minute
 
 func newCounters() counters {
@@ -85,13 +85,13 @@
 	return counters{firstStart: newHistogram(), recorded: newHistogram()}
 }
 
-// recordLatency adds a duration to a histogram, clamped to its bounds.
+// recordLatency adds a duration to a histogram, clamped to its range.
 func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
-	// RecordValue only fails for values out of bounds.
+	// RecordValue fails only for values out of range.
 	_ = h.RecordValue(min(max(d.Milliseconds(), 1), h.HighestTrackableValue()))
 }
 
-// summarizeLatency returns the quantiles of a histogram that the status shows.
+// summarizeLatency returns the summary of a histogram for the status.
 func summarizeLatency(h *hdrhistogram.Histogram) Latency {
 	return Latency{
 		Count: h.TotalCount(),
@@ -122,7 +122,7 @@
 	m.reply <- s
 }
 
-// status returns the operators' view of the leader.
+// status returns the status of the leader.
 func (lt *leaderTerm) status(now time.Time) *LeaderStatus {
 	s := &LeaderStatus{
 		Term:       lt.term.Number,
@@ -157,7 +157,7 @@
 	return s
 }
 
-// teamStatus returns the operators' view of a team.
+// teamStatus returns the status of a team.
 func (lt *leaderTerm) teamStatus(name string) TeamStatus {
 	team := lt.teams[name]
 	s := TeamStatus{
@@ -173,7 +173,8 @@
 	return s
 }
 
-// pendingReason returns why a job's next task is on no machine. The reasons are shown by status.
+// pendingReason returns why a job's next task has not been assigned to a machine. The reasons are
+// part of the status.
 func (lt *leaderTerm) pendingReason(j *cluster.Job, now time.Time) string {
 	s := &j.Spec
 	switch {
@@ -197,8 +198,8 @@
 	return "no room"
 }
 
-// pendingReasons counts the jobs that wait for their first start, by pending reason, and returns
-// the one that has waited longest for capacity.
+// pendingReasons counts the jobs that wait for their first start, by pending reason, and returns the
+// one that has waited longest for capacity.
 func (lt *leaderTerm) pendingReasons(now time.Time) (counts map[string]int, oldest *cluster.Job) {
 	counts = map[string]int{}
 	for _, j := range lt.jobs {
@@ -207,7 +208,7 @@
 		}
 		counts[lt.pendingReason(j, now)]++
 		if len(j.DependsOn) > 0 || j.Lent != nil || j.Guest != nil {
-			continue // these do not wait for capacity
+			continue // does not wait for capacity
 		}
 		if oldest == nil || j.RunnableSince.Before(oldest.RunnableSince) {
 			oldest = j
@@ -216,14 +217,14 @@
 	return counts, oldest
 }
 
-// The pending reasons are logged every pendingLogInterval while a job has waited for longer than
-// pendingLogThreshold.
 const (
-	pendingLogInterval  = 15 * time.Second
+	// pendingLogInterval is how often the pending reasons are logged.
+	pendingLogInterval = 15 * time.Second
+	// pendingLogThreshold is how long a job must have waited for the pending reasons to be logged.
 	pendingLogThreshold = 20 * time.Second
 )
 
-// logPending logs why jobs are pending.
+// logPending logs the number of pending jobs by reason, and the one that has waited longest.
 func (lt *leaderTerm) logPending(now time.Time) {
 	if now.Before(lt.nextPendingLog) {
 		return
@@ -242,23 +243,24 @@
 		"reason", lt.pendingReason(oldest, now))
 }
 
-// usageLogInterval is how often the fleet's usage is logged.
+// usageLogInterval is how often the fleet usage is logged.
 const usageLogInterval = 5 * time.Second
 
-// logUsage logs, at level debug, the CPUs of the fleet by what they do, and the pending demand.
+// logUsage logs, at debug level, the CPUs of the fleet by use, and the CPUs of pending tasks by job
+// class.
 func (lt *leaderTerm) logUsage(now time.Time) {
 	if now.Before(lt.nextUsageLog) || !lt.c.Log.Enabled(lt.ctx, slog.LevelDebug) {
 		return
 	}
 	lt.nextUsageLog = now.Add(usageLogInterval)
-	var use fleetUsage
+	var usage fleetUsage
 	for _, m := range lt.machines {
-		use.total += m.CPUs
+		usage.total += m.CPUs
 		if m.IsSchedulable(now) {
-			use.schedulable += m.CPUs
+			usage.schedulable += m.CPUs
 		}
 		for _, a := range m.Attempts {
-			use.addAttempt(a)
+			usage.addAttempt(a)
 		}
 	}
 	pending := map[string]float64{}
@@ -269,25 +271,25 @@
 		"machines", len(lt.machines),
 		"unfenced", lt.unfenced,
 		"provisioning", len(lt.provisioning),
-		"cpus", use.total,
-		"schedulable", use.schedulable,
-		"running", use.running,
-		"pulling", use.pulling,
-		"commanded", use.commanded,
-		"saving", use.saving,
-		"exited", use.exited,
+		"cpus", usage.total,
+		"schedulable", usage.schedulable,
+		"running", usage.running,
+		"pulling", usage.pulling,
+		"commanded", usage.commanded,
+		"saving", usage.saving,
+		"exited", usage.exited,
 		"jobs", len(lt.jobs),
 		"pending", pending)
 }
 
-// fleetUsage sums up CPUs: those of all machines and of schedulable ones, and those of attempts
-// by their phase.
+// fleetUsage holds the total CPUs of all machines, of the schedulable machines, and of the attempts
+// in each phase.
 type fleetUsage struct {
 	total, schedulable                          float64
 	commanded, pulling, running, saving, exited float64
 }
 
-// addAttempt adds the CPUs of an attempt, if its job is known.
+// addAttempt adds the CPUs of an attempt to those of its phase, unless its job is unknown.
 func (u *fleetUsage) addAttempt(a *cluster.Attempt) {
 	if a.Job == nil {
 		return
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -15,15 +15,15 @@
 const (
 	loadRetryDelay = 200 * time.Millisecond
 	rangeTimeout   = 3 * time.Second
-	// rangePageSize is how many entries one request reads.
+	// rangePageSize is the maximum number of entries that one request reads.
 	rangePageSize = 500
 )
 
-// snapshot holds the records of the store that a new leader reads.
+// snapshot holds the records that a new leader reads from the key-value store.
 type snapshot struct {
 	// readAt is when the first request was sent.
 	readAt time.Time
-	// revision is the version of the store from which on the active jobs are watched.
+	// revision is the revision of the store after which the active jobs are watched.
 	revision uint64
 	// cancelRevision is the version of the cancel key.
 	cancelRevision uint64
@@ -33,7 +33,7 @@
 	loans          []kv.Entry
 }
 
-// loadAndWatch reads the store until that succeeds, then watches the active jobs.
+// loadAndWatch reads the records, retrying until that succeeds, then watches the active jobs.
 func (lt *leaderTerm) loadAndWatch() {
 	for lt.ctx.Err() == nil {
 		snap, err := lt.readSnapshot()
@@ -42,7 +42,7 @@
 			lt.watchActiveJobs(snap.revision)
 			return
 		}
-		lt.c.Log.Debug("load of records failed", "term", lt.term.Number, "err", err)
+		lt.c.Log.Debug("loading records from key-value store failed", "term", lt.term.Number, "err", err)
 		sleep(lt.ctx, loadRetryDelay)
 	}
 }
@@ -51,7 +51,7 @@
 func (lt *leaderTerm) readSnapshot() (*snapshot, error) {
 	s := snapshot{readAt: time.Now()}
 	var err error
-	// The active jobs are read first: the watch begins at their revision.
+	// The active jobs are read first because the watch begins after their revision.
 	if s.active, s.revision, err = lt.rangeAll(records.ActivePrefix); err != nil {
 		return nil, err
 	}
@@ -76,7 +76,8 @@
 	return &s, nil
 }
 
-// rangeAll reads all entries under a prefix, and returns the store's revision at the first page.
+// rangeAll reads all entries under a prefix. The revision is that of the store when the first page
+// was read.
 func (lt *leaderTerm) rangeAll(prefix string) (entries []kv.Entry, revision uint64, err error) {
 	from := ""
 	for {
@@ -97,7 +98,7 @@
 	}
 }
 
-// snapshotLoadedMsg carries the records of the store to a new leader.
+// snapshotLoadedMsg delivers the records read from the store to the owner goroutine.
 type snapshotLoadedMsg struct {
 	leaderTerm *leaderTerm
 	snapshot   *snapshot
@@ -119,8 +120,8 @@
 	c.Log.Info("records loaded", "term", lt.term.Number, "jobs", len(lt.jobs), "machines", lt.unfenced)
 }
 
-// addSnapshot adds the records of the store to the empty state of a new term. Completion records
-// refer to jobs, which must be there before them.
+// addSnapshot adds the records of the store to the empty state of a new term. Jobs are added before
+// the completion records that refer to them.
 func (lt *leaderTerm) addSnapshot(snap *snapshot, now time.Time) {
 	lt.cancelRevision = snap.cancelRevision
 	for _, e := range snap.loans {
@@ -145,7 +146,7 @@
 	}
 }
 
-// addShard adds the machines of a shard of the registry. All of them are unfenced.
+// addShard adds the machines of a registry shard. All of them are unfenced.
 func (lt *leaderTerm) addShard(e kv.Entry, now time.Time) {
 	var rec records.RegistryShardRecord
 	if err := json.Unmarshal(e.Value, &rec); err != nil {
@@ -155,7 +156,7 @@
 	s := &cluster.Shard{Key: e.Key}
 	for _, entry := range rec.Machines {
 		if lt.machines[entry.Name] != nil {
-			continue // a shard that was written late
+			continue // already added from another shard: one of the two was written late
 		}
 		m := lt.addMachine(entry.Name, entry.Type, entry.Zone, entry.Spot, now)
 		m.Addr = entry.Addr
@@ -172,8 +173,8 @@
 	}
 }
 
-// addCompletion marks the tasks of a completion record as done. A record without an active job
-// is deleted.
+// addCompletion marks the tasks of a completion record as done. It deletes the record if its job
+// has no active record.
 func (lt *leaderTerm) addCompletion(e kv.Entry, now time.Time) {
 	id, first, ok := records.ParseCompletionKey(e.Key)
 	if !ok {
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -11,43 +11,44 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// The store answers a watch after watchBlock at the latest, and watchTimeout abandons the
-// request: a connection that was lost without a reset must not keep cancellations from the
-// leader, as the tasks of cancelled jobs must end in time.
 const (
-	watchBlock   = 4 * time.Second
+	// watchBlock is the longest time that the store may wait for events before it responds.
+	watchBlock = 4 * time.Second
+	// watchTimeout abandons a request, because a connection may be lost without a reset. The
+	// leader must still receive cancellations, as the tasks of cancelled jobs must end in time.
 	watchTimeout = 5500 * time.Millisecond
-	// watchRetryDelay is the pause after a failed watch.
+	// watchRetryDelay is the delay after a failed watch.
 	watchRetryDelay = 300 * time.Millisecond
-	// watchBatchDelay is the pause after events, so that one request returns several.
+	// watchBatchDelay is the delay after events, so that the next request returns several at once.
 	watchBatchDelay = 40 * time.Millisecond
 )
 
-// watchActiveJobs sends the owner the changes of active jobs from a revision on.
+// watchActiveJobs sends the changes of active jobs after a revision to the owner goroutine.
 func (lt *leaderTerm) watchActiveJobs(from uint64) {
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, watchTimeout)
-		ch, err := lt.c.Store.Watch(ctx, records.ActivePrefix, from, watchBlock)
+		changes, err := lt.c.Store.Watch(ctx, records.ActivePrefix, from, watchBlock)
 		cancel()
 		switch {
 		case errors.Is(err, kv.ErrCompacted):
-			// The watch is too far behind: a new term loads all records again.
+			// The store has compacted events that the watch has not read. A new term loads all
+			// records again.
 			lt.sendToOwner(stepDownMsg{lt})
 			return
 		case err != nil:
-			lt.c.Log.Debug("watch failed", "err", err)
+			lt.c.Log.Debug("watching active jobs failed", "err", err)
 			sleep(lt.ctx, watchRetryDelay)
 			continue
 		}
-		from = max(from, ch.Revision)
-		if len(ch.Events) > 0 {
-			lt.sendToOwner(activeJobsChangedMsg{lt, ch.Events})
+		from = max(from, changes.Revision)
+		if len(changes.Events) > 0 {
+			lt.sendToOwner(activeJobsChangedMsg{lt, changes.Events})
 			sleep(lt.ctx, watchBatchDelay)
 		}
 	}
 }
 
-// activeJobsChangedMsg carries events of the watch on the active jobs.
+// activeJobsChangedMsg delivers events of the watch of the active jobs.
 type activeJobsChangedMsg struct {
 	leaderTerm *leaderTerm
 	events     []kv.Event
@@ -71,9 +72,8 @@
 		case e.Put != "":
 			lt.addJob(e.Put, e.Value, e.ModRevision)
 		default:
-			// A record that was deleted neither by a cancellation nor by this leader was
-			// deleted by another leader, which the election has not reported yet: how
-			// the job ended is not known here.
+			// If neither a cancellation nor this leader deleted the record, another leader did,
+			// which the election has not reported yet. How the job ended is not known here.
 			id := strings.TrimPrefix(e.Delete, records.ActivePrefix)
 			if j := lt.jobs[id]; j != nil && !j.DeletesRecord() && e.ModRevision > j.ModRevision {
 				lt.stepDown()
