--- a/internal/cancellation/log_test.go
+++ b/internal/cancellation/log_test.go
@@ -25,10 +25,10 @@
 	start       = time.Unix(1_000_000, 0)
 )
 
-// at is a time some seconds after start.
+// at returns the time that is the given number of seconds after start.
 func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
-// checkReader checks since and until when a reader knows all cancellations.
+// checkReader checks the period of which a reader has all cancellations.
 func checkReader(t *testing.T, reader *Reader, completeSince, knownUntil time.Time) {
 	t.Helper()
 	if !reader.CompleteSince().Equal(completeSince) || !reader.KnownUntil().Equal(knownUntil) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// checkRead reads a log and checks what the reader learns.
+// checkRead reads a log and checks which cancellations the reader receives.
 func checkRead(t *testing.T, l *Log, reader *Reader, now time.Time, want ...string) {
 	t.Helper()
 	if got := readLog(l, reader, "x", now); !slices.Equal(got, want) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// A log is read in order, and each entry once.
+// A reader receives the entries of a log in order, each exactly once.
 func TestReaderFollowsLog(t *testing.T) {
 	l := NewLog(testWorkers, config.Limits{RAMMB: 65}, start)
 	var reader Reader
@@ -60,8 +60,9 @@
 	checkReader(t, &reader, start, at(5))
 }
 
-// Too many entries for one delta are read in parts, and the reader knows all only after the
-// last of them. Entries that are dropped before they are read leave it incomplete.
+// Entries that do not fit in one delta are read in several, and the reader has all cancellations
+// only after the last one. If entries are dropped before it has read them, it is not complete for
+// the time before.
 func TestReaderOfMoreThanOneDelta(t *testing.T) {
 	l := NewLog(testWorkers, config.Limits{RAMMB: 65}, start)
 	var reader Reader
@@ -79,7 +80,7 @@
 		t.Fatalf("second delta: %d entries, want 1", len(ids))
 	}
 	checkReader(t, &reader, start, at(8))
-	// More than the log can hold, while nobody reads it.
+	// More entries than the log can hold are added between two reads.
 	for i := range l.maxEntries + 5 {
 		l.Add(fmt.Sprint("more-", i), at(9))
 	}
@@ -92,8 +93,8 @@
 	}
 }
 
-// Old entries are dropped, and a reader that has them stays complete. The log of another
-// process is read from its start, though the numbers would fit.
+// When old entries are dropped, a reader that has read them stays complete. The log of another
+// process is read from its beginning, even if the entry numbers would continue.
 func TestReaderOfTrimmedAndOfNewLog(t *testing.T) {
 	var reader Reader
 	l := NewLog(testWorkers, config.Limits{}, start)
@@ -114,8 +115,8 @@
 	}
 }
 
-// The cancellations of as many jobs as 4,000 machines may lose at once fit one delta, even for
-// a process with next to no memory: all are known after one ping.
+// The cancellations of 4,000 jobs, as many as 4,000 machines may lose at the same time, fit in one
+// delta, even if the memory limit is very low: a reader has all of them after one ping.
 func TestLargeFleetFitsOneDelta(t *testing.T) {
 	const cancelled = 4000
 	l := NewLog(testWorkers, config.Limits{RAMMB: 3}, start)
--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// racedJob is the job whose transactions lose their response or are delayed.
+	// racedJob is the job whose transactions are delayed or lose their response.
 	racedJob         = "job-1"
 	racedJobActive   = records.ActivePrefix + racedJob
 	racedJobTerminal = records.TerminalPrefix + racedJob
 )
 
-// isAcceptance matches the transaction that accepts the job.
+// isAcceptance reports whether a transaction accepts racedJob.
 func isAcceptance(txn kv.Txn) bool {
 	return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool { return op.Put == racedJobActive })
 }
 
-// isCancellation matches the transaction by which a user cancels the job.
+// isCancellation reports whether a transaction cancels racedJob at a user's request.
 func isCancellation(txn kv.Txn) bool { return !txn.Records && writesPrefix(racedJobTerminal)(txn) }
 
-// isCompletion matches the leader's transaction that records how the job ended.
+// isCompletion reports whether a transaction is the leader's that records how racedJob ended.
 func isCompletion(txn kv.Txn) bool { return txn.Records && writesPrefix(racedJobTerminal)(txn) }
 
-// firstMatch matches the first transaction only.
+// firstMatch returns a function that matches only the first transaction that match matches.
 func firstMatch(match func(kv.Txn) bool) func(kv.Txn) bool {
 	done := false
 	return func(txn kv.Txn) bool {
@@ -40,26 +40,28 @@
 	}
 }
 
-// checkNoJobs checks that the first node, which leads, holds no job in memory.
+// checkNoJobs checks that node 0, the leader, has no job in memory.
 func (tn *userCluster) checkNoJobs() {
 	tn.t.Helper()
 	tn.nodeAt(0).inspect(func(c *Controller) { tn.checkEqual("jobs left", len(c.leaderTerm.jobs), 0) })
 }
 
-// lostResponse is a transaction that is applied while its response is lost.
+// lostResponse is a test case in which a transaction is applied but its response is lost.
 type lostResponse struct {
 	name string
 	// key is the record that the transaction writes.
 	key   string
 	match func(kv.Txn) bool
-	// writers are the nodes that may write it; n0 leads.
+	// writers are the nodes that may write the record, each in a test of its own. Node 0 leads.
 	writers []int
+	// request causes the transaction at a node.
 	request func(tn *userCluster, node int) error
-	// wantPhase, wantStarts and wantTasks are the job's phase, the starts and the tasks on
-	// machines in the end.
-	wantPhase  string
+	// wantPhase is the job's final phase.
+	wantPhase string
+	// wantStarts is the number of start commands that the machines receive.
 	wantStarts int64
-	wantTasks  int
+	// wantTasks is the number of tasks on machines at the end.
+	wantTasks int
 }
 
 var lostResponses = []lostResponse{
@@ -89,25 +91,25 @@
 	},
 }
 
-// requestInBackground sends the request until it is answered. If the key-value store rejects
-// nothing afterwards, the first one must succeed.
+// requestInBackground repeats the request until it is answered. If the key-value store does not
+// reject the writer afterwards, the first request must succeed.
 func (lr *lostResponse) requestInBackground(tn *userCluster, writer int, rejected time.Duration) {
 	tn.background(func() {
 		err := lr.request(tn, writer)
 		if rejected == 0 && err != nil {
-			tn.t.Errorf("request that was applied: got error %v, want none", err)
+			tn.t.Errorf("first request: got error %v, want none", err)
 		}
 		if err != nil {
 			err = retryUntilAnswered(func() error { return lr.request(tn, writer) })
 		}
 		if err != nil {
-			tn.t.Errorf("request in the end: got error %v, want none", err)
+			tn.t.Errorf("repeated request: got error %v, want none", err)
 		}
 	})
 }
 
-// run loses the response to the transaction of a writer, whose requests the key-value store
-// then rejects for a while.
+// run drops the response to the transaction of a writer, whose requests the key-value store then
+// rejects for some time.
 func (lr *lostResponse) run(w *simulatedCluster, writer int, rejected time.Duration) {
 	w.t.Helper()
 	tn := newUserCluster(w, 2)
@@ -140,9 +142,9 @@
 	}
 }
 
-// A transaction is applied and only its response is lost, while others read what it wrote; the
-// writer may then be rejected for a while. Its answers agree with theirs, and it neither fails
-// what it has done nor does it once more.
+// A transaction is applied but its response is lost, while other nodes read what it wrote. The store
+// may then reject the writer for some time. The writer's answers must agree with those of the other
+// nodes, and it must neither report the transaction as failed nor apply it a second time.
 func TestLostTransactionResponses(t *testing.T) {
 	durations := []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}
 	for _, lr := range lostResponses {
@@ -156,19 +158,19 @@
 	}
 }
 
-// delayedTransaction is a transaction that is applied late and without a response.
+// delayedTransaction is a test case in which a transaction is applied late and without a response.
 type delayedTransaction struct {
 	name  string
 	match func(kv.Txn) bool
-	// allMatches delays all transactions that match until the release, not only the first.
+	// allMatches delays all matching transactions until the release, not only the first.
 	allMatches bool
-	// running is set if the job runs at the beginning.
+	// running is set if the job is running at the beginning.
 	running bool
-	// watchesBlind is set if the watches show nothing meanwhile.
+	// watchesBlind is set if watches return no events until after the release.
 	watchesBlind bool
-	// requests follow each other by half a second.
+	// requests are sent at intervals of half a second.
 	requests []func(tn *userCluster)
-	// wantPhase is how the job stands in the end; "" is either end.
+	// wantPhase is the job's final phase; if empty, both done and withdrawn are allowed.
 	wantPhase string
 }
 
@@ -178,8 +180,8 @@
 
 func cancelRacedJobElsewhere(tn *userCluster) { tn.cancel(1, racedJob) }
 
-// cancelRacedJobOnce cancels without a repetition. The error is dropped: the transaction gets
-// no response, and what the user is answered is up to the answer checker.
+// cancelRacedJobOnce sends one cancellation request. It ignores the error, because the transaction
+// gets no response, and the answer checker checks the answer to the user.
 func cancelRacedJobOnce(tn *userCluster) { _ = tn.checker.cancel(tn.nodeAt(0), racedJob) }
 
 func endRacedJob(tn *userCluster) { tn.finish(racedJob) }
@@ -227,8 +229,8 @@
 	},
 }
 
-// run applies the delayed transaction after some time. It returns the job's phase in the end,
-// and whether the job had ended by the time of the release.
+// run releases the delayed transaction after some time. It returns the job's final phase and whether
+// the job had ended before the release.
 func (dt *delayedTransaction) run(w *simulatedCluster, release time.Duration) (phase string, late bool) {
 	w.t.Helper()
 	tn := newUserCluster(w, 2)
@@ -275,8 +277,8 @@
 	return phase, late
 }
 
-// A transaction without a response is applied late, after newer ones of the same controller:
-// it must not bring a job back, end it anew, or change how it ended.
+// A transaction without a response is applied late, after newer ones of the same controller. It must
+// not bring back an ended job, end it again or change how it ended.
 func TestDelayedTransactionsDoNotUndoNewerOnes(t *testing.T) {
 	for _, dt := range delayedTransactions {
 		t.Run(dt.name, func(t *testing.T) {
@@ -291,7 +293,7 @@
 				})
 			}
 			if dt.wantPhase != "running" && lateCount == 0 {
-				t.Error("got no release after the job's end, want some")
+				t.Error("releases after the job's end: got none, want at least one")
 			}
 			if dt.wantPhase == "" && (seen["done"] == 0 || seen["withdrawn"] == 0) {
 				t.Errorf("ends: got %v, want both done and withdrawn", seen)
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -8,24 +8,24 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// The key-value store rejects the leader alone and then everybody, for longer than a cancellation
-// has, while users cancel and query at all nodes: what was reported holds, and once the store is back
-// every query is answered.
+// The key-value store rejects first only the leader and then all nodes, for longer than a
+// cancellation may take, while users cancel and query jobs at all nodes. The reported phases must
+// stay valid, and every query must be answered once the store is available again.
 func TestReportedPhasesAroundAnOutage(t *testing.T) {
 	simulateOutages(t, func(tn *userCluster, want map[string]string) { tn.checkFinalPhases(want) })
 }
 
-// Nor does a task run on for longer than a cancellation has: the leader learns of what was cancelled
-// through the other nodes while it alone was rejected.
+// In the same outages no task may run longer after its cancellation than a cancellation may take.
+// The leader receives the cancellations from the other nodes while the store rejects only it.
 func TestCancelledTasksAroundAnOutage(t *testing.T) {
 	simulateOutages(t, func(tn *userCluster, _ map[string]string) { tn.checkNoneOverdue() })
 }
 
-// simulateOutages runs a check after outages before which the store rejects the leader alone for
-// various times.
+// simulateOutages runs a check after each of several outages of the store. Before each outage the
+// store rejects only the leader, for a different time.
 func simulateOutages(t *testing.T, check func(tn *userCluster, want map[string]string)) {
 	t.Helper()
-	for _, alone := range []time.Duration{
+	for _, rejected := range []time.Duration{
 		0,
 		300 * time.Millisecond,
 		time.Second,
@@ -35,29 +35,29 @@
 		11 * time.Second,
 		15 * time.Second,
 	} {
-		t.Run(fmt.Sprint("alone for ", alone), func(t *testing.T) {
+		t.Run(fmt.Sprint("leader rejected for ", rejected), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				tn := newUserCluster(w, 6)
 				defer tn.close()
-				check(tn, runOutageWithUsers(w, tn, alone))
+				check(tn, runOutageWithUsers(w, tn, rejected))
 			})
 		})
 	}
 }
 
-// runOutageWithUsers runs jobs through an outage of 35 s during which users cancel half of them, and
-// checks that every node answers queries 8 s after it. It returns the final phases of the jobs.
-func runOutageWithUsers(w *simulatedCluster, tn *userCluster, alone time.Duration) (want map[string]string) {
+// runOutageWithUsers runs jobs during an outage of 35 s while users cancel half of them, and checks
+// that every node answers queries 8 s after its end. It returns the expected final phases.
+func runOutageWithUsers(w *simulatedCluster, tn *userCluster, rejected time.Duration) (want map[string]string) {
 	w.t.Helper()
 	const jobs = 20
 	const outage = 35 * time.Second
-	time.Sleep(10 * time.Second) // all nodes know each other
+	time.Sleep(10 * time.Second) // all nodes have pinged each other
 	want = submitJobsHalfToCancel(tn, jobs)
 	time.Sleep(3 * time.Second)
 	w.checkEqual("running", tn.tasksOnMachines(), jobs)
 	tn.background(func() {
 		tn.ways[0].set(true)
-		time.Sleep(alone)
+		time.Sleep(rejected)
 		w.store.SetDown(true)
 		time.Sleep(outage)
 		w.store.SetDown(false)
@@ -65,15 +65,15 @@
 	})
 	for i := range jobs {
 		id := fmt.Sprint("job-", i)
-		tn.pollAll(spec(id, 1), 300*time.Millisecond, alone+outage+5*time.Second)
+		tn.pollAll(spec(id, 1), 300*time.Millisecond, rejected+outage+5*time.Second)
 		if i%2 == 0 {
 			tn.background(func() {
-				time.Sleep(time.Duration(i) * alone / 14) // the last ones in the outage
+				time.Sleep(time.Duration(i) * rejected / 14) // the last ones during the outage
 				tn.cancel(i/2, id)
 			})
 		}
 	}
-	time.Sleep(alone + outage + 8*time.Second)
+	time.Sleep(rejected + outage + 8*time.Second)
 	for i := range jobs {
 		id := fmt.Sprint("job-", i)
 		for k := range 3 {
@@ -87,8 +87,8 @@
 	return want
 }
 
-// submitJobsHalfToCancel submits jobs of which every second one is to be cancelled, and returns their
-// final phases. The others run for 10 s and more.
+// submitJobsHalfToCancel submits jobs of which the caller cancels every second one, and returns their
+// expected final phases. The others run for at least 10 s.
 func submitJobsHalfToCancel(tn *userCluster, jobs int) (want map[string]string) {
 	want = map[string]string{}
 	for i := range jobs {
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -8,13 +8,13 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// blockOwner keeps the owner goroutine of a node from doing anything for a while, as a process pause
-// does.
+// blockOwner blocks the owner goroutine of a node for some time, as a pause of the process does.
 func (n *node) blockOwner(d time.Duration) {
 	n.inspect(func(*Controller) { time.Sleep(d) })
 }
 
-// blockOwnerInBackground starts to block a node; the channel is closed when that has ended.
+// blockOwnerInBackground starts to block the owner goroutine and returns a channel that is closed
+// when it is no longer blocked.
 func (n *node) blockOwnerInBackground(d time.Duration) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
@@ -25,10 +25,10 @@
 	return ended
 }
 
-// A leader with too little processor time finds that a probe has timed out before it could read the
-// response. That must not confirm the machine as dead: it would lose its tasks, and the fleet would
-// be terminated just when the leader is slowest. A machine that is dead is confirmed all the same
-// once the leader is no longer paused.
+// A leader with too little processor time may find that a probe has timed out before it could read
+// the response. It must not treat the machine as dead, or it would terminate machines, with their
+// tasks, whenever it is overloaded. Once the pauses end, it must still detect a machine that is
+// dead.
 func TestPausedLeaderConfirmsNoMachineDead(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -48,8 +48,8 @@
 	})
 }
 
-// What was queued before the leader lease expired is not applied afterwards: the clock is read when
-// it is handled.
+// A heartbeat that was queued before the leader lease expired and is handled afterwards must be
+// rejected: the leader must read the clock when it handles a message, not when it is queued.
 func TestLeaderLeaseExpiresDuringPause(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -69,8 +69,8 @@
 	})
 }
 
-// A heartbeat that has waited for so long that its agent timed out is not applied: starts would go
-// out in a response that is dropped.
+// A heartbeat that waited in the queue until its agent has timed out must not be applied: start
+// commands would be assigned in a response that nobody receives.
 func TestHeartbeatThatWaitedTooLongStartsNothing(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
--- a/internal/controller/zonepartition_test.go
+++ b/internal/controller/zonepartition_test.go
@@ -10,20 +10,21 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// startPair starts a leader n0 and a follower n1, each with its own access to the key-value store, and in
-// the given zones, if any.
-func (w *simulatedCluster) startPair(zones ...string) (l *links, a, b *node, ga, gb *gate) {
+// startPair starts a leader n0 and a follower n1, each with its own gate to the key-value store, in
+// the given zones if there are two.
+func (w *simulatedCluster) startPair(zones ...string) (l *links, n0, n1 *node, gate0, gate1 *gate) {
 	if len(zones) == 2 {
 		w.zones = map[string]string{"n0": zones[0], "n1": zones[1]}
 	}
-	l, ga, gb = &links{}, &gate{Fake: w.store}, &gate{Fake: w.store}
-	a = l.add("n0", w.startWith("n0", ga, l))
-	b = l.add("n1", w.startWith("n1", gb, l))
+	l, gate0, gate1 = &links{}, &gate{Fake: w.store}, &gate{Fake: w.store}
+	n0 = l.add("n0", w.startWith("n0", gate0, l))
+	n1 = l.add("n1", w.startWith("n1", gate1, l))
 	time.Sleep(12 * time.Second)
-	return l, a, b, ga, gb
+	return l, n0, n1, gate0, gate1
 }
 
-// heartbeatEither sends a heartbeat to the nodes in turn until one responds, and applies its commands.
+// heartbeatEither sends a heartbeat to the nodes in turn until one responds, and applies the commands
+// of the response.
 func (k *worker) heartbeatEither(nodes ...*node) {
 	for _, n := range nodes {
 		if commands, err := k.sendHeartbeat(n); err == nil {
@@ -33,217 +34,221 @@
 	}
 }
 
-// A leader that the key-value store rejects while it serves others steps down, instead of remaining
-// leader until its lease expires: the other node takes over at once and the work goes on, with no
-// task on two machines. Users' polls are answered at both, and the rejected node is not ready, so
-// that new users reach the other.
+// A leader that the key-value store rejects while it serves the other node must step down, instead
+// of leading until its lease expires. The other node takes over at once, the tasks continue, and none
+// runs on two machines. Both nodes answer polls, and the rejected node is not ready, so that new
+// users are routed to the other node.
 func TestLeaderRejectedByTheStoreStepsDown(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		_, a, b, ga, _ := w.startPair()
+		_, n0, n1, gate0, _ := w.startPair()
 		k := w.worker("i-1", "", false)
-		w.submit(a, spec("job-1", 6))
-		k.serve(a, 3)
+		w.submit(n0, spec("job-1", 6))
+		k.serve(n0, 3)
 		w.checkEqual("running", len(k.running()), 4)
 		term := k.status.Term
-		ga.set(true)
+		gate0.set(true)
 		for range 10 {
-			k.heartbeatEither(a, b)
+			k.heartbeatEither(n0, n1)
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("later term", k.status.Term > term, true)
 		w.checkEqual("still running", len(k.running()), 4)
-		w.checkEqual("rejected node ready", a.Ready(), false)
-		w.checkEqual("other node ready", b.Ready(), true)
-		w.checkEqual("poll at the rejected node", w.phase(a, "job-1"), "running")
-		if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
+		w.checkEqual("rejected node ready", n0.Ready(), false)
+		w.checkEqual("other node ready", n1.Ready(), true)
+		w.checkEqual("poll at the rejected node", w.phase(n0, "job-1"), "running")
+		if _, err := n1.Cancel(context.Background(), "job-1"); err != nil {
 			t.Error(err)
 		}
-		w.checkEqual("poll of the cancelled job at the rejected node", w.phase(a, "job-1"), "withdrawn")
-		for range 4 { // the next leader learns of it through its watch
-			k.heartbeatEither(a, b)
+		w.checkEqual("poll of the cancelled job at the rejected node", w.phase(n0, "job-1"), "withdrawn")
+		for range 4 { // the next leader receives the cancellation through its watch
+			k.heartbeatEither(n0, n1)
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("running after the cancellation", len(k.running()), 0)
-		ga.set(false)
+		gate0.set(false)
 		time.Sleep(20 * time.Second)
-		w.checkEqual("ready again", a.Ready(), true)
-		if _, err := k.sendHeartbeat(a); err == nil {
+		w.checkEqual("ready again", n0.Ready(), true)
+		if _, err := k.sendHeartbeat(n0); err == nil {
 			t.Error("heartbeat at the former leader: got a response, want an error")
 		}
 	})
 }
 
-// An outage of the key-value store is not mistaken for the rejection of one node: no leader steps
-// down, and all nodes stay ready, or users would find no node when the outage ends.
+// An outage of the key-value store must not be mistaken for the rejection of one node: the leader
+// does not step down, and all nodes stay ready. Otherwise users would reach no node when the outage
+// ends.
 func TestNoLeaderStepsDownInAStoreOutage(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		_, a, b, _, _ := w.startPair()
+		_, n0, n1, _, _ := w.startPair()
 		k := w.worker("i-1", "", false)
-		k.serve(a, 2)
+		k.serve(n0, 2)
 		term := k.status.Term
 		w.store.SetDown(true)
 		for range 25 {
-			k.heartbeatEither(a, b)
-			w.checkEqual("ready", a.Ready() && b.Ready(), true)
+			k.heartbeatEither(n0, n1)
+			w.checkEqual("ready", n0.Ready() && n1.Ready(), true)
 			time.Sleep(time.Second)
 		}
 		w.store.SetDown(false)
 		for range 12 {
-			k.heartbeatEither(a, b)
+			k.heartbeatEither(n0, n1)
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("term", k.status.Term, term)
 	})
 }
 
-// A leader without the key-value store and the other nodes, but with its workers, stops leading
-// before the next leader may begin, answers users with nothing older than a cancellation elsewhere,
-// and is not ready, since it can serve no new users. Under the next leader nothing runs twice.
+// A leader that reaches its machines, but neither the key-value store nor the other node, must stop
+// leading before the next leader may begin. After a cancellation at the other node it must not
+// answer with an earlier phase. It is not ready, because it cannot serve new users. No task runs
+// twice under the next leader.
 func TestIsolatedLeaderWithItsWorkers(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, ga, _ := w.startPair()
+		l, n0, n1, gate0, _ := w.startPair()
 		k, other := w.worker("i-1", "", false), w.worker("i-2", "", false)
-		w.submit(a, spec("job-1", 3))
-		k.serve(a, 3)
+		w.submit(n0, spec("job-1", 3))
+		k.serve(n0, 3)
 		w.checkEqual("running", len(k.running()), 3)
-		ga.set(true)
+		gate0.set(true)
 		l.partitioned.Store(true)
 		lastResponse := time.Now()
 		for range 60 {
-			if commands, err := k.sendHeartbeat(a); err == nil {
+			if commands, err := k.sendHeartbeat(n0); err == nil {
 				k.applyCommands(commands)
 				lastResponse = time.Now()
 			}
-			if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
+			if _, err := n1.Cancel(context.Background(), "job-1"); err != nil {
 				t.Error(err)
 			}
-			if got := w.phase(a, "job-1"); got == "running" || got == "pending" || got == "done" {
+			if got := w.phase(n0, "job-1"); got == "running" || got == "pending" || got == "done" {
 				t.Fatalf("phase after the cancellation at the isolated node: got %s", got)
 			}
-			other.heartbeatEither(b)
+			other.heartbeatEither(n1)
 			time.Sleep(time.Second)
 		}
 		if since := time.Since(lastResponse); since < 25*time.Second {
-			t.Errorf("last response of the isolated leader: got %v ago, want at least 25 s", since)
+			t.Errorf("time since the last response of the isolated leader: got %v, want at least 25 s", since)
 		}
-		w.checkEqual("ready", a.Ready(), false)
+		w.checkEqual("ready", n0.Ready(), false)
 		w.checkEqual("the other node leads in a later term", other.status.Term > k.status.Term, true)
 		w.checkEqual("running on the other machine", len(other.running()), 0)
 	})
 }
 
-// A follower without the key-value store and the leader responds to no machine and is not ready.
+// A follower that reaches neither the key-value store nor the leader must not respond to machines
+// and is not ready.
 func TestIsolatedFollowerServesNobody(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, gb := w.startPair()
+		l, n0, n1, _, gate1 := w.startPair()
 		k := w.worker("i-1", "", false)
-		k.serve(a, 2)
-		gb.set(true)
+		k.serve(n0, 2)
+		gate1.set(true)
 		l.partitioned.Store(true)
 		time.Sleep(30 * time.Second)
-		if _, err := k.sendHeartbeat(b); err == nil {
+		if _, err := k.sendHeartbeat(n1); err == nil {
 			t.Error("heartbeat at the isolated follower: got a response, want an error")
 		}
-		w.checkEqual("ready", b.Ready(), false)
-		w.checkEqual("leader ready", a.Ready(), true)
+		w.checkEqual("ready", n1.Ready(), false)
+		w.checkEqual("leader ready", n0.Ready(), true)
 	})
 }
 
-// While connections between the nodes fail, a follower answers polls of unfinished jobs from the
-// key-value store; while only the store rejects it, it forwards them to the leader.
+// While a follower cannot reach the leader, it answers polls of unfinished jobs from the key-value
+// store. While the store rejects the follower, it forwards polls to the leader.
 func TestFollowerAnswersPollsWithoutLeaderOrStore(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, gb := w.startPair()
+		l, n0, n1, _, gate1 := w.startPair()
 		k := w.worker("i-1", "", false)
-		w.submit(a, spec("job-1", 1))
-		k.serve(a, 3)
+		w.submit(n0, spec("job-1", 1))
+		k.serve(n0, 3)
 		l.partitioned.Store(true)
 		for range 5 {
-			w.checkEqual("phase without the leader", w.phase(b, "job-1"), "pending")
-			k.serve(a, 1)
+			w.checkEqual("phase without the leader", w.phase(n1, "job-1"), "pending")
+			k.serve(n0, 1)
 		}
 		l.partitioned.Store(false)
-		gb.set(true)
-		k.serve(a, 5)
-		w.checkEqual("phase without the store", w.phase(b, "job-1"), "running")
-		w.checkEqual("unknown job", w.phase(b, "job-9"), api.ErrUnknownJob.Error())
+		gate1.set(true)
+		k.serve(n0, 5)
+		w.checkEqual("phase without the store", w.phase(n1, "job-1"), "running")
+		w.checkEqual("unknown job", w.phase(n1, "job-9"), api.ErrUnknownJob.Error())
 		k.exit(api.CauseDone)
-		k.serve(a, 3)
-		w.checkEqual("done", w.phase(b, "job-1"), "done")
+		k.serve(n0, 3)
+		w.checkEqual("done", w.phase(n1, "job-1"), "done")
 	})
 }
 
-// While nobody leads, a node that the key-value store rejects has another one read it.
+// While there is no leader, a node that the key-value store rejects answers polls by having another
+// node read the store.
 func TestPollWithoutStoreAndLeader(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		dead := w.start("n9")
 		w.submit(dead, spec("job-1", 1))
 		dead.crash()
-		_, a, _, ga, _ := w.startPair()
-		ga.set(true)
+		_, n0, _, gate0, _ := w.startPair()
+		gate0.set(true)
 		time.Sleep(4 * time.Second)
-		w.checkEqual("known job", w.phase(a, "job-1"), "pending")
-		w.checkEqual("unknown job", w.phase(a, "job-2"), api.ErrUnknownJob.Error())
+		w.checkEqual("known job", w.phase(n0, "job-1"), "pending")
+		w.checkEqual("unknown job", w.phase(n0, "job-2"), api.ErrUnknownJob.Error())
 	})
 }
 
-// A machine of another zone than the leader's sends its heartbeats to a node of its own zone, which
-// forwards them. When the zones are partitioned, that node renews its task lease on behalf of the
-// leader without a break.
+// A machine in another zone than the leader's sends its heartbeats to a node in its own zone, which
+// forwards them. While the zones are partitioned, that node renews the machine's task lease on
+// behalf of the leader, without interruption.
 func TestHeartbeatsAreForwardedByTheLocalNode(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, _ := w.startPair("a", "b")
+		l, n0, n1, _, _ := w.startPair("a", "b")
 		near, far := w.worker("i-1", "a", false), w.worker("i-2", "b", false)
-		near.serve(a, 3)
-		far.serve(a, 2)
+		near.serve(n0, 3)
+		far.serve(n0, 2)
 		var redirect *api.NotLeaderError
-		if _, err := far.sendHeartbeat(a); !errors.As(err, &redirect) || redirect.Leader != "n1" {
+		if _, err := far.sendHeartbeat(n0); !errors.As(err, &redirect) || redirect.Leader != "n1" {
 			t.Fatalf("heartbeat at the leader: got %v, want a redirect to n1", err)
 		}
-		far.serve(b, 2)
-		w.submit(a, spec("job-1", 8))
-		near.serve(a, 4)
-		far.serve(b, 4)
+		far.serve(n1, 2)
+		w.submit(n0, spec("job-1", 8))
+		near.serve(n0, 4)
+		far.serve(n1, 4)
 		w.checkEqual("running by forwarded heartbeats", len(far.running()), 4)
 		w.checkEqual("running at the leader's machine", len(near.running()), 4)
 		far.exit(api.CauseDone)
-		far.serve(b, 4)
-		w.checkEqual("phase after half of the tasks", w.phase(a, "job-1"), "running")
+		far.serve(n1, 4)
+		w.checkEqual("phase after half of the tasks", w.phase(n0, "job-1"), "running")
 		l.partitioned.Store(true)
 		for i := range 30 {
-			if _, err := far.sendHeartbeat(b); err != nil {
-				b.inspect(func(c *Controller) { t.Logf("%+v", c.leaseRenewer) })
+			if _, err := far.sendHeartbeat(n1); err != nil {
+				n1.inspect(func(c *Controller) { t.Logf("%+v", c.leaseRenewer) })
 				t.Fatalf("heartbeat %d s into the partition: %v", i, err)
 			}
-			near.heartbeat(a)
+			near.heartbeat(n0)
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("terminated", w.cloud.terminated("i-2"), false)
 		l.partitioned.Store(false)
-		far.serve(b, 3)
-		w.submit(a, spec("job-2", 4))
-		far.serve(b, 3)
+		far.serve(n1, 3)
+		w.submit(n0, spec("job-2", 4))
+		far.serve(n1, 3)
 		w.checkEqual("running after the partition", len(far.running()), 4)
-		// Redirects from one node to the other and back must end.
-		if _, err := far.sendHeartbeat(a); err != nil {
-			if _, err = far.sendHeartbeat(a); err != nil {
+		// The nodes must not redirect the machine to each other indefinitely.
+		if _, err := far.sendHeartbeat(n0); err != nil {
+			if _, err = far.sendHeartbeat(n0); err != nil {
 				t.Errorf("heartbeat repeated at the leader: got %v, want a response", err)
 			}
 		}
 	})
 }
 
-// Machines that cannot reach the leader, while the other nodes can, are kept: they send heartbeats to
-// another node, which forwards them. A machine that may not know the leader is redirected to it
-// first, and after a while every machine is.
+// A machine that cannot reach the leader must not be terminated if another node can: it sends its
+// heartbeats to that node, which forwards them. That node first redirects a machine that may not
+// have tried the leader, and after some time it redirects every machine again.
 func TestMachinesThatCannotReachTheLeaderAreKept(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		_, a, b, _, _ := w.startPair()
+		_, n0, n1, _, _ := w.startPair()
 		k := w.worker("i-1", "", false)
-		k.serve(a, 3)
+		k.serve(n0, 3)
 		redirected := func() bool {
 			var redirect *api.NotLeaderError
-			_, err := k.sendHeartbeat(b)
+			_, err := k.sendHeartbeat(n1)
 			return errors.As(err, &redirect) && redirect.Leader == "n0"
 		}
 		w.checkEqual("redirected though it must know the leader", redirected(), false)
@@ -251,35 +256,35 @@
 		w.checkEqual("redirected", redirected(), true)
 		w.checkEqual("redirected again at once", redirected(), true)
 		time.Sleep(5 * time.Second)
-		w.submit(a, spec("job-1", 4))
-		k.serve(b, 20)
+		w.submit(n0, spec("job-1", 4))
+		k.serve(n1, 20)
 		w.checkEqual("running", len(k.running()), 4)
 		k.exit(api.CauseDone)
-		k.serve(b, 3)
-		w.checkEqual("done", w.phase(a, "job-1"), "done")
+		k.serve(n1, 3)
+		w.checkEqual("done", w.phase(n0, "job-1"), "done")
 		time.Sleep(time.Minute)
 		w.checkEqual("redirected after a minute", redirected(), true)
 		w.checkEqual("terminated", w.cloud.terminated("i-2"), false)
 	})
 }
 
-// When only the connections between the nodes are refused, machines are redirected to the leader,
-// those of its own zone, too. A machine that returns, because it cannot reach the leader either, has
-// its task lease renewed.
+// If the nodes refuse only each other's connections, a follower redirects machines to the leader,
+// even those in the follower's zone. It renews the task lease of a machine that returns because it
+// cannot reach the leader either.
 func TestMachinesAreRedirectedWhenNodesRefuseConnections(t *testing.T) {
 	for _, zone := range []string{"b", "a"} {
 		t.Run("machine of zone "+zone, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				l, a, b, _, _ := w.startPair("a", "b")
+				l, n0, n1, _, _ := w.startPair("a", "b")
 				far := w.worker("i-2", zone, false)
-				far.serve(a, 3)
-				far.serve(b, 3)
+				far.serve(n0, 3)
+				far.serve(n1, 3)
 				l.refuseConnections.Store(true)
 				l.partitioned.Store(true)
 				var redirect *api.NotLeaderError
 				redirects := 0
 				for range 20 {
-					_, err := far.sendHeartbeat(b)
+					_, err := far.sendHeartbeat(n1)
 					if errors.As(err, &redirect) && redirect.Leader == "n0" {
 						redirects++
 					} else if err != nil {
@@ -288,7 +293,7 @@
 					time.Sleep(time.Second)
 				}
 				w.checkEqual("redirects", redirects, 1)
-				if _, err := far.sendHeartbeat(a); err != nil {
+				if _, err := far.sendHeartbeat(n0); err != nil {
 					t.Errorf("heartbeat at the leader: got %v, want a response", err)
 				}
 			})
@@ -296,63 +301,64 @@
 	}
 }
 
-// partitionZones partitions zone a, with the leader n0 and machine near, from zone b, with the follower
-// n1 and machine far, whose heartbeats are relayed through the key-value store.
-func (w *simulatedCluster) partitionZones() (l *links, a, b *node, gb *gate, near, far *worker) {
-	l, a, b, _, gb = w.startPair("a", "b")
+// partitionZones partitions zone a, with the leader n0 and the machine near, from zone b, with the
+// follower n1 and the machine far, whose heartbeats are relayed through the key-value store.
+func (w *simulatedCluster) partitionZones() (l *links, n0, n1 *node, gate1 *gate, near, far *worker) {
+	l, n0, n1, _, gate1 = w.startPair("a", "b")
 	near, far = w.worker("i-1", "a", false), w.worker("i-2", "b", false)
-	near.serve(a, 3)
-	far.serve(a, 2)
-	far.serve(b, 2)
+	near.serve(n0, 3)
+	far.serve(n0, 2)
+	far.serve(n1, 2)
 	l.partitioned.Store(true)
-	heartbeatBothSides(a, b, near, far, 5)
-	return l, a, b, gb, near, far
+	heartbeatBothSides(n0, n1, near, far, 5)
+	return l, n0, n1, gate1, near, far
 }
 
-// While the zones are partitioned but both reach the key-value store, work goes on beyond the
-// partition: heartbeats and commands are relayed through the store.
+// While the zones are partitioned from each other but both reach the key-value store, machines in the
+// follower's zone are still assigned tasks: heartbeats and commands are relayed through the store.
 func TestWorkGoesOnBeyondThePartition(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, near, far := w.partitionZones()
-		w.submit(a, spec("job-1", 12))
-		heartbeatBothSides(a, b, near, far, 8)
+		l, n0, n1, _, near, far := w.partitionZones()
+		w.submit(n0, spec("job-1", 12))
+		heartbeatBothSides(n0, n1, near, far, 8)
 		w.checkEqual("running on both sides", len(near.running())+len(far.running()), 8)
 		for range 2 {
 			far.exit(api.CauseDone)
-			heartbeatBothSides(a, b, near, far, 8)
+			heartbeatBothSides(n0, n1, near, far, 8)
 		}
 		w.checkEqual("running beyond the partition in the end", len(far.running()), 0)
 		near.exit(api.CauseDone)
-		near.serve(a, 3)
-		w.checkEqual("phase", w.phase(a, "job-1"), "done")
-		w.submit(a, spec("job-2", 8))
-		heartbeatBothSides(a, b, near, far, 6)
-		if _, err := b.Cancel(context.Background(), "job-2"); err != nil {
+		near.serve(n0, 3)
+		w.checkEqual("phase", w.phase(n0, "job-1"), "done")
+		w.submit(n0, spec("job-2", 8))
+		heartbeatBothSides(n0, n1, near, far, 6)
+		if _, err := n1.Cancel(context.Background(), "job-2"); err != nil {
 			t.Error(err)
 		}
-		heartbeatBothSides(a, b, near, far, 6)
+		heartbeatBothSides(n0, n1, near, far, 6)
 		w.checkEqual("running on both sides after the cancellation", len(near.running())+len(far.running()), 0)
 		l.partitioned.Store(false)
 		time.Sleep(2 * time.Second)
-		far.serve(b, 3)
-		w.submit(a, spec("job-3", 8))
-		heartbeatBothSides(a, b, near, far, 4)
+		far.serve(n1, 3)
+		w.submit(n0, spec("job-3", 8))
+		heartbeatBothSides(n0, n1, near, far, 4)
 		w.checkEqual("running after the partition", len(near.running())+len(far.running()), 8)
 	})
 }
 
-// Commands that are relayed through the key-value store may be handed out later than any heartbeat
-// shows: until the node has reported their outcome, their tasks start nowhere else.
+// A command that is relayed through the key-value store may be delivered to its machine after a
+// heartbeat that does not show its task. The task must not start elsewhere until the relaying node
+// has reported the outcome.
 func TestRelayedCommandsStartTasksOnce(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, near, far := w.partitionZones()
-		w.fillNearMachine(a, near)
-		time.Sleep(3 * time.Second) // commands are relayed, not handed out yet
+		l, n0, n1, _, near, far := w.partitionZones()
+		w.fillNearMachine(n0, near)
+		time.Sleep(3 * time.Second) // commands are relayed but not delivered yet
 		pending := false
-		a.inspect(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
-		far.heartbeat(b) // hands them out, if they have arrived by now
+		n0.inspect(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
+		far.heartbeat(n1) // delivers the commands that the node has received
 		if !pending && len(far.running()) == 0 {
-			far.heartbeat(b)
+			far.heartbeat(n1)
 			time.Sleep(1500 * time.Millisecond)
 		}
 		// The machine also reaches the leader, with a heartbeat that shows no tasks.
@@ -360,18 +366,18 @@
 		blank.Tasks = nil
 		blank.Seq++
 		far.status.Seq++
-		if commands, err := far.deliver(a, &blank); err == nil {
+		if commands, err := far.deliver(n0, &blank); err == nil {
 			far.applyCommands(commands)
 		}
 		near.exit(api.CauseDone)
 		starts := map[string]int{}
 		for range 12 {
-			for _, command := range near.heartbeat(a) {
+			for _, command := range near.heartbeat(n0) {
 				if command.Verb == api.VerbStart {
 					starts[command.Task]++
 				}
 			}
-			far.heartbeat(b)
+			far.heartbeat(n1)
 			time.Sleep(time.Second)
 		}
 		for _, task := range far.running() {
@@ -382,15 +388,15 @@
 	})
 }
 
-// fillNearMachine fills the machine near with a job of its own zone, then submits job-1, whose two tasks
-// fit only beyond the partition.
-func (w *simulatedCluster) fillNearMachine(a *node, near *worker) {
+// fillNearMachine fills the machine near with a job of its zone, then submits job-1, whose two tasks
+// fit only on the machine far.
+func (w *simulatedCluster) fillNearMachine(n0 *node, near *worker) {
 	w.t.Helper()
 	busy := spec("job-0", 4)
 	busy.Zone = "a"
-	w.submit(a, busy)
-	near.serve(a, 2)
-	w.submit(a, spec("job-1", 2))
+	w.submit(n0, busy)
+	near.serve(n0, 2)
+	w.submit(n0, spec("job-1", 2))
 }
 
 // checkNoStart checks that none of the commands starts a task.
@@ -401,8 +407,8 @@
 	}
 }
 
-// waitForRelayedCommands waits up to 8 s until a node has received commands for a machine, and returns
-// how many. The machine sends one heartbeat at the start.
+// waitForRelayedCommands waits up to 8 s until a node has received relayed commands for a machine,
+// and returns their number. The machine sends one heartbeat at the start.
 func waitForRelayedCommands(n *node, k *worker) (count int) {
 	k.heartbeat(n)
 	for i := 0; count == 0 && i < 8; i++ {
@@ -416,8 +422,8 @@
 	return count
 }
 
-// A node that restarts has lost the commands relayed to it, and one that loses the key-value store
-// hands out no expired ones.
+// A node must not deliver relayed commands that have expired, and loses them when it restarts. In
+// both cases the tasks must start in the end.
 func TestRelayedCommandsAreLostOrExpire(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -428,24 +434,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				l, a, b, gb, near, far := w.partitionZones()
-				w.fillNearMachine(a, near)
-				w.checkEqual("commands received by the node", waitForRelayedCommands(b, far) > 0, true)
+				l, n0, n1, gate1, near, far := w.partitionZones()
+				w.fillNearMachine(n0, near)
+				w.checkEqual("commands received by the node", waitForRelayedCommands(n1, far) > 0, true)
 				if c.crash {
-					b.crash()
+					n1.crash()
 					time.Sleep(200 * time.Millisecond)
-					b = l.add("n1", w.startWith("n1", gb, l))
+					n1 = l.add("n1", w.startWith("n1", gate1, l))
 				} else {
 					time.Sleep(relayCommandLifetime + 2*time.Second)
 				}
-				// The node may reject the heartbeat; then it hands out nothing.
-				commands, _ := far.sendHeartbeat(b)
+				// The node may reject the heartbeat, and then delivers no command.
+				commands, _ := far.sendHeartbeat(n1)
 				w.checkNoStart("late start", commands)
 				l.partitioned.Store(false)
 				near.exit(api.CauseDone)
 				for range 12 {
-					near.heartbeat(a)
-					far.heartbeatEither(a, b)
+					near.heartbeat(n0)
+					far.heartbeatEither(n0, n1)
 					time.Sleep(time.Second)
 				}
 				w.checkEqual("running", len(near.running())+len(far.running()), 2)
@@ -454,46 +460,45 @@
 	}
 }
 
-// A node that crashes after commands were relayed to it, and does not restart, reports no outcome: its
-// machine is terminated, and only then the tasks start elsewhere.
+// A node that crashes after commands were relayed to it, and does not restart, never reports their
+// outcome. The leader must terminate the machine before it starts the tasks elsewhere.
 func TestRelayingNodeCrashesWithoutRestart(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		_, a, b, _, near, far := w.partitionZones()
-		w.fillNearMachine(a, near)
+		_, n0, n1, _, near, far := w.partitionZones()
+		w.fillNearMachine(n0, near)
 		pending := false
 		for i := 0; !pending && i < 40; i++ {
 			if i%5 == 0 {
-				far.heartbeat(b)
+				far.heartbeat(n1)
 			}
 			time.Sleep(200 * time.Millisecond)
-			a.inspect(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
+			n0.inspect(func(c *Controller) { pending = len(c.leaderTerm.downlink.nodes["n1"].pending) > 0 })
 		}
 		w.checkEqual("commands pending", pending, true)
-		b.crash()
+		n1.crash()
 		near.exit(api.CauseDone)
 		for range 40 {
 			if w.cloud.terminated("i-2") {
 				break
 			}
-			w.checkNoStart("start while the relayed command may apply", near.heartbeat(a))
-			far.heartbeat(a)
+			w.checkNoStart("start while the relayed command may apply", near.heartbeat(n0))
+			far.heartbeat(n0)
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("terminated", w.cloud.terminated("i-2"), true)
-		near.serve(a, 3)
+		near.serve(n0, 3)
 		w.checkEqual("running", len(near.running()), 2)
 	})
 }
 
-// A machine beyond the partition sends heartbeats more often than commands take to arrive, while jobs
-// keep being submitted: no command is overwritten by a later one, and none is handed out to a new
-// agent epoch.
+// A machine sends heartbeats at shorter intervals than relayed commands take to arrive, while jobs
+// are submitted. No command may be overwritten by a later one or be delivered to a new agent epoch.
 func TestRelayedCommandsAreNotOverwritten(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, _, _, far := w.partitionZones()
+		l, n0, n1, _, _, far := w.partitionZones()
 		for i := range 60 {
 			if i < 20 {
-				w.submit(a, spec(fmt.Sprint("job-", i), 1))
+				w.submit(n0, spec(fmt.Sprint("job-", i), 1))
 			}
 			if i%4 == 3 {
 				far.exit(api.CauseDone)
@@ -503,47 +508,47 @@
 				far.status.AgentEpoch++
 				far.status.Tasks = nil
 				far.mu.Unlock()
-				// The node may reject the heartbeat; then it hands out nothing.
-				commands, _ := far.sendHeartbeat(b)
+				// The node may reject the heartbeat, and then delivers no command.
+				commands, _ := far.sendHeartbeat(n1)
 				w.checkNoStart("start in a new agent epoch", commands)
 			}
-			far.heartbeat(b)
+			far.heartbeat(n1)
 			time.Sleep(200 * time.Millisecond)
 		}
 		l.partitioned.Store(false)
 		for range 12 {
 			far.exit(api.CauseDone)
-			far.heartbeatEither(a, b)
+			far.heartbeatEither(n0, n1)
 			time.Sleep(time.Second)
 		}
 		for i := range 20 {
-			w.checkEqual(fmt.Sprint("phase of job-", i), w.phase(a, fmt.Sprint("job-", i)), "done")
+			w.checkEqual(fmt.Sprint("phase of job-", i), w.phase(n0, fmt.Sprint("job-", i)), "done")
 		}
 		w.checkEqual("terminated", w.cloud.terminated("i-2"), false)
 	})
 }
 
-// During a partition the leader restarts, and then the node beyond the partition: the machines there
-// keep their tasks, learn the new term, and have their heartbeats relayed through the key-value store.
+// During a partition the leader restarts, and then the node on the other side. The machines there
+// must keep their tasks and receive the new term, and their heartbeats are relayed through the store.
 func TestRestartsDuringAPartition(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, gb, near, far := w.partitionZones()
-		w.submit(a, spec("job-1", 8))
-		heartbeatBothSides(a, b, near, far, 8)
+		l, n0, n1, gate1, near, far := w.partitionZones()
+		w.submit(n0, spec("job-1", 8))
+		heartbeatBothSides(n0, n1, near, far, 8)
 		w.checkEqual("running", len(near.running())+len(far.running()), 8)
 		term := far.status.Term
-		a.crash()
+		n0.crash()
 		time.Sleep(200 * time.Millisecond)
-		a = l.add("n0", w.startWith("n0", w.store, l))
-		heartbeatBothSides(a, b, near, far, 8)
+		n0 = l.add("n0", w.startWith("n0", w.store, l))
+		heartbeatBothSides(n0, n1, near, far, 8)
 		w.checkEqual("later term beyond the partition", far.status.Term > term, true)
 		w.checkEqual("running under the new leader", len(far.running()), 4)
-		b.crash()
+		n1.crash()
 		time.Sleep(200 * time.Millisecond)
-		b = l.add("n1", w.startWith("n1", gb, l))
+		n1 = l.add("n1", w.startWith("n1", gate1, l))
 		time.Sleep(4 * time.Second)
-		heartbeatBothSides(a, b, near, far, 4)
-		if _, err := far.sendHeartbeat(b); err != nil {
+		heartbeatBothSides(n0, n1, near, far, 4)
+		if _, err := far.sendHeartbeat(n1); err != nil {
 			t.Errorf("heartbeat at the restarted node: got %v, want a response", err)
 		}
 		w.checkEqual("running after the node's restart", len(far.running()), 4)
