--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -231,7 +231,7 @@
 	if m.from.Incarnation != status.Incarnation {
 		m.from.Number = 0
 	}
-	status.Cancellations = c.cancellations.Since(m.from.Number, now)
+	status.Cancellations = c.cancellations.DeltaSince(m.from.Number, now)
 	if c.holdsLease() {
 		status.Term, status.QuorumRequired = c.leaderTerm.term.Number, c.leaderTerm.quorumRequired
 		if c.leaderTerm.loaded {
--- a/internal/controller/readindex.go
+++ b/internal/controller/readindex.go
@@ -46,9 +46,9 @@
 }
 
 // startRound starts a round if polls are waiting or the last round was started at least
-// proofInterval ago. It does nothing during a round and the pause after it.
+// confirmationInterval ago. It does nothing during a round and the pause after it.
 func (ri *readIndexer) startRound() {
-	if ri.busy || (len(ri.waiting) == 0 && time.Since(ri.lastStarted) < ri.leaderTerm.c.proofInterval()) {
+	if ri.busy || (len(ri.waiting) == 0 && time.Since(ri.lastStarted) < ri.leaderTerm.c.confirmationInterval()) {
 		return
 	}
 	ri.lastStarted = time.Now()
