--- a/cmd/ivytrestle/main.go
+++ b/cmd/ivytrestle/main.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for team := range p.Shares {
+	for team := range p.TeamShares {
 		if !s.Site.HasTeam(team) {
 			return nil, fmt.Errorf("policy %s: team_shares names %q, which is no team of this site", f.Policy, team)
 		}
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -28,15 +28,15 @@
 	launchingCPUs   float64
 	// unavailableUntil is until when a kind of machine is not requested, because the cloud had
 	// too few.
-	unavailableUntil map[Kind]time.Time
-	// terminations are the machines whose termination is yet to be requested.
-	terminations         []string
-	terminationsInFlight bool
-	nextList             time.Time
-	listing              bool
-	peak                 demandPeak
-	// surplus are the CPUs of the fleet beyond the demand peak.
-	surplus float64
+	unavailableUntil map[CapacityPool]time.Time
+	// pendingTerminations are the machines whose termination is yet to be requested.
+	pendingTerminations []string
+	terminationInFlight bool
+	nextListAt          time.Time
+	listInFlight        bool
+	peak                demandPeak
+	// surplusCPUs are the CPUs of the fleet beyond the demand peak.
+	surplusCPUs float64
 	// surplusSince is since when there has been a surplus beyond the draining machines.
 	surplusSince time.Time
 }
@@ -46,7 +46,7 @@
 	Now      time.Time
 	Machines map[string]*cluster.Machine
 	// Provisioning are the machines that were launched or listed but have sent no heartbeat.
-	Provisioning map[string]*Provisioning
+	Provisioning map[string]*ProvisioningMachine
 	// Teams are the cell's own teams in the order of fair share, then those of guests: both
 	// have accepted jobs.
 	Teams []*queue.Team[*cluster.Job]
@@ -65,8 +65,8 @@
 	Terminate []string
 	// List is set if the cloud's list of machines is to be read. The outcome goes to ListEnded.
 	List bool
-	// Drained are the machines that are draining from now on.
-	Drained []Drained
+	// Drains are the machines that are draining from now on.
+	Drains []Drain
 	// Launches are requests to launch machines. The outcome of each goes to LaunchEnded.
 	Launches []Launch
 	// Stops are the attempts that are to continue on other machines.
@@ -79,8 +79,8 @@
 	Offer   Offer
 }
 
-// Drained is a machine that is draining from now on, and the surplus that is left without it.
-type Drained struct {
+// Drain is a machine that is draining from now on, and the surplus that is left without it.
+type Drain struct {
 	Machine   *cluster.Machine
 	SpareCPUs float64
 }
@@ -92,8 +92,8 @@
 }
 
 const (
-	// minUptime is the shortest time that the cloud charges for.
-	minUptime           = 30 * time.Second
+	// minBilledTime is the shortest time that the cloud charges for.
+	minBilledTime       = 30 * time.Second
 	maxLaunchesInFlight = 3
 	listInterval        = 5 * time.Second
 	// unavailableTTL is how long a kind of machine of which the cloud had too few is not
@@ -108,7 +108,7 @@
 		workers:          workers,
 		term:             term,
 		pendingLaunches:  map[string]plannedLaunch{},
-		unavailableUntil: map[Kind]time.Time{},
+		unavailableUntil: map[CapacityPool]time.Time{},
 	}
 }
 
@@ -138,8 +138,8 @@
 		}
 	}
 	target := max(as.Demand(v)*(1+as.policy.Headroom), as.policy.MinCPUs)
-	as.surplus = total - as.peak.add(v.Now, target, as.policy.DrainDelay)
-	commands := Commands{Drained: as.Drain(v)}
+	as.surplusCPUs = total - as.peak.add(v.Now, target, as.policy.DemandWindow)
+	commands := Commands{Drains: as.Drain(v)}
 	if v.Unfenced > 0 {
 		return commands
 	}
@@ -155,7 +155,7 @@
 	if missingCPUs <= 0 || maxRequests <= 0 {
 		return nil
 	}
-	requests := plan(missingCPUs, offers, cloud.MaxLaunch, maxRequests)
+	requests := planLaunches(missingCPUs, offers, cloud.MaxLaunch, maxRequests)
 	launches := make([]Launch, 0, len(requests))
 	for _, request := range requests {
 		as.launchCount++
@@ -182,7 +182,7 @@
 	delete(as.pendingLaunches, l.Request.Name)
 	as.launchingCPUs -= float64(l.Request.Count) * l.Offer.CPUs
 	if launched < l.Request.Count {
-		as.unavailableUntil[l.Offer.Kind()] = now.Add(unavailableTTL)
+		as.unavailableUntil[l.Offer.Pool()] = now.Add(unavailableTTL)
 	}
 }
 
@@ -190,41 +190,41 @@
 // none while another is in flight.
 func (as *Autoscaler) ScaleIn(m *cluster.Machine) []string {
 	m.Advance(cluster.Terminating)
-	as.terminations = append(as.terminations, m.Name)
+	as.pendingTerminations = append(as.pendingTerminations, m.Name)
 	return as.NextTermination()
 }
 
 // NextTermination returns the machines of the next request to terminate, none while one is in
 // flight or if there is nothing to terminate. Its outcome goes to TerminationEnded.
 func (as *Autoscaler) NextTermination() []string {
-	if as.terminationsInFlight || len(as.terminations) == 0 {
+	if as.terminationInFlight || len(as.pendingTerminations) == 0 {
 		return nil
 	}
-	n := min(len(as.terminations), cloud.MaxTerminate)
-	names := slices.Clone(as.terminations[:n])
-	as.terminations = as.terminations[n:]
-	as.terminationsInFlight = true
+	n := min(len(as.pendingTerminations), cloud.MaxTerminate)
+	names := slices.Clone(as.pendingTerminations[:n])
+	as.pendingTerminations = as.pendingTerminations[n:]
+	as.terminationInFlight = true
 	return names
 }
 
 // TerminationEnded applies the outcome of a request to terminate machines: those that failed are
 // requested again, with the next tick or machine to scale in.
 func (as *Autoscaler) TerminationEnded(failed []string) {
-	as.terminationsInFlight = false
-	as.terminations = append(as.terminations, failed...)
+	as.terminationInFlight = false
+	as.pendingTerminations = append(as.pendingTerminations, failed...)
 }
 
 // startList tells whether to read the cloud's list of machines, every listInterval: for machines
 // that are not known, that never sent a heartbeat, or that have stopped.
 func (as *Autoscaler) startList(now time.Time) bool {
-	if as.listing || now.Before(as.nextList) {
+	if as.listInFlight || now.Before(as.nextListAt) {
 		return false
 	}
-	as.listing = true
+	as.listInFlight = true
 	return true
 }
 
 // ListEnded notes that the cloud's list of machines was read, or could not be.
 func (as *Autoscaler) ListEnded(now time.Time) {
-	as.listing, as.nextList = false, now.Add(listInterval)
+	as.listInFlight, as.nextListAt = false, now.Add(listInterval)
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -27,7 +27,7 @@
 
 func newTestFleet(t *testing.T) *testFleet {
 	t.Helper()
-	p := &policy.Policy{UseSpot: true, IdleTimeout: time.Minute, DrainDelay: 30 * time.Second}
+	p := &policy.Policy{UseSpot: true, IdleTimeout: time.Minute, DemandWindow: 30 * time.Second}
 	team := &queue.Team[*cluster.Job]{Name: "red", LimitCPUs: 1000}
 	as := New(7, p, config.Workers{HeartbeatS: 2, LeaseS: 10})
 	as.surplusSince = start // there was none so far
@@ -37,7 +37,7 @@
 		view: &View{
 			Now:          start,
 			Machines:     map[string]*cluster.Machine{},
-			Provisioning: map[string]*Provisioning{},
+			Provisioning: map[string]*ProvisioningMachine{},
 			Teams:        []*queue.Team[*cluster.Job]{team},
 			Jobs:         map[string]*cluster.Job{},
 			Types: map[string]api.MachineType{"s": {
@@ -47,8 +47,8 @@
 	}
 }
 
-// machine adds an empty machine that is in use since long ago.
-func (f *testFleet) machine(name string, spot bool) *cluster.Machine {
+// addMachine adds an empty machine that is in use since long ago.
+func (f *testFleet) addMachine(name string, spot bool) *cluster.Machine {
 	m := &cluster.Machine{
 		Name: name, Type: "s", Zone: "a", Spot: spot, CPUs: 4, MemoryGB: 16,
 		Fenced: true, Registration: cluster.Registered,
@@ -59,8 +59,8 @@
 	return m
 }
 
-// job adds a pending job of tasks of one CPU that may use spot machines.
-func (f *testFleet) job(id string, tasks int) *cluster.Job {
+// addJob adds a pending job of tasks of one CPU that may use spot machines.
+func (f *testFleet) addJob(id string, tasks int) *cluster.Job {
 	j := &cluster.Job{
 		Spec:          api.JobSpec{ID: id, Tasks: tasks, CPUs: 1, EstimateS: 100, Spot: true},
 		Team:          f.team,
@@ -74,8 +74,8 @@
 	return j
 }
 
-// counts are the machines requested, by zone and price model, in order.
-func counts(launches []Launch) []string {
+// formatLaunches are the machines requested, by zone and price model, in order.
+func formatLaunches(launches []Launch) []string {
 	requested := make([]string, 0, len(launches))
 	for _, l := range launches {
 		requested = append(requested, fmt.Sprintf("%s %d %s spot=%t", l.Request.Name, l.Request.Count, l.Request.Zone,
@@ -84,14 +84,14 @@
 	return requested
 }
 
-func check(t *testing.T, what string, got, want []string) {
+func checkStrings(t *testing.T, what string, got, want []string) {
 	t.Helper()
 	if !slices.Equal(got, want) {
 		t.Errorf("%s: got %q, want %q", what, got, want)
 	}
 }
 
-func names(machines []*cluster.Machine) []string {
+func machineNames(machines []*cluster.Machine) []string {
 	list := make([]string, 0, len(machines))
 	for _, m := range machines {
 		list = append(list, m.Name)
@@ -110,15 +110,15 @@
 		{"least fleet", func(f *testFleet) { f.policy.MinCPUs = 40 }, []string{"r-7-1 10 a spot=true"}},
 		{"limit of the team", func(f *testFleet) { f.team.LimitCPUs = 8 }, []string{"r-7-1 2 a spot=true"}},
 		{"no spot machines", func(f *testFleet) { f.policy.UseSpot = false }, []string{"r-7-1 5 a spot=false"}},
-		{"beside a machine", func(f *testFleet) { f.machine("m", true) }, []string{"r-7-1 4 a spot=true"}},
+		{"beside a machine", func(f *testFleet) { f.addMachine("m", true) }, []string{"r-7-1 4 a spot=true"}},
 		{"a machine on its way out does not count", func(f *testFleet) {
-			f.machine("m", true).Advance(cluster.Evacuating)
+			f.addMachine("m", true).Advance(cluster.Evacuating)
 		}, []string{"r-7-1 5 a spot=true"}},
 		{"beside one that boots", func(f *testFleet) {
-			f.view.Provisioning["m"] = &Provisioning{Type: "s", Zone: "a", CPUs: 4}
+			f.view.Provisioning["m"] = &ProvisioningMachine{Type: "s", Zone: "a", CPUs: 4}
 		}, []string{"r-7-1 4 a spot=true"}},
 		{"one that is terminated unused does not count", func(f *testFleet) {
-			f.view.Provisioning["m"] = &Provisioning{Type: "s", Zone: "a", CPUs: 4, Terminating: true}
+			f.view.Provisioning["m"] = &ProvisioningMachine{Type: "s", Zone: "a", CPUs: 4, Terminating: true}
 		}, []string{"r-7-1 5 a spot=true"}},
 		{"a job in backoff demands nothing", func(f *testFleet) { f.view.Jobs["job"].FailureRounds = 1 }, nil},
 		{"a job that ends demands nothing", func(f *testFleet) { f.view.Jobs["job"].Finishing = true }, nil},
@@ -127,14 +127,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t)
-			f.job("job", 20)
+			f.addJob("job", 20)
 			c.change(f)
-			check(t, "launches", counts(f.ScaleOut(f.view).Launches), c.want)
+			checkStrings(t, "launches", formatLaunches(f.ScaleOut(f.view).Launches), c.want)
 		})
 	}
 }
 
-func TestDemandCountsTasksThatCanRunInTurnOnce(t *testing.T) {
+func TestDemandCountsSequentialTasksOnce(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		objective  time.Duration
@@ -155,8 +155,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t)
-			f.team.CPUs, f.team.LimitCPUs, f.team.UsedCPUs = c.guarantee, c.limit, c.used
-			j := f.job("job", 20)
+			f.team.GuaranteedCPUs, f.team.LimitCPUs, f.team.UsedCPUs = c.guarantee, c.limit, c.used
+			j := f.addJob("job", 20)
 			j.StartBy, j.Objectives = c.startBy, []time.Time{start.Add(c.objective)}
 			j.UpdateFeasibility(start)
 			if got := f.Demand(f.view); got != c.wantDemand {
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestJobsThatMayNotUseSpotMachinesGetOthers(t *testing.T) {
+func TestConstrainedJobsGetMatchingMachines(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(f *testFleet, j *cluster.Job)
@@ -178,20 +178,20 @@
 		}, nil},
 		{"another zone", func(_ *testFleet, j *cluster.Job) { j.Spec.Zone = "b" }, []string{"r-7-1 2 b spot=false"}},
 		{"another type", func(_ *testFleet, j *cluster.Job) { j.Spec.Types = []string{"l"} }, nil},
-		{"one other is free", func(f *testFleet, _ *cluster.Job) { f.machine("o", false) },
+		{"one other is free", func(f *testFleet, _ *cluster.Job) { f.addMachine("o", false) },
 			[]string{"r-7-1 1 a spot=false"}},
-		{"one other is draining", func(f *testFleet, _ *cluster.Job) { f.machine("o", false).Draining = true },
+		{"one other is draining", func(f *testFleet, _ *cluster.Job) { f.addMachine("o", false).Draining = true },
 			[]string{"r-7-1 1 a spot=false"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t)
 			for i := range 3 {
-				f.machine(fmt.Sprint("m", i), true)
+				f.addMachine(fmt.Sprint("m", i), true)
 			}
-			j := f.job("job", 8)
+			j := f.addJob("job", 8)
 			j.Spec.Spot = false
 			c.change(f, j)
-			check(t, "launches", counts(f.ScaleOut(f.view).Launches), c.want)
+			checkStrings(t, "launches", formatLaunches(f.ScaleOut(f.view).Launches), c.want)
 			for _, m := range f.view.Machines {
 				if m.Draining {
 					t.Errorf("%s is draining", m.Name)
@@ -204,67 +204,67 @@
 func TestPendingLaunchesCountForConstrainedJobs(t *testing.T) {
 	f := newTestFleet(t)
 	for i := range 3 {
-		f.machine(fmt.Sprint("m", i), true)
+		f.addMachine(fmt.Sprint("m", i), true)
 	}
-	f.job("job", 8).Spec.Spot = false
+	f.addJob("job", 8).Spec.Spot = false
 	launches := f.ScaleOut(f.view).Launches
-	check(t, "first", counts(launches), []string{"r-7-1 2 a spot=false"})
-	check(t, "while it is in flight", counts(f.ScaleOut(f.view).Launches), nil)
+	checkStrings(t, "first", formatLaunches(launches), []string{"r-7-1 2 a spot=false"})
+	checkStrings(t, "while it is in flight", formatLaunches(f.ScaleOut(f.view).Launches), nil)
 	f.LaunchEnded(launches[0], 2, f.view.Now)
 	for i := range 2 {
-		f.view.Provisioning[fmt.Sprint("o", i)] = launches[0].Provisioning(f.view.Now)
+		f.view.Provisioning[fmt.Sprint("o", i)] = launches[0].ProvisioningMachine(f.view.Now)
 	}
-	check(t, "while they boot", counts(f.ScaleOut(f.view).Launches), nil)
+	checkStrings(t, "while they boot", formatLaunches(f.ScaleOut(f.view).Launches), nil)
 }
 
-func TestJobIsProvidedForOnceItsDependenciesHaveStarted(t *testing.T) {
+func TestMachinesAreLaunchedOnceDependenciesHaveStarted(t *testing.T) {
 	f := newTestFleet(t)
 	for i := range 3 {
-		f.machine(fmt.Sprint("m", i), true)
+		f.addMachine(fmt.Sprint("m", i), true)
 	}
-	first, second := f.job("first", 1), f.job("second", 4)
+	first, second := f.addJob("first", 1), f.addJob("second", 4)
 	f.team.Remove(second)
 	second.Spec.Spot = false
 	second.DependsOn = map[string]bool{"first": true}
-	check(t, "before", counts(f.ScaleOut(f.view).Launches), nil)
+	checkStrings(t, "before", formatLaunches(f.ScaleOut(f.view).Launches), nil)
 	first.FirstStart = start
-	check(t, "after", counts(f.ScaleOut(f.view).Launches), []string{"r-7-1 1 a spot=false"})
+	checkStrings(t, "after", formatLaunches(f.ScaleOut(f.view).Launches), []string{"r-7-1 1 a spot=false"})
 }
 
 func TestLaunchesCountUntilTheirOutcome(t *testing.T) {
 	f := newTestFleet(t)
-	f.job("job", 20)
+	f.addJob("job", 20)
 	launches := f.ScaleOut(f.view).Launches
-	check(t, "first", counts(launches), []string{"r-7-1 5 a spot=true"})
-	check(t, "while it is in flight", counts(f.ScaleOut(f.view).Launches), nil)
+	checkStrings(t, "first", formatLaunches(launches), []string{"r-7-1 5 a spot=true"})
+	checkStrings(t, "while it is in flight", formatLaunches(f.ScaleOut(f.view).Launches), nil)
 	f.LaunchEnded(launches[0], 2, f.view.Now)
 	for i := range 2 {
-		f.view.Provisioning[fmt.Sprint("m", i)] = launches[0].Provisioning(f.view.Now)
+		f.view.Provisioning[fmt.Sprint("m", i)] = launches[0].ProvisioningMachine(f.view.Now)
 	}
 	// The cloud had too few of the kind, so what is missing is requested of another.
 	launches = f.ScaleOut(f.view).Launches
-	check(t, "second", counts(launches), []string{"r-7-2 3 b spot=true"})
+	checkStrings(t, "second", formatLaunches(launches), []string{"r-7-2 3 b spot=true"})
 	f.LaunchEnded(launches[0], 0, f.view.Now)
 	launches = f.ScaleOut(f.view).Launches
-	check(t, "third", counts(launches), []string{"r-7-3 3 a spot=false"})
+	checkStrings(t, "third", formatLaunches(launches), []string{"r-7-3 3 a spot=false"})
 	f.LaunchEnded(launches[0], 0, f.view.Now)
 	f.view.Now = f.view.Now.Add(unavailableTTL)
-	check(t, "while all kinds but one are unavailable", counts(f.ScaleOut(f.view).Launches),
+	checkStrings(t, "while all kinds but one are unavailable", formatLaunches(f.ScaleOut(f.view).Launches),
 		[]string{"r-7-4 3 b spot=false"})
 	if f.view.Now = f.view.Now.Add(time.Millisecond); !f.CanLaunch(f.view.Types, f.view.Now) {
 		t.Error("nothing can be launched after unavailableTTL")
 	}
 }
 
-func TestNoMoreLaunchesThanMayBeInFlight(t *testing.T) {
+func TestLaunchesInFlightAreLimited(t *testing.T) {
 	f := newTestFleet(t)
 	f.team.LimitCPUs = 1e6
-	f.job("job", 10_000)
+	f.addJob("job", 10_000)
 	launches := f.ScaleOut(f.view).Launches
 	if len(launches) != maxLaunchesInFlight {
 		t.Fatalf("%d launches, want %d", len(launches), maxLaunchesInFlight)
 	}
-	check(t, "while they are in flight", counts(f.ScaleOut(f.view).Launches), nil)
+	checkStrings(t, "while they are in flight", formatLaunches(f.ScaleOut(f.view).Launches), nil)
 	f.LaunchEnded(launches[1], launches[1].Request.Count, f.view.Now)
 	if again := f.ScaleOut(f.view).Launches; len(again) != 1 {
 		t.Errorf("%d launches after one ended, want 1", len(again))
@@ -273,21 +273,21 @@
 
 func TestOneTerminationRequestAtATime(t *testing.T) {
 	f := newTestFleet(t)
-	a, b := f.machine("a", true), f.machine("b", true)
-	check(t, "none in flight", f.ScaleIn(a), []string{"a"})
-	check(t, "one in flight", f.ScaleIn(b), nil)
+	a, b := f.addMachine("a", true), f.addMachine("b", true)
+	checkStrings(t, "none in flight", f.ScaleIn(a), []string{"a"})
+	checkStrings(t, "one in flight", f.ScaleIn(b), nil)
 	for _, m := range []*cluster.Machine{a, b} {
 		if m.Phase() != cluster.Terminating {
 			t.Errorf("%s is in phase %d", m.Name, m.Phase())
 		}
 	}
-	check(t, "tick", f.Tick(f.view).Terminate, nil)
+	checkStrings(t, "tick", f.Tick(f.view).Terminate, nil)
 	f.TerminationEnded([]string{"a"}) // it failed
-	check(t, "tick after a failure", f.Tick(f.view).Terminate, []string{"b", "a"})
+	checkStrings(t, "tick after a failure", f.Tick(f.view).Terminate, []string{"b", "a"})
 	f.TerminationEnded(nil)
-	check(t, "nothing left", f.NextTermination(), nil)
+	checkStrings(t, "nothing left", f.NextTermination(), nil)
 	for i := range cloud.MaxTerminate + 2 {
-		f.ScaleIn(f.machine(fmt.Sprint("m", i), true))
+		f.ScaleIn(f.addMachine(fmt.Sprint("m", i), true))
 	}
 	f.TerminationEnded(nil)
 	if n := len(f.NextTermination()); n != cloud.MaxTerminate {
@@ -322,12 +322,12 @@
 	}
 }
 
-// drainAfter ticks each second for a while, and returns the names of the machines drained meanwhile.
-func (f *testFleet) drainAfter(d time.Duration) []string {
+// drainedWithin ticks each second for a while, and returns the names of the machines drained meanwhile.
+func (f *testFleet) drainedWithin(d time.Duration) []string {
 	var drained []string
 	for end := f.view.Now.Add(d); f.view.Now.Before(end); {
 		f.view.Now = f.view.Now.Add(time.Second)
-		for _, d := range f.ScaleOut(f.view).Drained {
+		for _, d := range f.ScaleOut(f.view).Drains {
 			drained = append(drained, d.Machine.Name)
 		}
 	}
@@ -337,25 +337,25 @@
 func TestMachinesBeyondTheDemandPeakAreDrained(t *testing.T) {
 	f := newTestFleet(t)
 	for _, name := range []string{"spot-1", "spot-2"} {
-		f.machine(name, true)
+		f.addMachine(name, true)
 	}
-	f.machine("full-price", false)
-	f.machine("new", false).AddedAt = start.Add(time.Hour)
-	job := f.job("job", 16)
-	check(t, "all needed", f.drainAfter(time.Minute), nil)
+	f.addMachine("full-price", false)
+	f.addMachine("new", false).AddedAt = start.Add(time.Hour)
+	job := f.addJob("job", 16)
+	checkStrings(t, "all needed", f.drainedWithin(time.Minute), nil)
 	f.team.Remove(job)
-	f.job("rest", 10)
-	check(t, "within the window of the peak", f.drainAfter(f.policy.DrainDelay), nil)
-	check(t, "surplus too short", f.drainAfter(minSurplusTime-time.Second), nil)
-	check(t, "the most expensive machine", f.drainAfter(time.Minute), []string{"full-price"})
+	f.addJob("rest", 10)
+	checkStrings(t, "within the window of the peak", f.drainedWithin(f.policy.DemandWindow), nil)
+	checkStrings(t, "surplus too short", f.drainedWithin(minSurplusDuration-time.Second), nil)
+	checkStrings(t, "the most expensive machine", f.drainedWithin(time.Minute), []string{"full-price"})
 	f.team.Add(job)
-	check(t, "demand rises", f.drainAfter(time.Second), nil)
+	checkStrings(t, "demand rises", f.drainedWithin(time.Second), nil)
 	if f.view.Machines["full-price"].Draining {
 		t.Error("the machine is still draining")
 	}
 }
 
-func TestIdleMachinesBeyondTheDemandPeakEnd(t *testing.T) {
+func TestIdleMachinesBeyondTheDemandPeakAreTerminated(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		demand int
@@ -370,7 +370,7 @@
 			m.IdleSince, m.Draining = start, true
 		}, []string{"full-price"}},
 		{"paid for anyway", 8, func(m *cluster.Machine) {
-			m.AddedAt, m.Draining = start.Add(time.Second-minUptime), true
+			m.AddedAt, m.Draining = start.Add(time.Second-minBilledTime), true
 		}, []string{"spot-1"}},
 		{"unfenced", 8, func(m *cluster.Machine) { m.Fenced = false }, []string{"spot-1"}},
 		{"with an attempt", 8, func(m *cluster.Machine) {
@@ -380,23 +380,23 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t)
 			for _, name := range []string{"spot-1", "spot-2"} {
-				f.machine(name, true)
+				f.addMachine(name, true)
 			}
-			m := f.machine("full-price", false)
-			f.job("job", c.demand)
+			m := f.addMachine("full-price", false)
+			f.addJob("job", c.demand)
 			f.ScaleOut(f.view)
 			if c.change != nil {
 				c.change(m)
 			}
-			check(t, "idle", names(f.IdleMachines(f.view)), c.want)
+			checkStrings(t, "idle", machineNames(f.IdleMachines(f.view)), c.want)
 			if len(c.want) > 0 && c.demand != 4 {
-				check(t, "idle again, within the surplus that is left", names(f.IdleMachines(f.view)), nil)
+				checkStrings(t, "idle again, within the surplus that is left", machineNames(f.IdleMachines(f.view)), nil)
 			}
 		})
 	}
 }
 
-func TestAttemptsThatAreWorthMoving(t *testing.T) {
+func TestAttemptsWorthMovingAreMoved(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(f *testFleet, a *cluster.Attempt)
@@ -434,10 +434,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t)
-			f.machine("free", true)
-			m := f.machine("draining", true)
+			f.addMachine("free", true)
+			m := f.addMachine("draining", true)
 			m.Draining, m.UsedCPUs = true, 1
-			j := f.job("job", 1)
+			j := f.addJob("job", 1)
 			j.Spec.EstimateS, j.Spec.CheckpointS, j.Spec.SaveS = 200, 10, 3
 			j.Objectives = []time.Time{start.Add(time.Hour)}
 			j.UpdateFeasibility(start)
@@ -474,7 +474,7 @@
 			f := newTestFleet(t)
 			mt := f.view.Types["s"]
 			listed := &cloud.Machine{Name: "m", Type: "s", Zone: "b", Spot: true, Phase: c.phase, AgeS: c.ageS}
-			p := ListedProvisioning(listed, mt, start)
+			p := ProvisioningFromList(listed, mt, start)
 			p.Terminating = c.terminating
 			if got := f.TerminateOverdue(p, listed, mt, start); got != c.want {
 				t.Errorf("terminated: got %t, want %t", got, c.want)
@@ -483,7 +483,7 @@
 			if c.want {
 				want = []string{"m"}
 			}
-			check(t, "next request", f.NextTermination(), want)
+			checkStrings(t, "next request", f.NextTermination(), want)
 			if p.Terminating != (c.want || c.terminating) {
 				t.Errorf("terminating: got %t", p.Terminating)
 			}
@@ -491,7 +491,7 @@
 	}
 }
 
-func TestDemandPeakIsTheHighestOfItsWindow(t *testing.T) {
+func TestDemandPeakIsTheMaximumOfItsWindow(t *testing.T) {
 	var p demandPeak
 	const window = 10 * time.Second
 	for _, step := range []struct {
--- a/internal/autoscaler/constrained.go
+++ b/internal/autoscaler/constrained.go
@@ -90,7 +90,7 @@
 	demands := as.constrainedDemands(v)
 	launches := make([]Launch, 0, len(demands))
 	for _, demand := range demands {
-		missingCPUs, draining := as.missingFor(v, demand)
+		missingCPUs, draining := as.missingCPUsFor(v, demand)
 		for _, m := range draining {
 			if missingCPUs <= 0 {
 				break
@@ -106,9 +106,9 @@
 	return launches
 }
 
-// missingFor is how many CPUs a demand lacks beyond the machines in use, those that boot and those
+// missingCPUsFor is how many CPUs a demand lacks beyond the machines in use, those that boot and those
 // being launched, and which draining machines could serve the demand, by name.
-func (as *Autoscaler) missingFor(
+func (as *Autoscaler) missingCPUsFor(
 	v *View, demand *constrainedDemand,
 ) (missingCPUs float64, draining []*cluster.Machine) {
 	missingCPUs = demand.cpus
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -21,7 +21,7 @@
 			atOnce += cpus
 			inTime += cpus / j.RunsPerCPU(bootedAt)
 		}
-		guaranteed := min(atOnce, t.CPUs)
+		guaranteed := min(atOnce, t.GuaranteedCPUs)
 		sum += min(max(inTime, guaranteed), t.LimitCPUs)
 	}
 	return sum
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -9,13 +9,13 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// minSurplusTime is how long there must have been a surplus before a machine is drained.
-const minSurplusTime = 6 * time.Second
+// minSurplusDuration is how long there must have been a surplus before a machine is drained.
+const minSurplusDuration = 6 * time.Second
 
 // Drain drains the most expensive machines while there is a surplus, and takes them back into use
 // when there is none. It returns the machines that are draining from now on.
-func (as *Autoscaler) Drain(v *View) []Drained {
-	spare := as.surplus
+func (as *Autoscaler) Drain(v *View) []Drain {
+	spare := as.surplusCPUs
 	var draining, inUse []*cluster.Machine
 	for _, m := range v.Machines {
 		switch {
@@ -23,7 +23,7 @@
 		case m.Draining:
 			draining = append(draining, m)
 			spare -= m.CPUs
-		case m.IsSchedulable(v.Now) && v.Now.Sub(m.AddedAt) > minUptime:
+		case m.IsSchedulable(v.Now) && v.Now.Sub(m.AddedAt) > minBilledTime:
 			inUse = append(inUse, m)
 		}
 	}
@@ -44,17 +44,17 @@
 		return nil
 	}
 	slices.SortFunc(inUse, mostExpensiveFirst)
-	if v.Now.Sub(as.surplusSince) < minSurplusTime || len(inUse) == 0 || spare < inUse[0].CPUs {
+	if v.Now.Sub(as.surplusSince) < minSurplusDuration || len(inUse) == 0 || spare < inUse[0].CPUs {
 		return nil
 	}
-	var drained []Drained
+	var drained []Drain
 	for _, m := range inUse {
 		if spare < m.CPUs {
 			break
 		}
 		spare -= m.CPUs
 		m.Draining = true
-		drained = append(drained, Drained{Machine: m, SpareCPUs: spare})
+		drained = append(drained, Drain{Machine: m, SpareCPUs: spare})
 	}
 	return drained
 }
@@ -126,7 +126,7 @@
 			continue
 		}
 		inUseLately := !m.Draining && v.Now.Sub(m.IdleSince) < as.policy.IdleTimeout
-		if inUseLately || v.Now.Sub(m.AddedAt) < minUptime {
+		if inUseLately || v.Now.Sub(m.AddedAt) < minBilledTime {
 			continue
 		}
 		idle = append(idle, m)
@@ -136,10 +136,10 @@
 	})
 	n := 0
 	for _, m := range idle {
-		if as.surplus < m.CPUs {
+		if as.surplusCPUs < m.CPUs {
 			break
 		}
-		as.surplus -= m.CPUs
+		as.surplusCPUs -= m.CPUs
 		n++
 	}
 	return idle[:n]
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -21,7 +21,7 @@
 		if mt.CPUs <= 0 {
 			continue
 		}
-		offer := Offer{Type: mt.Name, CPUs: mt.CPUs, Boot: bootTime(mt)}
+		offer := Offer{Type: mt.Name, CPUs: mt.CPUs, BootTime: bootTime(mt)}
 		useSpot := as.policy.UseSpot && mt.SpotPrice > 0
 		for _, zone := range mt.Zones {
 			offer.Zone = zone
@@ -38,7 +38,7 @@
 
 // isAvailable tells whether the cloud has not lately had too few machines of a kind.
 func (as *Autoscaler) isAvailable(offer Offer, now time.Time) bool {
-	return now.After(as.unavailableUntil[offer.Kind()])
+	return now.After(as.unavailableUntil[offer.Pool()])
 }
 
 // bootTime is how long machines of a type usually take to boot.
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -14,8 +14,8 @@
 	Spot  bool
 	CPUs  float64
 	Price float64
-	// Boot is how long such a machine takes to start.
-	Boot time.Duration
+	// BootTime is how long such a machine takes to start.
+	BootTime time.Duration
 }
 
 // plannedLaunch is a number of machines of an offer.
@@ -24,12 +24,12 @@
 	Count int
 }
 
-// plan covers missing CPUs with the cheapest offers, in the order of the price of a CPU; the
+// planLaunches covers missing CPUs with the cheapest offers, in the order of the price of a CPU; the
 // caller leaves out offers that were rejected lately. A request is for at most maxCount
 // machines. How many an offer can provide is not known, so what remains waits for the response,
 // and more expensive offers are requested at the same time only while much remains: at most
 // maxRequests in all.
-func plan(missingCPUs float64, offers []Offer, maxCount, maxRequests int) []plannedLaunch {
+func planLaunches(missingCPUs float64, offers []Offer, maxCount, maxRequests int) []plannedLaunch {
 	offers = slices.Clone(offers)
 	slices.SortFunc(offers, func(a, b Offer) int {
 		return cmp.Or(cmp.Compare(a.Price/a.CPUs, b.Price/b.CPUs), cmp.Compare(a.CPUs, b.CPUs),
@@ -48,12 +48,12 @@
 	return requests
 }
 
-// Kind is what the cloud's capacity depends on.
-type Kind struct {
+// CapacityPool is what the cloud's capacity depends on.
+type CapacityPool struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Kind names the offer's kind.
-func (o Offer) Kind() Kind { return Kind{Type: o.Type, Zone: o.Zone, Spot: o.Spot} }
+// Pool names the offer's kind.
+func (o Offer) Pool() CapacityPool { return CapacityPool{Type: o.Type, Zone: o.Zone, Spot: o.Spot} }
--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -7,9 +7,9 @@
 	"example.org/ivytrestle/internal/cloud"
 )
 
-// Provisioning is a machine that was launched or listed by the cloud and has sent no heartbeat
+// ProvisioningMachine is a machine that was launched or listed by the cloud and has sent no heartbeat
 // yet.
-type Provisioning struct {
+type ProvisioningMachine struct {
 	Type  string
 	Zone  string
 	Spot  bool
@@ -19,9 +19,9 @@
 	Terminating bool
 }
 
-// Provisioning is a machine of the launch request, launched at a time.
-func (l *Launch) Provisioning(at time.Time) *Provisioning {
-	return &Provisioning{
+// ProvisioningMachine is a machine of the launch request, launched at a time.
+func (l *Launch) ProvisioningMachine(at time.Time) *ProvisioningMachine {
+	return &ProvisioningMachine{
 		Type:  l.Request.Type,
 		Zone:  l.Request.Zone,
 		Spot:  l.Request.Spot,
@@ -30,9 +30,9 @@
 	}
 }
 
-// ListedProvisioning is a machine of the cloud's list that was not known; mt is its type.
-func ListedProvisioning(listed *cloud.Machine, mt api.MachineType, now time.Time) *Provisioning {
-	return &Provisioning{
+// ProvisioningFromList is a machine of the cloud's list that was not known; mt is its type.
+func ProvisioningFromList(listed *cloud.Machine, mt api.MachineType, now time.Time) *ProvisioningMachine {
+	return &ProvisioningMachine{
 		Type:  listed.Type,
 		Zone:  listed.Zone,
 		Spot:  listed.Spot,
@@ -49,13 +49,13 @@
 // a heartbeat within seconds; one that boots may take several times as long as usual. The request is
 // sent with the next tick or machine to scale in.
 func (as *Autoscaler) TerminateOverdue(
-	p *Provisioning, listed *cloud.Machine, mt api.MachineType, now time.Time,
+	p *ProvisioningMachine, listed *cloud.Machine, mt api.MachineType, now time.Time,
 ) bool {
 	overdue := now.Sub(p.Since) > maxBootFactor*bootTime(mt)+as.workers.Lease()
 	if p.Terminating || (listed.Phase != cloud.PhaseFailed && !overdue) {
 		return false
 	}
 	p.Terminating = true
-	as.terminations = append(as.terminations, listed.Name)
+	as.pendingTerminations = append(as.pendingTerminations, listed.Name)
 	return true
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -141,7 +141,7 @@
 	switch {
 	case j.Infeasible:
 		return queue.Infeasible
-	case j.Load.Defer:
+	case j.Load.Deferred:
 		return queue.Deferred
 	}
 	return queue.Feasible
@@ -191,7 +191,7 @@
 // Starving tells whether the job is placed behind others as infeasible or deferred although
 // it has waited long.
 func (j *Job) Starving(now time.Time) bool {
-	return (j.Infeasible || j.Load.Defer) && now.Sub(j.RunnableSince) > starvingAfter
+	return (j.Infeasible || j.Load.Deferred) && now.Sub(j.RunnableSince) > starvingAfter
 }
 
 // TaskRef is the reference of a task on the wire.
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -133,7 +133,7 @@
 	n := c.start(fmt.Sprintf("n%d", i))
 	n.inspect(func(ctl *Controller) {
 		spill := &ctl.Policy.Spill
-		spill.After, spill.Gain, spill.GuestShare = 2*time.Second, 2*time.Second, 1
+		spill.MinWait, spill.MinGain, spill.GuestShare = 2*time.Second, 2*time.Second, 1
 		ctl.Policy.MinCPUs = 1000
 	})
 	c.setNode(i, n)
--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -54,7 +54,7 @@
 	if commands.List {
 		go lt.listMachines()
 	}
-	for _, d := range commands.Drained {
+	for _, d := range commands.Drains {
 		lt.c.Log.Debug("machine draining", "machine", d.Machine.Name,
 			"count", len(d.Machine.Attempts), "spare", d.SpareCPUs)
 	}
@@ -109,7 +109,7 @@
 	}
 	for _, name := range m.machines {
 		if lt.machines[name] == nil && !lt.terminated.Contains(name) {
-			lt.provisioning[name] = m.launch.Provisioning(now)
+			lt.provisioning[name] = m.launch.ProvisioningMachine(now)
 		}
 	}
 	if c.holdsLease() {
@@ -207,7 +207,7 @@
 	mt := lt.c.types.load()[listed.Type]
 	awaited := lt.provisioning[listed.Name]
 	if awaited == nil {
-		awaited = autoscaler.ListedProvisioning(listed, mt, now)
+		awaited = autoscaler.ProvisioningFromList(listed, mt, now)
 		lt.provisioning[listed.Name] = awaited
 	}
 	if lt.autoscaler.TerminateOverdue(awaited, listed, mt, now) {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -51,7 +51,7 @@
 	j := newJob(spec, team)
 	j.ModRevision, j.Accepted, j.RunnableSince = modRevision, rec.Accepted, since
 	j.DependencyList, j.Guest, j.LoanCount = rec.DependencyList, rec.Guest, rec.LoanCount
-	j.ClassPreference = lt.c.Policy.Preferences[spec.Class]
+	j.ClassPreference = lt.c.Policy.ClassPreferences[spec.Class]
 	j.Objectives = lt.objectives(j)
 	j.UpdateFeasibility(time.Now())
 	lt.jobs[id] = j
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -42,7 +42,7 @@
 	fairShareOrder []*queue.Team[*cluster.Job]
 	machines       map[string]*cluster.Machine
 	// provisioning are machines that were launched or listed but have sent no heartbeat.
-	provisioning map[string]*autoscaler.Provisioning
+	provisioning map[string]*autoscaler.ProvisioningMachine
 	// terminated are the names of terminated machines, whose heartbeats may still arrive.
 	terminated *lru.Cache[string, bool]
 
@@ -124,7 +124,7 @@
 		jobs:             map[string]*cluster.Job{},
 		teams:            map[string]*queue.Team[*cluster.Job]{},
 		machines:         map[string]*cluster.Machine{},
-		provisioning:     map[string]*autoscaler.Provisioning{},
+		provisioning:     map[string]*autoscaler.ProvisioningMachine{},
 		terminated:       terminated,
 		downlink:         relayDownlink{nodes: map[string]*relayNode{}},
 		renewalRevisions: map[string]uint64{},
@@ -158,12 +158,12 @@
 func (lt *leaderTerm) initTeams() {
 	for _, t := range lt.c.Settings.Site.Teams {
 		team := &queue.Team[*cluster.Job]{
-			Name:      t.Name,
-			CPUs:      t.CPUs,
-			LimitCPUs: t.LimitCPUs,
-			GPUs:      t.GPUs,
-			LimitGPUs: t.LimitGPUs,
-			Share:     lt.c.Policy.Share(t.Name, max(t.CPUs, t.GPUs, 1)),
+			Name:           t.Name,
+			GuaranteedCPUs: t.CPUs,
+			LimitCPUs:      t.LimitCPUs,
+			GuaranteedGPUs: t.GPUs,
+			LimitGPUs:      t.LimitGPUs,
+			Share:          lt.c.Policy.Share(t.Name, max(t.CPUs, t.GPUs, 1)),
 		}
 		lt.teams[t.Name] = team
 		lt.fairShareOrder = append(lt.fairShareOrder, team)
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -40,7 +40,7 @@
 	lt, _ := newBusyTerm(b, machines, 40)
 	c := lt.c
 	c.Cells = &cells.Settings{Cell: "cell-a", MaxLoans: 100, Neighbours: []cells.Neighbour{{Cell: "cell-b"}}}
-	c.Policy.Spill.After = time.Hour // it scans its jobs, and lends nothing
+	c.Policy.Spill.MinWait = time.Hour // it scans its jobs, and lends nothing
 	lt.loans.init(lt)
 	n := lt.loans.neighbours["cell-b"]
 	n.lastResponse = time.Now().Add(time.Hour)
--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -146,7 +146,7 @@
 	lt := l.leaderTerm
 	shortage := -l.findOpenCapacity(now).freeCPUs
 	for _, t := range lt.fairShareOrder {
-		left := t.CPUs - t.UsedCPUs
+		left := t.GuaranteedCPUs - t.UsedCPUs
 		for _, j := range t.Items() {
 			if left <= 0 {
 				break
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -99,7 +99,7 @@
 	for i := len(predictions) - 1; i >= 0 && lent < l.leaderTerm.c.Cells.MaxLoans && offers < maxOffers; i-- {
 		j := predictions[i].job
 		there := n.delay + transferTime + fetchTime(&j.Spec, n.advert.Types)
-		if predictions[i].wait-there < policy.Gain || now.Sub(j.RunnableSince) < policy.After ||
+		if predictions[i].wait-there < policy.MinGain || now.Sub(j.RunnableSince) < policy.MinWait ||
 			spare < j.Spec.CPUs || !l.lendable(j, n, now) {
 			continue
 		}
@@ -132,7 +132,7 @@
 		lt.c.Settings.Site.State.ValueKB,
 	):
 		return false
-	case j.LoanCount >= policy.Lends || now.Sub(j.LastReclaimed[n.cell]) < policy.Cooldown:
+	case j.LoanCount >= policy.MaxLoansPerJob || now.Sub(j.LastReclaimed[n.cell]) < policy.Cooldown:
 		return false
 	}
 	return slices.ContainsFunc(n.advert.Types, func(t api.MachineType) bool { return taskFits(&j.Spec, t) })
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -164,7 +164,7 @@
 		Name:      name,
 		Jobs:      len(team.Items()),
 		UsedCPUs:  team.UsedCPUs,
-		CPUs:      team.CPUs,
+		CPUs:      team.GuaranteedCPUs,
 		LimitCPUs: team.LimitCPUs,
 	}
 	for _, j := range team.Items() {
@@ -191,7 +191,7 @@
 		return "takeover"
 	case !j.Team.WithinLimit(s.CPUs, s.GPUs, lt.unfencedCPUs+lt.unattributedCPUs, lt.unfencedGPUs):
 		return "team limit"
-	case j.Load.Defer || j.Infeasible:
+	case j.Load.Deferred || j.Infeasible:
 		return "gives way"
 	}
 	return "no room"
--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -12,18 +12,18 @@
 // Flight is the group of members that run one job. The tasks of an array
 // depend on nothing, so all are of one level and one rotation covers them.
 type Flight struct {
-	total        uint
+	taskCount    uint
 	untaken      *bitset.BitSet
 	untakenCount int
 	// cursors holds for each member where its rotated list continues, so that no pull
 	// walks over the tasks completed before it.
-	cursors     map[string]uint
-	joinedCount int
+	cursors   map[string]uint
+	joinCount int
 }
 
 // New makes a flight without members for a job of n tasks.
 func New(n int) *Flight {
-	f := &Flight{total: uint(n), untaken: bitset.New(uint(n)), untakenCount: n, cursors: map[string]uint{}}
+	f := &Flight{taskCount: uint(n), untaken: bitset.New(uint(n)), untakenCount: n, cursors: map[string]uint{}}
 	f.untaken.FlipRange(0, uint(n))
 	return f
 }
@@ -43,9 +43,9 @@
 	if f.IsMember(name) {
 		return
 	}
-	_, frac := math.Modf(float64(f.joinedCount) * (math.Sqrt(5) - 1) / 2)
-	f.cursors[name] = uint(frac * float64(f.total))
-	f.joinedCount++
+	_, frac := math.Modf(float64(f.joinCount) * (math.Sqrt(5) - 1) / 2)
+	f.cursors[name] = uint(frac * float64(f.taskCount))
+	f.joinCount++
 }
 
 // Leave removes a member.
@@ -75,7 +75,7 @@
 		if excluded == nil || !excluded(int(t)) {
 			f.untaken.Clear(t)
 			f.untakenCount--
-			f.cursors[name] = (t + 1) % f.total
+			f.cursors[name] = (t + 1) % f.taskCount
 			return int(t), true
 		}
 		cursor = t + 1
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -22,16 +22,16 @@
 
 // Policy holds the operators' settings. None of them can weaken a safety rule.
 type Policy struct {
-	// Shares holds the teams' shares; see Share.
-	Shares      map[string]float64
-	UseSpot     bool
-	Headroom    float64
-	MinCPUs     float64
-	IdleTimeout time.Duration
-	DrainDelay  time.Duration
-	LeaderLease time.Duration
-	// Preferences orders the classes of jobs, the highest first.
-	Preferences map[string]float64
+	// TeamShares holds the teams' shares; see Share.
+	TeamShares   map[string]float64
+	UseSpot      bool
+	Headroom     float64
+	MinCPUs      float64
+	IdleTimeout  time.Duration
+	DemandWindow time.Duration
+	LeaderLease  time.Duration
+	// ClassPreferences orders the classes of jobs, the highest first.
+	ClassPreferences map[string]float64
 	// RestartLimit is how many times its estimate a task may run; 0 is without limit.
 	RestartLimit float64
 	// Spill holds the conditions of loans to other cells, if there are any.
@@ -40,20 +40,20 @@
 
 // Spill holds the conditions of loans to other cells.
 type Spill struct {
-	// After is how long a job must have waited, and Gain how much sooner it must be
+	// MinWait is how long a job must have waited, and Gain how much sooner it must be
 	// expected to start there.
-	After, Gain time.Duration
-	// Lends is how often a job may be lent, and Cooldown the time before it may be lent
+	MinWait, MinGain time.Duration
+	// MaxLoansPerJob is how often a job may be lent, and Cooldown the time before it may be lent
 	// to the same cell again.
-	Lends    int
-	Cooldown time.Duration
+	MaxLoansPerJob int
+	Cooldown       time.Duration
 	// GuestShare is the share of a cell's CPUs that guests may use.
 	GuestShare float64
 }
 
 // Share returns a team's share, or the fallback if the operators set none.
 func (p *Policy) Share(team string, fallback float64) float64 {
-	if s, ok := p.Shares[team]; ok {
+	if s, ok := p.TeamShares[team]; ok {
 		return s
 	}
 	return fallback
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	lines := assignments(name, script)
+	lines := assignmentLines(name, script)
 	for _, k := range overrides.Keys() {
 		if _, ok := overrides[k].(starlark.Callable); ok || k[0] == '_' {
 			continue // a helper of the script
@@ -99,15 +99,15 @@
 		if _, ok := values[k]; !ok {
 			sort.Strings(known)
 			return nil, fmt.Errorf("policy %s: unknown setting %s (known: %s)",
-				lineOf(name, lines, k), k, strings.Join(known, ", "))
+				position(name, lines, k), k, strings.Join(known, ", "))
 		}
 		values[k] = overrides[k]
 	}
 	return validate(values, lines, name)
 }
 
-// assignments returns the line on which a script last assigns each name.
-func assignments(name, script string) map[string]int32 {
+// assignmentLines returns the line on which a script last assigns each name.
+func assignmentLines(name, script string) map[string]int32 {
 	lines := map[string]int32{}
 	file, err := fileOptions.Parse(name, script, 0)
 	if err != nil {
@@ -131,8 +131,8 @@
 	return lines
 }
 
-// lineOf returns where a script assigns a setting: the file, and the line if it is known.
-func lineOf(file string, lines map[string]int32, setting string) string {
+// position returns where a script assigns a setting: the file, and the line if it is known.
+func position(file string, lines map[string]int32, setting string) string {
 	if line, ok := lines[setting]; ok {
 		return fmt.Sprintf("%s:%d", file, line)
 	}
@@ -163,7 +163,7 @@
 func validate(v starlark.StringDict, lines map[string]int32, file string) (*Policy, error) {
 	p := &Policy{}
 	invalid := func(key, want string) (*Policy, error) {
-		return nil, fmt.Errorf("policy %s: %s must be %s, found %s", lineOf(file, lines, key), key, want, v[key])
+		return nil, fmt.Errorf("policy %s: %s must be %s, found %s", position(file, lines, key), key, want, v[key])
 	}
 	spot, ok := v["use_spot"].(starlark.Bool)
 	if !ok {
@@ -196,18 +196,18 @@
 		}
 		*f.target = x
 	}
-	p.Spill.After, p.Spill.Gain = seconds(after), seconds(gain)
-	p.Spill.Lends, p.Spill.Cooldown = int(lends), seconds(cooldown)
+	p.Spill.MinWait, p.Spill.MinGain = seconds(after), seconds(gain)
+	p.Spill.MaxLoansPerJob, p.Spill.Cooldown = int(lends), seconds(cooldown)
 	p.IdleTimeout = seconds(idle)
-	p.DrainDelay = seconds(drainDelay)
+	p.DemandWindow = seconds(drainDelay)
 	p.LeaderLease = seconds(lease)
 	if p.RestartLimit > 0 && p.RestartLimit < 1 {
 		return invalid("restart_limit", "0 or a number from 1 to 1000")
 	}
-	if p.Shares, err = numberDict(v["team_shares"], 0); err != nil {
+	if p.TeamShares, err = numberDict(v["team_shares"], 0); err != nil {
 		return invalid("team_shares", "a dict of team names and shares above 0")
 	}
-	if p.Preferences, err = numberDict(v["class_preference"], math.Inf(-1)); err != nil {
+	if p.ClassPreferences, err = numberDict(v["class_preference"], math.Inf(-1)); err != nil {
 		return invalid("class_preference", "a dict of class names and numbers")
 	}
 	return p, nil
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -21,7 +21,7 @@
 	}
 	if p.IdleTimeout != 2*time.Minute || p.Share("red", 1) != 2 || p.Share("green", 7) != 7 ||
 		p.Headroom < 1 || !p.UseSpot ||
-		p.Preferences["merit"] != 1 || p.Preferences["betyg"] != -0.5 || p.RestartLimit != 0 {
+		p.ClassPreferences["merit"] != 1 || p.ClassPreferences["betyg"] != -0.5 || p.RestartLimit != 0 {
 		t.Errorf("got %+v, want the defaults with the script's settings", p)
 	}
 }
--- a/internal/queue/deferinfeasible.go
+++ b/internal/queue/deferinfeasible.go
@@ -12,8 +12,8 @@
 	Deadline time.Time
 	// CPUSeconds is the work that is left.
 	CPUSeconds float64
-	// Defer is set by DeferInfeasible if the job should be deferred.
-	Defer bool
+	// Deferred is set by DeferInfeasible if the job should be deferred.
+	Deferred bool
 }
 
 // DeferInfeasible marks the jobs to defer when not all can be in time. It is Moore and Hodgson's
@@ -25,13 +25,13 @@
 	totalCPUSeconds := 0.0
 	var onTime []*Load // by work, the largest last
 	for _, l := range loads {
-		l.Defer = false
+		l.Deferred = false
 		position, _ := slices.BinarySearchFunc(onTime, l.CPUSeconds, compareWork)
 		onTime = slices.Insert(onTime, position, l)
 		totalCPUSeconds += l.CPUSeconds
 		if totalCPUSeconds > cpus*l.Deadline.Sub(now).Seconds() {
 			last := onTime[len(onTime)-1]
-			last.Defer = true
+			last.Deferred = true
 			totalCPUSeconds -= last.CPUSeconds
 			onTime = onTime[:len(onTime)-1]
 		}
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -37,9 +37,9 @@
 	Name string
 	// Share is the team's weight beyond its guarantee.
 	Share float64
-	// CPUs and GPUs are the guarantee; LimitCPUs and LimitGPUs are the limit.
-	CPUs, LimitCPUs float64
-	GPUs, LimitGPUs float64
+	// GuaranteedCPUs and GPUs are the guarantee; LimitCPUs and LimitGPUs are the limit.
+	GuaranteedCPUs, LimitCPUs float64
+	GuaranteedGPUs, LimitGPUs float64
 	// UsedCPUs and UsedGPUs count every task that may be on a machine.
 	UsedCPUs, UsedGPUs float64
 
@@ -98,7 +98,7 @@
 
 // WithinGuarantee reports whether another task would be within the team's guarantee.
 func (t *Team[T]) WithinGuarantee(cpus, gpus float64) bool {
-	return t.UsedCPUs+cpus <= t.CPUs+epsilon && t.UsedGPUs+gpus <= t.GPUs+epsilon
+	return t.UsedCPUs+cpus <= t.GuaranteedCPUs+epsilon && t.UsedGPUs+gpus <= t.GuaranteedGPUs+epsilon
 }
 
 // WithinLimit reports whether another task would be within the team's limit if uncertain amounts,
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -62,7 +62,7 @@
 }
 
 func TestGuaranteeAndLimit(t *testing.T) {
-	q := Team[item]{CPUs: 4, LimitCPUs: 8, UsedCPUs: 3}
+	q := Team[item]{GuaranteedCPUs: 4, LimitCPUs: 8, UsedCPUs: 3}
 	for _, c := range []struct {
 		name      string
 		got, want bool
@@ -88,11 +88,11 @@
 	}
 	big, a, b, c := load(10, 80), load(10, 20), load(12, 30), load(20, 40)
 	DeferInfeasible([]*Load{c, b, a, big}, 10, now)
-	if !big.Defer || a.Defer || b.Defer || c.Defer {
-		t.Errorf("deferred: largest %v, others %v %v %v, want only the largest", big.Defer, a.Defer, b.Defer, c.Defer)
+	if !big.Deferred || a.Deferred || b.Deferred || c.Deferred {
+		t.Errorf("deferred: largest %v, others %v %v %v, want only the largest", big.Deferred, a.Deferred, b.Deferred, c.Deferred)
 	}
 	DeferInfeasible([]*Load{c, b, a, big}, 100, now)
-	if big.Defer {
+	if big.Deferred {
 		t.Error("largest deferred although all can be in time")
 	}
 }
