--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -13,63 +13,65 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// Autoscaler decides which machines to launch, to drain and to terminate. Its state is that of one
-// term of a leader, which carries out what it decides.
+// Autoscaler decides which machines to launch, drain and terminate. Its state belongs to one term of a
+// leader, which carries out the decisions.
 type Autoscaler struct {
 	policy  *policy.Policy
 	workers config.Workers
-	// term is in the names of launch requests, under which they are repeatable.
+	// term is part of the names of launch requests, which makes them unique across terms.
 	term uint64
 	// launchCount numbers the launch requests of the term.
 	launchCount int
-	// pendingLaunches are the launch requests that are not answered yet, by name;
-	// launchingCPUs are their CPUs.
+	// pendingLaunches are the launch requests in flight, by name; launchingCPUs is the sum of
+	// their CPUs.
 	pendingLaunches map[string]plannedLaunch
 	launchingCPUs   float64
-	// unavailableUntil is until when a kind of machine is not requested, because the cloud had
-	// too few.
+	// unavailableUntil is the time until which nothing is requested from a capacity pool, because
+	// the cloud launched fewer machines of it than requested.
 	unavailableUntil map[CapacityPool]time.Time
-	// pendingTerminations are the machines whose termination is yet to be requested.
+	// pendingTerminations are the machines whose termination is still to be requested.
 	pendingTerminations []string
 	terminationInFlight bool
 	nextListAt          time.Time
 	listInFlight        bool
 	peak                demandPeak
-	// surplusCPUs are the CPUs of the fleet beyond the demand peak.
+	// surplusCPUs are the fleet's CPUs in excess of the demand peak; negative if it has fewer.
 	surplusCPUs float64
-	// surplusSince is since when there has been a surplus beyond the draining machines.
+	// surplusSince is the time since which the surplus has exceeded the draining machines.
 	surplusSince time.Time
 }
 
-// View is what the autoscaler reads of the leader's state. Of it, only Machine.Draining is changed.
+// View is the part of the leader's state that the autoscaler reads. The autoscaler changes nothing in
+// it but the Draining field of machines.
 type View struct {
 	Now      time.Time
 	Machines map[string]*cluster.Machine
-	// Provisioning are the machines that were launched or listed but have sent no heartbeat.
+	// Provisioning are the machines that were launched or listed but have sent no heartbeat, by
+	// name.
 	Provisioning map[string]*ProvisioningMachine
-	// Teams are the cell's own teams in the order of fair share, then those of guests: both
-	// have accepted jobs.
+	// Teams are the cell's own teams in fair-share order, followed by those of guests, whose jobs
+	// have been accepted too.
 	Teams []*queue.Team[*cluster.Job]
-	// Jobs are the active jobs, also those that are in no queue.
+	// Jobs are all active jobs by ID, including those that are in no queue.
 	Jobs map[string]*cluster.Job
-	// Types are the machine types by name, nil while they are not known.
+	// Types are the machine types by name; nil until they have been read.
 	Types map[string]api.MachineType
 	// Unfenced is the number of machines that may still apply commands of earlier terms.
 	Unfenced int
 }
 
-// Commands are what is to be carried out, in the order of the fields.
+// Commands are the autoscaler's decisions. The leader carries them out in the order of the fields.
 type Commands struct {
-	// Terminate are the machines of a request to terminate, none without one. Its outcome goes
-	// to TerminationEnded.
+	// Terminate are the machines of a termination request, whose outcome is passed to
+	// TerminationEnded. No request is sent if it is empty.
 	Terminate []string
-	// List is set if the cloud's list of machines is to be read. The outcome goes to ListEnded.
+	// List is set if the cloud's list of machines is to be read. The outcome is passed to ListEnded.
 	List bool
-	// Drains are the machines that are draining from now on.
+	// Drains are the machines that have started draining.
 	Drains []Drain
-	// Launches are requests to launch machines. The outcome of each goes to LaunchEnded.
+	// Launches are launch requests. The outcome of each is passed to LaunchEnded.
 	Launches []Launch
-	// Stops are the attempts that are to continue on other machines.
+	// Stops are the attempts to stop, so that their tasks continue on other machines.
 	Stops []Stop
 }
 
@@ -79,29 +81,29 @@
 	Offer   Offer
 }
 
-// Drain is a machine that is draining from now on, and the surplus that is left without it.
+// Drain is a machine that has started draining, and the surplus that remains without it.
 type Drain struct {
 	Machine   *cluster.Machine
 	SpareCPUs float64
 }
 
-// Stop is an attempt to stop, and how long its task may take to save its state.
+// Stop is an attempt to stop. Grace is the time in which its task may save its state.
 type Stop struct {
 	Attempt *cluster.Attempt
 	Grace   time.Duration
 }
 
 const (
-	// minBilledTime is the shortest time that the cloud charges for.
+	// minBilledTime is the shortest uptime that the cloud charges for.
 	minBilledTime       = 30 * time.Second
 	maxLaunchesInFlight = 3
 	listInterval        = 5 * time.Second
-	// unavailableTTL is how long a kind of machine of which the cloud had too few is not
-	// requested.
+	// unavailableTTL is how long nothing is requested from a capacity pool after the cloud launched
+	// fewer machines of it than requested.
 	unavailableTTL = 15 * time.Second
 )
 
-// New returns the autoscaler of a term. The policy is read at each decision.
+// New returns the autoscaler for one term of a leader. It reads the policy at each decision.
 func New(term uint64, p *policy.Policy, workers config.Workers) *Autoscaler {
 	return &Autoscaler{
 		policy:           p,
@@ -112,57 +114,57 @@
 	}
 }
 
-// Tick decides what is due, once each scan of the leader.
-func (as *Autoscaler) Tick(v *View) Commands {
-	terminate := as.NextTermination()
-	list := as.startList(v.Now)
-	commands := as.ScaleOut(v)
+// Tick makes the periodic scaling decisions. The leader calls it on each of its scans.
+func (a *Autoscaler) Tick(view *View) Commands {
+	terminate := a.NextTermination()
+	list := a.startList(view.Now)
+	commands := a.ScaleOut(view)
 	commands.Terminate, commands.List = terminate, list
-	commands.Stops = as.MoveCheckpointed(v)
+	commands.Stops = a.MoveCheckpointed(view)
 	return commands
 }
 
-// ScaleOut launches what the demand lacks, after it has updated the surplus and what is drained.
-// Nothing is launched while machines are unfenced.
-func (as *Autoscaler) ScaleOut(v *View) Commands {
+// ScaleOut updates the surplus, starts or reverts drains, and launches the machines that the demand
+// lacks. Nothing is launched while machines are unfenced.
+func (a *Autoscaler) ScaleOut(view *View) Commands {
 	total := 0.0
-	for _, m := range v.Machines {
+	for _, m := range view.Machines {
 		if m.Phase() == cluster.Active {
 			total += m.CPUs
 		}
 	}
-	booting := as.launchingCPUs
-	for _, p := range v.Provisioning {
+	booting := a.launchingCPUs
+	for _, p := range view.Provisioning {
 		if !p.Terminating {
 			booting += p.CPUs
 		}
 	}
-	target := max(as.Demand(v)*(1+as.policy.Headroom), as.policy.MinCPUs)
-	as.surplusCPUs = total - as.peak.add(v.Now, target, as.policy.DemandWindow)
-	commands := Commands{Drains: as.Drain(v)}
-	if v.Unfenced > 0 {
+	target := max(a.Demand(view)*(1+a.policy.Headroom), a.policy.MinCPUs)
+	a.surplusCPUs = total - a.peak.add(view.Now, target, a.policy.DemandWindow)
+	commands := Commands{Drains: a.Drain(view)}
+	if view.Unfenced > 0 {
 		return commands
 	}
-	offers := as.offers(v.Types, v.Now)
-	commands.Launches = as.launch(target-total-booting, offers)
-	commands.Launches = append(commands.Launches, as.scaleOutConstrained(v, offers)...)
+	offers := a.offers(view.Types, view.Now)
+	commands.Launches = a.launch(target-total-booting, offers)
+	commands.Launches = append(commands.Launches, a.scaleOutConstrained(view, offers)...)
 	return commands
 }
 
-// launch requests missing CPUs from some offers.
-func (as *Autoscaler) launch(missingCPUs float64, offers []Offer) []Launch {
-	maxRequests := maxLaunchesInFlight - len(as.pendingLaunches)
+// launch returns the requests to launch missingCPUs from the offers, and counts them as in flight.
+func (a *Autoscaler) launch(missingCPUs float64, offers []Offer) []Launch {
+	maxRequests := maxLaunchesInFlight - len(a.pendingLaunches)
 	if missingCPUs <= 0 || maxRequests <= 0 {
 		return nil
 	}
 	requests := planLaunches(missingCPUs, offers, cloud.MaxLaunch, maxRequests)
 	launches := make([]Launch, 0, len(requests))
 	for _, request := range requests {
-		as.launchCount++
-		as.launchingCPUs += float64(request.Count) * request.CPUs
+		a.launchCount++
+		a.launchingCPUs += float64(request.Count) * request.CPUs
 		launch := Launch{
 			Request: cloud.LaunchRequest{
-				Name:  fmt.Sprintf("r-%d-%d", as.term, as.launchCount),
+				Name:  fmt.Sprintf("r-%d-%d", a.term, a.launchCount),
 				Type:  request.Type,
 				Zone:  request.Zone,
 				Spot:  request.Spot,
@@ -170,61 +172,63 @@
 			},
 			Offer: request.Offer,
 		}
-		as.pendingLaunches[launch.Request.Name] = request
+		a.pendingLaunches[launch.Request.Name] = request
 		launches = append(launches, launch)
 	}
 	return launches
 }
 
-// LaunchEnded applies the outcome of a launch request: how many machines the cloud launched, 0 if
-// that is not known. A kind of which it had too few is not requested for a while.
-func (as *Autoscaler) LaunchEnded(l Launch, launched int, now time.Time) {
-	delete(as.pendingLaunches, l.Request.Name)
-	as.launchingCPUs -= float64(l.Request.Count) * l.Offer.CPUs
-	if launched < l.Request.Count {
-		as.unavailableUntil[l.Offer.Pool()] = now.Add(unavailableTTL)
+// LaunchEnded applies the outcome of a launch request. launched is the number of machines that the
+// cloud launched, 0 if it is unknown. If it is less than requested, the capacity pool counts as
+// unavailable for unavailableTTL.
+func (a *Autoscaler) LaunchEnded(launch Launch, launched int, now time.Time) {
+	delete(a.pendingLaunches, launch.Request.Name)
+	a.launchingCPUs -= float64(launch.Request.Count) * launch.Offer.CPUs
+	if launched < launch.Request.Count {
+		a.unavailableUntil[launch.Offer.Pool()] = now.Add(unavailableTTL)
 	}
 }
 
-// ScaleIn has the cloud terminate a machine. It returns the machines of the request to send now,
-// none while another is in flight.
-func (as *Autoscaler) ScaleIn(m *cluster.Machine) []string {
+// ScaleIn queues a machine for termination. It returns the machines of the termination request to send
+// now, none while another request is in flight.
+func (a *Autoscaler) ScaleIn(m *cluster.Machine) []string {
 	m.Advance(cluster.Terminating)
-	as.pendingTerminations = append(as.pendingTerminations, m.Name)
-	return as.NextTermination()
+	a.pendingTerminations = append(a.pendingTerminations, m.Name)
+	return a.NextTermination()
 }
 
-// NextTermination returns the machines of the next request to terminate, none while one is in
-// flight or if there is nothing to terminate. Its outcome goes to TerminationEnded.
-func (as *Autoscaler) NextTermination() []string {
-	if as.terminationInFlight || len(as.pendingTerminations) == 0 {
+// NextTermination returns the machines of the next termination request, none while another request is
+// in flight or if no machine is queued. The caller passes the outcome to TerminationEnded.
+func (a *Autoscaler) NextTermination() []string {
+	if a.terminationInFlight || len(a.pendingTerminations) == 0 {
 		return nil
 	}
-	n := min(len(as.pendingTerminations), cloud.MaxTerminate)
-	names := slices.Clone(as.pendingTerminations[:n])
-	as.pendingTerminations = as.pendingTerminations[n:]
-	as.terminationInFlight = true
+	n := min(len(a.pendingTerminations), cloud.MaxTerminate)
+	names := slices.Clone(a.pendingTerminations[:n])
+	a.pendingTerminations = a.pendingTerminations[n:]
+	a.terminationInFlight = true
 	return names
 }
 
-// TerminationEnded applies the outcome of a request to terminate machines: those that failed are
-// requested again, with the next tick or machine to scale in.
-func (as *Autoscaler) TerminationEnded(failed []string) {
-	as.terminationInFlight = false
-	as.pendingTerminations = append(as.pendingTerminations, failed...)
+// TerminationEnded applies the outcome of a termination request. The machines for which it failed are
+// queued again, for a request that a later Tick, ScaleIn or NextTermination returns.
+func (a *Autoscaler) TerminationEnded(failed []string) {
+	a.terminationInFlight = false
+	a.pendingTerminations = append(a.pendingTerminations, failed...)
 }
 
-// startList tells whether to read the cloud's list of machines, every listInterval: for machines
-// that are not known, that never sent a heartbeat, or that have stopped.
-func (as *Autoscaler) startList(now time.Time) bool {
-	if as.listInFlight || now.Before(as.nextListAt) {
+// startList reports whether to read the cloud's list of machines now, and if so, marks the read as in
+// flight. The list is read at listInterval, to find machines that are unknown, that never sent a
+// heartbeat, or that have stopped.
+func (a *Autoscaler) startList(now time.Time) bool {
+	if a.listInFlight || now.Before(a.nextListAt) {
 		return false
 	}
-	as.listInFlight = true
+	a.listInFlight = true
 	return true
 }
 
-// ListEnded notes that the cloud's list of machines was read, or could not be.
-func (as *Autoscaler) ListEnded(now time.Time) {
-	as.listInFlight, as.nextListAt = false, now.Add(listInterval)
+// ListEnded ends a read of the cloud's list of machines, whether it succeeded or failed.
+func (a *Autoscaler) ListEnded(now time.Time) {
+	a.listInFlight, a.nextListAt = false, now.Add(listInterval)
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -17,8 +17,8 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// testFleet is an autoscaler with the state that it reads: one team, and one type of machine with
-// 4 CPUs, spot or not, in two zones.
+// testFleet is an autoscaler with the state that it reads: one team, and one machine type with 4 CPUs
+// that is offered in two zones, at the regular and the spot price.
 type testFleet struct {
 	*Autoscaler
 	view *View
@@ -29,10 +29,10 @@
 	t.Helper()
 	p := &policy.Policy{UseSpot: true, IdleTimeout: time.Minute, DemandWindow: 30 * time.Second}
 	team := &queue.Team[*cluster.Job]{Name: "red", LimitCPUs: 1000}
-	as := New(7, p, config.Workers{HeartbeatS: 2, LeaseS: 10})
-	as.surplusSince = start // there was none so far
+	scaler := New(7, p, config.Workers{HeartbeatS: 2, LeaseS: 10})
+	scaler.surplusSince = start // no surplus before the test starts
 	return &testFleet{
-		Autoscaler: as,
+		Autoscaler: scaler,
 		team:       team,
 		view: &View{
 			Now:          start,
@@ -47,7 +47,7 @@
 	}
 }
 
-// addMachine adds an empty machine that is in use since long ago.
+// addMachine adds an active machine that was launched an hour ago and has been empty since.
 func (f *testFleet) addMachine(name string, spot bool) *cluster.Machine {
 	m := &cluster.Machine{
 		Name: name, Type: "s", Zone: "a", Spot: spot, CPUs: 4, MemoryGB: 16,
@@ -59,13 +59,13 @@
 	return m
 }
 
-// addJob adds a pending job of tasks of one CPU that may use spot machines.
+// addJob adds a pending job whose tasks need one CPU each and may use spot machines.
 func (f *testFleet) addJob(id string, tasks int) *cluster.Job {
 	j := &cluster.Job{
 		Spec:          api.JobSpec{ID: id, Tasks: tasks, CPUs: 1, EstimateS: 100, Spot: true},
 		Team:          f.team,
 		RunnableSince: start.Add(-time.Minute),
-		Objectives:    []time.Time{start.Add(100 * time.Second)}, // no time for a second task in turn
+		Objectives:    []time.Time{start.Add(100 * time.Second)}, // no time to run two tasks one after the other
 		Flight:        flight.New(tasks),
 	}
 	j.UpdateFeasibility(start)
@@ -74,7 +74,7 @@
 	return j
 }
 
-// formatLaunches are the machines requested, by zone and price model, in order.
+// formatLaunches returns the name, machine count, zone and price model of each launch request.
 func formatLaunches(launches []Launch) []string {
 	requested := make([]string, 0, len(launches))
 	for _, l := range launches {
@@ -105,25 +105,25 @@
 		change func(f *testFleet)
 		want   []string
 	}{
-		{"all", func(*testFleet) {}, []string{"r-7-1 5 a spot=true"}},
+		{"empty fleet", func(*testFleet) {}, []string{"r-7-1 5 a spot=true"}},
 		{"headroom", func(f *testFleet) { f.policy.Headroom = 0.5 }, []string{"r-7-1 8 a spot=true"}},
-		{"least fleet", func(f *testFleet) { f.policy.MinCPUs = 40 }, []string{"r-7-1 10 a spot=true"}},
-		{"limit of the team", func(f *testFleet) { f.team.LimitCPUs = 8 }, []string{"r-7-1 2 a spot=true"}},
-		{"no spot machines", func(f *testFleet) { f.policy.UseSpot = false }, []string{"r-7-1 5 a spot=false"}},
-		{"beside a machine", func(f *testFleet) { f.addMachine("m", true) }, []string{"r-7-1 4 a spot=true"}},
-		{"a machine on its way out does not count", func(f *testFleet) {
+		{"minimum fleet size", func(f *testFleet) { f.policy.MinCPUs = 40 }, []string{"r-7-1 10 a spot=true"}},
+		{"team limit", func(f *testFleet) { f.team.LimitCPUs = 8 }, []string{"r-7-1 2 a spot=true"}},
+		{"spot machines disabled", func(f *testFleet) { f.policy.UseSpot = false }, []string{"r-7-1 5 a spot=false"}},
+		{"one machine in the fleet", func(f *testFleet) { f.addMachine("m", true) }, []string{"r-7-1 4 a spot=true"}},
+		{"evacuating machine does not count", func(f *testFleet) {
 			f.addMachine("m", true).Advance(cluster.Evacuating)
 		}, []string{"r-7-1 5 a spot=true"}},
-		{"beside one that boots", func(f *testFleet) {
+		{"one machine booting", func(f *testFleet) {
 			f.view.Provisioning["m"] = &ProvisioningMachine{Type: "s", Zone: "a", CPUs: 4}
 		}, []string{"r-7-1 4 a spot=true"}},
-		{"one that is terminated unused does not count", func(f *testFleet) {
+		{"booting machine that is terminated does not count", func(f *testFleet) {
 			f.view.Provisioning["m"] = &ProvisioningMachine{Type: "s", Zone: "a", CPUs: 4, Terminating: true}
 		}, []string{"r-7-1 5 a spot=true"}},
-		{"a job in backoff demands nothing", func(f *testFleet) { f.view.Jobs["job"].FailureRounds = 1 }, nil},
-		{"a job that ends demands nothing", func(f *testFleet) { f.view.Jobs["job"].Finishing = true }, nil},
+		{"job in backoff has no demand", func(f *testFleet) { f.view.Jobs["job"].FailureRounds = 1 }, nil},
+		{"finishing job has no demand", func(f *testFleet) { f.view.Jobs["job"].Finishing = true }, nil},
 		{"unfenced machines", func(f *testFleet) { f.view.Unfenced = 1 }, nil},
-		{"types not known", func(f *testFleet) { f.view.Types = nil }, nil},
+		{"machine types unknown", func(f *testFleet) { f.view.Types = nil }, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t)
@@ -145,13 +145,13 @@
 		wantDemand float64
 	}{
 		// A machine that is launched now has booted in 20 s; a task runs for 100 s.
-		{"no time for a second task", 120 * time.Second, 0, 0, time.Time{}, 1000, 20},
-		{"time for four in turn", 420 * time.Second, 0, 0, time.Time{}, 1000, 5},
-		{"an objective for the start", 420 * time.Second, 0, 0, start, 1000, 20},
-		{"a part is guaranteed", 420 * time.Second, 8, 0, time.Time{}, 1000, 8},
-		{"all is guaranteed", 420 * time.Second, 50, 0, time.Time{}, 1000, 20},
-		{"beside what is running", 420 * time.Second, 0, 3, time.Time{}, 1000, 8},
-		{"limit of the team", 120 * time.Second, 50, 3, time.Time{}, 12, 12},
+		{"no time for a second task on a CPU", 120 * time.Second, 0, 0, time.Time{}, 1000, 20},
+		{"time for four tasks one after the other", 420 * time.Second, 0, 0, time.Time{}, 1000, 5},
+		{"objective for the start", 420 * time.Second, 0, 0, start, 1000, 20},
+		{"partly within the guarantee", 420 * time.Second, 8, 0, time.Time{}, 1000, 8},
+		{"entirely within the guarantee", 420 * time.Second, 50, 0, time.Time{}, 1000, 20},
+		{"some tasks already running", 420 * time.Second, 0, 3, time.Time{}, 1000, 8},
+		{"team limit", 120 * time.Second, 50, 3, time.Time{}, 12, 12},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t)
@@ -172,16 +172,17 @@
 		change func(f *testFleet, j *cluster.Job)
 		want   []string
 	}{
-		{"spot machines alone are free", func(*testFleet, *cluster.Job) {}, []string{"r-7-1 2 a spot=false"}},
-		{"pending for less than two heartbeat intervals", func(_ *testFleet, j *cluster.Job) {
+		{"only spot machines are free", func(*testFleet, *cluster.Job) {}, []string{"r-7-1 2 a spot=false"}},
+		{"runnable for no more than two heartbeat intervals", func(_ *testFleet, j *cluster.Job) {
 			j.RunnableSince = start.Add(-4 * time.Second)
 		}, nil},
 		{"another zone", func(_ *testFleet, j *cluster.Job) { j.Spec.Zone = "b" }, []string{"r-7-1 2 b spot=false"}},
 		{"another type", func(_ *testFleet, j *cluster.Job) { j.Spec.Types = []string{"l"} }, nil},
-		{"one other is free", func(f *testFleet, _ *cluster.Job) { f.addMachine("o", false) },
-			[]string{"r-7-1 1 a spot=false"}},
-		{"one other is draining", func(f *testFleet, _ *cluster.Job) { f.addMachine("o", false).Draining = true },
+		{"one regular machine is free", func(f *testFleet, _ *cluster.Job) { f.addMachine("o", false) },
 			[]string{"r-7-1 1 a spot=false"}},
+		{"one regular machine is draining", func(f *testFleet, _ *cluster.Job) {
+			f.addMachine("o", false).Draining = true
+		}, []string{"r-7-1 1 a spot=false"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t)
@@ -208,13 +209,13 @@
 	}
 	f.addJob("job", 8).Spec.Spot = false
 	launches := f.ScaleOut(f.view).Launches
-	checkStrings(t, "first", formatLaunches(launches), []string{"r-7-1 2 a spot=false"})
+	checkStrings(t, "first launch", formatLaunches(launches), []string{"r-7-1 2 a spot=false"})
 	checkStrings(t, "while it is in flight", formatLaunches(f.ScaleOut(f.view).Launches), nil)
 	f.LaunchEnded(launches[0], 2, f.view.Now)
 	for i := range 2 {
 		f.view.Provisioning[fmt.Sprint("o", i)] = launches[0].ProvisioningMachine(f.view.Now)
 	}
-	checkStrings(t, "while they boot", formatLaunches(f.ScaleOut(f.view).Launches), nil)
+	checkStrings(t, "while the machines boot", formatLaunches(f.ScaleOut(f.view).Launches), nil)
 }
 
 func TestMachinesAreLaunchedOnceDependenciesHaveStarted(t *testing.T) {
@@ -226,33 +227,34 @@
 	f.team.Remove(second)
 	second.Spec.Spot = false
 	second.DependsOn = map[string]bool{"first": true}
-	checkStrings(t, "before", formatLaunches(f.ScaleOut(f.view).Launches), nil)
+	checkStrings(t, "before the dependency starts", formatLaunches(f.ScaleOut(f.view).Launches), nil)
 	first.FirstStart = start
-	checkStrings(t, "after", formatLaunches(f.ScaleOut(f.view).Launches), []string{"r-7-1 1 a spot=false"})
+	checkStrings(t, "after the dependency has started", formatLaunches(f.ScaleOut(f.view).Launches),
+		[]string{"r-7-1 1 a spot=false"})
 }
 
 func TestLaunchesCountUntilTheirOutcome(t *testing.T) {
 	f := newTestFleet(t)
 	f.addJob("job", 20)
 	launches := f.ScaleOut(f.view).Launches
-	checkStrings(t, "first", formatLaunches(launches), []string{"r-7-1 5 a spot=true"})
+	checkStrings(t, "first launch", formatLaunches(launches), []string{"r-7-1 5 a spot=true"})
 	checkStrings(t, "while it is in flight", formatLaunches(f.ScaleOut(f.view).Launches), nil)
 	f.LaunchEnded(launches[0], 2, f.view.Now)
 	for i := range 2 {
 		f.view.Provisioning[fmt.Sprint("m", i)] = launches[0].ProvisioningMachine(f.view.Now)
 	}
-	// The cloud had too few of the kind, so what is missing is requested of another.
+	// The cloud launched fewer machines than requested, so the rest is requested from another pool.
 	launches = f.ScaleOut(f.view).Launches
-	checkStrings(t, "second", formatLaunches(launches), []string{"r-7-2 3 b spot=true"})
+	checkStrings(t, "second launch", formatLaunches(launches), []string{"r-7-2 3 b spot=true"})
 	f.LaunchEnded(launches[0], 0, f.view.Now)
 	launches = f.ScaleOut(f.view).Launches
-	checkStrings(t, "third", formatLaunches(launches), []string{"r-7-3 3 a spot=false"})
+	checkStrings(t, "third launch", formatLaunches(launches), []string{"r-7-3 3 a spot=false"})
 	f.LaunchEnded(launches[0], 0, f.view.Now)
 	f.view.Now = f.view.Now.Add(unavailableTTL)
-	checkStrings(t, "while all kinds but one are unavailable", formatLaunches(f.ScaleOut(f.view).Launches),
+	checkStrings(t, "while all pools but one are unavailable", formatLaunches(f.ScaleOut(f.view).Launches),
 		[]string{"r-7-4 3 b spot=false"})
 	if f.view.Now = f.view.Now.Add(time.Millisecond); !f.CanLaunch(f.view.Types, f.view.Now) {
-		t.Error("nothing can be launched after unavailableTTL")
+		t.Error("no offer is available after unavailableTTL")
 	}
 }
 
@@ -264,7 +266,7 @@
 	if len(launches) != maxLaunchesInFlight {
 		t.Fatalf("%d launches, want %d", len(launches), maxLaunchesInFlight)
 	}
-	checkStrings(t, "while they are in flight", formatLaunches(f.ScaleOut(f.view).Launches), nil)
+	checkStrings(t, "while the maximum is in flight", formatLaunches(f.ScaleOut(f.view).Launches), nil)
 	f.LaunchEnded(launches[1], launches[1].Request.Count, f.view.Now)
 	if again := f.ScaleOut(f.view).Launches; len(again) != 1 {
 		t.Errorf("%d launches after one ended, want 1", len(again))
@@ -274,28 +276,28 @@
 func TestOneTerminationRequestAtATime(t *testing.T) {
 	f := newTestFleet(t)
 	a, b := f.addMachine("a", true), f.addMachine("b", true)
-	checkStrings(t, "none in flight", f.ScaleIn(a), []string{"a"})
-	checkStrings(t, "one in flight", f.ScaleIn(b), nil)
+	checkStrings(t, "no request in flight", f.ScaleIn(a), []string{"a"})
+	checkStrings(t, "one request in flight", f.ScaleIn(b), nil)
 	for _, m := range []*cluster.Machine{a, b} {
 		if m.Phase() != cluster.Terminating {
-			t.Errorf("%s is in phase %d", m.Name, m.Phase())
+			t.Errorf("machine %s is in phase %d, want %d", m.Name, m.Phase(), cluster.Terminating)
 		}
 	}
-	checkStrings(t, "tick", f.Tick(f.view).Terminate, nil)
-	f.TerminationEnded([]string{"a"}) // it failed
-	checkStrings(t, "tick after a failure", f.Tick(f.view).Terminate, []string{"b", "a"})
+	checkStrings(t, "tick while a request is in flight", f.Tick(f.view).Terminate, nil)
+	f.TerminationEnded([]string{"a"}) // the request failed
+	checkStrings(t, "tick after a failed request", f.Tick(f.view).Terminate, []string{"b", "a"})
 	f.TerminationEnded(nil)
-	checkStrings(t, "nothing left", f.NextTermination(), nil)
+	checkStrings(t, "no machine queued", f.NextTermination(), nil)
 	for i := range cloud.MaxTerminate + 2 {
 		f.ScaleIn(f.addMachine(fmt.Sprint("m", i), true))
 	}
 	f.TerminationEnded(nil)
 	if n := len(f.NextTermination()); n != cloud.MaxTerminate {
-		t.Errorf("a request for %d machines, want %d", n, cloud.MaxTerminate)
+		t.Errorf("first request is for %d machines, want %d", n, cloud.MaxTerminate)
 	}
 	f.TerminationEnded(nil)
 	if n := len(f.NextTermination()); n != 1 {
-		t.Errorf("the last request is for %d machines, want 1", n)
+		t.Errorf("last request is for %d machines, want 1", n)
 	}
 }
 
@@ -307,14 +309,14 @@
 		end  bool
 		want bool
 	}{
-		{"at once", 0, false, true},
-		{"not while it is read", time.Minute, true, false},
-		{"not within the interval", time.Minute + listInterval - 1, false, false},
+		{"at the start", 0, false, true},
+		{"while the list is being read", time.Minute, true, false},
+		{"within the interval", time.Minute + listInterval - 1, false, false},
 		{"after the interval", time.Minute + listInterval, false, true},
 	} {
 		f.view.Now = start.Add(step.at)
 		if got := f.Tick(f.view).List; got != step.want {
-			t.Errorf("%s: got %t", step.name, got)
+			t.Errorf("%s: list read: got %t, want %t", step.name, got, step.want)
 		}
 		if step.end {
 			f.ListEnded(f.view.Now)
@@ -322,13 +324,14 @@
 	}
 }
 
-// drainedWithin ticks each second for a while, and returns the names of the machines drained meanwhile.
+// drainedWithin runs ScaleOut once per second for a duration, and returns the names of the machines that
+// start draining.
 func (f *testFleet) drainedWithin(d time.Duration) []string {
 	var drained []string
 	for end := f.view.Now.Add(d); f.view.Now.Before(end); {
 		f.view.Now = f.view.Now.Add(time.Second)
-		for _, d := range f.ScaleOut(f.view).Drains {
-			drained = append(drained, d.Machine.Name)
+		for _, drain := range f.ScaleOut(f.view).Drains {
+			drained = append(drained, drain.Machine.Name)
 		}
 	}
 	return drained
@@ -342,16 +345,16 @@
 	f.addMachine("full-price", false)
 	f.addMachine("new", false).AddedAt = start.Add(time.Hour)
 	job := f.addJob("job", 16)
-	checkStrings(t, "all needed", f.drainedWithin(time.Minute), nil)
+	checkStrings(t, "all machines needed", f.drainedWithin(time.Minute), nil)
 	f.team.Remove(job)
 	f.addJob("rest", 10)
-	checkStrings(t, "within the window of the peak", f.drainedWithin(f.policy.DemandWindow), nil)
-	checkStrings(t, "surplus too short", f.drainedWithin(minSurplusDuration-time.Second), nil)
-	checkStrings(t, "the most expensive machine", f.drainedWithin(time.Minute), []string{"full-price"})
+	checkStrings(t, "within the demand window", f.drainedWithin(f.policy.DemandWindow), nil)
+	checkStrings(t, "before minSurplusDuration", f.drainedWithin(minSurplusDuration-time.Second), nil)
+	checkStrings(t, "after minSurplusDuration", f.drainedWithin(time.Minute), []string{"full-price"})
 	f.team.Add(job)
-	checkStrings(t, "demand rises", f.drainedWithin(time.Second), nil)
+	checkStrings(t, "after the demand has risen", f.drainedWithin(time.Second), nil)
 	if f.view.Machines["full-price"].Draining {
-		t.Error("the machine is still draining")
+		t.Error("machine full-price is still draining")
 	}
 }
 
@@ -363,17 +366,17 @@
 		want   []string
 	}{
 		{"most expensive first", 4, nil, []string{"full-price", "spot-1"}},
-		{"all are needed", 12, nil, nil},
-		{"one is not needed", 5, nil, []string{"full-price"}},
-		{"in use lately", 8, func(m *cluster.Machine) { m.IdleSince = start }, []string{"spot-1"}},
-		{"in use lately, but draining", 8, func(m *cluster.Machine) {
+		{"all machines needed", 12, nil, nil},
+		{"one machine not needed", 5, nil, []string{"full-price"}},
+		{"recently used", 8, func(m *cluster.Machine) { m.IdleSince = start }, []string{"spot-1"}},
+		{"recently used, but draining", 8, func(m *cluster.Machine) {
 			m.IdleSince, m.Draining = start, true
 		}, []string{"full-price"}},
-		{"paid for anyway", 8, func(m *cluster.Machine) {
+		{"within the minimum billed time", 8, func(m *cluster.Machine) {
 			m.AddedAt, m.Draining = start.Add(time.Second-minBilledTime), true
 		}, []string{"spot-1"}},
 		{"unfenced", 8, func(m *cluster.Machine) { m.Fenced = false }, []string{"spot-1"}},
-		{"with an attempt", 8, func(m *cluster.Machine) {
+		{"holding an attempt", 8, func(m *cluster.Machine) {
 			m.Attempts[cluster.AttemptKey{ID: 1}] = &cluster.Attempt{}
 		}, []string{"spot-1"}},
 	} {
@@ -388,9 +391,9 @@
 			if c.change != nil {
 				c.change(m)
 			}
-			checkStrings(t, "idle", machineNames(f.IdleMachines(f.view)), c.want)
+			checkStrings(t, "idle machines", machineNames(f.IdleMachines(f.view)), c.want)
 			if len(c.want) > 0 && c.demand != 4 {
-				checkStrings(t, "idle again, within the surplus that is left", machineNames(f.IdleMachines(f.view)), nil)
+				checkStrings(t, "idle machines within the remaining surplus", machineNames(f.IdleMachines(f.view)), nil)
 			}
 		})
 	}
@@ -410,25 +413,26 @@
 		{"near its end", func(_ *testFleet, a *cluster.Attempt) {
 			a.RunningAt = start.Add(minRemainingForMove + a.Job.Spec.Save() - a.Job.Spec.Estimate())
 		}, false},
-		// 165 s remain, a quarter more are allowed for, and the transfer takes 3 + 6 + 5 s.
-		{"just in time elsewhere", func(_ *testFleet, a *cluster.Attempt) {
+		// 165 s of run time remain, which may take a quarter more (206.25 s). The transfer adds 3 s to save
+		// the state, three heartbeat intervals of 2 s and a margin of 5 s: 220.25 s in total.
+		{"just in time on another machine", func(_ *testFleet, a *cluster.Attempt) {
 			a.RunningAt = start.Add(-35 * time.Second)
 			a.Job.Objectives = []time.Time{start.Add(221 * time.Second)}
 			a.Job.UpdateFeasibility(start)
 		}, true},
-		{"not in time elsewhere", func(_ *testFleet, a *cluster.Attempt) {
+		{"too late on another machine", func(_ *testFleet, a *cluster.Attempt) {
 			a.RunningAt = start.Add(-35 * time.Second)
 			a.Job.Objectives = []time.Time{start.Add(220 * time.Second)}
 			a.Job.UpdateFeasibility(start)
 		}, false},
-		{"late in any case", func(_ *testFleet, a *cluster.Attempt) { a.Job.Infeasible = true }, true},
-		{"stopped already", func(_ *testFleet, a *cluster.Attempt) { a.Stop = &cluster.StopRequest{} }, false},
+		{"late on any machine", func(_ *testFleet, a *cluster.Attempt) { a.Job.Infeasible = true }, true},
+		{"already being stopped", func(_ *testFleet, a *cluster.Attempt) { a.Stop = &cluster.StopRequest{} }, false},
 		{"exited", func(_ *testFleet, a *cluster.Attempt) { a.Exited = true }, false},
-		{"saving", func(_ *testFleet, a *cluster.Attempt) { a.Phase = api.TaskSaving }, false},
+		{"saving its state", func(_ *testFleet, a *cluster.Attempt) { a.Phase = api.TaskSaving }, false},
 		{"job unknown", func(_ *testFleet, a *cluster.Attempt) { a.Job = nil }, false},
 		{"job ended", func(_ *testFleet, a *cluster.Attempt) { a.Job.Ended = true }, false},
-		{"machine in use", func(_ *testFleet, a *cluster.Attempt) { a.Machine.Draining = false }, false},
-		{"no capacity elsewhere", func(f *testFleet, a *cluster.Attempt) {
+		{"machine not draining", func(_ *testFleet, a *cluster.Attempt) { a.Machine.Draining = false }, false},
+		{"too little capacity on other machines", func(f *testFleet, a *cluster.Attempt) {
 			f.view.Machines["free"].UsedCPUs = 1.5
 		}, false},
 	} {
@@ -441,22 +445,22 @@
 			j.Spec.EstimateS, j.Spec.CheckpointS, j.Spec.SaveS = 200, 10, 3
 			j.Objectives = []time.Time{start.Add(time.Hour)}
 			j.UpdateFeasibility(start)
-			a := &cluster.Attempt{Machine: m, Job: j, Phase: api.TaskRunning, RunningAt: start.Add(-time.Minute)}
-			m.Attempts[cluster.AttemptKey{ID: 1}] = a
-			c.change(f, a)
+			attempt := &cluster.Attempt{Machine: m, Job: j, Phase: api.TaskRunning, RunningAt: start.Add(-time.Minute)}
+			m.Attempts[cluster.AttemptKey{ID: 1}] = attempt
+			c.change(f, attempt)
 			stops := f.MoveCheckpointed(f.view)
 			if moved := len(stops) == 1; moved != c.want {
 				t.Fatalf("%d attempts moved, want moved=%t", len(stops), c.want)
 			}
-			if c.want && (stops[0].Attempt != a || stops[0].Grace != 7*time.Second) {
-				t.Errorf("got %+v, want the attempt with twice its time to save and a second", stops[0])
+			if c.want && (stops[0].Attempt != attempt || stops[0].Grace != 7*time.Second) {
+				t.Errorf("got %+v, want the attempt with a grace of 7s: twice its time to save, plus 1s", stops[0])
 			}
 		})
 	}
 }
 
 func TestMachinesWithoutHeartbeatAreTerminated(t *testing.T) {
-	const limit = 4*20 + 10 // four times the time to boot, and the task lease
+	const limitS = 4*20 + 10 // maxBootFactor times the boot time, plus the task lease
 	for _, c := range []struct {
 		name        string
 		phase       string
@@ -464,28 +468,28 @@
 		terminating bool
 		want        bool
 	}{
-		{"boots", "up", 1, false, false},
-		{"at the limit", "up", limit, false, false},
-		{"beyond the limit", "up", limit + 1, false, true},
+		{"booting", "up", 1, false, false},
+		{"at the limit", "up", limitS, false, false},
+		{"beyond the limit", "up", limitS + 1, false, true},
 		{"failed", cloud.PhaseFailed, 1, false, true},
-		{"requested already", cloud.PhaseFailed, limit + 1, true, false},
+		{"already being terminated", cloud.PhaseFailed, limitS + 1, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t)
-			mt := f.view.Types["s"]
+			machineType := f.view.Types["s"]
 			listed := &cloud.Machine{Name: "m", Type: "s", Zone: "b", Spot: true, Phase: c.phase, AgeS: c.ageS}
-			p := ProvisioningFromList(listed, mt, start)
+			p := ProvisioningFromList(listed, machineType, start)
 			p.Terminating = c.terminating
-			if got := f.TerminateOverdue(p, listed, mt, start); got != c.want {
+			if got := f.TerminateOverdue(p, listed, machineType, start); got != c.want {
 				t.Errorf("terminated: got %t, want %t", got, c.want)
 			}
 			var want []string
 			if c.want {
 				want = []string{"m"}
 			}
-			checkStrings(t, "next request", f.NextTermination(), want)
+			checkStrings(t, "next termination request", f.NextTermination(), want)
 			if p.Terminating != (c.want || c.terminating) {
-				t.Errorf("terminating: got %t", p.Terminating)
+				t.Errorf("Terminating: got %t, want %t", p.Terminating, c.want || c.terminating)
 			}
 		})
 	}
@@ -513,7 +517,7 @@
 		"-": {Name: "-", Price: 1},
 	}
 	if got := LowestCPUPrice(types); got != 0.5 {
-		t.Errorf("lowest: got %v, want 0.5", got)
+		t.Errorf("lowest price: got %v, want 0.5", got)
 	}
 	for _, c := range []struct {
 		typ  string
@@ -521,7 +525,7 @@
 		want float64
 	}{{"s", false, 2}, {"s", true, 0.5}, {"l", false, 0.9}, {"-", false, 0}, {"unknown", false, 0}} {
 		if got := CPUPrice(types, &cluster.Machine{Type: c.typ, Spot: c.spot}); got != c.want {
-			t.Errorf("%s, spot=%t: got %v, want %v", c.typ, c.spot, got, c.want)
+			t.Errorf("price of type %s, spot=%t: got %v, want %v", c.typ, c.spot, got, c.want)
 		}
 	}
 }
--- a/internal/autoscaler/constrained.go
+++ b/internal/autoscaler/constrained.go
@@ -9,72 +9,74 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// Demand as a whole may be covered by machines on which some jobs must not run: spot machines, or
-// those of another zone or type. What such jobs lack is covered separately. Otherwise, when only
-// spot machines were left of a fleet, a job that must not use them waited for ever beside free
-// capacity.
+// The capacity that covers the total demand may consist of machines that some jobs must not use: spot
+// machines, or machines of another zone or type. The demand of constrained jobs is therefore also
+// covered separately. Without this, when only spot machines were left in a fleet, a job that must not
+// use them waited forever next to free capacity.
 
 // constrainedDemand is the demand of the jobs that are constrained to the same machines.
 type constrainedDemand struct {
-	// spec is that of one of the jobs, for the constraints that they share.
+	// spec is the specification of one of these jobs, which has the constraints that they share.
 	spec *api.JobSpec
 	cpus float64
 }
 
-// isConstrained tells whether a job may not use every machine.
+// isConstrained reports whether there are machines that a job must not use because of their type, zone
+// or price model.
 func isConstrained(s *api.JobSpec) bool { return !s.Spot || s.Zone != "" || s.Types != nil }
 
-// mayUse tells whether a job may run on machines of a type, zone and price model.
+// mayUse reports whether a job may run on machines of a type, zone and price model.
 func mayUse(s *api.JobSpec, typ, zone string, spot bool) bool {
 	return s.AllowsType(typ) && (s.Zone == "" || s.Zone == zone) && (!spot || s.Spot)
 }
 
-// constrainedDemands sums up the demand of constrained jobs by their constraints: of what has been
-// pending for two heartbeat intervals, and of jobs whose dependencies have all started, since a
-// machine boots meanwhile.
-func (as *Autoscaler) constrainedDemands(v *View) []*constrainedDemand {
-	byKind := map[string]*constrainedDemand{}
-	minWait := 2 * as.workers.HeartbeatInterval()
-	for _, team := range v.Teams {
+// constrainedDemands sums up the demand of constrained jobs by their constraints. It includes pending
+// jobs that have been runnable for two heartbeat intervals, and jobs whose remaining dependencies have
+// all started, since a machine takes time to boot.
+func (a *Autoscaler) constrainedDemands(view *View) []*constrainedDemand {
+	byConstraints := map[string]*constrainedDemand{}
+	minWait := 2 * a.workers.HeartbeatInterval()
+	for _, team := range view.Teams {
 		available := team.LimitCPUs - team.UsedCPUs
 		for _, j := range team.Items() {
-			if !isConstrained(&j.Spec) || j.Finishing || j.FailureRounds > 0 || v.Now.Sub(j.RunnableSince) <= minWait {
+			if !isConstrained(&j.Spec) || j.Finishing || j.FailureRounds > 0 ||
+				view.Now.Sub(j.RunnableSince) <= minWait {
 				continue
 			}
 			if cpus := min(float64(j.Flight.Untaken())*j.Spec.CPUs, available); cpus > 0 {
-				addDemand(byKind, j, cpus)
+				addDemand(byConstraints, j, cpus)
 				available -= cpus
 			}
 		}
 	}
-	for _, j := range v.Jobs {
+	for _, j := range view.Jobs {
 		if len(j.DependsOn) == 0 || j.CancelPending || !isConstrained(&j.Spec) {
 			continue
 		}
-		if dependenciesStarted(j, v.Jobs) {
-			addDemand(byKind, j, min(float64(j.Spec.Tasks)*j.Spec.CPUs, j.Team.LimitCPUs))
+		if dependenciesStarted(j, view.Jobs) {
+			addDemand(byConstraints, j, min(float64(j.Spec.Tasks)*j.Spec.CPUs, j.Team.LimitCPUs))
 		}
 	}
-	return slices.SortedFunc(maps.Values(byKind), func(a, b *constrainedDemand) int {
-		return strings.Compare(a.spec.ID, b.spec.ID)
+	return slices.SortedFunc(maps.Values(byConstraints), func(x, y *constrainedDemand) int {
+		return strings.Compare(x.spec.ID, y.spec.ID)
 	})
 }
 
-// addDemand adds a job's CPUs to the demand of its constraints.
-func addDemand(byKind map[string]*constrainedDemand, j *cluster.Job, cpus float64) {
+// addDemand adds a job's CPUs to the demand of the jobs with the same constraints.
+func addDemand(byConstraints map[string]*constrainedDemand, j *cluster.Job, cpus float64) {
 	key := j.Spec.Zone + "|" + strings.Join(j.Spec.Types, ",")
 	if j.Spec.Spot {
 		key += "|spot"
 	}
-	demand := byKind[key]
+	demand := byConstraints[key]
 	if demand == nil {
 		demand = &constrainedDemand{spec: &j.Spec}
-		byKind[key] = demand
+		byConstraints[key] = demand
 	}
 	demand.cpus += cpus
 }
 
-// dependenciesStarted tells whether all unfinished dependencies of a job have started.
+// dependenciesStarted reports whether all unfinished dependencies of a job have started.
 func dependenciesStarted(j *cluster.Job, active map[string]*cluster.Job) bool {
 	for id := range j.DependsOn {
 		if dependency := active[id]; dependency == nil || !dependency.Started() {
@@ -84,13 +86,13 @@
 	return true
 }
 
-// scaleOutConstrained covers what constrained jobs lack: by machines that are draining, or by new
-// ones, which it returns the requests for.
-func (as *Autoscaler) scaleOutConstrained(v *View, offers []Offer) []Launch {
-	demands := as.constrainedDemands(v)
+// scaleOutConstrained covers the demand of constrained jobs that the fleet lacks capacity for. It first
+// takes draining machines back into use, and returns launch requests for the rest.
+func (a *Autoscaler) scaleOutConstrained(view *View, offers []Offer) []Launch {
+	demands := a.constrainedDemands(view)
 	launches := make([]Launch, 0, len(demands))
 	for _, demand := range demands {
-		missingCPUs, draining := as.missingCPUsFor(v, demand)
+		missingCPUs, draining := a.missingCPUsFor(view, demand)
 		for _, m := range draining {
 			if missingCPUs <= 0 {
 				break
@@ -98,21 +100,21 @@
 			m.Draining = false
 			missingCPUs -= float64(m.Slots(demand.spec)) * demand.spec.CPUs
 		}
-		usable := slices.DeleteFunc(slices.Clone(offers), func(o Offer) bool {
-			return !mayUse(demand.spec, o.Type, o.Zone, o.Spot)
+		usable := slices.DeleteFunc(slices.Clone(offers), func(offer Offer) bool {
+			return !mayUse(demand.spec, offer.Type, offer.Zone, offer.Spot)
 		})
-		launches = append(launches, as.launch(missingCPUs, usable)...)
+		launches = append(launches, a.launch(missingCPUs, usable)...)
 	}
 	return launches
 }
 
-// missingCPUsFor is how many CPUs a demand lacks beyond the machines in use, those that boot and those
-// being launched, and which draining machines could serve the demand, by name.
-func (as *Autoscaler) missingCPUsFor(
-	v *View, demand *constrainedDemand,
+// missingCPUsFor returns the CPUs that a demand lacks beyond the machines in use, booting and being
+// launched, and the draining machines that could serve the demand, sorted by name.
+func (a *Autoscaler) missingCPUsFor(
+	view *View, demand *constrainedDemand,
 ) (missingCPUs float64, draining []*cluster.Machine) {
 	missingCPUs = demand.cpus
-	for _, m := range v.Machines {
+	for _, m := range view.Machines {
 		switch {
 		case m.Phase() != cluster.Active || m.CPUs == 0 || !mayUse(demand.spec, m.Type, m.Zone, m.Spot):
 		case m.Draining:
@@ -121,16 +123,16 @@
 			missingCPUs -= float64(m.Slots(demand.spec)) * demand.spec.CPUs
 		}
 	}
-	for _, booting := range v.Provisioning {
+	for _, booting := range view.Provisioning {
 		if !booting.Terminating && mayUse(demand.spec, booting.Type, booting.Zone, booting.Spot) {
 			missingCPUs -= booting.CPUs
 		}
 	}
-	for _, request := range as.pendingLaunches {
+	for _, request := range a.pendingLaunches {
 		if mayUse(demand.spec, request.Type, request.Zone, request.Spot) {
 			missingCPUs -= float64(request.Count) * request.CPUs
 		}
 	}
-	slices.SortFunc(draining, func(a, b *cluster.Machine) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(draining, func(x, y *cluster.Machine) int { return strings.Compare(x.Name, y.Name) })
 	return missingCPUs, draining
 }
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -4,14 +4,15 @@
 	"time"
 )
 
-// Demand is the CPUs that the teams need now to meet their objectives, each within its limit. What
-// is within a team's guarantee should start at once and counts in full; beyond it, a job whose
-// tasks can run one after the other counts for the part of its tasks that must run at the same
-// time.
-func (as *Autoscaler) Demand(v *View) float64 {
-	bootedAt := v.Now.Add(LongestBoot(v.Types))
+// Demand returns the CPUs that the teams need now to meet their objectives. Each team's demand is capped
+// at its limit. Demand within a team's guarantee counts in full, because those tasks should start at
+// once. Beyond the guarantee, a job whose tasks can run one after the other and still meet its objective
+// counts only with the tasks that must run at the same time.
+func (a *Autoscaler) Demand(view *View) float64 {
+	bootedAt := view.Now.Add(LongestBoot(view.Types))
 	sum := 0.0
-	for _, t := range v.Teams {
+	for _, t := range view.Teams {
+		// The CPUs that the team needs to run all tasks at once, and to finish them in time.
 		atOnce, inTime := t.UsedCPUs, t.UsedCPUs
 		for _, j := range t.Items() {
 			if j.Finishing || j.FailureRounds > 0 {
@@ -27,17 +28,17 @@
 	return sum
 }
 
-// demandPeak is the highest demand of a sliding window. Jobs arrive in bursts that use the fleet for
-// less time than a machine takes to boot, so machines are kept for the next burst of that size.
+// demandPeak tracks the maximum demand in a sliding window. Jobs arrive in bursts that are shorter than
+// the boot time of a machine, so the fleet is kept large enough for another burst of the same size.
 type demandPeak struct {
 	times []time.Time
 	cpus  []float64
 }
 
-// add adds the present demand, and returns the highest in the window.
+// add adds the current demand and returns the maximum in the window.
 func (p *demandPeak) add(now time.Time, cpus float64, window time.Duration) float64 {
-	// Only falling values are kept: a lower one before a higher one can never
-	// be the highest again.
+	// Values are kept in descending order: a value that is followed by one at least as high cannot
+	// become the maximum.
 	for len(p.cpus) > 0 && p.cpus[len(p.cpus)-1] <= cpus {
 		p.times, p.cpus = p.times[:len(p.times)-1], p.cpus[:len(p.cpus)-1]
 	}
--- a/internal/autoscaler/doc.go
+++ b/internal/autoscaler/doc.go
@@ -1,11 +1,12 @@
-// Package autoscaler scales the fleet: which machines to launch for the demand of the teams, which
-// to drain and to terminate when there is a surplus. It does no I/O and has no clock: the leader's
-// term passes what it reads as a View, and carries out the Commands that it gets back. One goroutine
-// owns the state, so nothing here locks.
+// Package autoscaler scales the fleet of machines: it decides which machines to launch for the demand
+// of the teams, and which to drain and terminate when there is surplus capacity. The package does no
+// I/O and reads no clock: the leader passes the state that it reads as a View and carries out the
+// Commands that it returns. An Autoscaler has no locks and must be used from one goroutine.
 //
-// Invariants: each launch request has a name of its own, which carries the term, and counts as
-// capacity until LaunchEnded; no more than maxLaunchesInFlight are without an outcome, and no more
-// than one request to terminate. A machine that is to be terminated stays queued until a request
-// for it has succeeded. Nothing is launched while machines may still apply commands of earlier
-// terms.
+// Invariants:
+//   - Each launch request has a unique name, which contains the leader's term.
+//   - The machines of a launch request count as capacity until LaunchEnded reports its outcome.
+//   - At most maxLaunchesInFlight launch requests and one termination request are in flight.
+//   - A machine to be terminated is requested again until a termination request for it has succeeded.
+//   - Nothing is launched while machines may still apply commands of earlier terms.
 package autoscaler
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -9,29 +9,30 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// minSurplusDuration is how long there must have been a surplus before a machine is drained.
+// minSurplusDuration is how long a surplus must last before a machine is drained.
 const minSurplusDuration = 6 * time.Second
 
-// Drain drains the most expensive machines while there is a surplus, and takes them back into use
-// when there is none. It returns the machines that are draining from now on.
-func (as *Autoscaler) Drain(v *View) []Drain {
-	spare := as.surplusCPUs
+// Drain starts draining the most expensive machines while the surplus allows it, and takes draining
+// machines back into use, the cheapest first, when the surplus is too small for them. It returns the
+// machines that have started draining.
+func (a *Autoscaler) Drain(view *View) []Drain {
+	spare := a.surplusCPUs
 	var draining, inUse []*cluster.Machine
-	for _, m := range v.Machines {
+	for _, m := range view.Machines {
 		switch {
 		case m.Phase() != cluster.Active:
 		case m.Draining:
 			draining = append(draining, m)
 			spare -= m.CPUs
-		case m.IsSchedulable(v.Now) && v.Now.Sub(m.AddedAt) > minBilledTime:
+		case m.IsSchedulable(view.Now) && view.Now.Sub(m.AddedAt) > minBilledTime:
 			inUse = append(inUse, m)
 		}
 	}
-	mostExpensiveFirst := func(a, b *cluster.Machine) int {
+	mostExpensiveFirst := func(x, y *cluster.Machine) int {
 		return cmp.Or(
-			-cmp.Compare(CPUPrice(v.Types, a), CPUPrice(v.Types, b)),
-			cmp.Compare(a.UsedCPUs, b.UsedCPUs),
-			cmp.Compare(a.Name, b.Name),
+			-cmp.Compare(CPUPrice(view.Types, x), CPUPrice(view.Types, y)),
+			cmp.Compare(x.UsedCPUs, y.UsedCPUs),
+			cmp.Compare(x.Name, y.Name),
 		)
 	}
 	slices.SortFunc(draining, mostExpensiveFirst)
@@ -40,106 +41,109 @@
 		spare += draining[i].CPUs
 	}
 	if spare <= 0 {
-		as.surplusSince = v.Now
+		a.surplusSince = view.Now
 		return nil
 	}
 	slices.SortFunc(inUse, mostExpensiveFirst)
-	if v.Now.Sub(as.surplusSince) < minSurplusDuration || len(inUse) == 0 || spare < inUse[0].CPUs {
+	if view.Now.Sub(a.surplusSince) < minSurplusDuration || len(inUse) == 0 || spare < inUse[0].CPUs {
 		return nil
 	}
-	var drained []Drain
+	var drains []Drain
 	for _, m := range inUse {
 		if spare < m.CPUs {
 			break
 		}
 		spare -= m.CPUs
 		m.Draining = true
-		drained = append(drained, Drain{Machine: m, SpareCPUs: spare})
+		drains = append(drains, Drain{Machine: m, SpareCPUs: spare})
 	}
-	return drained
+	return drains
 }
 
-// Limits within which running tasks with checkpoints are moved off draining machines.
+// Conditions for moving running tasks with checkpoints off draining machines.
 const (
-	// A task that has run for less than minRunBeforeMove, or that ends within
-	// minRemainingForMove, stays where it is.
-	minRunBeforeMove    = 30 * time.Second
+	// minRunBeforeMove is how long a task must have run before it is moved.
+	minRunBeforeMove = 30 * time.Second
+	// minRemainingForMove is the run time that a moved task must have left, on top of the time to
+	// save its state.
 	minRemainingForMove = 20 * time.Second
 	// moveMargin is how long before its job's objective a moved task must be expected to end.
 	moveMargin = 5 * time.Second
-	// moveCapacityFactor is how many times what a machine's tasks use must be free elsewhere,
-	// so that what is moved need not wait there.
+	// moveCapacityFactor is the ratio of free CPUs on other machines to used CPUs on the draining
+	// machine that is required to move its tasks, so that they need not wait for capacity.
 	moveCapacityFactor = 3
 )
 
-// MoveCheckpointed picks the attempts on draining machines that can continue elsewhere from their
-// last checkpoint, as far as there is capacity for them.
-func (as *Autoscaler) MoveCheckpointed(v *View) []Stop {
+// MoveCheckpointed returns stop requests for the attempts on draining machines that can continue on
+// other machines from their last checkpoint, as far as those have capacity.
+func (a *Autoscaler) MoveCheckpointed(view *View) []Stop {
 	freeCPUs := 0.0
-	for _, m := range v.Machines {
-		if m.IsSchedulable(v.Now) {
+	for _, m := range view.Machines {
+		if m.IsSchedulable(view.Now) {
 			freeCPUs += m.FreeCPUs()
 		}
 	}
 	var stops []Stop
-	for _, m := range v.Machines {
+	for _, m := range view.Machines {
 		if !m.Draining || freeCPUs < moveCapacityFactor*m.UsedCPUs {
 			continue
 		}
-		for _, a := range m.Attempts {
-			if as.isWorthMoving(a, v.Now) {
-				freeCPUs -= a.Job.Spec.CPUs
-				stops = append(stops, Stop{Attempt: a, Grace: 2*a.Job.Spec.Save() + time.Second})
+		for _, attempt := range m.Attempts {
+			if a.isWorthMoving(attempt, view.Now) {
+				freeCPUs -= attempt.Job.Spec.CPUs
+				stops = append(stops, Stop{Attempt: attempt, Grace: 2*attempt.Job.Spec.Save() + time.Second})
 			}
 		}
 	}
 	return stops
 }
 
-// isWorthMoving tells whether a running task can save its state, is neither near its start nor near
-// its end, and will still end in time for its job's next objective, unless none can be met any
-// more.
-func (as *Autoscaler) isWorthMoving(a *cluster.Attempt, now time.Time) bool {
-	if a.Exited || a.Job == nil || a.Stop != nil || a.Phase != api.TaskRunning {
+// isWorthMoving reports whether an attempt is running a task with checkpoints that is neither near its
+// start nor near its end, and that is still expected to meet its job's next objective after the move.
+// The objective does not matter if the job cannot meet any.
+func (a *Autoscaler) isWorthMoving(attempt *cluster.Attempt, now time.Time) bool {
+	if attempt.Exited || attempt.Job == nil || attempt.Stop != nil || attempt.Phase != api.TaskRunning {
 		return false
 	}
-	spec := &a.Job.Spec
-	if a.Job.Ended || spec.CheckpointS == 0 {
+	spec := &attempt.Job.Spec
+	if attempt.Job.Ended || spec.CheckpointS == 0 {
 		return false
 	}
-	ran := now.Sub(a.RunningAt)
+	ran := now.Sub(attempt.RunningAt)
 	remaining := spec.Estimate() - ran
 	if ran <= minRunBeforeMove || remaining <= minRemainingForMove+spec.Save() {
 		return false
 	}
-	objective := a.Job.LatestStart().Add(spec.Estimate())
-	transfer := spec.Save() + 3*as.workers.HeartbeatInterval() + moveMargin
-	return a.Job.Infeasible || now.Add(remaining*5/4+transfer).Before(objective)
+	objective := attempt.Job.LatestStart().Add(spec.Estimate())
+	transfer := spec.Save() + 3*a.workers.HeartbeatInterval() + moveMargin
+	// The remaining run time may exceed its estimate by a quarter.
+	return attempt.Job.Infeasible || now.Add(remaining*5/4+transfer).Before(objective)
 }
 
-// IdleMachines picks the machines to terminate: empty for long enough, the most expensive first, as
-// far as the rest covers the demand peak. It takes their CPUs off the surplus.
-func (as *Autoscaler) IdleMachines(v *View) []*cluster.Machine {
+// IdleMachines returns the machines to terminate: those that have been empty for long enough, the most
+// expensive first, as long as the remaining machines cover the demand peak. It subtracts their CPUs
+// from the surplus.
+func (a *Autoscaler) IdleMachines(view *View) []*cluster.Machine {
 	var idle []*cluster.Machine
-	for _, m := range v.Machines {
+	for _, m := range view.Machines {
 		if m.Phase() != cluster.Active || !m.Fenced || m.CPUs == 0 || len(m.Attempts) > 0 {
 			continue
 		}
-		inUseLately := !m.Draining && v.Now.Sub(m.IdleSince) < as.policy.IdleTimeout
-		if inUseLately || v.Now.Sub(m.AddedAt) < minBilledTime {
+		recentlyUsed := !m.Draining && view.Now.Sub(m.IdleSince) < a.policy.IdleTimeout
+		if recentlyUsed || view.Now.Sub(m.AddedAt) < minBilledTime {
 			continue
 		}
 		idle = append(idle, m)
 	}
-	slices.SortFunc(idle, func(a, b *cluster.Machine) int {
-		return cmp.Or(-cmp.Compare(CPUPrice(v.Types, a), CPUPrice(v.Types, b)), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(idle, func(x, y *cluster.Machine) int {
+		return cmp.Or(-cmp.Compare(CPUPrice(view.Types, x), CPUPrice(view.Types, y)), cmp.Compare(x.Name, y.Name))
 	})
 	n := 0
 	for _, m := range idle {
-		if as.surplusCPUs < m.CPUs {
+		if a.surplusCPUs < m.CPUs {
 			break
 		}
-		as.surplusCPUs -= m.CPUs
+		a.surplusCPUs -= m.CPUs
 		n++
 	}
 	return idle[:n]
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -9,26 +9,27 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// CanLaunch tells whether machines of any type may be launched now.
-func (as *Autoscaler) CanLaunch(types map[string]api.MachineType, now time.Time) bool {
-	return len(as.offers(types, now)) > 0
+// CanLaunch reports whether there is any offer from which machines may be launched now.
+func (a *Autoscaler) CanLaunch(types map[string]api.MachineType, now time.Time) bool {
+	return len(a.offers(types, now)) > 0
 }
 
-// offers are the kinds of machine that may be launched now.
-func (as *Autoscaler) offers(types map[string]api.MachineType, now time.Time) []Offer {
+// offers returns the offers from which machines may be launched now: for each machine type and zone, at
+// the regular price and, if the policy allows it, at the spot price.
+func (a *Autoscaler) offers(types map[string]api.MachineType, now time.Time) []Offer {
 	var offers []Offer
-	for _, mt := range types {
-		if mt.CPUs <= 0 {
+	for _, machineType := range types {
+		if machineType.CPUs <= 0 {
 			continue
 		}
-		offer := Offer{Type: mt.Name, CPUs: mt.CPUs, BootTime: bootTime(mt)}
-		useSpot := as.policy.UseSpot && mt.SpotPrice > 0
-		for _, zone := range mt.Zones {
+		offer := Offer{Type: machineType.Name, CPUs: machineType.CPUs, BootTime: bootTime(machineType)}
+		useSpot := a.policy.UseSpot && machineType.SpotPrice > 0
+		for _, zone := range machineType.Zones {
 			offer.Zone = zone
-			if offer.Spot, offer.Price = true, mt.SpotPrice; useSpot && as.isAvailable(offer, now) {
+			if offer.Spot, offer.Price = true, machineType.SpotPrice; useSpot && a.isAvailable(offer, now) {
 				offers = append(offers, offer)
 			}
-			if offer.Spot, offer.Price = false, mt.Price; as.isAvailable(offer, now) {
+			if offer.Spot, offer.Price = false, machineType.Price; a.isAvailable(offer, now) {
 				offers = append(offers, offer)
 			}
 		}
@@ -36,46 +37,48 @@
 	return offers
 }
 
-// isAvailable tells whether the cloud has not lately had too few machines of a kind.
-func (as *Autoscaler) isAvailable(offer Offer, now time.Time) bool {
-	return now.After(as.unavailableUntil[offer.Pool()])
+// isAvailable reports whether an offer's capacity pool may be requested from. It may not for
+// unavailableTTL after the cloud launched fewer machines of it than requested.
+func (a *Autoscaler) isAvailable(offer Offer, now time.Time) bool {
+	return now.After(a.unavailableUntil[offer.Pool()])
 }
 
-// bootTime is how long machines of a type usually take to boot.
-func bootTime(mt api.MachineType) time.Duration {
-	return time.Duration(mt.BootS * float64(time.Second))
+// bootTime returns the usual boot time of a machine type.
+func bootTime(machineType api.MachineType) time.Duration {
+	return time.Duration(machineType.BootS * float64(time.Second))
 }
 
-// LongestBoot is how long the slowest type of machine usually takes to boot.
+// LongestBoot returns the usual boot time of the machine type that is slowest to boot.
 func LongestBoot(types map[string]api.MachineType) time.Duration {
-	boot := 0.0
-	for _, mt := range types {
-		boot = max(boot, mt.BootS)
+	longestS := 0.0
+	for _, machineType := range types {
+		longestS = max(longestS, machineType.BootS)
 	}
-	return config.Duration(boot)
+	return config.Duration(longestS)
 }
 
-// LowestCPUPrice is the lowest price of a CPU over all types of machine.
+// LowestCPUPrice returns the lowest price per CPU of all machine types, regular or spot, or +Inf if none
+// has a price.
 func LowestCPUPrice(types map[string]api.MachineType) float64 {
 	lowest := math.Inf(1)
-	for _, mt := range types {
-		for _, price := range []float64{mt.Price, mt.SpotPrice} {
-			if price > 0 && mt.CPUs > 0 {
-				lowest = min(lowest, price/mt.CPUs)
+	for _, machineType := range types {
+		for _, price := range []float64{machineType.Price, machineType.SpotPrice} {
+			if price > 0 && machineType.CPUs > 0 {
+				lowest = min(lowest, price/machineType.CPUs)
 			}
 		}
 	}
 	return lowest
 }
 
-// CPUPrice is the price of a CPU of a machine, 0 if its type is not known.
+// CPUPrice returns the price per CPU of a machine, or 0 if its type is unknown or has no CPUs.
 func CPUPrice(types map[string]api.MachineType, m *cluster.Machine) float64 {
-	mt, ok := types[m.Type]
-	if !ok || mt.CPUs == 0 {
+	machineType, ok := types[m.Type]
+	if !ok || machineType.CPUs == 0 {
 		return 0
 	}
 	if m.Spot {
-		return mt.SpotPrice / mt.CPUs
+		return machineType.SpotPrice / machineType.CPUs
 	}
-	return mt.Price / mt.CPUs
+	return machineType.Price / machineType.CPUs
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Offer is a kind of machine that can be launched in a zone.
+// Offer is a machine type that the cloud offers in a zone, at the regular or the spot price.
 type Offer struct {
 	Type  string
 	Zone  string
 	Spot  bool
 	CPUs  float64
 	Price float64
-	// BootTime is how long such a machine takes to start.
+	// BootTime is the usual boot time of the machine type.
 	BootTime time.Duration
 }
 
-// plannedLaunch is a number of machines of an offer.
+// plannedLaunch is a number of machines to launch from an offer.
 type plannedLaunch struct {
 	Offer
 	Count int
 }
 
-// planLaunches covers missing CPUs with the cheapest offers, in the order of the price of a CPU; the
-// caller leaves out offers that were rejected lately. A request is for at most maxCount
-// machines. How many an offer can provide is not known, so what remains waits for the response,
-// and more expensive offers are requested at the same time only while much remains: at most
-// maxRequests in all.
+// planLaunches covers missing CPUs with the offers of the lowest price per CPU. It plans at most
+// maxRequests requests of at most maxCount machines each, one for each offer. How many machines the
+// cloud can provide from an offer is unknown, so a request to a more expensive offer is added only if
+// the remaining CPUs fill a whole request; a smaller remainder waits for the response to the first
+// requests. The caller excludes offers that are unavailable.
 func planLaunches(missingCPUs float64, offers []Offer, maxCount, maxRequests int) []plannedLaunch {
 	offers = slices.Clone(offers)
 	slices.SortFunc(offers, func(a, b Offer) int {
@@ -36,24 +36,25 @@
 			cmp.Compare(a.Zone, b.Zone))
 	})
 	var requests []plannedLaunch
-	for _, o := range offers {
-		small := missingCPUs < float64(maxCount)*o.CPUs
+	for _, offer := range offers {
+		small := missingCPUs < float64(maxCount)*offer.CPUs
 		if len(requests) == maxRequests || missingCPUs <= 0 || (len(requests) > 0 && small) {
 			break
 		}
-		n := min(int(math.Ceil(missingCPUs/o.CPUs)), maxCount)
-		requests = append(requests, plannedLaunch{Offer: o, Count: n})
-		missingCPUs -= float64(n) * o.CPUs
+		count := min(int(math.Ceil(missingCPUs/offer.CPUs)), maxCount)
+		requests = append(requests, plannedLaunch{Offer: offer, Count: count})
+		missingCPUs -= float64(count) * offer.CPUs
 	}
 	return requests
 }
 
-// CapacityPool is what the cloud's capacity depends on.
+// CapacityPool identifies machines whose availability in the cloud is the same: those of one type, zone
+// and price model.
 type CapacityPool struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Pool names the offer's kind.
+// Pool returns the capacity pool that the offer's machines come from.
 func (o Offer) Pool() CapacityPool { return CapacityPool{Type: o.Type, Zone: o.Zone, Spot: o.Spot} }
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -14,14 +14,14 @@
 		name        string
 		missingCPUs float64
 		maxRequests int
-		want        []int // machines of byPrice
+		want        []int // machines requested of each offer of byPrice
 	}{
 		{"nothing missing", 0, 3, nil},
-		{"cheapest covers it", 17, 3, []int{2}},
-		// The rest of a small lack waits for what the cheapest offer can provide.
-		{"little remains", 60 * 16, 3, []int{50}},
-		{"much remains", 1e4, 3, []int{50, 50, 50}},
-		{"requests limited", 1e4, 2, []int{50, 50}},
+		{"covered by the cheapest offer", 17, 3, []int{2}},
+		// A remainder that does not fill a whole request waits for the response to the first one.
+		{"small remainder", 60 * 16, 3, []int{50}},
+		{"large remainder", 1e4, 3, []int{50, 50, 50}},
+		{"number of requests limited", 1e4, 2, []int{50, 50}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var want []plannedLaunch
--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -7,55 +7,57 @@
 	"example.org/ivytrestle/internal/cloud"
 )
 
-// ProvisioningMachine is a machine that was launched or listed by the cloud and has sent no heartbeat
-// yet.
+// ProvisioningMachine is a machine that the cloud has launched or listed and that has not sent a
+// heartbeat yet.
 type ProvisioningMachine struct {
-	Type  string
-	Zone  string
-	Spot  bool
+	Type string
+	Zone string
+	Spot bool
+	// Since is when the machine was launched, as far as known.
 	Since time.Time
 	CPUs  float64
-	// Terminating is set while the machine is being terminated unused.
+	// Terminating is set once the machine is to be terminated without having been used.
 	Terminating bool
 }
 
-// ProvisioningMachine is a machine of the launch request, launched at a time.
-func (l *Launch) ProvisioningMachine(at time.Time) *ProvisioningMachine {
+// ProvisioningMachine returns the state of a machine that the request launched at launchedAt.
+func (l *Launch) ProvisioningMachine(launchedAt time.Time) *ProvisioningMachine {
 	return &ProvisioningMachine{
 		Type:  l.Request.Type,
 		Zone:  l.Request.Zone,
 		Spot:  l.Request.Spot,
-		Since: at,
+		Since: launchedAt,
 		CPUs:  l.Offer.CPUs,
 	}
 }
 
-// ProvisioningFromList is a machine of the cloud's list that was not known; mt is its type.
-func ProvisioningFromList(listed *cloud.Machine, mt api.MachineType, now time.Time) *ProvisioningMachine {
+// ProvisioningFromList returns the state of a machine that was found in the cloud's list, of the given
+// machine type.
+func ProvisioningFromList(listed *cloud.Machine, machineType api.MachineType, now time.Time) *ProvisioningMachine {
 	return &ProvisioningMachine{
 		Type:  listed.Type,
 		Zone:  listed.Zone,
 		Spot:  listed.Spot,
 		Since: now.Add(-time.Duration(listed.AgeS * float64(time.Second))),
-		CPUs:  mt.CPUs,
+		CPUs:  machineType.CPUs,
 	}
 }
 
-// maxBootFactor is how many times as long as usual a machine may take to boot.
+// maxBootFactor is the longest allowed boot time, as a multiple of the usual one.
 const maxBootFactor = 4
 
-// TerminateOverdue has a listed machine terminated that has failed before its first heartbeat, or
-// has sent none for too long; mt is its type. It reports whether it did. A machine that is up sends
-// a heartbeat within seconds; one that boots may take several times as long as usual. The request is
-// sent with the next tick or machine to scale in.
-func (as *Autoscaler) TerminateOverdue(
-	p *ProvisioningMachine, listed *cloud.Machine, mt api.MachineType, now time.Time,
+// TerminateOverdue queues a listed machine for termination if it failed before its first heartbeat or is
+// overdue to send one, and reports whether it did. A machine sends its first heartbeat within seconds of
+// booting, but booting may take several times as long as usual. A later Tick or ScaleIn returns the
+// termination request.
+func (a *Autoscaler) TerminateOverdue(
+	machine *ProvisioningMachine, listed *cloud.Machine, machineType api.MachineType, now time.Time,
 ) bool {
-	overdue := now.Sub(p.Since) > maxBootFactor*bootTime(mt)+as.workers.Lease()
-	if p.Terminating || (listed.Phase != cloud.PhaseFailed && !overdue) {
+	overdue := now.Sub(machine.Since) > maxBootFactor*bootTime(machineType)+a.workers.Lease()
+	if machine.Terminating || (listed.Phase != cloud.PhaseFailed && !overdue) {
 		return false
 	}
-	p.Terminating = true
-	as.pendingTerminations = append(as.pendingTerminations, listed.Name)
+	machine.Terminating = true
+	a.pendingTerminations = append(a.pendingTerminations, listed.Name)
 	return true
 }
--- a/internal/flight/flight_test.go
+++ b/internal/flight/flight_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("%d tasks pulled, want 1000", len(seen))
 	}
 	if _, ok := f.Pull("a"); ok {
-		t.Error("pulled from an empty list")
+		t.Error("a member pulled a task although all are taken")
 	}
 }
 
@@ -36,12 +36,12 @@
 		first[task] = true
 	}
 	if len(first) != 4 || !first[0] {
-		t.Errorf("first pulls %v, want four tasks, one of them 0", first)
+		t.Errorf("first tasks pulled by the members: %v, want four tasks, one of them 0", first)
 	}
 	for a := range first {
 		for b := range first {
 			if a != b && a-b < 5 && b-a < 5 {
-				t.Errorf("members start next to each other: %v, want at least 5 apart", first)
+				t.Errorf("first tasks pulled by the members: %v, want them at least 5 apart", first)
 			}
 		}
 	}
@@ -53,30 +53,30 @@
 	f.Join("b")
 	for range 4 {
 		if task, ok := f.PullExcept("a", func(task int) bool { return task == 2 }); !ok || task == 2 {
-			t.Fatalf("pulled %d, %v, want a task other than 2", task, ok)
+			t.Fatalf("pulled task %d, %v, want a task other than 2", task, ok)
 		}
 	}
 	if _, ok := f.PullExcept("a", func(task int) bool { return task == 2 }); ok {
-		t.Error("pulled an excluded task")
+		t.Error("a member pulled the excluded task")
 	}
 	if task, ok := f.Pull("b"); !ok || task != 2 {
-		t.Errorf("another member pulled %d, %v, want 2, true", task, ok)
+		t.Errorf("another member pulled task %d, %v, want 2, true", task, ok)
 	}
 	f.Release(3)
 	f.Release(3)
 	if f.Untaken() != 1 || !f.Take(3) || f.Take(3) || f.Untaken() != 0 {
-		t.Error("release and take do not count tasks once")
+		t.Error("a task that was released or taken twice is counted twice")
 	}
 }
 
 func TestOnlyMembersPull(t *testing.T) {
 	f := New(3)
 	if _, ok := f.Pull("a"); ok {
-		t.Error("a machine outside the flight pulled")
+		t.Error("a machine that is not a member pulled a task")
 	}
 	f.Join("a")
 	f.Leave("a")
 	if _, ok := f.Pull("a"); ok || f.IsMember("a") {
-		t.Error("a machine that left pulled")
+		t.Error("a machine that left is a member, or pulled a task")
 	}
 }
--- a/internal/policy/defaults.star
+++ b/internal/policy/defaults.star
@@ -1,47 +1,48 @@
-# The embedded defaults. An operators' script sets any of these names anew.
+# Default values of all settings. The operators' script overrides a setting by assigning its name.
 
-# Shares by which the teams' queues are served in turn. A team that is not
-# named has its guarantee as its share.
+# Fair-share weights of the teams, by team name. A team without an entry has its guarantee as its
+# weight.
 team_shares = {}
 
-# Preferences of classes of jobs: among jobs of a team that can be in time, and of
-# the same priority, those of a class with a higher number are served first. A
-# class that is not named has 0.
+# Preferences of job classes, by class name. Among a team's jobs that can meet their objectives and are
+# equally urgent, those of the class with the highest preference are served first. A class without an
+# entry has preference 0.
 class_preference = {}
 
-# How many of its estimates a task may run before it may be restarted, once, on
-# another machine; 0 restarts none.
+# The multiple of its estimated run time after which a task may be restarted on another machine, at
+# most once. 0 disables such restarts.
 restart_limit = 2.0
 
-# Whether spot machines are rented for jobs that allow them.
+# Whether spot machines are launched for jobs that allow them.
 use_spot = True
 
-# Part of the demand that is kept free on top of it.
+# Capacity kept in addition to the demand, as a fraction of the demand.
 headroom = 0.05
 
-# CPUs that are kept rented even when nothing waits.
+# Smallest size of the fleet in CPUs, kept even without demand.
 min_cpus = 0.0
 
-# How long, in seconds, machines are kept for a burst like the last: what was
-# needed at most within this time counts as needed.
+# Length, in seconds, of the window over which the peak demand is determined. The fleet is kept large
+# enough for this peak, in case another burst of jobs arrives.
 hold_s = 30.0
 
-# How long, in seconds, a machine stays empty before it is given back.
+# How long, in seconds, a machine must be empty before it may be terminated.
 idle_return_s = 12.0
 
-# How long, in seconds, the leader's lease lasts without renewal: an outage of
-# the state service up to this long does not end the leadership, and a leader
-# that never comes back is replaced after it.
+# Lifetime, in seconds, of the leader lease without renewal. A leader that fails permanently is replaced
+# after this time. An outage of the key-value store that is no longer than this does not end the
+# leadership.
 leader_lease_s = 30.0
 
-# Where cells lend each other capacity: how long, in seconds, a job must have waited
-# before it is lent, and by how much sooner it must be expected to begin there.
+# Conditions for lending a job to another cell: how long, in seconds, it must have waited, and by how
+# many seconds sooner it must be expected to start there.
 spill_after_s = 10.0
 spill_gain_s = 15.0
 
-# How often a job may be lent, and after what time, in seconds, to the same cell again.
+# How many times a job may be lent, and how long, in seconds, it may not be lent to the same cell again
+# after it was reclaimed from there.
 spill_lends = 3
 spill_cooldown_s = 60.0
 
-# The part of this cell's CPUs that jobs of other cells may use.
+# Fraction of this cell's CPUs that the jobs of other cells may use.
 guest_share = 0.5
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -22,62 +22,71 @@
 
 // Policy holds the operators' settings. None of them can weaken a safety rule.
 type Policy struct {
-	// TeamShares holds the teams' shares; see Share.
-	TeamShares   map[string]float64
-	UseSpot      bool
-	Headroom     float64
-	MinCPUs      float64
-	IdleTimeout  time.Duration
+	// TeamShares holds the fair-share weights of the teams that have one set; see Share.
+	TeamShares map[string]float64
+	// UseSpot is set if spot machines may be launched for jobs that allow them.
+	UseSpot bool
+	// Headroom is the capacity kept in addition to the demand, as a fraction of the demand.
+	Headroom float64
+	// MinCPUs is the smallest size of the fleet.
+	MinCPUs float64
+	// IdleTimeout is how long a machine must be empty before it may be terminated.
+	IdleTimeout time.Duration
+	// DemandWindow is the sliding window whose peak demand the fleet is kept large enough for.
 	DemandWindow time.Duration
-	LeaderLease  time.Duration
-	// ClassPreferences orders the classes of jobs, the highest first.
+	// LeaderLease is the lifetime of the leader lease without renewal.
+	LeaderLease time.Duration
+	// ClassPreferences holds the preferences of job classes; higher values are served first.
 	ClassPreferences map[string]float64
-	// RestartLimit is how many times its estimate a task may run; 0 is without limit.
+	// RestartLimit is the multiple of its estimated run time after which a task counts as a
+	// straggler; 0 disables restarts of stragglers.
 	RestartLimit float64
-	// Spill holds the conditions of loans to other cells, if there are any.
+	// Spill holds the conditions for loans to and from other cells.
 	Spill Spill
 }
 
-// Spill holds the conditions of loans to other cells.
+// Spill holds the conditions for lending jobs to other cells and for running the jobs of other cells.
 type Spill struct {
-	// MinWait is how long a job must have waited, and Gain how much sooner it must be
-	// expected to start there.
-	MinWait, MinGain time.Duration
-	// MaxLoansPerJob is how often a job may be lent, and Cooldown the time before it may be lent
-	// to the same cell again.
+	// MinWait is how long a job must have waited before it is lent.
+	MinWait time.Duration
+	// MinGain is how much sooner a job must be expected to start in the other cell.
+	MinGain time.Duration
+	// MaxLoansPerJob is how many times a job may be lent.
 	MaxLoansPerJob int
-	Cooldown       time.Duration
-	// GuestShare is the share of a cell's CPUs that guests may use.
+	// Cooldown is how long after it was reclaimed a job may not be lent to the same cell again.
+	Cooldown time.Duration
+	// GuestShare is the fraction of this cell's CPUs that the jobs of other cells may use.
 	GuestShare float64
 }
 
-// Share returns a team's share, or the fallback if the operators set none.
+// Share returns the team's fair-share weight, or the fallback if the operators set none.
 func (p *Policy) Share(team string, fallback float64) float64 {
-	if s, ok := p.TeamShares[team]; ok {
-		return s
+	if share, ok := p.TeamShares[team]; ok {
+		return share
 	}
 	return fallback
 }
 
-// fileOptions lets a script use conditions and loops outside functions.
+// fileOptions allows conditions and loops outside functions.
 var fileOptions = &syntax.FileOptions{TopLevelControl: true}
 
-// maxSteps bounds the execution steps of a script.
+// maxSteps is the maximum number of execution steps of a script.
 const maxSteps = 1_000_000
 
-// Load reads the operators' script; an empty path means the defaults alone.
+// Load reads the operators' script from a file. If the path is empty, all settings have their defaults.
 func Load(path string) (*Policy, error) {
 	if path == "" {
 		return Parse("defaults.star", "")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("policy: %w", err)
+		return nil, fmt.Errorf("policy: read script: %w", err)
 	}
 	return Parse(path, string(raw))
 }
 
-// Parse runs a script over the defaults and validates the result.
+// Parse runs the script, applies the settings that it assigns over the defaults, and validates the result.
+// name is the script's file name in errors.
 func Parse(name, script string) (*Policy, error) {
 	values, err := execute("defaults.star", defaults, nil)
 	if err != nil {
@@ -92,31 +101,32 @@
 		return nil, err
 	}
 	lines := assignmentLines(name, script)
-	for _, k := range overrides.Keys() {
-		if _, ok := overrides[k].(starlark.Callable); ok || k[0] == '_' {
-			continue // a helper of the script
+	for _, key := range overrides.Keys() {
+		if _, ok := overrides[key].(starlark.Callable); ok || key[0] == '_' {
+			continue // a function or private variable of the script, not a setting
 		}
-		if _, ok := values[k]; !ok {
+		if _, ok := values[key]; !ok {
 			sort.Strings(known)
 			return nil, fmt.Errorf("policy %s: unknown setting %s (known: %s)",
-				position(name, lines, k), k, strings.Join(known, ", "))
+				position(name, lines, key), key, strings.Join(known, ", "))
 		}
-		values[k] = overrides[k]
+		values[key] = overrides[key]
 	}
 	return validate(values, lines, name)
 }
 
-// assignmentLines returns the line on which a script last assigns each name.
+// assignmentLines returns, for each global variable that a script assigns, the line of the last
+// assignment.
 func assignmentLines(name, script string) map[string]int32 {
 	lines := map[string]int32{}
 	file, err := fileOptions.Parse(name, script, 0)
 	if err != nil {
-		return lines // does not happen: the script has been executed
+		return lines // unreachable: the script has been executed before
 	}
 	syntax.Walk(file, func(n syntax.Node) bool {
 		switch n := n.(type) {
 		case *syntax.DefStmt:
-			return false // its assignments are local
+			return false // assignments in functions are local
 		case *syntax.AssignStmt:
 			start, _ := n.Span()
 			syntax.Walk(n.LHS, func(target syntax.Node) bool {
@@ -131,7 +141,8 @@
 	return lines
 }
 
-// position returns where a script assigns a setting: the file, and the line if it is known.
+// position returns the position at which a script assigns a setting, as file:line, or only the file if
+// the script does not assign it.
 func position(file string, lines map[string]int32, setting string) string {
 	if line, ok := lines[setting]; ok {
 		return fmt.Sprintf("%s:%d", file, line)
@@ -139,75 +150,77 @@
 	return file
 }
 
-// execute runs a script. It can read each of the predeclared values with the prefix
-// default_.
+// execute runs a script and returns its global variables. The script can read each of the predeclared
+// values under its name with the prefix default_.
 func execute(name, script string, predeclared starlark.StringDict) (starlark.StringDict, error) {
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxSteps)
 	env := starlark.StringDict{}
-	for k, v := range predeclared {
-		env["default_"+k] = v
+	for key, value := range predeclared {
+		env["default_"+key] = value
 	}
-	out, err := starlark.ExecFileOptions(fileOptions, thread, name, script, env)
+	globals, err := starlark.ExecFileOptions(fileOptions, thread, name, script, env)
 	if err != nil {
-		var eval *starlark.EvalError
-		if errors.As(err, &eval) && len(eval.CallStack) > 0 {
-			return nil, fmt.Errorf("policy %s: %w", eval.CallStack.At(0).Pos, err)
+		var evalErr *starlark.EvalError
+		if errors.As(err, &evalErr) && len(evalErr.CallStack) > 0 {
+			return nil, fmt.Errorf("policy %s: %w", evalErr.CallStack.At(0).Pos, err)
 		}
 		return nil, fmt.Errorf("policy: %w", err)
 	}
-	return out, nil
+	return globals, nil
 }
 
-// validate converts the values of all settings to a Policy.
-func validate(v starlark.StringDict, lines map[string]int32, file string) (*Policy, error) {
+// validate converts the values of all settings to a Policy. lines are the lines of file that assign
+// them, for errors.
+func validate(values starlark.StringDict, lines map[string]int32, file string) (*Policy, error) {
 	p := &Policy{}
 	invalid := func(key, want string) (*Policy, error) {
-		return nil, fmt.Errorf("policy %s: %s must be %s, found %s", position(file, lines, key), key, want, v[key])
+		return nil, fmt.Errorf("policy %s: %s must be %s, found %s",
+			position(file, lines, key), key, want, values[key])
 	}
-	spot, ok := v["use_spot"].(starlark.Bool)
+	spot, ok := values["use_spot"].(starlark.Bool)
 	if !ok {
 		return invalid("use_spot", "True or False")
 	}
 	p.UseSpot = bool(spot)
 	const secondsPerDay = 86400
-	var idle, lease, drainDelay, after, gain, lends, cooldown float64
+	var idleTimeout, demandWindow, leaderLease, minWait, minGain, maxLoans, cooldown float64
 	var err error
-	for _, f := range []struct {
+	for _, setting := range []struct {
 		key      string
 		target   *float64
 		min, max float64
 	}{
 		{"headroom", &p.Headroom, 0, 10},
 		{"min_cpus", &p.MinCPUs, 0, 1e6},
-		{"idle_return_s", &idle, 0, secondsPerDay},
-		{"hold_s", &drainDelay, 0, secondsPerDay},
-		{"leader_lease_s", &lease, 2, 600},
+		{"idle_return_s", &idleTimeout, 0, secondsPerDay},
+		{"hold_s", &demandWindow, 0, secondsPerDay},
+		{"leader_lease_s", &leaderLease, 2, 600},
 		{"restart_limit", &p.RestartLimit, 0, 1000},
-		{"spill_after_s", &after, 0, secondsPerDay},
-		{"spill_gain_s", &gain, 0, secondsPerDay},
-		{"spill_lends", &lends, 0, 100},
+		{"spill_after_s", &minWait, 0, secondsPerDay},
+		{"spill_gain_s", &minGain, 0, secondsPerDay},
+		{"spill_lends", &maxLoans, 0, 100},
 		{"spill_cooldown_s", &cooldown, 0, secondsPerDay},
 		{"guest_share", &p.Spill.GuestShare, 0, 1},
 	} {
-		x, ok := starlark.AsFloat(v[f.key])
-		if !ok || math.IsNaN(x) || x < f.min || x > f.max {
-			return invalid(f.key, fmt.Sprintf("a number from %v to %v", f.min, f.max))
+		x, ok := starlark.AsFloat(values[setting.key])
+		if !ok || math.IsNaN(x) || x < setting.min || x > setting.max {
+			return invalid(setting.key, fmt.Sprintf("a number from %v to %v", setting.min, setting.max))
 		}
-		*f.target = x
+		*setting.target = x
 	}
-	p.Spill.MinWait, p.Spill.MinGain = seconds(after), seconds(gain)
-	p.Spill.MaxLoansPerJob, p.Spill.Cooldown = int(lends), seconds(cooldown)
-	p.IdleTimeout = seconds(idle)
-	p.DemandWindow = seconds(drainDelay)
-	p.LeaderLease = seconds(lease)
+	p.Spill.MinWait, p.Spill.MinGain = seconds(minWait), seconds(minGain)
+	p.Spill.MaxLoansPerJob, p.Spill.Cooldown = int(maxLoans), seconds(cooldown)
+	p.IdleTimeout = seconds(idleTimeout)
+	p.DemandWindow = seconds(demandWindow)
+	p.LeaderLease = seconds(leaderLease)
 	if p.RestartLimit > 0 && p.RestartLimit < 1 {
 		return invalid("restart_limit", "0 or a number from 1 to 1000")
 	}
-	if p.TeamShares, err = numberDict(v["team_shares"], 0); err != nil {
+	if p.TeamShares, err = numberDict(values["team_shares"], 0); err != nil {
 		return invalid("team_shares", "a dict of team names and shares above 0")
 	}
-	if p.ClassPreferences, err = numberDict(v["class_preference"], math.Inf(-1)); err != nil {
+	if p.ClassPreferences, err = numberDict(values["class_preference"], math.Inf(-1)); err != nil {
 		return invalid("class_preference", "a dict of class names and numbers")
 	}
 	return p, nil
@@ -215,20 +228,20 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// numberDict converts a dict of names and finite numbers above a bound.
-func numberDict(v starlark.Value, above float64) (map[string]float64, error) {
-	dict, isDict := v.(*starlark.Dict)
+// numberDict converts a Starlark dict of names and finite numbers above a bound.
+func numberDict(value starlark.Value, above float64) (map[string]float64, error) {
+	dict, isDict := value.(*starlark.Dict)
 	if !isDict {
-		return nil, errors.New("not a dict")
+		return nil, errors.New("value is not a dict")
 	}
-	out := map[string]float64{}
+	numbers := map[string]float64{}
 	for _, item := range dict.Items() {
 		name, isString := starlark.AsString(item[0])
 		x, isNumber := starlark.AsFloat(item[1])
 		if !isString || !isNumber || !(x > above) || math.IsInf(x, 0) {
-			return nil, fmt.Errorf("entry %s", item[0])
+			return nil, fmt.Errorf("entry %s is not a name with a number in range", item[0])
 		}
-		out[name] = x
+		numbers[name] = x
 	}
-	return out, nil
+	return numbers, nil
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -22,7 +22,7 @@
 	if p.IdleTimeout != 2*time.Minute || p.Share("red", 1) != 2 || p.Share("green", 7) != 7 ||
 		p.Headroom < 1 || !p.UseSpot ||
 		p.ClassPreferences["merit"] != 1 || p.ClassPreferences["betyg"] != -0.5 || p.RestartLimit != 0 {
-		t.Errorf("got %+v, want the defaults with the script's settings", p)
+		t.Errorf("got %+v, want the defaults overridden by the script's settings", p)
 	}
 }
 
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,5 +1,5 @@
-// Package queue orders pending jobs: a queue for each team, and the teams by fair share. It is
-// pure.
+// Package queue orders pending jobs: each team has a queue, and the teams are ordered by fair share.
+// The package does no I/O and reads no clock.
 package queue
 
 import (
@@ -10,41 +10,43 @@
 
 // Item is a pending job.
 type Item interface {
-	// Feasibility is whether the job's objectives can be met.
+	// Feasibility returns whether the job's objectives can be met.
 	Feasibility() Feasibility
-	// LatestStart is the latest time to start and still meet the next objective.
+	// LatestStart returns the latest start time that meets the job's next objective.
 	LatestStart() time.Time
-	// Rank is the job's priority; the lowest rank is served first.
+	// Rank returns the rank of the job's priority. Lower ranks are served first.
 	Rank() int
-	// Preference is the operators' for the job's class; the highest is served first.
+	// Preference returns the operators' preference for the job's class. Higher values are served
+	// first.
 	Preference() float64
-	// ID is the job's name, which orders jobs that are alike in all else.
+	// ID returns the job's ID, which breaks ties.
 	ID() string
 }
 
-// Feasibility is whether a job's objectives can be met. Jobs are served in this order.
+// Feasibility states whether a job's objectives can be met. Lower values are served first.
 type Feasibility int
 
-// The feasibility of a job.
+// Feasibility values, in the order in which jobs are served.
 const (
-	Feasible   Feasibility = iota // its next objective can be met
-	Deferred                      // under overload, objectives of other jobs are met instead
-	Infeasible                    // none of its objectives can be met any more
+	Feasible   Feasibility = iota // the next objective can be met
+	Deferred                      // deferred under overload, so that other jobs meet their objectives
+	Infeasible                    // none of the objectives can still be met
 )
 
-// Team is the queue of one team, with its quota and its use of the cluster.
+// Team is the job queue of one team, with the team's quota and its resource usage.
 type Team[T Item] struct {
 	Name string
-	// Share is the team's weight beyond its guarantee.
+	// Share is the team's fair-share weight for resources beyond its guarantee.
 	Share float64
-	// GuaranteedCPUs and GPUs are the guarantee; LimitCPUs and LimitGPUs are the limit.
+	// GuaranteedCPUs and GuaranteedGPUs are the team's guaranteed resources; LimitCPUs and LimitGPUs
+	// are the most that it may use.
 	GuaranteedCPUs, LimitCPUs float64
 	GuaranteedGPUs, LimitGPUs float64
-	// UsedCPUs and UsedGPUs count every task that may be on a machine.
+	// UsedCPUs and UsedGPUs are the resources of all tasks that may be on a machine.
 	UsedCPUs, UsedGPUs float64
 
 	items []T
-	// sorted is set while items are in the order in which they are served.
+	// sorted is set while items are in serving order.
 	sorted bool
 }
 
@@ -56,10 +58,10 @@
 
 // Remove removes a job from the queue.
 func (t *Team[T]) Remove(item T) {
-	t.items = slices.DeleteFunc(t.items, func(o T) bool { return o.ID() == item.ID() })
+	t.items = slices.DeleteFunc(t.items, func(other T) bool { return other.ID() == item.ID() })
 }
 
-// Items are the jobs in the order in which they are served.
+// Items returns the queued jobs in serving order.
 func (t *Team[T]) Items() []T {
 	if !t.sorted {
 		slices.SortFunc(t.items, compare[T])
@@ -68,7 +70,7 @@
 	return t.items
 }
 
-// compare orders jobs as they are served within a team.
+// compare defines the serving order of jobs within a team.
 func compare[T Item](a, b T) int {
 	return cmp.Or(
 		cmp.Compare(a.Feasibility(), b.Feasibility()),
@@ -80,35 +82,39 @@
 	)
 }
 
-// ordinaryRank is the first rank of jobs that are ordered by their objectives.
+// ordinaryRank is the lowest rank of jobs that are ordered by their objectives. Of jobs that are
+// equally feasible, those of lower ranks are served before them.
 const ordinaryRank = 2
 
-// UrgencyRank orders jobs that are served before the rest whatever their objectives: it is the
-// rank of those before ordinaryRank, and the same for all others.
-func UrgencyRank[T Item](a T) int { return min(a.Rank(), ordinaryRank) }
+// UrgencyRank returns the job's rank, capped at ordinaryRank. Jobs of lower ranks come first by rank
+// alone; all others are equally urgent.
+func UrgencyRank[T Item](item T) int { return min(item.Rank(), ordinaryRank) }
 
-// Before reports whether a is served before b, fair share aside.
+// Before reports whether a is served before b, not considering fair share.
 func Before[T Item](a, b T) bool { return compare(a, b) < 0 }
 
-// InvalidateOrder makes the next call of Items sort the queue again.
+// InvalidateOrder makes the next call to Items sort the queue again.
 func (t *Team[T]) InvalidateOrder() { t.sorted = false }
 
-// epsilon is the tolerance of comparisons of sums of resources.
+// epsilon is the tolerance in comparisons of resource sums, which are inexact floats.
 const epsilon = 1e-6
 
-// WithinGuarantee reports whether another task would be within the team's guarantee.
+// WithinGuarantee reports whether the team's usage would stay within its guarantee with one more task
+// of the given size.
 func (t *Team[T]) WithinGuarantee(cpus, gpus float64) bool {
 	return t.UsedCPUs+cpus <= t.GuaranteedCPUs+epsilon && t.UsedGPUs+gpus <= t.GuaranteedGPUs+epsilon
 }
 
-// WithinLimit reports whether another task would be within the team's limit if uncertain amounts,
-// which any team may be using, were all the team's own.
+// WithinLimit reports whether the team's usage would stay within its limit with one more task of the
+// given size. The uncertain amounts are usage that cannot be attributed to a team yet; they count in
+// full against this team.
 func (t *Team[T]) WithinLimit(cpus, gpus, uncertainCPUs, uncertainGPUs float64) bool {
 	return t.UsedCPUs+uncertainCPUs+cpus <= t.LimitCPUs+epsilon &&
 		(gpus == 0 || t.UsedGPUs+uncertainGPUs+gpus <= t.LimitGPUs+epsilon)
 }
 
-// Utilization is the team's use divided by its share.
+// Utilization returns the team's usage divided by its share, by the resource that it uses most. For a
+// team without a share it returns the sum of its usage.
 func (t *Team[T]) Utilization() float64 {
 	if t.Share <= 0 {
 		return t.UsedCPUs + t.UsedGPUs
@@ -116,7 +122,7 @@
 	return max(t.UsedCPUs, t.UsedGPUs) / t.Share
 }
 
-// SortByShare orders teams by fair share, the least utilization first.
+// SortByShare sorts teams by fair share: lowest utilization first, then by name.
 func SortByShare[T Item](teams []*Team[T]) {
 	slices.SortStableFunc(teams, func(a, b *Team[T]) int {
 		return cmp.Or(cmp.Compare(a.Utilization(), b.Utilization()), cmp.Compare(a.Name, b.Name))
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -39,11 +39,11 @@
 	}
 	want := []string{"urgent", "preferred", "low", "later", "deferred", "infeasible"}
 	if !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("serving order: got %v, want %v", got, want)
 	}
 	q.Remove(item{id: "low"})
 	if n := len(q.Items()); n != 5 {
-		t.Errorf("%d items after one was removed, want 5", n)
+		t.Errorf("%d jobs are queued after one of 6 was removed, want 5", n)
 	}
 }
 
@@ -71,8 +71,8 @@
 		{"beyond the guarantee", q.WithinGuarantee(2, 0), false},
 		{"at the limit", q.WithinLimit(5, 0, 0, 0), true},
 		{"beyond the limit", q.WithinLimit(6, 0, 0, 0), false},
-		// What may be running on unfenced machines counts against the limit.
-		{"beyond the limit with uncertain use", q.WithinLimit(2, 0, 4, 0), false},
+		// Tasks that may be running on unfenced machines count against the limit.
+		{"beyond the limit with uncertain usage", q.WithinLimit(2, 0, 4, 0), false},
 		{"GPUs beyond the limit", q.WithinLimit(1, 1, 0, 0), false},
 	} {
 		if c.got != c.want {
@@ -86,13 +86,16 @@
 	load := func(deadlineS int, work float64) *Load {
 		return &Load{Deadline: now.Add(time.Duration(deadlineS) * time.Second), CPUSeconds: work}
 	}
-	big, a, b, c := load(10, 80), load(10, 20), load(12, 30), load(20, 40)
-	DeferInfeasible([]*Load{c, b, a, big}, 10, now)
-	if !big.Deferred || a.Deferred || b.Deferred || c.Deferred {
-		t.Errorf("deferred: largest %v, others %v %v %v, want only the largest", big.Deferred, a.Deferred, b.Deferred, c.Deferred)
+	// 10 CPUs provide 100, 120 and 200 CPU seconds by the three deadlines: all four jobs cannot be
+	// in time, but the three smallest can.
+	largest, a, b, c := load(10, 80), load(10, 20), load(12, 30), load(20, 40)
+	DeferInfeasible([]*Load{c, b, a, largest}, 10, now)
+	if !largest.Deferred || a.Deferred || b.Deferred || c.Deferred {
+		t.Errorf("deferred: largest %v, others %v %v %v, want only the largest",
+			largest.Deferred, a.Deferred, b.Deferred, c.Deferred)
 	}
-	DeferInfeasible([]*Load{c, b, a, big}, 100, now)
-	if big.Deferred {
-		t.Error("largest deferred although all can be in time")
+	DeferInfeasible([]*Load{c, b, a, largest}, 100, now)
+	if largest.Deferred {
+		t.Error("the largest job is deferred although all jobs can be in time")
 	}
 }
