--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// Take marks a task as taken and reports whether it was untaken before.
+// Take marks a task as taken or completed, and reports whether it was untaken before.
 func (f *Flight) Take(task int) bool {
 	if !f.untaken.Test(uint(task)) {
 		return false
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy holds the operators' settings, written in Starlark. A script runs once,
-// at the start, with bounded steps and without access to files or the network; all its
-// settings are validated before any is applied.
+// Package policy reads the operators' settings from a Starlark script. The script runs once, at startup,
+// with a limited number of steps and without access to files or the network. All settings are validated
+// before any of them is applied.
 package policy
 
 import (
@@ -20,7 +20,7 @@
 //go:embed defaults.star
 var defaults string
 
-// Policy holds the operators' settings. None of them can weaken a safety rule.
+// Policy holds the operators' settings. No setting can weaken a safety rule.
 type Policy struct {
 	// TeamShares holds the fair-share weights of the teams that have one set; see Share.
 	TeamShares map[string]float64
@@ -30,7 +30,8 @@
 	Headroom float64
 	// MinCPUs is the smallest size of the fleet.
 	MinCPUs float64
-	// IdleTimeout is how long a machine must be empty before it may be terminated.
+	// IdleTimeout is how long a machine that is not draining must be empty before it may be
+	// terminated.
 	IdleTimeout time.Duration
 	// DemandWindow is the sliding window whose peak demand the fleet is kept large enough for.
 	DemandWindow time.Duration
@@ -38,8 +39,8 @@
 	LeaderLease time.Duration
 	// ClassPreferences holds the preferences of job classes; higher values are served first.
 	ClassPreferences map[string]float64
-	// RestartLimit is the multiple of its estimated run time after which a task counts as a
-	// straggler; 0 disables restarts of stragglers.
+	// RestartLimit is the multiple of its estimated run time after which a task may be restarted as
+	// a straggler; 0 disables such restarts.
 	RestartLimit float64
 	// Spill holds the conditions for loans to and from other cells.
 	Spill Spill
