--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -147,7 +147,7 @@
 	switch {
 	case j.Infeasible:
 		return queue.Infeasible
-	case j.Load.Defer:
+	case j.Load.Deferred:
 		return queue.Deferred
 	}
 	return queue.Feasible
@@ -197,7 +197,7 @@
 // DemotedTooLong reports whether the job is ordered behind others as infeasible or deferred, and has
 // been runnable for longer than maxDemotedWait.
 func (j *Job) DemotedTooLong(now time.Time) bool {
-	return (j.Infeasible || j.Load.Defer) && now.Sub(j.RunnableSince) > maxDemotedWait
+	return (j.Infeasible || j.Load.Deferred) && now.Sub(j.RunnableSince) > maxDemotedWait
 }
 
 // TaskRef returns the reference of a task in messages to and from worker agents.
--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -56,7 +56,7 @@
 	if commands.List {
 		go lt.listMachines()
 	}
-	for _, drained := range commands.Drained {
+	for _, drained := range commands.Drains {
 		lt.c.Log.Debug("machine draining", "machine", drained.Machine.Name,
 			"count", len(drained.Machine.Attempts), "spare", drained.SpareCPUs)
 	}
@@ -112,7 +112,7 @@
 	}
 	for _, name := range m.machines {
 		if lt.machines[name] == nil && !lt.terminated.Contains(name) {
-			lt.provisioning[name] = m.launch.Provisioning(now)
+			lt.provisioning[name] = m.launch.ProvisioningMachine(now)
 		}
 	}
 	if c.holdsLease() {
@@ -211,7 +211,7 @@
 	machineType := lt.c.machineTypes.load()[listed.Type]
 	provisioning := lt.provisioning[listed.Name]
 	if provisioning == nil {
-		provisioning = autoscaler.ListedProvisioning(listed, machineType, now)
+		provisioning = autoscaler.ProvisioningFromList(listed, machineType, now)
 		lt.provisioning[listed.Name] = provisioning
 	}
 	if lt.autoscaler.TerminateOverdue(provisioning, listed, machineType, now) {
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -43,7 +43,7 @@
 	machines       map[string]*cluster.Machine
 	// provisioning holds, by name, the machines that were launched, or listed by the cloud, and
 	// have not sent a heartbeat yet.
-	provisioning map[string]*autoscaler.Provisioning
+	provisioning map[string]*autoscaler.ProvisioningMachine
 	// terminated holds the names of terminated machines, whose last heartbeats may still arrive.
 	terminated *lru.Cache[string, bool]
 
@@ -130,7 +130,7 @@
 		jobs:             map[string]*cluster.Job{},
 		teams:            map[string]*queue.Team[*cluster.Job]{},
 		machines:         map[string]*cluster.Machine{},
-		provisioning:     map[string]*autoscaler.Provisioning{},
+		provisioning:     map[string]*autoscaler.ProvisioningMachine{},
 		terminated:       terminated,
 		downlink:         relayDownlink{nodes: map[string]*relayNode{}},
 		renewalRevisions: map[string]uint64{},
@@ -164,12 +164,12 @@
 func (lt *leaderTerm) initTeams() {
 	for _, t := range lt.c.Settings.Site.Teams {
 		team := &queue.Team[*cluster.Job]{
-			Name:      t.Name,
-			CPUs:      t.CPUs,
-			LimitCPUs: t.LimitCPUs,
-			GPUs:      t.GPUs,
-			LimitGPUs: t.LimitGPUs,
-			Share:     lt.c.Policy.Share(t.Name, max(t.CPUs, t.GPUs, 1)),
+			Name:           t.Name,
+			GuaranteedCPUs: t.CPUs,
+			LimitCPUs:      t.LimitCPUs,
+			GuaranteedGPUs: t.GPUs,
+			LimitGPUs:      t.LimitGPUs,
+			Share:          lt.c.Policy.Share(t.Name, max(t.CPUs, t.GPUs, 1)),
 		}
 		lt.teams[t.Name] = team
 		lt.fairShareOrder = append(lt.fairShareOrder, team)
