--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -54,23 +54,23 @@
 	if m.FreeCPUs() < cluster.Epsilon && m.GPUs <= m.UsedGPUs {
 		return nil
 	}
-	if j := lt.nextStarved(m, now); j != nil {
+	if j := lt.nextStarvedJob(m, now); j != nil {
 		return j
 	}
 	for _, preferred := range []bool{true, false} {
-		if j := lt.nextGuaranteed(m, preferred, now); j != nil {
+		if j := lt.nextGuaranteedJob(m, preferred, now); j != nil {
 			return j
 		}
-		if j := lt.nextByShare(m, preferred, now); j != nil {
+		if j := lt.nextJobByShare(m, preferred, now); j != nil {
 			return j
 		}
 	}
 	return lt.loans.nextGuest(m, now)
 }
 
-// nextGuaranteed is the first job, over all teams, whose next task is within its team's
+// nextGuaranteedJob is the first job, over all teams, whose next task is within its team's
 // guarantee.
-func (lt *leaderTerm) nextGuaranteed(m *cluster.Machine, preferred bool, now time.Time) *cluster.Job {
+func (lt *leaderTerm) nextGuaranteedJob(m *cluster.Machine, preferred bool, now time.Time) *cluster.Job {
 	var best *cluster.Job
 	for _, t := range lt.fairShareOrder {
 		j := lt.nextJobOfTeam(t, m, true, preferred, now)
@@ -81,9 +81,9 @@
 	return best
 }
 
-// nextByShare is the most urgent of the jobs whose next task is beyond its team's guarantee; of
+// nextJobByShare is the most urgent of the jobs whose next task is beyond its team's guarantee; of
 // equally urgent ones, that of the team which is first by fair share.
-func (lt *leaderTerm) nextByShare(m *cluster.Machine, preferred bool, now time.Time) *cluster.Job {
+func (lt *leaderTerm) nextJobByShare(m *cluster.Machine, preferred bool, now time.Time) *cluster.Job {
 	var best *cluster.Job
 	queue.SortByShare(lt.fairShareOrder)
 	for _, t := range lt.fairShareOrder {
@@ -98,15 +98,15 @@
 // Jobs that cannot be in time are placed behind those that can, but not for ever, or under
 // lasting overload the largest would never run. A job without a start for starvedAfter, a part
 // of the time within which every job must start, goes before all others. And of all starts, one
-// in starvedShare goes to the job that has waited longest, once it is starving.
+// in demotedStartInterval goes to the job that has waited longest, once it is starving.
 const (
-	starvedAfter = 90 * time.Second
-	starvedShare = 8
+	starvedAfter         = 90 * time.Second
+	demotedStartInterval = 8
 )
 
-// nextStarved is the job that goes before all others on a machine, if any.
-func (lt *leaderTerm) nextStarved(m *cluster.Machine, now time.Time) *cluster.Job {
-	starvedTurn := lt.attemptCount%starvedShare == 0
+// nextStarvedJob is the job that goes before all others on a machine, if any.
+func (lt *leaderTerm) nextStarvedJob(m *cluster.Machine, now time.Time) *cluster.Job {
+	starvedTurn := lt.attemptCount%demotedStartInterval == 0
 	if !starvedTurn && lt.starved == 0 {
 		return nil
 	}
@@ -136,7 +136,7 @@
 		if j.Flight.Untaken() == 0 || withinGuarantee != guaranteed || !lt.isEligible(j, m, now) {
 			continue
 		}
-		if (preferred || j.IsUrgent(now)) && !lt.prefers(j, m, now) {
+		if (preferred || j.IsUrgent(now)) && !lt.isPreferredMachine(j, m, now) {
 			continue
 		}
 		if !lt.hasBetterMachines(j, m, now) {
@@ -167,7 +167,7 @@
 		return false
 	case j.FailuresByMachine[m.Name] >= maxFailuresOnMachine || j.AllUntakenExcluded(m):
 		return false
-	case !m.CanFetch(s.Image, lt.maxFetches) && !lt.fetchesBeforeHeartbeat(j, m):
+	case !m.CanFetch(s.Image, lt.maxFetches) && !lt.fetchesWithinTwoHeartbeats(j, m):
 		return false
 	}
 	if s.OneZone {
@@ -180,9 +180,9 @@
 	return !s.Spread || j.AttemptsByZone[m.Zone] < (s.Tasks+1)/2
 }
 
-// minCostGain is by how many seconds the placement cost of a machine must be lower for it to be
+// minCostDifference is by how many seconds the placement cost of a machine must be lower for it to be
 // the better one.
-const minCostGain = 0.5
+const minCostDifference = 0.5
 
 // hasBetterMachines tells whether machines with a lower placement cost have capacity for all
 // pending tasks of a job. They are left to pull it at their next heartbeats: the work gathers
@@ -193,7 +193,7 @@
 		return false
 	}
 	if now.Sub(j.Capacity.ComputedAt) >= leaderTickInterval {
-		lt.findCapacity(j, now)
+		lt.updateCapacity(j, now)
 	}
-	return j.Capacity.SlotsUpTo(lt.placementCost(j, m)-minCostGain) >= j.Flight.Untaken()
+	return j.Capacity.SlotsUpTo(lt.placementCost(j, m)-minCostDifference) >= j.Flight.Untaken()
 }
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -73,7 +73,7 @@
 	}
 	if status.Cause == api.CauseDone {
 		if !a.RunningAt.IsZero() {
-			lt.recordRun(a, now.Sub(a.RunningAt), now)
+			lt.recordRunTime(a, now.Sub(a.RunningAt), now)
 		}
 		lt.completeTask(j, a.Task, now)
 		j.FailureRounds = 0
@@ -84,7 +84,7 @@
 	lt.releaseTask(a)
 	switch status.Cause {
 	case api.CauseError:
-		lt.taskFailed(a, now)
+		lt.handleTaskFailure(a, now)
 	case api.CauseNoCapacity, api.CauseBusy, api.CauseNoSuch:
 		lt.c.Log.Debug("start rejected", "machine", m.Name, "task", a.Key.Ref, "reason", status.Cause)
 		m.CordonedUntil = now.Add(time.Second)
@@ -124,21 +124,21 @@
 // backed off, longer each time, up to maxBackoff.
 const (
 	minFailedMachines   = 3
-	backoffUnit         = 5 * time.Second
+	baseBackoff         = 5 * time.Second
 	maxBackoffDoublings = 4
 	maxBackoff          = time.Minute
 )
 
-// A machine is quarantined if tasks of quarantineJobs failed on it since one last completed, or
-// quarantineFailures tasks of a job that has completed tasks at all.
+// A machine is quarantined if tasks of quarantineAfterJobs failed on it since one last completed, or
+// quarantineAfterFailures tasks of a job that has completed tasks at all.
 const (
-	quarantineJobs     = 2
-	quarantineFailures = 2
+	quarantineAfterJobs     = 2
+	quarantineAfterFailures = 2
 )
 
-// taskFailed handles a task that ended with an error. Mostly the machine is at fault; a job
+// handleTaskFailure handles a task that ended with an error. Mostly the machine is at fault; a job
 // whose tasks fail on several machines and complete on none is.
-func (lt *leaderTerm) taskFailed(a *cluster.Attempt, now time.Time) {
+func (lt *leaderTerm) handleTaskFailure(a *cluster.Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	j.FailuresByMachine[m.Name]++
 	j.ExcludedMachine[a.Task] = m.Name
@@ -149,9 +149,9 @@
 	m.TaskErrorsByJob[j.Spec.ID]++
 	m.CordonDuration = min(max(2*m.CordonDuration, time.Second), failuredetector.MaxCordon)
 	m.CordonedUntil = now.Add(m.CordonDuration)
-	failsProvenJob := j.DoneCount > 0 && m.TaskErrorsByJob[j.Spec.ID] >= quarantineFailures
-	if m.Phase() == cluster.Active && (len(m.TaskErrorsByJob) >= quarantineJobs || failsProvenJob) {
-		lt.quarantineFailing(m, now)
+	failsProvenJob := j.DoneCount > 0 && m.TaskErrorsByJob[j.Spec.ID] >= quarantineAfterFailures
+	if m.Phase() == cluster.Active && (len(m.TaskErrorsByJob) >= quarantineAfterJobs || failsProvenJob) {
+		lt.quarantineFailingMachine(m, now)
 	}
 }
 
@@ -159,7 +159,7 @@
 // failures no longer count against the machines.
 func (lt *leaderTerm) backOffJob(j *cluster.Job, now time.Time) {
 	j.FailureRounds++
-	backoff := min(backoffUnit<<min(j.FailureRounds, maxBackoffDoublings), maxBackoff)
+	backoff := min(baseBackoff<<min(j.FailureRounds, maxBackoffDoublings), maxBackoff)
 	j.BackoffUntil = now.Add(backoff)
 	if j.FailureRounds > 1 {
 		return
@@ -172,8 +172,8 @@
 	}
 }
 
-// quarantineFailing evacuates a machine that fails tasks, and stops what runs on it.
-func (lt *leaderTerm) quarantineFailing(m *cluster.Machine, now time.Time) {
+// quarantineFailingMachine evacuates a machine that fails tasks, and stops what runs on it.
+func (lt *leaderTerm) quarantineFailingMachine(m *cluster.Machine, now time.Time) {
 	lt.c.Log.Info("machine quarantined", "machine", m.Name, "jobs", len(m.TaskErrorsByJob))
 	lt.evacuate(m, "fails tasks")
 	for _, a := range m.Attempts {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -56,7 +56,7 @@
 	for i := range jobs {
 		s := spec(fmt.Sprint("job-", i), max(100, 40*machines/jobs)) // more than fits
 		s.Team = []string{"red", "blue"}[i%2]
-		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: now}, uint64(i+2))
+		lt.addActiveJob(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: now}, uint64(i+2))
 	}
 	heartbeats := make([]*api.Heartbeat, machines)
 	for i := range heartbeats {
@@ -86,8 +86,8 @@
 // benchSize is the size of a deployment.
 type benchSize struct{ machines, jobs int }
 
-// busySizes are the sizes of the benchmarks with busy machines.
-var busySizes = []benchSize{{100, 40}, {400, 40}, {1100, 40}, {1100, 400}}
+// busyClusterSizes are the sizes of the benchmarks with busy machines.
+var busyClusterSizes = []benchSize{{100, 40}, {400, 40}, {1100, 40}, {1100, 400}}
 
 // String returns the size as the name of a benchmark's case.
 func (s benchSize) String() string {
@@ -96,7 +96,7 @@
 
 // The cost of a heartbeat should depend on what it changes, not on the number of machines and jobs.
 func BenchmarkReport(b *testing.B) {
-	for _, size := range busySizes {
+	for _, size := range busyClusterSizes {
 		b.Run(size.String(), func(b *testing.B) {
 			lt, heartbeats := newBusyTerm(b, size.machines, size.jobs)
 			now := time.Now().Add(2 * time.Minute)
@@ -114,7 +114,7 @@
 
 // The cost of a heartbeat with which one task ends and another starts in its place.
 func BenchmarkPull(b *testing.B) {
-	for _, size := range busySizes {
+	for _, size := range busyClusterSizes {
 		b.Run(size.String(), func(b *testing.B) {
 			lt, heartbeats := newBusyTerm(b, size.machines, size.jobs)
 			now := time.Now().Add(2 * time.Minute)
@@ -144,7 +144,7 @@
 
 // The cost of a leader's periodic work.
 func BenchmarkTick(b *testing.B) {
-	for _, size := range busySizes {
+	for _, size := range busyClusterSizes {
 		b.Run(size.String(), func(b *testing.B) {
 			lt, _ := newBusyTerm(b, size.machines, size.jobs)
 			now := time.Now().Add(2 * time.Minute)
@@ -156,7 +156,7 @@
 					m.LastSeen, m.LastHeartbeat = now, now
 				}
 				lt.deferInfeasible(now)
-				lt.countImageLocations(now)
+				lt.updateImageLocations(now)
 				lt.scanMachines(now)
 				lt.restartStragglers(now)
 				view := lt.fleetView(now)
@@ -180,7 +180,7 @@
 				s := spec(fmt.Sprint("job-w", i), 20_000)
 				s.Types = nil
 				s.Team = "red"
-				lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: now}, uint64(i+2))
+				lt.addActiveJob(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: now}, uint64(i+2))
 			}
 			lt.grace = time.Hour
 			b.ReportAllocs()
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -9,8 +9,8 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// findCapacity computes which capacity the fleet has for a job.
-func (lt *leaderTerm) findCapacity(j *cluster.Job, now time.Time) {
+// updateCapacity computes which capacity the fleet has for a job.
+func (lt *leaderTerm) updateCapacity(j *cluster.Job, now time.Time) {
 	type offer struct {
 		cost  float64
 		slots int
@@ -31,9 +31,9 @@
 	}
 }
 
-// fetchesBeforeHeartbeat tells whether a machine fetches a job's image in less than two
+// fetchesWithinTwoHeartbeats tells whether a machine fetches a job's image in less than two
 // heartbeat intervals.
-func (lt *leaderTerm) fetchesBeforeHeartbeat(j *cluster.Job, m *cluster.Machine) bool {
+func (lt *leaderTerm) fetchesWithinTwoHeartbeats(j *cluster.Job, m *cluster.Machine) bool {
 	rate := lt.c.types.load()[m.Type].FetchGBs
 	return rate > 0 && j.Spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.HeartbeatS
 }
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -107,7 +107,7 @@
 
 // Tasks that use next to nothing of a machine: it gets no more of them than its heartbeat can
 // carry the status of, or it could send none and would lose them.
-func TestTinyTasksDoNotOutgrowTheHeartbeat(t *testing.T) {
+func TestTasksPerMachineAreLimitedByHeartbeatSize(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -96,7 +96,7 @@
 	if j.LastDependencyEnd.After(j.RunnableSince) {
 		j.RunnableSince = j.LastDependencyEnd
 	}
-	j.Objectives = dg.leaderTerm.objectives(j)
+	j.Objectives = dg.leaderTerm.computeObjectives(j)
 	j.UpdateFeasibility(now)
 	j.Team.Add(j)
 	dg.leaderTerm.dispatchUntil = now.Add(dispatchWindow)
@@ -195,7 +195,7 @@
 	for _, at := range due {
 		dependency.DependentDeadlines = append(dependency.DependentDeadlines, at.Add(-duration))
 	}
-	dependency.Objectives = dg.leaderTerm.objectives(dependency)
+	dependency.Objectives = dg.leaderTerm.computeObjectives(dependency)
 	dependency.UpdateFeasibility(time.Now())
 	return true
 }
@@ -203,7 +203,7 @@
 // DependentDeadlines are the times by which a job should be complete for the deadlines of its
 // pipeline, the strictest first.
 func (dg *dependencyGraph) dependentDeadlines(j *cluster.Job) []time.Time {
-	own := dg.leaderTerm.deadlines(j)
+	own := dg.leaderTerm.deadlineObjectives(j)
 	if len(own) == 0 || len(j.DependentDeadlines) > 0 && j.DependentDeadlines[0].Before(own[0]) {
 		return j.DependentDeadlines
 	}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -570,7 +570,7 @@
 	// The branches of a diamond differ in length.
 	s.Class, s.DeadlineS, s.EstimateS = "stage", deadlineS, float64(10+20*(i%2))
 	record := records.ActiveRecord{Spec: *s, Accepted: time.Now()}
-	lt.addRecord(records.ActivePrefix+s.ID, record, uint64(1000+i))
+	lt.addActiveJob(records.ActivePrefix+s.ID, record, uint64(1000+i))
 }
 
 // measure counts the allocations by which the deadline of a pipeline's last job reaches the others,
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -6,8 +6,8 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// countImageLocations counts the CPUs of the schedulable machines that have each image.
-func (lt *leaderTerm) countImageLocations(now time.Time) {
+// updateImageLocations counts the CPUs of the schedulable machines that have each image.
+func (lt *leaderTerm) updateImageLocations(now time.Time) {
 	clear(lt.imageLocations)
 	for _, m := range lt.machines {
 		if !m.IsSchedulable(now) {
@@ -28,11 +28,11 @@
 	return time.Duration(j.Spec.ImageGB / rate * float64(time.Second))
 }
 
-// prefers tells whether a machine should serve a job before others because it has the image, or
+// isPreferredMachine tells whether a machine should serve a job before others because it has the image, or
 // because waiting for machines that have it would take longer than the fetch. On a full fleet,
 // capacity becomes free where tasks end; if images were fetched everywhere, much of it would be
 // idle meanwhile.
-func (lt *leaderTerm) prefers(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
+func (lt *leaderTerm) isPreferredMachine(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
 	fetch := lt.fetchTime(j, m)
 	if fetch == 0 {
 		return true
@@ -43,14 +43,14 @@
 	// The CPUs that become free at the image's locations during the fetch, if each does once
 	// in an estimated run of this job.
 	freed := lt.imageLocations[j.Spec.Image] * fetch.Seconds() / max(j.Spec.EstimateS, 1)
-	return freed < float64(j.Flight.Untaken())*j.Spec.CPUs || now.Sub(j.SkippedSince) > lt.skipWindow(fetch)
+	return freed < float64(j.Flight.Untaken())*j.Spec.CPUs || now.Sub(j.SkippedSince) > lt.maxSkipTime(fetch)
 }
 
-// skipWindow is for how long a job may be skipped by machines that would take a time to fetch its
-// image: skipFetches times that, but no longer than leaves time to fetch it and still start
+// maxSkipTime is for how long a job may be skipped by machines that would take a time to fetch its
+// image: maxSkipFetches times that, but no longer than leaves time to fetch it and still start
 // within what the guarantee allows.
-func (lt *leaderTerm) skipWindow(fetch time.Duration) time.Duration {
-	limit := skipFetches * fetch
+func (lt *leaderTerm) maxSkipTime(fetch time.Duration) time.Duration {
+	limit := maxSkipFetches * fetch
 	switch {
 	case lt.startWithin == 0:
 	case fetch < lt.startWithin:
@@ -61,6 +61,6 @@
 	return limit
 }
 
-// skipFetches is for how many times the duration of the fetch a job may be skipped by machines
+// maxSkipFetches is for how many times the duration of the fetch a job may be skipped by machines
 // without its image.
-const skipFetches = 2
+const maxSkipFetches = 2
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -41,7 +41,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			lt := &leaderTerm{startWithin: c.startWithin}
-			if got := lt.skipWindow(c.fetch); got != c.want {
+			if got := lt.maxSkipTime(c.fetch); got != c.want {
 				t.Errorf("skipWindow(%v) with a start within %v: got %v, want %v", c.fetch, c.startWithin, got, c.want)
 			}
 		})
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -15,8 +15,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// addJob applies an active record: of a job that is new, or of one that was lent or reclaimed.
-func (lt *leaderTerm) addJob(key string, value []byte, modRevision uint64) {
+// applyActiveRecord applies an active record: of a job that is new, or of one that was lent or reclaimed.
+func (lt *leaderTerm) applyActiveRecord(key string, value []byte, modRevision uint64) {
 	id := key[len(records.ActivePrefix):]
 	j := lt.jobs[id]
 	if _, ok := lt.c.finalStates.Get(id); ok || j != nil && j.ModRevision >= modRevision {
@@ -31,11 +31,11 @@
 		lt.applyLoan(j, rec, modRevision)
 		return
 	}
-	lt.addRecord(key, rec, modRevision)
+	lt.addActiveJob(key, rec, modRevision)
 }
 
-// addRecord adds the job of an active record.
-func (lt *leaderTerm) addRecord(key string, rec records.ActiveRecord, modRevision uint64) {
+// addActiveJob adds the job of an active record.
+func (lt *leaderTerm) addActiveJob(key string, rec records.ActiveRecord, modRevision uint64) {
 	spec, since, team := rec.Spec, rec.Accepted, lt.teams[rec.Spec.Team]
 	switch {
 	case rec.Lent != nil:
@@ -52,7 +52,7 @@
 	j.ModRevision, j.Accepted, j.RunnableSince = modRevision, rec.Accepted, since
 	j.DependencyList, j.Guest, j.LoanCount = rec.DependencyList, rec.Guest, rec.LoanCount
 	j.ClassPreference = lt.c.Policy.Preferences[spec.Class]
-	j.Objectives = lt.objectives(j)
+	j.Objectives = lt.computeObjectives(j)
 	j.UpdateFeasibility(time.Now())
 	lt.jobs[id] = j
 	switch {
@@ -93,11 +93,11 @@
 // defaultObjectiveFactor is how many estimates a job for which no objective is set may take.
 const defaultObjectiveFactor = 10
 
-// objectives are the times by which a job should be complete: its deadline and the multiples of
+// computeObjectives are the times by which a job should be complete: its deadline and the multiples of
 // it that the configured objectives name, the times that they name for its class, and what the
 // jobs that depend on it require. It sets the job's StartBy as well.
-func (lt *leaderTerm) objectives(j *cluster.Job) []time.Time {
-	times := slices.Concat(lt.deadlines(j), j.DependentDeadlines)
+func (lt *leaderTerm) computeObjectives(j *cluster.Job) []time.Time {
+	times := slices.Concat(lt.deadlineObjectives(j), j.DependentDeadlines)
 	for _, o := range lt.c.Settings.Site.Objectives {
 		switch {
 		case o.Class != j.Spec.Class:
@@ -114,9 +114,9 @@
 	return slices.CompactFunc(times, time.Time.Equal)
 }
 
-// deadlines are the times that follow from a job's own deadline. It counts from the submission,
+// deadlineObjectives are the times that follow from a job's own deadline. It counts from the submission,
 // however long the job's dependencies take.
-func (lt *leaderTerm) deadlines(j *cluster.Job) []time.Time {
+func (lt *leaderTerm) deadlineObjectives(j *cluster.Job) []time.Time {
 	if j.Spec.DeadlineS <= 0 {
 		return nil
 	}
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -86,7 +86,7 @@
 			lt := c.leaderTerm
 			w.checkEqual("unfenced, machines", []int{lt.unfenced, len(lt.machines)}, []int{0, largeFleet})
 			const jobs = 900
-			w.checkEqual("jobs with a deadline", addAndDefer(t, lt, jobs), jobs)
+			w.checkEqual("jobs with a deadline", addJobsAndDeferInfeasible(t, lt, jobs), jobs)
 			for i := range largeFleet {
 				lt.terminated.Add(hostName(i), true)
 			}
@@ -115,9 +115,9 @@
 	}
 }
 
-// addAndDefer adds jobs, has the leader defer what is infeasible, and returns the number of
+// addJobsAndDeferInfeasible adds jobs, has the leader defer what is infeasible, and returns the number of
 // jobs that have a deadline then.
-func addAndDefer(t *testing.T, lt *leaderTerm, jobs int) (withDeadline int) {
+func addJobsAndDeferInfeasible(t *testing.T, lt *leaderTerm, jobs int) (withDeadline int) {
 	t.Helper()
 	for i := range jobs {
 		id := fmt.Sprintf("job-%06d", i)
@@ -125,7 +125,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		lt.addJob(records.ActivePrefix+id, raw, uint64(1000+i))
+		lt.applyActiveRecord(records.ActivePrefix+id, raw, uint64(1000+i))
 	}
 	lt.deferInfeasible(time.Now())
 	for _, j := range lt.jobs {
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -266,7 +266,7 @@
 	}
 	lt.nextScan = now.Add(scanInterval)
 	lt.deferInfeasible(now)
-	lt.countImageLocations(now)
+	lt.updateImageLocations(now)
 	lt.scanMachines(now)
 	lt.restartStragglers(now)
 	if lt.hasLeaseQuorum(now) {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -244,7 +244,7 @@
 	}
 	for i := range 8 {
 		s := spec(fmt.Sprintf("large-%d", i), api.MaxTasks)
-		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
+		lt.addActiveJob(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
 		for task := range api.MaxTasks - 1 {
 			lt.jobs[s.ID].Done.Set(uint(task))
 		}
@@ -252,7 +252,7 @@
 	}
 	for i := range 500 {
 		s := spec(fmt.Sprintf("%s-%d", strings.Repeat("j", 150), i), 1)
-		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
+		lt.addActiveJob(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s}, 1)
 		rw.FinishJob(lt.jobs[s.ID])
 	}
 }
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -54,13 +54,13 @@
 	for i := range jobs {
 		s := spec(fmt.Sprint("job-9", i), 10)
 		s.Team = []string{"red", "blue"}[i%2]
-		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: now}, uint64(10_000+i))
+		lt.addActiveJob(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: now}, uint64(10_000+i))
 	}
 	for i := range 100 {
 		s := spec(fmt.Sprint("job-8", i), 10)
 		s.Team = "guest"
 		guest := &loan.Guest{Home: "cell-b", Epoch: 1, Spec: *s, Budget: loan.Budget{CPUs: 10}}
-		lt.addRecord(records.ActivePrefix+s.ID, records.ActiveRecord{Guest: guest, Accepted: now}, uint64(50_000+i))
+		lt.addActiveJob(records.ActivePrefix+s.ID, records.ActiveRecord{Guest: guest, Accepted: now}, uint64(50_000+i))
 	}
 	return lt
 }
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -318,7 +318,7 @@
 	}
 	switch {
 	case m.active.ModRevision != 0:
-		lt.addJob(m.active.Key, m.active.Value, m.active.ModRevision)
+		lt.applyActiveRecord(m.active.Key, m.active.Value, m.active.ModRevision)
 	case j == nil:
 	case j.Guest != nil:
 		l.removeGuest(j, m.end)
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -279,7 +279,7 @@
 				"epoch", e.Epoch,
 				"cpus", e.Offer.Budget.CPUs)
 			if lt.jobs[e.Job] == nil {
-				lt.addRecord(active, rec, revision)
+				lt.addActiveJob(active, rec, revision)
 			}
 		},
 	})
--- a/internal/controller/machinetypes.go
+++ b/internal/controller/machinetypes.go
@@ -36,11 +36,11 @@
 }
 
 const (
-	// machineTypesTTL is how long the machine types are used before they are read again.
-	machineTypesTTL        = time.Minute
-	machineTypesRetryDelay = time.Second
-	cloudTypesTimeout      = 3 * time.Second
-	storedTypesTimeout     = time.Second
+	// machineTypesRefreshInterval is how long the machine types are used before they are read again.
+	machineTypesRefreshInterval = time.Minute
+	machineTypesRetryDelay      = time.Second
+	cloudTypesTimeout           = 3 * time.Second
+	storedTypesTimeout          = time.Second
 )
 
 // refreshMachineTypesLoop reads the machine types from the cloud, or, until that has answered
@@ -50,7 +50,7 @@
 		cctx, cancel := context.WithTimeout(ctx, cloudTypesTimeout)
 		types, err := c.Cloud.Types(cctx)
 		cancel()
-		wait := machineTypesTTL
+		wait := machineTypesRefreshInterval
 		if err != nil {
 			c.Log.Debug("read of machine types failed", "err", err)
 			wait = machineTypesRetryDelay
--- a/internal/controller/outcome_test.go
+++ b/internal/controller/outcome_test.go
@@ -19,17 +19,17 @@
 // turn is rejected.
 type rateLimitedStore struct {
 	*kvtest.Fake
-	reads *rate.Limiter
-	// rejectsActive is set while reads of active records are rejected.
-	rejectsActive atomic.Bool
+	readLimiter *rate.Limiter
+	// rejectActiveReads is set while reads of active records are rejected.
+	rejectActiveReads atomic.Bool
 }
 
 // Get reads one key within the rate.
 func (s *rateLimitedStore) Get(ctx context.Context, key string) (kv.Entry, error) {
-	if s.rejectsActive.Load() && strings.HasPrefix(key, records.ActivePrefix) {
+	if s.rejectActiveReads.Load() && strings.HasPrefix(key, records.ActivePrefix) {
 		return kv.Entry{}, kv.ErrNotApplied
 	}
-	if err := s.reads.Wait(ctx); err != nil {
+	if err := s.readLimiter.Wait(ctx); err != nil {
 		return kv.Entry{}, fmt.Errorf("%w: %w", kv.ErrNotApplied, err)
 	}
 	return s.Fake.Get(ctx, key)
@@ -41,7 +41,7 @@
 // day.
 func TestManyEndsOfUnknownOutcomeAreResolved(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		store := &rateLimitedStore{Fake: w.store, reads: rate.NewLimiter(20, 20)}
+		store := &rateLimitedStore{Fake: w.store, readLimiter: rate.NewLimiter(20, 20)}
 		n := w.startWith("n0", store, nil)
 		ks := make([]*worker, 15)
 		for i := range ks {
@@ -54,13 +54,13 @@
 		}
 		heartbeatAll(ks, n, 4)
 		w.store.LoseResponses(func(txn kv.Txn) bool { return txn.Records })
-		store.rejectsActive.Store(true)
+		store.rejectActiveReads.Store(true)
 		for _, k := range ks {
 			k.exit(api.CauseDone)
 		}
 		heartbeatAll(ks, n, 40)
 		w.store.LoseResponses(nil)
-		store.rejectsActive.Store(false)
+		store.rejectActiveReads.Store(false)
 		heartbeatAll(ks, n, 20)
 		for _, k := range ks {
 			k.mu.Lock()
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -26,9 +26,9 @@
 	slowLimitDivisor = 10
 )
 
-// recordRun records how long a completed run took, and quarantines a machine whose
+// recordRunTime records how long a completed run took, and quarantines a machine whose
 // runs take much longer than the same jobs' elsewhere.
-func (lt *leaderTerm) recordRun(a *cluster.Attempt, took time.Duration, now time.Time) {
+func (lt *leaderTerm) recordRunTime(a *cluster.Attempt, took time.Duration, now time.Time) {
 	j, m := a.Job, a.Machine
 	if a.Unmeasured {
 		return
@@ -43,7 +43,7 @@
 	m.MeasuredRuns++
 	m.Slowdown += (ratio - m.Slowdown) / float64(min(m.MeasuredRuns, minMeasuredRuns))
 	isSlow := m.MeasuredRuns >= minMeasuredRuns && m.Slowdown > slowdownThreshold
-	if isSlow && m.Phase() == cluster.Active && lt.belowSlowLimit() {
+	if isSlow && m.Phase() == cluster.Active && lt.mayQuarantineSlow() {
 		lt.c.Log.Info("machine quarantined", "machine", m.Name, "slowdown", m.Slowdown)
 		lt.evacuate(m, reasonSlow)
 		for _, other := range m.Attempts {
@@ -57,9 +57,9 @@
 // reasonSlow is why slow machines are evacuated.
 const reasonSlow = "slow"
 
-// belowSlowLimit tells whether slow machines are the exception. Where many seem slow at once, the
+// mayQuarantineSlow tells whether slow machines are the exception. Where many seem slow at once, the
 // cause is another, and quarantine would end the fleet.
-func (lt *leaderTerm) belowSlowLimit() bool {
+func (lt *leaderTerm) mayQuarantineSlow() bool {
 	n := 0
 	for _, m := range lt.machines {
 		if m.Reason == reasonSlow {
--- a/internal/controller/termload.go
+++ b/internal/controller/termload.go
@@ -127,7 +127,7 @@
 		lt.loans.addRecord(e)
 	}
 	for _, e := range snap.active {
-		lt.addJob(e.Key, e.Value, e.ModRevision)
+		lt.applyActiveRecord(e.Key, e.Value, e.ModRevision)
 	}
 	for _, e := range snap.completions {
 		lt.addCompletion(e, now)
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -69,7 +69,7 @@
 			}
 			c.recordCancellation(id)
 		case e.Put != "":
-			lt.addJob(e.Put, e.Value, e.ModRevision)
+			lt.applyActiveRecord(e.Put, e.Value, e.ModRevision)
 		default:
 			// A record that was deleted neither by a cancellation nor by this leader was
 			// deleted by another leader, which the election has not reported yet: how
