--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -8,8 +8,8 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// assignTasks assigns tasks to a machine while it has free capacity, and appends their starts to
-// the commands.
+// assignTasks assigns tasks to a machine while it has free capacity, and appends the start commands
+// to commands.
 func (lt *leaderTerm) assignTasks(m *cluster.Machine, commands []api.Command, now time.Time) []api.Command {
 	if !m.IsSchedulable(now) || !lt.mayStart(now) {
 		return commands
@@ -46,10 +46,11 @@
 	return commands
 }
 
-// nextJob chooses the job whose flight this machine serves next. What the teams' guarantees
-// cover is served first: no team waits for another there, so the job with the earliest latest
-// start is taken. Beyond the guarantees the teams are served in the order of their fair share,
-// urgent work before the rest. Either is tried first with the jobs that the machine prefers.
+// nextJob returns the job from which the machine takes its next task, or nil. Jobs that have waited
+// too long come first. Then come tasks within the teams' guarantees, in one order over all teams,
+// since no team has to wait for another there; then tasks beyond the guarantees, urgent ones first
+// and otherwise by the teams' fair share. These two steps are done for the jobs for which the
+// machine is preferred, and then for all jobs. Guests come last.
 func (lt *leaderTerm) nextJob(m *cluster.Machine, now time.Time) *cluster.Job {
 	if m.FreeCPUs() < cluster.Epsilon && m.GPUs <= m.UsedGPUs {
 		return nil
@@ -57,23 +58,23 @@
 	if j := lt.nextStarvedJob(m, now); j != nil {
 		return j
 	}
-	for _, preferred := range []bool{true, false} {
-		if j := lt.nextGuaranteedJob(m, preferred, now); j != nil {
+	for _, preferredOnly := range []bool{true, false} {
+		if j := lt.nextGuaranteedJob(m, preferredOnly, now); j != nil {
 			return j
 		}
-		if j := lt.nextJobByShare(m, preferred, now); j != nil {
+		if j := lt.nextJobByShare(m, preferredOnly, now); j != nil {
 			return j
 		}
 	}
 	return lt.loans.nextGuest(m, now)
 }
 
-// nextGuaranteedJob is the first job, over all teams, whose next task is within its team's
-// guarantee.
-func (lt *leaderTerm) nextGuaranteedJob(m *cluster.Machine, preferred bool, now time.Time) *cluster.Job {
+// nextGuaranteedJob returns the first job in queue order, over all teams, whose next task is within
+// its team's guarantee.
+func (lt *leaderTerm) nextGuaranteedJob(m *cluster.Machine, preferredOnly bool, now time.Time) *cluster.Job {
 	var best *cluster.Job
-	for _, t := range lt.fairShareOrder {
-		j := lt.nextJobOfTeam(t, m, true, preferred, now)
+	for _, team := range lt.fairShareOrder {
+		j := lt.nextJobOfTeam(team, m, true, preferredOnly, now)
 		if j != nil && (best == nil || queue.Before(j, best)) {
 			best = j
 		}
@@ -81,13 +82,13 @@
 	return best
 }
 
-// nextJobByShare is the most urgent of the jobs whose next task is beyond its team's guarantee; of
-// equally urgent ones, that of the team which is first by fair share.
-func (lt *leaderTerm) nextJobByShare(m *cluster.Machine, preferred bool, now time.Time) *cluster.Job {
+// nextJobByShare returns the most urgent job whose next task is beyond its team's guarantee. Among
+// equally urgent jobs, the team that is first by fair share decides.
+func (lt *leaderTerm) nextJobByShare(m *cluster.Machine, preferredOnly bool, now time.Time) *cluster.Job {
 	var best *cluster.Job
 	queue.SortByShare(lt.fairShareOrder)
-	for _, t := range lt.fairShareOrder {
-		j := lt.nextJobOfTeam(t, m, false, preferred, now)
+	for _, team := range lt.fairShareOrder {
+		j := lt.nextJobOfTeam(team, m, false, preferredOnly, now)
 		if j != nil && (best == nil || queue.UrgencyRank(j) < queue.UrgencyRank(best)) {
 			best = j
 		}
@@ -95,26 +96,28 @@
 	return best
 }
 
-// Jobs that cannot be in time are placed behind those that can, but not for ever, or under
-// lasting overload the largest would never run. A job without a start for starvedAfter, a part
-// of the time within which every job must start, goes before all others. And of all starts, one
-// in demotedStartInterval goes to the job that has waited longest, once it is starving.
+// Jobs that cannot meet their objectives are queued behind those that can. Without these limits,
+// the largest of them would never run under lasting overload.
 const (
-	starvedAfter         = 90 * time.Second
+	// starvedAfter is how long a job may wait for its first start before it precedes all others.
+	// It is shorter than the time within which every job must start.
+	starvedAfter = 90 * time.Second
+	// Every demotedStartInterval-th start goes to the longest waiting of the jobs that have been
+	// infeasible or deferred for too long.
 	demotedStartInterval = 8
 )
 
-// nextStarvedJob is the job that goes before all others on a machine, if any.
+// nextStarvedJob returns the longest waiting job that precedes all others on a machine, or nil.
 func (lt *leaderTerm) nextStarvedJob(m *cluster.Machine, now time.Time) *cluster.Job {
-	starvedTurn := lt.attemptCount%demotedStartInterval == 0
-	if !starvedTurn && lt.starved == 0 {
+	isDemotedTurn := lt.attemptCount%demotedStartInterval == 0
+	if !isDemotedTurn && lt.starved == 0 {
 		return nil
 	}
 	var best *cluster.Job
-	for _, t := range lt.fairShareOrder {
-		for _, j := range t.Items() {
-			goesFirst := j.Starved && !j.Started() || starvedTurn && j.Starving(now)
-			if j.Flight.Untaken() == 0 || !goesFirst {
+	for _, team := range lt.fairShareOrder {
+		for _, j := range team.Items() {
+			isFirst := j.Starved && !j.Started() || isDemotedTurn && j.Starving(now)
+			if j.Flight.Untaken() == 0 || !isFirst {
 				continue
 			}
 			if (best == nil || j.RunnableSince.Before(best.RunnableSince)) && lt.isEligible(j, m, now) {
@@ -125,18 +128,19 @@
 	return best
 }
 
-// nextJobOfTeam is the first job of a team's queue that this machine may serve, among those
-// whose next task is within the guarantee or among the others, and among those that the machine
-// prefers or among all. An urgent job is left to machines that prefer it in either case.
+// nextJobOfTeam returns the first job in a team's queue that may start a task on a machine, or nil.
+// guaranteed selects the jobs whose next task is within the team's guarantee, or else those whose
+// next task is beyond it. With preferredOnly, only jobs for which the machine is preferred count.
+// That restriction always applies to jobs whose start objective is still ahead.
 func (lt *leaderTerm) nextJobOfTeam(
-	t *queue.Team[*cluster.Job], m *cluster.Machine, guaranteed, preferred bool, now time.Time,
+	team *queue.Team[*cluster.Job], m *cluster.Machine, guaranteed, preferredOnly bool, now time.Time,
 ) *cluster.Job {
-	for _, j := range t.Items() {
-		withinGuarantee := t.WithinGuarantee(j.Spec.CPUs, j.Spec.GPUs)
+	for _, j := range team.Items() {
+		withinGuarantee := team.WithinGuarantee(j.Spec.CPUs, j.Spec.GPUs)
 		if j.Flight.Untaken() == 0 || withinGuarantee != guaranteed || !lt.isEligible(j, m, now) {
 			continue
 		}
-		if (preferred || j.IsUrgent(now)) && !lt.isPreferredMachine(j, m, now) {
+		if (preferredOnly || j.IsUrgent(now)) && !lt.isPreferredMachine(j, m, now) {
 			continue
 		}
 		if !lt.hasBetterMachines(j, m, now) {
@@ -146,11 +150,11 @@
 	return nil
 }
 
-// maxFailuresOnMachine is how many tasks of a job may fail on a machine before it gets no more
-// of them.
+// maxFailuresOnMachine is the number of failed tasks of a job on a machine after which the machine
+// gets no further tasks of that job.
 const maxFailuresOnMachine = 2
 
-// isEligible tells whether the next task of a job may start on a machine.
+// isEligible reports whether the next task of a job may start on a machine.
 func (lt *leaderTerm) isEligible(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
 	s := &j.Spec
 	switch {
@@ -159,7 +163,7 @@
 	case j.Guest != nil && !j.WithinBudget():
 		return false
 	case lt.unfenced > 0 && j.ModRevision <= lt.term.ModRevision:
-		// A machine that is not fenced may hold any task accepted before this term.
+		// An unfenced machine may still run any task of a job accepted before this term.
 		return false
 	case !m.Fits(s) || !s.AllowsType(m.Type) || (s.Zone != "" && s.Zone != m.Zone) || (m.Spot && !s.Spot):
 		return false
@@ -171,8 +175,8 @@
 		return false
 	}
 	if s.OneZone {
-		for z, n := range j.AttemptsByZone {
-			if n > 0 && z != m.Zone {
+		for zone, attempts := range j.AttemptsByZone {
+			if attempts > 0 && zone != m.Zone {
 				return false
 			}
 		}
@@ -180,14 +184,15 @@
 	return !s.Spread || j.AttemptsByZone[m.Zone] < (s.Tasks+1)/2
 }
 
-// minCostDifference is by how many seconds the placement cost of a machine must be lower for it to be
-// the better one.
+// minCostDifference is the difference in placement cost, in seconds, from which on the cheaper of
+// two machines counts as better.
 const minCostDifference = 0.5
 
-// hasBetterMachines tells whether machines with a lower placement cost have capacity for all
-// pending tasks of a job. They are left to pull it at their next heartbeats: the work gathers
-// where its image is, on cheap machines and on those in use, and the others become empty and are
-// terminated. A job that has waited longer than lt.grace is assigned to any machine.
+// hasBetterMachines reports whether machines with a lower placement cost than this one have capacity
+// for all pending tasks of a job. They are then left to pull the tasks at their next
+// heartbeats. This concentrates work on machines that have its image, are cheap or are already in
+// use, so that the others become empty and can be terminated. A job that has waited longer than the placement delay
+// is assigned to any machine.
 func (lt *leaderTerm) hasBetterMachines(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
 	if now.Sub(j.WaitingSince) > lt.grace {
 		return false
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -9,7 +9,7 @@
 	"example.org/ivytrestle/internal/failuredetector"
 )
 
-// adoptAttempt adds an attempt that a heartbeat shows and this leader did not start.
+// adoptAttempt adds an attempt that a heartbeat reports and that this leader did not start.
 func (lt *leaderTerm) adoptAttempt(
 	m *cluster.Machine, key cluster.AttemptKey, status *api.TaskStatus, now time.Time,
 ) *cluster.Attempt {
@@ -30,8 +30,8 @@
 	}
 	a.Reserve()
 	if a.Job != nil && (a.Job.ActiveAttempts[task] == nil || a.Job.ActiveAttempts[task].Key.ID < key.ID) {
-		// Of two attempts the later one is kept: it was started only when the earlier one
-		// was known to be off its machine.
+		// Of two attempts at a task the later one is kept: it was started only once the
+		// earlier one was known to be off its machine.
 		a.Job.ActiveAttempts[task] = a
 		a.Job.Flight.Take(task)
 		a.Job.Flight.Join(m.Name)
@@ -39,7 +39,7 @@
 	return a
 }
 
-// applyTaskStatus applies what a heartbeat says of an attempt.
+// applyTaskStatus updates an attempt from its status in a heartbeat.
 func (lt *leaderTerm) applyTaskStatus(a *cluster.Attempt, status *api.TaskStatus, now time.Time) {
 	previousPhase := a.Phase
 	a.Phase = status.Phase
@@ -65,7 +65,7 @@
 	lt.handleExit(a, status, now)
 }
 
-// handleExit handles the end of an attempt by its cause.
+// handleExit updates the job and the machine after an attempt has exited, depending on the cause.
 func (lt *leaderTerm) handleExit(a *cluster.Attempt, status *api.TaskStatus, now time.Time) {
 	j, m := a.Job, a.Machine
 	if j == nil {
@@ -91,8 +91,8 @@
 	}
 }
 
-// releaseTask makes an attempt's task pending again, unless it is done or another attempt has
-// taken it over.
+// releaseTask makes an attempt's task pending again, unless the task is done or another attempt now
+// runs it.
 func (lt *leaderTerm) releaseTask(a *cluster.Attempt) {
 	j := a.Job
 	if j == nil || j.ActiveAttempts[a.Task] != a {
@@ -113,31 +113,37 @@
 	lt.releaseTask(a)
 }
 
-// isReapable tells whether an exited attempt may be dropped from the heartbeats: a completed
-// one only once that is on record, so that a new leader learns of it.
+// isReapable reports whether the machine may drop an exited attempt from its heartbeats. A completed
+// one must be recorded in the store first: until then a new leader can see the completion only in
+// the machine's heartbeats.
 func (lt *leaderTerm) isReapable(a *cluster.Attempt) bool {
 	j := a.Job
 	return j == nil || j.Ended || !j.Done.Test(uint(a.Task)) || j.Recorded.Test(uint(a.Task))
 }
 
-// A job is at fault if its tasks failed on minFailedMachines and none has completed. It is
-// backed off, longer each time, up to maxBackoff.
+// Backoff of a job that fails on every machine.
 const (
-	minFailedMachines   = 3
+	// minFailedMachines is the number of machines on which tasks of a job must have failed, with
+	// none completed, for the job to count as faulty.
+	minFailedMachines = 3
+	// A backoff is baseBackoff doubled once for each backoff of the job so far, this one
+	// included, at most maxBackoffDoublings times, and no longer than maxBackoff.
 	baseBackoff         = 5 * time.Second
 	maxBackoffDoublings = 4
 	maxBackoff          = time.Minute
 )
 
-// A machine is quarantined if tasks of quarantineAfterJobs failed on it since one last completed, or
-// quarantineAfterFailures tasks of a job that has completed tasks at all.
+// Limits of failures since a task last completed on a machine, at which it is quarantined.
 const (
-	quarantineAfterJobs     = 2
+	// quarantineAfterJobs is the number of jobs with failed tasks.
+	quarantineAfterJobs = 2
+	// quarantineAfterFailures is the number of failed tasks of one job that has completed tasks.
 	quarantineAfterFailures = 2
 )
 
-// handleTaskFailure handles a task that ended with an error. Mostly the machine is at fault; a job
-// whose tasks fail on several machines and complete on none is.
+// handleTaskFailure handles a task that ended with an error. In most cases the machine is at fault,
+// and it is cordoned or quarantined. A job whose tasks fail on several machines and complete on none
+// is itself at fault, and is backed off.
 func (lt *leaderTerm) handleTaskFailure(a *cluster.Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	j.FailuresByMachine[m.Name]++
@@ -149,14 +155,14 @@
 	m.TaskErrorsByJob[j.Spec.ID]++
 	m.CordonDuration = min(max(2*m.CordonDuration, time.Second), failuredetector.MaxCordon)
 	m.CordonedUntil = now.Add(m.CordonDuration)
-	failsProvenJob := j.DoneCount > 0 && m.TaskErrorsByJob[j.Spec.ID] >= quarantineAfterFailures
-	if m.Phase() == cluster.Active && (len(m.TaskErrorsByJob) >= quarantineAfterJobs || failsProvenJob) {
+	failsWorkingJob := j.DoneCount > 0 && m.TaskErrorsByJob[j.Spec.ID] >= quarantineAfterFailures
+	if m.Phase() == cluster.Active && (len(m.TaskErrorsByJob) >= quarantineAfterJobs || failsWorkingJob) {
 		lt.quarantineFailingMachine(m, now)
 	}
 }
 
-// backOffJob keeps a job that fails on every machine from starting tasks for a while. Its
-// failures no longer count against the machines.
+// backOffJob keeps a job that fails on every machine from starting tasks for a while, and removes its
+// failures from the machines' counts.
 func (lt *leaderTerm) backOffJob(j *cluster.Job, now time.Time) {
 	j.FailureRounds++
 	backoff := min(baseBackoff<<min(j.FailureRounds, maxBackoffDoublings), maxBackoff)
@@ -172,7 +178,7 @@
 	}
 }
 
-// quarantineFailingMachine evacuates a machine that fails tasks, and stops what runs on it.
+// quarantineFailingMachine evacuates a machine on which tasks fail, and stops its running attempts.
 func (lt *leaderTerm) quarantineFailingMachine(m *cluster.Machine, now time.Time) {
 	lt.c.Log.Info("machine quarantined", "machine", m.Name, "jobs", len(m.TaskErrorsByJob))
 	lt.evacuate(m, "fails tasks")
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -9,54 +9,54 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// updateCapacity computes which capacity the fleet has for a job.
+// updateCapacity recomputes for how many tasks of a job the fleet has capacity, by placement cost.
 func (lt *leaderTerm) updateCapacity(j *cluster.Job, now time.Time) {
-	type offer struct {
+	type candidate struct {
 		cost  float64
 		slots int
 	}
-	var offers []offer
+	var candidates []candidate
 	for _, m := range lt.machines {
 		if m.IsSchedulable(now) && m.Fits(&j.Spec) && (!m.Spot || j.Spec.Spot) {
-			offers = append(offers, offer{lt.placementCost(j, m), m.Slots(&j.Spec)})
+			candidates = append(candidates, candidate{lt.placementCost(j, m), m.Slots(&j.Spec)})
 		}
 	}
-	slices.SortFunc(offers, func(a, b offer) int { return cmp.Compare(a.cost, b.cost) })
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 	j.Capacity = cluster.Capacity{ComputedAt: now, Costs: j.Capacity.Costs[:0], Slots: j.Capacity.Slots[:0]}
-	sum := 0
-	for _, o := range offers {
-		sum += o.slots
-		j.Capacity.Costs = append(j.Capacity.Costs, o.cost)
-		j.Capacity.Slots = append(j.Capacity.Slots, sum)
+	totalSlots := 0
+	for _, c := range candidates {
+		totalSlots += c.slots
+		j.Capacity.Costs = append(j.Capacity.Costs, c.cost)
+		j.Capacity.Slots = append(j.Capacity.Slots, totalSlots)
 	}
 }
 
-// fetchesWithinTwoHeartbeats tells whether a machine fetches a job's image in less than two
-// heartbeat intervals.
+// fetchesWithinTwoHeartbeats reports whether a machine fetches a job's image in less than two
+// heartbeat intervals. The limit of concurrent fetches does not apply to these images.
 func (lt *leaderTerm) fetchesWithinTwoHeartbeats(j *cluster.Job, m *cluster.Machine) bool {
 	rate := lt.c.types.load()[m.Type].FetchGBs
 	return rate > 0 && j.Spec.ImageGB/rate < 2*lt.c.Settings.Site.Workers.HeartbeatS
 }
 
-// Parts of the placement cost, in seconds.
+// Components of the placement cost, in seconds.
 const (
-	// spotMismatchPenalty is the cost of work without checkpoints on a spot machine, and of
-	// work with checkpoints on any other, where it takes up the capacity for work without.
-	// Nearly all jobs that were late while the fleet had capacity had lost tasks to the
-	// preemption of spot machines.
+	// spotMismatchPenalty is added for tasks without checkpoints on a spot machine, and for tasks
+	// with checkpoints on an on-demand machine, where they use up capacity that tasks without
+	// checkpoints need. Nearly all jobs that were late although the fleet had capacity had lost
+	// tasks to the preemption of spot machines.
 	spotMismatchPenalty = 8
-	// emptyMachinePenalty is the cost of a machine that is not in use yet.
+	// emptyMachinePenalty is added for a machine that runs no task.
 	emptyMachinePenalty = 4
 )
 
-// placementCost is how badly a machine suits a job, in seconds lost: the time to fetch the
-// image, and a measure of what it costs to keep the machine.
+// placementCost returns the cost of running a job's tasks on a machine, in seconds: the time to
+// fetch the image, and penalties for expensive, empty, mostly free and mismatched machines.
 func (lt *leaderTerm) placementCost(j *cluster.Job, m *cluster.Machine) float64 {
 	types := lt.c.types.load()
-	mt := types[m.Type]
+	machineType := types[m.Type]
 	cost := 0.0
-	if !m.Images.Has(j.Spec.Image) && mt.FetchGBs > 0 {
-		cost += j.Spec.ImageGB / mt.FetchGBs
+	if !m.Images.Has(j.Spec.Image) && machineType.FetchGBs > 0 {
+		cost += j.Spec.ImageGB / machineType.FetchGBs
 	}
 	if m.UsedCPUs < cluster.Epsilon {
 		cost += emptyMachinePenalty
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -6,7 +6,7 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// updateImageLocations counts the CPUs of the schedulable machines that have each image.
+// updateImageLocations recomputes, for each image, the CPUs of the schedulable machines that have it.
 func (lt *leaderTerm) updateImageLocations(now time.Time) {
 	clear(lt.imageLocations)
 	for _, m := range lt.machines {
@@ -19,7 +19,8 @@
 	}
 }
 
-// fetchTime is how long a machine takes to fetch a job's image, if it must.
+// fetchTime returns how long a machine takes to fetch a job's image, or 0 if it has the image, is
+// already fetching it, or has an unknown fetch rate.
 func (lt *leaderTerm) fetchTime(j *cluster.Job, m *cluster.Machine) time.Duration {
 	rate := lt.c.types.load()[m.Type].FetchGBs
 	if rate <= 0 || m.Images.Has(j.Spec.Image) || m.Fetching[j.Spec.Image] {
@@ -28,10 +29,11 @@
 	return time.Duration(j.Spec.ImageGB / rate * float64(time.Second))
 }
 
-// isPreferredMachine tells whether a machine should serve a job before others because it has the image, or
-// because waiting for machines that have it would take longer than the fetch. On a full fleet,
-// capacity becomes free where tasks end; if images were fetched everywhere, much of it would be
-// idle meanwhile.
+// isPreferredMachine reports whether a job's tasks should start on this machine rather than wait for
+// another: it has the image, or waiting for machines that have it would take longer than the fetch,
+// or the job has been skipped for too long. On a full fleet, capacity becomes free wherever a task
+// ends. If each of these machines fetched another image, much of the capacity would be idle during
+// the fetches.
 func (lt *leaderTerm) isPreferredMachine(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
 	fetch := lt.fetchTime(j, m)
 	if fetch == 0 {
@@ -40,15 +42,16 @@
 	if j.SkippedSince.IsZero() {
 		j.SkippedSince = now
 	}
-	// The CPUs that become free at the image's locations during the fetch, if each does once
-	// in an estimated run of this job.
-	freed := lt.imageLocations[j.Spec.Image] * fetch.Seconds() / max(j.Spec.EstimateS, 1)
-	return freed < float64(j.Flight.Untaken())*j.Spec.CPUs || now.Sub(j.SkippedSince) > lt.maxSkipTime(fetch)
+	// freedCPUs is the number of CPUs that become free during the fetch on machines with the
+	// image, if each of them becomes free once in the estimated run time of this job.
+	freedCPUs := lt.imageLocations[j.Spec.Image] * fetch.Seconds() / max(j.Spec.EstimateS, 1)
+	return freedCPUs < float64(j.Flight.Untaken())*j.Spec.CPUs || now.Sub(j.SkippedSince) > lt.maxSkipTime(fetch)
 }
 
-// maxSkipTime is for how long a job may be skipped by machines that would take a time to fetch its
-// image: maxSkipFetches times that, but no longer than leaves time to fetch it and still start
-// within what the guarantee allows.
+// maxSkipTime returns how long a job may be skipped by machines that would have to fetch its image:
+// maxSkipFetches times the fetch time, but short enough that the image can still be fetched within
+// the start objective of guaranteed work. If the fetch alone takes longer than the objective, the
+// limit is the objective itself.
 func (lt *leaderTerm) maxSkipTime(fetch time.Duration) time.Duration {
 	limit := maxSkipFetches * fetch
 	switch {
@@ -61,6 +64,6 @@
 	return limit
 }
 
-// maxSkipFetches is for how many times the duration of the fetch a job may be skipped by machines
-// without its image.
+// maxSkipFetches is how long a job may be skipped by machines without its image, in multiples of the
+// fetch time.
 const maxSkipFetches = 2
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -15,7 +15,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// applyActiveRecord applies an active record: of a job that is new, or of one that was lent or reclaimed.
+// applyActiveRecord applies an active record: it adds a new job, or updates one that was lent or
+// reclaimed.
 func (lt *leaderTerm) applyActiveRecord(key string, value []byte, modRevision uint64) {
 	id := key[len(records.ActivePrefix):]
 	j := lt.jobs[id]
@@ -34,22 +35,23 @@
 	lt.addActiveJob(key, rec, modRevision)
 }
 
-// addActiveJob adds the job of an active record.
+// addActiveJob adds the job that an active record describes. The spec and the team of a lent job or
+// of a guest come from its loan.
 func (lt *leaderTerm) addActiveJob(key string, rec records.ActiveRecord, modRevision uint64) {
-	spec, since, team := rec.Spec, rec.Accepted, lt.teams[rec.Spec.Team]
+	spec, runnableSince, team := rec.Spec, rec.Accepted, lt.teams[rec.Spec.Team]
 	switch {
 	case rec.Lent != nil:
-		spec, since, team = rec.Lent.Spec, rec.Lent.Since, lt.teams[rec.Lent.Spec.Team]
+		spec, runnableSince, team = rec.Lent.Spec, rec.Lent.Since, lt.teams[rec.Lent.Spec.Team]
 	case rec.Guest != nil:
-		spec, since, team = rec.Guest.Spec, rec.Guest.Since, lt.loans.guestTeam(rec.Guest.Home)
+		spec, runnableSince, team = rec.Guest.Spec, rec.Guest.Since, lt.loans.guestTeam(rec.Guest.Home)
 	}
 	id := spec.ID
 	if team == nil || spec.Tasks < 1 {
-		lt.c.Log.Error("active record not valid", "key", key, "team", spec.Team, "tasks", spec.Tasks)
+		lt.c.Log.Error("active record invalid", "key", key, "team", spec.Team, "tasks", spec.Tasks)
 		return
 	}
 	j := newJob(spec, team)
-	j.ModRevision, j.Accepted, j.RunnableSince = modRevision, rec.Accepted, since
+	j.ModRevision, j.Accepted, j.RunnableSince = modRevision, rec.Accepted, runnableSince
 	j.DependencyList, j.Guest, j.LoanCount = rec.DependencyList, rec.Guest, rec.LoanCount
 	j.ClassPreference = lt.c.Policy.Preferences[spec.Class]
 	j.Objectives = lt.computeObjectives(j)
@@ -64,12 +66,12 @@
 	case lt.loaded:
 		lt.dependencies.resolveDependencies(j)
 		lt.dependencies.propagateDeadlines(j)
-	default: // once all records are read
+	default: // addSnapshot resolves dependencies once all records are read
 	}
 	lt.c.Log.Debug("job added", "job", id, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", j.Spec.Tasks)
 }
 
-// newJob returns a job of a team of which no task has started.
+// newJob returns a job of a team, with all of its tasks pending.
 func newJob(spec api.JobSpec, team *queue.Team[*cluster.Job]) *cluster.Job {
 	tasks := uint(spec.Tasks)
 	return &cluster.Job{
@@ -90,12 +92,13 @@
 	}
 }
 
-// defaultObjectiveFactor is how many estimates a job for which no objective is set may take.
+// defaultObjectiveFactor is the multiple of its estimate within which a job without objectives should
+// complete.
 const defaultObjectiveFactor = 10
 
-// computeObjectives are the times by which a job should be complete: its deadline and the multiples of
-// it that the configured objectives name, the times that they name for its class, and what the
-// jobs that depend on it require. It sets the job's StartBy as well.
+// computeObjectives returns the times by which a job should be complete, in ascending order: its
+// deadline, the multiples of the deadline and the completion times that the site's objectives set for
+// its class, and the times required by the jobs that depend on it. It also sets the job's StartBy.
 func (lt *leaderTerm) computeObjectives(j *cluster.Job) []time.Time {
 	times := slices.Concat(lt.deadlineObjectives(j), j.DependentDeadlines)
 	for _, o := range lt.c.Settings.Site.Objectives {
@@ -114,8 +117,8 @@
 	return slices.CompactFunc(times, time.Time.Equal)
 }
 
-// deadlineObjectives are the times that follow from a job's own deadline. It counts from the submission,
-// however long the job's dependencies take.
+// deadlineObjectives returns the times that follow from a job's own deadline, in ascending order. The
+// deadline counts from the acceptance of the job, regardless of how long its dependencies take.
 func (lt *leaderTerm) deadlineObjectives(j *cluster.Job) []time.Time {
 	if j.Spec.DeadlineS <= 0 {
 		return nil
@@ -130,8 +133,7 @@
 	return times
 }
 
-// cancelJob removes a job that was cancelled. Its attempts are stopped by the responses to
-// their machines' heartbeats.
+// cancelJob removes a cancelled job. The responses to its machines' heartbeats stop its attempts.
 func (lt *leaderTerm) cancelJob(j *cluster.Job) {
 	lt.removeJob(j)
 	lt.c.recordCancellation(j.Spec.ID)
@@ -144,7 +146,7 @@
 	lt.dependencyLists.drop(j)
 }
 
-// removeJob removes a job that has ended from all state.
+// removeJob removes a job that has ended from the leader's memory.
 func (lt *leaderTerm) removeJob(j *cluster.Job) {
 	j.Ended = true
 	j.CompletionDirty = false
@@ -154,8 +156,8 @@
 	j.Team.Remove(j)
 }
 
-// completeTask marks a task as completed, and has that put on record, or the job ended if it was
-// the last.
+// completeTask marks a task as completed and queues its completion record. After the last task it
+// has the end of the job recorded instead.
 func (lt *leaderTerm) completeTask(j *cluster.Job, task int, now time.Time) {
 	if j.Done.Test(uint(task)) {
 		return
--- a/internal/controller/machinetypes.go
+++ b/internal/controller/machinetypes.go
@@ -12,13 +12,13 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// machineTypeCache holds the machine types. They are replaced as a whole, so that the
-// handlers read them without a message to the owner.
+// machineTypeCache holds the machine types by name. The map is replaced as a whole, so that request
+// handlers can read it without sending a message to the owner goroutine.
 type machineTypeCache struct {
 	byName atomic.Pointer[map[string]api.MachineType]
 }
 
-// load returns the machine types by name; nil: they are not known yet.
+// load returns the machine types by name, or nil while they are unknown.
 func (t *machineTypeCache) load() map[string]api.MachineType {
 	if p := t.byName.Load(); p != nil {
 		return *p
@@ -28,27 +28,27 @@
 
 // set replaces the machine types.
 func (t *machineTypeCache) set(types []api.MachineType) {
-	m := make(map[string]api.MachineType, len(types))
-	for _, mt := range types {
-		m[mt.Name] = mt
+	byName := make(map[string]api.MachineType, len(types))
+	for _, machineType := range types {
+		byName[machineType.Name] = machineType
 	}
-	t.byName.Store(&m)
+	t.byName.Store(&byName)
 }
 
 const (
-	// machineTypesRefreshInterval is how long the machine types are used before they are read again.
 	machineTypesRefreshInterval = time.Minute
-	machineTypesRetryDelay      = time.Second
-	cloudTypesTimeout           = 3 * time.Second
-	storedTypesTimeout          = time.Second
+	// machineTypesRetryDelay is the delay after a failed read from the cloud.
+	machineTypesRetryDelay = time.Second
+	cloudTypesTimeout      = 3 * time.Second
+	storedTypesTimeout     = time.Second
 )
 
-// refreshMachineTypesLoop reads the machine types from the cloud, or, until that has answered
-// once, from the store, where some node has put them.
+// refreshMachineTypesLoop reads the machine types from the cloud at intervals. While none are known
+// and the cloud cannot be read, it uses those that another node has stored in the key-value store.
 func (c *Controller) refreshMachineTypesLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		cctx, cancel := context.WithTimeout(ctx, cloudTypesTimeout)
-		types, err := c.Cloud.Types(cctx)
+		cloudCtx, cancel := context.WithTimeout(ctx, cloudTypesTimeout)
+		types, err := c.Cloud.Types(cloudCtx)
 		cancel()
 		wait := machineTypesRefreshInterval
 		if err != nil {
@@ -58,9 +58,9 @@
 				c.loadStoredMachineTypes(ctx)
 			}
 		} else {
-			first := c.types.load() == nil
+			isFirstRead := c.types.load() == nil
 			c.types.set(types)
-			if first {
+			if isFirstRead {
 				c.storeMachineTypes(ctx, types)
 			}
 		}
@@ -68,30 +68,29 @@
 	}
 }
 
-// loadStoredMachineTypes uses the machine types that some node has stored, if any.
+// loadStoredMachineTypes sets the machine types to those in the key-value store, if there are any.
 func (c *Controller) loadStoredMachineTypes(ctx context.Context) {
-	cctx, cancel := context.WithTimeout(ctx, storedTypesTimeout)
+	getCtx, cancel := context.WithTimeout(ctx, storedTypesTimeout)
 	defer cancel()
-	e, err := c.Store.Get(cctx, records.MachineTypesKey)
-	if err != nil || e.ModRevision == 0 {
+	entry, err := c.Store.Get(getCtx, records.MachineTypesKey)
+	if err != nil || entry.ModRevision == 0 {
 		return
 	}
 	var types []api.MachineType
-	if err := json.Unmarshal(e.Value, &types); err != nil {
+	if err := json.Unmarshal(entry.Value, &types); err != nil {
 		c.Log.Warn("stored machine types invalid", "err", err)
 		return
 	}
 	c.types.set(types)
 }
 
-// storeMachineTypes stores the machine types for nodes that start while the cloud is
-// unreachable.
+// storeMachineTypes stores the machine types for nodes that start while the cloud is unreachable.
 //
-// All versions read one record, and with types missing from it a node would reject jobs as
-// unschedulable. So a list that does not fit in a record is not stored: a node that
-// starts while the cloud is unreachable then waits for the cloud.
+// A list that does not fit in one record is not stored. It cannot be split, because all versions
+// read a single record, and it cannot be shortened, because a node that lacks a type would reject
+// jobs as unschedulable. A node that starts while the cloud is unreachable then waits for the cloud.
 func (c *Controller) storeMachineTypes(ctx context.Context, types []api.MachineType) {
-	cctx, cancel := context.WithTimeout(ctx, storedTypesTimeout)
+	txnCtx, cancel := context.WithTimeout(ctx, storedTypesTimeout)
 	defer cancel()
 	raw, err := json.Marshal(types)
 	maxBytes := min(c.Settings.Site.State.ValueKB*1024, kv.MaxTxnBytes*3/4)
@@ -100,7 +99,7 @@
 		return
 	}
 	txn := kv.Txn{Ops: []kv.Op{{Put: records.MachineTypesKey, Value: json.RawMessage(raw)}}}
-	if _, err := c.Store.Txn(cctx, txn); errors.Is(err, kv.ErrInvalid) {
+	if _, err := c.Store.Txn(txnCtx, txn); errors.Is(err, kv.ErrInvalid) {
 		c.Log.Warn("write of machine types rejected", "err", err)
 	} else if err != nil && !errors.Is(err, context.Canceled) {
 		c.Log.Debug("write of machine types failed", "err", err)
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -7,27 +7,30 @@
 )
 
 const (
-	// overrunFactor is how many estimates a run may take without counting as overrun; how many
-	// it may take before it is restarted is the operators' choice.
+	// overrunFactor is the multiple of the estimate above which a run counts as an overrun. The
+	// multiple at which a run may be restarted is set by the policy.
 	overrunFactor = 2
-	// stragglerFactor is by how much a straggler must exceed the longest run on the job's other
-	// machines.
+	// stragglerFactor is the multiple of the longest run on the job's other machines that a run
+	// must have reached to be a straggler.
 	stragglerFactor = 1.5
-	// minOverruns is how many runs of a job must have overrun on a machine for one of them to
-	// be restarted.
+	// minOverruns is the number of runs of a job that must have overrun on a machine before one
+	// of them is restarted.
 	minOverruns = 2
-	// minSampleRuns is how many runs elsewhere a comparison needs.
+	// minSampleRuns is the number of runs on other machines that a comparison requires.
 	minSampleRuns = 3
-	// slowdownThreshold marks a machine whose runs take this many times as long as the same
-	// jobs' runs elsewhere, over at least minMeasuredRuns of them.
+	// slowdownThreshold is the ratio of a machine's run times to those of the same jobs on other
+	// machines above which the machine counts as slow.
 	slowdownThreshold = 1.7
-	minMeasuredRuns   = 8
-	// One in slowLimitDivisor machines may be quarantined as slow, and one in any case.
+	// minMeasuredRuns is the number of runs that must have been measured on a machine before it
+	// can count as slow, and about the number of runs over which its slowdown is averaged.
+	minMeasuredRuns = 8
+	// slowLimitDivisor limits the machines quarantined as slow to one in slowLimitDivisor; one is
+	// always allowed.
 	slowLimitDivisor = 10
 )
 
-// recordRunTime records how long a completed run took, and quarantines a machine whose
-// runs take much longer than the same jobs' elsewhere.
+// recordRunTime updates the job's and the machine's statistics with the time a completed run took,
+// and quarantines a machine whose runs take much longer than the same jobs' runs elsewhere.
 func (lt *leaderTerm) recordRunTime(a *cluster.Attempt, took time.Duration, now time.Time) {
 	j, m := a.Job, a.Machine
 	if a.Unmeasured {
@@ -37,7 +40,7 @@
 	j.Runs.Add(m.Name, took, took > overrunFactor*j.Spec.Estimate())
 	others := j.RunsElsewhere(m)
 	if others.Count < minSampleRuns || took < time.Second {
-		return // a task whose result was kept ends at once, which measures nothing
+		return // a run shorter than 1 s may be a task whose result was kept: it says nothing about speed
 	}
 	ratio := float64(took) * float64(others.Count) / float64(max(others.TotalTime, time.Second))
 	m.MeasuredRuns++
@@ -54,22 +57,24 @@
 	}
 }
 
-// reasonSlow is why slow machines are evacuated.
+// reasonSlow is the evacuation reason of slow machines.
 const reasonSlow = "slow"
 
-// mayQuarantineSlow tells whether slow machines are the exception. Where many seem slow at once, the
-// cause is another, and quarantine would end the fleet.
+// mayQuarantineSlow reports whether the number of machines quarantined as slow is below its limit.
+// If many machines appear slow at once, the cause lies elsewhere, and quarantining them all would
+// terminate the fleet.
 func (lt *leaderTerm) mayQuarantineSlow() bool {
-	n := 0
+	slowMachines := 0
 	for _, m := range lt.machines {
 		if m.Reason == reasonSlow {
-			n++
+			slowMachines++
 		}
 	}
-	return n < max(1, len(lt.machines)/slowLimitDivisor)
+	return slowMachines < max(1, len(lt.machines)/slowLimitDivisor)
 }
 
-// restartStragglers restarts, once each, the runs that isStraggler finds.
+// restartStragglers stops stragglers so that they start again on other machines. Each task is
+// restarted at most once. Without a restart limit in the policy it does nothing.
 func (lt *leaderTerm) restartStragglers(now time.Time) {
 	limitFactor := lt.c.Policy.RestartLimit
 	if limitFactor == 0 {
@@ -92,10 +97,10 @@
 	}
 }
 
-// isStraggler tells whether a run is past the limit, its machine's other tasks of the job overran
-// as well, and those on other machines did not. Estimates are often too low for the whole job,
-// and then all its tasks pass the limit together: so the run must also exceed by half the longest
-// on any other machine, or it would be lost near its end.
+// isStraggler reports whether a run has exceeded the limit, other runs of the job on its machine have
+// overrun as well, and those on other machines have not. If a job's estimate is too low, as is
+// common, all its runs exceed the limit together. So a run must also have taken stragglerFactor times
+// as long as the longest run on any other machine; otherwise it would be lost shortly before its end.
 func (lt *leaderTerm) isStraggler(a *cluster.Attempt, limit time.Duration, now time.Time) bool {
 	j, m := a.Job, a.Machine
 	took := now.Sub(a.RunningAt)
@@ -103,7 +108,7 @@
 		return false
 	}
 	if now.Sub(m.LastHeartbeat) > lt.detector.HeartbeatTimeout() {
-		return false // the run may have ended long ago
+		return false // the run may have ended since the last heartbeat
 	}
 	others := j.RunsElsewhere(m)
 	return others.Count >= minSampleRuns && others.OverrunCount == 0 &&
