--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -189,9 +189,9 @@
 const minCostDifference = 0.5
 
 // hasBetterMachines reports whether machines with a lower placement cost than this one have capacity
-// for all pending tasks of a job. They are then left to pull the tasks at their next
-// heartbeats. This concentrates work on machines that have its image, are cheap or are already in
-// use, so that the others become empty and can be terminated. A job that has waited longer than the placement delay
+// for all pending tasks of a job. They are then left to pull the tasks at their next heartbeats. This
+// concentrates work on machines that have its image, are cheap or are already in use, so that the
+// others become empty and can be terminated. A job that has waited longer than the placement delay
 // is assigned to any machine.
 func (lt *leaderTerm) hasBetterMachines(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
 	if now.Sub(j.WaitingSince) > lt.grace {
--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -42,17 +42,17 @@
 			s := spec("job-1", 5)
 			c.change(s)
 			w.submit(n, s)
-			ks := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "b", false), w.worker("i-3", "b", true)}
+			workers := []*worker{w.worker("i-1", "a", false), w.worker("i-2", "b", false), w.worker("i-3", "b", true)}
 			var got [3]int
 			for range 3 {
-				for i, k := range ks {
+				for i, k := range workers {
 					k.heartbeat(n)
 					got[i] = len(k.running())
 				}
 				time.Sleep(time.Second)
 			}
 			w.checkEqual(c.name, got, c.want)
-			// The next job finds fresh machines and a fresh store.
+			// The next case starts with an empty store and new machines.
 			n.crash()
 			w.store = kvtest.New()
 			n = w.start("n0")
@@ -60,7 +60,7 @@
 	})
 }
 
-// A machine that fails the tasks of several jobs is faulty, and is terminated.
+// A machine on which tasks of several jobs fail is faulty and must be terminated.
 func TestMachineThatFailsTasksOfSeveralJobsIsTerminated(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -76,46 +76,47 @@
 	})
 }
 
-// A job that fails on several machines is itself faulty, and they are kept.
+// A job that fails on several machines is itself faulty: its machines must be kept and still run the
+// tasks of other jobs.
 func TestMachinesOfAFaultyJobAreKept(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
-		ks := w.workers("i-1", "i-2", "i-3", "i-4")
+		workers := w.workers("i-1", "i-2", "i-3", "i-4")
 		w.submit(n, spec("job-1", 3))
 		for range 40 {
-			for _, k := range ks {
+			for _, k := range workers {
 				k.heartbeat(n)
 				k.exit(api.CauseError)
 			}
 			time.Sleep(time.Second)
 		}
-		for _, k := range ks {
+		for _, k := range workers {
 			w.checkEqual("terminated", w.cloud.terminated(k.status.Machine), false)
 		}
 		w.submit(n, spec("job-2", 8))
-		heartbeatAll(ks, n, 4)
+		heartbeatAll(workers, n, 4)
 		running := 0
-		for _, k := range ks {
+		for _, k := range workers {
 			for _, task := range k.running() {
 				if strings.HasPrefix(task, "job-2/") {
 					running++
 				}
 			}
 		}
-		w.checkEqual("running of another job beside it", running, 8)
+		w.checkEqual("running tasks of another job", running, 8)
 	})
 }
 
 // workers adds on-demand machines in zone a.
 func (w *simulatedCluster) workers(names ...string) []*worker {
-	ks := make([]*worker, len(names))
+	workers := make([]*worker, len(names))
 	for i, name := range names {
-		ks[i] = w.worker(name, "a", false)
+		workers[i] = w.worker(name, "a", false)
 	}
-	return ks
+	return workers
 }
 
-// Only the member of a flight that is slower than the others loses its run, once.
+// Only runs on a machine that is slower than the job's other machines are restarted, each task once.
 func TestStragglersAreRestartedOnce(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -127,7 +128,7 @@
 		for second := range 60 {
 			w.checkEqual("restarts on the fast machine", countStops(fast.heartbeat(n)), 0)
 			restarts += countStops(slow.heartbeat(n))
-			// Tasks of the fast machine take 8 s, more than the estimate; those of the slow one
+			// Tasks on the fast machine take 8 s, more than the estimate. Tasks on the slow machine
 			// never end.
 			if second%8 == 7 {
 				fast.exit(api.CauseDone)
@@ -142,17 +143,17 @@
 	})
 }
 
-// When a job's estimate is too low all its tasks pass the limit together, and restarting them
-// would throw their work away.
+// If a job's estimate is too low, all its runs exceed the limit together. Restarting them would lose
+// their work.
 func TestRunsBeyondATooLowEstimateAreKept(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
-		ks := w.workers("i-1", "i-2")
+		workers := w.workers("i-1", "i-2")
 		s := spec("job-1", 8)
 		s.EstimateS = 3
 		w.submit(n, s)
 		for range 40 {
-			for _, k := range ks {
+			for _, k := range workers {
 				w.checkEqual("restarts", countStops(k.heartbeat(n)), 0)
 			}
 			time.Sleep(time.Second)
@@ -160,7 +161,7 @@
 	})
 }
 
-// countStops returns how many of some commands are stops.
+// countStops returns the number of stop commands.
 func countStops(commands []api.Command) (stops int) {
 	for _, cmd := range commands {
 		if cmd.Verb == api.VerbStop {
@@ -170,9 +171,9 @@
 	return stops
 }
 
-// A machine that fetches several images at once gets none of them soon, and reserves capacity for
-// tasks that cannot start: with more tasks than capacity, those of a second image wait for the
-// first.
+// A machine that fetches several images at once receives each of them late, and its capacity is
+// reserved for tasks that cannot start yet. So with more tasks than capacity, the tasks of a second
+// image must wait until the first image is fetched.
 func TestImagesAreFetchedOneByOneWhenCapacityIsShort(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -188,16 +189,16 @@
 			w.t.Fatal(err)
 		}
 		k.applyCommands(commands)
-		w.checkEqual("running of the first image", k.running(), []string{"job-1/0", "job-1/1"})
+		w.checkEqual("running tasks of the first image", k.running(), []string{"job-1/0", "job-1/1"})
 		for i := range k.status.Tasks {
 			k.status.Tasks[i].Phase = api.TaskPulling
 		}
 		k.serve(n, 2)
-		w.checkEqual("running while it is fetched", len(k.running()), 2)
+		w.checkEqual("tasks on the machine during the fetch", len(k.running()), 2)
 		for i := range k.status.Tasks {
 			k.status.Tasks[i].Phase = api.TaskRunning
 		}
 		k.serve(n, 1)
-		w.checkEqual("running once it is there", len(k.running()), 4)
+		w.checkEqual("tasks on the machine after the fetch", len(k.running()), 4)
 	})
 }
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -8,7 +8,7 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// requestedMachines sums up the machines of all launch requests.
+// requestedMachines returns the number of machines in all launch requests.
 func (f *fakeCloud) requestedMachines() (machines int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -18,20 +18,21 @@
 	return machines
 }
 
-// A machine for each task of a burst would be up when a part of them has run already, and would then
-// be kept for half a minute. Tasks that can run one after the other and still meet their objective
-// share machines, unless they are within a guarantee.
+// Launching machines for all tasks of a burst at once is wasteful: some of the tasks have already run
+// when the machines are up, and idle machines are kept for half a minute. So tasks that can run one
+// after the other and still meet their objective must share machines, unless they are within a
+// guarantee.
 func TestTasksThatCanRunSequentiallyShareMachines(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(s *api.JobSpec)
 		want   int // machines launched
 	}{
-		// 16 CPUs in all, of which 8 are guaranteed, on machines of 4.
+		// The tasks need 16 CPUs, of which 8 are guaranteed, on machines with 4 CPUs.
 		{"some time to spare", func(s *api.JobSpec) { s.EstimateS = 50 }, 3},
-		{"much time to spare, but a guarantee", func(s *api.JobSpec) { s.EstimateS = 10 }, 2},
+		{"much time to spare but guaranteed CPUs", func(s *api.JobSpec) { s.EstimateS = 10 }, 2},
 		{"no time to spare", func(s *api.JobSpec) { s.DeadlineS = 40 }, 4},
-		{"tasks to be started soon", func(s *api.JobSpec) { s.Class = "soon" }, 4},
+		{"start objective", func(s *api.JobSpec) { s.Class = "soon" }, 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
@@ -44,7 +45,7 @@
 						config.Objective{Kind: "wait", Class: "soon", WithinS: 30},
 					)
 				})
-				time.Sleep(20 * time.Second) // until launch requests that were rejected may be retried
+				time.Sleep(20 * time.Second) // until rejected launch requests may be retried
 				w.cloud.mu.Lock()
 				w.cloud.capacity, w.cloud.launches = 10, nil
 				w.cloud.mu.Unlock()
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -15,8 +15,7 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// newBenchTerm returns the term of a leader with one type of machine and two teams. None of its
-// goroutines run.
+// newBenchTerm returns a leader term with one machine type and two teams. Its goroutines do not run.
 func newBenchTerm(b *testing.B, now time.Time) *leaderTerm {
 	b.Helper()
 	pol, err := policy.Parse("", "")
@@ -47,14 +46,14 @@
 	return lt
 }
 
-// newBusyTerm returns the term of a leader whose machines are all busy, with pending jobs, and the
-// last heartbeats of the machines.
+// newBusyTerm returns a leader term whose machines are all busy while jobs are pending, and the
+// machines' last heartbeats.
 func newBusyTerm(b *testing.B, machines, jobs int) (*leaderTerm, []*api.Heartbeat) {
 	b.Helper()
 	now := time.Now()
 	lt := newBenchTerm(b, now)
 	for i := range jobs {
-		s := spec(fmt.Sprint("job-", i), max(100, 40*machines/jobs)) // more than fits
+		s := spec(fmt.Sprint("job-", i), max(100, 40*machines/jobs)) // more tasks than the machines have capacity for
 		s.Team = []string{"red", "blue"}[i%2]
 		lt.addActiveJob(records.ActivePrefix+s.ID, records.ActiveRecord{Spec: *s, Accepted: now}, uint64(i+2))
 	}
@@ -83,18 +82,19 @@
 	return lt, heartbeats
 }
 
-// benchSize is the size of a deployment.
+// benchSize is the size of a simulated cluster.
 type benchSize struct{ machines, jobs int }
 
-// busyClusterSizes are the sizes of the benchmarks with busy machines.
+// busyClusterSizes are the sizes for benchmarks in which all machines are busy.
 var busyClusterSizes = []benchSize{{100, 40}, {400, 40}, {1100, 40}, {1100, 400}}
 
-// String returns the size as the name of a benchmark's case.
+// String returns the name of the size's sub-benchmark.
 func (s benchSize) String() string {
 	return fmt.Sprintf("machines=%d/jobs=%d", s.machines, s.jobs)
 }
 
-// The cost of a heartbeat should depend on what it changes, not on the number of machines and jobs.
+// BenchmarkReport measures a heartbeat that changes nothing. The cost of a heartbeat should depend on
+// what it changes, not on the number of machines and jobs.
 func BenchmarkReport(b *testing.B) {
 	for _, size := range busyClusterSizes {
 		b.Run(size.String(), func(b *testing.B) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// The cost of a heartbeat with which one task ends and another starts in its place.
+// BenchmarkPull measures a heartbeat that reports the end of a task and gets another one in its place.
 func BenchmarkPull(b *testing.B) {
 	for _, size := range busyClusterSizes {
 		b.Run(size.String(), func(b *testing.B) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// The cost of a leader's periodic work.
+// BenchmarkTick measures the leader's periodic work.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range busyClusterSizes {
 		b.Run(size.String(), func(b *testing.B) {
@@ -169,8 +169,8 @@
 	}
 }
 
-// The cost of selecting a job for an idle machine, which then joins the job's flight, while no
-// machine is busy.
+// BenchmarkPlaceIdle measures the selection of a job for an idle machine, which then joins the job's
+// flight, while all machines are idle.
 func BenchmarkPlaceIdle(b *testing.B) {
 	for _, size := range []benchSize{{100, 1}, {400, 1}, {1100, 1}, {1100, 40}} {
 		b.Run(size.String(), func(b *testing.B) {
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -49,8 +49,9 @@
 	emptyMachinePenalty = 4
 )
 
-// placementCost returns the cost of running a job's tasks on a machine, in seconds: the time to
-// fetch the image, and penalties for expensive, empty, mostly free and mismatched machines.
+// placementCost returns the cost of running a job's tasks on a machine, in seconds: the time to fetch
+// the image, a measure of what it costs to keep the machine (its price, and whether it is empty or
+// mostly free), and the penalty for a spot mismatch.
 func (lt *leaderTerm) placementCost(j *cluster.Job, m *cluster.Machine) float64 {
 	types := lt.c.types.load()
 	machineType := types[m.Type]
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -13,8 +13,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// The run times of a flight's other members are known without iterating over them: the sums must
-// be as if that had been done.
+// RunsElsewhere derives its sums from running totals. They must equal the sums over the runs on all
+// other machines.
 func TestRunsElsewhere(t *testing.T) {
 	j := &cluster.Job{Runs: cluster.JobRuns{ByMachine: map[string]*cluster.RunStats{}}}
 	runsS := map[string][]int{"i-1": {5, 9, 2}, "i-2": {7}, "i-3": {8, 9}, "i-4": {3}}
@@ -38,28 +38,28 @@
 	}
 }
 
-// A machine leaves a job to machines that suit it better while these have capacity for all of its
-// pending tasks, and takes it when they have not.
+// A machine must leave a job to machines with a lower placement cost while these have capacity for all
+// of its pending tasks, and take it otherwise.
 func TestBetterMachinesFirst(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].LimitCPUs = 100
 		w.cloud.types[0].FetchGBs = 1
 		n := w.start("n0")
-		ks := make([]*worker, 4)
-		for i := range ks {
-			ks[i] = w.worker(fmt.Sprint("i-", i), "a", false)
-			ks[i].serve(n, 3)
+		workers := make([]*worker, 4)
+		for i := range workers {
+			workers[i] = w.worker(fmt.Sprint("i-", i), "a", false)
+			workers[i].serve(n, 3)
 		}
 		first := spec("job-1", 8)
 		first.ImageGB = 6
 		w.submit(n, first)
-		ks[0].serve(n, 2)
-		ks[1].serve(n, 2)
-		w.checkEqual("running on two machines", countRunning(ks[:2]...), 8)
-		ks[0].exit(api.CauseDone)
-		ks[1].exit(api.CauseDone)
-		ks[0].serve(n, 3)
-		ks[1].serve(n, 3)
+		workers[0].serve(n, 2)
+		workers[1].serve(n, 2)
+		w.checkEqual("running on two machines", countRunning(workers[:2]...), 8)
+		workers[0].exit(api.CauseDone)
+		workers[1].exit(api.CauseDone)
+		workers[0].serve(n, 3)
+		workers[1].serve(n, 3)
 		second := spec("job-2", 10)
 		second.ImageGB = 6
 		w.submit(n, second)
@@ -68,45 +68,45 @@
 			hasBetter := func(machine string) bool {
 				return c.leaderTerm.hasBetterMachines(j, c.leaderTerm.machines[machine], now)
 			}
-			hasBetterComputedAnew := func(machine string) bool {
+			hasBetterRecomputed := func(machine string) bool {
 				j.Capacity.ComputedAt = time.Time{}
 				return hasBetter(machine)
 			}
-			w.checkEqual("more tasks pending than the better have capacity for", hasBetterComputedAnew("i-2"), false)
+			w.checkEqual("more tasks pending than better machines can take", hasBetterRecomputed("i-2"), false)
 			j.Flight.Take(0)
 			j.Flight.Take(1)
-			w.checkEqual("as many tasks pending as the better have capacity for", hasBetterComputedAnew("i-2"), true)
-			w.checkEqual("one of the better", hasBetter("i-0"), false)
+			w.checkEqual("as many tasks pending as better machines can take", hasBetterRecomputed("i-2"), true)
+			w.checkEqual("one of the better machines", hasBetter("i-0"), false)
 			j.WaitingSince = now.Add(-c.leaderTerm.grace - time.Second)
-			w.checkEqual("pending for long enough", hasBetterComputedAnew("i-2"), false)
+			w.checkEqual("pending for longer than the placement delay", hasBetterRecomputed("i-2"), false)
 		})
 	})
 }
 
-// Tasks without checkpoints start on on-demand machines, those with checkpoints on spot machines,
-// as long as there is capacity.
+// While there is capacity, tasks without checkpoints must start on on-demand machines, and tasks with
+// checkpoints on spot machines.
 func TestSpotMachinesForTasksWithCheckpoints(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].LimitCPUs = 100
 		n := w.start("n0")
 		onDemand, spot := w.worker("i-1", "a", false), w.worker("i-2", "a", true)
-		ks := []*worker{spot, onDemand} // the cheaper one sends its heartbeats first
-		heartbeatAll(ks, n, 3)
+		workers := []*worker{spot, onDemand} // the cheaper machine sends its heartbeat first
+		heartbeatAll(workers, n, 3)
 		plain, checkpointed := spec("job-1", 2), spec("job-2", 2)
 		checkpointed.CheckpointS, checkpointed.SaveS = 5, 1
 		w.submit(n, plain)
 		w.submit(n, checkpointed)
-		heartbeatAll(ks, n, 3)
+		heartbeatAll(workers, n, 3)
 		w.checkEqual("running on the on-demand machine", onDemand.running(), []string{"job-1/0", "job-1/1"})
 		w.checkEqual("running on the spot machine", spot.running(), []string{"job-2/0", "job-2/1"})
 		w.submit(n, spec("job-3", 4))
-		heartbeatAll(ks, n, 4)
-		w.checkEqual("running", countRunning(ks...), 8)
+		heartbeatAll(workers, n, 4)
+		w.checkEqual("running", countRunning(workers...), 8)
 	})
 }
 
-// Tasks that use next to nothing of a machine: it gets no more of them than its heartbeat can
-// carry the status of, or it could send none and would lose them.
+// A machine must not get more small tasks than its heartbeat can report. If the heartbeat exceeded
+// the size limit, the machine could send none and would lose its tasks.
 func TestTasksPerMachineAreLimitedByHeartbeatSize(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -133,8 +133,8 @@
 	})
 }
 
-// The largest status of a task, as on the wire, times the most attempts of a machine leaves 1 KiB
-// of a heartbeat of 64 KiB.
+// A heartbeat is limited to 64 KiB. The largest task status, as on the wire, times the maximum number
+// of attempts on a machine must leave 1 KiB for the other fields.
 func TestLargestHeartbeatFits(t *testing.T) {
 	const maxBytes = 64<<10 - 1024
 	status, err := json.Marshal(map[string]any{
@@ -148,12 +148,12 @@
 		t.Fatal(err)
 	}
 	if size := (len(status) + 1) * cluster.MaxAttempts; size > maxBytes {
-		t.Errorf("a heartbeat with %d tasks: got %d bytes, want at most %d", cluster.MaxAttempts, size, maxBytes)
+		t.Errorf("heartbeat with %d tasks: got %d bytes, want at most %d", cluster.MaxAttempts, size, maxBytes)
 	}
 }
 
-// A job whose record no value of the key-value store can hold can never be accepted: its user gets
-// an error that is final instead of one to retry for a minute.
+// A job whose record exceeds the value size of the key-value store can never be accepted. Its user must
+// get a permanent error, not one that the client retries for a minute.
 func TestJobTooLargeForARecordIsUnschedulable(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -21,13 +21,13 @@
 	if !c.Has("a") || c.Has("b") || !c.Has("c") || c.GB != 8 {
 		t.Errorf("got images %v of %v GB, want a and c of 8 GB", c.Used, c.GB)
 	}
-	use("d", 20, 4) // larger than the cache: it is kept all the same
+	use("d", 20, 4) // larger than the cache, but still kept
 	if !c.Has("d") || c.Has("a") || c.Has("c") {
 		t.Errorf("got images %v, want d, and neither a nor c", c.Used)
 	}
 }
 
-// A job that machines without its image skip must still start in time.
+// A job that is skipped by machines without its image must still meet its start objective.
 func TestSkippedJobStartsInTime(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -13,13 +13,13 @@
 	"example.org/ivytrestle/internal/relay"
 )
 
-// largeFleet is the number of machines that a cell may have.
+// largeFleet is the maximum number of machines of a cell.
 const largeFleet = 4000
 
 func hostName(i int) string { return fmt.Sprintf("i-%06d", i) }
 
-// While zones are partitioned each machine of a large fleet has its heartbeats relayed, in
-// turn, also by a node with next to no memory.
+// While zones are partitioned, the heartbeats of every machine of a large fleet must eventually be
+// relayed, even by a node with very little memory.
 func TestLargeFleetIsRelayed(t *testing.T) {
 	const parts, size = 3, 8 << 10
 	now := time.Unix(1_000_000, 0)
@@ -69,8 +69,8 @@
 	t.Logf("%d machines in %d rounds", len(sent), rounds)
 }
 
-// A new leader reads the whole registry of a large fleet, fences each machine, checks the
-// feasibility of many jobs, and knows all machines that it has terminated.
+// A new leader must read the whole registry of a large fleet, fence every machine, check the
+// feasibility of many jobs, and remember the names of all terminated machines.
 func TestLargeFleetIsTakenOver(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.registerLargeFleet()
@@ -79,7 +79,7 @@
 		n.inspect(func(c *Controller) { w.checkEqual("unfenced", c.leaderTerm.unfenced, largeFleet) })
 		for i := range largeFleet {
 			k := w.worker(hostName(i), "a", false)
-			k.heartbeat(n) // it learns the term
+			k.heartbeat(n) // the response carries the term
 			k.heartbeat(n)
 		}
 		n.inspect(func(c *Controller) {
@@ -90,7 +90,7 @@
 			for i := range largeFleet {
 				lt.terminated.Add(hostName(i), true)
 			}
-			w.checkEqual("terminated machines known", lt.terminated.Len(), largeFleet)
+			w.checkEqual("terminated machines remembered", lt.terminated.Len(), largeFleet)
 		})
 	})
 }
--- a/internal/controller/outcome_test.go
+++ b/internal/controller/outcome_test.go
@@ -15,16 +15,16 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// rateLimitedStore reads within a rate, as the client does: a read whose deadline is before its
-// turn is rejected.
+// rateLimitedStore limits the rate of reads like the client: a read that cannot start before its
+// deadline is rejected.
 type rateLimitedStore struct {
 	*kvtest.Fake
 	readLimiter *rate.Limiter
-	// rejectActiveReads is set while reads of active records are rejected.
+	// rejectActiveReads makes reads of active records fail.
 	rejectActiveReads atomic.Bool
 }
 
-// Get reads one key within the rate.
+// Get reads one key within the rate limit.
 func (s *rateLimitedStore) Get(ctx context.Context, key string) (kv.Entry, error) {
 	if s.rejectActiveReads.Load() && strings.HasPrefix(key, records.ActivePrefix) {
 		return kv.Entry{}, kv.ErrNotApplied
@@ -35,37 +35,37 @@
 	return s.Fake.Get(ctx, key)
 }
 
-// The responses to the leader's record transactions are lost for a while: the ends of many jobs are
-// recorded, and it does not know. It resolves the outcomes within its request rate. When all were
-// read in parallel none ever was, and machines with tasks long done were kept for the rest of the
-// day.
+// If the responses to the leader's record transactions are lost, the ends of many jobs are recorded
+// with an outcome that is unknown to the leader. It must resolve these outcomes within its request
+// rate. When it read all of them in parallel, none was ever resolved, and machines with tasks
+// completed long before were kept for the rest of the day.
 func TestManyEndsOfUnknownOutcomeAreResolved(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		store := &rateLimitedStore{Fake: w.store, readLimiter: rate.NewLimiter(20, 20)}
 		n := w.startWith("n0", store, nil)
-		ks := make([]*worker, 15)
-		for i := range ks {
-			ks[i] = w.worker(fmt.Sprint("i-", i), "a", false)
+		workers := make([]*worker, 15)
+		for i := range workers {
+			workers[i] = w.worker(fmt.Sprint("i-", i), "a", false)
 		}
 		n.inspect(func(c *Controller) { c.leaderTerm.teams["red"].LimitCPUs = 1000 })
-		heartbeatAll(ks, n, 3)
+		heartbeatAll(workers, n, 3)
 		for i := range 60 {
 			w.submit(n, spec(fmt.Sprintf("job-%d", i), 1))
 		}
-		heartbeatAll(ks, n, 4)
+		heartbeatAll(workers, n, 4)
 		w.store.LoseResponses(func(txn kv.Txn) bool { return txn.Records })
 		store.rejectActiveReads.Store(true)
-		for _, k := range ks {
+		for _, k := range workers {
 			k.exit(api.CauseDone)
 		}
-		heartbeatAll(ks, n, 40)
+		heartbeatAll(workers, n, 40)
 		w.store.LoseResponses(nil)
 		store.rejectActiveReads.Store(false)
-		heartbeatAll(ks, n, 20)
-		for _, k := range ks {
+		heartbeatAll(workers, n, 20)
+		for _, k := range workers {
 			k.mu.Lock()
 			if len(k.status.Tasks) > 0 {
-				w.t.Errorf("%s: got %d tasks that are done, want none", k.status.Machine, len(k.status.Tasks))
+				w.t.Errorf("%s: got %d tasks that have ended, want none", k.status.Machine, len(k.status.Tasks))
 			}
 			k.mu.Unlock()
 		}
--- a/internal/controller/pendingreason_test.go
+++ b/internal/controller/pendingreason_test.go
@@ -7,22 +7,22 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// Status shows why jobs are pending, each reason by itself.
+// The status reports each reason for which jobs are pending.
 func TestPendingReasons(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].LimitCPUs = 100
 		n := w.start("n0")
 		large := spec("job-1", 8)
-		large.Team = "blue" // whose limit is 8
+		large.Team = "blue" // limited to 8 CPUs
 		w.submit(n, large)
-		ks := w.workers("i-1", "i-2", "i-3")
-		heartbeatAll(ks, n, 4)
+		workers := w.workers("i-1", "i-2", "i-3")
+		heartbeatAll(workers, n, 4)
 		more := spec("job-2", 1)
 		more.Team = "blue"
-		w.submit(n, more) // the team's limit is in use
+		w.submit(n, more) // the team's limit is used up
 		w.submit(n, spec("job-3", 4))
-		heartbeatAll(ks, n, 3)
-		w.submit(n, spec("job-4", 1)) // the capacity of all machines is in use
+		heartbeatAll(workers, n, 3)
+		w.submit(n, spec("job-4", 1)) // the capacity of all machines is used up
 		n.inspect(func(c *Controller) {
 			reasons, oldest := c.leaderTerm.pendingReasons(time.Now())
 			w.checkEqual("reasons", reasons, map[string]int{"team limit": 1, "no room": 1})
@@ -37,8 +37,8 @@
 	})
 }
 
-// A run beyond the operators' limit is restarted once, and never where they set none. What else
-// makes a run a straggler is tested with slow machines.
+// Runs beyond the policy's restart limit must be restarted, and none without such a limit.
+// Tests with slow machines cover the other conditions for a straggler.
 func TestRestartLimitOfThePolicy(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -47,7 +47,7 @@
 	}{
 		{"exceeded", 2, true},
 		{"not exceeded", 4, false},
-		{"none", 0, false},
+		{"no limit", 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
