--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -15,8 +15,9 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// addJob applies an active record: of a job that is new, or of one that was lent or reclaimed.
-func (lt *leaderTerm) addJob(key string, value []byte, modRevision uint64) {
+// applyActiveRecord applies an active record: it adds a new job, or updates one that was lent or
+// reclaimed.
+func (lt *leaderTerm) applyActiveRecord(key string, value []byte, modRevision uint64) {
 	id := key[len(records.ActivePrefix):]
 	j := lt.jobs[id]
 	if _, ok := lt.c.finalStates.Get(id); ok || j != nil && j.ModRevision >= modRevision {
@@ -31,28 +32,29 @@
 		lt.applyLoan(j, rec, modRevision)
 		return
 	}
-	lt.addRecord(key, rec, modRevision)
+	lt.addActiveJob(key, rec, modRevision)
 }
 
-// addRecord adds the job of an active record.
-func (lt *leaderTerm) addRecord(key string, rec records.ActiveRecord, modRevision uint64) {
-	spec, since, team := rec.Spec, rec.Accepted, lt.teams[rec.Spec.Team]
+// addActiveJob adds the job that an active record describes. The spec and the team of a lent job or
+// of a guest come from its loan.
+func (lt *leaderTerm) addActiveJob(key string, rec records.ActiveRecord, modRevision uint64) {
+	spec, runnableSince, team := rec.Spec, rec.Accepted, lt.teams[rec.Spec.Team]
 	switch {
 	case rec.Lent != nil:
-		spec, since, team = rec.Lent.Spec, rec.Lent.Since, lt.teams[rec.Lent.Spec.Team]
+		spec, runnableSince, team = rec.Lent.Spec, rec.Lent.Since, lt.teams[rec.Lent.Spec.Team]
 	case rec.Guest != nil:
-		spec, since, team = rec.Guest.Spec, rec.Guest.Since, lt.loans.guestTeam(rec.Guest.Home)
+		spec, runnableSince, team = rec.Guest.Spec, rec.Guest.Since, lt.loans.guestTeam(rec.Guest.Home)
 	}
 	id := spec.ID
 	if team == nil || spec.Tasks < 1 {
-		lt.c.Log.Error("active record not valid", "key", key, "team", spec.Team, "tasks", spec.Tasks)
+		lt.c.Log.Error("active record invalid", "key", key, "team", spec.Team, "tasks", spec.Tasks)
 		return
 	}
 	j := newJob(spec, team)
-	j.ModRevision, j.AcceptedAt, j.RunnableSince = modRevision, rec.Accepted, since
+	j.ModRevision, j.AcceptedAt, j.RunnableSince = modRevision, rec.Accepted, runnableSince
 	j.DependencyList, j.Guest, j.LoanCount = rec.DependencyList, rec.Guest, rec.LoanCount
 	j.ClassPreference = lt.c.Policy.ClassPreferences[spec.Class]
-	j.Objectives = lt.objectives(j)
+	j.Objectives = lt.computeObjectives(j)
 	j.UpdateFeasibility(time.Now())
 	lt.jobs[id] = j
 	switch {
@@ -64,12 +66,12 @@
 	case lt.loaded:
 		lt.dependencies.resolveDependencies(j)
 		lt.dependencies.propagateDeadlines(j)
-	default: // once all records are read
+	default: // addSnapshot resolves dependencies once all records are read
 	}
 	lt.c.Log.Debug("job added", "job", id, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", j.Spec.Tasks)
 }
 
-// newJob returns a job of a team of which no task has started.
+// newJob returns a job of a team, with all of its tasks pending.
 func newJob(spec api.JobSpec, team *queue.Team[*cluster.Job]) *cluster.Job {
 	tasks := uint(spec.Tasks)
 	return &cluster.Job{
@@ -90,14 +92,15 @@
 	}
 }
 
-// defaultObjectiveFactor is how many estimates a job for which no objective is set may take.
+// defaultObjectiveFactor is the multiple of its estimate within which a job without objectives should
+// complete.
 const defaultObjectiveFactor = 10
 
-// objectives are the times by which a job should be complete: its deadline and the multiples of
-// it that the configured objectives name, the times that they name for its class, and what the
-// jobs that depend on it require. It sets the job's StartBy as well.
-func (lt *leaderTerm) objectives(j *cluster.Job) []time.Time {
-	times := slices.Concat(lt.deadlines(j), j.DependentDeadlines)
+// computeObjectives returns the times by which a job should be complete, in ascending order: its
+// deadline, the multiples of the deadline and the completion times that the site's objectives set for
+// its class, and the times required by the jobs that depend on it. It also sets the job's StartBy.
+func (lt *leaderTerm) computeObjectives(j *cluster.Job) []time.Time {
+	times := slices.Concat(lt.deadlineObjectives(j), j.DependentDeadlines)
 	for _, o := range lt.c.Settings.Site.Objectives {
 		switch {
 		case o.Class != j.Spec.Class:
@@ -114,9 +117,9 @@
 	return slices.CompactFunc(times, time.Time.Equal)
 }
 
-// deadlines are the times that follow from a job's own deadline. It counts from the submission,
-// however long the job's dependencies take.
-func (lt *leaderTerm) deadlines(j *cluster.Job) []time.Time {
+// deadlineObjectives returns the times that follow from a job's own deadline, in ascending order. The
+// deadline counts from the acceptance of the job, regardless of how long its dependencies take.
+func (lt *leaderTerm) deadlineObjectives(j *cluster.Job) []time.Time {
 	if j.Spec.DeadlineS <= 0 {
 		return nil
 	}
@@ -130,8 +133,7 @@
 	return times
 }
 
-// cancelJob removes a job that was cancelled. Its attempts are stopped by the responses to
-// their machines' heartbeats.
+// cancelJob removes a cancelled job. The responses to its machines' heartbeats stop its attempts.
 func (lt *leaderTerm) cancelJob(j *cluster.Job) {
 	lt.removeJob(j)
 	lt.c.recordCancellation(j.Spec.ID)
@@ -144,7 +146,7 @@
 	lt.dependencyLists.drop(j)
 }
 
-// removeJob removes a job that has ended from all state.
+// removeJob removes a job that has ended from the leader's memory.
 func (lt *leaderTerm) removeJob(j *cluster.Job) {
 	j.Ended = true
 	j.CompletionDirty = false
@@ -154,8 +156,8 @@
 	j.Team.Remove(j)
 }
 
-// completeTask marks a task as completed, and has that put on record, or the job ended if it was
-// the last.
+// completeTask marks a task as completed and queues its completion record. After the last task it
+// has the end of the job recorded instead.
 func (lt *leaderTerm) completeTask(j *cluster.Job, task int, now time.Time) {
 	if j.Done.Test(uint(task)) {
 		return
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -13,13 +13,13 @@
 	"example.org/ivytrestle/internal/relay"
 )
 
-// largeFleet is the number of machines that a cell may have.
+// largeFleet is the maximum number of machines of a cell.
 const largeFleet = 4000
 
 func hostName(i int) string { return fmt.Sprintf("i-%06d", i) }
 
-// While zones are partitioned each machine of a large fleet has its heartbeats relayed, in
-// turn, also by a node with next to no memory.
+// While zones are partitioned, the heartbeats of every machine of a large fleet must eventually be
+// relayed, even by a node with very little memory.
 func TestLargeFleetIsRelayed(t *testing.T) {
 	const parts, size = 3, 8 << 10
 	now := time.Unix(1_000_000, 0)
@@ -69,8 +69,8 @@
 	t.Logf("%d machines in %d rounds", len(sent), rounds)
 }
 
-// A new leader reads the whole registry of a large fleet, fences each machine, checks the
-// feasibility of many jobs, and knows all machines that it has terminated.
+// A new leader must read the whole registry of a large fleet, fence every machine, check the
+// feasibility of many jobs, and remember the names of all terminated machines.
 func TestLargeFleetIsTakenOver(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.registerLargeFleet()
@@ -79,18 +79,18 @@
 		n.inspect(func(c *Controller) { w.checkEqual("unfenced", c.leaderTerm.unfenced, largeFleet) })
 		for i := range largeFleet {
 			k := w.worker(hostName(i), "a", false)
-			k.heartbeat(n) // it learns the term
+			k.heartbeat(n) // the response carries the term
 			k.heartbeat(n)
 		}
 		n.inspect(func(c *Controller) {
 			lt := c.leaderTerm
 			w.checkEqual("unfenced, machines", []int{lt.unfenced, len(lt.machines)}, []int{0, largeFleet})
 			const jobs = 900
-			w.checkEqual("jobs with a deadline", addAndDefer(t, lt, jobs), jobs)
+			w.checkEqual("jobs with a deadline", addJobsAndDeferInfeasible(t, lt, jobs), jobs)
 			for i := range largeFleet {
 				lt.terminated.Add(hostName(i), true)
 			}
-			w.checkEqual("terminated machines known", lt.terminated.Len(), largeFleet)
+			w.checkEqual("terminated machines remembered", lt.terminated.Len(), largeFleet)
 		})
 	})
 }
@@ -115,9 +115,9 @@
 	}
 }
 
-// addAndDefer adds jobs, has the leader defer what is infeasible, and returns the number of
+// addJobsAndDeferInfeasible adds jobs, has the leader defer what is infeasible, and returns the number of
 // jobs that have a deadline then.
-func addAndDefer(t *testing.T, lt *leaderTerm, jobs int) (withDeadline int) {
+func addJobsAndDeferInfeasible(t *testing.T, lt *leaderTerm, jobs int) (withDeadline int) {
 	t.Helper()
 	for i := range jobs {
 		id := fmt.Sprintf("job-%06d", i)
@@ -125,7 +125,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		lt.addJob(records.ActivePrefix+id, raw, uint64(1000+i))
+		lt.applyActiveRecord(records.ActivePrefix+id, raw, uint64(1000+i))
 	}
 	lt.deferInfeasible(time.Now())
 	for _, j := range lt.jobs {
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -70,7 +70,7 @@
 			}
 			c.recordCancellation(id)
 		case e.Put != "":
-			lt.addJob(e.Put, e.Value, e.ModRevision)
+			lt.applyActiveRecord(e.Put, e.Value, e.ModRevision)
 		default:
 			// If neither a cancellation nor this leader deleted the record, another leader did,
 			// which the election has not reported yet. How the job ended is not known here.
