--- a/internal/cluster/jobdependencies.go
+++ b/internal/cluster/jobdependencies.go
@@ -33,7 +33,7 @@
 func (j *Job) unfinishedDependencies() []string {
 	var ids []string
 	for _, id := range j.Spec.DependsOn {
-		if j.DependsOn[id] && id != records.DependenciesElsewhere && len(ids) < maxDependenciesShown {
+		if j.DependsOn[id] && id != records.DependencyListPlaceholder && len(ids) < maxDependenciesShown {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -33,9 +33,9 @@
 var answerCases = []answerCase{
 	{name: "no fault", step: 13 * time.Millisecond},
 	{name: "watches delayed", step: 100 * time.Millisecond, fault: func(tn *userCluster) {
-		tn.store.SetWatchesBlind(true)
+		tn.store.SetWatchesStalled(true)
 		time.Sleep(1500 * time.Millisecond)
-		tn.store.SetWatchesBlind(false)
+		tn.store.SetWatchesStalled(false)
 	}},
 	{name: "leader restarts", step: 60 * time.Millisecond, fault: func(tn *userCluster) {
 		tn.crash(0)
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -50,14 +50,14 @@
 		w.submit(leader, spec("job-1", 2))
 		k.serve(leader, 3)
 		w.checkEqual("running", len(k.running()), 2)
-		w.store.SetWatchesBlind(true)
+		w.store.SetWatchesStalled(true)
 		if st, err := other.Cancel(w.t.Context(), "job-1"); err != nil || st.Phase != api.JobCancelled {
 			w.t.Fatalf("cancellation: got %v, error %v, want phase %s", st, err, api.JobCancelled)
 		}
 		if got := w.phase(leader, "job-1"); got == api.JobRunning || got == api.JobPending {
 			w.t.Errorf("leader, after another node reported withdrawn: got phase %s, want withdrawn or an error", got)
 		}
-		w.store.SetWatchesBlind(false)
+		w.store.SetWatchesStalled(false)
 		k.serve(leader, 3)
 		w.checkEqual("running once stopped", len(k.running()), 0)
 		w.checkEqual("phase at the leader", w.phase(leader, "job-1"), "withdrawn")
--- a/internal/controller/cancelcascade_test.go
+++ b/internal/controller/cancelcascade_test.go
@@ -141,7 +141,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		ids := w.putDependentJobs(3, dependsOnPrevious)
 		n := w.start("n0")
-		w.store.Delay(func(txn kv.Txn) bool { return txn.Records && writesPrefix(records.TerminalPrefix)(txn) })
+		w.store.Delay(func(txn kv.Txn) bool { return txn.SelfLimited && writesPrefix(records.TerminalPrefix)(txn) })
 		if _, err := n.Cancel(w.t.Context(), ids[0]); err != nil {
 			w.t.Fatal(err)
 		}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -50,7 +50,7 @@
 	j.DependsOn = map[string]bool{}
 	if j.DependencyList != nil && !j.DependenciesRead {
 		// Not all of its dependencies are known, so none of its tasks may start.
-		j.DependsOn[records.DependenciesElsewhere] = true
+		j.DependsOn[records.DependencyListPlaceholder] = true
 		dg.leaderTerm.dependencyLists.read(j)
 		return
 	}
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -232,7 +232,7 @@
 		}
 	}
 	time.Sleep(4 * time.Second)
-	w.store.SetWatchesBlind(false)
+	w.store.SetWatchesStalled(false)
 	w.store.ApplyDelayed()
 	time.Sleep(10 * time.Second)
 	w.checkEqual("active records", w.keysUnder(records.ActivePrefix+"job-"), []string(nil))
@@ -252,9 +252,9 @@
 		name   string
 		inject func(w *simulatedCluster)
 	}{
-		{"watches blind", func(w *simulatedCluster) { w.store.SetWatchesBlind(true) }},
+		{"watches blind", func(w *simulatedCluster) { w.store.SetWatchesStalled(true) }},
 		{"cascade delayed", func(w *simulatedCluster) {
-			w.store.Delay(func(txn kv.Txn) bool { return txn.Records })
+			w.store.Delay(func(txn kv.Txn) bool { return txn.SelfLimited })
 		}},
 		{"no fault", func(*simulatedCluster) {}},
 	} {
@@ -271,13 +271,13 @@
 		leader, other := w.start("n0"), w.start("n1")
 		k := w.worker("i-1", "a", false)
 		k.serve(leader, 2)
-		w.store.SetWatchesBlind(true)
+		w.store.SetWatchesStalled(true)
 		w.submit(other, spec("job-1", 1))
 		w.submit(leader, dependentSpec("job-2", "red", 1, "job-1"))
 		w.submit(other, dependentSpec("job-3", "red", 1, "job-2", "job-1"))
 		k.serve(leader, 5)
 		w.checkEqual("running while watches are blind", k.running(), []string(nil))
-		w.store.SetWatchesBlind(false)
+		w.store.SetWatchesStalled(false)
 		k.serve(leader, 6)
 		w.checkEqual("running", k.running(), []string{"job-1/0"})
 		for _, id := range []string{"job-2/0", "job-3/0"} {
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -154,7 +154,7 @@
 				heartbeatBothSides(a, b, near, far, 12)
 				events := w.relayUplinkEvents() - eventsBefore
 				rate := float64(events) / time.Since(start).Seconds()
-				if maxRate := l.writes * kv.RecordShare; rate > maxRate {
+				if maxRate := l.writes * kv.RecordWriteShare; rate > maxRate {
 					w.t.Errorf("changes a second of relayed heartbeats: got %v, want at most %v", rate, maxRate)
 				}
 				w.checkEqual("phase", w.phase(a, "job-1"), "done")
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -127,7 +127,7 @@
 		return false // the watch has shown a change whose response is outstanding
 	case j.Started() || j.LostTasks > 0 || j.Done.Any() || len(j.CompletionChunks) > 0:
 		return false
-	case !records.FitsRecord(
+	case !records.RecordFits(
 		records.ActiveRecord{Lent: &loan.Lent{Host: n.cell, Spec: j.Spec}},
 		lt.c.Settings.Site.State.ValueKB,
 	):
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -179,7 +179,7 @@
 		}
 		l.changeQueue = l.changeQueue[1:]
 		l.writeInFlight = true
-		txn.Records = true
+		txn.SelfLimited = true
 		go l.writeUntilKnown(change, txn)
 	}
 }
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -159,7 +159,7 @@
 		return "nothing to spare"
 	case o.Budget.CPUs < s.CPUs || o.Budget.GPUs < s.GPUs:
 		return "the grant holds no task"
-	case !records.FitsRecord(rec, lt.c.Settings.Site.State.ValueKB):
+	case !records.RecordFits(rec, lt.c.Settings.Site.State.ValueKB):
 		return "larger than a record"
 	}
 	if !slices.ContainsFunc(advert.Types, func(t api.MachineType) bool { return taskFits(s, t) }) {
--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -23,10 +23,10 @@
 }
 
 // isCancellation matches the transaction by which a user cancels the job.
-func isCancellation(txn kv.Txn) bool { return !txn.Records && writesPrefix(racedJobTerminal)(txn) }
+func isCancellation(txn kv.Txn) bool { return !txn.SelfLimited && writesPrefix(racedJobTerminal)(txn) }
 
 // isCompletion matches the leader's transaction that records how the job ended.
-func isCompletion(txn kv.Txn) bool { return txn.Records && writesPrefix(racedJobTerminal)(txn) }
+func isCompletion(txn kv.Txn) bool { return txn.SelfLimited && writesPrefix(racedJobTerminal)(txn) }
 
 // firstMatch matches the first transaction only.
 func firstMatch(match func(kv.Txn) bool) func(kv.Txn) bool {
@@ -237,7 +237,7 @@
 		acceptRacedJob(tn)
 		time.Sleep(3 * time.Second)
 	}
-	w.store.SetWatchesBlind(dt.blind)
+	w.store.SetWatchesStalled(dt.blind)
 	if dt.allMatches {
 		w.store.Delay(dt.match)
 	} else {
@@ -258,7 +258,7 @@
 		w.checkEqual("delayed transaction applied over an end", late && res.Succeeded, false)
 	}
 	time.Sleep(13*time.Second - release)
-	w.store.SetWatchesBlind(false)
+	w.store.SetWatchesStalled(false)
 	time.Sleep(3 * time.Second)
 	phase = dt.wantPhase
 	if phase == "" {
--- a/internal/controller/outcome_test.go
+++ b/internal/controller/outcome_test.go
@@ -53,7 +53,7 @@
 			w.submit(n, spec(fmt.Sprintf("job-%d", i), 1))
 		}
 		heartbeatAll(ks, n, 4)
-		w.store.LoseResponses(func(txn kv.Txn) bool { return txn.Records })
+		w.store.LoseResponses(func(txn kv.Txn) bool { return txn.SelfLimited })
 		store.rejectsActive.Store(true)
 		for _, k := range ks {
 			k.exit(api.CauseDone)
--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -293,9 +293,9 @@
 		return
 	}
 	txn := kv.Txn{
-		Records:  true,
-		Compares: []kv.Compare{lt.termCompare()},
-		Ops:      []kv.Op{{Put: records.RelayPrefix + name + "/down", Value: node.lastParts[0]}},
+		SelfLimited: true,
+		Compares:    []kv.Compare{lt.termCompare()},
+		Ops:         []kv.Op{{Put: records.RelayPrefix + name + "/down", Value: node.lastParts[0]}},
 	}
 	node.storeBusy = true
 	go func() {
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -228,7 +228,7 @@
 		txn.Compares = []kv.Compare{{Key: election.TermKey, ModRevision: renewer.termRevision}}
 	}
 	// Where the write rate is low, relaying must leave part of it to submissions.
-	recordRate := lim.WriteRPS * kv.RecordShare
+	recordRate := lim.WriteRPS * kv.RecordWriteShare
 	if next := now.Add(config.Duration(float64(len(txn.Ops)) / recordRate)); next.After(ul.nextTick) {
 		ul.nextTick = next
 	}
@@ -285,7 +285,7 @@
 
 // batchTransaction replaces the parts of the last batch by those of a new one.
 func (ul *relayUplink) batchTransaction(prefix string, parts []relay.Part, maxParts int) kv.Txn {
-	txn := kv.Txn{Records: true}
+	txn := kv.Txn{SelfLimited: true}
 	for _, p := range parts {
 		txn.Ops = append(txn.Ops, kv.Op{Put: prefix + "/up/" + strconv.Itoa(p.Index), Value: p})
 	}
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -319,7 +319,7 @@
 		c.store.LoseResponses(func(kv.Txn) bool { return g.chance(4) })
 		time.AfterFunc(lasting, func() { c.store.LoseResponses(nil) })
 	case 6:
-		c.store.Delay(func(txn kv.Txn) bool { return txn.Records && g.chance(4) })
+		c.store.Delay(func(txn kv.Txn) bool { return txn.SelfLimited && g.chance(4) })
 		time.AfterFunc(lasting, func() { c.store.Delay(nil); c.store.ApplyDelayed() })
 	}
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -19,7 +19,7 @@
 		return api.JobState{}, false, api.ErrUnavailable
 	}
 	reason := unschedulableReason(spec, c.Settings.Site.Teams, types)
-	if reason == "" && !records.Fits(spec, c.Settings.Site.State.ValueKB) {
+	if reason == "" && !records.JobFits(spec, c.Settings.Site.State.ValueKB) {
 		// The key-value store would reject it at each retry of the user.
 		reason = "more names than a record holds"
 	}
--- a/internal/controller/twofaults_test.go
+++ b/internal/controller/twofaults_test.go
@@ -163,7 +163,7 @@
 }
 
 func cancelAtLeaderWithoutWatch(g *faultCluster) {
-	g.store.SetWatchesBlind(true)
+	g.store.SetWatchesStalled(true)
 	g.cancelAt(g.leader)
 }
 
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -419,7 +419,7 @@
 				v.submit(v.new, spec("job-2", 2))
 				v.submit(v.new, spec("job-1", 20))
 				v.runSeconds(4)
-				v.store.Delay(func(txn kv.Txn) bool { return txn.Records && writesPrefix(prefix)(txn) })
+				v.store.Delay(func(txn kv.Txn) bool { return txn.SelfLimited && writesPrefix(prefix)(txn) })
 				v.agents = append(v.agents, v.worker("i-9", "a", false)) // to be registered
 				v.runSeconds(8)
 				v.handOver()
@@ -525,7 +525,7 @@
 	v.submitPipeline()
 	v.runSeconds(4)
 	if late {
-		v.store.Delay(func(txn kv.Txn) bool { return txn.Records && writesPrefix(records.TerminalPrefix)(txn) })
+		v.store.Delay(func(txn kv.Txn) bool { return txn.SelfLimited && writesPrefix(records.TerminalPrefix)(txn) })
 	}
 	if atOld {
 		v.checkEqual("cancelled", v.old.cancel("job-1"), "withdrawn")
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -68,9 +68,9 @@
 type Txn struct {
 	Compares []Compare `json:"Guards"`
 	Ops      []Op      `json:"Apply,omitempty"`
-	// Records marks transactions of the leader's record writer. They have a part of the
+	// SelfLimited marks transactions of the leader's record writer. They have a part of the
 	// write rate of their own, so no submission waits behind them.
-	Records bool `json:"-"`
+	SelfLimited bool `json:"-"`
 }
 
 // Result is the outcome of a transaction that the store has answered.
@@ -126,25 +126,25 @@
 
 // Client is a Service over HTTP.
 type Client struct {
-	base    string
-	http    *http.Client
-	watches *http.Client
-	// renewals has connections of its own, so that no other request delays a renewal.
-	renewals *http.Client
-	requests *rate.Limiter
-	writes   *rate.Limiter
-	// users is set only in the view of a client that serves users' requests.
-	users *rate.Limiter
+	baseURL     string
+	httpClient  *http.Client
+	watchClient *http.Client
+	// renewalClient has connections of its own, so that no other request delays a renewal.
+	renewalClient  *http.Client
+	requestLimiter *rate.Limiter
+	writeLimiter   *rate.Limiter
+	// userLimiter is set only in the view of a client that serves users' requests.
+	userLimiter *rate.Limiter
 }
 
-// The store's rate limits are shared by all nodes. One node may use nodeShare of the
-// requests, since the leader needs most. Of the writes, RecordShare is for the leader's
+// The store's rate limits are shared by all nodes. One node may use nodeRequestShare of the
+// requests, since the leader needs most. Of the writes, RecordWriteShare is for the leader's
 // records, and the rest for requests that users wait for. Any node may use all of that
 // rest: users send bursts, and to one node rather than another, and what the store
 // rejects beyond its rate is retried soon.
 const (
-	nodeShare   = 0.45
-	RecordShare = 0.4
+	nodeRequestShare = 0.45
+	RecordWriteShare = 0.4
 	// MinWriteBurst lets a node cancel two jobs at once however low its write rate.
 	MinWriteBurst = 8
 )
@@ -172,14 +172,14 @@
 
 // NewClient makes the client of the key-value store at addr.
 func NewClient(addr string, limits config.KVLimits) *Client {
-	requestRate, writeRate := limits.RPS*nodeShare, limits.WriteRPS*(1-RecordShare)
+	requestRate, writeRate := limits.RPS*nodeRequestShare, limits.WriteRPS*(1-RecordWriteShare)
 	return &Client{
-		base:     "http://" + addr,
-		http:     newHTTPClient(requestConns),
-		watches:  newHTTPClient(watchConns),
-		renewals: newHTTPClient(renewalConns),
-		requests: newLimiter(requestRate, 1),
-		writes:   newLimiter(writeRate, MinWriteBurst),
+		baseURL:        "http://" + addr,
+		httpClient:     newHTTPClient(requestConns),
+		watchClient:    newHTTPClient(watchConns),
+		renewalClient:  newHTTPClient(renewalConns),
+		requestLimiter: newLimiter(requestRate, 1),
+		writeLimiter:   newLimiter(writeRate, MinWriteBurst),
 	}
 }
 
@@ -188,21 +188,21 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(minBurst, int(perSecond)))
 }
 
-// userShare is the part of a node's requests that users' requests may take.
-const userShare = 0.6
+// userRequestShare is the part of a node's requests that users' requests may take.
+const userRequestShare = 0.6
 
 // ForUsers returns a view of the client for users' requests. However many there are, a
 // part of the request rate is left to renewals and records.
 func (c *Client) ForUsers() *Client {
 	view := *c
-	view.users = newLimiter(float64(c.requests.Limit())*userShare, 1)
+	view.userLimiter = newLimiter(float64(c.requestLimiter.Limit())*userRequestShare, 1)
 	return &view
 }
 
 // Get reads one key.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
 	var e Entry
-	status, err := c.call(ctx, c.http, http.MethodGet, "/kv/"+key, nil, &e)
+	status, err := c.call(ctx, c.httpClient, http.MethodGet, "/kv/"+key, nil, &e)
 	if err != nil {
 		return Entry{}, err
 	}
@@ -219,7 +219,7 @@
 		q.Set("From", from)
 	}
 	var p Page
-	status, err := c.call(ctx, c.http, http.MethodGet, "/kv?"+q.Encode(), nil, &p)
+	status, err := c.call(ctx, c.httpClient, http.MethodGet, "/kv?"+q.Encode(), nil, &p)
 	if err != nil {
 		return Page{}, err
 	}
@@ -229,8 +229,8 @@
 // Txn applies a transaction. It waits for the write rate unless the transaction is one of
 // the record writer, which keeps to its own part.
 func (c *Client) Txn(ctx context.Context, txn Txn) (Result, error) {
-	if n := len(txn.Ops); n > 0 && !txn.Records {
-		if err := c.writes.WaitN(ctx, n); err != nil {
+	if n := len(txn.Ops); n > 0 && !txn.SelfLimited {
+		if err := c.writeLimiter.WaitN(ctx, n); err != nil {
 			return Result{}, fmt.Errorf("%w: write rate: %w", ErrNotApplied, err)
 		}
 	}
@@ -242,7 +242,7 @@
 		FailedKeys []string `json:"failed"`
 		Error      string   `json:"error"`
 	}
-	status, err := c.call(ctx, c.http, http.MethodPost, "/txn", txn, &body)
+	status, err := c.call(ctx, c.httpClient, http.MethodPost, "/txn", txn, &body)
 	if err != nil {
 		return Result{}, err
 	}
@@ -264,7 +264,7 @@
 		Lease uint64 `json:"Tenure"`
 	}
 	req := map[string]int64{"LifeMs": ttl.Milliseconds()}
-	status, err := c.call(ctx, c.http, http.MethodPost, "/leases", req, &body)
+	status, err := c.call(ctx, c.httpClient, http.MethodPost, "/leases", req, &body)
 	if err != nil {
 		return 0, err
 	}
@@ -275,8 +275,8 @@
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	path := "/leases/" + strconv.FormatUint(lease, 10) + "/extend"
 	// A renewal reserves its share without waiting; later requests wait for it instead.
-	c.requests.Reserve()
-	status, err := c.send(ctx, c.renewals, http.MethodPost, path, nil, nil)
+	c.requestLimiter.Reserve()
+	status, err := c.send(ctx, c.renewalClient, http.MethodPost, path, nil, nil)
 	if err != nil {
 		return err
 	}
@@ -294,7 +294,7 @@
 		"BlockMs": {strconv.FormatInt(block.Milliseconds(), 10)},
 	}
 	var changes Changes
-	status, err := c.call(ctx, c.watches, http.MethodGet, "/watch?"+q.Encode(), nil, &changes)
+	status, err := c.call(ctx, c.watchClient, http.MethodGet, "/watch?"+q.Encode(), nil, &changes)
 	if err != nil {
 		return Changes{}, err
 	}
@@ -323,12 +323,12 @@
 
 // call sends one request as soon as the request rate allows it.
 func (c *Client) call(ctx context.Context, hc *http.Client, method, path string, in, out any) (int, error) {
-	if c.users != nil {
-		if err := c.users.Wait(ctx); err != nil {
+	if c.userLimiter != nil {
+		if err := c.userLimiter.Wait(ctx); err != nil {
 			return 0, fmt.Errorf("%w: users' request rate: %w", ErrNotApplied, err)
 		}
 	}
-	if err := c.requests.Wait(ctx); err != nil {
+	if err := c.requestLimiter.Wait(ctx); err != nil {
 		return 0, fmt.Errorf("%w: request rate: %w", ErrNotApplied, err)
 	}
 	return c.send(ctx, hc, method, path, in, out)
@@ -344,7 +344,7 @@
 		}
 		body = bytes.NewReader(raw)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return 0, fmt.Errorf("key-value store: %w", err)
 	}
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -18,25 +18,25 @@
 // fakeTransport answers every request with the same response or error, and records the last
 // request.
 type fakeTransport struct {
-	mu     sync.Mutex
-	status int
-	body   string
-	err    error
-	path   string
-	sent   string
+	mu       sync.Mutex
+	status   int
+	body     string
+	err      error
+	lastURI  string
+	lastBody string
 }
 
 // RoundTrip implements http.RoundTripper.
 func (ft *fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	ft.mu.Lock()
 	defer ft.mu.Unlock()
-	ft.path = r.URL.RequestURI()
+	ft.lastURI = r.URL.RequestURI()
 	if r.Body != nil {
 		raw, err := io.ReadAll(r.Body)
 		if err != nil {
 			return nil, err
 		}
-		ft.sent = string(raw)
+		ft.lastBody = string(raw)
 	}
 	if ft.err != nil {
 		return nil, ft.err
@@ -48,7 +48,7 @@
 // newTestClient makes a client whose requests all go to transport.
 func newTestClient(transport *fakeTransport) *Client {
 	c := NewClient("10.0.0.1:1", config.KVLimits{RPS: 100, WriteRPS: 25, TxnOps: 12})
-	c.http.Transport, c.watches.Transport, c.renewals.Transport = transport, transport, transport
+	c.httpClient.Transport, c.watchClient.Transport, c.renewalClient.Transport = transport, transport, transport
 	return c
 }
 
@@ -87,8 +87,8 @@
 	if err != nil || res.Succeeded || len(res.FailedKeys) != 1 {
 		t.Errorf("got %+v, %v, want one failed key", res, err)
 	}
-	if want := `{"Guards":[]}`; transport.sent != want {
-		t.Errorf("sent %s, want %s", transport.sent, want)
+	if want := `{"Guards":[]}`; transport.lastBody != want {
+		t.Errorf("sent %s, want %s", transport.lastBody, want)
 	}
 }
 
@@ -98,8 +98,8 @@
 	if err != nil || e.ModRevision != 0 {
 		t.Errorf("got %+v, %v, want an entry without a version", e, err)
 	}
-	if want := "/kv/a/job-1"; transport.path != want {
-		t.Errorf("requested %s, want %s", transport.path, want)
+	if want := "/kv/a/job-1"; transport.lastURI != want {
+		t.Errorf("requested %s, want %s", transport.lastURI, want)
 	}
 }
 
@@ -127,21 +127,21 @@
 			ops[i] = Op{Delete: "p/" + strconv.Itoa(i)}
 		}
 		start := time.Now()
-		commitTimes(t, c, 4, Txn{Ops: ops, Records: true})
-		commitTimes(t, c, MinWriteBurst, Txn{Ops: ops[:1]})
+		commitRepeatedly(t, c, 4, Txn{Ops: ops, SelfLimited: true})
+		commitRepeatedly(t, c, MinWriteBurst, Txn{Ops: ops[:1]})
 		if elapsed := time.Since(start); elapsed > 0 {
 			t.Errorf("submissions waited %v, want no wait", elapsed)
 		}
 		// Beyond that, submissions keep to their part.
-		commitTimes(t, c, 30, Txn{Ops: ops[:1]})
+		commitRepeatedly(t, c, 30, Txn{Ops: ops[:1]})
 		if elapsed := time.Since(start); elapsed < time.Second {
 			t.Errorf("thirty more took %v, want at least 1s", elapsed)
 		}
 	})
 }
 
-// commitTimes commits a transaction n times.
-func commitTimes(t *testing.T, c *Client, n int, txn Txn) {
+// commitRepeatedly commits a transaction n times.
+func commitRepeatedly(t *testing.T, c *Client, n int, txn Txn) {
 	t.Helper()
 	for range n {
 		if _, err := c.Txn(t.Context(), txn); err != nil {
--- a/internal/kv/kvtest/kvtest.go
+++ b/internal/kv/kvtest/kvtest.go
@@ -21,44 +21,44 @@
 	lease       uint64
 }
 
-// change is an entry of the log that watches read.
-type change struct {
+// logEntry is an entry of the log that watches read.
+type logEntry struct {
 	kv.Event
 	key string
 }
 
 // Fake is a key-value store in memory.
 type Fake struct {
-	mu             sync.Mutex
-	keys           map[string]storedValue
-	revision       uint64
-	log            []change
-	changed        chan struct{}
-	leases         map[uint64]*time.Timer
-	leaseLifetimes map[uint64]time.Duration
-	lastLease      uint64
-	down           bool
-	delayed        []kv.Txn
+	mu          sync.Mutex
+	keys        map[string]storedValue
+	revision    uint64
+	log         []logEntry
+	changed     chan struct{}
+	leaseTimers map[uint64]*time.Timer
+	leaseTTLs   map[uint64]time.Duration
+	lastLease   uint64
+	down        bool
+	delayed     []kv.Txn
 	// delayMatch selects transactions that are delayed until Release.
 	delayMatch func(kv.Txn) bool
 	// loseResponseMatch selects transactions that are applied without a response.
 	loseResponseMatch func(kv.Txn) bool
-	// blind keeps watches from returning changes.
-	blind bool
+	// watchesStalled keeps watches from returning changes.
+	watchesStalled bool
 	// maxValueBytes and maxOps are the store's limits; maxOps 0: none.
 	maxValueBytes, maxOps int
-	// tooLarge says for each request that was beyond the limits what was too large.
-	tooLarge []string
+	// rejectedAsTooLarge says for each request that was beyond the limits what was too large.
+	rejectedAsTooLarge []string
 }
 
 // New makes an empty store.
 func New() *Fake {
 	return &Fake{
-		keys:           map[string]storedValue{},
-		revision:       1,
-		changed:        make(chan struct{}),
-		leases:         map[uint64]*time.Timer{},
-		leaseLifetimes: map[uint64]time.Duration{},
+		keys:        map[string]storedValue{},
+		revision:    1,
+		changed:     make(chan struct{}),
+		leaseTimers: map[uint64]*time.Timer{},
+		leaseTTLs:   map[uint64]time.Duration{},
 	}
 }
 
@@ -68,18 +68,18 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.down = down
-	for id, t := range f.leases {
+	for id, t := range f.leaseTimers {
 		if t.Stop(); !down {
-			t.Reset(f.leaseLifetimes[id])
+			t.Reset(f.leaseTTLs[id])
 		}
 	}
 }
 
-// SetWatchesBlind keeps watches from returning changes while blind is set.
-func (f *Fake) SetWatchesBlind(blind bool) {
+// SetWatchesStalled keeps watches from returning changes while blind is set.
+func (f *Fake) SetWatchesStalled(blind bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.blind = blind
+	f.watchesStalled = blind
 	f.notifyWatchers()
 }
 
@@ -132,7 +132,7 @@
 func (f *Fake) RejectedAsTooLarge() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.tooLarge)
+	return slices.Clone(f.rejectedAsTooLarge)
 }
 
 // comparesPerOp is how many compares a transaction may have for each operation allowed.
@@ -170,7 +170,7 @@
 	if reason == "" {
 		return nil
 	}
-	f.tooLarge = append(f.tooLarge, reason)
+	f.rejectedAsTooLarge = append(f.rejectedAsTooLarge, reason)
 	return fmt.Errorf("%w: %s", kv.ErrInvalid, reason)
 }
 
@@ -263,7 +263,7 @@
 		return res, nil
 	}
 	for _, op := range txn.Ops {
-		if op.Lease != 0 && f.leases[op.Lease] == nil {
+		if op.Lease != 0 && f.leaseTimers[op.Lease] == nil {
 			return kv.Result{}, kv.ErrNoLease
 		}
 	}
@@ -279,7 +279,7 @@
 			return kv.Result{}, err
 		}
 		f.keys[op.Put] = storedValue{raw: raw, modRevision: f.revision, lease: op.Lease}
-		f.log = append(f.log, change{
+		f.log = append(f.log, logEntry{
 			Event: kv.Event{Put: op.Put, Value: raw, ModRevision: f.revision},
 			key:   op.Put,
 		})
@@ -292,7 +292,7 @@
 func (f *Fake) remove(key string) {
 	if _, ok := f.keys[key]; ok {
 		delete(f.keys, key)
-		f.log = append(f.log, change{Event: kv.Event{Delete: key, ModRevision: f.revision}, key: key})
+		f.log = append(f.log, logEntry{Event: kv.Event{Delete: key, ModRevision: f.revision}, key: key})
 	}
 }
 
@@ -305,11 +305,11 @@
 	}
 	f.lastLease++
 	id := f.lastLease
-	f.leaseLifetimes[id] = ttl
-	f.leases[id] = time.AfterFunc(ttl, func() {
+	f.leaseTTLs[id] = ttl
+	f.leaseTimers[id] = time.AfterFunc(ttl, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		delete(f.leases, id)
+		delete(f.leaseTimers, id)
 		f.revision++
 		for k, v := range f.keys {
 			if v.lease == id {
@@ -328,11 +328,11 @@
 	if err := f.outageError(); err != nil {
 		return err
 	}
-	t := f.leases[lease]
+	t := f.leaseTimers[lease]
 	if t == nil {
 		return kv.ErrNoLease
 	}
-	t.Reset(f.leaseLifetimes[lease])
+	t.Reset(f.leaseTTLs[lease])
 	return nil
 }
 
@@ -348,7 +348,7 @@
 				out.Events = append(out.Events, c.Event)
 			}
 		}
-		ready := len(out.Events) > 0 && !f.blind && !f.down
+		ready := len(out.Events) > 0 && !f.watchesStalled && !f.down
 		changed := f.changed
 		f.mu.Unlock()
 		if ready {
--- a/internal/records/accept.go
+++ b/internal/records/accept.go
@@ -14,7 +14,7 @@
 func (r *Records) Accept(
 	ctx context.Context, spec *api.JobSpec, now time.Time,
 ) (st api.JobState, created bool, err error) {
-	a := r.newAcceptance(spec, now)
+	a := r.newSubmission(spec, now)
 	if r.acceptInOneTxn(ctx, a) {
 		return api.JobState{ID: spec.ID, Phase: api.JobPending}, true, nil
 	}
@@ -28,7 +28,7 @@
 // acceptInOneTxn accepts a job with dependencies in one transaction if this node has the
 // records of those in its cache. If that fails, or its outcome is unknown, it returns
 // false, and the records have to be read one by one.
-func (r *Records) acceptInOneTxn(ctx context.Context, a *acceptance) bool {
+func (r *Records) acceptInOneTxn(ctx context.Context, a *submission) bool {
 	if r.cache == nil || len(a.spec.DependsOn) == 0 || a.list != nil {
 		return false
 	}
@@ -37,19 +37,19 @@
 		return false
 	}
 	res, err := r.commit(ctx, kv.Txn{
-		Compares: append(absent(a.spec.ID), dependencies...),
+		Compares: append(absentCompares(a.spec.ID), dependencies...),
 		Ops:      []kv.Op{{Put: ActivePrefix + a.spec.ID, Value: a.record}},
 	})
 	return err == nil && res.Succeeded
 }
 
-// absent are the compares that hold while a job has neither an active nor a terminal record.
-func absent(id string) []kv.Compare {
+// absentCompares are the compares that hold while a job has neither an active nor a terminal record.
+func absentCompares(id string) []kv.Compare {
 	return []kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}
 }
 
-// acceptance is what is needed to accept a job.
-type acceptance struct {
+// submission is what is needed to accept a job.
+type submission struct {
 	spec *api.JobSpec
 	// record becomes the job's active record; list and parts are set if its
 	// dependencies are listed elsewhere.
@@ -58,20 +58,20 @@
 	parts  []DependencyRecord
 }
 
-func (r *Records) newAcceptance(spec *api.JobSpec, now time.Time) *acceptance {
-	a := &acceptance{spec: spec, record: ActiveRecord{Spec: *spec, Accepted: now.UTC()}}
+func (r *Records) newSubmission(spec *api.JobSpec, now time.Time) *submission {
+	a := &submission{spec: spec, record: ActiveRecord{Spec: *spec, Accepted: now.UTC()}}
 	if len(spec.DependsOn) > 0 && !a.record.fits(r.Limits.ValueKB) {
 		a.list, a.parts = splitDependencies(spec.DependsOn, r.Limits.ValueKB)
-		a.record = a.record.listedElsewhere(a.list)
+		a.record = a.record.withDependencyList(a.list)
 	}
 	return a
 }
 
 // tryAccept makes one attempt to make a job's record.
-func (r *Records) tryAccept(ctx context.Context, a *acceptance) (st api.JobState, created bool, err error) {
+func (r *Records) tryAccept(ctx context.Context, a *submission) (st api.JobState, created bool, err error) {
 	id := a.spec.ID
 	if len(a.spec.DependsOn) > maxSingleReads || a.list != nil {
-		release, err := acquire(ctx, r.longLists)
+		release, err := acquireSlot(ctx, r.longListSlots)
 		if err != nil {
 			return st, false, err
 		}
@@ -116,9 +116,9 @@
 
 // transaction returns the transaction that makes the job's record, and the state that the
 // job then has: cancelled if one of its dependencies is.
-func (a *acceptance) transaction(cancelled bool) (kv.Txn, api.JobState) {
+func (a *submission) transaction(cancelled bool) (kv.Txn, api.JobState) {
 	id := a.spec.ID
-	txn := kv.Txn{Compares: absent(id)}
+	txn := kv.Txn{Compares: absentCompares(id)}
 	if cancelled {
 		terminal := TerminalRecord{Phase: api.JobCancelled, Tasks: a.spec.Tasks}
 		txn.Ops = []kv.Op{{Put: TerminalPrefix + id, Value: terminal}}
--- a/internal/records/dependencies.go
+++ b/internal/records/dependencies.go
@@ -70,25 +70,25 @@
 	return nil
 }
 
-// dependenciesOf reads what a job depends on, and whether it is active.
+// decodeDependencySet reads what a job depends on, and whether it is active.
 func (s *dependencySearch) dependenciesOf(ctx context.Context, id string) (ids []string, isActive bool, err error) {
-	set, isActive, err := s.readSet(ctx, id)
+	set, isActive, err := s.findActive(ctx, id)
 	if err != nil || !isActive {
 		return nil, false, err
 	}
-	ids, err = s.records.resolve(ctx, id, set)
+	ids, err = s.records.dependencyIDs(ctx, id, set)
 	return ids, true, err
 }
 
-// readSet reads a job's active record; after maxSingleReads of them it reads those of all jobs.
-func (s *dependencySearch) readSet(ctx context.Context, id string) (set dependencySet, isActive bool, err error) {
+// findActive reads a job's active record; after maxSingleReads of them it reads those of all jobs.
+func (s *dependencySearch) findActive(ctx context.Context, id string) (set dependencySet, isActive bool, err error) {
 	if s.active == nil && s.singleReads < maxSingleReads {
 		s.singleReads++
 		e, err := s.records.getEntry(ctx, ActivePrefix+id)
 		if err != nil || e.ModRevision == 0 || isGuestRecord(e) {
 			return dependencySet{}, false, err
 		}
-		return dependenciesOf(e), true, nil
+		return decodeDependencySet(e), true, nil
 	}
 	if s.active == nil {
 		if s.active, err = s.records.readActiveDependencies(ctx); err != nil {
@@ -99,8 +99,8 @@
 	return set, isActive, nil
 }
 
-// resolve returns the names of a job's dependencies, which it reads if they are in a list.
-func (r *Records) resolve(ctx context.Context, id string, set dependencySet) ([]string, error) {
+// dependencyIDs returns the names of a job's dependencies, which it reads if they are in a list.
+func (r *Records) dependencyIDs(ctx context.Context, id string, set dependencySet) ([]string, error) {
 	if set.list == nil {
 		return set.ids, nil
 	}
@@ -130,8 +130,8 @@
 
 // CancelPending reports whether a dependency of an active job, direct or indirect, is
 // cancelled.
-func (r *Records) cancelPending(ctx context.Context, e kv.Entry) (bool, error) {
-	ids, err := r.resolve(ctx, strings.TrimPrefix(e.Key, ActivePrefix), dependenciesOf(e))
+func (r *Records) hasCancelledDependency(ctx context.Context, e kv.Entry) (bool, error) {
+	ids, err := r.dependencyIDs(ctx, strings.TrimPrefix(e.Key, ActivePrefix), decodeDependencySet(e))
 	if err != nil {
 		return false, err
 	}
@@ -148,8 +148,8 @@
 	return false, err
 }
 
-// dependenciesOf returns what the job of an active record depends on.
-func dependenciesOf(e kv.Entry) dependencySet {
+// decodeDependencySet returns what the job of an active record depends on.
+func decodeDependencySet(e kv.Entry) dependencySet {
 	if !bytes.Contains(e.Value, []byte(`"Awaits"`)) {
 		return dependencySet{} // most jobs have no dependencies, and need no decoding
 	}
@@ -162,7 +162,7 @@
 
 // readActiveDependencies reads the dependencies of all active jobs.
 func (r *Records) readActiveDependencies(ctx context.Context) (map[string]dependencySet, error) {
-	release, err := acquire(ctx, r.scans)
+	release, err := acquireSlot(ctx, r.scanSlots)
 	if err != nil {
 		return nil, err
 	}
@@ -170,7 +170,7 @@
 	active := map[string]dependencySet{}
 	err = r.forEachEntry(ctx, ActivePrefix, func(e kv.Entry) {
 		if !isGuestRecord(e) {
-			active[strings.Clone(strings.TrimPrefix(e.Key, ActivePrefix))] = dependenciesOf(e)
+			active[strings.Clone(strings.TrimPrefix(e.Key, ActivePrefix))] = decodeDependencySet(e)
 		}
 	})
 	if err != nil {
--- a/internal/records/dependencies_test.go
+++ b/internal/records/dependencies_test.go
@@ -98,7 +98,7 @@
 	return ids
 }
 
-var smallLimits = []config.KVLimits{
+var testedLimits = []config.KVLimits{
 	{ValueKB: 1, TxnOps: 3},
 	{ValueKB: 2, TxnOps: 3},
 	{ValueKB: 2, TxnOps: 12},
@@ -109,7 +109,7 @@
 // A job may depend on as many others as its submission has space for, however small the
 // values of the store are; no value and no transaction is too large.
 func TestMoreDependenciesThanARecordHolds(t *testing.T) {
-	for _, limits := range smallLimits {
+	for _, limits := range testedLimits {
 		t.Run(fmt.Sprintf("%v KiB, %d operations", limits.ValueKB, limits.TxnOps), func(t *testing.T) {
 			testMaxDependencies(t, limits)
 		})
@@ -123,7 +123,7 @@
 	store.SetLimits(int(limits.ValueKB*1024), limits.TxnOps)
 	recs := records.NewRecords(store, limits)
 	spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
-	if !records.Fits(spec, limits.ValueKB) {
+	if !records.JobFits(spec, limits.ValueKB) {
 		t.Fatal("does not fit")
 	}
 	store.requests.Store(0)
@@ -142,7 +142,7 @@
 	}
 	rec := activeRecord(t, store, "job-1")
 	checkDependencies(t, &recs, ids)
-	if !slices.Equal(rec.Spec.DependsOn, []string{records.DependenciesElsewhere}) {
+	if !slices.Equal(rec.Spec.DependsOn, []string{records.DependencyListPlaceholder}) {
 		t.Errorf("a version that knows of no lists reads %d names", len(rec.Spec.DependsOn))
 	}
 	store.writes.Store(0)
@@ -225,8 +225,8 @@
 	}
 	checkDependencies(t, &other, ids)
 	list := activeRecord(t, store, "job-1").DependencyList
-	if keys := len(keysUnder(t, store, records.DependencyPrefix)); keys != list.Records {
-		t.Errorf("got %d records, want %d", keys, list.Records)
+	if keys := len(keysUnder(t, store, records.DependencyPrefix)); keys != list.RecordCount {
+		t.Errorf("got %d records, want %d", keys, list.RecordCount)
 	}
 	// The job ends, its list is removed, and then the delayed transactions are applied.
 	if _, _, err := other.Cancel(ctx, "job-1"); err != nil {
@@ -261,7 +261,7 @@
 		t.Fatal(err)
 	}
 	list := activeRecord(t, store, "job-1").DependencyList
-	for _, i := range []int{0, 3, list.Records - 1} {
+	for _, i := range []int{0, 3, list.RecordCount - 1} {
 		key := list.Keys("job-1")[i]
 		e, err := store.Get(t.Context(), key)
 		if err != nil {
@@ -395,14 +395,14 @@
 	return ids
 }
 
-// slowRanges is a store whose ranges take a second, and which counts how many are in progress
+// slowRangeStore is a store whose ranges take a second, and which counts how many are in progress
 // at the same time.
-type slowRanges struct {
+type slowRangeStore struct {
 	*kvtest.Fake
 	inProgress, maxInProgress atomic.Int32
 }
 
-func (s *slowRanges) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
+func (s *slowRangeStore) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
 	if n := s.inProgress.Add(1); n > s.maxInProgress.Load() {
 		s.maxInProgress.Store(n)
 	}
@@ -415,7 +415,7 @@
 // time with all that is read for them; the others wait, or are rejected for now.
 func TestManyLongSubmissionsAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &slowRanges{Fake: kvtest.New()}
+		store := &slowRangeStore{Fake: kvtest.New()}
 		ids := putMaxDependencies(t, store.Fake)
 		recs := records.NewRecords(store, config.KVLimits{ValueKB: 128, TxnOps: 12})
 		var accepted, rejected atomic.Int32
--- a/internal/records/dependencylist.go
+++ b/internal/records/dependencylist.go
@@ -12,20 +12,20 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// DependenciesElsewhere stands for the dependencies in an active record that has no space for
+// DependencyListPlaceholder stands for the dependencies in an active record that has no space for
 // them. It is no job's name, so a reader that does not know of lists waits for it and never
 // starts the job.
-const DependenciesElsewhere = "job-"
+const DependencyListPlaceholder = "job-"
 
 // digestBytes is how much of a hash a list's keys hold.
 const digestBytes = 16
 
-// maxDependencyList has the longest encoding that a list can have.
-var maxDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), Records: api.MaxBody}
+// maxSizeDependencyList has the longest encoding that a list can have.
+var maxSizeDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), RecordCount: api.MaxBody}
 
-// listedElsewhere is the record with a list in place of the names.
-func (rec ActiveRecord) listedElsewhere(list *DependencyList) ActiveRecord {
-	rec.Spec.DependsOn, rec.DependencyList = []string{DependenciesElsewhere}, list
+// withDependencyList is the record with a list in place of the names.
+func (rec ActiveRecord) withDependencyList(list *DependencyList) ActiveRecord {
+	rec.Spec.DependsOn, rec.DependencyList = []string{DependencyListPlaceholder}, list
 	return rec
 }
 
@@ -39,7 +39,7 @@
 	var parts []DependencyRecord
 	left := 0
 	for _, id := range ids {
-		size := len(id) + quoteBytes
+		size := len(id) + nameOverheadBytes
 		if len(parts) == 0 || size > left {
 			parts, left = append(parts, DependencyRecord{}), capacity
 		}
@@ -47,7 +47,7 @@
 		last.Jobs = append(last.Jobs, id)
 		left -= size
 	}
-	return &DependencyList{Digest: digest(parts), Records: len(parts)}, parts
+	return &DependencyList{Digest: digest(parts), RecordCount: len(parts)}, parts
 }
 
 // digest is a hash of the names in a list and of how they are divided.
@@ -59,9 +59,9 @@
 	return hex.EncodeToString(hash.Sum(nil)[:digestBytes])
 }
 
-// maxListOps bounds the operations of a transaction that writes a list: a node's write rate
+// maxListTxnOps bounds the operations of a transaction that writes a list: a node's write rate
 // allows no more at once, however low it is.
-const maxListOps = kv.MinWriteBurst
+const maxListTxnOps = kv.MinWriteBurst
 
 // writeDependencies writes the records of a job's list that are not written yet. The job is
 // accepted only afterwards; the next leader finds what is left of a submission that is never
@@ -77,19 +77,19 @@
 	for _, e := range entries {
 		written[e.Key] = true
 	}
-	limit := maxListOps
+	limit := maxListTxnOps
 	if r.Limits.TxnOps > 0 {
 		limit = min(limit, r.Limits.TxnOps)
 	}
 	// Once the job is known no record is written any more, however late.
-	txn, size := kv.Txn{Compares: absent(id)}, 0
+	txn, size := kv.Txn{Compares: absentCompares(id)}, 0
 	for i, key := range list.Keys(id) {
 		if !written[key] {
 			txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: parts[i]})
-			size += txnBytes(parts[i])
+			size += estimatedOpBytes(parts[i])
 		}
 		isLast := i == len(parts)-1
-		hasRoom := !isLast && len(txn.Ops) < limit && size+txnBytes(parts[i+1]) <= maxListTxnBytes
+		hasRoom := !isLast && len(txn.Ops) < limit && size+estimatedOpBytes(parts[i+1]) <= maxListTxnBytes
 		if len(txn.Ops) == 0 || hasRoom {
 			continue
 		}
@@ -97,19 +97,19 @@
 		if err != nil || !res.Succeeded {
 			return false, err
 		}
-		txn, size = kv.Txn{Compares: absent(id)}, 0
+		txn, size = kv.Txn{Compares: absentCompares(id)}, 0
 	}
 	return true, nil
 }
 
-// maxListTxnBytes bounds the parts of a list in one transaction, by what txnBytes returns.
+// maxListTxnBytes bounds the parts of a list in one transaction, by what estimatedOpBytes returns.
 const maxListTxnBytes = kv.MaxTxnBytes * 3 / 4
 
-// txnBytes is about how much of a transaction a part of a list takes.
-func txnBytes(part DependencyRecord) int {
+// estimatedOpBytes is about how much of a transaction a part of a list takes.
+func estimatedOpBytes(part DependencyRecord) int {
 	size := 200 // its key and the operation
 	for _, id := range part.Jobs {
-		size += len(id) + quoteBytes
+		size += len(id) + nameOverheadBytes
 	}
 	return size
 }
--- a/internal/records/fits_test.go
+++ b/internal/records/fits_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			spec := &api.JobSpec{ID: "job-1", Types: []string{strings.Repeat("t", c.bytes)}}
-			if got := Fits(spec, c.valueKB); got != c.want {
+			if got := JobFits(spec, c.valueKB); got != c.want {
 				t.Errorf("%d bytes of types, values of %v KiB: got %v, want %v", c.bytes, c.valueKB, got, c.want)
 			}
 		})
--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -225,7 +225,7 @@
 		{records.ActivePrefix, "a/"}, {records.TerminalPrefix, "f/"}, {records.CompletionPrefix, "p/"}, {records.MachinePrefix, "m/"},
 		{records.LeaseRenewalPrefix, "keep/"}, {records.RelayPrefix, "relay/"}, {records.MachineTypesKey, "types"}, {records.CancelKey, "a/!cancel"},
 		{records.DependencyPrefix, "awaits/"},
-		{(&records.DependencyList{Digest: "ab", Records: 3}).Keys("job-1")[2], "awaits/job-1/ab/00002"}, {records.DependenciesElsewhere, "job-"},
+		{(&records.DependencyList{Digest: "ab", RecordCount: 3}).Keys("job-1")[2], "awaits/job-1/ab/00002"}, {records.DependencyListPlaceholder, "job-"},
 		{election.LeaderKey, "leader"}, {election.TermKey, "term"}, {records.CompletionKey("job-1", 4096), "p/job-1/4096"},
 	} {
 		if c.got != c.want {
--- a/internal/records/jobcache.go
+++ b/internal/records/jobcache.go
@@ -84,20 +84,20 @@
 	case strings.HasPrefix(e.Key, ActivePrefix):
 		id := strings.TrimPrefix(e.Key, ActivePrefix)
 		if e.ModRevision != 0 && !isGuestRecord(e) {
-			c.add(id, e.ModRevision, dependenciesOf(e))
+			c.add(id, e.ModRevision, decodeDependencySet(e))
 		} else {
 			c.jobs.Remove(id) // it has ended; its terminal record says how
 		}
 	case strings.HasPrefix(e.Key, TerminalPrefix):
 		var terminal TerminalRecord
 		if json.Unmarshal(e.Value, &terminal) == nil {
-			c.jobEnded(strings.TrimPrefix(e.Key, TerminalPrefix), terminal)
+			c.addIfDone(strings.TrimPrefix(e.Key, TerminalPrefix), terminal)
 		}
 	}
 }
 
-// jobEnded caches that a job is done, which it stays. A cancelled job is not cached.
-func (c *jobCache) jobEnded(id string, terminal TerminalRecord) {
+// addIfDone caches that a job is done, which it stays. A cancelled job is not cached.
+func (c *jobCache) addIfDone(id string, terminal TerminalRecord) {
 	if c != nil && terminal.Phase == api.JobDone {
 		c.add(id, 0, dependencySet{})
 	}
--- a/internal/records/jobcache_test.go
+++ b/internal/records/jobcache_test.go
@@ -16,18 +16,18 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// countingFake counts the requests to a store, and the transactions whose compares failed.
-type countingFake struct {
+// conflictCountingStore counts the requests to a store, and the transactions whose compares failed.
+type conflictCountingStore struct {
 	*kvtest.Fake
 	requests, conflicts atomic.Int64
 }
 
-func (c *countingFake) Get(ctx context.Context, key string) (kv.Entry, error) {
+func (c *conflictCountingStore) Get(ctx context.Context, key string) (kv.Entry, error) {
 	c.requests.Add(1)
 	return c.Fake.Get(ctx, key)
 }
 
-func (c *countingFake) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
+func (c *conflictCountingStore) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	c.requests.Add(1)
 	res, err := c.Fake.Txn(ctx, txn)
 	if err == nil && !res.Succeeded {
@@ -66,8 +66,8 @@
 	}
 }
 
-// finish writes that jobs are done, as a leader would.
-func finish(t *testing.T, s kv.Service, ids ...string) {
+// recordDone writes that jobs are done, as a leader would.
+func recordDone(t *testing.T, s kv.Service, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
 		commit(t, s,
@@ -96,7 +96,7 @@
 		{"too many compares", 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			st := &countingFake{Fake: kvtest.New()}
+			st := &conflictCountingStore{Fake: kvtest.New()}
 			r := newRecords(st, config.KVLimits{TxnOps: c.ops})
 			acceptPipeline(t, r)
 			mustAccept(t, r, specWithDependencies("job-6", "job-5"))
@@ -111,7 +111,7 @@
 func TestJobWithManyDependenciesIsNotCached(t *testing.T) {
 	for dependencies, cached := range map[int]bool{32: true, 33: false} {
 		t.Run(fmt.Sprint(dependencies, " dependencies"), func(t *testing.T) {
-			st := &countingFake{Fake: kvtest.New()}
+			st := &conflictCountingStore{Fake: kvtest.New()}
 			r := newRecords(st, config.KVLimits{TxnOps: 20})
 			ids := make([]string, dependencies)
 			for i := range ids {
@@ -140,7 +140,7 @@
 		return func(t *testing.T, fake *kvtest.Fake) { t.Helper(); mustCancel(t, &records.Records{Store: fake}, id) }
 	}
 	done := func(ids ...string) change {
-		return func(t *testing.T, fake *kvtest.Fake) { t.Helper(); finish(t, fake, ids...) }
+		return func(t *testing.T, fake *kvtest.Fake) { t.Helper(); recordDone(t, fake, ids...) }
 	}
 	accept := func(id string, dependsOn ...string) change {
 		return func(t *testing.T, fake *kvtest.Fake) {
@@ -199,7 +199,7 @@
 		{"indirect dependency cancelled", "job-1", api.JobCancelled, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			st := &countingFake{Fake: kvtest.New()}
+			st := &conflictCountingStore{Fake: kvtest.New()}
 			r := newRecords(st, config.KVLimits{TxnOps: 20})
 			acceptPipeline(t, r)
 			if c.cancelled != "" {
@@ -222,7 +222,7 @@
 	fake := kvtest.New()
 	r := newRecords(fake, config.KVLimits{TxnOps: 20})
 	acceptPipeline(t, r)
-	finish(t, fake, "job-1")
+	recordDone(t, fake, "job-1")
 	for range 3 {
 		if st, found, err := r.Lookup(t.Context(), "job-1"); st.Phase != api.JobDone || !found || err != nil {
 			t.Errorf("got %+v, found %v, %v, want phase %s", st, found, err, api.JobDone)
@@ -233,7 +233,7 @@
 // A failed transaction counts towards the store's limits: versions that it has shown to be old
 // are not compared again.
 func TestOldVersionsAreComparedOnce(t *testing.T) {
-	st := &countingFake{Fake: kvtest.New()}
+	st := &conflictCountingStore{Fake: kvtest.New()}
 	r := newRecords(st, config.KVLimits{TxnOps: 20})
 	acceptPipeline(t, r)
 	mustCancel(t, &records.Records{Store: st.Fake}, "job-5")
@@ -308,7 +308,7 @@
 // does not name them, so a cancellation among them would be missed. Nor is a job accepted in
 // one transaction if its record has no space for its dependencies.
 func TestJobsWithDependencyListsAreRead(t *testing.T) {
-	st := &countingFake{Fake: kvtest.New()}
+	st := &conflictCountingStore{Fake: kvtest.New()}
 	r := newRecords(st, config.KVLimits{TxnOps: 20, ValueKB: 1})
 	ids := make([]string, 32)
 	for i := range ids {
@@ -333,7 +333,7 @@
 // The terminal record of a job is read once. A later search, which finds its active record
 // deleted, must leave it cached; otherwise every later submission would read it again.
 func TestTerminalRecordStaysCached(t *testing.T) {
-	st := &countingFake{Fake: kvtest.New()}
+	st := &conflictCountingStore{Fake: kvtest.New()}
 	putRecord(t, st, "job-1", api.JobDone)
 	putRecord(t, st, "job-3", api.JobDone)
 	r := newRecords(st, config.KVLimits{TxnOps: 20})
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -47,7 +47,7 @@
 
 // Keys are the keys of the records of a job's list, in order.
 func (l *DependencyList) Keys(id string) []string {
-	keys := make([]string, l.Records)
+	keys := make([]string, l.RecordCount)
 	for i := range keys {
 		keys[i] = fmt.Sprintf("%s%05d", l.prefix(id), i)
 	}
--- a/internal/records/lookup.go
+++ b/internal/records/lookup.go
@@ -30,7 +30,7 @@
 	if e.ModRevision == 0 || isGuestRecord(e) {
 		return r.TerminalState(ctx, id)
 	}
-	pending, err := r.cancelPending(ctx, e)
+	pending, err := r.hasCancelledDependency(ctx, e)
 	if err != nil {
 		return api.JobState{}, false, err
 	}
@@ -47,9 +47,9 @@
 // other derived cancellation is being written.
 func (r *Records) deriveCancelled(ctx context.Context, id string) api.JobState {
 	select {
-	case r.derivedWrites <- struct{}{}:
+	case r.derivedWriteSlots <- struct{}{}:
 		go func() {
-			defer func() { <-r.derivedWrites }()
+			defer func() { <-r.derivedWriteSlots }()
 			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 			defer cancel()
 			// A failure is dropped: the next lookup of the job derives the same state
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -24,41 +24,41 @@
 	Store kv.Service
 	// Limits are those of the store; zero: none are known.
 	Limits config.KVLimits
-	// terminalCache holds how dependencies ended; scans and longLists bound the
+	// terminalCache holds how dependencies ended; scans and longListSlots bound the
 	// operations that take much memory. All three may be nil.
-	terminalCache    *lru.Cache[string, TerminalRecord]
-	scans, longLists chan struct{}
-	// derivedWrites bounds the cancellations that are written because they follow from
+	terminalCache            *lru.Cache[string, TerminalRecord]
+	scanSlots, longListSlots chan struct{}
+	// derivedWriteSlots bounds the cancellations that are written because they follow from
 	// others; nil: none is written.
-	derivedWrites chan struct{}
+	derivedWriteSlots chan struct{}
 	// cache may be nil.
 	cache *jobCache
 }
 
 const (
-	// maxScans bounds the ranges over all active jobs that are held in memory at a time.
-	maxScans = 2
-	// maxLongLists bounds the submissions with many dependencies at a time.
-	maxLongLists = 4
-	// maxDerivedWrites bounds the derived cancellations that are written at a time, so
+	// maxConcurrentScans bounds the ranges over all active jobs that are held in memory at a time.
+	maxConcurrentScans = 2
+	// maxConcurrentLongLists bounds the submissions with many dependencies at a time.
+	maxConcurrentLongLists = 4
+	// maxConcurrentDerivedWrites bounds the derived cancellations that are written at a time, so
 	// that thousands of them leave submissions their part of the write rate.
-	maxDerivedWrites = 1
+	maxConcurrentDerivedWrites = 1
 )
 
 // NewRecords makes the Records that serve a node's users.
 func NewRecords(s kv.Service, limits config.KVLimits) Records {
-	terminal, err := lru.New[string, TerminalRecord](maxCachedTerminal)
+	terminal, err := lru.New[string, TerminalRecord](maxCachedTerminalRecords)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
 	return Records{
-		Store:         s,
-		Limits:        limits,
-		terminalCache: terminal,
-		scans:         make(chan struct{}, maxScans),
-		longLists:     make(chan struct{}, maxLongLists),
-		derivedWrites: make(chan struct{}, maxDerivedWrites),
-		cache:         newJobCache(limits),
+		Store:             s,
+		Limits:            limits,
+		terminalCache:     terminal,
+		scanSlots:         make(chan struct{}, maxConcurrentScans),
+		longListSlots:     make(chan struct{}, maxConcurrentLongLists),
+		derivedWriteSlots: make(chan struct{}, maxConcurrentDerivedWrites),
+		cache:             newJobCache(limits),
 	}
 }
 
@@ -146,8 +146,8 @@
 	return r.forEachEntry(ctx, prefix, func(e kv.Entry) { visit(e.Key) })
 }
 
-// acquire waits for one of some slots; without any there is no bound.
-func acquire(ctx context.Context, slots chan struct{}) (release func(), err error) {
+// acquireSlot waits for one of some slots; without any there is no bound.
+func acquireSlot(ctx context.Context, slots chan struct{}) (release func(), err error) {
 	if slots == nil {
 		return func() {}, nil
 	}
--- a/internal/records/terminal.go
+++ b/internal/records/terminal.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// maxCachedTerminal is how many terminal records are cached: more than there can be
+// maxCachedTerminalRecords is how many terminal records are cached: more than there can be
 // dependencies in one submission.
-const maxCachedTerminal = 8192
+const maxCachedTerminalRecords = 8192
 
 // TerminalRecords reads how jobs ended that are not active. Jobs that never ended are left
 // out. What was read before a failure is returned with it.
@@ -18,7 +18,7 @@
 	for _, id := range ids {
 		if terminal, ok := r.cachedTerminal(id); ok {
 			found[id] = terminal
-			r.cache.jobEnded(id, terminal)
+			r.cache.addIfDone(id, terminal)
 		} else {
 			unread = append(unread, id)
 		}
@@ -45,7 +45,7 @@
 	if r.terminalCache != nil {
 		r.terminalCache.Add(strings.Clone(id), terminal)
 	}
-	r.cache.jobEnded(id, terminal)
+	r.cache.addIfDone(id, terminal)
 }
 
 func (r *Records) cachedTerminal(id string) (TerminalRecord, bool) {
--- a/internal/records/values.go
+++ b/internal/records/values.go
@@ -16,7 +16,7 @@
 	Spec     api.JobSpec `json:"spec"`
 	Accepted time.Time   `json:"accepted"`
 	// DependencyList names the records that list the dependencies if this one has no
-	// space for them. Spec.DependsOn then holds only DependenciesElsewhere.
+	// space for them. Spec.DependsOn then holds only DependencyListPlaceholder.
 	DependencyList *DependencyList `json:"awaits_list,omitempty"`
 	// Lent is set while the job is lent to another cell, and Guest if it runs here for
 	// one. Spec is then empty, and the job's description is there.
@@ -97,8 +97,8 @@
 // depend on the names: two submissions of one job with different dependencies never write
 // the same keys, and a repeated submission finds what the first has written.
 type DependencyList struct {
-	Digest  string `json:"digest"`
-	Records int    `json:"records"`
+	Digest      string `json:"digest"`
+	RecordCount int    `json:"records"`
 }
 
 // DependencyRecord is a part of a list of dependencies.
@@ -108,28 +108,28 @@
 
 const (
 	bytesPerKB = 1024
-	// txnKeyBytes is left in a transaction for its keys.
-	txnKeyBytes = 2048
-	// shortFieldBytes is more than all fields of a record take but the names in it.
-	shortFieldBytes = 1024
-	// quoteBytes is what a name takes in a JSON list besides itself.
-	quoteBytes = len(`"",`)
+	// reservedKeyBytes is left in a transaction for its keys.
+	reservedKeyBytes = 2048
+	// fixedFieldBytes is more than all fields of a record take but the names in it.
+	fixedFieldBytes = 1024
+	// nameOverheadBytes is what a name takes in a JSON list besides itself.
+	nameOverheadBytes = len(`"",`)
 	// maxEscapedBytes is what a byte takes in JSON at most.
 	maxEscapedBytes = len(`\u0000`)
-	// encodingMargin is left for the encoding of a record that was measured.
-	encodingMargin = 32
-	// growthMargin is left for numbers in a record that may grow.
-	growthMargin = 256
+	// encodingMarginBytes is left for the encoding of a record that was measured.
+	encodingMarginBytes = 32
+	// growthMarginBytes is left for numbers in a record that may grow.
+	growthMarginBytes = 256
 )
 
-// Fits reports whether an accepted job's record fits a value of valueKB KiB. Its
+// JobFits reports whether an accepted job's record fits a value of valueKB KiB. Its
 // dependencies need not: they may be listed in records of their own.
-func Fits(spec *api.JobSpec, valueKB float64) bool {
+func JobFits(spec *api.JobSpec, valueKB float64) bool {
 	rec := ActiveRecord{Spec: *spec, Accepted: time.Unix(0, 1).UTC()}
 	if rec.fits(valueKB) {
 		return true
 	}
-	return len(spec.DependsOn) > 0 && rec.listedElsewhere(maxDependencyList).fits(valueKB)
+	return len(spec.DependsOn) > 0 && rec.withDependencyList(maxSizeDependencyList).fits(valueKB)
 }
 
 // fits reports whether the record fits a value of valueKB KiB; 0: of any size that a
@@ -140,22 +140,22 @@
 	nameBytes := len(spec.Class) + len(spec.Image) + len(spec.Zone) + len(spec.Team)
 	for _, names := range [][]string{spec.Types, spec.DependsOn} {
 		for _, name := range names {
-			nameBytes += len(name) + quoteBytes
+			nameBytes += len(name) + nameOverheadBytes
 		}
 	}
-	capacity := float64(kv.MaxTxnBytes - txnKeyBytes)
+	capacity := float64(kv.MaxTxnBytes - reservedKeyBytes)
 	if valueKB > 0 {
 		capacity = min(capacity, valueKB*bytesPerKB)
 	}
-	if float64(maxEscapedBytes*nameBytes) < capacity-shortFieldBytes {
+	if float64(maxEscapedBytes*nameBytes) < capacity-fixedFieldBytes {
 		return true // even if every byte is escaped, so that encoding it can be left out
 	}
 	raw, err := json.Marshal(rec)
-	return err == nil && float64(len(raw)+encodingMargin) <= capacity
+	return err == nil && float64(len(raw)+encodingMarginBytes) <= capacity
 }
 
-// FitsRecord reports whether an active record fits a value of valueKB KiB.
-func FitsRecord(rec ActiveRecord, valueKB float64) bool {
+// RecordFits reports whether an active record fits a value of valueKB KiB.
+func RecordFits(rec ActiveRecord, valueKB float64) bool {
 	raw, err := json.Marshal(rec)
-	return err == nil && float64(len(raw)+growthMargin) <= min(valueKB*bytesPerKB, kv.MaxTxnBytes/2)
+	return err == nil && float64(len(raw)+growthMarginBytes) <= min(valueKB*bytesPerKB, kv.MaxTxnBytes/2)
 }
--- a/internal/recordwriter/writer.go
+++ b/internal/recordwriter/writer.go
@@ -73,7 +73,7 @@
 // the shards that it writes are named by termNumber.
 func New(limits config.KVLimits, termCompare kv.Compare, termNumber uint64) *Writer {
 	w := &Writer{termCompare: termCompare, termNumber: termNumber, maxOps: limits.TxnOps}
-	recordRate := limits.WriteRPS * kv.RecordShare
+	recordRate := limits.WriteRPS * kv.RecordWriteShare
 	// The burst is below the store's own, so that submissions still find capacity in it.
 	w.limiter = rate.NewLimiter(rate.Limit(recordRate), max(2, min(limits.TxnOps, int(recordRate))))
 	cancelRate := limits.WriteRPS * cancelWriteShare
@@ -137,7 +137,7 @@
 // their order and in a batch of their own; the caller passes those of jobs that have not ended, and
 // removes from them the DerivedCancels of the batch. Unless the batch is empty, Apply must follow.
 func (w *Writer) NextBatch(now time.Time, pendingCancels []*cluster.Job) *Batch {
-	b := &Batch{Txn: kv.Txn{Records: true, Compares: []kv.Compare{w.termCompare}}}
+	b := &Batch{Txn: kv.Txn{SelfLimited: true, Compares: []kv.Compare{w.termCompare}}}
 	if w.addCancellations(b, pendingCancels, now); b.IsEmpty() {
 		w.addChanges(b, now)
 	}
--- a/internal/recordwriter/writer_test.go
+++ b/internal/recordwriter/writer_test.go
@@ -96,7 +96,7 @@
 			b := w.NextBatch(start, c.queue(w))
 			checkEqual(t, "operations", len(b.Txn.Ops), c.ops)
 			checkEqual(t, "compares the term", slices.Contains(b.Txn.Compares, termCompare), true)
-			checkEqual(t, "within the rate of records", b.Txn.Records, true)
+			checkEqual(t, "within the rate of records", b.Txn.SelfLimited, true)
 			checkEqual(t, "ready while it is in flight", w.Ready(start), false)
 			apply(t, w, b, start)
 			checkEqual(t, "ready", w.Ready(start), true)
