--- a/internal/records/accept.go
+++ b/internal/records/accept.go
@@ -53,15 +53,15 @@
 	spec *api.JobSpec
 	// record becomes the job's active record; list and parts are set if its
 	// dependencies are listed elsewhere.
-	record ActiveRecord
-	list   *DependencyList
-	parts  []DependencyRecord
+	record      ActiveRecord
+	list        *DependencyList
+	listRecords []DependencyRecord
 }
 
 func (r *Records) newSubmission(spec *api.JobSpec, now time.Time) *submission {
 	a := &submission{spec: spec, record: ActiveRecord{Spec: *spec, Accepted: now.UTC()}}
 	if len(spec.DependsOn) > 0 && !a.record.fits(r.Limits.ValueKB) {
-		a.list, a.parts = splitDependencies(spec.DependsOn, r.Limits.ValueKB)
+		a.list, a.listRecords = splitDependencies(spec.DependsOn, r.Limits.ValueKB)
 		a.record = a.record.withDependencyList(a.list)
 	}
 	return a
@@ -95,7 +95,7 @@
 	// A dependency that is cancelled from now on finds the job among its dependents,
 	// whichever node leads then.
 	if !cancelled && a.list != nil {
-		written, err := r.writeDependencies(ctx, id, a.list, a.parts)
+		written, err := r.writeDependencies(ctx, id, a.list, a.listRecords)
 		if err != nil {
 			return st, false, err
 		}
--- a/internal/records/cancel.go
+++ b/internal/records/cancel.go
@@ -41,7 +41,7 @@
 		return api.JobState{}, false, r.cancelLent(ctx, e, rec)
 	}
 	terminal := TerminalRecord{Phase: api.JobCancelled, Tasks: rec.Spec.Tasks}
-	err = r.replace(ctx, e,
+	err = r.commitIfUnchanged(ctx, e,
 		// The cancel key goes first, so that a watch shows the reason before it shows
 		// that the active record was deleted.
 		kv.Op{Put: CancelKey, Value: id},
@@ -63,14 +63,14 @@
 	lent := *rec.Lent
 	lent.Cancel = true
 	rec.Lent = &lent
-	if err := r.replace(ctx, e, kv.Op{Put: e.Key, Value: rec}); err != nil {
+	if err := r.commitIfUnchanged(ctx, e, kv.Op{Put: e.Key, Value: rec}); err != nil {
 		return err
 	}
 	return ErrLent
 }
 
-// replace commits operations unless an entry has changed since it was read.
-func (r *Records) replace(ctx context.Context, e kv.Entry, ops ...kv.Op) error {
+// commitIfUnchanged commits operations unless an entry has changed since it was read.
+func (r *Records) commitIfUnchanged(ctx context.Context, e kv.Entry, ops ...kv.Op) error {
 	res, err := r.commit(ctx, kv.Txn{
 		Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
 		Ops:      ops,
--- a/internal/records/dependencies.go
+++ b/internal/records/dependencies.go
@@ -36,8 +36,8 @@
 	singleReads int
 	// active holds the dependencies of all active jobs, once they are read.
 	active map[string]dependencySet
-	// ended are the jobs reached that are not active.
-	ended []string
+	// inactive are the jobs reached that are not active.
+	inactive []string
 }
 
 // dependencySet is what an active job depends on: names, or a list of them.
@@ -63,7 +63,7 @@
 			return err
 		}
 		if !isActive {
-			s.ended = append(s.ended, id)
+			s.inactive = append(s.inactive, id)
 		}
 		pending = append(pending, next...)
 	}
@@ -114,11 +114,11 @@
 	if err := search.walk(ctx, ids); err != nil {
 		return false, err
 	}
-	ends, err := r.TerminalRecords(ctx, search.ended)
+	ends, err := r.TerminalRecords(ctx, search.inactive)
 	if err != nil {
 		return false, err
 	}
-	for _, id := range search.ended {
+	for _, id := range search.inactive {
 		end, found := ends[id]
 		if !found && slices.Contains(ids, id) {
 			return false, &UnknownDependencyError{ID: id}
@@ -139,7 +139,7 @@
 	if err := search.walk(ctx, ids); err != nil {
 		return false, err
 	}
-	ends, err := r.TerminalRecords(ctx, search.ended)
+	ends, err := r.TerminalRecords(ctx, search.inactive)
 	for _, end := range ends {
 		if end.Phase == api.JobCancelled {
 			return true, err
