--- a/internal/records/accept.go
+++ b/internal/records/accept.go
@@ -9,82 +9,84 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// Accept makes a job's record. A job that is known already keeps its state, which is
-// returned with created false.
+// Accept creates the record of a job. A job that already exists keeps its state, which is returned
+// with created false.
 func (r *Records) Accept(
 	ctx context.Context, spec *api.JobSpec, now time.Time,
 ) (st api.JobState, created bool, err error) {
-	a := r.newSubmission(spec, now)
-	if r.acceptInOneTxn(ctx, a) {
+	sub := r.newSubmission(spec, now)
+	if r.acceptInOneTxn(ctx, sub) {
 		return api.JobState{ID: spec.ID, Phase: api.JobPending}, true, nil
 	}
 	err = kv.Retry(ctx, func() error {
-		st, created, err = r.tryAccept(ctx, a)
+		st, created, err = r.tryAccept(ctx, sub)
 		return err
 	})
 	return st, created, wrapError("accept", spec.ID, err)
 }
 
-// acceptInOneTxn accepts a job with dependencies in one transaction if this node has the
-// records of those in its cache. If that fails, or its outcome is unknown, it returns
-// false, and the records have to be read one by one.
-func (r *Records) acceptInOneTxn(ctx context.Context, a *submission) bool {
-	if r.cache == nil || len(a.spec.DependsOn) == 0 || a.list != nil {
+// acceptInOneTxn accepts a job with dependencies in one transaction if this node has cached the
+// records of all its dependencies. It reports whether it did so; if not, or if the outcome is
+// unknown, it returns false and the caller must read the records one by one.
+func (r *Records) acceptInOneTxn(ctx context.Context, sub *submission) bool {
+	if r.cache == nil || len(sub.spec.DependsOn) == 0 || sub.list != nil {
 		return false
 	}
-	dependencies, ok := r.cache.compares(a.spec.DependsOn)
+	dependencies, ok := r.cache.compares(sub.spec.DependsOn)
 	if !ok {
 		return false
 	}
 	res, err := r.commit(ctx, kv.Txn{
-		Compares: append(absentCompares(a.spec.ID), dependencies...),
-		Ops:      []kv.Op{{Put: ActivePrefix + a.spec.ID, Value: a.record}},
+		Compares: append(absentCompares(sub.spec.ID), dependencies...),
+		Ops:      []kv.Op{{Put: ActivePrefix + sub.spec.ID, Value: sub.record}},
 	})
 	return err == nil && res.Succeeded
 }
 
-// absentCompares are the compares that hold while a job has neither an active nor a terminal record.
+// absentCompares returns the compares that hold while a job has neither an active nor a terminal
+// record.
 func absentCompares(id string) []kv.Compare {
 	return []kv.Compare{{Key: ActivePrefix + id}, {Key: TerminalPrefix + id}}
 }
 
-// submission is what is needed to accept a job.
+// submission is a job to be accepted, with the records to be written for it.
 type submission struct {
 	spec *api.JobSpec
-	// record becomes the job's active record; list and parts are set if its
-	// dependencies are listed elsewhere.
+	// record becomes the job's active record. list and listRecords are set if the dependencies
+	// are listed in separate records.
 	record      ActiveRecord
 	list        *DependencyList
 	listRecords []DependencyRecord
 }
 
+// newSubmission builds the records of a job, with a dependency list if its active record has no
+// room for the dependencies.
 func (r *Records) newSubmission(spec *api.JobSpec, now time.Time) *submission {
-	a := &submission{spec: spec, record: ActiveRecord{Spec: *spec, Accepted: now.UTC()}}
-	if len(spec.DependsOn) > 0 && !a.record.fits(r.Limits.ValueKB) {
-		a.list, a.listRecords = splitDependencies(spec.DependsOn, r.Limits.ValueKB)
-		a.record = a.record.withDependencyList(a.list)
+	sub := &submission{spec: spec, record: ActiveRecord{Spec: *spec, Accepted: now.UTC()}}
+	if len(spec.DependsOn) > 0 && !sub.record.fits(r.Limits.ValueKB) {
+		sub.list, sub.listRecords = splitDependencies(spec.DependsOn, r.Limits.ValueKB)
+		sub.record = sub.record.withDependencyList(sub.list)
 	}
-	return a
+	return sub
 }
 
-// tryAccept makes one attempt to make a job's record.
-func (r *Records) tryAccept(ctx context.Context, a *submission) (st api.JobState, created bool, err error) {
-	id := a.spec.ID
-	if len(a.spec.DependsOn) > maxSingleReads || a.list != nil {
+// tryAccept makes one attempt to create the record of a job.
+func (r *Records) tryAccept(ctx context.Context, sub *submission) (st api.JobState, created bool, err error) {
+	id := sub.spec.ID
+	if len(sub.spec.DependsOn) > maxSingleReads || sub.list != nil {
 		release, err := acquireSlot(ctx, r.longListSlots)
 		if err != nil {
 			return st, false, err
 		}
 		defer release()
-		// A job that is known already must neither cost a long search nor have a list
-		// written.
+		// For a job that already exists, no long search is made and no list is written.
 		if st, found, err := r.tryLookup(ctx, id); err != nil || found {
 			return st, false, err
 		}
 	}
-	cancelled, err := r.checkDependencies(ctx, a.spec.DependsOn)
+	cancelled, err := r.checkDependencies(ctx, sub.spec.DependsOn)
 	if errors.Is(err, errUnknownDependency) {
-		// A job that is known already keeps its state whatever this submission names.
+		// A job that already exists keeps its state, whatever dependencies are submitted now.
 		if st, found, lookupErr := r.tryLookup(ctx, id); lookupErr != nil || found {
 			return st, false, lookupErr
 		}
@@ -92,10 +94,10 @@
 	if err != nil {
 		return st, false, err
 	}
-	// A dependency that is cancelled from now on finds the job among its dependents,
-	// whichever node leads then.
-	if !cancelled && a.list != nil {
-		written, err := r.writeDependencies(ctx, id, a.list, a.listRecords)
+	// If a dependency is cancelled after this check, whichever node leads then finds this job
+	// among its dependents.
+	if !cancelled && sub.list != nil {
+		written, err := r.writeDependencies(ctx, id, sub.list, sub.listRecords)
 		if err != nil {
 			return st, false, err
 		}
@@ -103,33 +105,33 @@
 			return r.lookupAfterConflict(ctx, id)
 		}
 	}
-	txn, first := a.transaction(cancelled)
+	txn, initial := sub.transaction(cancelled)
 	res, err := r.commit(ctx, txn)
 	if err != nil {
 		return st, false, err
 	}
 	if res.Succeeded {
-		return first, true, nil
+		return initial, true, nil
 	}
 	return r.lookupAfterConflict(ctx, id)
 }
 
-// transaction returns the transaction that makes the job's record, and the state that the
-// job then has: cancelled if one of its dependencies is.
-func (a *submission) transaction(cancelled bool) (kv.Txn, api.JobState) {
-	id := a.spec.ID
+// transaction returns the transaction that creates the job's record, and the state of the job after
+// it: cancelled if one of its dependencies is cancelled, otherwise pending.
+func (sub *submission) transaction(cancelled bool) (kv.Txn, api.JobState) {
+	id := sub.spec.ID
 	txn := kv.Txn{Compares: absentCompares(id)}
 	if cancelled {
-		terminal := TerminalRecord{Phase: api.JobCancelled, Tasks: a.spec.Tasks}
+		terminal := TerminalRecord{Phase: api.JobCancelled, Tasks: sub.spec.Tasks}
 		txn.Ops = []kv.Op{{Put: TerminalPrefix + id, Value: terminal}}
 		return txn, terminal.JobState(id)
 	}
-	txn.Ops = []kv.Op{{Put: ActivePrefix + id, Value: a.record}}
+	txn.Ops = []kv.Op{{Put: ActivePrefix + id, Value: sub.record}}
 	return txn, api.JobState{ID: id, Phase: api.JobPending}
 }
 
-// lookupAfterConflict looks up a job that turned out to be known, perhaps by an earlier
-// transaction of this submission whose response was lost.
+// lookupAfterConflict looks up a job that turned out to exist, perhaps because an earlier
+// transaction of this submission was applied and its response lost.
 func (r *Records) lookupAfterConflict(ctx context.Context, id string) (api.JobState, bool, error) {
 	st, found, err := r.tryLookup(ctx, id)
 	if err == nil && !found {
--- a/internal/records/cancel.go
+++ b/internal/records/cancel.go
@@ -8,11 +8,11 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// ErrLent means that a job is lent to another cell, which has yet to confirm the
-// cancellation. That the job is to be cancelled is on record.
+// ErrLent means that a job is lent to another cell, which has not confirmed the cancellation yet.
+// The request to cancel the job is on record.
 var ErrLent = errors.New("lent to another cell, which has yet to confirm the cancellation")
 
-// Cancel ends a job unless it has ended. It returns the job's terminal state.
+// Cancel cancels a job unless it has ended, and returns its terminal state.
 func (r *Records) Cancel(ctx context.Context, id string) (st api.JobState, found bool, err error) {
 	err = kv.Retry(ctx, func() error {
 		st, found, err = r.tryCancel(ctx, id)
@@ -42,8 +42,8 @@
 	}
 	terminal := TerminalRecord{Phase: api.JobCancelled, Tasks: rec.Spec.Tasks}
 	err = r.commitIfUnchanged(ctx, e,
-		// The cancel key goes first, so that a watch shows the reason before it shows
-		// that the active record was deleted.
+		// The cancel key is written first, so that a watch returns the cancellation before
+		// the deletion of the active record.
 		kv.Op{Put: CancelKey, Value: id},
 		kv.Op{Put: TerminalPrefix + id, Value: terminal},
 		kv.Op{Delete: e.Key},
@@ -54,8 +54,8 @@
 	return terminal.JobState(id), true, nil
 }
 
-// cancelLent records that a lent job is to be cancelled. Its user sees it cancelled only
-// once the other cell has recorded that and runs no task of it any more.
+// cancelLent records that a lent job is to be cancelled, and returns ErrLent. Users see the job as
+// cancelled only after the other cell has recorded the cancellation and stopped all its tasks.
 func (r *Records) cancelLent(ctx context.Context, e kv.Entry, rec ActiveRecord) error {
 	if rec.Lent.Cancel {
 		return ErrLent
@@ -69,7 +69,8 @@
 	return ErrLent
 }
 
-// commitIfUnchanged commits operations unless an entry has changed since it was read.
+// commitIfUnchanged commits operations, or returns conflictError if an entry has changed since it
+// was read.
 func (r *Records) commitIfUnchanged(ctx context.Context, e kv.Entry, ops ...kv.Op) error {
 	res, err := r.commit(ctx, kv.Txn{
 		Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
--- a/internal/records/dependencies.go
+++ b/internal/records/dependencies.go
@@ -12,44 +12,45 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// errUnknownDependency means that a job depends on one that no node has accepted.
+// errUnknownDependency matches every UnknownDependencyError.
 var errUnknownDependency = errors.New("dependency never accepted")
 
-// UnknownDependencyError names a dependency that no node has accepted.
+// UnknownDependencyError reports a dependency that no node has accepted.
 type UnknownDependencyError struct{ ID string }
 
-// Error implements error. Users are shown this text.
+// Error implements error. The text is shown to users.
 func (e *UnknownDependencyError) Error() string {
 	return "awaits " + e.ID + ", which was never accepted"
 }
 
-// Is makes it an errUnknownDependency.
+// Is makes errors.Is match errUnknownDependency.
 func (e *UnknownDependencyError) Is(target error) bool { return target == errUnknownDependency }
 
-// maxSingleReads is how many jobs are read one by one. More are searched in ranges, which
+// maxSingleReads is how many jobs are read with one request each. More are read as ranges, which
 // take few requests however many jobs there are.
 const maxSingleReads = 24
 
-// dependencySearch walks the dependencies of jobs, direct and indirect.
+// dependencySearch traverses the direct and indirect dependencies of jobs.
 type dependencySearch struct {
-	records     *Records
+	records *Records
+	// singleReads counts the jobs that were read with one request each.
 	singleReads int
-	// active holds the dependencies of all active jobs, once they are read.
+	// active holds the dependencies of all active jobs, once they are read as a range.
 	active map[string]dependencySet
-	// inactive are the jobs reached that are not active.
+	// inactive lists the jobs found that have no active record.
 	inactive []string
 }
 
-// dependencySet is what an active job depends on: names, or a list of them.
+// dependencySet is what an active job depends on: IDs, or the list that contains them.
 type dependencySet struct {
 	ids  []string
 	list *DependencyList
 }
 
-// walk visits jobs and, of those that are active, all dependencies.
+// walk visits jobs and, through those that are active, all their direct and indirect dependencies.
 func (s *dependencySearch) walk(ctx context.Context, ids []string) error {
 	if len(ids) > maxSingleReads {
-		s.singleReads = maxSingleReads
+		s.singleReads = maxSingleReads // read all active jobs at once
 	}
 	visited := make(map[string]bool, len(ids))
 	for pending := slices.Clone(ids); len(pending) > 0; {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// decodeDependencySet reads what a job depends on, and whether it is active.
+// dependenciesOf returns the IDs of the jobs on which a job depends, and whether it is active.
 func (s *dependencySearch) dependenciesOf(ctx context.Context, id string) (ids []string, isActive bool, err error) {
 	set, isActive, err := s.findActive(ctx, id)
 	if err != nil || !isActive {
@@ -80,7 +81,8 @@
 	return ids, true, err
 }
 
-// findActive reads a job's active record; after maxSingleReads of them it reads those of all jobs.
+// findActive returns what a job depends on, and whether it is active. It reads the active record of
+// the job or, after maxSingleReads such reads, those of all jobs.
 func (s *dependencySearch) findActive(ctx context.Context, id string) (set dependencySet, isActive bool, err error) {
 	if s.active == nil && s.singleReads < maxSingleReads {
 		s.singleReads++
@@ -99,7 +101,7 @@
 	return set, isActive, nil
 }
 
-// dependencyIDs returns the names of a job's dependencies, which it reads if they are in a list.
+// dependencyIDs returns the IDs of a job's dependencies. It reads them if they are in a list.
 func (r *Records) dependencyIDs(ctx context.Context, id string, set dependencySet) ([]string, error) {
 	if set.list == nil {
 		return set.ids, nil
@@ -107,28 +109,28 @@
 	return r.ReadDependencies(ctx, id, set.list)
 }
 
-// checkDependencies fails with UnknownDependencyError if one of some jobs was never accepted,
-// and reports whether one of them is cancelled, or is to be with a dependency of its own.
+// checkDependencies reports whether one of the given dependencies of a job, or an indirect one, is
+// cancelled. It fails with UnknownDependencyError if one of those given was never accepted.
 func (r *Records) checkDependencies(ctx context.Context, ids []string) (cancelled bool, err error) {
 	search := dependencySearch{records: r}
 	if err := search.walk(ctx, ids); err != nil {
 		return false, err
 	}
-	ends, err := r.TerminalRecords(ctx, search.inactive)
+	terminals, err := r.TerminalRecords(ctx, search.inactive)
 	if err != nil {
 		return false, err
 	}
 	for _, id := range search.inactive {
-		end, found := ends[id]
+		terminal, found := terminals[id]
 		if !found && slices.Contains(ids, id) {
 			return false, &UnknownDependencyError{ID: id}
 		}
-		cancelled = cancelled || end.Phase == api.JobCancelled
+		cancelled = cancelled || terminal.Phase == api.JobCancelled
 	}
 	return cancelled, nil
 }
 
-// CancelPending reports whether a dependency of an active job, direct or indirect, is
+// hasCancelledDependency reports whether a direct or indirect dependency of an active job is
 // cancelled.
 func (r *Records) hasCancelledDependency(ctx context.Context, e kv.Entry) (bool, error) {
 	ids, err := r.dependencyIDs(ctx, strings.TrimPrefix(e.Key, ActivePrefix), decodeDependencySet(e))
@@ -139,9 +141,9 @@
 	if err := search.walk(ctx, ids); err != nil {
 		return false, err
 	}
-	ends, err := r.TerminalRecords(ctx, search.inactive)
-	for _, end := range ends {
-		if end.Phase == api.JobCancelled {
+	terminals, err := r.TerminalRecords(ctx, search.inactive)
+	for _, terminal := range terminals {
+		if terminal.Phase == api.JobCancelled {
 			return true, err
 		}
 	}
@@ -151,7 +153,7 @@
 // decodeDependencySet returns what the job of an active record depends on.
 func decodeDependencySet(e kv.Entry) dependencySet {
 	if !bytes.Contains(e.Value, []byte(`"Awaits"`)) {
-		return dependencySet{} // most jobs have no dependencies, and need no decoding
+		return dependencySet{} // most jobs have no dependencies and are not decoded
 	}
 	var rec ActiveRecord
 	if json.Unmarshal(e.Value, &rec) != nil {
--- a/internal/records/dependencies_test.go
+++ b/internal/records/dependencies_test.go
@@ -19,11 +19,11 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// countingStore counts the requests that reach the store, and rejects those beyond a number.
+// countingStore counts the requests to the store, and rejects those above a maximum.
 type countingStore struct {
 	*kvtest.Fake
 	requests, writes atomic.Int64
-	// maxRequests is how many requests are answered; 0: all.
+	// maxRequests is how many requests are answered; 0 means all.
 	maxRequests int
 }
 
@@ -58,7 +58,7 @@
 
 func newCountingStore() *countingStore { return &countingStore{Fake: kvtest.New()} }
 
-// putRecord writes a job's record as some node would: an active one, or a terminal one.
+// putRecord writes the record of a job: an active one if phase is pending, otherwise a terminal one.
 func putRecord(t *testing.T, s kv.Service, id, phase string, dependsOn ...string) {
 	t.Helper()
 	op := kv.Op{Put: records.TerminalPrefix + id, Value: records.TerminalRecord{Phase: phase, Tasks: 1}}
@@ -77,7 +77,7 @@
 	}
 }
 
-// keysUnder are the keys with a prefix.
+// keysUnder returns the keys with a prefix.
 func keysUnder(t *testing.T, s kv.Service, prefix string) (keys []string) {
 	t.Helper()
 	recs := records.Records{Store: s}
@@ -87,8 +87,8 @@
 	return keys
 }
 
-// putMaxDependencies writes as many jobs, all done, as one submission can name, and returns
-// their names.
+// putMaxDependencies writes as many done jobs as the dependencies of one submission can name, and
+// returns their names.
 func putMaxDependencies(t *testing.T, s kv.Service) (ids []string) {
 	t.Helper()
 	for size := 400; size+len(`"job-1000",`) <= api.MaxBody; size += len(`"job-1000",`) {
@@ -106,8 +106,8 @@
 	{ValueKB: 128, TxnOps: 20},
 }
 
-// A job may depend on as many others as its submission has space for, however small the
-// values of the store are; no value and no transaction is too large.
+// A job may have as many dependencies as its submission has room for, however small the values of
+// the store are. No value and no transaction may exceed the limits of the store.
 func TestMoreDependenciesThanARecordHolds(t *testing.T) {
 	for _, limits := range testedLimits {
 		t.Run(fmt.Sprintf("%v KiB, %d operations", limits.ValueKB, limits.TxnOps), func(t *testing.T) {
@@ -124,7 +124,7 @@
 	recs := records.NewRecords(store, limits)
 	spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
 	if !records.JobFits(spec, limits.ValueKB) {
-		t.Fatal("does not fit")
+		t.Fatal("JobFits: got false, want true")
 	}
 	store.requests.Store(0)
 	accept := func(submission, phase string, created bool) {
@@ -142,25 +142,26 @@
 	}
 	rec := activeRecord(t, store, "job-1")
 	checkDependencies(t, &recs, ids)
+	// A version without support for lists reads only the placeholder, and waits.
 	if !slices.Equal(rec.Spec.DependsOn, []string{records.DependencyListPlaceholder}) {
-		t.Errorf("a version that knows of no lists reads %d names", len(rec.Spec.DependsOn))
+		t.Errorf("active record: got %d dependencies, want only the placeholder", len(rec.Spec.DependsOn))
 	}
 	store.writes.Store(0)
 	accept("repeated", api.JobPending, false)
 	spec.DependsOn = append(slices.Clone(ids), "job-999999")
-	accept("repeated, naming what was never accepted", api.JobPending, false)
+	accept("repeated, with a dependency that was never accepted", api.JobPending, false)
 	spec.ID = "job-2"
 	_, _, err := recs.Accept(t.Context(), spec, time.Unix(1, 0))
 	if !errors.As(err, new(*records.UnknownDependencyError)) {
-		t.Errorf("never accepted: got %v, want UnknownDependencyError", err)
+		t.Errorf("dependency never accepted: got %v, want UnknownDependencyError", err)
 	}
 	if n := store.writes.Load(); n > 0 {
-		t.Errorf("%d operations for repeated and rejected submissions, want 0", n)
+		t.Errorf("repeated and rejected submissions: got %d operations, want 0", n)
 	}
 	putRecord(t, store, "job-999999", api.JobCancelled)
-	accept("one of them is cancelled", api.JobCancelled, true)
+	accept("dependency cancelled", api.JobCancelled, true)
 	if keys := keysUnder(t, store, records.DependencyPrefix+"job-2/"); len(keys) > 0 {
-		t.Errorf("left of a job that has ended: %v", keys)
+		t.Errorf("dependency list written for a cancelled job: %v", keys)
 	}
 	if rejected := store.RejectedAsTooLarge(); len(rejected) > 0 {
 		t.Errorf("rejected as too large: %v", rejected)
@@ -177,8 +178,8 @@
 	return decode(t, e.Key, e.Value, rec).(records.ActiveRecord)
 }
 
-// Whichever transaction of a long list is applied only late or never, or its response is lost,
-// an active job has its whole list, and a repeated submission writes only what is missing.
+// If any transaction that writes a long list is applied late or never, or its response is lost, an
+// active job still has its complete list, and a repeated submission writes only the missing records.
 func TestLongListInterruptedAnywhere(t *testing.T) {
 	faults := map[string]func(*kvtest.Fake, func(kv.Txn) bool){
 		"delayed":       (*kvtest.Fake).Delay,
@@ -193,8 +194,8 @@
 	}
 }
 
-// testInterruptedList accepts a job with a long list while a fault affects all transactions
-// after some that are applied, and then at another node without the fault.
+// testInterruptedList accepts a job with a long list while a fault affects all transactions after
+// the first few, whose number is applied. Then it accepts the job at another node without the fault.
 func testInterruptedList(t *testing.T, applied int, inject func(*kvtest.Fake, func(kv.Txn) bool)) {
 	t.Helper()
 	limits := config.KVLimits{ValueKB: 1, TxnOps: 3}
@@ -206,15 +207,15 @@
 	}
 	spec := &api.JobSpec{ID: "job-1", Tasks: 1, DependsOn: ids}
 	recs := records.NewRecords(store, limits)
-	n := 0
-	inject(store.Fake, func(kv.Txn) bool { n++; return n > applied })
+	count := 0
+	inject(store.Fake, func(kv.Txn) bool { count++; return count > applied })
 	ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 	_, _, err := recs.Accept(ctx, spec, time.Unix(1, 0))
 	cancel()
 	if store.Has(records.ActivePrefix + "job-1") {
 		checkDependencies(t, &recs, ids)
 	} else if err == nil {
-		t.Error("accepted without a record")
+		t.Error("job was accepted but has no active record")
 	}
 	inject(store.Fake, nil)
 	other := records.NewRecords(store, limits) // at another node
@@ -237,11 +238,11 @@
 	}
 	store.ApplyDelayed()
 	if keys := keysUnder(t, store, records.DependencyPrefix); len(keys) > 0 {
-		t.Errorf("written after the job's end: %v", keys)
+		t.Errorf("records written after the job ended: %v", keys)
 	}
 }
 
-// checkDependencies checks that the list of job-1 is read with all names.
+// checkDependencies checks that the list of job-1 is read completely.
 func checkDependencies(t *testing.T, recs *records.Records, ids []string) {
 	t.Helper()
 	list := activeRecord(t, recs.Store, "job-1").DependencyList
@@ -251,7 +252,7 @@
 	}
 }
 
-// A list of which a record is missing is not taken for a shorter list.
+// A list with a missing record must not be read as a shorter list: the job would start too early.
 func TestListWithMissingRecord(t *testing.T) {
 	store := newCountingStore()
 	ids := putMaxDependencies(t, store)
@@ -281,7 +282,8 @@
 	checkDependencies(t, &recs, ids)
 }
 
-// pipelineShapes are the dependencies of the job with a number, by the shape of the pipeline.
+// pipelineShapes contains, by shape of the pipeline, a function that returns the dependencies of
+// job number i.
 var pipelineShapes = map[string]func(i int) []string{
 	"chain": func(i int) []string { return []string{fmt.Sprint("job-", i-1)} },
 	"fan":   func(int) []string { return []string{"job-0"} },
@@ -295,9 +297,9 @@
 	},
 }
 
-// Whether a job is to be cancelled with a dependency is known exactly, however indirect that
-// is, and with a bounded number of requests: nobody else knows it while no node leads, and a
-// submission must be answered in time.
+// A job whose direct or indirect dependency is cancelled is reported as cancelled, and any other job
+// is not. Without a leader only the node that is asked can derive this. The number of requests must
+// be bounded, because a submission has to be answered in time.
 func TestCancelledIndirectDependency(t *testing.T) {
 	const jobs, maxRequests = 3000, 40
 	for name, dependsOn := range pipelineShapes {
@@ -337,8 +339,8 @@
 	}
 }
 
-// Thousands of ended jobs are looked up in a request for each page that holds some of them. A
-// retry need not read again what an earlier attempt has read.
+// Thousands of ended jobs are looked up with one request per page of records that contains some of
+// them. A retry must not read again what an earlier attempt has read.
 func TestManyEndedDependencies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newCountingStore()
@@ -360,16 +362,16 @@
 			}
 		}
 		if attempts < 2 || attempts > 4 {
-			t.Errorf("%d attempts of %d requests, want 2 to 4", attempts, store.maxRequests)
+			t.Errorf("got %d attempts of %d requests, want 2 to 4 attempts", attempts, store.maxRequests)
 		}
 		if n, err := submit("job-2", ids); err != nil || n > 15 {
-			t.Errorf("again: %d requests, %v, want at most 15", n, err)
+			t.Errorf("repeated: got %d requests, %v, want at most 15", n, err)
 		}
 		store.maxRequests = 0
 		recs = records.NewRecords(store, recs.Limits) // with an empty cache
 		n, err := submit("job-4", ids)
 		if err != nil || n > 50 {
-			t.Errorf("in one attempt: %d requests, %v, want at most 50", n, err)
+			t.Errorf("in one attempt: got %d requests, %v, want at most 50", n, err)
 		}
 		t.Logf("%d dependencies in one attempt: %d requests", len(ids), n)
 		for _, missing := range []string{"job-000000000", "job-0001", "job-020000000", "job-9", "job-0"} {
@@ -382,7 +384,7 @@
 	})
 }
 
-// putDoneJobs writes n jobs that are done, and returns the name of every tenth.
+// putDoneJobs writes n done jobs, and returns the name of every tenth.
 func putDoneJobs(t *testing.T, s kv.Service, n int) (ids []string) {
 	t.Helper()
 	for i := range n {
@@ -395,8 +397,7 @@
 	return ids
 }
 
-// slowRangeStore is a store whose ranges take a second, and which counts how many are in progress
-// at the same time.
+// slowRangeStore is a store whose ranges take a second. It counts the concurrent ranges.
 type slowRangeStore struct {
 	*kvtest.Fake
 	inProgress, maxInProgress atomic.Int32
@@ -411,8 +412,8 @@
 	return s.Fake.Range(ctx, prefix, from, limit)
 }
 
-// However many submissions with many dependencies arrive, few are held in memory at the same
-// time with all that is read for them; the others wait, or are rejected for now.
+// However many submissions with many dependencies arrive, only a few may be processed at the same
+// time, since all that is read for them is held in memory. The others wait or are rejected.
 func TestManyLongSubmissionsAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &slowRangeStore{Fake: kvtest.New()}
@@ -437,10 +438,11 @@
 		}
 		wg.Wait()
 		if n := store.maxInProgress.Load(); n > 4 {
-			t.Errorf("%d ranges at a time, want at most 4", n)
+			t.Errorf("got %d concurrent ranges, want at most 4", n)
 		}
 		if accepted.Load() < 10 || accepted.Load()+rejected.Load() != 20 {
-			t.Errorf("%d accepted, %d rejected, want at least 10 accepted of 20", accepted.Load(), rejected.Load())
+			t.Errorf("got %d accepted and %d rejected, want at least 10 accepted of 20",
+				accepted.Load(), rejected.Load())
 		}
 	})
 }
--- a/internal/records/dependencylist.go
+++ b/internal/records/dependencylist.go
@@ -12,24 +12,26 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// DependencyListPlaceholder stands for the dependencies in an active record that has no space for
-// them. It is no job's name, so a reader that does not know of lists waits for it and never
-// starts the job.
+// DependencyListPlaceholder replaces the dependencies in an active record that has no room for
+// them. No job can have this name, so a version without support for lists waits for a job that
+// does not exist and never starts this one.
 const DependencyListPlaceholder = "job-"
 
-// digestBytes is how much of a hash a list's keys hold.
+// digestBytes is how many bytes of the hash are part of a list's keys.
 const digestBytes = 16
 
-// maxSizeDependencyList has the longest encoding that a list can have.
+// maxSizeDependencyList has the longest encoding that a list can have: it has no more records than
+// a submission has bytes.
 var maxSizeDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), RecordCount: api.MaxBody}
 
-// withDependencyList is the record with a list in place of the names.
+// withDependencyList returns the record with a list in place of the names.
 func (rec ActiveRecord) withDependencyList(list *DependencyList) ActiveRecord {
 	rec.Spec.DependsOn, rec.DependencyList = []string{DependencyListPlaceholder}, list
 	return rec
 }
 
-// splitDependencies divides dependencies into records for values of valueKB KiB.
+// splitDependencies divides dependencies into records that each fit a value of valueKB KiB and half
+// of a transaction. A valueKB of 0 means that the size of values is not limited.
 func splitDependencies(ids []string, valueKB float64) (*DependencyList, []DependencyRecord) {
 	capacity := kv.MaxTxnBytes / 2
 	if valueKB > 0 {
@@ -50,7 +52,7 @@
 	return &DependencyList{Digest: digest(parts), RecordCount: len(parts)}, parts
 }
 
-// digest is a hash of the names in a list and of how they are divided.
+// digest returns a hash of the names in a list and of their division into records.
 func digest(parts []DependencyRecord) string {
 	hash := sha256.New()
 	for _, part := range parts {
@@ -59,13 +61,13 @@
 	return hex.EncodeToString(hash.Sum(nil)[:digestBytes])
 }
 
-// maxListTxnOps bounds the operations of a transaction that writes a list: a node's write rate
-// allows no more at once, however low it is.
+// maxListTxnOps bounds the operations of a transaction that writes a list. The write limiter of a
+// node with a very low write rate never admits more at once.
 const maxListTxnOps = kv.MinWriteBurst
 
-// writeDependencies writes the records of a job's list that are not written yet. The job is
-// accepted only afterwards; the next leader finds what is left of a submission that is never
-// repeated. It returns false if the job has become known meanwhile.
+// writeDependencies writes the records of a job's list that do not exist yet. It returns false if
+// the job has come to exist in the meantime. The list is written before the job is accepted; if the
+// submission is never completed, the next leader finds what is left of it.
 func (r *Records) writeDependencies(
 	ctx context.Context, id string, list *DependencyList, parts []DependencyRecord,
 ) (bool, error) {
@@ -81,7 +83,7 @@
 	if r.Limits.TxnOps > 0 {
 		limit = min(limit, r.Limits.TxnOps)
 	}
-	// Once the job is known no record is written any more, however late.
+	// The compares keep a transaction that is applied late from writing to the list of an existing job.
 	txn, size := kv.Txn{Compares: absentCompares(id)}, 0
 	for i, key := range list.Keys(id) {
 		if !written[key] {
@@ -102,19 +104,23 @@
 	return true, nil
 }
 
-// maxListTxnBytes bounds the parts of a list in one transaction, by what estimatedOpBytes returns.
+// maxListTxnBytes bounds the sum of estimatedOpBytes of a transaction that writes a list.
 const maxListTxnBytes = kv.MaxTxnBytes * 3 / 4
 
-// estimatedOpBytes is about how much of a transaction a part of a list takes.
+// listOpOverheadBytes is the estimated encoded size of a put without its value.
+const listOpOverheadBytes = 200
+
+// estimatedOpBytes returns the approximate encoded size of the put of a list's record.
 func estimatedOpBytes(part DependencyRecord) int {
-	size := 200 // its key and the operation
+	size := listOpOverheadBytes
 	for _, id := range part.Jobs {
 		size += len(id) + nameOverheadBytes
 	}
 	return size
 }
 
-// ReadDependencies reads the list of a job's dependencies. It never returns a part of it.
+// ReadDependencies reads the complete list of a job's dependencies. If a record is missing, it
+// returns an error.
 func (r *Records) ReadDependencies(ctx context.Context, id string, list *DependencyList) ([]string, error) {
 	entries, err := r.readRange(ctx, list.prefix(id))
 	if err != nil {
@@ -122,13 +128,13 @@
 	}
 	keys := list.Keys(id)
 	if len(entries) != len(keys) {
-		return nil, fmt.Errorf("%w: dependencies of job %s: found %d of %d records",
+		return nil, fmt.Errorf("%w: dependency list of job %s: found %d of %d records",
 			kv.ErrOutcomeUnknown, id, len(entries), len(keys))
 	}
 	var ids []string
 	for i, e := range entries {
 		if e.Key != keys[i] {
-			return nil, fmt.Errorf("%w: dependencies of job %s: found record %s in place of %s",
+			return nil, fmt.Errorf("%w: dependency list of job %s: found record %s in place of %s",
 				kv.ErrOutcomeUnknown, id, e.Key, keys[i])
 		}
 		var part DependencyRecord
--- a/internal/records/fits_test.go
+++ b/internal/records/fits_test.go
@@ -7,7 +7,8 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// A record must fit the transaction that writes it, too, however large a value may be.
+// However large a value may be, a record must also fit the transaction that writes it. Otherwise the
+// store would reject the submission at every retry.
 func TestRecordFitsItsTransaction(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/records/jobcache.go
+++ b/internal/records/jobcache.go
@@ -12,12 +12,12 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// jobCache holds the jobs whose records this node has read or written. The record of an
-// active job never changes while it keeps its version, and a job that is done stays done.
-// So a transaction that compares the cached versions of all active jobs that a new one
-// depends on, directly or indirectly, shows in one request that they were accepted and that
-// none is cancelled. Reading them one by one would use up the users' request rate: the jobs
-// of a pipeline are submitted within a second or two.
+// jobCache caches the jobs whose records this node has read or written. The record of an active job
+// stays the same while its version does, and a job that is done stays done. So one transaction that
+// compares the cached versions of all active jobs on which a new job depends, directly or
+// indirectly, shows that they were accepted and that none is cancelled. Reading them one by one
+// would use up the users' request rate, because the jobs of a pipeline are submitted within one or
+// two seconds.
 type jobCache struct {
 	jobs *lru.Cache[string, cachedJob]
 	// maxCompares is how many compares a transaction may have.
@@ -26,35 +26,34 @@
 
 // cachedJob is an accepted job that was not cancelled when its record was cached.
 type cachedJob struct {
-	// ModRevision is the version of the active record, or 0 if the job is done.
+	// modRevision is the version of the active record; 0 means that the job is done.
 	modRevision uint64
 	dependsOn   []string
 }
 
 const (
-	// maxCachedJobs bounds the jobs in a cache, and maxCachedDependencies the
-	// dependencies of each.
-	maxCachedJobs         = 2048
+	// maxCachedJobs bounds the number of cached jobs.
+	maxCachedJobs = 2048
+	// maxCachedDependencies bounds the dependencies of a cached job; a job with more is not cached.
 	maxCachedDependencies = 32
-	// comparesPerOp is how many compares a transaction may have for each operation
-	// that the limits allow.
+	// comparesPerOp is how many compares a transaction may have per allowed operation.
 	comparesPerOp = 4
-	// reservedCompares are the compares that a new job itself takes.
+	// reservedCompares is how many compares absentCompares takes for the new job.
 	reservedCompares = 2
 )
 
-// newJobCache makes an empty cache.
+// newJobCache returns an empty cache.
 func newJobCache(limits config.KVLimits) *jobCache {
 	jobs, err := lru.New[string, cachedJob](maxCachedJobs)
 	if err != nil {
-		panic(err) // only for a size that is not positive
+		panic(err) // lru.New fails only for a size that is not positive
 	}
 	return &jobCache{jobs: jobs, maxCompares: comparesPerOp * limits.TxnOps}
 }
 
-// compares returns the compares that hold only while some jobs are accepted and neither they
-// nor any of their dependencies is cancelled. It returns false if the cache lacks one of
-// those, or if they are too many for a transaction.
+// compares returns compares that hold only while the given jobs are accepted and neither they nor
+// their direct and indirect dependencies are cancelled. It returns false if the cache lacks one of
+// these jobs, or if a transaction cannot hold all the compares.
 func (c *jobCache) compares(ids []string) ([]kv.Compare, bool) {
 	var compares []kv.Compare
 	visited := map[string]bool{}
@@ -77,7 +76,7 @@
 	return compares, true
 }
 
-// applyRead caches a record that was read.
+// applyRead updates the cache with a record that was read.
 func (c *jobCache) applyRead(e kv.Entry) {
 	switch {
 	case c == nil || e.Key == CancelKey:
@@ -86,7 +85,7 @@
 		if e.ModRevision != 0 && !isGuestRecord(e) {
 			c.add(id, e.ModRevision, decodeDependencySet(e))
 		} else {
-			c.jobs.Remove(id) // it has ended; its terminal record says how
+			c.jobs.Remove(id) // not active any more; its terminal record has the state
 		}
 	case strings.HasPrefix(e.Key, TerminalPrefix):
 		var terminal TerminalRecord
@@ -96,14 +95,14 @@
 	}
 }
 
-// addIfDone caches that a job is done, which it stays. A cancelled job is not cached.
+// addIfDone caches a job that is done, which is final. It does not cache a cancelled job.
 func (c *jobCache) addIfDone(id string, terminal TerminalRecord) {
 	if c != nil && terminal.Phase == api.JobDone {
 		c.add(id, 0, dependencySet{})
 	}
 }
 
-// applyWrite caches the active records of a transaction that was applied at a revision.
+// applyWrite caches the active records written by a transaction that was applied at a revision.
 func (c *jobCache) applyWrite(txn kv.Txn, revision uint64) {
 	if c == nil {
 		return
@@ -115,14 +114,15 @@
 	}
 }
 
-// add caches a job, unless its dependencies are listed elsewhere or would take much memory.
+// add caches a job, unless its dependencies are listed in separate records or would take much
+// memory.
 func (c *jobCache) add(id string, modRevision uint64, set dependencySet) {
 	if set.list != nil || len(set.ids) > maxCachedDependencies {
 		return
 	}
 	job := cachedJob{modRevision: modRevision}
 	for _, dependency := range set.ids {
-		// A clone, so that the cache does not keep in memory what the name is a part of.
+		// The clone keeps the cache from holding the buffer of which the name is a part.
 		job.dependsOn = append(job.dependsOn, strings.Clone(dependency))
 	}
 	c.jobs.Add(strings.Clone(id), job)
--- a/internal/records/jobcache_test.go
+++ b/internal/records/jobcache_test.go
@@ -16,7 +16,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// conflictCountingStore counts the requests to a store, and the transactions whose compares failed.
+// conflictCountingStore counts the requests to the store, and the transactions whose compares
+// failed.
 type conflictCountingStore struct {
 	*kvtest.Fake
 	requests, conflicts atomic.Int64
@@ -36,7 +37,8 @@
 	return res, err
 }
 
-// acceptPipeline submits a pipeline of five jobs: job-1, then job-2 to job-4, then job-5.
+// acceptPipeline accepts a pipeline of five jobs: job-2 to job-4 depend on job-1, and job-5 depends
+// on these three.
 func acceptPipeline(t *testing.T, r *records.Records) {
 	t.Helper()
 	for _, spec := range []*api.JobSpec{
@@ -50,7 +52,7 @@
 	}
 }
 
-// mustAccept accepts a job that is not known yet.
+// mustAccept accepts a job that does not exist yet.
 func mustAccept(t *testing.T, r *records.Records, spec *api.JobSpec) {
 	t.Helper()
 	if _, created, err := r.Accept(t.Context(), spec, accepted); !created || err != nil {
@@ -66,7 +68,7 @@
 	}
 }
 
-// recordDone writes that jobs are done, as a leader would.
+// recordDone writes the records of jobs that are done, as a leader would.
 func recordDone(t *testing.T, s kv.Service, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
@@ -83,15 +85,15 @@
 	return &spec
 }
 
-// Accepting a pipeline takes one request a job. Reading all dependencies one by one, direct and
-// indirect, would make submissions wait for the users' request rate.
+// Accepting a pipeline takes one request per job. If all direct and indirect dependencies were read
+// one by one, submissions would wait for the users' request rate.
 func TestPipelineTakesOneRequestPerJob(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		ops     int
-		inOneGo bool
+		name   string
+		ops    int
+		oneTxn bool
 	}{
-		// The last job has seven compares, of four for each operation allowed.
+		// The last job takes seven compares. Four are allowed per operation.
 		{"compares fit", 2, true},
 		{"too many compares", 1, false},
 	} {
@@ -100,14 +102,14 @@
 			r := newRecords(st, config.KVLimits{TxnOps: c.ops})
 			acceptPipeline(t, r)
 			mustAccept(t, r, specWithDependencies("job-6", "job-5"))
-			if n := st.requests.Load(); (n == 6) != c.inOneGo {
-				t.Errorf("%d requests for six jobs, want six: %v", n, c.inOneGo)
+			if n := st.requests.Load(); (n == 6) != c.oneTxn {
+				t.Errorf("got %d requests for six jobs, want exactly six: %v", n, c.oneTxn)
 			}
 		})
 	}
 }
 
-// A job with many dependencies is not cached, so that the cache stays small; it is read.
+// To bound the memory of the cache, a job with many dependencies is not cached but read.
 func TestJobWithManyDependenciesIsNotCached(t *testing.T) {
 	for dependencies, cached := range map[int]bool{32: true, 33: false} {
 		t.Run(fmt.Sprint(dependencies, " dependencies"), func(t *testing.T) {
@@ -124,14 +126,14 @@
 				t.Errorf("got %s, want 201 pending", got)
 			}
 			if n := st.requests.Load(); (n == 1) != cached {
-				t.Errorf("%d requests, want one: %v", n, cached)
+				t.Errorf("got %d requests, want exactly one: %v", n, cached)
 			}
 		})
 	}
 }
 
-// What a node has cached of jobs may be old: a job is accepted or rejected as if all records
-// had been read.
+// The jobs that a node has cached may have changed since. Submissions must be accepted or rejected
+// as if all records had been read.
 func TestCachedJobsChangeMeanwhile(t *testing.T) {
 	type change func(t *testing.T, fake *kvtest.Fake)
 	none := func(*testing.T, *kvtest.Fake) {}
@@ -184,9 +186,8 @@
 	}
 }
 
-// Lookups of a job with dependencies, while the leader cannot be reached, take one comparison
-// each unless something has changed. Reading all dependencies would use up the users' request
-// rate.
+// While the leader is unreachable, a lookup of a job with dependencies takes one transaction unless
+// something has changed. Reading all dependencies would use up the users' request rate.
 func TestLookupOfJobWithDependencies(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -211,13 +212,13 @@
 				t.Errorf("got %+v, found %v, %v, want phase %s", got, found, err, c.want)
 			}
 			if n := st.requests.Load(); (n == 1) != c.oneTxn {
-				t.Errorf("%d requests, want one: %v", n, c.oneTxn)
+				t.Errorf("got %d requests, want exactly one: %v", n, c.oneTxn)
 			}
 		})
 	}
 }
 
-// A job that is cached as done stays so, also for repeated lookups.
+// A job that is cached as done stays done in repeated lookups.
 func TestDoneJobStaysCached(t *testing.T) {
 	fake := kvtest.New()
 	r := newRecords(fake, config.KVLimits{TxnOps: 20})
@@ -230,8 +231,8 @@
 	}
 }
 
-// A failed transaction counts towards the store's limits: versions that it has shown to be old
-// are not compared again.
+// A failed transaction counts towards the rate limits of the store: versions that turned out to be
+// out of date must not be compared again.
 func TestOldVersionsAreComparedOnce(t *testing.T) {
 	st := &conflictCountingStore{Fake: kvtest.New()}
 	r := newRecords(st, config.KVLimits{TxnOps: 20})
@@ -243,11 +244,11 @@
 		}
 	}
 	if n := st.conflicts.Load(); n != 1 {
-		t.Errorf("%d transactions failed, want 1", n)
+		t.Errorf("got %d failed transactions, want 1", n)
 	}
 }
 
-// submitStatus submits a job and returns the status that its user would see.
+// submitStatus submits a job and returns the HTTP status and the phase that its user would see.
 func submitStatus(t *testing.T, r *records.Records, spec *api.JobSpec) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
@@ -265,8 +266,9 @@
 	return fmt.Sprint("201 ", st.Phase)
 }
 
-// The response to the only transaction of a submission is lost, or the transaction is applied
-// late, after a job whose version it compares was cancelled.
+// The outcome of a submission's only transaction is unknown. If it was applied and its response lost,
+// the retry must find the job. If it is applied late, after a job whose version it compares was
+// cancelled, it must fail.
 func TestSubmissionOfUnknownOutcome(t *testing.T) {
 	submission := func(txn kv.Txn) bool { return len(txn.Ops) > 0 && txn.Ops[0].Put == records.ActivePrefix+"job-6" }
 	t.Run("response lost", func(t *testing.T) {
@@ -290,8 +292,8 @@
 				t.Errorf("got %s, want 503", got)
 			}
 			mustCancel(t, r, "job-5")
-			// Delayed are this transaction and those of the retries, which compare less:
-			// only the first is checked.
+			// Only the first delayed transaction is checked: those of the retries compare fewer
+			// keys.
 			if res := fake.ApplyDelayed(); len(res) == 0 || res[0].Succeeded {
 				t.Errorf("applied after a dependency was cancelled: %+v", res)
 			}
@@ -304,9 +306,9 @@
 	return &r
 }
 
-// A job whose dependencies are listed in records of their own is not cached: its active record
-// does not name them, so a cancellation among them would be missed. Nor is a job accepted in
-// one transaction if its record has no space for its dependencies.
+// A job whose dependencies are listed in separate records must not be cached: its active record does
+// not name them, so the cancellation of one would be missed. A job whose record has no room for its
+// dependencies must not be accepted in one transaction.
 func TestJobsWithDependencyListsAreRead(t *testing.T) {
 	st := &conflictCountingStore{Fake: kvtest.New()}
 	r := newRecords(st, config.KVLimits{TxnOps: 20, ValueKB: 1})
@@ -319,7 +321,7 @@
 		t.Fatalf("got %s, want 201 pending", got)
 	}
 	if rec := activeRecord(t, st, "job-2"); rec.DependencyList == nil || len(rec.Spec.DependsOn) != 1 {
-		t.Fatalf("the record holds the names: %+v", rec)
+		t.Fatalf("active record: got %+v, want a dependency list and only the placeholder", rec)
 	}
 	if got := submitStatus(t, r, specWithDependencies("job-3", "job-2")); got != "201 pending" {
 		t.Fatalf("got %s, want 201 pending", got)
@@ -330,8 +332,8 @@
 	}
 }
 
-// The terminal record of a job is read once. A later search, which finds its active record
-// deleted, must leave it cached; otherwise every later submission would read it again.
+// The terminal record of a job is read once. A later search that finds the active record deleted
+// must not remove the job from the cache; otherwise every later submission would read it again.
 func TestTerminalRecordStaysCached(t *testing.T) {
 	st := &conflictCountingStore{Fake: kvtest.New()}
 	putRecord(t, st, "job-1", api.JobDone)
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Prefixes and names of the keys. Active and terminal records are apart, so that a new
-// leader reads only the jobs that have not ended.
+// Keys and key prefixes. Active and terminal records have different prefixes, so that a new leader
+// reads only the jobs that have not ended.
 const (
 	ActivePrefix       = "a/"
 	TerminalPrefix     = "f/"
@@ -16,36 +16,37 @@
 	LeaseRenewalPrefix = "keep/"
 	RelayPrefix        = "relay/"
 	MachineTypesKey    = "types"
-	// CancelKey changes in every transaction that cancels a job. It lies under
-	// ActivePrefix, so that one watch shows it together with the jobs cancelled.
+	// CancelKey is written in every transaction in which Cancel ends a job. It begins with
+	// ActivePrefix, so that a watch on that prefix returns it together with the deletion of the
+	// job's active record.
 	CancelKey = ActivePrefix + "!cancel"
 )
 
-// DependencyPrefix is the prefix of the records that list the dependencies of jobs whose
-// active record has no space for them.
+// DependencyPrefix is the prefix of the records that list the dependencies of jobs whose active
+// record has no room for them.
 const DependencyPrefix = "awaits/"
 
-// CompletionKey is the key of the part of a job's completion that begins at task.
+// CompletionKey returns the key of the completion record for the part of a job that begins at task.
 func CompletionKey(id string, task int) string {
 	return CompletionPrefix + id + "/" + strconv.Itoa(task)
 }
 
-// ParseCompletionKey is the reverse of CompletionKey.
+// ParseCompletionKey parses a key returned by CompletionKey. ok is false if the key is malformed.
 func ParseCompletionKey(key string) (id string, task int, ok bool) {
-	id, first, ok := strings.Cut(strings.TrimPrefix(key, CompletionPrefix), "/")
+	id, taskText, ok := strings.Cut(strings.TrimPrefix(key, CompletionPrefix), "/")
 	if !ok {
 		return "", 0, false
 	}
-	task, err := strconv.Atoi(first)
+	task, err := strconv.Atoi(taskText)
 	return id, task, err == nil && task >= 0
 }
 
-// prefix is the prefix of the records of a job's list.
+// prefix returns the prefix of the keys of a job's list.
 func (l *DependencyList) prefix(id string) string {
 	return DependencyPrefix + id + "/" + l.Digest + "/"
 }
 
-// Keys are the keys of the records of a job's list, in order.
+// Keys returns the keys of the records of a job's list, in order.
 func (l *DependencyList) Keys(id string) []string {
 	keys := make([]string, l.RecordCount)
 	for i := range keys {
@@ -54,10 +55,11 @@
 	return keys
 }
 
-// ParseDependencyKey returns the job and the digest of the list that a record belongs to.
+// ParseDependencyKey returns the job and the digest of the list to which the record with a key
+// belongs. ok is false if the key is malformed.
 func ParseDependencyKey(key string) (id, digest string, ok bool) {
 	parts := strings.Split(strings.TrimPrefix(key, DependencyPrefix), "/")
-	if len(parts) != 3 { // job, digest, number
+	if len(parts) != 3 { // job, digest, index
 		return "", "", false
 	}
 	return parts[0], parts[1], true
--- a/internal/records/lookup.go
+++ b/internal/records/lookup.go
@@ -7,8 +7,8 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// Lookup reads a job's state from its records. An active job is returned as pending, since
-// no record says what runs.
+// Lookup reads a job's state from its records. An active job is returned as pending, because no
+// record shows whether it runs.
 func (r *Records) Lookup(ctx context.Context, id string) (st api.JobState, found bool, err error) {
 	err = kv.Retry(ctx, func() error {
 		st, found, err = r.tryLookup(ctx, id)
@@ -17,8 +17,8 @@
 	return st, found, wrapError("look up", id, err)
 }
 
-// tryLookup makes one attempt to look up a job. It reads the active record before the
-// terminal one: a job that ends between the two reads is then seen at least once.
+// tryLookup makes one attempt to look up a job. It reads the active record before the terminal one,
+// so that a job that ends between the two reads is found by at least one of them.
 func (r *Records) tryLookup(ctx context.Context, id string) (api.JobState, bool, error) {
 	if r.isPendingByCache(ctx, id) {
 		return api.JobState{ID: id, Phase: api.JobPending}, true, nil
@@ -30,21 +30,21 @@
 	if e.ModRevision == 0 || isGuestRecord(e) {
 		return r.TerminalState(ctx, id)
 	}
-	pending, err := r.hasCancelledDependency(ctx, e)
+	cancelled, err := r.hasCancelledDependency(ctx, e)
 	if err != nil {
 		return api.JobState{}, false, err
 	}
-	if pending {
+	if cancelled {
 		return r.deriveCancelled(ctx, id), true, nil
 	}
 	return api.JobState{ID: id, Phase: api.JobPending}, true, nil
 }
 
-// deriveCancelled returns the state of a job that depends on a cancelled one. All who read
-// the records derive the same state, whether or not it is written yet: a cancelled job
-// stays cancelled, and what depends on it never starts. While no node leads, or a leader
-// that knows nothing of dependencies, nobody else writes it; so it is written here, if no
-// other derived cancellation is being written.
+// deriveCancelled returns the state of a job that depends on a cancelled one. All readers of the
+// records derive the same state, whether or not it is written yet: a cancelled job stays cancelled,
+// and jobs that depend on it never start. Normally the leader writes the state. Nobody does while
+// no node leads, or while the leader is of a version without support for dependencies; so it is
+// also written here, in the background, unless another derived cancellation is being written.
 func (r *Records) deriveCancelled(ctx context.Context, id string) api.JobState {
 	select {
 	case r.derivedWriteSlots <- struct{}{}:
@@ -52,7 +52,7 @@
 			defer func() { <-r.derivedWriteSlots }()
 			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 			defer cancel()
-			// A failure is dropped: the next lookup of the job derives the same state
+			// An error is ignored: the next lookup of the job derives the same state
 			// and tries the write again.
 			_, _, _ = r.Cancel(ctx, id)
 		}()
@@ -61,22 +61,22 @@
 	return api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}
 }
 
-// isPendingByCache reports whether a job with dependencies is active and none of those has
-// ended since this node cached their records: one comparison shows it. If it returns false,
-// the records have to be read.
+// isPendingByCache reports whether a job with dependencies is pending. One transaction shows it: it
+// compares the cached versions of the job and of its active dependencies, so it fails if one of
+// them has ended since. If isPendingByCache returns false, the records have to be read.
 func (r *Records) isPendingByCache(ctx context.Context, id string) bool {
 	if r.cache == nil {
 		return false
 	}
 	compares, ok := r.cache.compares([]string{id})
 	if !ok || len(compares) < 2 {
-		return false // one read shows as much as one comparison
+		return false // without active dependencies, reading the record takes one request too
 	}
 	res, err := r.commit(ctx, kv.Txn{Compares: compares})
 	return err == nil && res.Succeeded
 }
 
-// TerminalState returns a job's state by its terminal record.
+// TerminalState returns a job's state from its terminal record.
 func (r *Records) TerminalState(ctx context.Context, id string) (api.JobState, bool, error) {
 	terminal, found, err := r.terminalRecord(ctx, id)
 	if err != nil || !found {
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,10 +1,10 @@
-// Package records holds what ivytrestle keeps in the key-value store: the keys, the values with
-// their JSON names, and the transactions by which any node accepts, looks up and cancels jobs.
-// What earlier versions wrote stays readable; golden_test.go checks it.
+// Package records defines what ivytrestle keeps in the key-value store: the keys, the values with
+// their JSON names, and the transactions with which any node accepts, looks up and cancels jobs.
+// Records written by earlier versions must stay readable; golden_test.go checks this.
 //
-// Every exported operation is retried as a whole by kv.Retry, here and nowhere deeper. Each is
-// idempotent: where the outcome of a transaction is unknown, the retry reads the job's records
-// and finds what was applied.
+// Accept, Cancel and Lookup are retried as a whole with kv.Retry; the functions that they call
+// never retry. They are idempotent: if the outcome of a transaction is unknown, the next attempt
+// reads the job's records and finds what was applied.
 package records
 
 import (
@@ -18,38 +18,39 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// Records accepts, cancels and looks up jobs. Every node may do so, whichever leads: each
-// change is one transaction with compares.
+// Records accepts, cancels and looks up jobs. Every node may do so, whether or not it leads:
+// each change is one transaction with compares.
 type Records struct {
 	Store kv.Service
-	// Limits are those of the store; zero: none are known.
+	// Limits are the store's limits; zero values are unknown limits.
 	Limits config.KVLimits
-	// terminalCache holds how dependencies ended; scans and longListSlots bound the
-	// operations that take much memory. All three may be nil.
+	// terminalCache holds the terminal records of dependencies. scanSlots and longListSlots
+	// bound the concurrent operations that take much memory. All three may be nil: then nothing
+	// is cached or bounded.
 	terminalCache            *lru.Cache[string, TerminalRecord]
 	scanSlots, longListSlots chan struct{}
-	// derivedWriteSlots bounds the cancellations that are written because they follow from
-	// others; nil: none is written.
+	// derivedWriteSlots bounds the concurrent writes of derived cancellations, those of jobs
+	// that depend on a cancelled one. If it is nil, none is written.
 	derivedWriteSlots chan struct{}
-	// cache may be nil.
+	// cache may be nil: then jobs are not cached.
 	cache *jobCache
 }
 
 const (
-	// maxConcurrentScans bounds the ranges over all active jobs that are held in memory at a time.
+	// maxConcurrentScans bounds how many scans over all active jobs hold their results in memory.
 	maxConcurrentScans = 2
-	// maxConcurrentLongLists bounds the submissions with many dependencies at a time.
+	// maxConcurrentLongLists bounds the concurrent submissions with many dependencies.
 	maxConcurrentLongLists = 4
-	// maxConcurrentDerivedWrites bounds the derived cancellations that are written at a time, so
-	// that thousands of them leave submissions their part of the write rate.
+	// maxConcurrentDerivedWrites bounds the concurrent writes of derived cancellations, so that
+	// thousands of them leave submissions their share of the write rate.
 	maxConcurrentDerivedWrites = 1
 )
 
-// NewRecords makes the Records that serve a node's users.
+// NewRecords returns the Records that serve a node's users.
 func NewRecords(s kv.Service, limits config.KVLimits) Records {
 	terminal, err := lru.New[string, TerminalRecord](maxCachedTerminalRecords)
 	if err != nil {
-		panic(err) // only for a size that is not positive
+		panic(err) // lru.New fails only for a size that is not positive
 	}
 	return Records{
 		Store:             s,
@@ -62,12 +63,12 @@
 	}
 }
 
-// requestTimeout bounds one request to the store on a user's behalf. An operation of two
-// requests has it for each: if the first waits long for the request rate, its result must
-// not be lost because no time is left for the second.
+// requestTimeout bounds one request to the store on a user's behalf. Each request of an operation
+// has the full timeout: if the first waits long for the request rate, its result must not be lost
+// because no time is left for the second.
 const requestTimeout = 800 * time.Millisecond
 
-// getEntry reads a key and caches its record.
+// getEntry reads a key and updates the job cache with its record.
 func (r *Records) getEntry(ctx context.Context, key string) (kv.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -78,7 +79,7 @@
 	return e, err
 }
 
-// commit commits a transaction and caches the records that it has written.
+// commit commits a transaction and adds the records that it wrote to the job cache.
 func (r *Records) commit(ctx context.Context, txn kv.Txn) (kv.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -89,13 +90,13 @@
 	return res, err
 }
 
-// conflictError is the error of a transaction whose compares failed because a key changed
-// since it was read. Like an unknown outcome it is resolved by a retry, which reads again.
+// conflictError returns the error of a transaction whose compares failed because a key changed
+// since it was read. It wraps kv.ErrOutcomeUnknown, so that kv.Retry reads the key again.
 func conflictError(key string) error {
-	return fmt.Errorf("%w: %s changed since it was read", kv.ErrOutcomeUnknown, key)
+	return fmt.Errorf("%w: key %s changed since it was read", kv.ErrOutcomeUnknown, key)
 }
 
-// wrapError adds to an error which operation failed for which job.
+// wrapError adds the operation that failed and its job to an error.
 func wrapError(operation, id string, err error) error {
 	if err == nil {
 		return nil
@@ -103,18 +104,18 @@
 	return fmt.Errorf("%s job %s: %w", operation, id, err)
 }
 
-// maxPageEntries is how many keys of a range are read at a time.
+// maxPageEntries is how many keys of a range are read per request.
 const maxPageEntries = 1000
 
-// readPage reads the part of a range that begins after from. It has the time of two
-// requests, for it may hold many.
+// readPage reads the page of a range that begins after from. Its timeout is doubled because a page
+// may be large.
 func (r *Records) readPage(ctx context.Context, prefix, from string) (kv.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*requestTimeout)
 	defer cancel()
 	return r.Store.Range(ctx, prefix, from, maxPageEntries)
 }
 
-// forEachEntry calls visit for all entries with a prefix, in the order of their keys.
+// forEachEntry calls visit for each entry with a prefix, in key order.
 func (r *Records) forEachEntry(ctx context.Context, prefix string, visit func(kv.Entry)) error {
 	for from := ""; ; {
 		page, err := r.readPage(ctx, prefix, from)
@@ -141,12 +142,13 @@
 	return entries, nil
 }
 
-// ForEachKey calls visit for all keys with a prefix, in their order.
+// ForEachKey calls visit for each key with a prefix, in key order.
 func (r *Records) ForEachKey(ctx context.Context, prefix string, visit func(key string)) error {
 	return r.forEachEntry(ctx, prefix, func(e kv.Entry) { visit(e.Key) })
 }
 
-// acquireSlot waits for one of some slots; without any there is no bound.
+// acquireSlot waits for a free slot and returns the function that releases it. If slots is nil,
+// there is no bound.
 func acquireSlot(ctx context.Context, slots chan struct{}) (release func(), err error) {
 	if slots == nil {
 		return func() {}, nil
@@ -155,6 +157,6 @@
 	case slots <- struct{}{}:
 		return func() { <-slots }, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("%w: too many requests at a time", kv.ErrNotApplied)
+		return nil, fmt.Errorf("%w: too many concurrent requests", kv.ErrNotApplied)
 	}
 }
--- a/internal/records/terminal.go
+++ b/internal/records/terminal.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// maxCachedTerminalRecords is how many terminal records are cached: more than there can be
-// dependencies in one submission.
+// maxCachedTerminalRecords is how many terminal records are cached. It is more than the number of
+// dependencies that one submission can have.
 const maxCachedTerminalRecords = 8192
 
-// TerminalRecords reads how jobs ended that are not active. Jobs that never ended are left
-// out. What was read before a failure is returned with it.
+// TerminalRecords reads the terminal records of jobs that are not active. Jobs without a terminal
+// record are left out. If it fails, it returns the records read so far with the error.
 func (r *Records) TerminalRecords(ctx context.Context, ids []string) (map[string]TerminalRecord, error) {
 	found := make(map[string]TerminalRecord, len(ids))
 	var unread []string
@@ -39,8 +39,8 @@
 	return found, nil
 }
 
-// cacheTerminal caches how a job ended. That never changes, so a retry need not read again
-// what an earlier attempt has read.
+// cacheTerminal caches a terminal record. Terminal records never change, so a retry need not read
+// again what an earlier attempt has read.
 func (r *Records) cacheTerminal(id string, terminal TerminalRecord) {
 	if r.terminalCache != nil {
 		r.terminalCache.Add(strings.Clone(id), terminal)
@@ -55,8 +55,8 @@
 	return r.terminalCache.Get(id)
 }
 
-// readTerminalRanges adds to found how jobs ended. It reads ranges that each begin at one of
-// the jobs: at most one request for each job, and one for each page of terminal records.
+// readTerminalRanges adds the terminal records of jobs to found. It reads pages that each begin at
+// one of the jobs, so it sends at most one request per job and at most one per page of the range.
 func (r *Records) readTerminalRanges(ctx context.Context, ids []string, found map[string]TerminalRecord) error {
 	ids = slices.Clone(ids)
 	slices.Sort(ids)
@@ -68,7 +68,7 @@
 		for _, e := range page.Entries {
 			id := strings.TrimPrefix(e.Key, TerminalPrefix)
 			for len(ids) > 0 && ids[0] < id {
-				ids = ids[1:] // never ended
+				ids = ids[1:] // no terminal record
 			}
 			if len(ids) == 0 || ids[0] != id {
 				continue
@@ -88,7 +88,8 @@
 	return nil
 }
 
-// predecessor is a string that sorts before a job's name and after all other names that do.
+// predecessor returns a string that sorts before id and after every other job ID that sorts before
+// id.
 func predecessor(id string) string {
 	last := len(id) - 1
 	return id[:last] + string(id[last]-1) + "~"
--- a/internal/records/values.go
+++ b/internal/records/values.go
@@ -11,32 +11,33 @@
 	"example.org/ivytrestle/internal/loan"
 )
 
-// ActiveRecord is an accepted job that has not ended. Only a loan changes it.
+// ActiveRecord is the record of an accepted job that has not ended. Once written, it changes only
+// when the job is lent or returned.
 type ActiveRecord struct {
 	Spec     api.JobSpec `json:"spec"`
 	Accepted time.Time   `json:"accepted"`
-	// DependencyList names the records that list the dependencies if this one has no
-	// space for them. Spec.DependsOn then holds only DependencyListPlaceholder.
+	// DependencyList identifies the records that list the dependencies if this one has no room
+	// for them. Spec.DependsOn then holds only DependencyListPlaceholder.
 	DependencyList *DependencyList `json:"awaits_list,omitempty"`
-	// Lent is set while the job is lent to another cell, and Guest if it runs here for
-	// one. Spec is then empty, and the job's description is there.
+	// Lent is set while the job is lent to another cell, and Guest if the job runs here on
+	// behalf of another cell. Spec is then empty, and Lent or Guest holds the spec.
 	Lent  *loan.Lent  `json:"lent,omitempty"`
 	Guest *loan.Guest `json:"guest,omitempty"`
 	// LoanCount is how often the job has been lent.
 	LoanCount int `json:"lends,omitempty"`
 }
 
-// isGuestRecord reports whether an active record is of a job that runs for another cell.
-// For the users of this cell no such job was accepted.
+// isGuestRecord reports whether an active record is that of a guest: a job that runs here on behalf
+// of another cell. For the users of this cell, no job of that name was accepted.
 func isGuestRecord(e kv.Entry) bool {
 	if !bytes.Contains(e.Value, []byte(`"guest"`)) {
-		return false // nearly all, without decoding them
+		return false // true of nearly all records, which are not decoded
 	}
 	var rec ActiveRecord
 	return json.Unmarshal(e.Value, &rec) == nil && rec.Guest != nil
 }
 
-// decodeRecord decodes the value of an entry. Its error names the key.
+// decodeRecord decodes the value of an entry. Its error contains the key.
 func decodeRecord(e kv.Entry, into any) error {
 	if err := json.Unmarshal(e.Value, into); err != nil {
 		return fmt.Errorf("decode record %s: %w", e.Key, err)
@@ -44,37 +45,37 @@
 	return nil
 }
 
-// TerminalRecord is how a job ended.
+// TerminalRecord records how a job ended.
 type TerminalRecord struct {
 	Phase string `json:"phase"`
 	Tasks int    `json:"tasks"`
-	// Ended is when the job was done. It is zero if the job was cancelled, or if the
-	// record is of a version that did not write it.
+	// Ended is when the job was done. It is zero for a cancelled job, and in records of versions
+	// that did not write it.
 	Ended time.Time `json:"ended,omitzero"`
 }
 
-// JobState is the state of an ended job as users see it.
-func (f TerminalRecord) JobState(id string) api.JobState {
-	st := api.JobState{ID: id, Phase: f.Phase}
-	if f.Phase == api.JobDone {
-		st.Done, st.Ended = f.Tasks, f.Ended
+// JobState returns the state of the ended job as shown to users.
+func (rec TerminalRecord) JobState(id string) api.JobState {
+	st := api.JobState{ID: id, Phase: rec.Phase}
+	if rec.Phase == api.JobDone {
+		st.Done, st.Ended = rec.Tasks, rec.Ended
 	}
 	return st
 }
 
-// CompletionRecord holds the completed tasks of a part of a job as a bit set.
+// CompletionRecord is a bit set of the completed tasks in a part of a job.
 type CompletionRecord struct {
 	Done []byte `json:"done"`
 }
 
-// RegistryShardRecord is a shard of the registry: machines that may hold tasks. Machines
-// that register at the same time share one: with a record each, a large fleet would wait
-// for the write rate.
+// RegistryShardRecord is a shard of the registry, which lists the machines that may hold tasks.
+// Machines that register at the same time share a shard: with one record per machine, registering
+// a large fleet would wait for the write rate.
 type RegistryShardRecord struct {
 	Machines []MachineRecord `json:"machines"`
 }
 
-// MachineRecord is a machine that may hold tasks.
+// MachineRecord is the registry entry of a machine that may hold tasks.
 type MachineRecord struct {
 	Name     string  `json:"name"`
 	Addr     string  `json:"addr"`
@@ -86,44 +87,46 @@
 	MemoryGB float64 `json:"memory_gb"`
 }
 
-// LeaseRenewalRecord names the machines whose task leases a node renews on behalf of a
-// leader that cannot reach them.
+// LeaseRenewalRecord lists the machines whose task leases a node renews on behalf of a leader that
+// cannot reach them.
 type LeaseRenewalRecord struct {
 	Term  uint64   `json:"term"`
 	Hosts []string `json:"hosts"`
 }
 
-// DependencyList says which records list a job's dependencies. Its digest makes the keys
-// depend on the names: two submissions of one job with different dependencies never write
-// the same keys, and a repeated submission finds what the first has written.
+// DependencyList identifies the records that list a job's dependencies. Their keys contain the
+// digest of the names: two submissions of one job with different dependencies never write the same
+// keys, and a repeated submission finds what the first has written.
 type DependencyList struct {
 	Digest      string `json:"digest"`
 	RecordCount int    `json:"records"`
 }
 
-// DependencyRecord is a part of a list of dependencies.
+// DependencyRecord is one record of a dependency list.
 type DependencyRecord struct {
 	Jobs []string `json:"jobs"`
 }
 
 const (
 	bytesPerKB = 1024
-	// reservedKeyBytes is left in a transaction for its keys.
+	// reservedKeyBytes is reserved for the keys of a transaction.
 	reservedKeyBytes = 2048
-	// fixedFieldBytes is more than all fields of a record take but the names in it.
+	// fixedFieldBytes is an upper bound on the encoded size of a record without the names in it.
 	fixedFieldBytes = 1024
-	// nameOverheadBytes is what a name takes in a JSON list besides itself.
+	// nameOverheadBytes is the size of a name in a JSON list beyond the name itself: two quotes
+	// and a comma.
 	nameOverheadBytes = len(`"",`)
-	// maxEscapedBytes is what a byte takes in JSON at most.
+	// maxEscapedBytes is the longest encoding of a byte in a JSON string.
 	maxEscapedBytes = len(`\u0000`)
-	// encodingMarginBytes is left for the encoding of a record that was measured.
+	// encodingMarginBytes is added to the measured size of a record, in case the stored encoding
+	// is longer.
 	encodingMarginBytes = 32
-	// growthMarginBytes is left for numbers in a record that may grow.
+	// growthMarginBytes is added to the measured size of a record whose numbers may grow.
 	growthMarginBytes = 256
 )
 
-// JobFits reports whether an accepted job's record fits a value of valueKB KiB. Its
-// dependencies need not: they may be listed in records of their own.
+// JobFits reports whether the record of an accepted job fits a value of valueKB KiB. If its
+// dependencies do not fit, they can be listed in separate records.
 func JobFits(spec *api.JobSpec, valueKB float64) bool {
 	rec := ActiveRecord{Spec: *spec, Accepted: time.Unix(0, 1).UTC()}
 	if rec.fits(valueKB) {
@@ -132,11 +135,11 @@
 	return len(spec.DependsOn) > 0 && rec.withDependencyList(maxSizeDependencyList).fits(valueKB)
 }
 
-// fits reports whether the record fits a value of valueKB KiB; 0: of any size that a
-// transaction can hold.
+// fits reports whether the record fits a value of valueKB KiB and a transaction. A valueKB of 0
+// means that the size of values is not limited.
 func (rec ActiveRecord) fits(valueKB float64) bool {
 	spec := &rec.Spec
-	// All other fields of a record are bounded, and short.
+	// fixedFieldBytes covers all other fields, which are short and bounded.
 	nameBytes := len(spec.Class) + len(spec.Image) + len(spec.Zone) + len(spec.Team)
 	for _, names := range [][]string{spec.Types, spec.DependsOn} {
 		for _, name := range names {
@@ -148,13 +151,14 @@
 		capacity = min(capacity, valueKB*bytesPerKB)
 	}
 	if float64(maxEscapedBytes*nameBytes) < capacity-fixedFieldBytes {
-		return true // even if every byte is escaped, so that encoding it can be left out
+		return true // fits even if every byte is escaped, so it need not be encoded
 	}
 	raw, err := json.Marshal(rec)
 	return err == nil && float64(len(raw)+encodingMarginBytes) <= capacity
 }
 
-// RecordFits reports whether an active record fits a value of valueKB KiB.
+// RecordFits reports whether an active record whose numbers may grow fits a value of valueKB KiB
+// and half of a transaction.
 func RecordFits(rec ActiveRecord, valueKB float64) bool {
 	raw, err := json.Marshal(rec)
 	return err == nil && float64(len(raw)+growthMarginBytes) <= min(valueKB*bytesPerKB, kv.MaxTxnBytes/2)
