--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -23,10 +23,10 @@
 }
 
 // isCancellation reports whether a transaction cancels racedJob at a user's request.
-func isCancellation(txn kv.Txn) bool { return !txn.Records && writesPrefix(racedJobTerminal)(txn) }
+func isCancellation(txn kv.Txn) bool { return !txn.SelfLimited && writesPrefix(racedJobTerminal)(txn) }
 
 // isCompletion reports whether a transaction is the leader's that records how racedJob ended.
-func isCompletion(txn kv.Txn) bool { return txn.Records && writesPrefix(racedJobTerminal)(txn) }
+func isCompletion(txn kv.Txn) bool { return txn.SelfLimited && writesPrefix(racedJobTerminal)(txn) }
 
 // firstMatch returns a function that matches only the first transaction that match matches.
 func firstMatch(match func(kv.Txn) bool) func(kv.Txn) bool {
@@ -239,7 +239,7 @@
 		acceptRacedJob(tn)
 		time.Sleep(3 * time.Second)
 	}
-	w.store.SetWatchesBlind(dt.watchesBlind)
+	w.store.SetWatchesStalled(dt.watchesBlind)
 	if dt.allMatches {
 		w.store.Delay(dt.match)
 	} else {
@@ -260,7 +260,7 @@
 		w.checkEqual("delayed transaction applied over an end", late && res.Succeeded, false)
 	}
 	time.Sleep(13*time.Second - release)
-	w.store.SetWatchesBlind(false)
+	w.store.SetWatchesStalled(false)
 	time.Sleep(3 * time.Second)
 	phase = dt.wantPhase
 	if phase == "" {
--- a/internal/kv/kvtest/kvtest.go
+++ b/internal/kv/kvtest/kvtest.go
@@ -1,5 +1,5 @@
-// Package kvtest is a stand-in for the key-value store whose faults tests script: it can
-// reject requests, lose responses, and apply transactions late.
+// Package kvtest provides an in-memory key-value store for tests, with scripted faults: it can
+// reject requests, lose responses, apply transactions late, and stall watches.
 package kvtest
 
 import (
@@ -14,96 +14,98 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// storedValue is the value of a key, with its version.
+// storedValue is the value of a key with its version and lease.
 type storedValue struct {
 	raw         json.RawMessage
 	modRevision uint64
 	lease       uint64
 }
 
-// change is an entry of the log that watches read.
-type change struct {
+// logEntry is a change in the log that watches read.
+type logEntry struct {
 	kv.Event
 	key string
 }
 
-// Fake is a key-value store in memory.
+// Fake is an in-memory kv.Service with scripted faults.
 type Fake struct {
-	mu             sync.Mutex
-	keys           map[string]storedValue
-	revision       uint64
-	log            []change
-	changed        chan struct{}
-	leases         map[uint64]*time.Timer
-	leaseLifetimes map[uint64]time.Duration
-	lastLease      uint64
-	down           bool
-	delayed        []kv.Txn
-	// delayMatch selects transactions that are delayed until Release.
+	mu          sync.Mutex
+	keys        map[string]storedValue
+	revision    uint64
+	log         []logEntry
+	changed     chan struct{}
+	leaseTimers map[uint64]*time.Timer
+	leaseTTLs   map[uint64]time.Duration
+	lastLease   uint64
+	down        bool
+	delayed     []kv.Txn
+	// delayMatch selects the transactions that are delayed until ApplyDelayed.
 	delayMatch func(kv.Txn) bool
-	// loseResponseMatch selects transactions that are applied without a response.
+	// loseResponseMatch selects the transactions that are applied but whose response is lost.
 	loseResponseMatch func(kv.Txn) bool
-	// blind keeps watches from returning changes.
-	blind bool
-	// maxValueBytes and maxOps are the store's limits; maxOps 0: none.
+	// watchesStalled keeps watches from returning changes.
+	watchesStalled bool
+	// maxValueBytes and maxOps are the store's limits; maxOps 0 means no limits.
 	maxValueBytes, maxOps int
-	// tooLarge says for each request that was beyond the limits what was too large.
-	tooLarge []string
+	// rejectedAsTooLarge lists what was too large, for each request that exceeded the limits.
+	rejectedAsTooLarge []string
 }
 
-// New makes an empty store.
+// New returns an empty store.
 func New() *Fake {
 	return &Fake{
-		keys:           map[string]storedValue{},
-		revision:       1,
-		changed:        make(chan struct{}),
-		leases:         map[uint64]*time.Timer{},
-		leaseLifetimes: map[uint64]time.Duration{},
+		keys:        map[string]storedValue{},
+		revision:    1,
+		changed:     make(chan struct{}),
+		leaseTimers: map[uint64]*time.Timer{},
+		leaseTTLs:   map[uint64]time.Duration{},
 	}
 }
 
-// SetDown begins or ends an outage. During an outage leases do not expire; at its end
-// each has its full lifetime again.
+// SetDown starts or ends an outage. During an outage leases do not expire; at its end each has
+// its full TTL again.
 func (f *Fake) SetDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.down = down
-	for id, t := range f.leases {
+	for id, t := range f.leaseTimers {
 		if t.Stop(); !down {
-			t.Reset(f.leaseLifetimes[id])
+			t.Reset(f.leaseTTLs[id])
 		}
 	}
 }
 
-// SetWatchesBlind keeps watches from returning changes while blind is set.
-func (f *Fake) SetWatchesBlind(blind bool) {
+// SetWatchesStalled keeps watches from returning changes while stalled is set.
+func (f *Fake) SetWatchesStalled(stalled bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.blind = blind
+	f.watchesStalled = stalled
 	f.notifyWatchers()
 }
 
-// Delay delays the transactions that match until Release. Their callers get no response.
+// Delay delays the transactions that match until ApplyDelayed. Their callers get no response.
+// A nil match delays no further transactions.
 func (f *Fake) Delay(match func(kv.Txn) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delayMatch = match
 }
 
-// LoseResponses applies the transactions that match but loses the responses.
+// LoseResponses applies the transactions that match but loses the responses. A nil match ends
+// this.
 func (f *Fake) LoseResponses(match func(kv.Txn) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loseResponseMatch = match
 }
 
-// ApplyDelayed applies the delayed transactions, returns their results, and ends Hold.
+// ApplyDelayed applies the delayed transactions, returns their results, and ends Delay.
 func (f *Fake) ApplyDelayed() []kv.Result {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	results := make([]kv.Result, 0, len(f.delayed))
 	for _, txn := range f.delayed {
-		// The caller of a delayed transaction has had its outcome unknown, so an error
+		// The caller gets ErrOutcomeUnknown in any case, so an error only
 		// leaves an empty result.
 		res, _ := f.apply(txn)
 		results = append(results, res)
@@ -112,34 +114,35 @@
 	return results
 }
 
-// DelayedCount is the number of delayed transactions.
+// DelayedCount returns the number of delayed transactions.
 func (f *Fake) DelayedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.delayed)
 }
 
-// SetLimits makes the store reject larger values, and transactions of more than ops
-// operations or comparesPerOp times as many compares, as the real one does. Values that
-// are stored already stay.
+// SetLimits makes the store reject, as the real one does, values of more than valueBytes,
+// transactions of more than ops operations or comparesPerOp times as many compares, and
+// transactions of more than kv.MaxTxnBytes. Values that are already stored are kept.
 func (f *Fake) SetLimits(valueBytes, ops int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.maxValueBytes, f.maxOps = valueBytes, ops
 }
 
-// RejectedAsTooLarge says for each transaction that was rejected for its size what was too large.
+// RejectedAsTooLarge returns what was too large, for each transaction that was rejected for its
+// size.
 func (f *Fake) RejectedAsTooLarge() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.tooLarge)
+	return slices.Clone(f.rejectedAsTooLarge)
 }
 
-// comparesPerOp is how many compares a transaction may have for each operation allowed.
+// comparesPerOp is how many compares a transaction may have per allowed operation.
 const comparesPerOp = 4
 
-// checkLimits rejects a transaction that is beyond the limits, whether or not its
-// compares hold.
+// checkLimits returns an error if a transaction exceeds the limits, whether or not its compares
+// hold.
 func (f *Fake) checkLimits(txn kv.Txn) error {
 	if f.maxOps == 0 {
 		return nil
@@ -160,17 +163,17 @@
 			reason = fmt.Sprintf("%s of %d bytes", op.Put, len(raw))
 		}
 	}
-	all, err := json.Marshal(txn)
+	encoded, err := json.Marshal(txn)
 	if err != nil {
 		return err
 	}
-	if len(all) > kv.MaxTxnBytes {
-		reason = fmt.Sprintf("%d bytes in all", len(all))
+	if len(encoded) > kv.MaxTxnBytes {
+		reason = fmt.Sprintf("transaction of %d bytes", len(encoded))
 	}
 	if reason == "" {
 		return nil
 	}
-	f.tooLarge = append(f.tooLarge, reason)
+	f.rejectedAsTooLarge = append(f.rejectedAsTooLarge, reason)
 	return fmt.Errorf("%w: %s", kv.ErrInvalid, reason)
 }
 
@@ -182,13 +185,13 @@
 	return ok
 }
 
-// notifyWatchers lets waiting watches read the log again.
+// notifyWatchers makes waiting watches read the log again.
 func (f *Fake) notifyWatchers() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// outageError is the error of every request during an outage.
+// outageError returns the error of every request during an outage, otherwise nil.
 func (f *Fake) outageError() error {
 	if f.down {
 		return kv.ErrNotApplied
@@ -263,7 +266,7 @@
 		return res, nil
 	}
 	for _, op := range txn.Ops {
-		if op.Lease != 0 && f.leases[op.Lease] == nil {
+		if op.Lease != 0 && f.leaseTimers[op.Lease] == nil {
 			return kv.Result{}, kv.ErrNoLease
 		}
 	}
@@ -279,7 +282,7 @@
 			return kv.Result{}, err
 		}
 		f.keys[op.Put] = storedValue{raw: raw, modRevision: f.revision, lease: op.Lease}
-		f.log = append(f.log, change{
+		f.log = append(f.log, logEntry{
 			Event: kv.Event{Put: op.Put, Value: raw, ModRevision: f.revision},
 			key:   op.Put,
 		})
@@ -288,11 +291,11 @@
 	return res, nil
 }
 
-// remove deletes a key at the present revision.
+// remove deletes a key at the current revision.
 func (f *Fake) remove(key string) {
 	if _, ok := f.keys[key]; ok {
 		delete(f.keys, key)
-		f.log = append(f.log, change{Event: kv.Event{Delete: key, ModRevision: f.revision}, key: key})
+		f.log = append(f.log, logEntry{Event: kv.Event{Delete: key, ModRevision: f.revision}, key: key})
 	}
 }
 
@@ -305,11 +308,11 @@
 	}
 	f.lastLease++
 	id := f.lastLease
-	f.leaseLifetimes[id] = ttl
-	f.leases[id] = time.AfterFunc(ttl, func() {
+	f.leaseTTLs[id] = ttl
+	f.leaseTimers[id] = time.AfterFunc(ttl, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		delete(f.leases, id)
+		delete(f.leaseTimers, id)
 		f.revision++
 		for k, v := range f.keys {
 			if v.lease == id {
@@ -328,11 +331,11 @@
 	if err := f.outageError(); err != nil {
 		return err
 	}
-	t := f.leases[lease]
+	t := f.leaseTimers[lease]
 	if t == nil {
 		return kv.ErrNoLease
 	}
-	t.Reset(f.leaseLifetimes[lease])
+	t.Reset(f.leaseTTLs[lease])
 	return nil
 }
 
@@ -348,7 +351,7 @@
 				out.Events = append(out.Events, c.Event)
 			}
 		}
-		ready := len(out.Events) > 0 && !f.blind && !f.down
+		ready := len(out.Events) > 0 && !f.watchesStalled && !f.down
 		changed := f.changed
 		f.mu.Unlock()
 		if ready {
--- a/internal/records/fits_test.go
+++ b/internal/records/fits_test.go
@@ -7,7 +7,8 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// A record must fit the transaction that writes it, too, however large a value may be.
+// However large a value may be, a record must also fit the transaction that writes it. Otherwise the
+// store would reject the submission at every retry.
 func TestRecordFitsItsTransaction(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -25,7 +26,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			spec := &api.JobSpec{ID: "job-1", Types: []string{strings.Repeat("t", c.bytes)}}
-			if got := Fits(spec, c.valueKB); got != c.want {
+			if got := JobFits(spec, c.valueKB); got != c.want {
 				t.Errorf("%d bytes of types, values of %v KiB: got %v, want %v", c.bytes, c.valueKB, got, c.want)
 			}
 		})
