--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -14,43 +14,43 @@
 	_, _ = tn.checker.ask(tn.nodeAt(node), id)
 }
 
-// answerCase is a fault at the moment when users act on their jobs.
-type answerCase struct {
+// monotonicityCase is a fault at the moment when users act on their jobs.
+type monotonicityCase struct {
 	name string
 	// before runs well before the moment, fault at the moment.
 	before, fault func(tn *userCluster)
-	// step is how much later the users act in each try.
-	step time.Duration
+	// delayStep is how much later the users act in each try.
+	delayStep time.Duration
 }
 
-func rejectFirstNode(tn *userCluster) {
+func isolateFirstNode(tn *userCluster) {
 	tn.ways[0].set(true)
 	time.Sleep(9 * time.Second)
 }
 
-func acceptFirstNode(tn *userCluster) { tn.ways[0].set(false) }
+func reconnectFirstNode(tn *userCluster) { tn.ways[0].set(false) }
 
-var answerCases = []answerCase{
-	{name: "no fault", step: 13 * time.Millisecond},
-	{name: "watches delayed", step: 100 * time.Millisecond, fault: func(tn *userCluster) {
+var monotonicityCases = []monotonicityCase{
+	{name: "no fault", delayStep: 13 * time.Millisecond},
+	{name: "watches delayed", delayStep: 100 * time.Millisecond, fault: func(tn *userCluster) {
 		tn.store.SetWatchesBlind(true)
 		time.Sleep(1500 * time.Millisecond)
 		tn.store.SetWatchesBlind(false)
 	}},
-	{name: "leader restarts", step: 60 * time.Millisecond, fault: func(tn *userCluster) {
+	{name: "leader restarts", delayStep: 60 * time.Millisecond, fault: func(tn *userCluster) {
 		tn.crash(0)
 		tn.startNode(0)
 	}},
-	{name: "another leader", step: 700 * time.Millisecond, fault: func(tn *userCluster) {
-		rejectFirstNode(tn)
-		acceptFirstNode(tn)
+	{name: "another leader", delayStep: 700 * time.Millisecond, fault: func(tn *userCluster) {
+		isolateFirstNode(tn)
+		reconnectFirstNode(tn)
 	}},
-	{name: "former leader", step: 60 * time.Millisecond, before: rejectFirstNode, fault: acceptFirstNode},
+	{name: "former leader", delayStep: 60 * time.Millisecond, before: isolateFirstNode, fault: reconnectFirstNode},
 }
 
 // run polls four jobs at all nodes while one completes, one is accepted, one is cancelled, and
 // one is cancelled as soon as it is accepted.
-func (c *answerCase) run(w *simulatedCluster, try int) {
+func (c *monotonicityCase) run(w *simulatedCluster, try int) {
 	w.t.Helper()
 	tn := newUserCluster(w, 2)
 	defer tn.close()
@@ -68,7 +68,7 @@
 	if c.fault != nil {
 		tn.background(func() { c.fault(tn) })
 	}
-	time.Sleep(time.Duration(try) * c.step)
+	time.Sleep(time.Duration(try) * c.delayStep)
 	for _, s := range []*api.JobSpec{completed, accepted, cancelled, acceptedAndCancelled} {
 		tn.pollAll(s, 4*time.Millisecond, 900*time.Millisecond)
 	}
@@ -96,7 +96,7 @@
 // accepted, ends or is cancelled. No node may answer with an older state than another has: not
 // the leader whose watch is delayed, nor a node that has just been elected or stepped down.
 func TestResponsesAreMonotonic(t *testing.T) {
-	for _, c := range answerCases {
+	for _, c := range monotonicityCases {
 		t.Run(c.name, func(t *testing.T) {
 			for try := range 10 {
 				simulate(t, func(w *simulatedCluster) { c.run(w, try) })
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -110,7 +110,7 @@
 	// draining is set once the process is about to end: the node leads no more.
 	draining bool
 	// lookups are the lookups in the store that users wait for, by job.
-	lookups map[string]*lookupRound
+	lookups map[string]*sharedLookup
 }
 
 // message is an event for the owner goroutine, which applies it to its state.
@@ -149,7 +149,7 @@
 		redirects:     map[string]redirect{},
 		finalStates:   final,
 		cancellations: cancellation.NewLog(site.Workers, site.Limits, now),
-		lookups:       map[string]*lookupRound{},
+		lookups:       map[string]*sharedLookup{},
 	}
 }
 
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -15,8 +15,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// oldShard writes a registry shard as an earlier version does under larger limits.
-func (w *simulatedCluster) oldShard(key string, n int) {
+// writeOldShard writes a registry shard as an earlier version does under larger limits.
+func (w *simulatedCluster) writeOldShard(key string, n int) {
 	w.t.Helper()
 	var rec records.RegistryShardRecord
 	for i := range n {
@@ -29,7 +29,7 @@
 	}
 }
 
-// numberedWorkers are machines of zone a, named as those of oldShard.
+// numberedWorkers are machines of zone a, named as those of writeOldShard.
 func (w *simulatedCluster) numberedWorkers(count int) []*worker {
 	workers := make([]*worker, count)
 	for i := range workers {
@@ -38,8 +38,8 @@
 	return workers
 }
 
-// inUse lists the machines that may be assigned tasks.
-func inUse(n *node) (names []string) {
+// assignableMachines lists the machines that may be assigned tasks.
+func assignableMachines(n *node) (names []string) {
 	n.inspect(func(c *Controller) {
 		if c.leaderTerm == nil {
 			return
@@ -91,7 +91,7 @@
 // checkRegistered fails the test if a machine in use is on no shard.
 func (ss *shardSplit) checkRegistered(second int) {
 	ss.t.Helper()
-	used := inUse(ss.leader)
+	used := assignableMachines(ss.leader)
 	onShards := ss.registeredMachines()
 	for _, name := range used {
 		if !slices.Contains(onShards, name) {
@@ -105,7 +105,7 @@
 	ss.t.Helper()
 	workers := ss.numberedWorkers(26)
 	heartbeatAll(workers, ss.leader, 3)
-	ss.checkEqual("machines read", len(inUse(ss.leader)), 26)
+	ss.checkEqual("machines read", len(assignableMachines(ss.leader)), 26)
 	ss.checkEqual("shards before a change", ss.keysUnder(records.MachinePrefix), []string{oldShardKey})
 	ss.dead.Store(workers[0].status.Machine, true)
 	for second := range 100 {
@@ -121,14 +121,14 @@
 	ss.store.LoseResponses(nil)
 	ss.store.ApplyDelayed()
 	heartbeatAll(workers[1:], ss.leader, 10)
-	ss.checkEqual("machines in use", len(inUse(ss.leader)), 25)
+	ss.checkEqual("machines in use", len(assignableMachines(ss.leader)), 25)
 	if ss.store.Has(oldShardKey) {
 		ss.t.Errorf("shards: got %v, want them without %s", ss.keysUnder(records.MachinePrefix), oldShardKey)
 	}
 	ss.leader.crash()
 	next := ss.start("n0")
 	heartbeatAll(workers[1:], next, 3)
-	ss.checkEqual("machines read by the next leader", len(inUse(next)), 25)
+	ss.checkEqual("machines read by the next leader", len(assignableMachines(next)), 25)
 	ss.checkNothingTooLarge()
 }
 
@@ -140,9 +140,9 @@
 		for _, fault := range []string{noFault, responsesLost, writesDelayed, leaderCrashes} {
 			t.Run(l.String()+" "+fault, func(t *testing.T) {
 				simulate(t, func(w *simulatedCluster) {
-					w.oldShard(oldShardKey, 26)
-					w.state = l.settings()
-					w.enforce(l) // from now on
+					w.writeOldShard(oldShardKey, 26)
+					w.state = l.kvLimits()
+					w.enforceLimits(l) // from now on
 					ss := &shardSplit{simulatedCluster: w, leader: w.start("n0"), fault: fault}
 					ss.run()
 				})
@@ -151,8 +151,8 @@
 	}
 }
 
-// doneOnRecord are the completed tasks of a job as the next leader reads them.
-func (w *simulatedCluster) doneOnRecord(id string) map[int]bool {
+// recordedTasks are the completed tasks of a job as the next leader reads them.
+func (w *simulatedCluster) recordedTasks(id string) map[int]bool {
 	w.t.Helper()
 	done := map[int]bool{}
 	p, err := w.store.Range(context.Background(), records.CompletionPrefix+id+"/", "", 1000)
@@ -174,8 +174,8 @@
 	return done
 }
 
-// longCompletion is a run with a completion record written under larger limits.
-type longCompletion struct {
+// oversizedCompletion is a run with a completion record written under larger limits.
+type oversizedCompletion struct {
 	*simulatedCluster
 	leader  *node
 	workers []*worker
@@ -186,7 +186,7 @@
 }
 
 // writeRecords accepts the job with six of seven of the first tasks completed, all in one record.
-func (lc *longCompletion) writeRecords(completedBefore int) {
+func (lc *oversizedCompletion) writeRecords(completedBefore int) {
 	lc.t.Helper()
 	bits := make([]byte, lc.spec.Tasks/8)
 	lc.done = map[int]bool{}
@@ -206,7 +206,7 @@
 }
 
 // injectFault begins or ends the fault in the given round.
-func (lc *longCompletion) injectFault(round int) {
+func (lc *oversizedCompletion) injectFault(round int) {
 	switch {
 	case lc.fault == responsesLost && round%2 == 0:
 		lc.store.LoseResponses(writesPrefix(records.CompletionPrefix))
@@ -220,9 +220,9 @@
 }
 
 // checkDone fails the test if a task that was on record as completed no longer is.
-func (lc *longCompletion) checkDone(round int) {
+func (lc *oversizedCompletion) checkDone(round int) {
 	lc.t.Helper()
-	onRecord := lc.doneOnRecord(lc.spec.ID)
+	onRecord := lc.recordedTasks(lc.spec.ID)
 	for task := range lc.done {
 		if !onRecord[task] {
 			lc.t.Fatalf("round %d: task %d was completed and is not on record", round, task)
@@ -232,7 +232,7 @@
 }
 
 // run completes tasks in rounds and checks the records ten times a second.
-func (lc *longCompletion) run() {
+func (lc *oversizedCompletion) run() {
 	lc.t.Helper()
 	heartbeatAll(lc.workers, lc.leader, 4)
 	for round := range 12 {
@@ -251,7 +251,7 @@
 // A completion record written under larger limits covers more tasks than a new one may. It is
 // not overwritten before those beyond are on record elsewhere: at no moment, whatever is lost or
 // delayed, does the next leader find fewer completed tasks.
-func TestLongCompletionRecordLosesNoTasks(t *testing.T) {
+func TestOversizedCompletionRecordLosesNoTasks(t *testing.T) {
 	const tasks, completedBefore = 30000, 14000 // new records hold 4096
 	for _, fault := range []string{noFault, responsesLost, leaderCrashes} {
 		t.Run(fault, func(t *testing.T) {
@@ -259,11 +259,11 @@
 				w.store.SetLimits(8<<10, 12)
 				s := spec("job-1", tasks)
 				s.CPUs, s.MemoryGB = 0.01, 0.01
-				lc := &longCompletion{simulatedCluster: w, fault: fault, spec: s}
+				lc := &oversizedCompletion{simulatedCluster: w, fault: fault, spec: s}
 				lc.writeRecords(completedBefore)
 				l := limits{3, 1, 25}
-				w.state = l.settings()
-				w.enforce(l)
+				w.state = l.kvLimits()
+				w.enforceLimits(l)
 				lc.leader = w.start("n0")
 				lc.workers = []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false)}
 				lc.run()
@@ -288,8 +288,8 @@
 		t.Run(actual.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-				w.state = limits{20, 16, 100}.settings()
-				w.enforce(actual)
+				w.state = limits{20, 16, 100}.kvLimits()
+				w.enforceLimits(actual)
 				a := w.start("n0")
 				ks := w.numberedWorkers(24)
 				heartbeatAll(ks, a, 8)
@@ -315,7 +315,7 @@
 // A completion record that is rejected for its size is retried with fewer tasks.
 func TestCompletionRejectedForSizeIsSplit(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		w.state = limits{20, 16, 100}.settings()
+		w.state = limits{20, 16, 100}.kvLimits()
 		w.store.SetLimits(1<<10, 20)
 		a := w.start("n0")
 		ks := []*worker{w.worker("i-1", "a", false)}
@@ -330,7 +330,7 @@
 		heartbeatAll(ks, a, 8)
 		done := 0
 		a.inspect(func(c *Controller) { done = c.leaderTerm.jobs["job-1"].DoneCount })
-		if on := w.doneOnRecord("job-1"); len(on) != done || done < 800 {
+		if on := w.recordedTasks("job-1"); len(on) != done || done < 800 {
 			w.t.Errorf("tasks on record: got %d, want the %d completed ones, at least 800", len(on), done)
 		}
 		if n := len(w.store.RejectedAsTooLarge()); n == 0 || n > 8 {
@@ -344,8 +344,8 @@
 func TestMachineThatFitsNoShardIsTerminated(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l := limits{5, 1, 25}
-		w.state = l.settings()
-		w.enforce(l)
+		w.state = l.kvLimits()
+		w.enforceLimits(l)
 		a := w.start("n0")
 		long := w.worker(strings.Repeat("i", 1100), "a", false)
 		ks := []*worker{long, w.worker("i-2", "a", false)}
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -19,8 +19,8 @@
 // leader, and counts those that the leader then reads as renewed.
 func countRenewed(w *simulatedCluster, l limits, machines []string) (renewed int) {
 	w.t.Helper()
-	w.state = l.settings()
-	w.enforce(l)
+	w.state = l.kvLimits()
+	w.enforceLimits(l)
 	a := w.start("n0")
 	a.inspect(func(c *Controller) {
 		for _, name := range machines {
@@ -88,9 +88,9 @@
 	})
 	simulate(t, func(w *simulatedCluster) {
 		// The limits of the key-value store are smaller than the settings say.
-		w.state = limits{12, 8, 25}.settings()
+		w.state = limits{12, 8, 25}.kvLimits()
 		a := w.start("n0")
-		w.enforce(limits{12, 1, 25})
+		w.enforceLimits(limits{12, 1, 25})
 		e, err := w.store.Get(context.Background(), election.TermKey)
 		if err != nil {
 			w.t.Fatal(err)
@@ -142,8 +142,8 @@
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
-				w.state = l.settings()
-				w.enforce(l)
+				w.state = l.kvLimits()
+				w.enforceLimits(l)
 				_, a, b, _, near, far := w.partitionZones()
 				s := spec("job-1", 400)
 				s.CPUs, s.MemoryGB = 0.02, 0.02
@@ -154,7 +154,7 @@
 				heartbeatBothSides(a, b, near, far, 12)
 				events := w.relayUplinkEvents() - eventsBefore
 				rate := float64(events) / time.Since(start).Seconds()
-				if maxRate := l.writes * kv.RecordShare; rate > maxRate {
+				if maxRate := l.writeRPS * kv.RecordShare; rate > maxRate {
 					w.t.Errorf("changes a second of relayed heartbeats: got %v, want at most %v", rate, maxRate)
 				}
 				w.checkEqual("phase", w.phase(a, "job-1"), "done")
@@ -170,9 +170,9 @@
 func TestRelayRejectedForSizeIsSplit(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
-		w.state = limits{20, 16, 100}.settings()
+		w.state = limits{20, 16, 100}.kvLimits()
 		_, a, b, _, near, far := w.partitionZones()
-		w.enforce(limits{20, 1, 100})
+		w.enforceLimits(limits{20, 1, 100})
 		s := spec("job-1", 700)
 		s.CPUs, s.MemoryGB = 0.01, 0.01
 		s.Image = strings.Repeat("image", 20)
@@ -192,8 +192,8 @@
 func TestHeartbeatTooLargeToRelay(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l := limits{3, 1, 25}
-		w.state = l.settings()
-		w.enforce(l)
+		w.state = l.kvLimits()
+		w.enforceLimits(l)
 		_, a, b, _, _, far := w.partitionZones()
 		other := w.worker("i-3", "b", false)
 		for i := range cluster.MaxAttempts {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -18,20 +18,20 @@
 // limits are those of the key-value store that a test varies: changes of a transaction, size of a
 // value, and writes a second.
 type limits struct {
-	ops, valueKB int
-	writes       float64
+	txnOps, valueKB int
+	writeRPS        float64
 }
 
 func (l limits) String() string {
-	return fmt.Sprintf("%d changes, %d KiB, %v writes", l.ops, l.valueKB, l.writes)
+	return fmt.Sprintf("%d changes, %d KiB, %v writes", l.txnOps, l.valueKB, l.writeRPS)
 }
 
-func (l limits) settings() config.KVLimits {
-	return config.KVLimits{RPS: 100, WriteRPS: l.writes, ValueKB: float64(l.valueKB), TxnOps: l.ops}
+func (l limits) kvLimits() config.KVLimits {
+	return config.KVLimits{RPS: 100, WriteRPS: l.writeRPS, ValueKB: float64(l.valueKB), TxnOps: l.txnOps}
 }
 
-// enforce has the key-value store reject what exceeds the limits.
-func (w *simulatedCluster) enforce(l limits) { w.store.SetLimits(l.valueKB<<10, l.ops) }
+// enforceLimits has the key-value store reject what exceeds the limits.
+func (w *simulatedCluster) enforceLimits(l limits) { w.store.SetLimits(l.valueKB<<10, l.txnOps) }
 
 // checkNothingTooLarge checks, at the end of a test, that nothing was rejected for its size.
 func (w *simulatedCluster) checkNothingTooLarge() {
@@ -58,8 +58,8 @@
 	}
 }
 
-// runningOf lists the tasks of a job that run on machines.
-func runningOf(ks []*worker, id string) (tasks []string) {
+// runningTasksOf lists the tasks of a job that run on machines.
+func runningTasksOf(ks []*worker, id string) (tasks []string) {
 	for _, k := range ks {
 		for _, ref := range k.running() {
 			if strings.HasPrefix(ref, id+"/") {
@@ -81,8 +81,8 @@
 func (w *simulatedCluster) startWithLimits(l limits) *node {
 	w.t.Helper()
 	w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-	w.state = l.settings()
-	w.enforce(l)
+	w.state = l.kvLimits()
+	w.enforceLimits(l)
 	return w.start("n0")
 }
 
@@ -99,7 +99,7 @@
 				w.submit(a, spec("job-1", 60))
 				w.submit(a, spec("job-2", 30))
 				heartbeatAll(ks, a, 6)
-				if n1, n2 := len(runningOf(ks, "job-1")), len(runningOf(ks, "job-2")); n1+n2 < 60 {
+				if n1, n2 := len(runningTasksOf(ks, "job-1")), len(runningTasksOf(ks, "job-2")); n1+n2 < 60 {
 					w.t.Fatalf("running tasks: got %d and %d, want at least 60", n1, n2)
 				}
 				exitAll(ks[:8])
@@ -107,7 +107,7 @@
 				st, err := a.Cancel(context.Background(), "job-2")
 				w.checkEqual("cancelled", []any{st.Phase, err}, []any{api.JobCancelled, nil})
 				heartbeatAll(ks, a, 6)
-				w.checkEqual("tasks of the cancelled job", runningOf(ks, "job-2"), []string(nil))
+				w.checkEqual("tasks of the cancelled job", runningTasksOf(ks, "job-2"), []string(nil))
 				a.crash()
 				b := w.start("n0")
 				heartbeatAll(ks, b, 8)
@@ -149,9 +149,9 @@
 		t.Run(when, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-				w.state = to.settings() // the smaller of both
-				w.enforce(from)
-				w.oldShard(records.MachinePrefix+"0-1", 24)
+				w.state = to.kvLimits() // the smaller of both
+				w.enforceLimits(from)
+				w.writeOldShard(records.MachinePrefix+"0-1", 24)
 				a := w.start("n0")
 				ks := w.numberedWorkers(26)
 				heartbeatAll(ks, a, 8)
@@ -160,10 +160,10 @@
 				exitAll(ks[:10])
 				if when == "during a takeover" {
 					a.crash()
-					w.enforce(to)
+					w.enforceLimits(to)
 					a = w.start("n0")
 				} else {
-					w.enforce(to)
+					w.enforceLimits(to)
 				}
 				w.dead.Store(ks[3].status.Machine, true)
 				ks = slices.Delete(ks, 3, 4)
@@ -219,8 +219,8 @@
 	}{{3, true}, {40, false}} {
 		simulate(t, func(w *simulatedCluster) {
 			l := limits{3, 1, 8}
-			w.state = l.settings()
-			w.enforce(l)
+			w.state = l.kvLimits()
+			w.enforceLimits(l)
 			for i := range c.types - 1 {
 				w.cloud.types = append(w.cloud.types,
 					api.MachineType{Name: fmt.Sprintf("type-%d", i), CPUs: 4, MemoryGB: 16, Zones: []string{"a"}})
@@ -262,8 +262,8 @@
 func TestBatchesFitTransactions(t *testing.T) {
 	l := limits{400, 128, 2000}
 	simulate(t, func(w *simulatedCluster) {
-		w.state = l.settings()
-		w.enforce(l)
+		w.state = l.kvLimits()
+		w.enforceLimits(l)
 		a := w.start("n0")
 		time.Sleep(time.Second)
 		const batches = 400
@@ -276,7 +276,7 @@
 			for range batches {
 				now = now.Add(time.Second)
 				b := rw.NextBatch(now, nil)
-				lt.rejectUnfit(b.Unfit)
+				lt.rejectOversized(b.Oversized)
 				lt.applyOutcome(rw.Apply(b, now, kv.Result{Succeeded: true}, nil))
 				txns = append(txns, b.Txn)
 			}
@@ -295,7 +295,7 @@
 			w.t.Errorf("largest transaction: got %d bytes, want %d to %d", maxBytes, kv.MaxTxnBytes/4, kv.MaxTxnBytes)
 		}
 	})
-	recordBytes := maxRelayRecordBytes(l.settings(), maxRelayParts)
+	recordBytes := maxRelayRecordBytes(l.kvLimits(), maxRelayParts)
 	if total := maxRelayParts * (recordBytes + 200); total > kv.MaxTxnBytes {
 		t.Errorf("relayed records: got %d bytes in all, want at most %d", total, kv.MaxTxnBytes)
 	}
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -50,9 +50,9 @@
 	})
 }
 
-// checkEnds checks that users learned in time how each job ended, also at the nodes that they
+// checkJobsEnded checks that users learned in time how each job ended, also at the nodes that they
 // did not ask before, and returns how many jobs were cancelled.
-func (tn *userCluster) checkEnds(jobs int) (cancelled int) {
+func (tn *userCluster) checkJobsEnded(jobs int) (cancelled int) {
 	tn.t.Helper()
 	const maxDelay = 3*time.Second + 700*time.Millisecond
 	want := map[string]string{}
@@ -115,7 +115,7 @@
 			}
 		}
 		time.Sleep(15 * time.Second)
-		cancelled := tn.checkEnds(jobs)
+		cancelled := tn.checkJobsEnded(jobs)
 		maxRequests, _ := tn.tally.counts(tn.tally.requests)
 		maxWrites, writes := tn.tally.counts(tn.tally.writes)
 		maxWatches, watches := tn.tally.counts(tn.tally.watches)
@@ -161,9 +161,9 @@
 	tn.startNode(i)
 }
 
-// loseEveryFifth drops the response to every fifth transaction that changes something, and
+// loseEveryFifthResponse drops the response to every fifth transaction that changes something, and
 // returns the number dropped so far.
-func (w *simulatedCluster) loseEveryFifth() (lost func() int) {
+func (w *simulatedCluster) loseEveryFifthResponse() (lost func() int) {
 	writes, dropped := 0, 0
 	w.store.LoseResponses(func(txn kv.Txn) bool {
 		if len(txn.Ops) == 0 {
@@ -207,7 +207,7 @@
 				tn := newUserCluster(w, 5)
 				defer tn.close()
 				time.Sleep(10 * time.Second)
-				lost := w.loseEveryFifth()
+				lost := w.loseEveryFifthResponse()
 				tn.background(func() { tn.changeLeaders(15*time.Second + shift) })
 				const jobs = 60
 				for i := range jobs {
--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -10,8 +10,8 @@
 
 // A poll queries at most the leader, the store and the other nodes, one after the other.
 const (
-	peerQueryTimeout = 500 * time.Millisecond
-	readTimeout      = 600 * time.Millisecond
+	peerQueryTimeout  = 500 * time.Millisecond
+	pollLookupTimeout = 600 * time.Millisecond
 )
 
 // Job implements api.Backend. Whichever node a user is connected to, it queries the leader, reads
@@ -31,7 +31,7 @@
 	}
 	err = api.ErrUnavailable
 	if !r.kvUnreachable {
-		lctx, cancel := context.WithTimeout(ctx, readTimeout)
+		lctx, cancel := context.WithTimeout(ctx, pollLookupTimeout)
 		st, lookupErr := c.lookup(lctx, id)
 		cancel()
 		if isConclusive(lookupErr) {
@@ -110,7 +110,7 @@
 		m.reply <- pollReply{state: st, answered: true}
 		return
 	}
-	if c.leaderTerm != nil && c.holdsLease() && c.leaderTerm.loaded && c.leaderTerm.knowsJob(m.id) {
+	if c.leaderTerm != nil && c.holdsLease() && c.leaderTerm.loaded && c.leaderTerm.ownsJob(m.id) {
 		c.leaderTerm.readIndex.enqueue(m)
 		return
 	}
@@ -127,8 +127,8 @@
 	m.reply <- reply
 }
 
-// knowsJob reports whether a job is active and of this cell: guests are unknown to its users.
-func (lt *leaderTerm) knowsJob(id string) bool {
+// ownsJob reports whether a job is active and of this cell: guests are unknown to its users.
+func (lt *leaderTerm) ownsJob(id string) bool {
 	j := lt.jobs[id]
 	return j != nil && j.Guest == nil
 }
--- a/internal/controller/recordwrites.go
+++ b/internal/controller/recordwrites.go
@@ -28,7 +28,7 @@
 	deps.pendingCancels = slices.DeleteFunc(deps.pendingCancels, func(j *cluster.Job) bool { return j.Ended })
 	b := lt.recordWriter.NextBatch(now, deps.pendingCancels)
 	deps.pendingCancels = deps.pendingCancels[len(b.DerivedCancels):]
-	lt.rejectUnfit(b.Unfit)
+	lt.rejectOversized(b.Oversized)
 	if b.IsEmpty() {
 		return
 	}
@@ -87,16 +87,16 @@
 	if len(out.RetryCancels) > 0 {
 		deps.pendingCancels = slices.Concat(out.RetryCancels, deps.pendingCancels)
 	}
-	for _, j := range out.Changed {
+	for _, j := range out.Conflicting {
 		deps.pendingCancels = slices.DeleteFunc(deps.pendingCancels, func(o *cluster.Job) bool { return o == j })
 	}
-	lt.rejectUnfit(out.Unfit)
-	lt.resolveNext()
+	lt.rejectOversized(out.Oversized)
+	lt.resolveNextOutcome()
 }
 
-// rejectUnfit evacuates the machines whose entry no shard can hold: the next leader would not know
+// rejectOversized evacuates the machines whose entry no shard can hold: the next leader would not know
 // of them, so they are never given a task.
-func (lt *leaderTerm) rejectUnfit(unfit recordwriter.Unfit) {
+func (lt *leaderTerm) rejectOversized(unfit recordwriter.Oversized) {
 	for _, m := range unfit.Machines {
 		lt.c.Log.Error("machine's entry too large for the registry", "machine", m.Name)
 		lt.evacuate(m, "does not fit the roster")
@@ -134,15 +134,15 @@
 		"late", math.Round(time.Since(j.Objectives[0]).Seconds()))
 }
 
-// resolveNext starts to read the outcome of the next job whose active record had changed.
-func (lt *leaderTerm) resolveNext() {
+// resolveNextOutcome starts to read the outcome of the next job whose active record had changed.
+func (lt *leaderTerm) resolveNextOutcome() {
 	if id, ok := lt.recordWriter.NextUnresolved(); ok {
-		go lt.resolveOutcomeOf(id)
+		go lt.resolveOutcome(id)
 	}
 }
 
-// resolveOutcomeOf reads how a job ended, within the leader's own request budget.
-func (lt *leaderTerm) resolveOutcomeOf(id string) {
+// resolveOutcome reads how a job ended, within the leader's own request budget.
+func (lt *leaderTerm) resolveOutcome(id string) {
 	recordStore := records.Records{Store: lt.c.Store}
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, outcomeReadTimeout)
@@ -170,7 +170,7 @@
 		return
 	}
 	lt.recordWriter.Resolved()
-	defer lt.resolveNext()
+	defer lt.resolveNextOutcome()
 	j := lt.jobs[m.id]
 	if j == nil || j.Ended {
 		return
--- a/internal/controller/storedjobs.go
+++ b/internal/controller/storedjobs.go
@@ -42,8 +42,8 @@
 	err   error
 }
 
-// lookupRound is one read, with the requests that wait for it and for the next.
-type lookupRound struct{ current, next []chan lookupReply }
+// sharedLookup is one read, with the requests that wait for it and for the next.
+type sharedLookup struct{ current, next []chan lookupReply }
 
 // lookupTimeout is the time limit of one shared read.
 const lookupTimeout = time.Second
@@ -53,7 +53,7 @@
 		r.next = append(r.next, m.reply)
 		return
 	}
-	c.lookups[m.id] = &lookupRound{current: []chan lookupReply{m.reply}}
+	c.lookups[m.id] = &sharedLookup{current: []chan lookupReply{m.reply}}
 	c.startLookup(m.id)
 }
 
@@ -93,22 +93,22 @@
 // finalStateMsg carries a job's final state that this node has read or written. The leader's memory
 // and the cancellation log must not fall behind the responses to users: the store may be
 // unreachable from the next moment on.
-type finalStateMsg struct{ st api.JobState }
+type finalStateMsg struct{ state api.JobState }
 
 func (m finalStateMsg) apply(c *Controller) {
-	if m.st.Derived {
+	if m.state.Derived {
 		return // the leader derives it by itself, and has yet to record it
 	}
-	if m.st.Phase == api.JobCancelled {
-		c.recordCancellation(m.st.ID)
+	if m.state.Phase == api.JobCancelled {
+		c.recordCancellation(m.state.ID)
 		return
 	}
 	if c.leaderTerm != nil {
-		if j := c.leaderTerm.jobs[m.st.ID]; j != nil {
+		if j := c.leaderTerm.jobs[m.state.ID]; j != nil {
 			c.leaderTerm.jobFinished(j)
 		}
 	}
-	c.finalStates.Add(m.st.ID, m.st)
+	c.finalStates.Add(m.state.ID, m.state)
 }
 
 // publishFinalState hands a final state to the owner before the response to the user is sent.
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -223,7 +223,7 @@
 }
 
 // running lists the tasks of a job that are on machines.
-func (v *mixed) running(id string) []string { return runningOf(v.agents, id) }
+func (v *mixed) running(id string) []string { return runningTasksOf(v.agents, id) }
 
 // countRunning counts the tasks of some jobs that are on machines.
 func (v *mixed) countRunning(ids ...string) (count int) {
@@ -392,7 +392,7 @@
 					v.runSeconds(1)
 				}
 				v.runSeconds(8)
-				done := len(v.doneOnRecord("job-1"))
+				done := len(v.recordedTasks("job-1"))
 				v.checkEqual("some are done", done > 0, true)
 				res, err := v.store.Txn(context.Background(), kv.Txn{
 					Compares: []kv.Compare{{Key: "term", ModRevision: modRevision}},
@@ -402,7 +402,7 @@
 				v.startOldNode()
 				v.runSeconds(10)
 				v.checkEqual("leads", []bool{v.old.leads(), v.newLeads()}, []bool{false, true})
-				v.checkEqual("done are fewer", len(v.doneOnRecord("job-1")) < done && v.store.Has("a/job-1"), false)
+				v.checkEqual("done are fewer", len(v.recordedTasks("job-1")) < done && v.store.Has("a/job-1"), false)
 				v.runSeconds(30)
 				v.checkPhases("job-1", "done")
 			})
@@ -480,7 +480,7 @@
 				if !c.wait {
 					running := v.running("job-2")
 					halted := v.agents[slices.IndexFunc(v.agents, func(k *worker) bool {
-						return len(runningOf([]*worker{k}, "job-2")) > 0
+						return len(runningTasksOf([]*worker{k}, "job-2")) > 0
 					})]
 					halted.exit(api.CauseHalted) // its tasks must start again, in their time
 					v.runSeconds(2)
@@ -796,11 +796,11 @@
 // tasks is registered.
 func TestFutureLimitsBetweenVersions(t *testing.T) {
 	const tasks, machines = 9000, 12
-	next := limits{ops: 6, valueKB: 1, writes: 25}
+	next := limits{txnOps: 6, valueKB: 1, writeRPS: 25}
 	for _, oldLeads := range []bool{false, true} {
 		t.Run(fmt.Sprintf("old leads first %v", oldLeads), func(t *testing.T) {
 			prepare := func(w *simulatedCluster) {
-				w.state = next.settings()
+				w.state = next.kvLimits()
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 100
 				w.store.SetLimits(16<<10, 20)
 			}
@@ -818,7 +818,7 @@
 					v.handOver()
 					done = v.runCountingDone(2, done)
 				}
-				v.enforce(next)
+				v.enforceLimits(next)
 				v.checkEqual("job-1 is active", v.store.Has("a/job-1"), true)
 				v.dead.Store(v.agents[0].status.Machine, true)
 				v.agents = v.agents[1:]
@@ -841,7 +841,7 @@
 	v.t.Helper()
 	for range seconds {
 		v.runSeconds(1)
-		if now := len(v.doneOnRecord("job-1")); now >= done {
+		if now := len(v.recordedTasks("job-1")); now >= done {
 			done = now
 		} else if v.store.Has("a/job-1") {
 			v.t.Fatalf("got %d tasks done on record, want at least the %d of before", now, done)
@@ -870,7 +870,7 @@
 // cancelled, and what it writes means to the old leader what it should, though it takes
 // several records.
 func TestNewFollowerInPartition(t *testing.T) {
-	prepare := func(w *simulatedCluster) { w.state = limits{ops: 6, valueKB: 1, writes: 25}.settings() }
+	prepare := func(w *simulatedCluster) { w.state = limits{txnOps: 6, valueKB: 1, writeRPS: 25}.kvLimits() }
 	simulateMixedIn(t, prepare, 1, true, func(v *mixed) {
 		v.taskSeconds = 1000
 		far := make([]string, 90)
--- a/internal/recordwriter/batch.go
+++ b/internal/recordwriter/batch.go
@@ -20,8 +20,8 @@
 	// DerivedCancels are the first of the pending cancellations, which the batch records: jobs
 	// cancelled because they depend on a cancelled one.
 	DerivedCancels []*cluster.Job
-	// Unfit is what was found to fit in no shard when the batch was built.
-	Unfit Unfit
+	// Oversized is what was found to fit in no shard when the batch was built.
+	Oversized Oversized
 
 	finished []*cluster.Job
 	shards   []*cluster.Shard
@@ -35,8 +35,8 @@
 // IsEmpty tells whether there is nothing to write.
 func (b *Batch) IsEmpty() bool { return len(b.Txn.Ops) == 0 }
 
-// Unfit is what no shard of the registry can hold.
-type Unfit struct {
+// Oversized is what no shard of the registry can hold.
+type Oversized struct {
 	// Machines are rejected: the next leader would not know of them, so they must never be
 	// given a task.
 	Machines []*cluster.Machine
@@ -54,11 +54,11 @@
 // addCancellations adds the first of the pending cancellations, if the write rate allows.
 func (w *Writer) addCancellations(b *Batch, pending []*cluster.Job, now time.Time) {
 	allowed := min(w.maxOps, int(w.cancelLimiter.TokensAt(now)))
-	if len(pending) == 0 || allowed < cancelBatchOps {
+	if len(pending) == 0 || allowed < opsPerCancellation {
 		return
 	}
 	n := 0
-	for n < len(pending) && len(b.Txn.Ops)+cancelBatchOps <= allowed && b.Bytes < w.maxBytes {
+	for n < len(pending) && len(b.Txn.Ops)+opsPerCancellation <= allowed && b.Bytes < w.maxBytes {
 		j := pending[n]
 		active := records.ActivePrefix + j.Spec.ID
 		b.Txn.Compares = append(b.Txn.Compares, kv.Compare{Key: active, ModRevision: j.ModRevision})
@@ -81,7 +81,7 @@
 		w.nextCompletion = now.Add(completionInterval)
 		w.addCompletions(b, allowed/2)
 	}
-	w.rewriteStale(b, allowed, now)
+	w.rewriteStaleShards(b, allowed, now)
 	w.limiter.AllowN(now, len(b.Txn.Ops))
 }
 
@@ -118,9 +118,9 @@
 		return m.Phase() == cluster.Terminated
 	})
 	for len(w.registering) > 0 && len(b.Txn.Ops) < allowed && b.Bytes < w.maxBytes {
-		n, size := w.shardPrefix(w.registering)
+		n, size := w.fitShard(w.registering)
 		if n == 0 {
-			b.Unfit.Machines = append(b.Unfit.Machines, w.registering[0])
+			b.Oversized.Machines = append(b.Oversized.Machines, w.registering[0])
 			w.registering = w.registering[1:]
 			continue
 		}
--- a/internal/recordwriter/completion.go
+++ b/internal/recordwriter/completion.go
@@ -44,9 +44,9 @@
 	b.completions = append(b.completions, completionWrite{job: j, first: first, bits: bits})
 }
 
-// completionWritten marks the tasks of a written completion record as recorded, and queues
+// markCompletionRecorded marks the tasks of a written completion record as recorded, and queues
 // the job if more of its completed tasks are not on record.
-func (w *Writer) completionWritten(written completionWrite) {
+func (w *Writer) markCompletionRecorded(written completionWrite) {
 	j := written.job
 	j.CompletionChunkSizes[written.first] = 8 * len(written.bits)
 	delete(j.MigratingCompletion, written.first)
--- a/internal/recordwriter/completion_test.go
+++ b/internal/recordwriter/completion_test.go
@@ -19,7 +19,7 @@
 		want := kv.Compare{Key: records.ActivePrefix + "j", ModRevision: j.ModRevision}
 		checkEqual(t, "compares the job's record", b.Txn.Compares, []kv.Compare{termCompare, want})
 		keys = append(keys, b.Txn.Ops[0].Put)
-		apply(t, w, b, now)
+		applySuccess(t, w, b, now)
 		now = now.Add(completionInterval)
 	}
 	want := []string{records.CompletionKey("j", 0), records.CompletionKey("j", 16), records.CompletionKey("j", 32)}
@@ -30,7 +30,7 @@
 func TestCompletionRecordsAreLimitedInRate(t *testing.T) {
 	w := newWriter(defaultLimits)
 	w.QueueCompletion(newJob("a", 2))
-	apply(t, w, w.NextBatch(start, nil), start)
+	applySuccess(t, w, w.NextBatch(start, nil), start)
 	w.QueueCompletion(newJob("b", 2))
 	for _, c := range []struct {
 		after time.Duration
@@ -49,8 +49,8 @@
 	w.QueueCompletion(other)
 	b := w.NextBatch(start, nil)
 	out := w.Apply(b, start, kv.Result{FailedKeys: []string{records.ActivePrefix + "changed"}}, nil)
-	checkEqual(t, "to be resolved", len(out.Changed), 0)
-	checkEqual(t, "queued", ids(w.dirtyJobs), []string{"other"})
+	checkEqual(t, "to be resolved", len(out.Conflicting), 0)
+	checkEqual(t, "queued", jobIDs(w.dirtyJobs), []string{"other"})
 	checkEqual(t, "dirty", []bool{changed.CompletionDirty, other.CompletionDirty}, []bool{false, true})
 	checkEqual(t, "known to be on record", changed.CompletionChunks[0], false)
 }
--- a/internal/recordwriter/outcome.go
+++ b/internal/recordwriter/outcome.go
@@ -19,12 +19,12 @@
 	// RetryCancels are the derived cancellations that were not written, or whose outcome is
 	// unknown: they are pending again, before all others.
 	RetryCancels []*cluster.Job
-	// Changed are the jobs whose active record had changed, mostly by this leader's own
+	// Conflicting are the jobs whose active record had changed, mostly by this leader's own
 	// transaction whose response was lost. NextUnresolved names them; a cancellation of them is
 	// not pending until it is known how they ended.
-	Changed []*cluster.Job
-	// Unfit is what the store has rejected and no shard can hold.
-	Unfit Unfit
+	Conflicting []*cluster.Job
+	// Oversized is what the store has rejected and no shard can hold.
+	Oversized Oversized
 	// ShardsWritten is set if machines were registered, which may now be given tasks.
 	ShardsWritten bool
 	// TooLarge is set if the store rejected the batch as invalid.
@@ -44,7 +44,7 @@
 		w.requeue(b)
 		out.RetryCancels = b.DerivedCancels
 		out.TooLarge = true
-		out.Unfit = w.shrinkLimits(b, now)
+		out.Oversized = w.shrinkLimits(b, now)
 	case err != nil:
 		w.retryAt = now.Add(recordRetryDelay)
 		// If it was applied all the same, or is yet to be, the compares of the next
@@ -53,17 +53,17 @@
 		out.RetryCancels = b.DerivedCancels
 	case res.Succeeded:
 		out.Finished, out.Cancelled = b.finished, b.DerivedCancels
-		w.shardsWritten(b)
+		w.markShardsWritten(b)
 		out.ShardsWritten = len(b.shards) > 0
 		for _, written := range b.completions {
-			w.completionWritten(written)
+			w.markCompletionRecorded(written)
 		}
 	case slices.Contains(res.FailedKeys, w.termCompare.Key):
 		out.TermLost = true
 	default:
 		w.requeue(b)
 		out.RetryCancels = b.DerivedCancels
-		out.Changed = w.handleConflicts(b, res.FailedKeys)
+		out.Conflicting = w.handleConflicts(b, res.FailedKeys)
 	}
 	return out
 }
@@ -79,7 +79,7 @@
 	}
 	for _, j := range changed {
 		w.finishing = slices.DeleteFunc(w.finishing, func(o *cluster.Job) bool { return o == j })
-		w.outcomeUnknown = append(w.outcomeUnknown, j.Spec.ID)
+		w.unresolved = append(w.unresolved, j.Spec.ID)
 	}
 	for _, written := range b.completions {
 		if !written.job.Ended && conflicts(written.job) {
@@ -104,14 +104,14 @@
 
 // shrinkLimits reduces what a batch may hold after the store rejected one as invalid,
 // although it kept to the limits as this node knows them: a retry would be rejected too.
-func (w *Writer) shrinkLimits(b *Batch, now time.Time) (unfit Unfit) {
+func (w *Writer) shrinkLimits(b *Batch, now time.Time) (unfit Oversized) {
 	switch {
 	case len(b.Txn.Ops) > 2:
 		w.maxOps = max(2, len(b.Txn.Ops)/2)
 	case len(b.shards) > 0 && len(b.shards[0].Machines) > 1:
 		w.machinesPerShard = max(1, len(b.shards[0].Machines)/2)
 	case len(b.shards) > 0 && b.shards[0].Replaces != nil:
-		unfit.Shards = append(unfit.Shards, w.keepStale(b.shards[0].Replaces))
+		unfit.Shards = append(unfit.Shards, w.abandonRewrite(b.shards[0].Replaces))
 	case len(b.shards) > 0:
 		m := b.shards[0].Machines[0]
 		w.registering = slices.DeleteFunc(w.registering, func(o *cluster.Machine) bool { return o == m })
@@ -131,11 +131,11 @@
 // were read concurrently, they used up each other's share of the request budget: none was ever read
 // to its end, and the fleet was kept for work long done.
 func (w *Writer) NextUnresolved() (id string, ok bool) {
-	if w.resolving || len(w.outcomeUnknown) == 0 {
+	if w.resolving || len(w.unresolved) == 0 {
 		return "", false
 	}
 	w.resolving = true
-	id, w.outcomeUnknown = w.outcomeUnknown[0], w.outcomeUnknown[1:]
+	id, w.unresolved = w.unresolved[0], w.unresolved[1:]
 	return id, true
 }
 
--- a/internal/recordwriter/registry.go
+++ b/internal/recordwriter/registry.go
@@ -13,8 +13,8 @@
 // shardEntryBytes is about how long a machine's entry is, in bytes.
 const shardEntryBytes = 150
 
-// shardFrameBytes is what a shard takes beside its entries.
-const shardFrameBytes = 32
+// shardOverheadBytes is what a shard takes beside its entries.
+const shardOverheadBytes = 32
 
 func (w *Writer) newShard(members []*cluster.Machine) *cluster.Shard {
 	w.shardCount++
@@ -24,9 +24,9 @@
 	}
 }
 
-// shardPrefix is how many of the first machines a new shard holds, and its size.
-func (w *Writer) shardPrefix(members []*cluster.Machine) (n, size int) {
-	size = shardFrameBytes
+// fitShard is how many of the first machines a new shard holds, and its size.
+func (w *Writer) fitShard(members []*cluster.Machine) (n, size int) {
+	size = shardOverheadBytes
 	for n < min(w.machinesPerShard, len(members)) {
 		raw, err := json.Marshal(members[n].RegistryEntry())
 		if err != nil {
@@ -74,11 +74,11 @@
 // rewriteInterval keeps the rewriting of stale shards behind other records.
 const rewriteInterval = time.Second
 
-// rewriteStale replaces a stale shard by one with its remaining machines, and deletes
+// rewriteStaleShards replaces a stale shard by one with its remaining machines, and deletes
 // those without any. A shard written under larger limits may hold more machines than
 // a new one: it then stays until all of them are on new ones, one after the other.
 // Wherever this is interrupted, each machine is on one of them.
-func (w *Writer) rewriteStale(b *Batch, allowed int, now time.Time) {
+func (w *Writer) rewriteStaleShards(b *Batch, allowed int, now time.Time) {
 	w.staleShards = slices.DeleteFunc(w.staleShards, func(s *cluster.Shard) bool {
 		if len(s.Machines) > 0 || len(b.Txn.Ops) >= allowed {
 			return false
@@ -90,9 +90,9 @@
 		return
 	}
 	s := w.staleShards[0]
-	n, size := w.shardPrefix(s.Machines)
+	n, size := w.fitShard(s.Machines)
 	if n == 0 {
-		b.Unfit.Shards = append(b.Unfit.Shards, w.keepStale(s))
+		b.Oversized.Shards = append(b.Oversized.Shards, w.abandonRewrite(s))
 		return
 	}
 	if len(b.Txn.Ops) > 0 && b.Bytes+size > w.maxBytes {
@@ -108,9 +108,9 @@
 	}
 }
 
-// keepStale leaves a shard that no new one can replace as it is, until another of
+// abandonRewrite leaves a shard that no new one can replace as it is, until another of
 // its machines is terminated. It returns the shard's key.
-func (w *Writer) keepStale(s *cluster.Shard) string {
+func (w *Writer) abandonRewrite(s *cluster.Shard) string {
 	s.Stale = false
 	w.staleShards = slices.DeleteFunc(w.staleShards, func(o *cluster.Shard) bool { return o == s })
 	return s.Key
@@ -147,8 +147,8 @@
 	w.staleShards = append(w.staleShards, b.replaced...)
 }
 
-// shardsWritten marks the machines of a written batch's shards as registered.
-func (w *Writer) shardsWritten(b *Batch) {
+// markShardsWritten marks the machines of a written batch's shards as registered.
+func (w *Writer) markShardsWritten(b *Batch) {
 	for _, s := range b.shards {
 		if old := s.Replaces; s.Partial {
 			old.Machines = slices.DeleteFunc(old.Machines, func(m *cluster.Machine) bool {
--- a/internal/recordwriter/registry_test.go
+++ b/internal/recordwriter/registry_test.go
@@ -22,7 +22,7 @@
 	w, now := newWriter(defaultLimits), start
 	m := &cluster.Machine{Name: "i-1"}
 	w.Register(m)
-	apply(t, w, w.NextBatch(now, nil), now)
+	applySuccess(t, w, w.NextBatch(now, nil), now)
 	old := m.Shard
 	if old == nil || m.Registration != cluster.Registered {
 		t.Fatalf("after the write the machine has registration %v and shard %v", m.Registration, old)
@@ -32,7 +32,7 @@
 	w.requeueShards(&Batch{shards: []*cluster.Shard{next}, replaced: []*cluster.Shard{old}})
 	checkEqual(t, "deleted by themselves", len(w.pendingDeletes), 0)
 	b := &Batch{}
-	w.rewriteStale(b, 10, now)
+	w.rewriteStaleShards(b, 10, now)
 	checkEqual(t, "put under a new key", b.Txn.Ops[0].Put != "" && b.Txn.Ops[0].Put != next.Key, true)
 	deleted := []string{b.Txn.Ops[1].Delete, b.Txn.Ops[2].Delete}
 	checkEqual(t, "deleted with it", deleted, []string{old.Key, next.Key})
@@ -45,8 +45,8 @@
 	w.Register(large)
 	w.Register(small)
 	b := w.NextBatch(start, nil)
-	checkEqual(t, "unfit", b.Unfit.Machines, []*cluster.Machine{large})
-	apply(t, w, b, start)
+	checkEqual(t, "unfit", b.Oversized.Machines, []*cluster.Machine{large})
+	applySuccess(t, w, b, start)
 	checkEqual(t, "registered", small.Registration, cluster.Registered)
 	checkEqual(t, "large one registered", large.Registration, cluster.Unregistered)
 	checkEqual(t, "queued", w.Backlog(), Backlog{})
@@ -60,7 +60,7 @@
 	for _, m := range machines {
 		w.Register(m)
 	}
-	apply(t, w, w.NextBatch(now, nil), now)
+	applySuccess(t, w, w.NextBatch(now, nil), now)
 	shard := machines[0].Shard
 	w.maxShardBytes = 1000 // the store's limits were lowered
 	for _, m := range machines[1:] {
@@ -69,7 +69,7 @@
 		w.Deregister(m)
 		checkEqual(t, "stale", shard.Stale, true)
 		b := w.NextBatch(now, nil)
-		checkEqual(t, "unfit", b.Unfit.Shards, []string{shard.Key})
+		checkEqual(t, "unfit", b.Oversized.Shards, []string{shard.Key})
 		checkEqual(t, "empty", b.IsEmpty(), true)
 		checkEqual(t, "stale after the try", shard.Stale, false)
 	}
@@ -87,7 +87,7 @@
 	b := w.NextBatch(now, nil)
 	m.Advance(cluster.Terminated)
 	w.Deregister(m)
-	checkEqual(t, "shards written", apply(t, w, b, now).ShardsWritten, true)
+	checkEqual(t, "shards written", applySuccess(t, w, b, now).ShardsWritten, true)
 	again := w.NextBatch(now, nil)
 	checkEqual(t, "operations", again.Txn.Ops, []kv.Op{{Delete: b.Txn.Ops[0].Put}})
 }
@@ -95,14 +95,14 @@
 // registryModel is a store, and a writer whose transactions it may apply without a response, or
 // late.
 type registryModel struct {
-	t       *testing.T
-	rnd     *rand.Rand
-	w       *Writer
-	now     time.Time
-	store   map[string]map[string]bool // machines by shard
-	delayed []kv.Txn
-	live    []*cluster.Machine
-	names   int
+	t         *testing.T
+	rnd       *rand.Rand
+	w         *Writer
+	now       time.Time
+	store     map[string]map[string]bool // machines by shard
+	delayed   []kv.Txn
+	live      []*cluster.Machine
+	nameCount int
 }
 
 func (rm *registryModel) apply(txn kv.Txn) {
@@ -130,7 +130,7 @@
 		return
 	}
 	b := rm.w.NextBatch(rm.now, nil)
-	rm.drop(b.Unfit.Machines)
+	rm.removeOversized(b.Oversized.Machines)
 	if b.IsEmpty() {
 		return
 	}
@@ -154,11 +154,11 @@
 		rm.apply(b.Txn)
 	}
 	out := rm.w.Apply(b, rm.now, res, err)
-	rm.drop(out.Unfit.Machines)
+	rm.removeOversized(out.Oversized.Machines)
 }
 
-// drop removes machines that no shard can hold.
-func (rm *registryModel) drop(unfit []*cluster.Machine) {
+// removeOversized removes machines that no shard can hold.
+func (rm *registryModel) removeOversized(unfit []*cluster.Machine) {
 	rm.live = slices.DeleteFunc(rm.live, func(m *cluster.Machine) bool { return slices.Contains(unfit, m) })
 }
 
@@ -183,10 +183,10 @@
 	}
 }
 
-func (rm *registryModel) change() {
+func (rm *registryModel) changeMachines() {
 	for range rm.rnd.IntN(4) {
-		rm.names++
-		m := &cluster.Machine{Name: fmt.Sprint("i-", rm.names), Addr: strings.Repeat("x", rm.rnd.IntN(200))}
+		rm.nameCount++
+		m := &cluster.Machine{Name: fmt.Sprint("i-", rm.nameCount), Addr: strings.Repeat("x", rm.rnd.IntN(200))}
 		rm.live = append(rm.live, m)
 		rm.w.Register(m)
 	}
@@ -213,7 +213,7 @@
 			}
 			for step := range 400 {
 				rm.now = rm.now.Add(300 * time.Millisecond)
-				rm.change()
+				rm.changeMachines()
 				rm.write(rm.rnd.IntN(8))
 				rm.check(step)
 				if rm.rnd.IntN(5) == 0 {
--- a/internal/recordwriter/writer.go
+++ b/internal/recordwriter/writer.go
@@ -43,10 +43,10 @@
 	writeInFlight bool
 	// retryAt is the earliest time of the next write after a failed one.
 	retryAt time.Time
-	// outcomeUnknown are the ids of jobs whose end is to be read, one at a time;
+	// unresolved are the ids of jobs whose end is to be read, one at a time;
 	// resolving is set while one is being read.
-	outcomeUnknown []string
-	resolving      bool
+	unresolved []string
+	resolving  bool
 	// nextCompletion keeps completion records behind everything else.
 	nextCompletion time.Time
 }
@@ -65,9 +65,9 @@
 // own cancellations leave it to them.
 const cancelWriteShare = 0.4
 
-// cancelBatchOps is how many operations the cancellation of one job takes. The cancel key need not
+// opsPerCancellation is how many operations the cancellation of one job takes. The cancel key need not
 // change: no task of these jobs runs, and this leader knows of the cancellation.
-const cancelBatchOps = 2
+const opsPerCancellation = 2
 
 // New returns the writer of one term. Each batch compares the term's key by termCompare, and
 // the shards that it writes are named by termNumber.
@@ -77,7 +77,7 @@
 	// The burst is below the store's own, so that submissions still find capacity in it.
 	w.limiter = rate.NewLimiter(rate.Limit(recordRate), max(2, min(limits.TxnOps, int(recordRate))))
 	cancelRate := limits.WriteRPS * cancelWriteShare
-	cancelBurst := max(cancelBatchOps, min(limits.TxnOps, int(cancelRate)))
+	cancelBurst := max(opsPerCancellation, min(limits.TxnOps, int(cancelRate)))
 	w.cancelLimiter = rate.NewLimiter(rate.Limit(cancelRate), cancelBurst)
 	w.maxBytes = kv.MaxTxnBytes * 3 / 4
 	w.maxShardBytes = min(int(limits.ValueKB*1024), w.maxBytes)
@@ -124,7 +124,7 @@
 		Registering: len(w.registering),
 		Deletes:     len(w.pendingDeletes),
 		Completions: len(w.dirtyJobs),
-		Unresolved:  len(w.outcomeUnknown),
+		Unresolved:  len(w.unresolved),
 	}
 }
 
--- a/internal/recordwriter/writer_test.go
+++ b/internal/recordwriter/writer_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// apply has a batch written.
-func apply(t *testing.T, w *Writer, b *Batch, now time.Time) Outcome {
+// applySuccess has a batch written.
+func applySuccess(t *testing.T, w *Writer, b *Batch, now time.Time) Outcome {
 	t.Helper()
 	if b.IsEmpty() {
 		t.Fatal("the batch is empty")
@@ -64,15 +64,15 @@
 	return w.Apply(b, now, kv.Result{Succeeded: true}, nil)
 }
 
-func ids(jobs []*cluster.Job) (ids []string) {
+func jobIDs(jobs []*cluster.Job) (ids []string) {
 	for _, j := range jobs {
 		ids = append(ids, j.Spec.ID)
 	}
 	return ids
 }
 
-// queues are the ways in which a change is queued; each returns the pending cancellations.
-var queues = []struct {
+// queuedChanges are the ways in which a change is queued; each returns the pending cancellations.
+var queuedChanges = []struct {
 	name  string
 	queue func(w *Writer) []*cluster.Job
 	ops   int
@@ -90,7 +90,7 @@
 }
 
 func TestEveryBatchComparesTheTerm(t *testing.T) {
-	for _, c := range queues {
+	for _, c := range queuedChanges {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWriter(defaultLimits)
 			b := w.NextBatch(start, c.queue(w))
@@ -98,7 +98,7 @@
 			checkEqual(t, "compares the term", slices.Contains(b.Txn.Compares, termCompare), true)
 			checkEqual(t, "within the rate of records", b.Txn.Records, true)
 			checkEqual(t, "ready while it is in flight", w.Ready(start), false)
-			apply(t, w, b, start)
+			applySuccess(t, w, b, start)
 			checkEqual(t, "ready", w.Ready(start), true)
 			checkEqual(t, "queued", w.Backlog(), Backlog{})
 		})
@@ -115,16 +115,16 @@
 		{"outcome unknown", fmt.Errorf("lost: %w", kv.ErrOutcomeUnknown)},
 		{"invalid", kv.ErrInvalid},
 	}
-	for _, c := range queues {
+	for _, c := range queuedChanges {
 		for _, result := range results {
 			t.Run(c.name+", "+result.name, func(t *testing.T) {
 				w := newWriter(defaultLimits)
 				b := w.NextBatch(start, c.queue(w))
 				out := w.Apply(b, start, kv.Result{}, result.err)
 				checkEqual(t, "too large", out.TooLarge, errors.Is(result.err, kv.ErrInvalid))
-				checkEqual(t, "finished", len(out.Finished)+len(out.Cancelled)+len(out.Changed), 0)
+				checkEqual(t, "finished", len(out.Finished)+len(out.Cancelled)+len(out.Conflicting), 0)
 				checkEqual(t, "ready", w.Ready(start), false)
-				if len(out.Unfit.Machines) > 0 || len(out.Unfit.Shards) > 0 {
+				if len(out.Oversized.Machines) > 0 || len(out.Oversized.Shards) > 0 {
 					return // nothing is left of the batch that could be written
 				}
 				later := start.Add(terminalRetryDelay)
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestCancellationsGoFirstInABatchOfTheirOwn(t *testing.T) {
+func TestCancellationsGoFirstInASeparateBatch(t *testing.T) {
 	w := newWriter(config.KVLimits{WriteRPS: 100, TxnOps: 6, ValueKB: 16})
 	pending := newJobs(5)
 	w.FinishJob(newJob("done", 1))
@@ -152,14 +152,14 @@
 	for len(pending) > 0 {
 		b := w.NextBatch(now, pending)
 		pending = pending[len(b.DerivedCancels):]
-		checkEqual(t, "cancelled in the batch", len(b.Txn.Ops), cancelBatchOps*len(b.DerivedCancels))
-		out := apply(t, w, b, now)
+		checkEqual(t, "cancelled in the batch", len(b.Txn.Ops), opsPerCancellation*len(b.DerivedCancels))
+		out := applySuccess(t, w, b, now)
 		checkEqual(t, "finished with it", len(out.Finished), 0)
-		batches = append(batches, ids(out.Cancelled))
+		batches = append(batches, jobIDs(out.Cancelled))
 		now = now.Add(time.Second)
 	}
 	checkEqual(t, "batches", batches, [][]string{{"job-0", "job-1", "job-2"}, {"job-3", "job-4"}})
-	checkEqual(t, "the rest", ids(apply(t, w, w.NextBatch(now, nil), now).Finished), []string{"done"})
+	checkEqual(t, "the rest", jobIDs(applySuccess(t, w, w.NextBatch(now, nil), now).Finished), []string{"done"})
 }
 
 // Cancellations have a rate of their own: beyond it, the other changes have their turn.
@@ -170,7 +170,7 @@
 	b := w.NextBatch(start, pending)
 	checkEqual(t, "cancelled within the rate", len(b.DerivedCancels), 2)
 	pending = pending[2:]
-	apply(t, w, b, start)
+	applySuccess(t, w, b, start)
 	b = w.NextBatch(start, pending)
 	checkEqual(t, "cancelled beyond it", len(b.DerivedCancels), 0)
 	checkEqual(t, "operations", b.Txn.Ops, []kv.Op{{Delete: "k"}})
@@ -180,7 +180,7 @@
 	w := newWriter(defaultLimits)
 	b := w.NextBatch(start, newJobs(3))
 	out := w.Apply(b, start, kv.Result{}, kv.ErrOutcomeUnknown)
-	checkEqual(t, "pending again", ids(out.RetryCancels), []string{"job-0", "job-1", "job-2"})
+	checkEqual(t, "pending again", jobIDs(out.RetryCancels), []string{"job-0", "job-1", "job-2"})
 }
 
 func TestJobsWithAChangedRecordAreResolvedOneAtATime(t *testing.T) {
@@ -199,9 +199,9 @@
 			b := w.NextBatch(start, pending)
 			failed := []string{records.ActivePrefix + "job-1", records.ActivePrefix + "job-3"}
 			out := w.Apply(b, start, kv.Result{FailedKeys: failed}, nil)
-			checkEqual(t, "changed", ids(out.Changed), []string{"job-1", "job-3"})
+			checkEqual(t, "changed", jobIDs(out.Conflicting), []string{"job-1", "job-3"})
 			checkEqual(t, "cancellations to retry", len(out.RetryCancels), len(pending))
-			checkEqual(t, "ends queued", ids(w.finishing), map[bool][]string{false: {"job-0", "job-2"}}[cancelled])
+			checkEqual(t, "ends queued", jobIDs(w.finishing), map[bool][]string{false: {"job-0", "job-2"}}[cancelled])
 
 			id, ok := w.NextUnresolved()
 			checkEqual(t, "read first", id, "job-1")
@@ -253,12 +253,12 @@
 			func(w *Writer, _ Outcome) bool { return w.machinesPerShard == 5 && len(w.registering) == 10 }},
 		{"one machine", func(w *Writer) { machines(w, 1) },
 			func(w *Writer, out Outcome) bool {
-				return len(out.Unfit.Machines) == 1 && len(w.registering) == 0
+				return len(out.Oversized.Machines) == 1 && len(w.registering) == 0
 			}},
 		{"a stale shard's successor", func(w *Writer) {
 			w.MarkStale(&cluster.Shard{Key: "s", Machines: []*cluster.Machine{{Name: "m"}}})
 		}, func(w *Writer, out Outcome) bool {
-			return slices.Equal(out.Unfit.Shards, []string{"s"}) && len(w.staleShards) == 0
+			return slices.Equal(out.Oversized.Shards, []string{"s"}) && len(w.staleShards) == 0
 		}},
 		{"completed tasks", func(w *Writer) { w.tasksPerChunk = 64; w.QueueCompletion(newJob("j", 64)) },
 			func(w *Writer, _ Outcome) bool { return w.tasksPerChunk == 32 }},
