--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -8,38 +8,39 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// A poll queries at most the leader, the store and the other nodes, one after the other.
+// Time limits of the steps of a poll, which queries the leader, the store and the other nodes in turn
+// until one of them gives a conclusive response.
 const (
 	peerQueryTimeout  = 500 * time.Millisecond
 	pollLookupTimeout = 600 * time.Millisecond
 )
 
-// Job implements api.Backend. Whichever node a user is connected to, it queries the leader, reads
-// the store itself, or has another node do so.
+// Job implements api.Backend. A node that cannot respond from its memory queries the leader, then
+// reads the store, and then queries the other nodes that reach the store.
 func (c *Controller) Job(ctx context.Context, id string) (api.JobState, error) {
-	r, err := c.poll(ctx, id)
+	reply, err := c.poll(ctx, id)
 	if err != nil {
 		return api.JobState{}, err
 	}
-	if r.err != nil || r.answered {
-		return r.state, r.err
+	if reply.err != nil || reply.answered {
+		return reply.state, reply.err
 	}
-	if r.leader != "" && c.Peers != nil {
-		if st, err := c.queryPeer(ctx, r.leader, id); isConclusive(err) {
+	if reply.leader != "" && c.Peers != nil {
+		if st, err := c.queryPeer(ctx, reply.leader, id); isConclusive(err) {
 			return st, err
 		}
 	}
 	err = api.ErrUnavailable
-	if !r.kvUnreachable {
-		lctx, cancel := context.WithTimeout(ctx, pollLookupTimeout)
-		st, lookupErr := c.lookup(lctx, id)
+	if !reply.kvUnreachable {
+		lookupCtx, cancel := context.WithTimeout(ctx, pollLookupTimeout)
+		st, lookupErr := c.lookup(lookupCtx, id)
 		cancel()
 		if isConclusive(lookupErr) {
 			return st, lookupErr
 		}
 		err = lookupErr
 	}
-	for _, node := range r.otherNodes {
+	for _, node := range reply.otherNodes {
 		if st, err := c.queryPeer(ctx, node, id); isConclusive(err) {
 			return st, err
 		}
@@ -47,8 +48,8 @@
 	return api.JobState{}, err
 }
 
-// isConclusive reports whether a query with this error has found out what it was about: the job's
-// state, or that there is no such job.
+// isConclusive reports whether a query that returned err has found the job's state, or has found that
+// the job does not exist.
 func isConclusive(err error) bool { return err == nil || errors.Is(err, api.ErrUnknownJob) }
 
 // queryPeer requests a job's state from another node.
@@ -62,45 +63,48 @@
 	return st, err
 }
 
-// PeerJob responds to another node's query: the leader from its memory, others from the store.
+// PeerJob responds to another node's query: from memory if possible, otherwise from the store. It
+// queries no other node.
 func (c *Controller) PeerJob(ctx context.Context, id string) (api.JobState, error) {
-	r, err := c.poll(ctx, id)
+	reply, err := c.poll(ctx, id)
 	switch {
 	case err != nil:
 		return api.JobState{}, err
-	case r.err != nil || r.answered:
-		return r.state, r.err
-	case r.kvUnreachable:
+	case reply.err != nil || reply.answered:
+		return reply.state, reply.err
+	case reply.kvUnreachable:
 		return api.JobState{}, api.ErrUnavailable
 	}
 	return c.lookup(ctx, id)
 }
 
-// poll requests what the owner knows of a job.
+// poll requests a job's state from the owner goroutine.
 func (c *Controller) poll(ctx context.Context, id string) (pollReply, error) {
 	m := &pollMsg{id: id, reply: make(chan pollReply, 1)}
 	m.deadline, _ = ctx.Deadline()
 	return request(ctx, c, m, m.reply)
 }
 
-// pollReply either answers a poll, or names the leader to query; with neither, the store must be
-// read.
+// pollReply holds the job's state if answered is set, or else where to look it up: at the leader, in
+// the store or at other nodes.
 type pollReply struct {
 	state api.JobState
-	// answered is set if state answers the poll.
+	// answered is set if state is the response to the poll.
 	answered bool
-	leader   string
-	// otherNodes are further nodes to query, which reach the store.
+	// leader is the node to query first, or "".
+	leader string
+	// otherNodes are other reachable nodes to query; they can reach the store.
 	otherNodes []string
-	// kvUnreachable is set while the store does not answer this node.
+	// kvUnreachable is set while this node cannot reach the store.
 	kvUnreachable bool
 	err           error
 }
 
-// pollMsg requests what this node knows of a job. On a leader it waits for a ReadIndex.
+// pollMsg requests a job's state from this node's memory. On the leader it waits for a ReadIndex, so
+// that the response is linearizable.
 type pollMsg struct {
 	id string
-	// deadline is when the user's request times out; zero: it has none.
+	// deadline is when the user's request times out. It is zero if there is no timeout.
 	deadline time.Time
 	reply    chan pollReply
 }
@@ -119,21 +123,23 @@
 	if c.leaderTerm == nil {
 		reply.leader = c.currentLeader(now)
 	}
-	for name, mb := range c.membership.Members {
-		if name != reply.leader && mb.IsReachable(now) && mb.KVReachableFor > 0 {
+	for name, member := range c.membership.Members {
+		if name != reply.leader && member.IsReachable(now) && member.KVReachableFor > 0 {
 			reply.otherNodes = append(reply.otherNodes, name)
 		}
 	}
 	m.reply <- reply
 }
 
-// ownsJob reports whether a job is active and of this cell: guests are unknown to its users.
+// ownsJob reports whether a job is active and was submitted in this cell. Jobs that run here for
+// another cell (guests) are not visible to this cell's users.
 func (lt *leaderTerm) ownsJob(id string) bool {
 	j := lt.jobs[id]
 	return j != nil && j.Guest == nil
 }
 
-// pollReplyFor answers a poll from the leader's memory, once that is known to be up to date.
+// pollReplyFor returns the reply to a poll from the leader's memory. It must be called only after a
+// ReadIndex has confirmed that this memory is up to date.
 func (lt *leaderTerm) pollReplyFor(id string) pollReply {
 	if st, ok := lt.c.finalStates.Get(id); ok {
 		return pollReply{state: st, answered: true}
@@ -141,15 +147,16 @@
 	j := lt.jobs[id]
 	switch {
 	case j == nil || j.Guest != nil:
-		return pollReply{} // read from the store instead
+		return pollReply{} // to be read from the store
 	case j.CancelPending:
-		// A job that it depends on is cancelled on record, and stays so. However many jobs
-		// are cancelled by one cancellation, their users need not wait for the writes,
-		// whose rate is limited.
+		// The cancellation of a job that it depends on is on record and final. So users get the
+		// response before the derived cancellation is written: one cancellation may cause many of
+		// these writes, and their rate is limited.
 		return pollReply{state: api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}, answered: true}
 	case j.Ending, len(j.DependsOn) > 0 && lt.dependencies.unresolved():
-		// In the second case a job that it depends on may be cancelled, and an earlier
-		// leader or another node may have responded so.
+		// The store must be read in both cases. If the job is ending, other nodes may already read
+		// its terminal record. While dependencies are unresolved, one that is not in memory may be
+		// cancelled, and an earlier leader or another node may have reported this job as cancelled.
 		return pollReply{}
 	}
 	return pollReply{state: j.State(), answered: true}
--- a/internal/controller/recordwrites.go
+++ b/internal/controller/recordwrites.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	recordWriteTimeout   = 2 * time.Second
+	recordWriteTimeout = 2 * time.Second
+	// outcomeReadTimeout limits one try to read how a job ended.
 	outcomeReadTimeout   = 4 * time.Second
 	outcomeRetryInterval = 300 * time.Millisecond
 )
 
-// writeRecords starts the next transaction of the record writer if there is anything to write.
+// writeRecords sends the record writer's next batch if it is ready and has changes to write.
 func (lt *leaderTerm) writeRecords(now time.Time) {
 	if !lt.recordWriter.Ready(now) {
 		return
@@ -40,13 +41,14 @@
 	}()
 }
 
-// batchWrittenMsg is the result of a batch's transaction, sent at sent.
+// batchWrittenMsg carries the result of a batch's transaction.
 type batchWrittenMsg struct {
 	leaderTerm *leaderTerm
 	batch      *recordwriter.Batch
-	sent       time.Time
-	result     kv.Result
-	err        error
+	// sent is when the transaction was sent.
+	sent   time.Time
+	result kv.Result
+	err    error
 }
 
 func (m batchWrittenMsg) apply(c *Controller) {
@@ -58,9 +60,9 @@
 	out := lt.recordWriter.Apply(m.batch, now, m.result, m.err)
 	switch {
 	case out.TooLarge:
-		c.Log.Error("records rejected as too large", "count", len(m.batch.Txn.Ops), "bytes", m.batch.Bytes)
+		c.Log.Error("record batch rejected as too large", "count", len(m.batch.Txn.Ops), "bytes", m.batch.Bytes)
 	case m.err != nil:
-		c.Log.Debug("records not written", "err", m.err)
+		c.Log.Debug("record batch not written", "err", m.err)
 	case m.result.Succeeded:
 		recordLatency(lt.counts.recorded, now.Sub(m.sent))
 	case out.TermLost:
@@ -70,7 +72,7 @@
 	lt.writeRecords(now)
 }
 
-// applyOutcome updates the jobs and machines that a batch is about.
+// applyOutcome updates the jobs and machines of a batch after its result has been received.
 func (lt *leaderTerm) applyOutcome(out recordwriter.Outcome) {
 	for _, j := range out.Finished {
 		lt.jobFinished(j)
@@ -94,19 +96,20 @@
 	lt.resolveNextOutcome()
 }
 
-// rejectOversized evacuates the machines whose entry no shard can hold: the next leader would not know
-// of them, so they are never given a task.
-func (lt *leaderTerm) rejectOversized(unfit recordwriter.Oversized) {
-	for _, m := range unfit.Machines {
-		lt.c.Log.Error("machine's entry too large for the registry", "machine", m.Name)
-		lt.evacuate(m, "does not fit the roster")
+// rejectOversized evacuates the machines whose entry does not fit a registry shard. The next leader
+// could not find them in the registry, so they are never assigned a task. Shards that cannot be
+// rewritten are only logged.
+func (lt *leaderTerm) rejectOversized(oversized recordwriter.Oversized) {
+	for _, m := range oversized.Machines {
+		lt.c.Log.Error("machine entry too large for registry", "machine", m.Name)
+		lt.evacuate(m, "registry entry too large")
 	}
-	for _, key := range unfit.Shards {
-		lt.c.Log.Error("registry shard cannot be rewritten", "key", key)
+	for _, key := range oversized.Shards {
+		lt.c.Log.Error("registry shard not rewritten: machine entry too large", "key", key)
 	}
 }
 
-// jobFinished removes a job whose terminal record says that it is done.
+// jobFinished removes a job whose terminal record has phase done, and logs its statistics.
 func (lt *leaderTerm) jobFinished(j *cluster.Job) {
 	if j.Ended {
 		return
@@ -134,14 +137,16 @@
 		"late", math.Round(time.Since(j.Objectives[0]).Seconds()))
 }
 
-// resolveNextOutcome starts to read the outcome of the next job whose active record had changed.
+// resolveNextOutcome starts reading the outcome of the next job whose active record has changed,
+// unless another read is in progress.
 func (lt *leaderTerm) resolveNextOutcome() {
 	if id, ok := lt.recordWriter.NextUnresolved(); ok {
 		go lt.resolveOutcome(id)
 	}
 }
 
-// resolveOutcome reads how a job ended, within the leader's own request budget.
+// resolveOutcome reads how a job ended, with retries. It uses the leader's request budget, not that of
+// users' requests.
 func (lt *leaderTerm) resolveOutcome(id string) {
 	recordStore := records.Records{Store: lt.c.Store}
 	for lt.ctx.Err() == nil {
@@ -156,7 +161,7 @@
 	}
 }
 
-// outcomeResolvedMsg is a job's state as the store has it.
+// outcomeResolvedMsg carries a job's state as read from the store.
 type outcomeResolvedMsg struct {
 	leaderTerm *leaderTerm
 	id         string
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -12,7 +12,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// Submit implements api.Backend.
+// Submit implements api.Backend. It rejects jobs that can never run, and writes the active record of
+// the others.
 func (c *Controller) Submit(ctx context.Context, spec *api.JobSpec) (api.JobState, bool, error) {
 	types := c.types.load()
 	if types == nil {
@@ -20,7 +21,7 @@
 	}
 	reason := unschedulableReason(spec, c.Settings.Site.Teams, types)
 	if reason == "" && !records.Fits(spec, c.Settings.Site.State.ValueKB) {
-		// The key-value store would reject it at each retry of the user.
+		// The key-value store would reject the active record, also when the user retries.
 		reason = "more names than a record holds"
 	}
 	if reason != "" {
@@ -37,7 +38,7 @@
 	return st, created, err
 }
 
-// unschedulableReason returns why no machine could ever run a job, or "".
+// unschedulableReason returns why a job can never be scheduled, or "" if it can.
 func unschedulableReason(spec *api.JobSpec, teams []config.Team, types map[string]api.MachineType) string {
 	for _, team := range teams {
 		if team.Name != spec.Team {
@@ -56,7 +57,7 @@
 	return "unknown team"
 }
 
-// taskFits reports whether a task of a job may run on machines of a type and fits on one.
+// taskFits reports whether a task of a job is allowed on machines of a type and fits an empty one.
 func taskFits(spec *api.JobSpec, mt api.MachineType) bool {
 	return spec.AllowsType(mt.Name) && zoneAllowed(spec, mt.Zones) &&
 		spec.CPUs <= mt.CPUs+cluster.Epsilon &&
@@ -64,7 +65,7 @@
 		spec.MemoryGB <= mt.MemoryGB+cluster.Epsilon
 }
 
-// zoneAllowed reports whether a job's tasks may run in one of the zones.
+// zoneAllowed reports whether a job's tasks may run in at least one of the zones.
 func zoneAllowed(spec *api.JobSpec, zones []string) bool {
 	if spec.Zone == "" {
 		return len(zones) > 0
@@ -72,7 +73,7 @@
 	return slices.Contains(zones, spec.Zone)
 }
 
-// Cancel implements api.Backend.
+// Cancel implements api.Backend. It writes the cancellation to the store, whichever node leads.
 func (c *Controller) Cancel(ctx context.Context, id string) (api.JobState, error) {
 	st, found, err := c.records.Cancel(ctx, id)
 	if err != nil {
--- a/internal/recordwriter/batch.go
+++ b/internal/recordwriter/batch.go
@@ -11,16 +11,16 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// Batch is one transaction with the changes that it records.
+// Batch is one transaction and the changes that it writes.
 type Batch struct {
 	// Txn is the transaction. It compares the term.
 	Txn kv.Txn
-	// Bytes is about how large the transaction is.
+	// Bytes is the approximate size of the transaction.
 	Bytes int
-	// DerivedCancels are the first of the pending cancellations, which the batch records: jobs
-	// cancelled because they depend on a cancelled one.
+	// DerivedCancels are the pending cancellations that the batch writes: jobs cancelled because
+	// they depend on a cancelled one. They are the first elements of the list given to NextBatch.
 	DerivedCancels []*cluster.Job
-	// Oversized is what was found to fit in no shard when the batch was built.
+	// Oversized holds the machines and shards that were found too large when the batch was built.
 	Oversized Oversized
 
 	finished []*cluster.Job
@@ -28,30 +28,32 @@
 	// replaced are the shards that this batch deletes.
 	replaced []*cluster.Shard
 	deletes  []string
-	// completions are the chunks of completed tasks that the transaction records.
+	// completions are the completion records that the batch writes.
 	completions []completionWrite
 }
 
-// IsEmpty tells whether there is nothing to write.
+// IsEmpty reports whether the batch has no operations.
 func (b *Batch) IsEmpty() bool { return len(b.Txn.Ops) == 0 }
 
-// Oversized is what no shard of the registry can hold.
+// Oversized holds machines and shards that are too large for a registry record.
 type Oversized struct {
-	// Machines are rejected: the next leader would not know of them, so they must never be
-	// given a task.
+	// Machines are machines whose entry does not fit a shard. The next leader could not find them
+	// in the registry, so they must never be assigned a task.
 	Machines []*cluster.Machine
-	// Shards are the keys of stale shards that no new one can replace. They stay as they are.
+	// Shards are the keys of stale shards that cannot be rewritten because an entry does not fit a
+	// new shard. They stay unchanged in the store.
 	Shards []string
 }
 
-// completionWrite is one completion record: the job's tasks from first on, as a bit set.
+// completionWrite is one completion record: a bit set of the job's completed tasks in the chunk that
+// begins at first.
 type completionWrite struct {
 	job   *cluster.Job
 	first int
 	bits  []byte
 }
 
-// addCancellations adds the first of the pending cancellations, if the write rate allows.
+// addCancellations adds as many pending cancellations as the batch and the write rate allow.
 func (w *Writer) addCancellations(b *Batch, pending []*cluster.Job, now time.Time) {
 	allowed := min(w.maxOps, int(w.cancelLimiter.TokensAt(now)))
 	if len(pending) == 0 || allowed < opsPerCancellation {
@@ -71,7 +73,7 @@
 	w.cancelLimiter.AllowN(now, len(b.Txn.Ops))
 }
 
-// addChanges adds all changes but cancellations.
+// addChanges adds changes of all kinds except cancellations.
 func (w *Writer) addChanges(b *Batch, now time.Time) {
 	allowed := min(w.maxOps, int(w.limiter.TokensAt(now)))
 	w.addFinished(b, allowed, now)
@@ -85,7 +87,7 @@
 	w.limiter.AllowN(now, len(b.Txn.Ops))
 }
 
-// addFinished adds the terminal records of jobs whose tasks are all done.
+// addFinished adds terminal records of jobs whose tasks are all completed.
 func (w *Writer) addFinished(b *Batch, allowed int, now time.Time) {
 	for len(w.finishing) > 0 && b.Bytes < w.maxBytes {
 		j := w.finishing[0]
@@ -106,13 +108,13 @@
 		})
 		b.addDelete(active)
 		b.finished = append(b.finished, j)
-		// From now on others may read its terminal record before this node learns that it
-		// was written.
+		// From now on other nodes may read the terminal record before this node receives the
+		// result of the write.
 		j.Ending = true
 	}
 }
 
-// addRegistrations adds new machines to the registry.
+// addRegistrations adds new shards with the machines that wait for registration.
 func (w *Writer) addRegistrations(b *Batch, allowed int) {
 	w.registering = slices.DeleteFunc(w.registering, func(m *cluster.Machine) bool {
 		return m.Phase() == cluster.Terminated
@@ -132,7 +134,7 @@
 	}
 }
 
-// addDeletes adds the deletion of records that are no longer needed.
+// addDeletes adds deletions of obsolete records.
 func (w *Writer) addDeletes(b *Batch, allowed int) {
 	for len(w.pendingDeletes) > 0 && len(b.Txn.Ops) < allowed {
 		b.addDelete(w.pendingDeletes[0])
@@ -141,17 +143,17 @@
 	}
 }
 
-// addPut adds a value, and its size.
+// addPut adds an operation that writes a value, and its size.
 func (b *Batch) addPut(key string, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // records hold only plain values
+		panic(err) // impossible: records have only fields that JSON can encode
 	}
 	b.Txn.Ops = append(b.Txn.Ops, kv.Op{Put: key, Value: json.RawMessage(raw)})
 	b.Bytes += len(raw) + 2*len(key) + opOverheadBytes
 }
 
-// addDelete adds the deletion of a key, and its size.
+// addDelete adds an operation that deletes a key, and its size.
 func (b *Batch) addDelete(key string) {
 	b.Txn.Ops = append(b.Txn.Ops, kv.Op{Delete: key})
 	b.Bytes += 2*len(key) + opOverheadBytes
--- a/internal/recordwriter/completion.go
+++ b/internal/recordwriter/completion.go
@@ -6,7 +6,7 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// addCompletions adds completion records of the dirty jobs.
+// addCompletions adds one completion record for each dirty job, as long as the batch has capacity.
 func (w *Writer) addCompletions(b *Batch, allowed int) {
 	if w.tasksPerChunk == 0 {
 		return
@@ -15,8 +15,8 @@
 	for len(w.dirtyJobs) > 0 && len(b.Txn.Ops) < allowed &&
 		(b.Bytes+size < w.maxBytes || len(b.Txn.Ops) == 0) {
 		j := w.dirtyJobs[0]
-		// One record of a job at a time: the next chunk is searched when this one is
-		// on record.
+		// A job has one completion record in flight at a time. The job is queued again for its
+		// next chunk when this one has been written.
 		w.dirtyJobs = w.dirtyJobs[1:]
 		wasDirty := j.CompletionDirty
 		j.CompletionDirty = false
@@ -29,12 +29,12 @@
 	}
 }
 
-// addCompletion adds the completion record of a job's chunk that begins at first.
+// addCompletion adds the completion record for the chunk of a job that begins at task first.
 func (w *Writer) addCompletion(b *Batch, j *cluster.Job, first int) {
 	bits := j.CompletionBytes(first, w.tasksPerChunk)
 	b.addPut(records.CompletionKey(j.Spec.ID, first), records.CompletionRecord{Done: bits})
-	// The record must not outlive its job: once that has ended, another node has
-	// deleted the key compared here.
+	// A completion record must not be written after its job has ended. The active record compared
+	// here is deleted when the job ends, so the transaction then fails.
 	b.Txn.Compares = append(b.Txn.Compares, kv.Compare{
 		Key:         records.ActivePrefix + j.Spec.ID,
 		ModRevision: j.ModRevision,
@@ -44,15 +44,15 @@
 	b.completions = append(b.completions, completionWrite{job: j, first: first, bits: bits})
 }
 
-// markCompletionRecorded marks the tasks of a written completion record as recorded, and queues
-// the job if more of its completed tasks are not on record.
+// markCompletionRecorded marks the tasks of a written completion record as recorded, and queues the
+// job again if it has other completed tasks that are not recorded.
 func (w *Writer) markCompletionRecorded(written completionWrite) {
 	j := written.job
 	j.CompletionChunkSizes[written.first] = 8 * len(written.bits)
 	delete(j.MigratingCompletion, written.first)
-	for i, octet := range written.bits {
+	for i, b := range written.bits {
 		for bit := range 8 {
-			if octet&(1<<bit) != 0 {
+			if b&(1<<bit) != 0 {
 				j.Recorded.Set(uint(written.first + i*8 + bit))
 			}
 		}
--- a/internal/recordwriter/outcome.go
+++ b/internal/recordwriter/outcome.go
@@ -10,22 +10,23 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// Outcome is what the result of a batch's transaction means to the owner of jobs and machines.
+// Outcome is what the caller has to do after the result of a batch's transaction.
 type Outcome struct {
-	// Finished are the jobs whose end is on record.
+	// Finished are the jobs whose terminal record has been written.
 	Finished []*cluster.Job
-	// Cancelled are the jobs whose derived cancellation is on record.
+	// Cancelled are the jobs whose derived cancellation has been written.
 	Cancelled []*cluster.Job
-	// RetryCancels are the derived cancellations that were not written, or whose outcome is
-	// unknown: they are pending again, before all others.
+	// RetryCancels are derived cancellations that were not written, or whose outcome is unknown.
+	// The caller puts them back at the front of its pending cancellations.
 	RetryCancels []*cluster.Job
-	// Conflicting are the jobs whose active record had changed, mostly by this leader's own
-	// transaction whose response was lost. NextUnresolved names them; a cancellation of them is
-	// not pending until it is known how they ended.
+	// Conflicting are the jobs whose active record had another version than the batch expected,
+	// mostly because of this leader's own transaction whose response was lost. NextUnresolved
+	// returns them one by one. Their cancellations stay out of the pending ones until their
+	// outcome has been read.
 	Conflicting []*cluster.Job
-	// Oversized is what the store has rejected and no shard can hold.
+	// Oversized holds the machines and shards that the store has rejected for their size.
 	Oversized Oversized
-	// ShardsWritten is set if machines were registered, which may now be given tasks.
+	// ShardsWritten is set if machines were registered, so that they may now be assigned tasks.
 	ShardsWritten bool
 	// TooLarge is set if the store rejected the batch as invalid.
 	TooLarge bool
@@ -33,8 +34,8 @@
 	TermLost bool
 }
 
-// Apply applies the result of a batch's transaction, which is received at now: what was written is
-// marked as such, what was not is queued again.
+// Apply processes the result of a batch's transaction, received at time now. Written changes are
+// marked as written; others are queued again.
 func (w *Writer) Apply(b *Batch, now time.Time, res kv.Result, err error) Outcome {
 	w.writeInFlight = false
 	var out Outcome
@@ -47,8 +48,8 @@
 		out.Oversized = w.shrinkLimits(b, now)
 	case err != nil:
 		w.retryAt = now.Add(recordRetryDelay)
-		// If it was applied all the same, or is yet to be, the compares of the next
-		// try fail and name the jobs whose outcome is to be read.
+		// If the batch was or will be applied nevertheless, the compares of the next try fail and
+		// identify the jobs whose outcome must be read.
 		w.requeue(b)
 		out.RetryCancels = b.DerivedCancels
 	case res.Succeeded:
@@ -68,31 +69,32 @@
 	return out
 }
 
-// handleConflicts takes the jobs whose active record has changed out of the requeued
-// changes of a batch: those about to end until their outcome is read, the others for good.
-func (w *Writer) handleConflicts(b *Batch, failedKeys []string) (changed []*cluster.Job) {
+// handleConflicts removes the changes of jobs whose active record has changed from the queues to
+// which requeue has added them. Ends and cancellations wait until the outcome of their job is read;
+// completion records are dropped. It returns the jobs whose outcome must be read.
+func (w *Writer) handleConflicts(b *Batch, failedKeys []string) (conflicting []*cluster.Job) {
 	conflicts := func(j *cluster.Job) bool { return slices.Contains(failedKeys, records.ActivePrefix+j.Spec.ID) }
 	for _, j := range slices.Concat(b.finished, b.DerivedCancels) {
 		if conflicts(j) {
-			changed = append(changed, j)
+			conflicting = append(conflicting, j)
 		}
 	}
-	for _, j := range changed {
+	for _, j := range conflicting {
 		w.finishing = slices.DeleteFunc(w.finishing, func(o *cluster.Job) bool { return o == j })
 		w.unresolved = append(w.unresolved, j.Spec.ID)
 	}
 	for _, written := range b.completions {
 		if !written.job.Ended && conflicts(written.job) {
-			written.job.CompletionDirty = false // it was cancelled; the watch will show that
+			written.job.CompletionDirty = false // the job was cancelled; the watch will deliver that
 			written.job.CompletionChunks[written.first] = false
 			w.dirtyJobs = slices.DeleteFunc(w.dirtyJobs, func(j *cluster.Job) bool { return j == written.job })
 		}
 	}
-	return changed
+	return conflicting
 }
 
-// requeue queues the changes of a batch that was not applied, or whose outcome is unknown, except
-// its cancellations, which the owner keeps.
+// requeue queues the changes of a batch again that was not applied or whose outcome is unknown. It
+// leaves out cancellations, which the caller queues.
 func (w *Writer) requeue(b *Batch) {
 	w.finishing = append(slices.Clone(b.finished), w.finishing...)
 	w.requeueShards(b)
@@ -102,34 +104,35 @@
 	}
 }
 
-// shrinkLimits reduces what a batch may hold after the store rejected one as invalid,
-// although it kept to the limits as this node knows them: a retry would be rejected too.
-func (w *Writer) shrinkLimits(b *Batch, now time.Time) (unfit Oversized) {
+// shrinkLimits lowers the size limits of batches after the store has rejected one as invalid. The
+// batch was within the configured limits, so the store's limits must be lower, and a retry of the same
+// size would be rejected too. It returns what cannot be made smaller.
+func (w *Writer) shrinkLimits(b *Batch, now time.Time) (oversized Oversized) {
 	switch {
 	case len(b.Txn.Ops) > 2:
 		w.maxOps = max(2, len(b.Txn.Ops)/2)
 	case len(b.shards) > 0 && len(b.shards[0].Machines) > 1:
 		w.machinesPerShard = max(1, len(b.shards[0].Machines)/2)
 	case len(b.shards) > 0 && b.shards[0].Replaces != nil:
-		unfit.Shards = append(unfit.Shards, w.abandonRewrite(b.shards[0].Replaces))
+		oversized.Shards = append(oversized.Shards, w.abandonRewrite(b.shards[0].Replaces))
 	case len(b.shards) > 0:
 		m := b.shards[0].Machines[0]
 		w.registering = slices.DeleteFunc(w.registering, func(o *cluster.Machine) bool { return o == m })
-		unfit.Machines = append(unfit.Machines, m)
+		oversized.Machines = append(oversized.Machines, m)
 	case len(b.completions) > 0:
-		// Half of it, in whole bytes. Below eight tasks no chunk is left: completed
-		// tasks are then known to this leader only.
+		// Halve the chunk, in whole bytes. Below eight tasks it becomes 0, and completed tasks are
+		// then kept only in this leader's memory.
 		w.tasksPerChunk = w.tasksPerChunk / 16 * 8
 	default:
-		w.retryAt = now.Add(terminalRetryDelay) // a terminal record: it has no size to lower
+		w.retryAt = now.Add(terminalRetryDelay) // a terminal record or a delete cannot be made smaller
 	}
-	return unfit
+	return oversized
 }
 
-// NextUnresolved returns the id of a job whose outcome the owner reads next, if there is any and
-// none is being read: one at a time. After a period of lost responses there are many, and when they
-// were read concurrently, they used up each other's share of the request budget: none was ever read
-// to its end, and the fleet was kept for work long done.
+// NextUnresolved returns the ID of the next job whose outcome the caller must read. It returns false
+// if there is none or if another read is in progress. A period of lost responses leaves many outcomes
+// to read. Concurrent reads would compete for the request budget so that none of them completes, and
+// machines would be kept for jobs that ended long ago.
 func (w *Writer) NextUnresolved() (id string, ok bool) {
 	if w.resolving || len(w.unresolved) == 0 {
 		return "", false
@@ -139,5 +142,5 @@
 	return id, true
 }
 
-// Resolved ends the read of an outcome that NextUnresolved began.
+// Resolved marks the read of the outcome last returned by NextUnresolved as finished.
 func (w *Writer) Resolved() { w.resolving = false }
--- a/internal/recordwriter/registry.go
+++ b/internal/recordwriter/registry.go
@@ -10,27 +10,29 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// shardEntryBytes is about how long a machine's entry is, in bytes.
+// shardEntryBytes is the approximate encoded size of a machine's entry in a shard.
 const shardEntryBytes = 150
 
-// shardOverheadBytes is what a shard takes beside its entries.
+// shardOverheadBytes is the encoded size of a shard without its entries.
 const shardOverheadBytes = 32
 
-func (w *Writer) newShard(members []*cluster.Machine) *cluster.Shard {
+// newShard returns a shard of the given machines under a new key.
+func (w *Writer) newShard(machines []*cluster.Machine) *cluster.Shard {
 	w.shardCount++
 	return &cluster.Shard{
 		Key:      fmt.Sprintf("%s%d-%d", records.MachinePrefix, w.termNumber, w.shardCount),
-		Machines: slices.Clone(members),
+		Machines: slices.Clone(machines),
 	}
 }
 
-// fitShard is how many of the first machines a new shard holds, and its size.
-func (w *Writer) fitShard(members []*cluster.Machine) (n, size int) {
+// fitShard returns the number of machines, counted from the start of the list, that fit a new shard,
+// and the size of that shard in bytes.
+func (w *Writer) fitShard(machines []*cluster.Machine) (n, size int) {
 	size = shardOverheadBytes
-	for n < min(w.machinesPerShard, len(members)) {
-		raw, err := json.Marshal(members[n].RegistryEntry())
+	for n < min(w.machinesPerShard, len(machines)) {
+		raw, err := json.Marshal(machines[n].RegistryEntry())
 		if err != nil {
-			panic(err) // records hold only plain values
+			panic(err) // impossible: records have only fields that JSON can encode
 		}
 		if size+len(raw)+1 > w.maxShardBytes {
 			break
@@ -40,7 +42,7 @@
 	return n, size
 }
 
-// addShard adds a shard to a batch.
+// addShard adds an operation that writes a shard.
 func (b *Batch) addShard(s *cluster.Shard) {
 	var rec records.RegistryShardRecord
 	for _, m := range s.Machines {
@@ -50,9 +52,9 @@
 	b.shards = append(b.shards, s)
 }
 
-// Deregister removes a terminated machine. Its shard is deleted with the last of
-// its machines, and otherwise rewritten at low priority: an entry too many costs
-// the next leader a resync, one too few could run a task twice.
+// Deregister removes a terminated machine from the registry. If it was the last machine of its shard,
+// the shard is deleted; otherwise the shard is rewritten at low priority. That can wait: an extra
+// entry costs the next leader only a resync, whereas a missing one could cause a task to run twice.
 func (w *Writer) Deregister(m *cluster.Machine) {
 	s := m.Shard
 	if s == nil {
@@ -65,19 +67,21 @@
 	}
 }
 
-// MarkStale queues a shard that names terminated machines, and is not queued yet, to be rewritten.
+// MarkStale queues a shard that names terminated machines to be rewritten or, if it has no other
+// machines, deleted. The shard must not be queued already.
 func (w *Writer) MarkStale(s *cluster.Shard) {
 	s.Stale = true
 	w.staleShards = append(w.staleShards, s)
 }
 
-// rewriteInterval keeps the rewriting of stale shards behind other records.
+// rewriteInterval is the minimum time between two rewrites of stale shards, so that these do not delay
+// other records.
 const rewriteInterval = time.Second
 
-// rewriteStaleShards replaces a stale shard by one with its remaining machines, and deletes
-// those without any. A shard written under larger limits may hold more machines than
-// a new one: it then stays until all of them are on new ones, one after the other.
-// Wherever this is interrupted, each machine is on one of them.
+// rewriteStaleShards deletes the stale shards that have no machines left, and replaces one other stale
+// shard by a new shard with its remaining machines. A shard written under larger limits may hold more
+// machines than fit a new one. It then stays until new shards, written one after the other, hold all
+// of its machines. Each machine is in at least one shard at any time, even if this is interrupted.
 func (w *Writer) rewriteStaleShards(b *Batch, allowed int, now time.Time) {
 	w.staleShards = slices.DeleteFunc(w.staleShards, func(s *cluster.Shard) bool {
 		if len(s.Machines) > 0 || len(b.Txn.Ops) >= allowed {
@@ -108,16 +112,16 @@
 	}
 }
 
-// abandonRewrite leaves a shard that no new one can replace as it is, until another of
-// its machines is terminated. It returns the shard's key.
+// abandonRewrite takes a shard that no new one can replace off the rewrite queue. The shard stays
+// unchanged until another of its machines is terminated. abandonRewrite returns the shard's key.
 func (w *Writer) abandonRewrite(s *cluster.Shard) string {
 	s.Stale = false
 	w.staleShards = slices.DeleteFunc(w.staleShards, func(o *cluster.Shard) bool { return o == s })
 	return s.Key
 }
 
-// addShardDeletes deletes a shard, and with it those that may have been written in its
-// place. Of the latter, those beyond the allowed operations stay in the store.
+// addShardDeletes adds deletions of a shard and of those that may have been written to replace it.
+// Of the latter, those that exceed the allowed number of operations stay in the store.
 func (b *Batch) addShardDeletes(s *cluster.Shard, allowed int) {
 	b.addDelete(s.Key)
 	for _, key := range s.PossiblyWritten {
@@ -128,7 +132,7 @@
 	b.replaced = append(b.replaced, s)
 }
 
-// requeueShards queues the shards of a batch that was not applied, or whose outcome is
+// requeueShards queues the shard changes of a batch again that was not applied or whose outcome is
 // unknown.
 func (w *Writer) requeueShards(b *Batch) {
 	for _, s := range b.shards {
@@ -139,15 +143,16 @@
 			}
 			continue
 		}
-		// No task was started on these machines yet, so the record can be deleted in
-		// case it was written, and they are registered anew.
+		// No task has been started on these machines, so the shard can be deleted in case it was
+		// written. The machines are registered again under a new key.
 		w.pendingDeletes = append(w.pendingDeletes, s.Key)
 		w.registering = append(w.registering, s.Machines...)
 	}
 	w.staleShards = append(w.staleShards, b.replaced...)
 }
 
-// markShardsWritten marks the machines of a written batch's shards as registered.
+// markShardsWritten marks the machines in a written batch's shards as registered. A machine that was
+// terminated in the meantime is deregistered.
 func (w *Writer) markShardsWritten(b *Batch) {
 	for _, s := range b.shards {
 		if old := s.Replaces; s.Partial {
--- a/internal/recordwriter/writer.go
+++ b/internal/recordwriter/writer.go
@@ -10,71 +10,77 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// Writer builds the leader's transactions, one at a time, and keeps what is yet to be written.
-// The rate is a share of the write rate that leaves the rest to submissions.
+// Writer queues the leader's state changes and builds transactions from them, one at a time. It uses
+// only a share of the write rate and leaves the rest to submissions.
 type Writer struct {
 	termCompare kv.Compare
 	termNumber  uint64
 	limiter     *rate.Limiter
-	// cancelLimiter is the part of the write rate that is reserved for derived cancellations.
+	// cancelLimiter limits derived cancellations, which have a reserved share of the write rate.
 	cancelLimiter *rate.Limiter
-	// maxOps and maxBytes bound a transaction; a rejected batch lowers maxOps.
+	// maxOps and maxBytes limit the size of a transaction. A batch rejected as invalid may lower
+	// maxOps.
 	maxOps   int
 	maxBytes int
-	// tasksPerChunk is how many tasks a completion record covers; 0: none is written.
+	// tasksPerChunk is the number of tasks that a completion record covers. If it is 0, no
+	// completion records are written.
 	tasksPerChunk int
 
-	// finishing are the jobs whose terminal record is yet to be written.
+	// finishing holds the jobs that need a terminal record.
 	finishing []*cluster.Job
-	// registering are the machines that no shard names yet.
+	// registering holds the machines that are not in a shard yet.
 	registering []*cluster.Machine
-	// pendingDeletes are the keys of records that are no longer needed.
+	// pendingDeletes holds the keys of obsolete records.
 	pendingDeletes []string
-	// dirtyJobs are the jobs with completed tasks that are not on record.
+	// dirtyJobs holds the jobs with completed tasks that are not recorded yet.
 	dirtyJobs []*cluster.Job
-	// staleShards are the shards of the registry that name terminated machines.
+	// staleShards holds the registry shards that name terminated machines.
 	staleShards []*cluster.Shard
-	// shardCount numbers the shards written: none takes the name of an earlier one.
+	// shardCount is the number of the last shard built. It makes shard keys unique in a term.
 	shardCount       int
 	machinesPerShard int
 	maxShardBytes    int
-	// nextRewrite is the earliest time of the next rewrite of a stale shard.
+	// nextRewrite is the earliest time at which the next stale shard may be rewritten.
 	nextRewrite   time.Time
 	writeInFlight bool
 	// retryAt is the earliest time of the next write after a failed one.
 	retryAt time.Time
-	// unresolved are the ids of jobs whose end is to be read, one at a time;
-	// resolving is set while one is being read.
+	// unresolved holds the IDs of jobs whose outcome must be read from the store, one at a time.
 	unresolved []string
-	resolving  bool
-	// nextCompletion keeps completion records behind everything else.
+	// resolving is set while the outcome of a job is being read.
+	resolving bool
+	// nextCompletion is the earliest time at which completion records may be written again.
 	nextCompletion time.Time
 }
 
 const (
+	// completionInterval is the minimum time between two batches with completion records, so that
+	// these do not delay other records.
 	completionInterval = 500 * time.Millisecond
-	recordRetryDelay   = 250 * time.Millisecond
-	// terminalRetryDelay follows the rejection of a batch that cannot be made smaller.
+	// recordRetryDelay is the delay after a failed write.
+	recordRetryDelay = 250 * time.Millisecond
+	// terminalRetryDelay is the delay after the store has rejected a batch that cannot be made
+	// smaller.
 	terminalRetryDelay = 5 * time.Second
-	// opOverheadBytes is about what an operation takes beside its key and value.
+	// opOverheadBytes is the approximate encoded size of an operation without its key and value.
 	opOverheadBytes = 100
 )
 
-// cancelWriteShare is the part of the write rate that is reserved for derived cancellations: with
-// small transactions the ends of other jobs would take every turn, and their users wait. Users'
-// own cancellations leave it to them.
+// cancelWriteShare is the share of the write rate that is reserved for derived cancellations, whose
+// users are waiting. Without it, ends of other jobs would fill every batch where transactions are
+// small. Cancellations requested by users do not count against this share.
 const cancelWriteShare = 0.4
 
-// opsPerCancellation is how many operations the cancellation of one job takes. The cancel key need not
-// change: no task of these jobs runs, and this leader knows of the cancellation.
+// opsPerCancellation is the number of operations that cancel one job. The cancel key need not change:
+// no task of these jobs is running, and this leader already has the cancellation in memory.
 const opsPerCancellation = 2
 
-// New returns the writer of one term. Each batch compares the term's key by termCompare, and
-// the shards that it writes are named by termNumber.
+// New returns the writer for one term. Each batch includes termCompare, and termNumber is part of the
+// keys of the shards that the writer creates.
 func New(limits config.KVLimits, termCompare kv.Compare, termNumber uint64) *Writer {
 	w := &Writer{termCompare: termCompare, termNumber: termNumber, maxOps: limits.TxnOps}
 	recordRate := limits.WriteRPS * kv.RecordShare
-	// The burst is below the store's own, so that submissions still find capacity in it.
+	// The burst is smaller than the store's, so that it leaves capacity for submissions.
 	w.limiter = rate.NewLimiter(rate.Limit(recordRate), max(2, min(limits.TxnOps, int(recordRate))))
 	cancelRate := limits.WriteRPS * cancelWriteShare
 	cancelBurst := max(opsPerCancellation, min(limits.TxnOps, int(cancelRate)))
@@ -82,13 +88,13 @@
 	w.maxBytes = kv.MaxTxnBytes * 3 / 4
 	w.maxShardBytes = min(int(limits.ValueKB*1024), w.maxBytes)
 	w.machinesPerShard = max(1, w.maxShardBytes/2/shardEntryBytes)
-	// The bit set is written as base64, which takes a third more than the set itself:
-	// half of the largest value is a safe size.
+	// The bit set is encoded as base64, which makes it a third larger, so half of the maximum
+	// value size is safe.
 	w.tasksPerChunk = w.maxShardBytes / 2 * 8
 	return w
 }
 
-// FinishJob queues the terminal record of a job whose tasks are all done.
+// FinishJob queues the terminal record of a job whose tasks are all completed.
 func (w *Writer) FinishJob(j *cluster.Job) {
 	if !j.Finishing {
 		j.Finishing = true
@@ -96,11 +102,11 @@
 	}
 }
 
-// RetryFinish queues the terminal record of a job again, after its outcome was read: it is not on
-// record.
+// RetryFinish queues the terminal record of a job again after a read of its outcome has shown that the
+// record does not exist.
 func (w *Writer) RetryFinish(j *cluster.Job) { w.finishing = append(w.finishing, j) }
 
-// QueueCompletion queues a job with completed tasks that are not on record.
+// QueueCompletion queues a job with completed tasks that are not recorded yet.
 func (w *Writer) QueueCompletion(j *cluster.Job) {
 	if !j.CompletionDirty {
 		j.CompletionDirty = true
@@ -108,13 +114,13 @@
 	}
 }
 
-// Register queues a machine for the registry.
+// Register queues a machine to be added to the registry.
 func (w *Writer) Register(m *cluster.Machine) { w.registering = append(w.registering, m) }
 
-// DeleteKey queues the deletion of a record that is no longer needed.
+// DeleteKey queues the deletion of an obsolete record.
 func (w *Writer) DeleteKey(key string) { w.pendingDeletes = append(w.pendingDeletes, key) }
 
-// Backlog counts what is yet to be written, and the jobs whose outcome is yet to be read.
+// Backlog counts the queued changes by kind, and the jobs whose outcome must be read (Unresolved).
 type Backlog struct{ Finishing, Registering, Deletes, Completions, Unresolved int }
 
 // Backlog returns the lengths of the queues.
@@ -128,14 +134,14 @@
 	}
 }
 
-// Ready tells whether the next batch may be built: none is in flight, and the delay after one that
-// failed is over.
+// Ready reports whether the next batch may be built: no batch is in flight, and the delay after the
+// last failed one has passed.
 func (w *Writer) Ready(now time.Time) bool { return !w.writeInFlight && !now.Before(w.retryAt) }
 
-// NextBatch builds the next batch, the most urgent changes first, within what the write rate allows
-// at this moment. It is called only when the writer is Ready. Pending cancellations go first, in
-// their order and in a batch of their own; the caller passes those of jobs that have not ended, and
-// removes from them the DerivedCancels of the batch. Unless the batch is empty, Apply must follow.
+// NextBatch builds the next batch within the current write rate, most urgent changes first. It must
+// be called only when Ready reports true. Pending cancellations come first, in order and in a separate
+// batch. The caller passes those of jobs that have not ended, and afterwards removes the batch's
+// DerivedCancels from its list. Unless the batch is empty, the caller must send it and call Apply.
 func (w *Writer) NextBatch(now time.Time, pendingCancels []*cluster.Job) *Batch {
 	b := &Batch{Txn: kv.Txn{Records: true, Compares: []kv.Compare{w.termCompare}}}
 	if w.addCancellations(b, pendingCancels, now); b.IsEmpty() {
