--- a/internal/recordwriter/completion_test.go
+++ b/internal/recordwriter/completion_test.go
@@ -23,8 +23,8 @@
 		now = now.Add(completionInterval)
 	}
 	want := []string{records.CompletionKey("j", 0), records.CompletionKey("j", 16), records.CompletionKey("j", 32)}
-	checkEqual(t, "records", keys, want)
-	checkEqual(t, "tasks on record", j.Recorded.Count(), uint(40))
+	checkEqual(t, "keys of the completion records", keys, want)
+	checkEqual(t, "recorded tasks", j.Recorded.Count(), uint(40))
 }
 
 func TestCompletionRecordsAreLimitedInRate(t *testing.T) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// A completion record must not outlive its job: that of a job whose active record has changed is
-// not written again.
+// A completion record must not be written after its job has ended. So a record is not retried if the
+// job's active record has changed.
 func TestCompletionOfAChangedJobIsDropped(t *testing.T) {
 	w := newWriter(defaultLimits)
 	changed, other := newJob("changed", 2), newJob("other", 2)
@@ -49,8 +49,8 @@
 	w.QueueCompletion(other)
 	b := w.NextBatch(start, nil)
 	out := w.Apply(b, start, kv.Result{FailedKeys: []string{records.ActivePrefix + "changed"}}, nil)
-	checkEqual(t, "to be resolved", len(out.Conflicting), 0)
-	checkEqual(t, "queued", jobIDs(w.dirtyJobs), []string{"other"})
+	checkEqual(t, "jobs to resolve", len(out.Conflicting), 0)
+	checkEqual(t, "jobs queued again", jobIDs(w.dirtyJobs), []string{"other"})
 	checkEqual(t, "dirty", []bool{changed.CompletionDirty, other.CompletionDirty}, []bool{false, true})
-	checkEqual(t, "known to be on record", changed.CompletionChunks[0], false)
+	checkEqual(t, "chunk marked as written", changed.CompletionChunks[0], false)
 }
--- a/internal/recordwriter/registry_test.go
+++ b/internal/recordwriter/registry_test.go
@@ -16,8 +16,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// A shard that may have replaced another may be the only one that names its machines: it is deleted
-// only in the transaction that writes the next.
+// If the outcome of a shard's rewrite is unknown, the new shard may be the only one that names its
+// machines. So it must be deleted only in the transaction that writes the next replacement.
 func TestShardWithUnknownOutcomeIsDeletedWithItsSuccessor(t *testing.T) {
 	w, now := newWriter(defaultLimits), start
 	m := &cluster.Machine{Name: "i-1"}
@@ -30,12 +30,12 @@
 	next := w.newShard(old.Machines)
 	next.Replaces, old.Stale = old, true
 	w.requeueShards(&Batch{shards: []*cluster.Shard{next}, replaced: []*cluster.Shard{old}})
-	checkEqual(t, "deleted by themselves", len(w.pendingDeletes), 0)
+	checkEqual(t, "separate deletes", len(w.pendingDeletes), 0)
 	b := &Batch{}
 	w.rewriteStaleShards(b, 10, now)
-	checkEqual(t, "put under a new key", b.Txn.Ops[0].Put != "" && b.Txn.Ops[0].Put != next.Key, true)
+	checkEqual(t, "written under a new key", b.Txn.Ops[0].Put != "" && b.Txn.Ops[0].Put != next.Key, true)
 	deleted := []string{b.Txn.Ops[1].Delete, b.Txn.Ops[2].Delete}
-	checkEqual(t, "deleted with it", deleted, []string{old.Key, next.Key})
+	checkEqual(t, "deleted in the same transaction", deleted, []string{old.Key, next.Key})
 }
 
 func TestMachineThatFitsInNoShardIsRejected(t *testing.T) {
@@ -45,15 +45,15 @@
 	w.Register(large)
 	w.Register(small)
 	b := w.NextBatch(start, nil)
-	checkEqual(t, "unfit", b.Oversized.Machines, []*cluster.Machine{large})
+	checkEqual(t, "oversized machines", b.Oversized.Machines, []*cluster.Machine{large})
 	applySuccess(t, w, b, start)
-	checkEqual(t, "registered", small.Registration, cluster.Registered)
-	checkEqual(t, "large one registered", large.Registration, cluster.Unregistered)
+	checkEqual(t, "registration of the small machine", small.Registration, cluster.Registered)
+	checkEqual(t, "registration of the large machine", large.Registration, cluster.Unregistered)
 	checkEqual(t, "queued", w.Backlog(), Backlog{})
 }
 
-// A shard that no new one can replace stays, with a terminated machine on it, until the next of its
-// machines is terminated.
+// A shard that cannot be rewritten because an entry does not fit a new shard stays, although it names
+// a terminated machine. The rewrite is tried again only when another of its machines is terminated.
 func TestShardThatCannotBeRewrittenStays(t *testing.T) {
 	w, now := newWriter(defaultLimits), start
 	machines := []*cluster.Machine{{Name: "i-0", Addr: strings.Repeat("x", 2000)}, {Name: "i-1"}, {Name: "i-2"}}
@@ -67,10 +67,10 @@
 		now = now.Add(time.Minute)
 		m.Advance(cluster.Terminated)
 		w.Deregister(m)
-		checkEqual(t, "stale", shard.Stale, true)
+		checkEqual(t, "stale before the try", shard.Stale, true)
 		b := w.NextBatch(now, nil)
-		checkEqual(t, "unfit", b.Oversized.Shards, []string{shard.Key})
-		checkEqual(t, "empty", b.IsEmpty(), true)
+		checkEqual(t, "oversized shards", b.Oversized.Shards, []string{shard.Key})
+		checkEqual(t, "batch is empty", b.IsEmpty(), true)
 		checkEqual(t, "stale after the try", shard.Stale, false)
 	}
 	machines[0].Advance(cluster.Terminated)
@@ -79,7 +79,8 @@
 	checkEqual(t, "deleted with its last machine", b.Txn.Ops, []kv.Op{{Delete: shard.Key}})
 }
 
-// A machine that is terminated while the write of its shard is in flight leaves that shard stale.
+// If a machine is terminated while its shard's write is in flight, the shard must be deleted by the
+// next batch.
 func TestMachineTerminatedDuringItsRegistrationIsRemoved(t *testing.T) {
 	w, now := newWriter(defaultLimits), start
 	m := &cluster.Machine{Name: "i-1"}
@@ -88,23 +89,28 @@
 	m.Advance(cluster.Terminated)
 	w.Deregister(m)
 	checkEqual(t, "shards written", applySuccess(t, w, b, now).ShardsWritten, true)
-	again := w.NextBatch(now, nil)
-	checkEqual(t, "operations", again.Txn.Ops, []kv.Op{{Delete: b.Txn.Ops[0].Put}})
+	next := w.NextBatch(now, nil)
+	checkEqual(t, "operations", next.Txn.Ops, []kv.Op{{Delete: b.Txn.Ops[0].Put}})
 }
 
-// registryModel is a store, and a writer whose transactions it may apply without a response, or
-// late.
+// registryModel runs a writer against a simulated store that may apply transactions without a
+// response, or late.
 type registryModel struct {
-	t         *testing.T
-	rnd       *rand.Rand
-	w         *Writer
-	now       time.Time
-	store     map[string]map[string]bool // machines by shard
-	delayed   []kv.Txn
-	live      []*cluster.Machine
+	t   *testing.T
+	rnd *rand.Rand
+	w   *Writer
+	now time.Time
+	// store holds the names of machines by shard key.
+	store map[string]map[string]bool
+	// delayed are the transactions that will be applied late.
+	delayed []kv.Txn
+	// live are the machines that are neither terminated nor rejected.
+	live []*cluster.Machine
+	// nameCount numbers the names of machines.
 	nameCount int
 }
 
+// apply applies a transaction to the store.
 func (rm *registryModel) apply(txn kv.Txn) {
 	rm.t.Helper()
 	for _, op := range txn.Ops {
@@ -123,8 +129,17 @@
 	}
 }
 
-// write has the next batch written, with one of all that may become of it.
-func (rm *registryModel) write(fate int) {
+// Outcomes of a write. Numbers from 4 on also mean that it succeeds.
+const (
+	writeSucceeds = iota - 1
+	writeNotApplied
+	writeResponseLost
+	writeDelayed
+	writeRejectedOrLost
+)
+
+// write builds the next batch and applies it with the given outcome.
+func (rm *registryModel) write(outcome int) {
 	rm.t.Helper()
 	if !rm.w.Ready(rm.now) {
 		return
@@ -136,18 +151,18 @@
 	}
 	var res kv.Result
 	var err error
-	switch fate {
-	case 0:
+	switch outcome {
+	case writeNotApplied:
 		err = kv.ErrNotApplied
-	case 1:
+	case writeResponseLost:
 		err = kv.ErrOutcomeUnknown
 		rm.apply(b.Txn)
-	case 2:
+	case writeDelayed:
 		err = kv.ErrOutcomeUnknown
 		rm.delayed = append(rm.delayed, b.Txn)
-	case 3:
+	case writeRejectedOrLost:
 		if err = kv.ErrInvalid; rm.rnd.IntN(10) > 0 {
-			err = kv.ErrOutcomeUnknown // and never applied
+			err = kv.ErrOutcomeUnknown // the request was lost, so it is never applied
 		}
 	default:
 		res.Succeeded = true
@@ -157,11 +172,12 @@
 	rm.removeOversized(out.Oversized.Machines)
 }
 
-// removeOversized removes machines that no shard can hold.
-func (rm *registryModel) removeOversized(unfit []*cluster.Machine) {
-	rm.live = slices.DeleteFunc(rm.live, func(m *cluster.Machine) bool { return slices.Contains(unfit, m) })
+// removeOversized removes machines whose entry does not fit a shard.
+func (rm *registryModel) removeOversized(machines []*cluster.Machine) {
+	rm.live = slices.DeleteFunc(rm.live, func(m *cluster.Machine) bool { return slices.Contains(machines, m) })
 }
 
+// applyDelayed applies the delayed transactions in random order.
 func (rm *registryModel) applyDelayed() {
 	for _, i := range rm.rnd.Perm(len(rm.delayed)) {
 		rm.apply(rm.delayed[i])
@@ -169,7 +185,7 @@
 	rm.delayed = nil
 }
 
-// check fails the test if a machine that may be in use is on no shard.
+// check fails the test if a machine that may hold tasks is in no shard of the store.
 func (rm *registryModel) check(step int) {
 	rm.t.Helper()
 	onRecord := map[string]bool{}
@@ -178,11 +194,12 @@
 	}
 	for _, m := range rm.live {
 		if m.Registration == cluster.Registered && !onRecord[m.Name] {
-			rm.t.Fatalf("step %d: machine %s may be in use and no shard names it", step, m.Name)
+			rm.t.Fatalf("step %d: machine %s is registered but in no shard of the store", step, m.Name)
 		}
 	}
 }
 
+// changeMachines adds and terminates some machines.
 func (rm *registryModel) changeMachines() {
 	for range rm.rnd.IntN(4) {
 		rm.nameCount++
@@ -199,8 +216,9 @@
 	}
 }
 
-// Whatever becomes of the transactions, a machine that may be given tasks is on a shard; and once
-// all of them are applied again, the shards name exactly the machines that are left.
+// A machine that may be assigned tasks must be in a shard at all times, also while transactions fail,
+// are applied late or lose their response. Once transactions succeed again, all queues must drain and
+// every remaining machine must be registered.
 func TestEveryMachineInUseIsOnRecord(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -224,11 +242,11 @@
 			rm.applyDelayed()
 			for step := range 400 {
 				rm.now = rm.now.Add(300 * time.Millisecond)
-				rm.write(-1)
+				rm.write(writeSucceeds)
 				rm.check(400 + step)
 			}
 			checkEqual(t, "queued", rm.w.Backlog(), Backlog{})
-			checkEqual(t, "stale shards", len(rm.w.staleShards), 0)
+			checkEqual(t, "stale shards in the end", len(rm.w.staleShards), 0)
 			for _, m := range rm.live {
 				checkEqual(t, m.Name+" registered", m.Registration, cluster.Registered)
 			}
--- a/internal/recordwriter/writer_test.go
+++ b/internal/recordwriter/writer_test.go
@@ -25,7 +25,7 @@
 
 func newWriter(limits config.KVLimits) *Writer { return New(limits, termCompare, 3) }
 
-// newJob returns a job of which all tasks are done, and none of them is on record.
+// newJob returns a job whose tasks are all completed, but not recorded as completed.
 func newJob(id string, tasks int) *cluster.Job {
 	j := &cluster.Job{
 		Spec:                 api.JobSpec{ID: id, Tasks: tasks},
@@ -55,7 +55,7 @@
 	}
 }
 
-// applySuccess has a batch written.
+// applySuccess applies the result of a successful transaction.
 func applySuccess(t *testing.T, w *Writer, b *Batch, now time.Time) Outcome {
 	t.Helper()
 	if b.IsEmpty() {
@@ -71,7 +71,8 @@
 	return ids
 }
 
-// queuedChanges are the ways in which a change is queued; each returns the pending cancellations.
+// queuedChanges holds one change of each kind. queue queues it and returns the pending cancellations;
+// ops is the number of operations that write it.
 var queuedChanges = []struct {
 	name  string
 	queue func(w *Writer) []*cluster.Job
@@ -96,16 +97,17 @@
 			b := w.NextBatch(start, c.queue(w))
 			checkEqual(t, "operations", len(b.Txn.Ops), c.ops)
 			checkEqual(t, "compares the term", slices.Contains(b.Txn.Compares, termCompare), true)
-			checkEqual(t, "within the rate of records", b.Txn.Records, true)
-			checkEqual(t, "ready while it is in flight", w.Ready(start), false)
+			checkEqual(t, "limited by the rate of records", b.Txn.Records, true)
+			checkEqual(t, "ready while a batch is in flight", w.Ready(start), false)
 			applySuccess(t, w, b, start)
-			checkEqual(t, "ready", w.Ready(start), true)
+			checkEqual(t, "ready after the result", w.Ready(start), true)
 			checkEqual(t, "queued", w.Backlog(), Backlog{})
 		})
 	}
 }
 
-// Whatever is not known to be written is written again; once another term has begun, nothing is.
+// Changes that were not written, or whose outcome is unknown, are written again. If another term has
+// begun, they are not.
 func TestUnwrittenChangesAreRetried(t *testing.T) {
 	results := []struct {
 		name string
@@ -122,15 +124,15 @@
 				b := w.NextBatch(start, c.queue(w))
 				out := w.Apply(b, start, kv.Result{}, result.err)
 				checkEqual(t, "too large", out.TooLarge, errors.Is(result.err, kv.ErrInvalid))
-				checkEqual(t, "finished", len(out.Finished)+len(out.Cancelled)+len(out.Conflicting), 0)
-				checkEqual(t, "ready", w.Ready(start), false)
+				checkEqual(t, "jobs in the outcome", len(out.Finished)+len(out.Cancelled)+len(out.Conflicting), 0)
+				checkEqual(t, "ready at once", w.Ready(start), false)
 				if len(out.Oversized.Machines) > 0 || len(out.Oversized.Shards) > 0 {
-					return // nothing is left of the batch that could be written
+					return // the batch held only changes that are too large to write
 				}
 				later := start.Add(terminalRetryDelay)
 				checkEqual(t, "ready later", w.Ready(later), true)
-				again := w.NextBatch(later, out.RetryCancels)
-				checkEqual(t, "written again", len(again.Txn.Ops) >= c.ops, true)
+				retry := w.NextBatch(later, out.RetryCancels)
+				checkEqual(t, "written again", len(retry.Txn.Ops) >= c.ops, true)
 			})
 		}
 		t.Run(c.name+", term lost", func(t *testing.T) {
@@ -152,27 +154,27 @@
 	for len(pending) > 0 {
 		b := w.NextBatch(now, pending)
 		pending = pending[len(b.DerivedCancels):]
-		checkEqual(t, "cancelled in the batch", len(b.Txn.Ops), opsPerCancellation*len(b.DerivedCancels))
+		checkEqual(t, "operations of cancellations", len(b.Txn.Ops), opsPerCancellation*len(b.DerivedCancels))
 		out := applySuccess(t, w, b, now)
-		checkEqual(t, "finished with it", len(out.Finished), 0)
+		checkEqual(t, "jobs finished in the same batch", len(out.Finished), 0)
 		batches = append(batches, jobIDs(out.Cancelled))
 		now = now.Add(time.Second)
 	}
-	checkEqual(t, "batches", batches, [][]string{{"job-0", "job-1", "job-2"}, {"job-3", "job-4"}})
-	checkEqual(t, "the rest", jobIDs(applySuccess(t, w, w.NextBatch(now, nil), now).Finished), []string{"done"})
+	checkEqual(t, "cancelled jobs by batch", batches, [][]string{{"job-0", "job-1", "job-2"}, {"job-3", "job-4"}})
+	checkEqual(t, "finished last", jobIDs(applySuccess(t, w, w.NextBatch(now, nil), now).Finished), []string{"done"})
 }
 
-// Cancellations have a rate of their own: beyond it, the other changes have their turn.
+// Cancellations are limited by a separate rate. Once it is used up, other changes are written.
 func TestOtherChangesAreWrittenBeyondTheRateOfCancellations(t *testing.T) {
 	w := newWriter(config.KVLimits{WriteRPS: 10, TxnOps: 20, ValueKB: 16})
 	pending := newJobs(10)
 	w.DeleteKey("k")
 	b := w.NextBatch(start, pending)
-	checkEqual(t, "cancelled within the rate", len(b.DerivedCancels), 2)
+	checkEqual(t, "cancellations within the rate", len(b.DerivedCancels), 2)
 	pending = pending[2:]
 	applySuccess(t, w, b, start)
 	b = w.NextBatch(start, pending)
-	checkEqual(t, "cancelled beyond it", len(b.DerivedCancels), 0)
+	checkEqual(t, "cancellations beyond the rate", len(b.DerivedCancels), 0)
 	checkEqual(t, "operations", b.Txn.Ops, []kv.Op{{Delete: "k"}})
 }
 
@@ -199,21 +201,21 @@
 			b := w.NextBatch(start, pending)
 			failed := []string{records.ActivePrefix + "job-1", records.ActivePrefix + "job-3"}
 			out := w.Apply(b, start, kv.Result{FailedKeys: failed}, nil)
-			checkEqual(t, "changed", jobIDs(out.Conflicting), []string{"job-1", "job-3"})
+			checkEqual(t, "conflicting jobs", jobIDs(out.Conflicting), []string{"job-1", "job-3"})
 			checkEqual(t, "cancellations to retry", len(out.RetryCancels), len(pending))
-			checkEqual(t, "ends queued", jobIDs(w.finishing), map[bool][]string{false: {"job-0", "job-2"}}[cancelled])
+			checkEqual(t, "finishing", jobIDs(w.finishing), map[bool][]string{false: {"job-0", "job-2"}}[cancelled])
 
 			id, ok := w.NextUnresolved()
-			checkEqual(t, "read first", id, "job-1")
-			checkEqual(t, "found first", ok, true)
+			checkEqual(t, "first job to read", id, "job-1")
+			checkEqual(t, "a job to read", ok, true)
 			_, ok = w.NextUnresolved()
-			checkEqual(t, "read at the same time", ok, false)
+			checkEqual(t, "another job to read at the same time", ok, false)
 			w.Resolved()
 			id, _ = w.NextUnresolved()
-			checkEqual(t, "read next", id, "job-3")
+			checkEqual(t, "next job to read", id, "job-3")
 			w.Resolved()
 			_, ok = w.NextUnresolved()
-			checkEqual(t, "left to read", ok, false)
+			checkEqual(t, "a job left to read", ok, false)
 		})
 	}
 }
@@ -228,11 +230,12 @@
 	checkEqual(t, "queued", w.Backlog(), Backlog{Finishing: 1, Completions: 1})
 	j.Ended = true
 	b := w.NextBatch(start, nil)
-	checkEqual(t, "written of a job that has ended", len(b.Txn.Ops), 0)
+	checkEqual(t, "operations for a job that has ended", len(b.Txn.Ops), 0)
 	checkEqual(t, "ready", w.Ready(start), true)
 }
 
-// What the store rejects as invalid, within the limits known here, is made smaller.
+// If the store rejects a batch as invalid although it is within the configured limits, what is retried
+// is smaller.
 func TestRejectedBatchIsMadeSmaller(t *testing.T) {
 	machines := func(w *Writer, count int) {
 		for i := range count {
