--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -8,26 +8,30 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// poll asks a node for a job's state. The answer checker judges the response; the error is
-// dropped, since a node may fail any single request.
+// poll requests a job's state from a node. The answer checker checks the response. The error is
+// ignored, since a node may fail any single request.
 func (tn *userCluster) poll(node int, id string) {
 	_, _ = tn.checker.ask(tn.nodeAt(node), id)
 }
 
-// monotonicityCase is a fault at the moment when users act on their jobs.
+// monotonicityCase is a fault during which users act on their jobs.
 type monotonicityCase struct {
 	name string
-	// before runs well before the moment, fault at the moment.
+	// before runs to its end before the users act. fault starts right before that and runs
+	// concurrently.
 	before, fault func(tn *userCluster)
-	// delayStep is how much later the users act in each try.
+	// delayStep is the difference between successive tries in how long users act after the start
+	// of fault.
 	delayStep time.Duration
 }
 
+// isolateFirstNode makes the store reject the first node's requests until another node leads.
 func isolateFirstNode(tn *userCluster) {
 	tn.ways[0].set(true)
 	time.Sleep(9 * time.Second)
 }
 
+// reconnectFirstNode makes the store accept the first node's requests again.
 func reconnectFirstNode(tn *userCluster) { tn.ways[0].set(false) }
 
 var monotonicityCases = []monotonicityCase{
@@ -48,8 +52,8 @@
 	{name: "former leader", delayStep: 60 * time.Millisecond, before: isolateFirstNode, fault: reconnectFirstNode},
 }
 
-// run polls four jobs at all nodes while one completes, one is accepted, one is cancelled, and
-// one is cancelled as soon as it is accepted.
+// run polls four jobs at all nodes while the first completes, the second is accepted, the third is
+// cancelled, and the fourth is cancelled right after its acceptance.
 func (c *monotonicityCase) run(w *simulatedCluster, try int) {
 	w.t.Helper()
 	tn := newUserCluster(w, 2)
@@ -92,9 +96,10 @@
 	w.checkEqual("job that was never submitted", w.phase(tn.nodeAt(try), "job-9"), api.ErrUnknownJob.Error())
 }
 
-// Users ask all nodes within milliseconds, repeat the submission and cancel, just when a job is
-// accepted, ends or is cancelled. No node may answer with an older state than another has: not
-// the leader whose watch is delayed, nor a node that has just been elected or stepped down.
+// Users poll all nodes every few milliseconds, repeat submissions and cancel jobs while a job is
+// accepted, ends or is cancelled. No node may respond with an older state than another node has
+// reported. The risk is a leader whose watch is delayed, and a node that has just been elected or has
+// just stepped down.
 func TestResponsesAreMonotonic(t *testing.T) {
 	for _, c := range monotonicityCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -109,7 +114,7 @@
 type completionRace struct {
 	name    string
 	request func(tn *userCluster, node int, s *api.JobSpec)
-	// wantPhases are those that must be seen in the sweep.
+	// wantPhases are the final phases that the runs together must produce often enough.
 	wantPhases []string
 }
 
@@ -136,8 +141,8 @@
 	raceTries = 15
 )
 
-// send sends the request for a job at one of many moments within 360 ms, then asks for its
-// state and repeats its submission.
+// send sends the request for a job after a delay, then polls the job at all nodes and repeats its
+// submission. The delays of all jobs and tries are spread over 360 ms.
 func (r *completionRace) send(tn *userCluster, node int, s *api.JobSpec, delay time.Duration) {
 	tn.background(func() {
 		time.Sleep(delay)
@@ -150,7 +155,8 @@
 	})
 }
 
-// run races the request with the ends of all jobs and counts their phases in the end.
+// run sends the request for each job around the time at which all tasks end, and counts the final
+// phases.
 func (r *completionRace) run(w *simulatedCluster, node, try int, seen map[string]int) {
 	w.t.Helper()
 	tn := newUserCluster(w, raceJobs/4)
@@ -162,7 +168,7 @@
 	}
 	time.Sleep(4 * time.Second)
 	w.checkEqual("running tasks", tn.tasksOnMachines(), raceJobs)
-	// A tick's place in the second must not decide.
+	// The result must not depend on the phase of the controller's tick.
 	time.Sleep(time.Duration(try) * 7 * time.Millisecond)
 	tn.background(func() {
 		time.Sleep(80 * time.Millisecond)
@@ -178,7 +184,7 @@
 	for i, s := range specs {
 		state, err := tn.checker.ask(tn.nodeAt(i), s.ID)
 		if err != nil || !state.Final() {
-			w.t.Errorf("%s, 3 s after its end: got %v, %v, want an end", s.ID, state, err)
+			w.t.Errorf("%s, 3 s after its end: got %v, %v, want a final state", s.ID, state, err)
 		}
 		seen[state.Phase]++
 		want[s.ID] = state.Phase
@@ -189,9 +195,9 @@
 	w.checkEqual("starts", tn.starts(), raceJobs)
 }
 
-// A cancellation, a poll or a repeated submission races with the end of a job's last task,
-// without any fault: some milliseconds earlier or later, at the leader and elsewhere. Whatever
-// the first response says, all say from then on.
+// A cancellation, a poll or a repeated submission races with the end of a job's last task, without any
+// fault. It arrives some milliseconds earlier or later, at the leader or at another node. All responses
+// after the first one with a final state must report the same state.
 func TestRequestsRacingWithCompletion(t *testing.T) {
 	for _, r := range completionRaces {
 		for node := range 2 {
@@ -200,10 +206,10 @@
 				for try := range raceTries {
 					simulate(t, func(w *simulatedCluster) { r.run(w, node, try, seen) })
 				}
+				const minCount = raceJobs * raceTries / 10
 				for _, phase := range r.wantPhases {
-					if seen[phase] < raceJobs*raceTries/10 {
-						t.Errorf("%s: got %d times of %v, want at least %d",
-							phase, seen[phase], seen, raceJobs*raceTries/10)
+					if seen[phase] < minCount {
+						t.Errorf("jobs in phase %s: got %d of %v, want at least %d", phase, seen[phase], seen, minCount)
 					}
 				}
 			})
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -8,8 +8,9 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// A cancellation and the end of a job race: whichever transaction is applied first decides, and no
-// other phase is reported.
+// A cancellation races with the end of a job. The transaction applied first decides the final phase,
+// and no other final phase may be reported. Here the store delays the transaction of the end until the
+// cancellation has been applied.
 func TestCancellationRacesWithCompletion(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -41,8 +42,8 @@
 	})
 }
 
-// Any node cancels by its own transaction. The leader must not report an earlier phase because its
-// watch lags, and must stop the tasks.
+// Any node cancels a job with its own transaction. While the leader's watch is delayed, the leader
+// must not report an earlier phase. Afterwards it must stop the job's tasks.
 func TestCancelAtAnotherNode(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		leader, other := w.start("n0"), w.start("n1")
@@ -59,7 +60,7 @@
 		}
 		w.store.SetWatchesBlind(false)
 		k.serve(leader, 3)
-		w.checkEqual("running once stopped", len(k.running()), 0)
+		w.checkEqual("running after the cancellation", len(k.running()), 0)
 		w.checkEqual("phase at the leader", w.phase(leader, "job-1"), "withdrawn")
 		w.checkEqual("phase at the other node", w.phase(other, "job-1"), "withdrawn")
 	})
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -15,11 +15,12 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// writeOldShard writes a registry shard as an earlier version does under larger limits.
-func (w *simulatedCluster) writeOldShard(key string, n int) {
+// writeOldShard writes a registry shard of count machines, as an earlier version does under larger
+// limits.
+func (w *simulatedCluster) writeOldShard(key string, count int) {
 	w.t.Helper()
 	var rec records.RegistryShardRecord
-	for i := range n {
+	for i := range count {
 		name := fmt.Sprintf("i-%06d", i)
 		rec.Machines = append(rec.Machines,
 			records.MachineRecord{Name: name, Addr: name, Type: "small", Zone: "a", CPUs: 4, MemoryGB: 16})
@@ -29,7 +30,7 @@
 	}
 }
 
-// numberedWorkers are machines of zone a, named as those of writeOldShard.
+// numberedWorkers returns machines in zone a with the names that writeOldShard uses.
 func (w *simulatedCluster) numberedWorkers(count int) []*worker {
 	workers := make([]*worker, count)
 	for i := range workers {
@@ -38,7 +39,7 @@
 	return workers
 }
 
-// assignableMachines lists the machines that may be assigned tasks.
+// assignableMachines returns the names of the registered machines, which may be assigned tasks.
 func assignableMachines(n *node) (names []string) {
 	n.inspect(func(c *Controller) {
 		if c.leaderTerm == nil {
@@ -53,7 +54,7 @@
 	return names
 }
 
-// Faults while records are written under smaller limits than before.
+// Faults injected while records are written under smaller limits than before.
 const (
 	noFault       = "none"
 	responsesLost = "responses lost"
@@ -61,17 +62,17 @@
 	leaderCrashes = "leader crashes"
 )
 
-// oldShardKey is the shard of the earlier version.
+// oldShardKey is the key of the shard that an earlier version has written.
 const oldShardKey = records.MachinePrefix + "0-1"
 
-// shardSplit is a run in which a leader splits the shard of an earlier version.
+// shardSplit is a run in which the leader splits a large shard of an earlier version.
 type shardSplit struct {
 	*simulatedCluster
 	leader *node
 	fault  string
 }
 
-// injectFault begins or ends the fault in the given second.
+// injectFault starts or ends the fault, depending on the second of the run.
 func (ss *shardSplit) injectFault(second int) {
 	switch {
 	case ss.fault == responsesLost && second%3 == 0:
@@ -88,19 +89,19 @@
 	}
 }
 
-// checkRegistered fails the test if a machine in use is on no shard.
+// checkRegistered fails the test if a machine that may be assigned tasks is in no shard.
 func (ss *shardSplit) checkRegistered(second int) {
 	ss.t.Helper()
-	used := assignableMachines(ss.leader)
-	onShards := ss.registeredMachines()
-	for _, name := range used {
-		if !slices.Contains(onShards, name) {
-			ss.t.Fatalf("second %d: %s may be in use and is on no shard", second, name)
+	assignable := assignableMachines(ss.leader)
+	inShards := ss.registeredMachines()
+	for _, name := range assignable {
+		if !slices.Contains(inShards, name) {
+			ss.t.Fatalf("second %d: %s may be assigned tasks and is in no shard", second, name)
 		}
 	}
 }
 
-// run has 26 machines send heartbeats, one of which then dies so that the shard is written again.
+// run starts 26 machines, one of which then fails, so that the shard becomes stale and is rewritten.
 func (ss *shardSplit) run() {
 	ss.t.Helper()
 	workers := ss.numberedWorkers(26)
@@ -121,7 +122,7 @@
 	ss.store.LoseResponses(nil)
 	ss.store.ApplyDelayed()
 	heartbeatAll(workers[1:], ss.leader, 10)
-	ss.checkEqual("machines in use", len(assignableMachines(ss.leader)), 25)
+	ss.checkEqual("assignable machines", len(assignableMachines(ss.leader)), 25)
 	if ss.store.Has(oldShardKey) {
 		ss.t.Errorf("shards: got %v, want them without %s", ss.keysUnder(records.MachinePrefix), oldShardKey)
 	}
@@ -132,9 +133,9 @@
 	ss.checkNothingTooLarge()
 }
 
-// A shard of the version in production may hold more machines than the key-value store now
-// accepts in one value. When it is written again it is split, and whatever is cut off in
-// between, rejected, lost or delayed, each machine is on some shard.
+// A shard written by an earlier version may hold more machines than the key-value store now accepts in
+// one value. When it is rewritten, it must be split. Each machine must be in some shard at all times,
+// even if responses are lost, writes are delayed or the leader crashes meanwhile.
 func TestLargeShardIsSplit(t *testing.T) {
 	for _, l := range []limits{{3, 1, 25}, {5, 1, 25}, {12, 2, 25}} {
 		for _, fault := range []string{noFault, responsesLost, writesDelayed, leaderCrashes} {
@@ -142,7 +143,7 @@
 				simulate(t, func(w *simulatedCluster) {
 					w.writeOldShard(oldShardKey, 26)
 					w.state = l.kvLimits()
-					w.enforceLimits(l) // from now on
+					w.enforceLimits(l) // after the old shard has been written
 					ss := &shardSplit{simulatedCluster: w, leader: w.start("n0"), fault: fault}
 					ss.run()
 				})
@@ -151,15 +152,16 @@
 	}
 }
 
-// recordedTasks are the completed tasks of a job as the next leader reads them.
+// recordedTasks returns the completed tasks of a job by its completion records, as a new leader would
+// read them.
 func (w *simulatedCluster) recordedTasks(id string) map[int]bool {
 	w.t.Helper()
 	done := map[int]bool{}
-	p, err := w.store.Range(context.Background(), records.CompletionPrefix+id+"/", "", 1000)
+	page, err := w.store.Range(context.Background(), records.CompletionPrefix+id+"/", "", 1000)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	for _, e := range p.Entries {
+	for _, e := range page.Entries {
 		_, first, ok := records.ParseCompletionKey(e.Key)
 		var rec records.CompletionRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil || !ok {
@@ -174,18 +176,19 @@
 	return done
 }
 
-// oversizedCompletion is a run with a completion record written under larger limits.
+// oversizedCompletion is a run that begins with a completion record larger than the limits now allow.
 type oversizedCompletion struct {
 	*simulatedCluster
 	leader  *node
 	workers []*worker
 	fault   string
 	spec    *api.JobSpec
-	// done are the completed tasks on record at the last check.
+	// done are the tasks that were recorded as completed at the last check.
 	done map[int]bool
 }
 
-// writeRecords accepts the job with six of seven of the first tasks completed, all in one record.
+// writeRecords writes an active record for the job, and one completion record in which six of every
+// seven tasks before completedBefore are completed.
 func (lc *oversizedCompletion) writeRecords(completedBefore int) {
 	lc.t.Helper()
 	bits := make([]byte, lc.spec.Tasks/8)
@@ -205,7 +208,7 @@
 	}
 }
 
-// injectFault begins or ends the fault in the given round.
+// injectFault starts or ends the fault, depending on the round.
 func (lc *oversizedCompletion) injectFault(round int) {
 	switch {
 	case lc.fault == responsesLost && round%2 == 0:
@@ -219,19 +222,19 @@
 	}
 }
 
-// checkDone fails the test if a task that was on record as completed no longer is.
+// checkDone fails the test if a task that was recorded as completed no longer is.
 func (lc *oversizedCompletion) checkDone(round int) {
 	lc.t.Helper()
-	onRecord := lc.recordedTasks(lc.spec.ID)
+	recorded := lc.recordedTasks(lc.spec.ID)
 	for task := range lc.done {
-		if !onRecord[task] {
-			lc.t.Fatalf("round %d: task %d was completed and is not on record", round, task)
+		if !recorded[task] {
+			lc.t.Fatalf("round %d: task %d is no longer recorded as completed", round, task)
 		}
 	}
-	lc.done = onRecord
+	lc.done = recorded
 }
 
-// run completes tasks in rounds and checks the records ten times a second.
+// run completes tasks in rounds, and checks the records ten times a second.
 func (lc *oversizedCompletion) run() {
 	lc.t.Helper()
 	heartbeatAll(lc.workers, lc.leader, 4)
@@ -248,11 +251,11 @@
 	}
 }
 
-// A completion record written under larger limits covers more tasks than a new one may. It is
-// not overwritten before those beyond are on record elsewhere: at no moment, whatever is lost or
-// delayed, does the next leader find fewer completed tasks.
+// A completion record written under larger limits covers more tasks than a new record can. It must not
+// be overwritten before its further tasks are in other records. Otherwise a new leader would find fewer
+// completed tasks, for instance after lost responses or a crash.
 func TestOversizedCompletionRecordLosesNoTasks(t *testing.T) {
-	const tasks, completedBefore = 30000, 14000 // new records hold 4096
+	const tasks, completedBefore = 30000, 14000 // a new record covers 4096 tasks
 	for _, fault := range []string{noFault, responsesLost, leaderCrashes} {
 		t.Run(fault, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
@@ -268,11 +271,11 @@
 				lc.workers = []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false)}
 				lc.run()
 				if minDone := completedBefore - completedBefore/7 + 1000; len(lc.done) < minDone {
-					w.t.Errorf("tasks on record: got %d, want at least %d", len(lc.done), minDone)
+					w.t.Errorf("recorded tasks: got %d, want at least %d", len(lc.done), minDone)
 				}
 				record, err := w.store.Get(context.Background(), records.CompletionKey(s.ID, 0))
 				if err != nil || len(record.Value) > 1<<10 {
-					w.t.Errorf("the long record was never rewritten: got %d bytes, %v, want at most %d",
+					w.t.Errorf("oversized record was not rewritten: got %d bytes, %v, want at most %d",
 						len(record.Value), err, 1<<10)
 				}
 				w.checkNothingTooLarge()
@@ -281,8 +284,9 @@
 	}
 }
 
-// The key-value store may have smaller limits than the settings say. What it rejects for its size
-// is not retried unchanged: batches, shards and completion records shrink, and work continues.
+// The key-value store may have smaller limits than the settings. What it rejects for its size must not
+// be retried at the same size: batches, shards and completion records must shrink until they are
+// accepted.
 func TestWritesRejectedForSizeShrink(t *testing.T) {
 	for _, actual := range []limits{{2, 1, 25}, {3, 1, 25}, {12, 1, 25}} {
 		t.Run(actual.String(), func(t *testing.T) {
@@ -290,19 +294,19 @@
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
 				w.state = limits{20, 16, 100}.kvLimits()
 				w.enforceLimits(actual)
-				a := w.start("n0")
-				ks := w.numberedWorkers(24)
-				heartbeatAll(ks, a, 8)
+				leader := w.start("n0")
+				workers := w.numberedWorkers(24)
+				heartbeatAll(workers, leader, 8)
 				w.checkEqual("registered machines", len(w.registeredMachines()), 24)
-				w.submit(a, spec("job-1", 90))
+				w.submit(leader, spec("job-1", 90))
 				for i := range 30 {
-					w.submit(a, spec(fmt.Sprintf("small-%d", i), 1))
+					w.submit(leader, spec(fmt.Sprintf("small-%d", i), 1))
 				}
 				for range 4 {
-					heartbeatAll(ks, a, 8)
-					exitAll(ks)
+					heartbeatAll(workers, leader, 8)
+					exitAll(workers)
 				}
-				heartbeatAll(ks, a, 20)
+				heartbeatAll(workers, leader, 20)
 				w.checkEqual("active records", w.keysUnder(records.ActivePrefix), []string(nil))
 				if n := len(w.store.RejectedAsTooLarge()); n == 0 || n > 12 {
 					w.t.Errorf("rejected for size %d times: %v", n, w.store.RejectedAsTooLarge())
@@ -312,26 +316,26 @@
 	}
 }
 
-// A completion record that is rejected for its size is retried with fewer tasks.
+// A completion record that is rejected for its size must be retried with fewer tasks.
 func TestCompletionRejectedForSizeIsSplit(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.state = limits{20, 16, 100}.kvLimits()
 		w.store.SetLimits(1<<10, 20)
-		a := w.start("n0")
-		ks := []*worker{w.worker("i-1", "a", false)}
-		heartbeatAll(ks, a, 3)
+		leader := w.start("n0")
+		workers := []*worker{w.worker("i-1", "a", false)}
+		heartbeatAll(workers, leader, 3)
 		s := spec("job-1", 40000)
 		s.CPUs, s.MemoryGB = 0.001, 0.001
-		w.submit(a, s)
+		w.submit(leader, s)
 		for range 4 {
-			heartbeatAll(ks, a, 3)
-			exitAll(ks)
+			heartbeatAll(workers, leader, 3)
+			exitAll(workers)
 		}
-		heartbeatAll(ks, a, 8)
+		heartbeatAll(workers, leader, 8)
 		done := 0
-		a.inspect(func(c *Controller) { done = c.leaderTerm.jobs["job-1"].DoneCount })
-		if on := w.recordedTasks("job-1"); len(on) != done || done < 800 {
-			w.t.Errorf("tasks on record: got %d, want the %d completed ones, at least 800", len(on), done)
+		leader.inspect(func(c *Controller) { done = c.leaderTerm.jobs["job-1"].DoneCount })
+		if recorded := w.recordedTasks("job-1"); len(recorded) != done || done < 800 {
+			w.t.Errorf("recorded tasks: got %d, want the %d completed ones, at least 800", len(recorded), done)
 		}
 		if n := len(w.store.RejectedAsTooLarge()); n == 0 || n > 8 {
 			w.t.Errorf("rejected for size %d times: %v", n, w.store.RejectedAsTooLarge())
@@ -339,21 +343,21 @@
 	})
 }
 
-// A machine whose entry fits no record is never assigned a task, since the next leader would not
-// know of it, and is terminated; the others are not delayed.
+// A machine whose entry does not fit a shard must be terminated, and never assigned a task, since the
+// next leader could not find it in the registry. Other machines must be registered without delay.
 func TestMachineThatFitsNoShardIsTerminated(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l := limits{5, 1, 25}
 		w.state = l.kvLimits()
 		w.enforceLimits(l)
-		a := w.start("n0")
+		leader := w.start("n0")
 		long := w.worker(strings.Repeat("i", 1100), "a", false)
-		ks := []*worker{long, w.worker("i-2", "a", false)}
-		heartbeatAll(ks, a, 3)
-		w.submit(a, spec("job-1", 8))
-		heartbeatAll(ks, a, 6)
-		w.checkEqual("tasks on it", long.running(), []string(nil))
-		w.checkEqual("tasks on the other", len(ks[1].running()), 4)
+		workers := []*worker{long, w.worker("i-2", "a", false)}
+		heartbeatAll(workers, leader, 3)
+		w.submit(leader, spec("job-1", 8))
+		heartbeatAll(workers, leader, 6)
+		w.checkEqual("tasks on the oversized machine", long.running(), []string(nil))
+		w.checkEqual("tasks on the other machine", len(workers[1].running()), 4)
 		w.checkEqual("registered machines", w.registeredMachines(), []string{"i-2"})
 		w.checkEqual("terminated", w.cloud.terminated(long.status.Machine), true)
 		w.checkNothingTooLarge()
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -15,8 +15,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// limits are those of the key-value store that a test varies: changes of a transaction, size of a
-// value, and writes a second.
+// limits are the limits of the key-value store that a test varies: operations per transaction, size of
+// a value in KiB, and writes per second.
 type limits struct {
 	txnOps, valueKB int
 	writeRPS        float64
@@ -26,14 +26,16 @@
 	return fmt.Sprintf("%d changes, %d KiB, %v writes", l.txnOps, l.valueKB, l.writeRPS)
 }
 
+// kvLimits returns the settings for these limits.
 func (l limits) kvLimits() config.KVLimits {
 	return config.KVLimits{RPS: 100, WriteRPS: l.writeRPS, ValueKB: float64(l.valueKB), TxnOps: l.txnOps}
 }
 
-// enforceLimits has the key-value store reject what exceeds the limits.
+// enforceLimits makes the key-value store reject transactions that exceed the limits on operations and
+// value size.
 func (w *simulatedCluster) enforceLimits(l limits) { w.store.SetLimits(l.valueKB<<10, l.txnOps) }
 
-// checkNothingTooLarge checks, at the end of a test, that nothing was rejected for its size.
+// checkNothingTooLarge checks that the store has rejected no transaction for its size.
 func (w *simulatedCluster) checkNothingTooLarge() {
 	w.t.Helper()
 	if rejected := w.store.RejectedAsTooLarge(); len(rejected) > 0 {
@@ -41,26 +43,26 @@
 	}
 }
 
-// heartbeatAll has machines send a heartbeat once a second.
-func heartbeatAll(ks []*worker, n *node, seconds int) {
+// heartbeatAll makes each machine send a heartbeat once a second, for the given number of seconds.
+func heartbeatAll(workers []*worker, n *node, seconds int) {
 	for range seconds {
-		for _, k := range ks {
+		for _, k := range workers {
 			k.heartbeat(n)
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-// exitAll completes all running tasks of machines.
-func exitAll(ks []*worker) {
-	for _, k := range ks {
+// exitAll completes all tasks that run on the machines.
+func exitAll(workers []*worker) {
+	for _, k := range workers {
 		k.exit(api.CauseDone)
 	}
 }
 
-// runningTasksOf lists the tasks of a job that run on machines.
-func runningTasksOf(ks []*worker, id string) (tasks []string) {
-	for _, k := range ks {
+// runningTasksOf returns the tasks of a job that run on the machines, sorted.
+func runningTasksOf(workers []*worker, id string) (tasks []string) {
+	for _, k := range workers {
 		for _, ref := range k.running() {
 			if strings.HasPrefix(ref, id+"/") {
 				tasks = append(tasks, ref)
@@ -71,13 +73,14 @@
 	return tasks
 }
 
-// limitSweep are limits down to the least that any part of the program works with: a cancellation
-// is three changes.
+// limitSweep are limits from the smallest that are supported upwards. A transaction must allow at least
+// three operations, which is what a cancellation needs.
 var limitSweep = []limits{
 	{3, 1, 4}, {3, 1, 8}, {4, 1, 5}, {5, 1, 6}, {5, 2, 25}, {12, 8, 25}, {20, 64, 50}, {200, 64, 500},
 }
 
-// startWithLimits starts a node with the given limits, and a team whose own limit is out of reach.
+// startWithLimits starts a node under the given limits of the store, with a team limit too high to be
+// reached.
 func (w *simulatedCluster) startWithLimits(l limits) *node {
 	w.t.Helper()
 	w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
@@ -86,40 +89,40 @@
 	return w.start("n0")
 }
 
-// Whatever the limits, jobs are accepted, run, done and cancelled, and a new leader takes over,
-// without the key-value store ever rejecting anything for its size.
+// Under all limits, jobs must be accepted, run, completed and cancelled, and a new leader must take
+// over, without the key-value store rejecting a transaction for its size.
 func TestNothingExceedsSmallLimits(t *testing.T) {
 	for _, l := range limitSweep {
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				a := w.startWithLimits(l)
-				ks := w.numberedWorkers(24)
-				heartbeatAll(ks, a, 8)
+				leader := w.startWithLimits(l)
+				workers := w.numberedWorkers(24)
+				heartbeatAll(workers, leader, 8)
 				w.checkEqual("registered machines", len(w.registeredMachines()), 24)
-				w.submit(a, spec("job-1", 60))
-				w.submit(a, spec("job-2", 30))
-				heartbeatAll(ks, a, 6)
-				if n1, n2 := len(runningTasksOf(ks, "job-1")), len(runningTasksOf(ks, "job-2")); n1+n2 < 60 {
+				w.submit(leader, spec("job-1", 60))
+				w.submit(leader, spec("job-2", 30))
+				heartbeatAll(workers, leader, 6)
+				if n1, n2 := len(runningTasksOf(workers, "job-1")), len(runningTasksOf(workers, "job-2")); n1+n2 < 60 {
 					w.t.Fatalf("running tasks: got %d and %d, want at least 60", n1, n2)
 				}
-				exitAll(ks[:8])
-				heartbeatAll(ks, a, 6)
-				st, err := a.Cancel(context.Background(), "job-2")
+				exitAll(workers[:8])
+				heartbeatAll(workers, leader, 6)
+				st, err := leader.Cancel(context.Background(), "job-2")
 				w.checkEqual("cancelled", []any{st.Phase, err}, []any{api.JobCancelled, nil})
-				heartbeatAll(ks, a, 6)
-				w.checkEqual("tasks of the cancelled job", runningTasksOf(ks, "job-2"), []string(nil))
-				a.crash()
-				b := w.start("n0")
-				heartbeatAll(ks, b, 8)
+				heartbeatAll(workers, leader, 6)
+				w.checkEqual("tasks of the cancelled job", runningTasksOf(workers, "job-2"), []string(nil))
+				leader.crash()
+				next := w.start("n0")
+				heartbeatAll(workers, next, 8)
 				for range 4 {
-					exitAll(ks)
-					heartbeatAll(ks, b, 5)
+					exitAll(workers)
+					heartbeatAll(workers, next, 5)
 				}
-				w.checkEqual("phase after a takeover", w.phase(b, "job-1"), "done")
-				w.checkEqual("phase of the cancelled job", w.phase(b, "job-2"), api.JobCancelled)
-				w.dead.Store(ks[0].status.Machine, true)
-				w.dead.Store(ks[1].status.Machine, true)
-				heartbeatAll(ks[2:], b, 40)
+				w.checkEqual("phase after a takeover", w.phase(next, "job-1"), "done")
+				w.checkEqual("phase of the cancelled job", w.phase(next, "job-2"), api.JobCancelled)
+				w.dead.Store(workers[0].status.Machine, true)
+				w.dead.Store(workers[1].status.Machine, true)
+				heartbeatAll(workers[2:], next, 40)
 				w.checkEqual("registered machines in the end", len(w.registeredMachines()), 22)
 				w.checkEqual("completion records", w.keysUnder(records.CompletionPrefix), []string(nil))
 				w.checkNothingTooLarge()
@@ -128,7 +131,7 @@
 	}
 }
 
-// keysUnder lists the keys with a prefix.
+// keysUnder returns the keys with a prefix.
 func (w *simulatedCluster) keysUnder(prefix string) (keys []string) {
 	w.t.Helper()
 	p, err := w.store.Range(context.Background(), prefix, "", 1000)
@@ -141,38 +144,38 @@
 	return keys
 }
 
-// The limits change while jobs run and while a leader takes over; what keeps to both is never
-// rejected.
+// The store's limits become smaller while jobs run or while a leader takes over. Transactions that are
+// within both the old and the new limits must never be rejected.
 func TestLimitsChange(t *testing.T) {
 	from, to := limits{20, 16, 25}, limits{5, 1, 6}
 	for _, when := range []string{"while jobs run", "during a takeover"} {
 		t.Run(when, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-				w.state = to.kvLimits() // the smaller of both
+				w.state = to.kvLimits() // the smaller ones
 				w.enforceLimits(from)
 				w.writeOldShard(records.MachinePrefix+"0-1", 24)
-				a := w.start("n0")
-				ks := w.numberedWorkers(26)
-				heartbeatAll(ks, a, 8)
-				w.submit(a, spec("job-1", 80))
-				heartbeatAll(ks, a, 4)
-				exitAll(ks[:10])
+				leader := w.start("n0")
+				workers := w.numberedWorkers(26)
+				heartbeatAll(workers, leader, 8)
+				w.submit(leader, spec("job-1", 80))
+				heartbeatAll(workers, leader, 4)
+				exitAll(workers[:10])
 				if when == "during a takeover" {
-					a.crash()
+					leader.crash()
 					w.enforceLimits(to)
-					a = w.start("n0")
+					leader = w.start("n0")
 				} else {
 					w.enforceLimits(to)
 				}
-				w.dead.Store(ks[3].status.Machine, true)
-				ks = slices.Delete(ks, 3, 4)
-				heartbeatAll(ks, a, 40)
+				w.dead.Store(workers[3].status.Machine, true)
+				workers = slices.Delete(workers, 3, 4)
+				heartbeatAll(workers, leader, 40)
 				for range 4 {
-					exitAll(ks)
-					heartbeatAll(ks, a, 6)
+					exitAll(workers)
+					heartbeatAll(workers, leader, 6)
 				}
-				w.checkEqual("phase", w.phase(a, "job-1"), "done")
+				w.checkEqual("phase", w.phase(leader, "job-1"), "done")
 				w.checkEqual("registered machines", len(w.registeredMachines()), 25)
 				if w.store.Has(records.MachinePrefix + "0-1") {
 					w.t.Errorf("shards: got %v, want them without the large one", w.keysUnder(records.MachinePrefix))
@@ -183,25 +186,25 @@
 	}
 }
 
-// Many jobs end at once, and names are as long as they may be: batches keep to the changes of a
-// transaction, shards to the size of their entries.
+// Many jobs end at once, and names of machines are long. Batches must keep to the limit on operations,
+// and shards, whose entries differ in size, to the limit on value size.
 func TestManyChangesAtOnce(t *testing.T) {
 	for _, l := range limitSweep {
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				a := w.startWithLimits(l)
-				ks := make([]*worker, 24)
-				for i := range ks {
-					ks[i] = w.worker(fmt.Sprintf("i-%06d-%s", i, strings.Repeat("n", 10*i)), "a", false)
+				leader := w.startWithLimits(l)
+				workers := make([]*worker, 24)
+				for i := range workers {
+					workers[i] = w.worker(fmt.Sprintf("i-%06d-%s", i, strings.Repeat("n", 10*i)), "a", false)
 				}
-				heartbeatAll(ks, a, 30)
+				heartbeatAll(workers, leader, 30)
 				w.checkEqual("registered machines", len(w.registeredMachines()), 24)
 				for i := range 60 {
-					w.submit(a, spec(fmt.Sprintf("job-%d", i), 1))
+					w.submit(leader, spec(fmt.Sprintf("job-%d", i), 1))
 				}
-				heartbeatAll(ks, a, 10)
-				exitAll(ks)
-				heartbeatAll(ks, a, 90)
+				heartbeatAll(workers, leader, 10)
+				exitAll(workers)
+				heartbeatAll(workers, leader, 90)
 				w.checkEqual("active records", w.keysUnder(records.ActivePrefix), []string(nil))
 				w.checkEqual("terminal records", len(w.keysUnder(records.TerminalPrefix)), 60)
 				w.checkNothingTooLarge()
@@ -210,8 +213,8 @@
 	}
 }
 
-// Machine types that do not fit a record are not stored in part: a node that starts without the
-// cloud would reject jobs as unschedulable.
+// Machine types that do not fit a record must not be stored at all. If only some were stored, a node
+// that starts while the cloud is unreachable would reject jobs for the others as unschedulable.
 func TestTypesFitARecord(t *testing.T) {
 	for _, c := range []struct {
 		types  int
@@ -233,8 +236,8 @@
 	}
 }
 
-// queueLargeRecords queues the registration of machines with long addresses, completion records of
-// large jobs, and terminal records of jobs with long names.
+// queueLargeRecords queues registrations of machines with long addresses, completion records of jobs
+// with many tasks, and terminal records of jobs with long names.
 func (lt *leaderTerm) queueLargeRecords() {
 	rw := lt.recordWriter
 	for i := range 700 {
@@ -257,18 +260,19 @@
 	}
 }
 
-// Where values may be large, the 64 KiB that a transaction has in all bound a batch: shards of long
-// entries beside each other, completion of many large jobs, ends of many jobs with long names.
+// If the limits on operations and value size are high, a batch is limited only by the 64 KiB of a whole
+// transaction. Several shards with long entries, completion records of many large jobs and terminal
+// records of many jobs with long names must all be split to fit it.
 func TestBatchesFitTransactions(t *testing.T) {
 	l := limits{400, 128, 2000}
 	simulate(t, func(w *simulatedCluster) {
 		w.state = l.kvLimits()
 		w.enforceLimits(l)
-		a := w.start("n0")
+		leader := w.start("n0")
 		time.Sleep(time.Second)
 		const batches = 400
 		txns := make([]kv.Txn, 0, batches)
-		a.inspect(func(c *Controller) {
+		leader.inspect(func(c *Controller) {
 			lt := c.leaderTerm
 			lt.queueLargeRecords()
 			rw := lt.recordWriter
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -11,7 +11,7 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// leaderPeaks are the highest numbers of jobs and of records to write that a leader held in
+// leaderPeaks holds the highest numbers of jobs and of queued record writes seen in the leader's
 // memory.
 type leaderPeaks struct{ jobs, pendingRecords int }
 
@@ -31,8 +31,8 @@
 	})
 }
 
-// runSmallJob submits and follows a job of one task; of every four users one cancels theirs
-// after up to four seconds and asks all nodes at once.
+// runSmallJob submits a job of one task and polls it in the background until its end. One of every four
+// users cancels the job after up to four seconds and then polls all nodes.
 func (tn *userCluster) runSmallJob(i int) {
 	s := spec(fmt.Sprint("job-", i), 1)
 	tn.takes.Store(s.ID, 2*time.Second)
@@ -50,8 +50,8 @@
 	})
 }
 
-// checkJobsEnded checks that users learned in time how each job ended, also at the nodes that they
-// did not ask before, and returns how many jobs were cancelled.
+// checkJobsEnded checks that users received each job's final phase in time, and that all nodes report
+// it. It returns the number of cancelled jobs.
 func (tn *userCluster) checkJobsEnded(jobs int) (cancelled int) {
 	tn.t.Helper()
 	const maxDelay = 3*time.Second + 700*time.Millisecond
@@ -66,16 +66,16 @@
 		} else if at.Sub(tn.checker.doneAt(id)) > maxDelay {
 			late++
 		}
-		tn.checkEqual("an end of "+id, end != "", true)
+		tn.checkEqual("final phase reported for "+id, end != "", true)
 	}
-	tn.checkEqual("ends answered late", late, 0)
+	tn.checkEqual("final phases reported late", late, 0)
 	tn.checkFinalPhases(want)
 	tn.checkNoneOverdue()
 	return cancelled
 }
 
-// checkNothingLeft checks that ended jobs leave neither state in the leader's memory nor
-// records.
+// checkNothingLeft checks that ended jobs leave no state in the leader's memory, and no active or
+// completion records.
 func (tn *userCluster) checkNothingLeft() {
 	tn.t.Helper()
 	tn.nodeAt(0).inspect(func(c *Controller) {
@@ -95,9 +95,9 @@
 	}
 }
 
-// Small jobs arrive four a second for minutes, and a quarter of them is cancelled. The cost
-// must not grow with their number: neither the writes and watches of a second nor the jobs in
-// memory.
+// Four small jobs arrive per second for three minutes, and up to a quarter of them are cancelled. The
+// requests, writes and watches per second, and the state in the leader's memory, must stay bounded: they
+// must not grow with the total number of jobs.
 func TestLoadOfManySmallJobsIsBounded(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		tn := newUserCluster(w, 10)
@@ -107,7 +107,7 @@
 		tn.tally.reset()
 		for i := range jobs {
 			tn.runSmallJob(i)
-			// Four within some milliseconds, since one watch may show them all.
+			// Four jobs arrive within some milliseconds, so that one watch may deliver them all.
 			time.Sleep(8 * time.Millisecond)
 			if i%4 == 3 {
 				time.Sleep(968 * time.Millisecond)
@@ -125,13 +125,13 @@
 		}{
 			{"requests in a second", maxRequests, 45},
 			{"writes in a second", maxWrites, 25},
-			// The active record, the terminal record in its place, and CancelKey
-			// with a cancellation; a few for machines.
+			// Per job, the active record is written and deleted, and the terminal record
+			// written; a cancellation also writes CancelKey. The rest is for machines.
 			{"writes", writes, 3*jobs + cancelled + 60},
 			{"watches in a second", maxWatches, 10},
 			{"watches", watches, 700},
 			{"jobs in memory", peaks.jobs, 16},
-			{"records to write", peaks.pendingRecords, 20},
+			{"queued record writes", peaks.pendingRecords, 20},
 		} {
 			if b.got > b.limit {
 				t.Errorf("%s: got %d, want at most %d", b.name, b.got, b.limit)
@@ -142,8 +142,9 @@
 	})
 }
 
-// changeLeaders replaces the leader in three ways: it restarts at once; the key-value store
-// rejects it alone, so that it steps down; it stays down until its lease has expired.
+// changeLeaders causes three leader changes: the leader restarts at once; the key-value store rejects
+// the requests of the leader only, so that it steps down; the leader stays down until its lease has
+// expired.
 func (tn *userCluster) changeLeaders(after time.Duration) {
 	time.Sleep(after)
 	i := tn.leader()
@@ -161,8 +162,8 @@
 	tn.startNode(i)
 }
 
-// loseEveryFifthResponse drops the response to every fifth transaction that changes something, and
-// returns the number dropped so far.
+// loseEveryFifthResponse makes the store lose the response to every fifth transaction with operations.
+// The function that it returns counts the responses lost so far.
 func (w *simulatedCluster) loseEveryFifthResponse() (lost func() int) {
 	writes, dropped := 0, 0
 	w.store.LoseResponses(func(txn kv.Txn) bool {
@@ -179,10 +180,11 @@
 	return func() int { return dropped }
 }
 
-// cancelsJob is true of the users, one of ten, that cancel their job.
+// cancelsJob reports whether user i cancels their job, as one of every ten does.
 func cancelsJob(i int) bool { return i%10 == 3 }
 
-// runRepeatedJob submits a job, follows it, cancels it or not, and repeats the submission.
+// runRepeatedJob submits a job and polls it in the background until its end. It cancels the job if
+// cancelsJob reports true, and repeats the submission two seconds later.
 func (tn *userCluster) runRepeatedJob(i int) {
 	s := spec(fmt.Sprint("job-", i), 1+i%3)
 	tn.takes.Store(s.ID, time.Duration(2+i%7)*time.Second)
@@ -198,8 +200,8 @@
 	})
 }
 
-// What is accepted and not cancelled stays known and is done in the end, across leader changes
-// of every kind and with responses lost meanwhile.
+// Accepted jobs that are not cancelled must stay known to all nodes and complete, although the leader
+// changes in different ways and the store loses responses meanwhile.
 func TestAcceptedJobsCompleteAcrossLeaderChanges(t *testing.T) {
 	for shift := time.Duration(0); shift < 4*time.Second; shift += 700 * time.Millisecond {
 		t.Run(fmt.Sprint(shift), func(t *testing.T) {
--- a/internal/recordwriter/outcome.go
+++ b/internal/recordwriter/outcome.go
@@ -10,7 +10,7 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// Outcome is what the caller has to do after the result of a batch's transaction.
+// Outcome lists what the caller has to do after the result of a batch's transaction.
 type Outcome struct {
 	// Finished are the jobs whose terminal record has been written.
 	Finished []*cluster.Job
