--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -111,7 +111,7 @@
 	// draining is set when the process is about to end. The node then no longer leads.
 	draining bool
 	// lookups holds, by job, the lookup in the store that queries of users wait for.
-	lookups map[string]*lookupRound
+	lookups map[string]*sharedLookup
 }
 
 // message is an event that the owner goroutine applies to its state.
@@ -150,7 +150,7 @@
 		redirects:     map[string]redirect{},
 		finalStates:   final,
 		cancellations: cancellation.NewLog(site.Workers, site.Limits, now),
-		lookups:       map[string]*lookupRound{},
+		lookups:       map[string]*sharedLookup{},
 	}
 }
 
--- a/internal/recordwriter/completion_test.go
+++ b/internal/recordwriter/completion_test.go
@@ -19,18 +19,18 @@
 		want := kv.Compare{Key: records.ActivePrefix + "j", ModRevision: j.ModRevision}
 		checkEqual(t, "compares the job's record", b.Txn.Compares, []kv.Compare{termCompare, want})
 		keys = append(keys, b.Txn.Ops[0].Put)
-		apply(t, w, b, now)
+		applySuccess(t, w, b, now)
 		now = now.Add(completionInterval)
 	}
 	want := []string{records.CompletionKey("j", 0), records.CompletionKey("j", 16), records.CompletionKey("j", 32)}
-	checkEqual(t, "records", keys, want)
-	checkEqual(t, "tasks on record", j.Recorded.Count(), uint(40))
+	checkEqual(t, "keys of the completion records", keys, want)
+	checkEqual(t, "recorded tasks", j.Recorded.Count(), uint(40))
 }
 
 func TestCompletionRecordsAreLimitedInRate(t *testing.T) {
 	w := newWriter(defaultLimits)
 	w.QueueCompletion(newJob("a", 2))
-	apply(t, w, w.NextBatch(start, nil), start)
+	applySuccess(t, w, w.NextBatch(start, nil), start)
 	w.QueueCompletion(newJob("b", 2))
 	for _, c := range []struct {
 		after time.Duration
@@ -40,8 +40,8 @@
 	}
 }
 
-// A completion record must not outlive its job: that of a job whose active record has changed is
-// not written again.
+// A completion record must not be written after its job has ended. So a record is not retried if the
+// job's active record has changed.
 func TestCompletionOfAChangedJobIsDropped(t *testing.T) {
 	w := newWriter(defaultLimits)
 	changed, other := newJob("changed", 2), newJob("other", 2)
@@ -49,8 +49,8 @@
 	w.QueueCompletion(other)
 	b := w.NextBatch(start, nil)
 	out := w.Apply(b, start, kv.Result{FailedKeys: []string{records.ActivePrefix + "changed"}}, nil)
-	checkEqual(t, "to be resolved", len(out.Changed), 0)
-	checkEqual(t, "queued", ids(w.dirtyJobs), []string{"other"})
+	checkEqual(t, "jobs to resolve", len(out.Conflicting), 0)
+	checkEqual(t, "jobs queued again", jobIDs(w.dirtyJobs), []string{"other"})
 	checkEqual(t, "dirty", []bool{changed.CompletionDirty, other.CompletionDirty}, []bool{false, true})
-	checkEqual(t, "known to be on record", changed.CompletionChunks[0], false)
+	checkEqual(t, "chunk marked as written", changed.CompletionChunks[0], false)
 }
