--- a/internal/controller/cancelcascade_test.go
+++ b/internal/controller/cancelcascade_test.go
@@ -127,17 +127,17 @@
 			for _, j := range c.leaderTerm.jobs {
 				j.CancelPending = false // as at a leader that has not read the terminal record yet
 			}
-			dg.pendingCancels, dg.lookingUp = nil, true
+			dg.pendingCancels, dg.lookupInFlight = nil, true
 		})
 		w.checkEqual("phases", w.phaseCounts(n, ids[1:]), map[string]int{api.JobCancelled: 2})
-		n.inspect(func(c *Controller) { c.leaderTerm.dependencies.lookingUp = false })
+		n.inspect(func(c *Controller) { c.leaderTerm.dependencies.lookupInFlight = false })
 		time.Sleep(2 * time.Second) // the delayed writes time out
 	})
 }
 
 // A node that has learned of such a cancellation from an earlier leader names it to the leader, as if
 // it were recorded. The leader still records it: nobody else would.
-func TestCascadeIsRecordedThoughPeersNameIt(t *testing.T) {
+func TestCascadeIsRecordedWhenPeersReportIt(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		ids := w.putDependentJobs(3, dependsOnPrevious)
 		n := w.start("n0")
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -27,13 +27,13 @@
 	dependents map[string][]*cluster.Job
 	// pendingCancels are the jobs whose cancellation is to be put on record.
 	pendingCancels []*cluster.Job
-	// lookups are dependencies that are not active: how they ended is to be read, of all of
+	// lookupQueue are dependencies that are not active: how they ended is to be read, of all of
 	// them at a time.
-	lookups   []string
-	lookingUp bool
-	// unknown counts the rounds of lookups that wait for jobs which are active but which the
+	lookupQueue    []string
+	lookupInFlight bool
+	// scheduledRetries counts the rounds of lookups that wait for jobs which are active but which the
 	// watch has not delivered yet.
-	unknown int
+	scheduledRetries int
 }
 
 // init sets up the graph for a term.
@@ -51,7 +51,7 @@
 	if j.DependencyList != nil && !j.DependenciesRead {
 		// Not all of its dependencies are known, so none of its tasks may start.
 		j.DependsOn[records.DependenciesElsewhere] = true
-		dg.leaderTerm.dependencyLists.read(j)
+		dg.leaderTerm.dependencyLists.enqueueRead(j)
 		return
 	}
 	pending := false
@@ -68,7 +68,7 @@
 		dependency := dg.leaderTerm.jobs[id]
 		if dependency == nil {
 			if len(dg.dependents[id]) == 0 {
-				dg.lookups = append(dg.lookups, id)
+				dg.lookupQueue = append(dg.lookupQueue, id)
 			}
 		} else if dependency.CancelPending {
 			pending = true
@@ -83,7 +83,7 @@
 	case len(j.DependsOn) == 0:
 		dg.enqueueReady(j)
 	}
-	dg.lookupNext()
+	dg.startLookup()
 }
 
 // enqueueReady queues a job once all its dependencies are done. Its times count from the end of
@@ -140,8 +140,8 @@
 	}
 }
 
-// forget removes a job that has ended from the dependents of others.
-func (dg *dependencyGraph) forget(j *cluster.Job) {
+// removeDependent removes a job that has ended from the dependents of others.
+func (dg *dependencyGraph) removeDependent(j *cluster.Job) {
 	for id := range j.DependsOn {
 		remaining := slices.DeleteFunc(dg.dependents[id], func(other *cluster.Job) bool { return other == j })
 		if dg.dependents[id] = remaining; len(remaining) == 0 {
@@ -183,7 +183,7 @@
 	if j.PriorityRank < dependency.PriorityRank {
 		dependency.PriorityRank, changed = j.PriorityRank, true
 	}
-	due := dg.dependentDeadlines(j)
+	due := dg.effectiveDeadlines(j)
 	if len(due) == 0 {
 		return changed
 	}
@@ -202,7 +202,7 @@
 
 // DependentDeadlines are the times by which a job should be complete for the deadlines of its
 // pipeline, the strictest first.
-func (dg *dependencyGraph) dependentDeadlines(j *cluster.Job) []time.Time {
+func (dg *dependencyGraph) effectiveDeadlines(j *cluster.Job) []time.Time {
 	own := dg.leaderTerm.deadlines(j)
 	if len(own) == 0 || len(j.DependentDeadlines) > 0 && j.DependentDeadlines[0].Before(own[0]) {
 		return j.DependentDeadlines
@@ -227,15 +227,15 @@
 // depend on it are assigned.
 const expectedStageLag = time.Second
 
-// lookupNext reads how dependencies ended that are not active. Those whose record could not be
+// startLookup reads how dependencies ended that are not active. Those whose record could not be
 // read are read again after lookupRetryInterval.
-func (dg *dependencyGraph) lookupNext() {
-	if dg.lookingUp || len(dg.lookups) == 0 {
+func (dg *dependencyGraph) startLookup() {
+	if dg.lookupInFlight || len(dg.lookupQueue) == 0 {
 		return
 	}
-	dg.lookingUp = true
-	lt, ids := dg.leaderTerm, dg.lookups
-	dg.lookups = nil
+	dg.lookupInFlight = true
+	lt, ids := dg.leaderTerm, dg.lookupQueue
+	dg.lookupQueue = nil
 	go func() {
 		recordStore := records.Records{Store: lt.c.Store}
 		ends := map[string]records.TerminalRecord{}
@@ -243,7 +243,7 @@
 			found, err := recordStore.TerminalRecords(lt.ctx, unread)
 			maps.Copy(ends, found)
 			if err == nil {
-				lt.sendToOwner(endsLookedUpMsg{leaderTerm: lt, ids: ids, ends: ends})
+				lt.sendToOwner(terminalRecordsReadMsg{leaderTerm: lt, ids: ids, terminalRecords: ends})
 				return
 			}
 			unread = slices.DeleteFunc(slices.Clone(unread), func(id string) bool {
@@ -257,27 +257,27 @@
 // lookupRetryInterval is the time between two attempts to read terminal records.
 const lookupRetryInterval = 300 * time.Millisecond
 
-// unknownRetryDelay is after what time dependencies are looked up again that are active, but which
+// undeliveredRetryDelay is after what time dependencies are looked up again that are active, but which
 // the watch has not delivered yet.
-const unknownRetryDelay = time.Second
+const undeliveredRetryDelay = time.Second
 
-// endsLookedUpMsg has the terminal records of the jobs that were looked up; those that are still
+// terminalRecordsReadMsg has the terminal records of the jobs that were looked up; those that are still
 // active have none.
-type endsLookedUpMsg struct {
-	leaderTerm *leaderTerm
-	ids        []string
-	ends       map[string]records.TerminalRecord
+type terminalRecordsReadMsg struct {
+	leaderTerm      *leaderTerm
+	ids             []string
+	terminalRecords map[string]records.TerminalRecord
 }
 
-func (m endsLookedUpMsg) apply(c *Controller) {
+func (m terminalRecordsReadMsg) apply(c *Controller) {
 	dg := &m.leaderTerm.dependencies
 	if m.leaderTerm.hasEnded() {
 		return
 	}
-	dg.lookingUp = false
+	dg.lookupInFlight = false
 	var unknown []string
 	for _, id := range m.ids {
-		end, found := m.ends[id]
+		end, found := m.terminalRecords[id]
 		switch {
 		case found:
 			dg.applyTerminalRecord(id, end)
@@ -287,11 +287,11 @@
 	}
 	if len(unknown) > 0 {
 		// They are active, and not known here yet: the watch delivers them.
-		dg.unknown++
+		dg.scheduledRetries++
 		retry := lookupRetryMsg{leaderTerm: m.leaderTerm, ids: unknown}
-		time.AfterFunc(unknownRetryDelay, func() { m.leaderTerm.sendToOwner(retry) })
+		time.AfterFunc(undeliveredRetryDelay, func() { m.leaderTerm.sendToOwner(retry) })
 	}
-	dg.lookupNext()
+	dg.startLookup()
 }
 
 // applyTerminalRecord applies the terminal record of a job to those that depend on it.
@@ -318,18 +318,18 @@
 		return
 	}
 	dg := &m.leaderTerm.dependencies
-	dg.unknown--
+	dg.scheduledRetries--
 	for _, id := range m.ids {
 		if len(dg.dependents[id]) > 0 && m.leaderTerm.jobs[id] == nil {
-			dg.lookups = append(dg.lookups, id)
+			dg.lookupQueue = append(dg.lookupQueue, id)
 		}
 	}
-	dg.lookupNext()
+	dg.startLookup()
 }
 
 // unresolved tells whether the dependencies of some jobs, or how these ended, are still to be
 // read. Until then a job may depend on a cancelled one without this leader knowing.
 func (dg *dependencyGraph) unresolved() bool {
 	lists := &dg.leaderTerm.dependencyLists
-	return dg.lookingUp || len(dg.lookups) > 0 || dg.unknown > 0 || lists.reading || len(lists.unread) > 0
+	return dg.lookupInFlight || len(dg.lookupQueue) > 0 || dg.scheduledRetries > 0 || lists.reading || len(lists.unread) > 0
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -373,8 +373,8 @@
 	}
 }
 
-// jobsHeld counts the jobs in memory, those with dependents, and the cancellations still to write.
-func (lt *leaderTerm) jobsHeld() int {
+// jobEntriesInMemory counts the jobs in memory, those with dependents, and the cancellations still to write.
+func (lt *leaderTerm) jobEntriesInMemory() int {
 	return len(lt.jobs) + len(lt.dependencies.dependents) + len(lt.dependencies.pendingCancels)
 }
 
@@ -408,7 +408,7 @@
 						t.Fatalf("phase of job-%d: got %s, want %s", i, got, api.JobCancelled)
 					}
 				}
-				n.inspect(func(c *Controller) { w.checkEqual("left in memory", c.leaderTerm.jobsHeld(), 0) })
+				n.inspect(func(c *Controller) { w.checkEqual("left in memory", c.leaderTerm.jobEntriesInMemory(), 0) })
 			})
 		})
 	}
@@ -504,7 +504,7 @@
 					id := fmt.Sprint("job-", i+1)
 					w.checkEqual("phase of "+id, w.phase(n, id), api.JobCancelled)
 				}
-				n.inspect(func(c *Controller) { w.checkEqual("left in memory", c.leaderTerm.jobsHeld(), 0) })
+				n.inspect(func(c *Controller) { w.checkEqual("left in memory", c.leaderTerm.jobEntriesInMemory(), 0) })
 			})
 		})
 	}
@@ -573,9 +573,9 @@
 	lt.addRecord(records.ActivePrefix+s.ID, record, uint64(1000+i))
 }
 
-// measure counts the allocations by which the deadline of a pipeline's last job reaches the others,
+// measureAllocations counts the allocations by which the deadline of a pipeline's last job reaches the others,
 // and a cancellation of the first job its dependents. It checks that each is cancelled just once.
-func (p pipelineShape) measure(w *simulatedCluster, c *Controller, jobs int) (deadline, cancel uint64) {
+func (p pipelineShape) measureAllocations(w *simulatedCluster, c *Controller, jobs int) (deadline, cancel uint64) {
 	w.t.Helper()
 	lt := c.leaderTerm
 	for i := range jobs {
@@ -613,9 +613,9 @@
 			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
 				var deadline, cancel, deadlineOfTwice, cancelOfTwice uint64
-				n.inspect(func(c *Controller) { shape.measure(w, c, 10) })
-				n.inspect(func(c *Controller) { deadline, cancel = shape.measure(w, c, jobs) })
-				n.inspect(func(c *Controller) { deadlineOfTwice, cancelOfTwice = shape.measure(w, c, 2*jobs) })
+				n.inspect(func(c *Controller) { shape.measureAllocations(w, c, 10) })
+				n.inspect(func(c *Controller) { deadline, cancel = shape.measureAllocations(w, c, jobs) })
+				n.inspect(func(c *Controller) { deadlineOfTwice, cancelOfTwice = shape.measureAllocations(w, c, 2*jobs) })
 				if limit := maxGrowth*deadline + 100; deadlineOfTwice > limit {
 					t.Errorf("work of a deadline in twice the jobs: got %d, want at most %d", deadlineOfTwice, limit)
 				}
--- a/internal/controller/dependencylists.go
+++ b/internal/controller/dependencylists.go
@@ -19,16 +19,16 @@
 }
 
 const (
-	// dependencyReadRetry is how long after a failure a list is read again.
-	dependencyReadRetry = time.Second
+	// dependencyReadRetryInterval is how long after a failure a list is read again.
+	dependencyReadRetryInterval = time.Second
 	// dependencyReadTimeout bounds one read of a list or of a terminal record.
 	dependencyReadTimeout = 4 * time.Second
 	// sweepPause leaves the request budget to others.
 	sweepPause = 200 * time.Millisecond
 )
 
-// read queues a job's list to be read.
-func (dl *dependencyLists) read(j *cluster.Job) {
+// enqueueRead queues a job's list to be read.
+func (dl *dependencyLists) enqueueRead(j *cluster.Job) {
 	dl.unread = append(dl.unread, j)
 	dl.readNext()
 }
@@ -49,7 +49,7 @@
 		cancel()
 		if err != nil {
 			lt.c.Log.Debug("dependency list not read", "job", id, "err", err)
-			sleep(lt.ctx, dependencyReadRetry)
+			sleep(lt.ctx, dependencyReadRetryInterval)
 		}
 		lt.sendToOwner(dependencyListReadMsg{leaderTerm: lt, job: j, ids: ids, err: err})
 	}()
@@ -81,8 +81,8 @@
 	dl.readNext()
 }
 
-// drop deletes the list of a job that has ended.
-func (dl *dependencyLists) drop(j *cluster.Job) {
+// deleteList deletes the list of a job that has ended.
+func (dl *dependencyLists) deleteList(j *cluster.Job) {
 	if j.DependencyList == nil {
 		return
 	}
@@ -94,7 +94,7 @@
 // sweep finds, once a term, the records of lists that earlier leaders, or submissions that were
 // not completed, have left behind.
 func (dl *dependencyLists) sweep() {
-	keysByJob := dl.listedKeys()
+	keysByJob := dl.readKeysByJob()
 	recordStore := records.Records{Store: dl.leaderTerm.c.Store}
 	for id, jobKeys := range keysByJob {
 		ctx, cancel := context.WithTimeout(dl.leaderTerm.ctx, dependencyReadTimeout)
@@ -103,7 +103,7 @@
 		if err != nil {
 			continue // the next term's sweep finds it
 		}
-		dl.leaderTerm.sendToOwner(leftoverListMsg{
+		dl.leaderTerm.sendToOwner(listKeysFoundMsg{
 			leaderTerm: dl.leaderTerm,
 			id:         id,
 			keys:       jobKeys,
@@ -113,8 +113,8 @@
 	}
 }
 
-// listedKeys are the keys of all records of lists, by job.
-func (dl *dependencyLists) listedKeys() map[string][]string {
+// readKeysByJob are the keys of all records of lists, by job.
+func (dl *dependencyLists) readKeysByJob() map[string][]string {
 	for dl.leaderTerm.ctx.Err() == nil {
 		keys := map[string][]string{}
 		recordStore := records.Records{Store: dl.leaderTerm.c.Store}
@@ -126,20 +126,20 @@
 		if err == nil {
 			return keys
 		}
-		sleep(dl.leaderTerm.ctx, dependencyReadRetry)
+		sleep(dl.leaderTerm.ctx, dependencyReadRetryInterval)
 	}
 	return nil
 }
 
-// leftoverListMsg has the keys of records of lists for one job id, and whether that job has ended.
-type leftoverListMsg struct {
+// listKeysFoundMsg has the keys of records of lists for one job id, and whether that job has ended.
+type listKeysFoundMsg struct {
 	leaderTerm *leaderTerm
 	id         string
 	keys       []string
 	ended      bool
 }
 
-func (m leftoverListMsg) apply(c *Controller) {
+func (m listKeysFoundMsg) apply(c *Controller) {
 	if m.leaderTerm.hasEnded() {
 		return
 	}
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -17,8 +17,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// manyDone stores the terminal records of many jobs that are done, and returns the jobs' names.
-func (w *simulatedCluster) manyDone(count int) []string {
+// putDoneJobs stores the terminal records of many jobs that are done, and returns the jobs' names.
+func (w *simulatedCluster) putDoneJobs(count int) []string {
 	w.t.Helper()
 	ids := make([]string, count)
 	for i := range ids {
@@ -58,7 +58,7 @@
 	n := w.start("n0")
 	k := w.worker("i-1", "a", false)
 	w.submit(n, spec("job-1", 1))
-	w.submit(n, dependentSpec("job-2", "red", 1, append(w.manyDone(600), "job-1")...))
+	w.submit(n, dependentSpec("job-2", "red", 1, append(w.putDoneJobs(600), "job-1")...))
 	w.submit(n, dependentSpec("job-3", "red", 1, "job-2"))
 	k.serve(n, 4)
 	if c.newLeader {
@@ -106,7 +106,7 @@
 		w.state = config.KVLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
-		w.submit(n, dependentSpec("job-2", "red", 1, append(w.manyDone(300), "job-1")...))
+		w.submit(n, dependentSpec("job-2", "red", 1, append(w.putDoneJobs(300), "job-1")...))
 		own := w.keysUnder(records.DependencyPrefix)
 		w.put(records.DependencyPrefix+"job-2/other/00000", records.DependencyRecord{Jobs: []string{"job-1"}})
 		w.put(records.DependencyPrefix+"job-1000/left/00000", records.DependencyRecord{Jobs: []string{"job-1"}})
@@ -161,24 +161,24 @@
 	})
 }
 
-// unreadableEnds is a key-value store that rejects reads of terminal records while it is closed.
-type unreadableEnds struct {
+// unreadableTerminalRecords is a key-value store that rejects reads of terminal records while it is closed.
+type unreadableTerminalRecords struct {
 	*kvtest.Fake
-	closed atomic.Bool
+	rejectReads atomic.Bool
 	// rejected counts the reads that were rejected.
 	rejected atomic.Int32
 }
 
-func (s *unreadableEnds) Get(ctx context.Context, key string) (kv.Entry, error) {
-	if s.closed.Load() && strings.HasPrefix(key, records.TerminalPrefix) {
+func (s *unreadableTerminalRecords) Get(ctx context.Context, key string) (kv.Entry, error) {
+	if s.rejectReads.Load() && strings.HasPrefix(key, records.TerminalPrefix) {
 		s.rejected.Add(1)
 		return kv.Entry{}, kv.ErrNotApplied
 	}
 	return s.Fake.Get(ctx, key)
 }
 
-func (s *unreadableEnds) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
-	if s.closed.Load() && prefix == records.TerminalPrefix {
+func (s *unreadableTerminalRecords) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
+	if s.rejectReads.Load() && prefix == records.TerminalPrefix {
 		s.rejected.Add(1)
 		return kv.Page{}, kv.ErrNotApplied
 	}
@@ -191,20 +191,20 @@
 	for _, count := range []int{1, 400} {
 		t.Run(fmt.Sprint(count, " dependencies"), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				st := &unreadableEnds{Fake: w.store}
+				st := &unreadableTerminalRecords{Fake: w.store}
 				n := w.startWith("n0", st, nil)
 				k := w.worker("i-1", "a", false)
-				w.submit(n, dependentSpec("job-1", "red", 1, w.manyDone(count)...))
+				w.submit(n, dependentSpec("job-1", "red", 1, w.putDoneJobs(count)...))
 				w.submit(n, dependentSpec("job-2", "red", 1, "job-1"))
 				n.crash()
-				st.closed.Store(true)
+				st.rejectReads.Store(true)
 				n = w.startWith("n0", st, nil)
 				k.serve(n, 30)
 				w.checkEqual("running", k.running(), []string(nil))
 				if reads := st.rejected.Load(); reads < 5 || reads > 150 {
 					t.Errorf("reads of terminal records: got %d, want 5 to 150", reads)
 				}
-				st.closed.Store(false)
+				st.rejectReads.Store(false)
 				k.serve(n, 5)
 				w.checkEqual("running in the end", k.running(), []string{"job-1/0"})
 			})
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -141,7 +141,7 @@
 	for first := range j.CompletionChunks {
 		lt.recordWriter.DeleteKey(records.CompletionKey(j.Spec.ID, first))
 	}
-	lt.dependencyLists.drop(j)
+	lt.dependencyLists.deleteList(j)
 }
 
 // removeJob removes a job that has ended from all state.
@@ -149,7 +149,7 @@
 	j.Ended = true
 	j.CompletionDirty = false
 	delete(lt.jobs, j.Spec.ID)
-	lt.dependencies.forget(j)
+	lt.dependencies.removeDependent(j)
 	lt.loans.release(j)
 	j.Team.Remove(j)
 }
--- a/internal/controller/recordwrites.go
+++ b/internal/controller/recordwrites.go
@@ -121,7 +121,7 @@
 			lt.recordWriter.DeleteKey(records.CompletionKey(j.Spec.ID, first))
 		}
 	}
-	lt.dependencyLists.drop(j)
+	lt.dependencyLists.deleteList(j)
 	lt.c.Log.Debug("job done",
 		"job", j.Spec.ID,
 		"class", j.Spec.Class,
