--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -12,31 +12,32 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// dependencyGraph is the DAG of the jobs that depend on others. A job may depend on others: none
-// of its tasks starts before these are done, on record. Until then it is in no queue, and so uses
-// no part of a limit or guarantee and scales nothing out. When one of them is cancelled, it is
-// cancelled too.
+// dependencyGraph is the leader's DAG of jobs that depend on other jobs. No task of a job starts
+// before the terminal records of all its dependencies say that they are done. Until then the job is
+// in no queue, so it counts towards no limit or guarantee and causes no scale-out. If a dependency
+// is cancelled, the job is cancelled as well.
 //
-// The cancellation that a user is answered is one compare-and-swap; what follows from it is
-// derived, by the leader in its memory and by whoever reads such a job's record
-// (records.Records), and users see it at once. The leader, or the next, also writes it: in steps
-// within the write rate, each of which leaves nothing that the next could not be found from.
+// The cancellation that a user requests is one compare-and-swap. The cancellations of the dependents
+// are derived from it: by the leader in memory, and by any node that reads the record of a dependent
+// (records.Records). Users therefore see them at once. The leader also writes them to the store, in
+// several transactions to stay within the write rate. After each transaction the remaining
+// cancellations can still be derived from the records, so that the next leader can complete them.
 type dependencyGraph struct {
 	leaderTerm *leaderTerm
-	// dependents are the jobs that depend on others, by what they depend on.
+	// dependents maps the id of a job to the jobs that depend on it.
 	dependents map[string][]*cluster.Job
-	// pendingCancels are the jobs whose cancellation is to be put on record.
+	// pendingCancels are the jobs whose cancellation is still to be written to the store.
 	pendingCancels []*cluster.Job
-	// lookupQueue are dependencies that are not active: how they ended is to be read, of all of
-	// them at a time.
+	// lookupQueue are the dependencies that are not in the leader's memory and whose terminal
+	// records are still to be read. One lookup reads all that are queued.
 	lookupQueue    []string
 	lookupInFlight bool
-	// scheduledRetries counts the rounds of lookups that wait for jobs which are active but which the
-	// watch has not delivered yet.
+	// scheduledRetries counts the scheduled lookups of dependencies that are active in the store
+	// but that the watch has not delivered yet.
 	scheduledRetries int
 }
 
-// init sets up the graph for a term.
+// init sets up an empty graph for a leader term.
 func (dg *dependencyGraph) init(lt *leaderTerm) {
 	*dg = dependencyGraph{
 		leaderTerm: lt,
@@ -44,21 +45,21 @@
 	}
 }
 
-// resolveDependencies finds which of a job's dependencies have not ended, and enqueues the job if
-// there are none. It is cancelled if one of them is.
+// resolveDependencies determines which of a job's dependencies have not ended. It enqueues the job
+// if there are none, and cancels it if one of its dependencies is cancelled.
 func (dg *dependencyGraph) resolveDependencies(j *cluster.Job) {
 	j.DependsOn = map[string]bool{}
 	if j.DependencyList != nil && !j.DependenciesRead {
-		// Not all of its dependencies are known, so none of its tasks may start.
+		// The list of dependencies is not read yet. The placeholder keeps the job from starting.
 		j.DependsOn[records.DependenciesElsewhere] = true
 		dg.leaderTerm.dependencyLists.enqueueRead(j)
 		return
 	}
-	pending := false
+	cancelled := false
 	for _, id := range j.Spec.DependsOn {
 		state, ended := dg.leaderTerm.c.finalStates.Get(id)
 		if ended && state.Phase == api.JobCancelled {
-			pending = true
+			cancelled = true
 			continue
 		}
 		if ended && !state.Ended.IsZero() {
@@ -71,14 +72,14 @@
 				dg.lookupQueue = append(dg.lookupQueue, id)
 			}
 		} else if dependency.CancelPending {
-			pending = true
+			cancelled = true
 		}
 		j.DependsOn[id] = true
 		dg.dependents[id] = append(dg.dependents[id], j)
 	}
 	j.DropEndedDependencies()
 	switch {
-	case pending:
+	case cancelled:
 		dg.cancelWithDependents(j)
 	case len(j.DependsOn) == 0:
 		dg.enqueueReady(j)
@@ -86,13 +87,13 @@
 	dg.startLookup()
 }
 
-// enqueueReady queues a job once all its dependencies are done. Its times count from the end of
-// the last of them, also if another leader saw that; or from its acceptance, if it was submitted
-// later.
+// enqueueReady adds a job to its team's queue once all its dependencies are done. The job's
+// objectives count from the recorded end of its last dependency, even if an earlier leader recorded
+// it, or from the job's acceptance, whichever is later.
 func (dg *dependencyGraph) enqueueReady(j *cluster.Job) {
 	now := time.Now()
 	j.DependsOn, j.RunnableSince, j.WaitingSince = nil, j.Accepted, now
-	j.Spec.DependsOn = nil // perhaps thousands, all of them ended
+	j.Spec.DependsOn = nil // frees the ids of ended dependencies, of which there may be thousands
 	if j.LastDependencyEnd.After(j.RunnableSince) {
 		j.RunnableSince = j.LastDependencyEnd
 	}
@@ -102,8 +103,8 @@
 	dg.leaderTerm.dispatchUntil = now.Add(dispatchWindow)
 }
 
-// jobDone removes a job that is done on record from the dependencies of others, and enqueues those
-// that have no other left.
+// jobDone removes a job from the dependencies of its dependents once its terminal record says that
+// it is done, and enqueues the dependents that have no other dependency left.
 func (dg *dependencyGraph) jobDone(id string, at time.Time) {
 	dependents := dg.dependents[id]
 	delete(dg.dependents, id)
@@ -126,21 +127,21 @@
 	}
 }
 
-// cancelWithDependents has a pending job cancelled on record, with all that depend on it, directly
-// or through others.
+// cancelWithDependents marks a pending job and all its direct and indirect dependents as cancelled,
+// and queues their cancellations to be written to the store.
 func (dg *dependencyGraph) cancelWithDependents(j *cluster.Job) {
-	for todo := []*cluster.Job{j}; len(todo) > 0; {
-		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
+	for stack := []*cluster.Job{j}; len(stack) > 0; {
+		j, stack = stack[len(stack)-1], stack[:len(stack)-1]
 		if j.CancelPending || j.Ended {
 			continue
 		}
 		j.CancelPending = true
 		dg.pendingCancels = append(dg.pendingCancels, j)
-		todo = append(todo, dg.dependents[j.Spec.ID]...)
+		stack = append(stack, dg.dependents[j.Spec.ID]...)
 	}
 }
 
-// removeDependent removes a job that has ended from the dependents of others.
+// removeDependent removes an ended job from the dependents of its dependencies.
 func (dg *dependencyGraph) removeDependent(j *cluster.Job) {
 	for id := range j.DependsOn {
 		remaining := slices.DeleteFunc(dg.dependents[id], func(other *cluster.Job) bool { return other == j })
@@ -151,10 +152,11 @@
 	j.DependsOn = nil
 }
 
-// propagateDeadlines passes the deadlines and priorities of jobs on to all that they depend on:
-// these are ordered by the latest start that lets what follows be in time. A job was accepted
-// after all its dependencies, so in reverse order of acceptance each is visited once, after all
-// that depend on it; and only where anything changes.
+// propagateDeadlines propagates the deadlines and priorities of jobs to all their direct and
+// indirect dependencies, so that these are ordered by the latest start with which their dependents
+// still meet their deadlines. A job is always accepted after its dependencies. Visiting jobs in
+// reverse order of acceptance therefore visits each once, after all its dependents. Dependencies
+// whose deadline and priority do not change are not visited.
 func (dg *dependencyGraph) propagateDeadlines(jobs ...*cluster.Job) {
 	byModRevision := func(a, b *cluster.Job) int { return cmp.Compare(a.ModRevision, b.ModRevision) }
 	todo := slices.Clone(jobs)
@@ -170,38 +172,39 @@
 			if len(dependency.Spec.DependsOn) == 0 {
 				continue
 			}
-			if at, found := slices.BinarySearchFunc(todo, dependency, byModRevision); !found {
-				todo = slices.Insert(todo, at, dependency)
+			if index, found := slices.BinarySearchFunc(todo, dependency, byModRevision); !found {
+				todo = slices.Insert(todo, index, dependency)
 			}
 		}
 	}
 }
 
-// propagateDeadline tightens the objectives and the priority of a dependency by those of a job that
-// depends on it, and tells whether that changed anything.
+// propagateDeadline tightens the deadlines and the priority of a dependency to what its dependent j
+// requires, and reports whether anything changed.
 func (dg *dependencyGraph) propagateDeadline(j, dependency *cluster.Job) (changed bool) {
 	if j.PriorityRank < dependency.PriorityRank {
 		dependency.PriorityRank, changed = j.PriorityRank, true
 	}
-	due := dg.effectiveDeadlines(j)
-	if len(due) == 0 {
+	deadlines := dg.effectiveDeadlines(j)
+	if len(deadlines) == 0 {
 		return changed
 	}
 	duration := dg.stageDuration(j)
-	if len(dependency.DependentDeadlines) > 0 && !due[0].Add(-duration).Before(dependency.DependentDeadlines[0]) {
+	if len(dependency.DependentDeadlines) > 0 &&
+		!deadlines[0].Add(-duration).Before(dependency.DependentDeadlines[0]) {
 		return changed
 	}
 	dependency.DependentDeadlines = nil
-	for _, at := range due {
-		dependency.DependentDeadlines = append(dependency.DependentDeadlines, at.Add(-duration))
+	for _, deadline := range deadlines {
+		dependency.DependentDeadlines = append(dependency.DependentDeadlines, deadline.Add(-duration))
 	}
 	dependency.Objectives = dg.leaderTerm.objectives(dependency)
 	dependency.UpdateFeasibility(time.Now())
 	return true
 }
 
-// DependentDeadlines are the times by which a job should be complete for the deadlines of its
-// pipeline, the strictest first.
+// effectiveDeadlines returns the deadlines that a job has to meet, in ascending order: its own or
+// those that its dependents require, whichever list starts earlier.
 func (dg *dependencyGraph) effectiveDeadlines(j *cluster.Job) []time.Time {
 	own := dg.leaderTerm.deadlines(j)
 	if len(own) == 0 || len(j.DependentDeadlines) > 0 && j.DependentDeadlines[0].Before(own[0]) {
@@ -210,25 +213,27 @@
 	return own
 }
 
-// stageDuration is how long a stage is expected to take from the end of the one before it: until
-// that is on record, the machine has received the start and has the image.
+// stageDuration returns how long a job of a pipeline is expected to take, counted from the end of
+// its last dependency. That includes the time until this end is recorded and the job's tasks are
+// assigned, until the machine's next heartbeat delivers the start, and until the slowest machine
+// type has fetched the image.
 func (dg *dependencyGraph) stageDuration(j *cluster.Job) time.Duration {
-	fetch := 0.0
+	fetchS := 0.0
 	for _, t := range dg.leaderTerm.c.types.load() {
 		if t.FetchGBs > 0 {
-			fetch = max(fetch, j.Spec.ImageGB/t.FetchGBs)
+			fetchS = max(fetchS, j.Spec.ImageGB/t.FetchGBs)
 		}
 	}
 	heartbeatInterval := dg.leaderTerm.c.Settings.Site.Workers.HeartbeatInterval()
-	return j.Spec.Estimate() + config.Duration(fetch) + heartbeatInterval + expectedStageLag
+	return j.Spec.Estimate() + config.Duration(fetchS) + heartbeatInterval + expectedStageLag
 }
 
-// expectedStageLag is about how long it takes until a job's end is on record and the tasks of those that
-// depend on it are assigned.
+// expectedStageLag is the approximate time from the end of a job until that end is recorded and the
+// tasks of its dependents are assigned.
 const expectedStageLag = time.Second
 
-// startLookup reads how dependencies ended that are not active. Those whose record could not be
-// read are read again after lookupRetryInterval.
+// startLookup reads the terminal records of all queued dependencies, unless a lookup is in flight.
+// Reads that fail are repeated after lookupRetryInterval.
 func (dg *dependencyGraph) startLookup() {
 	if dg.lookupInFlight || len(dg.lookupQueue) == 0 {
 		return
@@ -238,16 +243,16 @@
 	dg.lookupQueue = nil
 	go func() {
 		recordStore := records.Records{Store: lt.c.Store}
-		ends := map[string]records.TerminalRecord{}
+		terminalRecords := map[string]records.TerminalRecord{}
 		for unread := ids; lt.ctx.Err() == nil; sleep(lt.ctx, lookupRetryInterval) {
 			found, err := recordStore.TerminalRecords(lt.ctx, unread)
-			maps.Copy(ends, found)
+			maps.Copy(terminalRecords, found)
 			if err == nil {
-				lt.sendToOwner(terminalRecordsReadMsg{leaderTerm: lt, ids: ids, terminalRecords: ends})
+				lt.sendToOwner(terminalRecordsReadMsg{leaderTerm: lt, ids: ids, terminalRecords: terminalRecords})
 				return
 			}
 			unread = slices.DeleteFunc(slices.Clone(unread), func(id string) bool {
-				_, ok := ends[id]
+				_, ok := terminalRecords[id]
 				return ok
 			})
 		}
@@ -257,12 +262,12 @@
 // lookupRetryInterval is the time between two attempts to read terminal records.
 const lookupRetryInterval = 300 * time.Millisecond
 
-// undeliveredRetryDelay is after what time dependencies are looked up again that are active, but which
-// the watch has not delivered yet.
+// undeliveredRetryDelay is the delay before another lookup of dependencies that are active in the
+// store but that the watch has not delivered yet.
 const undeliveredRetryDelay = time.Second
 
-// terminalRecordsReadMsg has the terminal records of the jobs that were looked up; those that are still
-// active have none.
+// terminalRecordsReadMsg carries the terminal records of the jobs that were looked up. Jobs that are
+// still active have none.
 type terminalRecordsReadMsg struct {
 	leaderTerm      *leaderTerm
 	ids             []string
@@ -275,26 +280,26 @@
 		return
 	}
 	dg.lookupInFlight = false
-	var unknown []string
+	var undelivered []string
 	for _, id := range m.ids {
 		end, found := m.terminalRecords[id]
 		switch {
 		case found:
 			dg.applyTerminalRecord(id, end)
 		case m.leaderTerm.jobs[id] == nil && len(dg.dependents[id]) > 0:
-			unknown = append(unknown, id)
+			undelivered = append(undelivered, id)
 		}
 	}
-	if len(unknown) > 0 {
-		// They are active, and not known here yet: the watch delivers them.
+	if len(undelivered) > 0 {
+		// These jobs are active in the store, and the watch is about to deliver them.
 		dg.scheduledRetries++
-		retry := lookupRetryMsg{leaderTerm: m.leaderTerm, ids: unknown}
+		retry := lookupRetryMsg{leaderTerm: m.leaderTerm, ids: undelivered}
 		time.AfterFunc(undeliveredRetryDelay, func() { m.leaderTerm.sendToOwner(retry) })
 	}
 	dg.startLookup()
 }
 
-// applyTerminalRecord applies the terminal record of a job to those that depend on it.
+// applyTerminalRecord applies the terminal record of a job to its dependents.
 func (dg *dependencyGraph) applyTerminalRecord(id string, end records.TerminalRecord) {
 	finalStateMsg{end.JobState(id)}.apply(dg.leaderTerm.c)
 	if end.Phase != api.JobDone {
@@ -302,12 +307,12 @@
 	}
 	at := end.Ended
 	if at.IsZero() {
-		at = time.Now() // written by a version that recorded no time
+		at = time.Now() // the record is of an earlier version, which stored no end time
 	}
 	dg.jobDone(id, at)
 }
 
-// lookupRetryMsg has dependencies looked up again that were not known.
+// lookupRetryMsg queues another lookup of those dependencies that the watch has still not delivered.
 type lookupRetryMsg struct {
 	leaderTerm *leaderTerm
 	ids        []string
@@ -327,9 +332,10 @@
 	dg.startLookup()
 }
 
-// unresolved tells whether the dependencies of some jobs, or how these ended, are still to be
-// read. Until then a job may depend on a cancelled one without this leader knowing.
+// unresolved reports whether any dependency list or terminal record of a dependency is still to be
+// read. Until then this leader cannot rule out that a job depends on a cancelled one.
 func (dg *dependencyGraph) unresolved() bool {
 	lists := &dg.leaderTerm.dependencyLists
-	return dg.lookupInFlight || len(dg.lookupQueue) > 0 || dg.scheduledRetries > 0 || lists.reading || len(lists.unread) > 0
+	return dg.lookupInFlight || len(dg.lookupQueue) > 0 || dg.scheduledRetries > 0 ||
+		lists.reading || len(lists.unread) > 0
 }
--- a/internal/controller/dependencylists.go
+++ b/internal/controller/dependencylists.go
@@ -9,39 +9,40 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// dependencyLists reads and deletes the records that list the dependencies of jobs whose active
-// record is too small for them. Until its list is read, a job does not start.
+// dependencyLists reads and deletes dependency lists. A job whose dependencies do not fit into its
+// active record has them listed in separate records. The job does not start before they are read.
 type dependencyLists struct {
 	leaderTerm *leaderTerm
-	// unread are the jobs whose list is to be read, one at a time.
+	// unread are the jobs whose lists are still to be read. One list is read at a time.
 	unread  []*cluster.Job
 	reading bool
 }
 
 const (
-	// dependencyReadRetryInterval is how long after a failure a list is read again.
+	// dependencyReadRetryInterval is the delay before a failed read of a list is repeated.
 	dependencyReadRetryInterval = time.Second
-	// dependencyReadTimeout bounds one read of a list or of a terminal record.
+	// dependencyReadTimeout limits one read of a list, or of a terminal record during the sweep.
 	dependencyReadTimeout = 4 * time.Second
-	// sweepPause leaves the request budget to others.
+	// sweepPause is the delay between two jobs of a sweep. It leaves the budget of requests to the
+	// store to other work.
 	sweepPause = 200 * time.Millisecond
 )
 
-// enqueueRead queues a job's list to be read.
-func (dl *dependencyLists) enqueueRead(j *cluster.Job) {
-	dl.unread = append(dl.unread, j)
-	dl.readNext()
+// enqueueRead queues a job for the read of its list.
+func (lists *dependencyLists) enqueueRead(j *cluster.Job) {
+	lists.unread = append(lists.unread, j)
+	lists.readNext()
 }
 
-// readNext starts to read the first list of the queue, unless another is being read.
-func (dl *dependencyLists) readNext() {
-	dl.unread = slices.DeleteFunc(dl.unread, func(j *cluster.Job) bool { return j.Ended })
-	if dl.reading || len(dl.unread) == 0 {
+// readNext starts reading the first list of the queue, unless another read is in flight.
+func (lists *dependencyLists) readNext() {
+	lists.unread = slices.DeleteFunc(lists.unread, func(j *cluster.Job) bool { return j.Ended })
+	if lists.reading || len(lists.unread) == 0 {
 		return
 	}
-	dl.reading = true
-	lt, j := dl.leaderTerm, dl.unread[0]
-	dl.unread = dl.unread[1:]
+	lists.reading = true
+	lt, j := lists.leaderTerm, lists.unread[0]
+	lists.unread = lists.unread[1:]
 	id, list := j.Spec.ID, j.DependencyList
 	go func() {
 		ctx, cancel := context.WithTimeout(lt.ctx, dependencyReadTimeout)
@@ -55,7 +56,7 @@
 	}()
 }
 
-// dependencyListReadMsg has the dependencies of a job that its list names.
+// dependencyListReadMsg carries the ids read from a job's dependency list, or the error of the read.
 type dependencyListReadMsg struct {
 	leaderTerm *leaderTerm
 	job        *cluster.Job
@@ -67,58 +68,59 @@
 	if m.leaderTerm.hasEnded() {
 		return
 	}
-	dl := &m.leaderTerm.dependencyLists
-	dl.reading = false
+	lists := &m.leaderTerm.dependencyLists
+	lists.reading = false
 	switch {
 	case m.job.Ended:
 	case m.err != nil:
-		dl.unread = append(dl.unread, m.job)
+		lists.unread = append(lists.unread, m.job)
 	default:
 		m.job.Spec.DependsOn, m.job.DependenciesRead = m.ids, true
 		m.leaderTerm.dependencies.resolveDependencies(m.job)
 		m.leaderTerm.dependencies.propagateDeadlines(m.job)
 	}
-	dl.readNext()
+	lists.readNext()
 }
 
-// deleteList deletes the list of a job that has ended.
-func (dl *dependencyLists) deleteList(j *cluster.Job) {
+// deleteList deletes the records of an ended job's list, if it has one.
+func (lists *dependencyLists) deleteList(j *cluster.Job) {
 	if j.DependencyList == nil {
 		return
 	}
 	for _, key := range j.DependencyList.Keys(j.Spec.ID) {
-		dl.leaderTerm.recordWriter.DeleteKey(key)
+		lists.leaderTerm.recordWriter.DeleteKey(key)
 	}
 }
 
-// sweep finds, once a term, the records of lists that earlier leaders, or submissions that were
-// not completed, have left behind.
-func (dl *dependencyLists) sweep() {
-	keysByJob := dl.readKeysByJob()
-	recordStore := records.Records{Store: dl.leaderTerm.c.Store}
+// sweep runs once per term. It finds the list records in the store, and has those deleted that an
+// earlier leader did not delete or that an incomplete submission left behind.
+func (lists *dependencyLists) sweep() {
+	keysByJob := lists.readKeysByJob()
+	recordStore := records.Records{Store: lists.leaderTerm.c.Store}
 	for id, jobKeys := range keysByJob {
-		ctx, cancel := context.WithTimeout(dl.leaderTerm.ctx, dependencyReadTimeout)
+		ctx, cancel := context.WithTimeout(lists.leaderTerm.ctx, dependencyReadTimeout)
 		_, ended, err := recordStore.TerminalState(ctx, id)
 		cancel()
 		if err != nil {
-			continue // the next term's sweep finds it
+			continue // left to the sweep of the next term
 		}
-		dl.leaderTerm.sendToOwner(listKeysFoundMsg{
-			leaderTerm: dl.leaderTerm,
+		lists.leaderTerm.sendToOwner(listKeysFoundMsg{
+			leaderTerm: lists.leaderTerm,
 			id:         id,
 			keys:       jobKeys,
 			ended:      ended,
 		})
-		sleep(dl.leaderTerm.ctx, sweepPause)
+		sleep(lists.leaderTerm.ctx, sweepPause)
 	}
 }
 
-// readKeysByJob are the keys of all records of lists, by job.
-func (dl *dependencyLists) readKeysByJob() map[string][]string {
-	for dl.leaderTerm.ctx.Err() == nil {
+// readKeysByJob reads the keys of all list records and groups them by job id. It retries until the
+// read succeeds; if the term ends before, it returns nil.
+func (lists *dependencyLists) readKeysByJob() map[string][]string {
+	for lists.leaderTerm.ctx.Err() == nil {
 		keys := map[string][]string{}
-		recordStore := records.Records{Store: dl.leaderTerm.c.Store}
-		err := recordStore.ForEachKey(dl.leaderTerm.ctx, records.DependencyPrefix, func(key string) {
+		recordStore := records.Records{Store: lists.leaderTerm.c.Store}
+		err := recordStore.ForEachKey(lists.leaderTerm.ctx, records.DependencyPrefix, func(key string) {
 			if id, _, ok := records.ParseDependencyKey(key); ok {
 				keys[id] = append(keys[id], key)
 			}
@@ -126,12 +128,13 @@
 		if err == nil {
 			return keys
 		}
-		sleep(dl.leaderTerm.ctx, dependencyReadRetryInterval)
+		sleep(lists.leaderTerm.ctx, dependencyReadRetryInterval)
 	}
 	return nil
 }
 
-// listKeysFoundMsg has the keys of records of lists for one job id, and whether that job has ended.
+// listKeysFoundMsg carries the keys of the list records that a sweep found for a job id, and whether
+// that job has ended.
 type listKeysFoundMsg struct {
 	leaderTerm *leaderTerm
 	id         string
@@ -146,8 +149,8 @@
 	j := m.leaderTerm.jobs[m.id]
 	for _, key := range m.keys {
 		_, digest, _ := records.ParseDependencyKey(key)
-		// Of a job that is accepted only its own list is of use. One that is not may be about
-		// to be accepted, unless it has ended.
+		// Records are kept if they belong to the list that the active record names, or if the job
+		// is neither active nor ended: its submission may be about to complete.
 		if m.ended || j != nil && (j.DependencyList == nil || j.DependencyList.Digest != digest) {
 			m.leaderTerm.recordWriter.DeleteKey(key)
 		}
