--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -19,7 +19,7 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// serveRequest sends a node a user's request.
+// serveRequest sends an HTTP request to the user API of a node, and returns the response.
 func (w *simulatedCluster) serveRequest(n *node, method, path, body string) *httptest.ResponseRecorder {
 	w.t.Helper()
 	response := httptest.NewRecorder()
@@ -28,8 +28,8 @@
 	return response
 }
 
-// checkResponse compares the status code, the job's phase and the presence of Retry-After,
-// which belongs to 503 alone.
+// checkResponse checks the status code and the job's phase of a response, and that it has a
+// Retry-After header if and only if the code is 503.
 func (w *simulatedCluster) checkResponse(
 	name string, response *httptest.ResponseRecorder, wantCode int, wantPhase string,
 ) {
@@ -44,15 +44,15 @@
 	}
 	retryAfter := response.Header().Get("Retry-After")
 	if (retryAfter != "") != (wantCode == http.StatusServiceUnavailable) {
-		w.t.Errorf("%s: got %d with Retry-After %q, want Retry-After with 503 alone", name, response.Code, retryAfter)
+		w.t.Errorf("%s: got %d with Retry-After %q, want Retry-After only with 503", name, response.Code, retryAfter)
 	}
 }
 
-// change replaces fields of a submission, by their wire names. A string "@..." stands for the
-// JSON text that follows the sign.
+// change holds replacement values for fields of a submission, by the fields' JSON names. The value
+// "@TEXT" puts TEXT into the JSON as it is.
 type change = map[string]any
 
-// submissionBody is the body of a valid submission with some fields changed.
+// submissionBody returns the body of a valid submission with some fields changed.
 func (w *simulatedCluster) submissionBody(id string, changed change) string {
 	w.t.Helper()
 	fields := map[string]any{
@@ -62,8 +62,8 @@
 		"ExpectS": 30.0, "GraftS": 0.0, "PressS": 0.0, "DueS": nil,
 	}
 	maps.Copy(fields, changed)
-	for field, v := range fields {
-		if text, ok := v.(string); ok && strings.HasPrefix(text, "@") {
+	for field, value := range fields {
+		if text, ok := value.(string); ok && strings.HasPrefix(text, "@") {
 			fields[field] = json.RawMessage(text[1:])
 		}
 	}
@@ -74,13 +74,12 @@
 	return string(raw)
 }
 
-// jobRevisions are the mod revisions of all records of jobs. A record that is written again
-// with the same value has a new one, so that no write stays unnoticed.
+// jobRevisions returns the mod revisions of all records of jobs, by key. Unlike the values, they also
+// change when a record is overwritten with the same value.
 func (w *simulatedCluster) jobRevisions() map[string]uint64 {
 	revisions := map[string]uint64{}
 	for _, prefix := range []string{records.ActivePrefix, records.TerminalPrefix, records.CompletionPrefix} {
-		// The error is dropped: this is read in an outage of the key-value store as well, when
-		// the stand-in reports the outage beside the entries.
+		// The error is ignored: during an outage the fake store returns it along with the entries.
 		page, _ := w.store.Range(context.Background(), prefix, "", 1<<20)
 		for _, e := range page.Entries {
 			revisions[e.Key] = e.ModRevision
@@ -89,7 +88,8 @@
 	return revisions
 }
 
-// stalledReads is a key-value store from which a new leader never finishes reading its records.
+// stalledReads is a key-value store in which range reads block, so that a new leader never finishes
+// loading the records.
 type stalledReads struct{ *kvtest.Fake }
 
 func (stalledReads) Range(ctx context.Context, _, _ string, _ int) (kv.Page, error) {
@@ -97,12 +97,12 @@
 	return kv.Page{}, kv.ErrOutcomeUnknown
 }
 
-// knownJob is a job that seedJobs leaves behind.
+// knownJob is a job that seedJobs submits, with its phase afterwards.
 type knownJob struct{ id, phase string }
 
 var knownJobs = []knownJob{{"job-1", "done"}, {"job-2", "withdrawn"}, {"job-3", "pending"}}
 
-// seedJobs completes job-1, cancels job-2 and leaves job-3 pending.
+// seedJobs submits the known jobs. It completes job-1, cancels job-2 and leaves job-3 pending.
 func (w *simulatedCluster) seedJobs(n *node) {
 	w.t.Helper()
 	k := w.worker("i-1", "a", false)
@@ -121,14 +121,14 @@
 	}
 }
 
-// nodeState is a state in which a node may receive a request.
+// nodeState is a state of a node in which a test sends it requests.
 type nodeState struct {
 	name string
-	// typesUnknown is set if the node does not know the machine types.
+	// typesUnknown is set if the node has not loaded the machine types.
 	typesUnknown bool
-	// kvDown is set in an outage of the key-value store.
+	// kvDown is set during an outage of the key-value store.
 	kvDown bool
-	// start returns a node in this state, with the jobs of seedJobs.
+	// start returns a node in this state in a cluster with the jobs of seedJobs.
 	start func(w *simulatedCluster) *node
 }
 
@@ -167,7 +167,8 @@
 	return n
 }
 
-// addMachineTypes adds machine types of which each has a resource that the others lack.
+// addMachineTypes adds machine types and sets quotas of the teams. Of the types that are in a zone,
+// "wide" has the most CPUs and memory and "cards" is the only one with GPUs; "gone" is in no zone.
 func (w *simulatedCluster) addMachineTypes() {
 	w.cloud.types = append(w.cloud.types,
 		api.MachineType{Name: "wide", CPUs: 8, MemoryGB: 16, Price: 2, SpotPrice: 1, BootS: 20, Zones: []string{"a"}},
@@ -178,7 +179,7 @@
 	w.teams[1].CPUs, w.teams[1].LimitCPUs = 6, 6
 }
 
-// repeatedID is a list that names one job count times.
+// repeatedID returns a list that contains an id count times.
 func repeatedID(id string, count int) []any {
 	list := make([]any, count)
 	for i := range list {
@@ -187,7 +188,7 @@
 	return list
 }
 
-// jobIDs are the ids of count jobs, numbered from first.
+// jobIDs returns the ids of count jobs, numbered from first.
 func jobIDs(first, count int) []any {
 	list := make([]any, count)
 	for i := range list {
@@ -196,7 +197,7 @@
 	return list
 }
 
-// rejectedSubmissions are invalid (400) or can never run (422).
+// rejectedSubmissions are changes that make a submission invalid (400) or its job unschedulable (422).
 var rejectedSubmissions = []struct {
 	name     string
 	change   change
@@ -204,50 +205,50 @@
 }{
 	{"no tasks", change{"Shoots": 0}, 400},
 	{"too many tasks", change{"Shoots": 100_001}, 400},
-	{"fraction of a task", change{"Shoots": 1.5}, 400},
+	{"fractional number of tasks", change{"Shoots": 1.5}, 400},
 	{"negative number of tasks", change{"Shoots": -5}, 400},
 	{"more tasks than an integer holds", change{"Shoots": "@18446744073709551616"}, 400},
 	{"negative amount", change{"Cores": -1}, 400},
-	{"amount that is no number", change{"MemoryGb": "NaN"}, 400},
+	{"amount that is not a number", change{"MemoryGb": "NaN"}, 400},
 	{"amount beyond the range of numbers", change{"Cores": "@1e400"}, 400},
 	{"time beyond the range of numbers", change{"DueS": "@1e400"}, 400},
 	{"field null", change{"Owner": nil}, 400},
 	{"field of another type", change{"Windfall": "yes"}, 400},
-	{"machine types that are no list", change{"Frames": "small"}, 400},
+	{"machine types that are not a list", change{"Frames": "small"}, 400},
 	{"machine type null", change{"Frames": []any{"small", nil}}, 400},
-	{"zone without a name", change{"Bed": ""}, 400},
+	{"empty zone name", change{"Bed": ""}, 400},
 	{"unknown shape", change{"Shape": "ring"}, 400},
 	{"unknown priority", change{"Precedence": "Low"}, 400},
 
-	{"dependencies that are no list", change{"Awaits": "job-1"}, 400},
+	{"dependencies that are not a list", change{"Awaits": "job-1"}, 400},
 	{"dependency that is a number", change{"Awaits": []any{1}}, 400},
 	{"dependency null", change{"Awaits": []any{"job-1", nil}}, 400},
-	{"dependency that is no id", change{"Awaits": []any{"job-1", "job-x"}}, 400},
+	{"dependency that is not a job id", change{"Awaits": []any{"job-1", "job-x"}}, 400},
 
 	{"dependency never accepted", change{"Awaits": []any{"job-99"}}, 422},
 	{"dependency never accepted, named many times", change{"Awaits": repeatedID("job-99", 40)}, 422},
 	{"many dependencies never accepted", change{"Awaits": jobIDs(1000, 20)}, 422},
 
 	{"unknown team", change{"Owner": "green"}, 422},
-	{"team of another case", change{"Owner": "Red"}, 422},
+	{"team name in another case", change{"Owner": "Red"}, 422},
 	{"CPUs above the limit", change{"Owner": "blue", "Cores": 6.5}, 422},
-	{"CPUs above any", change{"Cores": "@1e300"}, 422},
+	{"CPUs above any limit", change{"Cores": "@1e300"}, 422},
 	{"GPUs above the limit", change{"Cards": 4.5}, 422},
 	{"GPUs of a team that has none", change{"Owner": "blue", "Cards": 1}, 422},
-	{"CPUs above any type", change{"Cores": 8.5}, 422},
-	{"GPUs above any type", change{"Cards": 3}, 422},
-	{"memory above any type", change{"MemoryGb": 16.5}, 422},
-	{"CPUs of one type, GPUs of another", change{"Cores": 3, "Cards": 1}, 422},
-	{"memory of one type, GPUs of another", change{"MemoryGb": 12, "Cards": 1}, 422},
+	{"CPUs above those of any type", change{"Cores": 8.5}, 422},
+	{"GPUs above those of any type", change{"Cards": 3}, 422},
+	{"memory above that of any type", change{"MemoryGb": 16.5}, 422},
+	{"CPUs of one type with GPUs of another", change{"Cores": 3, "Cards": 1}, 422},
+	{"memory of one type with GPUs of another", change{"MemoryGb": 12, "Cards": 1}, 422},
 	{"no type allowed", change{"Frames": []any{}}, 422},
 	{"unknown types", change{"Frames": []any{"tiny", "Small", ""}}, 422},
 	{"allowed types too small", change{"Frames": []any{"small", "cards"}, "Cores": 5}, 422},
-	{"machine type of no zone", change{"Frames": []any{"gone"}}, 422},
+	{"machine type in no zone", change{"Frames": []any{"gone"}}, 422},
 	{"unknown zone", change{"Bed": "z"}, 422},
-	{"zone of another case", change{"Bed": "A"}, 422},
+	{"zone name in another case", change{"Bed": "A"}, 422},
 	{"type not in the zone", change{"Frames": []any{"wide"}, "Bed": "b"}, 422},
-	{"fits in the other zone", change{"Cores": 8, "Bed": "b"}, 422},
-	{"GPUs in the other zone", change{"Cards": 1, "Bed": "a"}, 422},
+	{"CPUs only in the other zone", change{"Cores": 8, "Bed": "b"}, 422},
+	{"GPUs only in the other zone", change{"Cards": 1, "Bed": "a"}, 422},
 	{"one zone, in which the type does not exist", change{"Frames": []any{"wide"}, "Bed": "b", "SamePlace": true}, 422},
 	{"spread in a zone without the type", change{"Frames": []any{"cards"}, "Bed": "a", "Scatter": true}, 422},
 	{
@@ -268,13 +269,15 @@
 	sc.checkResponse(name, sc.serveRequest(sc.n, http.MethodPost, "/api/jobs", body), wantCode, wantPhase)
 }
 
-// checkRejected submits what must be rejected, as a new job and as a repeat of each known one.
+// checkRejected submits each of rejectedSubmissions as a new job, which must be rejected, and as a
+// repeat of each known job, which must return that job's state. A node that cannot decide must respond
+// with 503.
 func (sc *submissionChecker) checkRejected() {
 	sc.t.Helper()
 	for _, c := range rejectedSubmissions {
 		wantNew, wantRepeat := c.wantCode, http.StatusOK
 		cannotDecide := sc.state.typesUnknown && c.wantCode == http.StatusUnprocessableEntity
-		// In an outage the job may be known.
+		// During an outage the node cannot tell whether the job was accepted before.
 		if sc.state.kvDown || cannotDecide {
 			wantNew, wantRepeat = http.StatusServiceUnavailable, http.StatusServiceUnavailable
 		}
@@ -289,9 +292,9 @@
 	}
 }
 
-// checkSelfDependencies submits jobs that depend on themselves, and known ones with a list of
-// dependencies that is longer than what is read one by one: a known job gets its state all the
-// same.
+// checkSelfDependencies submits jobs that depend on themselves: as a new job, which must be rejected,
+// and as repeats of the known jobs, which must return the state of the known job. It also repeats the
+// known jobs with more dependencies than are read one by one. During an outage all must get 503.
 func (sc *submissionChecker) checkSelfDependencies() {
 	sc.t.Helper()
 	wantNew := http.StatusBadRequest
@@ -315,17 +318,17 @@
 	}
 }
 
-// checkMalformed submits bodies that are no submission in any state of a node.
+// checkMalformed submits malformed bodies, which must be rejected with 400 in every state of a node.
 func (sc *submissionChecker) checkMalformed() {
 	sc.t.Helper()
 	valid := sc.submissionBody("job-1", nil)
 	for _, c := range []struct{ name, body string }{
-		{"nothing", ""},
-		{"no JSON", "{"},
+		{"empty body", ""},
+		{"incomplete JSON", "{"},
 		{"null", "null"},
 		{"list", "[" + valid + "]"},
 		{"no id", sc.submissionBody("", change{"NameId": nil})},
-		{"id of another form", sc.submissionBody("job-1/0", nil)},
+		{"id of a task", sc.submissionBody("job-1/0", nil)},
 		{"two submissions", valid + valid},
 		{"too large", valid + strings.Repeat(" ", api.MaxBody)},
 	} {
@@ -333,7 +336,8 @@
 	}
 }
 
-// checkRepeats submits known jobs with other values that could run; they keep their own.
+// checkRepeats submits the known jobs again with other valid values, which must return the state of
+// the known job, or 503 if the node cannot decide.
 func (sc *submissionChecker) checkRepeats() {
 	sc.t.Helper()
 	for _, known := range knownJobs {
@@ -346,7 +350,8 @@
 	}
 }
 
-// checkValid submits a valid job: the node did not reject the others for another reason.
+// checkValid submits a valid job. That it is accepted shows that the node rejected the other
+// submissions for what is wrong with them.
 func (sc *submissionChecker) checkValid() {
 	sc.t.Helper()
 	wantCode, phase := http.StatusCreated, "pending"
@@ -358,9 +363,10 @@
 	sc.checkEqual("valid job is stored", stored, wantCode == http.StatusCreated)
 }
 
-// Submissions that are invalid or can never run, and repeats of known jobs, get the same
-// response in every state of a node, and none changes what is stored. No node may reject for
-// good what it cannot decide, and none may accept what cannot run.
+// Invalid or unschedulable submissions and repeats of known jobs do not change any record, whatever the
+// state of the node. Every node gives the same response, except that a node that cannot decide on a
+// submission responds with 503. It must not reject the submission permanently, with 400 or 422, nor
+// accept a job that can never run.
 func TestInvalidSubmissionsAreRejectedInEveryNodeState(t *testing.T) {
 	for _, state := range nodeStates {
 		t.Run(state.name, func(t *testing.T) {
@@ -379,7 +385,7 @@
 	}
 }
 
-// cancelTargets are jobs that have ended, are unknown or have a malformed id.
+// cancelTargets are ids of jobs that have ended, ids of unknown jobs, and malformed ids.
 var cancelTargets = []struct {
 	id        string
 	wantCode  int
@@ -393,7 +399,7 @@
 	{"job-1%2F0", http.StatusNotFound, ""},
 }
 
-// checkCancelTargets cancels each target twice and then asks for its state.
+// checkCancelTargets cancels each target twice and then polls its state.
 func (w *simulatedCluster) checkCancelTargets(n *node, state nodeState) {
 	w.t.Helper()
 	for _, c := range cancelTargets {
@@ -406,7 +412,7 @@
 			response := w.serveRequest(n, http.MethodPost, "/api/jobs/"+c.id+"/abort", "")
 			w.checkResponse("cancel of "+c.id, response, wantCode, wantPhase)
 		}
-		// The state of an ended job may be answered from memory, also in an outage.
+		// Even during an outage a node may answer a poll of an ended job from memory.
 		response := w.serveRequest(n, http.MethodGet, "/api/jobs/"+c.id, "")
 		unavailable := mayBeUnavailable && response.Code == http.StatusServiceUnavailable
 		if response.Code != c.wantCode && !unavailable {
@@ -419,8 +425,8 @@
 	}
 }
 
-// Cancellations and polls of jobs that have ended, are unknown or malformed get the same
-// response in every state of a node and change nothing.
+// Cancellations and polls of ended jobs, unknown jobs and malformed ids get the same response in every
+// state of a node, apart from 503 during an outage. They do not change any record.
 func TestCancelAndStatusOfEndedOrUnknownJobs(t *testing.T) {
 	for _, state := range nodeStates {
 		t.Run(state.name, func(t *testing.T) {
@@ -432,7 +438,7 @@
 				if state.kvDown || state.typesUnknown {
 					return
 				}
-				// The cancellation before the submission has no effect on it.
+				// A job can still be submitted after a cancellation of its then unknown id.
 				response := w.serveRequest(n, http.MethodPost, "/api/jobs", w.submissionBody("job-9", nil))
 				w.checkEqual("code of a later submission", response.Code, http.StatusCreated)
 			})
@@ -440,23 +446,23 @@
 	}
 }
 
-// Amounts that JSON cannot express fit no machine.
+// Resource requests of NaN and infinity, which JSON cannot express, are unschedulable.
 func TestNonFiniteResourcesAreUnschedulable(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.addMachineTypes()
 		n := w.start("n0")
-		for _, v := range []float64{math.NaN(), math.Inf(1)} {
+		for _, amount := range []float64{math.NaN(), math.Inf(1)} {
 			for name, set := range map[string]func(*api.JobSpec){
-				"CPUs":   func(s *api.JobSpec) { s.CPUs = v },
-				"GPUs":   func(s *api.JobSpec) { s.GPUs = v },
-				"memory": func(s *api.JobSpec) { s.MemoryGB = v },
+				"CPUs":   func(s *api.JobSpec) { s.CPUs = amount },
+				"GPUs":   func(s *api.JobSpec) { s.GPUs = amount },
+				"memory": func(s *api.JobSpec) { s.MemoryGB = amount },
 			} {
 				s := spec("job-1", 1)
 				set(s)
 				_, _, err := n.Submit(context.Background(), s)
 				//nolint:errorlint // Submit must return the error itself; a wrapped one is a failure here.
 				if _, ok := err.(*api.UnschedulableError); !ok {
-					w.t.Errorf("%v %s: got %v, want an UnschedulableError", v, name, err)
+					w.t.Errorf("%v %s: got %v, want an UnschedulableError", amount, name, err)
 				}
 			}
 		}
@@ -464,8 +470,8 @@
 	})
 }
 
-// runSpread completes each running task after a second, for a minute, and checks at each
-// moment how many tasks run in a zone and in how many zones.
+// runSpread runs the workers for a minute and completes each task after a second. Every second it
+// checks how many tasks run in each zone and in how many zones.
 func (w *simulatedCluster) runSpread(n *node, workers []*worker, maxPerZone, maxZones int) {
 	w.t.Helper()
 	for range 60 {
@@ -489,9 +495,10 @@
 	}
 }
 
-// All tasks in one zone, and at most half of the tasks in one zone: the latter bounds each
-// moment, so the job runs in parts. No such pair of flags makes a job unschedulable, and each
-// that is accepted must run to its end.
+// A job may require that all its tasks run in one zone (SamePlace) and also that at most half of them
+// run in one zone (Scatter). The second limit applies to the tasks that run at the same time, so the
+// job runs in parts. No combination of these flags makes a job unschedulable, and every accepted job
+// must run to its end.
 func TestSpreadJobInOneZoneRunsInParts(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
--- a/internal/controller/cancelcascade_test.go
+++ b/internal/controller/cancelcascade_test.go
@@ -11,8 +11,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// putDependentJobs writes the active records of a first job and of others, each of which depends on
-// the jobs that dependsOn returns.
+// putDependentJobs writes the active records of jobs, and returns their ids. Job 0 has no
+// dependencies; job number i depends on the jobs that dependsOn returns.
 func (w *simulatedCluster) putDependentJobs(jobs int, dependsOn func(i int) []string) (ids []string) {
 	w.t.Helper()
 	for i := range jobs {
@@ -27,7 +27,7 @@
 	return ids
 }
 
-// phaseCounts counts the phases that a node reports for jobs, queried at the same time.
+// phaseCounts polls jobs at a node, all at the same time, and counts the jobs in each phase.
 func (w *simulatedCluster) phaseCounts(n *node, ids []string) map[string]int {
 	w.t.Helper()
 	phases := make(chan string, len(ids))
@@ -41,12 +41,12 @@
 	return counts
 }
 
-// activeJobs counts the records of active jobs.
+// activeJobs returns the number of active records in the store.
 func (w *simulatedCluster) activeJobs() int {
 	w.t.Helper()
 	count := 0
-	stored := &records.Records{Store: w.store}
-	err := stored.ForEachKey(w.t.Context(), records.ActivePrefix+"job-", func(string) { count++ })
+	recordStore := &records.Records{Store: w.store}
+	err := recordStore.ForEachKey(w.t.Context(), records.ActivePrefix+"job-", func(string) { count++ })
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -56,9 +56,10 @@
 // dependsOnPrevious makes each job depend on the one before it.
 func dependsOnPrevious(i int) []string { return []string{fmt.Sprint("job-", i-1)} }
 
-// However many jobs depend on a cancelled one, all are reported as cancelled within the time that a
-// cancellation has, by every node, and never as anything else afterwards: also while the write rate
-// has let only a few be recorded, after a failover, and while there is no leader. The records follow.
+// Every node reports all dependents of a cancelled job, even thousands, as cancelled within the time
+// allowed for a cancellation, and never in another phase afterwards. That holds while the write rate
+// has allowed only few of the cancellations to be recorded, after a failover, and without a leader.
+// Eventually all of them are recorded.
 func TestCascadeOfThousandsIsReportedAtOnce(t *testing.T) {
 	for name, dependsOn := range map[string]func(i int) []string{
 		"chain":  dependsOnPrevious,
@@ -88,7 +89,8 @@
 	w.checkEqual("phases at the leader", w.phaseCounts(leader, ids), allCancelled)
 	w.checkEqual("phases at the other node", w.phaseCounts(other, sample), sampleCancelled)
 	if left := w.activeJobs(); left < jobs*9/10 {
-		w.t.Errorf("got %d active records left, want at least %d: the write rate is exceeded", left, jobs*9/10)
+		w.t.Errorf("active records left after a second: got %d, want at least %d: the write rate is exceeded",
+			left, jobs*9/10)
 	}
 	leader.crash()
 	w.checkEqual("phases without a leader", w.phaseCounts(other, sample), sampleCancelled)
@@ -106,13 +108,13 @@
 	w.checkEqual("active records left", w.activeJobs(), 0)
 	w.checkEqual("phases once recorded", w.phaseCounts(leader, ids), allCancelled)
 	leader.inspect(func(c *Controller) {
-		dg := &c.leaderTerm.dependencies
-		inMemory := len(c.leaderTerm.jobs) + len(dg.pendingCancels) + len(dg.dependents)
+		graph := &c.leaderTerm.dependencies
+		inMemory := len(c.leaderTerm.jobs) + len(graph.pendingCancels) + len(graph.dependents)
 		w.checkEqual("jobs and dependencies in memory", inMemory, 0)
 	})
 }
 
-// A leader that has yet to read how the jobs of a dependency ended must not report a job as pending
+// A leader that is still reading the terminal records of dependencies must not report a job as pending
 // that an earlier leader has reported as cancelled.
 func TestCascadeIsReportedWhileTerminalRecordsAreUnread(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
@@ -123,11 +125,11 @@
 		}
 		w.store.Delay(writesPrefix(records.TerminalPrefix)) // the cascade is not recorded
 		n.inspect(func(c *Controller) {
-			dg := &c.leaderTerm.dependencies
+			graph := &c.leaderTerm.dependencies
 			for _, j := range c.leaderTerm.jobs {
 				j.CancelPending = false // as at a leader that has not read the terminal record yet
 			}
-			dg.pendingCancels, dg.lookupInFlight = nil, true
+			graph.pendingCancels, graph.lookupInFlight = nil, true
 		})
 		w.checkEqual("phases", w.phaseCounts(n, ids[1:]), map[string]int{api.JobCancelled: 2})
 		n.inspect(func(c *Controller) { c.leaderTerm.dependencies.lookupInFlight = false })
@@ -135,8 +137,8 @@
 	})
 }
 
-// A node that has learned of such a cancellation from an earlier leader names it to the leader, as if
-// it were recorded. The leader still records it: nobody else would.
+// A follower that got a derived cancellation from an earlier leader reports it to the new leader as if
+// it were recorded. The new leader must still record it, since no other node does.
 func TestCascadeIsRecordedWhenPeersReportIt(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		ids := w.putDependentJobs(3, dependsOnPrevious)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -16,26 +16,28 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// dependentSpec is a job that depends on others.
+// dependentSpec returns the spec of a job that depends on other jobs.
 func dependentSpec(id, team string, tasks int, dependsOn ...string) *api.JobSpec {
 	s := teamSpec(id, team, tasks)
 	s.DependsOn = dependsOn
 	return s
 }
 
-// submitDiamond submits a pipeline of two teams: job-1, then job-2 and job-3, then job-4, then job-5,
-// which depends on job-1 as well.
-func (s *checkedCluster) submitDiamond(takes time.Duration) {
-	s.submitJob(takes, teamSpec("job-1", "red", 4))
-	s.submitJob(takes, dependentSpec("job-2", "red", 3, "job-1"))
-	s.submitJob(takes*2, dependentSpec("job-3", "blue", 2, "job-1"))
-	s.submitJob(takes, dependentSpec("job-4", "red", 2, "job-2", "job-3"))
-	s.submitJob(takes, dependentSpec("job-5", "blue", 1, "job-4", "job-1"))
+// submitDiamond submits a pipeline of two teams in the shape of a diamond: job-2 and job-3 depend on
+// job-1, and job-4 on both of them. job-5 depends on job-4 and job-1. A task runs for runTime, and
+// one of job-3 for twice that.
+func (s *checkedCluster) submitDiamond(runTime time.Duration) {
+	s.submitJob(runTime, teamSpec("job-1", "red", 4))
+	s.submitJob(runTime, dependentSpec("job-2", "red", 3, "job-1"))
+	s.submitJob(runTime*2, dependentSpec("job-3", "blue", 2, "job-1"))
+	s.submitJob(runTime, dependentSpec("job-4", "red", 2, "job-2", "job-3"))
+	s.submitJob(runTime, dependentSpec("job-5", "blue", 1, "job-4", "job-1"))
 }
 
 var diamondJobs = []string{"job-1", "job-2", "job-3", "job-4", "job-5"}
 
-// recordPhases has the run checker record, every second, the phases that both nodes answer for jobs.
+// recordPhases starts to poll jobs at every node once a second, and has the run checker record the
+// phases in the responses.
 func (s *checkedCluster) recordPhases(ids ...string) {
 	for _, id := range ids {
 		s.tasks.Go(func() {
@@ -51,7 +53,8 @@
 	}
 }
 
-// recordPhase has the run checker record the phase that a node answers for a job, if it answers one.
+// recordPhase polls a job at a node, and has the run checker record the phase in the response. Errors
+// are not recorded.
 func (s *checkedCluster) recordPhase(n *node, id string) {
 	sentAt := time.Now()
 	phase := s.phase(n, id)
@@ -60,8 +63,9 @@
 	}
 }
 
-// A pipeline runs in its order whatever happens to the leaders: no task starts before the ends of all
-// jobs that its job depends on are recorded, also while records are delayed or responses are lost.
+// No task of a pipeline starts before the ends of all dependencies of its job are recorded, across
+// every kind of leader change and also when the terminal records are delayed or the responses to
+// their writes are lost.
 func TestPipelineRunsInOrder(t *testing.T) {
 	faults := []struct {
 		name   string
@@ -97,23 +101,24 @@
 	}
 }
 
-// runCascade cancels a job of a diamond around a leader change, submits two jobs that depend on it,
-// and checks that just the wanted jobs are cancelled.
-func (s *checkedCluster) runCascade(c leaderChangeCase, victim string, wantCancelled []string) {
+// runCascade cancels a job of a diamond before or after the start of a leader change, then submits
+// job-6, which depends on the cancelled job, and job-7, which depends on job-6. It checks that exactly
+// the wanted jobs are cancelled.
+func (s *checkedCluster) runCascade(c leaderChangeCase, cancelledJob string, wantCancelled []string) {
 	s.submitDiamond(8 * time.Second)
-	s.submitJob(2*time.Second, teamSpec("job-9", "blue", 2)) // depends on nothing
+	s.submitJob(2*time.Second, teamSpec("job-9", "blue", 2)) // has no dependencies
 	s.recordPhases(append(diamondJobs, "job-6", "job-7")...)
 	time.Sleep(3 * time.Second)
 	if c.offset < 0 {
 		s.tasks.Go(func() { c.change(s) })
 		time.Sleep(-c.offset)
-		s.cancel(victim)
+		s.cancel(cancelledJob)
 	} else {
-		s.cancel(victim)
+		s.cancel(cancelledJob)
 		time.Sleep(c.offset)
 		s.tasks.Go(func() { c.change(s) })
 	}
-	s.submitJob(2*time.Second, dependentSpec("job-6", "red", 1, victim))
+	s.submitJob(2*time.Second, dependentSpec("job-6", "red", 1, cancelledJob))
 	s.submitJob(2*time.Second, dependentSpec("job-7", "blue", 1, "job-6", "job-9"))
 	time.Sleep(45 * time.Second)
 	s.awaitAllEnded(2 * time.Minute)
@@ -126,11 +131,12 @@
 	}
 }
 
-// A cancellation cancels all that depends on the job, directly or through others, also when the leader
-// changes meanwhile, and jobs that are submitted at that moment at another node. Jobs that are done
-// before it and those that do not depend on it are not affected.
+// A cancellation also cancels all direct and indirect dependents of the job, even if the leader
+// changes meanwhile. That includes dependents that are submitted at another node while the cancellation
+// cascades. Jobs that do not depend on the job, and jobs that are done before the cancellation, are not
+// affected.
 func TestCancellationCascadesToDependents(t *testing.T) {
-	for _, v := range []struct {
+	for _, cancellation := range []struct {
 		job           string
 		wantCancelled []string
 	}{
@@ -138,18 +144,20 @@
 		{"job-2", []string{"job-2", "job-4", "job-5", "job-6", "job-7"}},
 		{"job-4", []string{"job-4", "job-5", "job-6", "job-7"}},
 	} {
-		t.Run(v.job, func(t *testing.T) {
+		t.Run(cancellation.job, func(t *testing.T) {
 			for _, c := range leaderChangeCases(-600*time.Millisecond, 1200*time.Millisecond, 150*time.Millisecond) {
 				t.Run(c.name, func(t *testing.T) {
-					simulateChecked(t, 4, func(s *checkedCluster) { s.runCascade(c, v.job, v.wantCancelled) })
+					simulateChecked(t, 4, func(s *checkedCluster) {
+						s.runCascade(c, cancellation.job, cancellation.wantCancelled)
+					})
 				})
 			}
 		})
 	}
 }
 
-// submitAfter submits a job that depends on others, and returns the status code and the reason or the
-// job's phase that its user sees.
+// submitAfter submits a job that depends on other jobs. It returns the status code that the user gets,
+// with the job's phase or, for 422, the reason of the rejection.
 func submitAfter(n *node, id string, dependsOn ...string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -166,9 +174,9 @@
 	return "201 " + st.Phase
 }
 
-// Submissions with dependencies: one on a job that was never accepted is rejected, but not in an outage
-// and not for a job that is known; one on a cancelled job is accepted and cancelled at once; one on a
-// job that is done no longer waits for it.
+// A submission with a dependency that was never accepted is rejected with 422, except in an outage of
+// the key-value store (503) and for a job that was accepted before (200). A job that depends on a
+// cancelled job is accepted and cancelled at once. A job does not wait for dependencies that are done.
 func TestSubmissionsWithDependencies(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -184,30 +192,31 @@
 		w.checkEqual("phase of the first job", w.phase(n, "job-1"), api.JobDone)
 		w.submit(n, spec("job-2", 1))
 		w.submit(n, dependentSpec("job-3", "red", 1, "job-2"))
-		check("one never accepted", "422 awaits job-99, which was never accepted", "job-10", "job-1", "job-99")
+		check("one dependency never accepted", "422 awaits job-99, which was never accepted",
+			"job-10", "job-1", "job-99")
 		w.checkEqual("active record", w.store.Has(records.ActivePrefix+"job-10"), false)
-		check("known job, whatever it depends on", "200 pending", "job-3", "job-99")
-		check("all done", "201 pending", "job-11", "job-1")
-		check("in any phase", "201 pending", "job-12", "job-1", "job-2", "job-3")
+		check("repeat of a known job with other dependencies", "200 pending", "job-3", "job-99")
+		check("all dependencies done", "201 pending", "job-11", "job-1")
+		check("dependencies in different phases", "201 pending", "job-12", "job-1", "job-2", "job-3")
 		const count = 40
 		many := make([]string, count, count+1)
 		for i := range many {
 			many[i] = fmt.Sprint("job-5", i)
 			w.submit(n, spec(many[i], 1))
 		}
-		check("many", "201 pending", "job-13", many...)
-		check("many, one never accepted", "422 awaits job-98, which was never accepted", "job-14",
+		check("many dependencies", "201 pending", "job-13", many...)
+		check("many dependencies, one never accepted", "422 awaits job-98, which was never accepted", "job-14",
 			append(many, "job-98")...)
 		if _, err := n.Cancel(context.Background(), "job-2"); err != nil {
 			t.Fatal(err)
 		}
-		check("on a cancelled job", "201 withdrawn", "job-15", "job-2")
-		check("on a dependent of a cancelled job", "201 withdrawn", "job-16", "job-12")
+		check("depends on a cancelled job", "201 withdrawn", "job-15", "job-2")
+		check("depends on a dependent of a cancelled job", "201 withdrawn", "job-16", "job-12")
 		time.Sleep(2 * time.Second)
 		for _, id := range []string{"job-3", "job-12", "job-15", "job-16"} {
 			w.checkEqual("phase of "+id, w.phase(n, id), api.JobCancelled)
 		}
-		check("again", "200 withdrawn", "job-15", "job-2")
+		check("repeat of a cancelled dependent", "200 withdrawn", "job-15", "job-2")
 		w.store.SetDown(true)
 		check("in an outage", "503", "job-17", "job-99")
 		w.store.SetDown(false)
@@ -220,8 +229,8 @@
 	})
 }
 
-// A cancellation that arrives too late, and is answered with done, does not affect the job's
-// dependents.
+// A cancellation that arrives after the job is done, and gets the response that it is done, does not
+// cancel the job's dependents.
 func TestCancellationAnsweredWithDone(t *testing.T) {
 	simulateChecked(t, 2, func(s *checkedCluster) {
 		s.submitJob(2*time.Second, teamSpec("job-1", "red", 1))
@@ -235,8 +244,8 @@
 	})
 }
 
-// While nobody leads, a node that reads a job which depends on a cancelled one cancels it: its user
-// must see that in time.
+// Without a leader, a node that reads a job with a cancelled dependency cancels the job, so that its
+// user sees the cancellation in time.
 func TestDependentsAreCancelledWhileNobodyLeads(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		leader, b := w.start("n0"), w.start("n1")
@@ -257,8 +266,8 @@
 	})
 }
 
-// A job that waits for its dependencies reserves nothing of its team's quota, adds nothing to the
-// demand of the autoscaler and does not count as starved; its time counts from when it could run.
+// A job that waits for its dependencies uses none of its team's quota, adds nothing to the demand of
+// the autoscaler and does not count as starved. Its objectives count from when it became runnable.
 func TestJobThatWaitsForDependenciesReservesNothing(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -276,7 +285,7 @@
 			w.checkEqual("pending reasons", counts, map[string]int{"awaits others": 1})
 		})
 		st, err := n.Job(context.Background(), "job-2")
-		w.checkEqual("waits for the jobs", st.DependsOn, []string{"job-1"})
+		w.checkEqual("unfinished dependencies", st.DependsOn, []string{"job-1"})
 		w.checkEqual("phase", st.Phase, api.JobPending)
 		if err != nil {
 			t.Error(err)
@@ -294,8 +303,8 @@
 	})
 }
 
-// A pipeline's deadline and priority reach all its stages, those of other branches and teams too, as
-// the latest time to start that leaves time for their dependents.
+// The deadline and priority of a pipeline's last job apply to all jobs before it, in every branch and
+// team. The deadline of each is earlier by the expected durations of the stages that follow it.
 func TestDeadlineAndPriorityReachEarlierStages(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.commandSender = nil
@@ -306,7 +315,7 @@
 			dependentSpec("job-3", "blue", 1, "job-1"),
 			spec("job-8", 1),
 		} {
-			s.Class = "stage" // without objectives of its own
+			s.Class = "stage" // a class without configured objectives
 			w.submit(n, s)
 		}
 		last := dependentSpec("job-4", "red", 1, "job-2", "job-3")
@@ -316,11 +325,11 @@
 		time.Sleep(1500 * time.Millisecond) // the queues are sorted once a second
 		n.inspect(func(c *Controller) {
 			lt := c.leaderTerm
-			takes := 30*time.Second + time.Second + expectedStageLag // estimate, a heartbeat, and the lag
+			stageDuration := 30*time.Second + time.Second + expectedStageLag // estimate, heartbeat interval, lag
 			for id, stages := range map[string]int{"job-4": 0, "job-2": 1, "job-3": 1, "job-1": 2} {
 				j := lt.jobs[id]
-				want := accepted.Add(300*time.Second - time.Duration(stages)*takes)
-				if d := j.Objectives[0].Sub(want); d < -time.Second || d > time.Second {
+				want := accepted.Add(300*time.Second - time.Duration(stages)*stageDuration)
+				if difference := j.Objectives[0].Sub(want); difference < -time.Second || difference > time.Second {
 					t.Errorf("objective of %s: got %v, want %v", id, j.Objectives[0], want)
 				}
 				w.checkEqual("priority rank of "+id, j.PriorityRank, api.PriorityRank("urgent"))
@@ -331,7 +340,8 @@
 	})
 }
 
-// pipelineShape names a shape of pipelines, and the jobs that their job number i > 0 depends on.
+// pipelineShape is a named shape of pipelines. dependsOn returns the jobs that job number i > 0
+// depends on; job 0 has no dependencies.
 type pipelineShape struct {
 	name      string
 	dependsOn func(i int) []string
@@ -341,17 +351,18 @@
 
 func fanDependencies(int) []string { return []string{"job-0"} }
 
-// meshDependencies has each job of a level of 20 depend on all of the level before.
+// meshDependencies divides the jobs into levels of 20. Each job depends on all jobs of the previous
+// level.
 func meshDependencies(i int) []string {
 	ids := make([]string, 0, 20)
-	for o := max(0, i-i%20-20); o < max(1, i-i%20); o++ {
-		ids = append(ids, fmt.Sprint("job-", o))
+	for previous := max(0, i-i%20-20); previous < max(1, i-i%20); previous++ {
+		ids = append(ids, fmt.Sprint("job-", previous))
 	}
 	return ids
 }
 
-// ladderDependencies has each job of a level of two depend on both of the level before: a pipeline of
-// diamonds.
+// ladderDependencies divides the jobs after job-0 into levels of two. Each job depends on both jobs of
+// the previous level, so that the pipeline is a chain of diamonds.
 func ladderDependencies(i int) []string {
 	if i <= 2 {
 		return []string{"job-0"}
@@ -360,7 +371,7 @@
 	return []string{fmt.Sprint("job-", 2*level-1), fmt.Sprint("job-", 2*level)}
 }
 
-// submitPipeline submits jobs of a pipeline with deadlines.
+// submitPipeline submits the jobs of a pipeline. All but the first have deadlines.
 func (p pipelineShape) submitPipeline(w *simulatedCluster, n *node, jobs int) {
 	w.t.Helper()
 	w.submit(n, spec("job-0", 1))
@@ -373,13 +384,14 @@
 	}
 }
 
-// jobEntriesInMemory counts the jobs in memory, those with dependents, and the cancellations still to write.
+// jobEntriesInMemory counts the leader's entries for jobs: active jobs, jobs with dependents, and
+// cancellations still to be written.
 func (lt *leaderTerm) jobEntriesInMemory() int {
 	return len(lt.jobs) + len(lt.dependencies.dependents) + len(lt.dependencies.pendingCancels)
 }
 
-// A new leader loads large pipelines, and the cancellation of their first job cancels all the others
-// in time.
+// A new leader loads a large pipeline, and the cancellation of its first job cancels all other jobs in
+// time.
 func TestLargePipelinesAreLoadedAndCancelled(t *testing.T) {
 	for _, shape := range []pipelineShape{
 		{"chain", chainDependencies}, {"fan", fanDependencies}, {"mesh", meshDependencies},
@@ -414,8 +426,8 @@
 	}
 }
 
-// With small transactions and more ends of jobs than the write rate allows, the dependents of a
-// cancelled job are still cancelled in time.
+// The dependents of a cancelled job are cancelled in time even if transactions are small and more jobs
+// end than the write rate allows.
 func TestCancellationsCascadeUnderLoad(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.state = config.KVLimits{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
@@ -460,8 +472,8 @@
 	})
 }
 
-// When the transactions that cancel dependents are not applied, lose their responses, or are applied
-// late, the dependents are cancelled in time all the same.
+// Dependents are cancelled in time even if the transactions that cancel them are not applied, are
+// applied late, or lose their responses.
 func TestCancellationsCascadeWhenRecordsFail(t *testing.T) {
 	isCascade := func(txn kv.Txn) bool {
 		return writesPrefix(records.TerminalPrefix)(txn) && !writesPrefix(records.CancelKey)(txn)
@@ -500,7 +512,7 @@
 					id := fmt.Sprint("job-", i+1)
 					w.checkEqual("active record of "+id, w.store.Has(records.ActivePrefix+id), false)
 				}
-				for i := range 4 { // not before the check of the records: a poll cancels the job, too
+				for i := range 4 { // after the check of the records, since polling a dependent cancels it
 					id := fmt.Sprint("job-", i+1)
 					w.checkEqual("phase of "+id, w.phase(n, id), api.JobCancelled)
 				}
@@ -510,8 +522,8 @@
 	}
 }
 
-// When only spot machines have free capacity, which a job must not use, others are launched for it;
-// for a job that depends on another, once that has started.
+// If only spot machines have free capacity, on-demand machines are launched for a job that must not use
+// spot machines. If the job has a dependency, they are launched once the dependency has started.
 func TestMachinesAreLaunchedForJobsThatMayNotUseSpot(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -529,7 +541,7 @@
 			return sum
 		}
 		n.inspect(func(c *Controller) { c.Policy.MinCPUs = 0 })
-		spot.serve(n, 20) // launches that the cloud rejected may be repeated
+		spot.serve(n, 20) // the time after which launches that the cloud rejected may be repeated
 		w.cloud.mu.Lock()
 		w.cloud.capacity, w.cloud.launches = 10, nil
 		w.cloud.mu.Unlock()
@@ -537,22 +549,22 @@
 		second.Spot = false
 		w.submit(n, first)
 		w.submit(n, second)
-		w.checkEqual("launched before its dependency has started", onDemand(""), 0)
+		w.checkEqual("machines launched before the dependency has started", onDemand(""), 0)
 		spot.serve(n, 5)
 		w.checkEqual("running", len(spot.running()), 1)
-		w.checkEqual("launched in time", onDemand(""), 1)
-		zone := spec("job-3", 6)
-		zone.Spot, zone.Zone = false, "b"
-		w.submit(n, zone)
+		w.checkEqual("machines launched once the dependency has started", onDemand(""), 1)
+		zonalJob := spec("job-3", 6)
+		zonalJob.Spot, zonalJob.Zone = false, "b"
+		w.submit(n, zonalJob)
 		spot.serve(n, 8)
-		w.checkEqual("launched in its zone", onDemand("b"), 2)
+		w.checkEqual("machines launched in the job's zone", onDemand("b"), 2)
 		before := onDemand("")
 		spot.serve(n, 8)
-		w.checkEqual("launched while those are provisioning", onDemand(""), before)
+		w.checkEqual("machines launched while those are provisioning", onDemand(""), before)
 	})
 }
 
-// countAllocations counts the allocations of f, as a measure of its work.
+// countAllocations returns how many heap objects f allocates, as a measure of its work.
 func countAllocations(f func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -561,20 +573,21 @@
 	return after.Mallocs - before.Mallocs
 }
 
-// addStage adds job number i of a pipeline with a deadline, 0 for none.
+// addStage adds job number i of a pipeline to the leader's state. A deadlineS of 0 means no deadline.
 func (p pipelineShape) addStage(lt *leaderTerm, i int, deadlineS float64) {
 	s := spec(fmt.Sprint("job-", i), 1)
 	if i > 0 {
 		s.DependsOn = p.dependsOn(i)
 	}
-	// The branches of a diamond differ in length.
+	// Estimates differ so that the branches of a diamond differ in duration.
 	s.Class, s.DeadlineS, s.EstimateS = "stage", deadlineS, float64(10+20*(i%2))
 	record := records.ActiveRecord{Spec: *s, Accepted: time.Now()}
 	lt.addRecord(records.ActivePrefix+s.ID, record, uint64(1000+i))
 }
 
-// measureAllocations counts the allocations by which the deadline of a pipeline's last job reaches the others,
-// and a cancellation of the first job its dependents. It checks that each is cancelled just once.
+// measureAllocations counts the allocations for adding a last job whose deadline propagates through
+// the pipeline, and for a cancellation of the first job that cascades to all others. It checks that
+// each job is cancelled exactly once.
 func (p pipelineShape) measureAllocations(w *simulatedCluster, c *Controller, jobs int) (deadline, cancel uint64) {
 	w.t.Helper()
 	lt := c.leaderTerm
@@ -583,14 +596,15 @@
 	}
 	deadline = countAllocations(func() { p.addStage(lt, jobs, 600) })
 	if len(lt.jobs["job-0"].DependentDeadlines) == 0 {
-		w.t.Error("deadlines of the first job's dependents: got none, want the pipeline's")
+		w.t.Error("deadlines propagated to the first job: got none, want the pipeline's")
 	}
 	cancel = countAllocations(func() { c.recordCancellation("job-0") })
 	pending := map[*cluster.Job]bool{}
 	for _, j := range lt.dependencies.pendingCancels {
 		pending[j] = true
 	}
-	w.checkEqual("cancelled, each once", []int{len(pending), len(lt.dependencies.pendingCancels)}, []int{jobs, jobs})
+	w.checkEqual("cancelled jobs and pending cancellations",
+		[]int{len(pending), len(lt.dependencies.pendingCancels)}, []int{jobs, jobs})
 	for j := range pending {
 		lt.cancelJob(j)
 	}
@@ -600,10 +614,10 @@
 	return deadline, cancel
 }
 
-// In chains, fans and ladders of diamonds of thousands of jobs a deadline and a cancellation reach each
-// job once: twice the jobs are no more than about twice the work. Since the branches of a diamond
-// differ in length, a job that is visited before all its dependents are would be visited again, and
-// all that it depends on, too.
+// Propagating a deadline and cascading a cancellation visit each job of a pipeline once, so the work
+// about doubles when the number of jobs doubles. A ladder of diamonds guards against visits in the
+// wrong order: its branches differ in duration, so a job that is visited before all its dependents
+// would be visited again, and with it all its direct and indirect dependencies.
 func TestWorkIsLinearInPipelineSize(t *testing.T) {
 	const jobs, maxGrowth = 1500, 3
 	for _, shape := range []pipelineShape{
@@ -612,37 +626,43 @@
 		t.Run(shape.name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
-				var deadline, cancel, deadlineOfTwice, cancelOfTwice uint64
+				var deadline, cancel, doubledDeadline, doubledCancel uint64
 				n.inspect(func(c *Controller) { shape.measureAllocations(w, c, 10) })
 				n.inspect(func(c *Controller) { deadline, cancel = shape.measureAllocations(w, c, jobs) })
-				n.inspect(func(c *Controller) { deadlineOfTwice, cancelOfTwice = shape.measureAllocations(w, c, 2*jobs) })
-				if limit := maxGrowth*deadline + 100; deadlineOfTwice > limit {
-					t.Errorf("work of a deadline in twice the jobs: got %d, want at most %d", deadlineOfTwice, limit)
+				n.inspect(func(c *Controller) {
+					doubledDeadline, doubledCancel = shape.measureAllocations(w, c, 2*jobs)
+				})
+				if limit := maxGrowth*deadline + 100; doubledDeadline > limit {
+					t.Errorf("allocations for a deadline with twice the jobs: got %d, want at most %d",
+						doubledDeadline, limit)
 				}
-				if limit := maxGrowth*cancel + 100; cancelOfTwice > limit {
-					t.Errorf("work of a cancellation in twice the jobs: got %d, want at most %d", cancelOfTwice, limit)
+				if limit := maxGrowth*cancel + 100; doubledCancel > limit {
+					t.Errorf("allocations for a cancellation with twice the jobs: got %d, want at most %d",
+						doubledCancel, limit)
 				}
 			})
 		})
 	}
 }
 
-// As many dependents as the cascade's share of the write rate allows for are cancelled within the time
-// that a cancellation has, however small transactions are.
+// The cancellations of all dependents are written to the store within the time allowed for a
+// cancellation if the cascade's share of the write rate suffices for them, however small the limits
+// on transactions are.
 func TestWideFanIsCancelledInTime(t *testing.T) {
-	for _, lim := range []config.KVLimits{
+	for _, limits := range []config.KVLimits{
 		{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12},
 		{RPS: 120, WriteRPS: 25, ValueKB: 2, TxnOps: 3},
 		{RPS: 80, WriteRPS: 10, ValueKB: 2, TxnOps: 4},
 	} {
-		t.Run(fmt.Sprint(lim.WriteRPS, " ", lim.TxnOps), func(t *testing.T) {
+		t.Run(fmt.Sprint(limits.WriteRPS, " ", limits.TxnOps), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				const cancelS = 30
-				w.state = lim
-				w.store.SetLimits(int(lim.ValueKB*1024), lim.TxnOps)
+				w.state = limits
+				w.store.SetLimits(int(limits.ValueKB*1024), limits.TxnOps)
 				n := w.start("n0")
 				w.submit(n, spec("job-0", 1))
-				jobs := int(0.95 * cancelS * lim.WriteRPS * 0.2) // two changes each, of 0.4 of the rate
+				// The cascade may use 0.4 of the write rate, and each cancellation takes two writes.
+				jobs := int(0.95 * cancelS * limits.WriteRPS * 0.2)
 				for i := range jobs {
 					w.submit(n, dependentSpec(fmt.Sprint("job-", 1+i), "red", 1, "job-0"))
 				}
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -17,7 +17,7 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// putDoneJobs stores the terminal records of many jobs that are done, and returns the jobs' names.
+// putDoneJobs writes the terminal records of count jobs that are done, and returns the jobs' ids.
 func (w *simulatedCluster) putDoneJobs(count int) []string {
 	w.t.Helper()
 	ids := make([]string, count)
@@ -28,7 +28,7 @@
 	return ids
 }
 
-// put writes a key as a node would.
+// put writes a key to the key-value store.
 func (w *simulatedCluster) put(key string, value any) {
 	w.t.Helper()
 	if _, err := w.store.Txn(context.Background(), kv.Txn{Ops: []kv.Op{{Put: key, Value: value}}}); err != nil {
@@ -36,11 +36,12 @@
 	}
 }
 
-// longListCase is how the last dependency of a job with a long list ends, and whether another leader
-// takes over before.
+// longListCase is a case of TestJobWithALongListOfDependencies.
 type longListCase struct {
-	name      string
+	name string
+	// wantPhase is the final phase of the job's last dependency, and so of the job.
 	wantPhase string
+	// newLeader is set if the leader crashes before the dependency ends.
 	newLeader bool
 }
 
@@ -70,12 +71,12 @@
 	n.inspect(func(c *Controller) {
 		maxHeld := cluster.MaxEndedDependencies + 2
 		if held := len(c.leaderTerm.jobs["job-2"].Spec.DependsOn); held > maxHeld {
-			w.t.Errorf("names held while one job is waited for: got %d, want at most %d", held, maxHeld)
+			w.t.Errorf("dependency ids held with one unfinished dependency: got %d, want at most %d", held, maxHeld)
 		}
 	})
 	w.checkEqual("phase", w.phase(n, "job-2"), api.JobPending)
 	st, err := n.Job(context.Background(), "job-2")
-	w.checkEqual("waits for the jobs", []any{st.DependsOn, err}, []any{[]string{"job-1"}, nil})
+	w.checkEqual("unfinished dependencies", []any{st.DependsOn, err}, []any{[]string{"job-1"}, nil})
 	if c.wantPhase == api.JobDone {
 		k.exit(api.CauseDone)
 		k.serve(n, 4)
@@ -85,22 +86,22 @@
 		w.t.Fatal(err)
 	}
 	k.serve(n, 8)
-	w.checkEqual("phase in the end", w.phase(n, "job-2"), c.wantPhase)
+	w.checkEqual("final phase", w.phase(n, "job-2"), c.wantPhase)
 	w.checkEqual("dependency records left", w.keysUnder(records.DependencyPrefix), []string(nil))
 	w.checkEqual("rejected for size", w.store.RejectedAsTooLarge(), []string(nil))
 }
 
-// A job whose dependencies do not fit its record waits for all of them, also for the last in the list
-// and under the next leader. It is cancelled with any of them, and its list is removed once it has
-// ended.
+// A job whose dependencies do not fit into its active record waits for all of them, including the last
+// in the separate list and also under the next leader. It is cancelled if one of them is. Its list is
+// deleted once the job has ended.
 func TestJobWithALongListOfDependencies(t *testing.T) {
 	for _, c := range longListCases {
 		t.Run(c.name, func(t *testing.T) { simulate(t, c.run) })
 	}
 }
 
-// The next leader removes what is left of lists of dependencies, except for the list of an active job
-// and for lists of jobs that may be about to be accepted.
+// A new leader deletes stale dependency lists. It keeps the list that an active job's record names and
+// the lists of unknown jobs, whose submissions may be about to complete.
 func TestStaleDependencyListsAreRemoved(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.state = config.KVLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
@@ -119,9 +120,10 @@
 	})
 }
 
-// The times of a job that waited count from the end of the last job that it depends on, also if an
-// earlier leader saw that end; not from its acceptance, and not from the takeover. The end is unknown
-// in a record that an earlier version wrote.
+// The objectives of a job count from the recorded end of its last dependency, also if that was under an
+// earlier leader; not from the job's acceptance or the takeover. A job that is accepted after the end
+// of all its dependencies becomes runnable at once, even if a terminal record was written by an earlier
+// version, which stored no end time.
 func TestTimesCountFromTheEndOfTheLastDependency(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -145,27 +147,28 @@
 		time.Sleep(3 * time.Second)
 		n.inspect(func(c *Controller) {
 			j := c.leaderTerm.jobs["job-2"]
-			if d := j.RunnableSince.Sub(done); len(j.DependsOn) > 0 || d < 0 || d > 2*time.Second {
+			if delay := j.RunnableSince.Sub(done); len(j.DependsOn) > 0 || delay < 0 || delay > 2*time.Second {
 				t.Errorf("job-2: got %d dependencies, runnable %v after their end, want 0, at most 2 s",
-					len(j.DependsOn), d)
+					len(j.DependsOn), delay)
 			}
-			if d := j.Objectives[0].Sub(done); d < 88*time.Second || d > 92*time.Second {
-				t.Errorf("objective of job-2: got %v after the end of its dependency, want 88 s to 92 s", d)
+			if objective := j.Objectives[0].Sub(done); objective < 88*time.Second || objective > 92*time.Second {
+				t.Errorf("objective of job-2: got %v after the end of its dependency, want 88 s to 92 s", objective)
 			}
 			j = c.leaderTerm.jobs["job-3"]
-			if d := j.RunnableSince.Sub(j.Accepted); len(j.DependsOn) > 0 || d > 2*time.Second || d < 0 {
-				t.Errorf("job-3, accepted when all was done: got %d dependencies, runnable %v after its acceptance, "+
-					"want 0, at most 2 s", len(j.DependsOn), d)
+			if delay := j.RunnableSince.Sub(j.Accepted); len(j.DependsOn) > 0 || delay > 2*time.Second || delay < 0 {
+				t.Errorf("job-3, accepted when all dependencies were done: got %d dependencies, "+
+					"runnable %v after its acceptance, want 0, at most 2 s", len(j.DependsOn), delay)
 			}
 		})
 	})
 }
 
-// unreadableTerminalRecords is a key-value store that rejects reads of terminal records while it is closed.
+// unreadableTerminalRecords is a key-value store that rejects reads of terminal records while
+// rejectReads is set.
 type unreadableTerminalRecords struct {
 	*kvtest.Fake
 	rejectReads atomic.Bool
-	// rejected counts the reads that were rejected.
+	// rejected counts the rejected reads.
 	rejected atomic.Int32
 }
 
@@ -185,35 +188,36 @@
 	return s.Fake.Range(ctx, prefix, from, limit)
 }
 
-// A new leader that cannot read how dependencies ended starts no job that depends on them, retries only
-// a few times a second, and goes on once it can.
+// A new leader that cannot read the terminal records of dependencies starts none of their dependents
+// and retries the reads only a few times a second. It starts the dependents once the reads succeed.
 func TestDependentsWaitWhileEndsCannotBeRead(t *testing.T) {
 	for _, count := range []int{1, 400} {
 		t.Run(fmt.Sprint(count, " dependencies"), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				st := &unreadableTerminalRecords{Fake: w.store}
-				n := w.startWith("n0", st, nil)
+				store := &unreadableTerminalRecords{Fake: w.store}
+				n := w.startWith("n0", store, nil)
 				k := w.worker("i-1", "a", false)
 				w.submit(n, dependentSpec("job-1", "red", 1, w.putDoneJobs(count)...))
 				w.submit(n, dependentSpec("job-2", "red", 1, "job-1"))
 				n.crash()
-				st.rejectReads.Store(true)
-				n = w.startWith("n0", st, nil)
+				store.rejectReads.Store(true)
+				n = w.startWith("n0", store, nil)
 				k.serve(n, 30)
 				w.checkEqual("running", k.running(), []string(nil))
-				if reads := st.rejected.Load(); reads < 5 || reads > 150 {
+				if reads := store.rejected.Load(); reads < 5 || reads > 150 {
 					t.Errorf("reads of terminal records: got %d, want 5 to 150", reads)
 				}
-				st.rejectReads.Store(false)
+				store.rejectReads.Store(false)
 				k.serve(n, 5)
-				w.checkEqual("running in the end", k.running(), []string{"job-1/0"})
+				w.checkEqual("running once the records are readable", k.running(), []string{"job-1/0"})
 			})
 		})
 	}
 }
 
-// runSubmissionsDuringCascade cancels a job with a dependent and that one's dependent under a fault,
-// submits jobs that depend on the last at both nodes, and checks that all are cancelled.
+// runSubmissionsDuringCascade submits a chain of three jobs, injects a fault and cancels the first job.
+// It then submits a dependent of the third job at each of two nodes, and checks that all five jobs are
+// cancelled.
 func runSubmissionsDuringCascade(w *simulatedCluster, inject func(w *simulatedCluster)) {
 	w.t.Helper()
 	leader, other := w.start("n0"), w.start("n1")
@@ -244,9 +248,9 @@
 	}
 }
 
-// A job that is submitted while a cancellation is about to cascade to its dependencies is cancelled,
-// too, whether the leader or another node accepts it, and also when the leader does not know its
-// dependencies yet. The two nodes cannot reach each other.
+// A job that is submitted while a cancellation cascades to its dependencies is cancelled as well,
+// whether the leader or a follower accepts it, and even if the watch has not delivered its dependencies
+// to the leader yet. The two nodes cannot reach each other.
 func TestJobsSubmittedDuringACascadeAreCancelled(t *testing.T) {
 	for _, f := range []struct {
 		name   string
@@ -264,8 +268,8 @@
 	}
 }
 
-// A job may depend on one that another node has just accepted, of which the leader and the node that
-// accepts the dependent have yet to learn.
+// A job may depend on a job that another node has just accepted and that the watches have not yet
+// delivered to the leader and to the node that accepts the dependent.
 func TestDependencyAcceptedAMomentAgo(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		leader, other := w.start("n0"), w.start("n1")
