--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -27,15 +27,15 @@
 			t.Fatalf("home %+v, host %+v of %d jobs", out, in, len(ids))
 		}
 		// Each is lent and ended or reclaimed at home; accepted, ended and forgotten at the host.
-		home.checkEqual("changes at home", out.Written, 2*out.Lent)
-		if in.Written > 3*out.Lent {
-			t.Errorf("got %d changes at the host for %d loans, want at most %d", in.Written, out.Lent, 3*out.Lent)
+		home.checkEqual("changes at home", out.RecordsChanged, 2*out.Lent)
+		if in.RecordsChanged > 3*out.Lent {
+			t.Errorf("got %d changes at the host for %d loans, want at most %d", in.RecordsChanged, out.Lent, 3*out.Lent)
 		}
 	})
 }
 
-// lendingLeader is the leader of a full cell with a neighbour that has free capacity.
-func lendingLeader(b *testing.B, machines, jobs int) *leaderTerm {
+// newLendingTerm is the leader of a full cell with a neighbour that has free capacity.
+func newLendingTerm(b *testing.B, machines, jobs int) *leaderTerm {
 	b.Helper()
 	lt, _ := newBusyTerm(b, machines, 40)
 	c := lt.c
@@ -76,7 +76,7 @@
 		{4000, 5000},
 	} {
 		b.Run(fmt.Sprintf("%d machines, %d jobs", n.machines, n.jobs), func(b *testing.B) {
-			lt := lendingLeader(b, n.machines, n.jobs)
+			lt := newLendingTerm(b, n.machines, n.jobs)
 			for b.Loop() {
 				now := time.Now()
 				lt.loans.reviewLending(now)
@@ -102,7 +102,7 @@
 			for _, l := range s.Lent {
 				if l.Job == id {
 					want := []any{"cell-b", "begun", "its cell does not answer: cut"}
-					home.checkEqual("loan", []any{l.Cell, l.Phase, l.Waits}, want)
+					home.checkEqual("loan", []any{l.Cell, l.Phase, l.PendingReason}, want)
 				}
 			}
 			home.checkEqual("cell of the job", c.leaderTerm.jobs[id].State().Cell, "cell-b")
@@ -198,7 +198,7 @@
 				team := c.leaderTerm.teams["red"]
 				team.UsedCPUs = g.used
 				j := newJob(*s, team)
-				got := l.budget(j, g.spare)
+				got := l.computeBudget(j, g.spare)
 				w.checkEqual(fmt.Sprint(g), got, g.want)
 				j.Guest = &loan.Guest{Budget: got}
 				started := 0
--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -45,12 +45,12 @@
 	return nil
 }
 
-// advertise returns the cell's spare capacity: what is free on its machines, less the demand
+// buildAdvert returns the cell's spare capacity: what is free on its machines, less the demand
 // of queued tasks, of its own jobs and of guests.
-func (l *loans) advertise(now time.Time) loan.Advert {
+func (l *loans) buildAdvert(now time.Time) loan.Advert {
 	lt := l.leaderTerm
 	advert := loan.Advert{CancelS: lt.c.Settings.Site.Workers.CancelS}
-	capacity := l.findOpenCapacity(now)
+	capacity := l.schedulableCapacity(now)
 	advert.CPUs, advert.GPUs = capacity.freeCPUs, capacity.freeGPUs
 	guests := 0.0
 	for _, j := range lt.jobs {
@@ -144,7 +144,7 @@
 // how many are free beyond them.
 func (l *loans) guaranteeShortage(now time.Time) float64 {
 	lt := l.leaderTerm
-	shortage := -l.findOpenCapacity(now).freeCPUs
+	shortage := -l.schedulableCapacity(now).freeCPUs
 	for _, t := range lt.fairShareOrder {
 		left := t.CPUs - t.UsedCPUs
 		for _, j := range t.Items() {
@@ -162,24 +162,24 @@
 	return shortage
 }
 
-// openCapacity is the total and free capacity of the schedulable machines.
-type openCapacity struct {
+// schedulableCapacity is the total and free capacity of the schedulable machines.
+type schedulableCapacity struct {
 	at                       time.Time
 	cpus, freeCPUs, freeGPUs float64
 }
 
-// findOpenCapacity sums up the schedulable machines, once a tick.
-func (l *loans) findOpenCapacity(now time.Time) openCapacity {
-	if now.Sub(l.openCapacity.at) < leaderTickInterval {
-		return l.openCapacity
+// schedulableCapacity sums up the schedulable machines, once a tick.
+func (l *loans) schedulableCapacity(now time.Time) schedulableCapacity {
+	if now.Sub(l.cachedCapacity.at) < leaderTickInterval {
+		return l.cachedCapacity
 	}
-	l.openCapacity = openCapacity{at: now}
+	l.cachedCapacity = schedulableCapacity{at: now}
 	for _, m := range l.leaderTerm.machines {
 		if m.IsSchedulable(now) {
-			l.openCapacity.cpus += m.CPUs
-			l.openCapacity.freeCPUs += m.FreeCPUs()
-			l.openCapacity.freeGPUs += m.GPUs - m.UsedGPUs
+			l.cachedCapacity.cpus += m.CPUs
+			l.cachedCapacity.freeCPUs += m.FreeCPUs()
+			l.cachedCapacity.freeGPUs += m.GPUs - m.UsedGPUs
 		}
 	}
-	return l.openCapacity
+	return l.cachedCapacity
 }
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -17,7 +17,7 @@
 func (l *loans) reviewLending(now time.Time) {
 	lt := l.leaderTerm
 	predictions := l.predictedStarts(now)
-	l.requestReclaim(predictions, now)
+	l.requestReclaims(predictions, now)
 	if !l.enabled() || lt.unfenced > 0 || !lt.mayStart(now) {
 		return
 	}
@@ -30,8 +30,8 @@
 	}
 }
 
-// maxPredictedWait is the predicted wait where no machine can be launched to end it sooner.
-const maxPredictedWait = time.Duration(1<<62 - 1)
+// noWaitLimit is the predicted wait where no machine can be launched to end it sooner.
+const noWaitLimit = time.Duration(1<<62 - 1)
 
 // predictedStart is how long a queued job is expected to wait for its start in this cell.
 type predictedStart struct {
@@ -43,7 +43,7 @@
 // before it, divided by the CPUs of the cell.
 func (l *loans) predictedStarts(now time.Time) []predictedStart {
 	lt := l.leaderTerm
-	capacity := l.findOpenCapacity(now)
+	capacity := l.schedulableCapacity(now)
 	free, work := capacity.freeCPUs, 0.0
 	for _, j := range lt.jobs {
 		// On average, half of a running task's time remains.
@@ -66,7 +66,7 @@
 		}
 		return 0
 	})
-	latest := maxPredictedWait
+	latest := noWaitLimit
 	if types := lt.c.types.load(); lt.autoscaler.CanLaunch(types, now) {
 		latest = autoscaler.LongestBoot(types) + lt.c.Settings.Site.Workers.HeartbeatInterval()
 	}
@@ -98,12 +98,12 @@
 	spare := n.advert.CPUs
 	for i := len(predictions) - 1; i >= 0 && lent < l.leaderTerm.c.Cells.MaxLoans && offers < maxOffers; i-- {
 		j := predictions[i].job
-		there := n.delay + transferTime + fetchTime(&j.Spec, n.advert.Types)
+		there := n.roundTripTime + transferTime + fetchTime(&j.Spec, n.advert.Types)
 		if predictions[i].wait-there < policy.Gain || now.Sub(j.RunnableSince) < policy.After ||
 			spare < j.Spec.CPUs || !l.lendable(j, n, now) {
 			continue
 		}
-		budget := l.budget(j, spare)
+		budget := l.computeBudget(j, spare)
 		if budget.CPUs < j.Spec.CPUs {
 			continue
 		}
@@ -123,7 +123,7 @@
 		return false
 	case j.Ended || j.Finishing || j.CancelPending || len(j.DependsOn) > 0:
 		return false
-	case l.changing[loanName(lt.c.Cells.Cell, j.Spec.ID)]:
+	case l.pendingChanges[loanName(lt.c.Cells.Cell, j.Spec.ID)]:
 		return false // the watch has shown a change whose response is outstanding
 	case j.Started() || j.LostTasks > 0 || j.Done.Any() || len(j.CompletionChunks) > 0:
 		return false
@@ -138,9 +138,9 @@
 	return slices.ContainsFunc(n.advert.Types, func(t api.MachineType) bool { return taskFits(&j.Spec, t) })
 }
 
-// budget is what a loan may use at a time, in whole tasks: the least of the job's demand, its
+// computeBudget is what a loan may use at a time, in whole tasks: the least of the job's demand, its
 // team's limit and the spare capacity.
-func (l *loans) budget(j *cluster.Job, spare float64) loan.Budget {
+func (l *loans) computeBudget(j *cluster.Job, spare float64) loan.Budget {
 	s := &j.Spec
 	lt := l.leaderTerm
 	unknownCPUs := lt.unfencedCPUs + lt.unattributedCPUs
@@ -169,11 +169,11 @@
 	return config.Duration(longest)
 }
 
-// requestReclaim requests the reclaim of loans that could start in this cell at once and have
+// requestReclaims requests the reclaim of loans that could start in this cell at once and have
 // not started at their host.
-func (l *loans) requestReclaim(predictions []predictedStart, now time.Time) {
+func (l *loans) requestReclaims(predictions []predictedStart, now time.Time) {
 	lt := l.leaderTerm
-	free, requested := l.findOpenCapacity(now).freeCPUs, 0
+	free, requested := l.schedulableCapacity(now).freeCPUs, 0
 	for _, w := range predictions {
 		free -= float64(w.job.Flight.Untaken()) * w.job.Spec.CPUs
 	}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -40,14 +40,14 @@
 	guestTeams          map[string]*queue.Team[*cluster.Job]
 	guestFairShareOrder []*queue.Team[*cluster.Job]
 
-	counts        LoanCounts
-	openCapacity  openCapacity
-	changeQueue   []*loanChange
-	writeInFlight bool
-	limiter       *rate.Limiter
-	// changing are the jobs, by home cell and name, with a change that is queued or being
+	counts         LoanCounts
+	cachedCapacity schedulableCapacity
+	changeQueue    []*loanChange
+	writeInFlight  bool
+	limiter        *rate.Limiter
+	// pendingChanges are the jobs, by home cell and name, with a change that is queued or being
 	// written.
-	changing map[string]bool
+	pendingChanges map[string]bool
 	// endedIDs are the ids of jobs of which this cell was found to have a terminal record:
 	// no guest may take one of them.
 	endedIDs map[string]bool
@@ -79,23 +79,23 @@
 	loanReadTimeout  = 4 * time.Second
 	// loanRetryInterval is how long after a failure a transaction is sent again.
 	loanRetryInterval = 300 * time.Millisecond
-	// maxLoanNames bounds what is kept of refused loans.
-	maxLoanNames = 4096
+	// maxRememberedRefusals bounds what is kept of refused loans.
+	maxRememberedRefusals = 4096
 	// maxLoanOps is the largest number of operations of a loan's change.
 	maxLoanOps = 3
 )
 
 func (l *loans) init(lt *leaderTerm) {
 	*l = loans{
-		leaderTerm: lt,
-		neighbours: map[string]*neighbour{},
-		minEpochs:  map[string]minEpoch{},
-		ends:       iradix.New[loanEnd](),
-		guestTeams: map[string]*queue.Team[*cluster.Job]{},
-		changing:   map[string]bool{},
-		endedIDs:   map[string]bool{},
-		loggedOnce: map[string]bool{},
-		limiter:    rate.NewLimiter(rate.Limit(lt.c.Settings.Site.State.WriteRPS*loanWriteShare), maxLoanOps),
+		leaderTerm:     lt,
+		neighbours:     map[string]*neighbour{},
+		minEpochs:      map[string]minEpoch{},
+		ends:           iradix.New[loanEnd](),
+		guestTeams:     map[string]*queue.Team[*cluster.Job]{},
+		pendingChanges: map[string]bool{},
+		endedIDs:       map[string]bool{},
+		loggedOnce:     map[string]bool{},
+		limiter:        rate.NewLimiter(rate.Limit(lt.c.Settings.Site.State.WriteRPS*loanWriteShare), maxLoanOps),
 	}
 	if lt.c.Cells == nil {
 		return
@@ -156,10 +156,10 @@
 // outcome decides about the next.
 func (l *loans) enqueueChange(change *loanChange) bool {
 	name := loanName(change.home, change.job)
-	if l.changing[name] {
+	if l.pendingChanges[name] {
 		return false
 	}
-	l.changing[name] = true
+	l.pendingChanges[name] = true
 	l.changeQueue = append(l.changeQueue, change)
 	return true
 }
@@ -171,7 +171,7 @@
 		txn, needed := change.build()
 		if !needed {
 			l.changeQueue = l.changeQueue[1:]
-			delete(l.changing, loanName(change.home, change.job))
+			delete(l.pendingChanges, loanName(change.home, change.job))
 			continue
 		}
 		if !l.limiter.AllowN(now, len(txn.Ops)) {
@@ -180,13 +180,13 @@
 		l.changeQueue = l.changeQueue[1:]
 		l.writeInFlight = true
 		txn.Records = true
-		go l.writeUntilKnown(change, txn)
+		go l.writeUntilOutcomeKnown(change, txn)
 	}
 }
 
-// writeUntilKnown sends a transaction until its outcome is known. One that may yet be
+// writeUntilOutcomeKnown sends a transaction until its outcome is known. One that may yet be
 // applied is never abandoned: the next decision would rest on its not being applied.
-func (l *loans) writeUntilKnown(change *loanChange, txn kv.Txn) {
+func (l *loans) writeUntilOutcomeKnown(change *loanChange, txn kv.Txn) {
 	lt := l.leaderTerm
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, loanWriteTimeout)
@@ -220,8 +220,8 @@
 	l := &lt.loans
 	switch {
 	case m.result.Succeeded:
-		l.endChange(m.change)
-		l.counts.Written++
+		l.completeChange(m.change)
+		l.counts.RecordsChanged++
 		m.change.done(m.result.Revision)
 	case lt.checkTermConflict(m.result):
 		return
@@ -234,10 +234,10 @@
 	l.writeNext(time.Now())
 }
 
-// endChange removes a change, so that the next can be written.
-func (l *loans) endChange(change *loanChange) {
+// completeChange removes a change, so that the next can be written.
+func (l *loans) completeChange(change *loanChange) {
 	l.writeInFlight = false
-	delete(l.changing, loanName(change.home, change.job))
+	delete(l.pendingChanges, loanName(change.home, change.job))
 }
 
 // readRecords reads all records that a change is about.
@@ -250,7 +250,7 @@
 	}
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, loanReadTimeout)
-		entries, err := getAll(ctx, lt.c.Store, keys)
+		entries, err := getEntries(ctx, lt.c.Store, keys)
 		recordStore := records.Records{Store: lt.c.Store}
 		var terminal api.JobState
 		var hasEnded bool
@@ -274,8 +274,8 @@
 	}
 }
 
-// getAll reads keys one after the other.
-func getAll(ctx context.Context, store kv.Service, keys []string) ([]kv.Entry, error) {
+// getEntries reads keys one after the other.
+func getEntries(ctx context.Context, store kv.Service, keys []string) ([]kv.Entry, error) {
 	entries := make([]kv.Entry, 0, len(keys))
 	for _, key := range keys {
 		e, err := store.Get(ctx, key)
@@ -302,14 +302,14 @@
 		return
 	}
 	l := &lt.loans
-	l.endChange(m.change)
+	l.completeChange(m.change)
 	l.addRecord(m.minEpoch)
 	if m.end.ModRevision == 0 {
 		l.ends, _, _ = l.ends.Delete([]byte(loanName(m.change.home, m.change.job)))
 	} else {
 		l.addRecord(m.end)
 	}
-	if m.hasEnded && len(l.endedIDs) < maxLoanNames {
+	if m.hasEnded && len(l.endedIDs) < maxRememberedRefusals {
 		l.endedIDs[m.change.job] = true
 	}
 	j := lt.jobs[m.change.job]
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -15,13 +15,13 @@
 type neighbour struct {
 	cell string
 	// unreachable is set if the operators have declared the cell lost.
-	unreachable  bool
-	exchanging   bool
-	nextExchange time.Time
+	unreachable      bool
+	exchangeInFlight bool
+	nextExchange     time.Time
 	// lastResponse is when it last responded, and delay how long that took.
-	lastResponse time.Time
-	delay        time.Duration
-	advert       loan.Advert
+	lastResponse  time.Time
+	roundTripTime time.Duration
+	advert        loan.Advert
 	// lastError is why the last exchange failed, or "", and failingSince since when
 	// exchanges have failed.
 	lastError    string
@@ -152,10 +152,10 @@
 			l.reclaimFromUnreachable(n)
 			continue
 		}
-		if n.exchanging || now.Before(n.nextExchange) || lt.c.Link == nil {
+		if n.exchangeInFlight || now.Before(n.nextExchange) || lt.c.Link == nil {
 			continue
 		}
-		n.exchanging, n.nextExchange = true, now.Add(exchangeInterval)
+		n.exchangeInFlight, n.nextExchange = true, now.Add(exchangeInterval)
 		req := l.buildRequest(n)
 		go func() {
 			ctx, cancel := context.WithTimeout(lt.ctx, exchangeTimeout)
@@ -222,7 +222,7 @@
 		return
 	}
 	l, n, now := &m.leaderTerm.loans, m.neighbour, time.Now()
-	n.exchanging = false
+	n.exchangeInFlight = false
 	if m.err == nil && m.response.Refused != "" {
 		m.err = &RefusedError{Cell: n.cell, Reason: m.response.Refused}
 	}
@@ -237,7 +237,7 @@
 	if n.lastError != "" {
 		c.Log.Info("loan exchange recovered", "cell", n.cell, "after", now.Sub(n.failingSince).Round(time.Second))
 	}
-	n.lastError, n.lastResponse, n.delay, n.advert = "", now, now.Sub(m.sent), m.response.Advert
+	n.lastError, n.lastResponse, n.roundTripTime, n.advert = "", now, now.Sub(m.sent), m.response.Advert
 	clear(n.toForget)
 	for _, s := range m.response.States {
 		l.applyState(n, s)
@@ -258,7 +258,7 @@
 		return // the change that is being written decides
 	}
 	if j == nil || j.Lent == nil || j.Lent.Host != n.cell || j.Lent.Epoch != s.Epoch {
-		if s.Phase != loan.PhaseClosed && s.Phase != loan.PhaseUnknown && loan.ConfirmedBy(lt.term.Number, s.Epoch) {
+		if s.Phase != loan.PhaseClosed && s.Phase != loan.PhaseUnknown && loan.CanConfirmEnd(lt.term.Number, s.Epoch) {
 			n.toForget[s.Job] = s.Epoch
 			n.nextExchange = time.Time{}
 		}
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -50,7 +50,7 @@
 		l.logOnce("loan request rejected", "cell", req.Home, "reason", reason)
 		return &loan.Response{Refused: reason}
 	}
-	response := &loan.Response{Host: lt.c.Cells.Cell, Term: lt.term.Number, Advert: l.advertise(now)}
+	response := &loan.Response{Host: lt.c.Cells.Cell, Term: lt.term.Number, Advert: l.buildAdvert(now)}
 	listed := map[string]bool{}
 	raiseTo := loan.Epoch(0)
 	for _, e := range req.Entries {
@@ -108,7 +108,7 @@
 // logOnce logs a warning unless the same one was logged in this term.
 func (l *loans) logOnce(message string, attrs ...any) {
 	key := message + fmt.Sprintf(" %q", attrs)
-	if l.loggedOnce[key] || len(l.loggedOnce) >= maxLoanNames {
+	if l.loggedOnce[key] || len(l.loggedOnce) >= maxRememberedRefusals {
 		return
 	}
 	l.loggedOnce[key] = true
@@ -138,7 +138,7 @@
 // accepted one needs from the advertised capacity.
 func (l *loans) offerRefusal(home string, o *loan.Offer, advert *loan.Advert) string {
 	lt, s := l.leaderTerm, &o.Spec
-	if l.changing[loanName(home, s.ID)] {
+	if l.pendingChanges[loanName(home, s.ID)] {
 		return "" // it is being accepted
 	}
 	guests := 0
@@ -153,7 +153,7 @@
 		return "a controller here does not know of loans"
 	case lt.jobs[s.ID] != nil || l.endedIDs[s.ID]:
 		return "a job of that name is here"
-	case guests+len(l.changing) >= lt.c.Cells.MaxLoans:
+	case guests+len(l.pendingChanges) >= lt.c.Cells.MaxLoans:
 		return "too many loans"
 	case !advert.Accepting || advert.CPUs < s.CPUs || advert.GPUs < s.GPUs:
 		return "nothing to spare"
@@ -285,9 +285,9 @@
 	})
 }
 
-// minEpochOp raises a home cell's minimum epoch in a transaction, on condition that its record
+// addMinEpochUpdate raises a home cell's minimum epoch in a transaction, on condition that its record
 // has not changed.
-func (l *loans) minEpochOp(txn *kv.Txn, home string, epoch loan.Epoch) {
+func (l *loans) addMinEpochUpdate(txn *kv.Txn, home string, epoch loan.Epoch) {
 	current := l.minEpochs[home]
 	key := loan.MinEpochKey(home)
 	txn.Compares = append(txn.Compares, kv.Compare{Key: key, ModRevision: current.modRevision})
@@ -299,18 +299,18 @@
 	l.minEpochs[home] = minEpoch{epoch: max(epoch, l.minEpochs[home].epoch), modRevision: revision}
 }
 
-// minEpochChange stands in place of a job id in the change that raises a minimum epoch. It
+// minEpochJobID stands in place of a job id in the change that raises a minimum epoch. It
 // is no valid job id, so no job's change collides with it.
-const minEpochChange = "floor"
+const minEpochJobID = "floor"
 
 // raiseMinEpoch closes all loans of a home cell up to an epoch that this cell has not accepted.
 func (l *loans) raiseMinEpoch(home string, epoch loan.Epoch) {
 	l.enqueueChange(&loanChange{
 		home: home,
-		job:  minEpochChange,
+		job:  minEpochJobID,
 		build: func() (kv.Txn, bool) {
 			txn := kv.Txn{Compares: []kv.Compare{l.leaderTerm.termCompare()}}
-			l.minEpochOp(&txn, home, epoch)
+			l.addMinEpochUpdate(&txn, home, epoch)
 			return txn, epoch > l.minEpochs[home].epoch
 		},
 		done: func(revision uint64) { l.minEpochRaised(home, epoch, revision) },
@@ -333,7 +333,7 @@
 				Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.ModRevision}},
 				Ops:      []kv.Op{{Delete: active}},
 			}
-			l.minEpochOp(&txn, home, epoch)
+			l.addMinEpochUpdate(&txn, home, epoch)
 			return txn, true
 		},
 		done: func(revision uint64) {
@@ -418,7 +418,7 @@
 				Compares: []kv.Compare{l.leaderTerm.termCompare(), {Key: key, ModRevision: end.modRevision}},
 				Ops:      []kv.Op{{Delete: key}},
 			}
-			l.minEpochOp(&txn, home, e.Epoch)
+			l.addMinEpochUpdate(&txn, home, e.Epoch)
 			return txn, ok
 		},
 		done: func(revision uint64) {
--- a/internal/controller/loansstatus.go
+++ b/internal/controller/loansstatus.go
@@ -14,25 +14,25 @@
 	Cell       string            `json:"cell"`
 	Enabled    bool              `json:"enabled"`
 	Neighbours []NeighbourStatus `json:"neighbours"`
-	// Lent and Guests are the loans to and from other cells, at most maxLoansShown of each.
+	// Lent and Guests are the loans to and from other cells, at most maxLoansInStatus of each.
 	Lent   []LoanStatus `json:"lent"`
 	Guests []LoanStatus `json:"guests"`
-	// Ended is how many guests have ended whose home cell has yet to record it.
-	Ended  int        `json:"ended_guests"`
-	Counts LoanCounts `json:"counts"`
+	// EndedGuests is how many guests have ended whose home cell has yet to record it.
+	EndedGuests int        `json:"ended_guests"`
+	Counts      LoanCounts `json:"counts"`
 }
 
 // NeighbourStatus is the state of the exchange with another cell.
 type NeighbourStatus struct {
-	Cell      string  `json:"cell"`
-	Lost      bool    `json:"lost,omitempty"`
-	HeardS    float64 `json:"heard_s_ago"`
-	DelayMs   int64   `json:"delay_ms"`
-	SpareCPUs float64 `json:"spare_cpus"`
-	Accepting bool    `json:"accepting"`
-	LastError string  `json:"last_error,omitempty"`
-	Lent      int     `json:"lent"`
-	Guests    int     `json:"guests"`
+	Cell             string  `json:"cell"`
+	Unreachable      bool    `json:"lost,omitempty"`
+	LastResponseAgeS float64 `json:"heard_s_ago"`
+	RoundTripMs      int64   `json:"delay_ms"`
+	SpareCPUs        float64 `json:"spare_cpus"`
+	Accepting        bool    `json:"accepting"`
+	LastError        string  `json:"last_error,omitempty"`
+	Lent             int     `json:"lent"`
+	Guests           int     `json:"guests"`
 }
 
 // LoanStatus is the state of one loan.
@@ -44,8 +44,8 @@
 	CPUs    float64 `json:"cpus"`
 	Done    int     `json:"done"`
 	Running int     `json:"running"`
-	// Waits is the reason why it is pending, if it is.
-	Waits string `json:"waits,omitempty"`
+	// PendingReason is the reason why it is pending, if it is.
+	PendingReason string `json:"waits,omitempty"`
 }
 
 // LoanCounts are the leader's counts of loans since its term began.
@@ -57,12 +57,12 @@
 	Accepted  int64 `json:"guests_accepted"`
 	Returned  int64 `json:"guests_given_back"`
 	Stopped   int64 `json:"guest_tasks_stopped"`
-	// Written is how many changes of loans were put on record.
-	Written int64 `json:"records_changed"`
+	// RecordsChanged is how many changes of loans were put on record.
+	RecordsChanged int64 `json:"records_changed"`
 }
 
-// maxLoansShown bounds the loans in a status.
-const maxLoansShown = 50
+// maxLoansInStatus bounds the loans in a status.
+const maxLoansInStatus = 50
 
 // status is the operators' view, or nil where there are no other cells.
 func (l *loans) status(now time.Time) *CellsStatus {
@@ -70,7 +70,7 @@
 	if lt.c.Cells == nil {
 		return nil
 	}
-	s := &CellsStatus{Cell: lt.c.Cells.Cell, Enabled: l.enabled(), Ended: l.ends.Len(), Counts: l.counts}
+	s := &CellsStatus{Cell: lt.c.Cells.Cell, Enabled: l.enabled(), EndedGuests: l.ends.Len(), Counts: l.counts}
 	lent, guests := map[string]int{}, map[string]int{}
 	for _, j := range lt.jobs {
 		switch {
@@ -82,21 +82,21 @@
 			s.Guests = append(s.Guests, guestStatus(j))
 		}
 	}
-	s.Lent, s.Guests = firstLoans(s.Lent), firstLoans(s.Guests)
+	s.Lent, s.Guests = sortAndTruncateLoans(s.Lent), sortAndTruncateLoans(s.Guests)
 	for _, n := range l.neighbours {
 		ns := NeighbourStatus{
-			Cell:      n.cell,
-			Lost:      n.unreachable,
-			HeardS:    -1,
-			DelayMs:   n.delay.Milliseconds(),
-			SpareCPUs: n.advert.CPUs,
-			Accepting: n.advert.Accepting,
-			LastError: n.lastError,
-			Lent:      lent[n.cell],
-			Guests:    guests[n.cell],
+			Cell:             n.cell,
+			Unreachable:      n.unreachable,
+			LastResponseAgeS: -1,
+			RoundTripMs:      n.roundTripTime.Milliseconds(),
+			SpareCPUs:        n.advert.CPUs,
+			Accepting:        n.advert.Accepting,
+			LastError:        n.lastError,
+			Lent:             lent[n.cell],
+			Guests:           guests[n.cell],
 		}
 		if !n.lastResponse.IsZero() {
-			ns.HeardS = now.Sub(n.lastResponse).Seconds()
+			ns.LastResponseAgeS = now.Sub(n.lastResponse).Seconds()
 		}
 		s.Neighbours = append(s.Neighbours, ns)
 	}
@@ -104,10 +104,10 @@
 	return s
 }
 
-// firstLoans sorts loans by job and returns the first maxLoansShown.
-func firstLoans(all []LoanStatus) []LoanStatus {
+// sortAndTruncateLoans sorts loans by job and returns the first maxLoansInStatus.
+func sortAndTruncateLoans(all []LoanStatus) []LoanStatus {
 	slices.SortFunc(all, func(a, b LoanStatus) int { return strings.Compare(a.Job, b.Job) })
-	return all[:min(len(all), maxLoansShown)]
+	return all[:min(len(all), maxLoansInStatus)]
 }
 
 // lentStatus is the status of a job that runs in another cell.
@@ -124,15 +124,15 @@
 	n := l.neighbours[j.Lent.Host]
 	switch {
 	case n == nil:
-		s.Waits = "its cell is not configured"
+		s.PendingReason = "its cell is not configured"
 	case n.lastError != "":
-		s.Waits = "its cell does not answer: " + n.lastError
+		s.PendingReason = "its cell does not answer: " + n.lastError
 	case j.Lent.Cancel:
-		s.Waits = "to be cancelled there"
+		s.PendingReason = "to be cancelled there"
 	case j.ReclaimRequested:
-		s.Waits = "called back"
+		s.PendingReason = "called back"
 	case j.Remote.Phase == loan.PhaseUnknown:
-		s.Waits = "not accepted yet"
+		s.PendingReason = "not accepted yet"
 	}
 	return s
 }
--- a/internal/loan/home.go
+++ b/internal/loan/home.go
@@ -39,7 +39,7 @@
 	return ActionNone
 }
 
-// ConfirmedBy reports whether a home leader of some term can confirm that a loan is settled
+// CanConfirmEnd reports whether a home leader of some term can confirm that a loan is settled
 // which its host names and which home does not know as lent. A leader knows its own loans
 // and, from the records, those of earlier terms; it cannot know those of a later leader.
-func ConfirmedBy(term uint64, e Epoch) bool { return uint64(e>>32) <= term }
+func CanConfirmEnd(term uint64, e Epoch) bool { return uint64(e>>32) <= term }
--- a/internal/loan/model_test.go
+++ b/internal/loan/model_test.go
@@ -51,7 +51,7 @@
 	delayed []func()
 
 	cancelRequested                  bool
-	runsAtHome, runsAtHost           bool
+	runningAtHome, runningAtHost     bool
 	startsAtHome, startsAtHost, ends int
 	loans                            int
 }
@@ -62,14 +62,14 @@
 	view  homeRecord
 	count uint32
 	// OutcomeUnknown is a transaction whose outcome is not known: it is retried until it is.
-	outcomeUnknown func()
+	unresolvedTxn func()
 }
 
 // hostLeader is a host leader with its view of the records.
 type hostLeader struct {
-	term           uint64
-	view           hostRecords
-	outcomeUnknown func()
+	term          uint64
+	view          hostRecords
+	unresolvedTxn func()
 }
 
 type modelRequest struct {
@@ -125,13 +125,13 @@
 			m.ends++
 		}
 	}
-	l.outcomeUnknown = txn
+	l.unresolvedTxn = txn
 	m.retryHomeTxn(l)
 }
 
 func (m *model) retryHomeTxn(l *homeLeader) {
-	if m.commit(l.outcomeUnknown) {
-		l.outcomeUnknown, l.view = nil, m.home // applied, or not since a compare failed: it reads again
+	if m.commit(l.unresolvedTxn) {
+		l.unresolvedTxn, l.view = nil, m.home // applied, or not since a compare failed: it reads again
 	}
 }
 
@@ -168,14 +168,14 @@
 		m.logf("host %d: %s, now guest %v end %v minimum epoch %v",
 			l.term, what, records.guest, records.end, records.minEpoch)
 	}
-	l.outcomeUnknown = txn
+	l.unresolvedTxn = txn
 	m.retryHostTxn(l)
 }
 
 func (m *model) retryHostTxn(l *hostLeader) {
-	if m.commit(l.outcomeUnknown) {
+	if m.commit(l.unresolvedTxn) {
 		wasStarted := l.view.isStarted
-		l.outcomeUnknown, l.view = nil, m.host
+		l.unresolvedTxn, l.view = nil, m.host
 		l.view.isStarted = l.view.isStarted || wasStarted && l.view.guest != 0
 	}
 }
@@ -183,7 +183,7 @@
 // stepHome is one step of a home leader.
 func (m *model) stepHome() {
 	l := m.homeLeaders[m.random.IntN(len(m.homeLeaders))]
-	if l.outcomeUnknown != nil {
+	if l.unresolvedTxn != nil {
 		m.retryHomeTxn(l)
 		return
 	}
@@ -206,19 +206,19 @@
 			e.Offer = &Offer{}
 		}
 		m.requests = append(m.requests, modelRequest{l.term, e})
-	case m.loans < maxLoans && !m.runsAtHome && m.oneIn(2):
+	case m.loans < maxLoans && !m.runningAtHome && m.oneIn(2):
 		l.count++
 		lent := &Lent{Host: "b", Epoch: NewEpoch(l.term, l.count)}
 		m.loans++
 		m.homeTxn(l, fmt.Sprint("lend ", lent.Epoch), func(r *homeRecord) { r.lent = lent })
-	case isCurrent && m.oneIn(40) && !m.runsAtHome:
+	case isCurrent && m.oneIn(40) && !m.runningAtHome:
 		// A start is only applied under the current term, and only from a leader in
 		// whose view the job is not on loan.
 		m.logf("home %d: starts", l.term)
-		m.runsAtHome = true
+		m.runningAtHome = true
 		m.startsAtHome++
-	case isCurrent && m.runsAtHome && m.oneIn(3):
-		m.homeTxn(l, "done at home", func(r *homeRecord) { r.terminalPhase = "done"; m.runsAtHome = false })
+	case isCurrent && m.runningAtHome && m.oneIn(3):
+		m.homeTxn(l, "done at home", func(r *homeRecord) { r.terminalPhase = "done"; m.runningAtHome = false })
 	}
 }
 
@@ -239,18 +239,18 @@
 		return
 	}
 	m.home.terminalPhase, m.home.modRevision = "withdrawn", m.revision
-	m.runsAtHome = false
+	m.runningAtHome = false
 	m.logf("user: cancelled at home")
 }
 
 // handleResponse handles a response of any age at home.
 func (m *model) handleResponse(a modelResponse) {
 	l := m.homeLeaders[m.random.IntN(len(m.homeLeaders))]
-	if l.outcomeUnknown != nil {
+	if l.unresolvedTxn != nil {
 		return
 	}
 	if l.view.lent == nil || l.view.lent.Epoch != a.state.Epoch && m.oneIn(2) {
-		if ConfirmedBy(l.term, a.state.Epoch) && a.state.Phase != PhaseClosed && a.state.Phase != PhaseUnknown {
+		if CanConfirmEnd(l.term, a.state.Epoch) && a.state.Phase != PhaseClosed && a.state.Phase != PhaseUnknown {
 			forget := Entry{Job: "job-1", Epoch: a.state.Epoch, Desired: DesiredForget}
 			m.requests = append(m.requests, modelRequest{l.term, forget})
 		}
@@ -269,7 +269,7 @@
 // handleRequest handles a request of any age at the host.
 func (m *model) handleRequest(q modelRequest) {
 	l := m.hostLeaders[m.random.IntN(len(m.hostLeaders))]
-	if l.outcomeUnknown != nil {
+	if l.unresolvedTxn != nil {
 		m.retryHostTxn(l)
 		return
 	}
@@ -282,11 +282,11 @@
 	phase, step := HostStep(e, HostView{
 		MinEpoch:      view.minEpoch,
 		GuestEpoch:    view.guest,
-		Started:       view.isStarted || m.runsAtHost,
+		Started:       view.isStarted || m.runningAtHost,
 		End:           view.end,
 		RefusalReason: refusalReason,
 	})
-	state := State{Job: e.Job, Epoch: e.Epoch, Phase: phase, Pending: m.runsAtHost}
+	state := State{Job: e.Job, Epoch: e.Epoch, Phase: phase, Pending: m.runningAtHost}
 	m.responses = append(m.responses, modelResponse{state})
 	switch step {
 	case StepAccept:
@@ -311,26 +311,26 @@
 // stepHost is one step of a host leader without a request.
 func (m *model) stepHost() {
 	l := m.hostLeaders[m.random.IntN(len(m.hostLeaders))]
-	if l.outcomeUnknown != nil {
+	if l.unresolvedTxn != nil {
 		m.retryHostTxn(l)
 		return
 	}
 	isCurrent := l.term == m.hostTerm
 	switch {
-	case l.view.guest == 0 && m.runsAtHost && isCurrent && m.host.guest == 0:
-		m.runsAtHost = false // stopped: the job is no guest any more
+	case l.view.guest == 0 && m.runningAtHost && isCurrent && m.host.guest == 0:
+		m.runningAtHost = false // stopped: the job is no guest any more
 	case l.view.guest == 0:
-	case isCurrent && !m.runsAtHost && m.oneIn(5):
+	case isCurrent && !m.runningAtHost && m.oneIn(5):
 		m.logf("host %d: starts %v", l.term, l.view.guest)
-		m.runsAtHost, l.view.isStarted, m.host.isStarted = true, true, true
+		m.runningAtHost, l.view.isStarted, m.host.isStarted = true, true, true
 		m.startsAtHost++
-	case isCurrent && m.runsAtHost && m.oneIn(3):
+	case isCurrent && m.runningAtHost && m.oneIn(3):
 		e := l.view.guest
 		m.hostTxn(l, fmt.Sprint("done ", e), func(r *hostRecords) {
 			r.guest, r.isStarted, r.end = 0, false, &End{Epoch: e, Phase: "done"}
-			m.runsAtHost = false
+			m.runningAtHost = false
 		})
-	case !l.view.isStarted && !m.runsAtHost && m.oneIn(8): // it closes a loan that it has not started
+	case !l.view.isStarted && !m.runningAtHost && m.oneIn(8): // it closes a loan that it has not started
 		e := l.view.guest
 		m.hostTxn(l, fmt.Sprint("close unstarted ", e), func(r *hostRecords) {
 			r.guest, r.minEpoch = 0, max(r.minEpoch, e)
@@ -369,15 +369,15 @@
 // checkInvariants fails the test unless one cell owns the job and it has one end at most.
 func (m *model) checkInvariants() {
 	switch {
-	case m.runsAtHome && m.runsAtHost:
+	case m.runningAtHome && m.runningAtHost:
 		m.fail("the job runs in both cells")
 	case m.ends > 1:
 		m.fail("the job ended %d times", m.ends)
 	case m.home.lent == nil && m.home.terminalPhase == "" && m.host.guest != 0:
 		m.fail("home owns the job, and the host has it as guest %v", m.host.guest)
-	case m.home.terminalPhase != "" && m.runsAtHost:
+	case m.home.terminalPhase != "" && m.runningAtHost:
 		m.fail("ended at home while it runs at the host: its team may exceed its limit")
-	case m.runsAtHome && m.home.lent != nil:
+	case m.runningAtHome && m.home.lent != nil:
 		m.fail("on loan while it runs at home")
 	}
 }
@@ -436,7 +436,7 @@
 					phase = PhaseDone
 				}
 			}
-			m.handleResponse(modelResponse{State{Job: "job-1", Epoch: e, Phase: phase, Pending: m.runsAtHost}})
+			m.handleResponse(modelResponse{State{Job: "job-1", Epoch: e, Phase: phase, Pending: m.runningAtHost}})
 		}
 		m.checkInvariants()
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -24,8 +24,8 @@
 	Data []byte `json:"data"`
 }
 
-// maxMessageBytes bounds an unpacked message.
-const maxMessageBytes = 4 << 20
+// maxUnpackedBytes bounds an unpacked message.
+const maxUnpackedBytes = 4 << 20
 
 // ErrTooLarge means that a message does not fit the records allowed.
 var ErrTooLarge = errors.New("relay: message too large")
@@ -33,8 +33,8 @@
 // errMissingPart means that a record of a message is missing.
 var errMissingPart = errors.New("part missing")
 
-// partOverhead is what a record takes besides its data.
-const partOverhead = 128
+// partOverheadBytes is what a record takes besides its data.
+const partOverheadBytes = 128
 
 // Pack packs a message into at most maxParts records of at most maxPartBytes bytes each, as they
 // are written.
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("relay: compress batch %d: %w", batch, err)
 	}
-	maxDataBytes := (maxPartBytes - partOverhead) / 4 * 3 // four characters of base64 hold three bytes
+	maxDataBytes := (maxPartBytes - partOverheadBytes) / 4 * 3 // four characters of base64 hold three bytes
 	if maxDataBytes <= 0 || buf.Len() > maxParts*maxDataBytes {
 		return nil, ErrTooLarge
 	}
@@ -76,7 +76,7 @@
 		}
 		data = append(data, parts[index].Data...)
 	}
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxMessageBytes))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxUnpackedBytes))
 	if err != nil {
 		return fmt.Errorf("relay: decompress batch %d: %w", batch, err)
 	}
