--- a/internal/cells/cells.go
+++ b/internal/cells/cells.go
@@ -1,5 +1,5 @@
-// Package cells reads and checks the file that names the cells which lend each other capacity:
-// this one and its neighbours.
+// Package cells reads and validates the settings file that describes a cell and the neighbours
+// with which it exchanges capacity.
 package cells
 
 import (
@@ -11,32 +11,32 @@
 	"example.org/ivytrestle/internal/deployfile"
 )
 
-// Settings are a cell's name, its listeners for other cells and its neighbours.
+// Settings is the content of the cells file.
 type Settings struct {
 	// Cell is the name of this cell.
 	Cell string `json:"cell"`
-	// Listen is the address at which each of its controllers, by name, listens for other
-	// cells.
+	// Listen maps the name of each controller of this cell to the address at which it
+	// listens for other cells.
 	Listen map[string]string `json:"listen"`
-	// MaxLoans bounds the loans out to a neighbour, and those in from one.
+	// MaxLoans bounds the loans to each neighbour, and the loans from each neighbour.
 	MaxLoans   int         `json:"max_loans"`
 	Neighbours []Neighbour `json:"neighbour"`
 }
 
-// Neighbour is another cell.
+// Neighbour is another cell that jobs may be lent to and that may lend jobs to this one.
 type Neighbour struct {
 	Cell string `json:"cell"`
-	// Addresses are those of its controllers' listeners for other cells.
+	// Addresses are the addresses at which its controllers listen for other cells.
 	Addresses []string `json:"addresses"`
-	// Unreachable says that the cell has failed for good, with all its machines: what was
-	// lent to it is reclaimed without its confirmation.
+	// Unreachable declares that the cell and all its machines have failed permanently. Jobs
+	// lent to it are reclaimed without its confirmation.
 	Unreachable bool `json:"lost"`
 }
 
-// defaultMaxLoans is MaxLoans if the file does not set it.
+// defaultMaxLoans is the value of Settings.MaxLoans if the file does not set it.
 const defaultMaxLoans = 100
 
-// Neighbour returns the neighbour with a name, or nil.
+// Neighbour returns the neighbour with the given cell name, or nil.
 func (s *Settings) Neighbour(cell string) *Neighbour {
 	for i := range s.Neighbours {
 		if s.Neighbours[i].Cell == cell {
@@ -49,13 +49,13 @@
 //go:embed schema.json
 var schema []byte
 
-// Load reads and checks the file for one of the cell's controllers.
+// Load reads and validates the file at path for the controller named node.
 func Load(path, node string) (*Settings, error) {
 	s := &Settings{MaxLoans: defaultMaxLoans}
 	return s, deployfile.Load("cells", path, schema, s, func() error { return s.check(node) })
 }
 
-// Parse checks the contents of a file for one of the cell's controllers.
+// Parse decodes and validates the content of a file for the controller named node.
 func Parse(raw []byte, node string) (*Settings, error) {
 	s := &Settings{MaxLoans: defaultMaxLoans}
 	if err := deployfile.Parse(raw, schema, s); err != nil {
@@ -64,10 +64,10 @@
 	return s, s.check(node)
 }
 
-// check checks what a schema cannot express.
+// check returns an error if the settings violate a rule that the JSON schema cannot express.
 func (s *Settings) check(node string) error {
 	if s.Listen[node] == "" {
-		return fmt.Errorf("field listen: no address for this controller, %s", node)
+		return fmt.Errorf("field listen: no address for this controller, %q; add %s = \"host:port\"", node, node)
 	}
 	for name, addr := range s.Listen {
 		if err := checkAddr(addr); err != nil {
@@ -79,9 +79,9 @@
 		field := fmt.Sprintf("field neighbour[%d]", i)
 		switch {
 		case n.Cell == s.Cell:
-			return fmt.Errorf("%s.cell: %s is this cell itself", field, n.Cell)
+			return fmt.Errorf("%s.cell: %q is this cell itself; a neighbour must be another cell", field, n.Cell)
 		case slices.Contains(seen, n.Cell):
-			return fmt.Errorf("%s.cell: %s is named twice", field, n.Cell)
+			return fmt.Errorf("%s.cell: %q is the cell of an earlier neighbour; list each cell once", field, n.Cell)
 		}
 		seen = append(seen, n.Cell)
 		for j, addr := range n.Addresses {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// checkAddr checks that an address has the form host:port.
+// checkAddr returns an error unless addr has the form host:port.
 func checkAddr(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || host == "" || port == "" {
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -22,21 +22,21 @@
 		t.Fatal(err)
 	}
 	if s.Cell != "norrland" || s.MaxLoans != 100 || s.Listen["trellis-1"] != "10.0.0.2:8082" {
-		t.Errorf("got %+v, want cell norrland with 100 loans, trellis-1 at 10.0.0.2:8082", s)
+		t.Errorf("got %+v, want cell norrland, 100 loans and trellis-1 listening at 10.0.0.2:8082", s)
 	}
 	if s.Neighbour("gdynia") == nil || len(s.Neighbours[0].Addresses) != 3 || s.Neighbours[0].Unreachable {
-		t.Errorf("got neighbours %+v, want gdynia, and three addresses of a reachable first", s.Neighbours)
+		t.Errorf("got neighbours %+v, want gdynia among them, the first one reachable with 3 addresses", s.Neighbours)
 	}
 }
 
 func TestDefaultMaxLoans(t *testing.T) {
 	s, err := Parse([]byte(validFile), "n0")
 	if err != nil || s.MaxLoans != defaultMaxLoans {
-		t.Errorf("got %+v, %v, want %d loans", s, err, defaultMaxLoans)
+		t.Errorf("got %+v, %v, want MaxLoans %d", s, err, defaultMaxLoans)
 	}
 }
 
-// An invalid file is rejected with one line that names the field.
+// An invalid file is rejected with a one-line error that names the field or the line.
 func TestInvalidFiles(t *testing.T) {
 	const neighbour = "[[neighbour]]\ncell = \"b\"\naddresses = [\"127.0.0.1:2\"]"
 	for _, c := range []struct{ name, old, new, want string }{
@@ -54,9 +54,18 @@
 			`field neighbour[0].addresses[0]: "127.0.0.1" is not an address`,
 		},
 		{"invalid listener", `n0 = "127.0.0.1:1"`, `n0 = ":1"`, `field listen.n0: ":1" is not an address`},
-		{"another node", `n0 =`, `n1 =`, "field listen: no address for this controller, n0"},
-		{"itself", `cell = "b"`, `cell = "a"`, "field neighbour[0].cell: a is this cell itself"},
-		{"named twice", neighbour, neighbour + "\n" + neighbour, "field neighbour[1].cell: b is named twice"},
+		{
+			"another node", `n0 =`, `n1 =`,
+			`field listen: no address for this controller, "n0"; add n0 = "host:port"`,
+		},
+		{
+			"itself", `cell = "b"`, `cell = "a"`,
+			`field neighbour[0].cell: "a" is this cell itself; a neighbour must be another cell`,
+		},
+		{
+			"named twice", neighbour, neighbour + "\n" + neighbour,
+			`field neighbour[1].cell: "b" is the cell of an earlier neighbour; list each cell once`,
+		},
 		{"limit of zero", `cell = "a"`, "cell = \"a\"\nmax_loans = 0", "field max_loans: "},
 		{"limit too large", `cell = "a"`, "cell = \"a\"\nmax_loans = 1000000", "field max_loans: "},
 		{"limit is a string", `cell = "a"`, "cell = \"a\"\nmax_loans = \"3\"", "field max_loans: "},
@@ -65,11 +74,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			text := strings.Replace(validFile, c.old, c.new, 1)
 			if text == validFile {
-				t.Fatalf("%q is not in the file", c.old)
+				t.Fatalf("%q is not in the valid file", c.old)
 			}
 			_, err := Parse([]byte(text), "n0")
 			if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v, want one line that begins %s", err, c.want)
+				t.Errorf("got %v, want one line that begins with %q", err, c.want)
 			}
 		})
 	}
--- a/internal/loan/home.go
+++ b/internal/loan/home.go
@@ -1,23 +1,23 @@
 package loan
 
-// Action is what home does about one of its loans.
+// Action is a change of home's record of a lent job.
 type Action int
 
 // The actions of home.
 const (
-	// ActionNone leaves the job on loan.
+	// ActionNone changes nothing: the job stays lent.
 	ActionNone Action = iota
-	// ActionReclaim restores the job's record without the loan.
+	// ActionReclaim returns the job to its team's queue at home.
 	ActionReclaim
-	// ActionDone records that the job is done.
+	// ActionDone writes the terminal record of a job that is done.
 	ActionDone
-	// ActionCancel records that the job is cancelled.
+	// ActionCancel writes the terminal record of a job that is cancelled.
 	ActionCancel
 )
 
-// HomeStep decides what home does about a loan, given its state at the host. A cancelled
-// job ends at home only once none of its tasks is on a machine of the host: until then
-// the budget must count against its team's limit.
+// HomeStep returns the action that home takes on a loan in a given state at its host. A state
+// of another epoch is ignored. A cancelled job ends at home only once none of its tasks is on
+// a machine of the host, because until then its budget must count against its team's limit.
 func HomeStep(l *Lent, s State) Action {
 	if s.Epoch != l.Epoch {
 		return ActionNone
@@ -39,7 +39,8 @@
 	return ActionNone
 }
 
-// CanConfirmEnd reports whether a home leader of some term can confirm that a loan is settled
-// which its host names and which home does not know as lent. A leader knows its own loans
-// and, from the records, those of earlier terms; it cannot know those of a later leader.
-func CanConfirmEnd(term uint64, e Epoch) bool { return uint64(e>>32) <= term }
+// CanConfirmEnd reports whether a home leader of the given term may conclude that a loan has
+// ended from not having it among its lent jobs. This holds for loans of its own term and, since
+// it has read the records, of earlier terms. A loan of a later term may have been made without
+// its knowledge.
+func CanConfirmEnd(term uint64, e Epoch) bool { return uint64(e>>countBits) <= term }
--- a/internal/loan/host.go
+++ b/internal/loan/host.go
@@ -1,42 +1,46 @@
 package loan
 
-// HostView is the content of a host's records about one job of a home cell.
+// HostView is what a host has on record about one job of a home cell.
 type HostView struct {
-	// MinEpoch is the minimum epoch: loans up to it are closed.
+	// MinEpoch is the home cell's minimum epoch: loans with this epoch or a lower one that
+	// are not on record are closed.
 	MinEpoch Epoch
-	// GuestEpoch is the epoch under which the job is a guest, or 0; Started is set once
-	// tasks of it were started, or may have been.
+	// GuestEpoch is the epoch of the loan under which the job is a guest, or 0.
 	GuestEpoch Epoch
-	Started    bool
-	// End is how a guest ended, or nil.
+	// Started is set if tasks of the guest have started, or may have.
+	Started bool
+	// End is the record of how the guest ended, or nil.
 	End *End
-	// RefusalReason is why a loan of the job is not accepted, or empty.
+	// RefusalReason is why the host does not accept the offered loan, or empty.
 	RefusalReason string
 }
 
-// Step is a change of a host's records.
+// Step is a change of a host's records about a loan.
 type Step int
 
 // The changes of a host's records.
 const (
 	// StepNone changes nothing.
 	StepNone Step = iota
-	// StepAccept writes the guest's record.
+	// StepAccept writes the guest's active record.
 	StepAccept
-	// StepClose removes the guest's record and raises the minimum epoch to its epoch.
+	// StepClose deletes the guest's active record and raises the minimum epoch to the
+	// epoch of the loan.
 	StepClose
-	// StepCancel removes the guest's record and records its end as cancelled.
+	// StepCancel deletes the guest's active record and records that it was cancelled.
 	StepCancel
-	// StepForget removes the guest's end and raises the minimum epoch to its epoch.
+	// StepForget deletes the record of the guest's end and raises the minimum epoch to the
+	// epoch of the loan.
 	StepForget
-	// StepRaiseMinEpoch raises the minimum epoch to the entry's epoch.
+	// StepRaiseMinEpoch raises the minimum epoch to the epoch of the loan, which closes a
+	// loan that the host does not accept.
 	StepRaiseMinEpoch
 )
 
-// HostStep decides, by a host's records, which step it takes on an entry, and the loan's
-// phase until the step is committed. An epoch that is not accepted is closed by the
-// minimum epoch, on record, before the response to home: no late copy of the offer can
-// be accepted after it.
+// HostStep returns the step that a host takes on an entry, given its records, and the phase
+// that it reports until the step is committed. The host reports a loan that it does not accept
+// as closed only once the raised minimum epoch is on record, so that a delayed copy of the
+// offer cannot be accepted afterwards.
 func HostStep(e Entry, h HostView) (Phase, Step) {
 	switch {
 	case h.End != nil && h.End.Epoch == e.Epoch:
@@ -53,8 +57,8 @@
 	case e.Epoch <= h.MinEpoch:
 		return PhaseClosed, StepNone
 	case h.GuestEpoch != 0 || h.End != nil:
-		// The host has another loan of the same job. Since home has made this one, it
-		// has abandoned the other, which its entry for that loan will show.
+		// The host has records of another loan of the same job. Home no longer has that
+		// loan, since it made this one, and will request that its records be removed.
 		return PhaseUnknown, StepRaiseMinEpoch
 	case e.Desired != DesiredRun || h.RefusalReason != "":
 		return PhaseUnknown, StepRaiseMinEpoch
@@ -64,7 +68,7 @@
 	return PhaseUnknown, StepNone
 }
 
-// guestStep is HostStep for a guest with the entry's epoch.
+// guestStep implements HostStep for an entry whose epoch is that of the guest on record.
 func guestStep(e Entry, h HostView) (Phase, Step) {
 	phase := PhaseAccepted
 	if h.Started {
--- a/internal/loan/model_test.go
+++ b/internal/loan/model_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// The model simulates the protocol between a home cell and a host with one job: leaders
-// that act for a while after their term, transactions that are applied late or whose
-// response is lost, messages that are lost, repeated and reordered.
+// The model simulates the protocol between a home cell and a host for one job, with these
+// faults: leaders that still act after their term has ended, transactions that are applied late
+// or whose response is lost, and messages that are lost, repeated or reordered.
 
 // maxLoans bounds how often the model lends the job.
 const maxLoans = 12
@@ -20,7 +20,7 @@
 	terminalPhase string
 }
 
-// hostRecords are the records at the host, each with its version.
+// hostRecords are the host's records about the job, each with its mod revision.
 type hostRecords struct {
 	minEpoch            Epoch
 	minEpochModRevision int
@@ -41,13 +41,14 @@
 	homeTerm, hostTerm uint64
 	home               homeRecord
 	host               hostRecords
-	// homeLeaders and hostLeaders are those that act; only the last holds the current term.
+	// homeLeaders and hostLeaders are the leaders that still act. Only the last of each
+	// holds the current term.
 	homeLeaders []*homeLeader
 	hostLeaders []*hostLeader
 
 	requests  []modelRequest
 	responses []modelResponse
-	// delayed are transactions without a response that may yet be applied.
+	// delayed are transactions that may be applied later.
 	delayed []func()
 
 	cancelRequested                  bool
@@ -56,16 +57,17 @@
 	loans                            int
 }
 
-// homeLeader is a home leader with its view of the records.
+// homeLeader is a home leader and its view of the records.
 type homeLeader struct {
-	term  uint64
-	view  homeRecord
+	term uint64
+	view homeRecord
+	// count is the number of loans that the leader has made.
 	count uint32
-	// OutcomeUnknown is a transaction whose outcome is not known: it is retried until it is.
+	// unresolvedTxn is a transaction that is retried until its outcome is known, or nil.
 	unresolvedTxn func()
 }
 
-// hostLeader is a host leader with its view of the records.
+// hostLeader is a host leader and its view of the records.
 type hostLeader struct {
 	term          uint64
 	view          hostRecords
@@ -83,6 +85,7 @@
 	m.trace = append(m.trace, fmt.Sprintf(format, args...))
 }
 
+// fail fails the test with the end of the trace.
 func (m *model) fail(format string, args ...any) {
 	m.t.Helper()
 	for _, line := range m.trace[max(0, len(m.trace)-60):] {
@@ -91,17 +94,17 @@
 	m.t.Fatalf(format, args...)
 }
 
-// oneIn is true once in n times.
+// oneIn reports whether a random event with probability 1/n occurs.
 func (m *model) oneIn(n int) bool { return m.random.IntN(n) == 0 }
 
-// commit applies a transaction now, late, or with its response lost, and reports whether
-// the leader learns of the outcome.
+// commit applies a transaction now, later, or now with its response lost, and reports whether
+// the leader receives the response.
 func (m *model) commit(txn func()) (isKnown bool) {
 	switch m.random.IntN(6) {
-	case 0: // may be applied later
+	case 0: // no response, and possibly applied later
 		m.delayed = append(m.delayed, txn)
 		return false
-	case 1: // applied, and the response is lost
+	case 1: // applied, but the response is lost
 		txn()
 		return false
 	}
@@ -109,9 +112,9 @@
 	return true
 }
 
-// homeTxn changes home's record if the leader's term and the record's mod revision are
-// unchanged.
-func (m *model) homeTxn(l *homeLeader, what string, change func(r *homeRecord)) {
+// homeTxn changes home's record on condition that the leader holds the current term and its
+// view of the record is current.
+func (m *model) homeTxn(l *homeLeader, description string, change func(r *homeRecord)) {
 	modRevision := l.view.modRevision
 	txn := func() {
 		if l.term != m.homeTerm || m.home.modRevision != modRevision {
@@ -120,7 +123,7 @@
 		m.revision++
 		change(&m.home)
 		m.home.modRevision = m.revision
-		m.logf("home %d: %s", l.term, what)
+		m.logf("home %d: %s", l.term, description)
 		if m.home.terminalPhase == "done" {
 			m.ends++
 		}
@@ -129,14 +132,17 @@
 	m.retryHomeTxn(l)
 }
 
+// retryHomeTxn commits the leader's unresolved transaction. With its response, whether it was
+// applied or a compare failed, the leader reads the record again.
 func (m *model) retryHomeTxn(l *homeLeader) {
 	if m.commit(l.unresolvedTxn) {
-		l.unresolvedTxn, l.view = nil, m.home // applied, or not since a compare failed: it reads again
+		l.unresolvedTxn, l.view = nil, m.home
 	}
 }
 
-// hostTxn changes the host's records if the term and all mod revisions are unchanged.
-func (m *model) hostTxn(l *hostLeader, what string, change func(r *hostRecords)) {
+// hostTxn changes the host's records on condition that the leader holds the current term and
+// its view of all records is current.
+func (m *model) hostTxn(l *hostLeader, description string, change func(r *hostRecords)) {
 	view := l.view
 	txn := func() {
 		records := &m.host
@@ -158,7 +164,7 @@
 		if records.end != before.end {
 			records.endModRevision = m.revision
 		}
-		// The mod revision of a missing record is 0, whatever was stored before.
+		// A missing record has mod revision 0, also if it existed before.
 		if records.guest == 0 {
 			records.guestModRevision = 0
 		}
@@ -166,12 +172,14 @@
 			records.endModRevision = 0
 		}
 		m.logf("host %d: %s, now guest %v end %v minimum epoch %v",
-			l.term, what, records.guest, records.end, records.minEpoch)
+			l.term, description, records.guest, records.end, records.minEpoch)
 	}
 	l.unresolvedTxn = txn
 	m.retryHostTxn(l)
 }
 
+// retryHostTxn commits the leader's unresolved transaction. With its response the leader reads
+// the records again, and still treats a guest that it has started as started.
 func (m *model) retryHostTxn(l *hostLeader) {
 	if m.commit(l.unresolvedTxn) {
 		wasStarted := l.view.isStarted
@@ -180,7 +188,7 @@
 	}
 }
 
-// stepHome is one step of a home leader.
+// stepHome performs one step of a random home leader.
 func (m *model) stepHome() {
 	l := m.homeLeaders[m.random.IntN(len(m.homeLeaders))]
 	if l.unresolvedTxn != nil {
@@ -189,31 +197,31 @@
 	}
 	isCurrent := l.term == m.homeTerm
 	if m.oneIn(3) {
-		l.view = m.home // an event of its watch
+		l.view = m.home // the leader receives a watch event
 	}
 	switch {
 	case l.view.terminalPhase != "":
 		l.view = m.home
 	case l.view.lent != nil:
-		e := Entry{Job: "job-1", Epoch: l.view.lent.Epoch, Desired: DesiredRun}
+		entry := Entry{Job: "job-1", Epoch: l.view.lent.Epoch, Desired: DesiredRun}
 		if m.oneIn(6) {
-			e.Desired = DesiredReclaim
+			entry.Desired = DesiredReclaim
 		}
 		if l.view.lent.Cancel {
-			e.Desired = DesiredCancel
+			entry.Desired = DesiredCancel
 		}
 		if m.oneIn(2) {
-			e.Offer = &Offer{}
+			entry.Offer = &Offer{}
 		}
-		m.requests = append(m.requests, modelRequest{l.term, e})
+		m.requests = append(m.requests, modelRequest{l.term, entry})
 	case m.loans < maxLoans && !m.runningAtHome && m.oneIn(2):
 		l.count++
 		lent := &Lent{Host: "b", Epoch: NewEpoch(l.term, l.count)}
 		m.loans++
 		m.homeTxn(l, fmt.Sprint("lend ", lent.Epoch), func(r *homeRecord) { r.lent = lent })
 	case isCurrent && m.oneIn(40) && !m.runningAtHome:
-		// A start is only applied under the current term, and only from a leader in
-		// whose view the job is not on loan.
+		// Machines accept a start only under the current term. A leader sends one only
+		// if the job is not lent in its view.
 		m.logf("home %d: starts", l.term)
 		m.runningAtHome = true
 		m.startsAtHome++
@@ -222,7 +230,7 @@
 	}
 }
 
-// applyCancellation applies a user's cancellation at any node.
+// applyCancellation records a user's cancellation, which any node of the home cell may do.
 func (m *model) applyCancellation() {
 	if !m.cancelRequested || m.home.terminalPhase != "" {
 		return
@@ -243,22 +251,23 @@
 	m.logf("user: cancelled at home")
 }
 
-// handleResponse handles a response of any age at home.
-func (m *model) handleResponse(a modelResponse) {
+// handleResponse handles a response, however old, at a random home leader.
+func (m *model) handleResponse(response modelResponse) {
 	l := m.homeLeaders[m.random.IntN(len(m.homeLeaders))]
 	if l.unresolvedTxn != nil {
 		return
 	}
-	if l.view.lent == nil || l.view.lent.Epoch != a.state.Epoch && m.oneIn(2) {
-		if CanConfirmEnd(l.term, a.state.Epoch) && a.state.Phase != PhaseClosed && a.state.Phase != PhaseUnknown {
-			forget := Entry{Job: "job-1", Epoch: a.state.Epoch, Desired: DesiredForget}
+	if l.view.lent == nil || l.view.lent.Epoch != response.state.Epoch && m.oneIn(2) {
+		if CanConfirmEnd(l.term, response.state.Epoch) &&
+			response.state.Phase != PhaseClosed && response.state.Phase != PhaseUnknown {
+			forget := Entry{Job: "job-1", Epoch: response.state.Epoch, Desired: DesiredForget}
 			m.requests = append(m.requests, modelRequest{l.term, forget})
 		}
 		return
 	}
-	switch HomeStep(l.view.lent, a.state) {
+	switch HomeStep(l.view.lent, response.state) {
 	case ActionReclaim:
-		m.homeTxn(l, fmt.Sprint("reclaim ", a.state.Epoch), func(r *homeRecord) { r.lent = nil })
+		m.homeTxn(l, fmt.Sprint("reclaim ", response.state.Epoch), func(r *homeRecord) { r.lent = nil })
 	case ActionDone:
 		m.homeTxn(l, "record done", func(r *homeRecord) { r.lent, r.terminalPhase = nil, "done" })
 	case ActionCancel:
@@ -266,8 +275,8 @@
 	}
 }
 
-// handleRequest handles a request of any age at the host.
-func (m *model) handleRequest(q modelRequest) {
+// handleRequest handles a request, however old, at a random host leader.
+func (m *model) handleRequest(request modelRequest) {
 	l := m.hostLeaders[m.random.IntN(len(m.hostLeaders))]
 	if l.unresolvedTxn != nil {
 		m.retryHostTxn(l)
@@ -278,7 +287,7 @@
 		refusalReason = "no capacity"
 	}
 	view := l.view
-	e := q.entry
+	e := request.entry
 	phase, step := HostStep(e, HostView{
 		MinEpoch:      view.minEpoch,
 		GuestEpoch:    view.guest,
@@ -308,7 +317,7 @@
 	}
 }
 
-// stepHost is one step of a host leader without a request.
+// stepHost performs one step of a random host leader that does not depend on a request.
 func (m *model) stepHost() {
 	l := m.hostLeaders[m.random.IntN(len(m.hostLeaders))]
 	if l.unresolvedTxn != nil {
@@ -318,7 +327,7 @@
 	isCurrent := l.term == m.hostTerm
 	switch {
 	case l.view.guest == 0 && m.runningAtHost && isCurrent && m.host.guest == 0:
-		m.runningAtHost = false // stopped: the job is no guest any more
+		m.runningAtHost = false // tasks of a job that is no longer a guest are stopped
 	case l.view.guest == 0:
 	case isCurrent && !m.runningAtHost && m.oneIn(5):
 		m.logf("host %d: starts %v", l.term, l.view.guest)
@@ -330,7 +339,7 @@
 			r.guest, r.isStarted, r.end = 0, false, &End{Epoch: e, Phase: "done"}
 			m.runningAtHost = false
 		})
-	case !l.view.isStarted && !m.runningAtHost && m.oneIn(8): // it closes a loan that it has not started
+	case !l.view.isStarted && !m.runningAtHost && m.oneIn(8): // the host returns a guest that has not started
 		e := l.view.guest
 		m.hostTxn(l, fmt.Sprint("close unstarted ", e), func(r *hostRecords) {
 			r.guest, r.minEpoch = 0, max(r.minEpoch, e)
@@ -338,6 +347,7 @@
 	}
 }
 
+// newHomeLeader begins a new term at home. The previous leader still acts.
 func (m *model) newHomeLeader() {
 	m.homeTerm++
 	m.homeLeaders = append(m.homeLeaders, &homeLeader{term: m.homeTerm, view: m.home})
@@ -345,6 +355,7 @@
 	m.logf("home: leader %d", m.homeTerm)
 }
 
+// newHostLeader begins a new term at the host. The previous leader still acts.
 func (m *model) newHostLeader() {
 	m.hostTerm++
 	m.hostLeaders = append(m.hostLeaders, &hostLeader{term: m.hostTerm, view: m.host})
@@ -352,8 +363,8 @@
 	m.logf("host: leader %d", m.hostTerm)
 }
 
-// deliver passes one message of a queue to handle, and half of the time keeps it for another
-// delivery, unless the queue is long.
+// deliver passes a random message of a queue to handle. With probability 1/2 the message stays
+// in the queue to be delivered again, unless the queue is long.
 func deliver[T any](m *model, queue *[]T, handle func(T)) {
 	if len(*queue) == 0 {
 		return
@@ -366,22 +377,24 @@
 	handle(msg)
 }
 
-// checkInvariants fails the test unless one cell owns the job and it has one end at most.
+// checkInvariants fails the test if both cells own or run the job, or if it has ended more than
+// once.
 func (m *model) checkInvariants() {
 	switch {
 	case m.runningAtHome && m.runningAtHost:
-		m.fail("the job runs in both cells")
+		m.fail("the job runs in both cells at the same time")
 	case m.ends > 1:
 		m.fail("the job ended %d times", m.ends)
 	case m.home.lent == nil && m.home.terminalPhase == "" && m.host.guest != 0:
-		m.fail("home owns the job, and the host has it as guest %v", m.host.guest)
+		m.fail("the job is not lent according to home, but the host has it as guest %v", m.host.guest)
 	case m.home.terminalPhase != "" && m.runningAtHost:
-		m.fail("ended at home while it runs at the host: its team may exceed its limit")
+		m.fail("the job has ended at home but still runs at the host, so its team may exceed its limit")
 	case m.runningAtHome && m.home.lent != nil:
-		m.fail("on loan while it runs at home")
+		m.fail("the job is lent while it runs at home")
 	}
 }
 
+// step performs one random step of the simulation and checks the invariants.
 func (m *model) step() {
 	switch m.random.IntN(12) {
 	case 0, 1, 2:
@@ -412,7 +425,8 @@
 	m.checkInvariants()
 }
 
-// runToEnd stops all faults, and lets both cells act until the job has ended.
+// runToEnd runs both cells without stale leaders, further changes of leaders and further loans
+// until the job has ended and the host has no records of it.
 func (m *model) runToEnd() {
 	m.newHomeLeader()
 	m.newHostLeader()
@@ -427,24 +441,25 @@
 		m.applyCancellation()
 		deliver(m, &m.requests, m.handleRequest)
 		deliver(m, &m.responses, m.handleResponse)
-		if h := m.host; h.end != nil || h.guest != 0 { // the state that the host sends unsolicited
-			e := h.guest
+		if h := m.host; h.end != nil || h.guest != 0 { // the host reports loans that a request does not list
+			epoch := h.guest
 			phase := PhaseAccepted
 			if h.end != nil {
-				e, phase = h.end.Epoch, PhaseCancelled
+				epoch, phase = h.end.Epoch, PhaseCancelled
 				if h.end.Phase == "done" {
 					phase = PhaseDone
 				}
 			}
-			m.handleResponse(modelResponse{State{Job: "job-1", Epoch: e, Phase: phase, Pending: m.runningAtHost}})
+			m.handleResponse(modelResponse{State{Job: "job-1", Epoch: epoch, Phase: phase, Pending: m.runningAtHost}})
 		}
 		m.checkInvariants()
 	}
-	m.fail("the job has not ended: home %+v host %+v", m.home, m.host)
+	m.fail("the job has not ended, or the host still has records of it: home %+v, host %+v", m.home, m.host)
 }
 
-// Whatever is lost, late, repeated or out of order, and however often leaders change, the
-// job never runs in two cells, and has exactly one end, whose record the host then removes.
+// Lost, late, repeated and reordered messages and transactions and changes of leaders must not
+// lead to a job that runs in two cells or ends more than once. Once leaders no longer change,
+// the job ends and the host deletes its records of it.
 func TestJobHasOneOwnerUnderAllFaults(t *testing.T) {
 	const seeds, steps = 6000, 600
 	atHost := 0
@@ -462,6 +477,7 @@
 		}
 	}
 	if atHost < seeds/4 {
-		t.Errorf("the job ran at the host for %d of %d seeds, want a quarter or the model shows little", atHost, seeds)
+		t.Errorf("the job started %d times at the host in %d runs, want at least %d, or the model covers too few loans",
+			atHost, seeds, seeds/4)
 	}
 }
--- a/internal/loan/predict.go
+++ b/internal/loan/predict.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// maxPredictedWait is the prediction for a cell without CPUs, and the longest one.
+// maxPredictedWait bounds predictions, and is the prediction for a cell without CPUs.
 const maxPredictedWait = 24 * time.Hour
 
-// PredictedWait predicts how long a job waits for its first start: 0 while CPUs are free,
-// else the time that the CPUs take for the work queued before it, in CPU seconds.
+// PredictedWait predicts how long a job waits for its first start. It is 0 while CPUs are free,
+// and otherwise the time that all CPUs of the cell take for the work queued before the job, which
+// is given in CPU seconds.
 func PredictedWait(work, cpus, free float64) time.Duration {
 	if free > 0 {
 		return 0
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,7 +11,7 @@
 	"example.org/ivytrestle/internal/peer"
 )
 
-// uplinkWithHeartbeats makes a message with the heartbeats of n machines with 40 tasks each.
+// uplinkWithHeartbeats returns a message with the heartbeats of n machines that have 40 tasks each.
 func uplinkWithHeartbeats(n int) *peer.RelayUp {
 	uplink := &peer.RelayUp{Term: 7, Batch: 3}
 	for i := range n {
@@ -40,34 +40,34 @@
 	uplink := uplinkWithHeartbeats(60)
 	parts, err := Pack(uplink, 3, 4, 8<<10)
 	if err != nil || len(parts) < 2 {
-		t.Fatalf("%d parts, %v", len(parts), err)
+		t.Fatalf("Pack: got %d parts, %v, want at least 2 parts", len(parts), err)
 	}
 	for _, p := range parts {
 		raw, err := json.Marshal(p)
 		if err != nil || len(raw) > 8<<10 {
-			t.Errorf("part %d: %d bytes, %v, want at most %d", p.Index, len(raw), err, 8<<10)
+			t.Errorf("part %d: got %d bytes, %v, want at most %d bytes", p.Index, len(raw), err, 8<<10)
 		}
 	}
-	// Parts may be in any order, among them one of an earlier, longer message.
+	// Parts may be in any order, with a part of an earlier, longer message among them.
 	mixed := append([]Part{{Batch: 2, Index: len(parts), Of: len(parts) + 1}}, parts[1:]...)
 	mixed = append(mixed, parts[0])
 	var unpacked peer.RelayUp
 	if err := Unpack(mixed, &unpacked); err != nil || !proto.Equal(uplink, &unpacked) {
-		t.Errorf("in another order: %v, or not the same message", err)
+		t.Errorf("Unpack of parts in another order: got error %v or another message", err)
 	}
-	// A restarted process counts from the first batch again, while parts of an earlier
-	// process are left.
-	left := append([]Part{{Batch: 57, Index: len(parts), Of: len(parts) + 1}}, parts...)
-	if err := Unpack(left, &unpacked); err != nil || !proto.Equal(uplink, &unpacked) {
-		t.Errorf("beside a higher batch: %v, or not the same message", err)
+	// A restarted process numbers its batches from the start, while parts of higher batches
+	// of the previous process remain in the store.
+	withLeftover := append([]Part{{Batch: 57, Index: len(parts), Of: len(parts) + 1}}, parts...)
+	if err := Unpack(withLeftover, &unpacked); err != nil || !proto.Equal(uplink, &unpacked) {
+		t.Errorf("Unpack with a part of a higher batch: got error %v or another message", err)
 	}
 	if err := Unpack(parts[1:], &unpacked); !errors.Is(err, errMissingPart) {
-		t.Errorf("without the first part: got %v, want %v", err, errMissingPart)
+		t.Errorf("Unpack without the first part: got %v, want %v", err, errMissingPart)
 	}
 	if err := Unpack(nil, &unpacked); !errors.Is(err, errMissingPart) {
-		t.Errorf("without any part: got %v, want %v", err, errMissingPart)
+		t.Errorf("Unpack without parts: got %v, want %v", err, errMissingPart)
 	}
 	if _, err := Pack(uplinkWithHeartbeats(400), 3, 2, 8<<10); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("too large: got %v, want %v", err, ErrTooLarge)
+		t.Errorf("Pack of a message that is too large: got %v, want %v", err, ErrTooLarge)
 	}
 }
