--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -11,36 +11,40 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// What a loan costs the two key-value stores is bounded: at home one change more than a job
-// that runs there, at the host five.
+// A loan takes one more write at home than a job that runs there, and five writes at the host, in
+// at most three transactions.
 func TestWritesOfLoan(t *testing.T) {
 	simulateCells(t, []int{1, 4}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		ids := g.submitBurst(home, 100, 9, 5*time.Second)
 		g.awaitAllEnded(4 * time.Minute)
-		counts := func(c *cell) (s CellsStatus) {
+		status := func(c *cell) (s CellsStatus) {
 			c.leader().inspect(func(o *Controller) { s = *o.leaderTerm.loans.status(time.Now()) })
 			return s
 		}
-		out, in := counts(home).Counts, counts(host).Counts
-		if out.Lent == 0 || out.Done+out.Reclaimed != out.Lent || in.Accepted != out.Lent {
-			t.Fatalf("home %+v, host %+v of %d jobs", out, in, len(ids))
+		atHome, atHost := status(home).Counts, status(host).Counts
+		if atHome.Lent == 0 || atHome.Done+atHome.Reclaimed != atHome.Lent || atHost.Accepted != atHome.Lent {
+			t.Fatalf("got counts %+v at home, %+v at the host for %d jobs, want some lent, all accepted and ended",
+				atHome, atHost, len(ids))
 		}
-		// Each is lent and ended or reclaimed at home; accepted, ended and forgotten at the host.
-		home.checkEqual("changes at home", out.RecordsChanged, 2*out.Lent)
-		if in.RecordsChanged > 3*out.Lent {
-			t.Errorf("got %d changes at the host for %d loans, want at most %d", in.RecordsChanged, out.Lent, 3*out.Lent)
+		// Changes at home: lent, then ended or reclaimed. At the host: accepted, ended, and the
+		// record of the end deleted.
+		home.checkEqual("changes at home", atHome.RecordsChanged, 2*atHome.Lent)
+		if atHost.RecordsChanged > 3*atHome.Lent {
+			t.Errorf("got %d changes at the host for %d loans, want at most %d",
+				atHost.RecordsChanged, atHome.Lent, 3*atHome.Lent)
 		}
 	})
 }
 
-// newLendingTerm is the leader of a full cell with a neighbour that has free capacity.
+// newLendingTerm returns the leader term of a cell without free capacity that has a neighbour with
+// spare capacity and 100 guests of that neighbour.
 func newLendingTerm(b *testing.B, machines, jobs int) *leaderTerm {
 	b.Helper()
 	lt, _ := newBusyTerm(b, machines, 40)
 	c := lt.c
 	c.Cells = &cells.Settings{Cell: "cell-a", MaxLoans: 100, Neighbours: []cells.Neighbour{{Cell: "cell-b"}}}
-	c.Policy.Spill.After = time.Hour // it scans its jobs, and lends nothing
+	c.Policy.Spill.After = time.Hour // the jobs are scanned, but none is lent
 	lt.loans.init(lt)
 	n := lt.loans.neighbours["cell-b"]
 	n.lastResponse = time.Now().Add(time.Hour)
@@ -65,8 +69,8 @@
 	return lt
 }
 
-// What the loans cost a leader in a second: what to lend and to reclaim, which guests to
-// preempt, and one request of a neighbour.
+// BenchmarkLoansSecond measures a leader's work for loans in one second: the decisions on what to
+// lend, to reclaim and to preempt, and one request of a neighbour.
 func BenchmarkLoansSecond(b *testing.B) {
 	for _, n := range []struct{ machines, jobs int }{
 		{250, 100},
@@ -87,7 +91,8 @@
 	}
 }
 
-// The loans in the status name cells, phases and what they wait for.
+// The status lists the cell, phase and pending reason of each loan, also while the home cell
+// cannot reach the host.
 func TestLoansInStatus(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
@@ -101,7 +106,7 @@
 			home.checkEqual("neighbour", []any{n.Cell, n.LastError, n.Lent > 0}, []any{"cell-b", errCut.Error(), true})
 			for _, l := range s.Lent {
 				if l.Job == id {
-					want := []any{"cell-b", "begun", "its cell does not answer: cut"}
+					want := []any{"cell-b", "begun", "exchange with its host cell failed: cut"}
 					home.checkEqual("loan", []any{l.Cell, l.Phase, l.PendingReason}, want)
 				}
 			}
@@ -117,7 +122,7 @@
 	})
 }
 
-// Two cells offer to each other at the same moment: both jobs run, each once.
+// If two cells lend jobs to each other at the same time, every job runs once and is done.
 func TestTwoCellsOfferAtOnce(t *testing.T) {
 	simulateCells(t, []int{2, 2}, func(g *cellGroup) {
 		for i, c := range g.cells {
@@ -132,17 +137,17 @@
 		g.awaitAllEnded(4 * time.Minute)
 		for id, j := range g.jobs {
 			if j.endPhase != api.JobDone {
-				t.Errorf("%s: got end %q, want %q", id, j.endPhase, api.JobDone)
+				t.Errorf("%s: got final phase %q, want %q", id, j.endPhase, api.JobDone)
 			}
 		}
 		if got := g.countLent(); got < 2 {
-			t.Errorf("got %d jobs that ran in the other cell, want at least 2", got)
+			t.Errorf("%d jobs ran in the other cell, want at least 2", got)
 		}
 	})
 }
 
-// lendPending has the leader lend to a neighbour those of some jobs that have not started and
-// were never lent, and reports whether there were any.
+// lendPending makes the leader lend to a neighbour those of the given jobs that have not started
+// and have not been lent before, and reports whether there were any.
 func (c *cell) lendPending(ids []string, to string) (lent bool) {
 	c.leader().inspect(func(ctl *Controller) {
 		l := &ctl.leaderTerm.loans
@@ -157,7 +162,7 @@
 	return lent
 }
 
-// Over a slow link work is lent all the same, and none of it is lost.
+// Jobs are lent over a link with a delay of 1.2 s, and none of them is lost.
 func TestSlowLink(t *testing.T) {
 	simulateCells(t, []int{1, 3}, func(g *cellGroup) {
 		g.mu.Lock()
@@ -166,47 +171,47 @@
 		g.submitBurst(g.cells[0], 100, 8, 15*time.Second)
 		g.awaitAllEnded(5 * time.Minute)
 		if g.countLent() == 0 {
-			t.Error("nothing was lent")
+			t.Error("no job was lent")
 		}
 	})
 }
 
-// A budget is whole tasks, within what the neighbour can spare and what the team's limits
-// leave, of CPUs and of GPUs; a guest never uses more than it.
+// A budget is a whole number of tasks, within the neighbour's spare CPUs and the rest of the
+// team's limits on CPUs and GPUs. A guest does not start more tasks than its budget allows.
 func TestBudgetsInWholeTasks(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].LimitGPUs = 3
 		n := w.start("n0")
 		n.inspect(func(c *Controller) {
 			l := &c.leaderTerm.loans
-			for _, g := range []struct {
+			for _, tt := range []struct {
 				tasks      int
 				cpus, gpus float64
 				used       float64
 				spare      float64
 				want       loan.Budget
 			}{
-				{10, 3, 0, 0, 100, loan.Budget{CPUs: 15}},         // the limit is 16
-				{10, 3, 0, 8, 100, loan.Budget{CPUs: 6}},          // of which 8 are in use
-				{10, 3, 0, 0, 7, loan.Budget{CPUs: 6}},            // the neighbour spares 7
-				{2, 3, 0, 0, 100, loan.Budget{CPUs: 6}},           // it has two tasks
-				{10, 1, 1, 0, 100, loan.Budget{CPUs: 3, GPUs: 3}}, // three GPUs are allowed
-				{10, 3, 0, 14, 100, loan.Budget{}},
+				{10, 3, 0, 0, 100, loan.Budget{CPUs: 15}},         // the team's limit is 16 CPUs
+				{10, 3, 0, 8, 100, loan.Budget{CPUs: 6}},          // 8 of the 16 CPUs are in use
+				{10, 3, 0, 0, 7, loan.Budget{CPUs: 6}},            // the neighbour has 7 spare CPUs
+				{2, 3, 0, 0, 100, loan.Budget{CPUs: 6}},           // the job has two tasks
+				{10, 1, 1, 0, 100, loan.Budget{CPUs: 3, GPUs: 3}}, // the team's limit is 3 GPUs
+				{10, 3, 0, 14, 100, loan.Budget{}},                // 2 CPUs are left, a task needs 3
 			} {
-				s := spec("job-1", g.tasks)
-				s.CPUs, s.GPUs = g.cpus, g.gpus
+				s := spec("job-1", tt.tasks)
+				s.CPUs, s.GPUs = tt.cpus, tt.gpus
 				team := c.leaderTerm.teams["red"]
-				team.UsedCPUs = g.used
+				team.UsedCPUs = tt.used
 				j := newJob(*s, team)
-				got := l.computeBudget(j, g.spare)
-				w.checkEqual(fmt.Sprint(g), got, g.want)
+				got := l.computeBudget(j, tt.spare)
+				w.checkEqual(fmt.Sprint(tt), got, tt.want)
 				j.Guest = &loan.Guest{Budget: got}
 				started := 0
 				for j.WithinBudget() && started < 100 {
 					started++
 					j.AttemptsByZone["a"]++
 				}
-				w.checkEqual("CPUs started of "+fmt.Sprint(g), float64(started)*g.cpus, got.CPUs)
+				w.checkEqual("CPUs of started tasks, "+fmt.Sprint(tt), float64(started)*tt.cpus, got.CPUs)
 			}
 			c.leaderTerm.teams["red"].UsedCPUs = 0
 		})
--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -12,12 +12,13 @@
 	"example.org/ivytrestle/internal/queue"
 )
 
-// guestTeam is the queue of a home cell's guests. They have no guarantee.
+// guestTeam returns the queue of a home cell's guests, which has no guarantee, and creates it if
+// necessary.
 func (l *loans) guestTeam(home string) *queue.Team[*cluster.Job] {
 	t := l.guestTeams[home]
 	if t == nil {
-		// Its use is bounded by the loans' budgets; the guarantees of the cell's own
-		// teams have priority over it.
+		// The queue needs no limits: the budgets of the loans bound its use, and guests
+		// are preempted for the guarantees of the cell's own teams.
 		t = &queue.Team[*cluster.Job]{
 			Name:      "guests of " + home,
 			LimitCPUs: math.MaxFloat64,
@@ -29,7 +30,8 @@
 	return t
 }
 
-// nextGuest returns the guest that a machine serves next, when no job of the cell can use it.
+// nextGuest returns the guest that a machine serves next if no job of the cell itself is
+// eligible, or nil.
 func (l *loans) nextGuest(m *cluster.Machine, now time.Time) *cluster.Job {
 	if len(l.guestFairShareOrder) == 0 {
 		return nil
@@ -45,8 +47,9 @@
 	return nil
 }
 
-// buildAdvert returns the cell's spare capacity: what is free on its machines, less the demand
-// of queued tasks, of its own jobs and of guests.
+// buildAdvert returns the cell's spare capacity: the free capacity of its machines, less the
+// demand of queued tasks, of its own jobs and of guests. The CPUs are also bounded by the part
+// of policy.Spill.GuestShare that guests do not use yet.
 func (l *loans) buildAdvert(now time.Time) loan.Advert {
 	lt := l.leaderTerm
 	advert := loan.Advert{CancelS: lt.c.Settings.Site.Workers.CancelS}
@@ -75,11 +78,12 @@
 	return advert
 }
 
-// guestStartTimeout is how long a guest may wait for its first start in this cell.
+// guestStartTimeout is how long a guest may wait for its first start before it is returned to
+// its home cell.
 const guestStartTimeout = 20 * time.Second
 
-// reviewGuests records the completion of guests, returns those that have waited too long and
-// preempts guests for the cell's own work.
+// reviewGuests records the completion of guests, returns those that have waited too long for
+// their first start, and preempts guests for the guarantees of the cell's own teams.
 func (l *loans) reviewGuests(now time.Time) {
 	lt := l.leaderTerm
 	for _, t := range l.guestFairShareOrder {
@@ -87,7 +91,7 @@
 			switch {
 			case j.Handover || lt.unfenced > 0:
 			case j.DoneCount == j.Spec.Tasks:
-				l.guestDone(j) // its end is not on record yet
+				l.guestDone(j) // the record of its end is missing
 			case now.Sub(j.WaitingSince) > guestStartTimeout && !j.Started():
 				l.returnGuest(j)
 			}
@@ -96,12 +100,11 @@
 	l.preemptGuests(now)
 }
 
-// shortageDuration is how long a guarantee must lack capacity before guests are preempted
-// for it.
+// shortageDuration is how long guarantees must lack capacity before guests are preempted.
 const shortageDuration = time.Second
 
-// preemptGuests stops guests' tasks whose capacity a team's guarantee needs, those that started
-// last first.
+// preemptGuests stops as many tasks of guests as the guarantees of the cell's teams require, the
+// most recently started first.
 func (l *loans) preemptGuests(now time.Time) {
 	if len(l.guestFairShareOrder) == 0 {
 		return
@@ -122,7 +125,7 @@
 		for _, j := range t.Items() {
 			for _, a := range j.ActiveAttempts {
 				if a.Stop != nil {
-					shortage -= j.Spec.CPUs // its capacity is about to be free
+					shortage -= j.Spec.CPUs // already being stopped
 				} else {
 					running = append(running, a)
 				}
@@ -140,8 +143,8 @@
 	}
 }
 
-// guaranteeShortage is how many CPUs queued tasks within the teams' guarantees lack; negative:
-// how many are free beyond them.
+// guaranteeShortage returns how many CPUs are missing for the queued tasks within the teams'
+// guarantees. A negative result is the number of CPUs that would remain free.
 func (l *loans) guaranteeShortage(now time.Time) float64 {
 	lt := l.leaderTerm
 	shortage := -l.schedulableCapacity(now).freeCPUs
@@ -162,13 +165,14 @@
 	return shortage
 }
 
-// schedulableCapacity is the total and free capacity of the schedulable machines.
+// schedulableCapacity is the total and free capacity of the schedulable machines at a time.
 type schedulableCapacity struct {
 	at                       time.Time
 	cpus, freeCPUs, freeGPUs float64
 }
 
-// schedulableCapacity sums up the schedulable machines, once a tick.
+// schedulableCapacity returns the capacity of the schedulable machines. It is computed at most
+// once per leaderTickInterval.
 func (l *loans) schedulableCapacity(now time.Time) schedulableCapacity {
 	if now.Sub(l.cachedCapacity.at) < leaderTickInterval {
 		return l.cachedCapacity
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -13,7 +13,9 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// reviewLending decides which jobs to lend and which loans to reclaim.
+// reviewLending requests the reclaim of loans and lends jobs to neighbours. A neighbour whose
+// setting workers.cancel_s is longer than this cell's gets no loans, since it may not stop
+// cancelled tasks within this cell's limit.
 func (l *loans) reviewLending(now time.Time) {
 	lt := l.leaderTerm
 	predictions := l.predictedStarts(now)
@@ -30,23 +32,25 @@
 	}
 }
 
-// noWaitLimit is the predicted wait where no machine can be launched to end it sooner.
+// noWaitLimit is the bound on predicted waits while no machine can be launched. It exceeds every
+// prediction.
 const noWaitLimit = time.Duration(1<<62 - 1)
 
-// predictedStart is how long a queued job is expected to wait for its start in this cell.
+// predictedStart is a queued job and its predicted wait for a start in this cell.
 type predictedStart struct {
 	job  *cluster.Job
 	wait time.Duration
 }
 
-// predictedStarts predicts the wait of each queued job, in the order of the queue: the work
-// before it, divided by the CPUs of the cell.
+// predictedStarts predicts the wait of each queued job, in the order of the queue: the work that
+// runs or is queued before it divided by the CPUs of the cell, and at most the time until a newly
+// launched machine could start it.
 func (l *loans) predictedStarts(now time.Time) []predictedStart {
 	lt := l.leaderTerm
 	capacity := l.schedulableCapacity(now)
 	free, work := capacity.freeCPUs, 0.0
 	for _, j := range lt.jobs {
-		// On average, half of a running task's time remains.
+		// On average, half of the run time of a running task remains.
 		work += float64(len(j.ActiveAttempts)) * j.Spec.CPUs * j.Spec.EstimateS / 2
 	}
 	var jobs []*cluster.Job
@@ -81,7 +85,9 @@
 	return predictions
 }
 
-// lendTo lends a neighbour the jobs that would gain most time by it.
+// lendTo lends jobs to a neighbour, those with the longest predicted waits first, as long as the
+// limits on loans and the neighbour's spare capacity allow. A job is lent only if it would start
+// there sooner by at least policy.Spill.Gain.
 func (l *loans) lendTo(n *neighbour, predictions []predictedStart, now time.Time) {
 	lent, offers := 0, 0
 	for _, j := range l.leaderTerm.jobs {
@@ -98,8 +104,8 @@
 	spare := n.advert.CPUs
 	for i := len(predictions) - 1; i >= 0 && lent < l.leaderTerm.c.Cells.MaxLoans && offers < maxOffers; i-- {
 		j := predictions[i].job
-		there := n.roundTripTime + transferTime + fetchTime(&j.Spec, n.advert.Types)
-		if predictions[i].wait-there < policy.Gain || now.Sub(j.RunnableSince) < policy.After ||
+		startDelay := n.roundTripTime + transferTime + fetchTime(&j.Spec, n.advert.Types)
+		if predictions[i].wait-startDelay < policy.Gain || now.Sub(j.RunnableSince) < policy.After ||
 			spare < j.Spec.CPUs || !l.lendable(j, n, now) {
 			continue
 		}
@@ -114,7 +120,8 @@
 	}
 }
 
-// lendable reports whether a job may be lent to a neighbour at all.
+// lendable reports whether a job may be lent to a neighbour, given the state of the job and the
+// neighbour's machine types.
 func (l *loans) lendable(j *cluster.Job, n *neighbour, now time.Time) bool {
 	lt := l.leaderTerm
 	policy := &lt.c.Policy.Spill
@@ -124,7 +131,7 @@
 	case j.Ended || j.Finishing || j.CancelPending || len(j.DependsOn) > 0:
 		return false
 	case l.pendingChanges[loanName(lt.c.Cells.Cell, j.Spec.ID)]:
-		return false // the watch has shown a change whose response is outstanding
+		return false // the watch showed a change before the store's response to it arrived
 	case j.Started() || j.LostTasks > 0 || j.Done.Any() || len(j.CompletionChunks) > 0:
 		return false
 	case !records.FitsRecord(
@@ -138,8 +145,8 @@
 	return slices.ContainsFunc(n.advert.Types, func(t api.MachineType) bool { return taskFits(&j.Spec, t) })
 }
 
-// computeBudget is what a loan may use at a time, in whole tasks: the least of the job's demand, its
-// team's limit and the spare capacity.
+// computeBudget returns the budget of a loan, in whole tasks: the least of the job's demand, the
+// rest of its team's limit and the spare CPUs of the neighbour.
 func (l *loans) computeBudget(j *cluster.Job, spare float64) loan.Budget {
 	s := &j.Spec
 	lt := l.leaderTerm
@@ -158,24 +165,25 @@
 	return loan.Budget{CPUs: float64(tasks) * s.CPUs, GPUs: float64(tasks) * s.GPUs}
 }
 
-// fetchTime is how long the slowest type of machine needs to fetch a job's image.
+// fetchTime returns how long the type of machine with the slowest network needs to fetch a job's
+// image.
 func fetchTime(s *api.JobSpec, types []api.MachineType) time.Duration {
-	longest := 0.0
+	longestS := 0.0
 	for _, t := range types {
 		if t.FetchGBs > 0 {
-			longest = max(longest, s.ImageGB/t.FetchGBs)
+			longestS = max(longestS, s.ImageGB/t.FetchGBs)
 		}
 	}
-	return config.Duration(longest)
+	return config.Duration(longestS)
 }
 
-// requestReclaims requests the reclaim of loans that could start in this cell at once and have
-// not started at their host.
+// requestReclaims requests the reclaim of loans that have not started at their host and that
+// would fit into this cell's free capacity besides the queued jobs.
 func (l *loans) requestReclaims(predictions []predictedStart, now time.Time) {
 	lt := l.leaderTerm
 	free, requested := l.schedulableCapacity(now).freeCPUs, 0
-	for _, w := range predictions {
-		free -= float64(w.job.Flight.Untaken()) * w.job.Spec.CPUs
+	for _, p := range predictions {
+		free -= float64(p.job.Flight.Untaken()) * p.job.Spec.CPUs
 	}
 	for _, j := range lt.jobs {
 		if j.ReclaimRequested {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -18,26 +18,28 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// CellLink is the connection to other cells.
+// CellLink sends requests to other cells.
 type CellLink interface {
-	// Loans sends a cell's leader the desired state of the loans to that cell.
+	// Loans sends the desired states of the loans to a cell to the leader of that cell, and
+	// returns its response.
 	Loans(ctx context.Context, cell string, req *loan.Request) (*loan.Response, error)
 }
 
-// loans are the jobs that the leader's cell has lent to other cells, and those that it
-// runs for them. docs/spillover.md explains how a job moves.
+// loans is the leader's state of the jobs that its cell has lent to other cells and of the
+// guests that it runs for them. docs/spillover.md explains the protocol.
 type loans struct {
 	leaderTerm *leaderTerm
-	// count numbers the loans of this term.
+	// count is the number of loans made in this term, from which epochs are derived.
 	count uint32
-	// neighbours are the cells that jobs may be lent to.
+	// neighbours are the cells that jobs may be lent to, by name.
 	neighbours map[string]*neighbour
-	// minEpochs and ends are this cell's records about the guests of each home cell.
+	// minEpochs are the minimum epochs on record in this cell, by home cell.
 	minEpochs map[string]minEpoch
-	ends      *iradix.Tree[loanEnd]
-	// guestTeams are the queues of guests, one for each home cell, and guestFairShareOrder
-	// are the same, in the order in which they are served.
-	guestTeams          map[string]*queue.Team[*cluster.Job]
+	// ends are the records of ended guests, by loanName.
+	ends *iradix.Tree[loanEnd]
+	// guestTeams are the queues of guests, by home cell.
+	guestTeams map[string]*queue.Team[*cluster.Job]
+	// guestFairShareOrder holds the same queues in the order in which they are served.
 	guestFairShareOrder []*queue.Team[*cluster.Job]
 
 	counts         LoanCounts
@@ -45,26 +47,27 @@
 	changeQueue    []*loanChange
 	writeInFlight  bool
 	limiter        *rate.Limiter
-	// pendingChanges are the jobs, by home cell and name, with a change that is queued or being
+	// pendingChanges has the loanName of each job with a change that is queued or being
 	// written.
 	pendingChanges map[string]bool
-	// endedIDs are the ids of jobs of which this cell was found to have a terminal record:
-	// no guest may take one of them.
+	// endedIDs are the ids of jobs for which this cell was found to have a terminal record.
+	// Guests with these ids are not accepted.
 	endedIDs map[string]bool
-	// loggedOnce are the messages about refused requests, each of which is logged once.
+	// loggedOnce are the warnings about rejected requests and loans that have been logged.
 	loggedOnce map[string]bool
-	// shortageSince is since when a team's guarantee lacks capacity that guests use.
+	// shortageSince is when the guarantees of the cell's teams began to lack capacity, or
+	// zero while they do not.
 	shortageSince time.Time
 	nextScan      time.Time
 }
 
-// minEpoch is the minimum epoch of a home cell's loans with the mod revision of its record.
+// minEpoch is the minimum epoch of a home cell's loans and the mod revision of its record.
 type minEpoch struct {
 	epoch       loan.Epoch
 	modRevision uint64
 }
 
-// loanEnd is how a guest ended, with the mod revision of its record.
+// loanEnd is the record of a guest's end and the mod revision of that record.
 type loanEnd struct {
 	loan.End
 	home, job   string
@@ -72,19 +75,22 @@
 }
 
 const (
-	// loanWriteShare is the share of the write rate that changes of loans may take.
-	loanWriteShare   = 0.1
+	// loanWriteShare is the share of the store's write rate that changes of loans may use.
+	loanWriteShare = 0.1
+	// loanScanInterval is the interval between decisions on which loans to make, reclaim
+	// and end.
 	loanScanInterval = time.Second
 	loanWriteTimeout = 2 * time.Second
 	loanReadTimeout  = 4 * time.Second
-	// loanRetryInterval is how long after a failure a transaction is sent again.
+	// loanRetryInterval is the delay before a failed read or transaction is retried.
 	loanRetryInterval = 300 * time.Millisecond
-	// maxRememberedRefusals bounds what is kept of refused loans.
+	// maxRememberedRefusals bounds loans.endedIDs and loans.loggedOnce.
 	maxRememberedRefusals = 4096
-	// maxLoanOps is the largest number of operations of a loan's change.
+	// maxLoanOps is the largest number of operations in the transaction of a loanChange.
 	maxLoanOps = 3
 )
 
+// init resets the state for a new term.
 func (l *loans) init(lt *leaderTerm) {
 	*l = loans{
 		leaderTerm:     lt,
@@ -109,21 +115,21 @@
 	}
 }
 
-// enabled reports whether new loans may be made and accepted: only once every node of the
-// cell has announced that it supports them.
+// enabled reports whether new loans may be made and accepted, which requires that every node
+// of the cell has announced support for loans.
 func (l *loans) enabled() bool {
 	if l.leaderTerm.c.Cells == nil {
 		return false
 	}
-	for _, mb := range l.leaderTerm.c.membership.Members {
-		if !mb.SupportsLoans {
+	for _, member := range l.leaderTerm.c.membership.Members {
+		if !member.SupportsLoans {
 			return false
 		}
 	}
 	return true
 }
 
-// tick writes queued changes, exchanges states with the neighbours and, once per
+// tick starts the next queued change, exchanges states with the neighbours and, once per
 // loanScanInterval, decides which loans to make, reclaim and end.
 func (l *loans) tick(now time.Time) {
 	l.writeNext(now)
@@ -139,21 +145,21 @@
 	l.reviewGuests(now)
 }
 
-// loanChange is a change of a loan's records.
+// loanChange is a queued change of the records of a loan.
 type loanChange struct {
 	home, job string
-	// build builds the transaction when the change is due, from the state at that time; it
+	// build returns the transaction, built from the state at the time when it is written. It
 	// returns false if the change is no longer needed.
 	build func() (kv.Txn, bool)
-	// done updates the state after the transaction was applied at a revision.
+	// done updates the state after the transaction was applied at the given revision.
 	done func(revision uint64)
 }
 
-// loanName identifies a job of a home cell.
+// loanName returns the name that identifies a job of a home cell in maps.
 func loanName(home, job string) string { return home + "/" + job }
 
-// enqueueChange queues a change. It returns false if there is one of that job already, whose
-// outcome decides about the next.
+// enqueueChange queues a change and reports whether it did. A change is dropped while another
+// one of the same job is pending: whether it is still needed depends on that one's outcome.
 func (l *loans) enqueueChange(change *loanChange) bool {
 	name := loanName(change.home, change.job)
 	if l.pendingChanges[name] {
@@ -164,7 +170,7 @@
 	return true
 }
 
-// writeNext starts the next change if the write rate allows.
+// writeNext starts the next needed change if none is being written and the write rate allows.
 func (l *loans) writeNext(now time.Time) {
 	for !l.writeInFlight && len(l.changeQueue) > 0 {
 		change := l.changeQueue[0]
@@ -184,8 +190,8 @@
 	}
 }
 
-// writeUntilOutcomeKnown sends a transaction until its outcome is known. One that may yet be
-// applied is never abandoned: the next decision would rest on its not being applied.
+// writeUntilOutcomeKnown retries a transaction until its outcome is known. A transaction that
+// may still be applied is not abandoned, because later decisions would assume that it was not.
 func (l *loans) writeUntilOutcomeKnown(change *loanChange, txn kv.Txn) {
 	lt := l.leaderTerm
 	for lt.ctx.Err() == nil {
@@ -196,7 +202,7 @@
 			lt.sendToOwner(loanWrittenMsg{leaderTerm: lt, change: change, result: res})
 			return
 		}
-		lt.c.Log.Debug("loan not written", "job", change.job, "home", change.home, "err", err)
+		lt.c.Log.Debug("loan record write failed", "job", change.job, "home", change.home, "err", err)
 		if errors.Is(err, kv.ErrInvalid) {
 			lt.sendToOwner(loanWrittenMsg{leaderTerm: lt, change: change})
 			return
@@ -205,7 +211,7 @@
 	}
 }
 
-// loanWrittenMsg is the result of a change's transaction.
+// loanWrittenMsg carries the result of the transaction of a change.
 type loanWrittenMsg struct {
 	leaderTerm *leaderTerm
 	change     *loanChange
@@ -226,21 +232,22 @@
 	case lt.checkTermConflict(m.result):
 		return
 	default:
-		// A compare failed, since an earlier try was applied whose response was lost or
-		// since another change was: the records show which.
+		// A compare failed: either an earlier attempt was applied and its response was
+		// lost, or the records were changed otherwise. Reading them shows which.
 		go l.readRecords(m.change)
 		return
 	}
 	l.writeNext(time.Now())
 }
 
-// completeChange removes a change, so that the next can be written.
+// completeChange marks a change as no longer pending, so that the next can be written.
 func (l *loans) completeChange(change *loanChange) {
 	l.writeInFlight = false
 	delete(l.pendingChanges, loanName(change.home, change.job))
 }
 
-// readRecords reads all records that a change is about.
+// readRecords reads all records of the loan that a change is about, and retries until it
+// succeeds.
 func (l *loans) readRecords(change *loanChange) {
 	lt := l.leaderTerm
 	keys := []string{
@@ -274,7 +281,7 @@
 	}
 }
 
-// getEntries reads keys one after the other.
+// getEntries reads the entries of keys in their order.
 func getEntries(ctx context.Context, store kv.Service, keys []string) ([]kv.Entry, error) {
 	entries := make([]kv.Entry, 0, len(keys))
 	for _, key := range keys {
@@ -287,7 +294,7 @@
 	return entries, nil
 }
 
-// loanReadMsg carries the records that a change is about.
+// loanReadMsg carries the records of the loan that a change is about.
 type loanReadMsg struct {
 	leaderTerm            *leaderTerm
 	change                *loanChange
@@ -330,7 +337,7 @@
 	l.writeNext(time.Now())
 }
 
-// addRecord adds one of the cell's records about guests to the state.
+// addRecord updates the state from a record about guests: a minimum epoch or a guest's end.
 func (l *loans) addRecord(e kv.Entry) {
 	if e.ModRevision == 0 {
 		return
@@ -352,8 +359,8 @@
 	}
 }
 
-// applyLoan applies the loan of a job's active record. It is called for each newer version
-// of the record, whoever wrote it.
+// applyLoan updates a job from the Lent part of a newer version of its active record, whichever
+// node wrote that version. Older versions are ignored.
 func (lt *leaderTerm) applyLoan(j *cluster.Job, rec records.ActiveRecord, modRevision uint64) {
 	if modRevision <= j.ModRevision {
 		return
--- a/internal/controller/loanshome.go
+++ b/internal/controller/loanshome.go
@@ -11,43 +11,46 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// neighbour is a cell that jobs may be lent to, as of its last response.
+// neighbour is the state of the exchange with a cell that jobs may be lent to.
 type neighbour struct {
 	cell string
-	// unreachable is set if the operators have declared the cell lost.
+	// unreachable is set if the operators have declared the cell lost in the settings.
 	unreachable      bool
 	exchangeInFlight bool
 	nextExchange     time.Time
-	// lastResponse is when it last responded, and delay how long that took.
-	lastResponse  time.Time
+	// lastResponse is when the cell last responded.
+	lastResponse time.Time
+	// roundTripTime is the time from the last successful request to its response.
 	roundTripTime time.Duration
-	advert        loan.Advert
-	// lastError is why the last exchange failed, or "", and failingSince since when
-	// exchanges have failed.
-	lastError    string
+	// advert is the spare capacity in the last response.
+	advert loan.Advert
+	// lastError is why the last exchange failed, or empty if it succeeded.
+	lastError string
+	// failingSince is when exchanges began to fail.
 	failingSince time.Time
-	// toForget are the loans in its response whose end is on record in this cell.
+	// toForget are the epochs, by job id, of loans in the last response that this cell no
+	// longer has.
 	toForget map[string]loan.Epoch
 }
 
 const (
 	exchangeInterval = time.Second
 	exchangeTimeout  = 2 * time.Second
-	// advertLifetime is how long a cell's advert of spare capacity is valid.
+	// advertLifetime is how long an advert is used after its response arrived.
 	advertLifetime = 4 * time.Second
-	// maxOffers bounds the offers to a cell without a decision, and maxReclaims the loans
-	// with a reclaim requested at a time.
-	maxOffers   = 4
+	// maxOffers bounds the loans to a neighbour that it has not accepted yet.
+	maxOffers = 4
+	// maxReclaims bounds the loans whose reclaim is requested at the same time.
 	maxReclaims = 4
-	// transferTime is about how long the transactions on both sides take.
+	// transferTime is the approximate duration of the transactions of both cells.
 	transferTime = time.Second
-	// maxOfferBytes bounds the job specs in a request, and offerBytes is about what one
-	// takes, besides long names.
+	// maxOfferBytes bounds the approximate size of the job specs in a request.
 	maxOfferBytes = 64 << 10
-	offerBytes    = 400
+	// offerBytes is the approximate size of a job spec without its class, image and types.
+	offerBytes = 400
 )
 
-// applyLent updates a job whose active record says that it is lent.
+// applyLent updates a job whose active record marks it as lent.
 func (l *loans) applyLent(j *cluster.Job, record *loan.Lent) {
 	if j.Lent == nil || j.Lent.Epoch != record.Epoch {
 		j.Remote = loan.State{}
@@ -62,7 +65,7 @@
 	}
 }
 
-// jobReclaimed updates a job whose active record says that it is no longer lent.
+// jobReclaimed updates a job whose active record no longer marks it as lent.
 func (l *loans) jobReclaimed(j *cluster.Job) {
 	l.leaderTerm.c.Log.Info("loan taken back", "job", j.Spec.ID, "cell", j.Lent.Host, "reason", j.Remote.Reason)
 	if j.LastReclaimed == nil {
@@ -75,7 +78,7 @@
 	l.requeue(j)
 }
 
-// requeue adds a job that was lent to its team's queue again.
+// requeue adds a reclaimed job to the queue of its team again.
 func (l *loans) requeue(j *cluster.Job) {
 	j.WaitingSince = time.Now()
 	j.Team.Remove(j)
@@ -83,7 +86,7 @@
 	l.leaderTerm.dispatchUntil = j.WaitingSince.Add(dispatchWindow)
 }
 
-// reserve counts a loan's budget as used by its team.
+// reserve counts the budget of a job's loan as used by the job's team.
 func (l *loans) reserve(j *cluster.Job, budget loan.Budget) {
 	l.release(j)
 	j.ReservedBudget = budget
@@ -91,14 +94,15 @@
 	j.Team.UsedGPUs += budget.GPUs
 }
 
-// release ends the reservation of a loan's budget.
+// release undoes reserve.
 func (l *loans) release(j *cluster.Job) {
 	j.Team.UsedCPUs -= j.ReservedBudget.CPUs
 	j.Team.UsedGPUs -= j.ReservedBudget.GPUs
 	j.ReservedBudget = loan.Budget{}
 }
 
-// lendJob records that a job is lent. From now on none of its tasks starts in this cell.
+// lendJob queues the change that marks a job as lent. From this call on, no task of the job
+// starts in this cell.
 func (l *loans) lendJob(j *cluster.Job, n *neighbour, budget loan.Budget) {
 	lt := l.leaderTerm
 	l.count++
@@ -124,7 +128,7 @@
 	l.changeActive(j, active)
 }
 
-// changeActive replaces a job's active record.
+// changeActive queues the replacement of a job's active record.
 func (l *loans) changeActive(j *cluster.Job, rec records.ActiveRecord) {
 	lt := l.leaderTerm
 	key := records.ActivePrefix + j.Spec.ID
@@ -144,7 +148,8 @@
 	})
 }
 
-// exchangeWithNeighbours sends each neighbour the desired state of all loans to it.
+// exchangeWithNeighbours sends each neighbour whose exchange is due the desired states of all
+// loans to it.
 func (l *loans) exchangeWithNeighbours(now time.Time) {
 	lt := l.leaderTerm
 	for _, n := range l.neighbours {
@@ -166,7 +171,8 @@
 	}
 }
 
-// reclaimFromUnreachable reclaims the loans to a cell that the operators have declared lost.
+// reclaimFromUnreachable reclaims all loans to a neighbour that the operators have declared
+// lost, without its confirmation.
 func (l *loans) reclaimFromUnreachable(n *neighbour) {
 	for _, j := range l.leaderTerm.jobs {
 		if j.Lent != nil && j.Lent.Host == n.cell && !j.Handover {
@@ -174,13 +180,13 @@
 				Job:    j.Spec.ID,
 				Epoch:  j.Lent.Epoch,
 				Phase:  loan.PhaseClosed,
-				Reason: "the cell is lost",
+				Reason: "the cell is configured as lost",
 			})
 		}
 	}
 }
 
-// buildRequest lists the desired state of each loan to a neighbour.
+// buildRequest returns a request with the desired state of each loan to a neighbour.
 func (l *loans) buildRequest(n *neighbour) *loan.Request {
 	lt := l.leaderTerm
 	req := &loan.Request{Home: lt.c.Cells.Cell, Term: lt.term.Number}
@@ -208,7 +214,7 @@
 	return req
 }
 
-// loanResponseMsg is a neighbour's response to a request sent at sent.
+// loanResponseMsg carries a neighbour's response to a request, or the error.
 type loanResponseMsg struct {
 	leaderTerm *leaderTerm
 	neighbour  *neighbour
@@ -244,18 +250,21 @@
 	}
 }
 
-// RefusedError is another cell's refusal of a whole request.
+// RefusedError means that another cell rejected a request as a whole.
 type RefusedError struct{ Cell, Reason string }
 
-// Error names the cell and its reason.
-func (e *RefusedError) Error() string { return "cell " + e.Cell + " refuses: " + e.Reason }
+// Error returns a message with the cell and its reason.
+func (e *RefusedError) Error() string {
+	return "cell " + e.Cell + " rejected the loan request: " + e.Reason
+}
 
-// applyState applies the state of a loan at its host.
+// applyState updates a lent job from the state of the loan at its host. If this cell does not
+// have the loan, its removal is requested of the host.
 func (l *loans) applyState(n *neighbour, s loan.State) {
 	lt := l.leaderTerm
 	j := lt.jobs[s.Job]
 	if j != nil && j.Handover {
-		return // the change that is being written decides
+		return // the outcome of the pending change decides
 	}
 	if j == nil || j.Lent == nil || j.Lent.Host != n.cell || j.Lent.Epoch != s.Epoch {
 		if s.Phase != loan.PhaseClosed && s.Phase != loan.PhaseUnknown && loan.CanConfirmEnd(lt.term.Number, s.Epoch) {
@@ -265,7 +274,7 @@
 		return
 	}
 	if s.Phase == loan.PhaseStarted {
-		j.ReclaimRequested = false // a job that has started stays at its host
+		j.ReclaimRequested = false // the host does not return a job that has started
 	}
 	if s.Phase >= j.Remote.Phase {
 		j.Remote = s
@@ -273,7 +282,7 @@
 	l.applyAction(j, s)
 }
 
-// applyAction queues the change of records that follows from a loan's state at its host.
+// applyAction queues the change of the job's record that the state of the loan requires.
 func (l *loans) applyAction(j *cluster.Job, s loan.State) {
 	switch loan.HomeStep(j.Lent, s) {
 	case loan.ActionReclaim:
@@ -290,7 +299,7 @@
 	}
 }
 
-// recordLentEnd writes the terminal record of a lent job.
+// recordLentEnd queues the replacement of a lent job's active record by its terminal record.
 func (l *loans) recordLentEnd(j *cluster.Job, terminal records.TerminalRecord) {
 	lt, id := l.leaderTerm, j.Spec.ID
 	active := records.ActivePrefix + id
@@ -300,12 +309,14 @@
 		build: func() (kv.Txn, bool) {
 			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.ModRevision}}}
 			if terminal.Phase == api.JobCancelled {
-				// As with a user's own cancellation, a watch sees why the record is deleted.
+				// As for any cancellation, the operation on the cancel key comes first, so
+				// that a watch shows the reason before it shows that the active record
+				// was deleted.
 				txn.Ops = append(txn.Ops, kv.Op{Put: records.CancelKey, Value: id})
 			}
 			txn.Ops = append(txn.Ops, kv.Op{Put: records.TerminalPrefix + id, Value: terminal}, kv.Op{Delete: active})
-			// From now on others may read its terminal record before this node learns that
-			// it was written.
+			// From here on, other nodes may read the terminal record before this node
+			// receives the result of the transaction.
 			j.Ending = true
 			return txn, !j.Ended
 		},
@@ -313,7 +324,7 @@
 	})
 }
 
-// lentEndRecorded updates a lent job whose terminal record was written.
+// lentEndRecorded updates a lent job after its terminal record was written.
 func (l *loans) lentEndRecorded(j *cluster.Job, phase string) {
 	switch {
 	case j.Ended:
@@ -326,7 +337,8 @@
 		l.leaderTerm.cancelJob(j)
 	}
 	if n := l.neighbours[j.Lent.Host]; n != nil {
-		// The next response names the loan once more, and the request after it says to forget it.
+		// The next response still lists the loan. The request after that one requests
+		// the removal of the host's records of it.
 		n.nextExchange = time.Time{}
 	}
 }
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -15,8 +15,8 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// Loans applies a request of another cell's leader, which lists the desired state of the
-// jobs that it lends to this cell. Only the leader responds.
+// Loans applies a request of another cell's leader with the desired states of the jobs that it
+// has lent to this cell. It returns api.ErrUnavailable unless this node is the leader.
 func (c *Controller) Loans(ctx context.Context, req *loan.Request) (*loan.Response, error) {
 	m := loanRequestMsg{req: req, reply: make(chan *loan.Response, 1)}
 	if err := c.send(ctx, m); err != nil {
@@ -29,7 +29,8 @@
 	return response, err
 }
 
-// loanRequestMsg is another cell's request; its reply is nil unless this node leads.
+// loanRequestMsg carries another cell's request. The reply is nil unless this node is a leader
+// that has loaded its records and holds its lease.
 type loanRequestMsg struct {
 	req   *loan.Request
 	reply chan *loan.Response
@@ -43,7 +44,7 @@
 	m.reply <- c.leaderTerm.loans.respond(m.req, time.Now())
 }
 
-// respond applies a request and returns the state of all loans of its home cell.
+// respond applies a request and returns the states of all loans of its home cell.
 func (l *loans) respond(req *loan.Request, now time.Time) *loan.Response {
 	lt := l.leaderTerm
 	if reason := l.requestRefusal(req); reason != "" {
@@ -78,11 +79,11 @@
 	return response
 }
 
-// requestRefusal is the reason for which a request as a whole is rejected, or "".
+// requestRefusal returns the reason why a request as a whole is rejected, or "".
 func (l *loans) requestRefusal(req *loan.Request) string {
 	cells := l.leaderTerm.c.Cells
 	if cells == nil {
-		return "no cells are configured here"
+		return "no neighbours are configured here"
 	}
 	if cells.Neighbour(req.Home) == nil {
 		return fmt.Sprintf("cell %q is not configured here", req.Home)
@@ -105,7 +106,8 @@
 	return s.ID == id && s.Tasks >= 1 && s.Tasks <= api.MaxTasks && s.CPUs >= 0
 }
 
-// logOnce logs a warning unless the same one was logged in this term.
+// logOnce logs a warning unless the same one was logged in this term, or maxRememberedRefusals
+// others were.
 func (l *loans) logOnce(message string, attrs ...any) {
 	key := message + fmt.Sprintf(" %q", attrs)
 	if l.loggedOnce[key] || len(l.loggedOnce) >= maxRememberedRefusals {
@@ -115,7 +117,8 @@
 	l.leaderTerm.c.Log.Warn(message, attrs...)
 }
 
-// hostView is the state of a home cell's job according to this cell's records.
+// hostView returns what this cell has on record about the job of an entry. It may deduct an
+// offer from the advert, see offerRefusal.
 func (l *loans) hostView(home string, e loan.Entry, advert *loan.Advert) loan.HostView {
 	lt := l.leaderTerm
 	view := loan.HostView{MinEpoch: l.minEpochs[home].epoch}
@@ -124,7 +127,7 @@
 	}
 	if j := lt.jobs[e.Job]; j != nil && j.Guest != nil && j.Guest.Home == home {
 		view.GuestEpoch = j.Guest.Epoch
-		// An unfenced machine may run tasks of it.
+		// An unfenced machine may run tasks of a guest that was accepted before this term.
 		view.Started = j.Started() || lt.unfenced > 0 && j.ModRevision <= lt.term.ModRevision
 		return view
 	}
@@ -134,12 +137,12 @@
 	return view
 }
 
-// offerRefusal is the reason for which an offer is not accepted, or "". It deducts what an
-// accepted one needs from the advertised capacity.
+// offerRefusal returns the reason why an offer is not accepted, or "". It deducts the CPUs that
+// an accepted offer needs from the advert.
 func (l *loans) offerRefusal(home string, o *loan.Offer, advert *loan.Advert) string {
 	lt, s := l.leaderTerm, &o.Spec
 	if l.pendingChanges[loanName(home, s.ID)] {
-		return "" // it is being accepted
+		return "" // its acceptance is being written
 	}
 	guests := 0
 	for _, j := range lt.jobs {
@@ -150,13 +153,13 @@
 	rec := records.ActiveRecord{Guest: &loan.Guest{Home: home, Spec: *s}}
 	switch {
 	case !l.enabled():
-		return "a controller here does not know of loans"
+		return "a controller of this cell does not support loans"
 	case lt.jobs[s.ID] != nil || l.endedIDs[s.ID]:
-		return "a job of that name is here"
+		return "this cell has or had a job with this id"
 	case guests+len(l.pendingChanges) >= lt.c.Cells.MaxLoans:
 		return "too many loans"
 	case !advert.Accepting || advert.CPUs < s.CPUs || advert.GPUs < s.GPUs:
-		return "nothing to spare"
+		return "not enough spare capacity"
 	case o.Budget.CPUs < s.CPUs || o.Budget.GPUs < s.GPUs:
 		return "the grant holds no task"
 	case !records.FitsRecord(rec, lt.c.Settings.Site.State.ValueKB):
@@ -169,14 +172,14 @@
 	return ""
 }
 
-// fillProgress fills in the counts of a guest's tasks.
+// fillProgress sets the task counts in the state of a guest.
 func (l *loans) fillProgress(j *cluster.Job, s *loan.State) {
 	job := j.State()
 	s.Done, s.Running, s.Pending = job.Done, job.Running, len(j.ActiveAttempts) > 0
 }
 
-// mayBeOnMachine reports whether tasks of a job may be on machines, also of a job that this
-// cell no longer knows.
+// mayBeOnMachine reports whether tasks of a job may be on machines, also for a job that is no
+// longer in the leader's state. While a machine is unfenced, this is true for every job.
 func (l *loans) mayBeOnMachine(id string) bool {
 	lt := l.leaderTerm
 	if lt.unfenced > 0 {
@@ -193,8 +196,8 @@
 	return false
 }
 
-// unlistedGuests are the states of a home cell's loans that its request does not name. The
-// next request then contains their desired state.
+// unlistedGuests returns the states of a home cell's loans that its request does not list, so
+// that the next request includes their desired states.
 func (l *loans) unlistedGuests(home string, listed map[string]bool) (states []loan.State) {
 	for id, j := range l.leaderTerm.jobs {
 		if j.Guest == nil || j.Guest.Home != home || listed[id] {
@@ -226,7 +229,7 @@
 	return states
 }
 
-// applyStep queues the change of this cell's records that a step requires.
+// applyStep queues the change of this cell's records for a step.
 func (l *loans) applyStep(home string, e loan.Entry, step loan.Step) {
 	j := l.leaderTerm.jobs[e.Job]
 	switch step {
@@ -241,8 +244,8 @@
 	}
 }
 
-// acceptGuest writes a guest's active record, unless this cell has a record of the job or the
-// minimum epoch has reached the loan's.
+// acceptGuest queues the write of a guest's active record. It is written unless this cell has a
+// record of a job with this id or the minimum epoch has reached the epoch of the loan.
 func (l *loans) acceptGuest(home string, e loan.Entry) {
 	lt := l.leaderTerm
 	active := records.ActivePrefix + e.Job
@@ -285,8 +288,8 @@
 	})
 }
 
-// addMinEpochUpdate raises a home cell's minimum epoch in a transaction, on condition that its record
-// has not changed.
+// addMinEpochUpdate adds to a transaction that it raises a home cell's minimum epoch, on
+// condition that the record of it has not changed.
 func (l *loans) addMinEpochUpdate(txn *kv.Txn, home string, epoch loan.Epoch) {
 	current := l.minEpochs[home]
 	key := loan.MinEpochKey(home)
@@ -294,16 +297,17 @@
 	txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: loan.MinEpochRecord{Epoch: max(epoch, current.epoch)}})
 }
 
-// minEpochRaised updates the minimum epoch after its record was written.
+// minEpochRaised updates the minimum epoch in the state after its record was written.
 func (l *loans) minEpochRaised(home string, epoch loan.Epoch, revision uint64) {
 	l.minEpochs[home] = minEpoch{epoch: max(epoch, l.minEpochs[home].epoch), modRevision: revision}
 }
 
-// minEpochJobID stands in place of a job id in the change that raises a minimum epoch. It
-// is no valid job id, so no job's change collides with it.
+// minEpochJobID takes the place of the job id in a change that only raises a minimum epoch. It
+// is not a valid job id, so it cannot collide with the change of a job.
 const minEpochJobID = "floor"
 
-// raiseMinEpoch closes all loans of a home cell up to an epoch that this cell has not accepted.
+// raiseMinEpoch queues a raise of a home cell's minimum epoch. This closes all loans up to that
+// epoch that this cell has not accepted.
 func (l *loans) raiseMinEpoch(home string, epoch loan.Epoch) {
 	l.enqueueChange(&loanChange{
 		home: home,
@@ -317,7 +321,7 @@
 	})
 }
 
-// returnGuest removes a guest that has not started.
+// returnGuest queues the removal of a guest, which is dropped if a task of it has started.
 func (l *loans) returnGuest(j *cluster.Job) {
 	lt, home, epoch := l.leaderTerm, j.Guest.Home, j.Guest.Epoch
 	active := records.ActivePrefix + j.Spec.ID
@@ -344,12 +348,13 @@
 	})
 }
 
-// guestDone records that all tasks of a guest are done.
+// guestDone queues the record that all tasks of a guest are done.
 func (l *loans) guestDone(j *cluster.Job) {
 	l.endGuest(j, loan.End{Epoch: j.Guest.Epoch, Phase: api.JobDone, Tasks: j.Spec.Tasks, Ended: time.Now().UTC()})
 }
 
-// endGuest records how a guest ended, for its home cell.
+// endGuest queues the replacement of a guest's active record by the record of its end, which
+// is kept for its home cell.
 func (l *loans) endGuest(j *cluster.Job, end loan.End) {
 	lt, home, id := l.leaderTerm, j.Guest.Home, j.Spec.ID
 	active, key := records.ActivePrefix+id, loan.EndKey(home, id)
@@ -359,7 +364,8 @@
 		build: func() (kv.Txn, bool) {
 			txn := kv.Txn{Compares: []kv.Compare{lt.termCompare(), {Key: active, ModRevision: j.ModRevision}}}
 			if end.Phase == api.JobCancelled {
-				// All nodes of this cell must learn of it before they renew task leases.
+				// All nodes of this cell must see the cancellation before they renew
+				// task leases again.
 				txn.Ops = append(txn.Ops, kv.Op{Put: records.CancelKey, Value: loan.GuestMarker + id})
 			}
 			txn.Ops = append(txn.Ops, kv.Op{Put: key, Value: end}, kv.Op{Delete: active})
@@ -369,7 +375,7 @@
 		done: func(revision uint64) {
 			raw, err := json.Marshal(end)
 			if err != nil {
-				panic(err) // it holds only plain values
+				panic(err) // cannot happen: the fields of loan.End always encode
 			}
 			e := kv.Entry{Key: key, Value: raw, ModRevision: revision}
 			l.addRecord(e)
@@ -378,8 +384,8 @@
 	})
 }
 
-// removeGuest removes a guest whose active record was deleted. Its tasks on machines are
-// stopped by the responses to their heartbeats.
+// removeGuest removes a guest whose active record was deleted from the state. The responses to
+// the heartbeats of its machines then stop its tasks.
 func (l *loans) removeGuest(j *cluster.Job, end kv.Entry) {
 	if j.Ended {
 		return
@@ -405,7 +411,8 @@
 		"tasks", j.Spec.Tasks)
 }
 
-// forgetEnd deletes the record of a guest's end, once its home cell has recorded it.
+// forgetEnd queues the deletion of the record of a guest's end, which its home cell has
+// recorded, and raises the minimum epoch to the epoch of the loan.
 func (l *loans) forgetEnd(home string, e loan.Entry) {
 	name := []byte(loanName(home, e.Job))
 	key := loan.EndKey(home, e.Job)
--- a/internal/controller/loansstatus.go
+++ b/internal/controller/loansstatus.go
@@ -9,30 +9,39 @@
 	"example.org/ivytrestle/internal/loan"
 )
 
-// CellsStatus is the operators' view of the loans to and from other cells.
+// CellsStatus is the part of the leader's status about loans to and from other cells.
 type CellsStatus struct {
-	Cell       string            `json:"cell"`
+	Cell string `json:"cell"`
+	// Enabled is set once every node of the cell supports loans.
 	Enabled    bool              `json:"enabled"`
 	Neighbours []NeighbourStatus `json:"neighbours"`
-	// Lent and Guests are the loans to and from other cells, at most maxLoansInStatus of each.
-	Lent   []LoanStatus `json:"lent"`
+	// Lent are the loans to other cells, at most maxLoansInStatus.
+	Lent []LoanStatus `json:"lent"`
+	// Guests are the loans from other cells, at most maxLoansInStatus.
 	Guests []LoanStatus `json:"guests"`
-	// EndedGuests is how many guests have ended whose home cell has yet to record it.
+	// EndedGuests is the number of ended guests whose end the home cell has not recorded yet.
 	EndedGuests int        `json:"ended_guests"`
 	Counts      LoanCounts `json:"counts"`
 }
 
 // NeighbourStatus is the state of the exchange with another cell.
 type NeighbourStatus struct {
-	Cell             string  `json:"cell"`
-	Unreachable      bool    `json:"lost,omitempty"`
+	Cell string `json:"cell"`
+	// Unreachable is set if the operators have declared the cell lost in the settings.
+	Unreachable bool `json:"lost,omitempty"`
+	// LastResponseAgeS is the number of seconds since the cell last responded; -1 if it has
+	// not responded in this term.
 	LastResponseAgeS float64 `json:"heard_s_ago"`
-	RoundTripMs      int64   `json:"delay_ms"`
-	SpareCPUs        float64 `json:"spare_cpus"`
-	Accepting        bool    `json:"accepting"`
-	LastError        string  `json:"last_error,omitempty"`
-	Lent             int     `json:"lent"`
-	Guests           int     `json:"guests"`
+	// RoundTripMs is the round-trip time of the last successful exchange.
+	RoundTripMs int64   `json:"delay_ms"`
+	SpareCPUs   float64 `json:"spare_cpus"`
+	Accepting   bool    `json:"accepting"`
+	// LastError is why the last exchange failed, or empty if it succeeded.
+	LastError string `json:"last_error,omitempty"`
+	// Lent is the number of loans to the cell.
+	Lent int `json:"lent"`
+	// Guests is the number of loans from the cell.
+	Guests int `json:"guests"`
 }
 
 // LoanStatus is the state of one loan.
@@ -44,27 +53,34 @@
 	CPUs    float64 `json:"cpus"`
 	Done    int     `json:"done"`
 	Running int     `json:"running"`
-	// PendingReason is the reason why it is pending, if it is.
+	// PendingReason is what the loan is waiting for, or empty.
 	PendingReason string `json:"waits,omitempty"`
 }
 
-// LoanCounts are the leader's counts of loans since its term began.
+// LoanCounts counts events of loans since the leader's term began.
 type LoanCounts struct {
-	Lent      int64 `json:"lent"`
+	// Lent is the number of loans made to other cells.
+	Lent int64 `json:"lent"`
+	// Reclaimed is the number of loans that ended by their reclaim.
 	Reclaimed int64 `json:"taken_back"`
-	Done      int64 `json:"done_away"`
+	// Done is the number of loans that were done at their host.
+	Done int64 `json:"done_away"`
+	// Cancelled is the number of loans that were cancelled.
 	Cancelled int64 `json:"withdrawn_away"`
-	Accepted  int64 `json:"guests_accepted"`
-	Returned  int64 `json:"guests_given_back"`
-	Stopped   int64 `json:"guest_tasks_stopped"`
-	// RecordsChanged is how many changes of loans were put on record.
+	// Accepted is the number of guests accepted.
+	Accepted int64 `json:"guests_accepted"`
+	// Returned is the number of guests returned before their first start.
+	Returned int64 `json:"guests_given_back"`
+	// Stopped is the number of tasks of guests whose preemption was requested.
+	Stopped int64 `json:"guest_tasks_stopped"`
+	// RecordsChanged is the number of transactions that changed records of loans.
 	RecordsChanged int64 `json:"records_changed"`
 }
 
-// maxLoansInStatus bounds the loans in a status.
+// maxLoansInStatus bounds the loans listed in a status, for each direction.
 const maxLoansInStatus = 50
 
-// status is the operators' view, or nil where there are no other cells.
+// status returns the status of the loans, or nil if no neighbours are configured.
 func (l *loans) status(now time.Time) *CellsStatus {
 	lt := l.leaderTerm
 	if lt.c.Cells == nil {
@@ -84,7 +100,7 @@
 	}
 	s.Lent, s.Guests = sortAndTruncateLoans(s.Lent), sortAndTruncateLoans(s.Guests)
 	for _, n := range l.neighbours {
-		ns := NeighbourStatus{
+		neighbourStatus := NeighbourStatus{
 			Cell:             n.cell,
 			Unreachable:      n.unreachable,
 			LastResponseAgeS: -1,
@@ -96,21 +112,21 @@
 			Guests:           guests[n.cell],
 		}
 		if !n.lastResponse.IsZero() {
-			ns.LastResponseAgeS = now.Sub(n.lastResponse).Seconds()
+			neighbourStatus.LastResponseAgeS = now.Sub(n.lastResponse).Seconds()
 		}
-		s.Neighbours = append(s.Neighbours, ns)
+		s.Neighbours = append(s.Neighbours, neighbourStatus)
 	}
 	slices.SortFunc(s.Neighbours, func(a, b NeighbourStatus) int { return strings.Compare(a.Cell, b.Cell) })
 	return s
 }
 
-// sortAndTruncateLoans sorts loans by job and returns the first maxLoansInStatus.
+// sortAndTruncateLoans sorts loans by job id and returns the first maxLoansInStatus of them.
 func sortAndTruncateLoans(all []LoanStatus) []LoanStatus {
 	slices.SortFunc(all, func(a, b LoanStatus) int { return strings.Compare(a.Job, b.Job) })
 	return all[:min(len(all), maxLoansInStatus)]
 }
 
-// lentStatus is the status of a job that runs in another cell.
+// lentStatus returns the status of a job that is lent to another cell.
 func (l *loans) lentStatus(j *cluster.Job) LoanStatus {
 	s := LoanStatus{
 		Job:     j.Spec.ID,
@@ -124,20 +140,20 @@
 	n := l.neighbours[j.Lent.Host]
 	switch {
 	case n == nil:
-		s.PendingReason = "its cell is not configured"
+		s.PendingReason = "its host cell is not configured"
 	case n.lastError != "":
-		s.PendingReason = "its cell does not answer: " + n.lastError
+		s.PendingReason = "exchange with its host cell failed: " + n.lastError
 	case j.Lent.Cancel:
-		s.PendingReason = "to be cancelled there"
+		s.PendingReason = "cancellation requested"
 	case j.ReclaimRequested:
-		s.PendingReason = "called back"
+		s.PendingReason = "reclaim requested"
 	case j.Remote.Phase == loan.PhaseUnknown:
 		s.PendingReason = "not accepted yet"
 	}
 	return s
 }
 
-// guestStatus is the status of a job that runs here for another cell.
+// guestStatus returns the status of a guest.
 func guestStatus(j *cluster.Job) LoanStatus {
 	state := j.State()
 	s := LoanStatus{
