--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -25,8 +25,8 @@
 type cellGroup struct {
 	t     *testing.T
 	cells []*cell
-	// tasks are the group's own goroutines, which end before its nodes do.
-	tasks sync.WaitGroup
+	// goroutines are the group's own goroutines, which end before its nodes do.
+	goroutines sync.WaitGroup
 
 	// mu guards what follows, and the jobs' own fields.
 	mu   sync.Mutex
@@ -34,12 +34,12 @@
 	// cut are the links, from cell to cell, on which no request arrives; responseCut those on
 	// which no response does.
 	cut, responseCut map[string]bool
-	// repeat is within what time a request is delivered once more, with the age that it then
+	// maxRepeatDelay is within what time a request is delivered once more, with the age that it then
 	// has; 0 means never.
-	repeat time.Duration
-	// delay is how long a request takes to arrive.
-	delay  time.Duration
-	random *rand.Rand
+	maxRepeatDelay time.Duration
+	// requestDelay is how long a request takes to arrive.
+	requestDelay time.Duration
+	random       *rand.Rand
 	// requests counts the requests sent, also those that were cut.
 	requests int
 }
@@ -51,8 +51,8 @@
 	name   string
 	nodes  []*node
 	agents []*worker
-	// startedAt is when tasks started, by machine and task.
-	startedAt map[string]time.Time
+	// taskStartedAt is when tasks started, by machine and task.
+	taskStartedAt map[string]time.Time
 	// hangUntil is until when its machines neither send heartbeats nor apply commands.
 	hangUntil time.Time
 }
@@ -88,10 +88,10 @@
 			c.startNodes()
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		g.tasks.Go(func() { g.runMachines(ctx) })
+		g.goroutines.Go(func() { g.runMachines(ctx) })
 		defer func() {
 			cancel()
-			g.tasks.Wait()
+			g.goroutines.Wait()
 			for _, c := range g.cells {
 				for _, n := range c.currentNodes() {
 					n.crash()
@@ -106,7 +106,7 @@
 func (g *cellGroup) addCell(name string, of, machines int) {
 	w := newSimulatedCluster(g.t)
 	w.teams = []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 16}, {Name: "blue", CPUs: 4, LimitCPUs: 12}}
-	c := &cell{simulatedCluster: w, group: g, name: name, startedAt: map[string]time.Time{}}
+	c := &cell{simulatedCluster: w, group: g, name: name, taskStartedAt: map[string]time.Time{}}
 	w.cells = &cells.Settings{Cell: name, MaxLoans: 50}
 	for i := range of {
 		if other := fmt.Sprint("cell-", string(rune('a'+i))); other != name {
@@ -170,12 +170,12 @@
 func (k cellLink) Loans(ctx context.Context, to string, req *loan.Request) (*loan.Response, error) {
 	g := k.group
 	g.mu.Lock()
-	delay := g.delay
+	delay := g.requestDelay
 	g.mu.Unlock()
 	time.Sleep(3*time.Millisecond + delay)
 	g.mu.Lock()
 	link := k.from + ">" + to
-	cut, responseCut, repeat := g.cut[link], g.responseCut[link], g.repeat
+	cut, responseCut, repeat := g.cut[link], g.responseCut[link], g.maxRepeatDelay
 	if repeat > 0 {
 		repeat = time.Duration(g.random.Int64N(int64(repeat)))
 	}
@@ -272,14 +272,14 @@
 		task := &k.status.Tasks[i]
 		name := k.status.Machine + " " + task.Task
 		if task.Phase == api.TaskExited {
-			delete(c.startedAt, name)
+			delete(c.taskStartedAt, name)
 			continue
 		}
-		if c.startedAt[name].IsZero() {
-			c.startedAt[name] = time.Now()
+		if c.taskStartedAt[name].IsZero() {
+			c.taskStartedAt[name] = time.Now()
 		}
 		id, _, _ := cluster.ParseTaskRef(task.Task)
-		if j := c.group.job(id); j != nil && time.Since(c.startedAt[name]) >= j.duration {
+		if j := c.group.job(id); j != nil && time.Since(c.taskStartedAt[name]) >= j.duration {
 			task.Phase, task.Cause = api.TaskExited, api.CauseDone
 		}
 	}
--- a/internal/controller/loancost_test.go
+++ b/internal/controller/loancost_test.go
@@ -161,7 +161,7 @@
 func TestSlowLink(t *testing.T) {
 	simulateCells(t, []int{1, 3}, func(g *cellGroup) {
 		g.mu.Lock()
-		g.delay = 1200 * time.Millisecond
+		g.requestDelay = 1200 * time.Millisecond
 		g.mu.Unlock()
 		g.submitBurst(g.cells[0], 100, 8, 15*time.Second)
 		g.awaitAllEnded(5 * time.Minute)
--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -881,7 +881,7 @@
 		Outcomes:    o.outcomes,
 	}
 	for _, hb := range o.relayedHeartbeats {
-		up.Reports = append(up.Reports, peer.PackReport(hb))
+		up.Reports = append(up.Reports, peer.HeartbeatToProto(hb))
 	}
 	parts, err := relay.Pack(up, o.uplinkBatch, 1, 8<<10)
 	if err != nil {
@@ -943,7 +943,7 @@
 		}
 	}
 	if p := o.relayedCommands[hb.Machine]; p != nil && p.Session == hb.AgentEpoch && hb.Seq > p.Base {
-		response.Commands = append(response.Commands, peer.UnpackOrders(p.Orders)...)
+		response.Commands = append(response.Commands, peer.CommandsFromProto(p.Orders)...)
 		o.outcomes = append(o.outcomes, &peer.RelayOutcome{
 			Machine: hb.Machine,
 			Session: p.Session,
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -12,7 +12,7 @@
 // Commands relayed to a node are handed out once, and only in the response to a later heartbeat of the
 // same agent epoch, under the same term, before they expire. Otherwise the outcome that the leader
 // reads is that they never will be.
-func TestRelayHandsOutOnlyDueCommands(t *testing.T) {
+func TestRelayDeliversOnlyValidCommands(t *testing.T) {
 	receivedAt := time.Unix(1000, 0)
 	for _, c := range []struct {
 		name                  string
--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -26,9 +26,9 @@
 // relayNode is one node that relays heartbeats.
 type relayNode struct {
 	incarnation string
-	// lastBatch is the node's last batch of heartbeats that was applied, batch the last
+	// receivedBatch is the node's last batch of heartbeats that was applied, batch the last
 	// batch of commands to it, and acknowledged the last that it has applied.
-	lastBatch, batch, acknowledged uint64
+	receivedBatch, batch, acknowledgedBatch uint64
 	// lastParts are the record of the last batch of commands.
 	lastParts []relay.Part
 	storeBusy bool
@@ -36,8 +36,8 @@
 	pending map[string]*relayedCommands
 	// sizeHalvings is how often a batch was rejected as too large, and OutcomeUnknown is
 	// set if the present one may have been written in spite of an error.
-	sizeHalvings   int
-	outcomeUnknown bool
+	sizeHalvings int
+	mayBeWritten bool
 	// batchMachines are the machines with commands in the last batch.
 	batchMachines []string
 }
@@ -153,10 +153,10 @@
 	if lt.downlink.handleRestart(lt, m.node, up.Incarnation); node.incarnation != up.Incarnation {
 		*node = relayNode{incarnation: up.Incarnation, batch: up.Got, pending: map[string]*relayedCommands{}}
 	}
-	if up.Batch <= node.lastBatch {
+	if up.Batch <= node.receivedBatch {
 		return
 	}
-	node.lastBatch, node.acknowledged = up.Batch, up.Got
+	node.receivedBatch, node.acknowledgedBatch = up.Batch, up.Got
 	for _, o := range up.Outcomes {
 		if p := node.pending[o.Machine]; p != nil && p.baseSeq == o.Base {
 			p.applyOutcome(lt, o.Handed)
@@ -164,10 +164,10 @@
 		}
 	}
 	now := time.Now()
-	down := &peer.RelayDown{Term: lt.term.Number, Incarnation: node.incarnation, Seen: node.lastBatch}
-	acknowledged := node.acknowledged == node.batch
+	down := &peer.RelayDown{Term: lt.term.Number, Incarnation: node.incarnation, Seen: node.receivedBatch}
+	acknowledged := node.acknowledgedBatch == node.batch
 	for _, hb := range up.Reports {
-		lt.handleRelayedHeartbeat(node, hb.Unpack(), down, acknowledged, now)
+		lt.handleRelayedHeartbeat(node, hb.ToHeartbeat(), down, acknowledged, now)
 	}
 	if acknowledged {
 		node.batch++
@@ -210,7 +210,7 @@
 		Machine: hb.Machine,
 		Session: hb.AgentEpoch,
 		Base:    hb.Seq,
-		Orders:  peer.PackOrders(response.Commands),
+		Orders:  peer.CommandsToProto(response.Commands),
 	})
 }
 
@@ -256,7 +256,7 @@
 		lt.c.Log.Error("relay batch not packed", "err", err)
 		return false
 	}
-	node.lastParts, node.outcomeUnknown, node.batchMachines = parts, false, nil
+	node.lastParts, node.mayBeWritten, node.batchMachines = parts, false, nil
 	for _, o := range down.Orders {
 		node.batchMachines = append(node.batchMachines, o.Machine)
 	}
@@ -323,12 +323,12 @@
 	node := m.leaderTerm.downlink.nodes[m.node]
 	node.storeBusy = false
 	if !errors.Is(m.err, kv.ErrInvalid) {
-		node.outcomeUnknown = true
+		node.mayBeWritten = true
 		return
 	}
 	c.Log.Error("relayed commands rejected as too large", "node", m.node)
 	node.sizeHalvings = min(node.sizeHalvings+1, maxSizeHalvings)
-	if len(node.lastParts) == 0 || node.outcomeUnknown {
+	if len(node.lastParts) == 0 || node.mayBeWritten {
 		return // the node may have read it: its outcomes, or their timeout, decide
 	}
 	// It was never written, so none of its commands was delivered: the state before the
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -57,9 +57,9 @@
 	// its tasks take in a batch before it is compressed.
 	relayedHeartbeatBytes = 100
 	relayedTaskBytes      = 40
-	// relayMemory is the share of the memory that the machines whose heartbeats are
+	// relayMemoryFraction is the share of the memory that the machines whose heartbeats are
 	// relayed may take, and relayedMachineBytes about what one of them takes.
-	relayMemory         = 1.0 / 8
+	relayMemoryFraction = 1.0 / 8
 	relayedMachineBytes = 2 << 10
 )
 
@@ -68,17 +68,17 @@
 	incarnation string
 	// batch numbers the batches written, and acknowledged is the leader's last batch
 	// that was applied here.
-	batch        uint64
-	acknowledged uint64
-	storeBusy    bool
-	nextTick     time.Time
-	machines     map[string]*relayedMachine
+	batch         uint64
+	receivedBatch uint64
+	storeBusy     bool
+	nextTick      time.Time
+	machines      map[string]*relayedMachine
 	// maxMachines bounds the machines whose state is kept.
 	maxMachines int
 	// sizeHalvings is how often a batch was rejected as too large.
 	sizeHalvings int
-	// cleared is set once no record of an earlier process can stand beside a batch.
-	cleared bool
+	// staleRecordsDeleted is set once no record of an earlier process can stand beside a batch.
+	staleRecordsDeleted bool
 }
 
 // maxRelayRecordBytes is the largest size of a record, if a transaction holds so many.
@@ -109,7 +109,7 @@
 	return relayUplink{
 		incarnation: rand.Text(),
 		machines:    map[string]*relayedMachine{},
-		maxMachines: lim.Entries(relayMemory, relayedMachineBytes),
+		maxMachines: lim.Entries(relayMemoryFraction, relayedMachineBytes),
 	}
 }
 
@@ -240,7 +240,7 @@
 func (ul *relayUplink) buildBatch(
 	renewer *leaseRenewer, relaying bool, maxBytes int,
 ) (up *peer.RelayUp, withOutcome []*relayedMachine) {
-	up = &peer.RelayUp{Incarnation: ul.incarnation, Batch: ul.batch, Got: ul.acknowledged}
+	up = &peer.RelayUp{Incarnation: ul.incarnation, Batch: ul.batch, Got: ul.receivedBatch}
 	for _, m := range ul.oldestFirst() {
 		if m.outcome != nil {
 			withOutcome = append(withOutcome, m)
@@ -249,7 +249,7 @@
 		}
 		if relaying && m.dirty && maxBytes > 0 && m.heartbeat.Term == renewer.term {
 			maxBytes -= relayedHeartbeatBytes + relayedTaskBytes*len(m.heartbeat.Tasks)
-			up.Reports = append(up.Reports, peer.PackReport(m.heartbeat))
+			up.Reports = append(up.Reports, peer.HeartbeatToProto(m.heartbeat))
 		}
 	}
 	if relaying {
@@ -289,7 +289,7 @@
 	for _, p := range parts {
 		txn.Ops = append(txn.Ops, kv.Op{Put: prefix + "/up/" + strconv.Itoa(p.Index), Value: p})
 	}
-	if !ul.cleared {
+	if !ul.staleRecordsDeleted {
 		// A leader of an earlier version takes the highest number for the present
 		// batch. The records of an earlier process would hide this one's from it.
 		for i := len(parts); i < maxParts; i++ {
@@ -323,7 +323,7 @@
 // rejected one are relayed again when they repeat or change.
 func (m uplinkWrittenMsg) apply(c *Controller) {
 	c.uplink.storeBusy = false
-	c.uplink.cleared = c.uplink.cleared || m.written
+	c.uplink.staleRecordsDeleted = c.uplink.staleRecordsDeleted || m.written
 	if m.tooLarge {
 		c.Log.Error("relayed heartbeats rejected as too large")
 		c.uplink.sizeHalvings = min(c.uplink.sizeHalvings+1, maxSizeHalvings)
@@ -385,17 +385,17 @@
 			m.outcome = nil
 		}
 	}
-	if d.Batch <= ul.acknowledged {
+	if d.Batch <= ul.receivedBatch {
 		return
 	}
-	ul.acknowledged = d.Batch
+	ul.receivedBatch = d.Batch
 	for _, o := range d.Orders {
 		m := ul.machines[o.Machine]
 		if m == nil {
 			m = &relayedMachine{heartbeat: &api.Heartbeat{Machine: o.Machine}}
 			ul.machines[o.Machine] = m
 		}
-		m.commands, m.agentEpoch, m.baseSeq = peer.UnpackOrders(o.Orders), o.Session, o.Base
+		m.commands, m.agentEpoch, m.baseSeq = peer.CommandsFromProto(o.Orders), o.Session, o.Base
 		m.term, m.receivedAt = d.Term, now
 		if d.Term != c.leaseRenewer.term || o.Session != m.heartbeat.AgentEpoch {
 			m.recordOutcome(0)
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -35,8 +35,8 @@
 	putsReclaimed = putsActive(func(rec records.ActiveRecord) bool { return rec.Spec.ID != "" && rec.LoanCount > 0 })
 )
 
-// puts reports whether a transaction puts a record under a prefix, other than an active one.
-func puts(prefix string) func(kv.Txn) bool {
+// putsUnder reports whether a transaction puts a record under a prefix, other than an active one.
+func putsUnder(prefix string) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool {
 		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool {
 			_, active := op.Value.(records.ActiveRecord)
@@ -45,8 +45,8 @@
 	}
 }
 
-// deletes reports whether a transaction deletes a record under a prefix.
-func deletes(prefix string) func(kv.Txn) bool {
+// deletesUnder reports whether a transaction deletes a record under a prefix.
+func deletesUnder(prefix string) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool {
 		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool { return strings.HasPrefix(op.Delete, prefix) })
 	}
@@ -75,11 +75,11 @@
 	steps := []loanStep{
 		{name: "lend", cell: 0, match: putsLent},
 		{name: "accept", cell: 1, match: putsGuest},
-		{name: "close", cell: 1, match: puts(loan.MinEpochKey("")), hostBusy: true},
+		{name: "close", cell: 1, match: putsUnder(loan.MinEpochKey("")), hostBusy: true},
 		{name: "reclaim", cell: 0, match: putsReclaimed, hostBusy: true},
-		{name: "end at host", cell: 1, match: puts(loan.EndKey("", "")[:len("loan/end/")])},
-		{name: "end at home", cell: 0, match: puts(records.TerminalPrefix)},
-		{name: "forget", cell: 1, match: deletes("loan/end/")},
+		{name: "end at host", cell: 1, match: putsUnder(loan.EndKey("", "")[:len("loan/end/")])},
+		{name: "end at home", cell: 0, match: putsUnder(records.TerminalPrefix)},
+		{name: "forget", cell: 1, match: deletesUnder("loan/end/")},
 	}
 	faults := []storeFault{
 		{
@@ -144,7 +144,7 @@
 
 // An acceptance without a response is applied minutes later, when the host has closed the
 // loan and home runs the job itself: it fails by the minimum epoch.
-func TestAcceptanceMinutesLate(t *testing.T) {
+func TestAcceptanceAppliedLate(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		host.store.Delay(putsGuest)
@@ -274,7 +274,7 @@
 	g.t.Helper()
 	g.mu.Lock()
 	g.random = rand.New(rand.NewPCG(seed, 11))
-	g.repeat = 20 * time.Second
+	g.maxRepeatDelay = 20 * time.Second
 	g.mu.Unlock()
 	random := rand.New(rand.NewPCG(seed, 12))
 	ids := make([]string, 0, 36)
@@ -316,16 +316,16 @@
 		c.restartNode(0, 100*time.Millisecond)
 		c.restartNode(1, 100*time.Millisecond)
 	case 5:
-		c.store.LoseResponses(func(kv.Txn) bool { return g.chance(4) })
+		c.store.LoseResponses(func(kv.Txn) bool { return g.oneIn(4) })
 		time.AfterFunc(lasting, func() { c.store.LoseResponses(nil) })
 	case 6:
-		c.store.Delay(func(txn kv.Txn) bool { return txn.Records && g.chance(4) })
+		c.store.Delay(func(txn kv.Txn) bool { return txn.Records && g.oneIn(4) })
 		time.AfterFunc(lasting, func() { c.store.Delay(nil); c.store.ApplyDelayed() })
 	}
 }
 
-// chance is true one time in n; it may be called from any goroutine.
-func (g *cellGroup) chance(n int) bool {
+// oneIn is true one time in n; it may be called from any goroutine.
+func (g *cellGroup) oneIn(n int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.random.IntN(n) == 0
@@ -337,7 +337,7 @@
 	g.mu.Lock()
 	clear(g.cut)
 	clear(g.responseCut)
-	g.repeat = 0
+	g.maxRepeatDelay = 0
 	g.mu.Unlock()
 	for _, c := range g.cells {
 		c.healStore()
@@ -372,7 +372,7 @@
 	await func(g *cellGroup, ids []string) string
 	// mayBeDone is set if the job may be done before the cancellation, and marked if the host
 	// must have its cancel key written for the guest.
-	mayBeDone, marked bool
+	mayBeDone, wantMarker bool
 }
 
 var lentCancellations = []lentCancellation{
@@ -387,10 +387,10 @@
 		},
 	},
 	{
-		name:     "while it runs",
-		duration: time.Minute,
-		await:    (*cellGroup).awaitLent,
-		marked:   true,
+		name:       "while it runs",
+		duration:   time.Minute,
+		await:      (*cellGroup).awaitLent,
+		wantMarker: true,
 	},
 	{
 		name:     "while its machines hang",
@@ -402,7 +402,7 @@
 			g.mu.Unlock()
 			return id
 		},
-		marked: true,
+		wantMarker: true,
 	},
 	{
 		name:     "as it ends",
@@ -447,14 +447,14 @@
 	t.Helper()
 	id := c.await(g, g.submitBurst(g.cells[0], 100, 6, c.duration))
 	if crash >= 0 {
-		g.tasks.Go(func() { g.cells[crash].restartNode(0, 200*time.Millisecond) })
+		g.goroutines.Go(func() { g.cells[crash].restartNode(0, 200*time.Millisecond) })
 	}
 	if got := g.cancel(id, 60); got != api.JobCancelled && (got != api.JobDone || !c.mayBeDone) {
 		t.Errorf("got phase %q, want %q", got, api.JobCancelled)
 	}
 	e, err := g.cells[1].store.Get(context.Background(), records.CancelKey)
 	marked := err == nil && strings.Contains(string(e.Value), loan.GuestMarker+id)
-	if c.marked && !marked {
+	if c.wantMarker && !marked {
 		t.Errorf("got the host's cancel key %s, %v, want it to name %s", e.Value, err, id)
 	}
 	g.awaitAllEnded(10 * time.Minute)
@@ -504,7 +504,7 @@
 
 // A job id that is used in both cells never runs as two jobs: the host rejects the loan, and a
 // user who submits the id there while the guest is present gets no answer about the guest.
-func TestOneNameInTwoCells(t *testing.T) {
+func TestSameJobIDInTwoCells(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		id := g.awaitLent(g.submitBurst(home, 100, 6, 12*time.Second))
@@ -588,7 +588,7 @@
 
 // A host that is down for good keeps what was lent to it, known and pending; once the
 // operators have declared it unreachable, home reclaims the job and runs it.
-func TestHostIsLostForGood(t *testing.T) {
+func TestHostLostPermanently(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		id := g.awaitLent(g.submitBurst(home, 100, 6, 10*time.Second))
--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -49,7 +49,7 @@
 
 // Loans implements peer.Handler.
 func (h cellHandler) Loans(ctx context.Context, r *peer.LoanRequest) (*peer.LoanAnswer, error) {
-	req, err := r.Unpack()
+	req, err := r.ToLoanRequest()
 	if err != nil {
 		return &peer.LoanAnswer{Refused: err.Error()}, nil
 	}
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return peer.PackLoanAnswer(response), nil
+	return peer.LoanResponseToProto(response), nil
 }
 
 // cellLinks sends requests directly to other cells: to each of a cell's controllers in
@@ -98,7 +98,7 @@
 	if link == nil {
 		return nil, api.ErrUnavailable
 	}
-	msg, err := peer.PackLoanRequest(req)
+	msg, err := peer.LoanRequestToProto(req)
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 			link.mu.Lock()
 			link.lastResponded = index
 			link.mu.Unlock()
-			return response.Unpack(), nil
+			return response.ToLoanResponse(), nil
 		}
 		errs = append(errs, err)
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -76,11 +76,11 @@
 func (h peerHandler) ForwardHeartbeat(ctx context.Context, r *peer.Report) (*peer.ReportAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	response, err := h.c.ForwardedHeartbeat(ctx, r.Unpack())
+	response, err := h.c.ForwardedHeartbeat(ctx, r.ToHeartbeat())
 	if err != nil {
 		return nil, err
 	}
-	return &peer.ReportAnswer{Term: response.Term, Orders: peer.PackOrders(response.Commands)}, nil
+	return &peer.ReportAnswer{Term: response.Term, Orders: peer.CommandsToProto(response.Commands)}, nil
 }
 
 // LeaderResigned implements peer.Handler.
@@ -186,7 +186,7 @@
 	if cl == nil {
 		return api.HeartbeatResponse{}, api.ErrUnavailable
 	}
-	response, err := cl.ForwardHeartbeat(ctx, peer.PackReport(hb))
+	response, err := cl.ForwardHeartbeat(ctx, peer.HeartbeatToProto(hb))
 	if errors.Is(err, peer.ErrConnectionRefused) {
 		return api.HeartbeatResponse{}, controller.ErrConnectionRefused
 	}
@@ -196,7 +196,7 @@
 	if err != nil {
 		return api.HeartbeatResponse{}, err
 	}
-	return api.HeartbeatResponse{Term: response.Term, Commands: peer.UnpackOrders(response.Orders)}, nil
+	return api.HeartbeatResponse{Term: response.Term, Commands: peer.CommandsFromProto(response.Orders)}, nil
 }
 
 // Resign implements controller.PeerClient.
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -2,8 +2,8 @@
 
 import "example.org/ivytrestle/internal/api"
 
-// PackReport converts a heartbeat to its message.
-func PackReport(hb *api.Heartbeat) *Report {
+// HeartbeatToProto converts a heartbeat to its message.
+func HeartbeatToProto(hb *api.Heartbeat) *Report {
 	r := &Report{
 		Machine: hb.Machine,
 		Addr:    hb.Addr,
@@ -22,8 +22,8 @@
 	return r
 }
 
-// Unpack is the inverse of PackReport.
-func (r *Report) Unpack() *api.Heartbeat {
+// ToHeartbeat is the inverse of HeartbeatToProto.
+func (r *Report) ToHeartbeat() *api.Heartbeat {
 	hb := &api.Heartbeat{
 		Machine:           r.Machine,
 		Addr:              r.Addr,
@@ -42,8 +42,8 @@
 	return hb
 }
 
-// PackOrders converts commands to their messages.
-func PackOrders(commands []api.Command) []*Order {
+// CommandsToProto converts commands to their messages.
+func CommandsToProto(commands []api.Command) []*Order {
 	out := make([]*Order, len(commands))
 	for i, c := range commands {
 		out[i] = &Order{Verb: c.Verb, Task: c.Task, Attempt: c.Attempt, GraceS: c.GraceS}
@@ -51,8 +51,8 @@
 	return out
 }
 
-// UnpackOrders is the inverse of PackOrders.
-func UnpackOrders(orders []*Order) []api.Command {
+// CommandsFromProto is the inverse of CommandsToProto.
+func CommandsFromProto(orders []*Order) []api.Command {
 	out := make([]api.Command, len(orders))
 	for i, o := range orders {
 		out[i] = api.Command{Verb: o.Verb, Task: o.Task, Attempt: o.Attempt, GraceS: o.GraceS}
--- a/internal/peer/loans.go
+++ b/internal/peer/loans.go
@@ -9,8 +9,8 @@
 	"example.org/ivytrestle/internal/loan"
 )
 
-// PackLoanRequest converts a home cell's loan entries to their message.
-func PackLoanRequest(req *loan.Request) (*LoanRequest, error) {
+// LoanRequestToProto converts a home cell's loan entries to their message.
+func LoanRequestToProto(req *loan.Request) (*LoanRequest, error) {
 	out := &LoanRequest{Home: req.Home, Term: req.Term}
 	for _, e := range req.Entries {
 		entry := &LoanEntry{Job: e.Job, Epoch: uint64(e.Epoch), Want: uint32(e.Desired)}
@@ -31,8 +31,8 @@
 	return out, nil
 }
 
-// Unpack is the inverse of PackLoanRequest.
-func (r *LoanRequest) Unpack() (*loan.Request, error) {
+// ToLoanRequest is the inverse of LoanRequestToProto.
+func (r *LoanRequest) ToLoanRequest() (*loan.Request, error) {
 	out := &loan.Request{Home: r.Home, Term: r.Term}
 	for _, e := range r.Entries {
 		entry := loan.Entry{Job: e.Job, Epoch: loan.Epoch(e.Epoch), Desired: loan.DesiredState(e.Want)}
@@ -50,8 +50,8 @@
 	return out, nil
 }
 
-// PackLoanAnswer converts the states of loans at their host to their message.
-func PackLoanAnswer(a *loan.Response) *LoanAnswer {
+// LoanResponseToProto converts the states of loans at their host to their message.
+func LoanResponseToProto(a *loan.Response) *LoanAnswer {
 	advert := &LoanAdvert{
 		Accepting: a.Advert.Accepting,
 		Cpus:      a.Advert.CPUs,
@@ -87,8 +87,8 @@
 	return out
 }
 
-// Unpack is the inverse of PackLoanAnswer.
-func (a *LoanAnswer) Unpack() *loan.Response {
+// ToLoanResponse is the inverse of LoanResponseToProto.
+func (a *LoanAnswer) ToLoanResponse() *loan.Response {
 	in := a.GetAdvert()
 	advert := loan.Advert{
 		Accepting: in.GetAccepting(),
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -329,11 +329,11 @@
 
 	mu sync.Mutex
 	// out is the connection, nil while there is none.
-	out       *outbox
-	seq       uint64
-	pending   map[uint64]chan *Response
-	isDialing bool
-	downUntil time.Time
+	out          *outbox
+	seq          uint64
+	pending      map[uint64]chan *Response
+	isDialing    bool
+	backoffUntil time.Time
 	// ConnectionRefused is set if the last dial was refused, rather than timed out.
 	connectionRefused bool
 	// lastResponse is when the peer last responded to any request.
@@ -450,7 +450,7 @@
 		c.mu.Lock()
 		unresponsive := c.lastResponse.Before(sent)
 		if unresponsive {
-			c.downUntil = time.Now().Add(unresponsiveBackoff)
+			c.backoffUntil = time.Now().Add(unresponsiveBackoff)
 		}
 		c.mu.Unlock()
 		if unresponsive {
@@ -465,7 +465,7 @@
 func (c *Client) register(ctx context.Context, ch chan *Response) (*outbox, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.downUntil) || c.isDialing {
+	if time.Now().Before(c.backoffUntil) || c.isDialing {
 		if c.connectionRefused {
 			return nil, 0, ErrConnectionRefused
 		}
@@ -479,7 +479,7 @@
 		c.isDialing = false
 		c.connectionRefused = errors.Is(err, syscall.ECONNREFUSED)
 		if err != nil {
-			c.downUntil = time.Now().Add(dialBackoff)
+			c.backoffUntil = time.Now().Add(dialBackoff)
 			if c.connectionRefused {
 				return nil, 0, ErrConnectionRefused
 			}
