--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -2,7 +2,7 @@
 
 import "example.org/ivytrestle/internal/api"
 
-// HeartbeatToProto converts a heartbeat to its message.
+// HeartbeatToProto converts a heartbeat to a Report.
 func HeartbeatToProto(hb *api.Heartbeat) *Report {
 	r := &Report{
 		Machine: hb.Machine,
@@ -42,7 +42,7 @@
 	return hb
 }
 
-// CommandsToProto converts commands to their messages.
+// CommandsToProto converts commands to Orders.
 func CommandsToProto(commands []api.Command) []*Order {
 	out := make([]*Order, len(commands))
 	for i, c := range commands {
--- a/internal/peer/loans.go
+++ b/internal/peer/loans.go
@@ -9,7 +9,7 @@
 	"example.org/ivytrestle/internal/loan"
 )
 
-// LoanRequestToProto converts a home cell's loan entries to their message.
+// LoanRequestToProto converts the loan entries of a home cell to a LoanRequest.
 func LoanRequestToProto(req *loan.Request) (*LoanRequest, error) {
 	out := &LoanRequest{Home: req.Home, Term: req.Term}
 	for _, e := range req.Entries {
@@ -17,7 +17,7 @@
 		if e.Offer != nil {
 			spec, err := json.Marshal(e.Offer.Spec)
 			if err != nil {
-				return nil, fmt.Errorf("loan of %s: %w", e.Job, err)
+				return nil, fmt.Errorf("encode spec of loan %s: %w", e.Job, err)
 			}
 			entry.Offer = &LoanOffer{
 				Spec:      spec,
@@ -42,7 +42,7 @@
 				Since:  time.UnixMilli(o.SinceMs).UTC(),
 			}
 			if err := json.Unmarshal(o.Spec, &entry.Offer.Spec); err != nil {
-				return nil, fmt.Errorf("loan of %s: %w", e.Job, err)
+				return nil, fmt.Errorf("decode spec of loan %s: %w", e.Job, err)
 			}
 		}
 		out.Entries = append(out.Entries, entry)
@@ -50,7 +50,7 @@
 	return out, nil
 }
 
-// LoanResponseToProto converts the states of loans at their host to their message.
+// LoanResponseToProto converts a host's response to a LoanAnswer.
 func LoanResponseToProto(a *loan.Response) *LoanAnswer {
 	advert := &LoanAdvert{
 		Accepting: a.Advert.Accepting,
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -22,15 +22,15 @@
 // maxMessage is the largest message between controllers, in bytes.
 const maxMessage = 256 << 10
 
-// ErrUnavailable means that the peer cannot answer the request.
-var ErrUnavailable = errors.New("peer: not entitled to answer")
+// ErrUnavailable means that the peer responded but cannot answer the request.
+var ErrUnavailable = errors.New("peer: cannot answer the request")
 
-// ErrConnectionRefused means that connections to the peer are refused: by a packet
-// filter, or because no process listens. Either way the network to its host works.
+// ErrConnectionRefused means that the connection to the peer was refused, by a packet filter or
+// because no process listens on the address. In both cases the network to the peer's host works.
 var ErrConnectionRefused = errors.New("peer: connection refused")
 
-// Handler serves a peer's requests. An error lets the peer's request fail with
-// ErrUnavailable.
+// Handler handles the requests of other controllers. If a method returns an error, the request
+// fails with ErrUnavailable at the sender.
 type Handler interface {
 	// Job returns the state of a job.
 	Job(ctx context.Context, id string) (*JobStatus, error)
@@ -40,29 +40,30 @@
 	ForwardHeartbeat(ctx context.Context, r *Report) (*ReportAnswer, error)
 	// LeaderResigned records that the leader of a term has stepped down.
 	LeaderResigned(ctx context.Context, r *Resignation) error
-	// Loans applies the loan entries of another cell's leader.
+	// Loans applies the loan entries that another cell's leader sends.
 	Loans(ctx context.Context, r *LoanRequest) (*LoanAnswer, error)
-	// Vote backs the lease of a term's leader for a while.
+	// Vote requests this node's vote for the lease of a term's leader. The vote is valid for a
+	// limited time.
 	Vote(ctx context.Context, r *GrantRequest) (*GrantAnswer, error)
-	// Promise ends this node's votes for a term, and returns how long its last one is
-	// still valid.
+	// Promise stops this node from voting in a term, and returns for how long votes that it has
+	// given may still be valid.
 	Promise(ctx context.Context, r *PromiseRequest) (*PromiseAnswer, error)
 }
 
-// maxInFlight bounds the requests in flight of one connection, and maxJobQueries those of
-// them about jobs. The latter wait for the key-value store: while it is unreachable they
-// would take all slots, and a whole zone's heartbeats and the pings would wait behind
-// them.
 const (
-	maxInFlight   = 256
+	// maxInFlight is the maximum number of requests in flight on one connection.
+	maxInFlight = 256
+	// maxJobQueries is the maximum number of job queries among them. Job queries wait for the
+	// key-value store. Without this limit they would take all slots while the store is
+	// unreachable, and block the pings and the heartbeats of a whole zone.
 	maxJobQueries = 96
 )
 
-// Serve serves the peers that connect to a listener.
+// Serve accepts connections from a listener until ctx ends, and handles their requests.
 func Serve(ctx context.Context, ln net.Listener, h Handler, log *slog.Logger) error {
 	go func() {
 		<-ctx.Done()
-		_ = ln.Close() // Accept returns all the same
+		_ = ln.Close() // Accept fails even if Close returns an error
 	}()
 	open := make(chan struct{}, maxConns)
 	for {
@@ -91,24 +92,27 @@
 	}
 }
 
-// maxConns bounds the connections that a listener serves. Each controller keeps one to
-// each other, and each connection has a buffer of its own.
+// maxConns is the maximum number of open connections of a listener. Each connection has a read
+// buffer. A controller needs only one connection from each other controller.
 const maxConns = 128
 
-// acceptRetryDelay is the pause after a failed accept, as when file descriptors run out.
+// acceptRetryDelay is the pause after a failed accept, for example if no file descriptor is free.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// closeConn closes a connection that is not used any more; an error changes nothing.
+// closeConn closes a connection. An error is ignored, since the connection is not used any more.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
 // server serves the requests of one connection.
 type server struct {
 	handler Handler
 	out     *outbox
-	// slots and jobSlots bound the requests in flight, and those of them about jobs.
-	slots, jobSlots chan struct{}
+	// slots limits the requests in flight to maxInFlight.
+	slots chan struct{}
+	// jobSlots limits the job queries in flight to maxJobQueries.
+	jobSlots chan struct{}
 }
 
+// serveConn reads requests from a connection and handles each in a goroutine.
 func serveConn(ctx context.Context, conn net.Conn, h Handler) {
 	defer closeConn(conn)
 	s := &server{
@@ -121,7 +125,7 @@
 	if conn.SetReadDeadline(deadline) != nil {
 		return // closed
 	}
-	// The error is that of the connection, which is closed either way.
+	// The error needs no handling: the connection is closed in any case.
 	_ = readFrames(conn, func(raw []byte) error {
 		if now := time.Now(); deadline.Sub(now) < idleTimeout {
 			deadline = now.Add(2 * idleTimeout)
@@ -139,7 +143,7 @@
 	})
 }
 
-// serve responds to a request, whose slot it frees.
+// serve handles a request, sends the response and frees the request's slot.
 func (s *server) serve(ctx context.Context, req *Request) {
 	defer func() { <-s.slots }()
 	resp := s.respond(ctx, req)
@@ -149,7 +153,7 @@
 	}
 }
 
-// respond handles a request; one about a job without a free slot is rejected at once.
+// respond handles a request. It rejects a job query immediately if none of the jobSlots is free.
 func (s *server) respond(ctx context.Context, req *Request) *Response {
 	if _, ok := req.Kind.(*Request_Job); ok {
 		select {
@@ -164,18 +168,20 @@
 
 // Timeouts of connections.
 const (
-	// idleTimeout is the shortest time after which a connection without requests is
-	// closed; its peer pings every second.
+	// idleTimeout is the minimum time without requests after which a connection is closed. A
+	// peer that is alive sends a ping every second.
 	idleTimeout = time.Minute
-	// requestTimeout and responseTimeout bound the writing of a message.
-	requestTimeout  = time.Second
+	// requestTimeout is the time limit for writing a request.
+	requestTimeout = time.Second
+	// responseTimeout is the time limit for writing a response.
 	responseTimeout = 2 * time.Second
-	// dialBackoff is the pause after a failed dial, and unresponsiveBackoff that after a
-	// request to a peer that has stopped responding.
-	dialBackoff         = 500 * time.Millisecond
+	// dialBackoff is the pause after a failed dial.
+	dialBackoff = 500 * time.Millisecond
+	// unresponsiveBackoff is the pause after a request to a peer that has stopped responding.
 	unresponsiveBackoff = time.Second
 )
 
+// respond passes a request to the handler and returns the response.
 func respond(ctx context.Context, h Handler, req *Request) *Response {
 	resp := &Response{}
 	var err error
@@ -195,7 +201,7 @@
 	case *Request_Promise:
 		resp.Promise, err = h.Promise(ctx, k.Promise)
 	default:
-		err = ErrUnavailable // a request of a later version
+		err = ErrUnavailable // a request that only a later version supports
 	}
 	if err != nil {
 		return &Response{Unable: true}
@@ -203,7 +209,7 @@
 	return resp
 }
 
-// readFrames passes the messages of a connection to handle until either fails. The
+// readFrames passes the messages of a connection to handle until reading or handle fails. A
 // message is valid only until handle returns.
 func readFrames(conn net.Conn, handle func(raw []byte) error) error {
 	f := frameReader{handle: handle}
@@ -233,24 +239,24 @@
 			frameErr = err
 			return netio.Stop
 		}
-		// Any number of messages may be queued, so only a read that finds nothing
-		// shows that none is left.
+		// More messages may have arrived. Only a read that finds no data shows that none is
+		// left.
 		return netio.Again
 	})
 	return errors.Join(err, frameErr)
 }
 
-// headerSize is the size of the length before each message.
+// headerSize is the size in bytes of the length field before each message.
 const headerSize = 4
 
-// frameReader splits the bytes read from a connection into messages.
+// frameReader splits the byte stream of a connection into messages.
 type frameReader struct {
 	handle func(raw []byte) error
-	// partial is the beginning of an incomplete message.
+	// partial is the received part of an incomplete message.
 	partial []byte
 }
 
-// feed appends what was read, and passes the complete messages to handle.
+// feed adds received bytes and passes each message that is now complete to handle.
 func (f *frameReader) feed(p []byte) error {
 	if len(f.partial) > 0 {
 		f.partial = append(f.partial, p...)
@@ -259,7 +265,7 @@
 	for len(p) >= headerSize {
 		n := binary.BigEndian.Uint32(p)
 		if n > maxMessage {
-			return fmt.Errorf("peer: message of %d bytes", n)
+			return fmt.Errorf("peer: message of %d bytes exceeds limit of %d", n, maxMessage)
 		}
 		if len(p)-headerSize < int(n) {
 			break
@@ -273,20 +279,21 @@
 	return nil
 }
 
-// outbox writes messages to a connection. Those that are queued at the same time are
-// written together: while a process lags, many are.
+// outbox writes messages to a connection. Messages that are queued at the same time are written in
+// one system call, which saves time when the process falls behind and many are queued.
 type outbox struct {
 	conn net.Conn
 
 	mu sync.Mutex
-	// queued holds the messages that are not being written yet.
-	queued    []byte
+	// queued holds the messages whose write has not begun.
+	queued []byte
+	// isWriting is set while a call of send writes messages.
 	isWriting bool
 	// deadline is the write deadline of conn.
 	deadline time.Time
 }
 
-// send writes a message, or queues it for the caller that is writing already.
+// send writes a message. If another call is writing, it only queues the message for that call.
 func (o *outbox) send(m proto.Message, timeout time.Duration) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -310,7 +317,7 @@
 		o.queued = nil
 		if now := time.Now(); o.deadline.Sub(now) < timeout {
 			o.deadline = now.Add(2 * timeout)
-			_ = o.conn.SetWriteDeadline(o.deadline) // fails if closed, and then Write does too
+			_ = o.conn.SetWriteDeadline(o.deadline) // if this fails, so does Write
 		}
 		o.mu.Unlock()
 		_, err = o.conn.Write(batch)
@@ -323,18 +330,21 @@
 	return nil
 }
 
-// Client sends requests to one peer. It keeps one connection, dialed when first needed.
+// Client sends requests to one peer over one connection, which it dials when a request needs it.
 type Client struct {
 	addr string
 
 	mu sync.Mutex
-	// out is the connection, nil while there is none.
-	out          *outbox
-	seq          uint64
-	pending      map[uint64]chan *Response
-	isDialing    bool
+	// out writes to the connection; nil while there is none.
+	out *outbox
+	// seq is the sequence number of the last request.
+	seq uint64
+	// pending holds, by sequence number, the channels of the requests without a response.
+	pending   map[uint64]chan *Response
+	isDialing bool
+	// backoffUntil is the time until which requests fail without being sent.
 	backoffUntil time.Time
-	// ConnectionRefused is set if the last dial was refused, rather than timed out.
+	// connectionRefused is set if the last dial failed because the connection was refused.
 	connectionRefused bool
 	// lastResponse is when the peer last responded to any request.
 	lastResponse time.Time
@@ -387,7 +397,7 @@
 	return err
 }
 
-// Loans sends loan entries to the leader of another cell.
+// Loans sends loan entries to a controller of another cell.
 func (c *Client) Loans(ctx context.Context, r *LoanRequest) (*LoanAnswer, error) {
 	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Loans{Loans: r}})
 	if err != nil {
@@ -399,7 +409,8 @@
 	return resp.Loans, nil
 }
 
-// Vote requests the peer's vote for this node's lease as leader of a term.
+// Vote requests the peer's vote for this node's lease as leader of a term, and reports whether the
+// peer granted it.
 func (c *Client) Vote(ctx context.Context, term uint64) (bool, error) {
 	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Grant{Grant: &GrantRequest{Term: term}}})
 	if err != nil {
@@ -408,8 +419,8 @@
 	return resp.Grant.GetGranted(), nil
 }
 
-// Promise requests the peer's promise not to vote in a term any more, and returns how long
-// its last vote is still valid.
+// Promise requests the peer's promise not to vote in a term any more, and returns for how long
+// votes that the peer has given may still be valid.
 func (c *Client) Promise(ctx context.Context, term uint64) (time.Duration, error) {
 	resp, err := c.roundTrip(ctx, &Request{Kind: &Request_Promise{Promise: &PromiseRequest{Term: term}}})
 	if err != nil {
@@ -421,6 +432,7 @@
 	return time.Duration(resp.Promise.WaitMs) * time.Millisecond, nil
 }
 
+// roundTrip sends a request and waits for the response.
 func (c *Client) roundTrip(ctx context.Context, req *Request) (*Response, error) {
 	ch := make(chan *Response, 1)
 	out, seq, err := c.register(ctx, ch)
@@ -432,21 +444,21 @@
 	sent := time.Now()
 	if err := out.send(req, requestTimeout); err != nil {
 		c.drop(out.conn)
-		return nil, fmt.Errorf("peer: %w", err)
+		return nil, fmt.Errorf("peer: send request: %w", err)
 	}
 	select {
 	case resp := <-ch:
 		if resp == nil {
-			return nil, errors.New("peer: connection lost")
+			return nil, errors.New("peer: connection lost before the response")
 		}
 		if resp.Unable {
 			return nil, ErrUnavailable
 		}
 		return resp, nil
 	case <-ctx.Done():
-		// Requests to a peer that has stopped responding fail at once for a while,
-		// so that users do not wait for it one after the other. A peer that has
-		// responded to other requests meanwhile is only slow with this one.
+		// A peer that has responded to no request since this one was sent has stopped
+		// responding. Further requests to it fail immediately for unresponsiveBackoff, so
+		// that each user does not wait for a timeout.
 		c.mu.Lock()
 		unresponsive := c.lastResponse.Before(sent)
 		if unresponsive {
@@ -456,12 +468,12 @@
 		if unresponsive {
 			c.drop(out.conn)
 		}
-		return nil, fmt.Errorf("peer: %w", ctx.Err())
+		return nil, fmt.Errorf("peer: wait for response: %w", ctx.Err())
 	}
 }
 
-// register returns the connection, dialing it if there is none, and the number under which
-// ch receives the response.
+// register adds a pending request, whose response ch will receive. It returns the connection, which
+// it dials if there is none, and the request's sequence number.
 func (c *Client) register(ctx context.Context, ch chan *Response) (*outbox, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -469,7 +481,7 @@
 		if c.connectionRefused {
 			return nil, 0, ErrConnectionRefused
 		}
-		return nil, 0, errors.New("peer: not reachable just now")
+		return nil, 0, errors.New("peer: not connected, backing off or dialing")
 	}
 	if c.out == nil {
 		c.isDialing = true
@@ -483,7 +495,7 @@
 			if c.connectionRefused {
 				return nil, 0, ErrConnectionRefused
 			}
-			return nil, 0, fmt.Errorf("peer: %w", err)
+			return nil, 0, fmt.Errorf("peer: dial %s: %w", c.addr, err)
 		}
 		c.out = &outbox{conn: conn}
 		go c.receive(conn)
@@ -493,15 +505,16 @@
 	return c.out, c.seq, nil
 }
 
+// unregister removes a pending request.
 func (c *Client) unregister(seq uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, seq)
 }
 
-// receive passes responses to the requests that wait for them, until the connection fails.
+// receive passes responses to the pending requests until the connection fails.
 func (c *Client) receive(conn net.Conn) {
-	// The error is that of the connection, which drop closes.
+	// The error needs no handling: drop closes the connection in any case.
 	_ = readFrames(conn, func(raw []byte) error {
 		var resp Response
 		if err := proto.Unmarshal(raw, &resp); err != nil {
@@ -520,7 +533,7 @@
 	c.drop(conn)
 }
 
-// drop closes a connection and fails all requests that wait on it.
+// drop closes a connection. If it is the current one, all pending requests fail.
 func (c *Client) drop(conn net.Conn) {
 	closeConn(conn)
 	c.mu.Lock()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,7 +14,7 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// answers is a Handler with fixed responses, of the leader of a term.
+// answers is a fake Handler with fixed responses: those of a leader in the given term.
 type answers struct{ term uint64 }
 
 func (a answers) Job(_ context.Context, id string) (*JobStatus, error) {
@@ -60,19 +60,20 @@
 	return nil
 }
 
-// newPipeClient is a client on a pipe, whose other end is served unless h is nil.
+// newPipeClient returns a client connected by a pipe, and the other end of the pipe. Unless h is nil,
+// it handles the requests.
 func newPipeClient(t *testing.T, h Handler) (*Client, net.Conn) {
 	t.Helper()
-	near, far := net.Pipe()
-	c := NewClient("nowhere")
-	c.out = &outbox{conn: near}
-	go c.receive(near)
+	clientEnd, serverEnd := net.Pipe()
+	c := NewClient("unused address")
+	c.out = &outbox{conn: clientEnd}
+	go c.receive(clientEnd)
 	if h != nil {
-		go serveConn(t.Context(), far, h)
+		go serveConn(t.Context(), serverEnd, h)
 	}
-	t.Cleanup(func() { closeConn(near) })
-	t.Cleanup(func() { closeConn(far) })
-	return c, far
+	t.Cleanup(func() { closeConn(clientEnd) })
+	t.Cleanup(func() { closeConn(serverEnd) })
+	return c, serverEnd
 }
 
 func TestRequestsBetweenControllers(t *testing.T) {
@@ -82,7 +83,7 @@
 		t.Errorf("known job: got %v, error %v; want done with 3 tasks", st, err)
 	}
 	if st, err := c.Job(ctx, "job-2"); err != nil || st.Known {
-		t.Errorf("unknown job: got %v, error %v; want one that is not known", st, err)
+		t.Errorf("unknown job: got %v, error %v; want Known false", st, err)
 	}
 	if _, err := c.Job(ctx, "job-3"); !errors.Is(err, ErrUnavailable) {
 		t.Errorf("job, no leader: got error %v, want %v", err, ErrUnavailable)
@@ -118,24 +119,24 @@
 	}
 }
 
-// A peer that closes the connection or sends a malformed message fails the pending
-// requests; none may wait for ever.
+// If the peer closes the connection or sends a malformed message, the pending requests fail
+// instead of waiting until their context ends.
 func TestBrokenConnectionFailsPendingRequests(t *testing.T) {
 	for name, sent := range map[string][]byte{
 		"closed":            nil, // sends nothing
 		"oversized message": {0xff, 0xff, 0xff, 0xff},
 		"malformed message": {0, 0, 0, 2, 0xff, 0xff},
 	} {
-		c, far := newPipeClient(t, nil)
+		c, serverEnd := newPipeClient(t, nil)
 		go func() {
-			if _, err := io.ReadFull(far, make([]byte, 6)); err != nil {
+			if _, err := io.ReadFull(serverEnd, make([]byte, 6)); err != nil {
 				t.Errorf("%s: read the request: %v", name, err)
 			}
 			if sent == nil {
-				closeConn(far)
+				closeConn(serverEnd)
 				return
 			}
-			if _, err := far.Write(sent); err != nil {
+			if _, err := serverEnd.Write(sent); err != nil {
 				t.Errorf("%s: write: %v", name, err)
 			}
 		}()
@@ -147,17 +148,17 @@
 	}
 }
 
-// blockedHandler does not respond to requests about jobs, as while the key-value store is
+// blockedHandler blocks on job queries, as a controller does while the key-value store is
 // unreachable.
 type blockedHandler struct{ answers }
 
-func (s blockedHandler) Job(ctx context.Context, _ string) (*JobStatus, error) {
+func (blockedHandler) Job(ctx context.Context, _ string) (*JobStatus, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// Requests about jobs that wait delay neither heartbeats nor pings, and those beyond the
-// limit are rejected at once.
+// Blocked job queries must not delay heartbeats and pings. Job queries beyond maxJobQueries are
+// rejected immediately.
 func TestHeartbeatsDoNotWaitBehindJobQueries(t *testing.T) {
 	c, _ := newPipeClient(t, blockedHandler{answers{term: 9}})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -183,8 +184,8 @@
 	}
 }
 
-// startServer serves a listener until ctx ends, by the end of the test at the latest, and
-// returns its address.
+// startServer serves a listener until ctx ends and returns the listener's address. The test waits
+// for the server to stop, so ctx must end with the test or before.
 func startServer(ctx context.Context, t *testing.T, ln net.Listener, h Handler) string {
 	t.Helper()
 	var served sync.WaitGroup
@@ -197,8 +198,8 @@
 	return ln.Addr().String()
 }
 
-// Concurrent requests over a socket: their messages are written together and arrive in
-// pieces that end anywhere.
+// Concurrent requests over a socket get their responses, although several messages are written at
+// once and reads may end in the middle of a message.
 func TestConcurrentRequestsOverSocket(t *testing.T) {
 	ln, err := netio.Listen("127.0.0.1:0")
 	if err != nil {
@@ -223,7 +224,7 @@
 	requests.Wait()
 }
 
-// dial connects to an address until the test ends.
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
@@ -234,7 +235,7 @@
 	return conn
 }
 
-// Connections beyond the limit are closed at once, and those that are open stay.
+// Connections beyond maxConns are closed immediately. Open connections are not affected.
 func TestConnectionsBeyondLimitAreClosed(t *testing.T) {
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
