--- a/internal/controller/relaydownlink.go
+++ b/internal/controller/relaydownlink.go
@@ -17,52 +17,61 @@
 	"example.org/ivytrestle/internal/relay"
 )
 
-// relayDownlink is the leader's side of the relay.
+// relayDownlink is the leader's side of the relay. It reads the batches of heartbeats of other nodes
+// and writes batches of commands for them. The rules of the relay are at the top of relayuplink.go.
 type relayDownlink struct {
+	// nodes holds the state of the relay with each other node, by name.
 	nodes    map[string]*relayNode
 	nextTick time.Time
 }
 
-// relayNode is one node that relays heartbeats.
+// relayNode is the state of the relay with one node.
 type relayNode struct {
+	// incarnation identifies the node's process, according to the last batch that was applied.
 	incarnation string
-	// receivedBatch is the node's last batch of heartbeats that was applied, batch the last
-	// batch of commands to it, and acknowledged the last that it has applied.
-	receivedBatch, batch, acknowledgedBatch uint64
-	// lastParts are the record of the last batch of commands.
+	// receivedBatch is the number of the node's last batch that was applied.
+	receivedBatch uint64
+	// batch is the number of the last batch of commands to the node.
+	batch uint64
+	// acknowledgedBatch is the number of the last batch of commands that the node has applied.
+	acknowledgedBatch uint64
+	// lastParts is the last batch of commands, packed into one record.
 	lastParts []relay.Part
+	// storeBusy is set while a request to the store about this node is in flight.
 	storeBusy bool
-	// pending are the machines whose commands have no outcome yet.
+	// pending holds, by machine, the commands whose outcome the node has not reported.
 	pending map[string]*relayedCommands
-	// sizeHalvings is how often a batch was rejected as too large, and OutcomeUnknown is
-	// set if the present one may have been written in spite of an error.
+	// sizeHalvings is how often a batch was rejected as too large. Each time, the size of the
+	// record was halved.
 	sizeHalvings int
+	// mayBeWritten is set once a transaction that writes lastParts may have been applied.
 	mayBeWritten bool
-	// batchMachines are the machines with commands in the last batch.
+	// batchMachines lists the machines with commands in the last batch.
 	batchMachines []string
 }
 
-// relayedCommands are the commands sent to a machine in response to its heartbeat baseSeq.
+// relayedCommands are the commands relayed to a machine in response to its heartbeat baseSeq.
 type relayedCommands struct {
 	baseSeq uint64
 	sentAt  time.Time
-	starts  []*cluster.Attempt
+	// starts lists the attempts that the commands start.
+	starts []*cluster.Attempt
 }
 
-// tick reads what unreachable nodes, and those with commands pending, have written.
-func (dl *relayDownlink) tick(lt *leaderTerm, now time.Time) {
-	if now.Before(dl.nextTick) {
+// tick reads the batches of the nodes that are unreachable or have commands pending.
+func (d *relayDownlink) tick(lt *leaderTerm, now time.Time) {
+	if now.Before(d.nextTick) {
 		return
 	}
-	dl.nextTick = now.Add(relayInterval / 2)
-	for name, mb := range lt.c.membership.Members {
-		node := dl.nodes[name]
+	d.nextTick = now.Add(relayInterval / 2)
+	for name, member := range lt.c.membership.Members {
+		node := d.nodes[name]
 		if node == nil {
 			node = &relayNode{pending: map[string]*relayedCommands{}}
-			dl.nodes[name] = node
+			d.nodes[name] = node
 		}
 		node.expirePending(lt, now)
-		if node.storeBusy || !mb.IsUnreachable() && len(node.pending) == 0 {
+		if node.storeBusy || !member.IsUnreachable() && len(node.pending) == 0 {
 			continue
 		}
 		node.storeBusy = true
@@ -71,17 +80,18 @@
 			defer cancel()
 			up, err := readUplink(ctx, lt.c.Store, records.RelayPrefix+name+"/up/")
 			if err != nil {
-				lt.c.Log.Debug("relayed heartbeats not read", "node", name, "err", err)
+				lt.c.Log.Debug("reading relayed heartbeats failed", "node", name, "err", err)
 			}
 			lt.sendToOwner(uplinkReadMsg{leaderTerm: lt, node: name, batch: up})
 		}()
 	}
 }
 
-// handleRestart handles the incarnation that a node reports. One that was restarted delivers
-// no command that it received before: the next heartbeats decide.
-func (dl *relayDownlink) handleRestart(lt *leaderTerm, name, incarnation string) {
-	node := dl.nodes[name]
+// handleRestart resolves the pending commands to a node if the reported incarnation shows that it was
+// restarted. Its new process delivers none of them, but the earlier one may have delivered them.
+// Therefore the next heartbeat of each machine decides which attempts are running.
+func (d *relayDownlink) handleRestart(lt *leaderTerm, name, incarnation string) {
+	node := d.nodes[name]
 	if node == nil || incarnation == "" || node.incarnation == incarnation {
 		return
 	}
@@ -91,8 +101,9 @@
 	}
 }
 
-// expirePending bounds how long commands wait for a node that reports no outcome. Their
-// machine gets no more work, and its termination resolves their outcome.
+// expirePending stops waiting for the outcome of commands after outcomeTimeout. If they include starts
+// that no heartbeat has shown, their outcome stays unknown until the machine is terminated. The
+// machine is evacuated and therefore assigned no more tasks.
 func (n *relayNode) expirePending(lt *leaderTerm, now time.Time) {
 	for name, p := range n.pending {
 		if now.Sub(p.sentAt) < outcomeTimeout {
@@ -111,7 +122,7 @@
 	}
 }
 
-// readUplink reads the batch that a node has written; nil: there is none.
+// readUplink reads the batch that a node has written. It returns nil if there is none.
 func readUplink(ctx context.Context, store kv.Service, prefix string) (*peer.RelayUp, error) {
 	page, err := store.Range(ctx, prefix, "", 2*maxRelayParts)
 	if err != nil || len(page.Entries) == 0 {
@@ -121,7 +132,7 @@
 	for _, e := range page.Entries {
 		var p relay.Part
 		if err := json.Unmarshal(e.Value, &p); err != nil || !strings.HasPrefix(e.Key, prefix) {
-			return nil, fmt.Errorf("relay: record %s: %w", e.Key, err)
+			return nil, fmt.Errorf("relay: decode record %s: %w", e.Key, err)
 		}
 		parts = append(parts, p)
 	}
@@ -132,7 +143,7 @@
 	return &up, nil
 }
 
-// uplinkReadMsg carries the batch that a node has written; nil: there is none.
+// uplinkReadMsg contains the batch that a node has written; nil if there is none or reading failed.
 type uplinkReadMsg struct {
 	leaderTerm *leaderTerm
 	node       string
@@ -179,9 +190,9 @@
 	lt.writeDownlink(m.node, node)
 }
 
-// handleRelayedHeartbeat applies a relayed heartbeat and adds the commands that respond to
-// it to the batch. The machine gets none before the last batch is acknowledged, nor while
-// commands of its own are pending.
+// handleRelayedHeartbeat applies a relayed heartbeat and adds the commands that respond to it to batch
+// down. It withholds them if the node has not acknowledged the previous batch, or if commands to the
+// machine are pending. Then the machine is not assigned tasks either.
 func (lt *leaderTerm) handleRelayedHeartbeat(
 	node *relayNode, hb *api.Heartbeat, down *peer.RelayDown, acknowledged bool, now time.Time,
 ) {
@@ -214,8 +225,9 @@
 	})
 }
 
-// applyOutcome records the outcome of commands: deliveredIn is the heartbeat in response
-// to which they were delivered, or 0.
+// applyOutcome records the outcome of commands. deliveredIn is the sequence number of the heartbeat in
+// whose response they were delivered, or 0 if they were not and never will be. In the latter case the
+// attempts that they start are removed.
 func (p *relayedCommands) applyOutcome(lt *leaderTerm, deliveredIn uint64) {
 	for _, a := range p.starts {
 		a.DirectStart.InFlight = false
@@ -227,7 +239,7 @@
 	}
 }
 
-// revokeHalf revokes the latter half of a machine's commands, which were never written.
+// revokeHalf revokes the second half of the commands in o, which were not written to the store.
 func (p *relayedCommands) revokeHalf(lt *leaderTerm, o *peer.RelayOrders) {
 	o.Orders = o.Orders[:len(o.Orders)/2]
 	revoked := &relayedCommands{}
@@ -243,8 +255,8 @@
 	revoked.applyOutcome(lt, 0)
 }
 
-// packDownlink packs a new batch of commands into the node's record. It revokes the
-// commands that do not fit, and returns false if even a batch without any does not.
+// packDownlink packs a new batch of commands into lastParts, and revokes the commands that do not fit.
+// It reports whether this succeeded; it fails if not even a batch without commands fits.
 func (lt *leaderTerm) packDownlink(node *relayNode, down *peer.RelayDown) bool {
 	size := max(maxRelayRecordBytes(lt.c.Settings.Site.State, 1)>>node.sizeHalvings, minRelayRecordBytes)
 	parts, err := relay.Pack(down, down.Batch, 1, size)
@@ -253,7 +265,7 @@
 		parts, err = relay.Pack(down, down.Batch, 1, size)
 	}
 	if err != nil {
-		lt.c.Log.Error("relay batch not packed", "err", err)
+		lt.c.Log.Error("packing relayed commands failed", "err", err)
 		return false
 	}
 	node.lastParts, node.mayBeWritten, node.batchMachines = parts, false, nil
@@ -263,9 +275,9 @@
 	return true
 }
 
-// shrinkBatch revokes the commands of the last quarter of a batch's machines, and of a
-// single machine half of its commands: revoked as a whole, they would be the same again
-// next time.
+// shrinkBatch revokes the commands to the last quarter of a batch's machines. If there is only one
+// machine, it revokes half of the commands to it: if it revoked all, the same commands would be
+// added to the next batch and be too large again.
 func (n *relayNode) shrinkBatch(lt *leaderTerm, down *peer.RelayDown) {
 	if only := down.Orders[0]; len(down.Orders) == 1 && len(only.Orders) > 1 {
 		n.pending[only.Machine].revokeHalf(lt, only)
@@ -278,7 +290,7 @@
 	down.Orders = down.Orders[:kept]
 }
 
-// revoke records that a machine's pending commands will never be delivered.
+// revoke removes the pending commands to a machine, as commands that will never be delivered.
 func (n *relayNode) revoke(lt *leaderTerm, machine string) {
 	if p := n.pending[machine]; p != nil {
 		p.applyOutcome(lt, 0)
@@ -286,8 +298,8 @@
 	}
 }
 
-// writeDownlink writes the node's record. Until a batch is acknowledged, the same one is
-// written again.
+// writeDownlink writes the last batch of commands for the node. The same batch is written again until
+// the node acknowledges it.
 func (lt *leaderTerm) writeDownlink(name string, node *relayNode) {
 	if len(node.lastParts) == 0 {
 		return
@@ -303,13 +315,13 @@
 		defer cancel()
 		_, err := lt.c.Store.Txn(ctx, txn)
 		if err != nil {
-			lt.c.Log.Debug("relayed commands not written", "node", name, "err", err)
+			lt.c.Log.Debug("writing relayed commands failed", "node", name, "err", err)
 		}
 		lt.sendToOwner(downlinkWrittenMsg{leaderTerm: lt, node: name, err: err})
 	}()
 }
 
-// downlinkWrittenMsg is the result of the transaction that wrote a node's record.
+// downlinkWrittenMsg contains the result of the transaction that writes a batch of commands.
 type downlinkWrittenMsg struct {
 	leaderTerm *leaderTerm
 	node       string
@@ -326,12 +338,12 @@
 		node.mayBeWritten = true
 		return
 	}
-	c.Log.Error("relayed commands rejected as too large", "node", m.node)
+	c.Log.Error("key-value store rejected relayed commands as too large", "node", m.node)
 	node.sizeHalvings = min(node.sizeHalvings+1, maxSizeHalvings)
 	if len(node.lastParts) == 0 || node.mayBeWritten {
-		return // the node may have read it: its outcomes, or their timeout, decide
+		return // the node may have read the batch: its outcomes, or their timeout, decide
 	}
-	// It was never written, so none of its commands was delivered: the state before the
+	// The batch was never written, so none of its commands was delivered. The state before the
 	// batch is restored.
 	for _, machine := range node.batchMachines {
 		node.revoke(m.leaderTerm, machine)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -495,7 +495,7 @@
 			if c.connectionRefused {
 				return nil, 0, ErrConnectionRefused
 			}
-			return nil, 0, fmt.Errorf("peer: dial %s: %w", c.addr, err)
+			return nil, 0, fmt.Errorf("peer: %w", err)
 		}
 		c.out = &outbox{conn: conn}
 		go c.receive(conn)
