--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -20,57 +20,61 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// cellGroup is some cells that lend each other capacity, with machines that run tasks, and a
-// checker over all of them.
+// cellGroup is a simulated group of cells that lend each other capacity. It has machines that run tasks,
+// and checks invariants over all cells.
 type cellGroup struct {
 	t     *testing.T
 	cells []*cell
-	// goroutines are the group's own goroutines, which end before its nodes do.
+	// goroutines counts the goroutines that must end before the nodes are stopped.
 	goroutines sync.WaitGroup
 
-	// mu guards what follows, and the jobs' own fields.
-	mu   sync.Mutex
+	// mu guards the fields below and the fields of jobs.
+	mu sync.Mutex
+	// jobs holds all submitted jobs by id.
 	jobs map[string]*cellJob
-	// cut are the links, from cell to cell, on which no request arrives; responseCut those on
-	// which no response does.
-	cut, responseCut map[string]bool
-	// maxRepeatDelay is within what time a request is delivered once more, with the age that it then
-	// has; 0 means never.
+	// cut holds the links, as "from>to", on which requests are lost.
+	cut map[string]bool
+	// responseCut holds the links on which responses are lost.
+	responseCut map[string]bool
+	// maxRepeatDelay is the maximum random delay after which a second copy of each request is
+	// delivered; 0 means that requests are not repeated.
 	maxRepeatDelay time.Duration
-	// requestDelay is how long a request takes to arrive.
+	// requestDelay is added to the time that each request takes.
 	requestDelay time.Duration
 	random       *rand.Rand
-	// requests counts the requests sent, also those that were cut.
+	// requests is the number of requests sent, including lost ones.
 	requests int
 }
 
-// cell is one of the cells.
+// cell is one cell of a group.
 type cell struct {
 	*simulatedCluster
 	group  *cellGroup
 	name   string
 	nodes  []*node
 	agents []*worker
-	// taskStartedAt is when tasks started, by machine and task.
+	// taskStartedAt holds when tasks started, by machine and task.
 	taskStartedAt map[string]time.Time
-	// hangUntil is until when its machines neither send heartbeats nor apply commands.
+	// hangUntil is the time until which the machines neither send heartbeats nor apply commands.
 	hangUntil time.Time
 }
 
-// cellJob is a job as its user observes it.
+// cellJob is a job with the answers that its user got.
 type cellJob struct {
 	home *cell
 	spec *api.JobSpec
-	// duration is how long its tasks run.
+	// duration is how long each task runs.
 	duration time.Duration
-	// endPhase is the final phase that a user got as an answer, or "".
+	// endPhase is the final phase that was answered to the user, or "".
 	endPhase string
 	// cancelledAt is when a cancellation was confirmed.
 	cancelledAt time.Time
-	lent        bool
+	// lent is set once a task of the job has run in another cell.
+	lent bool
 }
 
-// simulateCells runs a test with one cell for each number of machines.
+// simulateCells runs a test on a fake clock, with one cell for each element of machines, which is the
+// cell's number of machines.
 func simulateCells(t *testing.T, machines []int, f func(g *cellGroup)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -103,12 +107,13 @@
 	})
 }
 
-func (g *cellGroup) addCell(name string, of, machines int) {
+// addCell adds a cell that has all other cells of the group as its neighbours.
+func (g *cellGroup) addCell(name string, cellCount, machines int) {
 	w := newSimulatedCluster(g.t)
 	w.teams = []config.Team{{Name: "red", CPUs: 8, LimitCPUs: 16}, {Name: "blue", CPUs: 4, LimitCPUs: 12}}
 	c := &cell{simulatedCluster: w, group: g, name: name, taskStartedAt: map[string]time.Time{}}
 	w.cells = &cells.Settings{Cell: name, MaxLoans: 50}
-	for i := range of {
+	for i := range cellCount {
 		if other := fmt.Sprint("cell-", string(rune('a'+i))); other != name {
 			w.cells.Neighbours = append(w.cells.Neighbours, cells.Neighbour{Cell: other})
 		}
@@ -127,8 +132,7 @@
 	}
 }
 
-// startNode starts a controller with the spillover policy of these tests, which scales
-// nothing in.
+// startNode starts controller i of the cell. Its policy lends jobs early and scales in no machines.
 func (c *cell) startNode(i int) {
 	n := c.start(fmt.Sprintf("n%d", i))
 	n.inspect(func(ctl *Controller) {
@@ -139,18 +143,18 @@
 	c.setNode(i, n)
 }
 
-// restartNode crashes a controller and starts it again after a while.
-func (c *cell) restartNode(i int, away time.Duration) {
+// restartNode crashes controller i of the cell and starts it again after a downtime.
+func (c *cell) restartNode(i int, downtime time.Duration) {
 	c.currentNodes()[i].crash()
-	time.Sleep(away)
+	time.Sleep(downtime)
 	c.startNode(i)
 }
 
-// leader is the controller that leads, or nil.
+// leader returns the cell's leader, or nil if it has none.
 func (c *cell) leader() *node {
 	for _, n := range c.currentNodes() {
 		leads := false
-		n.tryInspect(func(o *Controller) { leads = o.holdsLease() && o.leaderTerm.loaded })
+		n.tryInspect(func(c *Controller) { leads = c.holdsLease() && c.leaderTerm.loaded })
 		if leads {
 			return n
 		}
@@ -158,23 +162,24 @@
 	return nil
 }
 
-// cellLink is one cell's link to the others.
+// cellLink implements CellLink for one cell of a group.
 type cellLink struct {
 	group *cellGroup
 	from  string
 }
 
+// errCut is the error of a request that was lost, or whose response was lost.
 var errCut = errors.New("cut")
 
 // Loans implements CellLink.
-func (k cellLink) Loans(ctx context.Context, to string, req *loan.Request) (*loan.Response, error) {
-	g := k.group
+func (l cellLink) Loans(ctx context.Context, to string, req *loan.Request) (*loan.Response, error) {
+	g := l.group
 	g.mu.Lock()
 	delay := g.requestDelay
 	g.mu.Unlock()
 	time.Sleep(3*time.Millisecond + delay)
 	g.mu.Lock()
-	link := k.from + ">" + to
+	link := l.from + ">" + to
 	cut, responseCut, repeat := g.cut[link], g.responseCut[link], g.maxRepeatDelay
 	if repeat > 0 {
 		repeat = time.Duration(g.random.Int64N(int64(repeat)))
@@ -186,7 +191,7 @@
 	}
 	target := g.cells[slices.IndexFunc(g.cells, func(c *cell) bool { return c.name == to })]
 	if repeat > 0 {
-		// The response to a late copy reaches nobody.
+		// Nothing waits for the response to the second copy.
 		time.AfterFunc(repeat, func() { _, _ = target.deliverLoans(req) })
 	}
 	response, err := target.deliverLoans(req)
@@ -196,7 +201,7 @@
 	return response, err
 }
 
-// deliverLoans delivers a request to the cell's leader.
+// deliverLoans delivers a request to the cell's nodes in turn until one, the leader, responds.
 func (c *cell) deliverLoans(req *loan.Request) (*loan.Response, error) {
 	for _, n := range c.currentNodes() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -209,28 +214,30 @@
 	return nil, api.ErrUnavailable
 }
 
+// setCut sets whether requests from one cell to another are lost.
 func (g *cellGroup) setCut(from, to string, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cut[from+">"+to] = cut
 }
 
+// setResponseCut sets whether the responses to requests from one cell to another are lost.
 func (g *cellGroup) setResponseCut(from, to string, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.responseCut[from+">"+to] = cut
 }
 
-// runMachines has all machines send heartbeats and run their tasks, and checks what runs, ten
-// times in three seconds.
+// runMachines has all machines run their tasks and send heartbeats every 300 ms, and checks the
+// invariants each time.
 func (g *cellGroup) runMachines(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, c := range g.cells {
-			for _, k := range c.responsiveAgents() {
+			for _, agent := range c.responsiveAgents() {
 				if ctx.Err() != nil {
 					return
 				}
-				c.runAgent(k)
+				c.runAgent(agent)
 			}
 		}
 		g.check()
@@ -238,7 +245,7 @@
 	}
 }
 
-// responsiveAgents are the machines that do not hang.
+// responsiveAgents returns the cell's agents, or nil while they hang.
 func (c *cell) responsiveAgents() []*worker {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
@@ -248,13 +255,14 @@
 	return c.agents
 }
 
-// currentNodes are the cell's controllers as they are at present.
+// currentNodes returns a copy of the list of the cell's controllers.
 func (c *cell) currentNodes() []*node {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
 	return slices.Clone(c.nodes)
 }
 
+// setNode sets controller i of the cell.
 func (c *cell) setNode(i int, n *node) {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
@@ -264,13 +272,13 @@
 	c.nodes[i] = n
 }
 
-// runAgent ends the tasks of a machine whose time is up, and sends a heartbeat to the first
-// node that responds.
-func (c *cell) runAgent(k *worker) {
-	k.mu.Lock()
-	for i := range k.status.Tasks {
-		task := &k.status.Tasks[i]
-		name := k.status.Machine + " " + task.Task
+// runAgent ends the tasks of a machine that have run for their duration, and sends a heartbeat to the
+// first node that responds.
+func (c *cell) runAgent(agent *worker) {
+	agent.mu.Lock()
+	for i := range agent.status.Tasks {
+		task := &agent.status.Tasks[i]
+		name := agent.status.Machine + " " + task.Task
 		if task.Phase == api.TaskExited {
 			delete(c.taskStartedAt, name)
 			continue
@@ -283,28 +291,28 @@
 			task.Phase, task.Cause = api.TaskExited, api.CauseDone
 		}
 	}
-	k.mu.Unlock()
+	agent.mu.Unlock()
 	for _, n := range c.currentNodes() {
-		if commands, err := k.sendHeartbeat(n); err == nil {
-			k.applyCommands(commands)
+		if commands, err := agent.sendHeartbeat(n); err == nil {
+			agent.applyCommands(commands)
 			return
 		}
 	}
 }
 
-// check checks all machines of all cells: each task is on at most one, each team is within its
-// limit, and nothing runs for long after it was cancelled.
+// check checks the invariants over all cells: each task runs on at most one machine, no team exceeds its
+// limit, and the tasks of cancelled or ended jobs do not continue to run.
 func (g *cellGroup) check() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	machineOf := map[string]string{}
 	used := map[string]float64{}
 	for _, c := range g.cells {
-		for _, k := range c.agents {
-			machine := c.name + "/" + k.status.Machine
-			for _, task := range k.running() {
+		for _, agent := range c.agents {
+			machine := c.name + "/" + agent.status.Machine
+			for _, task := range agent.running() {
 				if machineOf[task] != "" {
-					g.t.Errorf("%s runs on %s and on %s", task, machineOf[task], machine)
+					g.t.Errorf("task %s runs on %s and on %s", task, machineOf[task], machine)
 				}
 				machineOf[task] = machine
 				id, _, _ := cluster.ParseTaskRef(task)
@@ -323,33 +331,34 @@
 	}
 }
 
-// checkMayRun checks that a task may still run on a machine of a cell, and records that its
-// job was lent. The caller holds the lock.
+// checkMayRun checks that a task of a job may run on a machine of cell c, and records whether the job
+// was lent. The caller holds g.mu.
 func (g *cellGroup) checkMayRun(j *cellJob, c *cell, task, machine string) {
 	if c != j.home {
 		j.lent = true
 	}
 	if !j.cancelledAt.IsZero() && time.Since(j.cancelledAt) > 30*time.Second {
-		g.t.Errorf("%s runs %v after its cancellation", task, time.Since(j.cancelledAt))
+		g.t.Errorf("task %s runs %v after its cancellation", task, time.Since(j.cancelledAt))
 	}
 	if j.endPhase == api.JobDone || j.endPhase != "" && c != j.home {
-		g.t.Errorf("%s runs on %s though its job is answered as %s", task, machine, j.endPhase)
+		g.t.Errorf("task %s runs on %s although its job was answered as %s", task, machine, j.endPhase)
 	}
 }
 
-// job returns a job by its id, or nil.
+// job returns the job with an id, or nil.
 func (g *cellGroup) job(id string) *cellJob {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.jobs[id]
 }
 
-// recordPhase checks and records the phase of a job that a user got as an answer.
+// recordPhase records a phase of a job that was answered to the user. It checks that no other phase
+// follows a final one.
 func (g *cellGroup) recordPhase(j *cellJob, phase string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if j.endPhase != "" && phase != j.endPhase {
-		g.t.Errorf("%s was answered as %s, and now as %s", j.spec.ID, j.endPhase, phase)
+		g.t.Errorf("job %s was answered as %s, and now as %s", j.spec.ID, j.endPhase, phase)
 	}
 	if phase == api.JobDone || phase == api.JobCancelled {
 		j.endPhase = phase
@@ -359,11 +368,11 @@
 	}
 }
 
-// submit submits a job in a cell until it is accepted.
-func (g *cellGroup) submit(c *cell, s *api.JobSpec, takes time.Duration) {
+// submit submits a job in a cell, and retries until it is accepted. The job's tasks run for duration.
+func (g *cellGroup) submit(c *cell, s *api.JobSpec, duration time.Duration) {
 	g.t.Helper()
 	g.mu.Lock()
-	g.jobs[s.ID] = &cellJob{home: c, spec: s, duration: takes}
+	g.jobs[s.ID] = &cellJob{home: c, spec: s, duration: duration}
 	g.mu.Unlock()
 	for range 20 {
 		for _, n := range c.currentNodes() {
@@ -376,11 +385,11 @@
 		}
 		time.Sleep(time.Second)
 	}
-	g.t.Fatalf("%s not accepted", s.ID)
+	g.t.Fatalf("job %s was not accepted", s.ID)
 }
 
-// poll requests a job's state at each node of its cell, and checks the answers. It returns the
-// last of them.
+// poll requests a job's phase from each node of its home cell, records the answers with recordPhase, and
+// returns the last one, or "" if no node answered.
 func (g *cellGroup) poll(id string) string {
 	g.t.Helper()
 	j := g.job(id)
@@ -390,9 +399,9 @@
 		switch phase {
 		case api.JobPending, api.JobRunning, api.JobDone, api.JobCancelled:
 		case api.ErrUnknownJob.Error():
-			g.t.Errorf("%s is forgotten", id)
+			g.t.Errorf("job %s is unknown at %s", id, j.home.name)
 		default:
-			continue // not answered
+			continue // an error
 		}
 		last = phase
 		g.recordPhase(j, phase)
@@ -400,7 +409,8 @@
 	return last
 }
 
-// cancel requests to cancel a job, until that is confirmed or for so many seconds.
+// cancel requests a job's cancellation once per second until it is confirmed, at most as many times as
+// seconds. It returns the phase that was answered, or "not confirmed".
 func (g *cellGroup) cancel(id string, seconds int) string {
 	j := g.job(id)
 	for i := range seconds {
@@ -416,7 +426,7 @@
 	return "not confirmed"
 }
 
-// awaitAllEnded waits until all jobs have ended and no cell has a record of a loan left.
+// awaitAllEnded waits until all jobs have ended and no cell has records of active jobs or ended guests.
 func (g *cellGroup) awaitAllEnded(within time.Duration) {
 	g.t.Helper()
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(2 * time.Second) {
@@ -430,10 +440,10 @@
 			return
 		}
 	}
-	g.t.Errorf("not ended within %v: %v, loans %v", within, g.unfinished(), g.loanRecords())
+	g.t.Errorf("not ended within %v: jobs %v, records %v", within, g.unfinished(), g.loanRecords())
 }
 
-// unfinished lists the jobs of which no end was answered, with their cells.
+// unfinished lists the jobs for which no final phase was answered, with their home cells.
 func (g *cellGroup) unfinished() (ids []string) {
 	for id, j := range g.jobs {
 		if j.endPhase == "" {
@@ -444,7 +454,7 @@
 	return ids
 }
 
-// loanRecords lists the records of active jobs, and of guests that have ended, in all cells.
+// loanRecords lists the records of active jobs and of ended guests in all cells.
 func (g *cellGroup) loanRecords() (keys []string) {
 	for _, c := range g.cells {
 		for _, prefix := range []string{records.ActivePrefix + "job-", loan.EndKey("", "")[:len("loan/end/")]} {
@@ -456,7 +466,7 @@
 	return keys
 }
 
-// countLent counts the jobs of which tasks ran in another cell.
+// countLent returns how many jobs have had tasks running in another cell.
 func (g *cellGroup) countLent() (count int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -468,44 +478,45 @@
 	return count
 }
 
-// wasLent reports whether a task of a job ran in another cell.
+// wasLent reports whether a task of a job has run in another cell.
 func (g *cellGroup) wasLent(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.jobs[id].lent
 }
 
-// submitBurst submits jobs of three to six tasks in a cell.
-func (g *cellGroup) submitBurst(c *cell, first, jobs int, takes time.Duration) (ids []string) {
+// submitBurst submits jobs of three to six tasks in a cell, with ids numbered from first, and returns
+// their ids. Each task runs for duration.
+func (g *cellGroup) submitBurst(c *cell, first, jobs int, duration time.Duration) (ids []string) {
 	for i := range jobs {
-		s := spec(fmt.Sprintf("job-%d", first+i), 3+i%4) // some start in part
+		s := spec(fmt.Sprintf("job-%d", first+i), 3+i%4) // only part of the tasks of some jobs start at first
 		if i%3 == 2 {
 			s.Team = "blue"
 		}
-		g.submit(c, s, takes)
+		g.submit(c, s, duration)
 		ids = append(ids, s.ID)
 	}
 	return ids
 }
 
-// A cell with more work than machines lends to its neighbours; all jobs end, and no cell keeps
-// a record of a loan.
+// A cell with more work than its machines can run lends jobs to its neighbours. All jobs are done in
+// the end, and no cell keeps records of the loans.
 func TestSpillover(t *testing.T) {
 	simulateCells(t, []int{1, 3, 3}, func(g *cellGroup) {
 		g.submitBurst(g.cells[0], 100, 12, 20*time.Second)
 		g.awaitAllEnded(5 * time.Minute)
 		if g.countLent() < 3 {
-			t.Errorf("%d of %d jobs ran in another cell", g.countLent(), len(g.jobs))
+			t.Errorf("got %d of %d jobs that ran in another cell, want at least 3", g.countLent(), len(g.jobs))
 		}
 		for id, j := range g.jobs {
 			if j.endPhase != api.JobDone {
-				t.Errorf("%s: %s", id, j.endPhase)
+				t.Errorf("%s: got end %q, want %q", id, j.endPhase, api.JobDone)
 			}
 		}
 	})
 }
 
-// awaitLent waits until one of some jobs runs as a guest in another cell, and returns its id.
+// awaitLent waits until one of the jobs has run in another cell, and returns its id.
 func (g *cellGroup) awaitLent(ids []string) string {
 	g.t.Helper()
 	for range 60 {
@@ -516,6 +527,6 @@
 		}
 		time.Sleep(time.Second)
 	}
-	g.t.Fatalf("nothing was lent of %s", strings.Join(ids, " "))
+	g.t.Fatalf("none of the jobs was lent: %s", strings.Join(ids, " "))
 	return ""
 }
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -56,10 +56,10 @@
 	// outcomeRetention is how long the follower continues to report an outcome once it no longer
 	// relays, because the leader is reachable again or another node leads.
 	outcomeRetention = time.Minute
-	// minRelayRecordBytes is the minimum to which the size of records is reduced after batches
-	// were rejected as too large.
+	// minRelayRecordBytes is the lower limit for the size of records, which is halved each time a
+	// batch is rejected as too large.
 	minRelayRecordBytes = 256
-	// maxSizeHalvings is how often the size of records is halved at most.
+	// maxSizeHalvings is the maximum number of times that the size is halved.
 	maxSizeHalvings = 8
 	// relayedHeartbeatBytes is the approximate size of a heartbeat without tasks in a batch before
 	// compression.
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -18,7 +18,7 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// putsActive reports whether a transaction puts an active record that matches.
+// putsActive returns a function that reports whether a transaction puts an active record that matches.
 func putsActive(match func(records.ActiveRecord) bool) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool {
 		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool {
@@ -28,49 +28,52 @@
 	}
 }
 
-// The active record of a job that is lent, of a guest, and of a job that was lent.
+// Whether a transaction puts the active record of a lent job, of a guest, or of a reclaimed job.
 var (
 	putsLent      = putsActive(func(rec records.ActiveRecord) bool { return rec.Lent != nil })
 	putsGuest     = putsActive(func(rec records.ActiveRecord) bool { return rec.Guest != nil })
 	putsReclaimed = putsActive(func(rec records.ActiveRecord) bool { return rec.Spec.ID != "" && rec.LoanCount > 0 })
 )
 
-// putsUnder reports whether a transaction puts a record under a prefix, other than an active one.
+// putsUnder returns a function that reports whether a transaction puts a record under a prefix, other
+// than an active record.
 func putsUnder(prefix string) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool {
 		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool {
-			_, active := op.Value.(records.ActiveRecord)
-			return !active && strings.HasPrefix(op.Put, prefix)
+			_, isActive := op.Value.(records.ActiveRecord)
+			return !isActive && strings.HasPrefix(op.Put, prefix)
 		})
 	}
 }
 
-// deletesUnder reports whether a transaction deletes a record under a prefix.
+// deletesUnder returns a function that reports whether a transaction deletes a record under a prefix.
 func deletesUnder(prefix string) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool {
 		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool { return strings.HasPrefix(op.Delete, prefix) })
 	}
 }
 
-// loanStep is a step of a loan: the cell that writes it, and its transaction.
+// loanStep is a step of a loan: the index of the cell that writes it, and which transactions write it.
 type loanStep struct {
 	name  string
 	cell  int
 	match func(kv.Txn) bool
-	// hostBusy is set if the host needs work of its own to reject or return loans.
+	// hostBusy is set if the step occurs only while the host has jobs of its own, so that it rejects
+	// or returns loans.
 	hostBusy bool
 }
 
-// storeFault is what goes wrong with a transaction.
+// storeFault is a fault of a cell's key-value store.
 type storeFault struct {
 	name   string
 	inject func(c *cell, match func(kv.Txn) bool)
-	// restart is set if the leader may restart while the fault lasts.
+	// restart is set if the test is repeated with a restart of the leader during the fault.
 	restart bool
 }
 
-// Each step of a loan has its response lost, is applied late or fails for a while, also
-// while the leader that sent it ends: the job still has one end, in one cell.
+// The transaction of each step of a loan loses its response or is applied late, with and without a
+// restart of the leader that sent it, or fails during an outage of the key-value store. Each job must
+// still run in only one cell at a time and end once.
 func TestLoanStepsThatFail(t *testing.T) {
 	steps := []loanStep{
 		{name: "lend", cell: 0, match: putsLent},
@@ -112,6 +115,7 @@
 	}
 }
 
+// testLoanStep injects a fault into a step of a loan, and checks that all jobs are done in the end.
 func testLoanStep(t *testing.T, g *cellGroup, step loanStep, fault storeFault, restart bool) {
 	t.Helper()
 	c := g.cells[step.cell]
@@ -134,7 +138,7 @@
 	}
 }
 
-// healStore ends all faults of the cell's store, and applies what it has delayed.
+// healStore ends all faults of the cell's store and applies the delayed transactions.
 func (c *cell) healStore() {
 	c.store.SetDown(false)
 	c.store.LoseResponses(nil)
@@ -142,8 +146,9 @@
 	c.store.ApplyDelayed()
 }
 
-// An acceptance without a response is applied minutes later, when the host has closed the
-// loan and home runs the job itself: it fails by the minimum epoch.
+// The transaction that accepts a loan gets no response and is applied almost a minute later, when the
+// host has closed the loan and home runs the job itself. It must fail, because its epoch is not above
+// the minimum epoch.
 func TestAcceptanceAppliedLate(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
@@ -169,8 +174,9 @@
 	})
 }
 
-// The first copy of an acceptance is applied after a second one, when the host has returned
-// the loan, under the same leader: only the minimum epoch rejects it.
+// The transaction that accepts a loan is delayed, and a second copy is applied first. The host then
+// returns the loan, and the first copy is applied in the same term of the host's leader. Only the
+// minimum epoch prevents the loan from being accepted again.
 func TestAcceptanceAppliedAgain(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
@@ -201,8 +207,8 @@
 	})
 }
 
-// returnGuests has the first node return all guests that have not started, and reports
-// whether there were any.
+// returnGuests has node 0, the leader, return all guests that have not started, and reports whether
+// there were any.
 func (c *cell) returnGuests() (returned bool) {
 	c.nodes[0].inspect(func(ctl *Controller) {
 		for _, j := range ctl.leaderTerm.jobs {
@@ -215,7 +221,7 @@
 	return returned
 }
 
-// The next leader at home counts the budgets of loans against the limits of its teams.
+// After a takeover, the new leader at home counts the budgets of loans against the limits of its teams.
 func TestLoansCountAgainstLimitsAfterATakeover(t *testing.T) {
 	simulateCells(t, []int{1, 4}, func(g *cellGroup) {
 		home := g.cells[0]
@@ -239,14 +245,15 @@
 		time.Sleep(3 * time.Second)
 		after, used := lent()
 		if before == 0 || after != before || used < after {
-			t.Errorf("got budgets of %v CPUs before, %v after; %v CPUs in use", before, after, used)
+			t.Errorf("budgets of loans: got %v CPUs before the takeover, %v after; used by teams: %v CPUs",
+				before, after, used)
 		}
 		g.awaitAllEnded(5 * time.Minute)
 	})
 }
 
-// Links fail in all ways while the cells change their leaders, lend to each other, and users
-// cancel: seeds of random faults, three cells of which each lends to the next.
+// Three cells lend jobs to each other while links, key-value stores and leaders fail at random and users
+// cancel jobs. Each seed yields another sequence of faults.
 func TestSpilloverUnderRandomFaults(t *testing.T) {
 	lentJobs, loans := 0, 0
 	for seed := range uint64(12) {
@@ -263,13 +270,13 @@
 		})
 	}
 	if lentJobs < 20 {
-		t.Errorf("got %d jobs that ran in another cell, want at least 20: little was tested", lentJobs)
+		t.Errorf("got %d jobs that ran in another cell, want at least 20 for the test to be meaningful", lentJobs)
 	}
 	t.Logf("%d jobs ran in another cell, %d loans by the last leaders", lentJobs, loans)
 }
 
-// runRandomFaults submits jobs, injects faults and cancels jobs at random, and waits until
-// all jobs have ended.
+// runRandomFaults submits jobs, injects faults and cancels jobs, all at random times, and waits until all
+// jobs have ended.
 func (g *cellGroup) runRandomFaults(seed uint64) {
 	g.t.Helper()
 	g.mu.Lock()
@@ -295,21 +302,21 @@
 	g.awaitAllEnded(12 * time.Minute)
 }
 
-// injectFault injects one fault for a while.
+// injectFault injects a random fault for a random time.
 func (g *cellGroup) injectFault(random *rand.Rand) {
 	c := g.cells[random.IntN(len(g.cells))]
 	other := g.cells[random.IntN(len(g.cells))]
-	lasting := time.Duration(2+random.IntN(25)) * time.Second
+	duration := time.Duration(2+random.IntN(25)) * time.Second
 	switch random.IntN(7) {
 	case 0:
 		g.setCut(c.name, other.name, true)
-		time.AfterFunc(lasting, func() { g.setCut(c.name, other.name, false) })
+		time.AfterFunc(duration, func() { g.setCut(c.name, other.name, false) })
 	case 1:
 		g.setResponseCut(c.name, other.name, true)
-		time.AfterFunc(lasting, func() { g.setResponseCut(c.name, other.name, false) })
+		time.AfterFunc(duration, func() { g.setResponseCut(c.name, other.name, false) })
 	case 2:
 		c.store.SetDown(true)
-		time.AfterFunc(min(lasting, 9*time.Second), func() { c.store.SetDown(false) })
+		time.AfterFunc(min(duration, 9*time.Second), func() { c.store.SetDown(false) })
 	case 3:
 		c.restartNode(random.IntN(2), time.Duration(random.IntN(4000))*time.Millisecond)
 	case 4:
@@ -317,21 +324,21 @@
 		c.restartNode(1, 100*time.Millisecond)
 	case 5:
 		c.store.LoseResponses(func(kv.Txn) bool { return g.oneIn(4) })
-		time.AfterFunc(lasting, func() { c.store.LoseResponses(nil) })
+		time.AfterFunc(duration, func() { c.store.LoseResponses(nil) })
 	case 6:
 		c.store.Delay(func(txn kv.Txn) bool { return txn.Records && g.oneIn(4) })
-		time.AfterFunc(lasting, func() { c.store.Delay(nil); c.store.ApplyDelayed() })
+		time.AfterFunc(duration, func() { c.store.Delay(nil); c.store.ApplyDelayed() })
 	}
 }
 
-// oneIn is true one time in n; it may be called from any goroutine.
+// oneIn returns true with a probability of 1/n. It may be called from any goroutine.
 func (g *cellGroup) oneIn(n int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.random.IntN(n) == 0
 }
 
-// heal waits until the injected faults have ended, and ends those that have not.
+// heal waits for the injected faults to end, and ends any that have not.
 func (g *cellGroup) heal() {
 	time.Sleep(30 * time.Second)
 	g.mu.Lock()
@@ -344,8 +351,8 @@
 	}
 }
 
-// All controllers of the home cell end while its job is lent, and restart: the job stays at
-// its host, and its end is answered once home has recorded it.
+// All controllers of the home cell crash while a job is lent and are started 40 s later. The job stays
+// at its host, which keeps the record of the job's end until home has recorded the end too.
 func TestHomeRestartsWhileItsJobIsLent(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home := g.cells[0]
@@ -356,7 +363,7 @@
 		time.Sleep(40 * time.Second)
 		host := g.cells[1]
 		if len(host.keysUnder("loan/end/")) == 0 {
-			t.Error("the host has deleted the record of the end before home has read it")
+			t.Error("host has deleted the record of the job's end before home has read it")
 		}
 		home.startNodes()
 		g.awaitAllEnded(4 * time.Minute)
@@ -364,17 +371,19 @@
 	})
 }
 
-// lentCancellation is a moment at which a user cancels a lent job.
+// lentCancellation is a situation in which a user cancels a lent job.
 type lentCancellation struct {
 	name     string
 	duration time.Duration
-	// await waits for the moment, and returns the job to cancel.
+	// await waits for the situation and returns the id of the job to cancel.
 	await func(g *cellGroup, ids []string) string
-	// mayBeDone is set if the job may be done before the cancellation, and marked if the host
-	// must have its cancel key written for the guest.
-	mayBeDone, wantMarker bool
+	// mayBeDone is set if the job may be done before it is cancelled.
+	mayBeDone bool
+	// wantMarker is set if the host must have written the guest's cancellation to its cancel key.
+	wantMarker bool
 }
 
+// lentCancellations are the cases of TestCancellationOfLentJob.
 var lentCancellations = []lentCancellation{
 	{
 		name:     "before acceptance",
@@ -429,25 +438,25 @@
 	},
 }
 
-// Users cancel a lent job: before it is accepted, while it runs, while its host's machines
-// hang, as it ends, and while home reclaims it; also while a leader of either cell restarts.
+// A user cancels a lent job in each of the lentCancellations, without a restart and with a restart of
+// the leader at home or at the host.
 func TestCancellationOfLentJob(t *testing.T) {
 	for _, c := range lentCancellations {
-		for _, crash := range []int{-1, 0, 1} {
-			t.Run(fmt.Sprint(c.name, " ", crash), func(t *testing.T) {
-				simulateCells(t, []int{1, 2}, func(g *cellGroup) { testLentCancellation(t, g, c, crash) })
+		for _, crashedCell := range []int{-1, 0, 1} {
+			t.Run(fmt.Sprint(c.name, " ", crashedCell), func(t *testing.T) {
+				simulateCells(t, []int{1, 2}, func(g *cellGroup) { testLentCancellation(t, g, c, crashedCell) })
 			})
 		}
 	}
 }
 
-// testLentCancellation cancels a lent job, while the leader of a cell restarts if crash is
-// its number.
-func testLentCancellation(t *testing.T, g *cellGroup, c lentCancellation, crash int) {
+// testLentCancellation cancels a lent job. Unless crashedCell is -1, node 0 of the cell with that index
+// restarts at the same time.
+func testLentCancellation(t *testing.T, g *cellGroup, c lentCancellation, crashedCell int) {
 	t.Helper()
 	id := c.await(g, g.submitBurst(g.cells[0], 100, 6, c.duration))
-	if crash >= 0 {
-		g.goroutines.Go(func() { g.cells[crash].restartNode(0, 200*time.Millisecond) })
+	if crashedCell >= 0 {
+		g.goroutines.Go(func() { g.cells[crashedCell].restartNode(0, 200*time.Millisecond) })
 	}
 	if got := g.cancel(id, 60); got != api.JobCancelled && (got != api.JobDone || !c.mayBeDone) {
 		t.Errorf("got phase %q, want %q", got, api.JobCancelled)
@@ -455,13 +464,13 @@
 	e, err := g.cells[1].store.Get(context.Background(), records.CancelKey)
 	marked := err == nil && strings.Contains(string(e.Value), loan.GuestMarker+id)
 	if c.wantMarker && !marked {
-		t.Errorf("got the host's cancel key %s, %v, want it to name %s", e.Value, err, id)
+		t.Errorf("host's cancel key: got %s, error %v; want it to contain %s", e.Value, err, id)
 	}
 	g.awaitAllEnded(10 * time.Minute)
 }
 
-// While the host of a lent job cannot be reached a cancellation fails at once, and once it
-// can it is confirmed.
+// While home cannot reach the host of a lent job, a cancellation fails immediately. Once home reaches
+// the host again, the cancellation is confirmed.
 func TestCancellationOfLentJobWithHostUnreachable(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		id := g.awaitLent(g.submitBurst(g.cells[0], 100, 6, 12*time.Second))
@@ -469,9 +478,9 @@
 		startTime := time.Now()
 		_, err := g.cells[0].nodes[0].Cancel(context.Background(), id)
 		if err == nil || time.Since(startTime) > time.Second {
-			t.Errorf("got %v after %v, want an error within 1s", err, time.Since(startTime))
+			t.Errorf("cancel: got error %v after %v, want an error within 1s", err, time.Since(startTime))
 		}
-		g.cells[0].checkEqual("meanwhile", g.cancel(id, 5), "not confirmed")
+		g.cells[0].checkEqual("cancellation while the host is unreachable", g.cancel(id, 5), "not confirmed")
 		g.setCut("cell-a", "cell-b", false)
 		if got := g.cancel(id, 20); got != api.JobCancelled && got != api.JobDone {
 			t.Errorf("got phase %q, want %q or %q", got, api.JobCancelled, api.JobDone)
@@ -480,7 +489,7 @@
 	})
 }
 
-// awaitLentOnRecord waits until one of some jobs is lent on record, and returns its id.
+// awaitLentOnRecord waits until the home leader has recorded one of the jobs as lent, and returns its id.
 func (g *cellGroup) awaitLentOnRecord(ids []string) (lent string) {
 	g.t.Helper()
 	for range 100 {
@@ -498,12 +507,13 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	g.t.Fatal("nothing was lent")
+	g.t.Fatal("no job was lent")
 	return ""
 }
 
-// A job id that is used in both cells never runs as two jobs: the host rejects the loan, and a
-// user who submits the id there while the guest is present gets no answer about the guest.
+// The same job id is used in both cells. While the host has a guest with that id, its own users cannot
+// see or cancel the guest, or submit a job with the id. If the host has had a job with that id, it
+// rejects the loan.
 func TestSameJobIDInTwoCells(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
@@ -513,18 +523,18 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		if _, _, err := host.nodes[0].Submit(ctx, spec(id, 1)); err == nil {
-			t.Error("accepted at the host while the guest is there")
+			t.Error("host accepted a job with the id of its guest")
 		}
 		if _, err := host.nodes[0].Cancel(context.Background(), id); err == nil {
-			t.Error("the guest was cancelled at the host")
+			t.Error("user of the host cancelled the guest")
 		}
 		g.awaitAllEnded(4 * time.Minute)
 	})
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
 		for i := range 6 { // the host has had jobs with these ids
-			ended := records.TerminalRecord{Phase: api.JobDone, Tasks: 1}
-			host.put(records.TerminalPrefix+fmt.Sprint("job-10", i), ended)
+			terminal := records.TerminalRecord{Phase: api.JobDone, Tasks: 1}
+			host.put(records.TerminalPrefix+fmt.Sprint("job-10", i), terminal)
 		}
 		g.submitBurst(home, 100, 6, 6*time.Second)
 		g.awaitAllEnded(4 * time.Minute)
@@ -532,8 +542,9 @@
 	})
 }
 
-// A host that fills up with its own work returns what it has not started, and preempts guests
-// for its teams' guarantees; nothing is lost, and no job is lent back and forth without end.
+// A host whose capacity is taken by its own jobs returns the guests that it has not started, and
+// preempts guests as long as a team is below its guarantee. All jobs are done in the end, and none is
+// lent back and forth forever.
 func TestHostFillsUp(t *testing.T) {
 	simulateCells(t, []int{1, 1}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
@@ -541,15 +552,15 @@
 		time.Sleep(6 * time.Second)
 		g.submitBurst(host, 200, 8, 50*time.Second)
 		time.Sleep(15 * time.Second)
-		guests := 0.0
-		for _, k := range host.agents {
-			for _, task := range k.running() {
+		guestTasks := 0.0
+		for _, agent := range host.agents {
+			for _, task := range agent.running() {
 				if id, _, _ := cluster.ParseTaskRef(task); g.job(id).home == home {
-					guests++
+					guestTasks++
 				}
 			}
 		}
-		host.checkEqual("guests while a team is below its guarantee", guests, 0.0)
+		host.checkEqual("guest tasks while a team is below its guarantee", guestTasks, 0.0)
 		g.awaitAllEnded(20 * time.Minute)
 		for id, j := range g.jobs {
 			if j.endPhase != api.JobDone {
@@ -559,7 +570,7 @@
 	})
 }
 
-// A host returns a guest that it could not start for a while.
+// A host returns a guest that it could not start within guestStartTimeout.
 func TestGuestThatCannotStart(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
@@ -586,8 +597,8 @@
 	})
 }
 
-// A host that is down for good keeps what was lent to it, known and pending; once the
-// operators have declared it unreachable, home reclaims the job and runs it.
+// A host fails permanently. Its loans stay lent until the operators declare the host unreachable in the
+// settings of home, which then reclaims the job and runs it.
 func TestHostLostPermanently(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
@@ -596,7 +607,7 @@
 			n.crash()
 		}
 		g.mu.Lock()
-		host.agents = nil // its machines are down with it
+		host.agents = nil // its machines have failed too
 		g.mu.Unlock()
 		time.Sleep(3 * time.Minute)
 		home.checkEqual("done while the host is not declared unreachable", g.poll(id) == api.JobDone, false)
@@ -624,8 +635,8 @@
 	})
 }
 
-// rejectedLoan is a loan of a request that a host must reject, as a whole or for a reason of
-// the loan's own.
+// rejectedLoan is a loan that a host must reject. If refused is set, the host rejects the whole request
+// for that reason. If reason is set, it rejects only the loan.
 type rejectedLoan struct {
 	name    string
 	home    string
@@ -634,7 +645,8 @@
 	reason  string
 }
 
-// offeredLoan is the offer of a job of two tasks with a budget for them, changed.
+// offeredLoan returns an entry that offers a job of two tasks with a budget for both. A change that is
+// not nil modifies the offer.
 func offeredLoan(epoch loan.Epoch, change func(o *loan.Offer)) loan.Entry {
 	o := &loan.Offer{Spec: *spec("job-1", 2), Budget: loan.Budget{CPUs: 2}, Since: time.Now()}
 	if change != nil {
@@ -643,6 +655,7 @@
 	return loan.Entry{Job: "job-1", Epoch: epoch, Offer: o}
 }
 
+// rejectedLoans returns the cases of TestRejectedLoanRequests.
 func rejectedLoans() []rejectedLoan {
 	otherJob := offeredLoan(1, nil)
 	otherJob.Job = "job-2"
@@ -698,8 +711,8 @@
 	}
 }
 
-// A request that is malformed, of a cell that is not configured, or larger than limits is
-// rejected with a reason, and changes nothing.
+// A host rejects loans that are malformed, are too large, come from a cell that is not configured, or
+// could not run. The response contains the reason, and the host writes no record.
 func TestRejectedLoanRequests(t *testing.T) {
 	simulateCells(t, []int{1, 1}, func(g *cellGroup) {
 		host := g.cells[1]
@@ -719,8 +732,7 @@
 	})
 }
 
-// Lending begins only once every node of the cell supports loans, and stops when a node
-// appears that does not.
+// A cell lends jobs only while all its nodes support loans.
 func TestLendingWaitsForAllNodes(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home := g.cells[0]
@@ -732,7 +744,7 @@
 		n.inspect(func(c *Controller) { c.membership.Members["n9"].SupportsLoans = true })
 		time.Sleep(8 * time.Second)
 		if g.countLent() == 0 {
-			t.Error("nothing was lent once all nodes support loans")
+			t.Error("no job was lent after all nodes supported loans")
 		}
 		g.awaitAllEnded(4 * time.Minute)
 	})
