--- a/cmd/ivytrestle/main.go
+++ b/cmd/ivytrestle/main.go
@@ -139,7 +139,7 @@
 		ids = append(ids, strings.Split(list, ",")...)
 	}
 	for _, id := range ids {
-		if err := client.CheckID(id); err != nil {
+		if err := client.ValidateJobID(id); err != nil {
 			return fmt.Errorf("--await: %w", err)
 		}
 	}
@@ -151,15 +151,15 @@
 	var raw []byte
 	var err error
 	if c.File == "-" {
-		raw, err = io.ReadAll(io.LimitReader(os.Stdin, api.MaxBody+1))
+		raw, err = io.ReadAll(io.LimitReader(os.Stdin, api.MaxBodyBytes+1))
 	} else {
 		raw, err = os.ReadFile(c.File)
 	}
 	if err != nil {
 		return fmt.Errorf("job: %w", err)
 	}
-	if len(raw) > api.MaxBody {
-		return fmt.Errorf("job: larger than %d bytes", api.MaxBody)
+	if len(raw) > api.MaxBodyBytes {
+		return fmt.Errorf("job: larger than %d bytes", api.MaxBodyBytes)
 	}
 	if raw, err = client.AddDependencies(raw, c.Await); err != nil {
 		return fmt.Errorf("job: %w", err)
--- a/cmd/ivytrestle/main_test.go
+++ b/cmd/ivytrestle/main_test.go
@@ -74,7 +74,7 @@
 		{name: "comma at the end", job: "{}", flags: "--await job-1,",
 			wantErr: `--await: "" is no job id (job-NUMBER)`},
 		{name: "empty", job: "{}", flags: "--await=", wantErr: `--await: "" is no job id (job-NUMBER)`},
-		{name: "too large", job: "{}" + strings.Repeat(" ", api.MaxBody), flags: "--await job-1",
+		{name: "too large", job: "{}" + strings.Repeat(" ", api.MaxBodyBytes), flags: "--await job-1",
 			wantErr: "job: larger than 65536 bytes"},
 	} {
 		sent = nil
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -15,13 +15,13 @@
 
 // stubBackend is a backend with one known job, of the leader or of another node.
 type stubBackend struct {
-	submitted []*JobSpec
-	down      bool
-	leader    string
+	submitted   []*JobSpec
+	unavailable bool
+	leader      string
 }
 
 func (s *stubBackend) Submit(_ context.Context, spec *JobSpec) (JobState, bool, error) {
-	if s.down {
+	if s.unavailable {
 		return JobState{}, false, ErrUnavailable
 	}
 	if spec.Team == "nobody" {
@@ -37,7 +37,7 @@
 
 func (s *stubBackend) Job(_ context.Context, id string) (JobState, error) {
 	switch {
-	case s.down:
+	case s.unavailable:
 		return JobState{}, ErrUnavailable
 	case id == "job-000007":
 		return JobState{ID: id, Phase: JobDone, Done: 3}, nil
@@ -56,7 +56,7 @@
 
 func (s *stubBackend) Status(context.Context) (any, error) { return map[string]int{"term": 4}, nil }
 
-func (s *stubBackend) Ready() bool { return !s.down }
+func (s *stubBackend) Ready() bool { return !s.unavailable }
 
 func serve(t *testing.T, b Backend, method, path, body string) *httptest.ResponseRecorder {
 	t.Helper()
@@ -72,13 +72,13 @@
 	return serve(t, b, http.MethodPost, "/api/jobs", body)
 }
 
-// newJob is the ID of a job that is not known yet.
-const newJob = "job-000412"
+// newJobID is the ID of a job that is not known yet.
+const newJobID = "job-000412"
 
 // submissionWith is a valid submission with some fields changed, or left out where the
 // value is "drop".
 func submissionWith(change map[string]any) string {
-	m := map[string]any{"NameId": newJob, "Jobclass": "train", "Owner": "vision", "Shape": "array",
+	m := map[string]any{"NameId": newJobID, "Jobclass": "train", "Owner": "vision", "Shape": "array",
 		"Precedence": "urgent", "Shoots": 16, "Cores": 8.0, "Cards": 1.0, "MemoryGb": 64.0, "Rootstock": "img-07",
 		"PullGb": 6.2, "Frames": []string{"g8"}, "Bed": nil, "SamePlace": true, "Scatter": false, "Windfall": true,
 		"ExpectS": 240.0, "GraftS": 30.0, "PressS": 4.0, "DueS": 900.0, "Unheard": "of"}
@@ -118,7 +118,7 @@
 		{"unknown shape", submissionWith(map[string]any{"Shape": "ring"}), 400},
 		{"unknown priority", submissionWith(map[string]any{"Precedence": "soon"}), 400},
 		{"deadline of nothing", submissionWith(map[string]any{"DueS": 0}), 400},
-		{"body too large", `{"NameId":"` + strings.Repeat("x", MaxBody) + `"}`, 400},
+		{"body too large", `{"NameId":"` + strings.Repeat("x", MaxBodyBytes) + `"}`, 400},
 		{"unknown team", submissionWith(map[string]any{"Owner": "nobody"}), 422},
 		// The repeat of a known job gets its state whatever else it holds.
 		{"known job, unknown team", submissionWith(map[string]any{"NameId": "job-000007", "Owner": "nobody"}), 200},
@@ -133,7 +133,7 @@
 // A node that cannot find out whether a job is known must not reject it for good.
 func TestUnavailableBackendNeverRejectsForGood(t *testing.T) {
 	for _, b := range []string{submissionWith(nil), submissionWith(map[string]any{"Cores": "drop"})} {
-		w := submit(t, &stubBackend{down: true}, b)
+		w := submit(t, &stubBackend{unavailable: true}, b)
 		if w.Code != 503 || w.Header().Get("Retry-After") != "1" {
 			t.Errorf("got status %d, Retry-After %q; want 503 and \"1\"", w.Code, w.Header().Get("Retry-After"))
 		}
@@ -153,7 +153,7 @@
 		{"GET", "/nowhere", false, 404}, {"DELETE", "/api/jobs/job-000007", false, 405},
 		{"GET", "/v1/report", false, 405},
 	} {
-		if w := serve(t, &stubBackend{down: c.down}, c.method, c.path, ""); w.Code != c.want {
+		if w := serve(t, &stubBackend{unavailable: c.down}, c.method, c.path, ""); w.Code != c.want {
 			t.Errorf("%s %s: got status %d, want %d", c.method, c.path, w.Code, c.want)
 		}
 	}
--- a/internal/api/badinput_test.go
+++ b/internal/api/badinput_test.go
@@ -19,14 +19,14 @@
 func checkInvalidSubmission(t *testing.T, name string, submission func(id string) string) {
 	t.Helper()
 	b := &stubBackend{}
-	if w := submit(t, b, submission(newJob)); w.Code != 400 || len(b.submitted) > 0 {
+	if w := submit(t, b, submission(newJobID)); w.Code != 400 || len(b.submitted) > 0 {
 		t.Errorf("%s: got status %d (%s), %d accepted; want 400, none", name, w.Code, w.Body, len(b.submitted))
 	}
 	const state = `{"NameId":"job-000007","Phase":"done","done":3,"running":0}`
 	if w := submit(t, b, submission("job-000007")); w.Code != 200 || w.Body.String() != state {
 		t.Errorf("%s, of a known job: got %d (%s), want 200 (%s)", name, w.Code, w.Body, state)
 	}
-	w := submit(t, &stubBackend{down: true}, submission(newJob))
+	w := submit(t, &stubBackend{unavailable: true}, submission(newJobID))
 	if w.Code != 503 || w.Header().Get("Retry-After") == "" {
 		t.Errorf("%s, of a job that may be known: got status %d, want 503 with Retry-After", name, w.Code)
 	}
@@ -97,7 +97,7 @@
 					c.like, w.Code, w.Body, s.submitted)
 				continue
 			}
-			if got := s.submitted[0]; got.ID != newJob || got.Tasks != 16 || got.Zone != "" || got.CPUs != 8 ||
+			if got := s.submitted[0]; got.ID != newJobID || got.Tasks != 16 || got.Zone != "" || got.CPUs != 8 ||
 				len(got.Types) != 1 || !got.Spot {
 				t.Errorf("with %s as well: got %+v, want the job without it", c.like, got)
 			}
@@ -139,8 +139,8 @@
 			t.Errorf("%s: got status %d, %d accepted; want %d (%s)", c.name, w.Code, len(s.submitted), c.want, w.Body)
 		}
 		for _, got := range s.submitted {
-			if got.ID != newJob || got.Tasks != 16 || got.CPUs != 8 {
-				t.Errorf("%s: got %+v, want %s with 16 tasks of 8 cores", c.name, got, newJob)
+			if got.ID != newJobID || got.Tasks != 16 || got.CPUs != 8 {
+				t.Errorf("%s: got %+v, want %s with 16 tasks of 8 cores", c.name, got, newJobID)
 			}
 		}
 	}
@@ -167,23 +167,23 @@
 		"byte order mark":  "\ufeff" + good,
 		"comment":          "/**/" + good,
 		"comma at the end": good[:len(good)-1] + ",}",
-		"NaN":              submissionWithLiteral(newJob, "Cores", "NaN"),
-		"infinite":         submissionWithLiteral(newJob, "Cores", "Infinity"),
-		"minus infinite":   submissionWithLiteral(newJob, "Cores", "-Infinity"),
-		"hexadecimal":      submissionWithLiteral(newJob, "Shoots", "0x10"),
-		"leading zero":     submissionWithLiteral(newJob, "Shoots", "016"),
-		"plus":             submissionWithLiteral(newJob, "Cores", "+8.0"),
+		"NaN":              submissionWithLiteral(newJobID, "Cores", "NaN"),
+		"infinite":         submissionWithLiteral(newJobID, "Cores", "Infinity"),
+		"minus infinite":   submissionWithLiteral(newJobID, "Cores", "-Infinity"),
+		"hexadecimal":      submissionWithLiteral(newJobID, "Shoots", "0x10"),
+		"leading zero":     submissionWithLiteral(newJobID, "Shoots", "016"),
+		"plus":             submissionWithLiteral(newJobID, "Cores", "+8.0"),
 		"too deep":         strings.Replace(good, "{", `{"X":`+nested+",", 1),
-		"too large":        good + strings.Repeat(" ", MaxBody-len(good)+1),
+		"too large":        good + strings.Repeat(" ", MaxBodyBytes-len(good)+1),
 	} {
-		for _, s := range []*stubBackend{{}, {down: true}} {
+		for _, s := range []*stubBackend{{}, {unavailable: true}} {
 			if w := submit(t, s, b); w.Code != 400 || len(s.submitted) > 0 {
 				t.Errorf("%s, backend down %v: got status %d (%s), %d accepted; want 400",
-					name, s.down, w.Code, w.Body, len(s.submitted))
+					name, s.unavailable, w.Code, w.Body, len(s.submitted))
 			}
 		}
 	}
-	if w := submit(t, &stubBackend{}, good+strings.Repeat(" ", MaxBody-len(good))); w.Code != 201 {
+	if w := submit(t, &stubBackend{}, good+strings.Repeat(" ", MaxBodyBytes-len(good))); w.Code != 201 {
 		t.Errorf("largest body: got status %d, want 201", w.Code)
 	}
 }
@@ -194,7 +194,7 @@
 	for _, id := range []string{"", "job", "job-", "job-x", "job--1", "job-+1", "job-1.5", "job-1 ", " job-1",
 		"job-1\n", "Job-1", "JOB-1", "job_1", "job-1/2", "job-1/../job-2", "xjob-1", "job-1x", "job-\u0661",
 		"job-" + strings.Repeat("1", 21), "!cancel"} {
-		for _, b := range []*stubBackend{{}, {down: true}} {
+		for _, b := range []*stubBackend{{}, {unavailable: true}} {
 			checkMalformedID(t, b, id)
 		}
 	}
@@ -233,7 +233,7 @@
 		{"POST", "/api/jobs", submissionWith(map[string]any{"Owner": "nobody"})},
 		{"GET", "/api/jobs/job-000412", ""}, {"POST", "/api/jobs/job-000412/abort", ""},
 	} {
-		w := serve(t, &stubBackend{down: true}, c.method, c.path, c.body)
+		w := serve(t, &stubBackend{unavailable: true}, c.method, c.path, c.body)
 		if after := w.Header().Get("Retry-After"); w.Code != 503 || after != "1" {
 			t.Errorf("%s %s: got status %d, Retry-After %q; want 503 and \"1\"", c.method, c.path, w.Code, after)
 		}
@@ -246,7 +246,7 @@
 	for _, field := range []string{"Cores", "Cards", "MemoryGb"} {
 		for _, literal := range []string{"1000000001", "1e10", "1e308"} {
 			s := &stubBackend{}
-			w := submit(t, s, submissionWithLiteral(newJob, field, literal))
+			w := submit(t, s, submissionWithLiteral(newJobID, field, literal))
 			if w.Code != 201 || len(s.submitted) != 1 {
 				t.Errorf("%s: %s: got status %d (%s), %d submitted; want 201, one",
 					field, literal, w.Code, w.Body, len(s.submitted))
@@ -260,9 +260,9 @@
 	for _, c := range []struct{ submission, want string }{
 		{"[]", "not a valid job: expected an object, found array"},
 		{"{", `not a valid job: not valid JSON: unexpected end of JSON input, after \"{\"`},
-		{submissionWithLiteral(newJob, "Shoots", `"many"`),
+		{submissionWithLiteral(newJobID, "Shoots", `"many"`),
 			"not a valid job: field Shoots: expected a whole number, found string"},
-		{submissionWithLiteral(newJob, "Frames", `"g8"`),
+		{submissionWithLiteral(newJobID, "Frames", `"g8"`),
 			"not a valid job: field Frames: expected a list, found string"},
 	} {
 		w := submit(t, &stubBackend{}, c.submission)
--- a/internal/api/dependencies_test.go
+++ b/internal/api/dependencies_test.go
@@ -23,7 +23,7 @@
 		"[" + strings.Repeat(`"job-7",`, 50) + `"job-8"]`: {"job-7", "job-8"},
 	} {
 		s := &stubBackend{}
-		w := submit(t, s, submissionWithLiteral(newJob, "Awaits", literal))
+		w := submit(t, s, submissionWithLiteral(newJobID, "Awaits", literal))
 		if w.Code != 201 || len(s.submitted) != 1 || !reflect.DeepEqual(s.submitted[0].DependsOn, want) {
 			t.Errorf("%s: got status %d (%s), submitted %+v; want 201, %v", literal, w.Code, w.Body, s.submitted, want)
 		}
@@ -88,16 +88,16 @@
 	var ids []string
 	list := func() string { return `["` + strings.Join(ids, `","`) + `"]` }
 	const idLength = len(`"job-1000000",`)
-	for size := len(submissionWithLiteral(newJob, "Awaits", "[]")); size+idLength <= MaxBody; size += idLength {
+	for size := len(submissionWithLiteral(newJobID, "Awaits", "[]")); size+idLength <= MaxBodyBytes; size += idLength {
 		ids = append(ids, fmt.Sprintf("job-%d", 1_000_000+len(ids)))
 	}
 	s := &stubBackend{}
-	w := submit(t, s, submissionWithLiteral(newJob, "Awaits", list()))
+	w := submit(t, s, submissionWithLiteral(newJobID, "Awaits", list()))
 	if w.Code != 201 || len(s.submitted) != 1 || !reflect.DeepEqual(s.submitted[0].DependsOn, ids) {
 		t.Errorf("%d jobs: got status %d (%s), %d submitted; want 201, one", len(ids), w.Code, w.Body, len(s.submitted))
 	}
 	ids = append(ids, "job-2000000", "job-2000001")
-	if w := submit(t, s, submissionWithLiteral(newJob, "Awaits", list())); w.Code != 400 {
+	if w := submit(t, s, submissionWithLiteral(newJobID, "Awaits", list())); w.Code != 400 {
 		t.Errorf("%d jobs: got status %d (%s), want 400", len(ids), w.Code, w.Body)
 	}
 }
@@ -115,13 +115,13 @@
 	} {
 		b := submissionWith(nil)
 		if literal != "drop" {
-			b = submissionWithLiteral(newJob, "Awaits", literal)
+			b = submissionWithLiteral(newJobID, "Awaits", literal)
 		}
 		spec, _, err := ParseSubmission([]byte(b))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for name, marshal := range marshals {
+		for name, marshal := range encoders {
 			if got, err := marshal(spec); err != nil || string(got) != want {
 				t.Errorf("%s, %s: %s, %v; want %s", name, literal, got, err, want)
 			}
@@ -131,8 +131,8 @@
 	for want, ids := range map[string][]string{
 		state: nil, strings.TrimSuffix(state, "}") + waits: {"job-000398", "job-000405"},
 	} {
-		for name, marshal := range marshals {
-			got, err := marshal(JobState{ID: newJob, Phase: JobPending, DependsOn: ids})
+		for name, marshal := range encoders {
+			got, err := marshal(JobState{ID: newJobID, Phase: JobPending, DependsOn: ids})
 			if err != nil || string(got) != want {
 				t.Errorf("%s: %s, %v; want %s", name, got, err, want)
 			}
@@ -140,5 +140,5 @@
 	}
 }
 
-// marshals are the encoders in use, for records and for responses.
-var marshals = map[string]func(any) ([]byte, error){"records": json.Marshal, "responses": fast.Marshal}
+// encoders are the encoders in use, for records and for responses.
+var encoders = map[string]func(any) ([]byte, error){"records": json.Marshal, "responses": fast.Marshal}
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -84,7 +84,7 @@
 }
 
 // Submissions and polls in flight, at most. Each submission holds a body of up to
-// MaxBody in limited memory; polls wait for the leader or the key-value store.
+// MaxBodyBytes in limited memory; polls wait for the leader or the key-value store.
 const (
 	maxSubmits = 48
 	maxPolls   = 160
@@ -92,7 +92,7 @@
 
 // MaxInFlightBytes is about how many bytes the requests in flight hold: a submission's
 // body as received and as decoded, or a poll.
-const MaxInFlightBytes = maxSubmits*(2*MaxBody) + maxPolls*(8<<10)
+const MaxInFlightBytes = maxSubmits*(2*MaxBodyBytes) + maxPolls*(8<<10)
 
 // withSlot serves a request if a slot is free and rejects it otherwise.
 func (s *server) withSlot(slots chan struct{}, serve http.HandlerFunc) http.HandlerFunc {
@@ -128,7 +128,7 @@
 }
 
 func (s *server) submitJob(w http.ResponseWriter, r *http.Request) {
-	body, err := readBody(w, r, MaxBody)
+	body, err := readBody(w, r, MaxBodyBytes)
 	if err != nil {
 		s.writeError(w, http.StatusBadRequest, err)
 		return
@@ -176,7 +176,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), pollTimeout)
 	defer cancel()
 	id := r.PathValue("id")
-	if !ValidID(id) {
+	if !ValidJobID(id) {
 		s.writeError(w, http.StatusNotFound, ErrUnknownJob)
 		return
 	}
@@ -188,7 +188,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), cancelTimeout)
 	defer cancel()
 	id := r.PathValue("id")
-	if !ValidID(id) {
+	if !ValidJobID(id) {
 		s.writeError(w, http.StatusNotFound, ErrUnknownJob)
 		return
 	}
@@ -208,7 +208,7 @@
 }
 
 func (s *server) heartbeat(w http.ResponseWriter, r *http.Request) {
-	body, err := readBody(w, r, maxHeartbeatBody)
+	body, err := readBody(w, r, maxHeartbeatBytes)
 	if err != nil {
 		s.writeError(w, http.StatusBadRequest, err)
 		return
@@ -230,8 +230,8 @@
 	}
 }
 
-// maxHeartbeatBody is the largest body of a heartbeat.
-const maxHeartbeatBody = 4 * MaxBody
+// maxHeartbeatBytes is the largest body of a heartbeat.
+const maxHeartbeatBytes = 4 * MaxBodyBytes
 
 // readBody reads a body of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -43,7 +43,7 @@
 // times its size: 16 MiB for one heartbeat was seen.
 func TestNestedHeartbeatsDoNotGrowStack(t *testing.T) {
 	for _, open := range []string{"[", `{"a":`, `[{"a":`, `{"a": `} {
-		for _, depth := range []int{2 * maxFastObjects, 4 * MaxBody / len(open)} {
+		for _, depth := range []int{2 * maxFastObjects, 4 * MaxBodyBytes / len(open)} {
 			body := []byte(`{"Host":"i-1","Z":` + strings.Repeat(open, depth))
 			grew := make(chan uint64)
 			go func() { // a stack of its own, that has yet to grow
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -56,8 +56,8 @@
 // MaxTasks is the largest number of tasks of a job.
 const MaxTasks = 100_000
 
-// MaxBody is the largest body of a user's request.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the largest body of a user's request.
+const MaxBodyBytes = 64 << 10
 
 // JobSpec is a job as submitted by its user.
 type JobSpec struct {
@@ -89,8 +89,8 @@
 // Estimate returns the owner's estimate of a task's run time.
 func (s *JobSpec) Estimate() time.Duration { return time.Duration(s.EstimateS * float64(time.Second)) }
 
-// Save returns the time that a task needs to save a checkpoint.
-func (s *JobSpec) Save() time.Duration { return time.Duration(s.SaveS * float64(time.Second)) }
+// SaveDuration returns the time that a task needs to save a checkpoint.
+func (s *JobSpec) SaveDuration() time.Duration { return time.Duration(s.SaveS * float64(time.Second)) }
 
 // AllowsType reports whether the job's tasks may run on machines of a type.
 func (s *JobSpec) AllowsType(typ string) bool { return s.Types == nil || slices.Contains(s.Types, typ) }
@@ -120,10 +120,10 @@
 	DependsOn   []*string `json:"Awaits"`
 }
 
-var idPattern = regexp.MustCompile(`^job-[0-9]{1,20}$`)
+var jobIDPattern = regexp.MustCompile(`^job-[0-9]{1,20}$`)
 
-// ValidID reports whether a job ID has the protocol's form.
-func ValidID(id string) bool { return idPattern.MatchString(id) }
+// ValidJobID reports whether a job ID has the protocol's form.
+func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // ParseSubmission decodes and validates a submission. If the body is invalid but
 // holds a well-formed ID, that ID is returned with the error, since the repeat of a
@@ -141,7 +141,7 @@
 			delete(fields, name)
 		}
 	}
-	if json.Unmarshal(fields["NameId"], &id) != nil || !ValidID(id) {
+	if json.Unmarshal(fields["NameId"], &id) != nil || !ValidJobID(id) {
 		id = ""
 	}
 	known, err := json.Marshal(fields)
@@ -236,7 +236,7 @@
 		switch {
 		case id == nil:
 			return nil, errors.New("field Awaits holds null")
-		case !ValidID(*id):
+		case !ValidJobID(*id):
 			return nil, fmt.Errorf("field Awaits: %q is no job id", *id)
 		case *id == *in.ID:
 			return nil, errors.New("field Awaits names the job itself")
@@ -253,7 +253,7 @@
 
 func (s *JobSpec) validate() error {
 	switch {
-	case !ValidID(s.ID):
+	case !ValidJobID(s.ID):
 		return errors.New("field NameId has the wrong form")
 	case s.Class == "":
 		return errors.New("field Jobclass is empty")
@@ -312,11 +312,11 @@
 	DependsOn []string `json:"Awaits,omitempty"`
 	// Cell is the cell that hosts the job, if it is on loan.
 	Cell string `json:"Cell,omitempty"`
-	// Ended is when the job was done, if that is known. It is not shown to users.
-	Ended time.Time `json:"-"`
-	// Derived is set if the job is cancelled because one that it depends on is, and may
+	// EndedAt is when the job was done, if that is known. It is not shown to users.
+	EndedAt time.Time `json:"-"`
+	// DerivedCancel is set if the job is cancelled because one that it depends on is, and may
 	// have no terminal record of its own yet. It is not shown to users.
-	Derived bool `json:"-"`
+	DerivedCancel bool `json:"-"`
 }
 
 // Final reports whether the job has ended.
@@ -348,7 +348,7 @@
 // maxFastArrays and maxFastObjects limit the arrays and objects that a heartbeat may
 // open to be read by the fast decoder. That recurses to any depth: on a body full of
 // brackets its stack would grow beyond the memory of the smallest controllers. Each
-// task is an object of fifty bytes or more, so MaxBody holds fewer of them.
+// task is an object of fifty bytes or more, so MaxBodyBytes holds fewer of them.
 const (
 	maxFastArrays  = 256
 	maxFastObjects = 2048
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -408,7 +408,7 @@
 			a.RunningAt = start.Add(-minRunBeforeMove)
 		}, false},
 		{"near its end", func(_ *testFleet, a *cluster.Attempt) {
-			a.RunningAt = start.Add(minRemainingForMove + a.Job.Spec.Save() - a.Job.Spec.Estimate())
+			a.RunningAt = start.Add(minRemainingForMove + a.Job.Spec.SaveDuration() - a.Job.Spec.Estimate())
 		}, false},
 		// 165 s remain, a quarter more are allowed for, and the transfer takes 3 + 6 + 5 s.
 		{"just in time elsewhere", func(_ *testFleet, a *cluster.Attempt) {
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -89,7 +89,7 @@
 		for _, a := range m.Attempts {
 			if as.isWorthMoving(a, v.Now) {
 				freeCPUs -= a.Job.Spec.CPUs
-				stops = append(stops, Stop{Attempt: a, Grace: 2*a.Job.Spec.Save() + time.Second})
+				stops = append(stops, Stop{Attempt: a, Grace: 2*a.Job.Spec.SaveDuration() + time.Second})
 			}
 		}
 	}
@@ -109,11 +109,11 @@
 	}
 	ran := now.Sub(a.RunningAt)
 	remaining := spec.Estimate() - ran
-	if ran <= minRunBeforeMove || remaining <= minRemainingForMove+spec.Save() {
+	if ran <= minRunBeforeMove || remaining <= minRemainingForMove+spec.SaveDuration() {
 		return false
 	}
 	objective := a.Job.LatestStart().Add(spec.Estimate())
-	transfer := spec.Save() + 3*as.workers.HeartbeatInterval() + moveMargin
+	transfer := spec.SaveDuration() + 3*as.workers.HeartbeatInterval() + moveMargin
 	return a.Job.Infeasible || now.Add(remaining*5/4+transfer).Before(objective)
 }
 
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -21,16 +21,16 @@
 	http *http.Client
 }
 
-// timeout bounds a request with its response.
-const timeout = 5 * time.Second
+// requestTimeout bounds a request with its response.
+const requestTimeout = 5 * time.Second
 
 // New returns a client of the controller at an address.
 func New(addr string) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Timeout: timeout}}
+	return &Client{base: "http://" + addr, http: &http.Client{Timeout: requestTimeout}}
 }
 
-// maxResponse bounds what is read of a response.
-const maxResponse = 1 << 20
+// maxResponseBytes bounds what is read of a response.
+const maxResponseBytes = 1 << 20
 
 // Submit submits a job, as JSON.
 func (c *Client) Submit(ctx context.Context, job []byte) (api.JobState, error) {
@@ -75,7 +75,7 @@
 		return fmt.Errorf("controller not reached: %w", err)
 	}
 	defer closeBody(resp)
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("controller: %w", err)
 	}
--- a/internal/client/job.go
+++ b/internal/client/job.go
@@ -8,9 +8,9 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// CheckID returns an error if a job ID is malformed.
-func CheckID(id string) error {
-	if !api.ValidID(id) {
+// ValidateJobID returns an error if a job ID is malformed.
+func ValidateJobID(id string) error {
+	if !api.ValidJobID(id) {
 		return fmt.Errorf("%q is no job id (job-NUMBER)", id)
 	}
 	return nil
@@ -31,7 +31,7 @@
 		return nil, errors.New("field Awaits is not a list")
 	}
 	for _, id := range ids {
-		if err := CheckID(id); err != nil {
+		if err := ValidateJobID(id); err != nil {
 			return nil, err
 		}
 		dependencies = append(dependencies, json.RawMessage(`"`+id+`"`))
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -24,12 +24,12 @@
 // ErrNoCapacity means that the cloud has no machine of the requested kind at the moment.
 var ErrNoCapacity = errors.New("cloud: no capacity")
 
-// Limits of single requests, in machines; maxResponse in bytes.
+// Limits of single requests, in machines; maxResponseBytes in bytes.
 const (
-	MaxLaunch    = 50
-	MaxTerminate = 100
-	listPageSize = 500
-	maxResponse  = 4 << 20
+	MaxLaunch        = 50
+	MaxTerminate     = 100
+	listPageSize     = 500
+	maxResponseBytes = 4 << 20
 )
 
 // LaunchRequest launches machines. It can be retried under its name, which is never used
@@ -173,7 +173,7 @@
 		return fmt.Errorf("cloud: %w", err)
 	}
 	defer closeBody(resp)
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -178,7 +178,7 @@
 	lt.evacuate(m, "fails tasks")
 	for _, a := range m.Attempts {
 		if !a.Exited && a.Job != nil {
-			lt.requestStop(a, a.Job.Spec.Save()*2, now)
+			lt.requestStop(a, a.Job.Spec.SaveDuration()*2, now)
 		}
 	}
 }
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -327,7 +327,7 @@
 		{"no id", sc.submissionBody("", change{"NameId": nil})},
 		{"id of another form", sc.submissionBody("job-1/0", nil)},
 		{"two submissions", valid + valid},
-		{"too large", valid + strings.Repeat(" ", api.MaxBody)},
+		{"too large", valid + strings.Repeat(" ", api.MaxBodyBytes)},
 	} {
 		sc.check(c.name, c.body, http.StatusBadRequest, "")
 	}
@@ -397,7 +397,7 @@
 func (w *simulatedCluster) checkCancelTargets(n *node, state nodeState) {
 	w.t.Helper()
 	for _, c := range cancelTargets {
-		mayBeUnavailable := state.kvDown && api.ValidID(c.id)
+		mayBeUnavailable := state.kvDown && api.ValidJobID(c.id)
 		wantCode, wantPhase := c.wantCode, c.wantPhase
 		if mayBeUnavailable {
 			wantCode, wantPhase = http.StatusServiceUnavailable, ""
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -61,8 +61,8 @@
 			pending = true
 			continue
 		}
-		if ended && !state.Ended.IsZero() {
-			j.RecordDependencyEnd(state.Ended)
+		if ended && !state.EndedAt.IsZero() {
+			j.RecordDependencyEnd(state.EndedAt)
 			continue
 		}
 		dependency := dg.leaderTerm.jobs[id]
--- a/internal/controller/loanguests.go
+++ b/internal/controller/loanguests.go
@@ -136,7 +136,7 @@
 		}
 		shortage -= a.Job.Spec.CPUs
 		l.counts.Stopped++
-		l.leaderTerm.requestStop(a, 2*a.Job.Spec.Save(), now)
+		l.leaderTerm.requestStop(a, 2*a.Job.Spec.SaveDuration(), now)
 	}
 }
 
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -89,7 +89,7 @@
 	}
 	for _, e := range req.Entries {
 		switch {
-		case !api.ValidID(e.Job):
+		case !api.ValidJobID(e.Job):
 			return fmt.Sprintf("%q is no job id", e.Job)
 		case e.Epoch == 0 || e.Desired < loan.DesiredRun || e.Desired > loan.DesiredForget:
 			return fmt.Sprintf("the loan of %s is malformed", e.Job)
--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -146,7 +146,7 @@
 		// A job that it depends on is cancelled on record, and stays so. However many jobs
 		// are cancelled by one cancellation, their users need not wait for the writes,
 		// whose rate is limited.
-		return pollReply{state: api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}, answered: true}
+		return pollReply{state: api.JobState{ID: id, Phase: api.JobCancelled, DerivedCancel: true}, answered: true}
 	case j.EndMayBeRecorded, len(j.DependsOn) > 0 && lt.dependencies.unresolved():
 		// In the second case a job that it depends on may be cancelled, and an earlier
 		// leader or another node may have responded so.
--- a/internal/controller/recordwrites.go
+++ b/internal/controller/recordwrites.go
@@ -178,7 +178,7 @@
 	switch {
 	case m.found && m.state.Phase == api.JobDone:
 		lt.jobFinished(j)
-	case m.found && m.state.Phase == api.JobCancelled && !m.state.Derived:
+	case m.found && m.state.Phase == api.JobCancelled && !m.state.DerivedCancel:
 		lt.cancelJob(j)
 	case j.CancelPending:
 		lt.dependencies.pendingCancels = append(lt.dependencies.pendingCancels, j)
--- a/internal/controller/simulatedhost_test.go
+++ b/internal/controller/simulatedhost_test.go
@@ -200,7 +200,7 @@
 	canSave := p.CheckpointS > 0 && p.SaveS > 0 && graceS != nil && *graceS >= p.SaveS
 	switch {
 	case t.Phase == api.TaskRunning && canSave:
-		t.Phase, k.remaining[r], k.changed = api.TaskSaving, p.Save(), true
+		t.Phase, k.remaining[r], k.changed = api.TaskSaving, p.SaveDuration(), true
 	case t.Phase == api.TaskRunning, graceS == nil, *graceS == 0:
 		k.exitTask(t, api.CauseHalted)
 	}
--- a/internal/controller/storedjobs.go
+++ b/internal/controller/storedjobs.go
@@ -96,7 +96,7 @@
 type finalStateMsg struct{ st api.JobState }
 
 func (m finalStateMsg) apply(c *Controller) {
-	if m.st.Derived {
+	if m.st.DerivedCancel {
 		return // the leader derives it by itself, and has yet to record it
 	}
 	if m.st.Phase == api.JobCancelled {
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -48,7 +48,7 @@
 		lt.evacuate(m, reasonSlow)
 		for _, other := range m.Attempts {
 			if !other.Exited && other.Job != nil && other.Job.Spec.CheckpointS > 0 {
-				lt.requestStop(other, 2*other.Job.Spec.Save()+time.Second, now)
+				lt.requestStop(other, 2*other.Job.Spec.SaveDuration()+time.Second, now)
 			}
 		}
 	}
@@ -87,7 +87,7 @@
 			j.RestartedTasks[a.Task] = true
 			j.ExcludedMachine[a.Task] = a.Machine.Name
 			lt.c.Log.Debug("straggler restarted", "task", a.Key.Ref, "machine", a.Machine.Name)
-			lt.requestStop(a, j.Spec.Save()*2, now)
+			lt.requestStop(a, j.Spec.SaveDuration()*2, now)
 		}
 	}
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -38,7 +38,7 @@
 		Done:    uint32(st.Done),
 		Running: uint32(st.Running),
 		Awaits:  st.DependsOn,
-		Derived: st.Derived,
+		Derived: st.DerivedCancel,
 		Cell:    st.Cell,
 	}, nil
 }
@@ -135,13 +135,13 @@
 		return api.JobState{}, api.ErrUnknownJob
 	}
 	return api.JobState{
-		ID:        id,
-		Phase:     st.Phase,
-		Done:      int(st.Done),
-		Running:   int(st.Running),
-		DependsOn: st.Awaits,
-		Derived:   st.Derived,
-		Cell:      st.Cell,
+		ID:            id,
+		Phase:         st.Phase,
+		Done:          int(st.Done),
+		Running:       int(st.Running),
+		DependsOn:     st.Awaits,
+		DerivedCancel: st.Derived,
+		Cell:          st.Cell,
 	}, nil
 }
 
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	// bufferSize is the size of the largest plain request, maxHeader that of its header.
-	bufferSize = 16 << 10
-	maxHeader  = 8 << 10
+	// bufferSize is the size of the largest plain request, maxHeaderBytes that of its header.
+	bufferSize     = 16 << 10
+	maxHeaderBytes = 8 << 10
 	// idleTimeout bounds the time between requests on a connection, and readTimeout the
 	// time that a request takes to arrive. Deadlines are renewed only once
 	// deadlineRefresh has passed, or each request would set two.
@@ -57,7 +57,7 @@
 func (s *Server) Serve(ln net.Listener) error {
 	s.buffers.New = func() any { return new([bufferSize]byte) }
 	s.readers.New = func() any { return bufio.NewReader(nil) }
-	fallback := newHandOverListener(ln.Addr())
+	fallback := newFallbackListener(ln.Addr())
 	defer fallback.close()
 	netHTTP := &http.Server{
 		Handler:           s.Handler,
@@ -65,7 +65,7 @@
 		ReadTimeout:       readTimeout,
 		WriteTimeout:      netHTTPWriteTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         s.ConnState,
 		ErrorLog:          slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug),
 	}
@@ -86,15 +86,15 @@
 			fallback.handOver(conn, nil)
 			continue
 		}
-		go s.serve(plain, fallback)
+		go s.serveConn(plain, fallback)
 	}
 }
 
 // connection is the state of a connection that is served here.
 type connection struct {
-	server *Server
-	conn   *netio.Conn
-	remote string
+	server     *Server
+	conn       *netio.Conn
+	remoteAddr string
 	// partial is what has arrived of a request; needsNetHTTP is set if that is not plain.
 	partial      []byte
 	needsNetHTTP bool
@@ -102,11 +102,11 @@
 	readDeadline, writeDeadline time.Time
 }
 
-func (s *Server) serve(conn *netio.Conn, fallback *handOverListener) {
-	c := &connection{server: s, conn: conn, remote: conn.RemoteAddr().String()}
+func (s *Server) serveConn(conn *netio.Conn, fallback *fallbackListener) {
+	c := &connection{server: s, conn: conn, remoteAddr: conn.RemoteAddr().String()}
 	s.notifyState(conn, http.StateNew)
 	c.extendReadDeadline(idleTimeout)
-	err := conn.Each(c.readRequests)
+	err := conn.ReadLoop(c.readRequests)
 	s.notifyState(conn, http.StateClosed)
 	if err == nil && c.needsNetHTTP {
 		_ = conn.SetDeadline(time.Time{}) // fails only if conn is closed, which net/http finds
@@ -134,15 +134,15 @@
 }
 
 // readRequests reads the requests that have arrived, and serves them.
-func (c *connection) readRequests(read func(p []byte) (int, error)) netio.Next {
+func (c *connection) readRequests(read func(p []byte) (int, error)) netio.LoopAction {
 	buf := c.server.buffers.Get().(*[bufferSize]byte)
 	n, err := read(buf[:])
 	if err != nil {
 		c.server.buffers.Put(buf)
-		if errors.Is(err, netio.ErrNothing) {
-			return netio.Wait
+		if errors.Is(err, netio.ErrNoData) {
+			return netio.WaitForData
 		}
-		return netio.Stop
+		return netio.StopLoop
 	}
 	p := buf[:n]
 	if c.partial != nil {
@@ -160,10 +160,10 @@
 		switch {
 		case !plain:
 			c.needsNetHTTP = true
-			return netio.Stop
+			return netio.StopLoop
 		case req == nil && c.partial != nil:
 			c.extendReadDeadline(readTimeout)
-			return netio.Again // the rest may have arrived
+			return netio.ReadAgain // the rest may have arrived
 		case req == nil:
 			c.server.notifyState(c.conn, http.StateIdle)
 			c.extendReadDeadline(idleTimeout)
@@ -171,12 +171,12 @@
 		if req == nil {
 			// A client sends no further request before the response to this one.
 			if n < bufferSize {
-				return netio.Wait
+				return netio.WaitForData
 			}
-			return netio.Again
+			return netio.ReadAgain
 		}
 		if !c.respond(req) {
-			return netio.Stop
+			return netio.StopLoop
 		}
 		req, plain = nil, true
 		if c.partial != nil {
@@ -191,7 +191,7 @@
 // is incomplete, and plain is unset if net/http must serve it; rest is then all of p.
 func (s *Server) parse(p []byte) (req *http.Request, rest []byte, plain bool) {
 	headerEnd := bytes.Index(p, endOfHeader)
-	if headerEnd < 0 || headerEnd > maxHeader {
+	if headerEnd < 0 || headerEnd > maxHeaderBytes {
 		return nil, p, headerEnd < 0 && len(p) < bufferSize
 	}
 	headerEnd += len(endOfHeader)
@@ -220,8 +220,8 @@
 
 // respond serves a request, and reports whether the connection stays open.
 func (c *connection) respond(req *http.Request) (keepOpen bool) {
-	req.RemoteAddr = c.remote
-	w := &response{header: http.Header{}}
+	req.RemoteAddr = c.remoteAddr
+	w := &bufferedResponse{header: http.Header{}}
 	if !c.callHandler(w, req) {
 		return false
 	}
@@ -254,32 +254,32 @@
 	return ok && errors.Is(err, http.ErrAbortHandler)
 }
 
-// response buffers a response, so that it is sent with one write.
-type response struct {
+// bufferedResponse buffers a response, so that it is sent with one write.
+type bufferedResponse struct {
 	header http.Header
 	status int
 	body   []byte
 }
 
 // Header implements http.ResponseWriter.
-func (w *response) Header() http.Header { return w.header }
+func (w *bufferedResponse) Header() http.Header { return w.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *response) WriteHeader(status int) {
+func (w *bufferedResponse) WriteHeader(status int) {
 	if w.status == 0 {
 		w.status = status
 	}
 }
 
 // Write implements http.ResponseWriter.
-func (w *response) Write(p []byte) (int, error) {
+func (w *bufferedResponse) Write(p []byte) (int, error) {
 	w.WriteHeader(http.StatusOK)
 	w.body = append(w.body, p...)
 	return len(p), nil
 }
 
 // encode returns the response as sent; closes is set if the connection closes after it.
-func (w *response) encode(closes bool) []byte {
+func (w *bufferedResponse) encode(closes bool) []byte {
 	w.WriteHeader(http.StatusOK)
 	out := make([]byte, 0, 160+len(w.body))
 	out = append(out, "HTTP/1.1 "...)
@@ -307,21 +307,21 @@
 	return append(out, w.body...)
 }
 
-// handOverListener is the listener of the server of net/http: it accepts the connections
+// fallbackListener is the listener of the server of net/http: it accepts the connections
 // with requests that are not plain.
-type handOverListener struct {
+type fallbackListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func newHandOverListener(addr net.Addr) *handOverListener {
-	return &handOverListener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
+func newFallbackListener(addr net.Addr) *fallbackListener {
+	return &fallbackListener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
 // handOver passes a connection to Accept, with the bytes that were read of it.
-func (h *handOverListener) handOver(conn net.Conn, read []byte) {
+func (h *fallbackListener) handOver(conn net.Conn, read []byte) {
 	select {
 	case h.conns <- &prefixedConn{Conn: conn, prefix: read}:
 	case <-h.done:
@@ -330,7 +330,7 @@
 }
 
 // Accept implements net.Listener.
-func (h *handOverListener) Accept() (net.Conn, error) {
+func (h *fallbackListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-h.conns:
 		return conn, nil
@@ -340,15 +340,15 @@
 }
 
 // Close implements net.Listener.
-func (h *handOverListener) Close() error {
+func (h *fallbackListener) Close() error {
 	h.close()
 	return nil
 }
 
-func (h *handOverListener) close() { h.once.Do(func() { close(h.done) }) }
+func (h *fallbackListener) close() { h.once.Do(func() { close(h.done) }) }
 
 // Addr implements net.Listener.
-func (h *handOverListener) Addr() net.Addr { return h.addr }
+func (h *fallbackListener) Addr() net.Addr { return h.addr }
 
 // prefixedConn is a connection whose first bytes have been read already.
 type prefixedConn struct {
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -60,7 +60,7 @@
 type client struct {
 	t *testing.T
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 func dial(t *testing.T, addr string) *client {
@@ -80,9 +80,9 @@
 	}
 }
 
-func (c *client) expect(status int, body string) {
+func (c *client) expectResponse(status int, body string) {
 	c.t.Helper()
-	resp, err := http.ReadResponse(c.r, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -98,9 +98,9 @@
 func TestPlainRequestsAreServedDirectly(t *testing.T) {
 	c := dial(t, startServer(t))
 	c.send("GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n")
-	c.expect(200, "GET /a?b=c 0 std=false")
+	c.expectResponse(200, "GET /a?b=c 0 std=false")
 	c.send("POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello")
-	c.expect(200, "POST /b 5 std=false hello")
+	c.expectResponse(200, "POST /b 5 std=false hello")
 	// In pieces, with the second request and a part of the third right behind the first.
 	for _, piece := range []string{
 		"POST /c HT",
@@ -111,11 +111,11 @@
 		c.send(piece)
 		time.Sleep(5 * time.Millisecond)
 	}
-	c.expect(200, "POST /c 4 std=false abcd")
-	c.expect(200, "GET /d 0 std=false")
+	c.expectResponse(200, "POST /c 4 std=false abcd")
+	c.expectResponse(200, "GET /d 0 std=false")
 	c.send("P/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-	c.expect(200, "GET /e 0 std=false")
-	if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
+	c.expectResponse(200, "GET /e 0 std=false")
+	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("read after the last response: got error %v, want %v", err, io.EOF)
 	}
 }
@@ -140,20 +140,20 @@
 	} {
 		c := dial(t, addr)
 		c.send(one.request)
-		c.expect(one.status, one.want)
+		c.expectResponse(one.status, one.want)
 	}
 	c := dial(t, addr)
 	c.send("POST /expect HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
-	if line, err := c.r.ReadString('\n'); err != nil || !strings.Contains(line, "100 Continue") {
+	if line, err := c.reader.ReadString('\n'); err != nil || !strings.Contains(line, "100 Continue") {
 		t.Fatal(line, err)
 	}
-	if line, err := c.r.ReadString('\n'); err != nil {
+	if line, err := c.reader.ReadString('\n'); err != nil {
 		t.Fatal(line, err)
 	}
 	c.send("abc")
-	c.expect(200, "POST /expect 3 std=true abc")
+	c.expectResponse(200, "POST /expect 3 std=true abc")
 	c.send("GET /after HTTP/1.1\r\nHost: x\r\n\r\n")
-	c.expect(200, "GET /after")
+	c.expectResponse(200, "GET /after")
 }
 
 // A handler that panics closes its own connection and no other.
@@ -161,12 +161,12 @@
 	addr := startServer(t)
 	c := dial(t, addr)
 	c.send("GET /panic HTTP/1.1\r\nHost: x\r\n\r\n")
-	if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("read after the last response: got error %v, want %v", err, io.EOF)
 	}
 	c = dial(t, addr)
 	c.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-	c.expect(200, "GET /a")
+	c.expectResponse(200, "GET /a")
 }
 
 // A connection that its client closes is closed by the server, and ConnState is called on
@@ -192,7 +192,7 @@
 	})
 	c := dial(t, ln.Addr().String())
 	c.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-	c.expect(200, "GET /a")
+	c.expectResponse(200, "GET /a")
 	closeConn(c)
 	for _, want := range []http.ConnState{http.StateNew, http.StateActive, http.StateIdle, http.StateClosed} {
 		if got := <-states; got != want {
--- a/internal/jsonerror/jsonerror.go
+++ b/internal/jsonerror/jsonerror.go
@@ -19,9 +19,9 @@
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		if wrongType.Field == "" {
-			return fmt.Errorf("expected %s, found %s", kind(wrongType.Type), wrongType.Value)
+			return fmt.Errorf("expected %s, found %s", typeName(wrongType.Type), wrongType.Value)
 		}
-		return fmt.Errorf("field %s: expected %s, found %s", wrongType.Field, kind(wrongType.Type), wrongType.Value)
+		return fmt.Errorf("field %s: expected %s, found %s", wrongType.Field, typeName(wrongType.Type), wrongType.Value)
 	}
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
@@ -32,8 +32,8 @@
 	return err
 }
 
-// kind names the JSON value that a Go type is decoded from.
-func kind(t reflect.Type) string {
+// typeName names the JSON value that a Go type is decoded from.
+func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Float64:
 		return "a number"
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -97,23 +97,23 @@
 	return c.readCount, nil
 }
 
-// Next is what Each does after a step.
-type Next int
+// LoopAction is what Each does after a step.
+type LoopAction int
 
 // What Each may do after a step.
 const (
-	// Wait waits until more arrives.
-	Wait Next = iota
-	// Again calls the step at once, since more may have arrived already.
-	Again
-	// Stop returns from Each.
-	Stop
+	// WaitForData waits until more arrives.
+	WaitForData LoopAction = iota
+	// ReadAgain calls the step at once, since more may have arrived already.
+	ReadAgain
+	// StopLoop returns from Each.
+	StopLoop
 )
 
-// ErrNothing means that nothing has arrived yet.
-var ErrNothing = errors.New("nothing to read")
+// ErrNoData means that nothing has arrived yet.
+var ErrNoData = errors.New("nothing to read")
 
-// Each calls step whenever data may have arrived, until step returns Stop or the
+// ReadLoop calls step whenever data may have arrived, until step returns Stop or the
 // connection's deadline expires. A step reads with the function passed to it, which does
 // not block; so it needs a buffer only while it reads.
 //
@@ -121,13 +121,13 @@
 // once if nothing else can have arrived: the poller reports what arrives later. If the
 // peer's close arrived together with the data read, it is detected only by a write or
 // when the deadline expires.
-func (c *Conn) Each(step func(read func(p []byte) (int, error)) Next) error {
+func (c *Conn) ReadLoop(step func(read func(p []byte) (int, error)) LoopAction) error {
 	var socket uintptr
 	read := func(p []byte) (int, error) {
 		n, errno := retryingSyscall(syscall.SYS_READ, socket, p)
 		switch {
 		case errno == syscall.EAGAIN:
-			return 0, ErrNothing
+			return 0, ErrNoData
 		case errno != 0:
 			return 0, c.opError("read", errno)
 		case n == 0:
@@ -139,9 +139,9 @@
 		socket = fd
 		for {
 			switch step(read) {
-			case Wait:
+			case WaitForData:
 				return false
-			case Stop:
+			case StopLoop:
 				return true
 			}
 		}
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -90,12 +90,12 @@
 	waiting := make(chan bool, 1)
 	done := make(chan error, 1)
 	go func() {
-		done <- near.(*Conn).Each(func(read func([]byte) (int, error)) Next {
-			if _, err := read(make([]byte, 8)); !errors.Is(err, ErrNothing) {
-				return Stop
+		done <- near.(*Conn).ReadLoop(func(read func([]byte) (int, error)) LoopAction {
+			if _, err := read(make([]byte, 8)); !errors.Is(err, ErrNoData) {
+				return StopLoop
 			}
 			waiting <- true
-			return Wait
+			return WaitForData
 		})
 	}()
 	<-waiting
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -221,21 +221,21 @@
 		}
 	}
 	var frameErr error
-	err := netioConn.Each(func(read func([]byte) (int, error)) netio.Next {
+	err := netioConn.ReadLoop(func(read func([]byte) (int, error)) netio.LoopAction {
 		n, err := read(buf)
-		if errors.Is(err, netio.ErrNothing) {
-			return netio.Wait
+		if errors.Is(err, netio.ErrNoData) {
+			return netio.WaitForData
 		}
 		if err == nil {
 			err = f.feed(buf[:n])
 		}
 		if err != nil {
 			frameErr = err
-			return netio.Stop
+			return netio.StopLoop
 		}
 		// Any number of messages may be queued, so only a read that finds nothing
 		// shows that none is left.
-		return netio.Again
+		return netio.ReadAgain
 	})
 	return errors.Join(err, frameErr)
 }
--- a/internal/records/dependencies_test.go
+++ b/internal/records/dependencies_test.go
@@ -91,7 +91,7 @@
 // their names.
 func putMaxDependencies(t *testing.T, s kv.Service) (ids []string) {
 	t.Helper()
-	for size := 400; size+len(`"job-1000",`) <= api.MaxBody; size += len(`"job-1000",`) {
+	for size := 400; size+len(`"job-1000",`) <= api.MaxBodyBytes; size += len(`"job-1000",`) {
 		ids = append(ids, fmt.Sprint("job-", 1000+len(ids)))
 		putRecord(t, s, ids[len(ids)-1], api.JobDone)
 	}
--- a/internal/records/dependencylist.go
+++ b/internal/records/dependencylist.go
@@ -21,7 +21,7 @@
 const digestBytes = 16
 
 // maxDependencyList has the longest encoding that a list can have.
-var maxDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), Records: api.MaxBody}
+var maxDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), Records: api.MaxBodyBytes}
 
 // listedElsewhere is the record with a list in place of the names.
 func (rec ActiveRecord) listedElsewhere(list *DependencyList) ActiveRecord {
--- a/internal/records/lookup.go
+++ b/internal/records/lookup.go
@@ -58,7 +58,7 @@
 		}()
 	default:
 	}
-	return api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}
+	return api.JobState{ID: id, Phase: api.JobCancelled, DerivedCancel: true}
 }
 
 // isPendingByCache reports whether a job with dependencies is active and none of those has
--- a/internal/records/values.go
+++ b/internal/records/values.go
@@ -57,7 +57,7 @@
 func (f TerminalRecord) JobState(id string) api.JobState {
 	st := api.JobState{ID: id, Phase: f.Phase}
 	if f.Phase == api.JobDone {
-		st.Done, st.Ended = f.Tasks, f.Ended
+		st.Done, st.EndedAt = f.Tasks, f.Ended
 	}
 	return st
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -42,7 +42,7 @@
 	}
 	defer closeBody(resp)
 	var hb api.Heartbeat
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponse)).Decode(&hb); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&hb); err != nil {
 		return nil, fmt.Errorf("probe: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
@@ -51,8 +51,8 @@
 	return &hb, nil
 }
 
-// maxResponse is the largest body that is read of a machine's response.
-const maxResponse = 1 << 20
+// maxResponseBytes is the largest body that is read of a machine's response.
+const maxResponseBytes = 1 << 20
 
 // closeBody closes a response that is not needed any more; an error would not change what
 // was read of it.
@@ -105,7 +105,7 @@
 	}
 	defer closeBody(resp)
 	var hb api.Heartbeat
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponse)).Decode(&hb)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&hb)
 	if err != nil && resp.StatusCode == http.StatusOK {
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsOutcomeUnknown, err)
 	}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// newClient is a client with another way to connect.
-func newClient(dial dialFunc) *Client {
+// newClientWithDialer is a client with another way to connect.
+func newClientWithDialer(dial dialFunc) *Client {
 	c := NewClient()
 	c.http.Transport.(*http.Transport).DialContext = dial
 	return c
@@ -60,7 +60,7 @@
 		"another status":     {respondWith(500, ""), api.ErrCommandsOutcomeUnknown},
 		"malformed response": {respondWith(200, `{"Host"`), api.ErrCommandsOutcomeUnknown},
 	} {
-		client := newClient(c.dial)
+		client := newClientWithDialer(c.dial)
 		seq, err := client.SendCommands(t.Context(), "10.0.0.1:1", &api.CommandBatch{Term: 1, AgentEpoch: 1})
 		if !errors.Is(err, c.want) || (err == nil) != (seq == 7) {
 			t.Errorf("%s: got sequence number %d, error %v; want error %v", name, seq, err, c.want)
@@ -74,7 +74,7 @@
 		respondWith(409, `{"Host":"i-1","Season":3,"Warrant":4}`),
 		respondWith(200, `{"Host":"i-1","Season":3,"Warrant":5,"Tally":9}`),
 	}
-	client := newClient(func(ctx context.Context, network, addr string) (net.Conn, error) {
+	client := newClientWithDialer(func(ctx context.Context, network, addr string) (net.Conn, error) {
 		next := responses[0]
 		responses = responses[1:]
 		return next(ctx, network, addr)
@@ -82,7 +82,7 @@
 	if hb, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err != nil || hb.Seq != 9 || hb.Term != 5 {
 		t.Errorf("got heartbeat %v, error %v; want sequence number 9, term 5", hb, err)
 	}
-	client = newClient(respondWith(409, `{"Host":"i-1","Season":1,"Warrant":6}`))
+	client = newClientWithDialer(respondWith(409, `{"Host":"i-1","Season":1,"Warrant":6}`))
 	if _, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err == nil {
 		t.Error("resync of a machine with a later term: got no error, want one")
 	}
@@ -98,7 +98,7 @@
 		"another status":     {respondWith(500, `{}`), false},
 		"malformed response": {respondWith(200, `{"Host"`), false},
 	} {
-		client := newClient(c.dial)
+		client := newClientWithDialer(c.dial)
 		hb, err := client.Probe(t.Context(), "10.0.0.1:1")
 		if (err == nil) != c.ok || c.ok && (hb.AgentEpoch != 2 || hb.Seq != 7) {
 			t.Errorf("%s: got heartbeat %+v, error %v; want success %v", name, hb, err, c.ok)
