--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -13,7 +13,8 @@
 	"testing"
 )
 
-// stubBackend is a backend with one known job, of the leader or of another node.
+// stubBackend is a backend with one known job, job-000007. Its node is the leader unless leader names
+// another node.
 type stubBackend struct {
 	submitted   []*JobSpec
 	unavailable bool
@@ -66,28 +67,27 @@
 	return w
 }
 
-// submit posts a submission.
 func submit(t *testing.T, b Backend, body string) *httptest.ResponseRecorder {
 	t.Helper()
 	return serve(t, b, http.MethodPost, "/api/jobs", body)
 }
 
-// newJobID is the ID of a job that is not known yet.
+// newJobID is the ID of a job that the backend does not know.
 const newJobID = "job-000412"
 
-// submissionWith is a valid submission with some fields changed, or left out where the
-// value is "drop".
-func submissionWith(change map[string]any) string {
-	m := map[string]any{"NameId": newJobID, "Jobclass": "train", "Owner": "vision", "Shape": "array",
+// submissionWith returns a valid submission with some fields changed, or omitted if the value is
+// "drop".
+func submissionWith(changes map[string]any) string {
+	fields := map[string]any{"NameId": newJobID, "Jobclass": "train", "Owner": "vision", "Shape": "array",
 		"Precedence": "urgent", "Shoots": 16, "Cores": 8.0, "Cards": 1.0, "MemoryGb": 64.0, "Rootstock": "img-07",
 		"PullGb": 6.2, "Frames": []string{"g8"}, "Bed": nil, "SamePlace": true, "Scatter": false, "Windfall": true,
 		"ExpectS": 240.0, "GraftS": 30.0, "PressS": 4.0, "DueS": 900.0, "Unheard": "of"}
-	for k, v := range change {
-		if m[k] = v; v == "drop" {
-			delete(m, k)
+	for name, value := range changes {
+		if fields[name] = value; value == "drop" {
+			delete(fields, name)
 		}
 	}
-	raw, err := json.Marshal(m)
+	raw, err := json.Marshal(fields)
 	if err != nil {
 		panic(err)
 	}
@@ -100,7 +100,7 @@
 		want       int
 	}{
 		{"good, with an unknown field", submissionWith(nil), 201},
-		{"nullable fields left out", submissionWith(map[string]any{"Frames": "drop", "Bed": "drop", "DueS": "drop"}),
+		{"nullable fields missing", submissionWith(map[string]any{"Frames": "drop", "Bed": "drop", "DueS": "drop"}),
 			201},
 		{"not JSON", "{", 400},
 		{"not an object", "[]", 400},
@@ -108,19 +108,19 @@
 		{"empty", "", 400},
 		{"missing field", submissionWith(map[string]any{"Cores": "drop"}), 400},
 		{"wrong type", submissionWith(map[string]any{"Cores": "eight"}), 400},
-		{"fraction of a task", submissionWith(map[string]any{"Shoots": 1.5}), 400},
+		{"fractional number of tasks", submissionWith(map[string]any{"Shoots": 1.5}), 400},
 		{"no task", submissionWith(map[string]any{"Shoots": 0}), 400},
 		{"too many tasks", submissionWith(map[string]any{"Shoots": 100001}), 400},
-		{"most tasks", submissionWith(map[string]any{"Shoots": 100000}), 201},
+		{"maximum number of tasks", submissionWith(map[string]any{"Shoots": 100000}), 201},
 		{"negative amount", submissionWith(map[string]any{"MemoryGb": -1}), 400},
 		{"malformed id", submissionWith(map[string]any{"NameId": "task-1"}), 400},
 		{"id with a slash", submissionWith(map[string]any{"NameId": "job-1/2"}), 400},
 		{"unknown shape", submissionWith(map[string]any{"Shape": "ring"}), 400},
 		{"unknown priority", submissionWith(map[string]any{"Precedence": "soon"}), 400},
-		{"deadline of nothing", submissionWith(map[string]any{"DueS": 0}), 400},
+		{"deadline of zero", submissionWith(map[string]any{"DueS": 0}), 400},
 		{"body too large", `{"NameId":"` + strings.Repeat("x", MaxBodyBytes) + `"}`, 400},
 		{"unknown team", submissionWith(map[string]any{"Owner": "nobody"}), 422},
-		// The repeat of a known job gets its state whatever else it holds.
+		// The response to a repeated submission is the job's state, even if the repeat is invalid.
 		{"known job, unknown team", submissionWith(map[string]any{"NameId": "job-000007", "Owner": "nobody"}), 200},
 		{"known job, missing field", submissionWith(map[string]any{"NameId": "job-000007", "Cores": "drop"}), 200},
 	} {
@@ -130,10 +130,10 @@
 	}
 }
 
-// A node that cannot find out whether a job is known must not reject it for good.
+// A node that cannot determine whether a job is known must not reject it permanently.
 func TestUnavailableBackendNeverRejectsForGood(t *testing.T) {
-	for _, b := range []string{submissionWith(nil), submissionWith(map[string]any{"Cores": "drop"})} {
-		w := submit(t, &stubBackend{unavailable: true}, b)
+	for _, body := range []string{submissionWith(nil), submissionWith(map[string]any{"Cores": "drop"})} {
+		w := submit(t, &stubBackend{unavailable: true}, body)
 		if w.Code != 503 || w.Header().Get("Retry-After") != "1" {
 			t.Errorf("got status %d, Retry-After %q; want 503 and \"1\"", w.Code, w.Header().Get("Retry-After"))
 		}
@@ -143,7 +143,7 @@
 func TestRouteStatusCodes(t *testing.T) {
 	for _, c := range []struct {
 		method, path string
-		down         bool
+		unavailable  bool
 		want         int
 	}{
 		{"GET", "/ready", false, 200}, {"GET", "/ready", true, 503},
@@ -153,12 +153,29 @@
 		{"GET", "/nowhere", false, 404}, {"DELETE", "/api/jobs/job-000007", false, 405},
 		{"GET", "/v1/report", false, 405},
 	} {
-		if w := serve(t, &stubBackend{unavailable: c.down}, c.method, c.path, ""); w.Code != c.want {
+		if w := serve(t, &stubBackend{unavailable: c.unavailable}, c.method, c.path, ""); w.Code != c.want {
 			t.Errorf("%s %s: got status %d, want %d", c.method, c.path, w.Code, c.want)
 		}
 	}
 }
 
+// The error for an unknown job names the job.
+func TestUnknownJobErrorsNameJob(t *testing.T) {
+	for id, want := range map[string]string{
+		"job-000008": `{"error":"unknown job \"job-000008\""}`,
+		"train":      `{"error":"unknown job \"train\""}`,
+	} {
+		for _, w := range []*httptest.ResponseRecorder{
+			serve(t, &stubBackend{}, "GET", "/api/jobs/"+id, ""),
+			serve(t, &stubBackend{}, "POST", "/api/jobs/"+id+"/abort", ""),
+		} {
+			if w.Code != 404 || w.Body.String() != want {
+				t.Errorf("%s: got %d %s, want 404 %s", id, w.Code, w.Body, want)
+			}
+		}
+	}
+}
+
 func TestHeartbeatResponses(t *testing.T) {
 	const heartbeat = `{"Host":"i-000231","Season":1,"Tally":2,"Shoots":[]}`
 	for _, c := range []struct {
@@ -168,7 +185,7 @@
 		wantBody string
 	}{
 		{"leader", &stubBackend{}, 200, `{"Warrant":4,"Orders":[]}`},
-		{"another node leads", &stubBackend{leader: "trellis-2"}, 421, `{"Gardener":"trellis-2"}`},
+		{"another node is the leader", &stubBackend{leader: "trellis-2"}, 421, `{"Gardener":"trellis-2"}`},
 	} {
 		w := serve(t, c.backend, "POST", "/v1/report", heartbeat)
 		if w.Code != c.wantCode || w.Body.String() != c.wantBody {
@@ -182,8 +199,8 @@
 	}
 }
 
-// Requests without a slot are rejected at once with a Retry-After, while heartbeats
-// and health checks are served.
+// When all slots are in use, further requests of users are rejected immediately with a Retry-After
+// header, while heartbeats and health checks are served.
 func TestRequestsBeyondSlotsGetTooManyRequests(t *testing.T) {
 	blocked := &blockedBackend{stubBackend: &stubBackend{}, release: make(chan struct{})}
 	h := Handler(blocked, slog.New(slog.DiscardHandler))
@@ -215,7 +232,7 @@
 	}
 }
 
-// blockedBackend serves polls only when released.
+// blockedBackend blocks polls until release is closed, and counts them in waiting.
 type blockedBackend struct {
 	*stubBackend
 	waiting atomic.Int64
--- a/internal/api/badinput_test.go
+++ b/internal/api/badinput_test.go
@@ -6,16 +6,17 @@
 	"testing"
 )
 
-// submissionWithLiteral is a valid submission with one field set to a JSON literal.
+// submissionWithLiteral returns a valid submission with one field set to a JSON literal.
 func submissionWithLiteral(id, field, literal string) string {
-	change := map[string]any{"NameId": id}
-	change[field] = "@@"
-	return strings.Replace(submissionWith(change), `"@@"`, literal, 1)
+	changes := map[string]any{"NameId": id}
+	changes[field] = "@@"
+	return strings.Replace(submissionWith(changes), `"@@"`, literal, 1)
 }
 
-// checkInvalidSubmission checks that an invalid submission, as made for a job ID, gets
-// 400 and does not reach the backend; that the repeat of a known job gets its state
-// whatever else it holds; and that nothing is final while the job may be known.
+// checkInvalidSubmission checks the responses to an invalid submission, which it builds for
+// different job IDs. For a new job, the response is 400 and the backend is not called. For a known
+// job, it is the job's state. While the backend is unavailable, it is 503 with a Retry-After
+// header, since the job may be known.
 func checkInvalidSubmission(t *testing.T, name string, submission func(id string) string) {
 	t.Helper()
 	b := &stubBackend{}
@@ -32,12 +33,12 @@
 	}
 }
 
-// A submission with an invalid field is rejected, unless it repeats a known job.
+// A submission with an invalid field is rejected, unless it repeats one of a known job.
 func TestInvalidFieldsGetBadRequest(t *testing.T) {
 	text := []string{"null", "5", "true", "[]", "{}", `["x"]`, `""`}
 	amount := []string{"null", `"1.0"`, `""`, "true", "[]", "{}", "[1.0]", "-1", "-0.001", "-1e400", "1e400", "1e10",
 		`"NaN"`, `"Infinity"`}
-	// A requirement of 1e10 is well-formed, see TestOversizedRequirementsReachBackend.
+	// A requirement of 1e10 is valid, see TestOversizedRequirementsReachBackend.
 	requirement := slices.DeleteFunc(slices.Clone(amount), func(s string) bool { return s == "1e10" })
 	flag := []string{"null", "0", "1", `"true"`, `""`, "[]", "{}"}
 	for field, literals := range map[string][]string{
@@ -61,7 +62,7 @@
 	}
 }
 
-// Only the fields that may be null may be left out.
+// Only the nullable fields may be missing.
 func TestOnlyNullableFieldsMayBeMissing(t *testing.T) {
 	for _, c := range []struct {
 		want   int
@@ -81,41 +82,43 @@
 	}
 }
 
-// Field names are case-sensitive: a name that differs in case is an unknown field, which
-// is ignored and neither replaces nor provides the known one.
+// Field names are case-sensitive: a name that differs in case is an unknown field. It is ignored,
+// and sets no value of the known field.
 func TestFieldNamesAreCaseSensitive(t *testing.T) {
-	for _, c := range []struct{ field, like, literal string }{
+	for _, c := range []struct{ field, variant, literal string }{
 		{"Shoots", "shoots", "99"}, {"Bed", "BED", `"z"`}, {"NameId", "nameid", `"job-000007"`},
 		{"Cores", "cores", `"many"`}, {"Frames", "frames", "[]"}, {"Windfall", "windfall", "null"},
 	} {
-		for _, more := range []string{strings.Replace(submissionWith(nil), "{", `{"`+c.like+`":`+c.literal+",", 1),
-			strings.TrimSuffix(submissionWith(nil), "}") + `,"` + c.like + `":` + c.literal + "}"} {
+		for _, body := range []string{
+			strings.Replace(submissionWith(nil), "{", `{"`+c.variant+`":`+c.literal+",", 1),
+			strings.TrimSuffix(submissionWith(nil), "}") + `,"` + c.variant + `":` + c.literal + "}",
+		} {
 			s := &stubBackend{}
-			w := submit(t, s, more)
+			w := submit(t, s, body)
 			if w.Code != 201 || len(s.submitted) != 1 {
 				t.Errorf("with %s as well: got status %d (%s), accepted %+v; want 201, one",
-					c.like, w.Code, w.Body, s.submitted)
+					c.variant, w.Code, w.Body, s.submitted)
 				continue
 			}
 			if got := s.submitted[0]; got.ID != newJobID || got.Tasks != 16 || got.Zone != "" || got.CPUs != 8 ||
 				len(got.Types) != 1 || !got.Spot {
-				t.Errorf("with %s as well: got %+v, want the job without it", c.like, got)
+				t.Errorf("with %s as well: got %+v, want the job without it", c.variant, got)
 			}
 		}
 		if c.field == "Bed" || c.field == "Frames" {
-			continue // may be left out
+			continue // nullable, so it may be missing
 		}
 		s := &stubBackend{}
-		w := submit(t, s, strings.Replace(submissionWith(nil), `"`+c.field+`"`, `"`+c.like+`"`, 1))
+		w := submit(t, s, strings.Replace(submissionWith(nil), `"`+c.field+`"`, `"`+c.variant+`"`, 1))
 		if w.Code != 400 || len(s.submitted) > 0 {
 			t.Errorf("%s in place of %s: got status %d, %d accepted; want 400",
-				c.like, c.field, w.Code, len(s.submitted))
+				c.variant, c.field, w.Code, len(s.submitted))
 		}
 	}
 }
 
-// Of duplicate fields the last counts, for the ID and the others alike: a job must not
-// be validated under one ID and stored under another.
+// The last of duplicate fields counts, also for the ID: a job must not be validated under one ID
+// and stored under another.
 func TestLastOfDuplicateFieldsCounts(t *testing.T) {
 	withFirst := func(first string) string { return strings.Replace(submissionWith(nil), "{", "{"+first+",", 1) }
 	withLast := func(more string) string { return strings.TrimSuffix(submissionWith(nil), "}") + "," + more + "}" }
@@ -146,39 +149,39 @@
 	}
 }
 
-// A body that is no JSON object of the protocol's size names no job: it gets 400 from
-// every node, also while the backend is unavailable.
+// A body that is not a JSON object, or is too large, identifies no job. So the response is 400 even
+// while the backend is unavailable.
 func TestNonObjectBodiesGetBadRequest(t *testing.T) {
 	good := submissionWith(nil)
 	nested := strings.Repeat("[", 20_000) + strings.Repeat("]", 20_000)
-	for name, b := range map[string]string{
-		"empty":            "",
-		"blank":            " \n",
-		"text":             "job-000412",
-		"form":             "NameId=job-000412",
-		"null":             "null",
-		"list":             "[" + good + "]",
-		"string":           `"job-000412"`,
-		"number":           "412",
-		"boolean":          "true",
-		"cut short":        good[:len(good)-1],
-		"two":              good + good,
-		"more after it":    good + "x",
-		"byte order mark":  "\ufeff" + good,
-		"comment":          "/**/" + good,
-		"comma at the end": good[:len(good)-1] + ",}",
-		"NaN":              submissionWithLiteral(newJobID, "Cores", "NaN"),
-		"infinite":         submissionWithLiteral(newJobID, "Cores", "Infinity"),
-		"minus infinite":   submissionWithLiteral(newJobID, "Cores", "-Infinity"),
-		"hexadecimal":      submissionWithLiteral(newJobID, "Shoots", "0x10"),
-		"leading zero":     submissionWithLiteral(newJobID, "Shoots", "016"),
-		"plus":             submissionWithLiteral(newJobID, "Cores", "+8.0"),
-		"too deep":         strings.Replace(good, "{", `{"X":`+nested+",", 1),
-		"too large":        good + strings.Repeat(" ", MaxBodyBytes-len(good)+1),
+	for name, body := range map[string]string{
+		"empty":           "",
+		"white space":     " \n",
+		"text":            "job-000412",
+		"form":            "NameId=job-000412",
+		"null":            "null",
+		"array":           "[" + good + "]",
+		"string":          `"job-000412"`,
+		"number":          "412",
+		"boolean":         "true",
+		"truncated":       good[:len(good)-1],
+		"two objects":     good + good,
+		"trailing text":   good + "x",
+		"byte order mark": "\ufeff" + good,
+		"comment":         "/**/" + good,
+		"trailing comma":  good[:len(good)-1] + ",}",
+		"NaN":             submissionWithLiteral(newJobID, "Cores", "NaN"),
+		"infinity":        submissionWithLiteral(newJobID, "Cores", "Infinity"),
+		"minus infinity":  submissionWithLiteral(newJobID, "Cores", "-Infinity"),
+		"hexadecimal":     submissionWithLiteral(newJobID, "Shoots", "0x10"),
+		"leading zero":    submissionWithLiteral(newJobID, "Shoots", "016"),
+		"plus sign":       submissionWithLiteral(newJobID, "Cores", "+8.0"),
+		"nested too deep": strings.Replace(good, "{", `{"X":`+nested+",", 1),
+		"too large":       good + strings.Repeat(" ", MaxBodyBytes-len(good)+1),
 	} {
 		for _, s := range []*stubBackend{{}, {unavailable: true}} {
-			if w := submit(t, s, b); w.Code != 400 || len(s.submitted) > 0 {
-				t.Errorf("%s, backend down %v: got status %d (%s), %d accepted; want 400",
+			if w := submit(t, s, body); w.Code != 400 || len(s.submitted) > 0 {
+				t.Errorf("%s, backend unavailable %v: got status %d (%s), %d accepted; want 400",
 					name, s.unavailable, w.Code, w.Body, len(s.submitted))
 			}
 		}
@@ -188,8 +191,8 @@
 	}
 }
 
-// No job with a malformed ID was ever accepted: its submission is invalid and its job
-// unknown, also while the backend is unavailable.
+// No job with a malformed ID can have been accepted. So its submission is invalid and the job is
+// unknown, even while the backend is unavailable.
 func TestMalformedIDs(t *testing.T) {
 	for _, id := range []string{"", "job", "job-", "job-x", "job--1", "job-+1", "job-1.5", "job-1 ", " job-1",
 		"job-1\n", "Job-1", "JOB-1", "job_1", "job-1/2", "job-1/../job-2", "xjob-1", "job-1x", "job-\u0661",
@@ -214,7 +217,7 @@
 		t.Errorf("submission of %q: got status %d, %d accepted; want 400", id, w.Code, len(b.submitted))
 	}
 	if id == "" || strings.Contains(id, "/..") {
-		return // the path would be another one
+		return // the URL's path would be a different one
 	}
 	path := "/api/jobs/" + strings.NewReplacer(" ", "%20", "\n", "%0A", "/", "%2F").Replace(id)
 	if w := serve(t, b, "GET", path, ""); w.Code != 404 {
@@ -225,8 +228,8 @@
 	}
 }
 
-// While the backend is unavailable no response is final: neither that a job is unknown
-// nor that it is cancelled.
+// While the backend is unavailable, the response to every request about a job is 503 with a
+// Retry-After header: it must not say that a job is unknown or cancelled.
 func TestOutageGetsRetryAfter(t *testing.T) {
 	for _, c := range []struct{ method, path, body string }{
 		{"POST", "/api/jobs", submissionWith(nil)},
@@ -240,8 +243,8 @@
 	}
 }
 
-// A requirement that no machine could ever meet is not malformed: the backend, which
-// knows the machine types, decides whether a job is schedulable.
+// A requirement that no machine could ever meet is a valid value: the backend decides by the machine
+// types whether the job is schedulable.
 func TestOversizedRequirementsReachBackend(t *testing.T) {
 	for _, field := range []string{"Cores", "Cards", "MemoryGb"} {
 		for _, literal := range []string{"1000000001", "1e10", "1e308"} {
@@ -255,7 +258,8 @@
 	}
 }
 
-// The error of an invalid submission is one line without Go's type names.
+// The error message of an invalid submission is one line that a user can understand: it names the
+// field, the value found and the values allowed, and no Go types.
 func TestInvalidSubmissionErrorsAreReadable(t *testing.T) {
 	for _, c := range []struct{ submission, want string }{
 		{"[]", "not a valid job: expected an object, found array"},
@@ -264,6 +268,11 @@
 			"not a valid job: field Shoots: expected a whole number, found string"},
 		{submissionWithLiteral(newJobID, "Frames", `"g8"`),
 			"not a valid job: field Frames: expected a list, found string"},
+		{submissionWithLiteral(newJobID, "Cores", "-2"), "field Cores: must be 0 or more, found -2"},
+		{submissionWithLiteral(newJobID, "PullGb", "1e10"), "field PullGb: must be from 0 to 1e+09, found 1e+10"},
+		{submissionWithLiteral(newJobID, "Shoots", "0"), "field Shoots: must be from 1 to 100000, found 0"},
+		{submissionWithLiteral(newJobID, "Precedence", `"soon"`),
+			`field Precedence: must be prod, urgent, standard or low, found \"soon\"`},
 	} {
 		w := submit(t, &stubBackend{}, c.submission)
 		got := w.Body.String()
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -3,30 +3,31 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"log/slog"
 	"net/http"
 	"strconv"
 	"time"
 
-	fast "github.com/segmentio/encoding/json"
+	fastjson "github.com/segmentio/encoding/json"
 )
 
-// Errors of a Backend.
+// Errors that a Backend returns.
 var (
 	// ErrUnavailable means that the node cannot serve the request at the moment.
-	ErrUnavailable = errors.New("not available just now")
-	// ErrUnknownJob means that no job of this ID was accepted.
+	ErrUnavailable = errors.New("temporarily unavailable")
+	// ErrUnknownJob means that no job with the given ID was ever accepted.
 	ErrUnknownJob = errors.New("unknown job")
 )
 
-// UnschedulableError gives the reason why no machine could ever run a job.
+// UnschedulableError means that no machine could ever run a job, and gives the reason.
 type UnschedulableError struct{ Reason string }
 
-// Error implements error; users see the text.
+// Error implements error. Users see the message.
 func (e *UnschedulableError) Error() string { return "the job can never run: " + e.Reason }
 
-// NotLeaderError redirects a worker agent to the leader; Leader is empty if it is not known.
+// NotLeaderError redirects a worker agent to the leader. Leader is empty if the leader is unknown.
 type NotLeaderError struct{ Leader string }
 
 // Error implements error.
@@ -34,30 +35,31 @@
 
 // Backend serves the requests that the handlers decode.
 type Backend interface {
-	// Submit accepts a job; created is unset if it was accepted before.
-	Submit(ctx context.Context, spec *JobSpec) (st JobState, created bool, err error)
-	// RecordedJob reads the state of a job whose repeated submission is invalid.
+	// Submit accepts a job. It returns created as false if the job was already accepted earlier.
+	Submit(ctx context.Context, spec *JobSpec) (state JobState, created bool, err error)
+	// RecordedJob returns the state of a job for a repeated submission that is invalid.
 	RecordedJob(ctx context.Context, id string) (JobState, error)
-	// Job reads the state of a job.
+	// Job returns the state of a job.
 	Job(ctx context.Context, id string) (JobState, error)
 	// Cancel cancels a job and returns its state.
 	Cancel(ctx context.Context, id string) (JobState, error)
-	// Heartbeat applies a worker agent's heartbeat and returns its commands.
-	Heartbeat(ctx context.Context, hb *Heartbeat) (HeartbeatResponse, error)
+	// Heartbeat applies a worker agent's heartbeat and returns commands for the agent.
+	Heartbeat(ctx context.Context, heartbeat *Heartbeat) (HeartbeatResponse, error)
 	// Ready reports whether the node passes its health check.
 	Ready() bool
-	// Status returns the operators' view of the node.
+	// Status returns the node's status for operators.
 	Status(ctx context.Context) (any, error)
 }
 
-// Timeouts of the senders, less the time that a response takes to reach them.
+// Timeouts of requests. Each is the client's timeout, less the time that a response takes to reach
+// the client.
 const (
 	submitTimeout = 2500 * time.Millisecond
 	pollTimeout   = 1500 * time.Millisecond
 	cancelTimeout = 3 * time.Second
 )
 
-// Handler serves users, worker agents and health checks.
+// Handler returns the handler of the HTTP API for users, worker agents and health checks.
 func Handler(b Backend, log *slog.Logger) http.Handler {
 	s := &server{
 		backend:     b,
@@ -78,23 +80,25 @@
 type server struct {
 	backend Backend
 	log     *slog.Logger
-	// submitSlots and pollSlots bound the users' requests in flight: one without a
-	// slot is rejected at once with a Retry-After.
+	// submitSlots and pollSlots limit the users' requests in flight. If no slot is free, a
+	// request is rejected immediately with a Retry-After header.
 	submitSlots, pollSlots chan struct{}
 }
 
-// Submissions and polls in flight, at most. Each submission holds a body of up to
-// MaxBodyBytes in limited memory; polls wait for the leader or the key-value store.
+// Limits of users' requests in flight.
 const (
+	// maxSubmits limits submissions and cancellations: a submission holds a body of up to
+	// MaxBodyBytes, and memory is limited.
 	maxSubmits = 48
-	maxPolls   = 160
+	// maxPolls limits polls, which wait for the leader or the key-value store.
+	maxPolls = 160
 )
 
-// MaxInFlightBytes is about how many bytes the requests in flight hold: a submission's
-// body as received and as decoded, or a poll.
+// MaxInFlightBytes is the approximate memory that the maximum number of requests in flight uses.
+// A submission counts twice its maximum body, as received and as decoded, and a poll 8 KiB.
 const MaxInFlightBytes = maxSubmits*(2*MaxBodyBytes) + maxPolls*(8<<10)
 
-// withSlot serves a request if a slot is free and rejects it otherwise.
+// withSlot returns a handler that serves a request if a slot is free and rejects it otherwise.
 func (s *server) withSlot(slots chan struct{}, serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -103,7 +107,7 @@
 			serve(w, r)
 		default:
 			w.Header().Set("Retry-After", strconv.Itoa(int(overloadRetryAfter/time.Second)))
-			s.writeError(w, http.StatusTooManyRequests, errors.New("too many requests just now"))
+			s.writeError(w, http.StatusTooManyRequests, errors.New("too many requests in progress"))
 		}
 	}
 }
@@ -119,18 +123,18 @@
 func (s *server) status(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), pollTimeout)
 	defer cancel()
-	st, err := s.backend.Status(ctx)
+	status, err := s.backend.Status(ctx)
 	if err != nil {
 		s.writeUnavailable(w, err)
 		return
 	}
-	s.writeJSON(w, http.StatusOK, st)
+	s.writeJSON(w, http.StatusOK, status)
 }
 
 func (s *server) submitJob(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r, MaxBodyBytes)
 	if err != nil {
-		s.writeError(w, http.StatusBadRequest, err)
+		s.writeError(w, http.StatusBadRequest, fmt.Errorf("read body of at most %d bytes: %w", MaxBodyBytes, err))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), submitTimeout)
@@ -140,7 +144,7 @@
 		s.rejectSubmission(ctx, w, id, http.StatusBadRequest, err)
 		return
 	}
-	st, created, err := s.backend.Submit(ctx, spec)
+	state, created, err := s.backend.Submit(ctx, spec)
 	var unschedulable *UnschedulableError
 	switch {
 	case errors.As(err, &unschedulable):
@@ -148,14 +152,15 @@
 	case err != nil:
 		s.writeUnavailable(w, err)
 	case created:
-		s.writeJSON(w, http.StatusCreated, st)
+		s.writeJSON(w, http.StatusCreated, state)
 	default:
-		s.writeJSON(w, http.StatusOK, st)
+		s.writeJSON(w, http.StatusOK, state)
 	}
 }
 
-// rejectSubmission rejects a submission for good, unless it repeats a known job: the
-// response to a repeat is the job's state whatever else the repeat holds.
+// rejectSubmission rejects a submission permanently, unless a job with its ID was already
+// accepted: the response to a repeated submission is the job's state, even if the repeat is
+// invalid.
 func (s *server) rejectSubmission(ctx context.Context, w http.ResponseWriter, id string, status int, cause error) {
 	if id == "" {
 		s.writeError(w, status, cause)
@@ -177,11 +182,11 @@
 	defer cancel()
 	id := r.PathValue("id")
 	if !ValidJobID(id) {
-		s.writeError(w, http.StatusNotFound, ErrUnknownJob)
+		s.writeUnknownJob(w, id)
 		return
 	}
-	st, err := s.backend.Job(ctx, id)
-	s.writeJobState(w, st, err)
+	state, err := s.backend.Job(ctx, id)
+	s.writeJobState(w, id, state, err)
 }
 
 func (s *server) cancelJob(w http.ResponseWriter, r *http.Request) {
@@ -189,36 +194,37 @@
 	defer cancel()
 	id := r.PathValue("id")
 	if !ValidJobID(id) {
-		s.writeError(w, http.StatusNotFound, ErrUnknownJob)
+		s.writeUnknownJob(w, id)
 		return
 	}
-	st, err := s.backend.Cancel(ctx, id)
-	s.writeJobState(w, st, err)
+	state, err := s.backend.Cancel(ctx, id)
+	s.writeJobState(w, id, state, err)
 }
 
-func (s *server) writeJobState(w http.ResponseWriter, st JobState, err error) {
+// writeJobState responds with a job's state, or with the error of looking it up.
+func (s *server) writeJobState(w http.ResponseWriter, id string, state JobState, err error) {
 	switch {
 	case errors.Is(err, ErrUnknownJob):
-		s.writeError(w, http.StatusNotFound, err)
+		s.writeUnknownJob(w, id)
 	case err != nil:
 		s.writeUnavailable(w, err)
 	default:
-		s.writeJSON(w, http.StatusOK, st)
+		s.writeJSON(w, http.StatusOK, state)
 	}
 }
 
 func (s *server) heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r, maxHeartbeatBytes)
 	if err != nil {
-		s.writeError(w, http.StatusBadRequest, err)
+		s.writeError(w, http.StatusBadRequest, fmt.Errorf("read body of at most %d bytes: %w", maxHeartbeatBytes, err))
 		return
 	}
-	hb, err := ParseHeartbeat(body)
+	heartbeat, err := ParseHeartbeat(body)
 	if err != nil {
 		s.writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	response, err := s.backend.Heartbeat(r.Context(), hb)
+	response, err := s.backend.Heartbeat(r.Context(), heartbeat)
 	var notLeader *NotLeaderError
 	switch {
 	case errors.As(err, &notLeader) && notLeader.Leader != "":
@@ -230,10 +236,10 @@
 	}
 }
 
-// maxHeartbeatBytes is the largest body of a heartbeat.
+// maxHeartbeatBytes is the maximum size of the body of a heartbeat.
 const maxHeartbeatBytes = 4 * MaxBodyBytes
 
-// readBody reads a body of at most limit bytes.
+// readBody reads the body of a request, which may have at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	limited := http.MaxBytesReader(w, r.Body, limit)
 	if r.ContentLength < 0 || r.ContentLength > limit {
@@ -244,10 +250,10 @@
 	return body, err
 }
 
-// retryAfter is the Retry-After of a node that could not serve a request.
+// retryAfter is the Retry-After of a response if the node cannot serve the request.
 const retryAfter = time.Second
 
-// overloadRetryAfter is the Retry-After of a request without a slot.
+// overloadRetryAfter is the Retry-After of a response if no slot is free.
 const overloadRetryAfter = 2 * time.Second
 
 func (s *server) writeUnavailable(w http.ResponseWriter, err error) {
@@ -256,14 +262,19 @@
 	s.writeError(w, http.StatusServiceUnavailable, ErrUnavailable)
 }
 
+// writeUnknownJob responds that no job with an ID exists.
+func (s *server) writeUnknownJob(w http.ResponseWriter, id string) {
+	s.writeError(w, http.StatusNotFound, fmt.Errorf("%w %q", ErrUnknownJob, id))
+}
+
 func (s *server) writeError(w http.ResponseWriter, status int, err error) {
 	s.writeJSON(w, status, map[string]string{"error": err.Error()})
 }
 
 func (s *server) writeJSON(w http.ResponseWriter, status int, body any) {
-	raw, err := fast.Marshal(body)
+	raw, err := fastjson.Marshal(body)
 	if err != nil {
-		s.log.Error("encode response failed", "err", err)
+		s.log.Error("response encoding failed", "err", err)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -272,6 +283,6 @@
 	h["Content-Length"] = []string{strconv.Itoa(len(raw))}
 	h["Date"] = nil
 	w.WriteHeader(status)
-	// An error means that the client has closed the connection: nobody is left to answer.
+	// A write fails only if the connection is closed, so there is no client to report it to.
 	_, _ = w.Write(raw)
 }
--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// ParseHeartbeat must accept and reject what the standard library does, and leave to it
-// what the fast decoder cannot read safely.
+// ParseHeartbeat must accept and reject the same bodies as the standard library, also those that it
+// passes to the standard library because fastjson cannot decode them safely.
 func TestHeartbeatDecodingMatchesStandardLibrary(t *testing.T) {
 	good := `{"Host":"i-1","Addr":"10.1.0.1:9000","Frame":"g8","Bed":"a","Windfall":true,"Season":1,"Tally":88,` +
 		`"Warrant":18446744073709551615,"ReclaimS":7.5,"New":{"a":[1,2,{"b":null}]},` +
@@ -39,14 +39,14 @@
 	}
 }
 
-// A heartbeat full of brackets of either kind must not grow its reader's stack to many
-// times its size: 16 MiB for one heartbeat was seen.
+// Guards against a heartbeat of nested brackets that makes the decoder's recursion grow the stack:
+// 16 MiB for one heartbeat was seen.
 func TestNestedHeartbeatsDoNotGrowStack(t *testing.T) {
 	for _, open := range []string{"[", `{"a":`, `[{"a":`, `{"a": `} {
 		for _, depth := range []int{2 * maxFastObjects, 4 * MaxBodyBytes / len(open)} {
 			body := []byte(`{"Host":"i-1","Z":` + strings.Repeat(open, depth))
 			grew := make(chan uint64)
-			go func() { // a stack of its own, that has yet to grow
+			go func() { // a new goroutine, whose stack has not grown yet
 				var before, after runtime.MemStats
 				runtime.ReadMemStats(&before)
 				if _, err := ParseHeartbeat(body); err == nil {
@@ -62,16 +62,16 @@
 	}
 }
 
-// The phases of a heartbeat outlive it in the leader's memory, so they must not keep
-// its whole body there.
+// The leader keeps the phases of a heartbeat after the request, so they must not share memory with
+// its body, which would stay in memory with them.
 func TestPhasesShareNoMemoryWithHeartbeatBody(t *testing.T) {
 	body := []byte(`{"Host":"i-1","Shoots":[{"Shoot":"job-1/3","Phase":"running","Cause":"odd"}]}`)
-	hb, err := ParseHeartbeat(body)
+	heartbeat, err := ParseHeartbeat(body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	clear(body)
-	if task := hb.Tasks[0]; task.Phase != TaskRunning || task.Cause != "odd" {
+	if task := heartbeat.Tasks[0]; task.Phase != TaskRunning || task.Cause != "odd" {
 		t.Errorf("got %+v, want phase %q, cause odd", task, TaskRunning)
 	}
 }
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -1,5 +1,5 @@
-// Package api holds the wire types of the interfaces of users and worker agents and
-// the handlers that serve them. Wire names appear only in this package and in the
+// Package api defines the wire types of the HTTP API for users and worker agents, and the
+// handlers that serve it. The names on the wire appear only in this package and in the
 // clients of external services.
 package api
 
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	fast "github.com/segmentio/encoding/json"
+	fastjson "github.com/segmentio/encoding/json"
 
 	"example.org/ivytrestle/internal/jsonerror"
 )
@@ -36,7 +36,7 @@
 	TaskExited  = "exited"
 )
 
-// Causes of a task's exit.
+// Causes of a task's exit. With the last three the machine rejected the task's start.
 const (
 	CauseDone       = "done"
 	CauseHalted     = "halted"
@@ -53,10 +53,10 @@
 	VerbReap  = "reap"
 )
 
-// MaxTasks is the largest number of tasks of a job.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// MaxBodyBytes is the largest body of a user's request.
+// MaxBodyBytes is the maximum size of the body of a user's request.
 const MaxBodyBytes = 64 << 10
 
 // JobSpec is a job as submitted by its user.
@@ -81,7 +81,7 @@
 	CheckpointS float64  `json:"GraftS,omitempty"`
 	SaveS       float64  `json:"PressS,omitempty"`
 	DeadlineS   float64  `json:"DueS,omitempty"`
-	// DependsOn lists the jobs that must be done before a task of this one starts,
+	// DependsOn lists the jobs that must be done before any task of this job starts,
 	// without duplicates.
 	DependsOn []string `json:"Awaits,omitempty"`
 }
@@ -89,13 +89,14 @@
 // Estimate returns the owner's estimate of a task's run time.
 func (s *JobSpec) Estimate() time.Duration { return time.Duration(s.EstimateS * float64(time.Second)) }
 
-// SaveDuration returns the time that a task needs to save a checkpoint.
+// SaveDuration returns how long a task takes to save a checkpoint.
 func (s *JobSpec) SaveDuration() time.Duration { return time.Duration(s.SaveS * float64(time.Second)) }
 
-// AllowsType reports whether the job's tasks may run on machines of a type.
+// AllowsType reports whether the job's tasks may run on machines of the given type.
 func (s *JobSpec) AllowsType(typ string) bool { return s.Types == nil || slices.Contains(s.Types, typ) }
 
-// submission is a JobSpec as decoded: pointers tell a missing field from a zero one.
+// submission is the decoded form of a JobSpec. Its fields are pointers to distinguish a missing
+// field from a zero value.
 type submission struct {
 	ID          *string   `json:"NameId"`
 	Class       *string   `json:"Jobclass"`
@@ -122,20 +123,19 @@
 
 var jobIDPattern = regexp.MustCompile(`^job-[0-9]{1,20}$`)
 
-// ValidJobID reports whether a job ID has the protocol's form.
+// ValidJobID reports whether a job ID has the form that the protocol requires.
 func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// ParseSubmission decodes and validates a submission. If the body is invalid but
-// holds a well-formed ID, that ID is returned with the error, since the repeat of a
-// known job gets its state whatever else it holds.
+// ParseSubmission decodes and validates a submission. If the body is invalid but contains a
+// well-formed ID, that ID is returned with the error: the response to a repeated submission is
+// the job's state, even if the repeat is otherwise invalid.
 func ParseSubmission(body []byte) (spec *JobSpec, id string, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, "", fmt.Errorf("not a valid job: %w", jsonerror.Describe(body, err))
 	}
-	// The decoder would match field names regardless of case; by the protocol a name
-	// that differs in case is an unknown field. Of duplicate fields the map has kept
-	// the last.
+	// The decoder matches field names regardless of case, but in the protocol a name that
+	// differs in case is an unknown field. The map has kept the last of duplicate fields.
 	for name := range fields {
 		if !submissionFields[name] {
 			delete(fields, name)
@@ -144,19 +144,19 @@
 	if json.Unmarshal(fields["NameId"], &id) != nil || !ValidJobID(id) {
 		id = ""
 	}
-	known, err := json.Marshal(fields)
+	knownFields, err := json.Marshal(fields)
 	if err != nil {
 		return nil, id, fmt.Errorf("not a valid job: %w", err)
 	}
 	var in submission
-	if err := json.Unmarshal(known, &in); err != nil {
-		return nil, id, fmt.Errorf("not a valid job: %w", jsonerror.Describe(known, err))
+	if err := json.Unmarshal(knownFields, &in); err != nil {
+		return nil, id, fmt.Errorf("not a valid job: %w", jsonerror.Describe(knownFields, err))
 	}
 	spec, err = in.toSpec()
 	return spec, id, err
 }
 
-// submissionFields is the set of a submission's field names.
+// submissionFields is the set of the JSON field names of a submission.
 var submissionFields = func() map[string]bool {
 	names := map[string]bool{}
 	for _, f := range reflect.VisibleFields(reflect.TypeFor[submission]()) {
@@ -165,7 +165,7 @@
 	return names
 }()
 
-// checkRequired returns an error that names the first required field that is missing.
+// checkRequired returns an error that names the first missing required field, if any.
 func (in *submission) checkRequired() error {
 	for _, f := range []struct {
 		name    string
@@ -179,7 +179,7 @@
 		{"GraftS", in.CheckpointS == nil}, {"PressS", in.SaveS == nil},
 	} {
 		if f.missing {
-			return fmt.Errorf("field %s is missing", f.name)
+			return fmt.Errorf("field %s is missing or null", f.name)
 		}
 	}
 	return nil
@@ -198,12 +198,12 @@
 		CheckpointS: *in.CheckpointS, SaveS: *in.SaveS,
 	}
 	if in.Types != nil {
-		s.Types = make([]string, len(in.Types)) // an empty list allows no type, a missing one any
+		s.Types = make([]string, len(in.Types)) // not nil: an empty list allows no type, a missing list any
 	}
 	for i, typ := range in.Types {
 		if typ == nil {
-			// The decoder would read it as a type with an empty name.
-			return nil, errors.New("field Frames holds null")
+			// Without this check, null would decode as a type with an empty name.
+			return nil, errors.New("field Frames: must list names of machine types, found null")
 		}
 		s.Types[i] = *typ
 	}
@@ -216,7 +216,7 @@
 	if in.DeadlineS != nil {
 		s.DeadlineS = *in.DeadlineS
 		if !(s.DeadlineS > 0) {
-			return nil, errors.New("field DueS must be above 0")
+			return nil, fmt.Errorf("field DueS: must be above 0, found %g", s.DeadlineS)
 		}
 	}
 	if err := s.validate(); err != nil {
@@ -227,19 +227,19 @@
 	return s, err
 }
 
-// dependencies returns the jobs that a submission depends on, without duplicates, in
-// the order of first mention.
+// dependencies returns the IDs of the jobs that a submission depends on, without duplicates,
+// in the order in which they first appear.
 func (in *submission) dependencies() ([]string, error) {
 	var ids []string
 	seen := make(map[string]bool, len(in.DependsOn))
 	for _, id := range in.DependsOn {
 		switch {
 		case id == nil:
-			return nil, errors.New("field Awaits holds null")
+			return nil, errors.New("field Awaits: must list job IDs (job-NUMBER), found null")
 		case !ValidJobID(*id):
-			return nil, fmt.Errorf("field Awaits: %q is no job id", *id)
+			return nil, fmt.Errorf("field Awaits: must list job IDs (job-NUMBER), found %q", *id)
 		case *id == *in.ID:
-			return nil, errors.New("field Awaits names the job itself")
+			return nil, fmt.Errorf("field Awaits: must list other jobs, found the job itself, %s", *id)
 		case !seen[*id]:
 			seen[*id] = true
 			ids = append(ids, *id)
@@ -248,48 +248,54 @@
 	return ids, nil
 }
 
-// maxAmount is the largest size of an image in GB, and the longest duration in seconds.
+// maxAmount is the maximum size of an image in GB, and the maximum duration in seconds. Larger
+// values would overflow sums and time.Duration.
 const maxAmount = 1e9
 
+// validate checks the values that toSpec copies without a check.
 func (s *JobSpec) validate() error {
 	switch {
 	case !ValidJobID(s.ID):
-		return errors.New("field NameId has the wrong form")
+		return fmt.Errorf("field NameId: must be job-NUMBER with 1 to 20 digits, found %q", s.ID)
 	case s.Class == "":
 		return errors.New("field Jobclass is empty")
 	case s.Team == "":
 		return errors.New("field Owner is empty")
 	case s.Shape != "array":
-		return fmt.Errorf("field Shape: %q is not served", s.Shape)
+		return fmt.Errorf("field Shape: must be array, found %q", s.Shape)
 	case PriorityRank(s.Priority) < 0:
-		return fmt.Errorf("field Precedence: %q is unknown", s.Priority)
+		return fmt.Errorf("field Precedence: must be prod, urgent, standard or low, found %q", s.Priority)
 	case s.Tasks < 1 || s.Tasks > MaxTasks:
-		return fmt.Errorf("field Shoots must be 1 to %d", MaxTasks)
+		return fmt.Errorf("field Shoots: must be from 1 to %d, found %d", MaxTasks, s.Tasks)
 	case s.Image == "":
 		return errors.New("field Rootstock is empty")
 	}
 	for _, f := range []struct {
-		name string
-		v    float64
-		max  float64
+		name  string
+		value float64
+		max   float64
 	}{
-		// More than any machine has is well-formed: the job is unschedulable, not invalid.
+		// A requirement that exceeds every machine is valid here: the backend rejects the job
+		// as unschedulable.
 		{"Cores", s.CPUs, math.MaxFloat64}, {"Cards", s.GPUs, math.MaxFloat64},
 		{"MemoryGb", s.MemoryGB, math.MaxFloat64},
-		// Sums and durations of larger values would overflow.
 		{"PullGb", s.ImageGB, maxAmount}, {"ExpectS", s.EstimateS, maxAmount},
 		{"GraftS", s.CheckpointS, maxAmount}, {"PressS", s.SaveS, maxAmount}, {"DueS", s.DeadlineS, maxAmount},
 	} {
-		if !(f.v >= 0 && f.v <= f.max) {
-			return fmt.Errorf("field %s must be from 0 to %g", f.name, f.max)
+		if !(f.value >= 0 && f.value <= f.max) {
+			allowed := fmt.Sprintf("from 0 to %g", f.max)
+			if f.max == math.MaxFloat64 {
+				allowed = "0 or more"
+			}
+			return fmt.Errorf("field %s: must be %s, found %g", f.name, allowed, f.value)
 		}
 	}
 	return nil
 }
 
-// PriorityRank orders priorities, the highest first; it is -1 for an unknown one.
-func PriorityRank(p string) int {
-	switch p {
+// PriorityRank returns the rank of a priority, 0 for the highest, or -1 for an unknown one.
+func PriorityRank(priority string) int {
+	switch priority {
 	case "prod":
 		return 0
 	case "urgent":
@@ -308,21 +314,21 @@
 	Phase   string `json:"Phase"`
 	Done    int    `json:"done"`
 	Running int    `json:"running"`
-	// DependsOn lists the jobs that an unfinished job waits for.
+	// DependsOn lists the jobs that an unfinished job is waiting for.
 	DependsOn []string `json:"Awaits,omitempty"`
-	// Cell is the cell that hosts the job, if it is on loan.
+	// Cell names the cell that hosts the job, if the job is on loan.
 	Cell string `json:"Cell,omitempty"`
-	// EndedAt is when the job was done, if that is known. It is not shown to users.
+	// EndedAt is when the job was done, or zero if that is unknown. It is not shown to users.
 	EndedAt time.Time `json:"-"`
-	// DerivedCancel is set if the job is cancelled because one that it depends on is, and may
-	// have no terminal record of its own yet. It is not shown to users.
+	// DerivedCancel is set if the job is cancelled because a job that it depends on is
+	// cancelled; its own terminal record may not be written yet. It is not shown to users.
 	DerivedCancel bool `json:"-"`
 }
 
-// Final reports whether the job has ended.
+// Final reports whether the job is done or cancelled.
 func (s JobState) Final() bool { return s.Phase == JobDone || s.Phase == JobCancelled }
 
-// Heartbeat is a worker agent's message with the status of its tasks.
+// Heartbeat is a worker agent's message about its machine and the status of its tasks.
 type Heartbeat struct {
 	Machine           string       `json:"Host"`
 	Addr              string       `json:"Addr"`
@@ -336,7 +342,7 @@
 	Tasks             []TaskStatus `json:"Shoots"`
 }
 
-// TaskStatus is one task of a heartbeat.
+// TaskStatus is the status of one task in a heartbeat.
 type TaskStatus struct {
 	Task    string `json:"Shoot"`
 	Attempt uint64 `json:"Sprout"`
@@ -345,46 +351,47 @@
 	Saved   bool   `json:"Kept"`
 }
 
-// maxFastArrays and maxFastObjects limit the arrays and objects that a heartbeat may
-// open to be read by the fast decoder. That recurses to any depth: on a body full of
-// brackets its stack would grow beyond the memory of the smallest controllers. Each
-// task is an object of fifty bytes or more, so MaxBodyBytes holds fewer of them.
+// Limits of a heartbeat that is decoded by fastjson, whose recursion has no depth limit: on a body
+// of nested brackets its stack would grow beyond the memory of the smallest controllers.
 const (
-	maxFastArrays  = 256
+	// maxFastArrays is the maximum number of arrays.
+	maxFastArrays = 256
+	// maxFastObjects is the maximum number of objects. A task is an object of 50 bytes or more,
+	// so a heartbeat of MaxBodyBytes has fewer of them.
 	maxFastObjects = 2048
 )
 
-// ParseHeartbeat decodes a heartbeat. Its strings share the memory of body, which must
-// not change afterwards; clone what outlives the request.
+// ParseHeartbeat decodes a heartbeat. Its strings share memory with body, which must not be
+// modified afterwards; clone strings that outlive the request.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
-	var hb Heartbeat
+	var heartbeat Heartbeat
 	var err error
 	if bytes.Count(body, []byte("[")) > maxFastArrays || bytes.Count(body, []byte("{")) > maxFastObjects {
-		err = json.Unmarshal(body, &hb)
+		err = json.Unmarshal(body, &heartbeat)
 	} else {
-		// Heartbeats are most of what a leader reads, and this decoder takes a
-		// quarter of the standard library's time for them.
+		// Heartbeats are most of a leader's input, and fastjson decodes them in a quarter of
+		// the time that the standard library takes.
 		var rest []byte
-		rest, err = fast.Parse(body, &hb, fast.ZeroCopy)
+		rest, err = fastjson.Parse(body, &heartbeat, fastjson.ZeroCopy)
 		if err == nil && len(rest) > 0 {
-			err = errors.New("more than one value")
+			err = errors.New("more than one JSON value")
 		}
 	}
 	if err != nil {
-		return nil, fmt.Errorf("not a valid report: %w", err)
+		return nil, fmt.Errorf("not a valid heartbeat: %w", err)
 	}
-	if hb.Machine == "" {
-		return nil, errors.New("field Host is missing")
+	if heartbeat.Machine == "" {
+		return nil, errors.New("field Host is missing or empty")
 	}
-	for i := range hb.Tasks {
-		t := &hb.Tasks[i]
+	for i := range heartbeat.Tasks {
+		t := &heartbeat.Tasks[i]
 		t.Phase, t.Cause = cloneString(t.Phase), cloneString(t.Cause)
 	}
-	return &hb, nil
+	return &heartbeat, nil
 }
 
-// cloneString returns a string that shares no memory with a heartbeat's body: a
-// constant for a known phase or cause, and a copy otherwise.
+// cloneString returns a copy of a phase or cause that shares no memory with a heartbeat's body.
+// For known values it returns a constant, to avoid the allocation.
 func cloneString(s string) string {
 	for _, known := range [...]string{"", TaskRunning, TaskExited, CauseDone, TaskPulling, TaskSaving,
 		CauseHalted, CauseError, CauseNoCapacity, CauseBusy, CauseNoSuch} {
@@ -395,7 +402,7 @@
 	return strings.Clone(s)
 }
 
-// Command starts, stops or reaps a task of a machine.
+// Command instructs a worker agent to start, stop or reap a task.
 type Command struct {
 	Verb    string   `json:"Verb"`
 	Task    string   `json:"Shoot"`
@@ -403,16 +410,17 @@
 	GraceS  *float64 `json:"GraceS,omitempty"`
 }
 
-// Outcomes of a command batch without a successful response.
+// Errors of a command batch that got no successful response.
 var (
-	// ErrCommandsNotApplied means that the commands were not and will not be applied.
+	// ErrCommandsNotApplied means that the commands were not applied, and never will be.
 	ErrCommandsNotApplied = errors.New("commands not applied")
-	// ErrCommandsOutcomeUnknown means that they may have been applied, or may yet be.
+	// ErrCommandsOutcomeUnknown means that the commands may have been applied, or may still be
+	// applied later.
 	ErrCommandsOutcomeUnknown = errors.New("outcome of commands unknown")
 )
 
-// CommandBatch holds commands sent to a machine outside a heartbeat response. It is
-// valid for one agent epoch.
+// CommandBatch is a batch of commands that is sent to a machine directly, not in a heartbeat
+// response. It is valid for one agent epoch.
 type CommandBatch struct {
 	Term       uint64    `json:"Warrant"`
 	AgentEpoch uint64    `json:"Season"`
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client is the client of the users' API, for the command line.
+// Package client is the client of the HTTP API for users. The command line uses it.
 package client
 
 import (
@@ -21,7 +21,7 @@
 	http *http.Client
 }
 
-// requestTimeout bounds a request with its response.
+// requestTimeout limits a request, including the time to read its response.
 const requestTimeout = 5 * time.Second
 
 // New returns a client of the controller at an address.
@@ -29,42 +29,43 @@
 	return &Client{base: "http://" + addr, http: &http.Client{Timeout: requestTimeout}}
 }
 
-// maxResponseBytes bounds what is read of a response.
+// maxResponseBytes is the maximum number of bytes that are read of a response's body.
 const maxResponseBytes = 1 << 20
 
-// Submit submits a job, as JSON.
+// Submit submits a job that is encoded as JSON, and returns its state.
 func (c *Client) Submit(ctx context.Context, job []byte) (api.JobState, error) {
-	var st api.JobState
-	return st, c.call(ctx, http.MethodPost, "/api/jobs", job, &st)
+	var state api.JobState
+	return state, c.call(ctx, http.MethodPost, "/api/jobs", job, &state)
 }
 
-// Show requests a job's state.
+// Show returns a job's state.
 func (c *Client) Show(ctx context.Context, id string) (api.JobState, error) {
-	var st api.JobState
-	return st, c.call(ctx, http.MethodGet, "/api/jobs/"+url.PathEscape(id), nil, &st)
+	var state api.JobState
+	return state, c.call(ctx, http.MethodGet, "/api/jobs/"+url.PathEscape(id), nil, &state)
 }
 
-// Cancel cancels a job.
+// Cancel cancels a job and returns its state.
 func (c *Client) Cancel(ctx context.Context, id string) (api.JobState, error) {
-	var st api.JobState
-	return st, c.call(ctx, http.MethodPost, "/api/jobs/"+url.PathEscape(id)+"/abort", nil, &st)
+	var state api.JobState
+	return state, c.call(ctx, http.MethodPost, "/api/jobs/"+url.PathEscape(id)+"/abort", nil, &state)
 }
 
-// Status requests the operators' view of the controller, as JSON.
+// Status returns the controller's status for operators, as JSON.
 func (c *Client) Status(ctx context.Context) (json.RawMessage, error) {
 	var raw json.RawMessage
 	return raw, c.call(ctx, http.MethodGet, "/status", nil, &raw)
 }
 
-// closeBody closes a response that is not needed any more; an error would not change what
-// was read of it.
+// closeBody closes the body of a response that has been read. Errors are ignored: they cannot change
+// what was read.
 func closeBody(resp *http.Response) { _ = resp.Body.Close() }
 
-// call sends a request and decodes the response into out. An error is one line for users.
-func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
+// call sends a request and decodes the response into output. Its errors are one line and are shown to
+// users.
+func (c *Client) call(ctx context.Context, method, path string, body []byte, output any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("address: %w", err)
+		return fmt.Errorf("invalid controller address: %w", err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -72,27 +73,27 @@
 		if errors.As(err, &urlErr) {
 			err = urlErr.Err
 		}
-		return fmt.Errorf("controller not reached: %w", err)
+		return fmt.Errorf("controller at %s not reached: %w", c.base, err)
 	}
 	defer closeBody(resp)
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("controller: %w", err)
+		return fmt.Errorf("read response of controller at %s: %w", c.base, err)
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		var e struct {
+		var failure struct {
 			Error string `json:"error"`
 		}
-		if json.Unmarshal(raw, &e) != nil || e.Error == "" {
-			e.Error = http.StatusText(resp.StatusCode)
+		if json.Unmarshal(raw, &failure) != nil || failure.Error == "" {
+			failure.Error = http.StatusText(resp.StatusCode)
 		}
 		if after := resp.Header.Get("Retry-After"); after != "" {
-			return fmt.Errorf("%s; try again in %s s (status %d)", e.Error, after, resp.StatusCode)
+			return fmt.Errorf("%s; try again in %s s (status %d)", failure.Error, after, resp.StatusCode)
 		}
-		return fmt.Errorf("%s (status %d)", e.Error, resp.StatusCode)
+		return fmt.Errorf("%s (status %d)", failure.Error, resp.StatusCode)
 	}
-	if err := json.Unmarshal(raw, out); err != nil {
-		return fmt.Errorf("controller: malformed answer: %w", err)
+	if err := json.Unmarshal(raw, output); err != nil {
+		return fmt.Errorf("malformed response of controller at %s: %w", c.base, err)
 	}
 	return nil
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -8,12 +8,11 @@
 	"testing"
 )
 
-// fixedTransport returns the same response to every request.
+// fixedTransport returns the same response to every request, and records the last request.
 type fixedTransport struct {
-	status int
-	body   string
-	header http.Header
-	// request is the last one sent.
+	status  int
+	body    string
+	header  http.Header
 	request *http.Request
 }
 
@@ -32,19 +31,21 @@
 		wantErr   string
 	}{
 		{fixedTransport{status: 200, body: `{"NameId":"job-1","Phase":"done","done":3}`}, ""},
-		{fixedTransport{status: 404, body: `{"error":"unknown job"}`}, "unknown job (status 404)"},
+		{fixedTransport{status: 404, body: `{"error":"unknown job \"job-1\""}`}, `unknown job "job-1" (status 404)`},
 		{fixedTransport{status: 503, body: `{"error":"not now"}`, header: http.Header{"Retry-After": {"1"}}},
 			"not now; try again in 1 s (status 503)"},
 		{fixedTransport{status: 502, body: `<html>`}, "Bad Gateway (status 502)"},
 		{fixedTransport{status: 200, body: `<html>`},
-			"controller: malformed answer: invalid character '<' looking for beginning of value"},
+			"malformed response of controller at http://10.0.0.1:80: " +
+				"invalid character '<' looking for beginning of value"},
 	} {
-		cl := New("10.0.0.1:80")
-		cl.http.Transport = &c.transport
-		st, err := cl.Show(t.Context(), "job-1")
+		client := New("10.0.0.1:80")
+		client.http.Transport = &c.transport
+		state, err := client.Show(t.Context(), "job-1")
 		if c.wantErr == "" {
-			if err != nil || st.Phase != "done" || st.Done != 3 || c.transport.request.URL.Path != "/api/jobs/job-1" {
-				t.Errorf("got state %v, error %v; want job-1, done with 3 tasks", st, err)
+			if err != nil || state.Phase != "done" || state.Done != 3 ||
+				c.transport.request.URL.Path != "/api/jobs/job-1" {
+				t.Errorf("got state %v, error %v; want job-1, done with 3 tasks", state, err)
 			}
 		} else if err == nil || err.Error() != c.wantErr {
 			t.Errorf("status %d: got error %v, want %q", c.transport.status, err, c.wantErr)
@@ -52,17 +53,17 @@
 	}
 }
 
-// The jobs that a job waits for are decoded if the response holds any.
+// The jobs that a job waits for are decoded if the response lists any.
 func TestDependenciesAreDecoded(t *testing.T) {
 	for body, want := range map[string][]string{
 		`{"NameId":"job-2","Phase":"pending","done":0,"running":0,"Awaits":["job-1","job-3"]}`: {"job-1", "job-3"},
 		`{"NameId":"job-2","Phase":"pending","done":0,"running":0}`:                            nil,
 	} {
-		cl := New("10.0.0.1:80")
-		cl.http.Transport = &fixedTransport{status: 200, body: body}
-		st, err := cl.Show(t.Context(), "job-2")
-		if err != nil || st.ID != "job-2" || !slices.Equal(st.DependsOn, want) {
-			t.Errorf("%s: got state %+v, error %v; want dependencies %v", body, st, err, want)
+		client := New("10.0.0.1:80")
+		client.http.Transport = &fixedTransport{status: 200, body: body}
+		state, err := client.Show(t.Context(), "job-2")
+		if err != nil || state.ID != "job-2" || !slices.Equal(state.DependsOn, want) {
+			t.Errorf("%s: got state %+v, error %v; want dependencies %v", body, state, err, want)
 		}
 	}
 }
--- a/internal/client/job.go
+++ b/internal/client/job.go
@@ -8,7 +8,7 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// ValidateJobID returns an error if a job ID is malformed.
+// ValidateJobID returns an error for users if a job ID is malformed.
 func ValidateJobID(id string) error {
 	if !api.ValidJobID(id) {
 		return fmt.Errorf("%q is no job id (job-NUMBER)", id)
@@ -16,8 +16,8 @@
 	return nil
 }
 
-// AddDependencies adds jobs to those that a job, as JSON, depends on. The controller
-// validates all its other fields.
+// AddDependencies returns a job, encoded as JSON, with more job IDs in its list of dependencies. It
+// validates only these IDs and the type of the list; the controller validates the job.
 func AddDependencies(job []byte, ids []string) ([]byte, error) {
 	if len(ids) == 0 {
 		return job, nil
@@ -27,7 +27,7 @@
 		return nil, errors.New("not a JSON object")
 	}
 	var dependencies []json.RawMessage
-	if present, ok := fields["Awaits"]; ok && json.Unmarshal(present, &dependencies) != nil {
+	if existing, ok := fields["Awaits"]; ok && json.Unmarshal(existing, &dependencies) != nil {
 		return nil, errors.New("field Awaits is not a list")
 	}
 	for _, id := range ids {
--- a/internal/client/job_test.go
+++ b/internal/client/job_test.go
@@ -19,10 +19,10 @@
 		{"null before", `{"Awaits":null}`, "job-1", `{"Awaits":["job-1"]}`},
 		{"empty before", `{"Awaits":[]}`, "job-1", `{"Awaits":["job-1"]}`},
 		{"some before", `{"Awaits":["job-9"]}`, "job-1", `{"Awaits":["job-9","job-1"]}`},
-		{"the last of two", `{"Awaits":["job-8"],"Awaits":["job-9"]}`, "job-1", `{"Awaits":["job-9","job-1"]}`},
-		{"another case", `{"awaits":["job-9"]}`, "job-1", `{"Awaits":["job-1"],"awaits":["job-9"]}`},
-		{"items for the controller to judge", `{"Awaits":[null,5]}`, "job-1", `{"Awaits":[null,5,"job-1"]}`},
-		{"numbers as written", `{"Cores":8.00,"Shoots":18446744073709551616}`, "job-1",
+		{"duplicate fields", `{"Awaits":["job-8"],"Awaits":["job-9"]}`, "job-1", `{"Awaits":["job-9","job-1"]}`},
+		{"field name in other case", `{"awaits":["job-9"]}`, "job-1", `{"Awaits":["job-1"],"awaits":["job-9"]}`},
+		{"invalid items, left to the controller", `{"Awaits":[null,5]}`, "job-1", `{"Awaits":[null,5,"job-1"]}`},
+		{"numbers unchanged", `{"Cores":8.00,"Shoots":18446744073709551616}`, "job-1",
 			`{"Awaits":["job-1"],"Cores":8.00,"Shoots":18446744073709551616}`},
 	} {
 		got, err := AddDependencies([]byte(c.job), strings.Fields(c.ids))
@@ -35,10 +35,10 @@
 		{"not JSON", "{", "job-1", "not a JSON object"},
 		{"null", "null", "job-1", "not a JSON object"},
 		{"list", `[{"NameId":"job-3"}]`, "job-1", "not a JSON object"},
-		{"two", "{}{}", "job-1", "not a JSON object"},
-		{"a name for a list", `{"Awaits":"job-9"}`, "job-1", "field Awaits is not a list"},
-		{"an object for a list", `{"Awaits":{}}`, "job-1", "field Awaits is not a list"},
-		{"no id", "{}", "job-1 train", `"train" is no job id (job-NUMBER)`},
+		{"two objects", "{}{}", "job-1", "not a JSON object"},
+		{"string for a list", `{"Awaits":"job-9"}`, "job-1", "field Awaits is not a list"},
+		{"object for a list", `{"Awaits":{}}`, "job-1", "field Awaits is not a list"},
+		{"malformed id", "{}", "job-1 train", `"train" is no job id (job-NUMBER)`},
 		{"id with a quote", "{}", `job-1","job-2`, `"job-1\",\"job-2" is no job id (job-NUMBER)`},
 	} {
 		got, err := AddDependencies([]byte(c.job), strings.Fields(c.ids))
@@ -48,7 +48,6 @@
 	}
 }
 
-// AddDependencies does not modify the caller's job.
 func TestAddDependenciesDoesNotModifyItsInput(t *testing.T) {
 	job := []byte(`{"Awaits": ["job-9"], "NameId": "job-3"}`)
 	before := bytes.Clone(job)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud that the fleet's machines are launched in. One
-// client owns the process's share of the cloud's rate limit.
+// Package cloud is the client of the cloud in which the fleet's machines are launched. A process uses
+// one client, which enforces the process's share of the cloud's rate limit.
 package cloud
 
 import (
@@ -21,19 +21,23 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// ErrNoCapacity means that the cloud has no machine of the requested kind at the moment.
+// ErrNoCapacity means that the cloud currently has no machine of the requested type.
 var ErrNoCapacity = errors.New("cloud: no capacity")
 
-// Limits of single requests, in machines; maxResponseBytes in bytes.
+// Limits of a single request.
 const (
-	MaxLaunch        = 50
-	MaxTerminate     = 100
-	listPageSize     = 500
+	// MaxLaunch is the maximum number of machines that a request launches.
+	MaxLaunch = 50
+	// MaxTerminate is the maximum number of machines that a request terminates.
+	MaxTerminate = 100
+	// listPageSize is the maximum number of machines on a page of the list.
+	listPageSize = 500
+	// maxResponseBytes is the maximum number of bytes that are read of a response's body.
 	maxResponseBytes = 4 << 20
 )
 
-// LaunchRequest launches machines. It can be retried under its name, which is never used
-// for two different requests.
+// LaunchRequest is a request to launch machines. It can be retried: its name identifies it, and is
+// never used for a different request.
 type LaunchRequest struct {
 	Name  string `json:"Hire"`
 	Type  string `json:"Frame"`
@@ -42,7 +46,7 @@
 	Count int    `json:"Count"`
 }
 
-// Machine is a machine as the cloud lists it.
+// Machine is a machine in the cloud's list.
 type Machine struct {
 	Name  string  `json:"NameId"`
 	Addr  string  `json:"Addr"`
@@ -53,33 +57,33 @@
 	AgeS  float64 `json:"AgeS"`
 }
 
-// PhaseFailed is the phase of a listed machine that has failed by itself.
+// PhaseFailed is the phase of a listed machine that failed, rather than being terminated on request.
 const PhaseFailed = "failed"
 
-// Service is what the rest of the program uses of the cloud.
+// Service is the interface of the cloud for the other packages.
 type Service interface {
-	// Types lists the machine types with their current prices.
+	// Types returns the machine types with their current prices.
 	Types(ctx context.Context) ([]api.MachineType, error)
 	// Launch launches machines and returns their names.
-	Launch(ctx context.Context, r LaunchRequest) ([]string, error)
-	// Terminate terminates machines; success confirms that they are terminated.
+	Launch(ctx context.Context, request LaunchRequest) ([]string, error)
+	// Terminate terminates machines. If it succeeds, they are terminated.
 	Terminate(ctx context.Context, names []string) error
-	// List lists all machines.
+	// List returns all machines.
 	List(ctx context.Context) ([]Machine, error)
 }
 
-// Client is a Service over HTTP.
+// Client implements Service over HTTP.
 type Client struct {
 	base    string
 	http    *http.Client
 	limiter *rate.Limiter
 }
 
-// rateShare is the share of the cloud's rate limit that a client uses.
+// rateShare is the fraction of the cloud's rate limit that a client uses.
 const rateShare = 0.7
 
 // NewClient returns a client of the cloud at an address.
-func NewClient(addr string, lim config.CloudLimits) *Client {
+func NewClient(addr string, limits config.CloudLimits) *Client {
 	return &Client{
 		base: "http://" + addr,
 		http: &http.Client{Transport: &http.Transport{
@@ -89,7 +93,7 @@
 			IdleConnTimeout:     time.Minute,
 			DisableCompression:  true,
 		}},
-		limiter: rate.NewLimiter(rate.Limit(lim.RPS*rateShare), max(1, int(lim.RPS))),
+		limiter: rate.NewLimiter(rate.Limit(limits.RPS*rateShare), max(1, int(limits.RPS))),
 	}
 }
 
@@ -102,40 +106,40 @@
 		return nil, err
 	}
 	if len(body.Types) == 0 {
-		return nil, errors.New("cloud: no machine types")
+		return nil, errors.New("cloud: list of machine types is empty")
 	}
 	return body.Types, nil
 }
 
 // Launch implements Service.
-func (c *Client) Launch(ctx context.Context, r LaunchRequest) ([]string, error) {
+func (c *Client) Launch(ctx context.Context, request LaunchRequest) ([]string, error) {
 	var body struct {
 		Hosts []string `json:"Hosts"`
 	}
-	err := c.call(ctx, http.MethodPost, "/machines", r, &body)
+	err := c.call(ctx, http.MethodPost, "/machines", request, &body)
 	return body.Hosts, err
 }
 
-// Terminate implements Service. When it succeeds the machines are terminated, and all
-// data on them is lost.
+// Terminate implements Service. If it succeeds, the machines are terminated and all data on them is
+// lost.
 func (c *Client) Terminate(ctx context.Context, names []string) error {
 	return c.call(ctx, http.MethodPost, "/machines/return", map[string][]string{"Hosts": names}, nil)
 }
 
-// List implements Service. It reads all pages.
+// List implements Service. It requests all pages of the list.
 func (c *Client) List(ctx context.Context) ([]Machine, error) {
 	var all []Machine
 	after := ""
 	for {
-		q := url.Values{"Most": {strconv.Itoa(listPageSize)}}
+		query := url.Values{"Most": {strconv.Itoa(listPageSize)}}
 		if after != "" {
-			q.Set("From", after)
+			query.Set("From", after)
 		}
 		var body struct {
 			Hosts []Machine `json:"Hosts"`
 			More  bool      `json:"Truncated"`
 		}
-		if err := c.call(ctx, http.MethodGet, "/machines?"+q.Encode(), nil, &body); err != nil {
+		if err := c.call(ctx, http.MethodGet, "/machines?"+query.Encode(), nil, &body); err != nil {
 			return nil, err
 		}
 		all = append(all, body.Hosts...)
@@ -146,27 +150,27 @@
 	}
 }
 
-// closeBody closes a response that is not needed any more; an error would not change what
-// was read of it.
+// closeBody closes the body of a response that has been read. Errors are ignored: they cannot change
+// what was read.
 func closeBody(resp *http.Response) { _ = resp.Body.Close() }
 
-// call sends a request within the rate limit, with input as its body unless that is nil,
-// and decodes the response into output unless that is nil.
+// call waits for the rate limit and sends a request. If input is not nil, it is the request's body,
+// and if output is not nil, the response is decoded into it.
 func (c *Client) call(ctx context.Context, method, path string, input, output any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("cloud: request budget: %w", err)
+		return fmt.Errorf("cloud: wait for rate limit: %w", err)
 	}
 	var body io.Reader
 	if input != nil {
 		raw, err := json.Marshal(input)
 		if err != nil {
-			return fmt.Errorf("cloud: encode: %w", err)
+			return fmt.Errorf("cloud: encode request: %w", err)
 		}
 		body = bytes.NewReader(raw)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
 	if err != nil {
-		return fmt.Errorf("cloud: %w", err)
+		return fmt.Errorf("cloud: create request: %w", err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -175,22 +179,22 @@
 	defer closeBody(resp)
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("cloud: %w", err)
+		return fmt.Errorf("cloud: %s %s: read response: %w", method, path, err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		var e struct {
+		var failure struct {
 			Error string `json:"error"`
 		}
-		if json.Unmarshal(raw, &e) == nil && e.Error == "no capacity" {
+		if json.Unmarshal(raw, &failure) == nil && failure.Error == "no capacity" {
 			return ErrNoCapacity
 		}
-		return fmt.Errorf("cloud: status %d %s", resp.StatusCode, e.Error)
+		return fmt.Errorf("cloud: %s %s: status %d, error %q", method, path, resp.StatusCode, failure.Error)
 	}
 	if output == nil {
 		return nil
 	}
 	if err := json.Unmarshal(raw, output); err != nil {
-		return fmt.Errorf("cloud: malformed answer: %w", err)
+		return fmt.Errorf("cloud: %s %s: malformed response: %w", method, path, err)
 	}
 	return nil
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -10,7 +10,7 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// scriptedTransport returns prepared responses, one after the other.
+// scriptedTransport returns the given responses in order, and records the paths of the requests.
 type scriptedTransport struct {
 	responses []response
 	paths     []string
@@ -53,30 +53,30 @@
 		{"rate limit", response{429, ``}, 0, true, false},
 		{"malformed response", response{200, `not JSON`}, 0, true, false},
 	} {
-		cl, _ := newScriptedClient(c.response)
-		hosts, err := cl.Launch(t.Context(), LaunchRequest{Name: "r-1", Count: 2})
+		client, _ := newScriptedClient(c.response)
+		hosts, err := client.Launch(t.Context(), LaunchRequest{Name: "r-1", Count: 2})
 		if len(hosts) != c.wantHosts || (err != nil) != c.wantErr || errors.Is(err, ErrNoCapacity) != c.wantNoCapacity {
 			t.Errorf("%s: got hosts %v, error %v; want %d hosts, error %v, no capacity %v",
 				c.name, hosts, err, c.wantHosts, c.wantErr, c.wantNoCapacity)
 		}
 	}
-	cl, _ := newScriptedClient(response{200, `{"Frames":[]}`})
-	if _, err := cl.Types(t.Context()); err == nil {
+	client, _ := newScriptedClient(response{200, `{"Frames":[]}`})
+	if _, err := client.Types(t.Context()); err == nil {
 		t.Error("empty list of machine types: got no error, want one")
 	}
 }
 
-// A list that ends early would show machines as terminated that are not.
+// Guards against an incomplete list: machines that it lacks would be taken for terminated.
 func TestListReadsAllPages(t *testing.T) {
-	cl, s := newScriptedClient(response{200, `{"Hosts":[{"NameId":"i-1"},{"NameId":"i-2"}],"Truncated":true}`},
+	client, s := newScriptedClient(response{200, `{"Hosts":[{"NameId":"i-1"},{"NameId":"i-2"}],"Truncated":true}`},
 		response{200, `{"Hosts":[{"NameId":"i-3"}],"Truncated":false}`})
-	hosts, err := cl.List(t.Context())
+	hosts, err := client.List(t.Context())
 	if err != nil || len(hosts) != 3 || !strings.Contains(s.paths[1], "From=i-2") {
 		t.Errorf("got hosts %v, error %v, requests %v; want 3 hosts, the second page from i-2", hosts, err, s.paths)
 	}
-	cl, _ = newScriptedClient(response{200, `{"Hosts":[{"NameId":"i-1"}],"Truncated":true}`},
+	client, _ = newScriptedClient(response{200, `{"Hosts":[{"NameId":"i-1"}],"Truncated":true}`},
 		response{503, `{"error":"trouble"}`})
-	if hosts, err := cl.List(t.Context()); err == nil {
+	if hosts, err := client.List(t.Context()); err == nil {
 		t.Errorf("second page failed: got hosts %v, want an error", hosts)
 	}
 }
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -1,11 +1,12 @@
-// Package httpd serves an http.Handler on connections that are mostly idle. A plain
-// request that fits a buffer is read with one system call, parsed by net/http, and
-// responded to with one more; idle connections hold no buffer. A connection with any
-// other request is handed over to a server of net/http.
+// Package httpd serves an http.Handler on connections that are idle most of the time. A plain
+// request, that is, a GET or POST request of HTTP/1.1 that fits into a buffer and uses no special
+// features, is read with one system call, parsed by net/http, and answered with one more system
+// call. Idle connections hold no buffer. A connection with any other request is handed over to an
+// http.Server.
 //
-// The server of net/http watches each connection while its request is served, and sets
-// three deadlines for each request; on the smallest controllers that took more processor
-// time than serving the requests.
+// An http.Server alone is too expensive: it monitors each connection while it serves a request, and
+// sets three deadlines for each request. On the smallest controllers this took more CPU time than
+// serving the requests.
 package httpd
 
 import (
@@ -25,27 +26,30 @@
 )
 
 const (
-	// bufferSize is the size of the largest plain request, maxHeaderBytes that of its header.
-	bufferSize     = 16 << 10
+	// bufferSize is the maximum size of a plain request, including its header.
+	bufferSize = 16 << 10
+	// maxHeaderBytes is the maximum size of a request's header.
 	maxHeaderBytes = 8 << 10
-	// idleTimeout bounds the time between requests on a connection, and readTimeout the
-	// time that a request takes to arrive. Deadlines are renewed only once
-	// deadlineRefresh has passed, or each request would set two.
-	idleTimeout     = 90 * time.Second
-	readTimeout     = 15 * time.Second
-	writeTimeout    = 30 * time.Second
+	// idleTimeout limits the time between requests on a connection.
+	idleTimeout = 90 * time.Second
+	// readTimeout limits the time that a request takes to arrive.
+	readTimeout = 15 * time.Second
+	// writeTimeout limits the time that it takes to send a response to a plain request.
+	writeTimeout = 30 * time.Second
+	// deadlineRefresh is how much later a new deadline must be to replace the current one.
+	// Without this limit, each request would set two deadlines.
 	deadlineRefresh = 15 * time.Second
-	// Timeouts of the server of net/http.
+	// netHTTPHeaderTimeout and netHTTPWriteTimeout are timeouts of the http.Server.
 	netHTTPHeaderTimeout = 10 * time.Second
 	netHTTPWriteTimeout  = 15 * time.Second
-	// acceptRetryDelay is the pause after a temporary error of accept.
+	// acceptRetryDelay is the delay after a temporary error of Accept.
 	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// Server serves a handler. All fields must be set before Serve, ConnState if wanted.
+// Server serves a handler. Its fields must be set before Serve is called; ConnState is optional.
 type Server struct {
 	Handler http.Handler
-	// ConnState is called on each change of a connection's state, as in an http.Server.
+	// ConnState is called when a connection's state changes, as in an http.Server.
 	ConnState func(net.Conn, http.ConnState)
 	Log       *slog.Logger
 
@@ -53,11 +57,11 @@
 	readers sync.Pool
 }
 
-// Serve serves the connections of a listener until that is closed.
-func (s *Server) Serve(ln net.Listener) error {
+// Serve serves the connections of a listener until the listener is closed.
+func (s *Server) Serve(listener net.Listener) error {
 	s.buffers.New = func() any { return new([bufferSize]byte) }
 	s.readers.New = func() any { return bufio.NewReader(nil) }
-	fallback := newFallbackListener(ln.Addr())
+	fallback := newFallbackListener(listener.Addr())
 	defer fallback.close()
 	netHTTP := &http.Server{
 		Handler:           s.Handler,
@@ -71,7 +75,7 @@
 	}
 	go func() { _ = netHTTP.Serve(fallback) }() // returns when fallback is closed
 	for {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			var temporary interface{ Temporary() bool }
 			if errors.As(err, &temporary) && temporary.Temporary() {
@@ -90,18 +94,21 @@
 	}
 }
 
-// connection is the state of a connection that is served here.
+// connection is the state of a connection that is served without net/http's server.
 type connection struct {
 	server     *Server
 	conn       *netio.Conn
 	remoteAddr string
-	// partial is what has arrived of a request; needsNetHTTP is set if that is not plain.
-	partial      []byte
+	// partial holds the bytes of a request that is incomplete or not yet parsed.
+	partial []byte
+	// needsNetHTTP is set if the request in partial is not plain.
 	needsNetHTTP bool
-	// The deadlines that are set.
+	// readDeadline and writeDeadline are the deadlines currently set on conn.
 	readDeadline, writeDeadline time.Time
 }
 
+// serveConn serves the plain requests of a connection, and hands the connection over to fallback at the
+// first request that is not plain.
 func (s *Server) serveConn(conn *netio.Conn, fallback *fallbackListener) {
 	c := &connection{server: s, conn: conn, remoteAddr: conn.RemoteAddr().String()}
 	s.notifyState(conn, http.StateNew)
@@ -109,31 +116,33 @@
 	err := conn.ReadLoop(c.readRequests)
 	s.notifyState(conn, http.StateClosed)
 	if err == nil && c.needsNetHTTP {
-		_ = conn.SetDeadline(time.Time{}) // fails only if conn is closed, which net/http finds
+		_ = conn.SetDeadline(time.Time{}) // fails only if conn is closed; net/http's reads then fail too
 		fallback.handOver(conn, c.partial)
 		return
 	}
 	closeConn(conn)
 }
 
-// closeConn closes a connection that is not used any more; an error changes nothing.
+// closeConn closes a connection that is no longer used. Errors are ignored: there is nothing left to do.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
-func (s *Server) notifyState(conn net.Conn, st http.ConnState) {
+func (s *Server) notifyState(conn net.Conn, state http.ConnState) {
 	if s.ConnState != nil {
-		s.ConnState(conn, st)
+		s.ConnState(conn, state)
 	}
 }
 
-// extendReadDeadline sets the read deadline, unless the present one is close enough.
-func (c *connection) extendReadDeadline(d time.Duration) {
-	if deadline := time.Now().Add(d); deadline.Sub(c.readDeadline) > deadlineRefresh || c.readDeadline.After(deadline) {
+// extendReadDeadline sets the read deadline to timeout from now. It keeps a current deadline that is
+// at most deadlineRefresh earlier.
+func (c *connection) extendReadDeadline(timeout time.Duration) {
+	if deadline := time.Now().Add(timeout); deadline.Sub(c.readDeadline) > deadlineRefresh ||
+		c.readDeadline.After(deadline) {
 		c.readDeadline = deadline
-		_ = c.conn.SetReadDeadline(deadline) // fails only if closed, and then reading does too
+		_ = c.conn.SetReadDeadline(deadline) // fails only if closed, and then reads fail too
 	}
 }
 
-// readRequests reads the requests that have arrived, and serves them.
+// readRequests is a step of ReadLoop: it reads and serves the requests that have arrived.
 func (c *connection) readRequests(read func(p []byte) (int, error)) netio.LoopAction {
 	buf := c.server.buffers.Get().(*[bufferSize]byte)
 	n, err := read(buf[:])
@@ -155,7 +164,7 @@
 	if len(rest) > 0 {
 		c.partial = bytes.Clone(rest)
 	}
-	c.server.buffers.Put(buf) // not held while the request is served
+	c.server.buffers.Put(buf) // released before the request is served
 	for {
 		switch {
 		case !plain:
@@ -163,13 +172,14 @@
 			return netio.StopLoop
 		case req == nil && c.partial != nil:
 			c.extendReadDeadline(readTimeout)
-			return netio.ReadAgain // the rest may have arrived
+			return netio.ReadAgain // the rest of the request may have arrived
 		case req == nil:
 			c.server.notifyState(c.conn, http.StateIdle)
 			c.extendReadDeadline(idleTimeout)
 		}
 		if req == nil {
-			// A client sends no further request before the response to this one.
+			// If the buffer was not filled, nothing is left to read: clients send their next request
+			// only after the response to this one.
 			if n < bufferSize {
 				return netio.WaitForData
 			}
@@ -187,38 +197,38 @@
 
 var endOfHeader = []byte("\r\n\r\n")
 
-// parse parses a request, and returns the bytes that follow it. The request is nil if it
-// is incomplete, and plain is unset if net/http must serve it; rest is then all of p.
+// parse parses the first request in p and returns the bytes after it as rest. If the request is
+// incomplete, req is nil. If an http.Server must serve it, plain is false. In both cases rest is p.
 func (s *Server) parse(p []byte) (req *http.Request, rest []byte, plain bool) {
 	headerEnd := bytes.Index(p, endOfHeader)
 	if headerEnd < 0 || headerEnd > maxHeaderBytes {
 		return nil, p, headerEnd < 0 && len(p) < bufferSize
 	}
 	headerEnd += len(endOfHeader)
-	r := s.readers.Get().(*bufio.Reader)
-	r.Reset(bytes.NewReader(p[:headerEnd]))
-	req, err := http.ReadRequest(r)
-	r.Reset(nil)
-	s.readers.Put(r)
+	reader := s.readers.Get().(*bufio.Reader)
+	reader.Reset(bytes.NewReader(p[:headerEnd]))
+	req, err := http.ReadRequest(reader)
+	reader.Reset(nil)
+	s.readers.Put(reader)
 	if err != nil || !req.ProtoAtLeast(1, 1) || req.ContentLength < 0 || len(req.TransferEncoding) > 0 ||
 		req.Header["Expect"] != nil || req.Header["Upgrade"] != nil || req.Host == "" || req.Header["Trailer"] != nil ||
 		(req.Method != http.MethodGet && req.Method != http.MethodPost) ||
 		req.ContentLength > bufferSize-int64(headerEnd) {
 		return nil, p, false
 	}
-	n := headerEnd + int(req.ContentLength)
-	if len(p) < n {
+	end := headerEnd + int(req.ContentLength)
+	if len(p) < end {
 		return nil, p, true
 	}
 	req.Body = http.NoBody
-	if n > headerEnd {
-		// The handler may keep the body for longer than this buffer is reserved.
-		req.Body = io.NopCloser(bytes.NewReader(bytes.Clone(p[headerEnd:n])))
+	if end > headerEnd {
+		// Cloned since the handler may keep the body after p's buffer is reused.
+		req.Body = io.NopCloser(bytes.NewReader(bytes.Clone(p[headerEnd:end])))
 	}
-	return req, p[n:], true
+	return req, p[end:], true
 }
 
-// respond serves a request, and reports whether the connection stays open.
+// respond calls the handler and sends its response. It reports whether the connection stays open.
 func (c *connection) respond(req *http.Request) (keepOpen bool) {
 	req.RemoteAddr = c.remoteAddr
 	w := &bufferedResponse{header: http.Header{}}
@@ -227,34 +237,35 @@
 	}
 	if now := time.Now(); c.writeDeadline.Sub(now) < writeTimeout-deadlineRefresh {
 		c.writeDeadline = now.Add(writeTimeout)
-		_ = c.conn.SetWriteDeadline(c.writeDeadline) // fails only if closed, and then Write does too
+		_ = c.conn.SetWriteDeadline(c.writeDeadline) // fails only if closed, and then Write fails too
 	}
-	closes := req.Close || w.header.Get("Connection") == "close"
-	if _, err := c.conn.Write(w.encode(closes)); err != nil {
+	closing := req.Close || w.header.Get("Connection") == "close"
+	if _, err := c.conn.Write(w.encode(closing)); err != nil {
 		return false
 	}
-	return !closes
+	return !closing
 }
 
-// callHandler calls the handler. If that panics, only its connection is closed, as in an
-// http.Server.
+// callHandler calls the handler and reports whether it returned normally. If the handler panics, only
+// its connection is closed, as in an http.Server.
 func (c *connection) callHandler(w http.ResponseWriter, req *http.Request) (ok bool) {
 	defer func() {
-		if v := recover(); v != nil && !isAbort(v) {
-			c.server.Log.Error("handler panicked", "path", req.URL.Path, "panic", v, "stack", string(debug.Stack()))
+		if value := recover(); value != nil && !isAbort(value) {
+			c.server.Log.Error("handler panicked", "path", req.URL.Path, "panic", value, "stack", string(debug.Stack()))
 		}
 	}()
 	c.server.Handler.ServeHTTP(w, req)
 	return true
 }
 
-// isAbort reports whether a handler panicked to abort its request.
-func isAbort(v any) bool {
-	err, ok := v.(error)
+// isAbort reports whether a panic's value is http.ErrAbortHandler, by which a handler aborts its
+// request.
+func isAbort(value any) bool {
+	err, ok := value.(error)
 	return ok && errors.Is(err, http.ErrAbortHandler)
 }
 
-// bufferedResponse buffers a response, so that it is sent with one write.
+// bufferedResponse is an http.ResponseWriter that buffers a response, so that one write sends it.
 type bufferedResponse struct {
 	header http.Header
 	status int
@@ -278,8 +289,8 @@
 	return len(p), nil
 }
 
-// encode returns the response as sent; closes is set if the connection closes after it.
-func (w *bufferedResponse) encode(closes bool) []byte {
+// encode returns the encoded response. closing is set if the connection will be closed after it.
+func (w *bufferedResponse) encode(closing bool) []byte {
 	w.WriteHeader(http.StatusOK)
 	out := make([]byte, 0, 160+len(w.body))
 	out = append(out, "HTTP/1.1 "...)
@@ -291,14 +302,14 @@
 		if name == "Content-Length" || name == "Connection" {
 			continue
 		}
-		for _, v := range values {
+		for _, value := range values {
 			out = append(out, name...)
 			out = append(out, ": "...)
-			out = append(out, v...)
+			out = append(out, value...)
 			out = append(out, "\r\n"...)
 		}
 	}
-	if closes {
+	if closing {
 		out = append(out, "Connection: close\r\n"...)
 	}
 	out = append(out, "Content-Length: "...)
@@ -307,8 +318,8 @@
 	return append(out, w.body...)
 }
 
-// fallbackListener is the listener of the server of net/http: it accepts the connections
-// with requests that are not plain.
+// fallbackListener is the listener of the http.Server. It accepts the connections that are handed
+// over: those with a request that is not plain, and those that are not a *netio.Conn.
 type fallbackListener struct {
 	addr  net.Addr
 	conns chan net.Conn
@@ -320,48 +331,49 @@
 	return &fallbackListener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-// handOver passes a connection to Accept, with the bytes that were read of it.
-func (h *fallbackListener) handOver(conn net.Conn, read []byte) {
+// handOver passes a connection to Accept, with the bytes that have been read from it.
+func (l *fallbackListener) handOver(conn net.Conn, prefix []byte) {
 	select {
-	case h.conns <- &prefixedConn{Conn: conn, prefix: read}:
-	case <-h.done:
+	case l.conns <- &prefixedConn{Conn: conn, prefix: prefix}:
+	case <-l.done:
 		closeConn(conn)
 	}
 }
 
 // Accept implements net.Listener.
-func (h *fallbackListener) Accept() (net.Conn, error) {
+func (l *fallbackListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-h.conns:
+	case conn := <-l.conns:
 		return conn, nil
-	case <-h.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (h *fallbackListener) Close() error {
-	h.close()
+func (l *fallbackListener) Close() error {
+	l.close()
 	return nil
 }
 
-func (h *fallbackListener) close() { h.once.Do(func() { close(h.done) }) }
+func (l *fallbackListener) close() { l.once.Do(func() { close(l.done) }) }
 
 // Addr implements net.Listener.
-func (h *fallbackListener) Addr() net.Addr { return h.addr }
+func (l *fallbackListener) Addr() net.Addr { return l.addr }
 
-// prefixedConn is a connection whose first bytes have been read already.
+// prefixedConn is a connection whose reads first return the bytes that were read before it was handed
+// over.
 type prefixedConn struct {
 	net.Conn
 	prefix []byte
 }
 
 // Read implements net.Conn.
-func (r *prefixedConn) Read(p []byte) (int, error) {
-	if len(r.prefix) > 0 {
-		n := copy(p, r.prefix)
-		r.prefix = r.prefix[n:]
+func (c *prefixedConn) Read(p []byte) (int, error) {
+	if len(c.prefix) > 0 {
+		n := copy(p, c.prefix)
+		c.prefix = c.prefix[n:]
 		return n, nil
 	}
-	return r.Conn.Read(p)
+	return c.Conn.Read(p)
 }
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -15,7 +15,7 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// echoRequest responds with the request, and whether net/http served it.
+// echoRequest responds with a description of the request, and whether an http.Server served it.
 func echoRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	_, viaNetHTTP := w.(http.Flusher)
-	// If this fails, so does the test, which misses the response.
+	// If this fails, the client gets no response, and the test fails.
 	_, _ = fmt.Fprintf(w, "%s %s %d std=%v %.20s", r.Method, r.URL, len(body), viaNetHTTP, body)
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// client writes pieces of requests and reads responses.
+// client is a client that can send requests in pieces.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -101,7 +101,7 @@
 	c.expectResponse(200, "GET /a?b=c 0 std=false")
 	c.send("POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello")
 	c.expectResponse(200, "POST /b 5 std=false hello")
-	// In pieces, with the second request and a part of the third right behind the first.
+	// In pieces; the last one ends the first request, holds the second and begins the third.
 	for _, piece := range []string{
 		"POST /c HT",
 		"TP/1.1\r\nHost: x\r\nContent-Len",
@@ -120,10 +120,10 @@
 	}
 }
 
-// Requests that are not plain are served by net/http, on the same connection.
+// Requests that are not plain are served by an http.Server, on the same connection.
 func TestOtherRequestsAreHandedOverToNetHTTP(t *testing.T) {
 	addr := startServer(t)
-	for _, one := range []struct {
+	for _, c := range []struct {
 		request, want string
 		status        int
 	}{
@@ -138,9 +138,9 @@
 		{"GET /many HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("z", 13000) + "\r\n\r\n",
 			"431 ", 431},
 	} {
-		c := dial(t, addr)
-		c.send(one.request)
-		c.expectResponse(one.status, one.want)
+		conn := dial(t, addr)
+		conn.send(c.request)
+		conn.expectResponse(c.status, c.want)
 	}
 	c := dial(t, addr)
 	c.send("POST /expect HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
@@ -156,7 +156,7 @@
 	c.expectResponse(200, "GET /after")
 }
 
-// A handler that panics closes its own connection and no other.
+// If a handler panics, only its connection is closed, and the server keeps serving others.
 func TestHandlerPanicClosesOnlyItsConnection(t *testing.T) {
 	addr := startServer(t)
 	c := dial(t, addr)
@@ -169,8 +169,8 @@
 	c.expectResponse(200, "GET /a")
 }
 
-// A connection that its client closes is closed by the server, and ConnState is called on
-// each change.
+// When a client closes its connection, the server closes it too. ConnState is called for each state
+// of the connection.
 func TestConnectionStatesUntilClientCloses(t *testing.T) {
 	ln, err := netio.Listen("127.0.0.1:0")
 	if err != nil {
--- a/internal/jsonerror/jsonerror.go
+++ b/internal/jsonerror/jsonerror.go
@@ -1,5 +1,5 @@
-// Package jsonerror rewrites errors of encoding/json for people who write JSON and do not
-// know the Go types that it is decoded into.
+// Package jsonerror rewrites errors of encoding/json for users who write JSON and have not seen the Go
+// types that it is decoded into.
 package jsonerror
 
 import (
@@ -9,12 +9,12 @@
 	"reflect"
 )
 
-// contextBytes is how much of the input before a syntax error is shown.
+// contextBytes is the number of input bytes before a syntax error that its message shows.
 const contextBytes = 40
 
-// Describe rewrites an error of json.Unmarshal on raw as one line: it names the field and
-// the type expected there, or shows the input before a syntax error. It returns any other
-// error unchanged.
+// Describe rewrites an error that json.Unmarshal returned for raw as a one-line error. For a value of
+// the wrong type, it names the field and the expected type. For a syntax error, it shows the input
+// before the error. It returns any other error unchanged.
 func Describe(raw []byte, err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -25,14 +25,15 @@
 	}
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
-		// A syntax error, such as a NaN, names no field; the input before it does.
+		// A syntax error, for example at a NaN, does not name the field; the input before it shows the
+		// field's name.
 		end := min(int(syntax.Offset), len(raw))
 		return fmt.Errorf("not valid JSON: %w, after %q", err, raw[max(0, end-contextBytes):end])
 	}
 	return err
 }
 
-// typeName names the JSON value that a Go type is decoded from.
+// typeName describes the JSON type that decodes into a Go type.
 func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Float64:
--- a/internal/jsonerror/jsonerror_test.go
+++ b/internal/jsonerror/jsonerror_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	other := errors.New("another")
-	if got := Describe(nil, other); got != other { //nolint:errorlint // must be other itself, not wrap it
+	if got := Describe(nil, other); got != other { //nolint:errorlint // must be the same error, not wrapped
 		t.Errorf("got %v, want %v unchanged", got, other)
 	}
 }
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,9 +1,9 @@
-// Package netio makes TCP connections that read and write without notifying the runtime's
-// scheduler. Package net notifies it before each system call, since a call might block;
-// calls on a non-blocking socket never do. In a process that sleeps between short pieces
-// of work, the notification wakes the runtime's monitoring thread, which then polls a few
-// times before it sleeps again: most of a controller's system calls were that thread's,
-// and the smallest machines charge for each. The figures are in docs/measurements.md.
+// Package netio provides TCP connections that read and write without notifying the runtime's
+// scheduler. Package net notifies the scheduler before each system call, since a call might block,
+// although calls on a non-blocking socket never do. In a process that sleeps between short pieces of
+// work, the notification wakes the runtime's monitoring thread, which then polls a few times before
+// it sleeps again. Most of a controller's system calls were made by that thread, and on the smallest
+// machines each system call is expensive. For the figures see docs/measurements.md.
 package netio
 
 import (
@@ -17,13 +17,13 @@
 	"unsafe"
 )
 
-// Conn is a TCP connection. It is for one reader and one writer at a time.
+// Conn is a TCP connection. At most one goroutine may read and one may write at a time.
 type Conn struct {
 	net.Conn
 	raw syscall.RawConn
 
-	// Arguments and results of readFD and writeFD. They are fields so that the functions
-	// passed to the runtime's poller are allocated once and not for each call.
+	// readFD and writeFD are passed to the runtime's poller. They take their arguments and return
+	// their results in fields, so that they are allocated once per connection and not per call.
 	readBuf    []byte
 	readCount  int
 	readErr    syscall.Errno
@@ -34,8 +34,7 @@
 	writeFD    func(fd uintptr) bool
 }
 
-// Wrap returns a Conn for a TCP connection of package net, and any other connection
-// unchanged.
+// Wrap returns a Conn for a TCP connection of package net. It returns any other connection unchanged.
 func Wrap(conn net.Conn) net.Conn {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -63,8 +62,8 @@
 	return c
 }
 
-// retryingSyscall makes a system call on a non-blocking socket, and retries it when a
-// signal has interrupted it.
+// retryingSyscall makes a system call on a non-blocking socket, and repeats it if a signal interrupts
+// it.
 func retryingSyscall(trap, fd uintptr, p []byte) (int, syscall.Errno) {
 	for {
 		n, _, err := syscall.RawSyscall(trap, fd, uintptr(unsafe.Pointer(unsafe.SliceData(p))), uintptr(len(p)))
@@ -97,30 +96,30 @@
 	return c.readCount, nil
 }
 
-// LoopAction is what Each does after a step.
+// LoopAction is returned by a step of ReadLoop and determines what ReadLoop does next.
 type LoopAction int
 
-// What Each may do after a step.
+// Actions after a step of ReadLoop.
 const (
-	// WaitForData waits until more arrives.
+	// WaitForData waits until more data arrives before it calls the step again.
 	WaitForData LoopAction = iota
-	// ReadAgain calls the step at once, since more may have arrived already.
+	// ReadAgain calls the step again immediately, since more data may already have arrived.
 	ReadAgain
-	// StopLoop returns from Each.
+	// StopLoop ends ReadLoop.
 	StopLoop
 )
 
-// ErrNoData means that nothing has arrived yet.
-var ErrNoData = errors.New("nothing to read")
+// ErrNoData means that no data has arrived yet.
+var ErrNoData = errors.New("no data available yet")
 
-// ReadLoop calls step whenever data may have arrived, until step returns Stop or the
-// connection's deadline expires. A step reads with the function passed to it, which does
-// not block; so it needs a buffer only while it reads.
+// ReadLoop calls step whenever data may have arrived, until step returns StopLoop, the connection's
+// read deadline expires or the connection is closed. A step reads with the function passed to it,
+// which returns ErrNoData instead of blocking. So a step needs a buffer only while it reads.
 //
-// Where a loop of Read tries to read once more before it waits, a step may return Wait at
-// once if nothing else can have arrived: the poller reports what arrives later. If the
-// peer's close arrived together with the data read, it is detected only by a write or
-// when the deadline expires.
+// A loop that calls Read makes an extra system call before it waits. A step can avoid it by returning
+// WaitForData if no more data can have arrived: the poller reports data that arrives later. However,
+// if the peer's close arrived together with the data read, it is detected only by a write or when
+// the deadline expires.
 func (c *Conn) ReadLoop(step func(read func(p []byte) (int, error)) LoopAction) error {
 	var socket uintptr
 	read := func(p []byte) (int, error) {
@@ -162,7 +161,7 @@
 	return c.writeCount, nil
 }
 
-// opError returns the error that package net returns for a failed system call.
+// opError returns the same error as package net for a failed system call.
 func (c *Conn) opError(op string, err syscall.Errno) error {
 	return &net.OpError{
 		Op:     op,
@@ -173,11 +172,11 @@
 	}
 }
 
-// noKeepAlive turns off TCP keep-alive, which costs four system calls per connection: the
-// users of these connections detect dead ones by deadlines.
+// noKeepAlive disables TCP keep-alive, which costs four system calls per connection. It is not needed:
+// the users of these connections detect dead peers by deadlines.
 const noKeepAlive = -1
 
-// Listen listens on a TCP address; the connections that it accepts are Conns.
+// Listen listens on a TCP address. The listener's Accept returns connections of type *Conn.
 func Listen(addr string) (net.Listener, error) {
 	ln, err := (&net.ListenConfig{KeepAlive: noKeepAlive}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
@@ -186,7 +185,7 @@
 	return listener{ln}, nil
 }
 
-// listener accepts Conns.
+// listener wraps the connections that it accepts.
 type listener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -198,8 +197,8 @@
 	return Wrap(conn), nil
 }
 
-// Dialer returns a function that dials a Conn within a timeout, such as an http.Transport
-// takes; a timeout of 0 is none.
+// Dialer returns a function for an http.Transport's DialContext that returns connections of type *Conn.
+// A timeout of 0 means no timeout.
 func Dialer(timeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout, KeepAlive: noKeepAlive}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// closeQuietly closes what a test does not use any more; an error changes nothing.
+// closeQuietly closes a connection or listener that a test no longer uses, and ignores errors.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// connect returns both ends of a connection.
+// connect returns the two ends of a connection.
 func connect(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	ln, err := Listen("127.0.0.1:0")
@@ -39,8 +39,8 @@
 	return near, far
 }
 
-// A transfer larger than the sockets' buffers arrives whole, which takes waiting on both
-// sides.
+// A transfer that is larger than the sockets' buffers arrives complete, although both sides must wait
+// for the other.
 func TestTransferLargerThanSocketBuffers(t *testing.T) {
 	near, far := connect(t)
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Errors are those of package net's own connections.
+// A Conn returns the same errors as a connection of package net.
 func TestErrorsMatchPackageNet(t *testing.T) {
 	near, far := connect(t)
 	setReadDeadline(t, near, time.Now().Add(-time.Second))
@@ -84,7 +84,7 @@
 	}
 }
 
-// Each returns when another goroutine closes the connection.
+// ReadLoop returns when another goroutine closes the connection.
 func TestCloseEndsEach(t *testing.T) {
 	near, _ := connect(t)
 	waiting := make(chan bool, 1)
@@ -101,6 +101,6 @@
 	<-waiting
 	closeQuietly(near)
 	if err := <-done; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("Each: got error %v, want %v", err, net.ErrClosed)
+		t.Errorf("ReadLoop: got error %v, want %v", err, net.ErrClosed)
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,12 +1,11 @@
-// Package worker is the client of worker agents: it probes machines, resyncs them and
-// sends commands that should not wait for a heartbeat response.
+// Package worker is the client of the worker agents on the machines. It probes machines, fences them
+// at a term, and sends commands that should not wait for the next heartbeat response.
 package worker
 
 import (
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -20,8 +19,9 @@
 // Client sends requests to worker agents.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client. It keeps no connections alive: each would serve a single
-// machine, and on a reused one the transport could send a request twice.
+// NewClient returns a client. It opens a new connection for each request: a connection that is kept
+// open would serve only one machine, and on a reused connection the transport might send a request
+// twice.
 func NewClient() *Client {
 	return &Client{&http.Client{Transport: &http.Transport{
 		DialContext:        netio.Dialer(time.Second),
@@ -30,7 +30,7 @@
 	}}}
 }
 
-// Probe solicits a heartbeat from a machine, to learn whether it is alive.
+// Probe requests a heartbeat from a machine, to check whether the machine is alive.
 func (c *Client) Probe(ctx context.Context, addr string) (*api.Heartbeat, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/inspect", nil)
 	if err != nil {
@@ -41,47 +41,49 @@
 		return nil, fmt.Errorf("probe: %w", err)
 	}
 	defer closeBody(resp)
-	var hb api.Heartbeat
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&hb); err != nil {
-		return nil, fmt.Errorf("probe: %w", err)
+	var heartbeat api.Heartbeat
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&heartbeat); err != nil {
+		return nil, fmt.Errorf("probe of %s: decode response: %w", addr, err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("probe: status %d", resp.StatusCode)
+		return nil, fmt.Errorf("probe of %s: status %d, want %d", addr, resp.StatusCode, http.StatusOK)
 	}
-	return &hb, nil
+	return &heartbeat, nil
 }
 
-// maxResponseBytes is the largest body that is read of a machine's response.
+// maxResponseBytes is the maximum number of bytes that are read of the body of a machine's response.
 const maxResponseBytes = 1 << 20
 
-// closeBody closes a response that is not needed any more; an error would not change what
-// was read of it.
+// closeBody closes the body of a response that has been read. Errors are ignored: they cannot change
+// what was read.
 func closeBody(resp *http.Response) { _ = resp.Body.Close() }
 
-// Resync fences a machine at a term by an empty command batch, and returns the heartbeat
-// that acknowledges it. Since the batch holds no commands, a resync is safe at any time.
+// Resync fences a machine at a term with an empty command batch, and returns the heartbeat that
+// acknowledges the batch. A resync is safe at any time, since the batch contains no commands.
 func (c *Client) Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error) {
-	agentEpoch := uint64(1) // few machines are beyond their first one
+	agentEpoch := uint64(1) // still the first epoch on most machines
 	for range 2 {
-		hb, status, err := c.postCommands(ctx, addr, &api.CommandBatch{
+		heartbeat, status, err := c.postCommands(ctx, addr, &api.CommandBatch{
 			Term:       term,
 			AgentEpoch: agentEpoch,
 			Commands:   []api.Command{},
 		})
 		switch {
 		case err != nil:
-			return nil, fmt.Errorf("resync: %w", err)
+			return nil, fmt.Errorf("resync of %s: %w", addr, err)
 		case status == http.StatusOK:
-			return hb, nil
-		case status != http.StatusConflict || hb.Term > term || hb.AgentEpoch == agentEpoch:
-			return nil, fmt.Errorf("resync: status %d, term %d", status, hb.Term)
+			return heartbeat, nil
+		case status != http.StatusConflict || heartbeat.Term > term || heartbeat.AgentEpoch == agentEpoch:
+			return nil, fmt.Errorf("resync of %s at term %d: status %d, machine at term %d",
+				addr, term, status, heartbeat.Term)
 		}
-		agentEpoch = hb.AgentEpoch
+		agentEpoch = heartbeat.AgentEpoch
 	}
-	return nil, errors.New("resync: the agent epoch changes")
+	return nil, fmt.Errorf("resync of %s: agent epoch changed again, to %d", addr, agentEpoch)
 }
 
-// postCommands sends a command batch once, and returns the heartbeat that responds to it.
+// postCommands sends a command batch once. It returns the heartbeat in the response, and the status
+// code.
 func (c *Client) postCommands(ctx context.Context, addr string, batch *api.CommandBatch) (*api.Heartbeat, int, error) {
 	raw, err := json.Marshal(batch)
 	if err != nil {
@@ -91,9 +93,9 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsNotApplied, err)
 	}
-	req.GetBody = nil // so the transport cannot retry
-	// Without a connection nothing was sent, and a canceled attempt to connect does
-	// not complete later.
+	req.GetBody = nil // prevents retries by the transport
+	// If no connection was made, nothing was sent, and a canceled attempt to connect does not
+	// succeed later.
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	resp, err := c.http.Do(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
@@ -104,23 +106,24 @@
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsOutcomeUnknown, err)
 	}
 	defer closeBody(resp)
-	var hb api.Heartbeat
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&hb)
+	var heartbeat api.Heartbeat
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&heartbeat)
 	if err != nil && resp.StatusCode == http.StatusOK {
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrCommandsOutcomeUnknown, err)
 	}
-	return &hb, resp.StatusCode, nil
+	return &heartbeat, resp.StatusCode, nil
 }
 
-// SendCommands sends a command batch to a machine, once. It returns the sequence number
-// of the heartbeat that shows the commands applied.
+// SendCommands sends a command batch to a machine once, and returns the sequence number of the
+// heartbeat that confirms the commands. An error wraps api.ErrCommandsNotApplied or
+// api.ErrCommandsOutcomeUnknown.
 func (c *Client) SendCommands(ctx context.Context, addr string, batch *api.CommandBatch) (seq uint64, err error) {
-	hb, status, err := c.postCommands(ctx, addr, batch)
+	heartbeat, status, err := c.postCommands(ctx, addr, batch)
 	switch {
 	case err != nil:
 		return 0, err
 	case status == http.StatusOK:
-		return hb.Seq, nil
+		return heartbeat.Seq, nil
 	case status == http.StatusConflict || status == http.StatusBadRequest:
 		return 0, fmt.Errorf("%w: status %d", api.ErrCommandsNotApplied, status)
 	}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -13,39 +13,40 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// dialFunc connects to a simulated machine.
+// dialFunc opens a connection to a simulated machine.
 type dialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// respondWith dials a machine that responds to a request with a status and a body, or,
-// if status is 0, closes the connection once it has read the request.
+// respondWith returns a dialFunc for a machine that responds to one request with a status and a body.
+// If status is 0, the machine closes the connection after it has read the request's header.
 func respondWith(status int, body string) dialFunc {
 	return func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go func() {
-			defer func() { _ = far.Close() }() // a pipe's Close returns no error
+			defer func() { _ = far.Close() }() // never fails for a pipe
 			req, err := http.ReadRequest(bufio.NewReader(far))
 			if err != nil || status == 0 {
 				return
 			}
 			if _, err := io.Copy(io.Discard, req.Body); err != nil {
-				return // the client fails the test
+				return // then the client gets no response, and the test fails
 			}
 			resp := &http.Response{StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Close: true,
 				ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}
-			_ = resp.Write(far) // a client that did not get it fails the test
+			_ = resp.Write(far) // if this fails, the client gets no response, and the test fails
 		}()
 		return near, nil
 	}
 }
 
-// newClientWithDialer is a client with another way to connect.
+// newClientWithDialer returns a client that connects with dial.
 func newClientWithDialer(dial dialFunc) *Client {
 	c := NewClient()
 	c.http.Transport.(*http.Transport).DialContext = dial
 	return c
 }
 
-// Only commands that certainly were not applied may be sent to another machine.
+// A task may be started on another machine only if the first machine certainly did not start it. So
+// ErrCommandsNotApplied is returned only if the commands cannot have been applied.
 func TestSendCommandsOutcomes(t *testing.T) {
 	refuseDial := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	for name, c := range map[string]struct {
@@ -68,7 +69,8 @@
 	}
 }
 
-// A resync that names the wrong agent epoch is retried with the machine's.
+// A resync with the wrong agent epoch is retried with the machine's epoch. It fails if the machine is
+// at a later term.
 func TestResyncRetriesWithMachinesAgentEpoch(t *testing.T) {
 	responses := []dialFunc{
 		respondWith(409, `{"Host":"i-1","Season":3,"Warrant":4}`),
@@ -79,8 +81,9 @@
 		responses = responses[1:]
 		return next(ctx, network, addr)
 	})
-	if hb, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err != nil || hb.Seq != 9 || hb.Term != 5 {
-		t.Errorf("got heartbeat %v, error %v; want sequence number 9, term 5", hb, err)
+	if heartbeat, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err != nil ||
+		heartbeat.Seq != 9 || heartbeat.Term != 5 {
+		t.Errorf("got heartbeat %v, error %v; want sequence number 9, term 5", heartbeat, err)
 	}
 	client = newClientWithDialer(respondWith(409, `{"Host":"i-1","Season":1,"Warrant":6}`))
 	if _, err := client.Resync(t.Context(), "10.0.0.1:1", 5); err == nil {
@@ -99,9 +102,9 @@
 		"malformed response": {respondWith(200, `{"Host"`), false},
 	} {
 		client := newClientWithDialer(c.dial)
-		hb, err := client.Probe(t.Context(), "10.0.0.1:1")
-		if (err == nil) != c.ok || c.ok && (hb.AgentEpoch != 2 || hb.Seq != 7) {
-			t.Errorf("%s: got heartbeat %+v, error %v; want success %v", name, hb, err, c.ok)
+		heartbeat, err := client.Probe(t.Context(), "10.0.0.1:1")
+		if (err == nil) != c.ok || c.ok && (heartbeat.AgentEpoch != 2 || heartbeat.Seq != 7) {
+			t.Errorf("%s: got heartbeat %+v, error %v; want success %v", name, heartbeat, err, c.ok)
 		}
 	}
 }
