--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -131,7 +131,7 @@
 }
 
 // A node that cannot determine whether a job is known must not reject it permanently.
-func TestUnavailableBackendNeverRejectsForGood(t *testing.T) {
+func TestUnavailableBackendNeverRejectsPermanently(t *testing.T) {
 	for _, body := range []string{submissionWith(nil), submissionWith(map[string]any{"Cores": "drop"})} {
 		w := submit(t, &stubBackend{unavailable: true}, body)
 		if w.Code != 503 || w.Header().Get("Retry-After") != "1" {
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -112,7 +112,7 @@
 func (s *Server) serveConn(conn *netio.Conn, fallback *fallbackListener) {
 	c := &connection{server: s, conn: conn, remoteAddr: conn.RemoteAddr().String()}
 	s.notifyState(conn, http.StateNew)
-	c.extendReadDeadline(idleTimeout)
+	c.updateReadDeadline(idleTimeout)
 	err := conn.ReadLoop(c.readRequests)
 	s.notifyState(conn, http.StateClosed)
 	if err == nil && c.needsNetHTTP {
@@ -132,9 +132,9 @@
 	}
 }
 
-// extendReadDeadline sets the read deadline to timeout from now. It keeps a current deadline that is
+// updateReadDeadline sets the read deadline to timeout from now. It keeps a current deadline that is
 // at most deadlineRefresh earlier.
-func (c *connection) extendReadDeadline(timeout time.Duration) {
+func (c *connection) updateReadDeadline(timeout time.Duration) {
 	if deadline := time.Now().Add(timeout); deadline.Sub(c.readDeadline) > deadlineRefresh ||
 		c.readDeadline.After(deadline) {
 		c.readDeadline = deadline
@@ -159,7 +159,7 @@
 	} else {
 		c.server.notifyState(c.conn, http.StateActive)
 	}
-	req, rest, plain := c.server.parse(p)
+	req, rest, plain := c.server.parseRequest(p)
 	c.partial = nil
 	if len(rest) > 0 {
 		c.partial = bytes.Clone(rest)
@@ -171,11 +171,11 @@
 			c.needsNetHTTP = true
 			return netio.StopLoop
 		case req == nil && c.partial != nil:
-			c.extendReadDeadline(readTimeout)
+			c.updateReadDeadline(readTimeout)
 			return netio.ReadAgain // the rest of the request may have arrived
 		case req == nil:
 			c.server.notifyState(c.conn, http.StateIdle)
-			c.extendReadDeadline(idleTimeout)
+			c.updateReadDeadline(idleTimeout)
 		}
 		if req == nil {
 			// If the buffer was not filled, nothing is left to read: clients send their next request
@@ -190,16 +190,16 @@
 		}
 		req, plain = nil, true
 		if c.partial != nil {
-			req, c.partial, plain = c.server.parse(c.partial)
+			req, c.partial, plain = c.server.parseRequest(c.partial)
 		}
 	}
 }
 
 var endOfHeader = []byte("\r\n\r\n")
 
-// parse parses the first request in p and returns the bytes after it as rest. If the request is
+// parseRequest parses the first request in p and returns the bytes after it as rest. If the request is
 // incomplete, req is nil. If an http.Server must serve it, plain is false. In both cases rest is p.
-func (s *Server) parse(p []byte) (req *http.Request, rest []byte, plain bool) {
+func (s *Server) parseRequest(p []byte) (req *http.Request, rest []byte, plain bool) {
 	headerEnd := bytes.Index(p, endOfHeader)
 	if headerEnd < 0 || headerEnd > maxHeaderBytes {
 		return nil, p, headerEnd < 0 && len(p) < bufferSize
