--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -411,7 +411,7 @@
 			a.RunningAt = start.Add(-minRunBeforeMove)
 		}, false},
 		{"near its end", func(_ *testFleet, a *cluster.Attempt) {
-			a.RunningAt = start.Add(minRemainingForMove + a.Job.Spec.Save() - a.Job.Spec.Estimate())
+			a.RunningAt = start.Add(minRemainingForMove + a.Job.Spec.SaveDuration() - a.Job.Spec.Estimate())
 		}, false},
 		// 165 s of run time remain, which may take a quarter more (206.25 s). The transfer adds 3 s to save
 		// the state, three heartbeat intervals of 2 s and a margin of 5 s: 220.25 s in total.
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -91,7 +91,7 @@
 		for _, attempt := range m.Attempts {
 			if a.isWorthMoving(attempt, view.Now) {
 				freeCPUs -= attempt.Job.Spec.CPUs
-				stops = append(stops, Stop{Attempt: attempt, Grace: 2*attempt.Job.Spec.Save() + time.Second})
+				stops = append(stops, Stop{Attempt: attempt, Grace: 2*attempt.Job.Spec.SaveDuration() + time.Second})
 			}
 		}
 	}
@@ -111,11 +111,11 @@
 	}
 	ran := now.Sub(attempt.RunningAt)
 	remaining := spec.Estimate() - ran
-	if ran <= minRunBeforeMove || remaining <= minRemainingForMove+spec.Save() {
+	if ran <= minRunBeforeMove || remaining <= minRemainingForMove+spec.SaveDuration() {
 		return false
 	}
 	objective := attempt.Job.LatestStart().Add(spec.Estimate())
-	transfer := spec.Save() + 3*a.workers.HeartbeatInterval() + moveMargin
+	transfer := spec.SaveDuration() + 3*a.workers.HeartbeatInterval() + moveMargin
 	// The remaining run time may exceed its estimate by a quarter.
 	return attempt.Job.Infeasible || now.Add(remaining*5/4+transfer).Before(objective)
 }
--- a/internal/controller/polls.go
+++ b/internal/controller/polls.go
@@ -152,7 +152,7 @@
 		// The cancellation of a job that it depends on is on record and final. So users get the
 		// response before the derived cancellation is written: one cancellation may cause many of
 		// these writes, and their rate is limited.
-		return pollReply{state: api.JobState{ID: id, Phase: api.JobCancelled, Derived: true}, answered: true}
+		return pollReply{state: api.JobState{ID: id, Phase: api.JobCancelled, DerivedCancel: true}, answered: true}
 	case j.EndMayBeRecorded, len(j.DependsOn) > 0 && lt.dependencies.unresolved():
 		// The store must be read in both cases. If the job is ending, other nodes may already read
 		// its terminal record. While dependencies are unresolved, one that is not in memory may be
--- a/internal/controller/storedjobs.go
+++ b/internal/controller/storedjobs.go
@@ -97,7 +97,7 @@
 type finalStateMsg struct{ state api.JobState }
 
 func (m finalStateMsg) apply(c *Controller) {
-	if m.state.Derived {
+	if m.state.DerivedCancel {
 		return // derived from a cancelled dependency, not written yet; the leader derives it as well
 	}
 	if m.state.Phase == api.JobCancelled {
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -15,7 +15,7 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// echoRequest responds with the request, and whether net/http served it.
+// echoRequest responds with a description of the request, and whether an http.Server served it.
 func echoRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	_, viaNetHTTP := w.(http.Flusher)
-	// If this fails, so does the test, which misses the response.
+	// If this fails, the client gets no response, and the test fails.
 	_, _ = fmt.Fprintf(w, "%s %s %d std=%v %.20s", r.Method, r.URL, len(body), viaNetHTTP, body)
 }
 
@@ -56,11 +56,11 @@
 	}
 }
 
-// client writes pieces of requests and reads responses.
+// client is a client that can send requests in pieces.
 type client struct {
 	t *testing.T
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 func dial(t *testing.T, addr string) *client {
@@ -80,9 +80,9 @@
 	}
 }
 
-func (c *client) expect(status int, body string) {
+func (c *client) expectResponse(status int, body string) {
 	c.t.Helper()
-	resp, err := http.ReadResponse(c.r, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -98,10 +98,10 @@
 func TestPlainRequestsAreServedDirectly(t *testing.T) {
 	c := dial(t, startServer(t))
 	c.send("GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n")
-	c.expect(200, "GET /a?b=c 0 std=false")
+	c.expectResponse(200, "GET /a?b=c 0 std=false")
 	c.send("POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello")
-	c.expect(200, "POST /b 5 std=false hello")
-	// In pieces, with the second request and a part of the third right behind the first.
+	c.expectResponse(200, "POST /b 5 std=false hello")
+	// In pieces; the last one ends the first request, holds the second and begins the third.
 	for _, piece := range []string{
 		"POST /c HT",
 		"TP/1.1\r\nHost: x\r\nContent-Len",
@@ -111,19 +111,19 @@
 		c.send(piece)
 		time.Sleep(5 * time.Millisecond)
 	}
-	c.expect(200, "POST /c 4 std=false abcd")
-	c.expect(200, "GET /d 0 std=false")
+	c.expectResponse(200, "POST /c 4 std=false abcd")
+	c.expectResponse(200, "GET /d 0 std=false")
 	c.send("P/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-	c.expect(200, "GET /e 0 std=false")
-	if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
+	c.expectResponse(200, "GET /e 0 std=false")
+	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("read after the last response: got error %v, want %v", err, io.EOF)
 	}
 }
 
-// Requests that are not plain are served by net/http, on the same connection.
+// Requests that are not plain are served by an http.Server, on the same connection.
 func TestOtherRequestsAreHandedOverToNetHTTP(t *testing.T) {
 	addr := startServer(t)
-	for _, one := range []struct {
+	for _, c := range []struct {
 		request, want string
 		status        int
 	}{
@@ -138,39 +138,39 @@
 		{"GET /many HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("z", 13000) + "\r\n\r\n",
 			"431 ", 431},
 	} {
-		c := dial(t, addr)
-		c.send(one.request)
-		c.expect(one.status, one.want)
+		conn := dial(t, addr)
+		conn.send(c.request)
+		conn.expectResponse(c.status, c.want)
 	}
 	c := dial(t, addr)
 	c.send("POST /expect HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
-	if line, err := c.r.ReadString('\n'); err != nil || !strings.Contains(line, "100 Continue") {
+	if line, err := c.reader.ReadString('\n'); err != nil || !strings.Contains(line, "100 Continue") {
 		t.Fatal(line, err)
 	}
-	if line, err := c.r.ReadString('\n'); err != nil {
+	if line, err := c.reader.ReadString('\n'); err != nil {
 		t.Fatal(line, err)
 	}
 	c.send("abc")
-	c.expect(200, "POST /expect 3 std=true abc")
+	c.expectResponse(200, "POST /expect 3 std=true abc")
 	c.send("GET /after HTTP/1.1\r\nHost: x\r\n\r\n")
-	c.expect(200, "GET /after")
+	c.expectResponse(200, "GET /after")
 }
 
-// A handler that panics closes its own connection and no other.
+// If a handler panics, only its connection is closed, and the server keeps serving others.
 func TestHandlerPanicClosesOnlyItsConnection(t *testing.T) {
 	addr := startServer(t)
 	c := dial(t, addr)
 	c.send("GET /panic HTTP/1.1\r\nHost: x\r\n\r\n")
-	if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("read after the last response: got error %v, want %v", err, io.EOF)
 	}
 	c = dial(t, addr)
 	c.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-	c.expect(200, "GET /a")
+	c.expectResponse(200, "GET /a")
 }
 
-// A connection that its client closes is closed by the server, and ConnState is called on
-// each change.
+// When a client closes its connection, the server closes it too. ConnState is called for each state
+// of the connection.
 func TestConnectionStatesUntilClientCloses(t *testing.T) {
 	ln, err := netio.Listen("127.0.0.1:0")
 	if err != nil {
@@ -192,7 +192,7 @@
 	})
 	c := dial(t, ln.Addr().String())
 	c.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-	c.expect(200, "GET /a")
+	c.expectResponse(200, "GET /a")
 	closeConn(c)
 	for _, want := range []http.ConnState{http.StateNew, http.StateActive, http.StateIdle, http.StateClosed} {
 		if got := <-states; got != want {
--- a/internal/records/dependencylist.go
+++ b/internal/records/dependencylist.go
@@ -22,7 +22,7 @@
 
 // maxSizeDependencyList has the longest encoding that a list can have: it has no more records than
 // a submission has bytes.
-var maxSizeDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), RecordCount: api.MaxBody}
+var maxSizeDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), RecordCount: api.MaxBodyBytes}
 
 // withDependencyList returns the record with a list in place of the names.
 func (rec ActiveRecord) withDependencyList(list *DependencyList) ActiveRecord {
--- a/internal/records/values.go
+++ b/internal/records/values.go
@@ -58,7 +58,7 @@
 func (rec TerminalRecord) JobState(id string) api.JobState {
 	st := api.JobState{ID: id, Phase: rec.Phase}
 	if rec.Phase == api.JobDone {
-		st.Done, st.Ended = rec.Tasks, rec.Ended
+		st.Done, st.EndedAt = rec.Tasks, rec.Ended
 	}
 	return st
 }
