--- a/cmd/ivytrestle/main.go
+++ b/cmd/ivytrestle/main.go
@@ -45,15 +45,15 @@
 	Standby string `placeholder:"FILE" help:"Failover from an unreachable leader before its lease expires (TOML)."`
 }
 
-// loaded are the contents of the files.
-type loaded struct {
+// configuration are the contents of the files.
+type configuration struct {
 	settings *config.Settings
 	policy   *policy.Policy
-	// parts holds the optional parts that have a file.
-	parts daemon.Parts
+	// features holds the optional parts that have a file.
+	features daemon.Features
 }
 
-func (f *files) load() (*loaded, error) {
+func (f *files) load() (*configuration, error) {
 	s, err := config.Load(f.Config)
 	if err != nil {
 		return nil, err
@@ -67,14 +67,14 @@
 			return nil, fmt.Errorf("policy %s: team_shares names %q, which is no team of this site", f.Policy, team)
 		}
 	}
-	out := &loaded{settings: s, policy: p}
+	out := &configuration{settings: s, policy: p}
 	if f.Cells != "" {
-		if out.parts.Cells, err = cells.Load(f.Cells, s.Node); err != nil {
+		if out.features.Cells, err = cells.Load(f.Cells, s.Node); err != nil {
 			return nil, err
 		}
 	}
 	if f.Standby != "" {
-		if out.parts.Standby, err = standby.Load(f.Standby); err != nil {
+		if out.features.Standby, err = standby.Load(f.Standby); err != nil {
 			return nil, err
 		}
 	}
@@ -91,7 +91,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	context.AfterFunc(ctx, stop) // a second signal ends the process at once
-	return daemon.Run(ctx, files.settings, files.policy, files.parts, daemon.Logger(os.Stderr, os.Getenv("LOG_LEVEL")))
+	return daemon.Run(ctx, files.settings, files.policy, files.features, daemon.NewLogger(os.Stderr, os.Getenv("LOG_LEVEL")))
 }
 
 type checkCmd struct{ files }
@@ -103,11 +103,11 @@
 	}
 	s := files.settings
 	details := ""
-	if neighbours := files.parts.Cells; neighbours != nil {
+	if neighbours := files.features.Cells; neighbours != nil {
 		details = fmt.Sprintf(", cell %s with %d neighbours", neighbours.Cell, len(neighbours.Neighbours))
 	}
-	if files.parts.Standby != nil {
-		details += fmt.Sprintf(", leaders replaced after %v without grants", files.parts.Standby.VoteLifetime())
+	if files.features.Standby != nil {
+		details += fmt.Sprintf(", leaders replaced after %v without grants", files.features.Standby.VoteLifetime())
 	}
 	fmt.Printf("%s: good (%d teams, %d other controllers%s)\n", s.Node, len(s.Site.Teams), len(s.Peers), details)
 	return nil
--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -49,7 +49,7 @@
 		known:         map[string]bool{},
 		completeSince: now,
 		retention:     config.Duration(w.CancelS) + 2*w.Lease(),
-		maxEntries:    lim.Entries(maxMemoryFraction, entryBytes),
+		maxEntries:    lim.MaxEntries(maxMemoryFraction, entryBytes),
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -41,15 +41,15 @@
 
 // SiteInfo describes the deployment.
 type SiteInfo struct {
-	Nodes      int         `json:"nodes"`
-	Zones      []string    `json:"zones"`
-	Teams      []Team      `json:"teams"`
-	Objectives []Objective `json:"objectives"`
-	Workers    Workers     `json:"workers"`
-	State      KVLimits    `json:"state"`
-	Cloud      CloudLimits `json:"cloud"`
-	Limits     Limits      `json:"limits"`
-	ClockOffMs float64     `json:"clock_off_ms"`
+	Nodes         int         `json:"nodes"`
+	Zones         []string    `json:"zones"`
+	Teams         []Team      `json:"teams"`
+	Objectives    []Objective `json:"objectives"`
+	Workers       Workers     `json:"workers"`
+	State         KVLimits    `json:"state"`
+	Cloud         CloudLimits `json:"cloud"`
+	Limits        Limits      `json:"limits"`
+	ClockOffsetMs float64     `json:"clock_off_ms"`
 }
 
 // Team is a share of the cluster: a guarantee and a limit.
@@ -105,13 +105,13 @@
 	if next == nil {
 		return
 	}
-	lowerTo(&l.RPS, next.RPS)
-	lowerTo(&l.WriteRPS, next.WriteRPS)
-	lowerTo(&l.ValueKB, next.ValueKB)
-	lowerTo(&l.TxnOps, next.TxnOps)
+	lowerLimit(&l.RPS, next.RPS)
+	lowerLimit(&l.WriteRPS, next.WriteRPS)
+	lowerLimit(&l.ValueKB, next.ValueKB)
+	lowerLimit(&l.TxnOps, next.TxnOps)
 }
 
-func lowerTo[T int | float64](limit, next *T) {
+func lowerLimit[T int | float64](limit, next *T) {
 	if next != nil {
 		*limit = min(*limit, *next)
 	}
@@ -129,7 +129,7 @@
 		{"value_kb", l.ValueKB},
 		{"txn_ops", float64(l.TxnOps)},
 	} {
-		if !isPositive(limit.value) {
+		if !isFinitePositive(limit.value) {
 			return fmt.Errorf("field %s.%s: must be above 0, found %v", field, limit.name, limit.value)
 		}
 	}
@@ -149,14 +149,14 @@
 		return nil
 	}
 	next := *l // the current limits have been checked
-	replace(&next.RPS, l.Next.RPS)
-	replace(&next.WriteRPS, l.Next.WriteRPS)
-	replace(&next.ValueKB, l.Next.ValueKB)
-	replace(&next.TxnOps, l.Next.TxnOps)
+	overrideLimit(&next.RPS, l.Next.RPS)
+	overrideLimit(&next.WriteRPS, l.Next.WriteRPS)
+	overrideLimit(&next.ValueKB, l.Next.ValueKB)
+	overrideLimit(&next.TxnOps, l.Next.TxnOps)
 	return next.check(field)
 }
 
-func replace[T int | float64](limit, next *T) {
+func overrideLimit[T int | float64](limit, next *T) {
 	if next != nil {
 		*limit = *next
 	}
@@ -175,13 +175,13 @@
 	FDLimit int     `json:"fd_limit"`
 }
 
-// minEntries is the least capacity of a table with entries per machine, however little
+// minTableEntries is the least capacity of a table with entries per machine, however little
 // memory there is: a cell may have some 4,000 machines.
-const minEntries = 4096
+const minTableEntries = 4096
 
-// Entries returns how many entries of some bytes each fit in a share of the memory.
-func (l Limits) Entries(share float64, bytes int) int {
-	return max(minEntries, int(l.RAMMB*(1<<20)*share)/bytes)
+// MaxEntries returns how many entries of some bytes each fit in a share of the memory.
+func (l Limits) MaxEntries(share float64, bytes int) int {
+	return max(minTableEntries, int(l.RAMMB*(1<<20)*share)/bytes)
 }
 
 // Duration converts seconds to a duration.
@@ -248,7 +248,7 @@
 	if err := s.checkTeams(); err != nil {
 		return err
 	}
-	if err := s.checkAmounts(); err != nil {
+	if err := s.checkPositiveFields(); err != nil {
 		return err
 	}
 	if err := s.State.check("settings.state"); err != nil {
@@ -264,7 +264,7 @@
 		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v",
 			s.Workers.LeaseS, s.Workers.HeartbeatS)
 	}
-	if s.Cloud.ListLagS < 0 || s.ClockOffMs < 0 {
+	if s.Cloud.ListLagS < 0 || s.ClockOffsetMs < 0 {
 		return errors.New("field settings: cloud.list_lag_s and clock_off_ms must not be negative")
 	}
 	return nil
@@ -281,7 +281,7 @@
 			return fmt.Errorf("%s.name: %q is empty or named twice", field, t.Name)
 		}
 		names[t.Name] = true
-		if !isAmount(t.CPUs) || !isAmount(t.LimitCPUs) || !isAmount(t.GPUs) || !isAmount(t.LimitGPUs) {
+		if !isFiniteNonNegative(t.CPUs) || !isFiniteNonNegative(t.LimitCPUs) || !isFiniteNonNegative(t.GPUs) || !isFiniteNonNegative(t.LimitGPUs) {
 			return fmt.Errorf("%s: amounts must be finite and not negative", field)
 		}
 		if t.CPUs > t.LimitCPUs || t.GPUs > t.LimitGPUs {
@@ -291,8 +291,8 @@
 	return nil
 }
 
-// checkAmounts checks that the amounts that every controller needs are positive.
-func (s *SiteInfo) checkAmounts() error {
+// checkPositiveFields checks that the amounts that every controller needs are positive.
+func (s *SiteInfo) checkPositiveFields() error {
 	for _, amount := range []struct {
 		field string
 		value float64
@@ -305,7 +305,7 @@
 		{"limits.ram_mb", s.Limits.RAMMB},
 		{"limits.fd_limit", float64(s.Limits.FDLimit)},
 	} {
-		if !isPositive(amount.value) {
+		if !isFinitePositive(amount.value) {
 			return fmt.Errorf("field settings.%s: must be above 0, found %v", amount.field, amount.value)
 		}
 	}
@@ -314,8 +314,8 @@
 
 // check returns an error if the process is too small to work.
 func (l Limits) check() error {
-	if l.FDLimit < minSockets {
-		return fmt.Errorf("field settings.limits.fd_limit: at least %d are needed, found %d", minSockets, l.FDLimit)
+	if l.FDLimit < minFDLimit {
+		return fmt.Errorf("field settings.limits.fd_limit: at least %d are needed, found %d", minFDLimit, l.FDLimit)
 	}
 	if l.Cores < minCores {
 		return fmt.Errorf("field settings.limits.cores: at least %v are needed to answer anybody, found %v",
@@ -333,9 +333,9 @@
 	minValueKB = 1.0
 	// minTxnOps is the number of operations of a cancellation.
 	minTxnOps = 3
-	// minSockets suffices for the external services, the other controllers and a few
+	// minFDLimit suffices for the external services, the other controllers and a few
 	// users and worker agents.
-	minSockets = 64
+	minFDLimit = 64
 	// minCores was measured with five machines: at half of it no job was ever accepted,
 	// with it few. The requirements of a fleet are in docs/operations.md.
 	minCores = 0.0005
@@ -343,11 +343,11 @@
 	minRAMMB = 3.0
 )
 
-// isAmount reports whether a value is finite and not negative.
-func isAmount(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+// isFiniteNonNegative reports whether a value is finite and not negative.
+func isFiniteNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
-// isPositive reports whether a value is finite and above 0.
-func isPositive(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
+// isFinitePositive reports whether a value is finite and above 0.
+func isFinitePositive(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
 
 func checkAddr(addr string) error {
 	if addr == "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const valid = `{"node":"n0","site":"a","api_addr":"10.0.0.1:80","peer_listen":"10.0.0.1:81","new_field":1,
+const validSettings = `{"node":"n0","site":"a","api_addr":"10.0.0.1:80","peer_listen":"10.0.0.1:81","new_field":1,
 "peers":[{"node":"n1","site":"a","addr":"10.0.0.2:81"}],
 "outside":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},
 "settings":{"nodes":2,"zones":["a"],"teams":[{"name":"t","cpus":1,"cpus_max":2}],
@@ -15,7 +15,7 @@
 "limits":{"cores":0.06,"ram_mb":98,"fd_limit":800},"clock_off_ms":250}}`
 
 func TestValidSettings(t *testing.T) {
-	s, err := Parse([]byte(valid))
+	s, err := Parse([]byte(validSettings))
 	if err != nil || s.Site.Workers.Lease().Seconds() != 24 || s.Peers[0].Addr != "10.0.0.2:81" {
 		t.Errorf("got settings %+v, error %v; want a lease of 24 s, the peer 10.0.0.2:81", s, err)
 	}
@@ -23,7 +23,7 @@
 
 // Sizes that were seen to work with a few machines are valid.
 func TestSmallLimitsAreValid(t *testing.T) {
-	small := strings.NewReplacer(`"cores":0.06`, `"cores":0.001`, `"ram_mb":98`, `"ram_mb":4`).Replace(valid)
+	small := strings.NewReplacer(`"cores":0.06`, `"cores":0.001`, `"ram_mb":98`, `"ram_mb":4`).Replace(validSettings)
 	if _, err := Parse([]byte(small)); err != nil {
 		t.Errorf("got error %v, want none", err)
 	}
@@ -40,7 +40,7 @@
 		`"rps":80,"write_rps":25,"value_kb":16,"txn_ops":20`,
 		`"rps":1e6,"write_rps":1e6,"value_kb":1e4,"txn_ops":100000`,
 		`"fd_limit":800`, `"fd_limit":1000000`,
-	).Replace(valid)
+	).Replace(validSettings)
 	s, err := Parse([]byte(large))
 	if err != nil || len(s.Site.Teams) != count {
 		t.Errorf("got settings %+v, error %v; want %d teams", s, err, count)
@@ -68,7 +68,7 @@
 		{`"fd_limit":800`, `"fd_limit":3`, "fd_limit"},
 		{`[{"name":"t","cpus":1,"cpus_max":2}]`, `[]`, "teams"},
 	} {
-		_, err := Parse([]byte(strings.Replace(valid, c.old, c.new, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got error %v, want one line with %q", c.new, err, c.want)
 		}
@@ -78,9 +78,9 @@
 	}
 }
 
-// withNext returns valid settings with announced limits.
-func withNext(next string) []byte {
-	return []byte(strings.Replace(valid, `"txn_ops":20`, `"txn_ops":20,"next":`+next, 1))
+// settingsWithNext returns valid settings with announced limits.
+func settingsWithNext(next string) []byte {
+	return []byte(strings.Replace(validSettings, `"txn_ops":20`, `"txn_ops":20,"next":`+next, 1))
 }
 
 // The key-value store changes its limits without notice, so the smaller of the current and
@@ -99,7 +99,7 @@
 		{`{"rps":3,"write_rps":1e9}`, [4]float64{3, 25, 16, 20}},
 		{`{"txn_ops":7}`, [4]float64{80, 25, 16, 7}},
 	} {
-		s, err := Parse(withNext(c.next))
+		s, err := Parse(settingsWithNext(c.next))
 		if err != nil {
 			t.Errorf("%s: got error %v, want none", c.next, err)
 			continue
@@ -116,7 +116,7 @@
 // the key-value store to four.
 func TestAnnouncedOperationsOfOneCancellationSuffice(t *testing.T) {
 	for _, ops := range []int{3, 4} {
-		s, err := Parse(withNext(fmt.Sprintf(`{"value_kb":2,"txn_ops":%d,"write_rps":18}`, ops)))
+		s, err := Parse(settingsWithNext(fmt.Sprintf(`{"value_kb":2,"txn_ops":%d,"write_rps":18}`, ops)))
 		if err != nil || s.Site.State.TxnOps != ops || s.Site.State.ValueKB != 2 || s.Site.State.WriteRPS != 18 {
 			t.Errorf("%d operations: got settings %+v, error %v; want them with 2 kB and 18 writes/s", ops, s, err)
 		}
@@ -144,7 +144,7 @@
 		{`[{"rps":4}]`, "settings.state.next"},
 		{`"none"`, "settings.state.next"},
 	} {
-		_, err := Parse(withNext(c.next))
+		_, err := Parse(settingsWithNext(c.next))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got error %v, want one line with %q", c.next, err, c.want)
 		}
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -116,7 +116,7 @@
 func newLeaderTerm(c *Controller, term election.Term, leaseExpiry time.Time) *leaderTerm {
 	ctx, cancel := context.WithCancel(context.Background())
 	terminated, err := lru.New[string, bool](
-		c.Settings.Site.Limits.Entries(terminatedMemoryFraction, terminatedEntryBytes))
+		c.Settings.Site.Limits.MaxEntries(terminatedMemoryFraction, terminatedEntryBytes))
 	if err != nil {
 		panic(err) // the size is not positive
 	}
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -109,7 +109,7 @@
 	return relayUplink{
 		incarnation: rand.Text(),
 		machines:    map[string]*relayedMachine{},
-		maxMachines: lim.Entries(relayMemory, relayedMachineBytes),
+		maxMachines: lim.MaxEntries(relayMemory, relayedMachineBytes),
 	}
 }
 
--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return &peer.LoanAnswer{Refused: err.Error()}, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	response, err := h.c.Loans(ctx, req)
 	if err != nil {
--- a/internal/daemon/connlimiter.go
+++ b/internal/daemon/connlimiter.go
@@ -17,33 +17,33 @@
 	open map[net.Conn]bool
 	// idle holds the connections without a request, the longest idle first, and elements
 	// their places in it.
-	idle     *list.List
-	elements map[net.Conn]*list.Element
+	idle         *list.List
+	idleElements map[net.Conn]*list.Element
 }
 
 func newConnLimiter(limit int) *connLimiter {
 	return &connLimiter{
-		limit:    limit,
-		open:     map[net.Conn]bool{},
-		idle:     list.New(),
-		elements: map[net.Conn]*list.Element{},
+		limit:        limit,
+		open:         map[net.Conn]bool{},
+		idle:         list.New(),
+		idleElements: map[net.Conn]*list.Element{},
 	}
 }
 
-// watch has the form of an http.Server's ConnState.
-func (c *connLimiter) watch(conn net.Conn, state http.ConnState) {
-	if evicted := c.connStateChanged(conn, state); evicted != nil {
+// onConnState has the form of an http.Server's ConnState.
+func (c *connLimiter) onConnState(conn net.Conn, state http.ConnState) {
+	if evicted := c.recordState(conn, state); evicted != nil {
 		closeQuietly(evicted)
 	}
 }
 
-// connStateChanged records a state, and returns the connection to close, if any.
-func (c *connLimiter) connStateChanged(conn net.Conn, state http.ConnState) net.Conn {
+// recordState records a state, and returns the connection to close, if any.
+func (c *connLimiter) recordState(conn net.Conn, state http.ConnState) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e := c.elements[conn]; e != nil {
+	if e := c.idleElements[conn]; e != nil {
 		c.idle.Remove(e)
-		delete(c.elements, conn)
+		delete(c.idleElements, conn)
 	}
 	switch state {
 	case http.StateClosed, http.StateHijacked:
@@ -53,13 +53,13 @@
 		return nil
 	}
 	c.open[conn] = true
-	c.elements[conn] = c.idle.PushBack(conn)
+	c.idleElements[conn] = c.idle.PushBack(conn)
 	if len(c.open) <= c.limit {
 		return nil
 	}
 	// The newest is last, so it is closed only if all others are busy.
 	evicted := c.idle.Remove(c.idle.Front()).(net.Conn)
-	delete(c.elements, evicted)
+	delete(c.idleElements, evicted)
 	delete(c.open, evicted)
 	return evicted
 }
--- a/internal/daemon/connlimiter_test.go
+++ b/internal/daemon/connlimiter_test.go
@@ -18,7 +18,7 @@
 	const none = -1
 	checkClosed := func(i int, state http.ConnState, want int) {
 		t.Helper()
-		closed := c.connStateChanged(conns[i], state)
+		closed := c.recordState(conns[i], state)
 		if got := slices.Index(conns, closed); got != want {
 			t.Errorf("connection %d %v: closed connection %d, want %d", i, state, got, want)
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -29,9 +29,9 @@
 	"example.org/ivytrestle/internal/worker"
 )
 
-// Logger returns a logger that writes to w from the named level on; an unknown name is
+// NewLogger returns a logger that writes to w from the named level on; an unknown name is
 // info.
-func Logger(w io.Writer, level string) *slog.Logger {
+func NewLogger(w io.Writer, level string) *slog.Logger {
 	var l slog.Level
 	isUnknown := false
 	switch strings.ToLower(level) {
@@ -87,9 +87,9 @@
 // drainTimeout bounds the handover of leadership when a controller stops.
 const drainTimeout = 2 * time.Second
 
-// Parts holds the settings of optional parts, each from a file of its own; nil turns a
+// Features holds the settings of optional parts, each from a file of its own; nil turns a
 // part off.
-type Parts struct {
+type Features struct {
 	// Cells turns on spillover to other cells.
 	Cells *cells.Settings
 	// Standby turns on failover, by which other controllers replace an unreachable leader
@@ -134,7 +134,7 @@
 
 // Run runs a controller until the context ends, when it hands the leadership over, or
 // until a listener fails.
-func Run(ctx context.Context, s *config.Settings, p *policy.Policy, parts Parts, log *slog.Logger) error {
+func Run(ctx context.Context, s *config.Settings, p *policy.Policy, parts Features, log *slog.Logger) error {
 	tuneRuntime(s.Site.Limits)
 	lns, err := listen(s, parts.Cells)
 	if err != nil {
@@ -164,7 +164,7 @@
 	}
 	go func() { failed <- peer.Serve(ctx, lns.peers, peerHandler{c}, log) }()
 	limiter := newConnLimiter(maxConnections(s.Site.Limits))
-	srv := &httpd.Server{Handler: api.Handler(c, log), ConnState: limiter.watch, Log: log}
+	srv := &httpd.Server{Handler: api.Handler(c, log), ConnState: limiter.onConnState, Log: log}
 	go func() { failed <- srv.Serve(lns.api) }()
 	log.Info("started", "node", s.Node, "zone", s.Zone, "api", s.APIAddr, "pid", os.Getpid())
 	select {
@@ -185,7 +185,7 @@
 
 // newController builds a controller with its clients.
 func newController(
-	s *config.Settings, p *policy.Policy, parts Parts, store *kv.Client, log *slog.Logger,
+	s *config.Settings, p *policy.Policy, parts Features, store *kv.Client, log *slog.Logger,
 ) *controller.Controller {
 	machines := worker.NewClient()
 	cfg := controller.Config{
@@ -195,7 +195,7 @@
 		Store:         store,
 		UserStore:     store.ForUsers(),
 		Cloud:         cloud.NewClient(s.Services.Cloud, s.Site.Cloud),
-		Peers:         newPeers(s.Peers),
+		Peers:         newPeerClients(s.Peers),
 		Prober:        machines,
 		CommandSender: machines,
 		Log:           log,
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -21,12 +21,12 @@
 	"example.org/ivytrestle/internal/policy"
 )
 
-// environmentVar makes the test binary simulate the controller's environment. It runs in
+// simulateEnvVar makes the test binary simulate the controller's environment. It runs in
 // a process of its own, so that a profile shows the controller alone.
-const environmentVar = "IVYTRESTLE_LOADTEST_ENVIRONMENT"
+const simulateEnvVar = "IVYTRESTLE_LOADTEST_ENVIRONMENT"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(environmentVar) != "" {
+	if os.Getenv(simulateEnvVar) != "" {
 		if err := simulateEnvironment(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -106,14 +106,14 @@
 	}
 }
 
-// environment is the process that simulates the controller's environment.
-type environment struct {
-	in      *json.Encoder
-	out     *json.Decoder
-	outside config.Services
+// environmentProcess is the process that simulates the controller's environment.
+type environmentProcess struct {
+	in       *json.Encoder
+	out      *json.Decoder
+	services config.Services
 }
 
-func startEnvironment(b *testing.B) *environment {
+func startEnvironment(b *testing.B) *environmentProcess {
 	b.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 	// It ends with its input; the context of the benchmark would kill it before that.
 	cmd := exec.CommandContext(context.WithoutCancel(b.Context()), self)
-	cmd.Env = append(os.Environ(), environmentVar+"=1")
+	cmd.Env = append(os.Environ(), simulateEnvVar+"=1")
 	cmd.Stderr = os.Stderr
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
@@ -140,15 +140,15 @@
 			b.Errorf("environment: %v", err)
 		}
 	})
-	e := &environment{in: json.NewEncoder(stdin), out: json.NewDecoder(bufio.NewReader(stdout))}
-	if err := e.out.Decode(&e.outside); err != nil {
+	e := &environmentProcess{in: json.NewEncoder(stdin), out: json.NewDecoder(bufio.NewReader(stdout))}
+	if err := e.out.Decode(&e.services); err != nil {
 		b.Fatal(err)
 	}
 	return e
 }
 
 // start starts a plan, unless it is nil, and returns the counts.
-func (e *environment) start(b *testing.B, p *loadtest.Plan) (c loadtest.Counts) {
+func (e *environmentProcess) start(b *testing.B, p *loadtest.Plan) (c loadtest.Counts) {
 	b.Helper()
 	if err := e.in.Encode(p); err != nil {
 		b.Fatal(err)
@@ -159,7 +159,7 @@
 	return c
 }
 
-func (e *environment) counts(b *testing.B) loadtest.Counts {
+func (e *environmentProcess) counts(b *testing.B) loadtest.Counts {
 	b.Helper()
 	return e.start(b, nil)
 }
@@ -187,18 +187,18 @@
 	}
 	p.MinCPUs = 1e6 // no machine is terminated
 	// An error shows as failed requests in the counts.
-	go func() { _ = Run(b.Context(), s, p, Parts{}, slog.New(slog.DiscardHandler)) }()
+	go func() { _ = Run(b.Context(), s, p, Features{}, slog.New(slog.DiscardHandler)) }()
 	return s
 }
 
 func benchmarkSecond(b *testing.B, plan loadtest.Plan) {
 	b.Helper()
 	env := startEnvironment(b)
-	plan.API = startController(b, env.outside, plan.HeartbeatInterval).APIAddr
+	plan.API = startController(b, env.services, plan.HeartbeatInterval).APIAddr
 	time.Sleep(2 * time.Second)
 	env.start(b, &plan)
 	time.Sleep(plan.TaskDuration + 5*time.Second)
-	before, cpuBefore := env.counts(b), processorTime()
+	before, cpuBefore := env.counts(b), cpuTime()
 	var memBefore, memAfter runtime.MemStats
 	runtime.ReadMemStats(&memBefore)
 	b.ResetTimer()
@@ -206,7 +206,7 @@
 		time.Sleep(time.Second)
 	}
 	b.StopTimer()
-	cpu, after := processorTime()-cpuBefore, env.counts(b)
+	cpu, after := cpuTime()-cpuBefore, env.counts(b)
 	runtime.ReadMemStats(&memAfter)
 	perSecond := func(v int64) float64 { return float64(v) / float64(b.N) }
 	b.ReportMetric(float64(cpu.Microseconds())/1000/float64(b.N), "cpu-ms/s")
@@ -220,8 +220,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// processorTime returns the processor time that this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the processor time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -18,12 +18,12 @@
 // peerHandler serves the requests of other nodes.
 type peerHandler struct{ c *controller.Controller }
 
-// peerTimeout bounds the handling of another node's request.
-const peerTimeout = 1200 * time.Millisecond
+// peerRequestTimeout bounds the handling of another node's request.
+const peerRequestTimeout = 1200 * time.Millisecond
 
 // Job implements peer.Handler.
 func (h peerHandler) Job(ctx context.Context, id string) (*peer.JobStatus, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	st, err := h.c.PeerJob(ctx, id)
 	if errors.Is(err, api.ErrUnknownJob) {
@@ -45,7 +45,7 @@
 
 // Ping implements peer.Handler.
 func (h peerHandler) Ping(ctx context.Context, p *peer.Ping) (*peer.Pong, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	from := cancellation.Position{Incarnation: p.GetIncarnation(), Number: p.GetCancelNumber()}
 	st, err := h.c.PeerStatus(ctx, from)
@@ -74,7 +74,7 @@
 
 // ForwardHeartbeat implements peer.Handler.
 func (h peerHandler) ForwardHeartbeat(ctx context.Context, r *peer.Report) (*peer.ReportAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	response, err := h.c.ForwardedHeartbeat(ctx, r.Unpack())
 	if err != nil {
@@ -95,7 +95,7 @@
 
 // Vote implements peer.Handler.
 func (h peerHandler) Vote(ctx context.Context, r *peer.GrantRequest) (*peer.GrantAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	granted, err := h.c.PeerVote(ctx, r.GetTerm())
 	return &peer.GrantAnswer{Granted: granted}, err
@@ -103,18 +103,18 @@
 
 // Promise implements peer.Handler.
 func (h peerHandler) Promise(ctx context.Context, r *peer.PromiseRequest) (*peer.PromiseAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	wait, err := h.c.PeerPromise(ctx, r.GetTerm())
 	// Rounded up: the last vote must not appear to expire sooner than it does.
 	return &peer.PromiseAnswer{WaitMs: uint64(wait.Milliseconds()) + 1}, err
 }
 
-// peers sends requests to the other nodes.
-type peers map[string]*peer.Client
+// peerClients sends requests to the other nodes.
+type peerClients map[string]*peer.Client
 
-func newPeers(list []config.Peer) peers {
-	p := peers{}
+func newPeerClients(list []config.Peer) peerClients {
+	p := peerClients{}
 	for _, n := range list {
 		p[n.Node] = peer.NewClient(n.Addr)
 	}
@@ -122,7 +122,7 @@
 }
 
 // Job implements controller.PeerClient.
-func (p peers) Job(ctx context.Context, node, id string) (api.JobState, error) {
+func (p peerClients) Job(ctx context.Context, node, id string) (api.JobState, error) {
 	cl := p[node]
 	if cl == nil {
 		return api.JobState{}, api.ErrUnavailable
@@ -146,7 +146,7 @@
 }
 
 // Ping implements controller.PeerClient.
-func (p peers) Ping(ctx context.Context, node string, from cancellation.Position) (membership.PeerStatus, error) {
+func (p peerClients) Ping(ctx context.Context, node string, from cancellation.Position) (membership.PeerStatus, error) {
 	cl := p[node]
 	if cl == nil {
 		return membership.PeerStatus{}, api.ErrUnavailable
@@ -181,7 +181,7 @@
 }
 
 // ForwardHeartbeat implements controller.PeerClient.
-func (p peers) ForwardHeartbeat(ctx context.Context, node string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
+func (p peerClients) ForwardHeartbeat(ctx context.Context, node string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	cl := p[node]
 	if cl == nil {
 		return api.HeartbeatResponse{}, api.ErrUnavailable
@@ -200,7 +200,7 @@
 }
 
 // Resign implements controller.PeerClient.
-func (p peers) Resign(ctx context.Context, node, self string, term uint64) error {
+func (p peerClients) Resign(ctx context.Context, node, self string, term uint64) error {
 	cl := p[node]
 	if cl == nil {
 		return api.ErrUnavailable
@@ -209,7 +209,7 @@
 }
 
 // Vote implements controller.PeerClient.
-func (p peers) Vote(ctx context.Context, node string, term uint64) (bool, error) {
+func (p peerClients) Vote(ctx context.Context, node string, term uint64) (bool, error) {
 	cl := p[node]
 	if cl == nil {
 		return false, api.ErrUnavailable
@@ -218,7 +218,7 @@
 }
 
 // Promise implements controller.PeerClient.
-func (p peers) Promise(ctx context.Context, node string, term uint64) (time.Duration, error) {
+func (p peerClients) Promise(ctx context.Context, node string, term uint64) (time.Duration, error) {
 	cl := p[node]
 	if cl == nil {
 		return 0, api.ErrUnavailable
