--- a/internal/deployfile/deployfile.go
+++ b/internal/deployfile/deployfile.go
@@ -34,21 +34,21 @@
 func Parse(raw, schema []byte, settings any) error {
 	var document map[string]any
 	if err := toml.Unmarshal(raw, &document); err != nil {
-		return describe(err)
+		return describeSyntaxError(err)
 	}
 	// The schema and the tags of the settings are those of JSON.
 	text, err := json.Marshal(document)
 	if err != nil {
 		return err
 	}
-	if err := validate(text, schema); err != nil {
+	if err := validateAgainstSchema(text, schema); err != nil {
 		return err
 	}
 	return json.Unmarshal(text, settings)
 }
 
-// describe returns a syntax error as one line.
-func describe(err error) error {
+// describeSyntaxError returns a syntax error as one line.
+func describeSyntaxError(err error) error {
 	var parse toml.ParseError
 	if errors.As(err, &parse) {
 		return fmt.Errorf("line %d: %s", parse.Position.Line, parse.Message)
@@ -56,10 +56,10 @@
 	return err
 }
 
-// validate validates a document against the schema; its error names the first invalid
+// validateAgainstSchema validates a document against the schema; its error names the first invalid
 // field.
-func validate(text, schemaText []byte) error {
-	schema, err := compile(schemaText)
+func validateAgainstSchema(text, schemaText []byte) error {
+	schema, err := compileSchema(schemaText)
 	if err != nil {
 		return err
 	}
@@ -101,8 +101,8 @@
 	return name
 }
 
-// compile compiles a schema.
-func compile(schemaText []byte) (*jsonschema.Schema, error) {
+// compileSchema compiles a schema.
+func compileSchema(schemaText []byte) (*jsonschema.Schema, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
 		return nil, fmt.Errorf("schema: %w", err)
