--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads and validates the settings file that the platform gives to each
+// Package config reads and validates the settings file that the platform provides to each
 // controller.
 package config
 
@@ -15,7 +15,7 @@
 	"example.org/ivytrestle/internal/jsonerror"
 )
 
-// Settings is the platform's settings file.
+// Settings holds the contents of the settings file.
 type Settings struct {
 	Node       string   `json:"node"`
 	Zone       string   `json:"site"`
@@ -26,20 +26,20 @@
 	Site       SiteInfo `json:"settings"`
 }
 
-// Peer is another controller.
+// Peer identifies another controller and the address of its peer listener.
 type Peer struct {
 	Node string `json:"node"`
 	Zone string `json:"site"`
 	Addr string `json:"addr"`
 }
 
-// Services holds the addresses of the region's services: the cloud and the key-value store.
+// Services holds the addresses of the external services: the cloud and the key-value store.
 type Services struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
 }
 
-// SiteInfo describes the deployment.
+// SiteInfo holds the settings that describe the deployment.
 type SiteInfo struct {
 	Nodes         int         `json:"nodes"`
 	Zones         []string    `json:"zones"`
@@ -52,7 +52,8 @@
 	ClockOffsetMs float64     `json:"clock_off_ms"`
 }
 
-// Team is a share of the cluster: a guarantee and a limit.
+// Team holds a team's resources: CPUs and GPUs are guaranteed to it, and LimitCPUs and LimitGPUs
+// bound its use.
 type Team struct {
 	Name      string  `json:"name"`
 	CPUs      float64 `json:"cpus"`
@@ -71,16 +72,17 @@
 	WithinMs float64 `json:"within_ms"`
 }
 
-// Workers holds the intervals of worker agents.
+// Workers holds the timing of worker agents in seconds: the heartbeat interval, the task lease
+// and the time within which a cancellation must take effect.
 type Workers struct {
 	HeartbeatS float64 `json:"report_s"`
 	LeaseS     float64 `json:"lease_s"`
 	CancelS    float64 `json:"cancel_s"`
 }
 
-// KVLimits bounds the use of the key-value store. Once the settings are parsed it holds
-// the smaller of the current limits and the announced ones: the store changes over without
-// notice, and always rejects what is beyond its limits.
+// KVLimits holds the limits of the key-value store, which rejects every request beyond them.
+// Parse lowers each limit to the announced one if that is smaller, because the store switches
+// to the announced limits without notice.
 type KVLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -90,8 +92,8 @@
 	Next *NextKVLimits `json:"next"`
 }
 
-// NextKVLimits holds limits that the key-value store will have at some later time. An
-// absent one does not change.
+// NextKVLimits holds the announced limits, which will apply to the key-value store at some later
+// time. A nil limit does not change.
 type NextKVLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -99,7 +101,7 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// applyNext lowers the limits to the announced ones.
+// applyNext lowers each limit to the announced one if that is smaller.
 func (l *KVLimits) applyNext() {
 	next := l.Next
 	if next == nil {
@@ -111,14 +113,15 @@
 	lowerLimit(&l.TxnOps, next.TxnOps)
 }
 
+// lowerLimit sets *limit to *next if next is not nil and *next is smaller.
 func lowerLimit[T int | float64](limit, next *T) {
 	if next != nil {
 		*limit = min(*limit, *next)
 	}
 }
 
-// check returns an error if a deployment cannot work within the limits; field is their
-// place in the settings.
+// check returns an error if a deployment cannot work within the limits. field is the path of
+// the limits in the settings file, which the error names.
 func (l *KVLimits) check(field string) error {
 	for _, limit := range []struct {
 		name  string
@@ -134,21 +137,22 @@
 		}
 	}
 	if l.TxnOps < minTxnOps {
-		return fmt.Errorf("field %s.txn_ops: at least %d are needed, found %d", field, minTxnOps, l.TxnOps)
+		return fmt.Errorf("field %s.txn_ops: must be at least %d, found %d", field, minTxnOps, l.TxnOps)
 	}
 	if l.ValueKB < minValueKB {
-		return fmt.Errorf("field %s.value_kb: at least %v is needed for one record, found %v",
+		return fmt.Errorf("field %s.value_kb: must be at least %v to hold a job record, found %v",
 			field, minValueKB, l.ValueKB)
 	}
 	return nil
 }
 
-// checkNext checks the announced limits, the absent ones replaced by the current ones.
+// checkNext checks the limits that will apply after the announced change. field is the path of
+// the announced limits in the settings file.
 func (l *KVLimits) checkNext(field string) error {
 	if l.Next == nil {
 		return nil
 	}
-	next := *l // the current limits have been checked
+	next := *l // already checked, so an error can only be about an announced limit
 	overrideLimit(&next.RPS, l.Next.RPS)
 	overrideLimit(&next.WriteRPS, l.Next.WriteRPS)
 	overrideLimit(&next.ValueKB, l.Next.ValueKB)
@@ -156,41 +160,45 @@
 	return next.check(field)
 }
 
+// overrideLimit sets *limit to *next if next is not nil.
 func overrideLimit[T int | float64](limit, next *T) {
 	if next != nil {
 		*limit = *next
 	}
 }
 
-// CloudLimits bounds the use of the cloud.
+// CloudLimits holds the request rate limit of the cloud API and the time in seconds by which its
+// listings may lag behind.
 type CloudLimits struct {
 	RPS      float64 `json:"rps"`
 	ListLagS float64 `json:"list_lag_s"`
 }
 
-// Limits bounds the process itself.
+// Limits holds the resource limits of the controller process.
 type Limits struct {
 	Cores   float64 `json:"cores"`
 	RAMMB   float64 `json:"ram_mb"`
 	FDLimit int     `json:"fd_limit"`
 }
 
-// minTableEntries is the least capacity of a table with entries per machine, however little
-// memory there is: a cell may have some 4,000 machines.
+// minTableEntries is the minimum capacity of a table with an entry per machine, regardless of
+// the memory limit: a cell may have about 4,000 machines.
 const minTableEntries = 4096
 
-// MaxEntries returns how many entries of some bytes each fit in a share of the memory.
-func (l Limits) MaxEntries(share float64, bytes int) int {
-	return max(minTableEntries, int(l.RAMMB*(1<<20)*share)/bytes)
+// MaxEntries returns how many entries of entryBytes each fit in a fraction of the memory limit,
+// but at least minTableEntries.
+func (l Limits) MaxEntries(memoryFraction float64, entryBytes int) int {
+	return max(minTableEntries, int(l.RAMMB*(1<<20)*memoryFraction)/entryBytes)
 }
 
 // Duration converts seconds to a duration.
-func Duration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func Duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 // HeartbeatInterval returns the interval at which worker agents send heartbeats.
 func (w Workers) HeartbeatInterval() time.Duration { return Duration(w.HeartbeatS) }
 
-// Lease returns the task lease: how long a worker agent runs its tasks without a response.
+// Lease returns the duration of the task lease: how long a worker agent continues to run its
+// tasks without a response to its heartbeats.
 func (w Workers) Lease() time.Duration { return Duration(w.LeaseS) }
 
 // Load reads and validates a settings file.
@@ -219,25 +227,27 @@
 	return &s, nil
 }
 
+// check validates the settings before the announced limits are applied. Its error names the
+// invalid field.
 func (s *Settings) check() error {
 	if s.Node == "" {
 		return errors.New("field node: missing")
 	}
-	for _, a := range []struct{ field, addr string }{
+	for _, address := range []struct{ field, addr string }{
 		{"api_addr", s.APIAddr}, {"peer_listen", s.PeerListen},
 		{"outside.cloud", s.Services.Cloud}, {"outside.state", s.Services.State},
 	} {
-		if err := checkAddr(a.addr); err != nil {
-			return fmt.Errorf("field %s: %w", a.field, err)
+		if err := checkAddr(address.addr); err != nil {
+			return fmt.Errorf("field %s: %w", address.field, err)
 		}
 	}
-	seen := map[string]bool{s.Node: true}
-	for i, p := range s.Peers {
-		if p.Node == "" || seen[p.Node] {
-			return fmt.Errorf("field peers[%d].node: %q is empty or named twice", i, p.Node)
+	nodes := map[string]bool{s.Node: true}
+	for i, peer := range s.Peers {
+		if peer.Node == "" || nodes[peer.Node] {
+			return fmt.Errorf("field peers[%d].node: must be non-empty and unique, found %q", i, peer.Node)
 		}
-		seen[p.Node] = true
-		if err := checkAddr(p.Addr); err != nil {
+		nodes[peer.Node] = true
+		if err := checkAddr(peer.Addr); err != nil {
 			return fmt.Errorf("field peers[%d].addr: %w", i, err)
 		}
 	}
@@ -261,37 +271,41 @@
 		return err
 	}
 	if s.Workers.LeaseS <= s.Workers.HeartbeatS {
-		return fmt.Errorf("field settings.workers.lease_s: %v is not longer than report_s %v",
-			s.Workers.LeaseS, s.Workers.HeartbeatS)
+		return fmt.Errorf("field settings.workers.lease_s: must be above report_s (%v), found %v",
+			s.Workers.HeartbeatS, s.Workers.LeaseS)
 	}
 	if s.Cloud.ListLagS < 0 || s.ClockOffsetMs < 0 {
-		return errors.New("field settings: cloud.list_lag_s and clock_off_ms must not be negative")
+		return fmt.Errorf("field settings: cloud.list_lag_s and clock_off_ms must not be negative, found %v and %v",
+			s.Cloud.ListLagS, s.ClockOffsetMs)
 	}
 	return nil
 }
 
 func (s *SiteInfo) checkTeams() error {
 	if len(s.Teams) == 0 {
-		return errors.New("field settings.teams: no team")
+		return errors.New("field settings.teams: must hold at least one team")
 	}
 	names := map[string]bool{}
 	for i, t := range s.Teams {
 		field := fmt.Sprintf("field settings.teams[%d]", i)
 		if t.Name == "" || names[t.Name] {
-			return fmt.Errorf("%s.name: %q is empty or named twice", field, t.Name)
+			return fmt.Errorf("%s.name: must be non-empty and unique, found %q", field, t.Name)
 		}
 		names[t.Name] = true
-		if !isFiniteNonNegative(t.CPUs) || !isFiniteNonNegative(t.LimitCPUs) || !isFiniteNonNegative(t.GPUs) || !isFiniteNonNegative(t.LimitGPUs) {
-			return fmt.Errorf("%s: amounts must be finite and not negative", field)
+		if !isFiniteNonNegative(t.CPUs) || !isFiniteNonNegative(t.LimitCPUs) ||
+			!isFiniteNonNegative(t.GPUs) || !isFiniteNonNegative(t.LimitGPUs) {
+			return fmt.Errorf("%s: cpus, cpus_max, gpus and gpus_max must be finite and not negative, "+
+				"found %v, %v, %v and %v", field, t.CPUs, t.LimitCPUs, t.GPUs, t.LimitGPUs)
 		}
 		if t.CPUs > t.LimitCPUs || t.GPUs > t.LimitGPUs {
-			return fmt.Errorf("%s: the guarantee is above the limit", field)
+			return fmt.Errorf("%s: cpus must not exceed cpus_max, nor gpus gpus_max, "+
+				"found %v of %v CPUs and %v of %v GPUs", field, t.CPUs, t.LimitCPUs, t.GPUs, t.LimitGPUs)
 		}
 	}
 	return nil
 }
 
-// checkPositiveFields checks that the amounts that every controller needs are positive.
+// checkPositiveFields checks the values that must be finite and above 0.
 func (s *SiteInfo) checkPositiveFields() error {
 	for _, amount := range []struct {
 		field string
@@ -312,34 +326,33 @@
 	return nil
 }
 
-// check returns an error if the process is too small to work.
+// check returns an error if the limits are too low for a controller to work.
 func (l Limits) check() error {
 	if l.FDLimit < minFDLimit {
-		return fmt.Errorf("field settings.limits.fd_limit: at least %d are needed, found %d", minFDLimit, l.FDLimit)
+		return fmt.Errorf("field settings.limits.fd_limit: must be at least %d, found %d", minFDLimit, l.FDLimit)
 	}
 	if l.Cores < minCores {
-		return fmt.Errorf("field settings.limits.cores: at least %v are needed to answer anybody, found %v",
-			minCores, l.Cores)
+		return fmt.Errorf("field settings.limits.cores: must be at least %v, found %v", minCores, l.Cores)
 	}
 	if l.RAMMB < minRAMMB {
-		return fmt.Errorf("field settings.limits.ram_mb: at least %v are needed to start, found %v", minRAMMB, l.RAMMB)
+		return fmt.Errorf("field settings.limits.ram_mb: must be at least %v, found %v", minRAMMB, l.RAMMB)
 	}
 	return nil
 }
 
-// The least limits with which a controller can work.
+// The lowest limits with which a controller can work.
 const (
-	// minValueKB holds the record of one job.
+	// minValueKB is the size of a value that can hold the record of one job.
 	minValueKB = 1.0
-	// minTxnOps is the number of operations of a cancellation.
+	// minTxnOps is the number of operations in the transaction of a cancellation.
 	minTxnOps = 3
-	// minFDLimit suffices for the external services, the other controllers and a few
-	// users and worker agents.
+	// minFDLimit is enough for the connections to the external services, the other controllers
+	// and a few users and worker agents.
 	minFDLimit = 64
-	// minCores was measured with five machines: at half of it no job was ever accepted,
-	// with it few. The requirements of a fleet are in docs/operations.md.
+	// minCores is for five machines: controllers with half of it accepted no job, and those with
+	// it accepted few. The requirements of larger fleets are in docs/operations.md.
 	minCores = 0.0005
-	// minRAMMB is less than the memory of an idle controller.
+	// minRAMMB is below the memory use of an idle controller.
 	minRAMMB = 3.0
 )
 
@@ -349,13 +362,14 @@
 // isFinitePositive reports whether a value is finite and above 0.
 func isFinitePositive(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
 
+// checkAddr returns an error if an address does not have the form host:port.
 func checkAddr(addr string) error {
 	if addr == "" {
 		return errors.New("missing")
 	}
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
-		return fmt.Errorf("%q is not an address: %w", addr, err)
+		return fmt.Errorf("%q is not an address of the form host:port: %w", addr, err)
 	}
 	if host == "" || port == "" || strings.ContainsAny(addr, " \t") {
 		return fmt.Errorf("%q is not an address of the form host:port", addr)
@@ -363,7 +377,7 @@
 	return nil
 }
 
-// HasTeam reports whether the site has a team of that name.
+// HasTeam reports whether a team has the given name.
 func (s *SiteInfo) HasTeam(name string) bool {
 	for _, t := range s.Teams {
 		if t.Name == name {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Sizes that were seen to work with a few machines are valid.
+// Limits with which a controller works with a few machines must not be rejected.
 func TestSmallLimitsAreValid(t *testing.T) {
 	small := strings.NewReplacer(`"cores":0.06`, `"cores":0.001`, `"ram_mb":98`, `"ram_mb":4`).Replace(validSettings)
 	if _, err := Parse([]byte(small)); err != nil {
@@ -78,13 +78,13 @@
 	}
 }
 
-// settingsWithNext returns valid settings with announced limits.
+// settingsWithNext returns valid settings with the announced limits next, a JSON value.
 func settingsWithNext(next string) []byte {
 	return []byte(strings.Replace(validSettings, `"txn_ops":20`, `"txn_ops":20,"next":`+next, 1))
 }
 
-// The key-value store changes its limits without notice, so the smaller of the current and
-// the announced ones applies from the start, for each limit by itself.
+// The key-value store switches to its announced limits without notice, so a controller must use
+// the smaller of the current and the announced value of each limit from the start.
 func TestSmallerOfCurrentAndAnnouncedLimitsApplies(t *testing.T) {
 	for _, c := range []struct {
 		next string
@@ -111,9 +111,9 @@
 	}
 }
 
-// A limit of as few operations as a cancellation takes is valid: the bound of five was more
-// than any transaction needs, and would have kept a node from starting before an upgrade of
-// the key-value store to four.
+// A transaction limit that equals the operations of a cancellation must be valid. The earlier
+// minimum of five was more than any transaction needs; a node would have failed to start when an
+// upgrade of the key-value store to four operations was announced.
 func TestAnnouncedOperationsOfOneCancellationSuffice(t *testing.T) {
 	for _, ops := range []int{3, 4} {
 		s, err := Parse(settingsWithNext(fmt.Sprintf(`{"value_kb":2,"txn_ops":%d,"write_rps":18}`, ops)))
@@ -123,7 +123,7 @@
 	}
 }
 
-// An invalid announced limit is an error at the start, not at some later time.
+// An invalid announced limit must fail the start, not surface when the limit takes effect.
 func TestInvalidAnnouncedLimitsNameTheField(t *testing.T) {
 	for _, c := range []struct{ next, want string }{
 		{`{"rps":-1}`, "settings.state.next.rps"},
