--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -13,8 +13,8 @@
 	"example.org/ivytrestle/internal/peer"
 )
 
-// cellHandler serves other cells, on a listener of their own. Of the requests between
-// controllers it serves only those about loans.
+// cellHandler serves the requests of other cells, which arrive on a separate listener. It serves
+// only those about loans, and rejects all other requests between controllers.
 type cellHandler struct{ c *controller.Controller }
 
 // Job implements peer.Handler.
@@ -62,13 +62,14 @@
 	return peer.PackLoanAnswer(response), nil
 }
 
-// cellLinks sends requests directly to other cells: to each of a cell's controllers in
-// turn, until its leader responds.
+// cellLinks sends requests to other cells. It tries the controllers of a cell one after another
+// until the cell's leader responds.
 type cellLinks struct {
+	// cells holds the links by the name of the cell.
 	cells map[string]*cellLink
 }
 
-// cellLink is the link to one cell.
+// cellLink holds the clients of the controllers of one cell.
 type cellLink struct {
 	clients []*peer.Client
 
@@ -78,18 +79,18 @@
 }
 
 func newCellLinks(s *cells.Settings) *cellLinks {
-	l := &cellLinks{cells: map[string]*cellLink{}}
-	for _, n := range s.Neighbours {
+	links := &cellLinks{cells: map[string]*cellLink{}}
+	for _, neighbour := range s.Neighbours {
 		link := &cellLink{}
-		for _, addr := range n.Addresses {
+		for _, addr := range neighbour.Addresses {
 			link.clients = append(link.clients, peer.NewClient(addr))
 		}
-		l.cells[n.Cell] = link
+		links.cells[neighbour.Cell] = link
 	}
-	return l
+	return links
 }
 
-// cellAttemptTimeout bounds the request to one controller of another cell.
+// cellAttemptTimeout bounds each request to a controller of another cell.
 const cellAttemptTimeout = 900 * time.Millisecond
 
 // Loans implements controller.CellLink.
--- a/internal/daemon/connlimiter.go
+++ b/internal/daemon/connlimiter.go
@@ -7,17 +7,17 @@
 	"sync"
 )
 
-// connLimiter bounds the open connections of a server. When there are too many, it closes
-// the one that has been idle for longest: worker agents and users that are alive send a
-// request every few seconds, so none of them misses it, and no new connection has to wait.
+// connLimiter bounds the open connections of a server. Above the limit it closes the connection
+// that has been idle longest, so that new connections need not wait. Live worker agents and users
+// send a request every few seconds, so they no longer need that connection.
 type connLimiter struct {
 	limit int
 
 	mu   sync.Mutex
 	open map[net.Conn]bool
-	// idle holds the connections without a request, the longest idle first, and elements
-	// their places in it.
-	idle         *list.List
+	// idle lists the connections without a request in progress, the longest idle first.
+	idle *list.List
+	// idleElements holds the element of each connection in idle.
 	idleElements map[net.Conn]*list.Element
 }
 
@@ -30,19 +30,19 @@
 	}
 }
 
-// onConnState has the form of an http.Server's ConnState.
+// onConnState is the server's ConnState callback. It closes a connection if the limit is exceeded.
 func (c *connLimiter) onConnState(conn net.Conn, state http.ConnState) {
 	if evicted := c.recordState(conn, state); evicted != nil {
 		closeQuietly(evicted)
 	}
 }
 
-// recordState records a state, and returns the connection to close, if any.
+// recordState records the new state of a connection. It returns the connection to close, or nil.
 func (c *connLimiter) recordState(conn net.Conn, state http.ConnState) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e := c.idleElements[conn]; e != nil {
-		c.idle.Remove(e)
+	if element := c.idleElements[conn]; element != nil {
+		c.idle.Remove(element)
 		delete(c.idleElements, conn)
 	}
 	switch state {
@@ -57,7 +57,7 @@
 	if len(c.open) <= c.limit {
 		return nil
 	}
-	// The newest is last, so it is closed only if all others are busy.
+	// The connection just added is last in the list, so it is closed only if all others are busy.
 	evicted := c.idle.Remove(c.idle.Front()).(net.Conn)
 	delete(c.idleElements, evicted)
 	delete(c.open, evicted)
--- a/internal/daemon/connlimiter_test.go
+++ b/internal/daemon/connlimiter_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Idle connections, and those without any request yet, must not keep new ones out; busy
-// ones stay.
+// At the limit, a connection that is idle or has not sent a request yet must be closed in favour
+// of a new one. A connection with a request in progress must stay open.
 func TestLongestIdleConnectionIsClosedAtLimit(t *testing.T) {
 	c := newConnLimiter(3)
 	conns := make([]net.Conn, 6)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon builds the parts of a controller process, runs and stops them.
+// Package daemon assembles, runs and stops the components of a controller process.
 package daemon
 
 import (
@@ -29,98 +29,104 @@
 	"example.org/ivytrestle/internal/worker"
 )
 
-// NewLogger returns a logger that writes to w from the named level on; an unknown name is
-// info.
+// NewLogger returns a logger that writes to w the records of the named level and above. An empty
+// name means info. An unknown name means info, too, and is logged as a warning.
 func NewLogger(w io.Writer, level string) *slog.Logger {
-	var l slog.Level
+	var minLevel slog.Level
 	isUnknown := false
 	switch strings.ToLower(level) {
 	case "error":
-		l = slog.LevelError
+		minLevel = slog.LevelError
 	case "", "info":
-		l = slog.LevelInfo
+		minLevel = slog.LevelInfo
 	case "debug":
-		l = slog.LevelDebug
+		minLevel = slog.LevelDebug
 	default:
 		isUnknown = true
 	}
-	log := slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: l}))
+	log := slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: minLevel}))
 	if isUnknown {
 		log.Warn("unknown LOG_LEVEL, using info", "level", level)
 	}
 	return log
 }
 
-// A connection of a worker agent or user holds a goroutine, and possibly a part of a
-// request. All of them together may take connectionMemoryShare of the memory: the process
-// itself, the fleet and the jobs need the rest.
+// Limits on the connections of worker agents and users.
 const (
-	bytesPerConnection    = 26 << 10
+	// bytesPerConnection is the memory of a connection: a goroutine and possibly a part of a
+	// request.
+	bytesPerConnection = 26 << 10
+	// connectionMemoryShare is the share of the memory that all connections together may take.
+	// The process itself, the fleet and the jobs need the rest.
 	connectionMemoryShare = 0.3
 	minOpenConnections    = 16
 )
 
-// Shares of the machine's memory at which the garbage collector works harder, and the
-// growth of the heap at which it runs below that, in percent.
+// Settings of the garbage collector.
 const (
+	// memoryLimitShare is the share of the machine's memory at which collections become more
+	// frequent.
 	memoryLimitShare = 0.7
-	gcPercent        = 300
+	// gcPercent is the heap growth, in percent, that starts a collection below that share.
+	gcPercent = 300
 )
 
 const bytesPerMB = 1 << 20
 
-// maxConnections returns how many connections of worker agents and users may be open:
-// external services and peers need sockets as well.
-func maxConnections(lim config.Limits) int {
-	byMemory := int(lim.RAMMB * bytesPerMB * connectionMemoryShare / bytesPerConnection)
-	return max(minOpenConnections, min(lim.FDLimit*7/10, byMemory))
+// maxConnections returns how many connections of worker agents and users may be open. They get
+// only a part of the file descriptors, because external services and peers need sockets as well.
+func maxConnections(limits config.Limits) int {
+	byMemory := int(limits.RAMMB * bytesPerMB * connectionMemoryShare / bytesPerConnection)
+	return max(minOpenConnections, min(limits.FDLimit*7/10, byMemory))
 }
 
-// tuneRuntime fits the Go runtime to the machine: one processor, and a memory limit below
-// the one at which the system kills the process.
-func tuneRuntime(lim config.Limits) {
+// tuneRuntime configures the Go runtime for the machine: it uses one processor and a memory limit
+// below the one at which the system kills the process.
+func tuneRuntime(limits config.Limits) {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(lim.RAMMB * memoryLimitShare * bytesPerMB))
+	debug.SetMemoryLimit(int64(limits.RAMMB * memoryLimitShare * bytesPerMB))
 	debug.SetGCPercent(gcPercent)
 }
 
-// drainTimeout bounds the handover of leadership when a controller stops.
+// drainTimeout bounds the handover of the leadership when a controller stops.
 const drainTimeout = 2 * time.Second
 
-// Features holds the settings of optional parts, each from a file of its own; nil turns a
-// part off.
+// Features holds the settings of the optional features, each read from a separate file. A feature
+// is disabled if its settings are nil.
 type Features struct {
-	// Cells turns on spillover to other cells.
+	// Cells enables spillover of jobs to other cells.
 	Cells *cells.Settings
-	// Standby turns on failover, by which other controllers replace an unreachable leader
-	// before its lease expires.
+	// Standby enables failover: other controllers replace an unreachable leader before its
+	// lease expires.
 	Standby *standby.Settings
 }
 
-// listeners are those of one controller; cells is nil unless spillover is on.
+// listeners holds the listeners of a controller: for worker agents and users, for other
+// controllers of the cell, and for other cells. The last one is nil if spillover is disabled.
 type listeners struct{ api, peers, cells net.Listener }
 
-// listen opens all listeners, or none.
-func listen(s *config.Settings, neighbours *cells.Settings) (l listeners, err error) {
+// listen opens all listeners. If one of them fails, it closes the others.
+func listen(s *config.Settings, cellSettings *cells.Settings) (l listeners, err error) {
 	defer func() {
 		if err != nil {
 			l.close()
 		}
 	}()
 	if l.api, err = netio.Listen(s.APIAddr); err != nil {
-		return l, fmt.Errorf("api: %w", err)
+		return l, fmt.Errorf("API listener: %w", err)
 	}
 	if l.peers, err = netio.Listen(s.PeerListen); err != nil {
-		return l, fmt.Errorf("peers: %w", err)
+		return l, fmt.Errorf("peer listener: %w", err)
 	}
-	if neighbours != nil {
-		if l.cells, err = netio.Listen(neighbours.Listen[s.Node]); err != nil {
-			return l, fmt.Errorf("cells: %w", err)
+	if cellSettings != nil {
+		if l.cells, err = netio.Listen(cellSettings.Listen[s.Node]); err != nil {
+			return l, fmt.Errorf("cell listener: %w", err)
 		}
 	}
 	return l, nil
 }
 
+// close closes the listeners that are open.
 func (l listeners) close() {
 	for _, ln := range []net.Listener{l.api, l.peers, l.cells} {
 		if ln != nil {
@@ -129,20 +135,20 @@
 	}
 }
 
-// closeQuietly closes what is not used any more; an error changes nothing.
+// closeQuietly closes c and ignores the error, since c is no longer used.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// Run runs a controller until the context ends, when it hands the leadership over, or
-// until a listener fails.
-func Run(ctx context.Context, s *config.Settings, p *policy.Policy, parts Features, log *slog.Logger) error {
+// Run runs a controller until the context ends or a listener fails. When the context ends, Run
+// hands over the leadership before it returns.
+func Run(ctx context.Context, s *config.Settings, p *policy.Policy, features Features, log *slog.Logger) error {
 	tuneRuntime(s.Site.Limits)
-	lns, err := listen(s, parts.Cells)
+	lns, err := listen(s, features.Cells)
 	if err != nil {
 		return err
 	}
 	store := kv.NewClient(s.Services.State, s.Site.State)
-	c := newController(s, p, parts, store, log)
-	stopped := ctx.Done()
+	c := newController(s, p, features, store, log)
+	shutdown := ctx.Done()
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	elector := &election.Elector{
@@ -168,10 +174,10 @@
 	go func() { failed <- srv.Serve(lns.api) }()
 	log.Info("started", "node", s.Node, "zone", s.Zone, "api", s.APIAddr, "pid", os.Getpid())
 	select {
-	case <-stopped:
-		drainCtx, done := context.WithTimeout(ctx, drainTimeout)
+	case <-shutdown:
+		drainCtx, cancelDrain := context.WithTimeout(ctx, drainTimeout)
 		c.Drain(drainCtx)
-		done()
+		cancelDrain()
 		closeQuietly(lns.api)
 		log.Info("stopped", "node", s.Node)
 		return nil
@@ -180,18 +186,18 @@
 	}
 }
 
-// maxRenewInterval is the longest interval at which the leader lease is renewed.
+// maxRenewInterval is the longest interval between renewals of the leader lease.
 const maxRenewInterval = 3 * time.Second
 
-// newController builds a controller with its clients.
+// newController returns a controller with clients of the services, peers, machines and cells.
 func newController(
-	s *config.Settings, p *policy.Policy, parts Features, store *kv.Client, log *slog.Logger,
+	s *config.Settings, p *policy.Policy, features Features, store *kv.Client, log *slog.Logger,
 ) *controller.Controller {
 	machines := worker.NewClient()
 	cfg := controller.Config{
 		Settings:      s,
 		Policy:        p,
-		Standby:       parts.Standby,
+		Standby:       features.Standby,
 		Store:         store,
 		UserStore:     store.ForUsers(),
 		Cloud:         cloud.NewClient(s.Services.Cloud, s.Site.Cloud),
@@ -200,8 +206,8 @@
 		CommandSender: machines,
 		Log:           log,
 	}
-	if parts.Cells != nil {
-		cfg.Cells, cfg.CellClient = parts.Cells, newCellLinks(parts.Cells)
+	if features.Cells != nil {
+		cfg.Cells, cfg.CellClient = features.Cells, newCellLinks(features.Cells)
 	}
 	return controller.New(cfg)
 }
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -7,13 +7,13 @@
 	"example.org/ivytrestle/internal/config"
 )
 
-// Connections and requests at their limits fit in the memory that an idle process, a fleet
-// and its jobs leave.
+// If connections and requests in flight reach their limits, the process must not run out of
+// memory: they must fit in what the idle process, the fleet and its jobs leave.
 func TestConnectionAndRequestLimitsFitInMemory(t *testing.T) {
 	const mb = 1 << 20
 	for _, c := range []struct {
 		limits config.Limits
-		// fleetBytes is the most that a leader of this size was seen to hold.
+		// fleetBytes is the largest amount of memory seen in use by a leader of this size.
 		fleetBytes float64
 		want       int
 	}{
@@ -29,11 +29,11 @@
 		}
 		held := float64(n*bytesPerConnection) + api.MaxInFlightBytes + c.fleetBytes
 		if held > c.limits.RAMMB*mb {
-			t.Errorf("%v MB, %d sockets: up to %.0f MB held, want no more than there is",
+			t.Errorf("%v MB, %d sockets: got up to %.0f MB in use, want no more than the limit",
 				c.limits.RAMMB, c.limits.FDLimit, held/mb)
 		}
 	}
 	if n := maxConnections(config.Limits{RAMMB: 3, FDLimit: 64}); n < minOpenConnections {
-		t.Errorf("smallest: got %d connections, want %d or more", n, minOpenConnections)
+		t.Errorf("smallest limits: got %d connections, want %d or more", n, minOpenConnections)
 	}
 }
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -21,8 +21,9 @@
 	"example.org/ivytrestle/internal/policy"
 )
 
-// simulateEnvVar makes the test binary simulate the controller's environment. It runs in
-// a process of its own, so that a profile shows the controller alone.
+// simulateEnvVar is the environment variable that makes the test binary simulate the controller's
+// environment instead of running tests. The simulation runs in a separate process, so that a
+// profile shows only the controller.
 const simulateEnvVar = "IVYTRESTLE_LOADTEST_ENVIRONMENT"
 
 func TestMain(m *testing.M) {
@@ -36,8 +37,9 @@
 	os.Exit(m.Run())
 }
 
-// simulateEnvironment simulates the controller's environment: each value of its input is a
-// plan to start, or null to request the counts, until its input ends.
+// simulateEnvironment simulates the controller's environment until its standard input ends. It
+// writes the addresses of the services, then reads JSON values, each a plan to start or null, and
+// responds to each with the counts.
 func simulateEnvironment() error {
 	env, err := loadtest.New(api.MachineType{
 		Name:      "m",
@@ -59,14 +61,14 @@
 	}
 	in := json.NewDecoder(os.Stdin)
 	for {
-		var p *loadtest.Plan
-		if err := in.Decode(&p); errors.Is(err, io.EOF) {
-			return nil // the parent has ended
+		var plan *loadtest.Plan
+		if err := in.Decode(&plan); errors.Is(err, io.EOF) {
+			return nil // the parent process has exited or closed the pipe
 		} else if err != nil {
 			return err
 		}
-		if p != nil {
-			env.Start(*p)
+		if plan != nil {
+			env.Start(*plan)
 		}
 		if err := out.Encode(env.Counts()); err != nil {
 			return err
@@ -74,12 +76,12 @@
 	}
 }
 
-// BenchmarkSecond runs a controller that leads alone in real time; one operation is a
-// second of it:
+// BenchmarkSecond runs a single controller, as the leader, in real time. One operation is one
+// second:
 //
 //	go test -run '^$' -bench Second -benchtime 15x -cpuprofile cpu.out ./internal/daemon
 //
-// cpu-ms/s is the processor time used, of 1000 that a whole core has.
+// The metric cpu-ms/s is the CPU time used; a whole core has 1000.
 func BenchmarkSecond(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -113,13 +115,15 @@
 	services config.Services
 }
 
+// startEnvironment starts the simulation in a process that exits at the end of the benchmark.
 func startEnvironment(b *testing.B) *environmentProcess {
 	b.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		b.Fatal(err)
 	}
-	// It ends with its input; the context of the benchmark would kill it before that.
+	// The process exits when its input is closed. The context of the benchmark ends earlier and
+	// would kill it.
 	cmd := exec.CommandContext(context.WithoutCancel(b.Context()), self)
 	cmd.Env = append(os.Environ(), simulateEnvVar+"=1")
 	cmd.Stderr = os.Stderr
@@ -140,23 +144,23 @@
 			b.Errorf("environment: %v", err)
 		}
 	})
-	e := &environmentProcess{in: json.NewEncoder(stdin), out: json.NewDecoder(bufio.NewReader(stdout))}
-	if err := e.out.Decode(&e.services); err != nil {
+	env := &environmentProcess{in: json.NewEncoder(stdin), out: json.NewDecoder(bufio.NewReader(stdout))}
+	if err := env.out.Decode(&env.services); err != nil {
 		b.Fatal(err)
 	}
-	return e
+	return env
 }
 
-// start starts a plan, unless it is nil, and returns the counts.
-func (e *environmentProcess) start(b *testing.B, p *loadtest.Plan) (c loadtest.Counts) {
+// start starts a plan if it is not nil, and returns the counts.
+func (e *environmentProcess) start(b *testing.B, plan *loadtest.Plan) (counts loadtest.Counts) {
 	b.Helper()
-	if err := e.in.Encode(p); err != nil {
+	if err := e.in.Encode(plan); err != nil {
 		b.Fatal(err)
 	}
-	if err := e.out.Decode(&c); err != nil {
+	if err := e.out.Decode(&counts); err != nil {
 		b.Fatal(err)
 	}
-	return c
+	return counts
 }
 
 func (e *environmentProcess) counts(b *testing.B) loadtest.Counts {
@@ -185,8 +189,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	p.MinCPUs = 1e6 // no machine is terminated
-	// An error shows as failed requests in the counts.
+	p.MinCPUs = 1e6 // more than there are, so that no machine is terminated
+	// An error of Run shows up as failed requests in the counts.
 	go func() { _ = Run(b.Context(), s, p, Features{}, slog.New(slog.DiscardHandler)) }()
 	return s
 }
@@ -208,7 +212,7 @@
 	b.StopTimer()
 	cpu, after := cpuTime()-cpuBefore, env.counts(b)
 	runtime.ReadMemStats(&memAfter)
-	perSecond := func(v int64) float64 { return float64(v) / float64(b.N) }
+	perSecond := func(count int64) float64 { return float64(count) / float64(b.N) }
 	b.ReportMetric(float64(cpu.Microseconds())/1000/float64(b.N), "cpu-ms/s")
 	b.ReportMetric(perSecond(after.Heartbeats-before.Heartbeats), "reports/s")
 	b.ReportMetric(perSecond(after.Started-before.Started), "starts/s")
@@ -220,11 +224,11 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// cpuTime returns the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used, or 0 if it cannot be read.
 func cpuTime() time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -15,17 +15,17 @@
 	"example.org/ivytrestle/internal/peer"
 )
 
-// peerHandler serves the requests of other nodes.
+// peerHandler serves the requests of the other nodes of the cell.
 type peerHandler struct{ c *controller.Controller }
 
-// peerRequestTimeout bounds the handling of another node's request.
+// peerRequestTimeout bounds the handling of a request of another node.
 const peerRequestTimeout = 1200 * time.Millisecond
 
 // Job implements peer.Handler.
 func (h peerHandler) Job(ctx context.Context, id string) (*peer.JobStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
-	st, err := h.c.PeerJob(ctx, id)
+	status, err := h.c.PeerJob(ctx, id)
 	if errors.Is(err, api.ErrUnknownJob) {
 		return &peer.JobStatus{}, nil
 	}
@@ -34,12 +34,12 @@
 	}
 	return &peer.JobStatus{
 		Known:   true,
-		Phase:   st.Phase,
-		Done:    uint32(st.Done),
-		Running: uint32(st.Running),
-		Awaits:  st.DependsOn,
-		Derived: st.Derived,
-		Cell:    st.Cell,
+		Phase:   status.Phase,
+		Done:    uint32(status.Done),
+		Running: uint32(status.Running),
+		Awaits:  status.DependsOn,
+		Derived: status.Derived,
+		Cell:    status.Cell,
 	}, nil
 }
 
@@ -48,26 +48,26 @@
 	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	from := cancellation.Position{Incarnation: p.GetIncarnation(), Number: p.GetCancelNumber()}
-	st, err := h.c.PeerStatus(ctx, from)
+	status, err := h.c.PeerStatus(ctx, from)
 	if err != nil {
 		return nil, err
 	}
 	pong := &peer.Pong{
-		Term:          st.Term,
-		Leader:        st.Leader,
-		StoreOkMs:     uint64(st.KVReachableFor.Milliseconds()),
-		Incarnation:   st.Incarnation,
-		Cancelled:     st.Cancellations.IDs,
-		CancelFirst:   st.Cancellations.First,
-		CancelMore:    st.Cancellations.More,
-		CancelWholeMs: uint64(st.Cancellations.CompleteFor.Milliseconds()),
-		KnowsLoans:    st.SupportsLoans,
-		KnowsGrants:   st.SupportsLeaseQuorum,
-		Bound:         st.QuorumRequired,
-	}
-	if st.CancellationsKnownAge >= 0 {
-		// Rounded up: the knowledge must not appear fresher than it is.
-		pong.KnownAgeMs = proto.Uint64(uint64(st.CancellationsKnownAge.Milliseconds()) + 1)
+		Term:          status.Term,
+		Leader:        status.Leader,
+		StoreOkMs:     uint64(status.KVReachableFor.Milliseconds()),
+		Incarnation:   status.Incarnation,
+		Cancelled:     status.Cancellations.IDs,
+		CancelFirst:   status.Cancellations.First,
+		CancelMore:    status.Cancellations.More,
+		CancelWholeMs: uint64(status.Cancellations.CompleteFor.Milliseconds()),
+		KnowsLoans:    status.SupportsLoans,
+		KnowsGrants:   status.SupportsLeaseQuorum,
+		Bound:         status.QuorumRequired,
+	}
+	if status.CancellationsKnownAge >= 0 {
+		// Rounded up, so that the list of cancellations never appears more recent than it is.
+		pong.KnownAgeMs = proto.Uint64(uint64(status.CancellationsKnownAge.Milliseconds()) + 1)
 	}
 	return pong, nil
 }
@@ -88,7 +88,7 @@
 	return h.c.LeaderResigned(ctx, r.Node, r.Term)
 }
 
-// Loans implements peer.Handler: other cells use a listener of their own.
+// Loans implements peer.Handler. It rejects the request: other cells use a separate listener.
 func (h peerHandler) Loans(context.Context, *peer.LoanRequest) (*peer.LoanAnswer, error) {
 	return nil, peer.ErrUnavailable
 }
@@ -106,87 +106,89 @@
 	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	wait, err := h.c.PeerPromise(ctx, r.GetTerm())
-	// Rounded up: the last vote must not appear to expire sooner than it does.
+	// Rounded up, so that the last vote never appears to expire sooner than it does.
 	return &peer.PromiseAnswer{WaitMs: uint64(wait.Milliseconds()) + 1}, err
 }
 
-// peerClients sends requests to the other nodes.
+// peerClients sends requests to the other nodes of the cell. It holds a client for each, by name.
 type peerClients map[string]*peer.Client
 
-func newPeerClients(list []config.Peer) peerClients {
-	p := peerClients{}
-	for _, n := range list {
-		p[n.Node] = peer.NewClient(n.Addr)
+func newPeerClients(nodes []config.Peer) peerClients {
+	clients := peerClients{}
+	for _, n := range nodes {
+		clients[n.Node] = peer.NewClient(n.Addr)
 	}
-	return p
+	return clients
 }
 
 // Job implements controller.PeerClient.
 func (p peerClients) Job(ctx context.Context, node, id string) (api.JobState, error) {
-	cl := p[node]
-	if cl == nil {
+	client := p[node]
+	if client == nil {
 		return api.JobState{}, api.ErrUnavailable
 	}
-	st, err := cl.Job(ctx, id)
+	status, err := client.Job(ctx, id)
 	if err != nil {
 		return api.JobState{}, err
 	}
-	if !st.Known {
+	if !status.Known {
 		return api.JobState{}, api.ErrUnknownJob
 	}
 	return api.JobState{
 		ID:        id,
-		Phase:     st.Phase,
-		Done:      int(st.Done),
-		Running:   int(st.Running),
-		DependsOn: st.Awaits,
-		Derived:   st.Derived,
-		Cell:      st.Cell,
+		Phase:     status.Phase,
+		Done:      int(status.Done),
+		Running:   int(status.Running),
+		DependsOn: status.Awaits,
+		Derived:   status.Derived,
+		Cell:      status.Cell,
 	}, nil
 }
 
 // Ping implements controller.PeerClient.
 func (p peerClients) Ping(ctx context.Context, node string, from cancellation.Position) (membership.PeerStatus, error) {
-	cl := p[node]
-	if cl == nil {
+	client := p[node]
+	if client == nil {
 		return membership.PeerStatus{}, api.ErrUnavailable
 	}
-	st, err := cl.Ping(ctx, &peer.Ping{Incarnation: from.Incarnation, CancelNumber: from.Number})
+	status, err := client.Ping(ctx, &peer.Ping{Incarnation: from.Incarnation, CancelNumber: from.Number})
 	if errors.Is(err, peer.ErrConnectionRefused) {
 		err = controller.ErrConnectionRefused
 	}
 	if err != nil {
 		return membership.PeerStatus{}, err
 	}
-	out := membership.PeerStatus{
-		Term:                  st.Term,
-		Leader:                st.Leader,
-		KVReachableFor:        time.Duration(st.StoreOkMs) * time.Millisecond,
-		Incarnation:           st.Incarnation,
+	peerStatus := membership.PeerStatus{
+		Term:                  status.Term,
+		Leader:                status.Leader,
+		KVReachableFor:        time.Duration(status.StoreOkMs) * time.Millisecond,
+		Incarnation:           status.Incarnation,
 		CancellationsKnownAge: -1,
 		Cancellations: cancellation.Delta{
-			IDs:         st.Cancelled,
-			First:       st.CancelFirst,
-			More:        st.CancelMore,
-			CompleteFor: time.Duration(st.CancelWholeMs) * time.Millisecond,
+			IDs:         status.Cancelled,
+			First:       status.CancelFirst,
+			More:        status.CancelMore,
+			CompleteFor: time.Duration(status.CancelWholeMs) * time.Millisecond,
 		},
-		SupportsLoans:       st.KnowsLoans,
-		SupportsLeaseQuorum: st.KnowsGrants,
-		QuorumRequired:      st.Bound,
+		SupportsLoans:       status.KnowsLoans,
+		SupportsLeaseQuorum: status.KnowsGrants,
+		QuorumRequired:      status.Bound,
 	}
-	if st.KnownAgeMs != nil {
-		out.CancellationsKnownAge = time.Duration(*st.KnownAgeMs) * time.Millisecond
+	if status.KnownAgeMs != nil {
+		peerStatus.CancellationsKnownAge = time.Duration(*status.KnownAgeMs) * time.Millisecond
 	}
-	return out, nil
+	return peerStatus, nil
 }
 
 // ForwardHeartbeat implements controller.PeerClient.
-func (p peerClients) ForwardHeartbeat(ctx context.Context, node string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
-	cl := p[node]
-	if cl == nil {
+func (p peerClients) ForwardHeartbeat(
+	ctx context.Context, node string, heartbeat *api.Heartbeat,
+) (api.HeartbeatResponse, error) {
+	client := p[node]
+	if client == nil {
 		return api.HeartbeatResponse{}, api.ErrUnavailable
 	}
-	response, err := cl.ForwardHeartbeat(ctx, peer.PackReport(hb))
+	response, err := client.ForwardHeartbeat(ctx, peer.PackReport(heartbeat))
 	if errors.Is(err, peer.ErrConnectionRefused) {
 		return api.HeartbeatResponse{}, controller.ErrConnectionRefused
 	}
@@ -201,29 +203,29 @@
 
 // Resign implements controller.PeerClient.
 func (p peerClients) Resign(ctx context.Context, node, self string, term uint64) error {
-	cl := p[node]
-	if cl == nil {
+	client := p[node]
+	if client == nil {
 		return api.ErrUnavailable
 	}
-	return cl.Resign(ctx, &peer.Resignation{Node: self, Term: term})
+	return client.Resign(ctx, &peer.Resignation{Node: self, Term: term})
 }
 
 // Vote implements controller.PeerClient.
 func (p peerClients) Vote(ctx context.Context, node string, term uint64) (bool, error) {
-	cl := p[node]
-	if cl == nil {
+	client := p[node]
+	if client == nil {
 		return false, api.ErrUnavailable
 	}
-	return cl.Vote(ctx, term)
+	return client.Vote(ctx, term)
 }
 
 // Promise implements controller.PeerClient.
 func (p peerClients) Promise(ctx context.Context, node string, term uint64) (time.Duration, error) {
-	cl := p[node]
-	if cl == nil {
+	client := p[node]
+	if client == nil {
 		return 0, api.ErrUnavailable
 	}
-	wait, err := cl.Promise(ctx, term)
+	wait, err := client.Promise(ctx, term)
 	if errors.Is(err, peer.ErrUnavailable) {
 		err = api.ErrUnavailable
 	}
