--- a/cmd/ivytrestle/main.go
+++ b/cmd/ivytrestle/main.go
@@ -1,5 +1,5 @@
-// Ivytrestle is a cluster scheduler: this program runs one of its controllers, and is the
-// command line of users and operators.
+// Command ivytrestle runs a controller of the ivytrestle cluster scheduler. It is also the
+// command-line client of users and operators.
 package main
 
 import (
@@ -26,10 +26,10 @@
 
 const version = "0.1.0"
 
-// cli holds the commands. Field names are the names of commands and flags.
+// cli declares the commands. Commands and flags take their names from the fields.
 type cli struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run a controller."`
-	Check   checkCmd   `cmd:"" help:"Check a settings file and an operators' script."`
+	Check   checkCmd   `cmd:"" help:"Check the files that a controller reads when it starts."`
 	Submit  submitCmd  `cmd:"" help:"Submit a job."`
 	Show    showCmd    `cmd:"" help:"Show a job: its phase, its tasks and the jobs that it waits for."`
 	Cancel  cancelCmd  `cmd:"" help:"Cancel a job and all jobs that depend on it."`
@@ -37,7 +37,7 @@
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
-// files are the paths of the files that a controller reads when it starts.
+// files holds the paths of the files that a controller reads when it starts.
 type files struct {
 	Config  string `required:"" placeholder:"FILE" help:"The platform's settings file (JSON)."`
 	Policy  string `placeholder:"FILE" help:"The operators' settings (Starlark)."`
@@ -45,14 +45,15 @@
 	Standby string `placeholder:"FILE" help:"Failover from an unreachable leader before its lease expires (TOML)."`
 }
 
-// configuration are the contents of the files.
+// configuration holds the decoded contents of the files.
 type configuration struct {
 	settings *config.Settings
 	policy   *policy.Policy
-	// features holds the optional parts that have a file.
+	// features holds the settings of the optional features for which a file is given.
 	features daemon.Features
 }
 
+// load reads and validates the files.
 func (f *files) load() (*configuration, error) {
 	s, err := config.Load(f.Config)
 	if err != nil {
@@ -64,79 +65,80 @@
 	}
 	for team := range p.TeamShares {
 		if !s.Site.HasTeam(team) {
-			return nil, fmt.Errorf("policy %s: team_shares names %q, which is no team of this site", f.Policy, team)
+			return nil, fmt.Errorf("policy %s: team_shares: %q is not a team of this site", f.Policy, team)
 		}
 	}
-	out := &configuration{settings: s, policy: p}
+	cfg := &configuration{settings: s, policy: p}
 	if f.Cells != "" {
-		if out.features.Cells, err = cells.Load(f.Cells, s.Node); err != nil {
+		if cfg.features.Cells, err = cells.Load(f.Cells, s.Node); err != nil {
 			return nil, err
 		}
 	}
 	if f.Standby != "" {
-		if out.features.Standby, err = standby.Load(f.Standby); err != nil {
+		if cfg.features.Standby, err = standby.Load(f.Standby); err != nil {
 			return nil, err
 		}
 	}
-	return out, nil
+	return cfg, nil
 }
 
 type serveCmd struct{ files }
 
 func (c *serveCmd) Run() error {
-	files, err := c.load()
+	cfg, err := c.load()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	context.AfterFunc(ctx, stop) // a second signal ends the process at once
-	return daemon.Run(ctx, files.settings, files.policy, files.features, daemon.NewLogger(os.Stderr, os.Getenv("LOG_LEVEL")))
+	context.AfterFunc(ctx, stop) // after the first signal, so that a second one ends the process at once
+	return daemon.Run(ctx, cfg.settings, cfg.policy, cfg.features,
+		daemon.NewLogger(os.Stderr, os.Getenv("LOG_LEVEL")))
 }
 
 type checkCmd struct{ files }
 
 func (c *checkCmd) Run() error {
-	files, err := c.load()
+	cfg, err := c.load()
 	if err != nil {
 		return err
 	}
-	s := files.settings
+	s := cfg.settings
 	details := ""
-	if neighbours := files.features.Cells; neighbours != nil {
-		details = fmt.Sprintf(", cell %s with %d neighbours", neighbours.Cell, len(neighbours.Neighbours))
+	if cellSettings := cfg.features.Cells; cellSettings != nil {
+		details = fmt.Sprintf(", cell %s with %d neighbours", cellSettings.Cell, len(cellSettings.Neighbours))
 	}
-	if files.features.Standby != nil {
-		details += fmt.Sprintf(", leaders replaced after %v without grants", files.features.Standby.VoteLifetime())
+	if cfg.features.Standby != nil {
+		details += fmt.Sprintf(", leader replaced after %v without votes", cfg.features.Standby.VoteLifetime())
 	}
-	fmt.Printf("%s: good (%d teams, %d other controllers%s)\n", s.Node, len(s.Site.Teams), len(s.Peers), details)
+	fmt.Printf("%s: valid (%d teams, %d other controllers%s)\n", s.Node, len(s.Site.Teams), len(s.Peers), details)
 	return nil
 }
 
-// remote is the address of the controller that a command sends its request to.
+// remote holds the address of the controller to which a command sends its request.
 type remote struct {
 	Addr string `required:"" env:"IVYTRESTLE_ADDR" placeholder:"HOST:PORT" help:"A controller's address."`
 }
 
-// helpTexts are the texts that do not fit a struct tag.
+// helpTexts holds the help texts that are too long for a struct tag.
 var helpTexts = kong.Vars{
-	"await_help": "A job that must be done before this one starts; " +
-		"several with commas or by repeating the flag. Added to the Awaits of FILE.",
+	"await_help": "A job that must be done before this one starts. " +
+		"Separate several with commas or repeat the flag. They are added to the Awaits of FILE.",
 }
 
 type submitCmd struct {
 	remote
-	// Await holds the values of the flag, and after Validate the job IDs.
+	// Await holds the values of the flag as given. Validate replaces them with the job IDs.
 	Await []string `sep:"none" placeholder:"JOB" help:"${await_help}"`
 	File  string   `arg:"" help:"The job as JSON; - is standard input."`
 }
 
-// Validate checks the job IDs before anything is read or sent. An empty one is an error,
-// too: it is more likely an unset variable than a request for a job without dependencies.
+// Validate checks the job IDs before the job is read or sent. An empty ID is an error, because an
+// unset shell variable is a more likely cause than a job without dependencies.
 func (c *submitCmd) Validate() error {
 	ids := make([]string, 0, len(c.Await))
-	for _, list := range c.Await {
-		ids = append(ids, strings.Split(list, ",")...)
+	for _, value := range c.Await {
+		ids = append(ids, strings.Split(value, ",")...)
 	}
 	for _, id := range ids {
 		if err := client.CheckID(id); err != nil {
@@ -164,8 +166,8 @@
 	if raw, err = client.AddDependencies(raw, c.Await); err != nil {
 		return fmt.Errorf("job: %w", err)
 	}
-	st, err := client.New(c.Addr).Submit(context.Background(), raw)
-	return printState(st, err)
+	state, err := client.New(c.Addr).Submit(context.Background(), raw)
+	return printState(state, err)
 }
 
 type showCmd struct {
@@ -174,8 +176,8 @@
 }
 
 func (c *showCmd) Run() error {
-	st, err := client.New(c.Addr).Show(context.Background(), c.ID)
-	return printState(st, err)
+	state, err := client.New(c.Addr).Show(context.Background(), c.ID)
+	return printState(state, err)
 }
 
 type cancelCmd struct {
@@ -184,8 +186,8 @@
 }
 
 func (c *cancelCmd) Run() error {
-	st, err := client.New(c.Addr).Cancel(context.Background(), c.ID)
-	return printState(st, err)
+	state, err := client.New(c.Addr).Cancel(context.Background(), c.ID)
+	return printState(state, err)
 }
 
 type statusCmd struct{ remote }
@@ -197,7 +199,7 @@
 	}
 	var out bytes.Buffer
 	if err := json.Indent(&out, raw, "", "  "); err != nil {
-		return fmt.Errorf("status: %w", err)
+		return fmt.Errorf("status: format the response: %w", err)
 	}
 	fmt.Println(out.String())
 	return nil
@@ -210,30 +212,31 @@
 	return nil
 }
 
-func printState(st api.JobState, err error) error {
+// printState prints a job's state, or returns the error of the request.
+func printState(state api.JobState, err error) error {
 	if err != nil {
 		return err
 	}
-	fmt.Println(stateLine(st))
+	fmt.Println(stateLine(state))
 	return nil
 }
 
-// stateLine returns a job's state as shown to users.
-func stateLine(st api.JobState) string {
-	line := fmt.Sprintf("%s %s: %d done, %d running", st.ID, st.Phase, st.Done, st.Running)
-	if st.Cell != "" {
-		line += ", lent to cell " + st.Cell
+// stateLine formats a job's state for users, in one line.
+func stateLine(state api.JobState) string {
+	line := fmt.Sprintf("%s %s: %d done, %d running", state.ID, state.Phase, state.Done, state.Running)
+	if state.Cell != "" {
+		line += ", lent to cell " + state.Cell
 	}
-	if len(st.DependsOn) > 0 {
-		line += ", waits for " + strings.Join(st.DependsOn, ", ")
+	if len(state.DependsOn) > 0 {
+		line += ", waits for " + strings.Join(state.DependsOn, ", ")
 	}
 	return line
 }
 
 func main() {
-	k := kong.Parse(&cli{}, helpTexts,
+	command := kong.Parse(&cli{}, helpTexts,
 		kong.Name("ivytrestle"), kong.Description("A cluster scheduler for batch jobs."))
-	if err := k.Run(); err != nil {
+	if err := command.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "ivytrestle:", err)
 		os.Exit(1)
 	}
--- a/cmd/ivytrestle/main_test.go
+++ b/cmd/ivytrestle/main_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// The controller receives the job of the file with the dependencies of the flags.
+// submit must send the job of the file with the dependencies of the --await flags added, and must
+// send nothing if the job or a dependency is invalid.
 func TestSubmitSendsDependenciesOfFlags(t *testing.T) {
 	var sent []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -78,14 +79,14 @@
 			wantErr: "job: larger than 65536 bytes"},
 	} {
 		sent = nil
-		k, err := kong.New(&cli{}, helpTexts)
+		parser, err := kong.New(&cli{}, helpTexts)
 		if err != nil {
 			t.Fatal(err)
 		}
 		args := slices.Concat(
 			[]string{"submit", "--addr", srv.Listener.Addr().String(), writeFile(c.job)},
 			strings.Fields(c.flags))
-		ctx, err := k.Parse(args)
+		ctx, err := parser.Parse(args)
 		if err == nil {
 			err = ctx.Run()
 		}
--- a/internal/deployfile/deployfile.go
+++ b/internal/deployfile/deployfile.go
@@ -1,5 +1,5 @@
-// Package deployfile reads the files that turn on optional parts of the program: TOML,
-// validated against a JSON schema. An error is one line that names the field.
+// Package deployfile reads the files that enable optional features of the program. They are TOML
+// and validated against a JSON schema. An error is one line that names the invalid field.
 package deployfile
 
 import (
@@ -14,8 +14,9 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Load decodes a file of some kind into settings, whose JSON tags are the names of the
-// file's fields, and calls check to validate them further.
+// Load decodes a file into settings, whose JSON tags are the names of the fields in the file. It
+// then calls check for what the schema cannot express. Errors start with kind, the name of the
+// feature, and the path.
 func Load(kind, path string, schema []byte, settings any, check func() error) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -30,13 +31,13 @@
 	return nil
 }
 
-// Parse decodes the contents of a file into settings.
+// Parse validates the contents of a file against the schema and decodes them into settings.
 func Parse(raw, schema []byte, settings any) error {
 	var document map[string]any
 	if err := toml.Unmarshal(raw, &document); err != nil {
 		return describeSyntaxError(err)
 	}
-	// The schema and the tags of the settings are those of JSON.
+	// The schema and the struct tags of the settings are for JSON, so the document is converted.
 	text, err := json.Marshal(document)
 	if err != nil {
 		return err
@@ -47,17 +48,16 @@
 	return json.Unmarshal(text, settings)
 }
 
-// describeSyntaxError returns a syntax error as one line.
+// describeSyntaxError reduces a syntax error to one line. It returns any other error unchanged.
 func describeSyntaxError(err error) error {
-	var parse toml.ParseError
-	if errors.As(err, &parse) {
-		return fmt.Errorf("line %d: %s", parse.Position.Line, parse.Message)
+	var syntax toml.ParseError
+	if errors.As(err, &syntax) {
+		return fmt.Errorf("line %d: %s", syntax.Position.Line, syntax.Message)
 	}
 	return err
 }
 
-// validateAgainstSchema validates a document against the schema; its error names the first invalid
-// field.
+// validateAgainstSchema validates a JSON document. Its error names the first invalid field.
 func validateAgainstSchema(text, schemaText []byte) error {
 	schema, err := compileSchema(schemaText)
 	if err != nil {
@@ -72,6 +72,7 @@
 	if !errors.As(err, &invalid) {
 		return err
 	}
+	// The innermost cause is the error about a field.
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
 	}
@@ -82,7 +83,8 @@
 	return fmt.Errorf("field %s: %s", fieldName(invalid.InstanceLocation), message)
 }
 
-// fieldName returns a location in a document as a path, such as cell[0].name.
+// fieldName formats a location in a document as a path, for example cell[0].name. The document
+// itself is "(file)".
 func fieldName(location []string) string {
 	if len(location) == 0 {
 		return "(file)"
@@ -101,16 +103,16 @@
 	return name
 }
 
-// compileSchema compiles a schema.
+// compileSchema parses and compiles a JSON schema.
 func compileSchema(schemaText []byte) (*jsonschema.Schema, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
-		return nil, fmt.Errorf("schema: %w", err)
+		return nil, fmt.Errorf("parse schema: %w", err)
 	}
 	const name = "schema.json"
 	compiler := jsonschema.NewCompiler()
 	if err := compiler.AddResource(name, document); err != nil {
-		return nil, fmt.Errorf("schema: %w", err)
+		return nil, fmt.Errorf("add schema: %w", err)
 	}
 	return compiler.Compile(name)
 }
