--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -130,7 +130,7 @@
 	return relayUplink{
 		incarnation: rand.Text(),
 		machines:    map[string]*relayedMachine{},
-		maxMachines: limits.Entries(relayMemoryFraction, relayedMachineBytes),
+		maxMachines: limits.MaxEntries(relayMemoryFraction, relayedMachineBytes),
 	}
 }
 
--- a/internal/daemon/connlimiter_test.go
+++ b/internal/daemon/connlimiter_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Idle connections, and those without any request yet, must not keep new ones out; busy
-// ones stay.
+// At the limit, a connection that is idle or has not sent a request yet must be closed in favour
+// of a new one. A connection with a request in progress must stay open.
 func TestLongestIdleConnectionIsClosedAtLimit(t *testing.T) {
 	c := newConnLimiter(3)
 	conns := make([]net.Conn, 6)
@@ -18,7 +18,7 @@
 	const none = -1
 	checkClosed := func(i int, state http.ConnState, want int) {
 		t.Helper()
-		closed := c.connStateChanged(conns[i], state)
+		closed := c.recordState(conns[i], state)
 		if got := slices.Index(conns, closed); got != want {
 			t.Errorf("connection %d %v: closed connection %d, want %d", i, state, got, want)
 		}
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -21,12 +21,13 @@
 	"example.org/ivytrestle/internal/policy"
 )
 
-// environmentVar makes the test binary simulate the controller's environment. It runs in
-// a process of its own, so that a profile shows the controller alone.
-const environmentVar = "IVYTRESTLE_LOADTEST_ENVIRONMENT"
+// simulateEnvVar is the environment variable that makes the test binary simulate the controller's
+// environment instead of running tests. The simulation runs in a separate process, so that a
+// profile shows only the controller.
+const simulateEnvVar = "IVYTRESTLE_LOADTEST_ENVIRONMENT"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(environmentVar) != "" {
+	if os.Getenv(simulateEnvVar) != "" {
 		if err := simulateEnvironment(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -36,8 +37,9 @@
 	os.Exit(m.Run())
 }
 
-// simulateEnvironment simulates the controller's environment: each value of its input is a
-// plan to start, or null to request the counts, until its input ends.
+// simulateEnvironment simulates the controller's environment until its standard input ends. It
+// writes the addresses of the services, then reads JSON values, each a plan to start or null, and
+// responds to each with the counts.
 func simulateEnvironment() error {
 	env, err := loadtest.New(api.MachineType{
 		Name:      "m",
@@ -59,14 +61,14 @@
 	}
 	in := json.NewDecoder(os.Stdin)
 	for {
-		var p *loadtest.Plan
-		if err := in.Decode(&p); errors.Is(err, io.EOF) {
-			return nil // the parent has ended
+		var plan *loadtest.Plan
+		if err := in.Decode(&plan); errors.Is(err, io.EOF) {
+			return nil // the parent process has exited or closed the pipe
 		} else if err != nil {
 			return err
 		}
-		if p != nil {
-			env.Start(*p)
+		if plan != nil {
+			env.Start(*plan)
 		}
 		if err := out.Encode(env.Counts()); err != nil {
 			return err
@@ -74,12 +76,12 @@
 	}
 }
 
-// BenchmarkSecond runs a controller that leads alone in real time; one operation is a
-// second of it:
+// BenchmarkSecond runs a single controller, as the leader, in real time. One operation is one
+// second:
 //
 //	go test -run '^$' -bench Second -benchtime 15x -cpuprofile cpu.out ./internal/daemon
 //
-// cpu-ms/s is the processor time used, of 1000 that a whole core has.
+// The metric cpu-ms/s is the CPU time used; a whole core has 1000.
 func BenchmarkSecond(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -106,22 +108,24 @@
 	}
 }
 
-// environment is the process that simulates the controller's environment.
-type environment struct {
-	in      *json.Encoder
-	out     *json.Decoder
-	outside config.Services
+// environmentProcess is the process that simulates the controller's environment.
+type environmentProcess struct {
+	in       *json.Encoder
+	out      *json.Decoder
+	services config.Services
 }
 
-func startEnvironment(b *testing.B) *environment {
+// startEnvironment starts the simulation in a process that exits at the end of the benchmark.
+func startEnvironment(b *testing.B) *environmentProcess {
 	b.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		b.Fatal(err)
 	}
-	// It ends with its input; the context of the benchmark would kill it before that.
+	// The process exits when its input is closed. The context of the benchmark ends earlier and
+	// would kill it.
 	cmd := exec.CommandContext(context.WithoutCancel(b.Context()), self)
-	cmd.Env = append(os.Environ(), environmentVar+"=1")
+	cmd.Env = append(os.Environ(), simulateEnvVar+"=1")
 	cmd.Stderr = os.Stderr
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
@@ -140,26 +144,26 @@
 			b.Errorf("environment: %v", err)
 		}
 	})
-	e := &environment{in: json.NewEncoder(stdin), out: json.NewDecoder(bufio.NewReader(stdout))}
-	if err := e.out.Decode(&e.outside); err != nil {
+	env := &environmentProcess{in: json.NewEncoder(stdin), out: json.NewDecoder(bufio.NewReader(stdout))}
+	if err := env.out.Decode(&env.services); err != nil {
 		b.Fatal(err)
 	}
-	return e
+	return env
 }
 
-// start starts a plan, unless it is nil, and returns the counts.
-func (e *environment) start(b *testing.B, p *loadtest.Plan) (c loadtest.Counts) {
+// start starts a plan if it is not nil, and returns the counts.
+func (e *environmentProcess) start(b *testing.B, plan *loadtest.Plan) (counts loadtest.Counts) {
 	b.Helper()
-	if err := e.in.Encode(p); err != nil {
+	if err := e.in.Encode(plan); err != nil {
 		b.Fatal(err)
 	}
-	if err := e.out.Decode(&c); err != nil {
+	if err := e.out.Decode(&counts); err != nil {
 		b.Fatal(err)
 	}
-	return c
+	return counts
 }
 
-func (e *environment) counts(b *testing.B) loadtest.Counts {
+func (e *environmentProcess) counts(b *testing.B) loadtest.Counts {
 	b.Helper()
 	return e.start(b, nil)
 }
@@ -185,20 +189,20 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	p.MinCPUs = 1e6 // no machine is terminated
-	// An error shows as failed requests in the counts.
-	go func() { _ = Run(b.Context(), s, p, Parts{}, slog.New(slog.DiscardHandler)) }()
+	p.MinCPUs = 1e6 // more than there are, so that no machine is terminated
+	// An error of Run shows up as failed requests in the counts.
+	go func() { _ = Run(b.Context(), s, p, Features{}, slog.New(slog.DiscardHandler)) }()
 	return s
 }
 
 func benchmarkSecond(b *testing.B, plan loadtest.Plan) {
 	b.Helper()
 	env := startEnvironment(b)
-	plan.API = startController(b, env.outside, plan.HeartbeatInterval).APIAddr
+	plan.API = startController(b, env.services, plan.HeartbeatInterval).APIAddr
 	time.Sleep(2 * time.Second)
 	env.start(b, &plan)
 	time.Sleep(plan.TaskDuration + 5*time.Second)
-	before, cpuBefore := env.counts(b), processorTime()
+	before, cpuBefore := env.counts(b), cpuTime()
 	var memBefore, memAfter runtime.MemStats
 	runtime.ReadMemStats(&memBefore)
 	b.ResetTimer()
@@ -206,9 +210,9 @@
 		time.Sleep(time.Second)
 	}
 	b.StopTimer()
-	cpu, after := processorTime()-cpuBefore, env.counts(b)
+	cpu, after := cpuTime()-cpuBefore, env.counts(b)
 	runtime.ReadMemStats(&memAfter)
-	perSecond := func(v int64) float64 { return float64(v) / float64(b.N) }
+	perSecond := func(count int64) float64 { return float64(count) / float64(b.N) }
 	b.ReportMetric(float64(cpu.Microseconds())/1000/float64(b.N), "cpu-ms/s")
 	b.ReportMetric(perSecond(after.Heartbeats-before.Heartbeats), "reports/s")
 	b.ReportMetric(perSecond(after.Started-before.Started), "starts/s")
@@ -220,11 +224,11 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// processorTime returns the processor time that this process has used.
-func processorTime() time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+// cpuTime returns the CPU time that this process has used, or 0 if it cannot be read.
+func cpuTime() time.Duration {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
