--- a/internal/ci/knownred/verdict.go
+++ b/internal/ci/knownred/verdict.go
@@ -33,20 +33,20 @@
 // verdictReader reads the events of go test, prints them as go test without -json would
 // and decides whether the failures may be passed over.
 type verdictReader struct {
-	list     []entry
-	out      io.Writer
-	packages map[string]*packageRun
+	knownFailures []knownFailure
+	out           io.Writer
+	packages      map[string]*packageRun
 	// failed is set once a package has failed, for whatever reason.
 	failed bool
-	// passedOver has the closing lines of the packages whose failures are passed over, to be
+	// toleratedLines has the closing lines of the packages whose failures are passed over, to be
 	// printed last.
-	passedOver []string
+	toleratedLines []string
 	// problems are the reasons for which the tests do not pass.
 	problems []string
 }
 
-func newVerdictReader(list []entry, out io.Writer) *verdictReader {
-	return &verdictReader{list: list, out: out, packages: map[string]*packageRun{}}
+func newVerdictReader(list []knownFailure, out io.Writer) *verdictReader {
+	return &verdictReader{knownFailures: list, out: out, packages: map[string]*packageRun{}}
 }
 
 // read reads events until their end.
@@ -108,7 +108,7 @@
 		}
 	}
 	if failed {
-		v.judgeFailure(p)
+		v.evaluateFailure(p)
 	}
 	p.output = nil
 }
@@ -137,15 +137,15 @@
 	return l.test == "" && strings.HasPrefix(l.text, "FAIL\t"+p.name+"\t")
 }
 
-// judgeFailure passes over the failure of a package, or adds the problems that it shows.
-func (v *verdictReader) judgeFailure(p *packageRun) {
+// evaluateFailure passes over the failure of a package, or adds the problems that it shows.
+func (v *verdictReader) evaluateFailure(p *packageRun) {
 	v.failed = true
 	if v.onlyListedFailed(p) {
 		for _, l := range p.output {
 			if p.isFailLine(l) {
 				duration := strings.TrimSpace(strings.TrimPrefix(l.text, "FAIL\t"+p.name+"\t"))
 				closing := fmt.Sprintf("ok  \t%s\t%s [known failures passed over]", p.name, duration)
-				v.passedOver = append(v.passedOver, closing)
+				v.toleratedLines = append(v.toleratedLines, closing)
 			}
 		}
 		return
@@ -155,7 +155,7 @@
 		switch r := p.results[test]; {
 		case r == "":
 			v.addProblem("%s %s did not end", p.name, test)
-		case r == "fail" && !v.mayFail(p, test):
+		case r == "fail" && !v.isTolerated(p, test):
 			v.addProblem("%s %s failed and is not listed", p.name, test)
 		}
 	}
@@ -174,7 +174,7 @@
 		case "":
 			return false
 		case "fail":
-			if !v.mayFail(p, test) {
+			if !v.isTolerated(p, test) {
 				return false
 			}
 			failures++
@@ -185,10 +185,10 @@
 	return failures > 0 && slices.Contains(p.output, line{"", "FAIL\n"})
 }
 
-// mayFail reports whether a failed test is listed, or failed only because subtests did, each
+// isTolerated reports whether a failed test is listed, or failed only because subtests did, each
 // of which is judged by itself.
-func (v *verdictReader) mayFail(p *packageRun, test string) bool {
-	if slices.ContainsFunc(v.list, func(e entry) bool { return e.testName == testName{p.name, test} }) {
+func (v *verdictReader) isTolerated(p *packageRun, test string) bool {
+	if slices.ContainsFunc(v.knownFailures, func(e knownFailure) bool { return e.testName == testName{p.name, test} }) {
 		return true
 	}
 	hasFailedSubtest := slices.ContainsFunc(p.started, func(other string) bool {
@@ -214,19 +214,19 @@
 	if clean == v.failed {
 		v.addProblem("go test ended otherwise than its tests")
 	}
-	v.checkList()
+	v.checkKnownFailures()
 	slices.Sort(v.problems)
 	for _, problem := range v.problems {
 		v.print("not passed over: " + problem + "\n")
 	}
 	if len(v.problems) > 0 {
-		for _, line := range v.passedOver {
+		for _, line := range v.toleratedLines {
 			v.print(strings.Replace(line, "ok  \t", "FAIL\t", 1) + "\n")
 		}
 		v.print("FAIL\n")
 		return false
 	}
-	for _, line := range v.passedOver {
+	for _, line := range v.toleratedLines {
 		v.print(line + "\n")
 	}
 	return true
@@ -248,10 +248,10 @@
 	}
 }
 
-// checkList prints the listed failures, and adds a problem for each listed test that did not
+// checkKnownFailures prints the listed failures, and adds a problem for each listed test that did not
 // fail.
-func (v *verdictReader) checkList() {
-	for _, e := range v.list {
+func (v *verdictReader) checkKnownFailures() {
+	for _, e := range v.knownFailures {
 		result := ""
 		if p := v.packages[e.pkg]; p != nil {
 			result = p.results[e.test]
--- a/internal/ci/knownred/verdict_test.go
+++ b/internal/ci/knownred/verdict_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// stream returns the events of go test -json for one package m/p. Each word is a test and how
+// eventStream returns the events of go test -json for one package m/p. Each word is a test and how
 // it ended, such as "TestA:fail"; "TestA:open" did not end, "TestA:prints" is a line that TestA
 // prints. The other words are the package's own ends: "ok", "FAIL" (reached its end), "died"
 // (did not), "unbuilt", "cut".
-func stream(words string) string {
+func eventStream(words string) string {
 	var out strings.Builder
 	emit := func(action, pkg, test, output string) {
 		raw, err := json.Marshal(map[string]string{"Action": action, "Package": pkg, "Test": test, "Output": output})
@@ -234,10 +234,10 @@
 	},
 }
 
-func TestOnlyListedFailuresArePassedOver(t *testing.T) {
+func TestOnlyListedFailuresAreTolerated(t *testing.T) {
 	for _, c := range verdictCases {
 		t.Run(c.name, func(t *testing.T) {
-			out, passes := judge(t, c.list, stream(c.events), strings.HasSuffix(c.events, "ok"))
+			out, passes := evaluate(t, c.list, eventStream(c.events), strings.HasSuffix(c.events, "ok"))
 			if passes != c.passes {
 				t.Errorf("passes: got %v, want %v\n%s", passes, c.passes, out)
 			}
@@ -251,9 +251,9 @@
 	}
 }
 
-// judge returns the output and the verdict on events under a list of known failures; clean is
+// evaluate returns the output and the verdict on events under a list of known failures; clean is
 // go test's own result.
-func judge(t *testing.T, list, events string, clean bool) (out string, passes bool) {
+func evaluate(t *testing.T, list, events string, clean bool) (out string, passes bool) {
 	t.Helper()
 	entries, err := parseList(list)
 	if err != nil {
@@ -284,7 +284,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if out, passes := judge(t, c.list, stream(c.events), c.clean); passes {
+			if out, passes := evaluate(t, c.list, eventStream(c.events), c.clean); passes {
 				t.Errorf("passes: got true, want false\n%s", out)
 			}
 		})
@@ -292,7 +292,7 @@
 }
 
 // The output is that of go test without -json.
-func TestOutputIsThatOfGoTest(t *testing.T) {
+func TestOutputMatchesGoTest(t *testing.T) {
 	const (
 		list         = "m/p TestA | slow disk | issue 7\n"
 		failedOutput = "    p_test.go:5: TestA speaks\n--- FAIL: TestA (0.00s)\nFAIL\n"
@@ -324,7 +324,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, _ := judge(t, c.list, "no event\n"+stream(c.events), strings.HasSuffix(c.events, "ok"))
+			out, _ := evaluate(t, c.list, "no event\n"+eventStream(c.events), strings.HasSuffix(c.events, "ok"))
 			if want := "no event\n" + c.want; out != want {
 				t.Errorf("output:\n%s\nwant:\n%s", out, want)
 			}
--- a/internal/loadtest/cellsload/faults.go
+++ b/internal/loadtest/cellsload/faults.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// healTime is longer than a killed controller stays away (200 ms to 6.2 s).
-const healTime = 7 * time.Second
+// restartTime is longer than a killed controller stays away (200 ms to 6.2 s).
+const restartTime = 7 * time.Second
 
 // faultInjector kills controllers and cuts links at random until it is stopped.
 type faultInjector struct {
@@ -91,9 +91,9 @@
 	}
 }
 
-// heal waits until killed controllers have been started again, and restores all links.
-func (tb *testbed) heal() {
-	time.Sleep(healTime)
+// endFaults waits until killed controllers have been started again, and restores all links.
+func (tb *testbed) endFaults() {
+	time.Sleep(restartTime)
 	for _, l := range tb.links {
 		l.setCut(false)
 	}
--- a/internal/loadtest/cellsload/ledger.go
+++ b/internal/loadtest/cellsload/ledger.go
@@ -40,12 +40,12 @@
 }
 
 // responseApplied records that a machine applied a response of a term.
-func (l *ledger) responseApplied(term uint64) { l.setFirst(l.firstResponses, term) }
+func (l *ledger) responseApplied(term uint64) { l.recordFirst(l.firstResponses, term) }
 
 // startApplied records that a machine started a task under a term.
-func (l *ledger) startApplied(term uint64) { l.setFirst(l.firstStarts, term) }
+func (l *ledger) startApplied(term uint64) { l.recordFirst(l.firstStarts, term) }
 
-func (l *ledger) setFirst(times map[uint64]time.Time, term uint64) {
+func (l *ledger) recordFirst(times map[uint64]time.Time, term uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if times[term].IsZero() {
--- a/internal/loadtest/cellsload/machine.go
+++ b/internal/loadtest/cellsload/machine.go
@@ -31,9 +31,9 @@
 	// lastResponse is when the last heartbeat was sent that got a response: the task lease
 	// runs from there.
 	lastResponse time.Time
-	// node is the controller that gets the next heartbeat.
-	node     int
-	usedCPUs atomic.Int64
+	// nodeIndex is the controller that gets the next heartbeat.
+	nodeIndex int
+	usedCPUs  atomic.Int64
 }
 
 func newMachine(c *cell, name string) (*machine, error) {
@@ -83,7 +83,7 @@
 	if err != nil {
 		panic(err) // plain values
 	}
-	resp, err := post(m.client, "http://"+m.cell.nodes[m.node].apiAddr+"/v1/report", body)
+	resp, err := post(m.client, "http://"+m.cell.nodes[m.nodeIndex].apiAddr+"/v1/report", body)
 	if err != nil {
 		m.useNextNode()
 		return
@@ -107,7 +107,7 @@
 }
 
 func (m *machine) useNextNode() {
-	m.node = (m.node + 1) % len(m.cell.nodes)
+	m.nodeIndex = (m.nodeIndex + 1) % len(m.cell.nodes)
 }
 
 // redirect follows a redirect to the leader that it names; to the next node if it names none.
@@ -120,11 +120,11 @@
 		return
 	}
 	leader := slices.IndexFunc(m.cell.nodes, func(p *process) bool { return p.name == redirect.Leader })
-	if leader < 0 || leader == m.node {
+	if leader < 0 || leader == m.nodeIndex {
 		m.useNextNode()
 		return
 	}
-	m.node = leader
+	m.nodeIndex = leader
 }
 
 // completeTasks completes the tasks that have run for their time. When the task lease has
--- a/internal/loadtest/cellsload/main.go
+++ b/internal/loadtest/cellsload/main.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// startTime lets leaders be elected and machines send their first heartbeats.
-	startTime = 5 * time.Second
+	// startupTime lets leaders be elected and machines send their first heartbeats.
+	startupTime = 5 * time.Second
 	// resultsTimeout is how long users wait for their last results.
 	resultsTimeout = 4 * time.Minute
 )
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	defer tb.close()
-	time.Sleep(startTime)
+	time.Sleep(startupTime)
 	began := time.Now()
 	stop := make(chan struct{})
 	faults := &faultInjector{testbed: tb, cli: c, stop: stop, random: rand.New(rand.NewPCG(seed, 1))}
@@ -82,7 +82,7 @@
 	go tb.sampleIdle(stop)
 	tb.submitJobs(c)
 	close(stop)
-	tb.heal()
+	tb.endFaults()
 	tb.awaitResults(resultsTimeout)
 	r := tb.result(seed, time.Since(began))
 	if r.hasViolations() {
--- a/internal/loadtest/cellsload/process.go
+++ b/internal/loadtest/cellsload/process.go
@@ -55,13 +55,13 @@
 }
 
 // kill ends the process with a signal that it cannot handle.
-func (p *process) kill() { p.end(syscall.SIGKILL) }
+func (p *process) kill() { p.signalAndWait(syscall.SIGKILL) }
 
 // stop requests a graceful stop.
-func (p *process) stop() { p.end(syscall.SIGTERM) }
+func (p *process) stop() { p.signalAndWait(syscall.SIGTERM) }
 
-// end sends a signal and waits until the process has exited.
-func (p *process) end(signal syscall.Signal) {
+// signalAndWait sends a signal and waits until the process has exited.
+func (p *process) signalAndWait(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopRequested.Store(true)
--- a/internal/loadtest/cellsload/result.go
+++ b/internal/loadtest/cellsload/result.go
@@ -25,19 +25,19 @@
 	// What must not happen: tasks on two machines or done twice, jobs that a controller did
 	// not know any more, jobs without or with two final states, controllers that ended by
 	// themselves.
-	startedTwice, doneTwice           int
-	lost, withoutFinal, withTwoFinals int
-	unexpectedExits                   int64
+	startedTwice, doneTwice                     int
+	lost, withoutFinalState, withTwoFinalStates int
+	unexpectedExits                             int64
 	// Quantiles of the time from submission to the first start, and to the end.
-	wait50, wait95, wait99 time.Duration
-	done50, done95         time.Duration
+	waitP50, waitP95, waitP99 time.Duration
+	doneP50, doneP95          time.Duration
 	// idleShare is the part of all CPUs that was idle while jobs waited.
 	idleShare float64
 }
 
 // hasViolations reports whether anything happened that must not.
 func (r *result) hasViolations() bool {
-	return r.startedTwice+r.doneTwice+r.lost+r.withoutFinal+r.withTwoFinals > 0 || r.unexpectedExits > 0
+	return r.startedTwice+r.doneTwice+r.lost+r.withoutFinalState+r.withTwoFinalStates > 0 || r.unexpectedExits > 0
 }
 
 func (r *result) String() string {
@@ -49,10 +49,10 @@
 		fmt.Sprintf("wrong: %d tasks on two machines, %d done twice, %d jobs lost, "+
 			"%d without and %d with two final answers, %d controllers ended by themselves",
 			r.startedTwice, r.doneTwice, r.lost,
-			r.withoutFinal, r.withTwoFinals, r.unexpectedExits),
+			r.withoutFinalState, r.withTwoFinalStates, r.unexpectedExits),
 		fmt.Sprintf("first start after %.1f s (median), %.1f s (95%%), %.1f s (99%%)",
-			r.wait50.Seconds(), r.wait95.Seconds(), r.wait99.Seconds()),
-		fmt.Sprintf("done after %.1f s, %.1f s (95%%)", r.done50.Seconds(), r.done95.Seconds()),
+			r.waitP50.Seconds(), r.waitP95.Seconds(), r.waitP99.Seconds()),
+		fmt.Sprintf("done after %.1f s, %.1f s (95%%)", r.doneP50.Seconds(), r.doneP95.Seconds()),
 		fmt.Sprintf("idle while jobs waited %.0f%%", 100*r.idleShare),
 	}, "; ")
 }
@@ -99,9 +99,9 @@
 		case j.lost:
 			r.lost++
 		case len(j.finalPhases) == 0:
-			r.withoutFinal++
+			r.withoutFinalState++
 		case len(j.finalPhases) > 1:
-			r.withTwoFinals++
+			r.withTwoFinalStates++
 		}
 		if started := starts[j.id]; !started.IsZero() {
 			waits = append(waits, started.Sub(j.submitted))
@@ -110,8 +110,8 @@
 			durations = append(durations, j.endedAt.Sub(j.submitted))
 		}
 	}
-	r.wait50, r.wait95, r.wait99 = quantile(waits, 0.5), quantile(waits, 0.95), quantile(waits, 0.99)
-	r.done50, r.done95 = quantile(durations, 0.5), quantile(durations, 0.95)
+	r.waitP50, r.waitP95, r.waitP99 = quantile(waits, 0.5), quantile(waits, 0.95), quantile(waits, 0.99)
+	r.doneP50, r.doneP95 = quantile(durations, 0.5), quantile(durations, 0.95)
 }
 
 // quantile sorts the durations and returns one of their quantiles, 0 if there are none.
--- a/internal/loadtest/cellsload/testbed.go
+++ b/internal/loadtest/cellsload/testbed.go
@@ -45,8 +45,8 @@
 	users   sync.WaitGroup
 	stop    chan struct{}
 	closers []io.Closer
-	// ports counts the addresses given to controllers.
-	ports int
+	// portCount counts the addresses given to controllers.
+	portCount int
 
 	mu   sync.Mutex
 	jobs []*userJob
@@ -66,12 +66,12 @@
 	machines []*machine
 }
 
-// host is a loopback address of this process's own, and firstPort the first that it gives a
+// loopbackHost is a loopback address of this process's own, and firstPort the first that it gives a
 // controller; both lie apart from what the system gives to listeners and connections. A
 // controller must find its port free, also when it is started again. Once the port was a
 // simulated machine's, which accepts any request: users took their jobs for accepted, and
 // machines sent it heartbeats.
-func host() string {
+func loopbackHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 1+pid>>8&0x7f, pid&0xff)
 }
@@ -80,8 +80,8 @@
 
 // nextAddr returns an address that no controller has yet.
 func (tb *testbed) nextAddr() string {
-	tb.ports++
-	return fmt.Sprintf("%s:%d", host(), firstPort+tb.ports)
+	tb.portCount++
+	return fmt.Sprintf("%s:%d", loopbackHost(), firstPort+tb.portCount)
 }
 
 func newTestbed(c *cli, dir string) (*testbed, error) {
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	// pollers is the number of users that poll at the same time.
-	pollers = 16
-	// polledJobs is how many of the latest jobs are polled.
-	polledJobs = 40
-	// images is how many images the jobs use in turn.
-	images = 5
+	// pollerCount is the number of users that poll at the same time.
+	pollerCount = 16
+	// recentJobCount is how many of the latest jobs are polled.
+	recentJobCount = 40
+	// imageCount is how many images the jobs use in turn.
+	imageCount = 5
 )
 
 // Plan is the load that the environment puts on a controller.
@@ -99,7 +99,7 @@
 		go m.run()
 	}
 	go env.submitJobs()
-	for range pollers {
+	for range pollerCount {
 		go env.pollJobs()
 	}
 }
@@ -124,7 +124,7 @@
 			Team:     "red",
 			Tasks:    env.plan.Tasks,
 			TaskCPUs: 1,
-			Image:    fmt.Sprint("img-", i%images),
+			Image:    fmt.Sprint("img-", i%imageCount),
 			ImageGB:  1.5,
 			Estimate: env.plan.TaskDuration,
 			Deadline: 5 * time.Minute,
@@ -153,13 +153,13 @@
 	if err != nil {
 		return false
 	}
-	discard(resp)
+	drainAndClose(resp)
 	return resp.StatusCode < http.StatusMultipleChoices
 }
 
-// discard reads a response to its end, so that its connection can be used again. A failure
+// drainAndClose reads a response to its end, so that its connection can be used again. A failure
 // shows in the next request.
-func discard(resp *http.Response) {
+func drainAndClose(resp *http.Response) {
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
 }
@@ -167,7 +167,7 @@
 // pollJobs polls jobs over a connection of its own, at its share of the plan's rate.
 func (env *Environment) pollJobs() {
 	client := &http.Client{Transport: &http.Transport{}}
-	interval := float64(pollers*time.Second) / max(env.plan.PollsPerSecond, 0.1)
+	interval := float64(pollerCount*time.Second) / max(env.plan.PollsPerSecond, 0.1)
 	for {
 		time.Sleep(time.Duration(interval * (0.5 + rand.Float64())))
 		id := env.recentJob()
@@ -185,7 +185,7 @@
 			env.counts.failed.Add(1)
 			continue
 		}
-		discard(resp)
+		drainAndClose(resp)
 		env.counts.polls.Add(1)
 	}
 }
@@ -198,7 +198,7 @@
 	if n == 0 {
 		return ""
 	}
-	return env.jobIDs[max(0, n-1-rand.IntN(polledJobs))]
+	return env.jobIDs[max(0, n-1-rand.IntN(recentJobCount))]
 }
 
 // cloudHandler is a cloud with one machine type, of which it has no capacity.
--- a/internal/loadtest/launchingcloud.go
+++ b/internal/loadtest/launchingcloud.go
@@ -16,15 +16,15 @@
 // launchingCloud is a cloud of one machine type that launches simulated machines.
 type launchingCloud struct {
 	env         *Environment
-	typ         api.MachineType
+	machineType api.MachineType
 	maxMachines int
 
-	mu       sync.Mutex
-	machines map[string]launchedMachine
-	created  int
-	// launches holds the machines of each launch request by its name, so that a repeated
+	mu               sync.Mutex
+	machines         map[string]launchedMachine
+	machinesLaunched int
+	// machinesByRequest holds the machines of each launch request by its name, so that a repeated
 	// request gets the same response.
-	launches map[string][]string
+	machinesByRequest map[string][]string
 }
 
 // Phases of a machine in the cloud's list.
@@ -49,11 +49,11 @@
 		return nil, err
 	}
 	cloud := &launchingCloud{
-		env:         env,
-		typ:         typ,
-		maxMachines: maxMachines,
-		machines:    map[string]launchedMachine{},
-		launches:    map[string][]string{},
+		env:               env,
+		machineType:       typ,
+		maxMachines:       maxMachines,
+		machines:          map[string]launchedMachine{},
+		machinesByRequest: map[string][]string{},
 	}
 	env.CloudAddr, err = serve(cloud.handler())
 	return env, err
@@ -62,7 +62,7 @@
 func (c *launchingCloud) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, http.StatusOK, map[string]any{"Frames": []api.MachineType{c.typ}})
+		writeJSON(w, http.StatusOK, map[string]any{"Frames": []api.MachineType{c.machineType}})
 	})
 	mux.HandleFunc("GET /machines", c.list)
 	mux.HandleFunc("POST /machines", c.launch)
@@ -83,29 +83,29 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	names, repeated := c.launches[request.Name]
+	names, repeated := c.machinesByRequest[request.Name]
 	if !repeated {
 		for range min(request.Count, c.maxMachines-len(c.machines)) {
-			names = append(names, c.boot(request.Zone, request.Spot))
+			names = append(names, c.launchMachine(request.Zone, request.Spot))
 		}
 	}
 	if len(names) == 0 {
 		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 		return
 	}
-	c.launches[request.Name] = names
+	c.machinesByRequest[request.Name] = names
 	writeJSON(w, http.StatusOK, map[string]any{"Hosts": names})
 }
 
-// boot launches a machine, which sends its first heartbeat once its boot time has passed.
-func (c *launchingCloud) boot(zone string, spot bool) string {
-	c.created++
-	name := fmt.Sprintf("i-%06d", c.created)
-	m := newMachine(c.env, name, c.typ.Name, zone)
+// launchMachine launches a machine, which sends its first heartbeat once its boot time has passed.
+func (c *launchingCloud) launchMachine(zone string, spot bool) string {
+	c.machinesLaunched++
+	name := fmt.Sprintf("i-%06d", c.machinesLaunched)
+	m := newMachine(c.env, name, c.machineType.Name, zone)
 	m.heartbeat.Spot = spot
 	c.machines[name] = launchedMachine{machine: m, spot: spot, launchedAt: time.Now()}
 	go func() {
-		time.Sleep(time.Duration(c.typ.BootS * float64(time.Second)))
+		time.Sleep(time.Duration(c.machineType.BootS * float64(time.Second)))
 		addr, err := serve(m)
 		if err != nil {
 			c.env.counts.failed.Add(1)
@@ -161,7 +161,7 @@
 		}
 		m.mu.Lock()
 		host := listedMachine{
-			Name: name, Addr: m.heartbeat.Addr, Type: c.typ.Name, Zone: m.heartbeat.Zone, Spot: m.spot,
+			Name: name, Addr: m.heartbeat.Addr, Type: c.machineType.Name, Zone: m.heartbeat.Zone, Spot: m.spot,
 			Phase: phaseStarting, AgeS: time.Since(m.launchedAt).Seconds(),
 		}
 		m.mu.Unlock()
