--- a/internal/loadtest/cellsload/faults.go
+++ b/internal/loadtest/cellsload/faults.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// restartTime is longer than a killed controller stays away (200 ms to 6.2 s).
+// restartTime is longer than the downtime of a killed controller (200 ms to 6.2 s).
 const restartTime = 7 * time.Second
 
-// faultInjector kills controllers and cuts links at random until it is stopped.
+// faultInjector kills controllers and cuts links at random times until stop is closed.
 type faultInjector struct {
 	testbed *testbed
 	cli     *cli
@@ -20,14 +20,14 @@
 	random  *rand.Rand
 }
 
-// run returns when it is stopped.
+// run kills controllers in the background and cuts links until stop is closed.
 func (f *faultInjector) run() {
 	go f.repeat(f.cli.Kills, f.killController)
 	f.repeat(f.cli.Cuts, f.cutLink)
 }
 
-// repeat injects a fault again and again, after about the mean interval each time; not at all
-// if that is zero.
+// repeat injects faults until stop is closed, each after a random delay with this mean. If mean is
+// zero, it injects none.
 func (f *faultInjector) repeat(mean time.Duration, inject func()) {
 	for mean > 0 {
 		f.mu.Lock()
@@ -48,24 +48,24 @@
 	return f.random.IntN(n)
 }
 
-// killController kills one controller and starts it again some time later.
+// killController kills a random controller and starts it again after a random downtime.
 func (f *faultInjector) killController() {
 	tb := f.testbed
 	cell := tb.cells[f.intN(len(tb.cells))]
 	p := cell.nodes[f.intN(len(cell.nodes))]
-	away := time.Duration(200+f.intN(6000)) * time.Millisecond
+	downtime := time.Duration(200+f.intN(6000)) * time.Millisecond
 	tb.mu.Lock()
 	tb.kills++
 	tb.mu.Unlock()
-	tb.logf("kill %s for %v", p.name, away)
+	tb.logf("kill %s for %v", p.name, downtime)
 	p.kill()
-	time.Sleep(away)
+	time.Sleep(downtime)
 	if err := p.start(f.cli.Binary); err != nil {
 		fmt.Fprintln(os.Stderr, "cellsload:", err)
 	}
 }
 
-// cutLink cuts all ways from one cell to another for some time.
+// cutLink cuts all links from one random cell to another for a random time.
 func (f *faultInjector) cutLink() {
 	tb := f.testbed
 	if len(tb.links) == 0 {
@@ -82,7 +82,7 @@
 	tb.setCut(chosen.from, chosen.to, false)
 }
 
-// setCut cuts or heals all links from one cell to another.
+// setCut cuts or restores all links from one cell to another.
 func (tb *testbed) setCut(from, to string, cut bool) {
 	for _, l := range tb.links {
 		if l.from == from && l.to == to {
@@ -91,7 +91,7 @@
 	}
 }
 
-// endFaults waits until killed controllers have been started again, and restores all links.
+// endFaults waits until killed controllers have been started again, and then restores all links.
 func (tb *testbed) endFaults() {
 	time.Sleep(restartTime)
 	for _, l := range tb.links {
--- a/internal/loadtest/cellsload/http.go
+++ b/internal/loadtest/cellsload/http.go
@@ -8,13 +8,13 @@
 	"net/http"
 )
 
-// listen listens on a free port of loopback.
+// listen listens on a free loopback port.
 func listen() (net.Listener, error) {
 	var config net.ListenConfig
 	return config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 }
 
-// get and post send a request, which ends with the client's timeout.
+// get sends a GET request, which is bounded by the client's timeout.
 func get(client *http.Client, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
 	if err != nil {
@@ -23,6 +23,7 @@
 	return client.Do(req)
 }
 
+// post sends a JSON body in a POST request, which is bounded by the client's timeout.
 func post(client *http.Client, url string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -32,5 +33,5 @@
 	return client.Do(req)
 }
 
-// closeQuietly closes what is not used any more, so that an error changes nothing.
+// closeQuietly closes a resource that is no longer used and ignores the error, which has no effect.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/loadtest/cellsload/ledger.go
+++ b/internal/loadtest/cellsload/ledger.go
@@ -7,24 +7,27 @@
 	"time"
 )
 
-// ledger records where each task is, in all cells, and what must not happen to it.
+// ledger tracks on which machine each task of all cells runs, and records violations: tasks that run
+// on two machines or complete twice.
 type ledger struct {
 	mu sync.Mutex
-	// machineOf has the machine of each task that is on one.
+	// machineOf maps each running task to its machine.
 	machineOf map[string]string
-	// jobStarts is when the first task of each job started.
+	// jobStarts maps each job to the start of its first task.
 	jobStarts map[string]time.Time
+	// homeCells maps each job to the cell to which it was submitted.
 	homeCells map[string]*cell
-	// ranElsewhere has the jobs that ran in another cell than their home.
+	// ranElsewhere is the set of jobs of which a task ran outside the home cell.
 	ranElsewhere map[string]bool
 	doneTasks    map[string]bool
-	// startedTwice counts the starts of tasks that were on a machine already, doneTwice the
-	// tasks that completed a second time.
+	// startedTwice counts starts of tasks that were already running on a machine; doneTwice counts
+	// repeated completions of a task.
 	startedTwice, doneTwice int
-	// firstResponses and firstStarts are when a machine first got a response, and a start, of
-	// each term.
+	// firstResponses and firstStarts map each term to the time at which a machine first applied a
+	// heartbeat response or command batch of that term, and first started a task under it.
 	firstResponses, firstStarts map[uint64]time.Time
-	problems                    []string
+	// problems describes each violation of startedTwice.
+	problems []string
 }
 
 func newLedger() *ledger {
@@ -39,7 +42,7 @@
 	}
 }
 
-// responseApplied records that a machine applied a response of a term.
+// responseApplied records that a machine applied a heartbeat response or command batch of a term.
 func (l *ledger) responseApplied(term uint64) { l.recordFirst(l.firstResponses, term) }
 
 // startApplied records that a machine started a task under a term.
@@ -53,7 +56,7 @@
 	}
 }
 
-// latestTerm returns the latest term of which a machine has applied a response.
+// latestTerm returns the highest term recorded by responseApplied.
 func (l *ledger) latestTerm() (latest uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,8 +66,8 @@
 	return latest
 }
 
-// firstAfter returns when the first response and the first start of a later term were applied;
-// zero times stand for none.
+// firstAfter returns the times of the first response and the first task start of a term later than
+// the given one, or zero times if there are none.
 func (l *ledger) firstAfter(term uint64) (response, start time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +84,7 @@
 	return response, start
 }
 
-// setHome records the cell to which a job is submitted.
+// setHome records the home cell of a job, to which it is submitted.
 func (l *ledger) setHome(job string, c *cell) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +96,7 @@
 	defer l.mu.Unlock()
 	if other := l.machineOf[task]; other != "" {
 		l.startedTwice++
-		l.problems = append(l.problems, fmt.Sprintf("%s begins on %s while it is on %s", task, machine, other))
+		l.problems = append(l.problems, fmt.Sprintf("task %s started on %s while running on %s", task, machine, other))
 	}
 	l.machineOf[task] = machine
 	job, _, _ := strings.Cut(task, "/")
--- a/internal/loadtest/cellsload/link.go
+++ b/internal/loadtest/cellsload/link.go
@@ -10,9 +10,10 @@
 
 const linkDialTimeout = time.Second
 
-// link forwards connections to a controller's listener, until it is cut.
+// link forwards connections from one cell to a listener of another cell's controller. While it is
+// cut, it closes all connections.
 type link struct {
-	// from and to are cells.
+	// from and to are the names of the cells.
 	from, to string
 	ln       net.Listener
 	target   string
@@ -57,7 +58,8 @@
 	}
 }
 
-// forward copies from one connection to another until either fails, and closes both.
+// forward copies data from one connection to another until either is closed or fails, and closes
+// both.
 func (l *link) forward(to, from net.Conn) {
 	_, _ = io.Copy(to, from)
 	closeQuietly(to)
@@ -68,7 +70,7 @@
 	l.mu.Unlock()
 }
 
-// setCut cuts the link, which closes its connections, or heals it.
+// setCut cuts the link and closes its connections, or restores it.
 func (l *link) setCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/loadtest/cellsload/machine.go
+++ b/internal/loadtest/cellsload/machine.go
@@ -20,18 +20,18 @@
 	machineCPUs       = 16.0
 )
 
-// machine is a simulated machine with its worker agent: it sends heartbeats to one of its
-// cell's controllers and applies the commands of the responses.
+// machine simulates a machine and its worker agent: it sends heartbeats to one of its cell's
+// controllers and applies the commands in the responses.
 type machine struct {
 	cell      *cell
 	client    *http.Client
 	mu        sync.Mutex
 	heartbeat api.Heartbeat
 	taskEnds  map[string]time.Time
-	// lastResponse is when the last heartbeat was sent that got a response: the task lease
-	// runs from there.
+	// lastResponse is when the last heartbeat was sent that got a response. The task lease starts
+	// at this time.
 	lastResponse time.Time
-	// nodeIndex is the controller that gets the next heartbeat.
+	// nodeIndex is the index of the controller to which the next heartbeat is sent.
 	nodeIndex int
 	usedCPUs  atomic.Int64
 }
@@ -56,7 +56,7 @@
 		},
 	}
 	c.testbed.closers = append(c.testbed.closers, ln)
-	go func() { _ = http.Serve(ln, m) }() // until the listener is closed
+	go func() { _ = http.Serve(ln, m) }() // returns when the listener is closed
 	return m, nil
 }
 
@@ -71,8 +71,8 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat and applies the commands of its response. Without one, the
-// next heartbeat goes to another controller.
+// sendHeartbeat sends a heartbeat and applies the commands in the response. If the request fails,
+// the next heartbeat is sent to another controller.
 func (m *machine) sendHeartbeat() {
 	m.mu.Lock()
 	m.completeTasks()
@@ -81,7 +81,7 @@
 	agentEpoch, sent := m.heartbeat.AgentEpoch, time.Now()
 	m.mu.Unlock()
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // a heartbeat always encodes
 	}
 	resp, err := post(m.client, "http://"+m.cell.nodes[m.nodeIndex].apiAddr+"/v1/report", body)
 	if err != nil {
@@ -110,7 +110,8 @@
 	m.nodeIndex = (m.nodeIndex + 1) % len(m.cell.nodes)
 }
 
-// redirect follows a redirect to the leader that it names; to the next node if it names none.
+// redirect selects the leader named in a redirect response for the next heartbeat, or the next
+// controller if the response names no other known leader.
 func (m *machine) redirect(body []byte) {
 	var redirect struct {
 		Leader string `json:"Gardener"`
@@ -127,8 +128,8 @@
 	m.nodeIndex = leader
 }
 
-// completeTasks completes the tasks that have run for their time. When the task lease has
-// expired it ends all of them and begins a new agent epoch.
+// completeTasks marks tasks as completed whose run time has passed. If the task lease has expired,
+// it stops all tasks and starts a new agent epoch instead.
 func (m *machine) completeTasks() {
 	if time.Since(m.lastResponse) > taskLease {
 		for _, t := range m.heartbeat.Tasks {
@@ -156,7 +157,7 @@
 	m.cell.testbed.ledger.taskRemoved(task, done)
 }
 
-// applyCommands starts, stops and reaps tasks under a term.
+// applyCommands applies the start, stop and reap commands of a leader's term to the tasks.
 func (m *machine) applyCommands(term uint64, commands []api.Command) {
 	m.heartbeat.Term = max(m.heartbeat.Term, term)
 	m.cell.testbed.ledger.responseApplied(term)
@@ -187,8 +188,8 @@
 	m.cell.testbed.ledger.startApplied(term)
 }
 
-// ServeHTTP serves commands and probes that are sent straight to the machine. Commands of an
-// earlier term, or for another agent epoch, are rejected.
+// ServeHTTP handles commands and probes that a controller sends directly to the machine. It rejects
+// commands of an earlier term or for another agent epoch.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -202,5 +203,5 @@
 			m.applyCommands(batch.Term, batch.Commands)
 		}
 	}
-	_ = json.NewEncoder(w).Encode(m.heartbeat) // the controller notices an error of its connection
+	_ = json.NewEncoder(w).Encode(m.heartbeat) // the controller sees a write error as well
 }
--- a/internal/loadtest/cellsload/main.go
+++ b/internal/loadtest/cellsload/main.go
@@ -1,9 +1,9 @@
-// Cellsload measures spillover on loopback: three cells of real controller processes
-// around simulated key-value stores and machines, under load that crowds on one cell after
-// the other, with controllers killed and links between cells cut. It counts tasks that
-// were on two machines at once, jobs without or with two final states, and how long jobs
-// wait and how many CPUs are idle, with and without spillover. It is a tool, not a
-// test, and runs for some minutes.
+// Cellsload measures spillover between cells on the loopback interface. It runs several cells
+// (three by default) of real controller processes with simulated key-value stores and machines,
+// puts a high load on one cell at a time, kills controllers and cuts links between cells. It counts
+// tasks that ran on two machines at once and jobs without a final state or with two, and measures
+// how long jobs wait and how many CPUs are idle, with and without spillover. It is a measuring
+// tool, not a test, and runs for some minutes.
 package main
 
 import (
@@ -17,34 +17,35 @@
 )
 
 const (
-	// startupTime lets leaders be elected and machines send their first heartbeats.
+	// startupTime is long enough to elect leaders and for machines to send their first heartbeats.
 	startupTime = 5 * time.Second
-	// resultsTimeout is how long users wait for their last results.
+	// resultsTimeout is how long the tool waits for the last jobs to finish after the load.
 	resultsTimeout = 4 * time.Minute
 )
 
 type cli struct {
-	Binary   string        `default:"target/ivytrestle" help:"The controller's program."`
-	Cells    int           `default:"3" help:"How many cells there are."`
-	Machines int           `default:"4" help:"How many machines each cell has."`
-	Load     time.Duration `default:"60s" help:"How long jobs are submitted."`
-	Phase    time.Duration `default:"20s" help:"How long the load crowds on one cell."`
-	High     float64       `default:"5" help:"Jobs a second at the crowded cell."`
-	Low      float64       `default:"0.4" help:"Jobs a second at each of the others."`
-	Kills    time.Duration `help:"About how often a controller is killed; 0: never."`
-	Cuts     time.Duration `help:"About how often a link between cells is cut; 0: never."`
-	Alone    bool          `help:"Leave spillover off."`
-	Repeat   int           `default:"1" help:"How many runs there are."`
-	Seed     uint64        `default:"1" help:"Of the faults' times and places."`
+	Binary   string        `default:"target/ivytrestle" help:"Path of the controller binary."`
+	Cells    int           `default:"3" help:"Number of cells."`
+	Machines int           `default:"4" help:"Number of machines in each cell."`
+	Load     time.Duration `default:"60s" help:"For how long jobs are submitted."`
+	Phase    time.Duration `default:"20s" help:"For how long one cell gets the high load before the next one does."`
+	High     float64       `default:"5" help:"Jobs per second at the cell under high load."`
+	Low      float64       `default:"0.4" help:"Jobs per second at each other cell."`
+	Kills    time.Duration `help:"Mean time before each kill of a controller; 0 disables kills."`
+	Cuts     time.Duration `help:"Mean time before each cut of the links between two cells; 0 disables cuts."`
+	Alone    bool          `help:"Run the cells without spillover."`
+	Repeat   int           `default:"1" help:"Number of runs; each has the next seed."`
+	Seed     uint64        `default:"1" help:"Seed of the random times and targets of faults."`
 	Verbose  bool          `name:"direct" help:"Print each fault."`
-	// Takeovers and Away measure one cell whose leader ends and is not started again soon.
-	Takeovers int           `help:"Instead: end the leader of one cell so many times and measure the takeovers."`
-	Away      time.Duration `default:"40s" help:"How long an ended leader stays away."`
+	// Takeovers selects the measurement of takeovers in a single cell, whose leader is ended and
+	// started again after Away.
+	Takeovers int           `help:"Instead: end the leader of one cell this many times and measure the takeovers."`
+	Away      time.Duration `default:"40s" help:"Time until an ended leader is started again."`
 	Graceful  bool          `name:"orderly" help:"Stop the leader gracefully instead of killing it."`
-	Extra     []string      `help:"Further arguments of each controller." placeholder:"ARG"`
+	Extra     []string      `help:"Additional arguments for each controller." placeholder:"ARG"`
 }
 
-// Run plays the load as often as requested.
+// Run performs the requested number of runs and prints the result of each, or measures takeovers.
 func (c *cli) Run() error {
 	binary, err := filepath.Abs(c.Binary)
 	if err != nil {
@@ -75,7 +76,7 @@
 	}
 	defer tb.close()
 	time.Sleep(startupTime)
-	began := time.Now()
+	start := time.Now()
 	stop := make(chan struct{})
 	faults := &faultInjector{testbed: tb, cli: c, stop: stop, random: rand.New(rand.NewPCG(seed, 1))}
 	go faults.run()
@@ -84,9 +85,9 @@
 	close(stop)
 	tb.endFaults()
 	tb.awaitResults(resultsTimeout)
-	r := tb.result(seed, time.Since(began))
+	r := tb.result(seed, time.Since(start))
 	if r.hasViolations() {
-		fmt.Println("files and logs are left in", dir)
+		fmt.Println("settings files and logs kept in", dir)
 	} else {
 		removeQuietly(dir)
 	}
--- a/internal/loadtest/cellsload/process.go
+++ b/internal/loadtest/cellsload/process.go
@@ -10,10 +10,10 @@
 	"syscall"
 )
 
-// process is a controller's process.
+// process manages the process of a controller.
 type process struct {
 	name string
-	// apiAddr and cellsAddr are its addresses for users and machines, and for other cells.
+	// apiAddr is the controller's address for users and machines, cellsAddr that for other cells.
 	apiAddr, cellsAddr string
 	args               []string
 	logPath            string
@@ -21,8 +21,8 @@
 	cmd                *exec.Cmd
 	// exited is closed once the process has exited.
 	exited chan struct{}
-	// stopRequested is set before the process is killed or stopped; an exit without it
-	// counts in unexpectedExits.
+	// stopRequested is set before the process is killed or stopped. An exit while it is not set is
+	// counted in unexpectedExits.
 	stopRequested   atomic.Bool
 	unexpectedExits atomic.Int64
 }
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	defer closeQuietly(log) // the process has it open by itself
+	defer closeQuietly(log) // the child process has its own descriptor
 	p.cmd, p.exited = exec.CommandContext(context.Background(), binary, p.args...), make(chan struct{})
 	p.cmd.Stderr = log
 	if err := p.cmd.Start(); err != nil {
@@ -44,20 +44,20 @@
 	return nil
 }
 
-// waitForExit waits until a process has exited, and counts an exit that nobody requested.
+// waitForExit waits until a process has exited, and counts the exit if it was not requested.
 func (p *process) waitForExit(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	close(exited)
 	if !p.stopRequested.Swap(false) {
 		p.unexpectedExits.Add(1)
-		fmt.Fprintf(os.Stderr, "cellsload: %s ended by itself: %v\n", p.name, err)
+		fmt.Fprintf(os.Stderr, "cellsload: %s exited unexpectedly: %v\n", p.name, err)
 	}
 }
 
-// kill ends the process with a signal that it cannot handle.
+// kill sends SIGKILL, which the process cannot handle, and waits for the exit.
 func (p *process) kill() { p.signalAndWait(syscall.SIGKILL) }
 
-// stop requests a graceful stop.
+// stop requests a graceful stop with SIGTERM and waits for the exit.
 func (p *process) stop() { p.signalAndWait(syscall.SIGTERM) }
 
 // signalAndWait sends a signal and waits until the process has exited.
--- a/internal/loadtest/cellsload/result.go
+++ b/internal/loadtest/cellsload/result.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// Parts of the log lines by which a home cell's leader says that it lent a job, and that it
-// reclaimed one.
+// Parts of the log lines that the leader of a home cell writes when it lends a job and when it
+// reclaims one.
 const (
 	loanLogText    = "msg=loan job="
 	reclaimLogText = `msg="loan taken back"`
 )
 
-// result is what one run has counted.
+// result holds the figures of one run.
 type result struct {
 	seed                            uint64
 	duration                        time.Duration
 	jobs, notAccepted, ranElsewhere int
 	loans, reclaimed                int
 	kills, cuts                     int
-	// What must not happen: tasks on two machines or done twice, jobs that a controller did
-	// not know any more, jobs without or with two final states, controllers that ended by
-	// themselves.
+	// Violations: tasks that ran on two machines at once or completed twice, accepted jobs that a
+	// controller reported as unknown, jobs without a final state or with two, and controllers that
+	// exited unexpectedly.
 	startedTwice, doneTwice                     int
 	lost, withoutFinalState, withTwoFinalStates int
 	unexpectedExits                             int64
-	// Quantiles of the time from submission to the first start, and to the end.
+	// Percentiles of the time from a job's submission to its first start, and to its end.
 	waitP50, waitP95, waitP99 time.Duration
 	doneP50, doneP95          time.Duration
-	// idleShare is the part of all CPUs that was idle while jobs waited.
+	// idleShare is the mean idle fraction of all CPUs while some user waited for a job to end.
 	idleShare float64
 }
 
-// hasViolations reports whether anything happened that must not.
+// hasViolations reports whether the run had any violation.
 func (r *result) hasViolations() bool {
 	return r.startedTwice+r.doneTwice+r.lost+r.withoutFinalState+r.withTwoFinalStates > 0 || r.unexpectedExits > 0
 }
@@ -43,11 +43,11 @@
 func (r *result) String() string {
 	return strings.Join([]string{
 		fmt.Sprintf("seed %d: %d jobs in %.0f s (%d not accepted), %d ran in another cell, "+
-			"%d loans, %d taken back, %d kills, %d cuts",
+			"%d loans, %d reclaimed, %d kills, %d cuts",
 			r.seed, r.jobs, r.duration.Seconds(), r.notAccepted, r.ranElsewhere,
 			r.loans, r.reclaimed, r.kills, r.cuts),
-		fmt.Sprintf("wrong: %d tasks on two machines, %d done twice, %d jobs lost, "+
-			"%d without and %d with two final answers, %d controllers ended by themselves",
+		fmt.Sprintf("violations: %d tasks on two machines, %d done twice, %d jobs lost, "+
+			"%d without and %d with two final states, %d unexpected controller exits",
 			r.startedTwice, r.doneTwice, r.lost,
 			r.withoutFinalState, r.withTwoFinalStates, r.unexpectedExits),
 		fmt.Sprintf("first start after %.1f s (median), %.1f s (95%%), %.1f s (99%%)",
@@ -57,7 +57,8 @@
 	}, "; ")
 }
 
-// result counts what the users, the ledger and the controllers' logs show.
+// result computes the result of a run from the users' jobs, the ledger and the controllers' logs,
+// and prints the problems that the ledger recorded.
 func (tb *testbed) result(seed uint64, duration time.Duration) *result {
 	l := tb.ledger
 	l.mu.Lock()
@@ -88,7 +89,8 @@
 	return r
 }
 
-// countJobs counts how jobs ended for their users, and how long that took.
+// countJobs counts the outcomes of jobs and computes the percentiles of their wait times and
+// durations.
 func (r *result) countJobs(jobs []*userJob, starts map[string]time.Time) {
 	var waits, durations []time.Duration
 	for _, j := range jobs {
@@ -114,16 +116,16 @@
 	r.doneP50, r.doneP95 = quantile(durations, 0.5), quantile(durations, 0.95)
 }
 
-// quantile sorts the durations and returns one of their quantiles, 0 if there are none.
-func quantile(all []time.Duration, q float64) time.Duration {
-	if len(all) == 0 {
+// quantile sorts the durations and returns their q-quantile, or 0 if there are none.
+func quantile(durations []time.Duration, q float64) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(all)
-	return all[min(len(all)-1, int(q*float64(len(all))))]
+	slices.Sort(durations)
+	return durations[min(len(durations)-1, int(q*float64(len(durations))))]
 }
 
-// countLogLines counts the lines of all controllers' logs that contain a text.
+// countLogLines counts the occurrences of a text in the logs of all controllers.
 func (tb *testbed) countLogLines(text string) (count int) {
 	for _, c := range tb.cells {
 		for _, p := range c.nodes {
--- a/internal/loadtest/cellsload/takeover.go
+++ b/internal/loadtest/cellsload/takeover.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// electionTime and warmUpTime let a leader be elected and jobs queue up before the first
-	// takeover, rejoinTime lets a controller that was started again rejoin the others.
+	// electionTime is long enough to elect the first leader.
 	electionTime = 8 * time.Second
-	warmUpTime   = 5 * time.Second
-	rejoinTime   = 6 * time.Second
+	// warmUpTime is how long jobs are submitted before the first takeover, so that some are queued.
+	warmUpTime = 5 * time.Second
+	// rejoinTime is long enough for a restarted controller to rejoin the others.
+	rejoinTime = 6 * time.Second
 
 	takeoverTimeout = 2 * time.Minute
 )
 
-// measureTakeovers ends the leader of one cell under load, again and again, and prints how
-// long it takes until machines get responses and start tasks in the next term.
+// measureTakeovers repeatedly ends the leader of one cell under load, and prints the time until a
+// machine first gets a response and first starts a task in a later term.
 func (c *cli) measureTakeovers() error {
 	dir, err := os.MkdirTemp("", "cellsload")
 	if err != nil {
@@ -42,12 +43,12 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("first answer to a machine after %.2f s, first start after %.2f s\n",
+		fmt.Printf("first response to a machine after %.2f s, first start after %.2f s\n",
 			response.Seconds(), start.Seconds())
 		responses, starts = append(responses, response), append(starts, start)
 	}
-	fmt.Printf("%d takeovers: first answer after %.2f s (median), %.2f s (longest); first start after %.2f s, %.2f s; "+
-		"%d tasks on two machines, %d done twice\n",
+	fmt.Printf("%d takeovers: first response after %.2f s (median), %.2f s (longest); "+
+		"first start after %.2f s, %.2f s; %d tasks on two machines, %d done twice\n",
 		len(responses),
 		quantile(responses, 0.5).Seconds(), quantile(responses, 1).Seconds(),
 		quantile(starts, 0.5).Seconds(), quantile(starts, 1).Seconds(),
@@ -55,10 +56,11 @@
 	return nil
 }
 
-// removeQuietly removes a temporary directory; what is left of it is the system's to clean up.
+// removeQuietly removes a temporary directory and ignores errors, since the system cleans up
+// temporary files.
 func removeQuietly(dir string) { _ = os.RemoveAll(dir) }
 
-// leader returns the controller that leads according to its own status, or nil.
+// leader returns the controller whose own status reports a valid leadership, or nil.
 func (c *cell) leader() *process {
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range c.nodes {
@@ -80,12 +82,12 @@
 	return nil
 }
 
-// takeover ends the leader, waits for the first response and the first start of the next one,
-// and starts the ended controller again.
+// takeover ends the leader, waits for the first response and the first task start in a later term,
+// and starts the ended controller again. It returns both times since the leader was ended.
 func (tb *testbed) takeover(c *cli) (response, start time.Duration, err error) {
 	leader := tb.cells[0].leader()
 	if leader == nil {
-		return 0, 0, errors.New("nobody leads")
+		return 0, 0, errors.New("takeover: no controller reports that it is the leader")
 	}
 	term, ended := tb.ledger.latestTerm(), time.Now()
 	if c.Graceful {
@@ -96,7 +98,7 @@
 	var firstResponse, firstStart time.Time
 	for firstStart.IsZero() {
 		if time.Since(ended) >= takeoverTimeout {
-			return 0, 0, errors.New("nobody took over")
+			return 0, 0, errors.New("takeover: no task was started in a later term before the timeout")
 		}
 		time.Sleep(5 * time.Millisecond)
 		firstResponse, firstStart = tb.ledger.firstAfter(term)
--- a/internal/loadtest/cellsload/testbed.go
+++ b/internal/loadtest/cellsload/testbed.go
@@ -37,7 +37,7 @@
 	Zones:     []string{zone},
 }
 
-// testbed is all cells with their users.
+// testbed holds all cells, the links between them and their users.
 type testbed struct {
 	cells   []*cell
 	ledger  *ledger
@@ -50,15 +50,15 @@
 
 	mu   sync.Mutex
 	jobs []*userJob
-	// idleSum adds up the idle part of all CPUs over the idleSamples samples that were taken
-	// while jobs waited anywhere.
+	// idleSum is the sum of the idle fraction of all CPUs over idleSamples samples, which are taken
+	// only while some user waits for a job to end.
 	idleSum, idleSamples float64
 	waitingUsers         atomic.Int64
 	kills, cuts          int
 	verbose              bool
 }
 
-// cell is one cell: its controllers and its machines.
+// cell holds the controllers and machines of one cell.
 type cell struct {
 	testbed  *testbed
 	name     string
@@ -66,19 +66,21 @@
 	machines []*machine
 }
 
-// loopbackHost is a loopback address of this process's own, and firstPort the first that it gives a
-// controller; both lie apart from what the system gives to listeners and connections. A
-// controller must find its port free, also when it is started again. Once the port was a
-// simulated machine's, which accepts any request: users took their jobs for accepted, and
-// machines sent it heartbeats.
+// loopbackHost returns a loopback address that depends on the process ID and that the system does
+// not assign to listeners and connections. A controller's port must be free again when the
+// controller is restarted. Otherwise a simulated machine can get the port of a stopped controller,
+// which has happened: machines accept any request, so users considered their jobs accepted and
+// other machines sent their heartbeats there.
 func loopbackHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 1+pid>>8&0x7f, pid&0xff)
 }
 
+// firstPort is the base of the controllers' ports. They are outside the range from which the system
+// assigns ports to listeners and connections.
 const firstPort = 20000
 
-// nextAddr returns an address that no controller has yet.
+// nextAddr returns an address that is not used by any other controller.
 func (tb *testbed) nextAddr() string {
 	tb.portCount++
 	return fmt.Sprintf("%s:%d", loopbackHost(), firstPort+tb.portCount)
@@ -128,8 +130,8 @@
 	return c, nil
 }
 
-// lendingPolicy has no machine terminated, since there are no others, and jobs lent early,
-// since the tasks are short.
+// lendingPolicy sets min_cpus high enough that no machine is terminated, since the simulated cloud
+// cannot launch others. Jobs are lent early, since the tasks are short.
 const lendingPolicy = `
 min_cpus = 100000.0
 spill_after_s = 1.5
@@ -138,13 +140,13 @@
 guest_share = 0.9
 `
 
-// writeFiles writes the files that a cell's controllers start from.
+// writeFiles writes the configuration files of a cell's controllers and sets their arguments.
 func (tb *testbed) writeFiles(c *cli, dir string, cell *cell) error {
 	env, err := loadtest.New(machineType)
 	if err != nil {
 		return err
 	}
-	outside := config.Services{Cloud: env.CloudAddr, State: env.KVAddr}
+	services := config.Services{Cloud: env.CloudAddr, State: env.KVAddr}
 	peerAddrs := map[string]string{}
 	for _, p := range cell.nodes {
 		peerAddrs[p.name] = tb.nextAddr()
@@ -162,7 +164,7 @@
 		commonArgs = append(commonArgs, "--cells", cellsFile)
 	}
 	for _, p := range cell.nodes {
-		raw, err := json.Marshal(cell.settings(p, outside, peerAddrs))
+		raw, err := json.Marshal(cell.settings(p, services, peerAddrs))
 		if err != nil {
 			return err
 		}
@@ -177,14 +179,14 @@
 	return nil
 }
 
-// settings are those of one of the cell's controllers.
-func (c *cell) settings(p *process, outside config.Services, peerAddrs map[string]string) config.Settings {
+// settings returns the settings of one of the cell's controllers.
+func (c *cell) settings(p *process, services config.Services, peerAddrs map[string]string) config.Settings {
 	s := config.Settings{
 		Node:       p.name,
 		Zone:       zone,
 		APIAddr:    p.apiAddr,
 		PeerListen: peerAddrs[p.name],
-		Services:   outside,
+		Services:   services,
 		Site: config.SiteInfo{
 			Nodes: controllersPerCell,
 			Zones: []string{zone},
@@ -210,8 +212,8 @@
 	return s
 }
 
-// writeCellsFile writes the file of cells as one of them has it, with each way to another
-// cell's controller through a link that can be cut, and returns its path.
+// writeCellsFile writes a cell's cells file, in which each address of another cell's controller is
+// that of a link that can be cut, and returns the file's path.
 func (tb *testbed) writeCellsFile(dir string, cell *cell) (string, error) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "cell = %q\n[listen]\n", cell.name)
@@ -247,7 +249,7 @@
 	}
 }
 
-// sampleIdle samples the part of all CPUs that is idle while jobs wait.
+// sampleIdle samples the idle fraction of all CPUs while some user waits for a job to end.
 func (tb *testbed) sampleIdle(stop <-chan struct{}) {
 	for {
 		select {
@@ -272,7 +274,7 @@
 	}
 }
 
-// close ends all that was started.
+// close stops the machines, kills the controllers and closes all listeners.
 func (tb *testbed) close() {
 	close(tb.stop)
 	for _, c := range tb.cells {
--- a/internal/loadtest/cellsload/users.go
+++ b/internal/loadtest/cellsload/users.go
@@ -19,28 +19,29 @@
 	jobDeadline    = 2 * time.Minute
 )
 
-// userJob is a job as its user knows it.
+// userJob is a job and what its user has observed of it.
 type userJob struct {
 	id        string
 	home      *cell
 	submitted time.Time
 	accepted  bool
-	// finalPhases are the final states that polls returned, without repetitions in a row.
+	// finalPhases lists the first final phase that polls returned and every change after it.
 	finalPhases []string
-	// lost is set if a poll returned that there is no such job.
+	// lost is set if a controller reported that the job does not exist.
 	lost    bool
 	endedAt time.Time
 }
 
-// submitJobs crowds on one cell after the other, for a phase each.
+// submitJobs submits jobs to all cells at random intervals, at the high rate to one cell at a time
+// and at the low rate to the others. The cell under high load changes after each phase.
 func (tb *testbed) submitJobs(c *cli) {
-	began := time.Now()
+	start := time.Now()
 	next := make([]time.Time, len(tb.cells))
-	for n := 0; time.Since(began) < c.Load; {
-		crowded := int(time.Since(began)/c.Phase) % len(tb.cells)
+	for n := 0; time.Since(start) < c.Load; {
+		highLoadCell := int(time.Since(start)/c.Phase) % len(tb.cells)
 		for i, cell := range tb.cells {
 			rate := c.Low
-			if i == crowded {
+			if i == highLoadCell {
 				rate = c.High
 			}
 			if time.Now().Before(next[i]) || rate <= 0 {
@@ -60,7 +61,7 @@
 	}
 }
 
-// runUser submits a job and polls it until it has ended.
+// runUser submits a job and polls it until it has ended, is lost, or pollTimeout has passed.
 func (tb *testbed) runUser(j *userJob) {
 	defer tb.users.Done()
 	tb.waitingUsers.Add(1)
@@ -76,8 +77,8 @@
 	}
 }
 
-// submit submits the job to one controller after the other until one accepts it. It reports
-// false if that takes too long.
+// submit sends the job to one controller of its home cell after another until one accepts it. It
+// reports whether the job was accepted within submitTimeout.
 func (j *userJob) submit(client *http.Client) bool {
 	submission := loadtest.Submission{
 		ID:       j.id,
@@ -107,7 +108,7 @@
 	return true
 }
 
-// poll queries the job at one controller.
+// poll queries the job's state at one controller and records what it returns.
 func (j *userJob) poll(client *http.Client, node int) {
 	resp, err := get(client, "http://"+j.home.nodes[node].apiAddr+"/api/jobs/"+j.id)
 	if err != nil {
@@ -126,18 +127,18 @@
 	if resp.StatusCode != http.StatusOK || json.Unmarshal(raw, &state) != nil {
 		return
 	}
-	polled := len(j.finalPhases)
+	recorded := len(j.finalPhases)
 	switch {
-	case polled == 0 && state.Final():
+	case recorded == 0 && state.Final():
 		j.endedAt = time.Now()
 		j.finalPhases = append(j.finalPhases, state.Phase)
-	case polled > 0 && j.finalPhases[polled-1] != state.Phase:
+	case recorded > 0 && j.finalPhases[recorded-1] != state.Phase:
 		j.finalPhases = append(j.finalPhases, state.Phase)
 	}
 }
 
-// awaitResults waits until all users have their results, and polls each job once more at
-// each controller.
+// awaitResults waits until all users have finished and then polls each accepted job once more at each
+// controller. It returns early after the timeout.
 func (tb *testbed) awaitResults(timeout time.Duration) {
 	done := make(chan struct{})
 	go func() { tb.users.Wait(); close(done) }()
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -1,8 +1,7 @@
-// Package loadtest is a small deployment around one controller, in a process of
-// its own and in real time: a key-value store, a cloud that launches nothing, worker
-// agents that send heartbeats and run tasks, and users. With it the processor time and
-// memory of a whole controller are measured and profiled. It is a tool for that, not a
-// test: nothing of it decides whether the program is right.
+// Package loadtest simulates the environment of a controller in real time, in a process separate
+// from the controller: a key-value store, a cloud, machines whose worker agents send heartbeats and
+// run tasks, and users. It serves to measure and profile the CPU time and memory of a whole
+// controller. It is not a test: it does not check that the controller behaves correctly.
 package loadtest
 
 import (
@@ -23,38 +22,40 @@
 )
 
 const (
-	// pollerCount is the number of users that poll at the same time.
+	// pollerCount is the number of users that poll concurrently.
 	pollerCount = 16
-	// recentJobCount is how many of the latest jobs are polled.
+	// recentJobCount is the number of most recently submitted jobs that users poll.
 	recentJobCount = 40
-	// imageCount is how many images the jobs use in turn.
+	// imageCount is the number of container images, which successive jobs use in rotation.
 	imageCount = 5
 )
 
-// Plan is the load that the environment puts on a controller.
+// Plan describes the load that the environment puts on a controller.
 type Plan struct {
-	// API is the controller's address for users and machines.
+	// API is the address at which the controller serves users and machines.
 	API               string
 	Machines          int
 	CPUs              float64
 	HeartbeatInterval time.Duration
-	// JobInterval is the interval between submissions, of jobs of Tasks tasks that run for
-	// about Run each.
-	JobInterval  time.Duration
-	Tasks        int
+	// JobInterval is the time between two job submissions.
+	JobInterval time.Duration
+	// Tasks is the number of tasks of each job.
+	Tasks int
+	// TaskDuration is the mean run time of a task.
 	TaskDuration time.Duration
-	// PollsPerSecond is how many queries users send a second.
+	// PollsPerSecond is the total rate of job status queries of all users.
 	PollsPerSecond float64
 }
 
-// Counts is what has happened since the environment was started.
+// Counts holds the number of events since the environment was created. Failed counts failed
+// requests, and machines that could not be started.
 type Counts struct {
 	Heartbeats, Started, Done, Jobs, Polls, Failed int64
 }
 
-// Environment is all that a controller needs around it.
+// Environment simulates the services, machines and users around a controller.
 type Environment struct {
-	// KVAddr is the address of the key-value store, Cloud that of the cloud.
+	// KVAddr and CloudAddr are the addresses of the simulated key-value store and cloud API.
 	KVAddr, CloudAddr string
 
 	plan     Plan
@@ -63,32 +64,32 @@
 	jobIDs   []string
 }
 
-// New starts the key-value store and a cloud without capacity on loopback.
-func New(typ api.MachineType) (*Environment, error) {
+// New starts the key-value store and a cloud without capacity on the loopback interface.
+func New(machineType api.MachineType) (*Environment, error) {
 	env := &Environment{}
 	var err error
 	if env.KVAddr, err = serve(kvHandler(kvtest.New())); err != nil {
 		return nil, err
 	}
-	env.CloudAddr, err = serve(cloudHandler(typ))
+	env.CloudAddr, err = serve(cloudHandler(machineType))
 	return env, err
 }
 
-// serve serves on a free port of loopback until the process ends, and returns the address.
-func serve(h http.Handler) (string, error) {
+// serve serves HTTP on a free loopback port until the process exits, and returns the address.
+func serve(handler http.Handler) (string, error) {
 	var config net.ListenConfig
-	ln, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	go func() { _ = http.Serve(ln, h) }() // its error could only be that the listener was closed
-	return ln.Addr().String(), nil
+	go func() { _ = http.Serve(listener, handler) }() // the listener is never closed
+	return listener.Addr().String(), nil
 }
 
-// Start starts machines and users against a controller. They run until the process ends.
-func (env *Environment) Start(p Plan) {
-	env.plan = p
-	for i := range p.Machines {
+// Start starts machines and users that send requests to a controller until the process exits.
+func (env *Environment) Start(plan Plan) {
+	env.plan = plan
+	for i := range plan.Machines {
 		m := newMachine(env, fmt.Sprintf("i-%06d", i), "m", "a")
 		addr, err := serve(m)
 		if err != nil {
@@ -104,7 +105,7 @@
 	}
 }
 
-// Counts returns what has happened so far.
+// Counts returns the current counts.
 func (env *Environment) Counts() Counts {
 	c := &env.counts
 	return Counts{
@@ -157,14 +158,14 @@
 	return resp.StatusCode < http.StatusMultipleChoices
 }
 
-// drainAndClose reads a response to its end, so that its connection can be used again. A failure
-// shows in the next request.
+// drainAndClose reads the rest of a response body and closes it, so that the connection can be
+// reused. Errors are ignored: if the connection has failed, the next request reports it.
 func drainAndClose(resp *http.Response) {
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
 }
 
-// pollJobs polls jobs over a connection of its own, at its share of the plan's rate.
+// pollJobs polls recent jobs over a separate connection, at this poller's share of the plan's rate.
 func (env *Environment) pollJobs() {
 	client := &http.Client{Transport: &http.Transport{}}
 	interval := float64(pollerCount*time.Second) / max(env.plan.PollsPerSecond, 0.1)
@@ -190,7 +191,7 @@
 	}
 }
 
-// recentJob returns one of the latest jobs at random, or "" if there is none yet.
+// recentJob returns the ID of a random recent job, or "" if no job has been submitted yet.
 func (env *Environment) recentJob() string {
 	env.jobIDsMu.Lock()
 	defer env.jobIDsMu.Unlock()
@@ -201,20 +202,20 @@
 	return env.jobIDs[max(0, n-1-rand.IntN(recentJobCount))]
 }
 
-// cloudHandler is a cloud with one machine type, of which it has no capacity.
-func cloudHandler(typ api.MachineType) http.Handler {
+// cloudHandler serves the API of a cloud that offers one machine type but has no capacity for it.
+func cloudHandler(machineType api.MachineType) http.Handler {
 	mux := http.NewServeMux()
 	respond := func(pattern string, status int, body any) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, status, body) })
 	}
-	respond("GET /flavors", http.StatusOK, map[string]any{"Frames": []api.MachineType{typ}})
+	respond("GET /flavors", http.StatusOK, map[string]any{"Frames": []api.MachineType{machineType}})
 	respond("GET /machines", http.StatusOK, map[string]any{"Hosts": []any{}, "Truncated": false})
 	respond("POST /machines", http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 	respond("POST /machines/return", http.StatusOK, map[string]any{})
 	return mux
 }
 
-// writeJSON writes a response. An error of the connection is the client's to notice.
+// writeJSON writes a JSON response. A write error is ignored, since the client sees it as well.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
--- a/internal/loadtest/kvserver.go
+++ b/internal/loadtest/kvserver.go
@@ -11,9 +11,9 @@
 	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
-// kvHandler serves the protocol of the key-value store from the scripted one.
-func kvHandler(f *kvtest.Fake) http.Handler {
-	s := kvServer{fake: f}
+// kvHandler serves the HTTP protocol of the key-value store from an in-memory fake.
+func kvHandler(fake *kvtest.Fake) http.Handler {
+	s := kvServer{fake: fake}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /kv/{key...}", s.get)
 	mux.HandleFunc("GET /kv", s.list)
@@ -24,9 +24,9 @@
 	return mux
 }
 
-// kvServer answers a controller's requests to the key-value store. The scripted store fails
-// only where a test says so, and here none does; so errors that it cannot return are dropped,
-// as are those of numbers in queries, which the controller's own client writes.
+// kvServer handles a controller's requests to the key-value store. The fake store fails only when a
+// test injects a fault, which never happens here, so its errors are ignored where they are
+// impossible. Errors of parsing numbers are ignored too: the controller's client formats them.
 type kvServer struct{ fake *kvtest.Fake }
 
 func (s kvServer) get(w http.ResponseWriter, r *http.Request) {
--- a/internal/loadtest/launchingcloud.go
+++ b/internal/loadtest/launchingcloud.go
@@ -13,7 +13,7 @@
 	"example.org/ivytrestle/internal/kv/kvtest"
 )
 
-// launchingCloud is a cloud of one machine type that launches simulated machines.
+// launchingCloud simulates a cloud that launches machines of a single type.
 type launchingCloud struct {
 	env         *Environment
 	machineType api.MachineType
@@ -22,27 +22,27 @@
 	mu               sync.Mutex
 	machines         map[string]launchedMachine
 	machinesLaunched int
-	// machinesByRequest holds the machines of each launch request by its name, so that a repeated
-	// request gets the same response.
+	// machinesByRequest maps the name of a launch request to the names of its machines, so that a
+	// retried request gets the same response.
 	machinesByRequest map[string][]string
 }
 
-// Phases of a machine in the cloud's list.
+// Phases of a machine in the cloud's machine list.
 const (
 	phaseStarting = "starting"
 	phaseRunning  = "running"
 )
 
-// launchedMachine is a simulated machine with what the cloud lists of it.
+// launchedMachine is a simulated machine with the properties that the cloud lists.
 type launchedMachine struct {
 	*machine
 	spot       bool
 	launchedAt time.Time
 }
 
-// NewLaunching starts the key-value store and a cloud that launches up to maxMachines machines
-// of a type on loopback. The machines send their heartbeats to the plan's controller.
-func NewLaunching(typ api.MachineType, maxMachines int, plan Plan) (*Environment, error) {
+// NewLaunching starts, on the loopback interface, the key-value store and a cloud that runs up to
+// maxMachines machines of a type. The machines send their heartbeats to the plan's controller.
+func NewLaunching(machineType api.MachineType, maxMachines int, plan Plan) (*Environment, error) {
 	env := &Environment{plan: plan}
 	var err error
 	if env.KVAddr, err = serve(kvHandler(kvtest.New())); err != nil {
@@ -50,7 +50,7 @@
 	}
 	cloud := &launchingCloud{
 		env:               env,
-		machineType:       typ,
+		machineType:       machineType,
 		maxMachines:       maxMachines,
 		machines:          map[string]launchedMachine{},
 		machinesByRequest: map[string][]string{},
@@ -97,7 +97,8 @@
 	writeJSON(w, http.StatusOK, map[string]any{"Hosts": names})
 }
 
-// launchMachine launches a machine, which sends its first heartbeat once its boot time has passed.
+// launchMachine launches a machine, which sends its first heartbeat after its boot time, and returns
+// its name.
 func (c *launchingCloud) launchMachine(zone string, spot bool) string {
 	c.machinesLaunched++
 	name := fmt.Sprintf("i-%06d", c.machinesLaunched)
@@ -138,7 +139,7 @@
 	writeJSON(w, http.StatusOK, map[string]any{})
 }
 
-// listedMachine is an entry of the cloud's list.
+// listedMachine is an entry of the cloud's machine list.
 type listedMachine struct {
 	Name  string  `json:"NameId"`
 	Addr  string  `json:"Addr"`
@@ -149,7 +150,7 @@
 	AgeS  float64 `json:"AgeS"`
 }
 
-// list returns all machines in one page, whatever limit the request has.
+// list returns all machines after the requested name in one page and ignores the requested limit.
 func (c *launchingCloud) list(w http.ResponseWriter, r *http.Request) {
 	from := r.URL.Query().Get("From")
 	hosts := []listedMachine{}
--- a/internal/loadtest/localcluster/main.go
+++ b/internal/loadtest/localcluster/main.go
@@ -1,6 +1,6 @@
-// Localcluster simulates, on loopback, what a controller needs around it: a key-value
-// store, a cloud and the machines that the cloud launches. It writes a settings file
-// for one controller, with which ivytrestle can be tried on a single computer.
+// Localcluster simulates the environment of a controller on the loopback interface: a key-value
+// store, a cloud and the machines that the cloud launches. It writes a settings file for one
+// controller, so that ivytrestle can be tried on a single computer.
 package main
 
 import (
@@ -19,14 +19,14 @@
 const zone = "local"
 
 type cli struct {
-	Settings string        `arg:"" help:"The settings file to write."`
+	Settings string        `arg:"" help:"Path of the settings file to write."`
 	API      string        `default:"127.0.0.1:8080" placeholder:"HOST:PORT" help:"Address for users and machines."`
 	Peers    string        `default:"127.0.0.1:8081" placeholder:"HOST:PORT" help:"Address for other controllers."`
-	Machines int           `default:"4" help:"How many machines the cloud has."`
-	TaskTime time.Duration `default:"5s" help:"About how long each task runs."`
+	Machines int           `default:"4" help:"Maximum number of machines that the cloud runs."`
+	TaskTime time.Duration `default:"5s" help:"Mean run time of a task."`
 }
 
-// Run starts the simulation and writes the settings. It returns only on an error.
+// Run starts the simulation and writes the settings file. It returns only if this fails.
 func (c *cli) Run() error {
 	settings := c.settings()
 	machineType := api.MachineType{
@@ -56,11 +56,12 @@
 	if err := os.WriteFile(c.Settings, append(raw, '\n'), 0o644); err != nil {
 		return err
 	}
-	fmt.Printf("settings of a controller written to %s; interrupt to stop the simulation\n", c.Settings)
+	fmt.Printf("controller settings written to %s; interrupt to stop the simulation\n", c.Settings)
 	select {}
 }
 
-// settings are those of a single controller, without the addresses of what is simulated.
+// settings returns the settings of a single controller, without the addresses of the simulated
+// services.
 func (c *cli) settings() config.Settings {
 	return config.Settings{
 		Node:       "local-0",
@@ -80,7 +81,7 @@
 func main() {
 	k := kong.Parse(&cli{},
 		kong.Name("localcluster"),
-		kong.Description("A simulated cloud, key-value store and machines on this computer."))
+		kong.Description("Simulates a cloud, a key-value store and machines on this computer."))
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "localcluster:", err)
 		os.Exit(1)
--- a/internal/loadtest/machine.go
+++ b/internal/loadtest/machine.go
@@ -17,25 +17,31 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// minHeartbeatGap is the least time between a response and the next heartbeat.
+// minHeartbeatGap is the minimum time between a heartbeat response and the next heartbeat.
 const minHeartbeatGap = 500 * time.Millisecond
 
-// machine is a simulated machine with its worker agent: it sends heartbeats and applies the
-// commands of the responses.
+// machine simulates a machine and its worker agent: it sends heartbeats and applies the commands in
+// the responses.
 type machine struct {
 	env          *Environment
 	mu           sync.Mutex
 	heartbeat    api.Heartbeat
 	taskEnds     map[string]time.Time
 	tasksChanged chan struct{}
-	// terminated is set once the cloud has ended the machine.
+	// terminated is set when the cloud terminates the machine.
 	terminated atomic.Bool
 }
 
-func newMachine(env *Environment, name, typ, zone string) *machine {
+func newMachine(env *Environment, name, machineType, zone string) *machine {
 	return &machine{
-		env:          env,
-		heartbeat:    api.Heartbeat{Machine: name, Type: typ, Zone: zone, AgentEpoch: 1, Tasks: []api.TaskStatus{}},
+		env: env,
+		heartbeat: api.Heartbeat{
+			Machine:    name,
+			Type:       machineType,
+			Zone:       zone,
+			AgentEpoch: 1,
+			Tasks:      []api.TaskStatus{},
+		},
 		taskEnds:     map[string]time.Time{},
 		tasksChanged: make(chan struct{}, 1),
 	}
@@ -51,14 +57,14 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats over one connection until it fails.
+// sendHeartbeats sends heartbeats over one connection until it fails or the machine is terminated.
 func (m *machine) sendHeartbeats() error {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(context.Background(), "tcp", m.env.plan.API)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // the connection has failed, or the machine has ended
+	defer func() { _ = conn.Close() }() // the connection is no longer used
 	reader := bufio.NewReader(conn)
 	for !m.terminated.Load() {
 		if err := m.sendHeartbeat(conn, reader); err != nil {
@@ -71,7 +77,7 @@
 	return nil
 }
 
-// sendHeartbeat sends one heartbeat and applies the commands of its response.
+// sendHeartbeat sends one heartbeat and applies the commands in the response.
 func (m *machine) sendHeartbeat(conn net.Conn, reader *bufio.Reader) error {
 	m.mu.Lock()
 	m.completeTasks()
@@ -106,8 +112,7 @@
 	return nil
 }
 
-// waitForNextHeartbeat waits for some time, but no longer than until a task ends or a command
-// changes the tasks.
+// waitForNextHeartbeat waits for d, or until a task ends or commands arrive, whichever comes first.
 func (m *machine) waitForNextHeartbeat(d time.Duration) {
 	m.mu.Lock()
 	for _, end := range m.taskEnds {
@@ -123,7 +128,7 @@
 	}
 }
 
-// completeTasks completes the tasks that have run for their time.
+// completeTasks marks tasks as completed whose run time has passed.
 func (m *machine) completeTasks() {
 	now := time.Now()
 	for i := range m.heartbeat.Tasks {
@@ -136,7 +141,7 @@
 	}
 }
 
-// applyCommands starts, stops and reaps tasks under a term.
+// applyCommands applies the start, stop and reap commands of a leader's term to the tasks.
 func (m *machine) applyCommands(term uint64, commands []api.Command) {
 	m.heartbeat.Term = max(m.heartbeat.Term, term)
 	for _, cmd := range commands {
@@ -165,8 +170,8 @@
 	}
 }
 
-// ServeHTTP serves commands and probes that are sent straight to the machine. Commands of an
-// earlier term, or for another agent epoch, are rejected.
+// ServeHTTP handles commands and probes that a controller sends directly to the machine. It rejects
+// commands of an earlier term or for another agent epoch.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/loadtest/submission.go
+++ b/internal/loadtest/submission.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Submission is what a simulated user submits: a job of equal tasks that may run on any machine.
+// Submission is a job that a simulated user submits. Its tasks are identical and may run on any
+// machine.
 type Submission struct {
 	ID       string
 	Team     string
@@ -17,7 +18,7 @@
 	Deadline time.Duration
 }
 
-// Body is the submission as users send it.
+// Body returns the JSON body of the submission request.
 func (s *Submission) Body() []byte {
 	body, err := json.Marshal(map[string]any{
 		"NameId":     s.ID,
@@ -40,7 +41,7 @@
 		"DueS":       s.Deadline.Seconds(),
 	})
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // strings, numbers and booleans always encode
 	}
 	return body
 }
