--- a/internal/ci/knownred/list.go
+++ b/internal/ci/knownred/list.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// maxKnownFailures is how many tests may be known to fail at a time.
+// maxKnownFailures is the maximum number of tests that may be listed at a time.
 const maxKnownFailures = 3
 
-// testName is one test of a package.
+// testName identifies a test or subtest of a package.
 type testName struct{ pkg, test string }
 
 func (n testName) String() string { return n.pkg + " " + n.test }
@@ -26,9 +26,11 @@
 	issuePattern = regexp.MustCompile(`^issue [1-9][0-9]*$`)
 )
 
-// parseList parses a list of known failures, one in each line:
+// parseList parses a list of known failures, one per line:
 //
 //	package TestName[/subtest] | cause | issue N
+//
+// Empty lines and lines that start with # are ignored.
 func parseList(text string) ([]knownFailure, error) {
 	var list []knownFailure
 	seen := map[testName]bool{}
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -1,5 +1,5 @@
-// Command knownred runs the module's tests and passes over only those failures
-// that KNOWN-RED.txt lists. It is run at the root of the repository, by .ci/run.
+// Command knownred runs the module's tests and tolerates only the failures that KNOWN-RED.txt
+// lists. .ci/run runs it in the root directory of the repository.
 package main
 
 import (
@@ -21,7 +21,8 @@
 	}
 }
 
-// run runs the tests, prints their output and decides whether they pass.
+// run runs the tests and prints their output and the verdict. If the tests do not pass, it exits with
+// status 1.
 func run(out io.Writer) error {
 	raw, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -51,7 +52,7 @@
 		return waitErr
 	}
 	if !v.verdict(waitErr == nil) {
-		os.Exit(1) // the reason has been printed, as go test prints it
+		os.Exit(1) // verdict has printed the reason
 	}
 	return nil
 }
--- a/internal/ci/knownred/verdict.go
+++ b/internal/ci/knownred/verdict.go
@@ -11,37 +11,39 @@
 	"strings"
 )
 
-// event is one event of go test -json.
+// event is an event in the output of go test -json.
 type event struct {
 	Action, Package, Test, Output string
 }
 
-// line is a line of a package's output; test is "" if no test printed it.
+// line is a line of a package's output. test is empty if the line belongs to no test.
 type line struct{ test, text string }
 
-// packageRun is what is known of one package's tests.
+// packageRun collects the events of one package's tests.
 type packageRun struct {
 	name string
 	// started lists the tests in the order in which they started.
 	started []string
-	// results has the action with which each test ended: pass, fail or skip.
+	// results maps each test that has ended to its result: pass, fail or skip.
 	results map[string]string
 	output  []line
-	ended   bool
+	// ended is set once the package itself has a result.
+	ended bool
 }
 
-// verdictReader reads the events of go test, prints them as go test without -json would
-// and decides whether the failures may be passed over.
+// verdictReader reads the events of go test -json, prints the output that go test without -json
+// would print, and decides whether all failures are known. Such failures are tolerated; the printed
+// messages call them "passed over".
 type verdictReader struct {
 	knownFailures []knownFailure
 	out           io.Writer
 	packages      map[string]*packageRun
-	// failed is set once a package has failed, for whatever reason.
+	// failed is set once a package has failed, whether tolerated or not.
 	failed bool
-	// toleratedLines has the closing lines of the packages whose failures are passed over, to be
+	// toleratedLines holds the result lines of the packages whose failures are tolerated. They are
 	// printed last.
 	toleratedLines []string
-	// problems are the reasons for which the tests do not pass.
+	// problems lists the reasons why the tests do not pass.
 	problems []string
 }
 
@@ -49,7 +51,7 @@
 	return &verdictReader{knownFailures: list, out: out, packages: map[string]*packageRun{}}
 }
 
-// read reads events until their end.
+// read handles events until the end of the input.
 func (v *verdictReader) read(events io.Reader) error {
 	in := bufio.NewReader(events)
 	for {
@@ -69,11 +71,11 @@
 func (v *verdictReader) handleEvent(raw []byte) {
 	var e event
 	if !bytes.HasPrefix(raw, []byte("{")) || json.Unmarshal(raw, &e) != nil {
-		v.print(string(raw)) // not an event: printed unchanged
+		v.print(string(raw)) // not an event
 		return
 	}
 	if e.Package == "" {
-		v.print(e.Output) // of a build
+		v.print(e.Output) // output of the build
 		return
 	}
 	p := v.packages[e.Package]
@@ -96,10 +98,10 @@
 	}
 }
 
-// print writes to the output. An error of the output changes nothing in the verdict.
+// print writes to the output. Write errors are ignored, since they do not affect the verdict.
 func (v *verdictReader) print(text string) { _, _ = io.WriteString(v.out, text) }
 
-// endPackage prints the output of a package that has ended, and judges its failure.
+// endPackage prints the output of a package that has ended, and evaluates its failure if it failed.
 func (v *verdictReader) endPackage(p *packageRun, failed bool) {
 	passedOver := failed && v.onlyListedFailed(p)
 	for _, l := range p.output {
@@ -113,7 +115,7 @@
 	p.output = nil
 }
 
-// isShown reports whether go test without -v prints a line.
+// isShown reports whether go test without -v prints a line of a package that has ended.
 func (p *packageRun) isShown(l line, failed bool) bool {
 	switch {
 	case !failed:
@@ -123,34 +125,35 @@
 	case isFraming(l.text):
 		return false
 	}
-	// A test that did not end is shown as well: it may be what ended the others.
+	// The output of a test that did not end is shown too: that test may have aborted the run.
 	return p.results[l.test] != "pass" && p.results[l.test] != "skip"
 }
 
-// isFraming reports whether a line only names the test that prints next.
+// isFraming reports whether a line only marks which test the following output belongs to.
 func isFraming(text string) bool {
 	return strings.HasPrefix(text, "=== ")
 }
 
-// isFailLine reports whether a line is the last one of a package that failed.
+// isFailLine reports whether a line is the result line of a failed package.
 func (p *packageRun) isFailLine(l line) bool {
 	return l.test == "" && strings.HasPrefix(l.text, "FAIL\t"+p.name+"\t")
 }
 
-// evaluateFailure passes over the failure of a package, or adds the problems that it shows.
+// evaluateFailure tolerates the failure of a package if only listed tests caused it, and otherwise
+// adds the problems.
 func (v *verdictReader) evaluateFailure(p *packageRun) {
 	v.failed = true
 	if v.onlyListedFailed(p) {
 		for _, l := range p.output {
 			if p.isFailLine(l) {
 				duration := strings.TrimSpace(strings.TrimPrefix(l.text, "FAIL\t"+p.name+"\t"))
-				closing := fmt.Sprintf("ok  \t%s\t%s [known failures passed over]", p.name, duration)
-				v.toleratedLines = append(v.toleratedLines, closing)
+				resultLine := fmt.Sprintf("ok  \t%s\t%s [known failures passed over]", p.name, duration)
+				v.toleratedLines = append(v.toleratedLines, resultLine)
 			}
 		}
 		return
 	}
-	n := len(v.problems)
+	problemsBefore := len(v.problems)
 	for _, test := range p.started {
 		switch r := p.results[test]; {
 		case r == "":
@@ -159,14 +162,16 @@
 			v.addProblem("%s %s failed and is not listed", p.name, test)
 		}
 	}
-	if len(v.problems) == n {
-		// The package was not built, was ended by a panic, a time limit or os.Exit, or failed
-		// by something else than a test: whatever is listed, tests were not run.
+	if len(v.problems) == problemsBefore {
+		// The package did not build, a panic, a timeout or os.Exit aborted the run, or something
+		// other than a test failed. Then tests may not have run, so the failure is not tolerated
+		// even if all failed tests are listed.
 		v.addProblem("%s failed by more than listed tests", p.name)
 	}
 }
 
-// onlyListedFailed reports whether only listed tests made a package fail.
+// onlyListedFailed reports whether a package ran all its tests and failed only because of listed
+// tests.
 func (v *verdictReader) onlyListedFailed(p *packageRun) bool {
 	failures := 0
 	for _, test := range p.started {
@@ -180,13 +185,13 @@
 			failures++
 		}
 	}
-	// Only this line shows that the run reached its end: after a panic or os.Exit, tests that
-	// did not start leave no other trace.
+	// Only the FAIL line shows that the run was complete: after a panic or os.Exit, tests that had
+	// not started leave no events.
 	return failures > 0 && slices.Contains(p.output, line{"", "FAIL\n"})
 }
 
-// isTolerated reports whether a failed test is listed, or failed only because subtests did, each
-// of which is judged by itself.
+// isTolerated reports whether a failed test is listed, or failed only because of its subtests, which
+// are evaluated separately.
 func (v *verdictReader) isTolerated(p *packageRun, test string) bool {
 	if slices.ContainsFunc(v.knownFailures, func(e knownFailure) bool { return e.testName == testName{p.name, test} }) {
 		return true
@@ -194,8 +199,8 @@
 	hasFailedSubtest := slices.ContainsFunc(p.started, func(other string) bool {
 		return strings.HasPrefix(other, test+"/") && p.results[other] == "fail"
 	})
-	// The events do not show whether a parent failed by itself as well; but then it would have
-	// printed why.
+	// The events do not show whether the parent itself failed as well, but in that case it would
+	// have printed a message.
 	failLine := "--- FAIL: " + test + " "
 	printed := slices.ContainsFunc(p.output, func(l line) bool {
 		return l.test == test && !isFraming(l.text) && !strings.HasPrefix(strings.TrimLeft(l.text, " "), failLine)
@@ -207,11 +212,11 @@
 	v.problems = append(v.problems, fmt.Sprintf(format, args...))
 }
 
-// verdict prints what was passed over and what was not, and reports whether the tests pass.
-// clean is set if go test itself succeeded.
-func (v *verdictReader) verdict(clean bool) bool {
+// verdict prints the tolerated failures and the problems, and reports whether the tests pass.
+// goTestPassed is whether go test itself succeeded.
+func (v *verdictReader) verdict(goTestPassed bool) bool {
 	v.checkPackages()
-	if clean == v.failed {
+	if goTestPassed == v.failed {
 		v.addProblem("go test ended otherwise than its tests")
 	}
 	v.checkKnownFailures()
@@ -232,8 +237,8 @@
 	return true
 }
 
-// checkPackages adds a problem for each package that did not end, with its output, and if none
-// was run.
+// checkPackages adds a problem for each package that did not end and prints its output. It also adds
+// a problem if no package ran.
 func (v *verdictReader) checkPackages() {
 	for _, p := range v.packages {
 		if !p.ended {
@@ -248,8 +253,8 @@
 	}
 }
 
-// checkKnownFailures prints the listed failures, and adds a problem for each listed test that did not
-// fail.
+// checkKnownFailures prints the listed tests that failed, and adds a problem for each listed test
+// that did not.
 func (v *verdictReader) checkKnownFailures() {
 	for _, e := range v.knownFailures {
 		result := ""
