--- a/cmd/ivytrestle/main.go
+++ b/cmd/ivytrestle/main.go
@@ -29,7 +29,7 @@
 // cli declares the commands. Commands and flags take their names from the fields.
 type cli struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run a controller."`
-	Check   checkCmd   `cmd:"" help:"Check the files that a controller reads when it starts."`
+	Check   checkCmd   `cmd:"" help:"Check a settings file and an operators' script."`
 	Submit  submitCmd  `cmd:"" help:"Submit a job."`
 	Show    showCmd    `cmd:"" help:"Show a job: its phase, its tasks and the jobs that it waits for."`
 	Cancel  cancelCmd  `cmd:"" help:"Cancel a job and all jobs that depend on it."`
--- a/internal/loadtest/cellsload/main.go
+++ b/internal/loadtest/cellsload/main.go
@@ -1,9 +1,9 @@
-// Cellsload measures spillover on loopback: three cells of real controller processes
-// around simulated key-value stores and machines, under load that crowds on one cell after
-// the other, with controllers killed and links between cells cut. It counts tasks that
-// were on two machines at once, jobs without or with two final states, and how long jobs
-// wait and how many CPUs are idle, with and without spillover. It is a tool, not a
-// test, and runs for some minutes.
+// Cellsload measures spillover between cells on the loopback interface. It runs several cells
+// (three by default) of real controller processes with simulated key-value stores and machines,
+// puts a high load on one cell at a time, kills controllers and cuts links between cells. It counts
+// tasks that ran on two machines at once and jobs without a final state or with two, and measures
+// how long jobs wait and how many CPUs are idle, with and without spillover. It is a measuring
+// tool, not a test, and runs for some minutes.
 package main
 
 import (
@@ -17,9 +17,9 @@
 )
 
 const (
-	// startTime lets leaders be elected and machines send their first heartbeats.
-	startTime = 5 * time.Second
-	// resultsTimeout is how long users wait for their last results.
+	// startupTime is long enough to elect leaders and for machines to send their first heartbeats.
+	startupTime = 5 * time.Second
+	// resultsTimeout is how long the tool waits for the last jobs to finish after the load.
 	resultsTimeout = 4 * time.Minute
 )
 
@@ -37,14 +37,15 @@
 	Repeat   int           `default:"1" help:"How many runs there are."`
 	Seed     uint64        `default:"1" help:"Of the faults' times and places."`
 	Verbose  bool          `name:"direct" help:"Print each fault."`
-	// Takeovers and Away measure one cell whose leader ends and is not started again soon.
+	// Takeovers selects the measurement of takeovers in a single cell, whose leader is ended and
+	// started again after Away.
 	Takeovers int           `help:"Instead: end the leader of one cell so many times and measure the takeovers."`
 	Away      time.Duration `default:"40s" help:"How long an ended leader stays away."`
 	Graceful  bool          `name:"orderly" help:"Stop the leader gracefully instead of killing it."`
 	Extra     []string      `help:"Further arguments of each controller." placeholder:"ARG"`
 }
 
-// Run plays the load as often as requested.
+// Run performs the requested number of runs and prints the result of each, or measures takeovers.
 func (c *cli) Run() error {
 	binary, err := filepath.Abs(c.Binary)
 	if err != nil {
@@ -74,19 +75,19 @@
 		return nil, err
 	}
 	defer tb.close()
-	time.Sleep(startTime)
-	began := time.Now()
+	time.Sleep(startupTime)
+	start := time.Now()
 	stop := make(chan struct{})
 	faults := &faultInjector{testbed: tb, cli: c, stop: stop, random: rand.New(rand.NewPCG(seed, 1))}
 	go faults.run()
 	go tb.sampleIdle(stop)
 	tb.submitJobs(c)
 	close(stop)
-	tb.heal()
+	tb.endFaults()
 	tb.awaitResults(resultsTimeout)
-	r := tb.result(seed, time.Since(began))
+	r := tb.result(seed, time.Since(start))
 	if r.hasViolations() {
-		fmt.Println("files and logs are left in", dir)
+		fmt.Println("settings files and logs kept in", dir)
 	} else {
 		removeQuietly(dir)
 	}
