--- a/internal/controller/answerchecker_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -19,7 +19,7 @@
 	fail func(string)
 
 	mu         sync.Mutex
-	count      int
+	lastNumber int
 	violations int
 	answered   int
 	jobs       map[string]*answerLog
@@ -28,8 +28,8 @@
 // answerLog is what is known of one job independently of the nodes: what its user has
 // requested, what its tasks have done, and what was answered.
 type answerLog struct {
-	tasks                int
-	done                 map[string]bool
+	taskCount            int
+	completedTasks       map[string]bool
 	doneAt               time.Time
 	submitted, cancelled bool
 	// firstAcceptance is the number of the first answer with the job as accepted, firstEnd
@@ -38,8 +38,8 @@
 	end                       string
 	endAt                     time.Time
 	// byPhase counts the answers by phase; lines are the last ones.
-	byPhase map[string]int
-	lines   []string
+	byPhase       map[string]int
+	recentAnswers []string
 }
 
 func newAnswerChecker(t *testing.T) *answerChecker {
@@ -50,11 +50,11 @@
 	}
 }
 
-// of is the answer log of a job; the caller holds the lock.
-func (h *answerChecker) of(id string) *answerLog {
+// logOf is the answer log of a job; the caller holds the lock.
+func (h *answerChecker) logOf(id string) *answerLog {
 	j := h.jobs[id]
 	if j == nil {
-		j = &answerLog{done: map[string]bool{}, byPhase: map[string]int{}}
+		j = &answerLog{completedTasks: map[string]bool{}, byPhase: map[string]int{}}
 		h.jobs[id] = j
 	}
 	return j
@@ -66,19 +66,19 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if change != nil {
-		change(h.of(id))
+		change(h.logOf(id))
 	}
-	h.count++
-	return h.count
+	h.lastNumber++
+	return h.lastNumber
 }
 
-// completed records that a task has ended by itself on its machine.
-func (h *answerChecker) completed(task string) {
+// recordCompletion records that a task has ended by itself on its machine.
+func (h *answerChecker) recordCompletion(task string) {
 	id, _, _ := strings.Cut(task, "/")
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	j := h.of(id)
-	if j.done[task] = true; len(j.done) == j.tasks && j.doneAt.IsZero() {
+	j := h.logOf(id)
+	if j.completedTasks[task] = true; len(j.completedTasks) == j.taskCount && j.doneAt.IsZero() {
 		j.doneAt = time.Now()
 	}
 }
@@ -88,7 +88,7 @@
 	requestNumber int
 	verb          string
 	node          string
-	st            api.JobState
+	state         api.JobState
 	created       bool
 	err           error
 }
@@ -98,36 +98,36 @@
 func (h *answerChecker) recordResponse(id string, a userResponse) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.count++
-	j := h.of(id)
+	h.lastNumber++
+	j := h.logOf(id)
 	unknown := errors.Is(a.err, api.ErrUnknownJob)
 	if a.err != nil && !unknown {
 		return
 	}
 	h.answered++
-	phase := a.st.Phase
+	phase := a.state.Phase
 	if unknown {
 		phase = "unknown"
 	}
 	j.byPhase[phase]++
-	j.lines = append(j.lines, fmt.Sprintf("%s #%d-#%d %s at %s: %s",
-		time.Now().Format("05.000"), a.requestNumber, h.count, a.verb, a.node, phase))
-	if len(j.lines) > 12 {
-		j.lines = j.lines[1:]
+	j.recentAnswers = append(j.recentAnswers, fmt.Sprintf("%s #%d-#%d %s at %s: %s",
+		time.Now().Format("05.000"), a.requestNumber, h.lastNumber, a.verb, a.node, phase))
+	if len(j.recentAnswers) > 12 {
+		j.recentAnswers = j.recentAnswers[1:]
 	}
 	if rule := j.violation(id, a, unknown); rule != "" {
 		if h.violations++; h.violations <= 3 {
-			h.fail(fmt.Sprintf("%s: %s\n\t%s", id, rule, strings.Join(j.lines, "\n\t")))
+			h.fail(fmt.Sprintf("%s: %s\n\t%s", id, rule, strings.Join(j.recentAnswers, "\n\t")))
 		}
 	}
 	if unknown {
 		return
 	}
 	if j.firstAcceptance == 0 {
-		j.firstAcceptance = h.count
+		j.firstAcceptance = h.lastNumber
 	}
-	if a.st.Final() && j.firstEnd == 0 {
-		j.firstEnd, j.end, j.endAt = h.count, a.st.Phase, time.Now()
+	if a.state.Final() && j.firstEnd == 0 {
+		j.firstEnd, j.end, j.endAt = h.lastNumber, a.state.Phase, time.Now()
 	}
 }
 
@@ -141,41 +141,41 @@
 		return ""
 	case !j.submitted:
 		return "invented"
-	case a.st.ID != id:
+	case a.state.ID != id:
 		return "another job's state"
 	case a.created && later(j.firstAcceptance):
 		return "accepted once more"
-	case a.st.Final() && j.end != "" && j.end != a.st.Phase:
+	case a.state.Final() && j.end != "" && j.end != a.state.Phase:
 		return "another end than before"
-	case a.st.Phase == api.JobCancelled && !j.cancelled:
+	case a.state.Phase == api.JobCancelled && !j.cancelled:
 		return "cancelled though nobody has cancelled it"
-	case a.st.Phase == api.JobDone && len(j.done) < j.tasks:
+	case a.state.Phase == api.JobDone && len(j.completedTasks) < j.taskCount:
 		return "done before its tasks are"
-	case !a.st.Final() && later(j.firstEnd):
+	case !a.state.Final() && later(j.firstEnd):
 		return "something older than its end"
-	case a.verb == "cancel" && !a.st.Final():
+	case a.verb == "cancel" && !a.state.Final():
 		return "a cancellation answered with neither end"
 	}
 	return ""
 }
 
-// ask requests the state of a job, as submit, resubmitInvalid and cancel request something
+// queryJob requests the state of a job, as submit, resubmitInvalid and cancel request something
 // else, with the time for which a user waits for the answer.
-func (h *answerChecker) ask(n *node, id string) (api.JobState, error) {
+func (h *answerChecker) queryJob(n *node, id string) (api.JobState, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
 	a := userResponse{requestNumber: h.recordRequest(id, nil), verb: "question", node: n.Settings.Node}
-	a.st, a.err = n.Job(ctx, id)
+	a.state, a.err = n.Job(ctx, id)
 	h.recordResponse(id, a)
-	return a.st, a.err
+	return a.state, a.err
 }
 
 func (h *answerChecker) submit(n *node, s *api.JobSpec) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
 	a := userResponse{verb: "submission", node: n.Settings.Node}
-	a.requestNumber = h.recordRequest(s.ID, func(j *answerLog) { j.submitted, j.tasks = true, s.Tasks })
-	a.st, a.created, a.err = n.Submit(ctx, s)
+	a.requestNumber = h.recordRequest(s.ID, func(j *answerLog) { j.submitted, j.taskCount = true, s.Tasks })
+	a.state, a.created, a.err = n.Submit(ctx, s)
 	h.recordResponse(s.ID, a)
 	return a.err
 }
@@ -185,7 +185,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
 	a := userResponse{requestNumber: h.recordRequest(id, nil), verb: "invalid repeat", node: n.Settings.Node}
-	a.st, a.err = n.RecordedJob(ctx, id)
+	a.state, a.err = n.RecordedJob(ctx, id)
 	h.recordResponse(id, a)
 }
 
@@ -194,7 +194,7 @@
 	defer cancel()
 	a := userResponse{verb: "cancel", node: n.Settings.Node}
 	a.requestNumber = h.recordRequest(id, func(j *answerLog) { j.cancelled = true })
-	a.st, a.err = n.Cancel(ctx, id)
+	a.state, a.err = n.Cancel(ctx, id)
 	h.recordResponse(id, a)
 	return a.err
 }
@@ -203,7 +203,7 @@
 func (h *answerChecker) cancelRequested(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.of(id).cancelled
+	return h.logOf(id).cancelled
 }
 
 // retryUntilAnswered repeats a user's request once a second until it is answered, for a minute at
@@ -230,7 +230,7 @@
 func (h *answerChecker) end(id string) (string, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	j := h.of(id)
+	j := h.logOf(id)
 	return j.end, j.endAt
 }
 
@@ -238,14 +238,14 @@
 func (h *answerChecker) doneAt(id string) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.of(id).doneAt
+	return h.logOf(id).doneAt
 }
 
 // answerStep is an answer that a node gives in a test of the checker's rules.
 type answerStep struct {
-	number int // of the request; 0: sent after all answers before it
-	verb   string
-	phase  string
+	requestNumber int // of the request; 0: sent after all answers before it
+	verb          string
+	phase         string
 }
 
 // unknownJob stands for the answer that a job is unknown.
@@ -360,15 +360,15 @@
 			var got []string
 			h := &answerChecker{fail: func(s string) { got = append(got, s) }, jobs: map[string]*answerLog{}}
 			h.recordRequest("job-1", func(j *answerLog) {
-				j.submitted, j.cancelled, j.tasks = c.submitted, c.cancelled, 2
+				j.submitted, j.cancelled, j.taskCount = c.submitted, c.cancelled, 2
 			})
 			for i := range c.completed {
-				h.completed(fmt.Sprint("job-1/", i))
+				h.recordCompletion(fmt.Sprint("job-1/", i))
 			}
 			for _, s := range c.steps {
-				a := userResponse{requestNumber: s.number, verb: s.verb, created: s.verb == "created"}
-				a.st = api.JobState{ID: "job-1", Phase: s.phase}
-				if s.number == 0 {
+				a := userResponse{requestNumber: s.requestNumber, verb: s.verb, created: s.verb == "created"}
+				a.state = api.JobState{ID: "job-1", Phase: s.phase}
+				if s.requestNumber == 0 {
 					a.requestNumber = h.recordRequest("job-1", nil)
 				}
 				if s.phase == unknownJob {
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -11,7 +11,7 @@
 // poll asks a node for a job's state. The answer checker judges the response; the error is
 // dropped, since a node may fail any single request.
 func (tn *userCluster) poll(node int, id string) {
-	_, _ = tn.checker.ask(tn.nodeAt(node), id)
+	_, _ = tn.checker.queryJob(tn.nodeAt(node), id)
 }
 
 // answerCase is a fault at the moment when users act on their jobs.
@@ -24,11 +24,11 @@
 }
 
 func rejectFirstNode(tn *userCluster) {
-	tn.ways[0].set(true)
+	tn.ways[0].setClosed(true)
 	time.Sleep(9 * time.Second)
 }
 
-func acceptFirstNode(tn *userCluster) { tn.ways[0].set(false) }
+func acceptFirstNode(tn *userCluster) { tn.ways[0].setClosed(false) }
 
 var answerCases = []answerCase{
 	{name: "no fault", step: 13 * time.Millisecond},
@@ -176,7 +176,7 @@
 	time.Sleep(3080 * time.Millisecond)
 	want := map[string]string{}
 	for i, s := range specs {
-		state, err := tn.checker.ask(tn.nodeAt(i), s.ID)
+		state, err := tn.checker.queryJob(tn.nodeAt(i), s.ID)
 		if err != nil || !state.Final() {
 			w.t.Errorf("%s, 3 s after its end: got %v, %v, want an end", s.ID, state, err)
 		}
--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -18,7 +18,7 @@
 		running := 0
 		for _, name := range []string{"i-1", "i-2", "i-3"} {
 			k := w.worker(name, "a", false)
-			k.serve(n, 3)
+			k.heartbeatFor(n, 3)
 			running += len(k.running())
 		}
 		w.checkEqual("running", running, 6)
@@ -68,10 +68,10 @@
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, spec("job-2", 1))
 		for range 8 {
-			k.serve(n, 1)
+			k.heartbeatFor(n, 1)
 			k.exit(api.CauseError)
 		}
-		k.serve(n, 3)
+		k.heartbeatFor(n, 3)
 		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
 	})
 }
@@ -177,7 +177,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(n, 3)
+		k.heartbeatFor(n, 3)
 		first, second := spec("job-1", 2), spec("job-2", 9)
 		first.DeadlineS, second.DeadlineS, second.Image = 60, 90, "other"
 		w.submit(n, first)
@@ -192,12 +192,12 @@
 		for i := range k.status.Tasks {
 			k.status.Tasks[i].Phase = api.TaskPulling
 		}
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		w.checkEqual("running while it is fetched", len(k.running()), 2)
 		for i := range k.status.Tasks {
 			k.status.Tasks[i].Phase = api.TaskRunning
 		}
-		k.serve(n, 1)
+		k.heartbeatFor(n, 1)
 		w.checkEqual("running once it is there", len(k.running()), 4)
 	})
 }
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -107,9 +107,9 @@
 	w.t.Helper()
 	k := w.worker("i-1", "a", false)
 	w.submit(n, spec("job-1", 1))
-	k.serve(n, 3)
+	k.heartbeatFor(n, 3)
 	k.exit(api.CauseDone)
-	k.serve(n, 3)
+	k.heartbeatFor(n, 3)
 	w.submit(n, spec("job-2", 1))
 	if _, err := n.Cancel(context.Background(), "job-2"); err != nil {
 		w.t.Fatal(err)
@@ -519,7 +519,7 @@
 				}
 				workers[2].status.Type = "cards"
 				for _, k := range workers {
-					k.serve(n, 2)
+					k.heartbeatFor(n, 2)
 				}
 				c.change["Shoots"] = c.tasks
 				body := w.submissionBody("job-1", c.change)
--- a/internal/controller/cancel_test.go
+++ b/internal/controller/cancel_test.go
@@ -16,7 +16,7 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, spec("job-2", 1))
-		k.serve(n, 3)
+		k.heartbeatFor(n, 3)
 		w.store.Delay(writesPrefix(records.TerminalPrefix + "job-1"))
 		k.exit(api.CauseDone)
 		k.heartbeat(n)
@@ -31,7 +31,7 @@
 			w.checkEqual("late transaction applied", res.Succeeded, false)
 		}
 		for range 8 {
-			k.serve(n, 1)
+			k.heartbeatFor(n, 1)
 			w.checkEqual("phase", w.phase(n, "job-1"), "withdrawn")
 		}
 		st, err = n.Cancel(w.t.Context(), "job-2")
@@ -48,7 +48,7 @@
 		leader, other := w.start("n0"), w.start("n1")
 		k := w.worker("i-1", "a", false)
 		w.submit(leader, spec("job-1", 2))
-		k.serve(leader, 3)
+		k.heartbeatFor(leader, 3)
 		w.checkEqual("running", len(k.running()), 2)
 		w.store.SetWatchesBlind(true)
 		if st, err := other.Cancel(w.t.Context(), "job-1"); err != nil || st.Phase != api.JobCancelled {
@@ -58,7 +58,7 @@
 			w.t.Errorf("leader, after another node reported withdrawn: got phase %s, want withdrawn or an error", got)
 		}
 		w.store.SetWatchesBlind(false)
-		k.serve(leader, 3)
+		k.heartbeatFor(leader, 3)
 		w.checkEqual("running once stopped", len(k.running()), 0)
 		w.checkEqual("phase at the leader", w.phase(leader, "job-1"), "withdrawn")
 		w.checkEqual("phase at the other node", w.phase(other, "job-1"), "withdrawn")
--- a/internal/controller/cancelcascade_test.go
+++ b/internal/controller/cancelcascade_test.go
@@ -74,7 +74,7 @@
 func checkCascadeOfThousands(w *simulatedCluster, dependsOn func(i int) []string) {
 	w.t.Helper()
 	const jobs = 3000
-	w.state = config.KVLimits{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12}
+	w.storeLimits = config.KVLimits{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12}
 	ids := w.putDependentJobs(jobs, dependsOn)
 	sample := []string{ids[1], ids[2], ids[jobs/2], ids[jobs-2], ids[jobs-1]}
 	allCancelled := map[string]int{api.JobCancelled: jobs}
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -48,18 +48,18 @@
 		ks := make([]*worker, 4)
 		for i := range ks {
 			ks[i] = w.worker(fmt.Sprint("i-", i), "a", false)
-			ks[i].serve(n, 3)
+			ks[i].heartbeatFor(n, 3)
 		}
 		first := spec("job-1", 8)
 		first.ImageGB = 6
 		w.submit(n, first)
-		ks[0].serve(n, 2)
-		ks[1].serve(n, 2)
+		ks[0].heartbeatFor(n, 2)
+		ks[1].heartbeatFor(n, 2)
 		w.checkEqual("running on two machines", countRunning(ks[:2]...), 8)
 		ks[0].exit(api.CauseDone)
 		ks[1].exit(api.CauseDone)
-		ks[0].serve(n, 3)
-		ks[1].serve(n, 3)
+		ks[0].heartbeatFor(n, 3)
+		ks[1].heartbeatFor(n, 3)
 		second := spec("job-2", 10)
 		second.ImageGB = 6
 		w.submit(n, second)
@@ -128,7 +128,7 @@
 		}
 		w.checkEqual("most tasks on the machine", maxTasks, cluster.MaxMachineAttempts)
 		k.exit(api.CauseDone)
-		k.serve(n, 4)
+		k.heartbeatFor(n, 4)
 		w.checkEqual("phase", w.phase(n, s.ID), api.JobDone)
 	})
 }
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -113,7 +113,7 @@
 			w.cells.Neighbours = append(w.cells.Neighbours, cells.Neighbour{Cell: other})
 		}
 	}
-	w.link = cellLink{g, name}
+	w.cellClient = cellLink{g, name}
 	for i := range machines {
 		c.agents = append(c.agents, w.worker(fmt.Sprintf("i-%s%02d", name[5:], i), "a", true))
 	}
--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -22,11 +22,11 @@
 	checker *runChecker
 	// ctx ends when the test does, before the nodes do; tasks are the goroutines of machines,
 	// users and injected faults, which end with it.
-	ctx   context.Context
-	tasks sync.WaitGroup
+	ctx        context.Context
+	goroutines sync.WaitGroup
 
 	mu    sync.Mutex
-	links *links
+	links *peerLinks
 	names []string
 	nodes map[string]*node
 	gates map[string]*slowGate
@@ -68,7 +68,7 @@
 	s := &checkedCluster{
 		simulatedCluster: w,
 		ctx:              ctx,
-		links:            &links{},
+		links:            &peerLinks{},
 		names:            []string{"n0", "n1"},
 		nodes:            map[string]*node{},
 		gates:            map[string]*slowGate{},
@@ -76,17 +76,17 @@
 	w.heartbeatS = heartbeatS
 	w.commandSender = s
 	s.checker = &runChecker{
-		w:     w,
-		t0:    time.Now(),
-		jobs:  map[string]*observedJob{},
-		runs:  map[run]bool{},
-		hosts: map[string]*host{},
+		cluster:   w,
+		startedAt: time.Now(),
+		jobs:      map[string]*observedJob{},
+		runs:      map[run]bool{},
+		hosts:     map[string]*host{},
 	}
 	defer func() {
 		cancel()
-		s.tasks.Wait()
+		s.goroutines.Wait()
 	}()
-	s.tasks.Go(s.runMachines)
+	s.goroutines.Go(s.runMachines)
 	s.startNode("n0")
 	s.startNode("n1")
 	for i := range machines {
@@ -146,16 +146,16 @@
 // for a while.
 func (s *checkedCluster) handOver() {
 	if name := s.leader(); name != "" {
-		s.gates[name].set(true)
-		s.tasks.Go(func() {
+		s.gates[name].setClosed(true)
+		s.goroutines.Go(func() {
 			sleepUnlessZero(s.ctx, 8*time.Second)
-			s.gates[name].set(false)
+			s.gates[name].setClosed(false)
 		})
 	}
 }
 
-// restart ends the leader, and starts it again after a while.
-func (s *checkedCluster) restart(after time.Duration) {
+// restartLeader ends the leader, and starts it again after a while.
+func (s *checkedCluster) restartLeader(after time.Duration) {
 	if name := s.leader(); name != "" {
 		s.crash(name)
 		time.Sleep(after)
@@ -209,7 +209,7 @@
 		s.checker.mu.Lock()
 		s.checker.jobs[id].cancelRequestedAt = time.Now()
 		s.checker.mu.Unlock()
-		s.tasks.Go(func() {
+		s.goroutines.Go(func() {
 			s.retryRequest("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
 				st, err := n.Cancel(ctx, id)
 				if err == nil {
@@ -225,7 +225,7 @@
 func (s *checkedCluster) awaitAllEnded(within time.Duration) {
 	s.t.Helper()
 	s.checker.mu.Lock()
-	s.checker.healed = true
+	s.checker.faultsHealed = true
 	ids := slices.Sorted(maps.Keys(s.checker.jobs))
 	s.checker.mu.Unlock()
 	deadline := time.Now().Add(within)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -38,7 +38,7 @@
 // recordPhases has the run checker record, every second, the phases that both nodes answer for jobs.
 func (s *checkedCluster) recordPhases(ids ...string) {
 	for _, id := range ids {
-		s.tasks.Go(func() {
+		s.goroutines.Go(func() {
 			for s.ctx.Err() == nil {
 				for _, name := range s.names {
 					if n := s.node(name); n != nil {
@@ -89,7 +89,7 @@
 						for _, id := range diamondJobs {
 							s.checkEqual("phase of "+id, s.phase(s.node("n0"), id), api.JobDone)
 						}
-						s.checkEqual("started again when done", s.checker.restartedWhenDone(), []string(nil))
+						s.checkEqual("started again when done", s.checker.restartedAfterCompletion(), []string(nil))
 					})
 				})
 			}
@@ -105,13 +105,13 @@
 	s.recordPhases(append(diamondJobs, "job-6", "job-7")...)
 	time.Sleep(3 * time.Second)
 	if c.offset < 0 {
-		s.tasks.Go(func() { c.change(s) })
+		s.goroutines.Go(func() { c.change(s) })
 		time.Sleep(-c.offset)
 		s.cancel(victim)
 	} else {
 		s.cancel(victim)
 		time.Sleep(c.offset)
-		s.tasks.Go(func() { c.change(s) })
+		s.goroutines.Go(func() { c.change(s) })
 	}
 	s.submitJob(2*time.Second, dependentSpec("job-6", "red", 1, victim))
 	s.submitJob(2*time.Second, dependentSpec("job-7", "blue", 1, "job-6", "job-9"))
@@ -178,9 +178,9 @@
 			w.checkEqual(name, submitAfter(n, id, dependsOn...), want)
 		}
 		w.submit(n, spec("job-1", 1))
-		k.serve(n, 3)
+		k.heartbeatFor(n, 3)
 		k.exit(api.CauseDone)
-		k.serve(n, 4)
+		k.heartbeatFor(n, 4)
 		w.checkEqual("phase of the first job", w.phase(n, "job-1"), api.JobDone)
 		w.submit(n, spec("job-2", 1))
 		w.submit(n, dependentSpec("job-3", "red", 1, "job-2"))
@@ -265,7 +265,7 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, dependentSpec("job-2", "red", 100, "job-1"))
-		k.serve(n, 100)
+		k.heartbeatFor(n, 100)
 		n.inspect(func(c *Controller) {
 			lt := c.leaderTerm
 			view := lt.fleetView(time.Now())
@@ -282,7 +282,7 @@
 			t.Error(err)
 		}
 		k.exit(api.CauseDone)
-		k.serve(n, 3)
+		k.heartbeatFor(n, 3)
 		w.checkEqual("running", len(k.running()), 4)
 		n.inspect(func(c *Controller) {
 			j := c.leaderTerm.jobs["job-2"]
@@ -418,7 +418,7 @@
 // cancelled job are still cancelled in time.
 func TestCancellationsCascadeUnderLoad(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		w.state = config.KVLimits{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
+		w.storeLimits = config.KVLimits{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
 		for i := range 20 {
@@ -516,7 +516,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		spot := w.worker("i-1", "a", true)
-		spot.serve(n, 4)
+		spot.heartbeatFor(n, 4)
 		onDemand := func(zone string) int {
 			w.cloud.mu.Lock()
 			defer w.cloud.mu.Unlock()
@@ -529,7 +529,7 @@
 			return sum
 		}
 		n.inspect(func(c *Controller) { c.Policy.MinCPUs = 0 })
-		spot.serve(n, 20) // launches that the cloud rejected may be repeated
+		spot.heartbeatFor(n, 20) // launches that the cloud rejected may be repeated
 		w.cloud.mu.Lock()
 		w.cloud.capacity, w.cloud.launches = 10, nil
 		w.cloud.mu.Unlock()
@@ -538,16 +538,16 @@
 		w.submit(n, first)
 		w.submit(n, second)
 		w.checkEqual("launched before its dependency has started", onDemand(""), 0)
-		spot.serve(n, 5)
+		spot.heartbeatFor(n, 5)
 		w.checkEqual("running", len(spot.running()), 1)
 		w.checkEqual("launched in time", onDemand(""), 1)
 		zone := spec("job-3", 6)
 		zone.Spot, zone.Zone = false, "b"
 		w.submit(n, zone)
-		spot.serve(n, 8)
+		spot.heartbeatFor(n, 8)
 		w.checkEqual("launched in its zone", onDemand("b"), 2)
 		before := onDemand("")
-		spot.serve(n, 8)
+		spot.heartbeatFor(n, 8)
 		w.checkEqual("launched while those are provisioning", onDemand(""), before)
 	})
 }
@@ -638,7 +638,7 @@
 		t.Run(fmt.Sprint(lim.WriteRPS, " ", lim.TxnOps), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				const cancelS = 30
-				w.state = lim
+				w.storeLimits = lim
 				w.store.SetLimits(int(lim.ValueKB*1024), lim.TxnOps)
 				n := w.start("n0")
 				w.submit(n, spec("job-0", 1))
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -53,19 +53,19 @@
 
 func (c longListCase) run(w *simulatedCluster) {
 	w.t.Helper()
-	w.state = config.KVLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
+	w.storeLimits = config.KVLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
 	w.store.SetLimits(2048, 3)
 	n := w.start("n0")
 	k := w.worker("i-1", "a", false)
 	w.submit(n, spec("job-1", 1))
 	w.submit(n, dependentSpec("job-2", "red", 1, append(w.manyDone(600), "job-1")...))
 	w.submit(n, dependentSpec("job-3", "red", 1, "job-2"))
-	k.serve(n, 4)
+	k.heartbeatFor(n, 4)
 	if c.newLeader {
 		n.crash()
 		n = w.start("n0")
 	}
-	k.serve(n, 6)
+	k.heartbeatFor(n, 6)
 	w.checkEqual("running", k.running(), []string{"job-1/0"})
 	n.inspect(func(c *Controller) {
 		maxHeld := cluster.MaxEndedDependencies + 2
@@ -78,13 +78,13 @@
 	w.checkEqual("waits for the jobs", []any{st.DependsOn, err}, []any{[]string{"job-1"}, nil})
 	if c.wantPhase == api.JobDone {
 		k.exit(api.CauseDone)
-		k.serve(n, 4)
+		k.heartbeatFor(n, 4)
 		w.checkEqual("running when job-1 is done", k.running(), []string{"job-2/0"})
 		k.exit(api.CauseDone)
 	} else if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 		w.t.Fatal(err)
 	}
-	k.serve(n, 8)
+	k.heartbeatFor(n, 8)
 	w.checkEqual("phase in the end", w.phase(n, "job-2"), c.wantPhase)
 	w.checkEqual("dependency records left", w.keysUnder(records.DependencyPrefix), []string(nil))
 	w.checkEqual("rejected for size", w.store.RejectedAsTooLarge(), []string(nil))
@@ -103,7 +103,7 @@
 // and for lists of jobs that may be about to be accepted.
 func TestStaleDependencyListsAreRemoved(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		w.state = config.KVLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
+		w.storeLimits = config.KVLimits{RPS: 100, WriteRPS: 25, ValueKB: 2, TxnOps: 3}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, dependentSpec("job-2", "red", 1, append(w.manyDone(300), "job-1")...))
@@ -128,7 +128,7 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, dependentSpec("job-2", "red", 1, "job-1"))
-		k.serve(n, 40)
+		k.heartbeatFor(n, 40)
 		k.exit(api.CauseDone)
 		k.heartbeat(n)
 		done := time.Now()
@@ -199,13 +199,13 @@
 				n.crash()
 				st.closed.Store(true)
 				n = w.startWith("n0", st, nil)
-				k.serve(n, 30)
+				k.heartbeatFor(n, 30)
 				w.checkEqual("running", k.running(), []string(nil))
 				if reads := st.rejected.Load(); reads < 5 || reads > 150 {
 					t.Errorf("reads of terminal records: got %d, want 5 to 150", reads)
 				}
 				st.closed.Store(false)
-				k.serve(n, 5)
+				k.heartbeatFor(n, 5)
 				w.checkEqual("running in the end", k.running(), []string{"job-1/0"})
 			})
 		})
@@ -270,19 +270,19 @@
 	simulate(t, func(w *simulatedCluster) {
 		leader, other := w.start("n0"), w.start("n1")
 		k := w.worker("i-1", "a", false)
-		k.serve(leader, 2)
+		k.heartbeatFor(leader, 2)
 		w.store.SetWatchesBlind(true)
 		w.submit(other, spec("job-1", 1))
 		w.submit(leader, dependentSpec("job-2", "red", 1, "job-1"))
 		w.submit(other, dependentSpec("job-3", "red", 1, "job-2", "job-1"))
-		k.serve(leader, 5)
+		k.heartbeatFor(leader, 5)
 		w.checkEqual("running while watches are blind", k.running(), []string(nil))
 		w.store.SetWatchesBlind(false)
-		k.serve(leader, 6)
+		k.heartbeatFor(leader, 6)
 		w.checkEqual("running", k.running(), []string{"job-1/0"})
 		for _, id := range []string{"job-2/0", "job-3/0"} {
 			k.exit(api.CauseDone)
-			k.serve(leader, 4)
+			k.heartbeatFor(leader, 4)
 			w.checkEqual("running next", k.running(), []string{id})
 		}
 	})
--- a/internal/controller/directcommands_test.go
+++ b/internal/controller/directcommands_test.go
@@ -72,7 +72,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	agent := s.machines[addr]
-	if _, dead := agent.w.dead.Load(addr); dead {
+	if _, dead := agent.cluster.dead.Load(addr); dead {
 		return nil, api.ErrCommandsNotApplied
 	}
 	agent.mu.Lock()
@@ -131,7 +131,7 @@
 	for i := range agents {
 		agents[i] = w.worker(fmt.Sprint("i-", i), "a", false)
 		sender.machines[agents[i].status.Machine] = agents[i]
-		agents[i].serve(n, 3)
+		agents[i].heartbeatFor(n, 3)
 	}
 	return n, sender, agents
 }
@@ -178,8 +178,8 @@
 		sender.setMode(rejectBatches)
 		w.submit(n, spec("job-2", 1))
 		time.Sleep(time.Second)
-		agents[0].serve(n, 6)
-		agents[1].serve(n, 1)
+		agents[0].heartbeatFor(n, 6)
+		agents[1].heartbeatFor(n, 1)
 		w.checkEqual("running once a heartbeat response carried the rejected start", countRunning(agents...), 7)
 	})
 }
@@ -207,19 +207,19 @@
 			time.Sleep(time.Second)
 		}
 		w.submit(n, spec("job-4", 6))
-		busy.serve(n, 2)
-		other.serve(n, 2)
+		busy.heartbeatFor(n, 2)
+		other.heartbeatFor(n, 2)
 		w.checkEqual("tasks on the machine with the unknown outcome", countRunning(other), 0)
 		w.checkEqual("applied late", sender.applyDelayed(), 1)
 		w.checkEqual("running once applied", other.running(), []string{"job-2/0"})
-		other.serve(n, 2)
+		other.heartbeatFor(n, 2)
 		other.exit(api.CauseDone)
-		other.serve(n, 3)
+		other.heartbeatFor(n, 3)
 		w.checkEqual("phase", w.phase(n, "job-2"), "done")
 		busy.exit(api.CauseDone)
-		busy.serve(n, 3)
+		busy.heartbeatFor(n, 3)
 		busy.exit(api.CauseDone)
-		busy.serve(n, 2)
+		busy.heartbeatFor(n, 2)
 		checkNewAgentEpochRejectsDelayed(w, n, sender, busy)
 	})
 }
@@ -245,8 +245,8 @@
 	w.t.Helper()
 	third := w.worker("i-3", "a", false)
 	sender.machines["i-3"] = third
-	third.serve(n, 3)
-	agent.serve(n, 1)
+	third.heartbeatFor(n, 3)
+	agent.heartbeatFor(n, 1)
 	sender.setMode(delayBatches)
 	w.submit(n, spec("job-3", 1))
 	time.Sleep(3 * time.Second)
@@ -261,8 +261,8 @@
 	restarted.status.Tasks = nil
 	restarted.heartbeat(n)
 	w.checkEqual("applied in a new agent epoch", sender.applyDelayed(), 0)
-	agent.serve(n, 3)
-	third.serve(n, 3)
+	agent.heartbeatFor(n, 3)
+	third.heartbeatFor(n, 3)
 	w.checkEqual("running after the new agent epoch", countRunning(agent, third), 1)
 }
 
@@ -277,17 +277,17 @@
 				n, sender, agents := w.startWithSlowHeartbeats(1)
 				machine := agents[0]
 				w.submit(n, spec("job-0", 1)) // keeps the machine in use
-				machine.serve(n, 2)
+				machine.heartbeatFor(n, 2)
 				sender.setMode(delayBatches)
 				w.submit(n, spec("job-1", 1))
 				time.Sleep(3 * time.Second)
 				sender.setMode(deliverBatches)
 				w.checkEqual("applied late", sender.applyDelayed(), 1)
-				machine.serve(n, 2)
+				machine.heartbeatFor(n, 2)
 				w.checkEqual("running", machine.running(), []string{"job-0/0", "job-1/0"})
 				w.checkEqual("terminated while its tasks run", w.cloud.terminated("i-0"), false)
 				machine.exit(cause)
-				machine.serve(n, 6)
+				machine.heartbeatFor(n, 6)
 				w.checkEqual("terminated after its tasks", w.cloud.terminated("i-0"), true)
 			})
 		})
@@ -407,8 +407,8 @@
 		first.crash()
 		sender.setMode(rejectBatches) // so that only heartbeat responses carry starts
 		second := w.start("n0")
-		agents[0].serve(second, 2)
-		agents[1].serve(second, 2)
+		agents[0].heartbeatFor(second, 2)
+		agents[1].heartbeatFor(second, 2)
 		resync := func(agent *worker) {
 			var err error
 			second.inspect(func(c *Controller) {
@@ -429,10 +429,10 @@
 			w.t.Fatalf("got commands %v, error %v, want 4 commands", commands, err)
 		}
 		resync(agents[0])
-		agents[1].serve(second, 3)
+		agents[1].heartbeatFor(second, 3)
 		w.checkEqual("running elsewhere", agents[1].running(), []string(nil))
 		agents[0].applyCommands(commands)
-		agents[0].serve(second, 2)
+		agents[0].heartbeatFor(second, 2)
 		w.checkEqual("running", countRunning(agents[0]), 4)
 
 		// A lost response is detected from the machine's next agent-initiated heartbeat or from a
@@ -448,7 +448,7 @@
 		second.inspect(func(c *Controller) {
 			w.checkEqual("unassigned again", c.leaderTerm.jobs["job-2"].Flight.Untaken(), 2)
 		})
-		agents[1].serve(second, 6)
+		agents[1].heartbeatFor(second, 6)
 		w.checkEqual("started again", countRunning(agents[1]), 2)
 	})
 }
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -482,7 +482,7 @@
 	if storeToo {
 		// The leader cannot read the next term from the store. Treating its cancellations as
 		// confirmed leaves the lease quorum as the only check that can stop its starts.
-		s.gates[leader].set(true)
+		s.gates[leader].setClosed(true)
 		n.inspect(func(c *Controller) { c.leaderTerm.cancellationsConfirmedAt = time.Now().Add(time.Hour) })
 	}
 	time.Sleep(13 * time.Second)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -20,7 +20,7 @@
 			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
 				partitioned, healthy := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
-				partitioned.serve(n, 2)
+				partitioned.heartbeatFor(n, 2)
 				w.submit(n, spec("job-1", 1))
 				if !answersProbes {
 					w.dead.Store("i-1", true)
@@ -38,7 +38,7 @@
 				if starts < 2 || starts > 5 {
 					t.Errorf("got %d starts in %d heartbeats, want 2 to 5", starts, heartbeats)
 				}
-				healthy.serve(n, 5)
+				healthy.heartbeatFor(n, 5)
 				w.checkEqual("tasks elsewhere", len(healthy.running()), 1)
 			})
 		})
@@ -60,15 +60,15 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		for i := range 12 {
 			w.submit(n, spec("job-"+string(rune('1'+i)), 1))
 			if _, err := k.sendHeartbeat(n); err != nil { // its response is lost
 				t.Fatal(err)
 			}
-			k.serve(n, 2)
+			k.heartbeatFor(n, 2)
 			k.exit(api.CauseDone)
-			k.serve(n, 2)
+			k.heartbeatFor(n, 2)
 		}
 		w.checkEqual("terminated", w.cloud.terminated("i-1"), false)
 	})
@@ -80,7 +80,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		w.dead.Store("i-1", true)
 		for range 10 {
 			if w.cloud.terminated("i-1") {
@@ -104,9 +104,9 @@
 		simulate(t, func(w *simulatedCluster) {
 			a := w.start("n0")
 			partitioned, healthy := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
-			partitioned.serve(a, 2)
+			partitioned.heartbeatFor(a, 2)
 			w.submit(a, spec("job-1", 4))
-			partitioned.serve(a, 2)
+			partitioned.heartbeatFor(a, 2)
 			w.checkEqual("running", len(partitioned.running()), 4)
 			a.crash()
 			if !answersProbes {
@@ -134,11 +134,11 @@
 		n := w.start("n0")
 		k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		w.submit(n, spec("job-1", 1))
-		k.serve(n, 3)
+		k.heartbeatFor(n, 3)
 		w.checkEqual("running", len(k.running()), 1)
 		copied := k.status
 		copied.Tasks = slices.Clone(k.status.Tasks)
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		w.dead.Store("i-1", true) // dies; copies of its heartbeats still arrive
 		for range 12 {
 			hb := copied
@@ -162,7 +162,7 @@
 		first := dead.status // its very first heartbeat, with no fencing token
 		first.Seq = 1
 		w.submit(a, spec("job-1", 1))
-		dead.serve(a, 3)
+		dead.heartbeatFor(a, 3)
 		w.checkEqual("first run", len(dead.running()), 1)
 		copied := dead.status
 		copied.Tasks = slices.Clone(dead.status.Tasks)
@@ -242,7 +242,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		big := spec("job-1", 60)
 		big.EstimateS = 60
 		w.submit(n, big)
@@ -313,13 +313,13 @@
 		w.store.Delay(nil)
 		b := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(b, 2)
+		k.heartbeatFor(b, 2)
 		term := k.status.Term
 		w.checkEqual("new incarnation leads", term > 0, true)
 		for _, res := range w.store.ApplyDelayed() {
 			w.checkEqual("late takeover applied", res.Succeeded, false)
 		}
-		k.serve(b, 8)
+		k.heartbeatFor(b, 8)
 		w.checkEqual("term", k.status.Term, term)
 
 		w.store.Delay(writesPrefix(records.ActivePrefix))
@@ -333,15 +333,15 @@
 		w.store.Delay(nil)
 		c := w.start("n0")
 		w.submit(c, spec("job-1", 1))
-		k.serve(c, 4)
+		k.heartbeatFor(c, 4)
 		k.exit(api.CauseDone)
-		k.serve(c, 4)
+		k.heartbeatFor(c, 4)
 		w.checkEqual("phase", w.phase(c, "job-1"), "done")
 		for _, res := range w.store.ApplyDelayed() {
 			w.checkEqual("late record applied", res.Succeeded, false)
 		}
 		w.checkEqual("phase", w.phase(c, "job-1"), "done")
-		k.serve(c, 3)
+		k.heartbeatFor(c, 3)
 		w.checkEqual("started again", len(k.running()), 0)
 	})
 }
@@ -357,7 +357,7 @@
 		w.store.LoseResponses(nil)
 		b := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(b, 2)
+		k.heartbeatFor(b, 2)
 		w.checkEqual("term of its own", k.status.Term, 2)
 	})
 }
@@ -370,7 +370,7 @@
 		n := w.start("n0")
 		partitioned := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 2))
-		partitioned.serve(n, 3)
+		partitioned.heartbeatFor(n, 3)
 		w.checkEqual("running", len(partitioned.running()), 2)
 		w.dead.Store("i-1", true)
 		if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
@@ -396,16 +396,16 @@
 			w.submit([]*node{a, b}[i%2], spec(fmt.Sprint("job-", i), 1))
 		}
 		k := w.worker("i-1", "", false)
-		k.serve(a, 3)
+		k.heartbeatFor(a, 3)
 		l.partitioned.Store(true)
-		ga.set(true)
+		ga.setClosed(true)
 		time.Sleep(20 * time.Second)
 		w.store.SetDown(true)
-		gb.set(true)
+		gb.setClosed(true)
 		time.Sleep(15 * time.Second)
 		w.store.SetDown(false)
-		ga.set(false)
-		gb.set(false)
+		ga.setClosed(false)
+		gb.setClosed(false)
 		l.partitioned.Store(false)
 		k.exit(api.CauseDone)
 		for range 15 {
@@ -430,11 +430,11 @@
 	simulate(t, func(w *simulatedCluster) {
 		a := w.start("n0")
 		k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
-		k.serve(a, 3)
+		k.heartbeatFor(a, 3)
 		w.submit(a, spec("job-1", 4))
-		k.serve(a, 6)
+		k.heartbeatFor(a, 6)
 		w.checkEqual("running", len(k.running()), 4)
-		other.serve(a, 3)
+		other.heartbeatFor(a, 3)
 		k.status.Seq, k.status.Term, k.status.Tasks = 0, 0, nil
 		for range 15 {
 			if !w.cloud.terminated("i-1") {
@@ -455,7 +455,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		hb := k.status
 		hb.Term, hb.Seq = hb.Term+1, hb.Seq+1
 		n.inspect(func(c *Controller) {
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -95,12 +95,12 @@
 	heartbeatS float64
 	// cancelS is how long a cancellation may take, in seconds; 0 means 30.
 	cancelS float64
-	// state holds the limits of the key-value store as the nodes know them; the zero value
+	// storeLimits holds the limits of the key-value store as the nodes know them; the zero value
 	// means those of a usual site.
-	state config.KVLimits
+	storeLimits config.KVLimits
 	// cells and link are set if there are other cells.
-	cells *cells.Settings
-	link  CellLink
+	cells      *cells.Settings
+	cellClient CellLink
 	// standby is set if a failover may elect a leader before the lease of the last one
 	// expires.
 	standby *standby.Settings
@@ -113,8 +113,8 @@
 	machines sync.Map
 	// ctx ends with the cluster, and ends all nodes; running counts the goroutines that run
 	// until then.
-	ctx     context.Context
-	running sync.WaitGroup
+	ctx            context.Context
+	nodeGoroutines sync.WaitGroup
 }
 
 // Probe implements Prober.
@@ -166,7 +166,7 @@
 	}
 	t.Cleanup(func() {
 		cancel()
-		w.running.Wait()
+		w.nodeGoroutines.Wait()
 		time.Sleep(maxRequestDuration)
 	})
 	return w
@@ -179,7 +179,7 @@
 	closed bool
 }
 
-func (g *gate) set(closed bool) {
+func (g *gate) setClosed(closed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = closed
@@ -296,7 +296,7 @@
 		CommandSender: w.commandSender,
 		Log:           log,
 		Cells:         w.cells,
-		CellClient:    w.link,
+		CellClient:    w.cellClient,
 		Standby:       w.standby,
 	})
 	elector := &election.Elector{
@@ -311,8 +311,8 @@
 		Resignations:  c.Resignations(),
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
-	w.running.Go(func() { c.Run(ctx) })
-	w.running.Go(func() { elector.Run(ctx) })
+	w.nodeGoroutines.Go(func() { c.Run(ctx) })
+	w.nodeGoroutines.Go(func() { elector.Run(ctx) })
 	time.Sleep(500 * time.Millisecond)
 	return &node{c, cancel}
 }
@@ -331,7 +331,7 @@
 				LeaseS:     max(10, 5*w.heartbeatS),
 				CancelS:    cmp.Or(w.cancelS, 30),
 			},
-			State:  cmp.Or(w.state, config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}),
+			State:  cmp.Or(w.storeLimits, config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12}),
 			Cloud:  config.CloudLimits{RPS: 5, ListLagS: 4},
 			Limits: config.Limits{FDLimit: 2400},
 		},
@@ -382,13 +382,13 @@
 
 // worker is a scripted worker agent. Its heartbeats are sent by the test.
 type worker struct {
-	w      *simulatedCluster
-	mu     sync.Mutex
-	status api.Heartbeat
+	cluster *simulatedCluster
+	mu      sync.Mutex
+	status  api.Heartbeat
 }
 
 func (w *simulatedCluster) worker(name, zone string, spot bool) *worker {
-	k := &worker{w: w, status: api.Heartbeat{
+	k := &worker{cluster: w, status: api.Heartbeat{
 		Machine:    name,
 		Addr:       name,
 		Type:       "small",
@@ -470,8 +470,8 @@
 	})
 }
 
-// serve sends a heartbeat once a second for some seconds.
-func (k *worker) serve(n heartbeatReceiver, seconds int) {
+// heartbeatFor sends a heartbeat once a second for some seconds.
+func (k *worker) heartbeatFor(n heartbeatReceiver, seconds int) {
 	for range seconds {
 		k.heartbeat(n)
 		time.Sleep(time.Second)
--- a/internal/controller/leaderterm_test.go
+++ b/internal/controller/leaderterm_test.go
@@ -17,7 +17,7 @@
 		w.store.Delay(writesPrefix(records.MachinePrefix))
 		k := w.worker("i-1", "a", false)
 		w.submit(first, spec("job-1", 1))
-		k.serve(first, 2)
+		k.heartbeatFor(first, 2)
 		w.checkEqual("transactions delayed", w.store.DelayedCount() > 0, true)
 		w.checkEqual("starts before the registry is durable", len(k.running()), 0)
 		first.crash()
@@ -36,29 +36,29 @@
 		first := w.start("n0")
 		k1, k2, k3 := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
 		w.submit(first, spec("job-1", 8))
-		k1.serve(first, 3)
-		k2.serve(first, 3)
-		k3.serve(first, 3)
+		k1.heartbeatFor(first, 3)
+		k2.heartbeatFor(first, 3)
+		k3.heartbeatFor(first, 3)
 		w.checkEqual("all started", len(k1.running())+len(k2.running())+len(k3.running()), 8)
 		first.crash()
 		second := w.start("n0")
 		k1.exit(api.CauseHalted)
 		k3.exit(api.CauseDone)
-		k1.serve(second, 2)
-		k3.serve(second, 2)
+		k1.heartbeatFor(second, 2)
+		k3.heartbeatFor(second, 2)
 		// k2 sends no heartbeat: no task of the old job starts, and the four CPUs of k2 count
 		// against the limit of every team, which leaves 4 of the 8 CPUs of team blue.
 		w.checkEqual("starts of the old job", len(k1.running())+len(k3.running()), 0)
 		s := spec("job-2", 8)
 		s.Team = "blue"
 		w.submit(second, s)
-		k3.serve(second, 2)
-		k1.serve(second, 2)
+		k3.heartbeatFor(second, 2)
+		k1.heartbeatFor(second, 2)
 		w.checkEqual("new job within the limit", len(k3.running())+len(k1.running()), 4)
 		k2.heartbeat(second)
 		k2.heartbeat(second)
-		k1.serve(second, 3)
-		k3.serve(second, 3)
+		k1.heartbeatFor(second, 3)
+		k3.heartbeatFor(second, 3)
 		w.checkEqual("more than 4 tasks once all are fenced", len(k1.running())+len(k3.running()) > 4, true)
 	})
 }
@@ -69,7 +69,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		first := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(first, 2)
+		k.heartbeatFor(first, 2)
 		w.submit(first, spec("job-1", 2))
 		commands, err := k.sendHeartbeat(first) // not applied yet when the leader crashes
 		if err != nil || len(commands) != 2 {
@@ -78,18 +78,18 @@
 		first.crash()
 		second := w.start("n0")
 		k2 := w.worker("i-2", "a", false)
-		k2.serve(second, 3)
+		k2.heartbeatFor(second, 3)
 		w.checkEqual("tasks elsewhere", len(k2.running()), 0)
 		hb := k.status
 		hb.Seq++
 		if _, err := k.deliver(second, &hb); err != nil {
 			t.Fatal(err)
 		}
-		k2.serve(second, 2)
+		k2.heartbeatFor(second, 2)
 		w.checkEqual("tasks elsewhere after one heartbeat", len(k2.running()), 0)
 		k.status.Seq++
 		k.heartbeat(second)
-		k2.serve(second, 2)
+		k2.heartbeatFor(second, 2)
 		w.checkEqual("started", len(k.running())+len(k2.running()), 2)
 	})
 }
@@ -124,14 +124,14 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		term := k.status.Term
 		w.store.SetDown(true)
-		k.serve(n, 20)
+		k.heartbeatFor(n, 20)
 		if _, err := k.sendHeartbeat(n); err != nil {
 			t.Errorf("within the lease: %v", err)
 		}
-		k.serve(n, 12)
+		k.heartbeatFor(n, 12)
 		if _, err := k.sendHeartbeat(n); err == nil {
 			t.Error("got a response after the lease may have expired")
 		}
@@ -150,7 +150,7 @@
 		n0 := w.start("n0")
 		n1 := w.start("n1")
 		k := w.worker("i-1", "a", false)
-		k.serve(n0, 2)
+		k.heartbeatFor(n0, 2)
 		first := k.status.Term
 		n0.crash()
 		n0 = w.start("n0")
@@ -173,20 +173,20 @@
 		n1 := w.start("n1")
 		k := w.worker("i-1", "a", false)
 		w.submit(n1, spec("job-1", 1))
-		k.serve(n0, 3)
+		k.heartbeatFor(n0, 3)
 		w.checkEqual("running", len(k.running()), 1)
-		g.set(true)
+		g.setClosed(true)
 		for range 40 {
 			if k.heartbeat(n0); k.heartbeat(n1) != nil {
 				break
 			}
 			time.Sleep(time.Second)
 		}
-		k.serve(n1, 2)
+		k.heartbeatFor(n1, 2)
 		k.exit(api.CauseDone)
-		k.serve(n1, 4)
+		k.heartbeatFor(n1, 4)
 		w.checkEqual("new leader", w.phase(n1, "job-1"), "done")
-		g.set(false)
+		g.setClosed(false)
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
 			if got := w.phase(n0, "job-1"); got == "withdrawn" {
@@ -205,7 +205,7 @@
 		ks := make([]*worker, 5)
 		for i := range ks {
 			ks[i] = w.worker(fmt.Sprint("i-", i), "a", false)
-			ks[i].serve(first, 2)
+			ks[i].heartbeatFor(first, 2)
 		}
 		w.submit(first, spec("job-1", 8))
 		for range 2 {
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -141,7 +141,7 @@
 			t.Run(l.String()+" "+fault, func(t *testing.T) {
 				simulate(t, func(w *simulatedCluster) {
 					w.oldShard(oldShardKey, 26)
-					w.state = l.settings()
+					w.storeLimits = l.settings()
 					w.enforce(l) // from now on
 					ss := &shardSplit{simulatedCluster: w, leader: w.start("n0"), fault: fault}
 					ss.run()
@@ -262,7 +262,7 @@
 				lc := &longCompletion{simulatedCluster: w, fault: fault, spec: s}
 				lc.writeRecords(completedBefore)
 				l := limits{3, 1, 25}
-				w.state = l.settings()
+				w.storeLimits = l.settings()
 				w.enforce(l)
 				lc.leader = w.start("n0")
 				lc.workers = []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false)}
@@ -288,7 +288,7 @@
 		t.Run(actual.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-				w.state = limits{20, 16, 100}.settings()
+				w.storeLimits = limits{20, 16, 100}.settings()
 				w.enforce(actual)
 				a := w.start("n0")
 				ks := w.numberedWorkers(24)
@@ -315,7 +315,7 @@
 // A completion record that is rejected for its size is retried with fewer tasks.
 func TestCompletionRejectedForSizeIsSplit(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		w.state = limits{20, 16, 100}.settings()
+		w.storeLimits = limits{20, 16, 100}.settings()
 		w.store.SetLimits(1<<10, 20)
 		a := w.start("n0")
 		ks := []*worker{w.worker("i-1", "a", false)}
@@ -344,7 +344,7 @@
 func TestMachineThatFitsNoShardIsTerminated(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l := limits{5, 1, 25}
-		w.state = l.settings()
+		w.storeLimits = l.settings()
 		w.enforce(l)
 		a := w.start("n0")
 		long := w.worker(strings.Repeat("i", 1100), "a", false)
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -19,7 +19,7 @@
 // leader, and counts those that the leader then reads as renewed.
 func countRenewed(w *simulatedCluster, l limits, machines []string) (renewed int) {
 	w.t.Helper()
-	w.state = l.settings()
+	w.storeLimits = l.settings()
 	w.enforce(l)
 	a := w.start("n0")
 	a.inspect(func(c *Controller) {
@@ -34,7 +34,7 @@
 	settings := &config.Settings{
 		Node:  "n1",
 		Peers: []config.Peer{{Node: "n0"}, {Node: "n2"}},
-		Site:  config.SiteInfo{State: w.state},
+		Site:  config.SiteInfo{State: w.storeLimits},
 	}
 	b := New(Config{Settings: settings, Store: w.store, Log: a.Log})
 	b.publishRenewals(context.Background(), machines, 1, e.ModRevision)
@@ -88,7 +88,7 @@
 	})
 	simulate(t, func(w *simulatedCluster) {
 		// The limits of the key-value store are smaller than the settings say.
-		w.state = limits{12, 8, 25}.settings()
+		w.storeLimits = limits{12, 8, 25}.settings()
 		a := w.start("n0")
 		w.enforce(limits{12, 1, 25})
 		e, err := w.store.Get(context.Background(), election.TermKey)
@@ -142,7 +142,7 @@
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
-				w.state = l.settings()
+				w.storeLimits = l.settings()
 				w.enforce(l)
 				_, a, b, _, near, far := w.partitionZones()
 				s := spec("job-1", 400)
@@ -170,7 +170,7 @@
 func TestRelayRejectedForSizeIsSplit(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
-		w.state = limits{20, 16, 100}.settings()
+		w.storeLimits = limits{20, 16, 100}.settings()
 		_, a, b, _, near, far := w.partitionZones()
 		w.enforce(limits{20, 1, 100})
 		s := spec("job-1", 700)
@@ -192,7 +192,7 @@
 func TestHeartbeatTooLargeToRelay(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l := limits{3, 1, 25}
-		w.state = l.settings()
+		w.storeLimits = l.settings()
 		w.enforce(l)
 		_, a, b, _, _, far := w.partitionZones()
 		other := w.worker("i-3", "b", false)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -81,7 +81,7 @@
 func (w *simulatedCluster) startWithLimits(l limits) *node {
 	w.t.Helper()
 	w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-	w.state = l.settings()
+	w.storeLimits = l.settings()
 	w.enforce(l)
 	return w.start("n0")
 }
@@ -149,7 +149,7 @@
 		t.Run(when, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-				w.state = to.settings() // the smaller of both
+				w.storeLimits = to.settings() // the smaller of both
 				w.enforce(from)
 				w.oldShard(records.MachinePrefix+"0-1", 24)
 				a := w.start("n0")
@@ -219,7 +219,7 @@
 	}{{3, true}, {40, false}} {
 		simulate(t, func(w *simulatedCluster) {
 			l := limits{3, 1, 8}
-			w.state = l.settings()
+			w.storeLimits = l.settings()
 			w.enforce(l)
 			for i := range c.types - 1 {
 				w.cloud.types = append(w.cloud.types,
@@ -262,7 +262,7 @@
 func TestBatchesFitTransactions(t *testing.T) {
 	l := limits{400, 128, 2000}
 	simulate(t, func(w *simulatedCluster) {
-		w.state = l.settings()
+		w.storeLimits = l.settings()
 		w.enforce(l)
 		a := w.start("n0")
 		time.Sleep(time.Second)
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -12,43 +12,43 @@
 	"example.org/ivytrestle/internal/membership"
 )
 
-// links connects nodes as peers; all links can be cut at once.
-type links struct {
+// peerLinks connects nodes as peers; all links can be cut at once.
+type peerLinks struct {
 	nodes       sync.Map
 	partitioned atomic.Bool
 	// refuseConnections makes cut links refuse connections.
 	refuseConnections atomic.Bool
 }
 
-func (l *links) add(name string, n *node) *node { l.nodes.Store(name, n); return n }
+func (l *peerLinks) add(name string, n *node) *node { l.nodes.Store(name, n); return n }
 
-// linked is a node as its peers reach it.
-type linked interface {
+// peerNode is a node as its peers reach it.
+type peerNode interface {
 	PeerJob(ctx context.Context, id string) (api.JobState, error)
 	PeerStatus(ctx context.Context, from cancellation.Position) (membership.PeerStatus, error)
 	ForwardedHeartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error)
 	LeaderResigned(ctx context.Context, node string, term uint64) error
 }
 
-// to returns the node at the other end, if it can be reached.
-func (l *links) to(name string) (linked, error) {
+// reachablePeer returns the node at the other end, if it can be reached.
+func (l *peerLinks) reachablePeer(name string) (peerNode, error) {
 	n, ok := l.nodes.Load(name)
 	if l.partitioned.Load() || !ok {
 		return nil, errors.New("cut")
 	}
-	return n.(linked), nil
+	return n.(peerNode), nil
 }
 
-func (l *links) Job(ctx context.Context, name, id string) (api.JobState, error) {
-	n, err := l.to(name)
+func (l *peerLinks) Job(ctx context.Context, name, id string) (api.JobState, error) {
+	n, err := l.reachablePeer(name)
 	if err != nil {
 		return api.JobState{}, err
 	}
 	return n.PeerJob(ctx, id)
 }
 
-func (l *links) Ping(ctx context.Context, name string, from cancellation.Position) (membership.PeerStatus, error) {
-	n, err := l.to(name)
+func (l *peerLinks) Ping(ctx context.Context, name string, from cancellation.Position) (membership.PeerStatus, error) {
+	n, err := l.reachablePeer(name)
 	if err != nil {
 		if l.refuseConnections.Load() {
 			err = ErrConnectionRefused
@@ -58,8 +58,8 @@
 	return n.PeerStatus(ctx, from)
 }
 
-func (l *links) ForwardHeartbeat(ctx context.Context, name string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
-	n, err := l.to(name)
+func (l *peerLinks) ForwardHeartbeat(ctx context.Context, name string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
+	n, err := l.reachablePeer(name)
 	if err != nil {
 		if l.refuseConnections.Load() {
 			err = ErrConnectionRefused
@@ -69,8 +69,8 @@
 	return n.ForwardedHeartbeat(ctx, hb)
 }
 
-func (l *links) Resign(ctx context.Context, name, self string, term uint64) error {
-	n, err := l.to(name)
+func (l *peerLinks) Resign(ctx context.Context, name, self string, term uint64) error {
+	n, err := l.reachablePeer(name)
 	if err != nil {
 		return err
 	}
@@ -83,9 +83,9 @@
 	PeerPromise(ctx context.Context, term uint64) (time.Duration, error)
 }
 
-// voterAt returns the node at the other end, if it can be reached and knows votes.
-func (l *links) voterAt(name string) (voter, error) {
-	n, err := l.to(name)
+// reachableVoter returns the node at the other end, if it can be reached and knows votes.
+func (l *peerLinks) reachableVoter(name string) (voter, error) {
+	n, err := l.reachablePeer(name)
 	if err != nil {
 		return nil, err
 	}
@@ -96,16 +96,16 @@
 	return g, nil
 }
 
-func (l *links) Vote(ctx context.Context, name string, term uint64) (bool, error) {
-	n, err := l.voterAt(name)
+func (l *peerLinks) Vote(ctx context.Context, name string, term uint64) (bool, error) {
+	n, err := l.reachableVoter(name)
 	if err != nil {
 		return false, err
 	}
 	return n.PeerVote(ctx, term)
 }
 
-func (l *links) Promise(ctx context.Context, name string, term uint64) (time.Duration, error) {
-	n, err := l.voterAt(name)
+func (l *peerLinks) Promise(ctx context.Context, name string, term uint64) (time.Duration, error) {
+	n, err := l.reachableVoter(name)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -125,9 +125,9 @@
 		time.Sleep(time.Millisecond)
 	}
 	first := tn.modRevision(lr.key)
-	tn.ways[writer].set(rejected > 0)
+	tn.ways[writer].setClosed(rejected > 0)
 	time.Sleep(rejected)
-	tn.ways[writer].set(false)
+	tn.ways[writer].setClosed(false)
 	time.Sleep(12 * time.Second)
 	tn.checkFinalPhases(map[string]string{racedJob: lr.wantPhase})
 	w.checkEqual("mod revision, written once", tn.modRevision(lr.key), first)
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -29,9 +29,9 @@
 	change func(*checkedCluster)
 }{
 	{"handover", (*checkedCluster).handOver},
-	{"restart at once", func(s *checkedCluster) { s.restart(0) }},
-	{"restart after 1s", func(s *checkedCluster) { s.restart(time.Second) }},
-	{"restart after 6s", func(s *checkedCluster) { s.restart(6 * time.Second) }},
+	{"restart at once", func(s *checkedCluster) { s.restartLeader(0) }},
+	{"restart after 1s", func(s *checkedCluster) { s.restartLeader(time.Second) }},
+	{"restart after 6s", func(s *checkedCluster) { s.restartLeader(6 * time.Second) }},
 }
 
 // leaderChangeCase is a leader change at a given offset. The test defines what the offset, which may
@@ -62,7 +62,7 @@
 		c.change(s)
 		return
 	}
-	s.tasks.Go(func() { c.change(s) })
+	s.goroutines.Go(func() { c.change(s) })
 	time.Sleep(c.offset)
 	f()
 }
@@ -178,7 +178,7 @@
 	time.Sleep(40 * time.Second)
 	for i := range cancelled {
 		id := fmt.Sprint("job-", i)
-		s.checkEqual("tasks of "+id+" on machines", s.checker.onMachines(id), []string(nil))
+		s.checkEqual("tasks of "+id+" on machines", s.checker.tasksOnMachines(id), []string(nil))
 	}
 	s.cancel("job-6", "job-7")
 	s.awaitAllEnded(time.Minute)
@@ -210,7 +210,7 @@
 		s.checkEqual("tasks on "+machine.status.Machine, machine.running(), []string(nil))
 		machine.injectFaults(cutConnections)
 	}
-	s.restart(0)
+	s.restartLeader(0)
 	for _, result := range s.store.ApplyDelayed() {
 		s.checkEqual("delayed registration applied", result.Succeeded, false)
 	}
@@ -247,7 +247,7 @@
 			}
 			replayed := hb
 			replayed.Tasks = slices.Clone(hb.Tasks)
-			k.s.tasks.Go(func() {
+			k.s.goroutines.Go(func() {
 				ctx, cancel := context.WithTimeout(k.s.ctx, 4*time.Second)
 				defer cancel()
 				// The machine has already handled the response to the original.
@@ -280,7 +280,7 @@
 // replay starts to send all recorded heartbeats again, and waits for a short time.
 func (r recordedHeartbeats) replay(s *checkedCluster) {
 	for machine, heartbeats := range r {
-		s.tasks.Go(func() { machine.replayHeartbeats(heartbeats) })
+		s.goroutines.Go(func() { machine.replayHeartbeats(heartbeats) })
 	}
 	time.Sleep(700 * time.Millisecond)
 }
@@ -314,7 +314,7 @@
 	recorded.replay(s)
 	s.awaitAllEnded(2 * time.Minute)
 	s.checkEqual("terminated machines", s.cloud.terminatedNames, []string{"i-5"})
-	s.checkEqual("started after completion", s.checker.restartedWhenDone(), []string(nil))
+	s.checkEqual("started after completion", s.checker.restartedAfterCompletion(), []string(nil))
 }
 
 // Guards against leaders that apply delayed heartbeats. Old heartbeats arrive after newer ones: of an
@@ -406,7 +406,7 @@
 		if i%3 == 2 {
 			s.handOver()
 		} else {
-			s.restart(time.Duration(i%4) * 300 * time.Millisecond)
+			s.restartLeader(time.Duration(i%4) * 300 * time.Millisecond)
 		}
 		time.Sleep(11 * time.Second)
 	}
@@ -417,7 +417,7 @@
 		if i == 3 || i == 7 {
 			s.store.SetDown(true)
 		}
-		s.restart(time.Duration(i%4) * 300 * time.Millisecond)
+		s.restartLeader(time.Duration(i%4) * 300 * time.Millisecond)
 		time.Sleep(11 * time.Second)
 		if i == 4 || i == 8 {
 			s.store.SetDown(false)
@@ -450,7 +450,7 @@
 					s.submitJob(15*time.Second, teamSpec("job-2", "red", 20))
 					s.submitJob(4*time.Minute, teamSpec("job-3", "blue", 4))
 					time.Sleep(offset)
-					s.tasks.Go(func() {
+					s.goroutines.Go(func() {
 						time.Sleep(4 * time.Second)
 						s.cancel("job-3")
 					})
@@ -531,7 +531,7 @@
 	s.cancel(cancelled...)
 	if restart {
 		time.Sleep(300 * time.Millisecond)
-		s.restart(300 * time.Millisecond)
+		s.restartLeader(300 * time.Millisecond)
 	}
 	s.submitJob(20*time.Second, teamSpec("job-3", "red", 16))
 	time.Sleep(55 * time.Second)
@@ -659,14 +659,14 @@
 	case 7:
 		s.handOver()
 	case 8:
-		s.restart(time.Duration(rnd.IntN(2000)) * time.Millisecond)
+		s.restartLeader(time.Duration(rnd.IntN(2000)) * time.Millisecond)
 	case 9:
 		s.cancel(fmt.Sprint("job-", rnd.IntN(jobs)))
 	case 10:
-		s.tasks.Go(func() { machine.replayHeartbeats(machine.sentHeartbeats()) })
+		s.goroutines.Go(func() { machine.replayHeartbeats(machine.sentHeartbeats()) })
 	case 11:
 		s.store.Delay(writesPrefix(records.MachinePrefix))
-		s.tasks.Go(func() {
+		s.goroutines.Go(func() {
 			sleepUnlessZero(s.ctx, 5*time.Second)
 			s.store.ApplyDelayed()
 		})
@@ -716,7 +716,7 @@
 						machine.injectFaults(loseHeartbeats)
 					}
 					time.Sleep(time.Minute)
-					s.checkEqual("started elsewhere", len(s.checker.onMachines("job-1")), 4)
+					s.checkEqual("started elsewhere", len(s.checker.tasksOnMachines("job-1")), 4)
 					s.healMachines()
 					s.awaitAllEnded(4 * time.Minute)
 				})
@@ -762,7 +762,7 @@
 	low, urgent := s.submitOverload()
 	time.Sleep(5 * time.Second)
 	if restart {
-		s.restart(time.Second)
+		s.restartLeader(time.Second)
 	}
 	s.cancel("job-0", "job-15")
 	time.Sleep(35 * time.Second)
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -74,7 +74,7 @@
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				n := w.start("n0")
-				w.running.Go(func() { n.tryInspect(func(*Controller) { time.Sleep(time.Second); n.crash() }) })
+				w.nodeGoroutines.Go(func() { n.tryInspect(func(*Controller) { time.Sleep(time.Second); n.crash() }) })
 				time.Sleep(time.Millisecond)
 				startTime, calls := time.Now(), 2*cap(n.mailbox)
 				returned := make(chan struct{}, calls)
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -56,12 +56,12 @@
 	time.Sleep(3 * time.Second)
 	w.checkEqual("running", tn.tasksOnMachines(), jobs)
 	tn.background(func() {
-		tn.ways[0].set(true)
+		tn.ways[0].setClosed(true)
 		time.Sleep(rejected)
 		w.store.SetDown(true)
 		time.Sleep(outage)
 		w.store.SetDown(false)
-		tn.ways[0].set(false)
+		tn.ways[0].setClosed(false)
 	})
 	for i := range jobs {
 		id := fmt.Sprint("job-", i)
@@ -77,7 +77,7 @@
 	for i := range jobs {
 		id := fmt.Sprint("job-", i)
 		for k := range 3 {
-			if _, err := tn.checker.ask(tn.nodeAt(k), id); err != nil {
+			if _, err := tn.checker.queryJob(tn.nodeAt(k), id); err != nil {
 				w.t.Errorf("%s at node %d, 8 s after the outage: got error %v, want none", id, k, err)
 			}
 		}
--- a/internal/controller/pauses_test.go
+++ b/internal/controller/pauses_test.go
@@ -54,7 +54,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		w.submit(n, spec("job-1", 1))
 		w.store.SetDown(true) // the lease is not renewed from now on
 		var leaseExpiry time.Time
@@ -75,7 +75,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		w.submit(n, spec("job-1", 1))
 		pauseEnded := n.blockOwnerInBackground(maxHeartbeatQueueTime + 100*time.Millisecond)
 		k.status.Seq++
@@ -88,7 +88,7 @@
 		attempts := 0
 		n.inspect(func(c *Controller) { attempts = len(c.leaderTerm.jobs["job-1"].ActiveAttempts) })
 		w.checkEqual("attempts", attempts, 0)
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		w.checkEqual("running after the next heartbeat", len(k.running()), 1)
 	})
 }
--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -97,7 +97,7 @@
 	w           *simulatedCluster
 	name        string
 	st          *gate
-	links       *links
+	links       *peerLinks
 	incarnation string
 	startedAt   time.Time
 	// skippedRecords are the records without a team or tasks, which the version in production
@@ -131,7 +131,7 @@
 }
 
 // startOld starts a scripted node of the version in production.
-func (w *simulatedCluster) startOld(name string, st *gate, l *links) *oldNode {
+func (w *simulatedCluster) startOld(name string, st *gate, l *peerLinks) *oldNode {
 	o := &oldNode{
 		w:                 w,
 		name:              name,
@@ -146,7 +146,7 @@
 		parts:             1,
 	}
 	l.nodes.Store(name, o)
-	w.running.Go(func() {
+	w.nodeGoroutines.Go(func() {
 		for w.ctx.Err() == nil && o.running() {
 			o.tick(w.ctx)
 			sleep(w.ctx, 200*time.Millisecond)
@@ -162,7 +162,7 @@
 	if o.links == nil {
 		return
 	}
-	o.links.nodes.CompareAndDelete(o.name, linked(o))
+	o.links.nodes.CompareAndDelete(o.name, peerNode(o))
 	o.links, o.leaderTerm = nil, nil
 }
 
--- a/internal/controller/reads_test.go
+++ b/internal/controller/reads_test.go
@@ -35,7 +35,7 @@
 func TestConcurrentQueriesShareReadsButNoStaleResults(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		store := &slowReadStore{Fake: w.store}
-		leader, follower := w.start("n0"), w.startWith("n1", store, &links{})
+		leader, follower := w.start("n0"), w.startWith("n1", store, &peerLinks{})
 		w.submit(leader, spec("job-1", 1))
 		store.jobReads.Store(0)
 		var queries sync.WaitGroup
--- a/internal/controller/reaps_test.go
+++ b/internal/controller/reaps_test.go
@@ -15,7 +15,7 @@
 		n := w.start("n0")
 		agent := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
-		agent.serve(n, 3)
+		agent.heartbeatFor(n, 3)
 		w.checkEqual("running", agent.running(), []string{"job-1/0"})
 		// Tasks that the agent cannot start exit immediately, and remain in its heartbeats until
 		// they are reaped.
@@ -35,7 +35,7 @@
 		w.checkEqual("commands of one response", len(commands), maxCommands)
 		w.checkEqual("first command", commands[0].Verb+" "+commands[0].Task, "stop job-1/0")
 		w.checkEqual("running once stopped", len(agent.running()), 0)
-		agent.serve(n, 4)
+		agent.heartbeatFor(n, 4)
 		w.checkEqual("tasks left once reaped", len(agent.status.Tasks), 0)
 	})
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -31,14 +31,14 @@
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 6))
-		k.serve(n, 4)
+		k.heartbeatFor(n, 4)
 		w.checkEqual("first four", len(k.running()), 4)
 		w.checkEqual("phase", w.phase(n, "job-1"), "running")
 		k.exit(api.CauseDone)
-		k.serve(n, 3)
+		k.heartbeatFor(n, 3)
 		w.checkEqual("last two", k.running(), []string{"job-1/4", "job-1/5"})
 		k.exit(api.CauseDone)
-		k.serve(n, 3)
+		k.heartbeatFor(n, 3)
 		w.checkEqual("phase", w.phase(n, "job-1"), "done")
 		w.checkEqual("reaped", len(k.status.Tasks), 0)
 		// The repeat of a submission after the job has ended, with other contents.
@@ -57,16 +57,16 @@
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
-		k.serve(n, 3)
+		k.heartbeatFor(n, 3)
 		w.store.Delay(writesPrefix(records.TerminalPrefix))
 		k.exit(api.CauseDone)
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		if got := w.phase(n, "job-1"); got == api.JobDone {
 			w.t.Errorf("got phase %q before the terminal record was written, want another", got)
 		}
 		w.checkEqual("kept on the machine", len(k.status.Tasks), 1)
 		w.store.ApplyDelayed()
-		k.serve(n, 4)
+		k.heartbeatFor(n, 4)
 		w.checkEqual("phase", w.phase(n, "job-1"), "done")
 	})
 }
@@ -77,16 +77,16 @@
 		n := w.start("n0")
 		k1, k2 := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		w.submit(n, spec("job-1", 1))
-		k1.serve(n, 3)
+		k1.heartbeatFor(n, 3)
 		w.checkEqual("running", k1.running(), []string{"job-1/0"})
 		w.cloud.rejectTerminate = true
 		w.dead.Store("i-1", true)
-		k2.serve(n, 40)
+		k2.heartbeatFor(n, 40)
 		w.checkEqual("started elsewhere before the termination", len(k2.running()), 0)
 		w.cloud.mu.Lock()
 		w.cloud.rejectTerminate = false
 		w.cloud.mu.Unlock()
-		k2.serve(n, 5)
+		k2.heartbeatFor(n, 5)
 		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
 		w.checkEqual("started elsewhere", k2.running(), []string{"job-1/0"})
 		// A heartbeat of the machine that was delayed in transit changes nothing.
@@ -101,20 +101,20 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k1, k2 := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
-		k1.serve(n, 2)
-		k2.serve(n, 2)
+		k1.heartbeatFor(n, 2)
+		k2.heartbeatFor(n, 2)
 		k1.mu.Lock()
 		older := k1.status
 		k1.mu.Unlock()
 		older.Tasks = nil
 		w.submit(n, spec("job-1", 1))
-		k1.serve(n, 2)
+		k1.heartbeatFor(n, 2)
 		w.checkEqual("running", len(k1.running()), 1)
 		commands, err := k1.deliver(n, &older)
 		if err != nil || len(commands) != 0 {
 			w.t.Errorf("older heartbeat: got commands %v, error %v, want none", commands, err)
 		}
-		k2.serve(n, 3)
+		k2.heartbeatFor(n, 3)
 		w.checkEqual("started elsewhere", len(k2.running()), 0)
 	})
 }
@@ -125,7 +125,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		k := w.worker("i-1", "a", false)
-		k.serve(n, 2)
+		k.heartbeatFor(n, 2)
 		w.submit(n, spec("job-1", 1))
 		lost, err := k.sendHeartbeat(n)
 		if err != nil || len(lost) != 1 {
@@ -176,7 +176,7 @@
 		s := spec("job-1", 2)
 		s.CheckpointS, s.SaveS = 10, 2
 		w.submit(n, s)
-		k1.serve(n, 3)
+		k1.heartbeatFor(n, 3)
 		noticeS := 9.0
 		k1.status.PreemptionNoticeS = &noticeS
 		commands := k1.heartbeat(n)
@@ -186,8 +186,8 @@
 		if len(commands) != 2 || commands[0].Verb != api.VerbStop || *commands[0].GraceS < 2 {
 			w.t.Fatalf("got commands %v, want two stops with time to save", commands)
 		}
-		k1.serve(n, 2)
-		k2.serve(n, 3)
+		k1.heartbeatFor(n, 2)
+		k2.heartbeatFor(n, 3)
 		w.checkEqual("running elsewhere", len(k2.running()), 2)
 		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
 	})
@@ -250,27 +250,27 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
-				l := &links{}
+				l := &peerLinks{}
 				g := &gate{Fake: w.store}
 				leader := l.add("n0", w.startWith("n0", w.store, l))
 				follower := l.add("n1", w.startWith("n1", g, l))
 				k := w.worker("i-1", "a", false)
 				w.submit(leader, spec("job-1", 2))
-				k.serve(leader, 4)
+				k.heartbeatFor(leader, 4)
 				w.checkEqual("running", len(k.running()), 2)
 				if _, err := k.sendHeartbeat(follower); err == nil {
 					w.t.Error("got a response of a follower whose leader is reachable, want an error")
 				}
 				w.submit(leader, spec("job-2", 1))
 				l.partitioned.Store(true)
-				g.set(c.storeUnreachable)
+				g.setClosed(c.storeUnreachable)
 				time.Sleep(4 * time.Second)
 				renewedS := renewOnBehalfFor(w, follower, k, c.storeUnreachable)
 				if renewedS < c.minS || renewedS > c.maxS {
 					w.t.Errorf("got %d s of renewals, want %d to %d", renewedS, c.minS, c.maxS)
 				}
 				if !c.storeUnreachable {
-					checkCancelledBeyondCut(w, leader, follower, k)
+					checkCancelledThroughFollower(w, leader, follower, k)
 				}
 				l.partitioned.Store(false)
 				time.Sleep(3 * time.Second)
@@ -301,14 +301,14 @@
 	return seconds
 }
 
-// checkCancelledBeyondCut checks that the leader's cancellation of job-1 reaches a machine through
+// checkCancelledThroughFollower checks that the leader's cancellation of job-1 reaches a machine through
 // a follower.
-func checkCancelledBeyondCut(w *simulatedCluster, leader, follower *node, k *worker) {
+func checkCancelledThroughFollower(w *simulatedCluster, leader, follower *node, k *worker) {
 	w.t.Helper()
 	if _, err := leader.Cancel(w.t.Context(), "job-1"); err != nil {
 		w.t.Error(err)
 	}
-	k.serve(follower, 5)
+	k.heartbeatFor(follower, 5)
 	for _, task := range k.running() {
 		w.checkEqual("task of the cancelled job runs", strings.HasPrefix(task, "job-1/"), false)
 	}
@@ -343,7 +343,7 @@
 		n := w.startWith("n0", &hungWatchStore{Fake: w.store}, nil)
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 2))
-		k.serve(n, 8)
+		k.heartbeatFor(n, 8)
 		w.checkEqual("started after the watch timed out", len(k.running()), 2)
 	})
 }
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -15,15 +15,15 @@
 // runChecker follows from outside what the machines of a test really run. It fails the test
 // where a rule of the protocol is broken, by whichever process.
 type runChecker struct {
-	w         *simulatedCluster
-	t0        time.Time
-	mu        sync.Mutex
-	jobs      map[string]*observedJob
-	runs      map[run]bool
-	hosts     map[string]*host
-	broken    int
-	restarted []string // tasks started again after they had completed
-	healed    bool     // no fault is injected any more
+	cluster      *simulatedCluster
+	startedAt    time.Time
+	mu           sync.Mutex
+	jobs         map[string]*observedJob
+	runs         map[run]bool
+	hosts        map[string]*host
+	violations   int
+	restarted    []string // tasks started again after they had completed
+	faultsHealed bool     // no fault is injected any more
 }
 
 // run is an attempt at a task that is on a machine.
@@ -60,16 +60,16 @@
 
 // fail reports a broken rule. Only the first five fail the test with a message.
 func (h *runChecker) fail(format string, args ...any) {
-	h.w.t.Helper()
-	if h.broken++; h.broken <= 5 {
-		h.w.t.Errorf("%7.2fs: %s", time.Since(h.t0).Seconds(), fmt.Sprintf(format, args...))
+	h.cluster.t.Helper()
+	if h.violations++; h.violations <= 5 {
+		h.cluster.t.Errorf("%7.2fs: %s", time.Since(h.startedAt).Seconds(), fmt.Sprintf(format, args...))
 	}
 }
 
 // dropTerminated drops the runs on machines that were terminated.
 func (h *runChecker) dropTerminated() {
 	for r := range h.runs {
-		if h.w.cloud.terminated(r.machine) {
+		if h.cluster.cloud.terminated(r.machine) {
 			delete(h.runs, r)
 		}
 	}
@@ -100,7 +100,7 @@
 
 // checkOnlyRun checks that the task is on no machine when it starts.
 func (h *runChecker) checkOnlyRun(r run) {
-	h.w.t.Helper()
+	h.cluster.t.Helper()
 	for other := range h.runs {
 		if other.task == r.task {
 			h.fail("%s starts on %s as attempt %x while it is on %s as attempt %x",
@@ -111,14 +111,14 @@
 
 // checkTeamLimit checks that the start keeps the job's team within its limit.
 func (h *runChecker) checkTeamLimit(r run, s *api.JobSpec) {
-	h.w.t.Helper()
+	h.cluster.t.Helper()
 	used := 0.0
 	for other := range h.runs {
 		if o := h.jobs[other.job()].spec; o.Team == s.Team {
 			used += o.CPUs
 		}
 	}
-	for _, team := range h.w.teams {
+	for _, team := range h.cluster.teams {
 		if team.Name == s.Team && used+s.CPUs > team.LimitCPUs+cluster.Epsilon {
 			h.fail("%s starts on %s: team %s uses %v CPUs, limit %v",
 				r.task, r.machine, s.Team, used+s.CPUs, team.LimitCPUs)
@@ -128,7 +128,7 @@
 
 // checkPlacement checks the job's constraints on zone, type and kind of its machines.
 func (h *runChecker) checkPlacement(r run, s *api.JobSpec, machine *api.Heartbeat) {
-	h.w.t.Helper()
+	h.cluster.t.Helper()
 	here, elsewhere := 0, 0
 	for other := range h.runs {
 		switch {
@@ -153,11 +153,11 @@
 // checkNotCancelled checks that neither the job nor one that it depends on was cancelled so
 // long ago that nothing of it may start.
 func (h *runChecker) checkNotCancelled(r run, p *observedJob) {
-	h.w.t.Helper()
-	if !p.cancelledAt.IsZero() && time.Since(p.cancelledAt) > h.cancelTime() {
+	h.cluster.t.Helper()
+	if !p.cancelledAt.IsZero() && time.Since(p.cancelledAt) > h.maxCancelTime() {
 		h.fail("%s starts on %s %v after its cancellation", r.task, r.machine, time.Since(p.cancelledAt))
 	}
-	if at := h.dependencyCancelledAt(p.spec.ID); !at.IsZero() && time.Since(at) > h.cancelTime() {
+	if at := h.dependencyCancelledAt(p.spec.ID); !at.IsZero() && time.Since(at) > h.maxCancelTime() {
 		h.fail("%s starts on %s %v after the cancellation of a job that it depends on",
 			r.task, r.machine, time.Since(at))
 	}
@@ -165,10 +165,10 @@
 
 // checkDependencies checks that all jobs that the job depends on are done on record.
 func (h *runChecker) checkDependencies(r run, s *api.JobSpec) {
-	h.w.t.Helper()
+	h.cluster.t.Helper()
 	for _, id := range s.DependsOn {
 		dep := h.jobs[id]
-		if dep == nil || len(dep.completions) < dep.spec.Tasks || !h.w.store.Has(records.TerminalPrefix+id) {
+		if dep == nil || len(dep.completions) < dep.spec.Tasks || !h.cluster.store.Has(records.TerminalPrefix+id) {
 			h.fail("%s starts on %s too early: %s is not done on record", r.task, r.machine, id)
 		}
 	}
@@ -193,8 +193,8 @@
 	return p != nil && p.completions[task] > 0
 }
 
-// before lists a job and all that it depends on, directly or through others.
-func (h *runChecker) before(id string) []string {
+// withDependencies lists a job and all that it depends on, directly or through others.
+func (h *runChecker) withDependencies(id string) []string {
 	ids := []string{id}
 	for i := 0; i < len(ids); i++ {
 		p := h.jobs[ids[i]]
@@ -213,7 +213,7 @@
 // dependencyCancelledAt is when a user first got the answer that a job is cancelled which the
 // given one depends on; zero if none is.
 func (h *runChecker) dependencyCancelledAt(id string) (at time.Time) {
-	for _, a := range h.before(id)[1:] {
+	for _, a := range h.withDependencies(id)[1:] {
 		p := h.jobs[a]
 		if p == nil || p.cancelledAt.IsZero() || p.cancelRequestedAt.IsZero() {
 			continue
@@ -225,7 +225,7 @@
 	return at
 }
 
-func (h *runChecker) cancelTime() time.Duration { return 30 * time.Second }
+func (h *runChecker) maxCancelTime() time.Duration { return 30 * time.Second }
 
 // checkRuns checks what is on the machines; it is called at every tick.
 func (h *runChecker) checkRuns() {
@@ -233,11 +233,11 @@
 	defer h.mu.Unlock()
 	h.dropTerminated()
 	for r := range h.runs {
-		if p := h.jobs[r.job()]; !p.cancelledAt.IsZero() && time.Since(p.cancelledAt) > h.cancelTime() {
+		if p := h.jobs[r.job()]; !p.cancelledAt.IsZero() && time.Since(p.cancelledAt) > h.maxCancelTime() {
 			h.fail("%s is on %s %v after its cancellation", r.task, r.machine, time.Since(p.cancelledAt))
 		}
 	}
-	if h.healed {
+	if h.faultsHealed {
 		h.checkPending(tick)
 	}
 }
@@ -255,7 +255,7 @@
 	for id, p := range h.jobs {
 		s := p.spec
 		blocked := slices.ContainsFunc(s.DependsOn, func(dep string) bool {
-			return !h.w.store.Has(records.TerminalPrefix + dep)
+			return !h.cluster.store.Has(records.TerminalPrefix + dep)
 		})
 		if blocked || !p.cancelRequestedAt.IsZero() || len(p.completions)+running[id] >= s.Tasks {
 			p.pendingFor = 0
@@ -275,13 +275,13 @@
 // hasCapacity reports whether a machine has free capacity for a task of the job, and the
 // job's team is under its limit, given the CPUs in use by team and by machine.
 func (h *runChecker) hasCapacity(s *api.JobSpec, byTeam, byMachine map[string]float64) bool {
-	for _, team := range h.w.teams {
+	for _, team := range h.cluster.teams {
 		if team.Name == s.Team && byTeam[s.Team]+s.CPUs > team.LimitCPUs {
 			return false
 		}
 	}
 	for _, k := range h.hosts {
-		if !h.w.cloud.terminated(k.status.Machine) && byMachine[k.status.Machine]+s.CPUs <= 4 &&
+		if !h.cluster.cloud.terminated(k.status.Machine) && byMachine[k.status.Machine]+s.CPUs <= 4 &&
 			(s.Zone == "" || s.Zone == k.status.Zone) && (s.Spot || !k.status.Spot) {
 			return true
 		}
@@ -309,7 +309,7 @@
 // checkPhase is recordPhase with the lock held.
 func (h *runChecker) checkPhase(id, phase string) {
 	p := h.jobs[id]
-	if at := h.dependencyCancelledAt(id); phase != api.JobCancelled && !at.IsZero() && time.Since(at) > h.cancelTime() {
+	if at := h.dependencyCancelledAt(id); phase != api.JobCancelled && !at.IsZero() && time.Since(at) > h.maxCancelTime() {
 		h.fail("%s is orphaned: answered as %s %v after the cancellation of a job that it depends on",
 			id, phase, time.Since(at))
 	}
@@ -333,13 +333,13 @@
 // cancelRequested reports whether a user has requested to cancel the job or one that it
 // depends on.
 func (h *runChecker) cancelRequested(id string) bool {
-	return slices.ContainsFunc(h.before(id), func(a string) bool {
+	return slices.ContainsFunc(h.withDependencies(id), func(a string) bool {
 		return h.jobs[a] != nil && !h.jobs[a].cancelRequestedAt.IsZero()
 	})
 }
 
-// onMachines lists the tasks of a job that are on machines.
-func (h *runChecker) onMachines(job string) (tasks []string) {
+// tasksOnMachines lists the tasks of a job that are on machines.
+func (h *runChecker) tasksOnMachines(job string) (tasks []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dropTerminated()
@@ -367,8 +367,8 @@
 	return tasks
 }
 
-// restartedWhenDone lists the tasks that started again after they had completed.
-func (h *runChecker) restartedWhenDone() []string {
+// restartedAfterCompletion lists the tasks that started again after they had completed.
+func (h *runChecker) restartedAfterCompletion() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.restarted
--- a/internal/controller/simulatedhost_test.go
+++ b/internal/controller/simulatedhost_test.go
@@ -104,7 +104,7 @@
 	if k.cut || k.heartbeatsUndelivered {
 		n = nil
 	}
-	k.s.tasks.Go(func() {
+	k.s.goroutines.Go(func() {
 		response, err := api.HeartbeatResponse{}, errors.New("no connection")
 		if n != nil {
 			ctx, cancel := context.WithTimeout(k.s.ctx, 4*time.Second)
@@ -255,7 +255,7 @@
 	}
 	if rest := time.Until(k.hungUntil); rest > 0 {
 		k.s.unresponsive.Store(name, true)
-		k.s.tasks.Go(func() {
+		k.s.goroutines.Go(func() {
 			sleepUnlessZero(k.s.ctx, rest)
 			k.injectFaults(func(*host) {})
 		})
--- a/internal/controller/twofaults_test.go
+++ b/internal/controller/twofaults_test.go
@@ -13,7 +13,7 @@
 // job-2 that keeps its task lease as a worker agent does.
 type faultCluster struct {
 	*simulatedCluster
-	links                    *links
+	links                    *peerLinks
 	leader, follower         *node
 	leaderGate, followerGate *gate
 	k                        *worker
@@ -43,7 +43,7 @@
 		g.k = w.worker("i-1", "", false)
 		w.submit(g.leader, spec("job-1", 2))
 		w.submit(g.leader, spec("job-2", 1))
-		g.k.serve(g.leader, 4)
+		g.k.heartbeatFor(g.leader, 4)
 		w.checkEqual("running tasks", len(g.k.running()), 3)
 		g.startedAt, g.renewedAt = time.Now(), time.Now()
 		for ms := 0; ms < seconds*1000; ms += 50 {
@@ -117,7 +117,7 @@
 
 // Events of the scripts.
 
-func rejectLeader(g *faultCluster) { g.leaderGate.set(true) }
+func rejectLeader(g *faultCluster) { g.leaderGate.setClosed(true) }
 
 func startOutage(g *faultCluster) { g.store.SetDown(true) }
 
@@ -169,10 +169,10 @@
 
 func acceptFormerLeader(g *faultCluster) {
 	g.checkEqual("the follower leads", g.follower.holdsLease(), true)
-	g.leaderGate.set(false)
+	g.leaderGate.setClosed(false)
 }
 
-func rejectFollower(g *faultCluster) { g.followerGate.set(true) }
+func rejectFollower(g *faultCluster) { g.followerGate.setClosed(true) }
 
 func cancelAtFormerLeader(g *faultCluster) { g.cancelAt(g.leader) }
 
@@ -307,11 +307,11 @@
 				l, a, b, ga, _ := w.startPair()
 				k := w.worker("i-1", "", false)
 				w.submit(a, spec("job-1", 6))
-				k.serve(a, 3)
+				k.heartbeatFor(a, 3)
 				w.checkEqual("running", len(k.running()), 4)
 				time.Sleep(time.Duration(ms) * time.Millisecond)
 				if alone {
-					ga.set(true)
+					ga.setClosed(true)
 					l.partitioned.Store(true)
 					if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 						t.Fatal(err)
@@ -319,10 +319,10 @@
 				} else {
 					w.store.SetDown(true)
 				}
-				k.serve(a, 4)
+				k.heartbeatFor(a, 4)
 				k.exit(api.CauseDone)
 				before := len(k.running())
-				k.serve(a, 4)
+				k.heartbeatFor(a, 4)
 				if started := len(k.running()) - before; started > 0 == alone {
 					t.Errorf("alone %v after %d ms: got %d started, want any: %v", alone, ms, started, !alone)
 				}
@@ -348,12 +348,12 @@
 				k.applyCommands(commands)
 				time.Sleep(time.Second)
 			}
-			k.serve(a, 3)
+			k.heartbeatFor(a, 3)
 			w.checkEqual("running", len(k.running()), 2)
 			if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
 				t.Fatal(err)
 			}
-			k.serve(a, 3)
+			k.heartbeatFor(a, 3)
 			w.checkEqual("stopped", len(k.running()), 0)
 		})
 	}
@@ -369,7 +369,7 @@
 			l, a, b, _, gb := w.startPair()
 			k := w.worker("i-1", "", false)
 			w.submit(a, spec("job-1", 2))
-			k.serve(a, 4)
+			k.heartbeatFor(a, 4)
 			w.checkEqual("running", len(k.running()), 2)
 			confirming := w.startWith("n9", w.store, nil) // informs the user, and then nobody
 			k.heartbeat(a)
@@ -384,7 +384,7 @@
 			a.inspect(func(c *Controller) { k.status.Term = c.leaderTerm.term.Number }) // it was resynced
 			w.checkEqual("second term", k.status.Term > 1, true)
 			l.partitioned.Store(true)
-			gb.set(true)
+			gb.setClosed(true)
 			var renewedAt time.Time
 			for range 300 {
 				if commands, err := k.sendHeartbeat(b); err == nil {
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -113,7 +113,7 @@
 type userCluster struct {
 	*simulatedCluster
 	checker *answerChecker
-	links   *links
+	links   *peerLinks
 	ways    []*storePath
 	tally   *requestCounts
 	hosts   []*userHost
@@ -135,7 +135,7 @@
 	tn := &userCluster{
 		simulatedCluster: w,
 		checker:          newAnswerChecker(w.t),
-		links:            &links{},
+		links:            &peerLinks{},
 		nodes:            make([]*node, 3),
 		tally: &requestCounts{
 			requests: map[int64]int{},
@@ -310,7 +310,7 @@
 			continue
 		}
 		t.Phase, t.Cause = api.TaskExited, api.CauseDone
-		tn.checker.completed(t.Task)
+		tn.checker.recordCompletion(t.Task)
 		completed = true
 	}
 	return completed
@@ -342,7 +342,7 @@
 	submitted := func() bool {
 		tn.checker.mu.Lock()
 		defer tn.checker.mu.Unlock()
-		return tn.checker.of(s.ID).submitted
+		return tn.checker.logOf(s.ID).submitted
 	}
 	tn.background(func() {
 		for i := 0; time.Duration(i)*gap < span; i++ {
@@ -354,7 +354,7 @@
 				case i%17 == 3:
 					tn.checker.resubmitInvalid(n, s.ID)
 				default:
-					_, _ = tn.checker.ask(n, s.ID)
+					_, _ = tn.checker.queryJob(n, s.ID)
 				}
 			})
 			time.Sleep(gap)
@@ -382,7 +382,7 @@
 func (tn *userCluster) checkFinalPhases(want map[string]string) {
 	for id, phase := range want {
 		for i := range 3 {
-			st, err := tn.checker.ask(tn.nodeAt(i), id)
+			st, err := tn.checker.queryJob(tn.nodeAt(i), id)
 			if got := st.Phase; err != nil || got != phase {
 				tn.t.Errorf("%s at node %d in the end: got %q, %v, want %q", id, i, got, err, phase)
 			}
@@ -432,7 +432,7 @@
 func (tn *userCluster) pollUntilFinal(i int, id string, interval time.Duration) {
 	tn.background(func() {
 		for ; !tn.stopped.Load(); i++ {
-			if st, err := tn.checker.ask(tn.nodeAt(i), id); err == nil && st.Final() {
+			if st, err := tn.checker.queryJob(tn.nodeAt(i), id); err == nil && st.Final() {
 				return
 			}
 			time.Sleep(interval)
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -21,7 +21,7 @@
 // machines that send their heartbeats to whichever node responds.
 type mixed struct {
 	*simulatedCluster
-	links *links
+	links *peerLinks
 	old   *oldNode
 	new   *node
 	// oldGate and newGate are their accesses to the store.
@@ -68,7 +68,7 @@
 		prepare(w)
 		v := &mixed{
 			simulatedCluster: w,
-			links:            &links{},
+			links:            &peerLinks{},
 			taskSeconds:      5,
 			secondsRun:       map[string]int{},
 			lastAcknowledged: map[string]time.Time{},
@@ -256,16 +256,16 @@
 	toNew := v.old.leads()
 	if toNew {
 		v.silentAgent = v.agents[0]
-		v.oldGate.set(true) // which is why it resigns
+		v.oldGate.setClosed(true) // which is why it resigns
 		v.old.resign("n1")
 		v.runSeconds(1)
-		v.oldGate.set(false)
+		v.oldGate.setClosed(false)
 	} else {
-		v.newGate.set(true)
+		v.newGate.setClosed(true)
 		for i := 0; i < 15 && !v.old.leads(); i++ {
 			v.runSeconds(1)
 		}
-		v.newGate.set(false)
+		v.newGate.setClosed(false)
 	}
 	v.silentAgent = v.agents[0]
 	v.runSeconds(4)
@@ -612,7 +612,7 @@
 				v.submit(v.new, spec("job-2", 1))
 				v.runSeconds(4)
 				v.checkEqual("running", len(v.agents[0].running()), 3)
-				v.newGate.set(true)
+				v.newGate.setClosed(true)
 				c.cancel(v)
 				v.setStoreDown(true)
 				v.runSeconds(30)
@@ -634,7 +634,7 @@
 		}
 		v.runSeconds(4)
 		v.checkEqual("running", len(v.agents[0].running()), 4)
-		v.oldGate.set(true)
+		v.oldGate.setClosed(true)
 		v.cancelNew("job-1")
 		v.runSeconds(2)
 		v.cancelNew("job-2")
@@ -666,7 +666,7 @@
 		v.handOver()
 		v.runSeconds(10)
 		v.checkEqual("started too early", v.countRunning("job-2", "job-3"), 6)
-		v.newGate.set(true)
+		v.newGate.setClosed(true)
 		v.old.cancel("job-1")
 		v.setStoreDown(true)
 		v.runSeconds(30)
@@ -800,7 +800,7 @@
 	for _, oldLeads := range []bool{false, true} {
 		t.Run(fmt.Sprintf("old leads first %v", oldLeads), func(t *testing.T) {
 			prepare := func(w *simulatedCluster) {
-				w.state = next.settings()
+				w.storeLimits = next.settings()
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 100
 				w.store.SetLimits(16<<10, 20)
 			}
@@ -870,7 +870,7 @@
 // cancelled, and what it writes means to the old leader what it should, though it takes
 // several records.
 func TestNewFollowerInPartition(t *testing.T) {
-	prepare := func(w *simulatedCluster) { w.state = limits{ops: 6, valueKB: 1, writes: 25}.settings() }
+	prepare := func(w *simulatedCluster) { w.storeLimits = limits{ops: 6, valueKB: 1, writes: 25}.settings() }
 	simulateMixedIn(t, prepare, 1, true, func(v *mixed) {
 		v.taskSeconds = 1000
 		far := make([]string, 90)
--- a/internal/controller/zonepartition_test.go
+++ b/internal/controller/zonepartition_test.go
@@ -12,11 +12,11 @@
 
 // startPair starts a leader n0 and a follower n1, each with its own gate to the key-value store, in
 // the given zones if there are two.
-func (w *simulatedCluster) startPair(zones ...string) (l *links, n0, n1 *node, gate0, gate1 *gate) {
+func (w *simulatedCluster) startPair(zones ...string) (l *peerLinks, n0, n1 *node, gate0, gate1 *gate) {
 	if len(zones) == 2 {
 		w.zones = map[string]string{"n0": zones[0], "n1": zones[1]}
 	}
-	l, gate0, gate1 = &links{}, &gate{Fake: w.store}, &gate{Fake: w.store}
+	l, gate0, gate1 = &peerLinks{}, &gate{Fake: w.store}, &gate{Fake: w.store}
 	n0 = l.add("n0", w.startWith("n0", gate0, l))
 	n1 = l.add("n1", w.startWith("n1", gate1, l))
 	time.Sleep(12 * time.Second)
@@ -43,10 +43,10 @@
 		_, n0, n1, gate0, _ := w.startPair()
 		k := w.worker("i-1", "", false)
 		w.submit(n0, spec("job-1", 6))
-		k.serve(n0, 3)
+		k.heartbeatFor(n0, 3)
 		w.checkEqual("running", len(k.running()), 4)
 		term := k.status.Term
-		gate0.set(true)
+		gate0.setClosed(true)
 		for range 10 {
 			k.heartbeatEither(n0, n1)
 			time.Sleep(time.Second)
@@ -65,7 +65,7 @@
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("running after the cancellation", len(k.running()), 0)
-		gate0.set(false)
+		gate0.setClosed(false)
 		time.Sleep(20 * time.Second)
 		w.checkEqual("ready again", n0.Ready(), true)
 		if _, err := k.sendHeartbeat(n0); err == nil {
@@ -81,7 +81,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		_, n0, n1, _, _ := w.startPair()
 		k := w.worker("i-1", "", false)
-		k.serve(n0, 2)
+		k.heartbeatFor(n0, 2)
 		term := k.status.Term
 		w.store.SetDown(true)
 		for range 25 {
@@ -107,9 +107,9 @@
 		l, n0, n1, gate0, _ := w.startPair()
 		k, other := w.worker("i-1", "", false), w.worker("i-2", "", false)
 		w.submit(n0, spec("job-1", 3))
-		k.serve(n0, 3)
+		k.heartbeatFor(n0, 3)
 		w.checkEqual("running", len(k.running()), 3)
-		gate0.set(true)
+		gate0.setClosed(true)
 		l.partitioned.Store(true)
 		lastResponse := time.Now()
 		for range 60 {
@@ -141,8 +141,8 @@
 	simulate(t, func(w *simulatedCluster) {
 		l, n0, n1, _, gate1 := w.startPair()
 		k := w.worker("i-1", "", false)
-		k.serve(n0, 2)
-		gate1.set(true)
+		k.heartbeatFor(n0, 2)
+		gate1.setClosed(true)
 		l.partitioned.Store(true)
 		time.Sleep(30 * time.Second)
 		if _, err := k.sendHeartbeat(n1); err == nil {
@@ -160,19 +160,19 @@
 		l, n0, n1, _, gate1 := w.startPair()
 		k := w.worker("i-1", "", false)
 		w.submit(n0, spec("job-1", 1))
-		k.serve(n0, 3)
+		k.heartbeatFor(n0, 3)
 		l.partitioned.Store(true)
 		for range 5 {
 			w.checkEqual("phase without the leader", w.phase(n1, "job-1"), "pending")
-			k.serve(n0, 1)
+			k.heartbeatFor(n0, 1)
 		}
 		l.partitioned.Store(false)
-		gate1.set(true)
-		k.serve(n0, 5)
+		gate1.setClosed(true)
+		k.heartbeatFor(n0, 5)
 		w.checkEqual("phase without the store", w.phase(n1, "job-1"), "running")
 		w.checkEqual("unknown job", w.phase(n1, "job-9"), api.ErrUnknownJob.Error())
 		k.exit(api.CauseDone)
-		k.serve(n0, 3)
+		k.heartbeatFor(n0, 3)
 		w.checkEqual("done", w.phase(n1, "job-1"), "done")
 	})
 }
@@ -185,7 +185,7 @@
 		w.submit(dead, spec("job-1", 1))
 		dead.crash()
 		_, n0, _, gate0, _ := w.startPair()
-		gate0.set(true)
+		gate0.setClosed(true)
 		time.Sleep(4 * time.Second)
 		w.checkEqual("known job", w.phase(n0, "job-1"), "pending")
 		w.checkEqual("unknown job", w.phase(n0, "job-2"), api.ErrUnknownJob.Error())
@@ -199,20 +199,20 @@
 	simulate(t, func(w *simulatedCluster) {
 		l, n0, n1, _, _ := w.startPair("a", "b")
 		near, far := w.worker("i-1", "a", false), w.worker("i-2", "b", false)
-		near.serve(n0, 3)
-		far.serve(n0, 2)
+		near.heartbeatFor(n0, 3)
+		far.heartbeatFor(n0, 2)
 		var redirect *api.NotLeaderError
 		if _, err := far.sendHeartbeat(n0); !errors.As(err, &redirect) || redirect.Leader != "n1" {
 			t.Fatalf("heartbeat at the leader: got %v, want a redirect to n1", err)
 		}
-		far.serve(n1, 2)
+		far.heartbeatFor(n1, 2)
 		w.submit(n0, spec("job-1", 8))
-		near.serve(n0, 4)
-		far.serve(n1, 4)
+		near.heartbeatFor(n0, 4)
+		far.heartbeatFor(n1, 4)
 		w.checkEqual("running by forwarded heartbeats", len(far.running()), 4)
 		w.checkEqual("running at the leader's machine", len(near.running()), 4)
 		far.exit(api.CauseDone)
-		far.serve(n1, 4)
+		far.heartbeatFor(n1, 4)
 		w.checkEqual("phase after half of the tasks", w.phase(n0, "job-1"), "running")
 		l.partitioned.Store(true)
 		for i := range 30 {
@@ -225,9 +225,9 @@
 		}
 		w.checkEqual("terminated", w.cloud.terminated("i-2"), false)
 		l.partitioned.Store(false)
-		far.serve(n1, 3)
+		far.heartbeatFor(n1, 3)
 		w.submit(n0, spec("job-2", 4))
-		far.serve(n1, 3)
+		far.heartbeatFor(n1, 3)
 		w.checkEqual("running after the partition", len(far.running()), 4)
 		// The nodes must not redirect the machine to each other indefinitely.
 		if _, err := far.sendHeartbeat(n0); err != nil {
@@ -245,7 +245,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		_, n0, n1, _, _ := w.startPair()
 		k := w.worker("i-1", "", false)
-		k.serve(n0, 3)
+		k.heartbeatFor(n0, 3)
 		redirected := func() bool {
 			var redirect *api.NotLeaderError
 			_, err := k.sendHeartbeat(n1)
@@ -257,10 +257,10 @@
 		w.checkEqual("redirected again at once", redirected(), true)
 		time.Sleep(5 * time.Second)
 		w.submit(n0, spec("job-1", 4))
-		k.serve(n1, 20)
+		k.heartbeatFor(n1, 20)
 		w.checkEqual("running", len(k.running()), 4)
 		k.exit(api.CauseDone)
-		k.serve(n1, 3)
+		k.heartbeatFor(n1, 3)
 		w.checkEqual("done", w.phase(n0, "job-1"), "done")
 		time.Sleep(time.Minute)
 		w.checkEqual("redirected after a minute", redirected(), true)
@@ -277,8 +277,8 @@
 			simulate(t, func(w *simulatedCluster) {
 				l, n0, n1, _, _ := w.startPair("a", "b")
 				far := w.worker("i-2", zone, false)
-				far.serve(n0, 3)
-				far.serve(n1, 3)
+				far.heartbeatFor(n0, 3)
+				far.heartbeatFor(n1, 3)
 				l.refuseConnections.Store(true)
 				l.partitioned.Store(true)
 				var redirect *api.NotLeaderError
@@ -303,12 +303,12 @@
 
 // partitionZones partitions zone a, with the leader n0 and the machine near, from zone b, with the
 // follower n1 and the machine far, whose heartbeats are relayed through the key-value store.
-func (w *simulatedCluster) partitionZones() (l *links, n0, n1 *node, gate1 *gate, near, far *worker) {
+func (w *simulatedCluster) partitionZones() (l *peerLinks, n0, n1 *node, gate1 *gate, near, far *worker) {
 	l, n0, n1, _, gate1 = w.startPair("a", "b")
 	near, far = w.worker("i-1", "a", false), w.worker("i-2", "b", false)
-	near.serve(n0, 3)
-	far.serve(n0, 2)
-	far.serve(n1, 2)
+	near.heartbeatFor(n0, 3)
+	far.heartbeatFor(n0, 2)
+	far.heartbeatFor(n1, 2)
 	l.partitioned.Store(true)
 	heartbeatBothSides(n0, n1, near, far, 5)
 	return l, n0, n1, gate1, near, far
@@ -328,7 +328,7 @@
 		}
 		w.checkEqual("running beyond the partition in the end", len(far.running()), 0)
 		near.exit(api.CauseDone)
-		near.serve(n0, 3)
+		near.heartbeatFor(n0, 3)
 		w.checkEqual("phase", w.phase(n0, "job-1"), "done")
 		w.submit(n0, spec("job-2", 8))
 		heartbeatBothSides(n0, n1, near, far, 6)
@@ -339,7 +339,7 @@
 		w.checkEqual("running on both sides after the cancellation", len(near.running())+len(far.running()), 0)
 		l.partitioned.Store(false)
 		time.Sleep(2 * time.Second)
-		far.serve(n1, 3)
+		far.heartbeatFor(n1, 3)
 		w.submit(n0, spec("job-3", 8))
 		heartbeatBothSides(n0, n1, near, far, 4)
 		w.checkEqual("running after the partition", len(near.running())+len(far.running()), 8)
@@ -395,7 +395,7 @@
 	busy := spec("job-0", 4)
 	busy.Zone = "a"
 	w.submit(n0, busy)
-	near.serve(n0, 2)
+	near.heartbeatFor(n0, 2)
 	w.submit(n0, spec("job-1", 2))
 }
 
@@ -486,7 +486,7 @@
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("terminated", w.cloud.terminated("i-2"), true)
-		near.serve(n0, 3)
+		near.heartbeatFor(n0, 3)
 		w.checkEqual("running", len(near.running()), 2)
 	})
 }
