--- a/internal/controller/checkedcluster_test.go
+++ b/internal/controller/checkedcluster_test.go
@@ -15,14 +15,15 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// checkedCluster is a deployment whose machines and controllers run by themselves, with a
-// checker of what the machines run.
+// checkedCluster is a simulated cluster with two controllers and simulated machines, which all run
+// in the background, and with a checker that observes which tasks the machines run.
 type checkedCluster struct {
 	*simulatedCluster
 	checker *runChecker
-	// ctx ends when the test does, before the nodes do; tasks are the goroutines of machines,
-	// users and injected faults, which end with it.
-	ctx        context.Context
+	// ctx is cancelled when the test function returns, before the nodes are stopped.
+	ctx context.Context
+	// goroutines counts the goroutines of machines, users and injected faults, which run until ctx
+	// is cancelled.
 	goroutines sync.WaitGroup
 
 	mu    sync.Mutex
@@ -33,7 +34,7 @@
 	hosts []*host
 }
 
-// slowGate is an access to the store that delays each page of a range.
+// slowGate is a connection to the key-value store that delays each page of a range request.
 type slowGate struct{ *gate }
 
 func (g *slowGate) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
@@ -42,7 +43,7 @@
 	return page, err
 }
 
-// simulateChecked runs a test with two controllers; the first leads.
+// simulateChecked runs f with two controllers, of which n0 leads, and the given number of machines.
 func simulateChecked(t *testing.T, machines int, f func(s *checkedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -50,8 +51,8 @@
 	})
 }
 
-// simulateSlowHeartbeats is simulateChecked with machines that send a heartbeat every 5 s, and so
-// get their starts in command batches.
+// simulateSlowHeartbeats is like simulateChecked, but machines send a heartbeat only every 5 s, so
+// that the leader sends them their starts in command batches.
 func simulateSlowHeartbeats(t *testing.T, machines int, f func(s *checkedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -59,8 +60,8 @@
 	})
 }
 
-// newCheckedCluster runs f with two controllers and some machines that send a heartbeat every
-// heartbeatS seconds, at least 1.
+// newCheckedCluster runs f with two controllers and the given number of machines, which send a
+// heartbeat every heartbeatS seconds; values below 1 mean 1.
 func newCheckedCluster(t *testing.T, machines int, heartbeatS float64, f func(s *checkedCluster)) {
 	t.Helper()
 	w := newSimulatedCluster(t)
@@ -96,7 +97,7 @@
 	f(s)
 }
 
-// startNode starts a controller.
+// startNode starts a controller, which uses the same gate to the store as earlier ones of its name.
 func (s *checkedCluster) startNode(name string) {
 	s.mu.Lock()
 	if s.gates[name] == nil {
@@ -110,7 +111,7 @@
 	s.nodes[name] = n
 }
 
-// crash ends a controller at once.
+// crash stops a controller without a handover.
 func (s *checkedCluster) crash(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,14 +122,14 @@
 	}
 }
 
-// node returns a controller by its name, or nil if it does not run.
+// node returns the controller of the given name, or nil if it is not running.
 func (s *checkedCluster) node(name string) *node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.nodes[name]
 }
 
-// leader returns the name of the leader, or "".
+// leader returns the name of the leader that has loaded its state, or "" if there is none.
 func (s *checkedCluster) leader() string {
 	for _, name := range s.names {
 		if n := s.node(name); n != nil {
@@ -142,8 +143,8 @@
 	return ""
 }
 
-// handOver makes the other controller the leader: the store rejects the requests of the leader alone
-// for a while.
+// handOver makes the other controller the leader by closing the leader's gate to the store for 8 s,
+// without an orderly handover.
 func (s *checkedCluster) handOver() {
 	if name := s.leader(); name != "" {
 		s.gates[name].setClosed(true)
@@ -154,7 +155,7 @@
 	}
 }
 
-// restartLeader ends the leader, and starts it again after a while.
+// restartLeader crashes the leader and starts it again after the given time.
 func (s *checkedCluster) restartLeader(after time.Duration) {
 	if name := s.leader(); name != "" {
 		s.crash(name)
@@ -163,11 +164,12 @@
 	}
 }
 
-// retryRequest sends a user's request to the controllers in turn until one responds without an
-// error; first selects the first of them.
+// retryRequest sends a user's request to the controllers in turn, once a second, until one responds
+// without an error. It starts with the controller at index first, modulo their number, and reports
+// a test error after 60 attempts.
 func (s *checkedCluster) retryRequest(what string, first int, request func(ctx context.Context, n *node) error) {
 	s.t.Helper()
-	err := errors.New("no controller")
+	err := errors.New("no controller is running")
 	for try := first; try < first+60; try++ {
 		if n := s.node(s.names[try%len(s.names)]); n != nil {
 			ctx, cancel := context.WithTimeout(s.ctx, 5*time.Second)
@@ -182,10 +184,10 @@
 		}
 		time.Sleep(time.Second)
 	}
-	s.t.Errorf("%s: %v", what, err)
+	s.t.Errorf("%s: got error %v on all attempts, want success", what, err)
 }
 
-// submitJob submits a job each of whose tasks runs for a given time.
+// submitJob submits a job whose tasks each run for the given time.
 func (s *checkedCluster) submitJob(duration time.Duration, spec *api.JobSpec) {
 	s.t.Helper()
 	s.checker.mu.Lock()
@@ -202,7 +204,7 @@
 	})
 }
 
-// cancel cancels jobs, as users do at the same time.
+// cancel cancels jobs concurrently, as several users may do.
 func (s *checkedCluster) cancel(ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
@@ -211,9 +213,9 @@
 		s.checker.mu.Unlock()
 		s.goroutines.Go(func() {
 			s.retryRequest("cancel "+id, int(id[len(id)-1]), func(ctx context.Context, n *node) error {
-				st, err := n.Cancel(ctx, id)
+				state, err := n.Cancel(ctx, id)
 				if err == nil {
-					s.checker.recordPhase(id, st.Phase)
+					s.checker.recordPhase(id, state.Phase)
 				}
 				return err
 			})
@@ -221,7 +223,8 @@
 	}
 }
 
-// awaitAllEnded notes that all faults are healed, and waits until all jobs have ended.
+// awaitAllEnded records that all faults are healed, and waits until all jobs are done or cancelled.
+// It reports a test error for each job that has not ended within the given time.
 func (s *checkedCluster) awaitAllEnded(within time.Duration) {
 	s.t.Helper()
 	s.checker.mu.Lock()
@@ -230,16 +233,16 @@
 	s.checker.mu.Unlock()
 	deadline := time.Now().Add(within)
 	for _, id := range ids {
-		for last := ""; ; {
+		for phase := ""; ; {
 			if n := s.node(s.names[0]); n != nil {
-				last = s.phase(n, id)
-				if last == api.JobDone || last == api.JobCancelled {
-					s.checker.recordPhase(id, last)
+				phase = s.phase(n, id)
+				if phase == api.JobDone || phase == api.JobCancelled {
+					s.checker.recordPhase(id, phase)
 					break
 				}
 			}
 			if time.Now().After(deadline) {
-				s.t.Errorf("%s: got phase %q after all faults were healed, want done or cancelled", id, last)
+				s.t.Errorf("%s: got phase %q after all faults were healed, want done or cancelled", id, phase)
 				break
 			}
 			time.Sleep(500 * time.Millisecond)
@@ -247,9 +250,9 @@
 	}
 }
 
-// addMachine adds a machine that is up from now on.
+// addMachine adds a machine, which starts to send heartbeats at once.
 func (s *checkedCluster) addMachine(name, zone string, spot bool) *host {
-	k := &host{
+	machine := &host{
 		worker:           s.worker(name, zone, spot),
 		s:                s,
 		remaining:        map[run]time.Duration{},
@@ -257,51 +260,51 @@
 		nextHeartbeat:    time.Now(),
 	}
 	s.checker.mu.Lock()
-	s.checker.hosts[name] = k
-	s.hosts = append(s.hosts, k)
+	s.checker.hosts[name] = machine
+	s.hosts = append(s.hosts, machine)
 	s.checker.mu.Unlock()
-	return k
+	return machine
 }
 
-// runMachines runs all machines until the test ends. One clock drives them all: the race
-// detector cannot follow a bubble with very many timers.
+// runMachines runs all machines until the test ends. One loop advances them all: the race detector
+// does not cope with a very large number of timers in a synctest bubble.
 func (s *checkedCluster) runMachines() {
 	for s.ctx.Err() == nil {
 		s.checker.mu.Lock()
 		hosts := slices.Clone(s.hosts)
 		s.checker.mu.Unlock()
-		for _, k := range hosts {
-			k.step(time.Now())
+		for _, machine := range hosts {
+			machine.step(time.Now())
 		}
 		s.checker.checkRuns()
 		sleepUnlessZero(s.ctx, tick)
 	}
 }
 
-// machinesRunning lists the machines that run a job's tasks.
-func (s *checkedCluster) machinesRunning(job string) (ks []*host) {
-	for _, k := range s.hosts {
+// machinesRunning returns the machines that run tasks of a job.
+func (s *checkedCluster) machinesRunning(job string) (machines []*host) {
+	for _, machine := range s.hosts {
 		s.checker.mu.Lock()
 		s.checker.dropTerminated()
 		for r := range s.checker.runs {
-			if r.machine == k.status.Machine && r.job() == job && !slices.Contains(ks, k) {
-				ks = append(ks, k)
+			if r.machine == machine.status.Machine && r.job() == job && !slices.Contains(machines, machine) {
+				machines = append(machines, machine)
 			}
 		}
 		s.checker.mu.Unlock()
 	}
-	return ks
+	return machines
 }
 
 // SendCommands implements CommandSender.
 func (s *checkedCluster) SendCommands(ctx context.Context, addr string, batch *api.CommandBatch) (uint64, error) {
-	hb, err := s.deliverToMachine(ctx, addr, func(k *host) bool {
-		if batch.Term < k.status.Term || batch.AgentEpoch != k.status.AgentEpoch {
+	hb, err := s.deliverToMachine(ctx, addr, func(machine *host) bool {
+		if batch.Term < machine.status.Term || batch.AgentEpoch != machine.status.AgentEpoch {
 			return false
 		}
-		k.changed = k.changed || batch.Term > k.status.Term
-		k.status.Term = batch.Term
-		k.applyCommands(batch.Commands)
+		machine.changed = machine.changed || batch.Term > machine.status.Term
+		machine.status.Term = batch.Term
+		machine.applyCommands(batch.Commands)
 		return true
 	})
 	if err != nil {
@@ -312,49 +315,50 @@
 
 // Resync implements CommandSender.
 func (s *checkedCluster) Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error) {
-	return s.deliverToMachine(ctx, addr, func(k *host) bool {
-		if term < k.status.Term {
+	return s.deliverToMachine(ctx, addr, func(machine *host) bool {
+		if term < machine.status.Term {
 			return false
 		}
-		k.changed = k.changed || term > k.status.Term
-		k.status.Term = term
+		machine.changed = machine.changed || term > machine.status.Term
+		machine.status.Term = term
 		return true
 	})
 }
 
-// deliverToMachine delivers a request to a machine; a hung or slow one applies it late, even
-// if its sender has timed out by then.
+// deliverToMachine delivers a request to a machine and returns the machine's status after it was
+// applied. A hung or slow machine applies it late, even if the sender has timed out by then. apply
+// is called with the machine's lock held and reports whether the machine accepted the request.
 func (s *checkedCluster) deliverToMachine(
 	ctx context.Context, addr string, apply func(*host) bool,
 ) (*api.Heartbeat, error) {
 	s.checker.mu.Lock()
-	k := s.checker.hosts[addr]
+	machine := s.checker.hosts[addr]
 	s.checker.mu.Unlock()
-	if k == nil || s.cloud.terminated(addr) {
+	if machine == nil || s.cloud.terminated(addr) {
 		return nil, api.ErrCommandsNotApplied
 	}
-	k.mu.Lock()
-	isUnreachable := k.cut || k.commandsUndelivered
-	requestDelay, responseDelay := k.commandDelay, k.commandResponseDelay
-	k.mu.Unlock()
+	machine.mu.Lock()
+	isUnreachable := machine.cut || machine.commandsUndelivered
+	requestDelay, responseDelay := machine.commandDelay, machine.commandResponseDelay
+	machine.mu.Unlock()
 	if isUnreachable {
 		<-ctx.Done()
 		return nil, api.ErrCommandsNotApplied // no connection
 	}
 	response := make(chan *api.Heartbeat, 1)
-	// Controllers call this while the test ends, so tasks does not count it: it waits for
-	// nothing once s.ctx has ended.
+	// s.goroutines does not count this goroutine, because controllers may still call this function
+	// while the test waits for s.goroutines. It waits for nothing once s.ctx is cancelled.
 	go func() {
 		sleepUnlessZero(s.ctx, requestDelay)
-		k.lockWhenResponsive()
+		machine.lockWhenResponsive()
 		var hb *api.Heartbeat
-		if s.ctx.Err() == nil && !s.cloud.terminated(addr) && apply(k) {
-			k.status.Seq++
-			status := k.status
-			status.Tasks = slices.Clone(k.status.Tasks)
+		if s.ctx.Err() == nil && !s.cloud.terminated(addr) && apply(machine) {
+			machine.status.Seq++
+			status := machine.status
+			status.Tasks = slices.Clone(machine.status.Tasks)
 			hb = &status
 		}
-		k.mu.Unlock()
+		machine.mu.Unlock()
 		sleepUnlessZero(s.ctx, responseDelay)
 		response <- hb
 	}()
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -24,47 +24,52 @@
 	"example.org/ivytrestle/internal/standby"
 )
 
-// fakeCloud is a cloud that launches nothing by itself; tests script its responses.
+// fakeCloud is a cloud API with scripted responses. It records launch and termination requests but
+// runs no machines.
 type fakeCloud struct {
 	mu              sync.Mutex
 	types           []api.MachineType
 	launches        []cloud.LaunchRequest
 	terminatedNames []string
 	machines        []cloud.Machine
-	// capacity is the number of machines that each launch request gets.
-	capacity           int
+	// capacity is the maximum number of machines for each launch request; 0 makes all of them fail
+	// with cloud.ErrNoCapacity.
+	capacity int
+	// loseLaunchResponse makes the next launch return an error after it has taken effect.
 	loseLaunchResponse bool
-	rejectTerminate    bool
-	launched           map[string][]string
+	// rejectTerminate makes every termination request fail.
+	rejectTerminate bool
+	// launched maps the names of launch requests to the machines launched for them.
+	launched map[string][]string
 }
 
 func (f *fakeCloud) Types(context.Context) ([]api.MachineType, error) { return f.types, nil }
 
-func (f *fakeCloud) Launch(_ context.Context, r cloud.LaunchRequest) ([]string, error) {
+func (f *fakeCloud) Launch(_ context.Context, request cloud.LaunchRequest) ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.launches = append(f.launches, r)
+	f.launches = append(f.launches, request)
 	if f.capacity == 0 {
 		return nil, cloud.ErrNoCapacity
 	}
-	if f.launched[r.Name] == nil {
-		for range min(r.Count, f.capacity) {
-			machine := fmt.Sprintf("i-9%05d", len(f.launched)*100+len(f.launched[r.Name]))
-			f.launched[r.Name] = append(f.launched[r.Name], machine)
+	if f.launched[request.Name] == nil {
+		for range min(request.Count, f.capacity) {
+			machine := fmt.Sprintf("i-9%05d", len(f.launched)*100+len(f.launched[request.Name]))
+			f.launched[request.Name] = append(f.launched[request.Name], machine)
 		}
 	}
 	if f.loseLaunchResponse {
 		f.loseLaunchResponse = false
-		return nil, errors.New("no response")
+		return nil, fmt.Errorf("launch %s: response lost", request.Name)
 	}
-	return f.launched[r.Name], nil
+	return f.launched[request.Name], nil
 }
 
 func (f *fakeCloud) Terminate(_ context.Context, names []string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.rejectTerminate {
-		return errors.New("terminate rejected")
+		return fmt.Errorf("terminate %v: rejected", names)
 	}
 	f.terminatedNames = append(f.terminatedNames, names...)
 	return nil
@@ -76,75 +81,78 @@
 	return slices.Clone(f.machines), nil
 }
 
+// terminated reports whether the termination of a machine was requested and accepted.
 func (f *fakeCloud) terminated(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Contains(f.terminatedNames, name)
 }
 
-// simulatedCluster is a simulated deployment on a fake clock: nodes, store, cloud and scripted
-// machines.
+// simulatedCluster is a deployment on a fake clock: controllers, an in-memory store, a fake cloud
+// and scripted machines.
 type simulatedCluster struct {
 	t     *testing.T
 	store *kvtest.Fake
 	cloud *fakeCloud
 	teams []config.Team
-	// commandSender sends commands outside heartbeat responses; nil: none are sent.
+	// commandSender sends commands outside heartbeat responses; with nil, commands are sent only in
+	// heartbeat responses.
 	commandSender CommandSender
-	// heartbeatS is the heartbeat interval in seconds, at least 1.
+	// heartbeatS is the heartbeat interval in seconds; values below 1 mean 1.
 	heartbeatS float64
-	// cancelS is how long a cancellation may take, in seconds; 0 means 30.
+	// cancelS is the maximum time in seconds that a cancellation may take; 0 means 30.
 	cancelS float64
-	// storeLimits holds the limits of the key-value store as the nodes know them; the zero value
-	// means those of a usual site.
+	// storeLimits holds the key-value store limits in the settings of the nodes; the zero value
+	// means the defaults in the settings method.
 	storeLimits config.KVLimits
-	// cells and link are set if there are other cells.
+	// cells and cellClient are set if there are other cells.
 	cells      *cells.Settings
 	cellClient CellLink
-	// standby is set if a failover may elect a leader before the lease of the last one
-	// expires.
+	// standby is set if failover is enabled, which may elect a leader before the lease of the
+	// previous one expires.
 	standby *standby.Settings
 	// zones maps each node to its zone.
 	zones map[string]string
-	// dead holds the machines that fail probes, tardy those that do not respond to one before
-	// it times out.
+	// dead holds the machines whose probes fail at once; unresponsive holds those whose probes
+	// time out.
 	dead, unresponsive sync.Map
 	// machines maps addresses to scripted machines.
 	machines sync.Map
-	// ctx ends with the cluster, and ends all nodes; running counts the goroutines that run
-	// until then.
-	ctx            context.Context
+	// ctx is cancelled at the end of the test, which stops all nodes.
+	ctx context.Context
+	// nodeGoroutines counts the goroutines that run until ctx is cancelled.
 	nodeGoroutines sync.WaitGroup
 }
 
 // Probe implements Prober.
 func (w *simulatedCluster) Probe(ctx context.Context, addr string) (*api.Heartbeat, error) {
-	if _, tardy := w.unresponsive.Load(addr); tardy {
+	if _, unresponsive := w.unresponsive.Load(addr); unresponsive {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	if _, dead := w.dead.Load(addr); dead {
-		return nil, errors.New("no response")
+		return nil, fmt.Errorf("probe %s: machine is dead", addr)
 	}
-	k, ok := w.machines.Load(addr)
+	value, ok := w.machines.Load(addr)
 	if !ok {
-		return nil, errors.New("no such machine")
-	}
-	m := k.(*worker)
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.status.Seq++
-	hb := m.status
-	hb.Tasks = slices.Clone(m.status.Tasks)
+		return nil, fmt.Errorf("probe %s: no machine has this address", addr)
+	}
+	agent := value.(*worker)
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	agent.status.Seq++
+	hb := agent.status
+	hb.Tasks = slices.Clone(agent.status.Tasks)
 	return &hb, nil
 }
 
-// maxRequestDuration is longer than any request of a node takes that has its own timeout.
+// maxRequestDuration is longer than the timeout of any request that a node sends.
 const maxRequestDuration = 30 * time.Second
 
-// newSimulatedCluster makes a cluster without nodes. At the end of the test, also of one that failed
-// half-way, its nodes are stopped and waited for: time stands still once the test's own
-// goroutine has returned, and a goroutine that then waits for time is reported as a deadlock.
+// newSimulatedCluster creates a cluster without nodes. When the test ends, even if it fails early,
+// the cleanup stops the nodes and waits for them: the fake clock stops once the test's main
+// goroutine has returned, and synctest reports goroutines that then still wait on timers as
+// deadlocked.
 func newSimulatedCluster(t *testing.T) *simulatedCluster {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -172,7 +180,8 @@
 	return w
 }
 
-// gate is one node's access to the store, which can be closed for that node alone.
+// gate is one node's connection to the key-value store. While it is closed, the store is
+// unreachable for that node alone.
 type gate struct {
 	*kvtest.Fake
 	mu     sync.Mutex
@@ -185,6 +194,7 @@
 	g.closed = closed
 }
 
+// err returns the error for a request sent now: kv.ErrNotApplied if the gate is closed, else nil.
 func (g *gate) err() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -229,10 +239,10 @@
 	return g.Fake.RenewLease(ctx, lease)
 }
 
-// Watch blocks while the gate is closed, also if it was called before that: it returns the
-// changes it saw meanwhile once the gate is open again.
+// Watch returns no response while the gate is closed, even if the gate was closed after the call.
+// Once the gate is open again, it returns the changes that the store reported in the meantime.
 func (g *gate) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
-	ch, err := g.Fake.Watch(ctx, prefix, from, block)
+	changes, err := g.Fake.Watch(ctx, prefix, from, block)
 	for g.err() != nil {
 		select {
 		case <-ctx.Done():
@@ -240,7 +250,7 @@
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	return ch, err
+	return changes, err
 }
 
 // node is a controller that can be crashed.
@@ -249,7 +259,7 @@
 	crash context.CancelFunc
 }
 
-// inspectMsg lets a test read the state that the controller's goroutine owns.
+// inspectMsg calls f on the controller's owner goroutine, so that tests can access its state.
 type inspectMsg struct {
 	f    func(*Controller)
 	done chan struct{}
@@ -257,14 +267,14 @@
 
 func (m inspectMsg) apply(c *Controller) { m.f(c); close(m.done) }
 
-// inspect calls f with the state of a running node.
+// inspect calls f on the owner goroutine of a running node.
 func (n *node) inspect(f func(*Controller)) {
 	if !n.tryInspect(f) {
-		panic("inspected a controller that has ended")
+		panic("inspect: the controller has stopped")
 	}
 }
 
-// tryInspect is look for a node that may end meanwhile; it reports whether f was called.
+// tryInspect is like inspect for a node that may have stopped; it reports whether f was called.
 func (n *node) tryInspect(f func(*Controller)) bool {
 	m := inspectMsg{f, make(chan struct{})}
 	if n.send(context.Background(), m) != nil {
@@ -274,22 +284,25 @@
 	return err == nil
 }
 
+// start starts a node that has no peers.
 func (w *simulatedCluster) start(name string) *node {
 	return w.startWith(name, w.store, nil)
 }
 
-func (w *simulatedCluster) startWith(name string, st kv.Service, peers PeerClient) *node {
+// startWith starts a node with its own access to the store and, unless peers is nil, with the other
+// nodes as its peers. It returns after the node has had time to be elected.
+func (w *simulatedCluster) startWith(name string, store kv.Service, peers PeerClient) *node {
 	w.t.Helper()
-	pol, err := policy.Parse("", "")
+	currentPolicy, err := policy.Parse("", "")
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	pol.MinCPUs = 100 // the autoscaler finds no machine to scale in
+	currentPolicy.MinCPUs = 100 // keeps the autoscaler from terminating machines
 	log := slog.New(slog.DiscardHandler)
 	c := New(Config{
 		Settings:      w.settings(name, peers != nil),
-		Policy:        pol,
-		Store:         st,
+		Policy:        currentPolicy,
+		Store:         store,
 		Cloud:         w.cloud,
 		Peers:         peers,
 		Prober:        w,
@@ -302,8 +315,8 @@
 	elector := &election.Elector{
 		Node:          name,
 		Incarnation:   fmt.Sprint(time.Now().UnixNano()),
-		Store:         st,
-		LeaseDuration: pol.LeaderLease,
+		Store:         store,
+		LeaseDuration: currentPolicy.LeaderLease,
 		RenewInterval: 3 * time.Second,
 		Observer:      c,
 		Log:           log,
@@ -317,8 +330,8 @@
 	return &node{c, cancel}
 }
 
-// settings returns the settings of a node, with the other nodes as its peers if it has any.
-// Node n2 is part of the cluster only if it has a zone.
+// settings returns the settings of a node, with the other nodes as its peers if hasPeers is set.
+// The cluster has the nodes n0 and n1, and also n2 if zones has an entry for it.
 func (w *simulatedCluster) settings(name string, hasPeers bool) *config.Settings {
 	s := &config.Settings{
 		Node: name,
@@ -347,17 +360,20 @@
 	return s
 }
 
-// simulate runs a test on the fake clock with an empty cluster, which ends with the test.
+// simulate runs f on a fake clock with a cluster that has no nodes yet and is stopped when f
+// returns.
 func simulate(t *testing.T, f func(w *simulatedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { f(newSimulatedCluster(t)) })
 }
 
+// spec returns a valid job of team red whose tasks need one CPU each.
 func spec(id string, tasks int) *api.JobSpec {
 	return &api.JobSpec{ID: id, Class: "c", Team: "red", Shape: "array", Priority: "low", Tasks: tasks,
 		CPUs: 1, MemoryGB: 1, Image: "img", EstimateS: 30, Spot: true}
 }
 
+// submit submits a job to a node and fails the test if the node rejects it.
 func (w *simulatedCluster) submit(n *node, s *api.JobSpec) {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -368,27 +384,28 @@
 	time.Sleep(200 * time.Millisecond)
 }
 
-// phase is a job's phase as a node answers it to a user, or the error's text.
+// phase returns the phase of a job that a node reports to a user, or the text of the error.
 func (w *simulatedCluster) phase(n *node, id string) string {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
-	st, err := n.Job(ctx, id)
+	state, err := n.Job(ctx, id)
 	if err != nil {
 		return err.Error()
 	}
-	return st.Phase
+	return state.Phase
 }
 
-// worker is a scripted worker agent. Its heartbeats are sent by the test.
+// worker is a scripted worker agent; the test decides when it sends heartbeats.
 type worker struct {
 	cluster *simulatedCluster
 	mu      sync.Mutex
 	status  api.Heartbeat
 }
 
+// worker adds a scripted worker agent whose machine has type small.
 func (w *simulatedCluster) worker(name, zone string, spot bool) *worker {
-	k := &worker{cluster: w, status: api.Heartbeat{
+	agent := &worker{cluster: w, status: api.Heartbeat{
 		Machine:    name,
 		Addr:       name,
 		Type:       "small",
@@ -396,16 +413,17 @@
 		Spot:       spot,
 		AgentEpoch: 1,
 	}}
-	w.machines.Store(name, k)
-	return k
+	w.machines.Store(name, agent)
+	return agent
 }
 
-// heartbeatReceiver is a node of any version as worker agents reach it.
+// heartbeatReceiver is the part of a node, of any version, to which worker agents send heartbeats.
 type heartbeatReceiver interface {
 	Heartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error)
 }
 
-// heartbeat sends a heartbeat and applies the commands of its response, as an agent does.
+// heartbeat sends a heartbeat and applies the commands in the response, as an agent does. It
+// returns the commands, or nil if there was no valid response.
 func (k *worker) heartbeat(n heartbeatReceiver) []api.Command {
 	commands, err := k.sendHeartbeat(n)
 	if err != nil {
@@ -415,7 +433,8 @@
 	return commands
 }
 
-// sendHeartbeat sends a heartbeat; the commands of its response are lost unless the test applies them.
+// sendHeartbeat sends a heartbeat and returns the commands in the response. They are lost unless
+// the test applies them.
 func (k *worker) sendHeartbeat(n heartbeatReceiver) ([]api.Command, error) {
 	k.mu.Lock()
 	k.status.Seq++
@@ -425,8 +444,8 @@
 	return k.deliver(n, &hb)
 }
 
-// deliver sends a given heartbeat, which may be a copy of an earlier one. A response with an
-// earlier fencing token is rejected.
+// deliver sends the given heartbeat, which may be a copy of an earlier one, and returns the
+// commands in the response. It rejects a response whose fencing token is lower than the agent's.
 func (k *worker) deliver(n heartbeatReceiver, hb *api.Heartbeat) ([]api.Command, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
@@ -437,7 +456,7 @@
 		k.status.Term = response.Term
 		return response.Commands, nil
 	}
-	return nil, errors.Join(err, errors.New("response rejected"))
+	return nil, errors.Join(err, fmt.Errorf("heartbeat of %s: response rejected", hb.Machine))
 }
 
 // applyCommands applies commands as an agent does.
@@ -447,7 +466,7 @@
 	k.applyCommandsLocked(commands)
 }
 
-// applyCommandsLocked is obey with the lock held.
+// applyCommandsLocked is applyCommands for a caller that holds the lock.
 func (k *worker) applyCommandsLocked(commands []api.Command) {
 	for _, cmd := range commands {
 		i := taskIndex(k.status.Tasks, cmd)
@@ -470,7 +489,8 @@
 	})
 }
 
-// heartbeatFor sends a heartbeat once a second for some seconds.
+// heartbeatFor sends a heartbeat every second, and applies the commands in the responses, for the
+// given number of seconds.
 func (k *worker) heartbeatFor(n heartbeatReceiver, seconds int) {
 	for range seconds {
 		k.heartbeat(n)
@@ -478,7 +498,7 @@
 	}
 }
 
-// exit ends every running task with the given cause.
+// exit makes every running task exit with the given cause.
 func (k *worker) exit(cause string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -489,26 +509,26 @@
 	}
 }
 
-// running lists the tasks on the machine that have not exited.
+// running returns the sorted names of the tasks on the machine that have not exited.
 func (k *worker) running() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var out []string
+	var tasks []string
 	for _, t := range k.status.Tasks {
 		if t.Phase != api.TaskExited {
-			out = append(out, t.Task)
+			tasks = append(tasks, t.Task)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(tasks)
+	return tasks
 }
 
-// checkEqual fails the test unless got and want are equal as JSON.
+// checkEqual reports a test error unless the JSON encodings of got and want are equal.
 func (w *simulatedCluster) checkEqual(what string, got, want any) {
 	w.t.Helper()
-	g, _ := json.Marshal(got)
-	e, _ := json.Marshal(want)
-	if string(g) != string(e) {
-		w.t.Errorf("%s: got %s, want %s", what, g, e)
+	gotJSON, _ := json.Marshal(got)
+	wantJSON, _ := json.Marshal(want)
+	if string(gotJSON) != string(wantJSON) {
+		w.t.Errorf("%s: got %s, want %s", what, gotJSON, wantJSON)
 	}
 }
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -12,17 +12,21 @@
 	"example.org/ivytrestle/internal/membership"
 )
 
-// peerLinks connects nodes as peers; all links can be cut at once.
+// peerLinks implements PeerClient for simulated nodes. All links between them can be cut at once.
 type peerLinks struct {
-	nodes       sync.Map
+	// nodes maps names to the nodes that are running.
+	nodes sync.Map
+	// partitioned cuts all links.
 	partitioned atomic.Bool
-	// refuseConnections makes cut links refuse connections.
+	// refuseConnections makes pings and forwarded heartbeats to an unreachable node fail with
+	// ErrConnectionRefused.
 	refuseConnections atomic.Bool
 }
 
+// add makes a node reachable under a name, and returns it.
 func (l *peerLinks) add(name string, n *node) *node { l.nodes.Store(name, n); return n }
 
-// peerNode is a node as its peers reach it.
+// peerNode has the requests that a node of any version handles for its peers.
 type peerNode interface {
 	PeerJob(ctx context.Context, id string) (api.JobState, error)
 	PeerStatus(ctx context.Context, from cancellation.Position) (membership.PeerStatus, error)
@@ -30,11 +34,12 @@
 	LeaderResigned(ctx context.Context, node string, term uint64) error
 }
 
-// reachablePeer returns the node at the other end, if it can be reached.
+// reachablePeer returns the node of the given name, or an error if it is not running or the links
+// are cut.
 func (l *peerLinks) reachablePeer(name string) (peerNode, error) {
 	n, ok := l.nodes.Load(name)
 	if l.partitioned.Load() || !ok {
-		return nil, errors.New("cut")
+		return nil, fmt.Errorf("node %s is unreachable", name)
 	}
 	return n.(peerNode), nil
 }
@@ -58,7 +63,9 @@
 	return n.PeerStatus(ctx, from)
 }
 
-func (l *peerLinks) ForwardHeartbeat(ctx context.Context, name string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
+func (l *peerLinks) ForwardHeartbeat(
+	ctx context.Context, name string, hb *api.Heartbeat,
+) (api.HeartbeatResponse, error) {
 	n, err := l.reachablePeer(name)
 	if err != nil {
 		if l.refuseConnections.Load() {
@@ -77,23 +84,25 @@
 	return n.LeaderResigned(ctx, self, term)
 }
 
-// voter is a node that knows votes.
+// voter has the requests of the lease quorum protocol, which nodes of the version in production
+// lack.
 type voter interface {
 	PeerVote(ctx context.Context, term uint64) (bool, error)
 	PeerPromise(ctx context.Context, term uint64) (time.Duration, error)
 }
 
-// reachableVoter returns the node at the other end, if it can be reached and knows votes.
+// reachableVoter returns the node of the given name, or an error if it is unreachable or does not
+// support the lease quorum protocol.
 func (l *peerLinks) reachableVoter(name string) (voter, error) {
 	n, err := l.reachablePeer(name)
 	if err != nil {
 		return nil, err
 	}
-	g, ok := n.(voter)
+	v, ok := n.(voter)
 	if !ok {
 		return nil, api.ErrUnavailable
 	}
-	return g, nil
+	return v, nil
 }
 
 func (l *peerLinks) Vote(ctx context.Context, name string, term uint64) (bool, error) {
