--- a/internal/controller/answerchecker_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -12,36 +12,46 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// answerChecker checks what every node answers users about every job. Requests and answers are
-// numbered in the order in which they were sent and received, so that the rules also hold
-// within one instant of the fake clock. The first violations fail the test.
+// answerChecker checks the answers of all nodes to users about all jobs. Requests and answers share
+// one sequence of numbers, in the order in which they were sent and received, so that events at the
+// same instant of the fake clock are ordered too. The first three violations are reported as test
+// errors.
 type answerChecker struct {
+	// fail reports a violation.
 	fail func(string)
 
-	mu         sync.Mutex
+	mu sync.Mutex
+	// lastNumber is the number of the latest request or answer.
 	lastNumber int
 	violations int
-	answered   int
-	jobs       map[string]*answerLog
+	// answered is the number of answers received.
+	answered int
+	// jobs holds the answer log of each job.
+	jobs map[string]*answerLog
 }
 
-// answerLog is what is known of one job independently of the nodes: what its user has
-// requested, what its tasks have done, and what was answered.
+// answerLog holds what is known about one job independently of the nodes: what users have
+// requested, which tasks have completed on their machines, and which answers users have received.
 type answerLog struct {
-	taskCount            int
-	completedTasks       map[string]bool
+	taskCount      int
+	completedTasks map[string]bool
+	// doneAt is when the last task completed.
 	doneAt               time.Time
 	submitted, cancelled bool
-	// firstAcceptance is the number of the first answer with the job as accepted, firstEnd
-	// that of the first with its end; 0 if there was none.
+	// firstAcceptance is the number of the first answer that showed the job as accepted, firstEnd
+	// of the first that showed it as ended; 0 if there was none.
 	firstAcceptance, firstEnd int
-	end                       string
-	endAt                     time.Time
-	// byPhase counts the answers by phase; lines are the last ones.
-	byPhase       map[string]int
+	// end is the phase in the first answer that showed the job as ended, endAt when it was
+	// received.
+	end   string
+	endAt time.Time
+	// byPhase counts the answers by phase.
+	byPhase map[string]int
+	// recentAnswers describes the last 12 answers, for the report of a violation.
 	recentAnswers []string
 }
 
+// newAnswerChecker returns a checker that reports violations as errors of the test.
 func newAnswerChecker(t *testing.T) *answerChecker {
 	t.Helper()
 	return &answerChecker{
@@ -50,40 +60,40 @@
 	}
 }
 
-// logOf is the answer log of a job; the caller holds the lock.
-func (h *answerChecker) logOf(id string) *answerLog {
-	j := h.jobs[id]
-	if j == nil {
-		j = &answerLog{completedTasks: map[string]bool{}, byPhase: map[string]int{}}
-		h.jobs[id] = j
+// logOf returns the answer log of a job. The caller holds the lock.
+func (c *answerChecker) logOf(id string) *answerLog {
+	log := c.jobs[id]
+	if log == nil {
+		log = &answerLog{completedTasks: map[string]bool{}, byPhase: map[string]int{}}
+		c.jobs[id] = log
 	}
-	return j
+	return log
 }
 
-// recordRequest numbers a request. Its change is what the user wants, recorded before any
-// answer can follow from it.
-func (h *answerChecker) recordRequest(id string, change func(*answerLog)) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// recordRequest records a request before it is sent, and returns its number. change, which may be
+// nil, records in the job's log what the user requests.
+func (c *answerChecker) recordRequest(id string, change func(*answerLog)) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if change != nil {
-		change(h.logOf(id))
+		change(c.logOf(id))
 	}
-	h.lastNumber++
-	return h.lastNumber
+	c.lastNumber++
+	return c.lastNumber
 }
 
-// recordCompletion records that a task has ended by itself on its machine.
-func (h *answerChecker) recordCompletion(task string) {
+// recordCompletion records that a task has run to completion on its machine.
+func (c *answerChecker) recordCompletion(task string) {
 	id, _, _ := strings.Cut(task, "/")
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	j := h.logOf(id)
-	if j.completedTasks[task] = true; len(j.completedTasks) == j.taskCount && j.doneAt.IsZero() {
-		j.doneAt = time.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	log := c.logOf(id)
+	if log.completedTasks[task] = true; len(log.completedTasks) == log.taskCount && log.doneAt.IsZero() {
+		log.doneAt = time.Now()
 	}
 }
 
-// userResponse is the outcome of one user's request, which has the given number.
+// userResponse is the outcome of a user's request.
 type userResponse struct {
 	requestNumber int
 	verb          string
@@ -93,121 +103,130 @@
 	err           error
 }
 
-// recordResponse checks an answer that was received now. An error other than ErrUnknownJob is
-// no answer.
-func (h *answerChecker) recordResponse(id string, a userResponse) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.lastNumber++
-	j := h.logOf(id)
-	unknown := errors.Is(a.err, api.ErrUnknownJob)
-	if a.err != nil && !unknown {
+// recordResponse checks and records an answer that was received now. Errors other than
+// ErrUnknownJob do not count as answers.
+func (c *answerChecker) recordResponse(id string, response userResponse) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastNumber++
+	log := c.logOf(id)
+	unknown := errors.Is(response.err, api.ErrUnknownJob)
+	if response.err != nil && !unknown {
 		return
 	}
-	h.answered++
-	phase := a.state.Phase
+	c.answered++
+	phase := response.state.Phase
 	if unknown {
 		phase = "unknown"
 	}
-	j.byPhase[phase]++
-	j.recentAnswers = append(j.recentAnswers, fmt.Sprintf("%s #%d-#%d %s at %s: %s",
-		time.Now().Format("05.000"), a.requestNumber, h.lastNumber, a.verb, a.node, phase))
-	if len(j.recentAnswers) > 12 {
-		j.recentAnswers = j.recentAnswers[1:]
+	log.byPhase[phase]++
+	log.recentAnswers = append(log.recentAnswers, fmt.Sprintf("%s #%d-#%d %s at %s: %s",
+		time.Now().Format("05.000"), response.requestNumber, c.lastNumber, response.verb, response.node, phase))
+	if len(log.recentAnswers) > 12 {
+		log.recentAnswers = log.recentAnswers[1:]
 	}
-	if rule := j.violation(id, a, unknown); rule != "" {
-		if h.violations++; h.violations <= 3 {
-			h.fail(fmt.Sprintf("%s: %s\n\t%s", id, rule, strings.Join(j.recentAnswers, "\n\t")))
+	if rule := log.violation(id, response, unknown); rule != "" {
+		if c.violations++; c.violations <= 3 {
+			c.fail(fmt.Sprintf("%s: %s\n\t%s", id, rule, strings.Join(log.recentAnswers, "\n\t")))
 		}
 	}
 	if unknown {
 		return
 	}
-	if j.firstAcceptance == 0 {
-		j.firstAcceptance = h.lastNumber
+	if log.firstAcceptance == 0 {
+		log.firstAcceptance = c.lastNumber
 	}
-	if a.state.Final() && j.firstEnd == 0 {
-		j.firstEnd, j.end, j.endAt = h.lastNumber, a.state.Phase, time.Now()
+	if response.state.Final() && log.firstEnd == 0 {
+		log.firstEnd, log.end, log.endAt = c.lastNumber, response.state.Phase, time.Now()
 	}
 }
 
-// violation names the rule that an answer breaks, or is "".
-func (j *answerLog) violation(id string, a userResponse, unknown bool) string {
-	later := func(than int) bool { return than != 0 && a.requestNumber > than }
+// violation describes the rule that an answer breaks; it returns "" if the answer breaks none.
+// unknown means that the answer was ErrUnknownJob.
+func (log *answerLog) violation(id string, response userResponse, unknown bool) string {
+	sentAfter := func(answer int) bool { return answer != 0 && response.requestNumber > answer }
 	switch {
-	case unknown && later(j.firstAcceptance):
-		return "forgotten"
+	case unknown && sentAfter(log.firstAcceptance):
+		return "answered as unknown after it was answered as accepted"
 	case unknown:
 		return ""
-	case !j.submitted:
-		return "invented"
-	case a.state.ID != id:
-		return "another job's state"
-	case a.created && later(j.firstAcceptance):
-		return "accepted once more"
-	case a.state.Final() && j.end != "" && j.end != a.state.Phase:
-		return "another end than before"
-	case a.state.Phase == api.JobCancelled && !j.cancelled:
-		return "cancelled though nobody has cancelled it"
-	case a.state.Phase == api.JobDone && len(j.completedTasks) < j.taskCount:
-		return "done before its tasks are"
-	case !a.state.Final() && later(j.firstEnd):
-		return "something older than its end"
-	case a.verb == "cancel" && !a.state.Final():
-		return "a cancellation answered with neither end"
+	case !log.submitted:
+		return "answered as accepted, but it was never submitted"
+	case response.state.ID != id:
+		return fmt.Sprintf("got the state of job %q", response.state.ID)
+	case response.created && sentAfter(log.firstAcceptance):
+		return "answered as newly created after it was answered as accepted"
+	case response.state.Final() && log.end != "" && log.end != response.state.Phase:
+		return fmt.Sprintf("got end %q after end %q was answered", response.state.Phase, log.end)
+	case response.state.Phase == api.JobCancelled && !log.cancelled:
+		return "answered as cancelled, but nobody requested its cancellation"
+	case response.state.Phase == api.JobDone && len(log.completedTasks) < log.taskCount:
+		return fmt.Sprintf("answered as done with %d of %d tasks completed", len(log.completedTasks), log.taskCount)
+	case !response.state.Final() && sentAfter(log.firstEnd):
+		return fmt.Sprintf("got phase %q after end %q was answered", response.state.Phase, log.end)
+	case response.verb == "cancel" && !response.state.Final():
+		return fmt.Sprintf("got phase %q as answer to a cancellation, want a final phase", response.state.Phase)
 	}
 	return ""
 }
 
-// queryJob requests the state of a job, as submit, resubmitInvalid and cancel request something
-// else, with the time for which a user waits for the answer.
-func (h *answerChecker) queryJob(n *node, id string) (api.JobState, error) {
+// queryJob requests the state of a job from a node, with a user's timeout, and records the answer.
+func (c *answerChecker) queryJob(n *node, id string) (api.JobState, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
-	a := userResponse{requestNumber: h.recordRequest(id, nil), verb: "question", node: n.Settings.Node}
-	a.state, a.err = n.Job(ctx, id)
-	h.recordResponse(id, a)
-	return a.state, a.err
+	response := userResponse{requestNumber: c.recordRequest(id, nil), verb: "query", node: n.Settings.Node}
+	response.state, response.err = n.Job(ctx, id)
+	c.recordResponse(id, response)
+	return response.state, response.err
 }
 
-func (h *answerChecker) submit(n *node, s *api.JobSpec) error {
+// submit submits a job to a node, and records the answer.
+func (c *answerChecker) submit(n *node, s *api.JobSpec) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
-	a := userResponse{verb: "submission", node: n.Settings.Node}
-	a.requestNumber = h.recordRequest(s.ID, func(j *answerLog) { j.submitted, j.taskCount = true, s.Tasks })
-	a.state, a.created, a.err = n.Submit(ctx, s)
-	h.recordResponse(s.ID, a)
-	return a.err
+	response := userResponse{verb: "submission", node: n.Settings.Node}
+	response.requestNumber = c.recordRequest(s.ID, func(log *answerLog) {
+		log.submitted, log.taskCount = true, s.Tasks
+	})
+	response.state, response.created, response.err = n.Submit(ctx, s)
+	c.recordResponse(s.ID, response)
+	return response.err
 }
 
-// resubmitInvalid repeats a submission with a field missing.
-func (h *answerChecker) resubmitInvalid(n *node, id string) {
+// resubmitInvalid repeats a submission with a missing field, which a node answers with the state of
+// the recorded job, and records the answer.
+func (c *answerChecker) resubmitInvalid(n *node, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
-	a := userResponse{requestNumber: h.recordRequest(id, nil), verb: "invalid repeat", node: n.Settings.Node}
-	a.state, a.err = n.RecordedJob(ctx, id)
-	h.recordResponse(id, a)
+	response := userResponse{
+		requestNumber: c.recordRequest(id, nil),
+		verb:          "invalid resubmission",
+		node:          n.Settings.Node,
+	}
+	response.state, response.err = n.RecordedJob(ctx, id)
+	c.recordResponse(id, response)
 }
 
-func (h *answerChecker) cancel(n *node, id string) error {
+// cancel requests the cancellation of a job from a node, and records the answer.
+func (c *answerChecker) cancel(n *node, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	a := userResponse{verb: "cancel", node: n.Settings.Node}
-	a.requestNumber = h.recordRequest(id, func(j *answerLog) { j.cancelled = true })
-	a.state, a.err = n.Cancel(ctx, id)
-	h.recordResponse(id, a)
-	return a.err
+	response := userResponse{verb: "cancel", node: n.Settings.Node}
+	response.requestNumber = c.recordRequest(id, func(log *answerLog) { log.cancelled = true })
+	response.state, response.err = n.Cancel(ctx, id)
+	c.recordResponse(id, response)
+	return response.err
 }
 
 // cancelRequested reports whether a user has requested the cancellation of a job.
-func (h *answerChecker) cancelRequested(id string) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.logOf(id).cancelled
+func (c *answerChecker) cancelRequested(id string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.logOf(id).cancelled
 }
 
-// retryUntilAnswered repeats a user's request once a second until it is answered, for a minute at
-// most.
+// retryUntilAnswered repeats a user's request once a second, for at most a minute, until it is
+// answered, and returns the error of the last attempt. ErrUnknownJob is an answer.
 func retryUntilAnswered(f func() error) error {
 	var err error
 	for startTime := time.Now(); time.Since(startTime) < time.Minute; time.Sleep(time.Second) {
@@ -218,41 +237,42 @@
 	return err
 }
 
-// answers counts the answers of all users.
-func (h *answerChecker) answers() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.answered
+// answers returns the number of answers that all users have received.
+func (c *answerChecker) answers() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.answered
 }
 
-// end is the phase in which a job ended by the first answer that had its end, and when that
+// end returns the phase of a job in the first answer that showed it as ended, and when that answer
 // was received.
-func (h *answerChecker) end(id string) (string, time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	j := h.logOf(id)
-	return j.end, j.endAt
+func (c *answerChecker) end(id string) (string, time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	log := c.logOf(id)
+	return log.end, log.endAt
 }
 
-// doneAt is when the last of a job's tasks ended.
-func (h *answerChecker) doneAt(id string) time.Time {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.logOf(id).doneAt
+// doneAt returns when the last of a job's tasks completed; zero if some have not.
+func (c *answerChecker) doneAt(id string) time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.logOf(id).doneAt
 }
 
-// answerStep is an answer that a node gives in a test of the checker's rules.
+// answerStep is a request and the phase in its answer, in a test of the checker's rules.
 type answerStep struct {
-	requestNumber int // of the request; 0: sent after all answers before it
+	// requestNumber is the number of the request; 0 if it is sent after all earlier answers.
+	requestNumber int
 	verb          string
 	phase         string
 }
 
-// unknownJob stands for the answer that a job is unknown.
+// unknownJob is the phase in an answerStep that stands for ErrUnknownJob.
 const unknownJob = "unknown"
 
-// answerCheckerCases are answers about a job of two tasks, and a part of the violation that
-// the checker must find in them, or "" for none.
+// answerCheckerCases are answers about a job of two tasks; want is part of the violation that the
+// checker must report, or "" if it must report none.
 var answerCheckerCases = []struct {
 	name                 string
 	submitted, cancelled bool
@@ -266,115 +286,116 @@
 		cancelled: true,
 		completed: 2,
 		steps: []answerStep{
-			{0, "q", unknownJob},
-			{0, "q", "pending"},
-			{0, "q", "running"},
-			{0, "q", "pending"},
+			{0, "query", unknownJob},
+			{0, "query", "pending"},
+			{0, "query", "running"},
+			{0, "query", "pending"},
 			{0, "cancel", "done"},
-			{0, "q", "done"},
+			{0, "query", "done"},
 		},
 	},
 	{
 		name:      "requested before the end was answered",
 		submitted: true,
 		cancelled: true,
-		steps:     []answerStep{{0, "q", "pending"}, {0, "cancel", "withdrawn"}, {1, "q", "running"}},
+		steps:     []answerStep{{0, "query", "pending"}, {0, "cancel", "withdrawn"}, {1, "query", "running"}},
 	},
 	{
 		name:      "requested before it was answered as accepted",
 		submitted: true,
-		steps:     []answerStep{{0, "q", "pending"}, {1, "q", unknownJob}},
+		steps:     []answerStep{{0, "query", "pending"}, {1, "query", unknownJob}},
 	},
 	{
 		name:  "never submitted",
-		steps: []answerStep{{0, "q", "pending"}},
-		want:  "invented",
+		steps: []answerStep{{0, "query", "pending"}},
+		want:  "never submitted",
 	},
 	{
 		name:      "unknown after it was accepted",
 		submitted: true,
-		steps:     []answerStep{{0, "q", "pending"}, {0, "q", unknownJob}},
-		want:      "forgotten",
+		steps:     []answerStep{{0, "query", "pending"}, {0, "query", unknownJob}},
+		want:      "unknown after it was answered as accepted",
 	},
 	{
 		name:      "unknown after its end",
 		submitted: true,
 		completed: 2,
-		steps:     []answerStep{{0, "q", "done"}, {0, "q", unknownJob}},
-		want:      "forgotten",
+		steps:     []answerStep{{0, "query", "done"}, {0, "query", unknownJob}},
+		want:      "unknown after it was answered as accepted",
 	},
 	{
 		name:      "running after the end",
 		submitted: true,
 		cancelled: true,
-		steps:     []answerStep{{0, "cancel", "withdrawn"}, {0, "q", "running"}},
-		want:      "something older",
+		steps:     []answerStep{{0, "cancel", "withdrawn"}, {0, "query", "running"}},
+		want:      `got phase "running" after end "withdrawn"`,
 	},
 	{
 		name:      "pending after the end",
 		submitted: true,
 		completed: 2,
-		steps:     []answerStep{{0, "q", "done"}, {0, "submission", "pending"}},
-		want:      "something older",
+		steps:     []answerStep{{0, "query", "done"}, {0, "submission", "pending"}},
+		want:      `got phase "pending" after end "done"`,
 	},
 	{
 		name:      "another end",
 		submitted: true,
 		cancelled: true,
 		completed: 2,
-		steps:     []answerStep{{0, "cancel", "withdrawn"}, {1, "q", "done"}},
-		want:      "another end",
+		steps:     []answerStep{{0, "cancel", "withdrawn"}, {1, "query", "done"}},
+		want:      `got end "done" after end "withdrawn"`,
 	},
 	{
 		name:      "nobody cancelled",
 		submitted: true,
-		steps:     []answerStep{{0, "q", "withdrawn"}},
-		want:      "nobody has cancelled",
+		steps:     []answerStep{{0, "query", "withdrawn"}},
+		want:      "nobody requested its cancellation",
 	},
 	{
 		name:      "one task missing",
 		submitted: true,
 		completed: 1,
-		steps:     []answerStep{{0, "q", "done"}},
-		want:      "before its tasks",
+		steps:     []answerStep{{0, "query", "done"}},
+		want:      "done with 1 of 2 tasks",
 	},
 	{
 		name:      "cancellation without an end",
 		submitted: true,
 		cancelled: true,
 		steps:     []answerStep{{0, "cancel", "pending"}},
-		want:      "neither end",
+		want:      `got phase "pending" as answer to a cancellation`,
 	},
 	{
 		name:      "accepted twice",
 		submitted: true,
-		steps:     []answerStep{{0, "q", "pending"}, {0, "created", "pending"}},
-		want:      "once more",
+		steps:     []answerStep{{0, "query", "pending"}, {0, "created", "pending"}},
+		want:      "as newly created after it was answered as accepted",
 	},
 }
 
-// The rules that the other tests rely on must themselves be seen to fail.
+// Guards against an answerChecker that misses violations of its rules, or reports allowed answers;
+// the tests with users rely on it.
 func TestAnswerCheckerRules(t *testing.T) {
 	for _, c := range answerCheckerCases {
 		t.Run(c.name, func(t *testing.T) {
 			var got []string
-			h := &answerChecker{fail: func(s string) { got = append(got, s) }, jobs: map[string]*answerLog{}}
-			h.recordRequest("job-1", func(j *answerLog) {
-				j.submitted, j.cancelled, j.taskCount = c.submitted, c.cancelled, 2
+			checker := &answerChecker{fail: func(s string) { got = append(got, s) }, jobs: map[string]*answerLog{}}
+			checker.recordRequest("job-1", func(log *answerLog) {
+				log.submitted, log.cancelled, log.taskCount = c.submitted, c.cancelled, 2
 			})
 			for i := range c.completed {
-				h.recordCompletion(fmt.Sprint("job-1/", i))
+				checker.recordCompletion(fmt.Sprint("job-1/", i))
 			}
 			for _, s := range c.steps {
-				a := userResponse{requestNumber: s.requestNumber, verb: s.verb, created: s.verb == "created"}
-				a.state = api.JobState{ID: "job-1", Phase: s.phase}
+				response := userResponse{requestNumber: s.requestNumber, verb: s.verb, created: s.verb == "created"}
+				response.state = api.JobState{ID: "job-1", Phase: s.phase}
 				if s.requestNumber == 0 {
-					a.requestNumber = h.recordRequest("job-1", nil)
+					response.requestNumber = checker.recordRequest("job-1", nil)
 				}
 				if s.phase == unknownJob {
-					a.err = api.ErrUnknownJob
+					response.err = api.ErrUnknownJob
 				}
-				h.recordResponse("job-1", a)
+				checker.recordResponse("job-1", response)
 			}
 			if all := strings.Join(got, "; "); (c.want == "") != (all == "") || !strings.Contains(all, c.want) {
 				t.Errorf("got violations %q, want %q", all, c.want)
