--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -12,8 +12,9 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// A machine that shows no command applied in heartbeat after heartbeat gets no more work and
-// is terminated, whether or not it responds to probes.
+// Guards against repeated starts on a machine that receives no commands: its heartbeats arrive, but
+// none shows a command as applied. Such a machine gets at most a few starts and is terminated,
+// whether or not it responds to probes.
 func TestMachineWithCommandsUndeliveredIsTerminated(t *testing.T) {
 	for _, answersProbes := range []bool{false, true} {
 		t.Run(fmt.Sprint("answers probes ", answersProbes), func(t *testing.T) {
@@ -45,7 +46,7 @@
 	}
 }
 
-// countStarts counts the starts among commands, of tasks whose names have the given prefix.
+// countStarts returns the number of start commands for tasks whose names have the given prefix.
 func countStarts(commands []api.Command, prefix string) (starts int) {
 	for _, cmd := range commands {
 		if cmd.Verb == api.VerbStart && strings.HasPrefix(cmd.Task, prefix) {
@@ -55,39 +56,41 @@
 	return starts
 }
 
-// Single lost responses, between others that arrive, are no reason to terminate a machine.
+// Guards against terminating a machine because of single lost heartbeat responses between others
+// that arrive.
 func TestSingleLostResponsesKeepMachine(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
-		k := w.worker("i-1", "a", false)
-		k.heartbeatFor(n, 2)
+		agent := w.worker("i-1", "a", false)
+		agent.heartbeatFor(n, 2)
 		for i := range 12 {
 			w.submit(n, spec("job-"+string(rune('1'+i)), 1))
-			if _, err := k.sendHeartbeat(n); err != nil { // its response is lost
+			if _, err := agent.sendHeartbeat(n); err != nil { // its response is lost
 				t.Fatal(err)
 			}
-			k.heartbeatFor(n, 2)
-			k.exit(api.CauseDone)
-			k.heartbeatFor(n, 2)
+			agent.heartbeatFor(n, 2)
+			agent.exit(api.CauseDone)
+			agent.heartbeatFor(n, 2)
 		}
 		w.checkEqual("terminated", w.cloud.terminated("i-1"), false)
 	})
 }
 
-// A machine whose task lease expires although its heartbeats are responded to does not get the
-// responses, even if they had no commands.
+// Guards against keeping a machine that receives no heartbeat responses, even if these contain no
+// commands. Its task lease expires although its heartbeats are answered, which shows as a new agent
+// epoch in heartbeat after heartbeat.
 func TestExpiredAgentEpochsRevealUndeliveredCommands(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
-		k := w.worker("i-1", "a", false)
-		k.heartbeatFor(n, 2)
+		agent := w.worker("i-1", "a", false)
+		agent.heartbeatFor(n, 2)
 		w.dead.Store("i-1", true)
 		for range 10 {
 			if w.cloud.terminated("i-1") {
 				return
 			}
-			k.status.AgentEpoch++
-			if _, err := k.sendHeartbeat(n); err != nil {
+			agent.status.AgentEpoch++
+			if _, err := agent.sendHeartbeat(n); err != nil {
 				break
 			}
 			time.Sleep(time.Second)
@@ -96,29 +99,29 @@
 	})
 }
 
-// A machine of the registry that gets no responses shows the old fencing token in heartbeat
-// after heartbeat. A takeover must not wait for it without end, and its resources must not
-// stay reserved against every team.
+// Guards against a takeover that waits forever for a registered machine, and against the machine's
+// resources staying reserved against every team. The machine receives no heartbeat responses, so
+// its heartbeats keep the fencing token of the previous term.
 func TestTakeoverDoesNotWaitForMachineWithCommandsUndelivered(t *testing.T) {
 	for _, answersProbes := range []bool{false, true} {
 		simulate(t, func(w *simulatedCluster) {
-			a := w.start("n0")
+			oldLeader := w.start("n0")
 			partitioned, healthy := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
-			partitioned.heartbeatFor(a, 2)
-			w.submit(a, spec("job-1", 4))
-			partitioned.heartbeatFor(a, 2)
+			partitioned.heartbeatFor(oldLeader, 2)
+			w.submit(oldLeader, spec("job-1", 4))
+			partitioned.heartbeatFor(oldLeader, 2)
 			w.checkEqual("running", len(partitioned.running()), 4)
-			a.crash()
+			oldLeader.crash()
 			if !answersProbes {
 				w.dead.Store("i-1", true)
 			}
-			b := w.start("n0")
-			old := partitioned.status
+			newLeader := w.start("n0")
+			oldStatus := partitioned.status
 			for range 20 {
-				old.Seq++
-				hb := old
-				_, _ = partitioned.deliver(b, &hb) // the response is lost, whatever it is
-				healthy.heartbeat(b)
+				oldStatus.Seq++
+				hb := oldStatus
+				_, _ = partitioned.deliver(newLeader, &hb) // the response is lost, whatever it is
+				healthy.heartbeat(newLeader)
 				time.Sleep(time.Second)
 			}
 			w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
@@ -127,22 +130,22 @@
 	}
 }
 
-// A copy of an old heartbeat, however late, changes nothing in this term: it does not show
-// that the machine is alive, adds no attempt and gets no commands.
+// Guards against a late copy of an old heartbeat taking effect within a term: it must not count as
+// a sign that the machine is alive, add an attempt or get commands.
 func TestLateHeartbeatCopyIsIgnored(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
-		k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
+		agent, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
 		w.submit(n, spec("job-1", 1))
-		k.heartbeatFor(n, 3)
-		w.checkEqual("running", len(k.running()), 1)
-		copied := k.status
-		copied.Tasks = slices.Clone(k.status.Tasks)
-		k.heartbeatFor(n, 2)
-		w.dead.Store("i-1", true) // dies; copies of its heartbeats still arrive
+		agent.heartbeatFor(n, 3)
+		w.checkEqual("running", len(agent.running()), 1)
+		copied := agent.status
+		copied.Tasks = slices.Clone(agent.status.Tasks)
+		agent.heartbeatFor(n, 2)
+		w.dead.Store("i-1", true) // copies of its heartbeats still arrive
 		for range 12 {
 			hb := copied
-			if commands, err := k.deliver(n, &hb); err == nil {
+			if commands, err := agent.deliver(n, &hb); err == nil {
 				w.checkEqual("commands for a copy", len(commands), 0)
 			}
 			other.heartbeat(n)
@@ -153,49 +156,50 @@
 	})
 }
 
-// After a takeover a copy may arrive before the machine's own heartbeat, or from a machine
-// that an earlier leader has terminated, which this one cannot know.
+// Guards against a late copy of a heartbeat taking effect after a takeover. The copy may arrive
+// before the machine's own heartbeat, or come from a machine that the previous leader has
+// terminated, which the new leader cannot tell from the copy.
 func TestLateHeartbeatCopyAfterTakeover(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		a := w.start("n0")
-		dead, k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
-		first := dead.status // its very first heartbeat, with no fencing token
-		first.Seq = 1
-		w.submit(a, spec("job-1", 1))
-		dead.heartbeatFor(a, 3)
+		oldLeader := w.start("n0")
+		dead, agent, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false), w.worker("i-3", "a", false)
+		firstHeartbeat := dead.status // has no fencing token yet
+		firstHeartbeat.Seq = 1
+		w.submit(oldLeader, spec("job-1", 1))
+		dead.heartbeatFor(oldLeader, 3)
 		w.checkEqual("first run", len(dead.running()), 1)
 		copied := dead.status
 		copied.Tasks = slices.Clone(dead.status.Tasks)
 		w.dead.Store("i-1", true)
 		for range 8 {
-			k.heartbeat(a)
+			agent.heartbeat(oldLeader)
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
-		w.checkEqual("second run", len(k.running()), 1)
-		a.crash()
-		b := w.start("n0")
+		w.checkEqual("second run", len(agent.running()), 1)
+		oldLeader.crash()
+		newLeader := w.start("n0")
 		for i := range 12 {
-			for _, hb := range []api.Heartbeat{first, copied} {
+			for _, hb := range []api.Heartbeat{firstHeartbeat, copied} {
 				hb.Seq += uint64(i % 2)
-				if commands, err := dead.deliver(b, &hb); err == nil {
+				if commands, err := dead.deliver(newLeader, &hb); err == nil {
 					w.checkEqual("commands for a copy", len(commands), 0)
 				}
 			}
-			for _, cmd := range append(k.heartbeat(b), other.heartbeat(b)...) {
+			for _, cmd := range append(agent.heartbeat(newLeader), other.heartbeat(newLeader)...) {
 				w.checkEqual("command", cmd, nil)
 			}
 			time.Sleep(time.Second)
 		}
-		w.checkEqual("second run goes on", len(k.running()), 1)
+		w.checkEqual("second run goes on", len(agent.running()), 1)
 		w.checkEqual("registry", w.registeredMachines(), []string{"i-2", "i-3"})
 		w.checkEqual("terminated", w.cloud.terminatedNames, []string{"i-1"})
-		w.checkEqual("phase", w.phase(b, "job-1"), "running")
+		w.checkEqual("phase", w.phase(newLeader, "job-1"), "running")
 	})
 }
 
-// While heartbeats are delayed by a partition, runs that have ended seem long: neither are
-// they restarted as stragglers, nor are their machines quarantined as slow.
+// Guards against restarting tasks as stragglers, and quarantining their machines as slow, because a
+// partition delays the heartbeats that report their completion and the runs seem long meanwhile.
 func TestRunsDuringPartitionAreNotStragglers(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -219,7 +223,7 @@
 		for range 5 {
 			round(true)
 		}
-		delayed := far.status // sent as the partition began, delivered as it heals
+		delayed := far.status // sent when the partition begins, delivered when it ends
 		delayed.Tasks = nil
 		for _, task := range far.status.Tasks {
 			task.Phase, task.Cause = api.TaskRunning, ""
@@ -235,45 +239,46 @@
 	})
 }
 
-// Under lasting overload the largest job is deferred again and again for others that can be in
-// time, as infeasible jobs are for feasible ones. Each must start all the same, and make
+// Guards against starvation of a large job under lasting overload, when it is repeatedly deferred
+// in favour of jobs that can still meet their objectives. It must start within minutes and make
 // progress.
 func TestLargestJobStartsUnderLastingOverload(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
-		k := w.worker("i-1", "a", false)
-		k.heartbeatFor(n, 2)
+		agent := w.worker("i-1", "a", false)
+		agent.heartbeatFor(n, 2)
 		big := spec("job-1", 60)
 		big.EstimateS = 60
 		w.submit(n, big)
 		firstStart, started := time.Duration(0), 0
-		t0 := time.Now()
+		submittedAt := time.Now()
 		for i := range 1200 {
 			if i%2 == 0 {
 				s := spec(fmt.Sprint("job-", 100+i), 8)
 				s.EstimateS = 5
 				w.submit(n, s)
 			}
-			started += countStarts(k.heartbeat(n), "job-1/")
+			started += countStarts(agent.heartbeat(n), "job-1/")
 			if started > 0 && firstStart == 0 {
-				firstStart = time.Since(t0)
+				firstStart = time.Since(submittedAt)
 			}
 			if i%5 == 4 {
-				k.exit(api.CauseDone)
+				agent.exit(api.CauseDone)
 			}
 			time.Sleep(800 * time.Millisecond)
 		}
 		if started == 0 || firstStart > 4*time.Minute {
-			t.Errorf("got %d starts, the first after %v, want one within 4m", started, firstStart)
+			t.Errorf("got %d starts of job-1, the first after %v, want one within 4m", started, firstStart)
 		}
 		if started < 40 {
-			t.Errorf("got %d starts of its tasks, want at least 40", started)
+			t.Errorf("got %d starts of job-1, want at least 40", started)
 		}
 	})
 }
 
-// Where many machines seem slow at once, the machines are not the cause: only a few are
-// quarantined.
+// Guards against quarantining most of the machines as slow when many seem slow at once, which shows
+// that the machines are not the cause. Without the limit on quarantines, 9 machines were terminated
+// here.
 func TestFewMachinesAreQuarantinedAsSlow(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		agents := make([]*worker, 12)
@@ -286,85 +291,87 @@
 		s.EstimateS = 60
 		w.submit(n, s)
 		for second := range 60 {
-			for i, k := range agents {
-				k.heartbeat(n)
+			for i, agent := range agents {
+				agent.heartbeat(n)
 				if i < 3 && second%4 == 3 || second%20 == 19 {
-					k.exit(api.CauseDone)
+					agent.exit(api.CauseDone)
 				}
 			}
 			time.Sleep(time.Second)
 		}
-		if terminated := len(w.cloud.terminatedNames); terminated < 1 || terminated > 3 { // nine without the guard
+		if terminated := len(w.cloud.terminatedNames); terminated < 1 || terminated > 3 {
 			t.Errorf("got %d machines terminated, want 1 to 3", terminated)
 		}
 	})
 }
 
-// A controller that is restarted within a fraction of a second, in the middle of its own
-// election: the requests of its earlier incarnation that the store applies late must not end
-// or share the new one's term, nor change a job accepted meanwhile.
+// Guards against late store requests of an earlier incarnation of a controller. The controller
+// restarts within a fraction of a second during its election, and the store applies the old
+// requests afterwards: they must not end or share the term of the new incarnation, or change a job
+// accepted meanwhile.
 func TestLateRequestsOfEarlierIncarnation(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.store.Delay(writesPrefix("leader"))
-		a := w.start("n0")
+		first := w.start("n0")
 		w.checkEqual("delayed takeovers", w.store.DelayedCount(), 1)
-		a.crash()
+		first.crash()
 		time.Sleep(100 * time.Millisecond)
 		w.store.Delay(nil)
-		b := w.start("n0")
-		k := w.worker("i-1", "a", false)
-		k.heartbeatFor(b, 2)
-		term := k.status.Term
+		second := w.start("n0")
+		agent := w.worker("i-1", "a", false)
+		agent.heartbeatFor(second, 2)
+		term := agent.status.Term
 		w.checkEqual("new incarnation leads", term > 0, true)
-		for _, res := range w.store.ApplyDelayed() {
-			w.checkEqual("late takeover applied", res.Succeeded, false)
+		for _, result := range w.store.ApplyDelayed() {
+			w.checkEqual("late takeover applied", result.Succeeded, false)
 		}
-		k.heartbeatFor(b, 8)
-		w.checkEqual("term", k.status.Term, term)
+		agent.heartbeatFor(second, 8)
+		w.checkEqual("term", agent.status.Term, term)
 
 		w.store.Delay(writesPrefix(records.ActivePrefix))
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		if _, _, err := b.Submit(ctx, spec("job-1", 1)); err == nil {
-			t.Error("accepted without a record")
+		if _, _, err := second.Submit(ctx, spec("job-1", 1)); err == nil {
+			t.Error("submission while the write of its record is delayed: got no error, want one")
 		}
-		b.crash()
+		second.crash()
 		time.Sleep(100 * time.Millisecond)
 		w.store.Delay(nil)
-		c := w.start("n0")
-		w.submit(c, spec("job-1", 1))
-		k.heartbeatFor(c, 4)
-		k.exit(api.CauseDone)
-		k.heartbeatFor(c, 4)
-		w.checkEqual("phase", w.phase(c, "job-1"), "done")
-		for _, res := range w.store.ApplyDelayed() {
-			w.checkEqual("late record applied", res.Succeeded, false)
+		third := w.start("n0")
+		w.submit(third, spec("job-1", 1))
+		agent.heartbeatFor(third, 4)
+		agent.exit(api.CauseDone)
+		agent.heartbeatFor(third, 4)
+		w.checkEqual("phase", w.phase(third, "job-1"), "done")
+		for _, result := range w.store.ApplyDelayed() {
+			w.checkEqual("late record applied", result.Succeeded, false)
 		}
-		w.checkEqual("phase", w.phase(c, "job-1"), "done")
-		k.heartbeatFor(c, 3)
-		w.checkEqual("started again", len(k.running()), 0)
+		w.checkEqual("phase", w.phase(third, "job-1"), "done")
+		agent.heartbeatFor(third, 3)
+		w.checkEqual("started again", len(agent.running()), 0)
 	})
 }
 
-// The takeover of the earlier incarnation may also be applied first: the new one finds its
-// own name in the leader key, and must begin a term of its own.
+// Guards against a restarted controller that continues the term of its earlier incarnation. The
+// store has applied the earlier takeover but its response was lost, so that the new incarnation
+// finds its own name in the leader key; it must begin a new term.
 func TestAppliedTakeoverOfEarlierIncarnation(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.store.LoseResponses(writesPrefix("leader"))
-		a := w.start("n0")
-		a.crash()
+		first := w.start("n0")
+		first.crash()
 		time.Sleep(100 * time.Millisecond)
 		w.store.LoseResponses(nil)
-		b := w.start("n0")
-		k := w.worker("i-1", "a", false)
-		k.heartbeatFor(b, 2)
-		w.checkEqual("term of its own", k.status.Term, 2)
+		second := w.start("n0")
+		agent := w.worker("i-1", "a", false)
+		agent.heartbeatFor(second, 2)
+		w.checkEqual("term of the new incarnation", agent.status.Term, 2)
 	})
 }
 
-// A task on a machine that gets no responses cannot be stopped by commands. If its job is
-// cancelled, the machine is terminated within the time that a cancellation may take, although
-// its heartbeats still arrive.
+// Guards against tasks of a cancelled job that keep running on a machine which receives no
+// commands. The machine is terminated within the time that a cancellation may take, although its
+// heartbeats arrive.
 func TestCancelledJobOnMachineWithCommandsUndelivered(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -376,72 +383,72 @@
 		if _, err := n.Cancel(context.Background(), "job-1"); err != nil {
 			t.Fatal(err)
 		}
-		t0 := time.Now()
-		for !w.cloud.terminated("i-1") && time.Since(t0) < time.Minute {
+		cancelledAt := time.Now()
+		for !w.cloud.terminated("i-1") && time.Since(cancelledAt) < time.Minute {
 			_, _ = partitioned.sendHeartbeat(n) // no response reaches it
 			time.Sleep(time.Second)
 		}
-		if took := time.Since(t0); took >= 30*time.Second {
-			t.Errorf("terminated after %v, want less than 30s", took)
+		if took := time.Since(cancelledAt); took >= 30*time.Second {
+			t.Errorf("machine terminated %v after the cancellation, want less than 30s", took)
 		}
 	})
 }
 
-// Once all faults are healed every node answers for every job within seconds: no job may be
-// left out because of earlier faults.
+// Guards against jobs for which a node gives no answer after earlier faults. Within seconds after
+// all faults are healed, every node answers queries about every job.
 func TestAllPollsAreAnsweredAfterFaultsHeal(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		l, a, b, ga, gb := w.startPair()
+		links, leader, follower, leaderGate, followerGate := w.startPair()
 		for i := range 12 {
-			w.submit([]*node{a, b}[i%2], spec(fmt.Sprint("job-", i), 1))
+			w.submit([]*node{leader, follower}[i%2], spec(fmt.Sprint("job-", i), 1))
 		}
-		k := w.worker("i-1", "", false)
-		k.heartbeatFor(a, 3)
-		l.partitioned.Store(true)
-		ga.setClosed(true)
+		agent := w.worker("i-1", "", false)
+		agent.heartbeatFor(leader, 3)
+		links.partitioned.Store(true)
+		leaderGate.setClosed(true)
 		time.Sleep(20 * time.Second)
 		w.store.SetDown(true)
-		gb.setClosed(true)
+		followerGate.setClosed(true)
 		time.Sleep(15 * time.Second)
 		w.store.SetDown(false)
-		ga.setClosed(false)
-		gb.setClosed(false)
-		l.partitioned.Store(false)
-		k.exit(api.CauseDone)
+		leaderGate.setClosed(false)
+		followerGate.setClosed(false)
+		links.partitioned.Store(false)
+		agent.exit(api.CauseDone)
 		for range 15 {
-			k.heartbeatEither(a, b)
-			k.exit(api.CauseDone)
+			agent.heartbeatEither(leader, follower)
+			agent.exit(api.CauseDone)
 			time.Sleep(time.Second)
 		}
 		for i := range 12 {
-			for _, n := range []*node{a, b} {
+			for _, n := range []*node{leader, follower} {
 				w.checkEqual(fmt.Sprint("job ", i), w.phase(n, fmt.Sprint("job-", i)), "done")
 			}
 		}
-		w.checkEqual("ready", a.Ready() && b.Ready(), true)
+		w.checkEqual("ready", leader.Ready() && follower.Ready(), true)
 	})
 }
 
-// A machine that is restarted under its name before its heartbeats were missed numbers them
-// from the first again: all would be dropped as older ones, its tasks would be taken for
-// running, and probes would find it alive. It is terminated, and only then do its tasks start
-// elsewhere.
+// Guards against tasks that count as running forever on a machine that was restarted under its name
+// before its heartbeats were missed. Its sequence numbers start again, so its heartbeats would be
+// dropped as old ones while probes find it alive. It is terminated, and its tasks start elsewhere
+// only then.
 func TestMachineRestartedUnderItsName(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		a := w.start("n0")
-		k, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
-		k.heartbeatFor(a, 3)
-		w.submit(a, spec("job-1", 4))
-		k.heartbeatFor(a, 6)
-		w.checkEqual("running", len(k.running()), 4)
-		other.heartbeatFor(a, 3)
-		k.status.Seq, k.status.Term, k.status.Tasks = 0, 0, nil
+		n := w.start("n0")
+		agent, other := w.worker("i-1", "a", false), w.worker("i-2", "a", false)
+		agent.heartbeatFor(n, 3)
+		w.submit(n, spec("job-1", 4))
+		agent.heartbeatFor(n, 6)
+		w.checkEqual("running", len(agent.running()), 4)
+		other.heartbeatFor(n, 3)
+		agent.status.Seq, agent.status.Term, agent.status.Tasks = 0, 0, nil
 		for range 15 {
 			if !w.cloud.terminated("i-1") {
 				w.checkEqual("tasks elsewhere before the termination", other.running(), []string(nil))
-				k.heartbeat(a)
+				agent.heartbeat(n)
 			}
-			other.heartbeat(a)
+			other.heartbeat(n)
 			time.Sleep(time.Second)
 		}
 		w.checkEqual("terminated", w.cloud.terminated("i-1"), true)
@@ -449,19 +456,19 @@
 	})
 }
 
-// A leader whose lease has not expired learns from a machine's heartbeat that another has
-// begun a later term: it steps down, and does not crash on the heartbeat.
+// Guards against a panic of a leader with an unexpired lease on a heartbeat that shows that another
+// node has begun a later term. The leader rejects the heartbeat and steps down.
 func TestHeartbeatOfLaterTermMakesLeaderStepDown(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
-		k := w.worker("i-1", "a", false)
-		k.heartbeatFor(n, 2)
-		hb := k.status
+		agent := w.worker("i-1", "a", false)
+		agent.heartbeatFor(n, 2)
+		hb := agent.status
 		hb.Term, hb.Seq = hb.Term+1, hb.Seq+1
 		n.inspect(func(c *Controller) {
 			defer func() {
 				if p := recover(); p != nil {
-					t.Errorf("panics on a heartbeat: %v", p)
+					t.Errorf("heartbeat of a later term: got panic %v, want none", p)
 				}
 			}()
 			m := heartbeatMsg{heartbeat: &hb, reply: make(chan heartbeatReply, 1), receivedAt: time.Now()}
