--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -11,7 +11,7 @@
 // poll requests a job's state from a node. The answer checker checks the response. The error is
 // ignored, since a node may fail any single request.
 func (tn *userCluster) poll(node int, id string) {
-	_, _ = tn.checker.ask(tn.nodeAt(node), id)
+	_, _ = tn.checker.queryJob(tn.nodeAt(node), id)
 }
 
 // monotonicityCase is a fault during which users act on their jobs.
@@ -27,12 +27,12 @@
 
 // isolateFirstNode makes the store reject the first node's requests until another node leads.
 func isolateFirstNode(tn *userCluster) {
-	tn.ways[0].set(true)
+	tn.ways[0].setClosed(true)
 	time.Sleep(9 * time.Second)
 }
 
 // reconnectFirstNode makes the store accept the first node's requests again.
-func reconnectFirstNode(tn *userCluster) { tn.ways[0].set(false) }
+func reconnectFirstNode(tn *userCluster) { tn.ways[0].setClosed(false) }
 
 var monotonicityCases = []monotonicityCase{
 	{name: "no fault", delayStep: 13 * time.Millisecond},
@@ -182,7 +182,7 @@
 	time.Sleep(3080 * time.Millisecond)
 	want := map[string]string{}
 	for i, s := range specs {
-		state, err := tn.checker.ask(tn.nodeAt(i), s.ID)
+		state, err := tn.checker.queryJob(tn.nodeAt(i), s.ID)
 		if err != nil || !state.Final() {
 			w.t.Errorf("%s, 3 s after its end: got %v, %v, want a final state", s.ID, state, err)
 		}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -40,7 +40,7 @@
 // phases in the responses.
 func (s *checkedCluster) recordPhases(ids ...string) {
 	for _, id := range ids {
-		s.tasks.Go(func() {
+		s.goroutines.Go(func() {
 			for s.ctx.Err() == nil {
 				for _, name := range s.names {
 					if n := s.node(name); n != nil {
@@ -93,7 +93,7 @@
 						for _, id := range diamondJobs {
 							s.checkEqual("phase of "+id, s.phase(s.node("n0"), id), api.JobDone)
 						}
-						s.checkEqual("started again when done", s.checker.restartedWhenDone(), []string(nil))
+						s.checkEqual("started again when done", s.checker.restartedAfterCompletion(), []string(nil))
 					})
 				})
 			}
@@ -110,13 +110,13 @@
 	s.recordPhases(append(diamondJobs, "job-6", "job-7")...)
 	time.Sleep(3 * time.Second)
 	if c.offset < 0 {
-		s.tasks.Go(func() { c.change(s) })
+		s.goroutines.Go(func() { c.change(s) })
 		time.Sleep(-c.offset)
 		s.cancel(cancelledJob)
 	} else {
 		s.cancel(cancelledJob)
 		time.Sleep(c.offset)
-		s.tasks.Go(func() { c.change(s) })
+		s.goroutines.Go(func() { c.change(s) })
 	}
 	s.submitJob(2*time.Second, dependentSpec("job-6", "red", 1, cancelledJob))
 	s.submitJob(2*time.Second, dependentSpec("job-7", "blue", 1, "job-6", "job-9"))
@@ -186,9 +186,9 @@
 			w.checkEqual(name, submitAfter(n, id, dependsOn...), want)
 		}
 		w.submit(n, spec("job-1", 1))
-		k.serve(n, 3)
+		k.heartbeatFor(n, 3)
 		k.exit(api.CauseDone)
-		k.serve(n, 4)
+		k.heartbeatFor(n, 4)
 		w.checkEqual("phase of the first job", w.phase(n, "job-1"), api.JobDone)
 		w.submit(n, spec("job-2", 1))
 		w.submit(n, dependentSpec("job-3", "red", 1, "job-2"))
@@ -274,7 +274,7 @@
 		k := w.worker("i-1", "a", false)
 		w.submit(n, spec("job-1", 1))
 		w.submit(n, dependentSpec("job-2", "red", 100, "job-1"))
-		k.serve(n, 100)
+		k.heartbeatFor(n, 100)
 		n.inspect(func(c *Controller) {
 			lt := c.leaderTerm
 			view := lt.fleetView(time.Now())
@@ -291,7 +291,7 @@
 			t.Error(err)
 		}
 		k.exit(api.CauseDone)
-		k.serve(n, 3)
+		k.heartbeatFor(n, 3)
 		w.checkEqual("running", len(k.running()), 4)
 		n.inspect(func(c *Controller) {
 			j := c.leaderTerm.jobs["job-2"]
@@ -430,7 +430,7 @@
 // end than the write rate allows.
 func TestCancellationsCascadeUnderLoad(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		w.state = config.KVLimits{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
+		w.storeLimits = config.KVLimits{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
 		n := w.start("n0")
 		w.submit(n, spec("job-1", 1))
 		for i := range 20 {
@@ -528,7 +528,7 @@
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
 		spot := w.worker("i-1", "a", true)
-		spot.serve(n, 4)
+		spot.heartbeatFor(n, 4)
 		onDemand := func(zone string) int {
 			w.cloud.mu.Lock()
 			defer w.cloud.mu.Unlock()
@@ -541,7 +541,7 @@
 			return sum
 		}
 		n.inspect(func(c *Controller) { c.Policy.MinCPUs = 0 })
-		spot.serve(n, 20) // the time after which launches that the cloud rejected may be repeated
+		spot.heartbeatFor(n, 20) // the time after which launches that the cloud rejected may be repeated
 		w.cloud.mu.Lock()
 		w.cloud.capacity, w.cloud.launches = 10, nil
 		w.cloud.mu.Unlock()
@@ -550,16 +550,16 @@
 		w.submit(n, first)
 		w.submit(n, second)
 		w.checkEqual("machines launched before the dependency has started", onDemand(""), 0)
-		spot.serve(n, 5)
+		spot.heartbeatFor(n, 5)
 		w.checkEqual("running", len(spot.running()), 1)
 		w.checkEqual("machines launched once the dependency has started", onDemand(""), 1)
 		zonalJob := spec("job-3", 6)
 		zonalJob.Spot, zonalJob.Zone = false, "b"
 		w.submit(n, zonalJob)
-		spot.serve(n, 8)
+		spot.heartbeatFor(n, 8)
 		w.checkEqual("machines launched in the job's zone", onDemand("b"), 2)
 		before := onDemand("")
-		spot.serve(n, 8)
+		spot.heartbeatFor(n, 8)
 		w.checkEqual("machines launched while those are provisioning", onDemand(""), before)
 	})
 }
@@ -657,7 +657,7 @@
 		t.Run(fmt.Sprint(limits.WriteRPS, " ", limits.TxnOps), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				const cancelS = 30
-				w.state = limits
+				w.storeLimits = limits
 				w.store.SetLimits(int(limits.ValueKB*1024), limits.TxnOps)
 				n := w.start("n0")
 				w.submit(n, spec("job-0", 1))
--- a/internal/controller/limits_records_test.go
+++ b/internal/controller/limits_records_test.go
@@ -142,7 +142,7 @@
 			t.Run(l.String()+" "+fault, func(t *testing.T) {
 				simulate(t, func(w *simulatedCluster) {
 					w.writeOldShard(oldShardKey, 26)
-					w.state = l.kvLimits()
+					w.storeLimits = l.kvLimits()
 					w.enforceLimits(l) // after the old shard has been written
 					ss := &shardSplit{simulatedCluster: w, leader: w.start("n0"), fault: fault}
 					ss.run()
@@ -265,7 +265,7 @@
 				lc := &oversizedCompletion{simulatedCluster: w, fault: fault, spec: s}
 				lc.writeRecords(completedBefore)
 				l := limits{3, 1, 25}
-				w.state = l.kvLimits()
+				w.storeLimits = l.kvLimits()
 				w.enforceLimits(l)
 				lc.leader = w.start("n0")
 				lc.workers = []*worker{w.worker("i-1", "a", false), w.worker("i-2", "a", false)}
@@ -292,7 +292,7 @@
 		t.Run(actual.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-				w.state = limits{20, 16, 100}.kvLimits()
+				w.storeLimits = limits{20, 16, 100}.kvLimits()
 				w.enforceLimits(actual)
 				leader := w.start("n0")
 				workers := w.numberedWorkers(24)
@@ -319,7 +319,7 @@
 // A completion record that is rejected for its size must be retried with fewer tasks.
 func TestCompletionRejectedForSizeIsSplit(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
-		w.state = limits{20, 16, 100}.kvLimits()
+		w.storeLimits = limits{20, 16, 100}.kvLimits()
 		w.store.SetLimits(1<<10, 20)
 		leader := w.start("n0")
 		workers := []*worker{w.worker("i-1", "a", false)}
@@ -348,7 +348,7 @@
 func TestMachineThatFitsNoShardIsTerminated(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l := limits{5, 1, 25}
-		w.state = l.kvLimits()
+		w.storeLimits = l.kvLimits()
 		w.enforceLimits(l)
 		leader := w.start("n0")
 		long := w.worker(strings.Repeat("i", 1100), "a", false)
--- a/internal/controller/limits_relay_test.go
+++ b/internal/controller/limits_relay_test.go
@@ -19,7 +19,7 @@
 // leader's behalf. It returns for how many machines the leader then reads a renewal.
 func countRenewed(w *simulatedCluster, l limits, machines []string) (renewed int) {
 	w.t.Helper()
-	w.state = l.kvLimits()
+	w.storeLimits = l.kvLimits()
 	w.enforceLimits(l)
 	n0 := w.start("n0")
 	n0.inspect(func(c *Controller) {
@@ -34,7 +34,7 @@
 	settings := &config.Settings{
 		Node:  "n1",
 		Peers: []config.Peer{{Node: "n0"}, {Node: "n2"}},
-		Site:  config.SiteInfo{State: w.state},
+		Site:  config.SiteInfo{State: w.storeLimits},
 	}
 	n1 := New(Config{Settings: settings, Store: w.store, Log: n0.Log})
 	n1.publishRenewals(context.Background(), machines, 1, e.ModRevision)
@@ -88,7 +88,7 @@
 	})
 	simulate(t, func(w *simulatedCluster) {
 		// The key-value store enforces smaller limits than those in the settings.
-		w.state = limits{12, 8, 25}.kvLimits()
+		w.storeLimits = limits{12, 8, 25}.kvLimits()
 		n0 := w.start("n0")
 		w.enforceLimits(limits{12, 1, 25})
 		e, err := w.store.Get(context.Background(), election.TermKey)
@@ -142,7 +142,7 @@
 		t.Run(l.String(), func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
-				w.state = l.kvLimits()
+				w.storeLimits = l.kvLimits()
 				w.enforceLimits(l)
 				_, n0, n1, _, near, far := w.partitionZones()
 				s := spec("job-1", 400)
@@ -171,7 +171,7 @@
 func TestRelayRejectedForSizeIsSplit(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].CPUs, w.teams[0].LimitCPUs = 16, 16
-		w.state = limits{20, 16, 100}.kvLimits()
+		w.storeLimits = limits{20, 16, 100}.kvLimits()
 		_, n0, n1, _, near, far := w.partitionZones()
 		w.enforceLimits(limits{20, 1, 100})
 		s := spec("job-1", 700)
@@ -194,7 +194,7 @@
 func TestHeartbeatTooLargeToRelay(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l := limits{3, 1, 25}
-		w.state = l.kvLimits()
+		w.storeLimits = l.kvLimits()
 		w.enforceLimits(l)
 		_, n0, n1, _, _, far := w.partitionZones()
 		other := w.worker("i-3", "b", false)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -84,7 +84,7 @@
 func (w *simulatedCluster) startWithLimits(l limits) *node {
 	w.t.Helper()
 	w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-	w.state = l.kvLimits()
+	w.storeLimits = l.kvLimits()
 	w.enforceLimits(l)
 	return w.start("n0")
 }
@@ -152,7 +152,7 @@
 		t.Run(when, func(t *testing.T) {
 			simulate(t, func(w *simulatedCluster) {
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 200
-				w.state = to.kvLimits() // the smaller ones
+				w.storeLimits = to.kvLimits() // the smaller ones
 				w.enforceLimits(from)
 				w.writeOldShard(records.MachinePrefix+"0-1", 24)
 				leader := w.start("n0")
@@ -222,7 +222,7 @@
 	}{{3, true}, {40, false}} {
 		simulate(t, func(w *simulatedCluster) {
 			l := limits{3, 1, 8}
-			w.state = l.kvLimits()
+			w.storeLimits = l.kvLimits()
 			w.enforceLimits(l)
 			for i := range c.types - 1 {
 				w.cloud.types = append(w.cloud.types,
@@ -266,7 +266,7 @@
 func TestBatchesFitTransactions(t *testing.T) {
 	l := limits{400, 128, 2000}
 	simulate(t, func(w *simulatedCluster) {
-		w.state = l.kvLimits()
+		w.storeLimits = l.kvLimits()
 		w.enforceLimits(l)
 		leader := w.start("n0")
 		time.Sleep(time.Second)
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -12,43 +12,48 @@
 	"example.org/ivytrestle/internal/membership"
 )
 
-// links connects nodes as peers; all links can be cut at once.
-type links struct {
-	nodes       sync.Map
+// peerLinks implements PeerClient for simulated nodes. All links between them can be cut at once.
+type peerLinks struct {
+	// nodes maps names to the nodes that are running.
+	nodes sync.Map
+	// partitioned cuts all links.
 	partitioned atomic.Bool
-	// refuseConnections makes cut links refuse connections.
+	// refuseConnections makes pings and forwarded heartbeats to an unreachable node fail with
+	// ErrConnectionRefused.
 	refuseConnections atomic.Bool
 }
 
-func (l *links) add(name string, n *node) *node { l.nodes.Store(name, n); return n }
+// add makes a node reachable under a name, and returns it.
+func (l *peerLinks) add(name string, n *node) *node { l.nodes.Store(name, n); return n }
 
-// linked is a node as its peers reach it.
-type linked interface {
+// peerNode has the requests that a node of any version handles for its peers.
+type peerNode interface {
 	PeerJob(ctx context.Context, id string) (api.JobState, error)
 	PeerStatus(ctx context.Context, from cancellation.Position) (membership.PeerStatus, error)
 	ForwardedHeartbeat(ctx context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error)
 	LeaderResigned(ctx context.Context, node string, term uint64) error
 }
 
-// to returns the node at the other end, if it can be reached.
-func (l *links) to(name string) (linked, error) {
+// reachablePeer returns the node of the given name, or an error if it is not running or the links
+// are cut.
+func (l *peerLinks) reachablePeer(name string) (peerNode, error) {
 	n, ok := l.nodes.Load(name)
 	if l.partitioned.Load() || !ok {
-		return nil, errors.New("cut")
+		return nil, fmt.Errorf("node %s is unreachable", name)
 	}
-	return n.(linked), nil
+	return n.(peerNode), nil
 }
 
-func (l *links) Job(ctx context.Context, name, id string) (api.JobState, error) {
-	n, err := l.to(name)
+func (l *peerLinks) Job(ctx context.Context, name, id string) (api.JobState, error) {
+	n, err := l.reachablePeer(name)
 	if err != nil {
 		return api.JobState{}, err
 	}
 	return n.PeerJob(ctx, id)
 }
 
-func (l *links) Ping(ctx context.Context, name string, from cancellation.Position) (membership.PeerStatus, error) {
-	n, err := l.to(name)
+func (l *peerLinks) Ping(ctx context.Context, name string, from cancellation.Position) (membership.PeerStatus, error) {
+	n, err := l.reachablePeer(name)
 	if err != nil {
 		if l.refuseConnections.Load() {
 			err = ErrConnectionRefused
@@ -58,8 +63,10 @@
 	return n.PeerStatus(ctx, from)
 }
 
-func (l *links) ForwardHeartbeat(ctx context.Context, name string, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
-	n, err := l.to(name)
+func (l *peerLinks) ForwardHeartbeat(
+	ctx context.Context, name string, hb *api.Heartbeat,
+) (api.HeartbeatResponse, error) {
+	n, err := l.reachablePeer(name)
 	if err != nil {
 		if l.refuseConnections.Load() {
 			err = ErrConnectionRefused
@@ -69,43 +76,45 @@
 	return n.ForwardedHeartbeat(ctx, hb)
 }
 
-func (l *links) Resign(ctx context.Context, name, self string, term uint64) error {
-	n, err := l.to(name)
+func (l *peerLinks) Resign(ctx context.Context, name, self string, term uint64) error {
+	n, err := l.reachablePeer(name)
 	if err != nil {
 		return err
 	}
 	return n.LeaderResigned(ctx, self, term)
 }
 
-// voter is a node that knows votes.
+// voter has the requests of the lease quorum protocol, which nodes of the version in production
+// lack.
 type voter interface {
 	PeerVote(ctx context.Context, term uint64) (bool, error)
 	PeerPromise(ctx context.Context, term uint64) (time.Duration, error)
 }
 
-// voterAt returns the node at the other end, if it can be reached and knows votes.
-func (l *links) voterAt(name string) (voter, error) {
-	n, err := l.to(name)
+// reachableVoter returns the node of the given name, or an error if it is unreachable or does not
+// support the lease quorum protocol.
+func (l *peerLinks) reachableVoter(name string) (voter, error) {
+	n, err := l.reachablePeer(name)
 	if err != nil {
 		return nil, err
 	}
-	g, ok := n.(voter)
+	v, ok := n.(voter)
 	if !ok {
 		return nil, api.ErrUnavailable
 	}
-	return g, nil
+	return v, nil
 }
 
-func (l *links) Vote(ctx context.Context, name string, term uint64) (bool, error) {
-	n, err := l.voterAt(name)
+func (l *peerLinks) Vote(ctx context.Context, name string, term uint64) (bool, error) {
+	n, err := l.reachableVoter(name)
 	if err != nil {
 		return false, err
 	}
 	return n.PeerVote(ctx, term)
 }
 
-func (l *links) Promise(ctx context.Context, name string, term uint64) (time.Duration, error) {
-	n, err := l.voterAt(name)
+func (l *peerLinks) Promise(ctx context.Context, name string, term uint64) (time.Duration, error) {
+	n, err := l.reachableVoter(name)
 	if err != nil {
 		return 0, err
 	}
