--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -27,12 +27,12 @@
 
 // isolateFirstNode makes the store reject the first node's requests until another node leads.
 func isolateFirstNode(tn *userCluster) {
-	tn.ways[0].set(true)
+	tn.stores[0].set(true)
 	time.Sleep(9 * time.Second)
 }
 
 // reconnectFirstNode makes the store accept the first node's requests again.
-func reconnectFirstNode(tn *userCluster) { tn.ways[0].set(false) }
+func reconnectFirstNode(tn *userCluster) { tn.stores[0].set(false) }
 
 var monotonicityCases = []monotonicityCase{
 	{name: "no fault", delayStep: 13 * time.Millisecond},
@@ -60,8 +60,8 @@
 	defer tn.close()
 	completed, accepted, cancelled := spec("job-1", 2), spec("job-2", 1), spec("job-3", 2)
 	acceptedAndCancelled := spec("job-4", 1)
-	tn.accept(0, completed)
-	tn.accept(1, cancelled)
+	tn.submitUntilAccepted(0, completed)
+	tn.submitUntilAccepted(1, cancelled)
 	time.Sleep(3 * time.Second)
 	for _, s := range []*api.JobSpec{completed, cancelled} {
 		w.checkEqual("phase of "+s.ID, w.phase(tn.nodeAt(0), s.ID), "running")
@@ -70,19 +70,19 @@
 		c.before(tn)
 	}
 	if c.fault != nil {
-		tn.background(func() { c.fault(tn) })
+		tn.runInBackground(func() { c.fault(tn) })
 	}
 	time.Sleep(time.Duration(try) * c.delayStep)
 	for _, s := range []*api.JobSpec{completed, accepted, cancelled, acceptedAndCancelled} {
 		tn.pollAll(s, 4*time.Millisecond, 900*time.Millisecond)
 	}
 	time.Sleep(100 * time.Millisecond)
-	tn.background(func() { tn.finish(completed.ID) })
-	tn.background(func() { tn.accept(2, accepted) })
-	tn.background(func() { tn.cancel(try, cancelled.ID) })
-	tn.background(func() {
-		tn.accept(try, acceptedAndCancelled)
-		tn.cancel(try+1, acceptedAndCancelled.ID)
+	tn.runInBackground(func() { tn.completeJob(completed.ID) })
+	tn.runInBackground(func() { tn.submitUntilAccepted(2, accepted) })
+	tn.runInBackground(func() { tn.cancelUntilConfirmed(try, cancelled.ID) })
+	tn.runInBackground(func() {
+		tn.submitUntilAccepted(try, acceptedAndCancelled)
+		tn.cancelUntilConfirmed(try+1, acceptedAndCancelled.ID)
 	})
 	time.Sleep(12 * time.Second)
 	w.checkEqual("more than 200 answers", tn.checker.answers() > 200, true)
@@ -121,7 +121,7 @@
 var completionRaces = []completionRace{
 	{
 		"cancellation",
-		func(tn *userCluster, node int, s *api.JobSpec) { tn.cancel(node, s.ID) },
+		func(tn *userCluster, node int, s *api.JobSpec) { tn.cancelUntilConfirmed(node, s.ID) },
 		[]string{"done", "withdrawn"},
 	},
 	{
@@ -131,7 +131,7 @@
 	},
 	{
 		"submission",
-		func(tn *userCluster, node int, s *api.JobSpec) { tn.accept(node, s) },
+		func(tn *userCluster, node int, s *api.JobSpec) { tn.submitUntilAccepted(node, s) },
 		[]string{"done"},
 	},
 }
@@ -144,14 +144,14 @@
 // send sends the request for a job after a delay, then polls the job at all nodes and repeats its
 // submission. The delays of all jobs and tries are spread over 360 ms.
 func (r *completionRace) send(tn *userCluster, node int, s *api.JobSpec, delay time.Duration) {
-	tn.background(func() {
+	tn.runInBackground(func() {
 		time.Sleep(delay)
 		r.request(tn, node, s)
 		for k := range 12 {
-			tn.background(func() { tn.poll(k, s.ID) })
+			tn.runInBackground(func() { tn.poll(k, s.ID) })
 			time.Sleep(time.Duration(k) * time.Millisecond)
 		}
-		tn.accept(node+1, s)
+		tn.submitUntilAccepted(node+1, s)
 	})
 }
 
@@ -164,16 +164,16 @@
 	specs := make([]*api.JobSpec, raceJobs)
 	for i := range specs {
 		specs[i] = spec(fmt.Sprint("job-", i), 1)
-		tn.accept(i, specs[i])
+		tn.submitUntilAccepted(i, specs[i])
 	}
 	time.Sleep(4 * time.Second)
-	w.checkEqual("running tasks", tn.tasksOnMachines(), raceJobs)
+	w.checkEqual("running tasks", tn.countTasks(), raceJobs)
 	// The result must not depend on the phase of the controller's tick.
 	time.Sleep(time.Duration(try) * 7 * time.Millisecond)
-	tn.background(func() {
+	tn.runInBackground(func() {
 		time.Sleep(80 * time.Millisecond)
 		for _, s := range specs {
-			tn.finish(s.ID)
+			tn.completeJob(s.ID)
 		}
 	})
 	for i, s := range specs {
@@ -191,8 +191,8 @@
 	}
 	time.Sleep(2 * time.Second)
 	tn.checkFinalPhases(want)
-	w.checkEqual("tasks on machines", tn.tasksOnMachines(), 0)
-	w.checkEqual("starts", tn.starts(), raceJobs)
+	w.checkEqual("tasks on machines", tn.countTasks(), 0)
+	w.checkEqual("starts", tn.countStarts(), raceJobs)
 }
 
 // A cancellation, a poll or a repeated submission races with the end of a job's last task, without any
--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -84,7 +84,7 @@
 	{
 		name: "end", key: racedJobTerminal, match: isCompletion, writers: []int{0},
 		request: func(tn *userCluster, _ int) error {
-			tn.finish(racedJob)
+			tn.completeJob(racedJob)
 			return nil
 		},
 		wantPhase: "done", wantStarts: 2, wantTasks: 0,
@@ -94,7 +94,7 @@
 // requestInBackground repeats the request until it is answered. If the key-value store does not
 // reject the writer afterwards, the first request must succeed.
 func (lr *lostResponse) requestInBackground(tn *userCluster, writer int, rejected time.Duration) {
-	tn.background(func() {
+	tn.runInBackground(func() {
 		err := lr.request(tn, writer)
 		if rejected == 0 && err != nil {
 			tn.t.Errorf("first request: got error %v, want none", err)
@@ -115,7 +115,7 @@
 	tn := newUserCluster(w, 2)
 	defer tn.close()
 	if lr.name != "acceptance" {
-		tn.accept(1, spec(racedJob, 2))
+		tn.submitUntilAccepted(1, spec(racedJob, 2))
 		time.Sleep(3 * time.Second)
 	}
 	w.store.LoseResponses(firstMatch(lr.match))
@@ -125,14 +125,14 @@
 		time.Sleep(time.Millisecond)
 	}
 	first := tn.modRevision(lr.key)
-	tn.ways[writer].set(rejected > 0)
+	tn.stores[writer].set(rejected > 0)
 	time.Sleep(rejected)
-	tn.ways[writer].set(false)
+	tn.stores[writer].set(false)
 	time.Sleep(12 * time.Second)
 	tn.checkFinalPhases(map[string]string{racedJob: lr.wantPhase})
 	w.checkEqual("mod revision, written once", tn.modRevision(lr.key), first)
-	w.checkEqual("starts", tn.starts(), lr.wantStarts)
-	w.checkEqual("tasks on machines", tn.tasksOnMachines(), lr.wantTasks)
+	w.checkEqual("starts", tn.countStarts(), lr.wantStarts)
+	w.checkEqual("tasks on machines", tn.countTasks(), lr.wantTasks)
 	if lr.wantPhase == "done" && rejected == 0 {
 		_, endedAt := tn.checker.end(racedJob)
 		w.checkEqual("end answered in time", endedAt.Sub(tn.checker.doneAt(racedJob)) < 3*time.Second, true)
@@ -174,20 +174,20 @@
 	wantPhase string
 }
 
-func acceptRacedJob(tn *userCluster) { tn.accept(0, spec(racedJob, 1)) }
+func acceptRacedJob(tn *userCluster) { tn.submitUntilAccepted(0, spec(racedJob, 1)) }
 
-func cancelRacedJob(tn *userCluster) { tn.cancel(0, racedJob) }
+func cancelRacedJob(tn *userCluster) { tn.cancelUntilConfirmed(0, racedJob) }
 
-func cancelRacedJobElsewhere(tn *userCluster) { tn.cancel(1, racedJob) }
+func cancelRacedJobElsewhere(tn *userCluster) { tn.cancelUntilConfirmed(1, racedJob) }
 
 // cancelRacedJobOnce sends one cancellation request. It ignores the error, because the transaction
 // gets no response, and the answer checker checks the answer to the user.
 func cancelRacedJobOnce(tn *userCluster) { _ = tn.checker.cancel(tn.nodeAt(0), racedJob) }
 
-func endRacedJob(tn *userCluster) { tn.finish(racedJob) }
+func endRacedJob(tn *userCluster) { tn.completeJob(racedJob) }
 
 func endRacedJobIfRunning(tn *userCluster) {
-	if len(tn.hosts[0].running())+len(tn.hosts[1].running()) > 0 {
+	if len(tn.agents[0].running())+len(tn.agents[1].running()) > 0 {
 		endRacedJob(tn)
 	}
 }
@@ -246,7 +246,7 @@
 		w.store.Delay(firstMatch(dt.match))
 	}
 	tn.pollAll(spec(racedJob, 1), 60*time.Millisecond, 14*time.Second)
-	tn.background(func() {
+	tn.runInBackground(func() {
 		for _, request := range dt.requests {
 			request(tn)
 			time.Sleep(500 * time.Millisecond)
@@ -271,7 +271,7 @@
 		w.checkEqual("mod revision, written once", tn.modRevision(racedJobTerminal), before)
 	}
 	if phase != "running" {
-		w.checkEqual("tasks on machines", tn.tasksOnMachines(), 0)
+		w.checkEqual("tasks on machines", tn.countTasks(), 0)
 		tn.checkNoJobs()
 	}
 	return phase, late
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -35,17 +35,17 @@
 // users cancels the job after up to four seconds and then polls all nodes.
 func (tn *userCluster) runSmallJob(i int) {
 	s := spec(fmt.Sprint("job-", i), 1)
-	tn.takes.Store(s.ID, 2*time.Second)
-	tn.background(func() {
-		tn.accept(i, s)
+	tn.taskDurations.Store(s.ID, 2*time.Second)
+	tn.runInBackground(func() {
+		tn.submitUntilAccepted(i, s)
 		tn.pollUntilFinal(i, s.ID, 700*time.Millisecond)
 		if i%4 != 1 {
 			return
 		}
 		time.Sleep(time.Duration(i*37%4000) * time.Millisecond)
-		tn.cancel(i/4, s.ID)
+		tn.cancelUntilConfirmed(i/4, s.ID)
 		for k := range 6 {
-			tn.background(func() { tn.poll(k, s.ID) })
+			tn.runInBackground(func() { tn.poll(k, s.ID) })
 		}
 	})
 }
@@ -104,7 +104,7 @@
 		defer tn.close()
 		const jobs = 720
 		var peaks leaderPeaks
-		tn.tally.reset()
+		tn.requestCounts.reset()
 		for i := range jobs {
 			tn.runSmallJob(i)
 			// Four jobs arrive within some milliseconds, so that one watch may deliver them all.
@@ -116,9 +116,9 @@
 		}
 		time.Sleep(15 * time.Second)
 		cancelled := tn.checkJobsEnded(jobs)
-		maxRequests, _ := tn.tally.counts(tn.tally.requests)
-		maxWrites, writes := tn.tally.counts(tn.tally.writes)
-		maxWatches, watches := tn.tally.counts(tn.tally.watches)
+		maxRequests, _ := tn.requestCounts.maxAndSum(tn.requestCounts.requests)
+		maxWrites, writes := tn.requestCounts.maxAndSum(tn.requestCounts.writes)
+		maxWatches, watches := tn.requestCounts.maxAndSum(tn.requestCounts.watches)
 		for _, b := range []struct {
 			name       string
 			got, limit int
@@ -147,16 +147,16 @@
 // expired.
 func (tn *userCluster) changeLeaders(after time.Duration) {
 	time.Sleep(after)
-	i := tn.leader()
+	i := tn.awaitLeader()
 	tn.crash(i)
 	tn.startNode(i)
 	time.Sleep(25 * time.Second)
-	i = tn.leader()
-	tn.ways[i].set(true)
+	i = tn.awaitLeader()
+	tn.stores[i].set(true)
 	time.Sleep(15 * time.Second)
-	tn.ways[i].set(false)
+	tn.stores[i].set(false)
 	time.Sleep(10 * time.Second)
-	i = tn.leader()
+	i = tn.awaitLeader()
 	tn.crash(i)
 	time.Sleep(40 * time.Second)
 	tn.startNode(i)
@@ -187,16 +187,16 @@
 // cancelsJob reports true, and repeats the submission two seconds later.
 func (tn *userCluster) runRepeatedJob(i int) {
 	s := spec(fmt.Sprint("job-", i), 1+i%3)
-	tn.takes.Store(s.ID, time.Duration(2+i%7)*time.Second)
-	tn.background(func() {
-		tn.accept(i, s)
+	tn.taskDurations.Store(s.ID, time.Duration(2+i%7)*time.Second)
+	tn.runInBackground(func() {
+		tn.submitUntilAccepted(i, s)
 		tn.pollUntilFinal(i, s.ID, 1500*time.Millisecond)
 		if cancelsJob(i) {
 			time.Sleep(time.Duration(i%4) * time.Second)
-			tn.cancel(i+1, s.ID)
+			tn.cancelUntilConfirmed(i+1, s.ID)
 		}
 		time.Sleep(2 * time.Second)
-		tn.accept(i+2, s)
+		tn.submitUntilAccepted(i+2, s)
 	})
 }
 
@@ -210,7 +210,7 @@
 				defer tn.close()
 				time.Sleep(10 * time.Second)
 				lost := w.loseEveryFifthResponse()
-				tn.background(func() { tn.changeLeaders(15*time.Second + shift) })
+				tn.runInBackground(func() { tn.changeLeaders(15*time.Second + shift) })
 				const jobs = 60
 				for i := range jobs {
 					tn.runRepeatedJob(i)
@@ -228,7 +228,7 @@
 				}
 				tn.checkFinalPhases(want)
 				tn.checkNoneOverdue()
-				w.checkEqual("tasks on machines", tn.tasksOnMachines(), 0)
+				w.checkEqual("tasks on machines", tn.countTasks(), 0)
 				w.checkEqual("more than 20 responses lost", lost() > 20, true)
 			})
 		})
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -54,22 +54,22 @@
 	time.Sleep(10 * time.Second) // all nodes have pinged each other
 	want = submitJobsHalfToCancel(tn, jobs)
 	time.Sleep(3 * time.Second)
-	w.checkEqual("running", tn.tasksOnMachines(), jobs)
-	tn.background(func() {
-		tn.ways[0].set(true)
+	w.checkEqual("running", tn.countTasks(), jobs)
+	tn.runInBackground(func() {
+		tn.stores[0].set(true)
 		time.Sleep(rejected)
 		w.store.SetDown(true)
 		time.Sleep(outage)
 		w.store.SetDown(false)
-		tn.ways[0].set(false)
+		tn.stores[0].set(false)
 	})
 	for i := range jobs {
 		id := fmt.Sprint("job-", i)
 		tn.pollAll(spec(id, 1), 300*time.Millisecond, rejected+outage+5*time.Second)
 		if i%2 == 0 {
-			tn.background(func() {
+			tn.runInBackground(func() {
 				time.Sleep(time.Duration(i) * rejected / 14) // the last ones during the outage
-				tn.cancel(i/2, id)
+				tn.cancelUntilConfirmed(i/2, id)
 			})
 		}
 	}
@@ -83,7 +83,7 @@
 		}
 	}
 	time.Sleep(60 * time.Second)
-	w.checkEqual("tasks on machines", tn.tasksOnMachines(), 0)
+	w.checkEqual("tasks on machines", tn.countTasks(), 0)
 	return want
 }
 
@@ -97,9 +97,9 @@
 			want[s.ID] = api.JobCancelled
 		} else {
 			want[s.ID] = api.JobDone
-			tn.takes.Store(s.ID, time.Duration(10+i)*time.Second)
+			tn.taskDurations.Store(s.ID, time.Duration(10+i)*time.Second)
 		}
-		tn.accept(i, s)
+		tn.submitUntilAccepted(i, s)
 	}
 	return want
 }
--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -25,19 +25,19 @@
 // beside, as far as a scripted node needs them. The golden tests hold all their fields.
 // Whatever else a record holds is ignored, as that version does.
 type oldSpec struct {
-	ID    string  `json:"NameId"`
-	Class string  `json:"Jobclass"`
-	Team  string  `json:"Owner"`
-	Shape string  `json:"Shape"`
-	Rank  string  `json:"Precedence"`
-	Tasks int     `json:"Shoots"`
-	CPUs  float64 `json:"Cores"`
-	GPUs  float64 `json:"Cards"`
-	Mem   float64 `json:"MemoryGb"`
-	Image string  `json:"Rootstock"`
-	Pull  float64 `json:"PullGb"`
-	Spot  bool    `json:"Windfall,omitempty"`
-	Takes float64 `json:"ExpectS"`
+	ID        string  `json:"NameId"`
+	Class     string  `json:"Jobclass"`
+	Team      string  `json:"Owner"`
+	Shape     string  `json:"Shape"`
+	Priority  string  `json:"Precedence"`
+	Tasks     int     `json:"Shoots"`
+	CPUs      float64 `json:"Cores"`
+	GPUs      float64 `json:"Cards"`
+	MemoryGB  float64 `json:"MemoryGb"`
+	Image     string  `json:"Rootstock"`
+	ImageGB   float64 `json:"PullGb"`
+	Spot      bool    `json:"Windfall,omitempty"`
+	EstimateS float64 `json:"ExpectS"`
 }
 
 type oldActiveRecord struct {
@@ -94,9 +94,9 @@
 // users and machines see of one. It knows no dependencies of jobs, and what it does not know
 // it neither applies nor writes.
 type oldNode struct {
-	w           *simulatedCluster
+	sim         *simulatedCluster
 	name        string
-	st          *gate
+	store       *gate
 	links       *links
 	incarnation string
 	startedAt   time.Time
@@ -126,16 +126,16 @@
 	outcomes          []*peer.RelayOutcome
 	uplinkBatch       uint64
 	downlinkBatch     uint64
-	// parts is the number of records into which it packs a batch; 0: it relays nothing.
-	parts int
+	// uplinkRecords is the number of records into which it packs a batch; 0: it relays nothing.
+	uplinkRecords int
 }
 
 // startOld starts a scripted node of the version in production.
 func (w *simulatedCluster) startOld(name string, st *gate, l *links) *oldNode {
 	o := &oldNode{
-		w:                 w,
+		sim:               w,
 		name:              name,
-		st:                st,
+		store:             st,
 		links:             l,
 		startedAt:         time.Now(),
 		incarnation:       fmt.Sprint("old", time.Now().UnixNano()),
@@ -143,7 +143,7 @@
 		renewedMachines:   map[string]time.Time{},
 		relayedHeartbeats: map[string]*api.Heartbeat{},
 		relayedCommands:   map[string]*peer.RelayOrders{},
-		parts:             1,
+		uplinkRecords:     1,
 	}
 	l.nodes.Store(name, o)
 	w.running.Go(func() {
@@ -185,8 +185,8 @@
 	return o.leaderTerm != nil
 }
 
-// others are the names of the other nodes.
-func (o *oldNode) others() []string {
+// otherNodes are the names of the other nodes.
+func (o *oldNode) otherNodes() []string {
 	return slices.DeleteFunc([]string{"n0", "n1"}, func(name string) bool { return name == o.name })
 }
 
@@ -196,7 +196,7 @@
 	lt, ch := o.watch(ctx)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	e, err := o.st.Get(ctx, "leader")
+	e, err := o.store.Get(ctx, "leader")
 	switch {
 	case o.links == nil:
 		return
@@ -210,7 +210,7 @@
 	}
 	var record oldLeaderRecord
 	if e.ModRevision != 0 && json.Unmarshal(e.Value, &record) != nil {
-		o.w.t.Error("leader key cannot be read")
+		o.sim.t.Error("leader key cannot be read")
 	}
 	o.leader = record.Node
 	switch {
@@ -240,7 +240,7 @@
 	}
 	wctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
-	ch, err := o.st.Watch(wctx, "a/", from, 50*time.Millisecond)
+	ch, err := o.store.Watch(wctx, "a/", from, 50*time.Millisecond)
 	if err != nil {
 		return r, kv.Changes{}
 	}
@@ -255,7 +255,7 @@
 	if l == nil {
 		return
 	}
-	for _, name := range o.others() {
+	for _, name := range o.otherNodes() {
 		pctx, cancel := context.WithTimeout(ctx, 800*time.Millisecond)
 		o.mu.Lock()
 		from := o.logPositions[name]
@@ -267,7 +267,7 @@
 			o.missedPings = 0
 			if st.Incarnation == from.Incarnation && st.Cancellations.First != from.Number+1 {
 				// It would discard what it knew of the log.
-				o.w.t.Errorf("%s: got a log from %d on, want %d", name, st.Cancellations.First, from.Number+1)
+				o.sim.t.Errorf("%s: got a log from %d on, want %d", name, st.Cancellations.First, from.Number+1)
 			}
 			o.logPositions[name] = cancellation.Position{
 				Incarnation: st.Incarnation,
@@ -291,7 +291,7 @@
 	}
 	if j := o.leaderTerm.jobs[id]; j != nil {
 		for key := range j.completionKeys {
-			o.leaderTerm.staleRecords = append(o.leaderTerm.staleRecords, kv.Op{Delete: key})
+			o.leaderTerm.staleRecordDeletes = append(o.leaderTerm.staleRecordDeletes, kv.Op{Delete: key})
 		}
 		delete(o.leaderTerm.jobs, id)
 	}
@@ -324,7 +324,7 @@
 func (o *oldNode) LeaderResigned(ctx context.Context, node string, _ uint64) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if e, err := o.st.Get(ctx, "leader"); err == nil && o.links != nil && o.leader == node {
+	if e, err := o.store.Get(ctx, "leader"); err == nil && o.links != nil && o.leader == node {
 		o.takeOver(ctx, e.ModRevision)
 	}
 	return nil
@@ -337,7 +337,7 @@
 	o.leaderTerm, o.leader = nil, to
 	o.mu.Unlock()
 	if err := l.Resign(context.Background(), to, o.name, r.term); err != nil {
-		o.w.t.Error(err)
+		o.sim.t.Error(err)
 	}
 	time.Sleep(time.Second)
 }
@@ -351,7 +351,7 @@
 // two reads is under f/ by then.
 func (o *oldNode) Job(ctx context.Context, id string) (api.JobState, error) {
 	for _, prefix := range []string{"a/", "f/"} {
-		e, err := o.st.Get(ctx, prefix+id)
+		e, err := o.store.Get(ctx, prefix+id)
 		if err != nil {
 			return api.JobState{}, err
 		}
@@ -377,29 +377,29 @@
 
 // submit accepts a job. It knows no field for dependencies.
 func (o *oldNode) submit(s *api.JobSpec) {
-	o.w.t.Helper()
+	o.sim.t.Helper()
 	rec := oldActiveRecord{
 		Spec: oldSpec{
-			ID:    s.ID,
-			Class: s.Class,
-			Team:  s.Team,
-			Shape: s.Shape,
-			Rank:  s.Priority,
-			Tasks: s.Tasks,
-			CPUs:  s.CPUs,
-			GPUs:  s.GPUs,
-			Mem:   s.MemoryGB,
-			Image: s.Image,
-			Pull:  s.ImageGB,
-			Spot:  s.Spot,
-			Takes: s.EstimateS,
+			ID:        s.ID,
+			Class:     s.Class,
+			Team:      s.Team,
+			Shape:     s.Shape,
+			Priority:  s.Priority,
+			Tasks:     s.Tasks,
+			CPUs:      s.CPUs,
+			GPUs:      s.GPUs,
+			MemoryGB:  s.MemoryGB,
+			Image:     s.Image,
+			ImageGB:   s.ImageGB,
+			Spot:      s.Spot,
+			EstimateS: s.EstimateS,
 		},
 		Accepted: time.Now().UTC(),
 	}
-	res, err := o.st.Txn(context.Background(), kv.Txn{Compares: []kv.Compare{{Key: "a/" + s.ID}, {Key: "f/" + s.ID}},
+	res, err := o.store.Txn(context.Background(), kv.Txn{Compares: []kv.Compare{{Key: "a/" + s.ID}, {Key: "f/" + s.ID}},
 		Ops: []kv.Op{{Put: "a/" + s.ID, Value: rec}}})
 	if err != nil || !res.Succeeded {
-		o.w.t.Fatal("submit", s.ID, res, err)
+		o.sim.t.Fatal("submit", s.ID, res, err)
 	}
 	time.Sleep(200 * time.Millisecond)
 }
@@ -408,9 +408,9 @@
 func (o *oldNode) cancel(id string) string {
 	ctx := context.Background()
 	for {
-		e, err := o.st.Get(ctx, "a/"+id)
+		e, err := o.store.Get(ctx, "a/"+id)
 		if err != nil {
-			o.w.t.Fatal("cancel", id, err)
+			o.sim.t.Fatal("cancel", id, err)
 		}
 		if e.ModRevision == 0 {
 			st, _ := o.Job(ctx, id)
@@ -418,9 +418,9 @@
 		}
 		var rec oldActiveRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil {
-			o.w.t.Fatal(err)
+			o.sim.t.Fatal(err)
 		}
-		res, err := o.st.Txn(ctx, kv.Txn{
+		res, err := o.store.Txn(ctx, kv.Txn{
 			Compares: []kv.Compare{{Key: e.Key, ModRevision: e.ModRevision}},
 			Ops: []kv.Op{
 				{Put: "a/!cancel", Value: id},
@@ -439,18 +439,18 @@
 
 // oldLeaderTerm is its state as leader of one term.
 type oldLeaderTerm struct {
-	o                                  *oldNode
+	node                               *oldNode
 	term, modRevision, watchedRevision uint64
-	lease                              uint64
+	leaderLease                        uint64
 	jobs                               map[string]*oldJob
 	machines                           map[string]*oldMachine
 	// shards are the keys of the registry that it has read or written, with the machines on them.
 	shards        map[string][]string
 	shardsWritten int
-	attempts      uint64
+	lastAttempt   uint64
 	renewedAt     time.Time
-	// staleRecords deletes the completion records of jobs that have ended.
-	staleRecords []kv.Op
+	// staleRecordDeletes deletes the completion records of jobs that have ended.
+	staleRecordDeletes []kv.Op
 }
 
 type oldJob struct {
@@ -472,17 +472,17 @@
 // takeOver begins a leader term: it writes the leader key under a lease and the next term in
 // one transaction, and then reads the records.
 func (o *oldNode) takeOver(ctx context.Context, leaderModRevision uint64) {
-	e, err := o.st.Get(ctx, "term")
+	e, err := o.store.Get(ctx, "term")
 	var t oldTerm
 	if err != nil || e.ModRevision != 0 && json.Unmarshal(e.Value, &t) != nil {
 		return
 	}
 	t.Number++
-	lease, err := o.st.GrantLease(ctx, 30*time.Second)
+	lease, err := o.store.GrantLease(ctx, 30*time.Second)
 	if err != nil {
 		return
 	}
-	res, err := o.st.Txn(ctx, kv.Txn{
+	res, err := o.store.Txn(ctx, kv.Txn{
 		Compares: []kv.Compare{
 			{Key: "leader", ModRevision: leaderModRevision},
 			{Key: "term", ModRevision: e.ModRevision},
@@ -496,10 +496,10 @@
 		return
 	}
 	r := &oldLeaderTerm{
-		o:           o,
+		node:        o,
 		term:        t.Number,
 		modRevision: res.Revision,
-		lease:       lease,
+		leaderLease: lease,
 		jobs:        map[string]*oldJob{},
 		machines:    map[string]*oldMachine{},
 		shards:      map[string][]string{},
@@ -511,9 +511,9 @@
 
 // load reads active jobs, completion records and the registry.
 func (r *oldLeaderTerm) load(ctx context.Context) bool {
-	active, err1 := r.o.st.Range(ctx, "a/", "", 500)
-	completions, err2 := r.o.st.Range(ctx, "p/", "", 500)
-	shards, err3 := r.o.st.Range(ctx, "m/", "", 500)
+	active, err1 := r.node.store.Range(ctx, "a/", "", 500)
+	completions, err2 := r.node.store.Range(ctx, "p/", "", 500)
+	shards, err3 := r.node.store.Range(ctx, "m/", "", 500)
 	if errors.Join(err1, err2, err3) != nil {
 		return false
 	}
@@ -529,7 +529,7 @@
 	for _, e := range shards.Entries {
 		var s oldShard
 		if err := json.Unmarshal(e.Value, &s); err != nil {
-			r.o.w.t.Error(e.Key, err)
+			r.node.sim.t.Error(e.Key, err)
 		}
 		for _, m := range s.Machines {
 			r.shards[e.Key] = append(r.shards[e.Key], m.Name)
@@ -542,14 +542,14 @@
 func (r *oldLeaderTerm) addJob(key string, value []byte, modRevision uint64) {
 	var rec oldActiveRecord
 	err := json.Unmarshal(value, &rec)
-	if err == nil && rec.Spec.Tasks < 1 && rec.Spec.Team == "" && slices.Contains(r.o.skippedRecords, key) {
+	if err == nil && rec.Spec.Tasks < 1 && rec.Spec.Team == "" && slices.Contains(r.node.skippedRecords, key) {
 		return
 	}
 	if err != nil || rec.Spec.Tasks < 1 || "a/"+rec.Spec.ID != key {
-		r.o.w.t.Errorf("the version in production cannot read %s: %s", key, value)
+		r.node.sim.t.Errorf("the version in production cannot read %s: %s", key, value)
 		return
 	}
-	if r.jobs[rec.Spec.ID] == nil && !slices.Contains(r.o.cancellationLog, rec.Spec.ID) {
+	if r.jobs[rec.Spec.ID] == nil && !slices.Contains(r.node.cancellationLog, rec.Spec.ID) {
 		r.jobs[rec.Spec.ID] = &oldJob{
 			spec:           rec.Spec,
 			modRevision:    modRevision,
@@ -566,12 +566,12 @@
 	from, err := strconv.Atoi(first)
 	var p oldCompletionRecord
 	if err != nil || json.Unmarshal(e.Value, &p) != nil {
-		r.o.w.t.Errorf("the version in production cannot read %s", e.Key)
+		r.node.sim.t.Errorf("the version in production cannot read %s", e.Key)
 		return
 	}
 	j := r.jobs[id]
 	if j == nil {
-		r.staleRecords = append(r.staleRecords, kv.Op{Delete: e.Key})
+		r.staleRecordDeletes = append(r.staleRecordDeletes, kv.Op{Delete: e.Key})
 		return
 	}
 	j.completionKeys[e.Key] = true
@@ -584,11 +584,11 @@
 
 // tick renews the leader lease and applies the changes of the active jobs.
 func (r *oldLeaderTerm) tick(ctx context.Context, ch kv.Changes) {
-	if time.Since(r.renewedAt) > 3*time.Second && r.o.st.RenewLease(ctx, r.lease) == nil {
+	if time.Since(r.renewedAt) > 3*time.Second && r.node.store.RenewLease(ctx, r.leaderLease) == nil {
 		r.renewedAt = time.Now()
 	}
-	if len(r.staleRecords) > 0 && r.write(kv.Txn{Ops: r.staleRecords}) {
-		r.staleRecords = nil
+	if len(r.staleRecordDeletes) > 0 && r.write(kv.Txn{Ops: r.staleRecordDeletes}) {
+		r.staleRecordDeletes = nil
 	}
 	r.watchedRevision = max(r.watchedRevision, ch.Revision)
 	for _, e := range ch.Events {
@@ -596,15 +596,15 @@
 		switch {
 		case e.Put == "a/!cancel":
 			if err := json.Unmarshal(e.Value, &id); err != nil {
-				r.o.w.t.Error(err)
+				r.node.sim.t.Error(err)
 			}
-			r.o.recordCancellation(id)
+			r.node.recordCancellation(id)
 		case e.Put != "":
 			r.addJob(e.Put, e.Value, e.ModRevision)
 		case r.jobs[strings.TrimPrefix(e.Delete, "a/")] != nil:
 			// It concludes that another node leads, and begins a new term.
-			r.o.w.t.Errorf("%s deleted without a cancellation under the old leader of term %d", e.Delete, r.term)
-			r.o.leaderTerm = nil
+			r.node.sim.t.Errorf("%s deleted without a cancellation under the old leader of term %d", e.Delete, r.term)
+			r.node.leaderTerm = nil
 			return
 		}
 	}
@@ -613,9 +613,9 @@
 // write writes under its term, and steps down if that is no longer the current one.
 func (r *oldLeaderTerm) write(txn kv.Txn) bool {
 	txn.Compares = append(txn.Compares, kv.Compare{Key: "term", ModRevision: r.modRevision})
-	res, err := r.o.st.Txn(context.Background(), txn)
+	res, err := r.node.store.Txn(context.Background(), txn)
 	if err == nil && slices.Contains(res.FailedKeys, "term") {
-		r.o.leaderTerm = nil
+		r.node.leaderTerm = nil
 	}
 	return err == nil && res.Succeeded
 }
@@ -806,11 +806,11 @@
 			free -= j.spec.CPUs
 			used[j.spec.Team] += j.spec.CPUs
 			j.machineOf[i] = m.record.Name
-			r.attempts++
+			r.lastAttempt++
 			commands = append(commands, api.Command{
 				Verb:    api.VerbStart,
 				Task:    fmt.Sprint(j.spec.ID, "/", i),
-				Attempt: r.term<<32 | r.attempts,
+				Attempt: r.term<<32 | r.lastAttempt,
 			})
 		}
 	}
@@ -820,7 +820,7 @@
 // allFenced reports whether all machines of the registry are fenced or terminated.
 func (r *oldLeaderTerm) allFenced() bool {
 	for _, m := range r.machines {
-		if !m.fenced && !r.o.w.cloud.terminated(m.record.Name) {
+		if !m.fenced && !r.node.sim.cloud.terminated(m.record.Name) {
 			return false
 		}
 	}
@@ -829,7 +829,7 @@
 
 // teamLimit is a team's limit in CPUs, 0 if there is no such team.
 func (r *oldLeaderTerm) teamLimit(name string) float64 {
-	for _, team := range r.o.w.teams {
+	for _, team := range r.node.sim.teams {
 		if team.Name == name {
 			return team.LimitCPUs
 		}
@@ -842,8 +842,8 @@
 // reads the leader's commands.
 func (o *oldNode) renewAndRelay(ctx context.Context) {
 	now := time.Now()
-	e, err1 := o.st.Get(ctx, "term")
-	page, err2 := o.st.Range(ctx, "a/", "", 500)
+	e, err1 := o.store.Get(ctx, "term")
+	page, err2 := o.store.Range(ctx, "a/", "", 500)
 	var t oldTerm
 	if errors.Join(err1, err2, json.Unmarshal(e.Value, &t)) != nil {
 		return
@@ -861,10 +861,10 @@
 	}
 	if len(extension.Hosts) > 0 {
 		// Written again with the next tick if it fails.
-		_, _ = o.st.Txn(ctx, kv.Txn{Compares: sameTerm, Ops: []kv.Op{{Put: "keep/" + o.name, Value: extension}}})
+		_, _ = o.store.Txn(ctx, kv.Txn{Compares: sameTerm, Ops: []kv.Op{{Put: "keep/" + o.name, Value: extension}}})
 	}
 	o.readDownlink(ctx)
-	if len(o.relayedHeartbeats)+len(o.outcomes) > 0 && o.parts > 0 {
+	if len(o.relayedHeartbeats)+len(o.outcomes) > 0 && o.uplinkRecords > 0 {
 		o.writeUplink(ctx, sameTerm)
 	}
 }
@@ -885,36 +885,36 @@
 	}
 	parts, err := relay.Pack(up, o.uplinkBatch, 1, 8<<10)
 	if err != nil {
-		o.w.t.Error(err)
+		o.sim.t.Error(err)
 		return
 	}
 	data, txn := parts[0].Data, kv.Txn{Compares: compares}
-	for i := range o.parts {
+	for i := range o.uplinkRecords {
 		txn.Ops = append(txn.Ops, kv.Op{
 			Put: fmt.Sprint("relay/", o.name, "/up/", i),
 			Value: oldPart{
 				Batch: o.uplinkBatch,
 				Index: i,
-				Of:    o.parts,
-				Data:  data[len(data)*i/o.parts : len(data)*(i+1)/o.parts],
+				Of:    o.uplinkRecords,
+				Data:  data[len(data)*i/o.uplinkRecords : len(data)*(i+1)/o.uplinkRecords],
 			},
 		})
 	}
-	if _, err := o.st.Txn(ctx, txn); err == nil {
+	if _, err := o.store.Txn(ctx, txn); err == nil {
 		clear(o.relayedHeartbeats)
 	}
 }
 
 // readDownlink reads the commands that the leader has written for this node's machines.
 func (o *oldNode) readDownlink(ctx context.Context) {
-	e, err := o.st.Get(ctx, "relay/"+o.name+"/down")
+	e, err := o.store.Get(ctx, "relay/"+o.name+"/down")
 	var p relay.Part
 	var down peer.RelayDown
 	if err != nil || e.ModRevision == 0 || json.Unmarshal(e.Value, &p) != nil {
 		return
 	}
 	if err := relay.Unpack([]relay.Part{p}, &down); err != nil {
-		o.w.t.Error(err)
+		o.sim.t.Error(err)
 	}
 	if down.Incarnation != o.incarnation || down.Batch <= o.downlinkBatch {
 		return
--- a/internal/controller/twofaults_test.go
+++ b/internal/controller/twofaults_test.go
@@ -16,7 +16,7 @@
 	links                    *links
 	leader, follower         *node
 	leaderGate, followerGate *gate
-	k                        *worker
+	agent                    *worker
 	startedAt                time.Time
 	// cancelledAt is when a user got the response that job-1 is cancelled.
 	cancelledAt time.Time
@@ -40,11 +40,11 @@
 	simulate(t, func(w *simulatedCluster) {
 		g := &faultCluster{simulatedCluster: w}
 		g.links, g.leader, g.follower, g.leaderGate, g.followerGate = w.startPair()
-		g.k = w.worker("i-1", "", false)
+		g.agent = w.worker("i-1", "", false)
 		w.submit(g.leader, spec("job-1", 2))
 		w.submit(g.leader, spec("job-2", 1))
-		g.k.serve(g.leader, 4)
-		w.checkEqual("running tasks", len(g.k.running()), 3)
+		g.agent.serve(g.leader, 4)
+		w.checkEqual("running tasks", len(g.agent.running()), 3)
 		g.startedAt, g.renewedAt = time.Now(), time.Now()
 		for ms := 0; ms < seconds*1000; ms += 50 {
 			if f := script[ms]; f != nil {
@@ -53,7 +53,7 @@
 			if ms%1000 == 450 {
 				g.heartbeat()
 			}
-			g.check()
+			g.checkCancelled()
 			time.Sleep(50 * time.Millisecond)
 		}
 		w.checkEqual("never cancelled", g.cancelledAt.IsZero(), false)
@@ -68,36 +68,36 @@
 func (g *faultCluster) heartbeat() {
 	for _, n := range []*node{g.leader, g.follower} {
 		sent := time.Now()
-		if commands, err := g.k.sendHeartbeat(n); err == nil {
-			g.k.applyCommands(commands)
+		if commands, err := g.agent.sendHeartbeat(n); err == nil {
+			g.agent.applyCommands(commands)
 			g.renewedAt = sent
 			break
 		}
 	}
-	g.expire()
+	g.expireLease()
 }
 
-// expire ends the machine's tasks when their lease has expired.
-func (g *faultCluster) expire() {
+// expireLease ends the machine's tasks when their lease has expired.
+func (g *faultCluster) expireLease() {
 	if time.Since(g.renewedAt) <= faultTaskLease {
 		return
 	}
-	g.k.mu.Lock()
-	defer g.k.mu.Unlock()
-	if len(g.k.status.Tasks) > 0 && g.lostAt.IsZero() {
+	g.agent.mu.Lock()
+	defer g.agent.mu.Unlock()
+	if len(g.agent.status.Tasks) > 0 && g.lostAt.IsZero() {
 		g.lostAt = time.Now()
 	}
-	g.k.status.Tasks, g.renewedAt = nil, time.Now()
-	g.k.status.AgentEpoch++
+	g.agent.status.Tasks, g.renewedAt = nil, time.Now()
+	g.agent.status.AgentEpoch++
 }
 
-// check fails the test if a task of job-1 runs beyond the time limit of its cancellation.
-func (g *faultCluster) check() {
-	g.expire()
+// checkCancelled fails the test if a task of job-1 runs beyond the time limit of its cancellation.
+func (g *faultCluster) checkCancelled() {
+	g.expireLease()
 	if g.cancelledAt.IsZero() || time.Since(g.cancelledAt) <= 30*time.Second {
 		return
 	}
-	for _, task := range g.k.running() {
+	for _, task := range g.agent.running() {
 		if strings.HasPrefix(task, "job-1/") {
 			g.t.Fatalf("%s still runs %v after its cancellation was confirmed", task, time.Since(g.cancelledAt))
 		}
@@ -129,8 +129,8 @@
 
 func healNodes(g *faultCluster) { g.links.partitioned.Store(false) }
 
-// cancelElsewhere cancels at a node that crashes before it informs another.
-func cancelElsewhere(g *faultCluster) {
+// cancelAtCrashingNode cancels at a node that crashes before it informs another.
+func cancelAtCrashingNode(g *faultCluster) {
 	other := g.startWith("n9", g.store, nil)
 	if _, err := other.Cancel(context.Background(), "job-1"); err != nil {
 		g.t.Fatal(err)
@@ -167,7 +167,7 @@
 	g.cancelAt(g.leader)
 }
 
-func acceptFormerLeader(g *faultCluster) {
+func reconnectFormerLeader(g *faultCluster) {
 	g.checkEqual("the follower leads", g.follower.holdsLease(), true)
 	g.leaderGate.set(false)
 }
@@ -235,12 +235,12 @@
 	},
 	{
 		"confirmed by a node that only read it",
-		faultScript{1000: rejectLeader, 2000: cancelElsewhere, 2550: pollFollower, 2600: startOutage},
+		faultScript{1000: rejectLeader, 2000: cancelAtCrashingNode, 2550: pollFollower, 2600: startOutage},
 		true,
 	},
 	{
 		"confirmed to a repeated submission",
-		faultScript{1000: rejectLeader, 2000: cancelElsewhere, 2550: repeatSubmission, 2600: startOutage},
+		faultScript{1000: rejectLeader, 2000: cancelAtCrashingNode, 2550: repeatSubmission, 2600: startOutage},
 		true,
 	},
 	{
@@ -251,7 +251,7 @@
 	{
 		"a second leader, rejected in turn",
 		faultScript{
-			1000: rejectLeader, 14_000: acceptFormerLeader, 24_000: rejectFollower,
+			1000: rejectLeader, 14_000: reconnectFormerLeader, 24_000: rejectFollower,
 			25_000: cancelAtFormerLeader, 25_050: startOutage,
 		},
 		true,
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -14,12 +14,12 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// storePath is one node's access to the store. Requests and responses take a while, so that
+// delayedStore is one node's access to the store. Requests and responses take a while, so that
 // what other nodes do can happen in between.
-type storePath struct {
+type delayedStore struct {
 	gate
 	requestDelay, responseDelay time.Duration
-	tally                       *requestCounts
+	counts                      *requestCounts
 }
 
 // requestCounts counts the requests of the nodes to the store, by second.
@@ -34,8 +34,8 @@
 	m[time.Now().Unix()] += n
 }
 
-// counts returns the largest count of a second, and the sum.
-func (y *requestCounts) counts(m map[int64]int) (largest, sum int) {
+// maxAndSum returns the largest count of a second, and the sum.
+func (y *requestCounts) maxAndSum(m map[int64]int) (largest, sum int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	for _, n := range m {
@@ -56,9 +56,9 @@
 
 // roundTrip applies a request after its delay, and returns the response after its own. A
 // failure is returned without delay.
-func roundTrip[T any](ctx context.Context, y *storePath, apply func() (T, error)) (T, error) {
+func roundTrip[T any](ctx context.Context, y *delayedStore, apply func() (T, error)) (T, error) {
 	var result T
-	y.tally.add(y.tally.requests, 1)
+	y.counts.add(y.counts.requests, 1)
 	for _, delay := range []time.Duration{y.requestDelay, y.responseDelay} {
 		select {
 		case <-ctx.Done():
@@ -76,35 +76,35 @@
 	return result, nil
 }
 
-func (y *storePath) Get(ctx context.Context, key string) (kv.Entry, error) {
+func (y *delayedStore) Get(ctx context.Context, key string) (kv.Entry, error) {
 	return roundTrip(ctx, y, func() (kv.Entry, error) { return y.gate.Get(ctx, key) })
 }
 
-func (y *storePath) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
-	y.tally.add(y.tally.writes, len(txn.Ops))
+func (y *delayedStore) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
+	y.counts.add(y.counts.writes, len(txn.Ops))
 	return roundTrip(ctx, y, func() (kv.Result, error) { return y.gate.Txn(ctx, txn) })
 }
 
-func (y *storePath) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
+func (y *delayedStore) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
 	return roundTrip(ctx, y, func() (kv.Page, error) { return y.gate.Range(ctx, prefix, from, limit) })
 }
 
-func (y *storePath) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
-	y.tally.add(y.tally.requests, 1)
-	y.tally.add(y.tally.watches, 1)
+func (y *delayedStore) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
+	y.counts.add(y.counts.requests, 1)
+	y.counts.add(y.counts.watches, 1)
 	return y.gate.Watch(ctx, prefix, from, block)
 }
 
-// userHost is a machine that sends heartbeats by itself. Its tasks end after their time, and
+// backgroundAgent is a machine that sends heartbeats by itself. Its tasks end after their time, and
 // with its task lease.
-type userHost struct {
+type backgroundAgent struct {
 	*worker
 	startedAt map[string]time.Time
 	// lastSent is when its last heartbeat was sent, lastAcknowledged when the last one with a
 	// response was.
 	lastSent, lastAcknowledged time.Time
-	// changed makes it send a heartbeat at once.
-	changed chan struct{}
+	// statusChanged makes it send a heartbeat at once.
+	statusChanged chan struct{}
 	// starts counts the start commands that it received.
 	starts atomic.Int64
 }
@@ -112,14 +112,14 @@
 // userCluster is three nodes with their machines and users, whose answers are all checked.
 type userCluster struct {
 	*simulatedCluster
-	checker *answerChecker
-	links   *links
-	ways    []*storePath
-	tally   *requestCounts
-	hosts   []*userHost
-	// takes is how long tasks run, by job; others run until the test ends them.
-	takes sync.Map
-	users sync.WaitGroup
+	checker       *answerChecker
+	links         *links
+	stores        []*delayedStore
+	requestCounts *requestCounts
+	agents        []*backgroundAgent
+	// taskDurations is how long tasks run, by job; others run until the test ends them.
+	taskDurations sync.Map
+	goroutines    sync.WaitGroup
 
 	mu    sync.Mutex
 	nodes []*node
@@ -137,31 +137,31 @@
 		checker:          newAnswerChecker(w.t),
 		links:            &links{},
 		nodes:            make([]*node, 3),
-		tally: &requestCounts{
+		requestCounts: &requestCounts{
 			requests: map[int64]int{},
 			writes:   map[int64]int{},
 			watches:  map[int64]int{},
 		},
 	}
 	for i := range 3 {
-		y := &storePath{
+		y := &delayedStore{
 			requestDelay:  time.Duration(2+3*i) * time.Millisecond,
 			responseDelay: time.Duration(1+2*i) * time.Millisecond,
-			tally:         tn.tally,
+			counts:        tn.requestCounts,
 		}
 		y.Fake = w.store
-		tn.ways = append(tn.ways, y)
+		tn.stores = append(tn.stores, y)
 		tn.startNode(i)
 	}
 	for i := range hosts {
-		h := &userHost{
+		h := &backgroundAgent{
 			worker:           w.worker(fmt.Sprintf("i-%d", i+1), "a", false),
 			startedAt:        map[string]time.Time{},
 			lastAcknowledged: time.Now(),
-			changed:          make(chan struct{}, 1),
+			statusChanged:    make(chan struct{}, 1),
 		}
-		tn.hosts = append(tn.hosts, h)
-		tn.users.Go(func() { tn.runMachine(h) })
+		tn.agents = append(tn.agents, h)
+		tn.goroutines.Go(func() { tn.runAgent(h) })
 	}
 	time.Sleep(3 * time.Second)
 	return tn
@@ -170,7 +170,7 @@
 // startNode starts a node, or starts it again after a crash.
 func (tn *userCluster) startNode(i int) {
 	name := fmt.Sprint("n", i)
-	n := tn.links.add(name, tn.startWith(name, tn.ways[i], tn.links))
+	n := tn.links.add(name, tn.startWith(name, tn.stores[i], tn.links))
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
 	tn.nodes[i] = n
@@ -202,8 +202,8 @@
 	return slices.DeleteFunc(slices.Clone(tn.nodes), func(n *node) bool { return n == nil })
 }
 
-// leader waits until a node leads, and returns its number.
-func (tn *userCluster) leader() int {
+// awaitLeader waits until a node leads, and returns its number.
+func (tn *userCluster) awaitLeader() int {
 	for {
 		for i := range 3 {
 			n := tn.nodeAt(i)
@@ -216,8 +216,8 @@
 	}
 }
 
-// runMachine has a machine send a heartbeat once a second and at every change.
-func (tn *userCluster) runMachine(h *userHost) {
+// runAgent has a machine send a heartbeat once a second and at every change.
+func (tn *userCluster) runAgent(h *backgroundAgent) {
 	for changed := false; !tn.stopped.Load(); {
 		now := time.Now()
 		if h.expireLease(now); h.completeTasks(tn, now, "") || changed || now.Sub(h.lastSent) >= time.Second {
@@ -230,7 +230,7 @@
 			}
 		}
 		select {
-		case <-h.changed:
+		case <-h.statusChanged:
 			changed = true
 		case <-time.After(20 * time.Millisecond):
 			changed = false
@@ -257,7 +257,7 @@
 
 // heartbeatAnyNode sends a heartbeat to the first node that responds, and applies its
 // commands.
-func (h *userHost) heartbeatAnyNode(tn *userCluster) {
+func (h *backgroundAgent) heartbeatAnyNode(tn *userCluster) {
 	h.lastSent = time.Now()
 	sent := h.lastSent
 	for _, n := range tn.runningNodes() {
@@ -285,7 +285,7 @@
 
 // expireLease ends the tasks, and begins a new agent epoch, if no heartbeat had a response in
 // time.
-func (h *userHost) expireLease(now time.Time) {
+func (h *backgroundAgent) expireLease(now time.Time) {
 	if now.Sub(h.lastAcknowledged) <= 10*time.Second {
 		return
 	}
@@ -298,13 +298,13 @@
 
 // completeTasks completes the tasks whose time is up, and those of the job named. It reports
 // whether there were any.
-func (h *userHost) completeTasks(tn *userCluster, now time.Time, named string) (completed bool) {
+func (h *backgroundAgent) completeTasks(tn *userCluster, now time.Time, named string) (completed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range h.status.Tasks {
 		t := &h.status.Tasks[i]
 		id, _, _ := strings.Cut(t.Task, "/")
-		takes, ok := tn.takes.Load(id)
+		takes, ok := tn.taskDurations.Load(id)
 		timeUp := ok && now.Sub(h.startedAt[t.Task]) >= takes.(time.Duration)
 		if t.Phase != api.TaskRunning || id != named && !timeUp {
 			continue
@@ -316,14 +316,14 @@
 	return completed
 }
 
-// finish completes the tasks of a job now, wherever they run. Only a job whose user has requested
+// completeJob completes the tasks of a job now, wherever they run. Only a job whose user has requested
 // its cancellation may have none left: a heartbeat in the meantime stops them.
-func (tn *userCluster) finish(id string) {
+func (tn *userCluster) completeJob(id string) {
 	tn.t.Helper()
 	machines := 0
-	for _, h := range tn.hosts {
+	for _, h := range tn.agents {
 		if h.completeTasks(tn, time.Now(), id) {
-			h.changed <- struct{}{}
+			h.statusChanged <- struct{}{}
 			machines++
 		}
 	}
@@ -332,8 +332,8 @@
 	}
 }
 
-// background runs what one user does while the others go on.
-func (tn *userCluster) background(f func()) { tn.users.Go(f) }
+// runInBackground runs what one user does while the others go on.
+func (tn *userCluster) runInBackground(f func()) { tn.goroutines.Go(f) }
 
 // pollAll requests a job's state at all nodes in turn, with gap between two requests whether
 // or not they are answered; some requests repeat the submission. The checker records the
@@ -344,10 +344,10 @@
 		defer tn.checker.mu.Unlock()
 		return tn.checker.of(s.ID).submitted
 	}
-	tn.background(func() {
+	tn.runInBackground(func() {
 		for i := 0; time.Duration(i)*gap < span; i++ {
 			n := tn.nodeAt(i)
-			tn.background(func() {
+			tn.runInBackground(func() {
 				switch {
 				case i%5 == 4 && submitted():
 					_ = tn.checker.submit(n, s)
@@ -362,16 +362,16 @@
 	})
 }
 
-// accept submits a job at a node until it is accepted.
-func (tn *userCluster) accept(i int, s *api.JobSpec) {
+// submitUntilAccepted submits a job at a node until it is accepted.
+func (tn *userCluster) submitUntilAccepted(i int, s *api.JobSpec) {
 	tn.t.Helper()
 	if err := retryUntilAnswered(func() error { return tn.checker.submit(tn.nodeAt(i), s) }); err != nil {
 		tn.t.Errorf("submission of %s: %v", s.ID, err)
 	}
 }
 
-// cancel cancels a job at a node until that is confirmed.
-func (tn *userCluster) cancel(i int, id string) {
+// cancelUntilConfirmed cancels a job at a node until that is confirmed.
+func (tn *userCluster) cancelUntilConfirmed(i int, id string) {
 	tn.t.Helper()
 	if err := retryUntilAnswered(func() error { return tn.checker.cancel(tn.nodeAt(i), id) }); err != nil {
 		tn.t.Errorf("cancellation of %s: %v", id, err)
@@ -393,7 +393,7 @@
 // close ends machines, users and nodes. The store loses no response any more.
 func (tn *userCluster) close() {
 	tn.stopped.Store(true)
-	tn.users.Wait()
+	tn.goroutines.Wait()
 	tn.store.LoseResponses(nil)
 	for _, n := range tn.runningNodes() {
 		n.crash()
@@ -409,17 +409,17 @@
 	return e.ModRevision
 }
 
-// starts is the number of start commands that the machines received.
-func (tn *userCluster) starts() (n int64) {
-	for _, h := range tn.hosts {
+// countStarts is the number of start commands that the machines received.
+func (tn *userCluster) countStarts() (n int64) {
+	for _, h := range tn.agents {
 		n += h.starts.Load()
 	}
 	return n
 }
 
-// tasksOnMachines is the number of tasks on machines, in whatever phase.
-func (tn *userCluster) tasksOnMachines() (n int) {
-	for _, h := range tn.hosts {
+// countTasks is the number of tasks on machines, in whatever phase.
+func (tn *userCluster) countTasks() (n int) {
+	for _, h := range tn.agents {
 		h.mu.Lock()
 		n += len(h.status.Tasks)
 		h.mu.Unlock()
@@ -430,7 +430,7 @@
 // pollUntilFinal has a job's user request its state until the answer is its end, each time at
 // another node.
 func (tn *userCluster) pollUntilFinal(i int, id string, interval time.Duration) {
-	tn.background(func() {
+	tn.runInBackground(func() {
 		for ; !tn.stopped.Load(); i++ {
 			if st, err := tn.checker.ask(tn.nodeAt(i), id); err == nil && st.Final() {
 				return
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -17,9 +17,9 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// mixed is a deployment of two nodes, one of the version in production and one of this, and
+// mixedCluster is a deployment of two nodes, one of the version in production and one of this, and
 // machines that send their heartbeats to whichever node responds.
-type mixed struct {
+type mixedCluster struct {
 	*simulatedCluster
 	links *links
 	old   *oldNode
@@ -46,27 +46,27 @@
 	successor *node
 	// storeDown is set during an outage of the store; registered is what the registry last
 	// held.
-	storeDown  bool
-	registered []string
+	storeDown      bool
+	lastRegistered []string
 }
 
-// farZone is the zone of the node that does not lead, and of the machines on its side of a
+// followerZone is the zone of the node that does not lead, and of the machines on its side of a
 // partition.
-const farZone = "b"
+const followerZone = "b"
 
-// simulateMixed runs a test with two versions and some machines; oldLeads selects which of
+// simulateMixedCluster runs a test with two versions and some machines; oldLeads selects which of
 // them leads first. The old node is n0.
-func simulateMixed(t *testing.T, machines int, oldLeads bool, f func(v *mixed)) {
+func simulateMixedCluster(t *testing.T, machines int, oldLeads bool, f func(v *mixedCluster)) {
 	t.Helper()
-	simulateMixedIn(t, func(*simulatedCluster) {}, machines, oldLeads, f)
+	simulatePreparedMixedCluster(t, func(*simulatedCluster) {}, machines, oldLeads, f)
 }
 
-// simulateMixedIn is simulateMixed in a cluster that is prepared first.
-func simulateMixedIn(t *testing.T, prepare func(w *simulatedCluster), machines int, oldLeads bool, f func(v *mixed)) {
+// simulatePreparedMixedCluster is simulateMixedCluster in a cluster that is prepared first.
+func simulatePreparedMixedCluster(t *testing.T, prepare func(w *simulatedCluster), machines int, oldLeads bool, f func(v *mixedCluster)) {
 	t.Helper()
 	simulate(t, func(w *simulatedCluster) {
 		prepare(w)
-		v := &mixed{
+		v := &mixedCluster{
 			simulatedCluster: w,
 			links:            &links{},
 			taskSeconds:      5,
@@ -98,22 +98,24 @@
 	})
 }
 
-func (v *mixed) startOldNode() {
+func (v *mixedCluster) startOldNode() {
 	v.old = v.startOld("n0", v.oldGate, v.links)
 	time.Sleep(500 * time.Millisecond)
 }
 
-func (v *mixed) startNewNode() { v.new = v.links.add("n1", v.startWith("n1", v.newGate, v.links)) }
+func (v *mixedCluster) startNewNode() {
+	v.new = v.links.add("n1", v.startWith("n1", v.newGate, v.links))
+}
 
 // newLeads reports whether the node of this version leads.
-func (v *mixed) newLeads() (leads bool) {
+func (v *mixedCluster) newLeads() (leads bool) {
 	v.new.inspect(func(c *Controller) { leads = c.holdsLease() && c.leaderTerm.loaded })
 	return leads
 }
 
 // runSeconds lets machines send heartbeats and tasks run. No task is on two machines, none
 // that has completed starts again, and each machine with tasks is registered.
-func (v *mixed) runSeconds(n int) {
+func (v *mixedCluster) runSeconds(n int) {
 	v.t.Helper()
 	for range n {
 		for _, k := range v.agents {
@@ -124,19 +126,19 @@
 			}
 			v.advanceTasks(k)
 		}
-		v.check()
+		v.checkInvariants()
 		time.Sleep(time.Second)
 	}
 }
 
 // reachableNodes are the nodes that a machine reaches.
-func (v *mixed) reachableNodes(k *worker) []heartbeatReceiver {
+func (v *mixedCluster) reachableNodes(k *worker) []heartbeatReceiver {
 	var first heartbeatReceiver = v.old
 	if v.successor != nil {
 		first = v.successor
 	}
 	// In a partition the far zone has the node that does not lead.
-	switch far := k.status.Zone == farZone; {
+	switch far := k.status.Zone == followerZone; {
 	case !v.links.partitioned.Load():
 		return []heartbeatReceiver{first, v.new}
 	case far == v.old.leads():
@@ -145,8 +147,8 @@
 	return []heartbeatReceiver{first}
 }
 
-// replaceOld ends the old node and starts this version in its place.
-func (v *mixed) replaceOld() {
+// upgradeOldNode ends the old node and starts this version in its place.
+func (v *mixedCluster) upgradeOldNode() {
 	v.old.crash()
 	v.successor = v.links.add("n0", v.startWith("n0", v.oldGate, v.links))
 }
@@ -173,7 +175,7 @@
 }
 
 // advanceTasks lets a machine's tasks run for a second.
-func (v *mixed) advanceTasks(k *worker) {
+func (v *mixedCluster) advanceTasks(k *worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for i := range k.status.Tasks {
@@ -196,21 +198,21 @@
 }
 
 // mayStart reports whether all that a task's job depends on is done on record.
-func (v *mixed) mayStart(task string) bool {
+func (v *mixedCluster) mayStart(task string) bool {
 	id, _, _ := cluster.ParseTaskRef(task)
 	return !slices.ContainsFunc(v.dependencies[id], func(id string) bool { return !v.store.Has("f/" + id) })
 }
 
-// check checks that no task is on two machines, and that each machine with tasks is registered.
-func (v *mixed) check() {
+// checkInvariants checks that no task is on two machines, and that each machine with tasks is registered.
+func (v *mixedCluster) checkInvariants() {
 	v.t.Helper()
 	if !v.storeDown {
-		v.registered = v.registeredMachines()
+		v.lastRegistered = v.registeredMachines()
 	}
 	machineOf := map[string]string{}
 	for _, k := range v.agents {
 		tasks := k.running()
-		if len(tasks) > 0 && !slices.Contains(v.registered, k.status.Machine) {
+		if len(tasks) > 0 && !slices.Contains(v.lastRegistered, k.status.Machine) {
 			v.t.Errorf("%s runs tasks and is on no shard of the registry", k.status.Machine)
 		}
 		for _, task := range tasks {
@@ -222,19 +224,19 @@
 	}
 }
 
-// running lists the tasks of a job that are on machines.
-func (v *mixed) running(id string) []string { return runningTasksOf(v.agents, id) }
+// runningTasks lists the tasks of a job that are on machines.
+func (v *mixedCluster) runningTasks(id string) []string { return runningTasksOf(v.agents, id) }
 
 // countRunning counts the tasks of some jobs that are on machines.
-func (v *mixed) countRunning(ids ...string) (count int) {
+func (v *mixedCluster) countRunning(ids ...string) (count int) {
 	for _, id := range ids {
-		count += len(v.running(id))
+		count += len(v.runningTasks(id))
 	}
 	return count
 }
 
 // phases are a job's phases as the two nodes answer them, or the errors' texts.
-func (v *mixed) phases(id string) []string {
+func (v *mixedCluster) phases(id string) []string {
 	v.t.Helper()
 	st, err := v.old.Job(context.Background(), id)
 	if err != nil {
@@ -244,14 +246,14 @@
 }
 
 // checkPhases checks that both nodes answer the same phase of a job.
-func (v *mixed) checkPhases(id, phase string) {
+func (v *mixedCluster) checkPhases(id, phase string) {
 	v.t.Helper()
 	v.checkEqual(id, v.phases(id), []string{phase, phase})
 }
 
 // handOver makes the other version lead, each handing over in its way. One machine sends no
 // heartbeats for the next seconds: only the registry has it.
-func (v *mixed) handOver() {
+func (v *mixedCluster) handOver() {
 	v.t.Helper()
 	toNew := v.old.leads()
 	if toNew {
@@ -274,13 +276,13 @@
 }
 
 // setStoreDown begins an outage of the store for all, or ends it.
-func (v *mixed) setStoreDown(down bool) {
+func (v *mixedCluster) setStoreDown(down bool) {
 	v.store.SetDown(down)
 	v.storeDown = down
 }
 
 // term is the number of the present term.
-func (v *mixed) term() int {
+func (v *mixedCluster) term() int {
 	v.t.Helper()
 	e, err := v.store.Get(context.Background(), "term")
 	var term oldTerm
@@ -292,7 +294,7 @@
 
 // submitPipeline submits a job and two that depend on it, one after another, at the node of
 // this version.
-func (v *mixed) submitPipeline() {
+func (v *mixedCluster) submitPipeline() {
 	v.t.Helper()
 	v.dependencies = map[string][]string{"job-2": {"job-1"}, "job-3": {"job-2"}}
 	v.submit(v.new, spec("job-1", 2))
@@ -300,9 +302,9 @@
 	v.submit(v.new, dependentSpec("job-3", "red", 2, "job-2"))
 }
 
-// countPending is the number of jobs that the leader's status counts as pending for their
+// countAwaitingDependencies is the number of jobs that the leader's status counts as pending for their
 // dependencies.
-func (v *mixed) countPending() int {
+func (v *mixedCluster) countAwaitingDependencies() int {
 	v.t.Helper()
 	st, err := v.new.Status(context.Background())
 	s, ok := st.(Status)
@@ -312,8 +314,8 @@
 	return s.Leading.Waits["awaits others"]
 }
 
-// cancelNew cancels a job at the node of this version.
-func (v *mixed) cancelNew(id string) {
+// cancelAtNewNode cancels a job at the node of this version.
+func (v *mixedCluster) cancelAtNewNode(id string) {
 	v.t.Helper()
 	st, err := v.new.Cancel(context.Background(), id)
 	v.checkEqual("cancelled "+id, []any{st.Phase, err}, []any{api.JobCancelled, nil})
@@ -325,7 +327,7 @@
 	for _, oldLeads := range []bool{true, false} {
 		for changes := range 4 {
 			t.Run(fmt.Sprintf("old leads first %v, %d changes", oldLeads, changes), func(t *testing.T) {
-				simulateMixed(t, 3, oldLeads, func(v *mixed) {
+				simulateMixedCluster(t, 3, oldLeads, func(v *mixedCluster) {
 					v.old.submit(spec("job-1", 14))
 					v.submit(v.new, spec("job-2", 6))
 					v.runSeconds(4)
@@ -335,7 +337,7 @@
 						v.handOver()
 						v.runSeconds(4)
 						v.old.cancel(fmt.Sprint("job-3", i))
-						v.cancelNew(fmt.Sprint("job-4", i))
+						v.cancelAtNewNode(fmt.Sprint("job-4", i))
 						v.runSeconds(2 + i)
 						running := v.countRunning(fmt.Sprint("job-3", i), fmt.Sprint("job-4", i))
 						v.checkEqual("tasks of cancelled jobs", running, 0)
@@ -361,27 +363,27 @@
 func TestOldProcessRestarts(t *testing.T) {
 	for _, late := range []struct {
 		name string
-		ops  func(v *mixed) []kv.Op
+		ops  func(v *mixedCluster) []kv.Op
 	}{
-		{"completion record", func(*mixed) []kv.Op {
+		{"completion record", func(*mixedCluster) []kv.Op {
 			return []kv.Op{{Put: "p/job-1/0", Value: oldCompletionRecord{[]byte{1}}}}
 		}},
-		{"terminal record", func(*mixed) []kv.Op {
+		{"terminal record", func(*mixedCluster) []kv.Op {
 			return []kv.Op{{Put: "f/job-1", Value: oldTerminalRecord{"done", 30}}, {Delete: "a/job-1"}}
 		}},
-		{"shard", func(v *mixed) []kv.Op {
+		{"shard", func(v *mixedCluster) []kv.Op {
 			var ops []kv.Op
 			for _, key := range v.keysUnder("m/") {
 				ops = append(ops, kv.Op{Delete: key})
 			}
 			return append(ops, kv.Op{Put: "m/1-9", Value: oldShard{}})
 		}},
-		{"leader record", func(v *mixed) []kv.Op {
+		{"leader record", func(v *mixedCluster) []kv.Op {
 			return []kv.Op{{Put: "leader", Value: oldLeaderRecord{"n0", v.old.incarnation}}}
 		}},
 	} {
 		t.Run(late.name, func(t *testing.T) {
-			simulateMixed(t, 3, true, func(v *mixed) {
+			simulateMixedCluster(t, 3, true, func(v *mixedCluster) {
 				v.taskSeconds = 12
 				v.old.submit(spec("job-1", 30))
 				v.runSeconds(15)
@@ -415,7 +417,7 @@
 func TestLateRecordsUnderOldLeader(t *testing.T) {
 	for _, prefix := range []string{records.CompletionPrefix, records.TerminalPrefix, records.MachinePrefix} {
 		t.Run(prefix, func(t *testing.T) {
-			simulateMixed(t, 3, false, func(v *mixed) {
+			simulateMixedCluster(t, 3, false, func(v *mixedCluster) {
 				v.submit(v.new, spec("job-2", 2))
 				v.submit(v.new, spec("job-1", 20))
 				v.runSeconds(4)
@@ -452,23 +454,23 @@
 		// wait is set if operators roll back once no job is pending for others.
 		wait bool
 		// then is what happens after the new version leads again.
-		then func(v *mixed)
+		then func(v *mixedCluster)
 		want string
 	}{
-		{"no job is pending any more", true, func(*mixed) {}, "done"},
-		{"they go on", false, func(*mixed) {}, "done"},
-		{"the first is cancelled", false, func(v *mixed) { v.cancelNew("job-1") }, "withdrawn"},
-		{"the first is cancelled at the old node", false, func(v *mixed) {
+		{"no job is pending any more", true, func(*mixedCluster) {}, "done"},
+		{"they go on", false, func(*mixedCluster) {}, "done"},
+		{"the first is cancelled", false, func(v *mixedCluster) { v.cancelAtNewNode("job-1") }, "withdrawn"},
+		{"the first is cancelled at the old node", false, func(v *mixedCluster) {
 			v.checkEqual("cancelled", v.old.cancel("job-1"), "withdrawn")
 		}, "withdrawn"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			simulateMixed(t, 3, false, func(v *mixed) {
+			simulateMixedCluster(t, 3, false, func(v *mixedCluster) {
 				v.taskSeconds = 25
 				v.submitPipeline()
 				v.runSeconds(3)
-				v.checkEqual("pending for others by the status", v.countPending(), 2)
-				for c.wait && v.countPending() > 0 {
+				v.checkEqual("pending for others by the status", v.countAwaitingDependencies(), 2)
+				for c.wait && v.countAwaitingDependencies() > 0 {
 					v.runSeconds(1)
 				}
 				v.handOver()
@@ -478,13 +480,13 @@
 				v.handOver()
 				v.runSeconds(2)
 				if !c.wait {
-					running := v.running("job-2")
+					running := v.runningTasks("job-2")
 					halted := v.agents[slices.IndexFunc(v.agents, func(k *worker) bool {
 						return len(runningTasksOf([]*worker{k}, "job-2")) > 0
 					})]
 					halted.exit(api.CauseHalted) // its tasks must start again, in their time
 					v.runSeconds(2)
-					v.checkEqual("fewer tasks than before", len(v.running("job-2")) < len(running), true)
+					v.checkEqual("fewer tasks than before", len(v.runningTasks("job-2")) < len(running), true)
 				}
 				c.then(v)
 				v.runSeconds(4)
@@ -510,7 +512,7 @@
 	for _, late := range []bool{false, true} {
 		for _, atOld := range []bool{false, true} {
 			t.Run(fmt.Sprintf("late %v, cancelled at the old node %v", late, atOld), func(t *testing.T) {
-				simulateMixed(t, 3, false, func(v *mixed) { v.testDerivedCancellations(late, atOld) })
+				simulateMixedCluster(t, 3, false, func(v *mixedCluster) { v.testDerivedCancellations(late, atOld) })
 			})
 		}
 	}
@@ -519,7 +521,7 @@
 // testDerivedCancellations cancels the first job of a pipeline, at the old or at the new node,
 // and then has the old node lead. If late is set, the transactions that cancel the others
 // are delayed until then.
-func (v *mixed) testDerivedCancellations(late, atOld bool) {
+func (v *mixedCluster) testDerivedCancellations(late, atOld bool) {
 	v.t.Helper()
 	v.taskSeconds = 100
 	v.submitPipeline()
@@ -530,7 +532,7 @@
 	if atOld {
 		v.checkEqual("cancelled", v.old.cancel("job-1"), "withdrawn")
 	} else {
-		v.cancelNew("job-1")
+		v.cancelAtNewNode("job-1")
 	}
 	v.runSeconds(3)
 	v.checkEqual("job-2 is left", v.store.Has("a/job-2"), late)
@@ -542,20 +544,20 @@
 	}
 	v.runSeconds(2)
 	if late {
-		v.cancelRemaining()
+		v.checkRemainingCancelled()
 	}
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
 		v.checkPhases(id, "withdrawn")
-		v.checkEqual("running tasks of "+id, len(v.running(id)), 0)
+		v.checkEqual("running tasks of "+id, len(v.runningTasks(id)), 0)
 	}
 	if !late {
 		v.checkEqual("terms", v.term(), 2)
 	}
 }
 
-// cancelRemaining checks that jobs which an old leader does not know to be cancelled end with a
+// checkRemainingCancelled checks that jobs which an old leader does not know to be cancelled end with a
 // read at the new node, and with the next leader of this version.
-func (v *mixed) cancelRemaining() {
+func (v *mixedCluster) checkRemainingCancelled() {
 	v.t.Helper()
 	// Users get what the old leader knows.
 	v.checkPhases("job-2", "pending")
@@ -564,7 +566,7 @@
 	v.checkEqual("read at the new node", []any{st.Phase, err}, []any{"withdrawn", nil})
 	v.runSeconds(3)
 	v.checkPhases("job-2", "withdrawn")
-	v.checkEqual("running tasks of job-2", len(v.running("job-2")), 0)
+	v.checkEqual("running tasks of job-2", len(v.runningTasks("job-2")), 0)
 	v.checkEqual("terms", v.term(), 2)
 	v.new.crash()
 	v.old.crash()
@@ -580,7 +582,7 @@
 // version in production confirms the cancellations in its log only if the log was complete
 // when the store last responded to the leader: one that has restarted confirms nothing.
 func TestOldNodeConfirmsCancellations(t *testing.T) {
-	elsewhere := func(v *mixed) {
+	elsewhere := func(v *mixedCluster) {
 		other := v.startWith("n9", v.store, nil)
 		_, err := other.Cancel(context.Background(), "job-1")
 		v.checkEqual("cancelled by a node that ends", err, nil)
@@ -588,25 +590,25 @@
 	}
 	for _, c := range []struct {
 		name   string
-		cancel func(v *mixed)
+		cancel func(v *mixedCluster)
 		// kept is set if the job that was not cancelled goes on.
 		kept bool
 	}{
-		{"cancelled at the old node", func(v *mixed) { v.old.cancel("job-1") }, true},
-		{"read by the old node", func(v *mixed) {
+		{"cancelled at the old node", func(v *mixedCluster) { v.old.cancel("job-1") }, true},
+		{"read by the old node", func(v *mixedCluster) {
 			elsewhere(v)
 			v.checkEqual("phase at the old node", v.phases("job-1")[0], "withdrawn")
 		}, true},
-		{"it restarts at once", func(v *mixed) {
+		{"it restarts at once", func(v *mixedCluster) {
 			v.old.cancel("job-1")
 			v.old.crash()
 			v.startOldNode()
 		}, false},
-		{"it ends for good", func(v *mixed) { v.old.cancel("job-1"); v.old.crash() }, false},
-		{"it cannot be reached", func(v *mixed) { v.links.partitioned.Store(true); v.old.cancel("job-1") }, false},
+		{"it ends for good", func(v *mixedCluster) { v.old.cancel("job-1"); v.old.crash() }, false},
+		{"it cannot be reached", func(v *mixedCluster) { v.links.partitioned.Store(true); v.old.cancel("job-1") }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			simulateMixed(t, 1, false, func(v *mixed) {
+			simulateMixedCluster(t, 1, false, func(v *mixedCluster) {
 				v.taskSeconds = 1000
 				v.submit(v.new, spec("job-1", 2))
 				v.submit(v.new, spec("job-2", 1))
@@ -616,8 +618,8 @@
 				c.cancel(v)
 				v.setStoreDown(true)
 				v.runSeconds(30)
-				v.checkEqual("tasks of the cancelled job", len(v.running("job-1")), 0)
-				v.checkEqual("the other job goes on", len(v.running("job-2")) == 1, c.kept)
+				v.checkEqual("tasks of the cancelled job", len(v.runningTasks("job-1")), 0)
+				v.checkEqual("the other job goes on", len(v.runningTasks("job-2")) == 1, c.kept)
 				v.setStoreDown(false)
 			})
 		})
@@ -627,7 +629,7 @@
 // An old leader that the store rejects learns what users have cancelled from the cancellation
 // log of a node of this version, in the form in which it reads that.
 func TestOldLeaderReadsCancellationLog(t *testing.T) {
-	simulateMixed(t, 1, true, func(v *mixed) {
+	simulateMixedCluster(t, 1, true, func(v *mixedCluster) {
 		v.taskSeconds = 1000
 		for i := range 4 {
 			v.submit(v.new, spec(fmt.Sprint("job-", i+1), 1))
@@ -635,16 +637,16 @@
 		v.runSeconds(4)
 		v.checkEqual("running", len(v.agents[0].running()), 4)
 		v.oldGate.set(true)
-		v.cancelNew("job-1")
+		v.cancelAtNewNode("job-1")
 		v.runSeconds(2)
-		v.cancelNew("job-2")
-		v.cancelNew("job-1")
+		v.cancelAtNewNode("job-2")
+		v.cancelAtNewNode("job-1")
 		v.runSeconds(2)
 		v.checkEqual("running after cancellations", v.agents[0].running(), []string{"job-3/0", "job-4/0"})
 		v.old.inspect(func(o *oldNode) { v.checkEqual("read so far", o.logPositions["n1"].Number, 2) })
 		v.new.crash()
 		v.startNewNode()
-		v.cancelNew("job-3")
+		v.cancelAtNewNode("job-3")
 		v.runSeconds(2)
 		v.checkEqual("running beside a new process", v.agents[0].running(), []string{"job-4/0"})
 		st, err := v.new.PeerStatus(context.Background(), cancellation.Position{})
@@ -657,7 +659,7 @@
 // early. The job that it depends on is cancelled, which the leader learns from the other node
 // only, since the store is down: its tasks end in time all the same.
 func TestStartedTooEarlyAndCancelledInOutage(t *testing.T) {
-	simulateMixed(t, 3, false, func(v *mixed) {
+	simulateMixedCluster(t, 3, false, func(v *mixedCluster) {
 		v.taskSeconds = 1000
 		v.submitPipeline()
 		v.runSeconds(3)
@@ -677,24 +679,24 @@
 
 // partitionZones cuts the links between the nodes, and between the leader and the machines of
 // the other zone.
-func (v *mixed) partitionZones() {
+func (v *mixedCluster) partitionZones() {
 	v.links.partitioned.Store(true)
 	for _, k := range v.agents {
-		if k.status.Zone == farZone {
+		if k.status.Zone == followerZone {
 			v.dead.Store(k.status.Machine, true)
 		}
 	}
 }
 
 // healZones ends the partition of the zones.
-func (v *mixed) healZones() {
+func (v *mixedCluster) healZones() {
 	v.links.partitioned.Store(false)
 	v.dead.Clear()
 }
 
 // checkUplinkReadable checks that a leader of the version in production, which takes the batch
 // with the highest number, can read what a node of this version relays.
-func (v *mixed) checkUplinkReadable(name string) {
+func (v *mixedCluster) checkUplinkReadable(name string) {
 	v.t.Helper()
 	page, err := v.store.Range(context.Background(), "relay/"+name+"/up/", "", 6)
 	parts := make([]oldPart, 0, len(page.Entries))
@@ -724,27 +726,27 @@
 	for _, c := range []struct {
 		name  string
 		parts int
-		then  func(v *mixed)
+		then  func(v *mixedCluster)
 		// started is how many of three tasks start there then.
 		started int
 	}{
-		{"one record", 1, func(*mixed) {}, 3},
-		{"three records", 3, func(*mixed) {}, 3},
-		{"nothing relayed", 0, func(*mixed) {}, 0},
-		{"restarted", 1, func(v *mixed) { v.old.crash(); v.startOldNode() }, 3},
-		{"restarted after three records", 3, func(v *mixed) { v.old.crash(); v.startOldNode() }, 3},
-		{"replaced by the new version after three records", 3, func(v *mixed) { v.replaceOld() }, 3},
+		{"one record", 1, func(*mixedCluster) {}, 3},
+		{"three records", 3, func(*mixedCluster) {}, 3},
+		{"nothing relayed", 0, func(*mixedCluster) {}, 0},
+		{"restarted", 1, func(v *mixedCluster) { v.old.crash(); v.startOldNode() }, 3},
+		{"restarted after three records", 3, func(v *mixedCluster) { v.old.crash(); v.startOldNode() }, 3},
+		{"replaced by the new version after three records", 3, func(v *mixedCluster) { v.upgradeOldNode() }, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			simulateMixed(t, 1, false, func(v *mixed) {
+			simulateMixedCluster(t, 1, false, func(v *mixedCluster) {
 				v.taskSeconds = 1000
-				v.old.inspect(func(o *oldNode) { o.parts = c.parts })
+				v.old.inspect(func(o *oldNode) { o.uplinkRecords = c.parts })
 				for i := range 3 {
-					v.agents = append(v.agents, v.worker(fmt.Sprint("i-2", i), farZone, false))
+					v.agents = append(v.agents, v.worker(fmt.Sprint("i-2", i), followerZone, false))
 				}
 				submitFar := func(id string, tasks int) {
 					s := spec(id, tasks)
-					s.Zone = farZone
+					s.Zone = followerZone
 					v.submit(v.new, s)
 				}
 				v.submit(v.new, spec("job-1", 2))
@@ -758,14 +760,14 @@
 				v.runSeconds(4)
 				submitFar("job-3", 3)
 				v.runSeconds(10)
-				v.checkEqual("started in the far zone", len(v.running("job-3")), c.started)
+				v.checkEqual("started in the far zone", len(v.runningTasks("job-3")), c.started)
 				v.checkEqual("machines terminated", v.cloud.terminatedNames, []string(nil))
 				if v.successor != nil {
 					v.checkUplinkReadable("n0")
 				}
-				v.cancelNew("job-2")
+				v.cancelAtNewNode("job-2")
 				v.runSeconds(8)
-				v.checkEqual("tasks of the cancelled job", len(v.running("job-2")), 0)
+				v.checkEqual("tasks of the cancelled job", len(v.runningTasks("job-2")), 0)
 				v.healZones()
 				v.runSeconds(5)
 				submitFar("job-4", 4)
@@ -776,8 +778,8 @@
 	}
 }
 
-// largestValue is the size of the largest value under a prefix.
-func (v *mixed) largestValue(prefix string) (size int) {
+// maxValueSize is the size of the largest value under a prefix.
+func (v *mixedCluster) maxValueSize(prefix string) (size int) {
 	v.t.Helper()
 	page, err := v.store.Range(context.Background(), prefix, "", 1000)
 	if err != nil {
@@ -804,7 +806,7 @@
 				w.teams[0].CPUs, w.teams[0].LimitCPUs = 100, 100
 				w.store.SetLimits(16<<10, 20)
 			}
-			simulateMixedIn(t, prepare, machines, oldLeads, func(v *mixed) {
+			simulatePreparedMixedCluster(t, prepare, machines, oldLeads, func(v *mixedCluster) {
 				s := spec("job-1", tasks)
 				s.CPUs, s.MemoryGB = 0.04, 0.04
 				v.submit(v.new, s)
@@ -828,7 +830,7 @@
 				v.checkPhases("job-1", "done")
 				v.runSeconds(20)
 				v.checkEqual("registered in the end", len(v.registeredMachines()), machines-1)
-				v.checkEqual("still too large", v.largestValue(records.MachinePrefix) > 1024, false)
+				v.checkEqual("still too large", v.maxValueSize(records.MachinePrefix) > 1024, false)
 				v.checkNothingTooLarge()
 			})
 		})
@@ -837,7 +839,7 @@
 
 // runCountingDone runs some seconds, and returns how many tasks of job-1 are done on record,
 // which must not become fewer than before while it is active.
-func (v *mixed) runCountingDone(seconds, done int) int {
+func (v *mixedCluster) runCountingDone(seconds, done int) int {
 	v.t.Helper()
 	for range seconds {
 		v.runSeconds(1)
@@ -852,7 +854,7 @@
 
 // writeLargeValues has the old leader, which must know all machines and the tasks done, write
 // values above the limits to come.
-func (v *mixed) writeLargeValues(machines, done int) int {
+func (v *mixedCluster) writeLargeValues(machines, done int) int {
 	v.t.Helper()
 	v.old.inspect(func(o *oldNode) {
 		v.checkEqual("one shard", o.leaderTerm.mergeShards(), true)
@@ -860,7 +862,7 @@
 		v.checkEqual("knows all that is done", len(o.leaderTerm.jobs["job-1"].done) >= done, true)
 	})
 	done = v.runCountingDone(4, done)
-	tooLarge := v.largestValue(records.MachinePrefix) > 1024 && v.largestValue(records.CompletionPrefix) > 1024
+	tooLarge := v.maxValueSize(records.MachinePrefix) > 1024 && v.maxValueSize(records.CompletionPrefix) > 1024
 	v.checkEqual("above the limits to come", tooLarge, true)
 	return done
 }
@@ -871,12 +873,12 @@
 // several records.
 func TestNewFollowerInPartition(t *testing.T) {
 	prepare := func(w *simulatedCluster) { w.state = limits{txnOps: 6, valueKB: 1, writeRPS: 25}.kvLimits() }
-	simulateMixedIn(t, prepare, 1, true, func(v *mixed) {
+	simulatePreparedMixedCluster(t, prepare, 1, true, func(v *mixedCluster) {
 		v.taskSeconds = 1000
 		far := make([]string, 90)
 		for i := range far {
 			far[i] = fmt.Sprintf("i-with-a-long-name-%06d", i)
-			v.agents = append(v.agents, v.worker(far[i], farZone, false))
+			v.agents = append(v.agents, v.worker(far[i], followerZone, false))
 		}
 		v.submit(v.new, spec("job-1", 8))
 		v.submit(v.new, spec("job-2", 8))
@@ -898,10 +900,10 @@
 		slices.Sort(renewed)
 		v.checkEqual("machines with renewed leases", renewed, far)
 		v.checkUplinkReadable("n1")
-		v.cancelNew("job-1")
+		v.cancelAtNewNode("job-1")
 		v.runSeconds(6)
-		v.checkEqual("tasks of the cancelled job", len(v.running("job-1")), 0)
-		v.checkEqual("tasks of the other job", len(v.running("job-2")), 8)
+		v.checkEqual("tasks of the cancelled job", len(v.runningTasks("job-1")), 0)
+		v.checkEqual("tasks of the other job", len(v.runningTasks("job-2")), 8)
 		v.checkEqual("terms", v.term(), 1)
 		v.healZones()
 		v.runSeconds(4)
@@ -913,7 +915,7 @@
 // starts nothing of it, answers that a lent job is pending and not unknown, and the next
 // leader of this version finds the loan as it was.
 func TestLoansUnderOldLeader(t *testing.T) {
-	simulateMixed(t, 2, true, func(v *mixed) {
+	simulateMixedCluster(t, 2, true, func(v *mixedCluster) {
 		v.old.skippedRecords = []string{records.ActivePrefix + "job-1", records.ActivePrefix + "job-2"}
 		lent, guest := spec("job-1", 2), spec("job-2", 2)
 		v.put(records.ActivePrefix+"job-1", records.ActiveRecord{
@@ -947,6 +949,6 @@
 			v.checkEqual("lent", []any{lt.jobs["job-1"].Lent.Host, lt.teams["red"].UsedCPUs}, []any{"cell-b", 2.0})
 			v.checkEqual("guest", lt.jobs["job-2"].Guest.Home, "cell-b")
 		})
-		v.checkEqual("running of the lent job", len(v.running("job-1")), 0)
+		v.checkEqual("running of the lent job", len(v.runningTasks("job-1")), 0)
 	})
 }
