--- a/internal/controller/twofaults_test.go
+++ b/internal/controller/twofaults_test.go
@@ -9,8 +9,8 @@
 	"example.org/ivytrestle/internal/api"
 )
 
-// faultCluster is a leader and a follower, and a machine with two tasks of job-1 and one of
-// job-2 that keeps its task lease as a worker agent does.
+// faultCluster is a cluster of a leader, a follower and one machine, which runs two tasks of job-1 and
+// one of job-2. The machine ends its tasks when its task lease expires, as a worker agent does.
 type faultCluster struct {
 	*simulatedCluster
 	links                    *links
@@ -20,167 +20,177 @@
 	startedAt                time.Time
 	// cancelledAt is when a user got the response that job-1 is cancelled.
 	cancelledAt time.Time
-	// renewedAt is when the last heartbeat that got a response was sent.
+	// renewedAt is when the last heartbeat that got a response was sent. The task lease runs from
+	// then on.
 	renewedAt time.Time
-	// lostAt is when job-2, which is not cancelled, was lost with the task lease.
+	// lostAt is when the task of job-2, which is not cancelled, first ended because the task lease
+	// expired.
 	lostAt time.Time
 }
 
 // faultTaskLease is the task lease of the machine.
 const faultTaskLease = 10 * time.Second
 
-// faultScript is what happens when, in milliseconds.
-type faultScript map[int]func(g *faultCluster)
+// faultScript maps times in milliseconds, multiples of 50 after the start, to the events at that time.
+type faultScript map[int]func(fc *faultCluster)
 
-// runFaultScript runs a script for some seconds and returns after how long job-2 was lost, or 0.
-// The machine sends a heartbeat once a second to whoever responds. Whatever happens, the tasks of
-// job-1 end within the time limit of their cancellation.
+// runFaultScript runs a script for some seconds, and returns after how long the task of job-2 was lost,
+// or 0 if it was not. The machine sends a heartbeat once a second to the first node that responds. The
+// test fails if a task of job-1 runs for more than 30 s after the cancellation was confirmed.
 func runFaultScript(t *testing.T, seconds int, script faultScript) (lost time.Duration) {
 	t.Helper()
-	simulate(t, func(w *simulatedCluster) {
-		g := &faultCluster{simulatedCluster: w}
-		g.links, g.leader, g.follower, g.leaderGate, g.followerGate = w.startPair()
-		g.agent = w.worker("i-1", "", false)
-		w.submit(g.leader, spec("job-1", 2))
-		w.submit(g.leader, spec("job-2", 1))
-		g.agent.serve(g.leader, 4)
-		w.checkEqual("running tasks", len(g.agent.running()), 3)
-		g.startedAt, g.renewedAt = time.Now(), time.Now()
+	simulate(t, func(sim *simulatedCluster) {
+		fc := &faultCluster{simulatedCluster: sim}
+		fc.links, fc.leader, fc.follower, fc.leaderGate, fc.followerGate = sim.startPair()
+		fc.agent = sim.worker("i-1", "", false)
+		sim.submit(fc.leader, spec("job-1", 2))
+		sim.submit(fc.leader, spec("job-2", 1))
+		fc.agent.serve(fc.leader, 4)
+		sim.checkEqual("running tasks", len(fc.agent.running()), 3)
+		fc.startedAt, fc.renewedAt = time.Now(), time.Now()
 		for ms := 0; ms < seconds*1000; ms += 50 {
 			if f := script[ms]; f != nil {
-				f(g)
+				f(fc)
 			}
 			if ms%1000 == 450 {
-				g.heartbeat()
+				fc.heartbeat()
 			}
-			g.checkCancelled()
+			fc.checkCancelled()
 			time.Sleep(50 * time.Millisecond)
 		}
-		w.checkEqual("never cancelled", g.cancelledAt.IsZero(), false)
-		if !g.lostAt.IsZero() {
-			lost = g.lostAt.Sub(g.startedAt)
+		sim.checkEqual("job-1 was never cancelled", fc.cancelledAt.IsZero(), false)
+		if !fc.lostAt.IsZero() {
+			lost = fc.lostAt.Sub(fc.startedAt)
 		}
 	})
 	return lost
 }
 
-// heartbeat sends one heartbeat and ends the task lease if it is time.
-func (g *faultCluster) heartbeat() {
-	for _, n := range []*node{g.leader, g.follower} {
+// heartbeat sends one heartbeat to each node in turn until one responds, and then ends the tasks if
+// the task lease has expired.
+func (fc *faultCluster) heartbeat() {
+	for _, n := range []*node{fc.leader, fc.follower} {
 		sent := time.Now()
-		if commands, err := g.agent.sendHeartbeat(n); err == nil {
-			g.agent.applyCommands(commands)
-			g.renewedAt = sent
+		if commands, err := fc.agent.sendHeartbeat(n); err == nil {
+			fc.agent.applyCommands(commands)
+			fc.renewedAt = sent
 			break
 		}
 	}
-	g.expireLease()
+	fc.expireLease()
 }
 
-// expireLease ends the machine's tasks when their lease has expired.
-func (g *faultCluster) expireLease() {
-	if time.Since(g.renewedAt) <= faultTaskLease {
+// expireLease ends the machine's tasks and begins a new agent epoch if the task lease has expired.
+func (fc *faultCluster) expireLease() {
+	if time.Since(fc.renewedAt) <= faultTaskLease {
 		return
 	}
-	g.agent.mu.Lock()
-	defer g.agent.mu.Unlock()
-	if len(g.agent.status.Tasks) > 0 && g.lostAt.IsZero() {
-		g.lostAt = time.Now()
+	fc.agent.mu.Lock()
+	defer fc.agent.mu.Unlock()
+	if len(fc.agent.status.Tasks) > 0 && fc.lostAt.IsZero() {
+		fc.lostAt = time.Now()
 	}
-	g.agent.status.Tasks, g.renewedAt = nil, time.Now()
-	g.agent.status.AgentEpoch++
+	fc.agent.status.Tasks, fc.renewedAt = nil, time.Now()
+	fc.agent.status.AgentEpoch++
 }
 
-// checkCancelled fails the test if a task of job-1 runs beyond the time limit of its cancellation.
-func (g *faultCluster) checkCancelled() {
-	g.expireLease()
-	if g.cancelledAt.IsZero() || time.Since(g.cancelledAt) <= 30*time.Second {
+// checkCancelled fails the test if a task of job-1 runs for more than 30 s after the cancellation was
+// confirmed.
+func (fc *faultCluster) checkCancelled() {
+	fc.expireLease()
+	if fc.cancelledAt.IsZero() || time.Since(fc.cancelledAt) <= 30*time.Second {
 		return
 	}
-	for _, task := range g.agent.running() {
+	for _, task := range fc.agent.running() {
 		if strings.HasPrefix(task, "job-1/") {
-			g.t.Fatalf("%s still runs %v after its cancellation was confirmed", task, time.Since(g.cancelledAt))
+			fc.t.Fatalf("%s still runs %v after its cancellation was confirmed, want at most 30 s",
+				task, time.Since(fc.cancelledAt))
 		}
 	}
 }
 
 // cancelAt cancels job-1 at a node.
-func (g *faultCluster) cancelAt(n *node) {
-	g.t.Helper()
-	st, err := n.Cancel(context.Background(), "job-1")
+func (fc *faultCluster) cancelAt(n *node) {
+	fc.t.Helper()
+	state, err := n.Cancel(context.Background(), "job-1")
 	if err != nil {
-		g.t.Fatal(err)
+		fc.t.Fatal(err)
 	}
-	g.checkEqual("cancelled", st.Phase, api.JobCancelled)
-	g.cancelledAt = time.Now()
+	fc.checkEqual("phase of the cancelled job", state.Phase, api.JobCancelled)
+	fc.cancelledAt = time.Now()
 }
 
-// Events of the scripts.
+// rejectLeader makes the key-value store reject the leader's requests.
+func rejectLeader(fc *faultCluster) { fc.leaderGate.set(true) }
 
-func rejectLeader(g *faultCluster) { g.leaderGate.set(true) }
+func startOutage(fc *faultCluster) { fc.store.SetDown(true) }
 
-func startOutage(g *faultCluster) { g.store.SetDown(true) }
+func endOutage(fc *faultCluster) { fc.store.SetDown(false) }
 
-func endOutage(g *faultCluster) { g.store.SetDown(false) }
+func cancelAtFollower(fc *faultCluster) { fc.cancelAt(fc.follower) }
 
-func cancelAtFollower(g *faultCluster) { g.cancelAt(g.follower) }
+func cutNodes(fc *faultCluster) { fc.links.partitioned.Store(true) }
 
-func cutNodes(g *faultCluster) { g.links.partitioned.Store(true) }
+func healNodes(fc *faultCluster) { fc.links.partitioned.Store(false) }
 
-func healNodes(g *faultCluster) { g.links.partitioned.Store(false) }
-
-// cancelAtCrashingNode cancels at a node that crashes before it informs another.
-func cancelAtCrashingNode(g *faultCluster) {
-	other := g.startWith("n9", g.store, nil)
+// cancelAtCrashingNode cancels job-1 at a third node, which crashes before it informs another.
+func cancelAtCrashingNode(fc *faultCluster) {
+	other := fc.startWith("n9", fc.store, nil)
 	if _, err := other.Cancel(context.Background(), "job-1"); err != nil {
-		g.t.Fatal(err)
+		fc.t.Fatal(err)
 	}
 	other.crash()
 }
 
-func restartFollower(g *faultCluster) {
-	g.follower.crash()
-	g.follower = g.links.add("n1", g.startWith("n1", g.followerGate, g.links))
+func restartFollower(fc *faultCluster) {
+	fc.follower.crash()
+	fc.follower = fc.links.add("n1", fc.startWith("n1", fc.followerGate, fc.links))
 }
 
-func crashFollower(g *faultCluster) {
-	g.follower.crash()
-	cutNodes(g)
+func crashFollower(fc *faultCluster) {
+	fc.follower.crash()
+	cutNodes(fc)
 }
 
-func pollFollower(g *faultCluster) {
-	g.checkEqual("phase at the follower", g.phase(g.follower, "job-1"), api.JobCancelled)
-	g.cancelledAt = time.Now()
+// pollFollower has a user read at the follower that job-1 is cancelled.
+func pollFollower(fc *faultCluster) {
+	fc.checkEqual("phase at the follower", fc.phase(fc.follower, "job-1"), api.JobCancelled)
+	fc.cancelledAt = time.Now()
 }
 
-func repeatSubmission(g *faultCluster) {
-	st, _, err := g.follower.Submit(context.Background(), spec("job-1", 2))
+// repeatSubmission has a user submit job-1 again at the follower and get the response that it is
+// cancelled.
+func repeatSubmission(fc *faultCluster) {
+	state, _, err := fc.follower.Submit(context.Background(), spec("job-1", 2))
 	if err != nil {
-		g.t.Fatal(err)
+		fc.t.Fatal(err)
 	}
-	g.checkEqual("phase of the repeated submission", st.Phase, api.JobCancelled)
-	g.cancelledAt = time.Now()
+	fc.checkEqual("phase of the repeated submission", state.Phase, api.JobCancelled)
+	fc.cancelledAt = time.Now()
 }
 
-func cancelAtLeaderWithoutWatch(g *faultCluster) {
-	g.store.SetWatchesStalled(true)
-	g.cancelAt(g.leader)
+// cancelAtLeaderWithoutWatch cancels job-1 at the leader while watches return no changes.
+func cancelAtLeaderWithoutWatch(fc *faultCluster) {
+	fc.store.SetWatchesStalled(true)
+	fc.cancelAt(fc.leader)
 }
 
-func reconnectFormerLeader(g *faultCluster) {
-	g.checkEqual("the follower leads", g.follower.holdsLease(), true)
-	g.leaderGate.set(false)
+// reconnectFormerLeader makes the key-value store accept the requests of the former leader again,
+// once the follower leads.
+func reconnectFormerLeader(fc *faultCluster) {
+	fc.checkEqual("the follower leads", fc.follower.holdsLease(), true)
+	fc.leaderGate.set(false)
 }
 
-func rejectFollower(g *faultCluster) { g.followerGate.set(true) }
+func rejectFollower(fc *faultCluster) { fc.followerGate.set(true) }
 
-func cancelAtFormerLeader(g *faultCluster) { g.cancelAt(g.leader) }
+func cancelAtFormerLeader(fc *faultCluster) { fc.cancelAt(fc.leader) }
 
 var rejectedLeaderScripts = []struct {
 	name   string
 	script faultScript
-	// wantKept is set if what is not cancelled lives as long as the leader's lease and a task
-	// lease.
+	// wantKept is set if job-2 must run for at least as long as the leader's lease and a task lease
+	// allow.
 	wantKept bool
 }{
 	{
@@ -199,42 +209,42 @@
 		true,
 	},
 	{
-		"nobody rejected",
+		"no node rejected",
 		faultScript{1000: cancelAtFollower, 3000: startOutage},
 		true,
 	},
 	{
-		"the confirming node restarts at once",
+		"confirming node restarts at once",
 		faultScript{1000: rejectLeader, 2000: cancelAtFollower, 2050: restartFollower, 3000: startOutage},
 		false,
 	},
 	{
-		"it restarts in the outage",
+		"confirming node restarts during the outage",
 		faultScript{1000: rejectLeader, 2000: cancelAtFollower, 2050: startOutage, 2100: restartFollower},
 		false,
 	},
 	{
-		"it never returns",
+		"confirming node never restarts",
 		faultScript{1000: rejectLeader, 2000: cancelAtFollower, 2050: crashFollower, 3000: startOutage},
 		false,
 	},
 	{
-		"the nodes are cut off from each other, too",
+		"nodes also partitioned",
 		faultScript{1000: rejectLeader, 1050: cutNodes, 2000: cancelAtFollower, 3000: startOutage},
 		false,
 	},
 	{
-		"cut off first",
+		"nodes partitioned first",
 		faultScript{1000: cutNodes, 1050: cancelAtFollower, 1100: rejectLeader, 1150: startOutage},
 		false,
 	},
 	{
-		"cut off for a while",
+		"nodes partitioned for 4 s",
 		faultScript{1000: rejectLeader, 1050: cutNodes, 2000: cancelAtFollower, 3000: startOutage, 5000: healNodes},
 		true,
 	},
 	{
-		"confirmed by a node that only read it",
+		"confirmed by a node that read the cancellation",
 		faultScript{1000: rejectLeader, 2000: cancelAtCrashingNode, 2550: pollFollower, 2600: startOutage},
 		true,
 	},
@@ -244,12 +254,12 @@
 		true,
 	},
 	{
-		"confirmed by the leader itself, whose watch shows nothing",
+		"confirmed by the leader, whose watch returns no changes",
 		faultScript{1000: cancelAtLeaderWithoutWatch, 1050: startOutage},
 		true,
 	},
 	{
-		"a second leader, rejected in turn",
+		"second leader rejected, too",
 		faultScript{
 			1000: rejectLeader, 14_000: reconnectFormerLeader, 24_000: rejectFollower,
 			25_000: cancelAtFormerLeader, 25_050: startOutage,
@@ -258,21 +268,21 @@
 	},
 }
 
-// The key-value store rejects the leader alone, another node confirms a cancellation, and then
-// the store is down for everybody for longer than a cancellation may take, while machines go on
-// sending heartbeats to the leader. It learns of the cancellation from the other node, and all
-// else continues; or, without proof that it knows all of them, it renews no task lease so late
-// that a cancelled task could live too long.
+// The key-value store rejects only the leader's requests, another node confirms a cancellation, and
+// then the store is down for all nodes for longer than a cancellation may take. Machines continue to
+// send heartbeats to the leader. The leader must get the cancellation from the other node's
+// cancellation log and keep all other tasks running. If it cannot prove that it has all cancellations,
+// it must stop renewing task leases in time for cancelled tasks to end within the limit.
 func TestCancellationsWhileTheLeaderIsRejected(t *testing.T) {
 	for _, c := range rejectedLeaderScripts {
 		t.Run(c.name, func(t *testing.T) {
 			lost := runFaultScript(t, 80, c.script)
 			if kept := lost == 0 || lost > 34*time.Second; kept != c.wantKept {
-				t.Errorf("lost after %v: got kept %v, want %v", lost, kept, c.wantKept)
+				t.Errorf("job-2 kept running: got %v (lost after %v, 0: never), want %v", kept, lost, c.wantKept)
 			}
 		})
 	}
-	// Whatever the moments, within the leader's rounds of pings.
+	// The time of the cancellation relative to the leader's rounds of pings must not matter.
 	for ms := 50; ms <= 2400; ms += 150 {
 		runFaultScript(t, 45, faultScript{1000: rejectLeader, 1000 + ms: cancelAtFollower, 1050 + ms: startOutage})
 		runFaultScript(t, 45, faultScript{
@@ -281,120 +291,124 @@
 	}
 }
 
-// A plain outage that is longer than a cancellation may take loses no task as long as the leader's
-// lease and a task lease cover it, since the nodes exchange what they know. Should one of them
-// not answer, task leases expire in time.
+// An outage that is longer than a cancellation may take must end no task if the leader's lease and a
+// task lease cover it, since the nodes exchange their cancellation logs. If the follower does not
+// respond, task leases must expire in time.
 func TestOutageLongerThanACancellation(t *testing.T) {
 	lost := runFaultScript(t, 60, faultScript{500: cancelAtFollower, 3000: startOutage, 35_500: endOutage})
 	if lost != 0 {
-		t.Errorf("got a loss after %v, want none", lost)
+		t.Errorf("task of job-2: got lost after %v, want not lost", lost)
 	}
 	lost = runFaultScript(t, 60, faultScript{
 		500: cancelAtFollower, 3000: startOutage, 4000: crashFollower, 35_500: endOutage,
 	})
 	if lost < 20*time.Second || lost > 34*time.Second {
-		t.Errorf("a node is down: got a loss after %v, want one after 20 to 34 s", lost)
+		t.Errorf("task of job-2 with a node down: got lost after %v, want after 20 to 34 s", lost)
 	}
 }
 
-// A leader that reaches neither the key-value store nor the other nodes, but its machines, soon
-// starts nothing any more, since any job may have been cancelled; in an outage that another node
-// sees as well it continues.
+// A leader that reaches its machines, but neither the key-value store nor the other nodes, must soon
+// stop starting tasks, since any job may have been cancelled. In an outage of the store for all nodes
+// it must continue to start tasks while it reaches another node.
 func TestLeaderWithoutCancellationLogStartsNothing(t *testing.T) {
-	for _, alone := range []bool{true, false} {
+	for _, isolated := range []bool{true, false} {
 		for ms := 0; ms < 3000; ms += 300 {
-			simulate(t, func(w *simulatedCluster) {
-				l, a, b, ga, _ := w.startPair()
-				k := w.worker("i-1", "", false)
-				w.submit(a, spec("job-1", 6))
-				k.serve(a, 3)
-				w.checkEqual("running", len(k.running()), 4)
+			simulate(t, func(sim *simulatedCluster) {
+				links, leader, follower, leaderGate, _ := sim.startPair()
+				agent := sim.worker("i-1", "", false)
+				sim.submit(leader, spec("job-1", 6))
+				agent.serve(leader, 3)
+				sim.checkEqual("running tasks", len(agent.running()), 4)
 				time.Sleep(time.Duration(ms) * time.Millisecond)
-				if alone {
-					ga.set(true)
-					l.partitioned.Store(true)
-					if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
+				if isolated {
+					leaderGate.set(true)
+					links.partitioned.Store(true)
+					if _, err := follower.Cancel(context.Background(), "job-1"); err != nil {
 						t.Fatal(err)
 					}
 				} else {
-					w.store.SetDown(true)
+					sim.store.SetDown(true)
 				}
-				k.serve(a, 4)
-				k.exit(api.CauseDone)
-				before := len(k.running())
-				k.serve(a, 4)
-				if started := len(k.running()) - before; started > 0 == alone {
-					t.Errorf("alone %v after %d ms: got %d started, want any: %v", alone, ms, started, !alone)
+				agent.serve(leader, 4)
+				agent.exit(api.CauseDone)
+				before := len(agent.running())
+				agent.serve(leader, 4)
+				if started := len(agent.running()) - before; started > 0 == isolated {
+					t.Errorf("leader isolated %v after %d ms: got %d tasks started, want some: %v",
+						isolated, ms, started, !isolated)
 				}
 			})
 		}
 	}
 }
 
-// With a task lease as long as a cancellation may take no time limit can be guaranteed, but
-// heartbeats get responses while the key-value store answers.
+// If a cancellation may take no longer than the task lease, or hardly longer, its time limit cannot be
+// guaranteed. Heartbeats must still get responses while the key-value store responds.
 func TestServiceWithShortCancellationLimit(t *testing.T) {
 	for _, cancelS := range []float64{0.5, 9, 10, 10.6, 12, 20.5} {
-		simulate(t, func(w *simulatedCluster) {
-			w.cancelS = cancelS
-			_, a, b, _, _ := w.startPair()
-			k := w.worker("i-1", "", false)
-			w.submit(a, spec("job-1", 2))
+		simulate(t, func(sim *simulatedCluster) {
+			sim.cancelS = cancelS
+			_, leader, follower, _, _ := sim.startPair()
+			agent := sim.worker("i-1", "", false)
+			sim.submit(leader, spec("job-1", 2))
 			for range 30 {
-				commands, err := k.sendHeartbeat(a)
+				commands, err := agent.sendHeartbeat(leader)
 				if err != nil {
-					t.Fatalf("cancel_s %v: heartbeat: got %v, want a response", cancelS, err)
+					t.Fatalf("heartbeat with cancel_s %v: got error %v, want a response", cancelS, err)
 				}
-				k.applyCommands(commands)
+				agent.applyCommands(commands)
 				time.Sleep(time.Second)
 			}
-			k.serve(a, 3)
-			w.checkEqual("running", len(k.running()), 2)
-			if _, err := b.Cancel(context.Background(), "job-1"); err != nil {
+			agent.serve(leader, 3)
+			sim.checkEqual("running tasks", len(agent.running()), 2)
+			if _, err := follower.Cancel(context.Background(), "job-1"); err != nil {
 				t.Fatal(err)
 			}
-			k.serve(a, 3)
-			w.checkEqual("stopped", len(k.running()), 0)
+			agent.serve(leader, 3)
+			sim.checkEqual("running tasks after the cancellation", len(agent.running()), 0)
 		})
 	}
 }
 
-// A leader that has just been elected knows of earlier cancellations only by what is left in the
-// key-value store: its answers to pings do not contain them. So a node that renews task leases on
-// behalf of the leader relies on these answers only when each machine that is still alive must
-// have got a response in this term.
+// A new leader does not have the cancellations of earlier terms in its log, only their results in the
+// key-value store, so its ping responses do not contain them. A follower that renews task leases on
+// behalf of the leader may therefore rely on the responses only once every machine with a valid task
+// lease must have got a response in this term.
 func TestFollowerDoesNotRelyOnANewLeader(t *testing.T) {
 	for after := 9 * time.Second; after < faultTaskLease; after += 100 * time.Millisecond {
-		simulate(t, func(w *simulatedCluster) {
-			l, a, b, _, gb := w.startPair()
-			k := w.worker("i-1", "", false)
-			w.submit(a, spec("job-1", 2))
-			k.serve(a, 4)
-			w.checkEqual("running", len(k.running()), 2)
-			confirming := w.startWith("n9", w.store, nil) // informs the user, and then nobody
-			k.heartbeat(a)
-			a.crash()
+		simulate(t, func(sim *simulatedCluster) {
+			links, leader, follower, _, followerGate := sim.startPair()
+			agent := sim.worker("i-1", "", false)
+			sim.submit(leader, spec("job-1", 2))
+			agent.serve(leader, 4)
+			sim.checkEqual("running tasks", len(agent.running()), 2)
+			confirming := sim.startWith("n9", sim.store, nil) // informs the user, but no other node
+			agent.heartbeat(leader)
+			leader.crash()
 			if _, err := confirming.Cancel(context.Background(), "job-1"); err != nil {
 				t.Fatal(err)
 			}
 			confirmed := time.Now()
 			confirming.crash()
-			a = l.add("n0", w.startWith("n0", w.store, l))
+			leader = links.add("n0", sim.startWith("n0", sim.store, links))
 			time.Sleep(after - time.Since(confirmed))
-			a.inspect(func(c *Controller) { k.status.Term = c.leaderTerm.term.Number }) // it was resynced
-			w.checkEqual("second term", k.status.Term > 1, true)
-			l.partitioned.Store(true)
-			gb.set(true)
+			// The agent gets the new term, as from a resync, but no commands.
+			leader.inspect(func(c *Controller) { agent.status.Term = c.leaderTerm.term.Number })
+			sim.checkEqual("term is a later one than the first", agent.status.Term > 1, true)
+			links.partitioned.Store(true)
+			followerGate.set(true)
 			var renewedAt time.Time
 			for range 300 {
-				if commands, err := k.sendHeartbeat(b); err == nil {
-					k.applyCommands(commands)
+				if commands, err := agent.sendHeartbeat(follower); err == nil {
+					agent.applyCommands(commands)
 					renewedAt = time.Now()
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			if end := renewedAt.Add(faultTaskLease); len(k.running()) > 0 && end.After(confirmed.Add(30*time.Second)) {
-				t.Errorf("cut after %v: a cancelled task may run for %v, want at most 30 s", after, end.Sub(confirmed))
+			end := renewedAt.Add(faultTaskLease)
+			if len(agent.running()) > 0 && end.After(confirmed.Add(30*time.Second)) {
+				t.Errorf("partition %v after the cancellation: got task lease until %v after it, want at most 30 s",
+					after, end.Sub(confirmed))
 			}
 		})
 	}
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -14,31 +14,32 @@
 	"example.org/ivytrestle/internal/kv"
 )
 
-// delayedStore is one node's access to the store. Requests and responses take a while, so that
-// what other nodes do can happen in between.
+// delayedStore is one node's access to the key-value store. Requests and responses are delayed, so
+// that operations of other nodes can take place in between.
 type delayedStore struct {
 	gate
 	requestDelay, responseDelay time.Duration
 	counts                      *requestCounts
 }
 
-// requestCounts counts the requests of the nodes to the store, by second.
+// requestCounts counts the requests, written records and watches of all nodes by Unix second.
 type requestCounts struct {
 	mu                        sync.Mutex
 	requests, writes, watches map[int64]int
 }
 
-func (y *requestCounts) add(m map[int64]int, n int) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	m[time.Now().Unix()] += n
+// add adds n to the count of the current second in one of the maps of rc.
+func (rc *requestCounts) add(counts map[int64]int, n int) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	counts[time.Now().Unix()] += n
 }
 
-// maxAndSum returns the largest count of a second, and the sum.
-func (y *requestCounts) maxAndSum(m map[int64]int) (largest, sum int) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	for _, n := range m {
+// maxAndSum returns the largest count of a second and the sum of all counts in one of the maps of rc.
+func (rc *requestCounts) maxAndSum(counts map[int64]int) (largest, sum int) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	for _, n := range counts {
 		largest = max(largest, n)
 		sum += n
 	}
@@ -46,95 +47,104 @@
 }
 
 // reset sets all counts to zero.
-func (y *requestCounts) reset() {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	clear(y.requests)
-	clear(y.writes)
-	clear(y.watches)
+func (rc *requestCounts) reset() {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	clear(rc.requests)
+	clear(rc.writes)
+	clear(rc.watches)
 }
 
-// roundTrip applies a request after its delay, and returns the response after its own. A
-// failure is returned without delay.
-func roundTrip[T any](ctx context.Context, y *delayedStore, apply func() (T, error)) (T, error) {
+// roundTrip applies a request after the request delay, and returns the response after the response
+// delay. An error is returned at once. If ctx ends first, the outcome is unknown.
+func roundTrip[T any](ctx context.Context, ds *delayedStore, apply func() (T, error)) (T, error) {
 	var result T
-	y.counts.add(y.counts.requests, 1)
-	for _, delay := range []time.Duration{y.requestDelay, y.responseDelay} {
+	ds.counts.add(ds.counts.requests, 1)
+	for _, delay := range []time.Duration{ds.requestDelay, ds.responseDelay} {
 		select {
 		case <-ctx.Done():
 			return result, kv.ErrOutcomeUnknown
 		case <-time.After(delay):
 		}
-		if delay == y.requestDelay && apply != nil {
-			v, err := apply()
+		if delay == ds.requestDelay && apply != nil {
+			applied, err := apply()
 			if err != nil {
-				return v, err
+				return applied, err
 			}
-			result, apply = v, nil
+			result, apply = applied, nil
 		}
 	}
 	return result, nil
 }
 
-func (y *delayedStore) Get(ctx context.Context, key string) (kv.Entry, error) {
-	return roundTrip(ctx, y, func() (kv.Entry, error) { return y.gate.Get(ctx, key) })
+func (ds *delayedStore) Get(ctx context.Context, key string) (kv.Entry, error) {
+	return roundTrip(ctx, ds, func() (kv.Entry, error) { return ds.gate.Get(ctx, key) })
 }
 
-func (y *delayedStore) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
-	y.counts.add(y.counts.writes, len(txn.Ops))
-	return roundTrip(ctx, y, func() (kv.Result, error) { return y.gate.Txn(ctx, txn) })
+func (ds *delayedStore) Txn(ctx context.Context, txn kv.Txn) (kv.Result, error) {
+	ds.counts.add(ds.counts.writes, len(txn.Ops))
+	return roundTrip(ctx, ds, func() (kv.Result, error) { return ds.gate.Txn(ctx, txn) })
 }
 
-func (y *delayedStore) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
-	return roundTrip(ctx, y, func() (kv.Page, error) { return y.gate.Range(ctx, prefix, from, limit) })
+func (ds *delayedStore) Range(ctx context.Context, prefix, from string, limit int) (kv.Page, error) {
+	return roundTrip(ctx, ds, func() (kv.Page, error) { return ds.gate.Range(ctx, prefix, from, limit) })
 }
 
-func (y *delayedStore) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (kv.Changes, error) {
-	y.counts.add(y.counts.requests, 1)
-	y.counts.add(y.counts.watches, 1)
-	return y.gate.Watch(ctx, prefix, from, block)
+func (ds *delayedStore) Watch(
+	ctx context.Context, prefix string, from uint64, block time.Duration,
+) (kv.Changes, error) {
+	ds.counts.add(ds.counts.requests, 1)
+	ds.counts.add(ds.counts.watches, 1)
+	return ds.gate.Watch(ctx, prefix, from, block)
 }
 
-// backgroundAgent is a machine that sends heartbeats by itself. Its tasks end after their time, and
-// with its task lease.
+// backgroundAgent is a worker agent that a goroutine runs (userCluster.runAgent). Its tasks complete
+// after their duration, and end when the task lease expires.
 type backgroundAgent struct {
 	*worker
+	// startedAt holds, by task, when the task started.
 	startedAt map[string]time.Time
-	// lastSent is when its last heartbeat was sent, lastAcknowledged when the last one with a
-	// response was.
-	lastSent, lastAcknowledged time.Time
-	// statusChanged makes it send a heartbeat at once.
+	// lastSent is when the last heartbeat was sent.
+	lastSent time.Time
+	// lastAcknowledged is when the last heartbeat that got a response was sent.
+	lastAcknowledged time.Time
+	// statusChanged makes the agent send a heartbeat at once.
 	statusChanged chan struct{}
-	// starts counts the start commands that it received.
+	// starts is the number of start commands received.
 	starts atomic.Int64
 }
 
-// userCluster is three nodes with their machines and users, whose answers are all checked.
+// userCluster is a cluster of three nodes with machines and users. Every answer that a user gets is
+// checked.
 type userCluster struct {
 	*simulatedCluster
-	checker       *answerChecker
-	links         *links
+	checker *answerChecker
+	links   *links
+	// stores holds, by node, the node's access to the key-value store.
 	stores        []*delayedStore
 	requestCounts *requestCounts
 	agents        []*backgroundAgent
-	// taskDurations is how long tasks run, by job; others run until the test ends them.
+	// taskDurations holds, by job, how long its tasks run. Tasks of other jobs run until
+	// completeJob.
 	taskDurations sync.Map
 	goroutines    sync.WaitGroup
 
 	mu    sync.Mutex
 	nodes []*node
-	// overdueTasks are the tasks that were on machines for too long after the confirmed
-	// cancellation of their jobs.
+	// overdueTasks holds the tasks that were on a machine for more than 30 s after the
+	// cancellation of their job was confirmed.
 	overdueTasks []string
-	stopped      atomic.Bool
+	// stopped ends the machines, and the users that poll until a final phase.
+	stopped atomic.Bool
 }
 
-func newUserCluster(w *simulatedCluster, hosts int) *userCluster {
-	w.zones = map[string]string{"n0": "a", "n1": "a", "n2": "a"}
-	w.teams[0].LimitCPUs = 1000
+// newUserCluster starts three nodes and the given number of machines.
+func newUserCluster(sim *simulatedCluster, machines int) *userCluster {
+	sim.zones = map[string]string{"n0": "a", "n1": "a", "n2": "a"}
+	sim.teams[0].LimitCPUs = 1000
 	tn := &userCluster{
-		simulatedCluster: w,
-		checker:          newAnswerChecker(w.t),
+		simulatedCluster: sim,
+		checker:          newAnswerChecker(sim.t),
 		links:            &links{},
 		nodes:            make([]*node, 3),
 		requestCounts: &requestCounts{
@@ -144,30 +154,30 @@
 		},
 	}
 	for i := range 3 {
-		y := &delayedStore{
+		ds := &delayedStore{
 			requestDelay:  time.Duration(2+3*i) * time.Millisecond,
 			responseDelay: time.Duration(1+2*i) * time.Millisecond,
 			counts:        tn.requestCounts,
 		}
-		y.Fake = w.store
-		tn.stores = append(tn.stores, y)
+		ds.Fake = sim.store
+		tn.stores = append(tn.stores, ds)
 		tn.startNode(i)
 	}
-	for i := range hosts {
-		h := &backgroundAgent{
-			worker:           w.worker(fmt.Sprintf("i-%d", i+1), "a", false),
+	for i := range machines {
+		agent := &backgroundAgent{
+			worker:           sim.worker(fmt.Sprintf("i-%d", i+1), "a", false),
 			startedAt:        map[string]time.Time{},
 			lastAcknowledged: time.Now(),
 			statusChanged:    make(chan struct{}, 1),
 		}
-		tn.agents = append(tn.agents, h)
-		tn.goroutines.Go(func() { tn.runAgent(h) })
+		tn.agents = append(tn.agents, agent)
+		tn.goroutines.Go(func() { tn.runAgent(agent) })
 	}
 	time.Sleep(3 * time.Second)
 	return tn
 }
 
-// startNode starts a node, or starts it again after a crash.
+// startNode starts node i, also after a crash.
 func (tn *userCluster) startNode(i int) {
 	name := fmt.Sprint("n", i)
 	n := tn.links.add(name, tn.startWith(name, tn.stores[i], tn.links))
@@ -176,7 +186,7 @@
 	tn.nodes[i] = n
 }
 
-// crash ends a node; users and machines no longer reach it.
+// crash ends node i; users, machines and other nodes no longer reach it.
 func (tn *userCluster) crash(i int) {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
@@ -185,7 +195,8 @@
 	tn.nodes[i] = nil
 }
 
-// nodeAt returns the current process of a node, or of the next node that is up.
+// nodeAt returns the current process of node i modulo 3 or, if that is down, of the next node that is
+// up.
 func (tn *userCluster) nodeAt(i int) *node {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
@@ -202,13 +213,13 @@
 	return slices.DeleteFunc(slices.Clone(tn.nodes), func(n *node) bool { return n == nil })
 }
 
-// awaitLeader waits until a node leads, and returns its number.
+// awaitLeader waits until a node leads and returns its index.
 func (tn *userCluster) awaitLeader() int {
 	for {
 		for i := range 3 {
 			n := tn.nodeAt(i)
-			st, err := n.PeerStatus(context.Background(), cancellation.Position{})
-			if err == nil && st.Term > 0 {
+			status, err := n.PeerStatus(context.Background(), cancellation.Position{})
+			if err == nil && status.Term > 0 {
 				return int(n.Settings.Node[1] - '0')
 			}
 		}
@@ -216,21 +227,24 @@
 	}
 }
 
-// runAgent has a machine send a heartbeat once a second and at every change.
-func (tn *userCluster) runAgent(h *backgroundAgent) {
+// runAgent runs an agent until the cluster is closed. The agent sends a heartbeat once a second and
+// whenever tasks complete. Tasks of cancelled jobs that are still on the machine after 30 s are
+// recorded as overdue.
+func (tn *userCluster) runAgent(agent *backgroundAgent) {
 	for changed := false; !tn.stopped.Load(); {
 		now := time.Now()
-		if h.expireLease(now); h.completeTasks(tn, now, "") || changed || now.Sub(h.lastSent) >= time.Second {
-			h.heartbeatAnyNode(tn)
+		agent.expireLease(now)
+		if agent.completeTasks(tn, now, "") || changed || now.Sub(agent.lastSent) >= time.Second {
+			agent.heartbeatAnyNode(tn)
 		}
-		for _, ref := range h.running() {
+		for _, ref := range agent.running() {
 			id, _, _ := strings.Cut(ref, "/")
 			if end, at := tn.checker.end(id); end == api.JobCancelled && now.Sub(at) > 30*time.Second {
 				tn.recordOverdue(ref)
 			}
 		}
 		select {
-		case <-h.statusChanged:
+		case <-agent.statusChanged:
 			changed = true
 		case <-time.After(20 * time.Millisecond):
 			changed = false
@@ -238,7 +252,7 @@
 	}
 }
 
-// recordOverdue records a task that is on a machine for too long after its cancellation.
+// recordOverdue records a task that is still on a machine too long after its job was cancelled.
 func (tn *userCluster) recordOverdue(ref string) {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
@@ -247,66 +261,64 @@
 	}
 }
 
-// checkNoneOverdue checks that no task of a cancelled job was on a machine for longer than it
-// may be.
+// checkNoneOverdue checks that no task was recorded as overdue.
 func (tn *userCluster) checkNoneOverdue() {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
-	tn.checkEqual("on machines too long after a confirmed cancellation", tn.overdueTasks, []string(nil))
+	tn.checkEqual("tasks on machines too long after a confirmed cancellation", tn.overdueTasks, []string(nil))
 }
 
-// heartbeatAnyNode sends a heartbeat to the first node that responds, and applies its
-// commands.
-func (h *backgroundAgent) heartbeatAnyNode(tn *userCluster) {
-	h.lastSent = time.Now()
-	sent := h.lastSent
+// heartbeatAnyNode sends a heartbeat to each running node in turn until one responds, and applies
+// the commands of the response.
+func (a *backgroundAgent) heartbeatAnyNode(tn *userCluster) {
+	a.lastSent = time.Now()
+	sent := a.lastSent
 	for _, n := range tn.runningNodes() {
-		commands, err := h.sendHeartbeat(n)
+		commands, err := a.sendHeartbeat(n)
 		if err != nil {
 			continue
 		}
-		h.lastAcknowledged = sent
-		h.applyCommands(commands)
+		a.lastAcknowledged = sent
+		a.applyCommands(commands)
 		for _, cmd := range commands {
 			if cmd.Verb == api.VerbStart {
-				h.starts.Add(1)
+				a.starts.Add(1)
 			}
 		}
-		h.mu.Lock()
-		for _, t := range h.status.Tasks {
-			if _, ok := h.startedAt[t.Task]; !ok {
-				h.startedAt[t.Task] = time.Now()
+		a.mu.Lock()
+		for _, t := range a.status.Tasks {
+			if _, ok := a.startedAt[t.Task]; !ok {
+				a.startedAt[t.Task] = time.Now()
 			}
 		}
-		h.mu.Unlock()
+		a.mu.Unlock()
 		return
 	}
 }
 
-// expireLease ends the tasks, and begins a new agent epoch, if no heartbeat had a response in
-// time.
-func (h *backgroundAgent) expireLease(now time.Time) {
-	if now.Sub(h.lastAcknowledged) <= 10*time.Second {
+// expireLease ends the tasks and begins a new agent epoch if the task lease has expired.
+func (a *backgroundAgent) expireLease(now time.Time) {
+	if now.Sub(a.lastAcknowledged) <= 10*time.Second {
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.status.AgentEpoch++
-	h.status.Tasks, h.lastAcknowledged = nil, now
-	clear(h.startedAt)
-}
-
-// completeTasks completes the tasks whose time is up, and those of the job named. It reports
-// whether there were any.
-func (h *backgroundAgent) completeTasks(tn *userCluster, now time.Time, named string) (completed bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for i := range h.status.Tasks {
-		t := &h.status.Tasks[i]
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.status.AgentEpoch++
+	a.status.Tasks, a.lastAcknowledged = nil, now
+	clear(a.startedAt)
+}
+
+// completeTasks completes the running tasks of the given job, and those of other jobs whose duration
+// has elapsed. It reports whether any task completed.
+func (a *backgroundAgent) completeTasks(tn *userCluster, now time.Time, job string) (completed bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for i := range a.status.Tasks {
+		t := &a.status.Tasks[i]
 		id, _, _ := strings.Cut(t.Task, "/")
-		takes, ok := tn.taskDurations.Load(id)
-		timeUp := ok && now.Sub(h.startedAt[t.Task]) >= takes.(time.Duration)
-		if t.Phase != api.TaskRunning || id != named && !timeUp {
+		duration, ok := tn.taskDurations.Load(id)
+		elapsed := ok && now.Sub(a.startedAt[t.Task]) >= duration.(time.Duration)
+		if t.Phase != api.TaskRunning || id != job && !elapsed {
 			continue
 		}
 		t.Phase, t.Cause = api.TaskExited, api.CauseDone
@@ -316,36 +328,36 @@
 	return completed
 }
 
-// completeJob completes the tasks of a job now, wherever they run. Only a job whose user has requested
-// its cancellation may have none left: a heartbeat in the meantime stops them.
+// completeJob completes the running tasks of a job on all machines. There must be at least one, unless
+// a user has requested the job's cancellation, which may have stopped them already.
 func (tn *userCluster) completeJob(id string) {
 	tn.t.Helper()
 	machines := 0
-	for _, h := range tn.agents {
-		if h.completeTasks(tn, time.Now(), id) {
-			h.statusChanged <- struct{}{}
+	for _, agent := range tn.agents {
+		if agent.completeTasks(tn, time.Now(), id) {
+			agent.statusChanged <- struct{}{}
 			machines++
 		}
 	}
 	if machines == 0 && !tn.checker.cancelRequested(id) {
-		tn.t.Errorf("%s has no running task to complete", id)
+		tn.t.Errorf("running tasks of %s to complete: got none, want at least one", id)
 	}
 }
 
-// runInBackground runs what one user does while the others go on.
+// runInBackground runs f, the actions of one user, in a goroutine. close waits for it.
 func (tn *userCluster) runInBackground(f func()) { tn.goroutines.Go(f) }
 
-// pollAll requests a job's state at all nodes in turn, with gap between two requests whether
-// or not they are answered; some requests repeat the submission. The checker records the
-// answers; an error is an outcome that these users accept.
-func (tn *userCluster) pollAll(s *api.JobSpec, gap, span time.Duration) {
+// pollAll requests a job's state from all nodes in turn for the given time, once per interval, without
+// waiting for the answers. Some requests repeat the submission, validly or invalidly, instead. The
+// checker checks the answers. Errors are ignored, since a node may fail any single request.
+func (tn *userCluster) pollAll(s *api.JobSpec, interval, duration time.Duration) {
 	submitted := func() bool {
 		tn.checker.mu.Lock()
 		defer tn.checker.mu.Unlock()
 		return tn.checker.of(s.ID).submitted
 	}
 	tn.runInBackground(func() {
-		for i := 0; time.Duration(i)*gap < span; i++ {
+		for i := 0; time.Duration(i)*interval < duration; i++ {
 			n := tn.nodeAt(i)
 			tn.runInBackground(func() {
 				switch {
@@ -357,40 +369,42 @@
 					_, _ = tn.checker.ask(n, s.ID)
 				}
 			})
-			time.Sleep(gap)
+			time.Sleep(interval)
 		}
 	})
 }
 
-// submitUntilAccepted submits a job at a node until it is accepted.
+// submitUntilAccepted submits a job at node i, or the next one that is up, until it is accepted.
 func (tn *userCluster) submitUntilAccepted(i int, s *api.JobSpec) {
 	tn.t.Helper()
 	if err := retryUntilAnswered(func() error { return tn.checker.submit(tn.nodeAt(i), s) }); err != nil {
-		tn.t.Errorf("submission of %s: %v", s.ID, err)
+		tn.t.Errorf("submission of %s: got error %v, want none", s.ID, err)
 	}
 }
 
-// cancelUntilConfirmed cancels a job at a node until that is confirmed.
+// cancelUntilConfirmed cancels a job at node i, or the next one that is up, until the cancellation is
+// confirmed.
 func (tn *userCluster) cancelUntilConfirmed(i int, id string) {
 	tn.t.Helper()
 	if err := retryUntilAnswered(func() error { return tn.checker.cancel(tn.nodeAt(i), id) }); err != nil {
-		tn.t.Errorf("cancellation of %s: %v", id, err)
+		tn.t.Errorf("cancellation of %s: got error %v, want none", id, err)
 	}
 }
 
-// checkFinalPhases checks that all nodes answer the wanted phases of some jobs.
+// checkFinalPhases checks that all nodes return the wanted phases, given by job.
 func (tn *userCluster) checkFinalPhases(want map[string]string) {
 	for id, phase := range want {
 		for i := range 3 {
-			st, err := tn.checker.ask(tn.nodeAt(i), id)
-			if got := st.Phase; err != nil || got != phase {
-				tn.t.Errorf("%s at node %d in the end: got %q, %v, want %q", id, i, got, err, phase)
+			state, err := tn.checker.ask(tn.nodeAt(i), id)
+			if got := state.Phase; err != nil || got != phase {
+				tn.t.Errorf("final phase of %s at node %d: got %q, %v, want %q", id, i, got, err, phase)
 			}
 		}
 	}
 }
 
-// close ends machines, users and nodes. The store loses no response any more.
+// close stops the machines, waits for the users, makes the key-value store deliver all responses
+// again, and crashes all nodes.
 func (tn *userCluster) close() {
 	tn.stopped.Store(true)
 	tn.goroutines.Wait()
@@ -400,7 +414,7 @@
 	}
 }
 
-// modRevision is the mod revision of a record, 0 if there is none.
+// modRevision returns the mod revision of a key, or 0 if the key does not exist.
 func (tn *userCluster) modRevision(key string) uint64 {
 	e, err := tn.store.Get(context.Background(), key)
 	if err != nil {
@@ -409,30 +423,30 @@
 	return e.ModRevision
 }
 
-// countStarts is the number of start commands that the machines received.
+// countStarts returns the number of start commands that the machines have received.
 func (tn *userCluster) countStarts() (n int64) {
-	for _, h := range tn.agents {
-		n += h.starts.Load()
+	for _, agent := range tn.agents {
+		n += agent.starts.Load()
 	}
 	return n
 }
 
-// countTasks is the number of tasks on machines, in whatever phase.
+// countTasks returns the number of tasks on machines, in any phase.
 func (tn *userCluster) countTasks() (n int) {
-	for _, h := range tn.agents {
-		h.mu.Lock()
-		n += len(h.status.Tasks)
-		h.mu.Unlock()
+	for _, agent := range tn.agents {
+		agent.mu.Lock()
+		n += len(agent.status.Tasks)
+		agent.mu.Unlock()
 	}
 	return n
 }
 
-// pollUntilFinal has a job's user request its state until the answer is its end, each time at
-// another node.
+// pollUntilFinal requests a job's state until its phase is final, from another node each time,
+// beginning with node i.
 func (tn *userCluster) pollUntilFinal(i int, id string, interval time.Duration) {
 	tn.runInBackground(func() {
 		for ; !tn.stopped.Load(); i++ {
-			if st, err := tn.checker.ask(tn.nodeAt(i), id); err == nil && st.Final() {
+			if state, err := tn.checker.ask(tn.nodeAt(i), id); err == nil && state.Final() {
 				return
 			}
 			time.Sleep(interval)
