--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -81,8 +81,8 @@
 }
 
 // KVLimits holds the limits of the key-value store, which rejects every request beyond them.
-// Parse lowers each limit to the announced one if that is smaller, because the store switches
-// to the announced limits without notice.
+// Parse lowers each limit to the announced one if that is smaller, because the time at which the
+// store switches to the announced limits is not known.
 type KVLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -340,19 +340,20 @@
 	return nil
 }
 
-// The lowest limits with which a controller can work.
+// The lowest limits that are accepted. A controller cannot work with lower ones.
 const (
-	// minValueKB is the size of a value that can hold the record of one job.
+	// minValueKB is the size, in KB, of a value that can hold the record of one job.
 	minValueKB = 1.0
 	// minTxnOps is the number of operations in the transaction of a cancellation.
 	minTxnOps = 3
 	// minFDLimit is enough for the connections to the external services, the other controllers
 	// and a few users and worker agents.
 	minFDLimit = 64
-	// minCores is for five machines: controllers with half of it accepted no job, and those with
-	// it accepted few. The requirements of larger fleets are in docs/operations.md.
+	// minCores is for fleets of five machines: controllers with this limit accepted a few jobs, and
+	// controllers with half of it accepted none. docs/operations.md lists the requirements of
+	// larger fleets.
 	minCores = 0.0005
-	// minRAMMB is below the memory use of an idle controller.
+	// minRAMMB is less than even an idle controller uses, in MB.
 	minRAMMB = 3.0
 )
 
--- a/internal/controller/badinput_test.go
+++ b/internal/controller/badinput_test.go
@@ -294,7 +294,8 @@
 
 // checkSelfDependencies submits jobs that depend on themselves: as a new job, which must be rejected,
 // and as repeats of the known jobs, which must return the state of the known job. It also repeats the
-// known jobs with more dependencies than are read one by one. During an outage all must get 503.
+// known jobs with so many dependencies (more than maxSingleReads of package records) that the node
+// looks up the job before it checks them. During an outage all must get 503.
 func (sc *submissionChecker) checkSelfDependencies() {
 	sc.t.Helper()
 	wantNew := http.StatusBadRequest
@@ -495,10 +496,10 @@
 	}
 }
 
-// A job may require that all its tasks run in one zone (SamePlace) and also that at most half of them
-// run in one zone (Scatter). The second limit applies to the tasks that run at the same time, so the
-// job runs in parts. No combination of these flags makes a job unschedulable, and every accepted job
-// must run to its end.
+// A job may require that all its tasks run in one zone (SamePlace) and also that at most half of them,
+// rounded up, run in one zone (Scatter). Scatter limits only how many tasks run at the same time, so a
+// job with both flags runs its tasks in parts. No combination of these flags makes a job unschedulable,
+// and every accepted job must run to its end.
 func TestSpreadJobInOneZoneRunsInParts(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -102,8 +102,8 @@
 }
 
 // runCascade cancels a job of a diamond before or after the start of a leader change, then submits
-// job-6, which depends on the cancelled job, and job-7, which depends on job-6. It checks that exactly
-// the wanted jobs are cancelled.
+// job-6, which depends on the cancelled job, and job-7, which depends on job-6 and job-9. It checks that
+// exactly the wanted jobs are cancelled.
 func (s *checkedCluster) runCascade(c leaderChangeCase, cancelledJob string, wantCancelled []string) {
 	s.submitDiamond(8 * time.Second)
 	s.submitJob(2*time.Second, teamSpec("job-9", "blue", 2)) // has no dependencies
@@ -267,7 +267,8 @@
 }
 
 // A job that waits for its dependencies uses none of its team's quota, adds nothing to the demand of
-// the autoscaler and does not count as starved. Its objectives count from when it became runnable.
+// the autoscaler and does not count as starved. The times that the site's objectives set for it count
+// from when it became runnable.
 func TestJobThatWaitsForDependenciesReservesNothing(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
@@ -352,7 +353,7 @@
 func fanDependencies(int) []string { return []string{"job-0"} }
 
 // meshDependencies divides the jobs into levels of 20. Each job depends on all jobs of the previous
-// level.
+// level, or on job-0 if it is in the first level.
 func meshDependencies(i int) []string {
 	ids := make([]string, 0, 20)
 	for previous := max(0, i-i%20-20); previous < max(1, i-i%20); previous++ {
@@ -473,7 +474,7 @@
 }
 
 // Dependents are cancelled in time even if the transactions that cancel them are not applied, are
-// applied late, or lose their responses.
+// applied late or lose their responses, or the key-value store has an outage.
 func TestCancellationsCascadeWhenRecordsFail(t *testing.T) {
 	isCascade := func(txn kv.Txn) bool {
 		return writesPrefix(records.TerminalPrefix)(txn) && !writesPrefix(records.CancelKey)(txn)
@@ -646,8 +647,8 @@
 }
 
 // The cancellations of all dependents are written to the store within the time allowed for a
-// cancellation if the cascade's share of the write rate suffices for them, however small the limits
-// on transactions are.
+// cancellation, provided that the share of the write rate that a cascade may use suffices for that many
+// writes. This holds for all of these limits on transactions.
 func TestWideFanIsCancelledInTime(t *testing.T) {
 	for _, limits := range []config.KVLimits{
 		{RPS: 120, WriteRPS: 25, ValueKB: 8, TxnOps: 12},
--- a/internal/controller/dependencylists_test.go
+++ b/internal/controller/dependencylists_test.go
@@ -91,9 +91,9 @@
 	w.checkEqual("rejected for size", w.store.RejectedAsTooLarge(), []string(nil))
 }
 
-// A job whose dependencies do not fit into its active record waits for all of them, including the last
-// in the separate list and also under the next leader. It is cancelled if one of them is. Its list is
-// deleted once the job has ended.
+// A job whose dependencies do not fit into its active record has them in a separate list. It waits for
+// all of them, including the last in the list, also if the leader changes. It is cancelled if one of
+// them is. Its list is deleted once the job has ended.
 func TestJobWithALongListOfDependencies(t *testing.T) {
 	for _, c := range longListCases {
 		t.Run(c.name, func(t *testing.T) { simulate(t, c.run) })
@@ -120,10 +120,11 @@
 	})
 }
 
-// The objectives of a job count from the recorded end of its last dependency, also if that was under an
-// earlier leader; not from the job's acceptance or the takeover. A job that is accepted after the end
-// of all its dependencies becomes runnable at once, even if a terminal record was written by an earlier
-// version, which stored no end time.
+// The times that the site's objectives set for a job count from the recorded end of its last dependency,
+// not from the job's acceptance. That holds also if the dependency ended under an earlier leader: the
+// times do not count from the takeover. A job that is accepted after the end of all its dependencies
+// becomes runnable at once, even if a terminal record was written by an earlier version, which stored no
+// end time.
 func TestTimesCountFromTheEndOfTheLastDependency(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
--- a/internal/controller/electionmessages.go
+++ b/internal/controller/electionmessages.go
@@ -7,8 +7,8 @@
 	"example.org/ivytrestle/internal/election"
 )
 
-// The calls of election.Observer are converted to messages to the owner goroutine. They are dropped
-// if the controller has ended.
+// The methods of election.Observer run on the election's goroutine. Each sends one of the messages
+// below to the owner goroutine, or drops it if the controller has ended.
 
 // leaderChangedMsg contains the current leader, or "" if there is none.
 type leaderChangedMsg struct{ node string }
@@ -43,7 +43,7 @@
 	}
 }
 
-// leadershipLostMsg ends a term in which this node led.
+// leadershipLostMsg ends a term in which this node led. The leader is then unknown.
 type leadershipLostMsg struct{ term election.Term }
 
 func (m leadershipLostMsg) apply(c *Controller) {
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -7,8 +7,8 @@
 
 // Drain prepares the node for shutdown. The node becomes unready, so that users are routed to other
 // nodes. If it leads, it stops acting as leader and then notifies a successor, which takes over
-// without waiting for the lease to expire. Drain returns when the successor has been notified or
-// the context ends.
+// without waiting for the lease to expire. Drain returns when the successor has been notified or the
+// context ends, or at once if there is no successor to notify.
 func (c *Controller) Drain(ctx context.Context) {
 	c.unready.Store(true)
 	m := drainMsg{make(chan successor, 1)}
@@ -29,8 +29,8 @@
 	term uint64
 }
 
-// drainMsg ends this node's term, if it leads, and requests its successor: the reachable node that
-// the key-value store has answered for the longest time.
+// drainMsg ends this node's term, if it leads, and requests the name of its successor. That is the
+// reachable node with the longest uninterrupted connection to the key-value store.
 type drainMsg struct{ reply chan successor }
 
 func (m drainMsg) apply(c *Controller) {
--- a/internal/controller/leasevotes.go
+++ b/internal/controller/leasevotes.go
@@ -43,7 +43,7 @@
 type voteGrantedMsg struct {
 	node string
 	term uint64
-	// sentAt is when the vote was requested. Its lifetime is counted from then.
+	// sentAt is when the vote was requested. The lifetime of the vote is counted from then.
 	sentAt time.Time
 }
 
@@ -59,15 +59,15 @@
 }
 
 // hasLeaseQuorum reports whether the leader may start tasks and launch and terminate machines. A
-// leader that requires a lease quorum but lacks it may have been replaced. It continues only to
-// renew leases, and to perform actions that the key-value store fences.
+// leader that requires a lease quorum but lacks it may have been replaced. Until it has the quorum
+// again, it only renews task leases and performs actions that the key-value store fences.
 func (lt *leaderTerm) hasLeaseQuorum(now time.Time) bool {
 	return !lt.quorumRequired || lt.hasVoteQuorum(now)
 }
 
 // checkLeaseQuorum makes the leader require a lease quorum once that is possible. A leader that has
-// lacked the quorum for two vote lifetimes, and still reaches the key-value store, steps down to
-// begin a new term. Nodes that have promised not to vote in the present term can vote in that one.
+// lacked the quorum for two vote lifetimes, and still reaches the key-value store, steps down so that
+// a new term begins. Nodes that have promised not to vote in the old term can vote in the new one.
 func (lt *leaderTerm) checkLeaseQuorum(now time.Time) {
 	if lt.c.Standby == nil || len(lt.c.Settings.Peers) == 0 {
 		return
@@ -90,10 +90,11 @@
 	}
 }
 
-// maybeRequireQuorum makes the leader require a lease quorum if all other nodes support it and
-// enough of them vote. Processes that were started after the term began do not vote in it, because
-// an earlier process of the same node may have promised not to. If they are too many for a quorum,
-// the leader steps down to begin a new term, in which they vote.
+// maybeRequireQuorum makes the leader require a lease quorum if all other nodes are reachable and
+// support it, and enough of them vote. Processes that were started after the term began do not vote
+// in it, because an earlier process of the same node may have promised not to. If votes are still
+// missing after missingVotesTimeout, the leader steps down so that a new term begins, in which these
+// processes vote. It does so at most once per minNewTermInterval.
 func (lt *leaderTerm) maybeRequireQuorum(now time.Time) {
 	for _, member := range lt.c.membership.Members {
 		if !member.SupportsLeaseQuorum || !member.IsReachable(now) {
--- a/internal/daemon/cells.go
+++ b/internal/daemon/cells.go
@@ -14,7 +14,7 @@
 )
 
 // cellHandler serves the requests of other cells, which arrive on a separate listener. It serves
-// only those about loans, and rejects all other requests between controllers.
+// only those about loans, and rejects those that only controllers of the same cell may send.
 type cellHandler struct{ c *controller.Controller }
 
 // Job implements peer.Handler.
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -18,7 +18,7 @@
 // peerHandler serves the requests of the other nodes of the cell.
 type peerHandler struct{ c *controller.Controller }
 
-// peerRequestTimeout bounds the handling of a request of another node.
+// peerRequestTimeout bounds the handling of a request of another controller, of this or another cell.
 const peerRequestTimeout = 1200 * time.Millisecond
 
 // Job implements peer.Handler.
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -28,7 +28,7 @@
 	UseSpot bool
 	// Headroom is the capacity kept in addition to the demand, as a fraction of the demand.
 	Headroom float64
-	// MinCPUs is the smallest size of the fleet.
+	// MinCPUs is the smallest size of the fleet, in CPUs.
 	MinCPUs float64
 	// IdleTimeout is how long a machine that is not draining must be empty before it may be
 	// terminated.
@@ -37,7 +37,8 @@
 	DemandWindow time.Duration
 	// LeaderLease is the lifetime of the leader lease without renewal.
 	LeaderLease time.Duration
-	// ClassPreferences holds the preferences of job classes; higher values are served first.
+	// ClassPreferences holds the preferences of job classes. Among equally urgent jobs of a team,
+	// those with higher values are served first.
 	ClassPreferences map[string]float64
 	// RestartLimit is the multiple of its estimated run time after which a task may be restarted as
 	// a straggler; 0 disables such restarts.
@@ -86,8 +87,8 @@
 	return Parse(path, string(raw))
 }
 
-// Parse runs the script, applies the settings that it assigns over the defaults, and validates the result.
-// name is the script's file name in errors.
+// Parse runs the script, overrides the defaults with the settings that it assigns, and validates the
+// result. name is the script's file name in errors.
 func Parse(name, script string) (*Policy, error) {
 	values, err := execute("defaults.star", defaults, nil)
 	if err != nil {
@@ -171,8 +172,8 @@
 	return globals, nil
 }
 
-// validate converts the values of all settings to a Policy. lines are the lines of file that assign
-// them, for errors.
+// validate converts the values of all settings to a Policy. file and lines, the result of
+// assignmentLines, are used only for the positions in errors.
 func validate(values starlark.StringDict, lines map[string]int32, file string) (*Policy, error) {
 	p := &Policy{}
 	invalid := func(key, want string) (*Policy, error) {
