--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -47,7 +47,7 @@
 }
 
 // newBusyTerm returns a leader term whose machines are all busy while jobs are pending, and the
-// machines' last heartbeats.
+// machines' last heartbeats. With 0 jobs all machines are idle.
 func newBusyTerm(b *testing.B, machines, jobs int) (*leaderTerm, []*api.Heartbeat) {
 	b.Helper()
 	now := time.Now()
@@ -142,7 +142,8 @@
 	}
 }
 
-// BenchmarkTick measures the leader's periodic work.
+// BenchmarkTick measures the part of the leader's periodic work that scans all machines and jobs. It
+// leaves out dispatch, the relay, launches of machines and writes to the key-value store.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range busyClusterSizes {
 		b.Run(size.String(), func(b *testing.B) {
@@ -170,7 +171,7 @@
 }
 
 // BenchmarkPlaceIdle measures the selection of a job for an idle machine, which then joins the job's
-// flight, while all machines are idle.
+// flight (the set of machines that run its tasks), while all machines are idle.
 func BenchmarkPlaceIdle(b *testing.B) {
 	for _, size := range []benchSize{{100, 1}, {400, 1}, {1100, 1}, {1100, 40}} {
 		b.Run(size.String(), func(b *testing.B) {
--- a/internal/controller/capacity_test.go
+++ b/internal/controller/capacity_test.go
@@ -39,7 +39,8 @@
 }
 
 // A machine must leave a job to machines with a lower placement cost while these have capacity for all
-// of its pending tasks, and take it otherwise.
+// pending tasks of the job, and take the job otherwise. Here the first two machines cost less, because
+// they already have the image.
 func TestBetterMachinesFirst(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		w.teams[0].LimitCPUs = 100
@@ -133,8 +134,8 @@
 	})
 }
 
-// A heartbeat is limited to 64 KiB. The largest task status, as on the wire, times the maximum number
-// of attempts on a machine must leave 1 KiB for the other fields.
+// A heartbeat is limited to 64 KiB. The largest task status, with its field names in the protocol,
+// times the maximum number of attempts on a machine must leave 1 KiB for the other fields.
 func TestLargestHeartbeatFits(t *testing.T) {
 	const maxBytes = 64<<10 - 1024
 	status, err := json.Marshal(map[string]any{
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -30,8 +30,8 @@
 
 	// loaded is set once the records of the key-value store are in memory.
 	loaded bool
-	// cancellationsConfirmedAt is the send time of the latest request to which the store responded
-	// that this leader had all cancellations.
+	// cancellationsConfirmedAt is when this leader sent the latest request whose response from the
+	// store confirmed that the leader had all cancellations.
 	cancellationsConfirmedAt time.Time
 	// cancelRevision is the last known version of the cancel key.
 	cancelRevision uint64
@@ -52,8 +52,9 @@
 	unfenced     int
 	unfencedCPUs float64
 	unfencedGPUs float64
-	// unattributedCPUs is the total capacity of the machines that hold tasks of ended jobs. The
-	// teams of these jobs are not known, so the tasks may count against any team's limit.
+	// unattributedCPUs is the total capacity of the machines that hold tasks of jobs which this leader
+	// does not know, because they have ended. The teams of these jobs are not known either, so the
+	// capacity counts against every team's limit.
 	unattributedCPUs float64
 
 	readIndex    readIndexer
@@ -61,12 +62,14 @@
 	// dependencyLists manages the records that list the jobs on which other jobs depend.
 	dependencyLists dependencyLists
 	loans           loans
-	// votes holds the votes of the other nodes; nil without failover.
+	// votes holds the votes of the other nodes for this leader's lease; nil without failover.
 	votes *leasequorum.VoteSet
-	// quorumRequired is set once the leader may act only while it has a quorum of votes.
+	// quorumRequired is set once the leader may start tasks and launch and terminate machines only
+	// while it has a quorum of votes.
 	quorumRequired bool
-	// quorumLostAt is when the leader was first seen without a quorum that it requires or that all
-	// nodes support; zero otherwise.
+	// quorumLostAt is when the leader first noticed that it lacks a quorum of votes. It is zero while
+	// there is a quorum, and while none is required because a node does not support it or is
+	// unreachable.
 	quorumLostAt time.Time
 	downlink     relayDownlink
 	recordWriter *recordwriter.Writer
@@ -81,8 +84,8 @@
 	directFailures int
 	// nextDirectCommand is the earliest time of the next direct command.
 	nextDirectCommand time.Time
-	// startObjective is the shortest time within which an objective requires work within a
-	// guarantee to start; 0 without such an objective.
+	// startObjective is the shortest start time that an objective sets for tasks covered by their
+	// team's guarantee; 0 without such an objective.
 	startObjective time.Duration
 	// placementDelay is how long pending tasks are reserved for machines that suit them better.
 	placementDelay time.Duration
@@ -98,7 +101,8 @@
 	detector       *failuredetector.Detector
 	// maxDials limits commandsInFlight, the detector's probes and its resyncs, each separately.
 	maxDials int
-	// renewalsReadAt is when the leader last read the leases that other nodes renew on its behalf.
+	// renewalsReadAt is when the leader last read the records of the leases that other nodes renew
+	// on its behalf.
 	renewalsReadAt time.Time
 	// renewalRevisions holds the last read version of each of these records, by key.
 	renewalRevisions map[string]uint64
@@ -118,7 +122,7 @@
 	terminated, err := lru.New[string, bool](
 		c.Settings.Site.Limits.MaxEntries(terminatedMemoryFraction, terminatedEntryBytes))
 	if err != nil {
-		panic(err) // the size is not positive
+		panic(err) // lru.New fails only if the size is not positive, and MaxEntries is always positive
 	}
 	lt := &leaderTerm{
 		c:                c,
@@ -177,8 +181,7 @@
 }
 
 // initStartObjectives derives startObjective and placementDelay from the objectives. The placement
-// delay is half a heartbeat interval, but at most a fifth of the shortest time within which work
-// within a guarantee must start.
+// delay is half a heartbeat interval, but at most a fifth of startObjective if there is one.
 func (lt *leaderTerm) initStartObjectives() {
 	site := lt.c.Settings.Site
 	lt.placementDelay = site.Workers.HeartbeatInterval() / 2
@@ -250,7 +253,7 @@
 const scanInterval = time.Second
 
 // tick does the leader's periodic work. It skips dispatch, the relay and the scan while the leader
-// may not renew leases, and right after a long pause of the process.
+// may not renew leases, and in the first tick after a long pause of the process.
 func (lt *leaderTerm) tick(now time.Time) {
 	if !lt.loaded || !lt.c.holdsLease() {
 		return
--- a/internal/controller/loansstatus.go
+++ b/internal/controller/loansstatus.go
@@ -19,7 +19,7 @@
 	Lent []LoanStatus `json:"lent"`
 	// Guests are the loans from other cells, at most maxLoansInStatus.
 	Guests []LoanStatus `json:"guests"`
-	// EndedGuests is the number of ended guests whose end the home cell has not recorded yet.
+	// EndedGuests is the number of ended guests whose end the home cell has not confirmed yet.
 	EndedGuests int        `json:"ended_guests"`
 	Counts      LoanCounts `json:"counts"`
 }
@@ -61,11 +61,11 @@
 type LoanCounts struct {
 	// Lent is the number of loans made to other cells.
 	Lent int64 `json:"lent"`
-	// Reclaimed is the number of loans that ended by their reclaim.
+	// Reclaimed is the number of loans that ended because the job was returned to this cell.
 	Reclaimed int64 `json:"taken_back"`
-	// Done is the number of loans that were done at their host.
+	// Done is the number of lent jobs that were completed by the other cell.
 	Done int64 `json:"done_away"`
-	// Cancelled is the number of loans that were cancelled.
+	// Cancelled is the number of lent jobs that were cancelled.
 	Cancelled int64 `json:"withdrawn_away"`
 	// Accepted is the number of guests accepted.
 	Accepted int64 `json:"guests_accepted"`
--- a/internal/controller/machinetypes.go
+++ b/internal/controller/machinetypes.go
@@ -86,9 +86,10 @@
 
 // storeMachineTypes stores the machine types for nodes that start while the cloud is unreachable.
 //
-// A list that does not fit in one record is not stored. It cannot be split, because all versions
-// read a single record, and it cannot be shortened, because a node that lacks a type would reject
-// jobs as unschedulable. A node that starts while the cloud is unreachable then waits for the cloud.
+// A list that does not fit in one record is not stored. It cannot be split, because nodes of all
+// versions read a single record, and it cannot be shortened, because a node that lacks a type would
+// reject jobs that need it as unschedulable. Without a stored list, a node that starts while the
+// cloud is unreachable has no machine types until it can read them from the cloud.
 func (c *Controller) storeMachineTypes(ctx context.Context, types []api.MachineType) {
 	txnCtx, cancel := context.WithTimeout(ctx, storedTypesTimeout)
 	defer cancel()
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -14,8 +14,9 @@
 const (
 	// watchBlock is the longest time that the store may wait for events before it responds.
 	watchBlock = 4 * time.Second
-	// watchTimeout abandons a request, because a connection may be lost without a reset. The
-	// leader must still receive cancellations, as the tasks of cancelled jobs must end in time.
+	// watchTimeout is the longest time that a request may take. A connection may be lost without a
+	// reset, and the leader must still receive cancellations, as the tasks of cancelled jobs must
+	// end in time.
 	watchTimeout = 5500 * time.Millisecond
 	// watchRetryDelay is the delay after a failed watch.
 	watchRetryDelay = 300 * time.Millisecond
@@ -23,7 +24,8 @@
 	watchBatchDelay = 40 * time.Millisecond
 )
 
-// watchActiveJobs sends the changes of active jobs after a revision to the owner goroutine.
+// watchActiveJobs sends the changes after a revision of the active records and the cancel key to the
+// owner goroutine.
 func (lt *leaderTerm) watchActiveJobs(from uint64) {
 	for lt.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(lt.ctx, watchTimeout)
@@ -72,8 +74,9 @@
 		case e.Put != "":
 			lt.applyActiveRecord(e.Put, e.Value, e.ModRevision)
 		default:
-			// If neither a cancellation nor this leader deleted the record, another leader did,
-			// which the election has not reported yet. How the job ended is not known here.
+			// The record was deleted. If neither a cancellation nor this leader did so, another
+			// leader did, and the election has not reported that leader yet. How the job ended
+			// is not known here.
 			id := strings.TrimPrefix(e.Delete, records.ActivePrefix)
 			if j := lt.jobs[id]; j != nil && !j.DeletesRecord() && e.ModRevision > j.ModRevision {
 				lt.stepDown()
--- a/internal/controller/zonepartition_test.go
+++ b/internal/controller/zonepartition_test.go
@@ -100,8 +100,8 @@
 
 // A leader that reaches its machines, but neither the key-value store nor the other node, must stop
 // leading before the next leader may begin. After a cancellation at the other node it must not
-// answer with an earlier phase. It is not ready, because it cannot serve new users. No task runs
-// twice under the next leader.
+// answer polls with an earlier phase. It is not ready, because it cannot serve new users. The next
+// leader starts no task of the cancelled job.
 func TestIsolatedLeaderWithItsWorkers(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, n0, n1, gate0, _ := w.startPair()
@@ -126,6 +126,7 @@
 			other.heartbeatEither(n1)
 			time.Sleep(time.Second)
 		}
+		// The isolated leader must have stopped responding well before the end of the loop.
 		if since := time.Since(lastResponse); since < 25*time.Second {
 			t.Errorf("time since the last response of the isolated leader: got %v, want at least 25 s", since)
 		}
@@ -154,7 +155,8 @@
 }
 
 // While a follower cannot reach the leader, it answers polls of unfinished jobs from the key-value
-// store. While the store rejects the follower, it forwards polls to the leader.
+// store, always with pending, as the store does not record which tasks run. While the store rejects
+// the follower, the follower forwards polls to the leader.
 func TestFollowerAnswersPollsWithoutLeaderOrStore(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, n0, n1, _, gate1 := w.startPair()
@@ -240,7 +242,7 @@
 
 // A machine that cannot reach the leader must not be terminated if another node can: it sends its
 // heartbeats to that node, which forwards them. That node first redirects a machine that may not
-// have tried the leader, and after some time it redirects every machine again.
+// have tried the leader, and redirects the machine again after redirectRetryInterval.
 func TestMachinesThatCannotReachTheLeaderAreKept(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		_, n0, n1, _, _ := w.startPair()
@@ -252,6 +254,7 @@
 			return errors.As(err, &redirect) && redirect.Leader == "n0"
 		}
 		w.checkEqual("redirected though it must know the leader", redirected(), false)
+		// From here on, the worker acts as another machine, which has not tried the leader.
 		k.status.Machine, k.status.Term = "i-2", 0
 		w.checkEqual("redirected", redirected(), true)
 		w.checkEqual("redirected again at once", redirected(), true)
@@ -268,9 +271,9 @@
 	})
 }
 
-// If the nodes refuse only each other's connections, a follower redirects machines to the leader,
-// even those in the follower's zone. It renews the task lease of a machine that returns because it
-// cannot reach the leader either.
+// The nodes refuse connections from each other, but not from machines. The follower must redirect a
+// machine to the leader once, even a machine of the follower's own zone. If the machine returns, it
+// cannot reach the leader either, and the follower renews its task lease.
 func TestMachinesAreRedirectedWhenNodesRefuseConnections(t *testing.T) {
 	for _, zone := range []string{"b", "a"} {
 		t.Run("machine of zone "+zone, func(t *testing.T) {
@@ -422,8 +425,8 @@
 	return count
 }
 
-// A node must not deliver relayed commands that have expired, and loses them when it restarts. In
-// both cases the tasks must start in the end.
+// A node must not deliver relayed commands that have expired. A node that restarts loses the commands
+// that it has not delivered. In both cases the tasks must start in the end.
 func TestRelayedCommandsAreLostOrExpire(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -491,8 +494,9 @@
 	})
 }
 
-// A machine sends heartbeats at shorter intervals than relayed commands take to arrive, while jobs
-// are submitted. No command may be overwritten by a later one or be delivered to a new agent epoch.
+// While jobs are submitted, a machine sends heartbeats every 200 ms, which is less time than a relayed
+// command takes to arrive. No command may be overwritten by a later one or be delivered to a new agent
+// epoch.
 func TestRelayedCommandsAreNotOverwritten(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		l, n0, n1, _, _, far := w.partitionZones()
--- a/internal/loadtest/cellsload/ledger.go
+++ b/internal/loadtest/cellsload/ledger.go
@@ -13,7 +13,7 @@
 	mu sync.Mutex
 	// machineOf maps each running task to its machine.
 	machineOf map[string]string
-	// jobStarts maps each job to the start of its first task.
+	// jobStarts maps each job to the time at which its first task started.
 	jobStarts map[string]time.Time
 	// homeCells maps each job to the cell to which it was submitted.
 	homeCells map[string]*cell
@@ -21,12 +21,12 @@
 	ranElsewhere map[string]bool
 	doneTasks    map[string]bool
 	// startedTwice counts starts of tasks that were already running on a machine; doneTwice counts
-	// repeated completions of a task.
+	// completions of tasks that had been completed before.
 	startedTwice, doneTwice int
 	// firstResponses and firstStarts map each term to the time at which a machine first applied a
 	// heartbeat response or command batch of that term, and first started a task under it.
 	firstResponses, firstStarts map[uint64]time.Time
-	// problems describes each violation of startedTwice.
+	// problems describes each start that startedTwice counts.
 	problems []string
 }
 
@@ -67,7 +67,8 @@
 }
 
 // firstAfter returns the times of the first response and the first task start of a term later than
-// the given one, or zero times if there are none.
+// the given one, or zero times if there are none. If there are several later terms, each time is of
+// an arbitrary one of them.
 func (l *ledger) firstAfter(term uint64) (response, start time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/loadtest/cellsload/machine.go
+++ b/internal/loadtest/cellsload/machine.go
@@ -28,8 +28,8 @@
 	mu        sync.Mutex
 	heartbeat api.Heartbeat
 	taskEnds  map[string]time.Time
-	// lastResponse is when the last heartbeat was sent that got a response. The task lease starts
-	// at this time.
+	// lastResponse is the send time of the latest heartbeat whose response was accepted, or the
+	// start of the agent epoch if there is none. The task lease starts at this time.
 	lastResponse time.Time
 	// nodeIndex is the index of the controller to which the next heartbeat is sent.
 	nodeIndex int
@@ -128,8 +128,8 @@
 	m.nodeIndex = leader
 }
 
-// completeTasks marks tasks as completed whose run time has passed. If the task lease has expired,
-// it stops all tasks and starts a new agent epoch instead.
+// completeTasks marks the tasks whose run time has passed as completed. If the task lease has
+// expired, it instead stops all tasks and starts a new agent epoch.
 func (m *machine) completeTasks() {
 	if time.Since(m.lastResponse) > taskLease {
 		for _, t := range m.heartbeat.Tasks {
@@ -189,7 +189,8 @@
 }
 
 // ServeHTTP handles commands and probes that a controller sends directly to the machine. It rejects
-// commands of an earlier term or for another agent epoch.
+// commands of an earlier term or for another agent epoch. Every response contains the machine's
+// heartbeat.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/loadtest/kvserver.go
+++ b/internal/loadtest/kvserver.go
@@ -24,9 +24,9 @@
 	return mux
 }
 
-// kvServer handles a controller's requests to the key-value store. The fake store fails only when a
-// test injects a fault, which never happens here, so its errors are ignored where they are
-// impossible. Errors of parsing numbers are ignored too: the controller's client formats them.
+// kvServer handles a controller's requests to the key-value store. No faults are injected into the
+// fake store here, so get, list and grantLease ignore its errors, which only faults cause. Errors of
+// parsing numbers are ignored too: the controller's client formats them.
 type kvServer struct{ fake *kvtest.Fake }
 
 func (s kvServer) get(w http.ResponseWriter, r *http.Request) {
--- a/internal/loan/model_test.go
+++ b/internal/loan/model_test.go
@@ -53,7 +53,7 @@
 
 	cancelRequested                  bool
 	runningAtHome, runningAtHost     bool
-	startsAtHome, startsAtHost, ends int
+	startsAtHome, startsAtHost, ends int // ends counts the completions recorded by homeTxn
 	loans                            int
 }
 
@@ -132,8 +132,8 @@
 	m.retryHomeTxn(l)
 }
 
-// retryHomeTxn commits the leader's unresolved transaction. With its response, whether it was
-// applied or a compare failed, the leader reads the record again.
+// retryHomeTxn commits the leader's unresolved transaction. If the leader receives the response, it
+// reads the record again, whether the transaction was applied or its condition failed.
 func (m *model) retryHomeTxn(l *homeLeader) {
 	if m.commit(l.unresolvedTxn) {
 		l.unresolvedTxn, l.view = nil, m.home
@@ -178,8 +178,8 @@
 	m.retryHostTxn(l)
 }
 
-// retryHostTxn commits the leader's unresolved transaction. With its response the leader reads
-// the records again, and still treats a guest that it has started as started.
+// retryHostTxn commits the leader's unresolved transaction. If the leader receives the response,
+// it reads the records again, and still treats a guest that it has started as started.
 func (m *model) retryHostTxn(l *hostLeader) {
 	if m.commit(l.unresolvedTxn) {
 		wasStarted := l.view.isStarted
@@ -230,7 +230,8 @@
 	}
 }
 
-// applyCancellation records a user's cancellation, which any node of the home cell may do.
+// applyCancellation records a user's cancellation. Any node of the home cell may record it, so it
+// depends on no leader's term or view.
 func (m *model) applyCancellation() {
 	if !m.cancelRequested || m.home.terminalPhase != "" {
 		return
@@ -377,8 +378,8 @@
 	handle(msg)
 }
 
-// checkInvariants fails the test if both cells own or run the job, or if it has ended more than
-// once.
+// checkInvariants fails the test if both cells own or run the job, if it was completed more than
+// once, if it runs at the host after it has ended at home, or if it runs at home while it is lent.
 func (m *model) checkInvariants() {
 	switch {
 	case m.runningAtHome && m.runningAtHost:
@@ -426,7 +427,7 @@
 }
 
 // runToEnd runs both cells without stale leaders, further changes of leaders and further loans
-// until the job has ended and the host has no records of it.
+// until the job has ended and the host has neither a guest record nor an end record of it.
 func (m *model) runToEnd() {
 	m.newHomeLeader()
 	m.newHostLeader()
@@ -458,8 +459,8 @@
 }
 
 // Lost, late, repeated and reordered messages and transactions and changes of leaders must not
-// lead to a job that runs in two cells or ends more than once. Once leaders no longer change,
-// the job ends and the host deletes its records of it.
+// lead to a job that runs in two cells or is completed more than once. Once leaders no longer
+// change, the job ends and the host deletes its guest and end records of it.
 func TestJobHasOneOwnerUnderAllFaults(t *testing.T) {
 	const seeds, steps = 6000, 600
 	atHost := 0
