--- a/internal/cluster/imagecache.go
+++ b/internal/cluster/imagecache.go
@@ -24,7 +24,7 @@
 func (c *ImageCache) Has(image string) bool { _, ok := c.Entries[image]; return ok }
 
 // Add records that a job's image is in use on the machine, and evicts the least recently used other
-// images while the cache exceeds its capacity.
+// images while the cache exceeds its capacity. With a capacity of 0 nothing is evicted.
 func (c *ImageCache) Add(s *api.JobSpec, capacityGB float64, now time.Time) {
 	if c.Entries == nil {
 		c.Entries = map[string]cachedImage{}
--- a/internal/cluster/runstats.go
+++ b/internal/cluster/runstats.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// RunStats summarizes completed runs of a job's tasks.
+// RunStats summarizes completed runs of a job's tasks. An overrun is a run that took much longer than
+// the job's estimate.
 type RunStats struct {
 	Count        int
 	TotalTime    time.Duration
--- a/internal/controller/answerchecker_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -39,7 +39,7 @@
 	doneAt               time.Time
 	submitted, cancelled bool
 	// firstAcceptance is the number of the first answer that showed the job as accepted, firstEnd
-	// of the first that showed it as ended; 0 if there was none.
+	// that of the first answer that showed it as ended; 0 if there was none.
 	firstAcceptance, firstEnd int
 	// end is the phase in the first answer that showed the job as ended, endAt when it was
 	// received.
@@ -193,8 +193,8 @@
 	return response.err
 }
 
-// resubmitInvalid repeats a submission with a missing field, which a node answers with the state of
-// the recorded job, and records the answer.
+// resubmitInvalid requests the state of the recorded job, as the HTTP server does when a submission
+// with a missing field is repeated, and records the answer.
 func (c *answerChecker) resubmitInvalid(n *node, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
@@ -264,8 +264,9 @@
 type answerStep struct {
 	// requestNumber is the number of the request; 0 if it is sent after all earlier answers.
 	requestNumber int
-	verb          string
-	phase         string
+	// verb is the kind of request; "created" is a submission answered as newly created.
+	verb  string
+	phase string
 }
 
 // unknownJob is the phase in an answerStep that stands for ErrUnknownJob.
@@ -373,8 +374,8 @@
 	},
 }
 
-// Guards against an answerChecker that misses violations of its rules, or reports allowed answers;
-// the tests with users rely on it.
+// An answerChecker must report violations of its rules and must not report allowed answers, because
+// the tests with simulated users rely on it.
 func TestAnswerCheckerRules(t *testing.T) {
 	for _, c := range answerCheckerCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -28,7 +28,7 @@
 	// goroutines counts the goroutines that must end before the nodes are stopped.
 	goroutines sync.WaitGroup
 
-	// mu guards the fields below and the fields of jobs.
+	// mu guards the fields below, the fields of jobs, and nodes and hangUntil of the cells.
 	mu sync.Mutex
 	// jobs holds all submitted jobs by id.
 	jobs map[string]*cellJob
@@ -67,7 +67,7 @@
 	duration time.Duration
 	// endPhase is the final phase that was answered to the user, or "".
 	endPhase string
-	// cancelledAt is when a cancellation was confirmed.
+	// cancelledAt is when the job was first answered as cancelled.
 	cancelledAt time.Time
 	// lent is set once a task of the job has run in another cell.
 	lent bool
@@ -228,8 +228,8 @@
 	g.responseCut[from+">"+to] = cut
 }
 
-// runMachines has all machines run their tasks and send heartbeats every 300 ms, and checks the
-// invariants each time.
+// runMachines has all machines that do not hang run their tasks and send heartbeats every 300 ms, and
+// checks the invariants each time.
 func (g *cellGroup) runMachines(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, c := range g.cells {
@@ -301,7 +301,7 @@
 }
 
 // check checks the invariants over all cells: each task runs on at most one machine, no team exceeds its
-// limit, and the tasks of cancelled or ended jobs do not continue to run.
+// limit, and no task of a cancelled or done job runs except as checkMayRun allows.
 func (g *cellGroup) check() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -332,7 +332,8 @@
 }
 
 // checkMayRun checks that a task of a job may run on a machine of cell c, and records whether the job
-// was lent. The caller holds g.mu.
+// was lent. After a job is answered as cancelled, its tasks may run for 30 seconds more, but only in
+// its home cell. The caller holds g.mu.
 func (g *cellGroup) checkMayRun(j *cellJob, c *cell, task, machine string) {
 	if c != j.home {
 		j.lent = true
@@ -368,7 +369,8 @@
 	}
 }
 
-// submit submits a job in a cell, and retries until it is accepted. The job's tasks run for duration.
+// submit submits a job in a cell, and retries until it is accepted, for up to 20 rounds over the cell's
+// nodes. The job's tasks run for duration.
 func (g *cellGroup) submit(c *cell, s *api.JobSpec, duration time.Duration) {
 	g.t.Helper()
 	g.mu.Lock()
@@ -409,8 +411,8 @@
 	return last
 }
 
-// cancel requests a job's cancellation once per second until it is confirmed, at most as many times as
-// seconds. It returns the phase that was answered, or "not confirmed".
+// cancel requests a job's cancellation until it is confirmed. It makes at most as many attempts as
+// seconds says, with pauses of one second. It returns the phase that was answered, or "not confirmed".
 func (g *cellGroup) cancel(id string, seconds int) string {
 	j := g.job(id)
 	for i := range seconds {
@@ -489,7 +491,7 @@
 // their ids. Each task runs for duration.
 func (g *cellGroup) submitBurst(c *cell, first, jobs int, duration time.Duration) (ids []string) {
 	for i := range jobs {
-		s := spec(fmt.Sprintf("job-%d", first+i), 3+i%4) // only part of the tasks of some jobs start at first
+		s := spec(fmt.Sprintf("job-%d", first+i), 3+i%4) // some jobs start only part of their tasks at first
 		if i%3 == 2 {
 			s.Team = "blue"
 		}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -120,7 +120,8 @@
 	machines sync.Map
 	// ctx is cancelled at the end of the test, which stops all nodes.
 	ctx context.Context
-	// nodeGoroutines counts the goroutines that run until ctx is cancelled.
+	// nodeGoroutines counts the goroutines of the nodes, which run until the node crashes or ctx is
+	// cancelled.
 	nodeGoroutines sync.WaitGroup
 }
 
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -26,7 +26,7 @@
 // add makes a node reachable under a name, and returns it.
 func (l *peerLinks) add(name string, n *node) *node { l.nodes.Store(name, n); return n }
 
-// peerNode has the requests that a node of any version handles for its peers.
+// peerNode contains the methods by which a node of any version handles requests from its peers.
 type peerNode interface {
 	PeerJob(ctx context.Context, id string) (api.JobState, error)
 	PeerStatus(ctx context.Context, from cancellation.Position) (membership.PeerStatus, error)
@@ -84,8 +84,8 @@
 	return n.LeaderResigned(ctx, self, term)
 }
 
-// voter has the requests of the lease quorum protocol, which nodes of the version in production
-// lack.
+// voter contains the methods by which a node handles requests of the lease quorum protocol. Nodes of
+// the version in production do not support this protocol.
 type voter interface {
 	PeerVote(ctx context.Context, term uint64) (bool, error)
 	PeerPromise(ctx context.Context, term uint64) (time.Duration, error)
--- a/internal/failuredetector/pauses_test.go
+++ b/internal/failuredetector/pauses_test.go
@@ -11,11 +11,12 @@
 	for _, c := range []struct {
 		name string
 		gap  time.Duration
-		// seenAgo is how long before the last tick the machine was seen, and wantSeenAgo how long
-		// before the present tick it must count as seen.
+		// seenAgo is the time from LastSeen to the previous tick, negative if the machine was seen
+		// after that tick. wantSeenAgo is the expected time from LastSeen to this tick.
 		seenAgo, wantSeenAgo time.Duration
-		want                 bool
-		wantPause            bool
+		// want is whether a long pause is expected.
+		want      bool
+		wantPause bool
 	}{
 		{"in time", pauseThreshold - 1, 3 * time.Second, 3*time.Second + pauseThreshold - 1, false, false},
 		{"short pause", pauseThreshold, 3 * time.Second, 3 * time.Second, false, true},
@@ -83,8 +84,8 @@
 	}
 }
 
-// After a pause of this process, machines that were not seen during the pause are not suspect. A dead
-// machine becomes suspect some time after the process resumes.
+// Right after a long pause of this process, machines that were not seen during the pause are not
+// suspect. A dead machine is probed at the latest 4 seconds after the process resumes.
 func TestPauseDelaysSuspicion(t *testing.T) {
 	d := newDetector(t)
 	m := machineSeen(0)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,7 +14,8 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// answers is a fake Handler with fixed responses: those of a leader in the given term.
+// answers is a fake Handler. It responds like a leader in the given term that knows job-1 but not
+// job-2. Queries of other jobs and loan requests fail.
 type answers struct{ term uint64 }
 
 func (a answers) Job(_ context.Context, id string) (*JobStatus, error) {
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// newPipeClient returns a client connected by a pipe, and the other end of the pipe. Unless h is nil,
-// it handles the requests.
+// newPipeClient returns a client connected by a pipe, and the server's end of the pipe. Unless h is
+// nil, h handles the requests that arrive there.
 func newPipeClient(t *testing.T, h Handler) (*Client, net.Conn) {
 	t.Helper()
 	clientEnd, serverEnd := net.Pipe()
--- a/internal/records/accept.go
+++ b/internal/records/accept.go
@@ -25,9 +25,9 @@
 	return st, created, wrapError("accept", spec.ID, err)
 }
 
-// acceptInOneTxn accepts a job with dependencies in one transaction if this node has cached the
-// records of all its dependencies. It reports whether it did so; if not, or if the outcome is
-// unknown, it returns false and the caller must read the records one by one.
+// acceptInOneTxn accepts a job with dependencies in one transaction if this node has cached all its
+// direct and indirect dependencies and the transaction has room for their compares. It returns true
+// only if the job is known to be accepted; otherwise the caller must read the records from the store.
 func (r *Records) acceptInOneTxn(ctx context.Context, sub *submission) bool {
 	if r.cache == nil || len(sub.spec.DependsOn) == 0 || sub.list != nil {
 		return false
@@ -52,8 +52,8 @@
 // submission is a job to be accepted, with the records to be written for it.
 type submission struct {
 	spec *api.JobSpec
-	// record becomes the job's active record. list and listRecords are set if the dependencies
-	// are listed in separate records.
+	// record becomes the job's active record, unless a dependency is cancelled. list and listRecords
+	// are set if the dependencies are listed in separate records.
 	record      ActiveRecord
 	list        *DependencyList
 	listRecords []DependencyRecord
@@ -94,8 +94,8 @@
 	if err != nil {
 		return st, false, err
 	}
-	// If a dependency is cancelled after this check, whichever node leads then finds this job
-	// among its dependents.
+	// If a dependency is cancelled after this check, the leader at that time finds this job among
+	// the dependents of the cancelled job.
 	if !cancelled && sub.list != nil {
 		written, err := r.writeDependencies(ctx, id, sub.list, sub.listRecords)
 		if err != nil {
--- a/internal/records/dependencies_test.go
+++ b/internal/records/dependencies_test.go
@@ -87,8 +87,8 @@
 	return keys
 }
 
-// putMaxDependencies writes as many done jobs as the dependencies of one submission can name, and
-// returns their names.
+// putMaxDependencies writes as many done jobs as one submission can name as dependencies, with 400
+// bytes left for its other fields, and returns their names.
 func putMaxDependencies(t *testing.T, s kv.Service) (ids []string) {
 	t.Helper()
 	for size := 400; size+len(`"job-1000",`) <= api.MaxBodyBytes; size += len(`"job-1000",`) {
@@ -106,8 +106,8 @@
 	{ValueKB: 128, TxnOps: 20},
 }
 
-// A job may have as many dependencies as its submission has room for, however small the values of
-// the store are. No value and no transaction may exceed the limits of the store.
+// A job may have as many dependencies as its submission has room for, however low the store's limit
+// on the size of a value is. No value and no transaction may exceed the limits of the store.
 func TestMoreDependenciesThanARecordHolds(t *testing.T) {
 	for _, limits := range testedLimits {
 		t.Run(fmt.Sprintf("%v KiB, %d operations", limits.ValueKB, limits.TxnOps), func(t *testing.T) {
@@ -142,7 +142,8 @@
 	}
 	rec := activeRecord(t, store, "job-1")
 	checkDependencies(t, &recs, ids)
-	// A version without support for lists reads only the placeholder, and waits.
+	// A version without support for lists takes the placeholder for the only dependency, and never
+	// starts the job because no job has this name.
 	if !slices.Equal(rec.Spec.DependsOn, []string{records.DependencyListPlaceholder}) {
 		t.Errorf("active record: got %d dependencies, want only the placeholder", len(rec.Spec.DependsOn))
 	}
@@ -178,8 +179,9 @@
 	return decode(t, e.Key, e.Value, rec).(records.ActiveRecord)
 }
 
-// If any transaction that writes a long list is applied late or never, or its response is lost, an
-// active job still has its complete list, and a repeated submission writes only the missing records.
+// If the transactions that write a long list are applied late, or their responses are lost, an active
+// job still has its complete list, and a repeated submission completes the list without excess
+// records. Transactions that are applied after the job ended write no records.
 func TestLongListInterruptedAnywhere(t *testing.T) {
 	faults := map[string]func(*kvtest.Fake, func(kv.Txn) bool){
 		"delayed":       (*kvtest.Fake).Delay,
@@ -194,8 +196,9 @@
 	}
 }
 
-// testInterruptedList accepts a job with a long list while a fault affects all transactions after
-// the first few, whose number is applied. Then it accepts the job at another node without the fault.
+// testInterruptedList accepts a job with a long list while a fault affects all transactions but the
+// first ones; applied is the number of those. Then it accepts the job at another node without the
+// fault.
 func testInterruptedList(t *testing.T, applied int, inject func(*kvtest.Fake, func(kv.Txn) bool)) {
 	t.Helper()
 	limits := config.KVLimits{ValueKB: 1, TxnOps: 3}
@@ -282,7 +285,7 @@
 	checkDependencies(t, &recs, ids)
 }
 
-// pipelineShapes contains, by shape of the pipeline, a function that returns the dependencies of
+// pipelineShapes maps the name of each pipeline shape to a function that returns the dependencies of
 // job number i.
 var pipelineShapes = map[string]func(i int) []string{
 	"chain": func(i int) []string { return []string{fmt.Sprint("job-", i-1)} },
--- a/internal/records/terminal.go
+++ b/internal/records/terminal.go
@@ -55,8 +55,9 @@
 	return r.terminalCache.Get(id)
 }
 
-// readTerminalRanges adds the terminal records of jobs to found. It reads pages that each begin at
-// one of the jobs, so it sends at most one request per job and at most one per page of the range.
+// readTerminalRanges adds the terminal records of jobs to found. Each page that it reads begins at the
+// first job not yet read. So the number of requests exceeds neither the number of jobs nor the number
+// of pages between the first and the last job.
 func (r *Records) readTerminalRanges(ctx context.Context, ids []string, found map[string]TerminalRecord) error {
 	ids = slices.Clone(ids)
 	slices.Sort(ids)
@@ -89,7 +90,7 @@
 }
 
 // predecessor returns a string that sorts before id and after every other job ID that sorts before
-// id.
+// id: the digits, of which the number in a job ID consists, sort before "~".
 func predecessor(id string) string {
 	last := len(id) - 1
 	return id[:last] + string(id[last]-1) + "~"
