--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -12,11 +12,11 @@
 	"example.org/ivytrestle/internal/cluster"
 )
 
-// CommandSender sends commands to a machine outside heartbeat responses. Its methods return
-// api.ErrCommandsNotApplied or api.ErrCommandsOutcomeUnknown on failure.
+// CommandSender sends commands to a machine outside heartbeat responses.
 type CommandSender interface {
 	// SendCommands sends a batch of commands, and returns the sequence number of the first
-	// heartbeat that must show their attempts.
+	// heartbeat that must show their attempts. An error wraps api.ErrCommandsNotApplied or
+	// api.ErrCommandsOutcomeUnknown.
 	SendCommands(ctx context.Context, addr string, commands *api.CommandBatch) (seq uint64, err error)
 	// Resync raises a machine's fencing token to a term and returns a heartbeat with that token.
 	Resync(ctx context.Context, addr string, term uint64) (*api.Heartbeat, error)
@@ -29,9 +29,9 @@
 // machine's fencing token and agent epoch have not changed. Therefore:
 //
 //   - Until the command is acknowledged, or if its outcome remains unknown, the attempt counts as on
-//     the machine, even if heartbeats do not show it. This ends with a new agent epoch, with the
-//     machine's termination, or once a heartbeat shows the attempt, since a command is applied at
-//     most once.
+//     the machine, even if heartbeats do not show it. It counts so until the machine has a new agent
+//     epoch, is terminated, or sends a heartbeat that shows the attempt. From that heartbeat on, the
+//     heartbeats can be relied on, since a command is applied at most once.
 //   - A machine that does not acknowledge a command is assigned no more tasks, and is terminated
 //     immediately if the job has ended.
 //   - A command counts as not applied only if the machine reports so, or if no connection to the
@@ -56,7 +56,7 @@
 	// directBackoff. The leader may have lost the connection to all machines, and each failed
 	// batch keeps its tasks pending for a while and its machine unused for longer.
 	maxDirectFailures = 4
-	// directBackoff is the pause after maxDirectFailures failed command batches.
+	// directBackoff is how long no command batch is sent after maxDirectFailures have failed.
 	directBackoff = 3 * time.Second
 )
 
@@ -192,7 +192,8 @@
 const reasonOutcomeUnknown = "order unanswered"
 
 // terminateIfOutcomeUnknown terminates an attempt's machine if the attempt's start may still be applied
-// there. It is called when the job has ended: only the termination prevents the start in time.
+// there. It is called when the job has ended: only the termination prevents the start, and an evacuated
+// machine is otherwise terminated only once it is empty.
 func (lt *leaderTerm) terminateIfOutcomeUnknown(a *cluster.Attempt) {
 	m := a.Machine
 	startMayApply := a.DirectStart != nil && a.DirectStart.OutcomeUnknown && a.LastSeenHeartbeat == 0
--- a/internal/controller/directcommands_test.go
+++ b/internal/controller/directcommands_test.go
@@ -154,8 +154,9 @@
 	return running
 }
 
-// Guards against starts that wait for the next heartbeat if the heartbeat interval is long, and against
-// a stale heartbeat, in transit while the commands are applied, that makes their tasks count as lost.
+// Guards against starts that wait for the next heartbeat if the heartbeat interval is long. Also guards
+// against tasks that count as lost because a heartbeat that was sent before their start commands were
+// applied reaches the leader afterwards.
 func TestCommandBatchStartsTasksBetweenHeartbeats(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n, sender, agents := w.startWithSlowHeartbeats(2)
@@ -491,7 +492,8 @@
 }
 
 // heartbeatAndCountTasks sends a heartbeat from each of the agents and returns the number of tasks that
-// run a second later. It fails if a task runs twice on the machines in all, without those terminated.
+// run a second later. The test fails if a task runs twice on those machines of all that are not
+// terminated.
 func heartbeatAndCountTasks(w *simulatedCluster, n *node, agents []*worker, all map[string]*worker) int {
 	w.t.Helper()
 	for _, agent := range agents {
@@ -515,8 +517,8 @@
 
 // Guards against a leader that reserves its capacity for undeliverable starts, or terminates live
 // machines, because its command batches and probes reach no machine. It must send only few batches, and
-// must not confirm the first suspect machines as dead. Machines whose heartbeats another node forwards
-// must receive starts in heartbeat responses.
+// must not confirm any machine as dead, not even the first suspect ones. Machines whose heartbeats
+// another node forwards must receive starts in heartbeat responses.
 func TestLeaderWhoseCommandBatchesReachNoMachine(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		const machines = 50
--- a/internal/controller/manyjobs_test.go
+++ b/internal/controller/manyjobs_test.go
@@ -142,9 +142,9 @@
 	})
 }
 
-// changeLeaders causes three leader changes: the leader restarts at once; the key-value store rejects
-// the requests of the leader only, so that it steps down; the leader stays down until its lease has
-// expired.
+// changeLeaders waits for a while, and then causes three leader changes: the leader restarts at once; the
+// key-value store rejects the requests of the leader only, so that it steps down; the leader stays down
+// until its lease has expired.
 func (tn *userCluster) changeLeaders(after time.Duration) {
 	time.Sleep(after)
 	i := tn.awaitLeader()
--- a/internal/controller/productionnode_test.go
+++ b/internal/controller/productionnode_test.go
@@ -21,9 +21,9 @@
 	"example.org/ivytrestle/internal/relay"
 )
 
-// The following types are the records of the version in production, the first version beside which
-// later ones had to work. They have only the fields that a scripted node needs; the golden tests have
-// all of them. Other fields of a record are ignored, as that version does.
+// The following types are the records of the version in production, the first version with which later
+// ones must work in one cluster. They have only the fields that a scripted node needs; the golden tests
+// have all of them. Other fields of a record are ignored, as they are by that version.
 
 // oldSpec is the specification of a job.
 type oldSpec struct {
@@ -215,7 +215,7 @@
 	return slices.DeleteFunc([]string{"n0", "n1"}, func(name string) bool { return name == o.name })
 }
 
-// tick does one round of the node's periodic work, five times a second: it pings the other nodes,
+// tick does one round of the node's periodic work, up to five times a second: it pings the other nodes,
 // reads the leader key, and acts as leader or as follower.
 func (o *oldNode) tick(ctx context.Context) {
 	o.ping(ctx)
@@ -325,7 +325,7 @@
 	}
 }
 
-// PeerStatus implements linked.
+// PeerStatus implements peerNode.
 func (o *oldNode) PeerStatus(_ context.Context, from cancellation.Position) (membership.PeerStatus, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -348,7 +348,7 @@
 	return status, nil
 }
 
-// LeaderResigned implements linked.
+// LeaderResigned implements peerNode.
 func (o *oldNode) LeaderResigned(ctx context.Context, node string, _ uint64) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -370,7 +370,7 @@
 	time.Sleep(time.Second)
 }
 
-// PeerJob implements linked. It reads the job from the store.
+// PeerJob implements peerNode. It reads the job from the store.
 func (o *oldNode) PeerJob(ctx context.Context, id string) (api.JobState, error) {
 	return o.Job(ctx, id)
 }
@@ -432,8 +432,8 @@
 	time.Sleep(200 * time.Millisecond)
 }
 
-// cancel cancels a job in one transaction, which it retries if the record has changed. It returns the
-// final phase, which differs from "withdrawn" if the job had ended before.
+// cancel cancels a job in one transaction, which it retries until it succeeds or the job is no longer
+// active. It returns the job's final phase: "withdrawn", unless the job had already ended in another.
 func (o *oldNode) cancel(id string) string {
 	ctx := context.Background()
 	for {
@@ -679,7 +679,7 @@
 	return o.ForwardedHeartbeat(ctx, hb)
 }
 
-// ForwardedHeartbeat implements linked.
+// ForwardedHeartbeat implements peerNode.
 func (o *oldNode) ForwardedHeartbeat(_ context.Context, hb *api.Heartbeat) (api.HeartbeatResponse, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -725,8 +725,8 @@
 	return kv.Op{Put: key, Value: oldShard{machines}}
 }
 
-// mergeShards writes all machines to one shard, which the limits of that version allow, and deletes
-// the other shards. It reports whether the transaction succeeded.
+// mergeShards writes all machines to one shard, whose size the limits of that version allow, and
+// deletes the other shards. It reports whether the transaction succeeded.
 func (lt *oldLeaderTerm) mergeShards() bool {
 	var txn kv.Txn
 	for key := range lt.shards {
--- a/internal/controller/twofaults_test.go
+++ b/internal/controller/twofaults_test.go
@@ -31,7 +31,8 @@
 // faultTaskLease is the task lease of the machine.
 const faultTaskLease = 10 * time.Second
 
-// faultScript maps times in milliseconds, multiples of 50 after the start, to the events at that time.
+// faultScript maps times to the events at these times. A time is in milliseconds after the start, and a
+// multiple of 50.
 type faultScript map[int]func(fc *faultCluster)
 
 // runFaultScript runs a script for some seconds, and returns after how long the task of job-2 was lost,
@@ -342,7 +343,7 @@
 	}
 }
 
-// If a cancellation may take no longer than the task lease, or hardly longer, its time limit cannot be
+// If the time limit of a cancellation is shorter than the task lease, or not much longer, it cannot be
 // guaranteed. Heartbeats must still get responses while the key-value store responds.
 func TestServiceWithShortCancellationLimit(t *testing.T) {
 	for _, cancelS := range []float64{0.5, 9, 10, 10.6, 12, 20.5} {
@@ -372,8 +373,8 @@
 
 // A new leader does not have the cancellations of earlier terms in its log, only their results in the
 // key-value store, so its ping responses do not contain them. A follower that renews task leases on
-// behalf of the leader may therefore rely on the responses only once every machine with a valid task
-// lease must have got a response in this term.
+// behalf of the leader may therefore rely on the responses only once the term has lasted so long that
+// every machine whose task lease is still valid has got a response in this term.
 func TestFollowerDoesNotRelyOnANewLeader(t *testing.T) {
 	for after := 9 * time.Second; after < faultTaskLease; after += 100 * time.Millisecond {
 		simulate(t, func(sim *simulatedCluster) {
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -102,7 +102,7 @@
 // after their duration, and end when the task lease expires.
 type backgroundAgent struct {
 	*worker
-	// taskStartedAt holds, by task, when the task started.
+	// startedAt holds, by task, when the task started.
 	startedAt map[string]time.Time
 	// lastSent is when the last heartbeat was sent.
 	lastSent time.Time
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -311,8 +311,8 @@
 	mc.submit(mc.new, dependentSpec("job-3", "red", 2, "job-2"))
 }
 
-// countAwaitingDependencies returns the number of jobs that are pending for their dependencies
-// according to the leader's status.
+// countAwaitingDependencies returns the number of jobs that wait for their dependencies according
+// to the leader's status.
 func (mc *mixedCluster) countAwaitingDependencies() int {
 	mc.t.Helper()
 	status, err := mc.new.Status(context.Background())
@@ -457,11 +457,11 @@
 // cancelled job. That is a known limit of a rollback (docs/operations.md). The next leader of the
 // current version must not start further tasks too early, must keep the running ones, and must cancel
 // all dependents of a cancelled job. A rollback must have none of these effects if it begins when
-// no job is pending for its dependencies.
+// no job waits for its dependencies.
 func TestUpgradeRolledBack(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// wait is set if the rollback begins only when no job is pending for its dependencies.
+		// wait is set if the rollback begins only when no job waits for its dependencies.
 		wait bool
 		// then runs after the new node leads again.
 		then func(mc *mixedCluster)
--- a/internal/recordwriter/registry.go
+++ b/internal/recordwriter/registry.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// abandonRewrite takes a shard that no new one can replace off the rewrite queue. The shard stays
-// unchanged until another of its machines is terminated. abandonRewrite returns the shard's key.
+// abandonRewrite removes a shard from the rewrite queue because no new shard can replace it. The shard
+// stays unchanged until another of its machines is terminated. abandonRewrite returns the shard's key.
 func (w *Writer) abandonRewrite(s *cluster.Shard) string {
 	s.Stale = false
 	w.staleShards = slices.DeleteFunc(w.staleShards, func(o *cluster.Shard) bool { return o == s })
@@ -132,7 +132,7 @@
 	b.replaced = append(b.replaced, s)
 }
 
-// requeueShards queues the shard changes of a batch again that was not applied or whose outcome is
+// requeueShards queues again the shard changes of a batch that was not applied or whose outcome is
 // unknown.
 func (w *Writer) requeueShards(b *Batch) {
 	for _, s := range b.shards {
--- a/internal/recordwriter/writer_test.go
+++ b/internal/recordwriter/writer_test.go
@@ -234,8 +234,9 @@
 	checkEqual(t, "ready", w.Ready(start), true)
 }
 
-// If the store rejects a batch as invalid although it is within the configured limits, what is retried
-// is smaller.
+// If the store rejects a batch as invalid although it is within the configured limits, the writer lowers
+// the limit that the batch may have exceeded. A single machine, or the replacement of a stale shard with
+// a single machine, cannot be made smaller and is not retried. The end of a job is retried later.
 func TestRejectedBatchIsMadeSmaller(t *testing.T) {
 	machines := func(w *Writer, count int) {
 		for i := range count {
