--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -62,8 +62,9 @@
 	Since time.Time
 }
 
-// Reserve adds the attempt's resources to the usage of its machine, team and zone. It is called once
-// for an attempt.
+// Reserve adds the attempt's resources to the usage of its machine and team, and counts it in its
+// job's AttemptsByZone. If the job is not known, the whole machine counts as used. Reserve is called
+// once for an attempt.
 func (a *Attempt) Reserve() { a.adjustUsage(1) }
 
 // Release undoes Reserve and marks the attempt as exited. It does nothing if the attempt has already
@@ -76,7 +77,7 @@
 	a.adjustUsage(-1)
 }
 
-// adjustUsage adds sign times the attempt's resources to the usage of its machine, team and zone.
+// adjustUsage does the work of Reserve with sign 1, and of Release with sign -1.
 func (a *Attempt) adjustUsage(sign float64) {
 	if a.Job == nil {
 		a.Machine.adjustUnattributed(int(sign))
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -167,8 +167,8 @@
 }
 
 // RunsPerCPU returns how many tasks of the job one CPU could run in sequence, starting at from, so
-// that the last one ends by the job's next objective. It returns 1 if there is no time for a second
-// task, or if all tasks should have started by StartBy.
+// that the last one ends by the job's next objective. The result is at least 1 and may be fractional.
+// It is 1 if the job has no estimate, or if all tasks should have started by StartBy.
 func (j *Job) RunsPerCPU(from time.Time) float64 {
 	estimate := j.Spec.Estimate()
 	if !j.StartBy.IsZero() || estimate <= 0 {
--- a/internal/cluster/jobdependencies.go
+++ b/internal/cluster/jobdependencies.go
@@ -6,8 +6,9 @@
 	"example.org/ivytrestle/internal/records"
 )
 
-// DropEndedDependencies frees the names of ended dependencies once they outnumber the others. A job
-// may have thousands of dependencies and wait for the last one for a long time.
+// DropEndedDependencies frees the names of ended dependencies once they outnumber the others by more
+// than MaxEndedDependencies. A job may have thousands of dependencies and wait for the last one for a
+// long time.
 func (j *Job) DropEndedDependencies() {
 	if len(j.Spec.DependsOn) <= 2*len(j.DependsOn)+MaxEndedDependencies {
 		return
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// isCancelled reports whether this node has the cancellation of a job, or of a guest by its id with
-// loan.GuestMarker.
+// isCancelled reports whether this node has the cancellation of a job. The id of a guest job is
+// passed with the prefix loan.GuestMarker.
 func (c *Controller) isCancelled(id string) bool {
 	st, ok := c.finalStates.Peek(id)
 	return ok && st.Phase == api.JobCancelled
@@ -69,8 +69,8 @@
 }
 
 const (
-	// leaseRenewalMargin is subtracted, besides the clock drift, from the time within which a
-	// cancellation must take effect.
+	// leaseRenewalMargin is subtracted, besides the task lease and the clock drift, from the time
+	// within which a cancellation must take effect.
 	leaseRenewalMargin = 500 * time.Millisecond
 	// minLeaseRenewalWindow is the minimum window of a leader. If leases last nearly as long as a
 	// cancellation may take, the leader must read from the store at least this often.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -34,7 +34,7 @@
 
 // PeerClient sends requests to the other nodes.
 type PeerClient interface {
-	// Job returns the state of a job, or ErrUnavailable if the node cannot answer.
+	// Job returns the state of a job, or api.ErrUnavailable if the node cannot answer.
 	Job(ctx context.Context, node, id string) (api.JobState, error)
 	// Ping returns the node's status, with the part of its cancellation log after a position.
 	Ping(ctx context.Context, node string, from cancellation.Position) (membership.PeerStatus, error)
@@ -48,7 +48,7 @@
 	// lifetime that the failover settings specify.
 	Vote(ctx context.Context, node string, term uint64) (granted bool, err error)
 	// Promise requests a node's promise not to vote in a term any longer, and returns for how
-	// long the votes that it has given may still be valid. ErrUnavailable means that the node
+	// long the votes that it has given may still be valid. api.ErrUnavailable means that the node
 	// refused to promise: it does not take part in failover, leads, or still reaches the leader.
 	Promise(ctx context.Context, node string, term uint64) (wait time.Duration, err error)
 }
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -81,8 +81,8 @@
 	directFailures int
 	// nextDirectCommand is the earliest time of the next direct command.
 	nextDirectCommand time.Time
-	// startObjective is the shortest time within which an objective requires work within a
-	// guarantee to start; 0 without such an objective.
+	// startObjective is the shortest time in which work within a team's guarantee must start,
+	// according to the objectives; 0 without such an objective.
 	startObjective time.Duration
 	// placementDelay is how long pending tasks are reserved for machines that suit them better.
 	placementDelay time.Duration
@@ -100,7 +100,7 @@
 	maxDials int
 	// renewalsReadAt is when the leader last read the leases that other nodes renew on its behalf.
 	renewalsReadAt time.Time
-	// renewalRevisions holds the last read version of each of these records, by key.
+	// renewalRevisions holds the last read version of each lease renewal record, by key.
 	renewalRevisions map[string]uint64
 }
 
@@ -118,7 +118,7 @@
 	terminated, err := lru.New[string, bool](
 		c.Settings.Site.Limits.MaxEntries(terminatedMemoryFraction, terminatedEntryBytes))
 	if err != nil {
-		panic(err) // the size is not positive
+		panic(err) // lru.New fails only if the size is not positive
 	}
 	lt := &leaderTerm{
 		c:                c,
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -43,13 +43,13 @@
 }
 
 const (
-	// maxVerificationAge is how recently a term must have been read from the store for machines
-	// of an earlier term to be answered in it.
+	// maxVerificationAge is how long after the term was read from the store this node answers
+	// machines that last saw an earlier term.
 	maxVerificationAge = 5 * time.Second
 	// renewalLifetime is how long the leader relies on a renewal that another node published.
 	renewalLifetime = 8 * time.Second
-	// renewalMargin is subtracted, besides two heartbeat intervals, from the time within which a
-	// cancellation must take effect, because one watch may delay a cancellation.
+	// renewalMargin is subtracted, besides the task lease and two heartbeat intervals, from the
+	// time within which a cancellation must take effect, because one watch may delay a cancellation.
 	renewalMargin = watchTimeout + time.Second
 	// verifyTimeout limits the verification of a term, including the publication of renewals.
 	verifyTimeout = 2 * time.Second
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -128,8 +128,9 @@
 //
 // The response states what the leader itself has in memory. Cancellations of earlier terms may be
 // missing from every log that has reached this node, because a new leader only loads the jobs that
-// are still active. It has communicated these to each machine that is still alive after a task
-// lease and two heartbeat intervals. Until then this node does not rely on the response.
+// are still active. After a task lease and two heartbeat intervals, every machine that is still
+// alive has learned from the new leader which of its tasks to stop. Until then this node does not
+// rely on the response.
 func (m pingResultMsg) cancellationsKnownAt(c *Controller, leader *membership.Member, now time.Time) time.Time {
 	workers := c.Settings.Site.Workers
 	if m.status.CancellationsKnownAge < 0 {
@@ -142,7 +143,8 @@
 }
 
 // checkKVAccess makes the node unready, and makes it resign if it leads, if the key-value store
-// does not answer it but answers other nodes. Such a node cannot serve users or lead.
+// does not answer it but answers other nodes. Such a node cannot serve users or lead. If the store
+// does not answer and no other node is reachable, the node becomes unready but does not resign.
 func (c *Controller) checkKVAccess(now time.Time) {
 	if c.draining {
 		return
--- a/internal/failuredetector/requests.go
+++ b/internal/failuredetector/requests.go
@@ -94,8 +94,8 @@
 	Restarted
 	// NewHeartbeat means that the answer is a heartbeat to apply.
 	NewHeartbeat
-	// Alive means that the machine is alive although its heartbeats do not arrive. Their content
-	// is not known, so the outcome shows only that the machine is not dead.
+	// Alive means that the machine is alive although its heartbeats do not arrive. The heartbeat in
+	// the answer is not applied, so the outcome shows only that the machine is not dead.
 	Alive
 )
 
