--- a/internal/cancellation/log_test.go
+++ b/internal/cancellation/log_test.go
@@ -28,7 +28,7 @@
 // at returns the time that is the given number of seconds after start.
 func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
-// checkReader checks the period of which a reader has all cancellations.
+// checkReader checks the period for which a reader has all cancellations.
 func checkReader(t *testing.T, reader *Reader, completeSince, knownUntil time.Time) {
 	t.Helper()
 	if !reader.CompleteSince().Equal(completeSince) || !reader.KnownUntil().Equal(knownUntil) {
@@ -115,8 +115,8 @@
 	}
 }
 
-// The cancellations of 4,000 jobs, as many as 4,000 machines may lose at the same time, fit in one
-// delta, even if the memory limit is very low: a reader has all of them after one ping.
+// The cancellations of 4,000 jobs, one for each machine of a large fleet, fit in one delta, even if
+// the memory limit is very low: a reader has all of them after one ping.
 func TestLargeFleetFitsOneDelta(t *testing.T) {
 	const cancelled = 4000
 	l := NewLog(testWorkers, config.Limits{RAMMB: 3}, start)
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -84,9 +84,9 @@
 	// ExcludedMachine holds, by task, the machine that the task must avoid because it last failed or
 	// was a straggler there.
 	ExcludedMachine map[int]string
-	// FailuresByMachine counts the job's failed tasks by machine. A job that fails on every machine
-	// starts no task before BackoffUntil, so that it does not use up the fleet. BackoffCount counts
-	// the backoffs since a task of the job last completed.
+	// FailuresByMachine counts the job's failed tasks by machine. A job whose tasks fail on several
+	// machines and complete on none starts no task before BackoffUntil, so that it does not use up
+	// the fleet. BackoffCount counts the backoffs since a task of the job last completed.
 	FailuresByMachine map[string]int
 	BackoffCount      int
 	BackoffUntil      time.Time
--- a/internal/cluster/reserve_test.go
+++ b/internal/cluster/reserve_test.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// The usage of machines, teams and zones is the sum over the reserved attempts, in whatever order
-// attempts are reserved and released. Otherwise a team would permanently lose capacity or exceed its
-// limit.
+// The usage of machines and teams, and each job's attempts by zone, are the sums over the reserved
+// attempts, in whatever order attempts are reserved and released. Otherwise a team would permanently
+// lose capacity or exceed its limit.
 func TestUsageIsSumOfReservedAttempts(t *testing.T) {
 	const sequences, steps = 100, 60
 	for seed := range uint64(sequences) {
--- a/internal/cluster/shard.go
+++ b/internal/cluster/shard.go
@@ -9,7 +9,8 @@
 type Shard struct {
 	Key      string
 	Machines []*Machine
-	// Stale is set while the shard lists terminated machines and is queued to be rewritten.
+	// Stale is set while the shard lists terminated machines, or machines that another shard lists
+	// too, and is queued to be rewritten or deleted.
 	Stale bool
 	// Replaces is the shard from which this one takes over machines.
 	Replaces *Shard
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -498,7 +498,7 @@
 		for _, other := range s.runningNodes() {
 			other.inspect(func(c *Controller) {
 				c.failover.lastNewTermAt = time.Now().Add(time.Hour)
-				// As if the process had been started after term 1000: it votes in no earlier one.
+				// As if the process had been started in term 1000: it votes in no term up to that.
 				c.failover.voter.Init(1000)
 			})
 		}
@@ -509,7 +509,7 @@
 }
 
 // checkReplacedByLeaseExpiry ends the leader and checks that it required no lease quorum, and that
-// no task is started in the next term before its lease has expired.
+// no task is started in the next term before the ended leader's lease has expired.
 func (s *standbyCluster) checkReplacedByLeaseExpiry() {
 	s.t.Helper()
 	n, term := s.leader()
--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -65,8 +65,8 @@
 	votes *leasequorum.VoteSet
 	// quorumRequired is set once the leader may act only while it has a quorum of votes.
 	quorumRequired bool
-	// quorumLostAt is when the leader was first seen without a quorum that it requires or that all
-	// nodes support; zero otherwise.
+	// quorumLostAt is when the leader was first found without a quorum of votes although it
+	// requires one, or although all other nodes support votes; zero otherwise.
 	quorumLostAt time.Time
 	downlink     relayDownlink
 	recordWriter *recordwriter.Writer
--- a/internal/controller/lostresponses_test.go
+++ b/internal/controller/lostresponses_test.go
@@ -25,7 +25,7 @@
 // isCancellation reports whether a transaction cancels racedJob at a user's request.
 func isCancellation(txn kv.Txn) bool { return !txn.SelfLimited && writesPrefix(racedJobTerminal)(txn) }
 
-// isCompletion reports whether a transaction is the leader's that records how racedJob ended.
+// isCompletion reports whether a transaction is one of the leader that records the end of racedJob.
 func isCompletion(txn kv.Txn) bool { return txn.SelfLimited && writesPrefix(racedJobTerminal)(txn) }
 
 // firstMatch returns a function that matches only the first transaction that match matches.
@@ -56,7 +56,7 @@
 	writers []int
 	// request causes the transaction at a node.
 	request func(tn *userCluster, node int) error
-	// wantPhase is the job's final phase.
+	// wantPhase is the job's phase at the end of the test.
 	wantPhase string
 	// wantStarts is the number of start commands that the machines receive.
 	wantStarts int64
@@ -170,7 +170,8 @@
 	watchesBlind bool
 	// requests are sent at intervals of half a second.
 	requests []func(tn *userCluster)
-	// wantPhase is the job's final phase; if empty, both done and withdrawn are allowed.
+	// wantPhase is the job's phase at the end of the test. If it is empty, the job may be done or
+	// withdrawn, and each must occur for at least one release time.
 	wantPhase string
 }
 
@@ -229,8 +230,8 @@
 	},
 }
 
-// run releases the delayed transaction after some time. It returns the job's final phase and whether
-// the job had ended before the release.
+// run releases the delayed transaction after some time. It returns the job's phase at the end of the
+// test and whether the job had ended before the release.
 func (dt *delayedTransaction) run(w *simulatedCluster, release time.Duration) (phase string, late bool) {
 	w.t.Helper()
 	tn := newUserCluster(w, 2)
--- a/internal/failuredetector/requests_test.go
+++ b/internal/failuredetector/requests_test.go
@@ -159,7 +159,8 @@
 	name      string
 	heartbeat *api.Heartbeat
 	err       error
-	// meanwhile modifies the machine while the probe is in flight. Its result arrives at now.
+	// meanwhile modifies the machine while the probe is in flight. Its argument now is the time at
+	// which the result of the probe arrives.
 	meanwhile   func(m *cluster.Machine, now time.Time)
 	cannotApply bool
 	late        time.Duration
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -69,7 +69,7 @@
 }
 
 // A node must not take the beginning of a store outage for a partition: the store counts as lost
-// only after kvUnreachableAfter. It no longer counts as lost at its first answer.
+// only after kvUnreachableAfter. From its next answer on, it no longer counts as lost.
 func TestKVLostAfterTimeout(t *testing.T) {
 	table := newTestTable("n1")
 	table.ApplyKVHealth(true, start)
