--- a/internal/controller/leaderterm.go
+++ b/internal/controller/leaderterm.go
@@ -104,7 +104,7 @@
 	// renewalsReadAt is when the leader last read the records of the leases that other nodes renew
 	// on its behalf.
 	renewalsReadAt time.Time
-	// renewalRevisions holds the last read version of each of these records, by key.
+	// renewalRevisions holds the last read version of each lease renewal record, by key.
 	renewalRevisions map[string]uint64
 }
 
