--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -41,8 +41,8 @@
 	surplusSince time.Time
 }
 
-// View is the part of the leader's state that the autoscaler reads. The autoscaler changes nothing in
-// it but the Draining field of machines.
+// View is the part of the leader's state that the autoscaler reads. The methods that take a View change
+// nothing in it but the Draining field of machines.
 type View struct {
 	Now      time.Time
 	Machines map[string]*cluster.Machine
--- a/internal/autoscaler/constrained.go
+++ b/internal/autoscaler/constrained.go
@@ -108,8 +108,9 @@
 	return launches
 }
 
-// missingCPUsFor returns the CPUs that a demand lacks beyond the machines in use, booting and being
-// launched, and the draining machines that could serve the demand, sorted by name.
+// missingCPUsFor returns the part of a demand that fits neither in the free capacity of the machines in
+// use nor on the machines that are booting or being launched. It also returns the draining machines that
+// could serve the demand, sorted by name.
 func (a *Autoscaler) missingCPUsFor(
 	view *View, demand *constrainedDemand,
 ) (missingCPUs float64, draining []*cluster.Machine) {
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -120,9 +120,9 @@
 	return attempt.Job.Infeasible || now.Add(remaining*5/4+transfer).Before(objective)
 }
 
-// IdleMachines returns the machines to terminate: those that have been empty for long enough, the most
-// expensive first, as long as the remaining machines cover the demand peak. It subtracts their CPUs
-// from the surplus.
+// IdleMachines returns the machines to terminate: those that have been empty for the policy's idle
+// timeout, and empty machines that are draining. It takes the most expensive first, as long as the
+// remaining machines cover the demand peak, and subtracts their CPUs from the surplus.
 func (a *Autoscaler) IdleMachines(view *View) []*cluster.Machine {
 	var idle []*cluster.Machine
 	for _, m := range view.Machines {
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -47,8 +47,8 @@
 }
 
 // nextJob returns the job from which the machine takes its next task, or nil. Jobs that have waited
-// too long come first. Then come tasks within the teams' guarantees, in one order over all teams,
-// since no team has to wait for another there; then tasks beyond the guarantees, urgent ones first
+// too long come first. Then come tasks within the teams' guarantees, in one queue order over all
+// teams: fair share does not apply to them. Then come tasks beyond the guarantees, urgent ones first
 // and otherwise by the teams' fair share. These two steps are done for the jobs for which the
 // machine is preferred, and then for all jobs. Guests come last.
 func (lt *leaderTerm) nextJob(m *cluster.Machine, now time.Time) *cluster.Job {
@@ -83,7 +83,7 @@
 }
 
 // nextJobByShare returns the most urgent job whose next task is beyond its team's guarantee. Among
-// equally urgent jobs, the team that is first by fair share decides.
+// equally urgent jobs, it is the one whose team is first by fair share.
 func (lt *leaderTerm) nextJobByShare(m *cluster.Machine, preferredOnly bool, now time.Time) *cluster.Job {
 	var best *cluster.Job
 	queue.SortByShare(lt.fairShareOrder)
@@ -102,8 +102,8 @@
 	// starvedAfter is how long a job may wait for its first start before it precedes all others.
 	// It is shorter than the time within which every job must start.
 	starvedAfter = 90 * time.Second
-	// Every demotedStartInterval-th start goes to the longest waiting of the jobs that have been
-	// infeasible or deferred for too long.
+	// In every demotedStartInterval-th start, jobs that are infeasible or deferred and have been
+	// runnable for too long also precede all others.
 	demotedStartInterval = 8
 )
 
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -133,7 +133,8 @@
 	maxBackoff          = time.Minute
 )
 
-// Limits of failures since a task last completed on a machine, at which it is quarantined.
+// A machine is quarantined when either of these counts is reached. They cover the failures since a task
+// last completed on the machine.
 const (
 	// quarantineAfterJobs is the number of jobs with failed tasks.
 	quarantineAfterJobs = 2
--- a/internal/controller/cloudcalls.go
+++ b/internal/controller/cloudcalls.go
@@ -95,7 +95,8 @@
 type launchedMsg struct {
 	leaderTerm *leaderTerm
 	launch     autoscaler.Launch
-	// machines are the names of the launched machines, none if the outcome is unknown.
+	// machines are the names of the launched machines, none if the cloud has no capacity or the
+	// outcome is unknown.
 	machines []string
 }
 
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -133,7 +133,7 @@
 	lt.recordWriter.Register(m)
 }
 
-// checkCommandsApplied updates the failure detector by whether the newest heartbeat shows that any
+// checkCommandsApplied has the failure detector check whether the newest heartbeat shows that any
 // command of the last response was applied.
 func (lt *leaderTerm) checkCommandsApplied(m *cluster.Machine, now time.Time) {
 	if !lt.detector.CheckApplied(m, now, time.Now()) {
--- a/internal/controller/heartbeatrouting.go
+++ b/internal/controller/heartbeatrouting.go
@@ -204,7 +204,8 @@
 // forwardAfterRedirect reports whether a machine's heartbeats are forwarded to the leader because the
 // machine apparently cannot reach it; otherwise it records that the machine is redirected there.
 // Evidence is that the machine returns shortly after a redirect, or that it sends its heartbeats here
-// although it has had the leader's term for longer than a lease (settled). Without forwarding, all
+// although it has had the leader's term for longer than a lease (settled) and was not redirected within
+// the last two redirectRetryIntervals. Without forwarding, all
 // machines that are partitioned from a leader which this node reaches would lose their tasks. After
 // redirectRetryInterval the machine is redirected again.
 func (c *Controller) forwardAfterRedirect(machine, leader string, term uint64, settled bool, now time.Time) bool {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -82,12 +82,12 @@
 	)
 }
 
-// ordinaryRank is the lowest rank of jobs that are ordered by their objectives. Of jobs that are
-// equally feasible, those of lower ranks are served before them.
+// ordinaryRank is the rank from which on jobs are ordered by their objectives. Among equally feasible
+// jobs, those of lower ranks are served before these.
 const ordinaryRank = 2
 
-// UrgencyRank returns the job's rank, capped at ordinaryRank. Jobs of lower ranks come first by rank
-// alone; all others are equally urgent.
+// UrgencyRank returns the job's rank, capped at ordinaryRank: all jobs of that rank or a higher one are
+// equally urgent.
 func UrgencyRank[T Item](item T) int { return min(item.Rank(), ordinaryRank) }
 
 // Before reports whether a is served before b, not considering fair share.
@@ -113,8 +113,8 @@
 		(gpus == 0 || t.UsedGPUs+uncertainGPUs+gpus <= t.LimitGPUs+epsilon)
 }
 
-// Utilization returns the team's usage divided by its share, by the resource that it uses most. For a
-// team without a share it returns the sum of its usage.
+// Utilization returns the larger of the team's used CPUs and used GPUs, divided by its share. For a
+// team without a share it returns the sum of both.
 func (t *Team[T]) Utilization() float64 {
 	if t.Share <= 0 {
 		return t.UsedCPUs + t.UsedGPUs
