--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -94,7 +94,7 @@
 }
 
 const (
-	// minBilledTime is the shortest uptime that the cloud charges for.
+	// minBilledTime is the uptime that the cloud charges for even if a machine is terminated earlier.
 	minBilledTime       = 30 * time.Second
 	maxLaunchesInFlight = 3
 	listInterval        = 5 * time.Second
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -122,7 +122,8 @@
 
 // IdleMachines returns the machines to terminate: those that have been empty for the policy's idle
 // timeout, and empty machines that are draining. It takes the most expensive first, as long as the
-// remaining machines cover the demand peak, and subtracts their CPUs from the surplus.
+// remaining machines cover the demand peak, and subtracts their CPUs from the surplus. Machines are
+// kept for at least minBilledTime.
 func (a *Autoscaler) IdleMachines(view *View) []*cluster.Machine {
 	var idle []*cluster.Machine
 	for _, m := range view.Machines {
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -102,7 +102,7 @@
 	// starvedAfter is how long a job may wait for its first start before it precedes all others.
 	// It is shorter than the time within which every job must start.
 	starvedAfter = 90 * time.Second
-	// In every demotedStartInterval-th start, jobs that are infeasible or deferred and have been
+	// For every demotedStartInterval-th start, jobs that are infeasible or deferred and have been
 	// runnable for too long also precede all others.
 	demotedStartInterval = 8
 )
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -30,8 +30,8 @@
 	}
 	a.Reserve()
 	if a.Job != nil && (a.Job.ActiveAttempts[task] == nil || a.Job.ActiveAttempts[task].Key.ID < key.ID) {
-		// Of two attempts at a task the later one is kept: it was started only once the
-		// earlier one was known to be off its machine.
+		// Of two attempts at a task, the later one is the active one: it was started only
+		// once the earlier one was known to be off its machine.
 		a.Job.ActiveAttempts[task] = a
 		a.Job.Flight.Take(task)
 		a.Job.Flight.Join(m.Name)
--- a/internal/controller/directcommands_test.go
+++ b/internal/controller/directcommands_test.go
@@ -155,7 +155,7 @@
 }
 
 // Guards against starts that wait for the next heartbeat if the heartbeat interval is long, and against
-// a stale heartbeat, in transit while the commands are applied, that makes their tasks count as lost.
+// tasks that count as lost because a stale heartbeat was in transit while their starts were applied.
 func TestCommandBatchStartsTasksBetweenHeartbeats(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n, sender, agents := w.startWithSlowHeartbeats(2)
@@ -490,8 +490,9 @@
 	})
 }
 
-// heartbeatAndCountTasks sends a heartbeat from each of the agents and returns the number of tasks that
-// run a second later. It fails if a task runs twice on the machines in all, without those terminated.
+// heartbeatAndCountTasks sends a heartbeat from each of the agents. It returns the number of tasks that
+// run a second later on those machines of all that are not terminated, and fails the test if a task runs
+// twice on them.
 func heartbeatAndCountTasks(w *simulatedCluster, n *node, agents []*worker, all map[string]*worker) int {
 	w.t.Helper()
 	for _, agent := range agents {
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -33,7 +33,7 @@
 // another: it has the image, or waiting for machines that have it would take longer than the fetch,
 // or the job has been skipped for too long. On a full fleet, capacity becomes free wherever a task
 // ends. If each of these machines fetched another image, much of the capacity would be idle during
-// the fetches. A first skip of the job is recorded in SkippedSince.
+// the fetches. SkippedSince is set at the first machine that would have to fetch the image.
 func (lt *leaderTerm) isPreferredMachine(j *cluster.Job, m *cluster.Machine, now time.Time) bool {
 	fetch := lt.fetchTime(j, m)
 	if fetch == 0 {
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -54,7 +54,8 @@
 	return cases
 }
 
-// runAround runs f before the change if the offset is negative, and otherwise during the change.
+// runAround makes the change, and runs f at the case's offset from its start; if the offset is negative,
+// f returns that long before the change.
 func (c leaderChangeCase) runAround(s *checkedCluster, f func()) {
 	if c.offset < 0 {
 		f()
@@ -427,9 +428,9 @@
 }
 
 // Guards against lost or duplicated tasks when controllers restart: leadership is handed over and back,
-// all controllers crash and one restarts, all are down for longer than a lease, and the leader changes
-// ten times in two minutes, with and without outages of the store. Each script starts at several
-// offsets from the submissions.
+// all controllers crash and restart one after the other, all are down for longer than a lease, and the
+// leader changes ten times in two minutes, with and without outages of the store. Each script starts at
+// several offsets from the submissions.
 func TestControllerRestartsAndHandovers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -462,7 +463,8 @@
 	}
 }
 
-// runUnreachableMachines changes the leader while two machines of a job have a fault.
+// runUnreachableMachines injects a fault into two machines of a job, and changes the leader at the case's
+// offset from the injection.
 func (s *checkedCluster) runUnreachableMachines(c leaderChangeCase, fault func(*host), duration time.Duration) {
 	s.t.Helper()
 	s.submitJob(70*time.Second, teamSpec("job-1", "red", 12))
@@ -542,7 +544,7 @@
 }
 
 // Guards against duplicated tasks and late cancellations when a direct command or its response is
-// delayed for seconds, or the machine hangs within its lease and then continues. Meanwhile its job is
+// delayed by up to 50 s, or the machine hangs within its lease and then continues. Meanwhile its job is
 // cancelled, in some cases with a restart of the leader. A task that may still start must count as
 // started, and a task that starts late must be off its machine within the time limit of a
 // cancellation.
@@ -562,7 +564,8 @@
 	} {
 		for _, restart := range []bool{false, true} {
 			for offset := time.Duration(0); offset < 4*time.Second; offset += step {
-				// Small jobs start first, on the machines with the least free capacity.
+				// Every second case also cancels job-2, which is the smaller job. Small jobs start
+				// first, on the machines with the least free capacity.
 				cancelled := []string{"job-1", "job-2"}[:1+offset/step%2]
 				t.Run(fmt.Sprint(f.name, ", restart ", restart, " ", offset), func(t *testing.T) {
 					simulateSlowHeartbeats(t, 5, func(s *checkedCluster) {
@@ -641,7 +644,7 @@
 }
 
 // injectRandomFault injects a fault of a machine, of a controller or of the key-value store,
-// heals a machine, or cancels one of the jobs submitted so far.
+// replays a machine's heartbeats, heals a machine, or cancels one of the jobs submitted so far.
 func (s *checkedCluster) injectRandomFault(rnd *rand.Rand, jobs int) {
 	s.t.Helper()
 	machine := s.hosts[rnd.IntN(len(s.hosts))]
@@ -753,7 +756,8 @@
 	return count * 100 / len(ids)
 }
 
-// runOverload checks that urgent jobs are done first while heartbeat responses are delayed.
+// runOverload checks that, while heartbeat responses are delayed, more tasks are completed per urgent job
+// than per job of low priority.
 func (s *checkedCluster) runOverload(delay time.Duration, restart bool) {
 	s.t.Helper()
 	for _, machine := range s.hosts {
@@ -773,9 +777,10 @@
 	s.awaitAllEnded(10 * time.Minute)
 }
 
-// Guards against rule violations, wrong priorities and lost jobs under overload with slow links. There
-// are more urgent and low-priority jobs than capacity, and heartbeat responses reach the machines late,
-// some so late that they are discarded. Urgent jobs must be done first, and all jobs in the end.
+// Guards against rule violations, wrong priorities and lost jobs under overload with slow links. The
+// urgent and low-priority jobs exceed the capacity, and heartbeat responses reach the machines late, some
+// so late that they are discarded. Urgent jobs must make more progress than the others, and all
+// jobs must end.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	for _, delay := range []time.Duration{
 		500 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 3900 * time.Millisecond,
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -19,7 +19,8 @@
 const probeTimeout = time.Second
 
 // detectFailures sends probes and resyncs to suspect machines, and terminates machines that are
-// confirmed dead or to which commands cannot be delivered.
+// confirmed dead or to which commands cannot be delivered. If a zone may be partitioned, it reads which
+// leases other nodes renew.
 func (lt *leaderTerm) detectFailures(now time.Time) {
 	zones := lt.detector.CountZones(lt.machines, now)
 	for _, m := range lt.machines {
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -86,8 +86,8 @@
 	load := func(deadlineS int, work float64) *Load {
 		return &Load{Deadline: now.Add(time.Duration(deadlineS) * time.Second), CPUSeconds: work}
 	}
-	// 10 CPUs provide 100, 120 and 200 CPU seconds by the three deadlines: all four jobs cannot be
-	// in time, but the three smallest can.
+	// 10 CPUs provide 100, 120 and 200 CPU seconds by the three deadlines. Not all four jobs can
+	// be in time, but the three smallest can.
 	largest, a, b, c := load(10, 80), load(10, 20), load(12, 30), load(20, 40)
 	DeferInfeasible([]*Load{c, b, a, largest}, 10, now)
 	if !largest.Deferred || a.Deferred || b.Deferred || c.Deferred {
