--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -41,8 +41,8 @@
 	surplusSince time.Time
 }
 
-// View is the part of the leader's state that the autoscaler reads. The autoscaler changes nothing in
-// it but the Draining field of machines.
+// View is the part of the leader's state that the autoscaler reads. The methods that take a View change
+// nothing in it but the Draining field of machines.
 type View struct {
 	Now      time.Time
 	Machines map[string]*cluster.Machine
@@ -94,7 +94,7 @@
 }
 
 const (
-	// minBilledTime is the shortest uptime that the cloud charges for.
+	// minBilledTime is the uptime that the cloud charges for even if a machine is terminated earlier.
 	minBilledTime       = 30 * time.Second
 	maxLaunchesInFlight = 3
 	listInterval        = 5 * time.Second
