--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -25,7 +25,7 @@
 	delayStep time.Duration
 }
 
-// isolateFirstNode makes the store reject the first node's requests until another node leads.
+// isolateFirstNode makes the store reject the first node's requests, and waits until another node leads.
 func isolateFirstNode(tn *userCluster) {
 	tn.stores[0].setClosed(true)
 	time.Sleep(9 * time.Second)
@@ -168,7 +168,7 @@
 	}
 	time.Sleep(4 * time.Second)
 	w.checkEqual("running tasks", tn.countTasks(), raceJobs)
-	// The result must not depend on the phase of the controller's tick.
+	// Each try begins at another point of the controller's tick, on which the result must not depend.
 	time.Sleep(time.Duration(try) * 7 * time.Millisecond)
 	tn.runInBackground(func() {
 		time.Sleep(80 * time.Millisecond)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -88,8 +88,9 @@
 }
 
 // enqueueReady adds a job to its team's queue once all its dependencies are done. The job's
-// objectives count from the recorded end of its last dependency, even if an earlier leader recorded
-// it, or from the job's acceptance, whichever is later.
+// objectives count from the end of its last dependency or from the job's acceptance, whichever is
+// later. For a dependency that this leader had in memory, the end is when this leader learned that it
+// was recorded; for others, it is the end in the terminal record, which an earlier leader wrote.
 func (dg *dependencyGraph) enqueueReady(j *cluster.Job) {
 	now := time.Now()
 	j.DependsOn, j.RunnableSince, j.WaitingSince = nil, j.AcceptedAt, now
--- a/internal/controller/dependencylists.go
+++ b/internal/controller/dependencylists.go
@@ -93,7 +93,8 @@
 }
 
 // sweep runs once per term. It finds the list records in the store, and has those deleted that an
-// earlier leader did not delete or that an incomplete submission left behind.
+// earlier leader did not delete, or that an incomplete submission left behind if the job has ended or
+// was accepted with other dependencies.
 func (lists *dependencyLists) sweep() {
 	keysByJob := lists.readKeysByJob()
 	recordStore := records.Records{Store: lists.leaderTerm.c.Store}
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -21,8 +21,8 @@
 	"example.org/ivytrestle/internal/netio"
 )
 
-// Errors of failed requests. Returned errors wrap them and add the request and the cause, so
-// test for them with errors.Is.
+// Errors of failed requests. Most returned errors wrap one of them and add the request or the
+// cause, so test for them with errors.Is.
 var (
 	// ErrNotApplied means that the store did not apply the request; a retry may succeed.
 	ErrNotApplied = errors.New("key-value store: request not applied")
--- a/internal/records/dependencylist.go
+++ b/internal/records/dependencylist.go
@@ -20,7 +20,7 @@
 // digestBytes is how many bytes of the hash are part of a list's keys.
 const digestBytes = 16
 
-// maxSizeDependencyList has the longest encoding that a list can have: it has no more records than
+// maxSizeDependencyList has the longest encoding that a list can have: no list has more records than
 // a submission has bytes.
 var maxSizeDependencyList = &DependencyList{Digest: strings.Repeat("0", 2*digestBytes), RecordCount: api.MaxBodyBytes}
 
@@ -66,8 +66,9 @@
 const maxListTxnOps = kv.MinWriteBurst
 
 // writeDependencies writes the records of a job's list that do not exist yet. It returns false if
-// the job has come to exist in the meantime. The list is written before the job is accepted; if the
-// submission is never completed, the next leader finds what is left of it.
+// the job has come to exist in the meantime. The list is written before the job is accepted. If the
+// submission is never completed, its records stay until a new leader finds that the job has ended or
+// was accepted with another list.
 func (r *Records) writeDependencies(
 	ctx context.Context, id string, list *DependencyList, parts []DependencyRecord,
 ) (bool, error) {
--- a/internal/records/jobcache_test.go
+++ b/internal/records/jobcache_test.go
@@ -332,8 +332,8 @@
 	}
 }
 
-// The terminal record of a job is read once. A later search that finds the active record deleted
-// must not remove the job from the cache; otherwise every later submission would read it again.
+// The terminal record of a job is read once. After a later search that finds the active record
+// deleted, the job must still be cached; otherwise every later submission would read its records.
 func TestTerminalRecordStaysCached(t *testing.T) {
 	st := &conflictCountingStore{Fake: kvtest.New()}
 	putRecord(t, st, "job-1", api.JobDone)
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -3,8 +3,8 @@
 // Records written by earlier versions must stay readable; golden_test.go checks this.
 //
 // Accept, Cancel and Lookup are retried as a whole with kv.Retry; the functions that they call
-// never retry. They are idempotent: if the outcome of a transaction is unknown, the next attempt
-// reads the job's records and finds what was applied.
+// never retry. Accept, Cancel and Lookup are idempotent: if the outcome of a transaction is unknown,
+// the next attempt reads the job's records and finds what was applied.
 package records
 
 import (
--- a/internal/records/values.go
+++ b/internal/records/values.go
@@ -12,7 +12,7 @@
 )
 
 // ActiveRecord is the record of an accepted job that has not ended. Once written, it changes only
-// when the job is lent or returned.
+// when the job is lent or returned, or when the cancellation of a lent job is requested.
 type ActiveRecord struct {
 	Spec     api.JobSpec `json:"spec"`
 	Accepted time.Time   `json:"accepted"`
@@ -31,7 +31,7 @@
 // of another cell. For the users of this cell, no job of that name was accepted.
 func isGuestRecord(e kv.Entry) bool {
 	if !bytes.Contains(e.Value, []byte(`"guest"`)) {
-		return false // true of nearly all records, which are not decoded
+		return false // nearly all records are of this kind and are not decoded
 	}
 	var rec ActiveRecord
 	return json.Unmarshal(e.Value, &rec) == nil && rec.Guest != nil
@@ -158,7 +158,7 @@
 }
 
 // RecordFits reports whether an active record whose numbers may grow fits a value of valueKB KiB
-// and half of a transaction.
+// and half of a transaction. Unlike in fits, a valueKB of 0 does not mean that there is no limit.
 func RecordFits(rec ActiveRecord, valueKB float64) bool {
 	raw, err := json.Marshal(rec)
 	return err == nil && float64(len(raw)+growthMarginBytes) <= min(valueKB*bytesPerKB, kv.MaxTxnBytes/2)
--- a/internal/recordwriter/outcome.go
+++ b/internal/recordwriter/outcome.go
@@ -19,10 +19,10 @@
 	// RetryCancels are derived cancellations that were not written, or whose outcome is unknown.
 	// The caller puts them back at the front of its pending cancellations.
 	RetryCancels []*cluster.Job
-	// Conflicting are the jobs whose active record had another version than the batch expected,
-	// mostly because of this leader's own transaction whose response was lost. NextUnresolved
-	// returns them one by one. Their cancellations stay out of the pending ones until their
-	// outcome has been read.
+	// Conflicting are the jobs whose end or cancellation was not written because their active
+	// record had another version than the batch expected, mostly because of this leader's own
+	// transaction whose response was lost. NextUnresolved returns them one by one. Until the
+	// outcome of such a job has been read, its cancellation must not be among the pending ones.
 	Conflicting []*cluster.Job
 	// Oversized holds the machines and shards that the store has rejected for their size.
 	Oversized Oversized
@@ -93,8 +93,8 @@
 	return conflicting
 }
 
-// requeue queues the changes of a batch again that was not applied or whose outcome is unknown. It
-// leaves out cancellations, which the caller queues.
+// requeue returns to the queues the changes of a batch that was not applied or whose outcome is
+// unknown. It leaves out cancellations, which the caller queues.
 func (w *Writer) requeue(b *Batch) {
 	w.finishing = append(slices.Clone(b.finished), w.finishing...)
 	w.requeueShards(b)
--- a/internal/recordwriter/writer.go
+++ b/internal/recordwriter/writer.go
@@ -120,10 +120,11 @@
 // DeleteKey queues the deletion of an obsolete record.
 func (w *Writer) DeleteKey(key string) { w.pendingDeletes = append(w.pendingDeletes, key) }
 
-// Backlog counts the queued changes by kind, and the jobs whose outcome must be read (Unresolved).
+// Backlog counts the queued changes by kind, without rewrites of stale shards, and the jobs whose
+// outcome must be read (Unresolved).
 type Backlog struct{ Finishing, Registering, Deletes, Completions, Unresolved int }
 
-// Backlog returns the lengths of the queues.
+// Backlog returns the lengths of the queues that the type Backlog counts.
 func (w *Writer) Backlog() Backlog {
 	return Backlog{
 		Finishing:   len(w.finishing),
@@ -140,8 +141,8 @@
 
 // NextBatch builds the next batch within the current write rate, most urgent changes first. It must
 // be called only when Ready reports true. Pending cancellations come first, in order and in a separate
-// batch. The caller passes those of jobs that have not ended, and afterwards removes the batch's
-// DerivedCancels from its list. Unless the batch is empty, the caller must send it and call Apply.
+// batch. pendingCancels must hold only jobs that have not ended. The caller then removes the batch's
+// DerivedCancels from its list and, unless the batch is empty, sends the batch and calls Apply.
 func (w *Writer) NextBatch(now time.Time, pendingCancels []*cluster.Job) *Batch {
 	b := &Batch{Txn: kv.Txn{SelfLimited: true, Compares: []kv.Compare{w.termCompare}}}
 	if w.addCancellations(b, pendingCancels, now); b.IsEmpty() {
