--- a/internal/controller/answerchecker_test.go
+++ b/internal/controller/answerchecker_test.go
@@ -193,8 +193,8 @@
 	return response.err
 }
 
-// resubmitInvalid repeats a submission with a missing field, which a node answers with the state of
-// the recorded job, and records the answer.
+// resubmitInvalid requests the state of the recorded job from a node, as is done for a repeated
+// submission with a missing field, and records the answer.
 func (c *answerChecker) resubmitInvalid(n *node, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -76,8 +76,8 @@
 	})
 }
 
-// Guards against keeping a machine that receives no heartbeat responses, even if these contain no
-// commands. Its task lease expires although its heartbeats are answered, which shows as a new agent
+// Guards against keeping a machine that receives no heartbeat responses while there are no commands
+// for it. Its task lease expires although its heartbeats are answered, which shows as a new agent
 // epoch in heartbeat after heartbeat.
 func TestExpiredAgentEpochsRevealUndeliveredCommands(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
@@ -456,8 +456,8 @@
 	})
 }
 
-// Guards against a panic of a leader with an unexpired lease on a heartbeat that shows that another
-// node has begun a later term. The leader rejects the heartbeat and steps down.
+// Guards against a panic of a leader when a heartbeat shows that another node has begun a later term
+// while its own lease has not expired. The leader rejects the heartbeat and steps down.
 func TestHeartbeatOfLaterTermMakesLeaderStepDown(t *testing.T) {
 	simulate(t, func(w *simulatedCluster) {
 		n := w.start("n0")
--- a/internal/controller/loanlending.go
+++ b/internal/controller/loanlending.go
@@ -131,7 +131,7 @@
 	case j.Ended || j.Finishing || j.CancelPending || len(j.DependsOn) > 0:
 		return false
 	case l.pendingChanges[loanName(lt.c.Cells.Cell, j.Spec.ID)]:
-		return false // the watch showed a change before the store's response to it arrived
+		return false // the watch has shown a change whose transaction has no response yet
 	case j.Started() || j.LostTasks > 0 || j.Done.Any() || len(j.CompletionChunks) > 0:
 		return false
 	case !records.RecordFits(
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -232,8 +232,9 @@
 	case lt.checkTermConflict(m.result):
 		return
 	default:
-		// A compare failed: either an earlier attempt was applied and its response was
-		// lost, or the records were changed otherwise. Reading them shows which.
+		// The store rejected the transaction as invalid, or a compare failed: either an
+		// earlier attempt was applied and its response was lost, or the records were
+		// changed otherwise. Reading them shows which.
 		go l.readRecords(m.change)
 		return
 	}
--- a/internal/controller/loanshost.go
+++ b/internal/controller/loanshost.go
@@ -321,7 +321,7 @@
 	})
 }
 
-// returnGuest queues the removal of a guest, which is dropped if a task of it has started.
+// returnGuest queues the removal of a guest. The removal is dropped if a task of the guest has started.
 func (l *loans) returnGuest(j *cluster.Job) {
 	lt, home, epoch := l.leaderTerm, j.Guest.Home, j.Guest.Epoch
 	active := records.ActivePrefix + j.Spec.ID
--- a/internal/controller/relayuplink.go
+++ b/internal/controller/relayuplink.go
@@ -53,8 +53,8 @@
 	relayTimeout = 1500 * time.Millisecond
 	// outcomeTimeout is how long the leader waits for the outcome of commands.
 	outcomeTimeout = 20 * time.Second
-	// outcomeRetention is how long the follower continues to report an outcome once it no longer
-	// relays, because the leader is reachable again or another node leads.
+	// outcomeRetention is how long after it received commands the follower still reports their
+	// outcome if it no longer relays, because the leader is reachable again or another node leads.
 	outcomeRetention = time.Minute
 	// minRelayRecordBytes is the lower limit for the size of records, which is halved each time a
 	// batch is rejected as too large.
@@ -87,7 +87,7 @@
 	nextTick  time.Time
 	// machines holds the machines whose heartbeats are relayed, by name.
 	machines map[string]*relayedMachine
-	// maxMachines is the maximum size of machines.
+	// maxMachines is the size of machines at which heartbeats of further machines are not relayed.
 	maxMachines int
 	// sizeHalvings is how often a batch was rejected as too large. Each time, the size of records
 	// was halved.
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -247,7 +247,7 @@
 
 // Guards against tasks that are killed because the leader is partitioned from their machines. A
 // follower on the machines' side renews the task leases on the leader's behalf. It stops before a
-// cancellation could take effect too late, and it starts no tasks.
+// cancellation could take effect too late, and it starts no tasks of its own accord.
 func TestFollowerRenewsTaskLeasesOnBehalf(t *testing.T) {
 	for _, c := range []struct {
 		name             string
--- a/internal/controller/runchecker_test.go
+++ b/internal/controller/runchecker_test.go
@@ -354,7 +354,7 @@
 	})
 }
 
-// countTasks returns the sorted names of a job's tasks that run on machines.
+// tasksOnMachines returns the sorted names of a job's tasks that run on machines.
 func (c *runChecker) tasksOnMachines(job string) (tasks []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/spillover_test.go
+++ b/internal/controller/spillover_test.go
@@ -35,8 +35,8 @@
 	putsReclaimed = putsActive(func(rec records.ActiveRecord) bool { return rec.Spec.ID != "" && rec.LoanCount > 0 })
 )
 
-// putsUnder returns a function that reports whether a transaction puts a record under a prefix, other
-// than an active record.
+// putsUnder returns a function that reports whether a transaction puts a record, other than an active
+// record, under a prefix.
 func putsUnder(prefix string) func(kv.Txn) bool {
 	return func(txn kv.Txn) bool {
 		return slices.ContainsFunc(txn.Ops, func(op kv.Op) bool {
@@ -147,8 +147,8 @@
 }
 
 // The transaction that accepts a loan gets no response and is applied almost a minute later, when the
-// host has closed the loan and home runs the job itself. It must fail, because its epoch is not above
-// the minimum epoch.
+// host has closed the loan and home runs the job itself. It must fail, because the term of the
+// leader that sent it has ended and the record of the minimum epoch has changed.
 func TestAcceptanceAppliedLate(t *testing.T) {
 	simulateCells(t, []int{1, 2}, func(g *cellGroup) {
 		home, host := g.cells[0], g.cells[1]
@@ -712,7 +712,7 @@
 }
 
 // A host rejects loans that are malformed, are too large, come from a cell that is not configured, or
-// could not run. The response contains the reason, and the host writes no record.
+// could not run. The response contains the reason, and the host writes no active record.
 func TestRejectedLoanRequests(t *testing.T) {
 	simulateCells(t, []int{1, 1}, func(g *cellGroup) {
 		host := g.cells[1]
--- a/internal/loan/home.go
+++ b/internal/loan/home.go
@@ -40,7 +40,7 @@
 }
 
 // CanConfirmEnd reports whether a home leader of the given term may conclude that a loan has
-// ended from not having it among its lent jobs. This holds for loans of its own term and, since
+// ended if its lent jobs do not include it. This holds for loans of its own term and, since
 // it has read the records, of earlier terms. A loan of a later term may have been made without
 // its knowledge.
 func CanConfirmEnd(term uint64, e Epoch) bool { return uint64(e>>countBits) <= term }
--- a/internal/loan/loan.go
+++ b/internal/loan/loan.go
@@ -116,8 +116,9 @@
 	Since  time.Time
 }
 
-// Entry is the part of a Request about one loan. It includes the offer until the host has
-// reported a state of the loan other than PhaseUnknown.
+// Entry is the part of a Request about one loan. If DesiredRun is requested, the entry includes
+// the offer until the host has reported a phase other than PhaseUnknown, unless the offers before
+// it fill the request.
 type Entry struct {
 	Job     string
 	Epoch   Epoch
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,6 @@
 // Package peer carries requests between controllers: length-prefixed protobuf
-// messages over one TCP connection for each direction.
+// messages. A controller sends its requests to another over one TCP connection, on
+// which it also receives the responses.
 package peer
 
 import (
@@ -45,7 +46,7 @@
 	// Vote requests this node's vote for the lease of a term's leader. The vote is valid for a
 	// limited time.
 	Vote(ctx context.Context, r *GrantRequest) (*GrantAnswer, error)
-	// Promise stops this node from voting in a term, and returns for how long votes that it has
+	// Promise stops this node from voting in a term or an earlier one, and returns for how long votes that it has
 	// given may still be valid.
 	Promise(ctx context.Context, r *PromiseRequest) (*PromiseAnswer, error)
 }
