--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -94,8 +94,8 @@
 	maxPolls = 160
 )
 
-// MaxInFlightBytes is the approximate memory that the maximum number of requests in flight uses.
-// A submission counts twice its maximum body, as received and as decoded, and a poll 8 KiB.
+// MaxInFlightBytes is the approximate memory that the maximum number of users' requests in flight
+// uses. A submission counts twice its maximum body, as received and as decoded, and a poll 8 KiB.
 const MaxInFlightBytes = maxSubmits*(2*MaxBodyBytes) + maxPolls*(8<<10)
 
 // withSlot returns a handler that serves a request if a slot is free and rejects it otherwise.
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -1,6 +1,6 @@
 // Package api defines the wire types of the HTTP API for users and worker agents, and the
-// handlers that serve it. The names on the wire appear only in this package and in the
-// clients of external services.
+// handlers that serve it. Elsewhere, code uses names on the wire only in the clients of this API
+// and of external services, in package records (Awaits), and in the simulations of package loadtest.
 package api
 
 import (
--- a/internal/ci/knownred/verdict.go
+++ b/internal/ci/knownred/verdict.go
@@ -163,9 +163,9 @@
 		}
 	}
 	if len(v.problems) == problemsBefore {
-		// The package did not build, a panic, a timeout or os.Exit aborted the run, or something
-		// other than a test failed. Then tests may not have run, so the failure is not tolerated
-		// even if all failed tests are listed.
+		// Either the package did not build, or a panic, a timeout or os.Exit aborted the run, or
+		// something other than a test failed. In each case some tests may not have run, so the
+		// failure is not tolerated even if all failed tests are listed.
 		v.addProblem("%s failed by more than listed tests", p.name)
 	}
 }
--- a/internal/client/job.go
+++ b/internal/client/job.go
@@ -17,7 +17,8 @@
 }
 
 // AddDependencies returns a job, encoded as JSON, with more job IDs in its list of dependencies. It
-// validates only these IDs and the type of the list; the controller validates the job.
+// validates these IDs, and checks that the job is an object and Awaits a list. The controller
+// validates the rest. Without IDs, it returns the job unchanged and unchecked.
 func AddDependencies(job []byte, ids []string) ([]byte, error) {
 	if len(ids) == 0 {
 		return job, nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -112,8 +112,8 @@
 }
 
 // A transaction limit that equals the operations of a cancellation must be valid. The earlier
-// minimum of five was more than any transaction needs; a node would have failed to start when an
-// upgrade of the key-value store to four operations was announced.
+// minimum of five was more than any transaction needs: with it, a node would have failed to start
+// once an upgrade of the key-value store to a limit of four operations was announced.
 func TestAnnouncedOperationsOfOneCancellationSuffice(t *testing.T) {
 	for _, ops := range []int{3, 4} {
 		s, err := Parse(settingsWithNext(fmt.Sprintf(`{"value_kb":2,"txn_ops":%d,"write_rps":18}`, ops)))
--- a/internal/controller/usercluster_test.go
+++ b/internal/controller/usercluster_test.go
@@ -15,7 +15,7 @@
 )
 
 // delayedStore is one node's access to the key-value store. Requests and responses are delayed, so
-// that operations of other nodes can take place in between.
+// that operations of other nodes can take place in between. Watches are not delayed.
 type delayedStore struct {
 	gate
 	requestDelay, responseDelay time.Duration
@@ -35,7 +35,8 @@
 	counts[time.Now().Unix()] += n
 }
 
-// maxAndSum returns the largest count of a second and the sum of all counts in one of the maps of rc.
+// maxAndSum returns, for one of the maps of rc, the largest count of any second and the sum of all
+// counts.
 func (rc *requestCounts) maxAndSum(counts map[int64]int) (largest, sum int) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -102,7 +103,7 @@
 // after their duration, and end when the task lease expires.
 type backgroundAgent struct {
 	*worker
-	// taskStartedAt holds, by task, when the task started.
+	// startedAt holds, by task, the time of the first heartbeat response after the task's start.
 	startedAt map[string]time.Time
 	// lastSent is when the last heartbeat was sent.
 	lastSent time.Time
@@ -131,8 +132,8 @@
 
 	mu    sync.Mutex
 	nodes []*node
-	// overdueTasks holds the tasks that were on a machine for more than 30 s after the
-	// cancellation of their job was confirmed.
+	// overdueTasks holds the tasks that had not exited 30 s after the cancellation of their job
+	// was confirmed.
 	overdueTasks []string
 	// stopped ends the machines, and the users that poll until a final phase.
 	stopped atomic.Bool
@@ -228,7 +229,7 @@
 }
 
 // runAgent runs an agent until the cluster is closed. The agent sends a heartbeat once a second and
-// whenever tasks complete. Tasks of cancelled jobs that are still on the machine after 30 s are
+// whenever tasks complete. Tasks that have not exited 30 s after the cancellation of their job are
 // recorded as overdue.
 func (tn *userCluster) runAgent(agent *backgroundAgent) {
 	for changed := false; !tn.stopped.Load(); {
@@ -252,7 +253,7 @@
 	}
 }
 
-// recordOverdue records a task that is still on a machine too long after its job was cancelled.
+// recordOverdue records a task that has not exited in time after its job was cancelled.
 func (tn *userCluster) recordOverdue(ref string) {
 	tn.mu.Lock()
 	defer tn.mu.Unlock()
@@ -348,8 +349,9 @@
 func (tn *userCluster) runInBackground(f func()) { tn.goroutines.Go(f) }
 
 // pollAll requests a job's state from all nodes in turn for the given time, once per interval, without
-// waiting for the answers. Some requests repeat the submission, validly or invalidly, instead. The
-// checker checks the answers. Errors are ignored, since a node may fail any single request.
+// waiting for the answers. Instead of a query, some requests are a repeated submission, which may be
+// invalid. The checker checks the answers. Errors are ignored, since a node may fail any single
+// request.
 func (tn *userCluster) pollAll(s *api.JobSpec, interval, duration time.Duration) {
 	submitted := func() bool {
 		tn.checker.mu.Lock()
--- a/internal/daemon/connlimiter.go
+++ b/internal/daemon/connlimiter.go
@@ -9,7 +9,7 @@
 
 // connLimiter bounds the open connections of a server. Above the limit it closes the connection
 // that has been idle longest, so that new connections need not wait. Live worker agents and users
-// send a request every few seconds, so they no longer need that connection.
+// send a request every few seconds, so a connection that has been idle for long belongs to none of them.
 type connLimiter struct {
 	limit int
 
--- a/internal/deployfile/deployfile.go
+++ b/internal/deployfile/deployfile.go
@@ -1,5 +1,6 @@
 // Package deployfile reads the files that enable optional features of the program. They are TOML
-// and validated against a JSON schema. An error is one line that names the invalid field.
+// and validated against a JSON schema. An error is one line. It names the line of a syntax error and
+// the first field that violates the schema.
 package deployfile
 
 import (
@@ -16,7 +17,7 @@
 
 // Load decodes a file into settings, whose JSON tags are the names of the fields in the file. It
 // then calls check for what the schema cannot express. Errors start with kind, the name of the
-// feature, and the path.
+// feature, and contain the path.
 func Load(kind, path string, schema []byte, settings any, check func() error) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/loadtest/cellsload/machine.go
+++ b/internal/loadtest/cellsload/machine.go
@@ -28,8 +28,8 @@
 	mu        sync.Mutex
 	heartbeat api.Heartbeat
 	taskEnds  map[string]time.Time
-	// lastResponse is when the last heartbeat was sent that got a response. The task lease starts
-	// at this time.
+	// lastResponse is the time at which the last heartbeat with an accepted response was sent.
+	// The task lease starts at this time.
 	lastResponse time.Time
 	// nodeIndex is the index of the controller to which the next heartbeat is sent.
 	nodeIndex int
@@ -128,7 +128,7 @@
 	m.nodeIndex = leader
 }
 
-// completeTasks marks tasks as completed whose run time has passed. If the task lease has expired,
+// completeTasks marks the tasks whose run time has passed as completed. If the task lease has expired,
 // it stops all tasks and starts a new agent epoch instead.
 func (m *machine) completeTasks() {
 	if time.Since(m.lastResponse) > taskLease {
--- a/internal/loadtest/cellsload/main.go
+++ b/internal/loadtest/cellsload/main.go
@@ -1,9 +1,10 @@
 // Cellsload measures spillover between cells on the loopback interface. It runs several cells
 // (three by default) of real controller processes with simulated key-value stores and machines,
-// puts a high load on one cell at a time, kills controllers and cuts links between cells. It counts
-// tasks that ran on two machines at once and jobs without a final state or with two, and measures
-// how long jobs wait and how many CPUs are idle, with and without spillover. It is a measuring
-// tool, not a test, and runs for some minutes.
+// puts a high load on one cell at a time and, if requested, kills controllers and cuts links between
+// cells. It counts tasks that ran on two machines at once and jobs without a final state or with two,
+// and measures how long jobs wait and how many CPUs are idle, with or without spillover. Instead, it
+// can measure takeovers in a single cell. It is a measuring tool, not a test, and runs for some
+// minutes.
 package main
 
 import (
--- a/internal/loadtest/environment.go
+++ b/internal/loadtest/environment.go
@@ -1,7 +1,8 @@
 // Package loadtest simulates the environment of a controller in real time, in a process separate
 // from the controller: a key-value store, a cloud, machines whose worker agents send heartbeats and
 // run tasks, and users. It serves to measure and profile the CPU time and memory of a whole
-// controller. It is not a test: it does not check that the controller behaves correctly.
+// controller, and to try a controller on a single computer. It is not a test: it does not check
+// that the controller behaves correctly.
 package loadtest
 
 import (
--- a/internal/loadtest/machine.go
+++ b/internal/loadtest/machine.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// completeTasks marks tasks as completed whose run time has passed.
+// completeTasks marks the tasks whose run time has passed as completed.
 func (m *machine) completeTasks() {
 	now := time.Now()
 	for i := range m.heartbeat.Tasks {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -39,7 +39,7 @@
 	return near, far
 }
 
-// A transfer that is larger than the sockets' buffers arrives complete, although both sides must wait
+// A transfer that is larger than the sockets' buffers arrives complete, although each side must wait
 // for the other.
 func TestTransferLargerThanSocketBuffers(t *testing.T) {
 	near, far := connect(t)
