--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -361,8 +361,8 @@
 	maxFastObjects = 2048
 )
 
-// ParseHeartbeat decodes a heartbeat. Its strings share memory with body, which must not be
-// modified afterwards; clone strings that outlive the request.
+// ParseHeartbeat decodes a heartbeat. Its strings, except phases and causes, may share memory with
+// body, which must not be modified afterwards. Clone those that outlive the request.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	var err error
