--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -1,6 +1,6 @@
 // Package api defines the wire types of the HTTP API for users and worker agents, and the
-// handlers that serve it. The names on the wire appear only in this package and in the
-// clients of external services.
+// handlers that serve it. Elsewhere, code uses names on the wire only in the clients of this API
+// and of external services, in package records (Awaits), and in the simulations of package loadtest.
 package api
 
 import (
@@ -361,8 +361,8 @@
 	maxFastObjects = 2048
 )
 
-// ParseHeartbeat decodes a heartbeat. Its strings share memory with body, which must not be
-// modified afterwards; clone strings that outlive the request.
+// ParseHeartbeat decodes a heartbeat. Its strings, except phases and causes, may share memory with
+// body, which must not be modified afterwards. Clone those that outlive the request.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	var err error
